--- /dev/null
+++ b/internal/cells/golden_test.go
@@ -0,0 +1,35 @@
+package cells
+
+import (
+	"encoding/hex"
+	"testing"
+	"time"
+
+	"google.golang.org/protobuf/proto"
+
+	"leadproxy/internal/property"
+	"leadproxy/internal/spill"
+)
+
+// TestGoldenExchange compares the bytes of an offer with its job, and of an answer, as they
+// travel between cells.
+func TestGoldenExchange(t *testing.T) {
+	offer := messageOut(spill.Message{Kind: spill.Offer, Ref: "job-17", Epoch: 3, Body: &spill.OfferBody{
+		Job: []byte(`{"ref":"job-17"}`), Cores: 4.5, AcceptedMS: 5, Repeatable: true}})
+	answer := answerOut(spill.Answer{Ref: "job-17", Epoch: 3, Outcome: spill.OutcomeRefused, Done: 4, Running: 5,
+		Reason: "text-6", Temporary: true, RetryAfter: 7 * time.Second})
+	property.CheckGoldenValues(t, "exchange", map[string]any{
+		"offer":  encoded(t, offer),
+		"answer": encoded(t, answer),
+	})
+}
+
+// encoded is a message's bytes in hexadecimal.
+func encoded(t *testing.T, m proto.Message) string {
+	t.Helper()
+	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return hex.EncodeToString(text)
+}
--- /dev/null
+++ b/internal/drain/golden_test.go
@@ -0,0 +1,41 @@
+package drain
+
+import (
+	"testing"
+
+	"leadproxy/internal/property"
+)
+
+// TestGoldenRecords compares the record of a plan with how it has to be stored.
+func TestGoldenRecords(t *testing.T) {
+	property.CheckGolden(t, "plan", &Record{})
+	property.CheckGolden(t, "plan_request", &Spec{})
+	property.CheckGolden(t, "plan_move", &MoveRecord{})
+}
+
+// TestGoldenConstants compares the words that are stored or that operators use.
+func TestGoldenConstants(t *testing.T) {
+	property.CheckGoldenValues(t, "constants", map[string]any{
+		"phase choosing":        Choosing,
+		"phase hiring":          Hiring,
+		"phase draining":        Draining,
+		"phase checking":        Checking,
+		"phase finished":        Finished,
+		"phase aborted":         Aborted,
+		"phase failed":          Failed,
+		"command pause":         Pause,
+		"command resume":        Resume,
+		"command abort":         Abort,
+		"command allow":         Allow,
+		"command skip":          Skip,
+		"cause move":            Move,
+		"record version":        RecordVersion,
+		"prefix of hires":       HirePrefix,
+		"group of the team a":   TeamGroup("a"),
+		"group of the class a":  ClassGroup("a"),
+		"most listed machines":  maxListed,
+		"most machines a batch": maxBatch,
+		"most moves":            maxMoves,
+		"most named":            maxNamed,
+	})
+}
--- /dev/null
+++ b/internal/ledger/golden_test.go
@@ -0,0 +1,73 @@
+package ledger
+
+import (
+	"io"
+	"log/slog"
+	"testing"
+
+	"leadproxy/internal/election"
+	"leadproxy/internal/property"
+	"leadproxy/internal/spill"
+)
+
+// TestGoldenRecords compares every record with how it has to be stored.
+func TestGoldenRecords(t *testing.T) {
+	records := map[string]any{
+		"job":    &JobRecord{},
+		"hire":   &HireRecord{},
+		"silent": &SilentRecord{},
+		"fin":    &Ranges{},
+	}
+	for name, sample := range records {
+		t.Run(name, func(t *testing.T) { property.CheckGolden(t, name, sample) })
+	}
+	done := map[int]bool{0: true, 1: true, 2: true, 5: true, 9: true}
+	property.CheckGoldenValues(t, "fin_of_tasks_0_1_2_5_9", map[string]any{
+		"ranges": EncodeRanges(func(i int) bool { return done[i] }, ChunkTasks),
+	})
+}
+
+// TestGoldenKeys compares the keys of the ledger.
+func TestGoldenKeys(t *testing.T) {
+	property.CheckGoldenValues(t, "keys", map[string]any{
+		"prefixes":                        Prefixes(),
+		"job prefix":                      JobPrefix,
+		"job-17":                          JobKey("job-17"),
+		"finished tasks, job-17, chunk 0": FinKey("job-17", 0),
+		"finished tasks, job-17, chunk 3": FinKey("job-17", 3),
+		"finished tasks, job-17, chunk 3, part from 512": FinPartKey("job-17", 3, 512),
+		"hosts, job-17, chunk 0":                         HostKey("job-17", 0),
+		"hosts, job-17, chunk 2":                         HostKey("job-17", 2),
+		"hire h-1":                                       HireKey("h-1"),
+		"gone machine m-1":                               GoneKey("m-1"),
+		"silent 4-2":                                     SilentKey("4-2"),
+		"plan p-1":                                       PlanKey("p-1"),
+		"transfer away, job-17":                          AwayKey("job-17"),
+		"transfer in, home east, job-17":                 GuestKey(spill.GuestKey{Home: "east", Ref: "job-17"}),
+		"fence":                                          fenceKey,
+		"leader":                                         election.Key,
+		"tasks of a chunk":                               ChunkTasks,
+		"hosts of a chunk":                               ChunkHosts,
+		"tasks of a part of 16384 bytes":                 PartTasks(16384),
+		"tasks of a part of 1024 bytes":                  PartTasks(1024),
+	})
+}
+
+// TestGoldenTransaction compares the transaction of a term that moves the fence, writes one
+// key and deletes another.
+func TestGoldenTransaction(t *testing.T) {
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	l := New(7, nil, fixed(Limits{Ops: 10, Bytes: 1 << 20, Value: 16384}), log)
+	l.doubt = true
+	l.versions[fenceKey] = 5
+	l.versions[GoneKey("m-1")] = 6
+	err := l.enqueueAll([]Write{
+		{Key: HireKey("h-1"), Value: HireRecord{Machines: []string{"m-1"}}, Urgent: true},
+		{Key: GoneKey("m-1"), Urgent: true},
+	})
+	if err != nil {
+		t.Fatal(err)
+	}
+	_, _, txn := l.batch()
+	property.CheckGoldenValues(t, "transaction_with_fence", map[string]any{"transaction": txn})
+}
--- /dev/null
+++ b/internal/spill/golden_test.go
@@ -0,0 +1,57 @@
+package spill
+
+import (
+	"testing"
+
+	"leadproxy/internal/property"
+)
+
+// TestGoldenRecords compares the records of transfers with how they have to be stored.
+func TestGoldenRecords(t *testing.T) {
+	property.CheckGolden(t, "away", &AwayRecord{})
+	property.CheckGolden(t, "guest", &GuestRecord{})
+}
+
+// TestGoldenConstants compares the stored states, the numbers that travel between cells, and
+// the words that operators see.
+func TestGoldenConstants(t *testing.T) {
+	property.CheckGoldenValues(t, "constants", map[string]any{
+		"away offered":       Offered,
+		"away accepted":      Accepted,
+		"away returned":      Returned,
+		"guest accepted":     GuestAccepted,
+		"guest refused":      GuestRefused,
+		"guest revoked":      GuestRevoked,
+		"guest released":     GuestReleased,
+		"step planned":       StepPlanned,
+		"step accepted":      StepAccepted,
+		"step refused":       StepRefused,
+		"step revoking":      StepRevoking,
+		"step revoked":       StepRevoked,
+		"step cancelling":    StepCancelling,
+		"step ended":         StepEnded,
+		"step taken back":    StepTakenBack,
+		"step returned":      StepReturned,
+		"step cleaned":       StepCleaned,
+		"step released":      StepReleased,
+		"step contradiction": StepContradiction,
+	})
+	property.CheckGoldenValues(t, "numbers", map[string]any{
+		"kind offer":        Offer,
+		"kind revoke":       Revoke,
+		"kind cancel":       Cancel,
+		"kind status":       Status,
+		"kind release":      Release,
+		"outcome pending":   OutcomePending,
+		"outcome absent":    OutcomeAbsent,
+		"outcome accepted":  OutcomeAccepted,
+		"outcome done":      OutcomeDone,
+		"outcome aborted":   OutcomeAborted,
+		"outcome refused":   OutcomeRefused,
+		"outcome revoked":   OutcomeRevoked,
+		"outcome released":  OutcomeReleased,
+		"outcome stale":     OutcomeStale,
+		"names of kinds":    kindNames,
+		"names of outcomes": outcomeNames,
+	})
+}
--- /dev/null
+++ b/internal/upgrade/golden_test.go
@@ -0,0 +1,18 @@
+package upgrade
+
+import (
+	"testing"
+
+	"leadproxy/internal/property"
+)
+
+// TestGoldenAnnouncement compares a node's key and its value.
+func TestGoldenAnnouncement(t *testing.T) {
+	property.CheckGolden(t, "node", &announcement{})
+	property.CheckGoldenValues(t, "constants", map[string]any{
+		"key prefix":                   Prefix,
+		"level of jobs that wait":      Pipelines,
+		"level of transfers":           Transfers,
+		"level of the present version": Level,
+	})
+}
