--- /dev/null
+++ b/cmd/leadproxy/golden_test.go
@@ -0,0 +1,117 @@
+package main
+
+import (
+	"context"
+	"flag"
+	"fmt"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"github.com/alecthomas/kong"
+)
+
+var updateHelp = flag.Bool("update-help", false, "write the golden file of the command line anew")
+
+// TestGoldenCommandLine compares the tree of commands with their flags and arguments with the
+// recorded one. Sentences of the help may change and are left out.
+func TestGoldenCommandLine(t *testing.T) {
+	var cl commandLine
+	parser, err := kong.New(&cl, kong.Name("leadproxy"), kong.Vars{"version": "VERSION"})
+	if err != nil {
+		t.Fatal(err)
+	}
+	compareGolden(t, "help.txt", describeNode(parser.Model.Node))
+}
+
+// TestGoldenLogLevel compares which values LOG_LEVEL may have, and what they let through.
+func TestGoldenLogLevel(t *testing.T) {
+	var lines []string
+	for _, value := range []string{"", "error", "info", "debug", "ERROR", "Info", "warn", "warning", "trace", "0", " info"} {
+		log, err := newLog(value)
+		if err != nil {
+			lines = append(lines, fmt.Sprintf("LOG_LEVEL=%q refused", value))
+			continue
+		}
+		var levels []string
+		for _, level := range []slog.Level{slog.LevelDebug, slog.LevelInfo, slog.LevelWarn, slog.LevelError} {
+			if log.Enabled(context.Background(), level) {
+				levels = append(levels, level.String())
+			}
+		}
+		lines = append(lines, fmt.Sprintf("LOG_LEVEL=%q logs %s", value, strings.Join(levels, " ")))
+	}
+	compareGolden(t, "log-level.txt", lines)
+}
+
+func describeNode(node *kong.Node) []string {
+	path := node.FullPath()
+	line := "command " + path
+	if len(node.Aliases) > 0 {
+		line += fmt.Sprintf(" aliases %v", node.Aliases)
+	}
+	if node.Parent != nil && node.Parent.DefaultCmd == node {
+		line += " default"
+	}
+	lines := []string{line + hidden(node.Hidden)}
+	for _, flag := range node.Flags {
+		line := fmt.Sprintf("flag %s --%s", path, flag.Name)
+		if flag.Short != 0 {
+			line += " -" + string(flag.Short)
+		}
+		if len(flag.Aliases) > 0 || len(flag.Envs) > 0 {
+			line += fmt.Sprintf(" aliases %v environment %v", flag.Aliases, flag.Envs)
+		}
+		lines = append(lines, line+describeValue(flag.Value)+hidden(flag.Hidden))
+	}
+	for _, argument := range node.Positional {
+		lines = append(lines, fmt.Sprintf("argument %s %d <%s>%s", path, argument.Position, argument.Name, describeValue(argument)))
+	}
+	for _, child := range node.Children {
+		lines = append(lines, describeNode(child)...)
+	}
+	return lines
+}
+
+func describeValue(value *kong.Value) string {
+	text := " " + value.Target.Kind().String()
+	if value.Required {
+		text += " required"
+	}
+	if value.HasDefault {
+		text += fmt.Sprintf(" default %q", value.Default)
+	}
+	if value.Enum != "" {
+		text += fmt.Sprintf(" one of %q", value.Enum)
+	}
+	return text
+}
+
+func hidden(is bool) string {
+	if is {
+		return " hidden"
+	}
+	return ""
+}
+
+func compareGolden(t *testing.T, name string, lines []string) {
+	t.Helper()
+	slices.Sort(lines)
+	got := strings.Join(lines, "\n") + "\n"
+	path := filepath.Join("testdata", "golden", name)
+	if *updateHelp {
+		if err := os.WriteFile(path, []byte(got), 0o666); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("differs from %s; now:\n%s", path, got)
+	}
+}
--- /dev/null
+++ b/internal/compat/golden_test.go
@@ -0,0 +1,129 @@
+package compat
+
+import (
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"google.golang.org/protobuf/reflect/protoreflect"
+	"google.golang.org/protobuf/reflect/protoregistry"
+
+	_ "leadproxy/internal/cells/cellpb"
+	_ "leadproxy/internal/handover/handoverpb"
+	_ "leadproxy/internal/hints/hintpb"
+	_ "leadproxy/internal/peers/peerpb"
+	_ "leadproxy/internal/rollouts/rolloutpb"
+)
+
+var updateGRPC = flag.Bool("update-grpc", false, "write the golden file of the gRPC services and messages anew")
+
+// TestGoldenGRPC compares what travels between controllers with the recorded list: packages,
+// methods, messages with the numbers and types of their fields, and enums. Names of fields do
+// not travel and are left out.
+func TestGoldenGRPC(t *testing.T) {
+	var lines []string
+	protoregistry.GlobalFiles.RangeFiles(func(file protoreflect.FileDescriptor) bool {
+		if of := string(file.Package()); !strings.HasPrefix(of, "google.") && !strings.HasPrefix(of, "grpc.") {
+			lines = append(lines, describeFile(file)...)
+		}
+		return true
+	})
+	slices.Sort(lines)
+	got := strings.Join(lines, "\n") + "\n"
+	path := filepath.Join("testdata", "golden", "grpc.txt")
+	if *updateGRPC {
+		if err := os.WriteFile(path, []byte(got), 0o666); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("the services and messages differ from %s; now:\n%s", path, got)
+	}
+}
+
+func describeFile(file protoreflect.FileDescriptor) []string {
+	lines := []string{fmt.Sprintf("package %s syntax %s", file.Package(), file.Syntax())}
+	for i := range file.Services().Len() {
+		lines = append(lines, describeService(file.Services().Get(i))...)
+	}
+	lines = append(lines, describeMessages(file.Messages())...)
+	return append(lines, describeEnums(file.Enums())...)
+}
+
+func describeService(service protoreflect.ServiceDescriptor) []string {
+	lines := []string{fmt.Sprintf("service %s", service.FullName())}
+	for i := range service.Methods().Len() {
+		method := service.Methods().Get(i)
+		lines = append(lines, fmt.Sprintf("method /%s/%s request %s%s reply %s%s", service.FullName(), method.Name(),
+			streamed(method.IsStreamingClient()), method.Input().FullName(),
+			streamed(method.IsStreamingServer()), method.Output().FullName()))
+	}
+	return lines
+}
+
+func streamed(is bool) string {
+	if is {
+		return "stream of "
+	}
+	return ""
+}
+
+// describeMessages also describes the messages and enums that are nested.
+func describeMessages(messages protoreflect.MessageDescriptors) []string {
+	var lines []string
+	for i := range messages.Len() {
+		message := messages.Get(i)
+		lines = append(lines, fmt.Sprintf("message %s", message.FullName()))
+		for n := range message.Fields().Len() {
+			field := message.Fields().Get(n)
+			lines = append(lines, fmt.Sprintf("message %s field %4d %s", message.FullName(), field.Number(), describeField(field)))
+		}
+		lines = append(lines, describeMessages(message.Messages())...)
+		lines = append(lines, describeEnums(message.Enums())...)
+	}
+	return lines
+}
+
+func describeField(field protoreflect.FieldDescriptor) string {
+	text := field.Kind().String()
+	switch {
+	case field.Message() != nil:
+		text += " " + string(field.Message().FullName())
+	case field.Enum() != nil:
+		text += " " + string(field.Enum().FullName())
+	}
+	text += " " + field.Cardinality().String()
+	if field.IsMap() {
+		text += " map"
+	}
+	if field.IsPacked() {
+		text += " packed"
+	}
+	if field.HasPresence() {
+		text += " presence"
+	}
+	if oneof := field.ContainingOneof(); oneof != nil && !oneof.IsSynthetic() {
+		text += fmt.Sprintf(" oneof %d", oneof.Index())
+	}
+	return text
+}
+
+func describeEnums(enums protoreflect.EnumDescriptors) []string {
+	var lines []string
+	for i := range enums.Len() {
+		enum := enums.Get(i)
+		for n := range enum.Values().Len() {
+			value := enum.Values().Get(n)
+			lines = append(lines, fmt.Sprintf("enum %s %4d %s", enum.FullName(), value.Number(), value.Name()))
+		}
+	}
+	return lines
+}
