--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -20,6 +20,7 @@
 	"leadproxy/internal/cells/cellpb"
 	"leadproxy/internal/dispatch"
 	"leadproxy/internal/fake"
+	"leadproxy/internal/scheduler"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/spill"
 )
@@ -63,8 +64,8 @@
 	return dispatch.RoomOffer{Cores: cores, For: time.Second}, l.err()
 }
 
-func (l *stubLeader) ListTransfers(context.Context) (dispatch.TransferList, error) {
-	return dispatch.TransferList{}, l.err()
+func (l *stubLeader) ListTransfers(context.Context) (scheduler.TransferList, error) {
+	return scheduler.TransferList{}, l.err()
 }
 
 func lima() settings.Cells {
--- a/internal/cells/server.go
+++ b/internal/cells/server.go
@@ -12,6 +12,7 @@
 
 	"leadproxy/internal/cells/cellpb"
 	"leadproxy/internal/dispatch"
+	"leadproxy/internal/scheduler"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/spill"
 )
@@ -23,7 +24,7 @@
 type Leader interface {
 	Answer(ctx context.Context, home string, messages []spill.Message) ([]spill.Answer, error)
 	Lend(ctx context.Context, home string, cores float64) (dispatch.RoomOffer, error)
-	ListTransfers(ctx context.Context) (dispatch.TransferList, error)
+	ListTransfers(ctx context.Context) (scheduler.TransferList, error)
 }
 
 // Server answers other cells, and operators.
@@ -134,7 +135,7 @@
 }
 
 // guestState is what a guest's job has come to.
-func guestState(g dispatch.GuestView) string {
+func guestState(g scheduler.GuestView) string {
 	switch {
 	case g.State.Over && g.State.Aborted:
 		return "aborted, not released"
--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -9,6 +9,7 @@
 
 	"github.com/segmentio/encoding/json"
 
+	"leadproxy/internal/scheduler"
 	"leadproxy/internal/wire"
 )
 
@@ -20,8 +21,8 @@
 )
 
 // direct sends a command to a worker and brings its outcome back.
-func (d *Dispatcher) direct(ctx context.Context, term uint64, e Direct) {
-	back := DirectBack{Call: e.Call}
+func (d *Dispatcher) direct(ctx context.Context, term uint64, e scheduler.Direct) {
+	back := scheduler.DirectBack{Call: e.Call}
 	back.Outcome, back.Report = d.command(ctx, term, e)
 	d.decide(ctx, back)
 }
@@ -42,8 +43,8 @@
 }
 
 // inspect asks a worker what it is now.
-func (d *Dispatcher) inspect(ctx context.Context, e Inspect) {
-	back := InspectBack{Machine: e.Machine}
+func (d *Dispatcher) inspect(ctx context.Context, e scheduler.Inspect) {
+	back := scheduler.InspectBack{Machine: e.Machine}
 	status, answer, _, err := d.workers.call(ctx, e.Address, http.MethodGet, "/inspect", nil, func() bool { return true })
 	switch {
 	case err != nil:
@@ -56,16 +57,16 @@
 	d.decide(ctx, back)
 }
 
-func (d *Dispatcher) command(ctx context.Context, term uint64, e Direct) (DirectOutcome, *wire.Report) {
+func (d *Dispatcher) command(ctx context.Context, term uint64, e scheduler.Direct) (scheduler.DirectOutcome, *wire.Report) {
 	payload, err := json.Marshal(e.Commands)
 	if err != nil {
 		d.log.Error("command not encoded", "machine", e.Machine, "error", err)
-		return DirectNotSent, nil
+		return scheduler.DirectNotSent, nil
 	}
 	// Past the lease another leader may act: no order leaves here.
 	may := func() bool { return d.mayAct(term, "command") }
 	if !may() {
-		return DirectNotSent, nil
+		return scheduler.DirectNotSent, nil
 	}
 	status, answer, sent, err := d.workers.call(ctx, e.Address, http.MethodPost, "/commands", payload, may)
 	switch {
@@ -73,20 +74,20 @@
 		if !errors.Is(err, ErrNotLeading) {
 			d.unanswered.Add(1)
 		}
-		return DirectNotSent, nil
+		return scheduler.DirectNotSent, nil
 	case err != nil:
 		d.unanswered.Add(1)
-		return DirectUnknown, nil
+		return scheduler.DirectUnknown, nil
 	}
 	d.unanswered.Store(0)
-	var outcome DirectOutcome
+	var outcome scheduler.DirectOutcome
 	switch status {
 	case http.StatusOK:
-		outcome = DirectDone
+		outcome = scheduler.DirectDone
 	case http.StatusConflict, http.StatusBadRequest:
-		outcome = DirectRefused
+		outcome = scheduler.DirectRefused
 	default:
-		return DirectUnknown, nil
+		return scheduler.DirectUnknown, nil
 	}
 	report, err := wire.ParseReport(answer)
 	if err != nil {
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -10,6 +10,7 @@
 	"leadproxy/internal/election"
 	"leadproxy/internal/hints"
 	"leadproxy/internal/outbound"
+	"leadproxy/internal/scheduler"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/spill"
 	"leadproxy/internal/standby"
@@ -54,7 +55,7 @@
 	// The mailboxes, by rank: reports of workers first, then what decisions
 	// need, then users. Each is bounded; who finds one full is turned away.
 	reports chan ask
-	inner   chan Event
+	inner   chan scheduler.Event
 	users   chan ask
 }
 
@@ -75,15 +76,15 @@
 // ask is an event with who wants to be told of its outcome: an effect, or an
 // error.
 type ask struct {
-	event Event
+	event scheduler.Event
 	reply answerTo
 }
 
 // answerTo takes the one outcome of an ask, an answer or an error. It does not wait.
-type answerTo func(answer Effect, err error)
+type answerTo func(answer scheduler.Effect, err error)
 
 // Deliver takes the answer.
-func (to answerTo) Deliver(answer Effect) { to(answer, nil) }
+func (to answerTo) Deliver(answer scheduler.Effect) { to(answer, nil) }
 
 // NewDispatcher makes a dispatcher; Run starts it.
 func NewDispatcher(n outbound.Network, p *settings.Platform, op settings.Operator, e *election.Elector, store *state.Client, lines ConnLimits, log *slog.Logger) *Dispatcher {
@@ -91,7 +92,7 @@
 		net: n, platform: p, operator: op, elector: e, store: store, log: log, started: time.Now(),
 		workers: newCallers(n, lines), Upgraded: func() bool { return false }, Transfers: func() bool { return false },
 		Note:    func(spill.Note) {},
-		reports: make(chan ask, 256), inner: make(chan Event, 512), users: make(chan ask, 128),
+		reports: make(chan ask, 256), inner: make(chan scheduler.Event, 512), users: make(chan ask, 128),
 	}
 }
 
@@ -112,13 +113,13 @@
 // Machines is how many machines should be reporting to this node as the leader.
 func (d *Dispatcher) Machines() int { return int(d.machines.Load()) }
 
-func (d *Dispatcher) ask(ctx context.Context, box chan ask, event func(to Recipient) Event) (Effect, error) {
+func (d *Dispatcher) ask(ctx context.Context, box chan ask, event func(to scheduler.Recipient) scheduler.Event) (scheduler.Effect, error) {
 	type outcome struct {
-		answer Effect
+		answer scheduler.Effect
 		err    error
 	}
 	reply := make(chan outcome, 1)
-	to := answerTo(func(answer Effect, err error) { reply <- outcome{answer, err} })
+	to := answerTo(func(answer scheduler.Effect, err error) { reply <- outcome{answer, err} })
 	select {
 	case box <- ask{event(to), to}:
 	case <-ctx.Done():
@@ -134,24 +135,24 @@
 
 // Report has a worker's report answered.
 func (d *Dispatcher) Report(ctx context.Context, r *wire.Report) (*wire.ReportAnswer, error) {
-	return reportAnswer(d.ask(ctx, d.reports, func(to Recipient) Event { return ReportIn{Report: r, To: to} }))
+	return reportAnswer(d.ask(ctx, d.reports, func(to scheduler.Recipient) scheduler.Event { return scheduler.ReportIn{Report: r, To: to} }))
 }
 
 // ReportAsync has a worker's report answered through give, once, or never if the term
 // ends meanwhile. give must not wait.
 func (d *Dispatcher) ReportAsync(ctx context.Context, r *wire.Report, give func(*wire.ReportAnswer, error)) {
-	to := answerTo(func(answer Effect, err error) { give(reportAnswer(answer, err)) })
+	to := answerTo(func(answer scheduler.Effect, err error) { give(reportAnswer(answer, err)) })
 	select {
-	case d.reports <- ask{ReportIn{Report: r, To: to}, to}:
+	case d.reports <- ask{scheduler.ReportIn{Report: r, To: to}, to}:
 	case <-ctx.Done():
 	}
 }
 
-func reportAnswer(answer Effect, err error) (*wire.ReportAnswer, error) {
+func reportAnswer(answer scheduler.Effect, err error) (*wire.ReportAnswer, error) {
 	if err != nil {
 		return nil, err
 	}
-	if a, ok := answer.(AnswerReport); ok && a.Answer != nil {
+	if a, ok := answer.(scheduler.AnswerReport); ok && a.Answer != nil {
 		return a.Answer, nil
 	}
 	return nil, ErrNotLeading
@@ -159,20 +160,20 @@
 
 // Status asks for a job's state. With ErrDeciding only the record tells it.
 func (d *Dispatcher) Status(ctx context.Context, ref string) (wire.JobStatus, bool, error) {
-	return d.user(ctx, func(to Recipient) Event { return StatusAsked{Ref: ref, To: to} })
+	return d.user(ctx, func(to scheduler.Recipient) scheduler.Event { return scheduler.StatusAsked{Ref: ref, To: to} })
 }
 
 // Cancel has a job cancelled and waits until that is durable.
 func (d *Dispatcher) Cancel(ctx context.Context, ref string) (wire.JobStatus, bool, error) {
-	return d.user(ctx, func(to Recipient) Event { return CancelAsked{Ref: ref, To: to} })
+	return d.user(ctx, func(to scheduler.Recipient) scheduler.Event { return scheduler.CancelAsked{Ref: ref, To: to} })
 }
 
-func (d *Dispatcher) user(ctx context.Context, event func(to Recipient) Event) (wire.JobStatus, bool, error) {
+func (d *Dispatcher) user(ctx context.Context, event func(to scheduler.Recipient) scheduler.Event) (wire.JobStatus, bool, error) {
 	a, err := d.ask(ctx, d.users, event)
 	if err != nil {
 		return wire.JobStatus{}, false, err
 	}
-	u := a.(AnswerUser)
+	u := a.(scheduler.AnswerUser)
 	switch {
 	case u.Deciding:
 		return wire.JobStatus{}, true, ErrDeciding
@@ -184,7 +185,7 @@
 
 // JobRecorded tells of a job record. It is only a short cut for the watch, so it is
 // dropped rather than waited for.
-func (d *Dispatcher) JobRecorded(j JobSeen) {
+func (d *Dispatcher) JobRecorded(j scheduler.JobSeen) {
 	select {
 	case d.inner <- j:
 	default:
@@ -192,7 +193,7 @@
 }
 
 // decide hands the core an event that decisions need. It gives up only with ctx.
-func (d *Dispatcher) decide(ctx context.Context, event Event) {
+func (d *Dispatcher) decide(ctx context.Context, event scheduler.Event) {
 	select {
 	case d.inner <- event:
 	case <-ctx.Done():
@@ -216,7 +217,7 @@
 	for {
 		// Without a term the mailboxes are emptied here.
 		var reports, users chan ask
-		var inner chan Event
+		var inner chan scheduler.Event
 		if stop == nil {
 			reports, users, inner = d.reports, d.users, d.inner
 		}
--- a/internal/dispatch/takeover.go
+++ b/internal/dispatch/takeover.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"leadproxy/internal/ledger"
+	"leadproxy/internal/scheduler"
 )
 
 // takeover is when the phases of a takeover were over.
@@ -38,7 +39,7 @@
 // noteTakeover logs, once, how long the phases of this term's beginning took: to a
 // complete view, to the first decision, and until nothing that an earlier leader may have
 // started was in doubt.
-func (t *term) noteTakeover(effects []Effect) {
+func (t *term) noteTakeover(effects []scheduler.Effect) {
 	times := &t.takeover
 	if times.settled {
 		return
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -7,13 +7,14 @@
 	"leadproxy/internal/fleet"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/outbound"
+	"leadproxy/internal/scheduler"
 )
 
 // term is one term of leadership.
 type term struct {
 	*Dispatcher
 	number     uint64
-	core       *Core
+	core       *scheduler.Core
 	ledger     *ledger.Ledger
 	cloud      *fleet.Client
 	tick       *time.Ticker
@@ -67,7 +68,7 @@
 	hinted := d.viewHints(ctx, number)
 	now, wall := d.clocks()
 	size := d.valueBytes()
-	core := NewCore(Config{Term: number, Platform: d.platform, Operator: d.operator, ValueBytes: size, Hints: hinted}, snapshot, now, wall, d.log)
+	core := scheduler.NewCore(scheduler.Config{Term: number, Platform: d.platform, Operator: d.operator, ValueBytes: size, Hints: hinted}, snapshot, now, wall, d.log)
 	t := &term{Dispatcher: d, number: number, core: core, ledger: book, cloud: cloud, tick: time.NewTicker(tickEvery), valueBytes: size}
 	defer t.tick.Stop()
 	defer d.machines.Store(0)
@@ -124,18 +125,18 @@
 	now, wall := t.clocks()
 	if size != t.valueBytes {
 		t.valueBytes = size
-		t.core.Step(Formats{ValueBytes: size}, now, wall)
+		t.core.Step(scheduler.Formats{ValueBytes: size}, now, wall)
 	}
 	if !t.transfersAllowed && t.Transfers() {
 		t.transfersAllowed = true
-		t.core.Step(TransfersAllowed{}, now, wall)
+		t.core.Step(scheduler.TransfersAllowed{}, now, wall)
 	}
 }
 
 // stepTogether steps the core with an event. What waits already, or comes before the
 // next placement is due, is taken along: under load many events share one placement, and
 // one answer carries all that follows from them.
-func (t *term) stepTogether(ctx context.Context, event Event, pause *pause) {
+func (t *term) stepTogether(ctx context.Context, event scheduler.Event, pause *pause) {
 	var enough <-chan time.Time
 	for n, ok := 1, true; ok; n++ {
 		t.step(event)
@@ -153,8 +154,8 @@
 
 // step steps the core with one event. Suspended, another leader may have begun: what
 // time alone would bring, such as giving up silent machines, is not ours to do then.
-func (t *term) step(event Event) {
-	if _, isTick := event.(Tick); isTick && !t.elector.InTerm(t.number) {
+func (t *term) step(event scheduler.Event) {
+	if _, isTick := event.(scheduler.Tick); isTick && !t.elector.InTerm(t.number) {
 		return
 	}
 	now, wall := t.clocks()
@@ -206,7 +207,7 @@
 }()
 
 // waiting takes an event that is there already, by rank.
-func (t *term) waiting() (Event, bool) {
+func (t *term) waiting() (scheduler.Event, bool) {
 	select {
 	case a := <-t.reports:
 		return a.event, true
@@ -216,15 +217,15 @@
 	case a := <-t.reports:
 		return a.event, true
 	case tags := <-t.ledger.Durable:
-		return NowDurable{tags}, true
+		return scheduler.NowDurable{Tags: tags}, true
 	case tags := <-t.ledger.Rejected:
-		return Rejected{tags}, true
+		return scheduler.Rejected{Tags: tags}, true
 	case r := <-t.cloud.Results:
-		return CloudBack{r}, true
+		return scheduler.CloudBack{Result: r}, true
 	case e := <-t.inner:
 		return e, true
 	case <-t.tick.C:
-		return Tick{}, true
+		return scheduler.Tick{}, true
 	default:
 	}
 	select {
@@ -237,7 +238,7 @@
 
 // next takes the next event, by rank. It gives up with ctx, or when enough
 // tells.
-func (t *term) next(ctx context.Context, enough <-chan time.Time) (Event, bool) {
+func (t *term) next(ctx context.Context, enough <-chan time.Time) (scheduler.Event, bool) {
 	if ctx.Err() != nil {
 		return nil, false
 	}
@@ -248,15 +249,15 @@
 	case a := <-t.reports:
 		return a.event, true
 	case tags := <-t.ledger.Durable:
-		return NowDurable{tags}, true
+		return scheduler.NowDurable{Tags: tags}, true
 	case tags := <-t.ledger.Rejected:
-		return Rejected{tags}, true
+		return scheduler.Rejected{Tags: tags}, true
 	case r := <-t.cloud.Results:
-		return CloudBack{r}, true
+		return scheduler.CloudBack{Result: r}, true
 	case e := <-t.inner:
 		return e, true
 	case <-t.tick.C:
-		return Tick{}, true
+		return scheduler.Tick{}, true
 	case a := <-t.users:
 		return a.event, true
 	case <-enough:
@@ -267,29 +268,29 @@
 }
 
 // carryOut turns effects into deeds.
-func (t *term) carryOut(ctx context.Context, effects []Effect) {
+func (t *term) carryOut(ctx context.Context, effects []scheduler.Effect) {
 	var writes []ledger.Write
 	for _, e := range effects {
 		switch e := e.(type) {
-		case AnswerReport:
+		case scheduler.AnswerReport:
 			e.To.Deliver(e)
-		case AnswerUser:
+		case scheduler.AnswerUser:
 			e.To.Deliver(e)
-		case Put:
+		case scheduler.Put:
 			writes = append(writes, e.Writes...)
-		case CallCloud:
+		case scheduler.CallCloud:
 			t.callCloud(ctx, e.Call)
-		case Direct:
+		case scheduler.Direct:
 			go t.direct(ctx, t.number, e)
-		case Inspect:
+		case scheduler.Inspect:
 			go t.inspect(ctx, e)
-		case EndTerm:
+		case scheduler.EndTerm:
 			t.elector.Resign(t.number)
-		case HintsGiven:
+		case scheduler.HintsGiven:
 			e.To.Deliver(e)
-		case PlanAnswer:
+		case scheduler.PlanAnswer:
 			e.To.Deliver(e)
-		case PlanList:
+		case scheduler.PlanList:
 			e.To.Deliver(e)
 		default:
 			t.carryOutTransfer(ctx, e)
@@ -301,21 +302,21 @@
 }
 
 // carryOutTransfer turns the effects of transfers into deeds.
-func (t *term) carryOutTransfer(ctx context.Context, effect Effect) {
+func (t *term) carryOutTransfer(ctx context.Context, effect scheduler.Effect) {
 	switch e := effect.(type) {
-	case SendTransfers:
+	case scheduler.SendTransfers:
 		go t.sendTransfers(ctx, e)
-	case AskRoom:
+	case scheduler.AskRoom:
 		go t.askRoom(ctx, e)
-	case PutGuest:
+	case scheduler.PutGuest:
 		go t.putGuest(ctx, e)
-	case AnswerTransfers:
+	case scheduler.AnswerTransfers:
 		e.To.Deliver(e)
-	case AnswerRoom:
+	case scheduler.AnswerRoom:
 		e.To.Deliver(e)
-	case TransferList:
+	case scheduler.TransferList:
 		e.To.Deliver(e)
-	case TransferNote:
+	case scheduler.TransferNote:
 		t.Note(e.Note)
 	}
 }
@@ -324,7 +325,7 @@
 // machines takes them from the next one; the core tries again later.
 func (t *term) callCloud(ctx context.Context, call fleet.Call) {
 	if !t.mayAct(t.number, "cloud call") {
-		go t.decide(ctx, CloudBack{fleet.Result{Call: call, Err: fleet.ErrRefused}})
+		go t.decide(ctx, scheduler.CloudBack{Result: fleet.Result{Call: call, Err: fleet.ErrRefused}})
 		return
 	}
 	t.cloud.Put(ctx, call)
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -10,6 +10,7 @@
 
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/outbound"
+	"leadproxy/internal/scheduler"
 	"leadproxy/internal/state"
 )
 
@@ -64,5 +65,5 @@
 		d.log.Error("job record can't be read", "key", key, "error", err)
 		return
 	}
-	d.decide(ctx, JobSeen{Ref: ref, Record: rec, Version: version})
+	d.decide(ctx, scheduler.JobSeen{Ref: ref, Record: rec, Version: version})
 }
--- a/internal/intake/intake.go
+++ b/internal/intake/intake.go
@@ -18,6 +18,7 @@
 	"leadproxy/internal/dispatch"
 	"leadproxy/internal/election"
 	"leadproxy/internal/ledger"
+	"leadproxy/internal/scheduler"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/state"
 	"leadproxy/internal/wire"
@@ -52,7 +53,7 @@
 type Dispatcher interface {
 	Status(ctx context.Context, ref string) (wire.JobStatus, bool, error)
 	Cancel(ctx context.Context, ref string) (wire.JobStatus, bool, error)
-	JobRecorded(j dispatch.JobSeen)
+	JobRecorded(j scheduler.JobSeen)
 }
 
 // Types tells the machine types, and whether they are known yet.
@@ -213,7 +214,7 @@
 		return s.known(ctx, ref, rec, local)
 	}
 	s.log.Debug("submission recorded", "job", ref, "class", job.Class, "tasks", job.Tasks)
-	s.dispatcher.JobRecorded(dispatch.JobSeen{Ref: ref, Record: rec, Version: created.version})
+	s.dispatcher.JobRecorded(scheduler.JobSeen{Ref: ref, Record: rec, Version: created.version})
 	if cancelled {
 		// From its first moment on: that follows from what is durable.
 		return JSON(http.StatusCreated, wire.Accepted{Ref: ref, Status: wire.Aborted})
@@ -418,7 +419,7 @@
 	case rec.Home != "":
 		return problem(http.StatusNotFound, "there is no such job of this cell")
 	}
-	s.dispatcher.JobRecorded(dispatch.JobSeen{Ref: ref, Record: rec, Version: e.Version})
+	s.dispatcher.JobRecorded(scheduler.JobSeen{Ref: ref, Record: rec, Version: e.Version})
 	return Answer{}
 }
 
--- a/internal/intake/intake_test.go
+++ b/internal/intake/intake_test.go
@@ -21,6 +21,7 @@
 	"leadproxy/internal/dispatch"
 	"leadproxy/internal/election"
 	"leadproxy/internal/ledger"
+	"leadproxy/internal/scheduler"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/state"
 	"leadproxy/internal/wire"
@@ -103,7 +104,7 @@
 	return wire.JobStatus{}, false, dispatch.ErrNotLeading
 }
 
-func (fakeDispatcher) JobRecorded(dispatch.JobSeen) {}
+func (fakeDispatcher) JobRecorded(scheduler.JobSeen) {}
 
 func TestUsersAPI(t *testing.T) {
 	body := func(change ...string) string {
--- a/internal/node/alarms_test.go
+++ b/internal/node/alarms_test.go
@@ -2,10 +2,9 @@
 
 import (
 	"context"
+	"leadproxy/internal/scheduler"
 	"log/slog"
 	"testing"
-
-	"leadproxy/internal/dispatch"
 )
 
 // alarms fails a test when a controller logs what must never happen.
@@ -21,7 +20,7 @@
 
 // Handle looks at a line and passes it on.
 func (a alarms) Handle(ctx context.Context, r slog.Record) error {
-	if r.Message == dispatch.MessageOverdue {
+	if r.Message == scheduler.MessageOverdue {
 		text := ""
 		r.Attrs(func(attribute slog.Attr) bool {
 			text += " " + attribute.String()
--- a/internal/rollouts/rollouts.go
+++ b/internal/rollouts/rollouts.go
@@ -20,6 +20,7 @@
 	"leadproxy/internal/outbound"
 	"leadproxy/internal/rollouts/rolloutpb"
 	"leadproxy/internal/rpc"
+	"leadproxy/internal/scheduler"
 	"leadproxy/internal/settings"
 )
 
@@ -30,7 +31,7 @@
 type Leader interface {
 	CreatePlan(ctx context.Context, spec drain.Spec) error
 	SteerPlan(ctx context.Context, name string, command drain.Command, argument string) error
-	ListPlans(ctx context.Context) (dispatch.PlanList, error)
+	ListPlans(ctx context.Context) (scheduler.PlanList, error)
 }
 
 // Server answers operators.
--- a/internal/dispatch/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -1,4 +1,4 @@
-package dispatch
+package scheduler
 
 // An attempt's number is the term and a counter within it, and no two attempts may have
 // the same: a worker takes a start with a number that it knows for a repetition, and the
--- a/internal/dispatch/core.go
+++ b/internal/scheduler/core.go
@@ -2,7 +2,7 @@
 // them, what waits, and which orders follow. Its core is a deterministic step
 // from a state, an event and a time to effects, without I/O; the actor around
 // it (dispatcher.go, term.go) carries the effects out.
-package dispatch
+package scheduler
 
 import (
 	"context"
--- a/internal/dispatch/mutants_test.go
+++ b/internal/scheduler/mutants_test.go
@@ -1,6 +1,6 @@
 //go:build mutants
 
-package dispatch
+package scheduler
 
 import (
 	"testing"
--- a/internal/dispatch/plan_commands.go
+++ b/internal/scheduler/plan_commands.go
@@ -1,7 +1,6 @@
-package dispatch
+package scheduler
 
 import (
-	"context"
 	"fmt"
 
 	"leadproxy/internal/drain"
@@ -87,32 +86,3 @@
 	}
 	c.emit(list)
 }
-
-// CreatePlan begins a plan, if this node leads.
-func (d *Dispatcher) CreatePlan(ctx context.Context, spec drain.Spec) error {
-	return d.askPlan(ctx, func(to Recipient) Event { return PlanAsked{Spec: &spec, To: to} })
-}
-
-// SteerPlan tells a plan something, if this node leads.
-func (d *Dispatcher) SteerPlan(ctx context.Context, name string, command drain.Command, argument string) error {
-	return d.askPlan(ctx, func(to Recipient) Event {
-		return PlanAsked{Name: name, Command: command, Argument: argument, To: to}
-	})
-}
-
-func (d *Dispatcher) askPlan(ctx context.Context, event func(to Recipient) Event) error {
-	answer, err := d.askLeader(ctx, event)
-	if err != nil {
-		return err
-	}
-	return answer.(PlanAnswer).Err
-}
-
-// ListPlans lists the plans, if this node leads.
-func (d *Dispatcher) ListPlans(ctx context.Context) (PlanList, error) {
-	answer, err := d.askLeader(ctx, func(to Recipient) Event { return PlansListed{To: to} })
-	if err != nil {
-		return PlanList{}, err
-	}
-	return answer.(PlanList), nil
-}
--- a/internal/dispatch/transfers_test.go
+++ b/internal/scheduler/transfers_test.go
@@ -1,6 +1,7 @@
-package dispatch
+package scheduler
 
 import (
+	"errors"
 	"fmt"
 	"strings"
 	"testing"
@@ -12,6 +13,9 @@
 	"leadproxy/internal/wire"
 )
 
+// errNeighbourSilent is the outcome of an exchange that a neighbour did not answer.
+var errNeighbourSilent = errors.New("the neighbour does not answer")
+
 // newCell is a stage of cell "lima" with neighbour "puno", whose only machine of four
 // cores is up and the last that there may be.
 func newCell(t *testing.T, change func(o *settings.Operator), teams ...settings.Team) *stage {
@@ -158,7 +162,7 @@
 		g.offered(100, running)
 		g.step(TransfersAnswered{Cell: "puno", Answers: []spill.Answer{{Ref: "job-2", Epoch: 1, Outcome: spill.OutcomeAccepted}}})
 		if silent {
-			g.step(TransfersAnswered{Cell: "puno", Err: ErrNotLeading})
+			g.step(TransfersAnswered{Cell: "puno", Err: errNeighbourSilent})
 		}
 		g.others = nil
 		g.step(CancelAsked{Ref: "job-2", To: recipient("u")})
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -13,9 +13,9 @@
 	"testing"
 	"time"
 
-	"leadproxy/internal/dispatch"
 	"leadproxy/internal/fake"
 	"leadproxy/internal/outbound"
+	"leadproxy/internal/scheduler"
 	"leadproxy/internal/wire"
 )
 
@@ -273,7 +273,7 @@
 func (r *run) alarms() {
 	for _, n := range r.d.Nodes {
 		for _, line := range strings.Split(n.Log(), "\n") {
-			if strings.Contains(line, dispatch.MessageOverdue) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
+			if strings.Contains(line, scheduler.MessageOverdue) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
 				r.t.Errorf("%s: %s", n.Platform.Node, line)
 			}
 		}
