--- a/cmd/drainreport/main.go
+++ b/cmd/drainreport/main.go
@@ -7,12 +7,12 @@
 	"errors"
 	"io"
 
-	"leadproxy/internal/reportcli"
+	"leadproxy/internal/reportcmd"
 	"leadproxy/internal/rolloutreport"
 )
 
 func main() {
-	reportcli.Main(reportcli.Report{
+	reportcmd.Main(reportcmd.Report{
 		Name:        "drainreport",
 		Description: "Makes a report of how machines were drained and which jobs that disrupted.",
 		Write:       write,
--- a/cmd/leadproxy/commands.go
+++ b/cmd/leadproxy/commands.go
@@ -8,10 +8,10 @@
 	"time"
 
 	"leadproxy/internal/cells"
-	"leadproxy/internal/handover"
-	"leadproxy/internal/node"
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/controller"
+	"leadproxy/internal/leadertransfer"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/transport"
 )
 
 // runCommand runs a controller.
@@ -45,7 +45,7 @@
 		fmt.Println("the settings are valid")
 		return nil
 	}
-	return node.Run(context.Background(), outbound.TCP{}, platform, operator, log)
+	return controller.Run(context.Background(), transport.TCP{}, platform, operator, log)
 }
 
 // transfersCommand lists a cell's transfers.
@@ -59,7 +59,7 @@
 	if err != nil {
 		return err
 	}
-	list, err := cells.FetchList(context.Background(), outbound.TCP{}, platform)
+	list, err := cells.FetchList(context.Background(), transport.TCP{}, platform)
 	if err != nil {
 		return err
 	}
@@ -109,7 +109,7 @@
 	if err != nil {
 		return err
 	}
-	return handover.WriteStatus(context.Background(), os.Stdout, outbound.TCP{}, platform)
+	return leadertransfer.WriteStatus(context.Background(), os.Stdout, transport.TCP{}, platform)
 }
 
 // handOverCommand moves the leadership.
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	reply, err := handover.Request(context.Background(), outbound.TCP{}, platform, c.To)
+	reply, err := leadertransfer.Request(context.Background(), transport.TCP{}, platform, c.To)
 	if err != nil {
 		return err
 	}
--- a/cmd/leadproxy/drain.go
+++ b/cmd/leadproxy/drain.go
@@ -7,10 +7,10 @@
 	"strings"
 	"time"
 
-	"leadproxy/internal/drain"
-	"leadproxy/internal/outbound"
-	"leadproxy/internal/rollouts"
+	"leadproxy/internal/rollout"
+	"leadproxy/internal/rolloutservice"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/transport"
 )
 
 // drainCommand groups the commands about plans that drain machines.
@@ -41,7 +41,7 @@
 	if err != nil {
 		return err
 	}
-	if _, err := drain.ParseSpec(string(text)); err != nil {
+	if _, err := rollout.ParseSpec(string(text)); err != nil {
 		return err
 	}
 	fmt.Println("the plan is valid; which machines it selects shows when it begins")
@@ -64,7 +64,7 @@
 	if err != nil {
 		return err
 	}
-	name, err := rollouts.Create(context.Background(), outbound.TCP{}, platform, string(text))
+	name, err := rolloutservice.Create(context.Background(), transport.TCP{}, platform, string(text))
 	if err != nil {
 		return err
 	}
@@ -81,11 +81,11 @@
 	if err != nil {
 		return err
 	}
-	list, err := rollouts.List(context.Background(), outbound.TCP{}, platform)
+	list, err := rolloutservice.List(context.Background(), transport.TCP{}, platform)
 	if err != nil {
 		return err
 	}
-	return rollouts.Write(os.Stdout, list, time.Now())
+	return rolloutservice.Write(os.Stdout, list, time.Now())
 }
 
 // drainSteerCommand tells a plan something.
@@ -111,7 +111,7 @@
 	if err != nil {
 		return err
 	}
-	if err := rollouts.Steer(context.Background(), outbound.TCP{}, platform, c.Plan, drain.Command(command), argument); err != nil {
+	if err := rolloutservice.Steer(context.Background(), transport.TCP{}, platform, c.Plan, rollout.Command(command), argument); err != nil {
 		return err
 	}
 	fmt.Println(strings.TrimSpace(fmt.Sprintf("plan %s: %s %s", c.Plan, command, argument)) + " is recorded")
--- a/cmd/takeoverreport/main.go
+++ b/cmd/takeoverreport/main.go
@@ -7,12 +7,12 @@
 	"errors"
 	"io"
 
-	"leadproxy/internal/reportcli"
-	"leadproxy/internal/takeovers"
+	"leadproxy/internal/failoverreport"
+	"leadproxy/internal/reportcmd"
 )
 
 func main() {
-	reportcli.Main(reportcli.Report{
+	reportcmd.Main(reportcmd.Report{
 		Name:        "takeoverreport",
 		Description: "Makes a report of how leadership was taken over, with and without a standby's view.",
 		Write:       write,
@@ -20,12 +20,12 @@
 }
 
 func write(page io.Writer, logs []string) error {
-	all, err := takeovers.ReadLogs(logs...)
+	all, err := failoverreport.ReadLogs(logs...)
 	if err != nil {
 		return err
 	}
 	if len(all) == 0 {
 		return errors.New("the logs tell of no takeover")
 	}
-	return takeovers.WritePage(page, all)
+	return failoverreport.WritePage(page, all)
 }
--- a/internal/fleet/demand.go
+++ b/internal/autoscaler/demand.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"math"
@@ -24,8 +24,8 @@
 // nothing about the rest of the day.
 const settling = 45 * time.Second
 
-// Stream learns how the jobs of one class arrive.
-type Stream struct {
+// DemandEstimator learns how the jobs of one class arrive.
+type DemandEstimator struct {
 	seen  int
 	first time.Duration
 	last  time.Duration
@@ -35,9 +35,9 @@
 	peak  float64 // mean of cores squared times seconds of a job
 }
 
-// Arrived takes in a job: the cores that all its tasks take together, and how
+// ObserveArrival takes in a job: the cores that all its tasks take together, and how
 // long one runs.
-func (s *Stream) Arrived(now time.Duration, cores, seconds float64) {
+func (s *DemandEstimator) ObserveArrival(now time.Duration, cores, seconds float64) {
 	if s.seen == 0 {
 		s.first = now
 	}
@@ -56,7 +56,7 @@
 
 // Cores is the class's mean of cores in use at once, and the variance: what
 // jobs that come at random, each taking all its cores for its run, amount to.
-func (s *Stream) Cores(now time.Duration) (mean, variance float64) {
+func (s *DemandEstimator) Cores(now time.Duration) (mean, variance float64) {
 	since := (now - s.last).Seconds()
 	if s.seen < 3 || since > max(quietPeriod*s.gap, settling.Seconds()) {
 		return 0, 0
@@ -70,7 +70,7 @@
 }
 
 // Demand sums streams up.
-func Demand(now time.Duration, streams []Stream) (mean, deviation float64) {
+func Demand(now time.Duration, streams []DemandEstimator) (mean, deviation float64) {
 	variance := 0.0
 	for i := range streams {
 		m, v := streams[i].Cores(now)
--- a/internal/fleet/demand_test.go
+++ b/internal/autoscaler/demand_test.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"math"
@@ -22,7 +22,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var s Stream
+			var s DemandEstimator
 			now := time.Duration(0)
 			gap := 10 * time.Second
 			if c.arrivals < 0 {
@@ -30,9 +30,9 @@
 			}
 			for range c.arrivals {
 				now += gap
-				s.Arrived(now, 8, 20)
+				s.ObserveArrival(now, 8, 20)
 			}
-			mean, deviation := Demand(now+c.at, []Stream{s, {}})
+			mean, deviation := Demand(now+c.at, []DemandEstimator{s, {}})
 			if math.Abs(mean-c.mean) > 0.02*c.mean || math.Abs(deviation-math.Sqrt(c.mean*8)) > 0.02*deviation {
 				t.Errorf("mean %v, deviation %v, want mean %v", mean, deviation, c.mean)
 			}
--- a/internal/fleet/fleet.go
+++ b/internal/autoscaler/fleet.go
@@ -1,7 +1,7 @@
 // Package fleet speaks to the cloud: which types there are, hiring, listing and
 // returning machines. Its actor owns the cloud's rate budget. What to hire is
 // decided by Plan, which is pure.
-package fleet
+package autoscaler
 
 import (
 	"bytes"
@@ -15,16 +15,16 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
 // Call is one request to the cloud; one of its fields is set.
 type Call struct {
-	Hire   *wire.Hire
-	Delete []string
-	List   bool
-	Types  bool
+	ScaleOut *wire.ScaleOutRequest
+	Delete   []string
+	List     bool
+	Types    bool
 }
 
 // Result is the outcome of a call.
@@ -38,16 +38,16 @@
 
 // The outcomes besides success.
 var (
-	ErrNoCapacity = errors.New("the cloud has no capacity for this")
-	ErrRefused    = errors.New("the cloud did not carry out the call")
-	ErrUnknown    = errors.New("outcome of the cloud call is unknown")
+	ErrNoCapacity     = errors.New("the cloud has no capacity for this")
+	ErrNotExecuted    = errors.New("the cloud did not carry out the call")
+	ErrUnknownOutcome = errors.New("outcome of the cloud call is unknown")
 )
 
 // The protocol's bounds on one call.
 const (
-	MaxHire   = 50
-	MaxDelete = 100
-	maxList   = 500
+	MaxScaleOut = 50
+	MaxDelete   = 100
+	maxList     = 500
 )
 
 const timeout = 5 * time.Second
@@ -63,17 +63,17 @@
 }
 
 // NewClient makes a client with a share of the cloud's rate; Run starts it.
-func NewClient(n outbound.Network, addr string, rate float64) *Client {
+func NewClient(n transport.Network, addr string, rate float64) *Client {
 	return &Client{
 		base:  "http://" + addr,
-		http:  outbound.NewClient(n, 8),
+		http:  transport.NewClient(n, 8),
 		rate:  rate,
 		calls: make(chan Call, 256), Results: make(chan Result, 64),
 	}
 }
 
-// Put hands a call over; it gives up only with ctx.
-func (c *Client) Put(ctx context.Context, call Call) {
+// Submit hands a call over; it gives up only with ctx.
+func (c *Client) Submit(ctx context.Context, call Call) {
 	select {
 	case c.calls <- call:
 	case <-ctx.Done():
@@ -84,7 +84,7 @@
 	switch {
 	case call.Delete != nil:
 		return 0
-	case call.Hire != nil:
+	case call.ScaleOut != nil:
 		return 1
 	}
 	return 2
@@ -125,14 +125,14 @@
 func (c *Client) carryOut(ctx context.Context, call Call) {
 	r := Result{Call: call}
 	switch {
-	case call.Hire != nil:
-		var a wire.Machines
-		r.Err = c.do(ctx, http.MethodPost, "/machines", call.Hire, &a)
-		r.Machines = a.Machines
+	case call.ScaleOut != nil:
+		var a wire.MachineNames
+		r.Err = c.do(ctx, http.MethodPost, "/machines", call.ScaleOut, &a)
+		r.Machines = a.Names
 	case call.Delete != nil:
-		r.Err = c.do(ctx, http.MethodPost, "/machines/delete", wire.Machines{Machines: call.Delete}, nil)
+		r.Err = c.do(ctx, http.MethodPost, "/machines/delete", wire.MachineNames{Names: call.Delete}, nil)
 	case call.Types:
-		var a wire.Flavors
+		var a wire.MachineTypes
 		r.Err = c.do(ctx, http.MethodGet, "/flavors", nil, &a)
 		r.Types = a.Types
 	case call.List:
@@ -162,13 +162,13 @@
 		}
 		after = page.Machines[len(page.Machines)-1].Name
 		// Further pages count against the rate as well.
-		outbound.Pause(ctx, time.Duration(float64(time.Second)/c.rate))
+		transport.Pause(ctx, time.Duration(float64(time.Second)/c.rate))
 	}
 }
 
 // Types reads the machine types once, outside of the queue.
 func (c *Client) Types(ctx context.Context) ([]wire.MachineType, error) {
-	var a wire.Flavors
+	var a wire.MachineTypes
 	err := c.do(ctx, http.MethodGet, "/flavors", nil, &a)
 	return a.Types, err
 }
@@ -189,28 +189,28 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		if outbound.NeverSent(err) {
-			return fmt.Errorf("%w: %w", ErrRefused, err)
+		if transport.NotSent(err) {
+			return fmt.Errorf("%w: %w", ErrNotExecuted, err)
 		}
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	}
 	defer resp.Body.Close()
 	answer, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	}
 	switch {
 	case resp.StatusCode == http.StatusOK:
 	case resp.StatusCode == http.StatusServiceUnavailable && bytes.Contains(answer, []byte("no capacity")):
 		return ErrNoCapacity
 	default:
-		return fmt.Errorf("%w: status %d: %.100s", ErrRefused, resp.StatusCode, answer)
+		return fmt.Errorf("%w: status %d: %.100s", ErrNotExecuted, resp.StatusCode, answer)
 	}
 	if into == nil {
 		return nil
 	}
 	if err := json.Unmarshal(answer, into); err != nil {
-		return fmt.Errorf("%w: answer can't be read: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: answer can't be read: %w", ErrUnknownOutcome, err)
 	}
 	return nil
 }
--- a/internal/fleet/plan.go
+++ b/internal/autoscaler/plan.go
@@ -1,4 +1,4 @@
-package fleet
+package autoscaler
 
 import (
 	"fmt"
@@ -8,64 +8,64 @@
 	"leadproxy/internal/slowfit"
 )
 
-// Offer is one way to hire: a type, in a zone, spot or ordinary. Types and
+// CapacityPool is one way to hire: a type, in a zone, spot or ordinary. Types and
 // zones are the caller's indices.
-type Offer struct {
+type CapacityPool struct {
 	Type, Zone int32
 	Spot       bool
 }
 
-// Priced is an offer at its present price per hour.
-type Priced struct {
-	Offer
+// PricedPool is an offer at its present price per hour.
+type PricedPool struct {
+	CapacityPool
 	Price float64
-	// Most is how many may be asked for at once; 0: one call's worth.
-	Most int
+	// MaxCount is how many may be asked for at once; 0: one call's worth.
+	MaxCount int
 }
 
-func (p *Priced) most() int {
-	if p.Most == 0 {
-		return MaxHire
+func (p *PricedPool) most() int {
+	if p.MaxCount == 0 {
+		return MaxScaleOut
 	}
-	return p.Most
+	return p.MaxCount
 }
 
-// Type is a machine type as planning sees it.
-type Type struct {
+// MachineType is a machine type as planning sees it.
+type MachineType struct {
 	Total slowfit.Size
 	Boot  time.Duration
 }
 
-// Coming is a machine that is hired but not yet up.
-type Coming struct {
-	Offer
-	Room slowfit.Size
+// PendingMachine is a machine that is hired but not yet up.
+type PendingMachine struct {
+	CapacityPool
+	Free slowfit.Size
 }
 
-// Present is a machine that is up.
-type Present struct {
-	Offer
-	// Busy is the core-seconds that are left of what runs there.
-	Busy float64
+// RunningMachine is a machine that is up.
+type RunningMachine struct {
+	CapacityPool
+	// BusyCoreSeconds is the core-seconds that are left of what runs there.
+	BusyCoreSeconds float64
 }
 
-// Group is a number of equal tasks that no present machine has room for.
-type Group struct {
+// TaskGroup is a number of equal tasks that no present machine has room for.
+type TaskGroup struct {
 	Size   slowfit.Size
 	Count  int
 	Run    time.Duration
 	Slack  time.Duration // how long it may wait and still end in time
-	Allows func(Offer) bool
+	Allows func(CapacityPool) bool
 }
 
-// Situation is what a plan is made from.
-type Situation struct {
-	Types       []Type
-	Offers      []Priced
-	Up          []Present
-	Coming      []Coming
-	Waiting     []Group // in the order of the queue
-	Cores       float64 // of all machines that are up or coming
+// PlanInput is what a plan is made from.
+type PlanInput struct {
+	Types       []MachineType
+	Pools       []PricedPool
+	Running     []RunningMachine
+	Pending     []PendingMachine
+	Queued      []TaskGroup // in the order of the queue
+	Cores       float64     // of all machines that are up or coming
 	Machines    int
 	MaxMachines int     // 0: no bound
 	Headroom    float64 // cores worth keeping, with spot machines
@@ -74,26 +74,26 @@
 	Sizes []slowfit.Size
 }
 
-// PlannedHire is a decision to hire.
-type PlannedHire struct {
-	Offer Offer
-	Count int
-	Why   string
+// PlannedScaleOut is a decision to hire.
+type PlannedScaleOut struct {
+	Pool   CapacityPool
+	Count  int
+	Reason string
 }
 
 // Plan decides what to hire: for each waiting group the offer with the least
 // price per task, as far as machines that are coming don't serve it; then the
 // cheapest cores up to the learned demand.
-func Plan(s Situation) []PlannedHire {
-	p := planner{Situation: &s, hires: map[Offer]*PlannedHire{}, asked: map[Offer]int{}, budget: math.MaxInt32}
+func Plan(s PlanInput) []PlannedScaleOut {
+	p := planner{PlanInput: &s, hires: map[CapacityPool]*PlannedScaleOut{}, asked: map[CapacityPool]int{}, budget: math.MaxInt32}
 	if s.MaxMachines > 0 {
 		p.budget = max(0, s.MaxMachines-s.Machines)
 	}
-	for _, g := range s.Waiting {
+	for _, g := range s.Queued {
 		p.serve(g)
 	}
 	p.keepHeadroom()
-	out := make([]PlannedHire, 0, len(p.order))
+	out := make([]PlannedScaleOut, 0, len(p.order))
 	for _, o := range p.order {
 		out = append(out, *p.hires[o])
 	}
@@ -102,19 +102,19 @@
 
 // planner is a plan in the making.
 type planner struct {
-	*Situation
-	hires  map[Offer]*PlannedHire
-	order  []Offer // of the hires
-	asked  map[Offer]int
+	*PlanInput
+	hires  map[CapacityPool]*PlannedScaleOut
+	order  []CapacityPool // of the hires
+	asked  map[CapacityPool]int
 	budget int     // machines that there may be besides
 	ahead  float64 // core-seconds of the groups so far
 }
 
 // add hires for machines of an offer.
-func (p *planner) add(o Offer, n int, why string) {
+func (p *planner) add(o CapacityPool, n int, why string) {
 	p.asked[o] += n
 	if p.hires[o] == nil {
-		p.hires[o] = &PlannedHire{Offer: o, Why: why}
+		p.hires[o] = &PlannedScaleOut{Pool: o, Reason: why}
 		p.order = append(p.order, o)
 	}
 	p.hires[o].Count += n
@@ -123,7 +123,7 @@
 }
 
 // serve sees to it that a group has machines.
-func (p *planner) serve(g Group) {
+func (p *planner) serve(g TaskGroup) {
 	p.ahead += float64(g.Count) * g.Size.CPUs * g.Run.Seconds()
 	left := p.useComing(g)
 	for left > 0 {
@@ -140,31 +140,31 @@
 
 // useComing gives a group the room of machines that are coming, and tells how many of
 // its tasks are left.
-func (p *planner) useComing(g Group) (left int) {
+func (p *planner) useComing(g TaskGroup) (left int) {
 	left = g.Count
-	for i := range p.Coming {
+	for i := range p.Pending {
 		if left == 0 {
 			break
 		}
-		c := &p.Coming[i]
-		if !g.Size.Within(c.Room) || !g.Allows(c.Offer) {
+		c := &p.Pending[i]
+		if !g.Size.Within(c.Free) || !g.Allows(c.CapacityPool) {
 			continue
 		}
-		n := min(left, g.Size.Slots(c.Room))
-		c.Room = c.Room.Minus(g.Size.Times(float64(n)))
+		n := min(left, g.Size.Slots(c.Free))
+		c.Free = c.Free.Minus(g.Size.Times(float64(n)))
 		left -= n
 	}
 	return left
 }
 
 // expect counts on n machines of an offer for that many tasks of a size.
-func (p *planner) expect(o Offer, n int, size slowfit.Size, tasks int) {
+func (p *planner) expect(o CapacityPool, n int, size slowfit.Size, tasks int) {
 	total := p.Types[o.Type].Total
 	per := size.Slots(total)
 	for range n {
 		used := min(tasks, per)
 		tasks -= used
-		p.Coming = append(p.Coming, Coming{Offer: o, Room: total.Minus(size.Times(float64(used)))})
+		p.Pending = append(p.Pending, PendingMachine{CapacityPool: o, Free: total.Minus(size.Times(float64(used)))})
 	}
 }
 
@@ -176,31 +176,31 @@
 		if lack <= 0 || p.budget <= 0 || size.CPUs <= 0 {
 			continue
 		}
-		best, ok := p.cheapest(size, int(math.Ceil(lack/size.CPUs)), p.asked, func(o Offer) bool { return o.Spot })
+		best, ok := p.cheapest(size, int(math.Ceil(lack/size.CPUs)), p.asked, func(o CapacityPool) bool { return o.Spot })
 		if !ok {
 			continue
 		}
 		machines := int(lack/p.Types[best.Type].Total.CPUs + 0.5)
-		if n := min(machines, p.budget, best.most()-p.asked[best.Offer]); n > 0 {
-			p.add(best.Offer, n, fmt.Sprintf("%.0f cores are kept for the learned demand", p.Headroom))
+		if n := min(machines, p.budget, best.most()-p.asked[best.CapacityPool]); n > 0 {
+			p.add(best.CapacityPool, n, fmt.Sprintf("%.0f cores are kept for the learned demand", p.Headroom))
 		}
 		return
 	}
 }
 
-func spotOf(o Offer) Offer { return Offer{o.Type, o.Zone, true} }
+func spotOf(o CapacityPool) CapacityPool { return CapacityPool{o.Type, o.Zone, true} }
 
 // capacity is how many cores the machines that suit a group have for it, on the
 // mean, within a time.
-func (s *Situation) capacity(g Group, within float64) float64 {
+func (s *PlanInput) capacity(g TaskGroup, within float64) float64 {
 	cores := 0.0
-	for _, u := range s.Up {
-		if t := s.Types[u.Type].Total; g.Allows(u.Offer) && g.Size.Slots(t) > 0 {
-			cores += max(0, t.CPUs-u.Busy/within)
+	for _, u := range s.Running {
+		if t := s.Types[u.Type].Total; g.Allows(u.CapacityPool) && g.Size.Slots(t) > 0 {
+			cores += max(0, t.CPUs-u.BusyCoreSeconds/within)
 		}
 	}
-	for _, c := range s.Coming {
-		if t := s.Types[c.Type].Total; g.Allows(c.Offer) && g.Size.Slots(t) > 0 {
+	for _, c := range s.Pending {
+		if t := s.Types[c.Type].Total; g.Allows(c.CapacityPool) && g.Size.Slots(t) > 0 {
 			cores += t.CPUs * max(0.2, 1-s.Types[c.Type].Boot.Seconds()/2/within)
 		}
 	}
@@ -214,9 +214,9 @@
 // hireFor decides what to hire for the left of a group's tasks, of which ahead
 // core-seconds are there with those before it: the offer, how many, and how
 // many of the tasks need no further thought then.
-func (s *Situation) hireFor(g Group, left int, ahead float64, asked map[Offer]int) (o Offer, n, serves int) {
+func (s *PlanInput) hireFor(g TaskGroup, left int, ahead float64, asked map[CapacityPool]int) (o CapacityPool, n, serves int) {
 	want := left
-	best, ok := s.cheapest(g.Size, left, asked, func(o Offer) bool { return g.Allows(o) && (o.Spot || !g.Allows(spotOf(o))) })
+	best, ok := s.cheapest(g.Size, left, asked, func(o CapacityPool) bool { return g.Allows(o) && (o.Spot || !g.Allows(spotOf(o))) })
 	if !ok {
 		// Ordinary machines cost a multiple. They are hired when those that
 		// are there or coming would not get through in time, and as many as
@@ -243,22 +243,22 @@
 	f := min(1, g.Run.Seconds()/max(t.Boot.Seconds(), 1))
 	per := g.Size.Slots(t.Total)
 	need := (int(math.Ceil(float64(want)*f)) + per - 1) / per
-	n = min(need, best.most()-asked[best.Offer])
+	n = min(need, best.most()-asked[best.CapacityPool])
 	if n == need {
-		return best.Offer, n, left
+		return best.CapacityPool, n, left
 	}
-	return best.Offer, n, int(float64(n*per) / f)
+	return best.CapacityPool, n, int(float64(n*per) / f)
 }
 
 // cheapest finds the offer with the least price per task slot. Slots beyond
 // the number of tasks count for nothing, nor do offers that have been asked for
 // all they may.
-func (s *Situation) cheapest(size slowfit.Size, count int, asked map[Offer]int, allows func(Offer) bool) (Priced, bool) {
-	var best Priced
+func (s *PlanInput) cheapest(size slowfit.Size, count int, asked map[CapacityPool]int, allows func(CapacityPool) bool) (PricedPool, bool) {
+	var best PricedPool
 	least := math.Inf(1)
-	for _, o := range s.Offers {
+	for _, o := range s.Pools {
 		per := size.Slots(s.Types[o.Type].Total)
-		if per == 0 || asked[o.Offer] >= o.most() || !allows(o.Offer) {
+		if per == 0 || asked[o.CapacityPool] >= o.most() || !allows(o.CapacityPool) {
 			continue
 		}
 		// Booting is paid for as well: a type that is up sooner is worth more.
--- a/internal/upgrade/golden_test.go
+++ b/internal/capability/golden_test.go
@@ -1,4 +1,4 @@
-package upgrade
+package capability
 
 import (
 	"testing"
--- a/internal/upgrade/upgrade.go
+++ b/internal/capability/upgrade.go
@@ -3,7 +3,7 @@
 // misunderstand may be asked of the service, and be written, only when none can be up
 // any more. That a node does not answer proves nothing, so each announces durably what
 // it knows, once, and only all announcements together count.
-package upgrade
+package capability
 
 import (
 	"context"
@@ -14,8 +14,8 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"leadproxy/internal/outbound"
-	"leadproxy/internal/state"
+	"leadproxy/internal/kvstore"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
@@ -42,12 +42,12 @@
 
 // Store is the part of the state service that announcing needs.
 type Store interface {
-	List(ctx context.Context, p state.Priority, under, after string, limit int) (wire.Entries, error)
-	Txn(ctx context.Context, p state.Priority, t wire.Txn) (bool, wire.TxnAnswer, error)
+	List(ctx context.Context, p kvstore.Priority, under, after string, limit int) (wire.EntryPage, error)
+	CompareAndSwap(ctx context.Context, p kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error)
 }
 
-// Watch announces this node and watches the others.
-type Watch struct {
+// Negotiator announces this node and watches the others.
+type Negotiator struct {
 	node  string
 	level int
 	all   []string
@@ -58,18 +58,18 @@
 
 // New makes a watch for a node that knows the capabilities of a level; Run starts it.
 // At level 0, that of the versions before there were announcements, it does nothing.
-func New(node string, level int, others []string, store Store, log *slog.Logger) *Watch {
-	return &Watch{node: node, level: level, all: append([]string{node}, others...), store: store, log: log}
+func New(node string, level int, others []string, store Store, log *slog.Logger) *Negotiator {
+	return &Negotiator{node: node, level: level, all: append([]string{node}, others...), store: store, log: log}
 }
 
-// Knows tells whether all nodes know a capability, this one included.
-func (w *Watch) Knows(capability int) bool { return int(w.known.Load()) >= capability }
+// AllSupport tells whether all nodes know a capability, this one included.
+func (w *Negotiator) AllSupport(capability int) bool { return int(w.known.Load()) >= capability }
 
 // lookEvery is how often the others are looked for.
 const lookEvery = 2 * time.Second
 
 // Run watches until all are there or ctx ends.
-func (w *Watch) Run(ctx context.Context) {
+func (w *Negotiator) Run(ctx context.Context) {
 	if w.level == 0 {
 		return
 	}
@@ -90,14 +90,14 @@
 			missing = strings.Join(left, " ")
 			w.log.Info("not all nodes are known to have been upgraded", "missing", missing)
 		}
-		outbound.Pause(ctx, lookEvery)
+		transport.Pause(ctx, lookEvery)
 	}
 }
 
 // look announces this node where that is missing. It names the nodes that have not
 // announced as much as this one, and tells the level that all have announced.
-func (w *Watch) look(ctx context.Context) (left []string, known int, err error) {
-	listing, err := state.ListAll(ctx, w.store, state.Read, Prefix)
+func (w *Negotiator) look(ctx context.Context) (left []string, known int, err error) {
+	listing, err := kvstore.ListAll(ctx, w.store, kvstore.PriorityRead, Prefix)
 	if err != nil {
 		return nil, 0, err
 	}
@@ -133,12 +133,12 @@
 }
 
 // announce writes this node's key unless it has changed since it was read.
-func (w *Watch) announce(ctx context.Context, version uint64) (bool, error) {
+func (w *Negotiator) announce(ctx context.Context, version uint64) (bool, error) {
 	value, err := json.Marshal(announcement{w.level})
 	if err != nil {
 		return false, err
 	}
 	key := Prefix + w.node
-	ok, _, err := w.store.Txn(ctx, state.Read, wire.Txn{If: []wire.Condition{{Key: key, Version: version}}, Then: []wire.Change{{Set: key, Value: value}}})
+	ok, _, err := w.store.CompareAndSwap(ctx, kvstore.PriorityRead, wire.CompareAndSwap{Conditions: []wire.Condition{{Key: key, Version: version}}, Changes: []wire.Change{{Set: key, Value: value}}})
 	return ok, err
 }
--- a/internal/upgrade/upgrade_test.go
+++ b/internal/capability/upgrade_test.go
@@ -1,4 +1,4 @@
-package upgrade
+package capability
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"leadproxy/internal/state"
+	"leadproxy/internal/kvstore"
 	"leadproxy/internal/wire"
 )
 
@@ -20,26 +20,26 @@
 	down bool
 }
 
-func (f *fakeStore) List(context.Context, state.Priority, string, string, int) (wire.Entries, error) {
+func (f *fakeStore) List(context.Context, kvstore.Priority, string, string, int) (wire.EntryPage, error) {
 	if f.down {
-		return wire.Entries{}, state.ErrRefused
+		return wire.EntryPage{}, kvstore.ErrUnavailable
 	}
 	keys := <-f.keys
 	defer func() { f.keys <- keys }()
-	var page wire.Entries
+	var page wire.EntryPage
 	for k, v := range keys {
-		page.Items = append(page.Items, wire.Entry{Key: k, Value: json.RawMessage(v), Version: 1})
+		page.Entries = append(page.Entries, wire.Entry{Key: k, Value: json.RawMessage(v), Version: 1})
 	}
 	return page, nil
 }
 
-func (f *fakeStore) Txn(_ context.Context, _ state.Priority, t wire.Txn) (bool, wire.TxnAnswer, error) {
+func (f *fakeStore) CompareAndSwap(_ context.Context, _ kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
 	keys := <-f.keys
 	defer func() { f.keys <- keys }()
-	for _, c := range t.Then {
+	for _, c := range t.Changes {
 		keys[c.Set] = string(c.Value)
 	}
-	return true, wire.TxnAnswer{}, nil
+	return true, wire.CompareAndSwapResponse{}, nil
 }
 
 // TestAllHaveToAnnounceThemselves: only announcements count, and only those of all
@@ -70,8 +70,8 @@
 				time.Sleep(3 * lookEvery)
 				synctest.Wait()
 				for level := 1; level <= Level; level++ {
-					if w.Knows(level) != (c.known >= level) {
-						t.Errorf("level %d: %v, want those up to %d", level, w.Knows(level), c.known)
+					if w.AllSupport(level) != (c.known >= level) {
+						t.Errorf("level %d: %v, want those up to %d", level, w.AllSupport(level), c.known)
 					}
 				}
 				keys := <-f.keys
@@ -87,7 +87,7 @@
 				f.keys <- keys
 				time.Sleep(2 * lookEvery)
 				synctest.Wait()
-				if !w.Knows(Level) {
+				if !w.AllSupport(Level) {
 					t.Error("not done when all are there")
 				}
 			})
--- a/internal/cells/cells_test.go
+++ b/internal/cells/cells_test.go
@@ -20,21 +20,21 @@
 	"leadproxy/internal/cells/cellpb"
 	"leadproxy/internal/dispatch"
 	"leadproxy/internal/fake"
+	"leadproxy/internal/federation"
 	"leadproxy/internal/scheduler"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/spill"
 )
 
 // TestNumbersAgree: kinds and outcomes travel as the numbers that package spill has.
 func TestNumbersAgree(t *testing.T) {
 	for number, name := range cellpb.Message_Kind_name {
-		if want := strings.ToLower(strings.TrimPrefix(name, "KIND_")); number > 0 && spill.Kind(number).String() != want {
-			t.Errorf("kind %d is %q in the messages and %q here", number, want, spill.Kind(number))
+		if want := strings.ToLower(strings.TrimPrefix(name, "KIND_")); number > 0 && federation.Kind(number).String() != want {
+			t.Errorf("kind %d is %q in the messages and %q here", number, want, federation.Kind(number))
 		}
 	}
 	for number, name := range cellpb.Answer_Outcome_name {
-		if want := strings.ToLower(strings.TrimPrefix(name, "OUTCOME_")); number > 0 && spill.Outcome(number).String() != want {
-			t.Errorf("outcome %d is %q in the messages and %q here", number, want, spill.Outcome(number))
+		if want := strings.ToLower(strings.TrimPrefix(name, "OUTCOME_")); number > 0 && federation.Outcome(number).String() != want {
+			t.Errorf("outcome %d is %q in the messages and %q here", number, want, federation.Outcome(number))
 		}
 	}
 }
@@ -47,25 +47,25 @@
 
 func (l *stubLeader) err() error {
 	if l.asked++; !l.leads {
-		return dispatch.ErrNotLeading
+		return dispatch.ErrNotLeader
 	}
 	return nil
 }
 
-func (l *stubLeader) Answer(_ context.Context, _ string, messages []spill.Message) ([]spill.Answer, error) {
-	var answers []spill.Answer
+func (l *stubLeader) AnswerTransfers(_ context.Context, _ string, messages []federation.Message) ([]federation.Answer, error) {
+	var answers []federation.Answer
 	for _, m := range messages {
-		answers = append(answers, spill.Answer{Ref: m.Ref, Epoch: m.Epoch, Outcome: spill.OutcomePending})
+		answers = append(answers, federation.Answer{JobID: m.JobID, Epoch: m.Epoch, Outcome: federation.OutcomePending})
 	}
 	return answers, l.err()
 }
 
-func (l *stubLeader) Lend(_ context.Context, _ string, cores float64) (dispatch.RoomOffer, error) {
-	return dispatch.RoomOffer{Cores: cores, For: time.Second}, l.err()
+func (l *stubLeader) OfferCapacity(_ context.Context, _ string, cores float64) (dispatch.CapacityOffer, error) {
+	return dispatch.CapacityOffer{Cores: cores, For: time.Second}, l.err()
 }
 
-func (l *stubLeader) ListTransfers(context.Context) (scheduler.TransferList, error) {
-	return scheduler.TransferList{}, l.err()
+func (l *stubLeader) ListTransfers(context.Context) (scheduler.TransferListReply, error) {
+	return scheduler.TransferListReply{}, l.err()
 }
 
 func lima() settings.Cells {
@@ -146,8 +146,8 @@
 			t.Fatal(err)
 		}
 		ask := func() error {
-			answers, err := client.Exchange(ctx, "puno", []spill.Message{{Kind: spill.Status, Ref: "job-1", Epoch: 1}})
-			if err == nil && (len(answers) != 1 || answers[0].Outcome != spill.OutcomePending) {
+			answers, err := client.Exchange(ctx, "puno", []federation.Message{{Kind: federation.Status, JobID: "job-1", Epoch: 1}})
+			if err == nil && (len(answers) != 1 || answers[0].Outcome != federation.OutcomePending) {
 				t.Errorf("answered %v", answers)
 			}
 			return err
@@ -169,7 +169,7 @@
 		if err := ask(); err == nil {
 			t.Error("answered without a leader")
 		}
-		if _, err := client.Room(ctx, "cusco", 1); err == nil {
+		if _, err := client.AskCapacity(ctx, "cusco", 1); err == nil {
 			t.Error("an unknown cell has room")
 		}
 		cancel()
@@ -187,10 +187,10 @@
 	var files []string
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	ctx, cancel := context.WithCancel(t.Context())
-	for cell, notes := range map[string][]spill.Note{
-		"lima": {{Cell: "puno", Ref: "job-1", Epoch: 1, Step: spill.StepPlanned}, {Cell: "puno", Ref: "job-1", Epoch: 1, Step: spill.StepEnded, Reason: "done"},
-			{Cell: "puno", Ref: "job-2", Epoch: 3, Step: spill.StepRefused, Reason: "full <of> work"}},
-		"puno": {{Home: "lima", Ref: "job-1", Epoch: 1, Step: spill.StepAccepted}},
+	for cell, notes := range map[string][]federation.TransferStep{
+		"lima": {{Cell: "puno", JobID: "job-1", Epoch: 1, Step: federation.StepPlanned}, {Cell: "puno", JobID: "job-1", Epoch: 1, Step: federation.StepEnded, Reason: "done"},
+			{Cell: "puno", JobID: "job-2", Epoch: 3, Step: federation.StepRefused, Reason: "full <of> work"}},
+		"puno": {{Origin: "lima", JobID: "job-1", Epoch: 1, Step: federation.StepAccepted}},
 	} {
 		file := filepath.Join(dir, cell)
 		files = append(files, file)
--- a/internal/cells/client.go
+++ b/internal/cells/client.go
@@ -14,10 +14,10 @@
 
 	"leadproxy/internal/cells/cellpb"
 	"leadproxy/internal/dispatch"
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/federation"
 	"leadproxy/internal/rpc"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/spill"
+	"leadproxy/internal/transport"
 )
 
 // version is that of the messages. Cells of different versions refuse one another.
@@ -48,7 +48,7 @@
 
 // Dial prepares connections to all controllers of the neighbours, until ctx ends.
 // Nothing is sent until the first call.
-func Dial(ctx context.Context, n outbound.Network, c settings.Cells, cancelS float64) (*Client, error) {
+func Dial(ctx context.Context, n transport.Network, c settings.Cells, cancelS float64) (*Client, error) {
 	client := &Client{cell: c.Name, cancelS: cancelS, peers: map[string]*neighbour{}}
 	for _, other := range c.Neighbours {
 		to := &neighbour{}
@@ -110,12 +110,12 @@
 }
 
 // Exchange has a neighbour's leader answer messages.
-func (c *Client) Exchange(ctx context.Context, cell string, messages []spill.Message) ([]spill.Answer, error) {
+func (c *Client) Exchange(ctx context.Context, cell string, messages []federation.Message) ([]federation.Answer, error) {
 	request := &cellpb.ExchangeRequest{Envelope: c.envelope(cell)}
 	for _, m := range messages {
 		request.Messages = append(request.Messages, messageOut(m))
 	}
-	var answers []spill.Answer
+	var answers []federation.Answer
 	err := c.call(ctx, cell, func(ctx context.Context, to cellpb.CellClient) error {
 		reply, err := to.Exchange(ctx, request)
 		if err != nil {
@@ -129,15 +129,15 @@
 	return answers, err
 }
 
-// Room asks a neighbour's leader for room for so many cores.
-func (c *Client) Room(ctx context.Context, cell string, cores float64) (dispatch.RoomOffer, error) {
-	var offer dispatch.RoomOffer
+// AskCapacity asks a neighbour's leader for room for so many cores.
+func (c *Client) AskCapacity(ctx context.Context, cell string, cores float64) (dispatch.CapacityOffer, error) {
+	var offer dispatch.CapacityOffer
 	err := c.call(ctx, cell, func(ctx context.Context, to cellpb.CellClient) error {
 		reply, err := to.Room(ctx, &cellpb.RoomRequest{Envelope: c.envelope(cell), Cores: cores, CancelS: c.cancelS})
 		if err != nil {
 			return err
 		}
-		offer = dispatch.RoomOffer{Cores: max(0, min(reply.Cores, cores)), For: milliseconds(reply.ForMs), RetryAfter: milliseconds(reply.RetryAfterMs), Reason: reply.Reason}
+		offer = dispatch.CapacityOffer{Cores: max(0, min(reply.Cores, cores)), For: milliseconds(reply.ForMs), RetryAfter: milliseconds(reply.RetryAfterMs), Reason: reply.Reason}
 		return nil
 	})
 	return offer, err
--- a/internal/cells/convert.go
+++ b/internal/cells/convert.go
@@ -7,7 +7,7 @@
 	"time"
 
 	"leadproxy/internal/cells/cellpb"
-	"leadproxy/internal/spill"
+	"leadproxy/internal/federation"
 	"leadproxy/internal/wire"
 )
 
@@ -15,8 +15,8 @@
 // TestNumbersAgree compares them.
 
 // messageOut is a message as it travels.
-func messageOut(m spill.Message) *cellpb.Message {
-	out := &cellpb.Message{Kind: cellpb.Message_Kind(m.Kind), Ref: m.Ref, Epoch: m.Epoch}
+func messageOut(m federation.Message) *cellpb.Message {
+	out := &cellpb.Message{Kind: cellpb.Message_Kind(m.Kind), Ref: m.JobID, Epoch: m.Epoch}
 	if b := m.Body; b != nil {
 		out.Offer = &cellpb.Offer{Job: b.Job, Cores: b.Cores, AcceptedMs: b.AcceptedMS, Repeatable: b.Repeatable}
 	}
@@ -24,16 +24,16 @@
 }
 
 // messageIn reads a message, or tells what is malformed in it.
-func messageIn(m *cellpb.Message) (spill.Message, error) {
-	in := spill.Message{Kind: spill.Kind(m.Kind), Ref: m.Ref, Epoch: m.Epoch}
+func messageIn(m *cellpb.Message) (federation.Message, error) {
+	in := federation.Message{Kind: federation.Kind(m.Kind), JobID: m.Ref, Epoch: m.Epoch}
 	switch {
-	case in.Kind < spill.Offer || in.Kind > spill.Release:
+	case in.Kind < federation.Offer || in.Kind > federation.Release:
 		return in, fmt.Errorf("the kind %d is not known", m.Kind)
-	case !wire.ValidRef(m.Ref):
+	case !wire.ValidJobID(m.Ref):
 		return in, fmt.Errorf("%q is not a job's id", m.Ref)
 	case m.Epoch == 0:
 		return in, errors.New("epochs begin at 1")
-	case (in.Kind == spill.Offer) != (m.Offer != nil):
+	case (in.Kind == federation.Offer) != (m.Offer != nil):
 		return in, errors.New("an offer, and only that, carries a job")
 	}
 	o := m.Offer
@@ -43,19 +43,19 @@
 	if len(o.Job) > wire.MaxBody || !(o.Cores >= 0) || math.IsInf(o.Cores, 0) || o.AcceptedMs < 0 {
 		return in, fmt.Errorf("an offer of %d bytes, %v cores, accepted at %d", len(o.Job), o.Cores, o.AcceptedMs)
 	}
-	in.Body = &spill.OfferBody{Job: o.Job, Cores: o.Cores, AcceptedMS: o.AcceptedMs, Repeatable: o.Repeatable}
+	in.Body = &federation.OfferBody{Job: o.Job, Cores: o.Cores, AcceptedMS: o.AcceptedMs, Repeatable: o.Repeatable}
 	return in, nil
 }
 
 // answerOut is an answer as it travels.
-func answerOut(a spill.Answer) *cellpb.Answer {
-	return &cellpb.Answer{Ref: a.Ref, Epoch: a.Epoch, Outcome: cellpb.Answer_Outcome(a.Outcome), Done: int32(a.Done), Running: int32(a.Running),
+func answerOut(a federation.Answer) *cellpb.Answer {
+	return &cellpb.Answer{Ref: a.JobID, Epoch: a.Epoch, Outcome: cellpb.Answer_Outcome(a.Outcome), Done: int32(a.Done), Running: int32(a.Running),
 		Reason: a.Reason, Temporary: a.Temporary, RetryAfterMs: a.RetryAfter.Milliseconds()}
 }
 
 // answerIn reads an answer. An outcome that is not known tells nothing.
-func answerIn(a *cellpb.Answer) spill.Answer {
-	return spill.Answer{Ref: a.Ref, Epoch: a.Epoch, Outcome: spill.Outcome(a.Outcome), Done: int(a.Done), Running: int(a.Running),
+func answerIn(a *cellpb.Answer) federation.Answer {
+	return federation.Answer{JobID: a.Ref, Epoch: a.Epoch, Outcome: federation.Outcome(a.Outcome), Done: int(a.Done), Running: int(a.Running),
 		Reason: a.Reason, Temporary: a.Temporary, RetryAfter: milliseconds(a.RetryAfterMs)}
 }
 
--- a/internal/cells/list.go
+++ b/internal/cells/list.go
@@ -13,14 +13,14 @@
 	"google.golang.org/grpc"
 
 	"leadproxy/internal/cells/cellpb"
-	"leadproxy/internal/outbound"
 	"leadproxy/internal/rpc"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/transport"
 )
 
 // FetchList asks the controllers of a cell for its transfers until one answers that
 // leads.
-func FetchList(ctx context.Context, n outbound.Network, p *settings.Platform) (*cellpb.ListReply, error) {
+func FetchList(ctx context.Context, n transport.Network, p *settings.Platform) (*cellpb.ListReply, error) {
 	var errs []error
 	for _, c := range p.Controllers() {
 		list, err := fetchFrom(ctx, n, c.Addr)
@@ -32,7 +32,7 @@
 	return nil, errors.Join(errs...)
 }
 
-func fetchFrom(ctx context.Context, n outbound.Network, addr string) (list *cellpb.ListReply, err error) {
+func fetchFrom(ctx context.Context, n transport.Network, addr string) (list *cellpb.ListReply, err error) {
 	err = rpc.Call(ctx, n, addr, callLimit, func(ctx context.Context, conn *grpc.ClientConn) error {
 		list, err = cellpb.NewCellClient(conn).List(ctx, &cellpb.ListRequest{})
 		return err
--- a/internal/cells/proof_test.go
+++ b/internal/cells/proof_test.go
@@ -18,10 +18,10 @@
 	"time"
 
 	"leadproxy/internal/fake"
+	"leadproxy/internal/federation"
 	"leadproxy/internal/ledger"
-	"leadproxy/internal/outbound"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/spill"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
@@ -55,7 +55,7 @@
 // newCell starts everything of a cell but its controllers.
 func newCell(t *testing.T, name string, machines int, check *fake.Checker) *cell {
 	t.Helper()
-	network := outbound.TCP{}
+	network := transport.TCP{}
 	c := &cell{t: t, name: name, state: fake.NewState(t, network, "127.0.0.1:0", nil)}
 	public, back := fake.Reserve(t, controllers), fake.Reserve(t, controllers)
 	var workers []fake.Node
@@ -69,7 +69,7 @@
 		Boot:  time.Second, ListLag: 2 * time.Second, Most: machines,
 		Worker: fake.WorkerConfig{Nodes: workers, Report: time.Second, Lease: 8 * time.Second, Fetch: 200 * time.Millisecond,
 			Run: func(string) time.Duration { return taskTime }, Check: check},
-		Host: func(string) (outbound.Network, string) { return network, "127.0.0.1:0" },
+		Host: func(string) (transport.Network, string) { return network, "127.0.0.1:0" },
 	})
 	facts := settings.Facts{Nodes: controllers, Zones: zones, ClockErrorMS: 5, Teams: []settings.Team{{Name: "open"}},
 		Workers:   settings.Workers{ReportS: 1, LeaseS: 8, CancelS: cancelLimit.Seconds()},
@@ -161,7 +161,7 @@
 	for _, n := range neighbours {
 		for _, change := range n.state.Changes() {
 			ref, ok := strings.CutPrefix(change.Set, "cell/guest/"+home.name+"/")
-			var r spill.GuestRecord
+			var r federation.ForeignRecord
 			if ok && json.Unmarshal(change.Value, &r) == nil {
 				e := of(ref)
 				e.epochs = append(e.epochs, fmt.Sprintf("%s/%d %s", n.name, r.Epoch, r.State))
@@ -169,7 +169,7 @@
 		}
 	}
 	for _, run := range check.Runs() {
-		ref, _, _ := wire.SplitTask(run.Task)
+		ref, _, _ := wire.ParseTaskName(run.Task)
 		e := of(ref)
 		e.attempts++
 		if name, _, _ := strings.Cut(run.Machine, "-vm-"); !slices.Contains(e.cells, name) {
@@ -247,7 +247,7 @@
 		}
 	})
 	for k := range floodJobs {
-		j := fake.NewJob(fmt.Sprintf("job-%06d", k), 4, func(j *wire.Job) { j.CPUs, j.EstimateS = 2, taskTime.Seconds() })
+		j := fake.NewJob(fmt.Sprintf("job-%06d", k), 4, func(j *wire.Job) { j.CPUs, j.EstimatedRunS = 2, taskTime.Seconds() })
 		a.users.Submit(j)
 		if k%20 == 19 {
 			a.users.Cancel(j)
@@ -282,7 +282,7 @@
 		t.Error("that is not what the test is about")
 	}
 	showTrace(t, program, a, b, c)
-	if list, err := FetchList(context.Background(), outbound.TCP{}, &a.nodes[0].Platform); err != nil || list.Cell != "a" {
+	if list, err := FetchList(context.Background(), transport.TCP{}, &a.nodes[0].Platform); err != nil || list.Cell != "a" {
 		t.Errorf("the list: %v, %v", list, err)
 	}
 	if t.Failed() {
--- a/internal/cells/server.go
+++ b/internal/cells/server.go
@@ -12,9 +12,9 @@
 
 	"leadproxy/internal/cells/cellpb"
 	"leadproxy/internal/dispatch"
+	"leadproxy/internal/federation"
 	"leadproxy/internal/scheduler"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/spill"
 )
 
 // maxMessages bounds the messages of one exchange.
@@ -22,9 +22,9 @@
 
 // Leader is the node's dispatcher, as other cells need it.
 type Leader interface {
-	Answer(ctx context.Context, home string, messages []spill.Message) ([]spill.Answer, error)
-	Lend(ctx context.Context, home string, cores float64) (dispatch.RoomOffer, error)
-	ListTransfers(ctx context.Context) (scheduler.TransferList, error)
+	AnswerTransfers(ctx context.Context, home string, messages []federation.Message) ([]federation.Answer, error)
+	OfferCapacity(ctx context.Context, home string, cores float64) (dispatch.CapacityOffer, error)
+	ListTransfers(ctx context.Context) (scheduler.TransferListReply, error)
 }
 
 // Server answers other cells, and operators.
@@ -58,7 +58,7 @@
 
 // failure is the status of an error of the dispatcher.
 func failure(err error) error {
-	if errors.Is(err, dispatch.ErrNotLeading) {
+	if errors.Is(err, dispatch.ErrNotLeader) {
 		return status.Error(codes.Unavailable, err.Error())
 	}
 	return status.Error(codes.DeadlineExceeded, err.Error())
@@ -72,14 +72,14 @@
 	if len(r.Messages) > maxMessages {
 		return nil, status.Errorf(codes.InvalidArgument, "%d messages at once, at most %d", len(r.Messages), maxMessages)
 	}
-	messages := make([]spill.Message, len(r.Messages))
+	messages := make([]federation.Message, len(r.Messages))
 	for i, m := range r.Messages {
 		var err error
 		if messages[i], err = messageIn(m); err != nil {
 			return nil, status.Errorf(codes.InvalidArgument, "message %d: %s", i, err)
 		}
 	}
-	answers, err := s.leader.Answer(ctx, r.Envelope.From, messages)
+	answers, err := s.leader.AnswerTransfers(ctx, r.Envelope.From, messages)
 	if err != nil {
 		return nil, failure(err)
 	}
@@ -103,7 +103,7 @@
 		why := fmt.Sprintf("cancelled tasks are gone within %v s here, and are to be within %v s", s.cancelS, r.CancelS)
 		return &cellpb.RoomReply{Reason: why, RetryAfterMs: time.Minute.Milliseconds()}, nil
 	}
-	offer, err := s.leader.Lend(ctx, r.Envelope.From, r.Cores)
+	offer, err := s.leader.OfferCapacity(ctx, r.Envelope.From, r.Cores)
 	if err != nil {
 		return nil, failure(err)
 	}
@@ -117,16 +117,16 @@
 		return nil, failure(err)
 	}
 	reply := &cellpb.ListReply{Cell: s.cells.Name}
-	for _, v := range list.Away {
-		reply.Away = append(reply.Away, &cellpb.Away{Ref: v.Ref, Cell: v.Record.Cell, Epoch: v.Record.Epoch, Phase: v.Phase, Cancelling: v.Cancelling,
-			Repeatable: v.Record.Repeatable, SinceMs: v.Record.SinceMS, HeardMs: v.Heard.Milliseconds(), Done: int32(v.Done), Running: int32(v.Running)})
+	for _, v := range list.Delegated {
+		reply.Away = append(reply.Away, &cellpb.Away{Ref: v.JobID, Cell: v.Record.Cell, Epoch: v.Record.Epoch, Phase: v.Phase, Cancelling: v.Cancelling,
+			Repeatable: v.Record.Repeatable, SinceMs: v.Record.SinceMS, HeardMs: v.LastAnswer.Milliseconds(), Done: int32(v.Done), Running: int32(v.Running)})
 	}
-	for _, g := range list.Guests {
-		reply.Guests = append(reply.Guests, &cellpb.Guest{Home: g.Key.Home, Ref: g.Key.Ref, Epoch: g.Record.Epoch, State: guestState(g),
+	for _, g := range list.Foreign {
+		reply.Guests = append(reply.Guests, &cellpb.Guest{Home: g.Key.Origin, Ref: g.Key.JobID, Epoch: g.Record.Epoch, State: guestState(g),
 			SinceMs: g.Record.SinceMS, Done: int32(g.State.Done), Running: int32(g.State.Running)})
 	}
 	for _, c := range list.Cells {
-		reply.Neighbours = append(reply.Neighbours, &cellpb.Neighbour{Name: c.Name, Drain: c.Drain, Silent: c.Silent, Jobs: int32(c.Jobs), Cores: c.Cores, Credit: c.Credit, Lent: c.Lent})
+		reply.Neighbours = append(reply.Neighbours, &cellpb.Neighbour{Name: c.Name, Drain: c.Drain, Silent: c.Unreachable, Jobs: int32(c.Jobs), Cores: c.Cores, Credit: c.Credit, Lent: c.Offered})
 	}
 	for key, n := range list.Counts {
 		reply.Counts = append(reply.Counts, &cellpb.Count{Cell: key.Cell, Out: key.Out, Step: key.Step, Count: int64(n)})
@@ -135,7 +135,7 @@
 }
 
 // guestState is what a guest's job has come to.
-func guestState(g scheduler.GuestView) string {
+func guestState(g scheduler.ForeignView) string {
 	switch {
 	case g.State.Over && g.State.Aborted:
 		return "aborted, not released"
--- a/internal/cells/trace.go
+++ b/internal/cells/trace.go
@@ -13,7 +13,7 @@
 	sdktrace "go.opentelemetry.io/otel/sdk/trace"
 	"go.opentelemetry.io/otel/trace"
 
-	"leadproxy/internal/spill"
+	"leadproxy/internal/federation"
 )
 
 // The attributes of a span.
@@ -41,7 +41,7 @@
 	log    *slog.Logger
 	tracer trace.Tracer // nil: there is no file
 	// last is the latest step of each transfer. It belongs to whoever calls Note.
-	last map[spill.GuestKey]time.Time
+	last map[federation.ForeignKey]time.Time
 }
 
 // maxTraced bounds the transfers whose latest step is remembered.
@@ -49,7 +49,7 @@
 
 // NewTracer makes a tracer that appends to a file until ctx ends; "" for none.
 func NewTracer(ctx context.Context, cell, file string, log *slog.Logger) (*Tracer, error) {
-	t := &Tracer{cell: cell, log: log, last: map[spill.GuestKey]time.Time{}}
+	t := &Tracer{cell: cell, log: log, last: map[federation.ForeignKey]time.Time{}}
 	if file == "" {
 		return t, nil
 	}
@@ -69,31 +69,31 @@
 }
 
 // Note tells of a step. One goroutine at a time may call it.
-func (t *Tracer) Note(n spill.Note) {
-	home, cell, side := n.Home, t.cell, sideNeighbour
-	if n.Home == "" {
+func (t *Tracer) Note(n federation.TransferStep) {
+	home, cell, side := n.Origin, t.cell, sideNeighbour
+	if n.Origin == "" {
 		home, cell, side = t.cell, n.Cell, sideHome
 	}
-	t.log.Info("transfer", "step", n.Step, "job", n.Ref, "epoch", n.Epoch, "home", home, "neighbour", cell, "side", side, "reason", n.Reason)
+	t.log.Info("transfer", "step", n.Step, "job", n.JobID, "epoch", n.Epoch, "home", home, "neighbour", cell, "side", side, "reason", n.Reason)
 	if t.tracer == nil {
 		return
 	}
-	key, now := spill.GuestKey{Home: home, Ref: n.Ref}, time.Now()
+	key, now := federation.ForeignKey{Origin: home, JobID: n.JobID}, time.Now()
 	began, ok := t.last[key]
 	if !ok {
 		began = now
 	}
 	_, span := t.tracer.Start(traceContext(key), n.Step, trace.WithTimestamp(began), trace.WithAttributes(
 		attribute.String(attributeHome, home), attribute.String(attributeCell, cell), attribute.String(attributeSide, side),
-		attribute.String(attributeJob, n.Ref), attribute.Int64(attributeEpoch, int64(n.Epoch)), attribute.String(attributeReason, n.Reason)))
+		attribute.String(attributeJob, n.JobID), attribute.Int64(attributeEpoch, int64(n.Epoch)), attribute.String(attributeReason, n.Reason)))
 	span.End(trace.WithTimestamp(now))
 	t.remember(key, n.Step, now)
 }
 
 // remember keeps a transfer's latest step as long as others follow.
-func (t *Tracer) remember(key spill.GuestKey, step string, now time.Time) {
+func (t *Tracer) remember(key federation.ForeignKey, step string, now time.Time) {
 	switch step {
-	case spill.StepReleased, spill.StepCleaned:
+	case federation.StepReleased, federation.StepCleaned:
 		delete(t.last, key)
 		return
 	}
@@ -104,8 +104,8 @@
 }
 
 // traceContext has spans belong to a job's trace.
-func traceContext(key spill.GuestKey) context.Context {
-	sum := sha256.Sum256([]byte("leadproxy transfer " + key.Home + " " + key.Ref))
+func traceContext(key federation.ForeignKey) context.Context {
+	sum := sha256.Sum256([]byte("leadproxy transfer " + key.Origin + " " + key.JobID))
 	parent := trace.SpanContextConfig{TraceFlags: trace.FlagsSampled, Remote: true}
 	copy(parent.TraceID[:], sum[:16])
 	copy(parent.SpanID[:], sum[16:24])
--- a/internal/compat/deployment_test.go
+++ b/internal/compat/deployment_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"leadproxy/internal/fake"
-	"leadproxy/internal/outbound"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
@@ -66,7 +66,7 @@
 // newDeployment starts everything but the controllers.
 func newDeployment(t *testing.T) *deployment {
 	t.Helper()
-	network := outbound.TCP{}
+	network := transport.TCP{}
 	d := &deployment{t: t, recorder: newRecorder()}
 	d.check = fake.NewChecker(t, fake.Limits{Cancel: cancelLimit, CPUs: map[string]float64{"tight": cpuLimit}, Waiting: 90 * time.Second, Silent: 75 * time.Second})
 	d.state = fake.NewState(t, network, "127.0.0.1:0", d.troubleWrites)
@@ -82,7 +82,7 @@
 		Boot:  bootTime, ListLag: 2 * time.Second, Most: 12,
 		Worker: fake.WorkerConfig{Nodes: workers, Report: reportEvery, Lease: workerLease, Fetch: 200 * time.Millisecond,
 			Run: func(string) time.Duration { return taskTime }, Check: d.check},
-		Host: func(string) (outbound.Network, string) { return network, "127.0.0.1:0" },
+		Host: func(string) (transport.Network, string) { return network, "127.0.0.1:0" },
 	})
 	d.configure(public, zones)
 	go d.watchRules()
@@ -135,7 +135,7 @@
 // watchRules has the checker look at the rules as long as the test goes on.
 func (d *deployment) watchRules() {
 	for d.t.Context().Err() == nil {
-		outbound.Pause(d.t.Context(), time.Second)
+		transport.Pause(d.t.Context(), time.Second)
 		calm := time.Time{}
 		if at := d.calm.Load(); at != nil {
 			calm = *at
--- a/internal/compat/golden_test.go
+++ b/internal/compat/golden_test.go
@@ -13,10 +13,10 @@
 	"google.golang.org/protobuf/reflect/protoregistry"
 
 	_ "leadproxy/internal/cells/cellpb"
-	_ "leadproxy/internal/handover/handoverpb"
-	_ "leadproxy/internal/hints/hintpb"
+	_ "leadproxy/internal/leadertransfer/handoverpb"
 	_ "leadproxy/internal/peers/peerpb"
-	_ "leadproxy/internal/rollouts/rolloutpb"
+	_ "leadproxy/internal/rolloutservice/rolloutpb"
+	_ "leadproxy/internal/softstate/hintpb"
 )
 
 var updateGRPC = flag.Bool("update-grpc", false, "write the golden file of the gRPC services and messages anew")
--- a/internal/compat/record_test.go
+++ b/internal/compat/record_test.go
@@ -83,7 +83,7 @@
 				due := 30.0
 				j.Spread, j.DeadlineS, j.Types = true, &due, []string{"m8"}
 			case 3:
-				j.OneZone, j.Spot = true, false
+				j.Gang, j.Spot = true, false
 			}
 		})
 		d.users.Submit(j)
@@ -123,7 +123,7 @@
 }
 
 // examples picks one value of each key family and shape.
-func examples(t *testing.T, changes []wire.Event) (values []Value) {
+func examples(t *testing.T, changes []wire.WatchEvent) (values []Value) {
 	t.Helper()
 	seen := map[string]bool{}
 	for _, c := range changes {
--- a/internal/compat/recording_test.go
+++ b/internal/compat/recording_test.go
@@ -14,8 +14,8 @@
 	"github.com/BurntSushi/toml"
 	"google.golang.org/protobuf/proto"
 
+	"leadproxy/internal/kvstore"
 	"leadproxy/internal/ledger"
-	"leadproxy/internal/state"
 	"leadproxy/internal/wire"
 )
 
@@ -61,8 +61,8 @@
 		"job":    func() any { return &ledger.JobRecord{} },
 		"fin":    func() any { return &ledger.Ranges{} },
 		"host":   func() any { return &[]string{} },
-		"hire":   func() any { return &ledger.HireRecord{} },
-		"silent": func() any { return &ledger.SilentRecord{} },
+		"hire":   func() any { return &ledger.ScaleOutRecord{} },
+		"silent": func() any { return &ledger.UnreachableRecord{} },
 	}
 	seen := map[string]int{}
 	for _, v := range readProduction(t).Values {
@@ -104,17 +104,17 @@
 // recordedStore is a state service that holds what was recorded.
 type recordedStore struct{ values []Value }
 
-func (s recordedStore) List(_ context.Context, _ state.Priority, under, after string, _ int) (wire.Entries, error) {
-	var page wire.Entries
+func (s recordedStore) List(_ context.Context, _ kvstore.Priority, under, after string, _ int) (wire.EntryPage, error) {
+	var page wire.EntryPage
 	for _, v := range s.values {
 		if strings.HasPrefix(v.Key, under) && v.Key > after {
-			page.Items = append(page.Items, wire.Entry{Key: v.Key, Value: v.Value, Version: 1})
+			page.Entries = append(page.Entries, wire.Entry{Key: v.Key, Value: v.Value, Version: 1})
 		}
 	}
 	return page, nil
 }
 
-func (s recordedStore) Get(_ context.Context, _ state.Priority, key string) (wire.Entry, bool, error) {
+func (s recordedStore) Get(_ context.Context, _ kvstore.Priority, key string) (wire.Entry, bool, error) {
 	for _, v := range s.values {
 		if v.Key == key {
 			return wire.Entry{Key: key, Value: v.Value, Version: 1}, true, nil
@@ -123,8 +123,8 @@
 	return wire.Entry{}, false, nil
 }
 
-func (s recordedStore) Txn(context.Context, state.Priority, wire.Txn) (bool, wire.TxnAnswer, error) {
-	return false, wire.TxnAnswer{}, state.ErrRefused
+func (s recordedStore) CompareAndSwap(context.Context, kvstore.Priority, wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
+	return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnavailable
 }
 
 // TestLedgerLoadsTheRecording: a new leader of this version takes all of it over.
@@ -148,14 +148,14 @@
 	}
 	found, finished, hosts := 0, 0, 0
 	for _, j := range s.Jobs {
-		if jobs[j.Ref] {
+		if jobs[j.ID] {
 			found++
 		}
 		finished += len(j.Finished)
 		hosts += len(j.Hosts)
 	}
-	if found != len(jobs) || finished != want["fin"] || hosts != want["host"] || len(s.Hires) != want["hire"] || len(s.Gone) != want["gone"] {
-		t.Errorf("%d of %d jobs, %d finished, %d hosts, %d hires, %d gone; recorded were %v", found, len(jobs), finished, hosts, len(s.Hires), len(s.Gone), want)
+	if found != len(jobs) || finished != want["fin"] || hosts != want["host"] || len(s.ScaleOuts) != want["hire"] || len(s.Gone) != want["gone"] {
+		t.Errorf("%d of %d jobs, %d finished, %d hosts, %d hires, %d gone; recorded were %v", found, len(jobs), finished, hosts, len(s.ScaleOuts), len(s.Gone), want)
 	}
 }
 
--- a/internal/compat/rolling_test.go
+++ b/internal/compat/rolling_test.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
+	"leadproxy/internal/capability"
 	"leadproxy/internal/fake"
-	"leadproxy/internal/upgrade"
 	"leadproxy/internal/wire"
 )
 
@@ -39,7 +39,7 @@
 				}
 				time.Sleep(5 * time.Second)
 			}
-			d.await("all announced", 20*time.Second, func() bool { return d.state.Count(upgrade.Prefix) == nodeCount })
+			d.await("all announced", 20*time.Second, func() bool { return d.state.Count(capability.Prefix) == nodeCount })
 			time.Sleep(3 * time.Second)
 			stopPipelines := d.users.Pipelines()
 			time.Sleep(10 * time.Second)
@@ -78,11 +78,11 @@
 	old, current := build(t, productionCommit(t)), build(t, "")
 	d := newDeployment(t)
 	d.startAll(current)
-	d.await("all announced", 20*time.Second, func() bool { return d.state.Count(upgrade.Prefix) == nodeCount })
+	d.await("all announced", 20*time.Second, func() bool { return d.state.Count(capability.Prefix) == nodeCount })
 	stop := d.load()
 	time.Sleep(5 * time.Second)
 	for i := range d.nodes {
-		d.state.Remove(upgrade.Prefix + nodeName(i))
+		d.state.Remove(capability.Prefix + nodeName(i))
 	}
 	for i := range d.nodes {
 		d.replace(i, old, time.Second)
@@ -142,12 +142,12 @@
 	d.t.Helper()
 	first := fake.NewJob(fmt.Sprintf("job-60000%d", i), 1, nil)
 	if !d.users.Accept(first) {
-		d.t.Errorf("%s was not accepted", first.Ref)
+		d.t.Errorf("%s was not accepted", first.ID)
 	}
 	d.users.Poll(first)
-	second := fake.NewJob(fmt.Sprintf("job-61000%d", i), 1, func(j *wire.Job) { j.WaitsOn = []string{first.Ref} })
+	second := fake.NewJob(fmt.Sprintf("job-61000%d", i), 1, func(j *wire.Job) { j.DependsOn = []string{first.ID} })
 	d.check.Submits(second, true)
-	if code, _ := d.users.Call(i, fake.AskedSubmit, second.Ref, second); code != 503 {
+	if code, _ := d.users.Call(i, fake.AskedSubmit, second.ID, second); code != 503 {
 		d.t.Errorf("a job that waits for another one, during the upgrade: %d, want 503", code)
 	}
 }
--- a/internal/node/alarms_test.go
+++ b/internal/controller/alarms_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -20,7 +20,7 @@
 
 // Handle looks at a line and passes it on.
 func (a alarms) Handle(ctx context.Context, r slog.Record) error {
-	if r.Message == scheduler.MessageOverdue {
+	if r.Message == scheduler.MessageCancelledTaskOverdue {
 		text := ""
 		r.Attrs(func(attribute slog.Attr) bool {
 			text += " " + attribute.String()
--- a/internal/node/bench_test.go
+++ b/internal/controller/bench_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"bufio"
@@ -12,8 +12,8 @@
 	"time"
 
 	"leadproxy/internal/fake"
-	"leadproxy/internal/outbound"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
@@ -50,7 +50,7 @@
 
 // alone starts one controller that leads, over our own fakes.
 func alone(b *testing.B) string {
-	store := fake.NewState(b, outbound.TCP{}, "127.0.0.1:0", nil)
+	store := fake.NewState(b, transport.TCP{}, "127.0.0.1:0", nil)
 	// The benchmark is the only worker.
 	refuse := func(_ string, r *http.Request) fake.Trouble {
 		if r.URL.Path == "/machines" && r.Method == http.MethodPost {
@@ -58,7 +58,7 @@
 		}
 		return fake.Trouble{}
 	}
-	cloud := fake.NewCloud(b, outbound.TCP{}, "127.0.0.1:0", fake.CloudConfig{Trouble: refuse,
+	cloud := fake.NewCloud(b, transport.TCP{}, "127.0.0.1:0", fake.CloudConfig{Trouble: refuse,
 		Types: []wire.MachineType{{Name: "m4", CPUs: 4, MemGB: 16, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 1, Zones: []string{"a"}}}})
 	addrs := fake.Reserve(b, 2)
 	p := &settings.Platform{Node: "n0", Zone: "a", Listen: addrs[0], Back: addrs[1], Services: settings.Services{State: store.Addr(), Cloud: cloud.Addr()}}
@@ -70,7 +70,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
 	go func() {
-		if err := Run(ctx, outbound.TCP{}, p, settings.Defaults(), slog.New(slog.NewTextHandler(io.Discard, nil))); err != nil {
+		if err := Run(ctx, transport.TCP{}, p, settings.Defaults(), slog.New(slog.NewTextHandler(io.Discard, nil))); err != nil {
 			b.Error(err)
 		}
 	}()
--- a/internal/node/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"fmt"
@@ -121,13 +121,13 @@
 		jobs := c.stream(0, 8, 300*time.Millisecond, nil)
 		c.running(10)
 		for k, j := range half(jobs) {
-			before := j.Ref
+			before := j.ID
 			for i := range 2 { // one that needs it, and one that needs that
-				child := fake.NewJob(fmt.Sprintf("job-%06d", 200+100*i+k), 1, func(j *wire.Job) { j.WaitsOn = []string{before} })
+				child := fake.NewJob(fmt.Sprintf("job-%06d", 200+100*i+k), 1, func(j *wire.Job) { j.DependsOn = []string{before} })
 				if c.users.Accept(child) {
 					c.users.Poll(child)
 				}
-				before = child.Ref
+				before = child.ID
 			}
 		}
 		c.writes.Store(c.share(1, fake.AnswerLost, 0, 0))
@@ -136,7 +136,7 @@
 		}
 		time.Sleep(300 * time.Millisecond)
 		for _, j := range half(jobs) {
-			c.users.Look(j.Ref, j)
+			c.users.Look(j.ID, j)
 		}
 		time.Sleep(200 * time.Millisecond)
 		c.state.Outage(true)
@@ -154,13 +154,13 @@
 		for k := range 30 {
 			j := fake.NewJob(fmt.Sprintf("job-%06d", 10+k), 1, nil)
 			c.users.Submit(j)
-			done := func() bool { _, n := c.check.On(j.Ref); return n == 1 }
+			done := func() bool { _, n := c.check.On(j.ID); return n == 1 }
 			for end := time.Now().Add(30 * time.Second); !done() && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(some(r, 0, 15*time.Millisecond))
 			c.users.Cancel(j)
-			c.users.Look(j.Ref, j)
+			c.users.Look(j.ID, j)
 		}
 	})
 }
@@ -174,9 +174,9 @@
 			c.users.Submit(j)
 			time.Sleep(some(r, 0, 12*time.Millisecond))
 			for i := range c.nodes {
-				c.users.Go(func() { c.users.Call(i, fake.AskedCancel, j.Ref, nil) })
+				c.users.Go(func() { c.users.Call(i, fake.AskedCancel, j.ID, nil) })
 			}
-			c.users.Look(j.Ref, j)
+			c.users.Look(j.ID, j)
 			c.users.Cancel(j)
 			time.Sleep(some(r, 100*time.Millisecond, 2*time.Second))
 			if k == 15 {
--- a/internal/node/cancelled_tasks_test.go
+++ b/internal/controller/cancelled_tasks_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"fmt"
@@ -122,13 +122,13 @@
 		c.running(1)
 		c.orders.Store(c.share(1, fake.RequestLost, 0, 0))
 		c.users.Cancel(job)
-		key := ledger.JobKey(job.Ref)
-		c.await("the cancellation recorded", 10*time.Second, func() bool { return strings.Contains(string(c.state.Value(key)), wire.Aborted) })
+		key := ledger.JobKey(job.ID)
+		c.await("the cancellation recorded", 10*time.Second, func() bool { return strings.Contains(string(c.state.Value(key)), wire.JobCancelled) })
 		whole := string(c.state.Value(key))
 		c.kill(c.leader())
 		c.state.Put(key, "[]")
 		time.Sleep(cancelLimit + 10*time.Second)
-		if on, _ := c.check.On(job.Ref); on > 0 {
+		if on, _ := c.check.On(job.ID); on > 0 {
 			t.Errorf("%d of its tasks run on", on)
 		}
 		c.orders.Store(nil)
--- a/internal/node/cells_measure_test.go
+++ b/internal/controller/cells_measure_test.go
@@ -1,6 +1,6 @@
 //go:build measure
 
-package node
+package controller
 
 import (
 	"fmt"
@@ -29,7 +29,7 @@
 // runOf is how long a job's tasks run: 10 to 30 s, the same with and without spilling.
 func runOf(seed uint64) func(task string) time.Duration {
 	return func(task string) time.Duration {
-		ref, _, _ := wire.SplitTask(task)
+		ref, _, _ := wire.ParseTaskName(task)
 		h := fnv.New64a()
 		fmt.Fprint(h, seed, ref)
 		return meanRun/2 + time.Duration(rand.New(rand.NewPCG(h.Sum64(), 1)).Int64N(int64(meanRun)))
@@ -75,9 +75,9 @@
 			f.cells["a"].users.Go(func() {
 				for k, end := 0, time.Now().Add(measuredFor); time.Now().Before(end); k++ {
 					due := measuredDue
-					j := fake.NewJob(f.refOf(name, k), 4, func(j *wire.Job) { j.CPUs, j.EstimateS, j.DeadlineS = 2, meanRun.Seconds(), &due })
+					j := fake.NewJob(f.refOf(name, k), 4, func(j *wire.Job) { j.CPUs, j.EstimatedRunS, j.DeadlineS = 2, meanRun.Seconds(), &due })
 					at := <-submitted
-					at[j.Ref] = time.Now()
+					at[j.ID] = time.Now()
 					submitted <- at
 					f.cells[name].users.Submit(j)
 					time.Sleep(time.Duration(random.ExpFloat64() * float64(every)))
@@ -89,7 +89,7 @@
 		spilled = len(f.spilled("a"))
 		starts, ends := map[string]time.Time{}, map[string]time.Time{}
 		for _, run := range f.check.Runs() {
-			ref, _, _ := wire.SplitTask(run.Task)
+			ref, _, _ := wire.ParseTaskName(run.Task)
 			if run.Began.After(starts[ref]) {
 				starts[ref] = run.Began
 			}
--- a/internal/node/cells_test.go
+++ b/internal/controller/cells_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"encoding/json"
@@ -11,9 +11,9 @@
 	"time"
 
 	"leadproxy/internal/fake"
+	"leadproxy/internal/federation"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/spill"
 	"leadproxy/internal/wire"
 )
 
@@ -24,8 +24,8 @@
 // repeatableClass is the class whose jobs may run again after an uncertain run.
 const repeatableClass = "again"
 
-// federation is some cells, the first of which is short of machines.
-type federation struct {
+// testFederation is some cells, the first of which is short of machines.
+type testFederation struct {
 	t     *testing.T
 	net   *fake.Net
 	check *fake.Checker
@@ -48,11 +48,11 @@
 }
 
 // refOf names a job of a cell: its number begins with the cell's place.
-func (f *federation) refOf(cell string, k int) string {
+func (f *testFederation) refOf(cell string, k int) string {
 	return fmt.Sprintf("job-%d%05d", 1+slices.Index(f.names, cell), k)
 }
 
-func (f *federation) owns(cell string) func(ref string) bool {
+func (f *testFederation) owns(cell string) func(ref string) bool {
 	prefix := fmt.Sprintf("job-%d", 1+slices.Index(f.names, cell))
 	return func(ref string) bool { return strings.HasPrefix(ref, prefix) }
 }
@@ -86,8 +86,8 @@
 	return 12
 }
 
-func newFederation(t *testing.T, p federationPlan) *federation {
-	f := &federation{t: t, net: fake.NewNet(t), check: newChecker(t, cancelLimit, p.limits), names: p.names, cells: map[string]*cluster{}}
+func newFederation(t *testing.T, p federationPlan) *testFederation {
+	f := &testFederation{t: t, net: fake.NewNet(t), check: newChecker(t, cancelLimit, p.limits), names: p.names, cells: map[string]*cluster{}}
 	for _, name := range p.names {
 		cell := &cellPlan{name: name, net: f.net, check: f.check, operator: p.operatorOf(name), owns: f.owns(name)}
 		f.cells[name] = newCluster(t, plan{machines: p.machinesOf(name), limits: p.limits, old: p.old[name], run: p.run, seed: p.seed, standby: p.standby, cell: cell})
@@ -97,7 +97,7 @@
 
 // inFederation plays a scenario and then sees to it that all that was accepted is
 // served, once, and that no transfer is left.
-func inFederation(t *testing.T, p federationPlan, scenario func(f *federation)) {
+func inFederation(t *testing.T, p federationPlan, scenario func(f *testFederation)) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFederation(t, p)
@@ -115,7 +115,7 @@
 	})
 }
 
-func (f *federation) finish() {
+func (f *testFederation) finish() {
 	home := f.cells[f.names[0]]
 	for _, c := range f.cells {
 		c.settled()
@@ -127,7 +127,7 @@
 	home.await("all tasks gone", time.Minute, func() bool { on, _ := f.check.On(""); return on == 0 })
 	for name, c := range f.cells {
 		c.tidy()
-		c.await("transfers released in "+name, 30*time.Second, func() bool { return len(f.guests(name, spill.GuestAccepted)) == 0 })
+		c.await("transfers released in "+name, 30*time.Second, func() bool { return len(f.guests(name, federation.ForeignAccepted)) == 0 })
 	}
 	for _, name := range f.spills {
 		if len(f.spilled(name)) == 0 {
@@ -144,7 +144,7 @@
 }
 
 // flood has a cell's users submit n jobs of four tasks, half a second apart.
-func (f *federation) flood(cell string, n int, change func(k int, j *wire.Job)) []*wire.Job {
+func (f *testFederation) flood(cell string, n int, change func(k int, j *wire.Job)) []*wire.Job {
 	var jobs []*wire.Job
 	for k := range n {
 		j := fake.NewJob(f.refOf(cell, k), 4, func(j *wire.Job) { j.CPUs = 2 })
@@ -159,9 +159,9 @@
 }
 
 // guests lists the transfers of a neighbour that are in a state.
-func (f *federation) guests(cell string, state spill.GuestState) (keys []string) {
+func (f *testFederation) guests(cell string, state federation.ForeignState) (keys []string) {
 	for key, value := range f.values(cell, "cell/guest/") {
-		var r spill.GuestRecord
+		var r federation.ForeignRecord
 		if err := json.Unmarshal(value, &r); err != nil {
 			f.t.Errorf("%s: %v", key, err)
 		}
@@ -174,7 +174,7 @@
 }
 
 // values are the keys of a cell under a prefix, with what they hold.
-func (f *federation) values(cell, prefix string) map[string]json.RawMessage {
+func (f *testFederation) values(cell, prefix string) map[string]json.RawMessage {
 	values := map[string]json.RawMessage{}
 	for _, e := range f.cells[cell].state.Changes() {
 		switch {
@@ -188,11 +188,11 @@
 }
 
 // spilled lists the jobs that another cell has accepted from one.
-func (f *federation) spilled(home string) []string {
+func (f *testFederation) spilled(home string) []string {
 	refs := map[string]bool{}
 	for _, c := range f.names {
 		for _, e := range f.cells[c].state.Changes() {
-			if ref, ok := strings.CutPrefix(e.Set, "cell/guest/"+home+"/"); ok && strings.Contains(string(e.Value), string(spill.GuestAccepted)) {
+			if ref, ok := strings.CutPrefix(e.Set, "cell/guest/"+home+"/"); ok && strings.Contains(string(e.Value), string(federation.ForeignAccepted)) {
 				refs[ref] = true
 			}
 		}
@@ -201,11 +201,11 @@
 }
 
 // awaitAway waits until home has a transfer in a state, and names its job and cell.
-func (f *federation) awaitAway(home string, state spill.AwayState) (ref, cell string) {
+func (f *testFederation) awaitAway(home string, state federation.DelegatedState) (ref, cell string) {
 	f.t.Helper()
 	f.awaitSoon("a transfer that is "+string(state), func() bool {
 		for key, value := range f.values(home, "cell/away/") {
-			var r spill.AwayRecord
+			var r federation.DelegatedRecord
 			if json.Unmarshal(value, &r) == nil && r.State == state {
 				ref, cell = strings.TrimPrefix(key, "cell/away/"), r.Cell
 				return true
@@ -217,7 +217,7 @@
 }
 
 // awaitSoon waits with a fine grain.
-func (f *federation) awaitSoon(what string, ok func() bool) {
+func (f *testFederation) awaitSoon(what string, ok func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if ok() {
@@ -228,7 +228,7 @@
 }
 
 // cut cuts all controllers of two cells from one another, or heals that.
-func (f *federation) cut(a, b string, on, hold bool) {
+func (f *testFederation) cut(a, b string, on, hold bool) {
 	for _, x := range f.cells[a].nodes {
 		for _, y := range f.cells[b].nodes {
 			if on {
@@ -246,19 +246,19 @@
 }
 
 // wantSpilled has the end of the scenario see to it that it was one of transfers at all.
-func (f *federation) wantSpilled(home string) { f.spills = append(f.spills, home) }
+func (f *testFederation) wantSpilled(home string) { f.spills = append(f.spills, home) }
 
 // TestSpill: a flooded cell's jobs run at its neighbours as well, and none twice.
 func TestSpill(t *testing.T) {
 	p := federationPlan{names: []string{"a", "b", "c"}, machines: map[string]int{"a": 2}, run: func(string) time.Duration { return 12 * time.Second }}
-	inFederation(t, p, func(f *federation) {
+	inFederation(t, p, func(f *testFederation) {
 		f.flood("a", 16, nil)
 		f.wantSpilled("a")
 		f.cells["a"].allServed()
 		for _, ref := range f.spilled("a") {
 			for _, cell := range []string{"b", "c"} {
 				for _, change := range f.cells[cell].state.Changes() {
-					if change.Set == ledger.AwayKey(ref) {
+					if change.Set == ledger.DelegatedKey(ref) {
 						t.Errorf("%s travels on from %s", ref, cell)
 					}
 				}
@@ -268,20 +268,20 @@
 }
 
 // troubles befall two cells while jobs of a are away in b.
-var cellTroubles = map[string]func(f *federation){
-	"home's leader ends after the offer": func(f *federation) {
-		f.awaitAway("a", spill.Offered)
+var cellTroubles = map[string]func(f *testFederation){
+	"home's leader ends after the offer": func(f *testFederation) {
+		f.awaitAway("a", federation.Offered)
 		f.cells["a"].restart(f.cells["a"].leader(), 4*time.Second)
 	},
-	"home's leader ends after the accept": func(f *federation) {
-		f.awaitAway("a", spill.Accepted)
+	"home's leader ends after the accept": func(f *testFederation) {
+		f.awaitAway("a", federation.Accepted)
 		f.cells["a"].restart(f.cells["a"].leader(), 4*time.Second)
 	},
-	"home's leader ends after the result": func(f *federation) {
-		f.awaitAway("a", spill.Accepted)
+	"home's leader ends after the result": func(f *testFederation) {
+		f.awaitAway("a", federation.Accepted)
 		f.awaitSoon("a result at the neighbour", func() bool {
 			for _, value := range f.values("b", ledger.JobPrefix) {
-				if rec, err := ledger.DecodeJob("", value); err == nil && rec.Home == "a" && rec.Terminal != "" {
+				if rec, err := ledger.DecodeJob("", value); err == nil && rec.Origin == "a" && rec.Terminal != "" {
 					return true
 				}
 			}
@@ -289,26 +289,26 @@
 		})
 		f.cells["a"].restart(f.cells["a"].leader(), 4*time.Second)
 	},
-	"home loses its state service": func(f *federation) {
-		f.awaitAway("a", spill.Accepted)
+	"home loses its state service": func(f *testFederation) {
+		f.awaitAway("a", federation.Accepted)
 		f.cells["a"].state.Outage(true)
 		time.Sleep(25 * time.Second)
 		f.cells["a"].state.Outage(false)
 	},
-	"the neighbour accepts and its answer is lost": func(f *federation) {
-		f.awaitSoon("an accept", func() bool { return len(f.guests("b", spill.GuestAccepted)) > 0 })
+	"the neighbour accepts and its answer is lost": func(f *testFederation) {
+		f.awaitSoon("an accept", func() bool { return len(f.guests("b", federation.ForeignAccepted)) > 0 })
 		f.cut("a", "b", true, false)
 		time.Sleep(20 * time.Second)
 		f.cut("a", "b", false, false)
 	},
-	"the offer is held up and arrives after its revocation": func(f *federation) {
-		f.awaitAway("a", spill.Offered)
+	"the offer is held up and arrives after its revocation": func(f *testFederation) {
+		f.awaitAway("a", federation.Offered)
 		f.cut("a", "b", true, true)
 		time.Sleep(14 * time.Second)
 		f.cut("a", "b", false, true)
 	},
-	"the neighbour's leader changes twice": func(f *federation) {
-		f.awaitAway("a", spill.Accepted)
+	"the neighbour's leader changes twice": func(f *testFederation) {
+		f.awaitAway("a", federation.Accepted)
 		for range 2 {
 			b := f.cells["b"]
 			was := b.leader()
@@ -317,12 +317,12 @@
 			b.start(was)
 		}
 	},
-	"what home sends is lost": func(f *federation) { f.oneWay("a", "b") },
-	"what the neighbour sends is lost": func(f *federation) {
+	"what home sends is lost": func(f *testFederation) { f.oneWay("a", "b") },
+	"what the neighbour sends is lost": func(f *testFederation) {
 		f.oneWay("b", "a")
 	},
-	"home is back as a cold set of processes": func(f *federation) {
-		f.awaitAway("a", spill.Accepted)
+	"home is back as a cold set of processes": func(f *testFederation) {
+		f.awaitAway("a", federation.Accepted)
 		home := f.cells["a"]
 		for i := range home.nodes {
 			home.kill(i)
@@ -330,22 +330,22 @@
 		time.Sleep(25 * time.Second)
 		home.revive()
 	},
-	"the neighbour ends and is back": func(f *federation) {
-		f.awaitAway("a", spill.Accepted)
+	"the neighbour ends and is back": func(f *testFederation) {
+		f.awaitAway("a", federation.Accepted)
 		for i := range f.cells["b"].nodes {
 			f.cells["b"].kill(i)
 		}
 		time.Sleep(30 * time.Second)
 		f.cells["b"].revive()
 	},
-	"the neighbour loses machines": func(f *federation) {
-		f.awaitAway("a", spill.Accepted)
+	"the neighbour loses machines": func(f *testFederation) {
+		f.awaitAway("a", federation.Accepted)
 		time.Sleep(3 * time.Second)
 		for _, w := range half(f.cells["b"].cloud.Workers()) {
 			f.cells["b"].cloud.Take(w.Name())
 		}
 	},
-	"answers of the state services are lost": func(f *federation) {
+	"answers of the state services are lost": func(f *testFederation) {
 		for _, c := range f.cells {
 			c.writes.Store(c.share(0.3, fake.AnswerLost, 0, 0))
 		}
@@ -357,8 +357,8 @@
 }
 
 // oneWay loses what one cell's controllers send to the other's for a while.
-func (f *federation) oneWay(from, to string) {
-	f.awaitAway("a", spill.Accepted)
+func (f *testFederation) oneWay(from, to string) {
+	f.awaitAway("a", federation.Accepted)
 	for _, x := range f.cells[from].nodes {
 		for _, y := range f.cells[to].nodes {
 			f.net.CutOneWay(x.platform.Node, y.platform.Node)
@@ -373,7 +373,7 @@
 func TestSpillTroubles(t *testing.T) {
 	for name, trouble := range cellTroubles {
 		t.Run(name, func(t *testing.T) {
-			inFederation(t, twoCells(), func(f *federation) {
+			inFederation(t, twoCells(), func(f *testFederation) {
 				f.cells["a"].users.Go(func() { trouble(f) })
 				jobs := f.flood("a", 14, nil)
 				for _, j := range jobs[8:11] {
@@ -388,25 +388,25 @@
 
 // TestSpillCancelled: jobs are cancelled at each moment of their transfers.
 func TestSpillCancelled(t *testing.T) {
-	moments := map[string]func(f *federation) string{
-		"planned or offered": func(f *federation) string { ref, _ := f.awaitAway("a", spill.Offered); return ref },
-		"crossing the accept": func(f *federation) string {
-			ref, _ := f.awaitAway("a", spill.Offered)
+	moments := map[string]func(f *testFederation) string{
+		"planned or offered": func(f *testFederation) string { ref, _ := f.awaitAway("a", federation.Offered); return ref },
+		"crossing the accept": func(f *testFederation) string {
+			ref, _ := f.awaitAway("a", federation.Offered)
 			f.awaitSoon("its guest", func() bool {
-				return f.cells["b"].state.Value(ledger.GuestKey(spill.GuestKey{Home: "a", Ref: ref})) != nil
+				return f.cells["b"].state.Value(ledger.ForeignKey(federation.ForeignKey{Origin: "a", JobID: ref})) != nil
 			})
 			return ref
 		},
-		"accepted": func(f *federation) string { ref, _ := f.awaitAway("a", spill.Accepted); return ref },
-		"running": func(f *federation) string {
-			ref, _ := f.awaitAway("a", spill.Accepted)
+		"accepted": func(f *testFederation) string { ref, _ := f.awaitAway("a", federation.Accepted); return ref },
+		"running": func(f *testFederation) string {
+			ref, _ := f.awaitAway("a", federation.Accepted)
 			time.Sleep(8 * time.Second)
 			return ref
 		},
 	}
 	for name, moment := range moments {
 		t.Run(name, func(t *testing.T) {
-			inFederation(t, twoCells(), func(f *federation) {
+			inFederation(t, twoCells(), func(f *testFederation) {
 				home := f.cells["a"]
 				home.users.Go(func() {
 					ref := moment(f)
@@ -422,10 +422,10 @@
 // TestSpillCancelUnreachable: while the cell that may run a job can't be reached, its
 // cancellation gets 503 at once; it is confirmed when it can.
 func TestSpillCancelUnreachable(t *testing.T) {
-	inFederation(t, twoCells(), func(f *federation) {
+	inFederation(t, twoCells(), func(f *testFederation) {
 		home := f.cells["a"]
 		home.users.Go(func() {
-			ref, _ := f.awaitAway("a", spill.Accepted)
+			ref, _ := f.awaitAway("a", federation.Accepted)
 			f.cut("a", "b", true, true)
 			time.Sleep(6 * time.Second)
 			asked := time.Now()
@@ -445,16 +445,16 @@
 // TestSpillTakenBack: a repeatable job is taken back from a neighbour that is cut off,
 // a strict one waits for the truth.
 func TestSpillTakenBack(t *testing.T) {
-	inFederation(t, twoCells(), func(f *federation) {
+	inFederation(t, twoCells(), func(f *testFederation) {
 		home := f.cells["a"]
 		home.users.Go(func() {
-			f.awaitAway("a", spill.Accepted)
+			f.awaitAway("a", federation.Accepted)
 			time.Sleep(5 * time.Second)
 			f.cut("a", "b", true, false)
 			time.Sleep(60 * time.Second)
 			for key, value := range f.values("a", "cell/away/") {
-				var r spill.AwayRecord
-				if err := json.Unmarshal(value, &r); err != nil || r.Repeatable != (r.State == spill.Returned) {
+				var r federation.DelegatedRecord
+				if err := json.Unmarshal(value, &r); err != nil || r.Repeatable != (r.State == federation.Returned) {
 					t.Errorf("%s after a minute without the neighbour: %s", key, value)
 				}
 			}
@@ -474,7 +474,7 @@
 func TestSpillBothFlooded(t *testing.T) {
 	p := twoCells()
 	p.machines["b"] = 2
-	inFederation(t, p, func(f *federation) {
+	inFederation(t, p, func(f *testFederation) {
 		f.cells["b"].users.Go(func() { f.flood("b", 12, nil) })
 		f.flood("a", 12, nil)
 		for _, c := range f.names {
@@ -492,7 +492,7 @@
 func TestSpillRing(t *testing.T) {
 	p := federationPlan{names: []string{"a", "b", "c"}, machines: map[string]int{"a": 2, "b": 4}, run: func(string) time.Duration { return 12 * time.Second },
 		neighbours: map[string][]string{"a": {"b"}, "b": {"c"}, "c": {"a"}}}
-	inFederation(t, p, func(f *federation) {
+	inFederation(t, p, func(f *testFederation) {
 		f.cells["b"].users.Go(func() { f.flood("b", 10, nil) })
 		f.flood("a", 12, nil)
 		if n := len(f.values("c", "cell/guest/a/")); n > 0 {
@@ -506,7 +506,7 @@
 func TestSpillOldVersion(t *testing.T) {
 	p := twoCells()
 	p.old = map[string]int{"b": 1}
-	inFederation(t, p, func(f *federation) {
+	inFederation(t, p, func(f *testFederation) {
 		f.flood("a", 8, nil)
 		if n := f.cells["b"].state.Count("cell/"); n > 0 {
 			t.Errorf("%d transfers with an old node up", n)
@@ -518,7 +518,7 @@
 func TestSpillTeamLimit(t *testing.T) {
 	p := twoCells()
 	p.limits = map[string]float64{"tight": 24}
-	inFederation(t, p, func(f *federation) {
+	inFederation(t, p, func(f *testFederation) {
 		f.flood("a", 14, func(_ int, j *wire.Job) { j.Team = "tight" })
 		f.wantSpilled("a")
 	})
@@ -528,15 +528,15 @@
 // controllers restarted one after the other, as the operators' page has it. What is away
 // comes to its end, and nothing leaves or comes any more.
 func TestSpillDrained(t *testing.T) {
-	inFederation(t, twoCells(), func(f *federation) {
+	inFederation(t, twoCells(), func(f *testFederation) {
 		f.cells["a"].users.Go(func() { f.flood("a", 24, nil) })
-		f.awaitAway("a", spill.Accepted)
+		f.awaitAway("a", federation.Accepted)
 		f.reconfigure(func(o *settings.Operator) { o.Cells.Neighbours[0].Drain = true })
 		f.cells["a"].await("no job away", 2*time.Minute, func() bool { return f.cells["a"].state.Count("cell/away/") == 0 })
-		f.cells["b"].await("no guest", time.Minute, func() bool { return len(f.guests("b", spill.GuestAccepted)) == 0 })
+		f.cells["b"].await("no guest", time.Minute, func() bool { return len(f.guests("b", federation.ForeignAccepted)) == 0 })
 		drained := len(f.spilled("a"))
 		f.reconfigure(func(o *settings.Operator) { o.Cells = settings.Cells{} })
-		f.cells["a"].users.Go(func() { f.flood("a", 40, func(k int, j *wire.Job) { j.Ref = f.refOf("a", 100+k) }) })
+		f.cells["a"].users.Go(func() { f.flood("a", 40, func(k int, j *wire.Job) { j.ID = f.refOf("a", 100+k) }) })
 		f.cells["a"].users.Wait()
 		if n := len(f.spilled("a")); drained == 0 || n != drained {
 			t.Errorf("%d jobs ran elsewhere before the relation was drained, %d in the end", drained, n)
@@ -545,7 +545,7 @@
 }
 
 // reconfigure restarts all controllers, one after the other, with other settings.
-func (f *federation) reconfigure(change func(o *settings.Operator)) {
+func (f *testFederation) reconfigure(change func(o *settings.Operator)) {
 	for _, name := range f.names {
 		c := f.cells[name]
 		c.operator.Cells.Neighbours = slices.Clone(c.operator.Cells.Neighbours)
--- a/internal/node/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"cmp"
@@ -14,12 +14,12 @@
 	"testing/synctest"
 	"time"
 
-	"leadproxy/internal/drain"
+	"leadproxy/internal/capability"
 	"leadproxy/internal/election"
 	"leadproxy/internal/fake"
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/rollout"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/upgrade"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
@@ -66,7 +66,7 @@
 	// standby has the nodes follow the leader.
 	standby bool
 	// budgets, unless nil, have plans that drain machines carried out within them.
-	budgets *drain.Budgets
+	budgets *rollout.Budgets
 	// drift is how far apart clocks run: the state service's is fast and the workers' are
 	// slow by as much.
 	drift float64
@@ -184,7 +184,7 @@
 			f.Teams = append(f.Teams, settings.Team{Name: name, CPUsMax: p.limits[name]})
 		}
 		name := fmt.Sprintf("%sn%d", c.prefix, i)
-		level := upgrade.Level
+		level := capability.Level
 		if i < p.old {
 			level = 0
 		}
@@ -213,12 +213,12 @@
 		Worker: fake.WorkerConfig{Nodes: workers, Report: p.pace.report, Lease: p.pace.lease + time.Duration(p.drift*float64(p.pace.lease)), Fetch: 500 * time.Millisecond,
 			Run: p.run, Check: c.check, Trouble: only("/commands", &c.orders)},
 		Trouble: either(only("/machines", &c.hires), only("/machines/delete", &c.deletes)),
-		Host:    func(name string) (outbound.Network, string) { return c.net.Host(name), name + ":9000" },
+		Host:    func(name string) (transport.Network, string) { return c.net.Host(name), name + ":9000" },
 	})
 	// The rules are looked at as long as the test goes on.
 	go func() {
 		for t.Context().Err() == nil {
-			outbound.Pause(t.Context(), 2*time.Second)
+			transport.Pause(t.Context(), 2*time.Second)
 			calm := <-c.calm
 			c.calm <- calm
 			c.check.LookAt(calm, c.cloud.Rooms(), owns)
@@ -321,7 +321,7 @@
 	var h struct {
 		Node string `json:"node"`
 	}
-	if value := c.state.Value(election.Key); value == nil || json.Unmarshal(value, &h) != nil {
+	if value := c.state.Value(election.LeaderKey); value == nil || json.Unmarshal(value, &h) != nil {
 		return -1
 	}
 	for i, n := range c.nodes {
--- a/internal/node/deciders_test.go
+++ b/internal/controller/deciders_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -35,7 +35,7 @@
 
 // Handle looks at what leaves.
 func (d *deciders) Handle(_ context.Context, r slog.Record) error {
-	if r.Message != dispatch.MessageActs {
+	if r.Message != dispatch.MessageLeaderAction {
 		return nil
 	}
 	r.Attrs(func(a slog.Attr) bool {
--- a/internal/node/drain_measure_test.go
+++ b/internal/controller/drain_measure_test.go
@@ -1,6 +1,6 @@
 //go:build measure
 
-package node
+package controller
 
 import (
 	"fmt"
@@ -8,8 +8,8 @@
 	"testing/synctest"
 	"time"
 
-	"leadproxy/internal/drain"
 	"leadproxy/internal/fake"
+	"leadproxy/internal/rollout"
 	"leadproxy/internal/wire"
 )
 
@@ -41,7 +41,7 @@
 		p := drainPlan(machines)
 		p.seed, p.writes = seed, 400
 		p.run = func(string) time.Duration { return drainedRun }
-		p.budgets = &drain.Budgets{General: drain.Budget{Share: 0.1, Window: drainWindow}}
+		p.budgets = &rollout.Budgets{General: rollout.Budget{Share: 0.1, Window: drainWindow}}
 		c := newCluster(t, p)
 		for i := range c.nodes {
 			c.start(i)
@@ -52,15 +52,15 @@
 		submit := func() {
 			j := fake.NewJob(fmt.Sprintf("job-%06d", next), 2, func(j *wire.Job) {
 				j.Team = []string{"open", "tight"}[next%2]
-				j.CPUs, j.EstimateS = 4, drainedRun.Seconds()
+				j.CPUs, j.EstimatedRunS = 4, drainedRun.Seconds()
 				due := drainedDue.Seconds()
 				j.DeadlineS = &due
 				if next%3 != 0 {
-					j.CheckpointS, j.SaveS = 10, 2
+					j.CheckpointIntervalS, j.CheckpointDurationS = 10, 2
 				}
 			})
 			next++
-			accepted[j.Ref] = time.Now()
+			accepted[j.ID] = time.Now()
 			c.users.Submit(j)
 		}
 		for range machines {
@@ -111,7 +111,7 @@
 func (r *drainResult) count(c *cluster, accepted map[string]time.Time) {
 	ends := map[string]time.Time{}
 	for _, run := range c.check.Runs() {
-		ref, _, _ := wire.SplitTask(run.Task)
+		ref, _, _ := wire.ParseTaskName(run.Task)
 		if run.Completed && run.Ended.After(ends[ref]) {
 			ends[ref] = run.Ended
 		}
--- a/internal/node/drain_test.go
+++ b/internal/controller/drain_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"bytes"
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
-	"leadproxy/internal/drain"
 	"leadproxy/internal/fake"
-	"leadproxy/internal/rollouts"
+	"leadproxy/internal/rollout"
+	"leadproxy/internal/rolloutservice"
 	"leadproxy/internal/wire"
 )
 
@@ -22,8 +22,8 @@
 const drainWindow = 5 * time.Second
 
 // drainBudgets are two jobs of each team, and one of the class of jobs that are rare.
-func drainBudgets() *drain.Budgets {
-	return &drain.Budgets{General: drain.Budget{Jobs: 2, Window: drainWindow}, Of: map[drain.Group]drain.Budget{drain.ClassGroup("rare"): {Jobs: 1, Window: drainWindow}}}
+func drainBudgets() *rollout.Budgets {
+	return &rollout.Budgets{General: rollout.Budget{Jobs: 2, Window: drainWindow}, Of: map[rollout.Group]rollout.Budget{rollout.ClassGroup("rare"): {Jobs: 1, Window: drainWindow}}}
 }
 
 // drainPlan is a cluster whose machines can all be replaced.
@@ -36,9 +36,9 @@
 func (c *cluster) fill(machines int) (jobs []*wire.Job) {
 	jobs = c.stream(0, machines, 300*time.Millisecond, func(k int, j *wire.Job) {
 		j.Team = []string{"open", "tight"}[k%2]
-		j.Tasks, j.CPUs, j.EstimateS = 2, 4, 300
+		j.Tasks, j.CPUs, j.EstimatedRunS = 2, 4, 300
 		if k%3 != 0 {
-			j.CheckpointS, j.SaveS = 10, 2
+			j.CheckpointIntervalS, j.CheckpointDurationS = 10, 2
 		}
 		if k%5 == 0 {
 			j.Class = "rare"
@@ -50,25 +50,25 @@
 
 // drains begins a plan.
 func (c *cluster) drains(name, text string) error {
-	_, err := rollouts.Create(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform, "[plan]\nname = "+name+"\n"+text)
+	_, err := rolloutservice.Create(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform, "[plan]\nname = "+name+"\n"+text)
 	return err
 }
 
-func (c *cluster) steer(name string, command drain.Command, argument string) {
+func (c *cluster) steer(name string, command rollout.Command, argument string) {
 	c.t.Helper()
-	if err := rollouts.Steer(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform, name, command, argument); err != nil {
+	if err := rolloutservice.Steer(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform, name, command, argument); err != nil {
 		c.t.Errorf("%s %s: %v", command, name, err)
 	}
 }
 
 // plans is how the plans stand, as an operator sees it.
 func (c *cluster) plans() string {
-	list, err := rollouts.List(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform)
+	list, err := rolloutservice.List(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform)
 	if err != nil {
 		return err.Error()
 	}
 	var table bytes.Buffer
-	if err := rollouts.Write(&table, list, time.Now()); err != nil {
+	if err := rolloutservice.Write(&table, list, time.Now()); err != nil {
 		c.t.Error(err)
 	}
 	return table.String()
@@ -193,7 +193,7 @@
 			for _, j := range c.check.Open() { // what can't save is let go on at once
 				for _, name := range []string{"first", "second"} {
 					if strings.Contains(c.plans(), j+"/") && strings.Contains(c.plans(), "allow the job") {
-						rollouts.Steer(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform, name, drain.Allow, j)
+						rolloutservice.Steer(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform, name, rollout.Allow, j)
 					}
 				}
 			}
@@ -210,7 +210,7 @@
 	p := drainPlan(3)
 	p.run = func(string) time.Duration { return 300 * time.Second }
 	playCluster(t, p, false, func(c *cluster) {
-		jobs := c.stream(0, 3, time.Second, func(_ int, j *wire.Job) { j.Tasks, j.CPUs, j.EstimateS = 1, 8, 300 })
+		jobs := c.stream(0, 3, time.Second, func(_ int, j *wire.Job) { j.Tasks, j.CPUs, j.EstimatedRunS = 1, 8, 300 })
 		c.running(3)
 		old := c.machineNames()
 		if err := c.drains("winter", "types = m8\ncanary = 3\nwait_s = 30"); err != nil {
@@ -223,8 +223,8 @@
 		if n := len(c.stops()); n > 0 {
 			c.t.Errorf("%d tasks were stopped before anybody was asked", n)
 		}
-		c.steer("winter", drain.Allow, jobs[0].Ref)
-		c.steer("winter", drain.Skip, old[1])
+		c.steer("winter", rollout.Allow, jobs[0].ID)
+		c.steer("winter", rollout.Skip, old[1])
 		c.awaitPlan("finished", 20*time.Minute)
 		c.wantWithinBudgets(0)
 		if !slices.Contains(c.machineNames(), old[1]) && len(c.check.Open()) > 0 {
--- a/internal/node/handover_test.go
+++ b/internal/controller/handover_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"bytes"
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"leadproxy/internal/handover"
+	"leadproxy/internal/leadertransfer"
 )
 
 // TestPlannedHandover: the leadership moves to the controller that is named, within a
@@ -19,7 +19,7 @@
 		for range 4 {
 			was := c.leader()
 			to := (was + 1) % len(c.nodes)
-			reply, err := handover.Request(c.t.Context(), operator, c.nodes[0].platform, c.name(to))
+			reply, err := leadertransfer.Request(c.t.Context(), operator, c.nodes[0].platform, c.name(to))
 			if !c.operator.Standby.Follow {
 				if err == nil || !strings.Contains(err.Error(), "does not follow") {
 					t.Errorf("without standbys: %v, %v", reply, err)
@@ -60,7 +60,7 @@
 // standbys is how the controllers stand, as an operator sees it.
 func (c *cluster) standbys() string {
 	var table bytes.Buffer
-	if err := handover.WriteStatus(c.t.Context(), &table, c.net.Host("operator"), c.nodes[0].platform); err != nil {
+	if err := leadertransfer.WriteStatus(c.t.Context(), &table, c.net.Host("operator"), c.nodes[0].platform); err != nil {
 		c.t.Error(err)
 	}
 	return table.String()
--- a/internal/node/hints_measure_test.go
+++ b/internal/controller/hints_measure_test.go
@@ -1,6 +1,6 @@
 //go:build measure
 
-package node
+package controller
 
 import (
 	"fmt"
--- a/internal/node/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"fmt"
@@ -144,17 +144,17 @@
 		}
 		c.check.Cancels("job-800002")
 		c.users.Call(0, fake.AskedStatus, "job-800001", nil)
-		for ref, want := range map[string]string{"job-800002": wire.Aborted, "job-800003": wire.Done} {
+		for ref, want := range map[string]string{"job-800002": wire.JobCancelled, "job-800003": wire.JobDone} {
 			if _, status := c.users.Until(fake.AskedStatus, ref, nil); status != want {
 				t.Errorf("%s is %s, want %s", ref, status, want)
 			}
 		}
 		time.Sleep(5 * time.Second) // all nodes know of one another
-		c.users.Submit(fake.NewJob("job-800004", 1, func(j *wire.Job) { j.WaitsOn = []string{"job-800001", "job-800003"} }))
-		c.users.Submit(fake.NewJob("job-800005", 1, func(j *wire.Job) { j.WaitsOn = []string{"job-800002"} }))
+		c.users.Submit(fake.NewJob("job-800004", 1, func(j *wire.Job) { j.DependsOn = []string{"job-800001", "job-800003"} }))
+		c.users.Submit(fake.NewJob("job-800005", 1, func(j *wire.Job) { j.DependsOn = []string{"job-800002"} }))
 		c.await("the open job done", time.Minute, func() bool {
 			_, status := c.users.Call(1, fake.AskedStatus, "job-800001", nil)
-			return status == wire.Done
+			return status == wire.JobDone
 		})
 		if _, done := c.check.On("job-800001"); done != 5 {
 			t.Errorf("%d tasks done", done)
--- a/internal/node/load_test.go
+++ b/internal/controller/load_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"fmt"
@@ -116,7 +116,7 @@
 			case 0:
 				j.Zone = &zone
 			case 1:
-				j.OneZone = true
+				j.Gang = true
 			case 2:
 				j.Spread = true
 			}
--- a/internal/node/node.go
+++ b/internal/controller/node.go
@@ -1,6 +1,6 @@
 // Package node puts the slices of one controller together and serves its
 // addresses.
-package node
+package controller
 
 import (
 	"context"
@@ -14,36 +14,36 @@
 	"github.com/julienschmidt/httprouter"
 	"golang.org/x/net/netutil"
 
+	"leadproxy/internal/autoscaler"
+	"leadproxy/internal/capability"
 	"leadproxy/internal/cells"
 	"leadproxy/internal/cells/cellpb"
 	"leadproxy/internal/dispatch"
 	"leadproxy/internal/election"
-	"leadproxy/internal/fleet"
-	"leadproxy/internal/handover"
-	"leadproxy/internal/handover/handoverpb"
-	"leadproxy/internal/hints"
-	"leadproxy/internal/hints/hintpb"
-	"leadproxy/internal/intake"
+	"leadproxy/internal/jobapi"
+	"leadproxy/internal/kvstore"
+	"leadproxy/internal/leadertransfer"
+	"leadproxy/internal/leadertransfer/handoverpb"
 	"leadproxy/internal/ledger"
-	"leadproxy/internal/outbound"
 	"leadproxy/internal/peers"
-	"leadproxy/internal/rollouts"
-	"leadproxy/internal/rollouts/rolloutpb"
+	"leadproxy/internal/rolloutservice"
+	"leadproxy/internal/rolloutservice/rolloutpb"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/softstate"
+	"leadproxy/internal/softstate/hintpb"
 	"leadproxy/internal/standby"
-	"leadproxy/internal/state"
-	"leadproxy/internal/upgrade"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
 // Run runs a controller on a network until ctx ends or an address can't be served.
-func Run(ctx context.Context, n outbound.Network, p *settings.Platform, op settings.Operator, log *slog.Logger) error {
-	return runAtLevel(ctx, upgrade.Level, n, p, op, log)
+func Run(ctx context.Context, n transport.Network, p *settings.Platform, op settings.Operator, log *slog.Logger) error {
+	return runAtLevel(ctx, capability.Level, n, p, op, log)
 }
 
 // runAtLevel is Run for a version that knows the capabilities of a level: it announces
 // that level and uses what all nodes have announced.
-func runAtLevel(ctx context.Context, level int, n outbound.Network, p *settings.Platform, op settings.Operator, log *slog.Logger) error {
+func runAtLevel(ctx context.Context, level int, n transport.Network, p *settings.Platform, op settings.Operator, log *slog.Logger) error {
 	limitMemory(p.Facts.Resources)
 	public, err := n.Listen(ctx, p.Listen)
 	if err != nil {
@@ -87,40 +87,40 @@
 	sockets    *socketUse
 	elector    *election.Elector
 	dispatcher *dispatch.Dispatcher
-	versions   *upgrade.Watch
-	intake     *intake.Service
+	versions   *capability.Negotiator
+	intake     *jobapi.Service
 	health     *health
 	reports    *reportHandler
 	workers    *reachability
 	cells      *cells.Server
 	standby    *standby.Follower // nil: it does not follow
-	handover   *handover.Server
-	hintServer *hints.Server
-	hints      *hints.Follower // nil: this node follows no hints
+	handover   *leadertransfer.Server
+	hintServer *softstate.Server
+	hints      *softstate.Follower // nil: this node follows no hints
 }
 
 // assemble makes the slices of a controller and introduces them to each other. What
 // they do until they are started ends with ctx.
-func assemble(ctx context.Context, level int, n outbound.Network, p *settings.Platform, op settings.Operator, log *slog.Logger) (*parts, error) {
+func assemble(ctx context.Context, level int, n transport.Network, p *settings.Platform, op settings.Operator, log *slog.Logger) (*parts, error) {
 	f := p.Facts
 	c := &parts{platform: p, log: log, share: divide(f.Resources)}
 	rate := dispatch.FollowerShare(f.Nodes)
-	store := state.New(ctx, n, p.Services.State, f.State, rate, log)
+	store := kvstore.New(ctx, n, p.Services.State, f.State, rate, log)
 	c.elector = election.New(p.Node, op, store, log)
 	c.sockets = &socketUse{crowded: int64(c.share.crowded), roomy: int64(c.share.roomy)}
-	limits := dispatch.ConnLimits{AtOnce: c.share.orders, Kept: c.share.kept, Few: c.share.few, Crowded: c.sockets.Crowded}
+	limits := dispatch.ConnectionLimits{MaxInFlight: c.share.orders, MaxIdle: c.share.kept, MaxIdleWhenScarce: c.share.few, SocketsScarce: c.sockets.Crowded}
 	c.dispatcher = dispatch.NewDispatcher(n, p, op, c.elector, store, limits, log)
-	c.sockets.makeRoom = c.dispatcher.HangUp
+	c.sockets.makeRoom = c.dispatcher.CloseIdleConnections
 	others, err := peers.Dial(ctx, n, p.Node, p.Peers)
 	if err != nil {
 		return nil, err
 	}
-	c.elector.Others = others
-	c.versions = upgrade.New(p.Node, level, others.Names(), store, log)
-	pipelines := func() bool { return c.versions.Knows(upgrade.Pipelines) }
-	c.dispatcher.Upgraded = pipelines
+	c.elector.Peers = others
+	c.versions = capability.New(p.Node, level, others.Names(), store, log)
+	pipelines := func() bool { return c.versions.AllSupport(capability.Pipelines) }
+	c.dispatcher.AllUpgraded = pipelines
 	c.followLeader(n, op, store, others)
-	c.dispatcher.Transfers = func() bool { return c.versions.Knows(upgrade.Transfers) }
+	c.dispatcher.TransfersSupported = func() bool { return c.versions.AllSupport(capability.Transfers) }
 	if c.dispatcher.Cells, err = cells.Dial(ctx, n, op.Cells, f.Workers.CancelS); err != nil {
 		return nil, err
 	}
@@ -128,32 +128,32 @@
 	if err != nil {
 		return nil, err
 	}
-	c.dispatcher.Note = tracer.Note
+	c.dispatcher.TraceTransfer = tracer.Note
 	c.cells = cells.NewServer(op.Cells, f.Workers.CancelS, c.dispatcher)
-	types := watchTypes(ctx, fleet.NewClient(n, p.Services.Cloud, f.Cloud.RPS), log)
-	c.intake = intake.New(ctx, p, c.elector, store, c.dispatcher, others, types, rate, log)
+	types := watchTypes(ctx, autoscaler.NewClient(n, p.Services.Cloud, f.Cloud.RPS), log)
+	c.intake = jobapi.New(ctx, p, c.elector, store, c.dispatcher, others, types, rate, log)
 	c.intake.Upgraded = pipelines
 	c.health = &health{serving: store.Serving, peers: others, log: log}
 	c.intake.Healthy = c.health.OK
 	c.reports = newReportHandler(ctx, p.Node, c.elector, c.dispatcher, others, c.sockets, log)
 	c.workers = &reachability{elector: c.elector, heard: c.reports.heard, shared: c.reports.forwarded, up: c.dispatcher.Machines,
-		unanswered: c.dispatcher.Unanswered, report: settings.Seconds(f.Workers.ReportS), peers: others, log: log}
+		unanswered: c.dispatcher.UnansweredCommands, report: settings.Seconds(f.Workers.ReportS), peers: others, log: log}
 	return c, nil
 }
 
 // followLeader prepares this controller for taking over, as far as the settings ask for it.
-func (c *parts) followLeader(n outbound.Network, op settings.Operator, store *state.Client, others *peers.Peers) {
+func (c *parts) followLeader(n transport.Network, op settings.Operator, store *kvstore.Client, others *peers.Peers) {
 	if op.Standby.Follow {
 		c.standby = standby.NewFollower(store, ledger.Prefixes(), int(op.Standby.MaxMB*(1<<20)), c.log)
 		c.dispatcher.Standby = c.standby
 		c.elector.Ready = c.standby.Ready
 	}
-	c.hintServer = hints.NewServer(c.dispatcher, others.Names(), c.log)
+	c.hintServer = softstate.NewServer(c.dispatcher, others.Names(), c.log)
 	if op.Standby.Hints {
-		c.hints = hints.NewFollower(c.platform.Node, func() string { return c.elector.View().Leader }, others.Conn, c.log)
-		c.dispatcher.HintView = c.hints
+		c.hints = softstate.NewFollower(c.platform.Node, func() string { return c.elector.View().Leader }, others.Conn, c.log)
+		c.dispatcher.SoftStateView = c.hints
 	}
-	c.handover = handover.NewServer(n, c.platform, c.elector, c.standby, c.hints, c.log)
+	c.handover = leadertransfer.NewServer(n, c.platform, c.elector, c.standby, c.hints, c.log)
 }
 
 // start has the slices do by themselves what they do, until ctx ends.
@@ -182,7 +182,7 @@
 	cellpb.RegisterCellServer(grpcServer, c.cells)
 	handoverpb.RegisterHandoverServer(grpcServer, c.handover)
 	hintpb.RegisterHintsServer(grpcServer, c.hintServer)
-	rolloutpb.RegisterRolloutsServer(grpcServer, rollouts.NewServer(c.dispatcher))
+	rolloutpb.RegisterRolloutsServer(grpcServer, rolloutservice.NewServer(c.dispatcher))
 	web := newServer(router, c.sockets, settings.Seconds(c.platform.Facts.Workers.LeaseS), c.log)
 	failed := make(chan error, 2)
 	go func() { failed <- grpcServer.Serve(back) }()
@@ -201,7 +201,7 @@
 
 // watchTypes reads the machine types until they are known, and now and then
 // after that, as types may come.
-func watchTypes(ctx context.Context, cloud *fleet.Client, log *slog.Logger) intake.Types {
+func watchTypes(ctx context.Context, cloud *autoscaler.Client, log *slog.Logger) jobapi.Types {
 	var known atomic.Pointer[[]wire.MachineType]
 	go func() {
 		for ctx.Err() == nil {
@@ -213,7 +213,7 @@
 				log.Debug("machine types not read", "error", err)
 				wait = time.Second
 			}
-			outbound.Pause(ctx, wait)
+			transport.Pause(ctx, wait)
 		}
 	}()
 	return func() ([]wire.MachineType, bool) {
--- a/internal/node/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"fmt"
@@ -30,10 +30,10 @@
 	for stage, needs := range s.needs {
 		j := fake.NewJob(ref(stage), 2, nil)
 		for _, n := range needs {
-			j.WaitsOn = append(j.WaitsOn, ref(n))
+			j.DependsOn = append(j.DependsOn, ref(n))
 		}
 		if !c.users.Accept(j) {
-			c.t.Errorf("%s of the %s is not accepted", j.Ref, s.name)
+			c.t.Errorf("%s of the %s is not accepted", j.ID, s.name)
 		}
 		c.users.Poll(j)
 		jobs = append(jobs, j)
@@ -98,7 +98,7 @@
 						first := pipelines[n][0]
 						// At all nodes within a millisecond, then until it is answered.
 						for i := range c.nodes {
-							c.users.Go(func() { c.users.Call(i, fake.AskedCancel, first.Ref, nil) })
+							c.users.Go(func() { c.users.Call(i, fake.AskedCancel, first.ID, nil) })
 						}
 						c.users.Cancel(first)
 						if n == len(moments)/2 {
@@ -108,7 +108,7 @@
 					}
 					time.Sleep(70 * time.Second)
 					ends := c.endsAgree(pipelines)
-					if trouble.name == "no trouble" && (ends[wire.Done] == 0 || ends[wire.Aborted] == 0) {
+					if trouble.name == "no trouble" && (ends[wire.JobDone] == 0 || ends[wire.JobCancelled] == 0) {
 						t.Errorf("the moments bring about only %v", ends)
 					}
 				})
@@ -120,7 +120,7 @@
 // lookAtAll asks about all jobs of a pipeline at all nodes.
 func (c *cluster) lookAtAll(jobs []*wire.Job) {
 	for _, j := range jobs {
-		c.users.Go(func() { c.users.Look(j.Ref, j) })
+		c.users.Go(func() { c.users.Look(j.ID, j) })
 	}
 }
 
@@ -130,12 +130,12 @@
 	c.t.Helper()
 	ends := map[string]int{}
 	for _, jobs := range pipelines {
-		_, want := c.users.Until(fake.AskedCancel, jobs[0].Ref, nil)
+		_, want := c.users.Until(fake.AskedCancel, jobs[0].ID, nil)
 		ends[want]++
 		for _, j := range jobs {
-			if needs(jobs, j, jobs[0].Ref) {
-				c.await(j.Ref+" is "+want, 2*time.Minute, func() bool {
-					_, status := c.users.Call(c.users.AnyNode(), fake.AskedStatus, j.Ref, nil)
+			if needs(jobs, j, jobs[0].ID) {
+				c.await(j.ID+" is "+want, 2*time.Minute, func() bool {
+					_, status := c.users.Call(c.users.AnyNode(), fake.AskedStatus, j.ID, nil)
 					return status == want
 				})
 			}
@@ -146,12 +146,12 @@
 
 // needs tells whether a job needs another one, directly or through others.
 func needs(jobs []*wire.Job, j *wire.Job, ref string) bool {
-	for _, before := range j.WaitsOn {
+	for _, before := range j.DependsOn {
 		if before == ref {
 			return true
 		}
 		for _, p := range jobs {
-			if p.Ref == before && needs(jobs, p, ref) {
+			if p.ID == before && needs(jobs, p, ref) {
 				return true
 			}
 		}
@@ -183,7 +183,7 @@
 		}
 		c.await("the job with unknown hosts done", 2*time.Minute, func() bool {
 			_, status := c.users.Call(c.users.AnyNode(), fake.AskedStatus, "job-800001", nil)
-			return status == wire.Done
+			return status == wire.JobDone
 		})
 		// An operator removes what nobody can read.
 		for key := range ledger {
--- a/internal/node/reachability.go
+++ b/internal/controller/reachability.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -48,7 +48,7 @@
 			return
 		}
 		v := o.elector.View()
-		if !v.InTerm(time.Now()) || v.Term != term {
+		if !v.IsLeader(time.Now()) || v.Term != term {
 			term, since = v.Term, time.Now()
 			continue
 		}
--- a/internal/node/report_handler.go
+++ b/internal/controller/report_handler.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 
 	"leadproxy/internal/dispatch"
 	"leadproxy/internal/election"
-	"leadproxy/internal/intake"
+	"leadproxy/internal/jobapi"
 	"leadproxy/internal/peers"
 	"leadproxy/internal/wire"
 )
@@ -22,14 +22,14 @@
 
 // reporter is the node's dispatcher as reports need it.
 type reporter interface {
-	Report(ctx context.Context, r *wire.Report) (*wire.ReportAnswer, error)
-	ReportAsync(ctx context.Context, r *wire.Report, give func(*wire.ReportAnswer, error))
+	Heartbeat(ctx context.Context, r *wire.Heartbeat) (*wire.HeartbeatResponse, error)
+	HeartbeatAsync(ctx context.Context, r *wire.Heartbeat, give func(*wire.HeartbeatResponse, error))
 	Machines() int
 }
 
 // reportForwarder forwards reports to other nodes.
 type reportForwarder interface {
-	Report(ctx context.Context, node string, body []byte) (intake.Answer, error)
+	Report(ctx context.Context, node string, body []byte) (jobapi.Answer, error)
 	Connect(ctx context.Context, node string)
 }
 
@@ -83,36 +83,36 @@
 	return ""
 }
 
-func problem(status int, text string) intake.Answer {
-	return intake.JSON(status, wire.Problem{Error: text})
+func problem(status int, text string) jobapi.Answer {
+	return jobapi.JSON(status, wire.ErrorResponse{Error: text})
 }
 
 // sendTo has a worker report to another node; "": to any other.
-func sendTo(node string) intake.Answer {
-	return intake.JSON(http.StatusMisdirectedRequest, wire.Elsewhere{Leader: node})
+func sendTo(node string) jobapi.Answer {
+	return jobapi.JSON(http.StatusMisdirectedRequest, wire.Redirect{Leader: node})
 }
 
 // malformed answers what is no report.
-func (h *reportHandler) malformed(err error) intake.Answer {
+func (h *reportHandler) malformed(err error) jobapi.Answer {
 	h.log.Info("malformed report", "error", err)
 	return problem(http.StatusBadRequest, err.Error())
 }
 
 // Shared answers a report that another node has forwarded here.
-func (h *reportHandler) Shared(ctx context.Context, body []byte, give func(answer func() intake.Answer)) {
-	report, err := wire.ParseReport(body)
+func (h *reportHandler) Shared(ctx context.Context, body []byte, give func(answer func() jobapi.Answer)) {
+	report, err := wire.ParseHeartbeat(body)
 	if err != nil {
-		give(func() intake.Answer { return h.malformed(err) })
+		give(func() jobapi.Answer { return h.malformed(err) })
 		return
 	}
 	h.forwarded.add()
 	v := h.elector.View()
-	if !v.InTerm(time.Now()) {
-		give(func() intake.Answer { return sendTo(h.otherLeader()) })
+	if !v.IsLeader(time.Now()) {
+		give(func() jobapi.Answer { return sendTo(h.otherLeader()) })
 		return
 	}
-	h.dispatcher.ReportAsync(ctx, report, func(answer *wire.ReportAnswer, err error) {
-		give(func() intake.Answer { return h.answerTo(v.Term, answer, err) })
+	h.dispatcher.HeartbeatAsync(ctx, report, func(answer *wire.HeartbeatResponse, err error) {
+		give(func() jobapi.Answer { return h.answerTo(v.Term, answer, err) })
 	})
 }
 
@@ -121,9 +121,9 @@
 
 // answer answers a report if this node leads, and else sends the worker
 // elsewhere.
-func (h *reportHandler) answer(ctx context.Context, report *wire.Report) intake.Answer {
+func (h *reportHandler) answer(ctx context.Context, report *wire.Heartbeat) jobapi.Answer {
 	v := h.elector.View()
-	if !v.InTerm(time.Now()) {
+	if !v.IsLeader(time.Now()) {
 		return sendTo(h.otherLeader())
 	}
 	if to := h.balancer.pass(ctx, report.Machine, int(h.socketUse.open.Load()), h.dispatcher.Machines()); to != "" {
@@ -131,7 +131,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportLimit)
 	defer cancel()
-	answer, err := h.dispatcher.Report(ctx, report)
+	answer, err := h.dispatcher.Heartbeat(ctx, report)
 	return h.answerTo(v.Term, answer, err)
 }
 
@@ -140,37 +140,37 @@
 // a 200 would keep the worker here. An answer that another node forwards is
 // written a little later than that. It still renews the worker's lease only from
 // when the report was sent, within our term.
-func (h *reportHandler) answerTo(term uint64, answer *wire.ReportAnswer, err error) intake.Answer {
+func (h *reportHandler) answerTo(term uint64, answer *wire.HeartbeatResponse, err error) jobapi.Answer {
 	switch {
-	case err == nil && h.elector.InTerm(term):
-		if len(answer.Orders) > 0 && h.log.Enabled(context.Background(), slog.LevelDebug) {
-			h.log.Debug(dispatch.MessageActs, "term", term, "what", "answer")
+	case err == nil && h.elector.IsLeader(term):
+		if len(answer.Commands) > 0 && h.log.Enabled(context.Background(), slog.LevelDebug) {
+			h.log.Debug(dispatch.MessageLeaderAction, "term", term, "what", "answer")
 		}
-		return intake.JSON(http.StatusOK, answer)
-	case err != nil && !errors.Is(err, dispatch.ErrNotLeading):
+		return jobapi.JSON(http.StatusOK, answer)
+	case err != nil && !errors.Is(err, dispatch.ErrNotLeader):
 		return problem(http.StatusServiceUnavailable, "the leader is not ready")
 	}
 	return sendTo(h.otherLeader())
 }
 
 func (h *reportHandler) serve(w http.ResponseWriter, req *http.Request, _ httprouter.Params) {
-	body, err := intake.ReadBody(w, req)
+	body, err := jobapi.ReadBody(w, req)
 	if err != nil {
-		intake.Write(w, problem(http.StatusBadRequest, err.Error()))
+		jobapi.Write(w, problem(http.StatusBadRequest, err.Error()))
 		return
 	}
 	h.heard.add()
 	a := h.take(req.Context(), body)
 	h.socketUse.yield(w)
-	intake.Write(w, a)
+	jobapi.Write(w, a)
 }
 
 // take answers a report that a worker has sent here.
-func (h *reportHandler) take(ctx context.Context, body []byte) intake.Answer {
+func (h *reportHandler) take(ctx context.Context, body []byte) jobapi.Answer {
 	if leader := h.otherLeader(); leader != "" {
 		return h.forward(ctx, leader, body)
 	}
-	report, err := wire.ParseReport(body)
+	report, err := wire.ParseHeartbeat(body)
 	if err != nil {
 		return h.malformed(err)
 	}
@@ -179,7 +179,7 @@
 
 // forward has the leader answer a report. What it says is passed on as it is: a
 // 200 leaves this node only as the leader's answer from its term.
-func (h *reportHandler) forward(ctx context.Context, leader string, body []byte) intake.Answer {
+func (h *reportHandler) forward(ctx context.Context, leader string, body []byte) jobapi.Answer {
 	ctx, cancel := context.WithTimeout(ctx, reportLimit)
 	defer cancel()
 	a, err := h.peers.Report(ctx, leader, body)
--- a/internal/node/report_handler_test.go
+++ b/internal/controller/report_handler_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 
 	"leadproxy/internal/election"
-	"leadproxy/internal/intake"
+	"leadproxy/internal/jobapi"
 	"leadproxy/internal/peers"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/wire"
@@ -19,16 +19,16 @@
 
 // forwarderTo is a line to the leader: it answers with what it holds, or not at all.
 type forwarderTo struct {
-	answer intake.Answer
+	answer jobapi.Answer
 	err    error
 }
 
 func (l forwarderTo) Connect(context.Context, string) {}
 
-func (l forwarderTo) Report(ctx context.Context, _ string, _ []byte) (intake.Answer, error) {
+func (l forwarderTo) Report(ctx context.Context, _ string, _ []byte) (jobapi.Answer, error) {
 	if l.answer.Status == 0 && l.err == nil {
 		<-ctx.Done()
-		return intake.Answer{}, ctx.Err()
+		return jobapi.Answer{}, ctx.Err()
 	}
 	return l.answer, l.err
 }
@@ -44,7 +44,7 @@
 		body   string
 		within time.Duration
 	}{
-		{"the leader's answer is passed on", forwarderTo{answer: intake.JSON(200, wire.ReportAnswer{Token: 7})}, 200, `{"baton":7,"orders":null}`, 0},
+		{"the leader's answer is passed on", forwarderTo{answer: jobapi.JSON(200, wire.HeartbeatResponse{FencingToken: 7})}, 200, `{"baton":7,"orders":null}`, 0},
 		{"one that leads no more", forwarderTo{answer: sendTo("n2")}, 421, `{"boss":"n2"}`, 0},
 		{"one that finds the report malformed", forwarderTo{answer: problem(400, "x")}, 400, `{"error":"x"}`, 0},
 		{"no line: the leader itself is to be tried", forwarderTo{err: peers.ErrNoStream}, 421, `{"boss":"n1"}`, 0},
@@ -107,12 +107,12 @@
 
 func (eager) Machines() int { return 0 }
 
-func (e eager) ReportAsync(ctx context.Context, r *wire.Report, give func(*wire.ReportAnswer, error)) {
-	give(e.Report(ctx, r))
+func (e eager) HeartbeatAsync(ctx context.Context, r *wire.Heartbeat, give func(*wire.HeartbeatResponse, error)) {
+	give(e.Heartbeat(ctx, r))
 }
 
-func (eager) Report(context.Context, *wire.Report) (*wire.ReportAnswer, error) {
-	return &wire.ReportAnswer{Token: 1, Orders: []wire.Order{{Verb: wire.Start, Task: "job-1/0", Attempt: 1}}}, nil
+func (eager) Heartbeat(context.Context, *wire.Heartbeat) (*wire.HeartbeatResponse, error) {
+	return &wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{{Verb: wire.VerbStart, Task: "job-1/0", Attempt: 1}}}, nil
 }
 
 // TestNoAnswerPastTheTerm: a node that is not in its term sends workers on, with
@@ -121,14 +121,14 @@
 	e := election.New("n1", settings.Operator{LeaderLease: time.Second}, nil, quiet)
 	g := newReportHandler(t.Context(), "n1", e, eager{}, nil, &socketUse{}, quiet)
 	body := []byte(`{"host":"vm-1","address":"10.1.0.1:9000","flavor":"m","room":"a","tenure":1,"tick":4,"baton":0,"pieces":[]}`)
-	check := func(how string, a intake.Answer) {
+	check := func(how string, a jobapi.Answer) {
 		if a.Status != http.StatusMisdirectedRequest || strings.Contains(string(a.Body), "boss") || strings.Contains(string(a.Body), "start") {
 			t.Errorf("%s: answered %d %s", how, a.Status, a.Body)
 		}
 	}
 	check("straight", g.take(t.Context(), body))
-	g.Shared(t.Context(), body, func(answer func() intake.Answer) { check("carried", answer()) })
+	g.Shared(t.Context(), body, func(answer func() jobapi.Answer) { check("carried", answer()) })
 	// The term may end between the dispatcher's answer and its writing.
-	answer, err := eager{}.Report(t.Context(), nil)
+	answer, err := eager{}.Heartbeat(t.Context(), nil)
 	check("too late", g.answerTo(1, answer, err))
 }
--- a/internal/node/scenario_test.go
+++ b/internal/controller/scenario_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"fmt"
@@ -32,7 +32,7 @@
 // go on when all troubles are over. Pipelines are short.
 func long(d time.Duration) func(task string) time.Duration {
 	return func(task string) time.Duration {
-		ref, _, _ := wire.SplitTask(task)
+		ref, _, _ := wire.ParseTaskName(task)
 		if strings.HasPrefix(ref, "job-0") && strings.Contains("02468", ref[len(ref)-1:]) {
 			return d
 		}
@@ -47,8 +47,8 @@
 
 // changed waits until another node leads than did, or the same in a new term.
 func (c *cluster) changed() {
-	was := c.state.Version(election.Key)
-	c.await("another leader", 30*time.Second, func() bool { return c.leader() >= 0 && c.state.Version(election.Key) != was })
+	was := c.state.Version(election.LeaderKey)
+	c.await("another leader", 30*time.Second, func() bool { return c.leader() >= 0 && c.state.Version(election.LeaderKey) != was })
 }
 
 // away are the ways in which a machine can't be reached.
--- a/internal/node/sockets.go
+++ b/internal/controller/sockets.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"log/slog"
--- a/internal/node/standby_test.go
+++ b/internal/controller/standby_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"bytes"
@@ -70,10 +70,10 @@
 	}{
 		{"before a write", `"host/`, late, (*cluster).writesOf},
 		{"between a write and its command", `"host/`, fake.Trouble{}, (*cluster).writesOf},
-		{"between a command and its outcome", `"` + wire.Start + `"`, fake.Trouble{}, (*cluster).ordersOf},
-		{"in a command", `"` + wire.Start + `"`, late, (*cluster).ordersOf},
-		{"before a cancellation is written", `"` + wire.Aborted + `"`, late, (*cluster).writesOf},
-		{"in the answer to a cancellation", `"` + wire.Aborted + `"`, fake.Trouble{}, (*cluster).writesOf},
+		{"between a command and its outcome", `"` + wire.VerbStart + `"`, fake.Trouble{}, (*cluster).ordersOf},
+		{"in a command", `"` + wire.VerbStart + `"`, late, (*cluster).ordersOf},
+		{"before a cancellation is written", `"` + wire.JobCancelled + `"`, late, (*cluster).writesOf},
+		{"in the answer to a cancellation", `"` + wire.JobCancelled + `"`, fake.Trouble{}, (*cluster).writesOf},
 		{"before a hire", ``, late, (*cluster).hiresOf},
 		{"in a hire's answer", ``, fake.Trouble{}, (*cluster).hiresOf},
 	}
@@ -231,7 +231,7 @@
 func TestTakeoversWithJobsAway(t *testing.T) {
 	p := twoCells()
 	p.standby = true
-	inFederation(t, p, func(f *federation) {
+	inFederation(t, p, func(f *testFederation) {
 		jobs := f.flood("a", 12, func(_ int, j *wire.Job) { j.Tasks = 3 })
 		f.wantSpilled("a")
 		f.awaitSoon("an accept", func() bool { return len(f.spilled("a")) > 0 })
--- a/internal/node/state_service_test.go
+++ b/internal/controller/state_service_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"fmt"
@@ -76,12 +76,12 @@
 					c.state.Refuse(c.name(lead), true)
 				}
 				for _, j := range jobs[:4] {
-					c.users.Look(j.Ref, j)
+					c.users.Look(j.ID, j)
 					time.Sleep(500 * time.Millisecond)
 				}
 				c.state.Outage(true)
 				for range 6 {
-					c.users.Look(jobs[0].Ref, jobs[0])
+					c.users.Look(jobs[0].ID, jobs[0])
 					c.users.Cancel(jobs[1])
 					time.Sleep(cancelLimit / 5)
 				}
@@ -129,7 +129,7 @@
 			// Every other task ends soon, and of the rest every other one a little later:
 			// their ranges are more than a small value holds.
 			run := func(task string) time.Duration {
-				_, n, _ := wire.SplitTask(task)
+				_, n, _ := wire.ParseTaskName(task)
 				return []time.Duration{3 * time.Second, 25 * time.Second, 3 * time.Second, 63 * time.Second}[n%4]
 			}
 			absent := 0
--- a/internal/node/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -1,14 +1,14 @@
-package node
+package controller
 
 import (
 	"slices"
 	"testing"
 	"time"
 
+	"leadproxy/internal/capability"
 	"leadproxy/internal/compat"
 	"leadproxy/internal/fake"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/upgrade"
 	"leadproxy/internal/wire"
 )
 
@@ -21,7 +21,7 @@
 func (c *cluster) upgrade(i int, after time.Duration) {
 	c.kill(i)
 	time.Sleep(after)
-	c.nodes[i].level = upgrade.Level
+	c.nodes[i].level = capability.Level
 	c.start(i)
 }
 
@@ -31,7 +31,7 @@
 	c.t.Helper()
 	c.writesAreReadable()
 	for i, n := range c.nodes {
-		if n.level < upgrade.Level {
+		if n.level < capability.Level {
 			c.upgrade(i, 2*time.Second)
 			time.Sleep(3 * time.Second)
 		}
@@ -40,7 +40,7 @@
 
 // upgradedNode is a node of the current version.
 func (c *cluster) upgradedNode() int {
-	return slices.IndexFunc(c.nodes, func(n *controller) bool { return n.level == upgrade.Level })
+	return slices.IndexFunc(c.nodes, func(n *controller) bool { return n.level == capability.Level })
 }
 
 // leaderAtLevel ends leaders until one of a level leads.
@@ -105,12 +105,12 @@
 // takesPipelines sees to it that a job that waits for another one is taken.
 func (c *cluster) takesPipelines() {
 	c.t.Helper()
-	c.await("all announced", 30*time.Second, func() bool { return c.state.Count(upgrade.Prefix) == len(c.nodes) })
+	c.await("all announced", 30*time.Second, func() bool { return c.state.Count(capability.Prefix) == len(c.nodes) })
 	first := fake.NewJob("job-700000", 2, nil)
-	second := fake.NewJob("job-700001", 1, func(j *wire.Job) { j.WaitsOn = []string{first.Ref} })
+	second := fake.NewJob("job-700001", 1, func(j *wire.Job) { j.DependsOn = []string{first.ID} })
 	for _, j := range []*wire.Job{first, second} {
 		if !c.users.Accept(j) {
-			c.t.Errorf("%s is not accepted after the upgrade", j.Ref)
+			c.t.Errorf("%s is not accepted after the upgrade", j.ID)
 			return
 		}
 		c.users.Poll(j)
@@ -123,12 +123,12 @@
 	c.t.Helper()
 	first := fake.NewJob("job-700000", 2, nil)
 	if !c.users.Accept(first) {
-		c.t.Errorf("%s is not accepted", first.Ref)
+		c.t.Errorf("%s is not accepted", first.ID)
 	}
 	c.users.Poll(first)
-	second := fake.NewJob("job-700001", 1, func(j *wire.Job) { j.WaitsOn = []string{first.Ref} })
+	second := fake.NewJob("job-700001", 1, func(j *wire.Job) { j.DependsOn = []string{first.ID} })
 	c.check.Submits(second, true)
-	if code, _ := c.users.Call(c.upgradedNode(), fake.AskedSubmit, second.Ref, second); code != 503 {
+	if code, _ := c.users.Call(c.upgradedNode(), fake.AskedSubmit, second.ID, second); code != 503 {
 		c.t.Errorf("a job that waits for another one, with an old node up: %d, want 503", code)
 	}
 }
@@ -160,7 +160,7 @@
 		}},
 		{"an upgraded leader with old followers", func(c *cluster) {
 			c.upgrade(c.oldFollower(), 2*time.Second)
-			c.leaderAtLevel(upgrade.Level)
+			c.leaderAtLevel(capability.Level)
 			time.Sleep(20 * time.Second)
 			c.leaderAtLevel(0)
 			time.Sleep(10 * time.Second)
@@ -182,7 +182,7 @@
 			time.Sleep(3 * time.Second)
 			for i := range c.nodes {
 				if i > 0 {
-					c.nodes[i].level = upgrade.Level
+					c.nodes[i].level = capability.Level
 				}
 				c.start(i)
 			}
@@ -208,7 +208,7 @@
 			last := c.oldFollower()
 			c.kill(last)
 			c.state.Limit(low)
-			c.nodes[last].level = upgrade.Level
+			c.nodes[last].level = capability.Level
 			time.Sleep(2 * time.Second)
 			c.start(last)
 			time.Sleep(10 * time.Second)
@@ -245,7 +245,7 @@
 func (c *cluster) oldFollower() int {
 	lead, found := c.leader(), -1
 	for i, n := range c.nodes {
-		if n.level < upgrade.Level && (found < 0 || found == lead) {
+		if n.level < capability.Level && (found < 0 || found == lead) {
 			found = i
 		}
 	}
--- a/internal/node/workers_test.go
+++ b/internal/controller/workers_test.go
@@ -1,4 +1,4 @@
-package node
+package controller
 
 import (
 	"fmt"
@@ -104,7 +104,7 @@
 		for _, w := range workers {
 			w.SaveReport()
 		}
-		c.stream(10, 8, 200*time.Millisecond, func(k int, j *wire.Job) { j.Ref = fmt.Sprintf("job-%06d", 10+2*k) })
+		c.stream(10, 8, 200*time.Millisecond, func(k int, j *wire.Job) { j.ID = fmt.Sprintf("job-%06d", 10+2*k) })
 		c.running(20)
 		time.Sleep(4 * time.Second)
 		workers = half(workers)
--- a/internal/dispatch/callers.go
+++ b/internal/dispatch/callers.go
@@ -4,27 +4,27 @@
 	"context"
 	"time"
 
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/transport"
 )
 
-// ConnLimits bounds the connections to workers.
-type ConnLimits struct {
-	AtOnce int // calls on their way
-	// Kept is how many connections are kept between two calls, and Few how many
+// ConnectionLimits bounds the connections to workers.
+type ConnectionLimits struct {
+	MaxInFlight int // calls on their way
+	// MaxIdle is how many connections are kept between two calls, and Few how many
 	// while Crowded tells that sockets are short.
-	Kept, Few int
-	Crowded   func() bool
+	MaxIdle, MaxIdleWhenScarce int
+	SocketsScarce              func() bool
 }
 
 // keepFor is how long a connection is kept unused.
 const keepFor = time.Minute
 
-// callers call workers. A new connection costs several times what a command
+// commandPool call workers. A new connection costs several times what a command
 // does, so they are kept as far as there are sockets. Those that are idle are
 // owned by run.
-type callers struct {
-	net    outbound.Network
-	lines  ConnLimits
+type commandPool struct {
+	net    transport.Network
+	lines  ConnectionLimits
 	turns  chan struct{} // who has put something in may call, and takes it out
 	takes  chan take
 	gives  chan given
@@ -34,22 +34,22 @@
 
 type take struct {
 	addr string
-	line chan *outbound.Conn
+	line chan *transport.Conn
 }
 
 type given struct {
 	addr string
-	line *outbound.Conn
+	line *transport.Conn
 }
 
-func newCallers(n outbound.Network, l ConnLimits) *callers {
-	return &callers{net: n, lines: l, turns: make(chan struct{}, l.AtOnce), takes: make(chan take), gives: make(chan given), shorts: make(chan struct{}), ended: make(chan struct{})}
+func newCommandPool(n transport.Network, l ConnectionLimits) *commandPool {
+	return &commandPool{net: n, lines: l, turns: make(chan struct{}, l.MaxInFlight), takes: make(chan take), gives: make(chan given), shorts: make(chan struct{}), ended: make(chan struct{})}
 }
 
 // run keeps idle connections until ctx ends.
-func (c *callers) run(ctx context.Context) {
+func (c *commandPool) run(ctx context.Context) {
 	defer close(c.ended)
-	idle := map[string]*outbound.Conn{}
+	idle := map[string]*transport.Conn{}
 	drop := func(addr string) {
 		idle[addr].Close()
 		delete(idle, addr)
@@ -69,7 +69,7 @@
 			idle[g.addr] = g.line
 		case <-c.shorts:
 			for addr := range idle {
-				if len(idle) <= c.lines.Few {
+				if len(idle) <= c.lines.MaxIdleWhenScarce {
 					break
 				}
 				drop(addr)
@@ -89,15 +89,15 @@
 	}
 }
 
-func (c *callers) most() int {
-	if c.lines.Crowded() {
-		return c.lines.Few
+func (c *commandPool) most() int {
+	if c.lines.SocketsScarce() {
+		return c.lines.MaxIdleWhenScarce
 	}
-	return c.lines.Kept
+	return c.lines.MaxIdle
 }
 
 // hangUp has what is kept beyond few closed.
-func (c *callers) hangUp() {
+func (c *commandPool) hangUp() {
 	select {
 	case c.shorts <- struct{}{}:
 	case <-c.ended:
@@ -107,7 +107,7 @@
 // call sends one request to a worker and waits for its answer. Once there is a
 // connection, may tells whether it may still be sent. With sent false it never
 // was.
-func (c *callers) call(ctx context.Context, addr, method, path string, payload []byte, may func() bool) (status int, answer []byte, sent bool, err error) {
+func (c *commandPool) call(ctx context.Context, addr, method, path string, payload []byte, may func() bool) (status int, answer []byte, sent bool, err error) {
 	select {
 	case c.turns <- struct{}{}:
 		defer func() { <-c.turns }()
@@ -115,7 +115,7 @@
 		return 0, nil, false, ctx.Err()
 	}
 	end := time.Now().Add(directTimeout)
-	t := take{addr, make(chan *outbound.Conn, 1)}
+	t := take{addr, make(chan *transport.Conn, 1)}
 	select {
 	case c.takes <- t:
 	case <-ctx.Done():
@@ -123,7 +123,7 @@
 	}
 	line := <-t.line
 	if line == nil {
-		line = outbound.NewConn(c.net, addr)
+		line = transport.NewConn(c.net, addr)
 	}
 	defer func() {
 		if !line.IsOpen() {
@@ -139,7 +139,7 @@
 		return 0, nil, false, err
 	}
 	if !may() {
-		return 0, nil, false, ErrNotLeading
+		return 0, nil, false, ErrNotLeader
 	}
 	status, answer, err = line.Do(end, method, path, payload)
 	return status, answer, true, err
--- a/internal/dispatch/callers_test.go
+++ b/internal/dispatch/callers_test.go
@@ -8,7 +8,7 @@
 	"sync/atomic"
 	"testing"
 
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/transport"
 )
 
 // TestConnectionsToWorkers: they are kept as far as there are sockets, and no
@@ -27,7 +27,7 @@
 		defer workers[i].Close()
 	}
 	var crowded atomic.Bool
-	c := newCallers(outbound.TCP{}, ConnLimits{AtOnce: 2, Kept: 3, Few: 1, Crowded: crowded.Load})
+	c := newCommandPool(transport.TCP{}, ConnectionLimits{MaxInFlight: 2, MaxIdle: 3, MaxIdleWhenScarce: 1, SocketsScarce: crowded.Load})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go c.run(ctx)
--- a/internal/dispatch/cells.go
+++ b/internal/dispatch/cells.go
@@ -9,19 +9,19 @@
 	"github.com/segmentio/encoding/json"
 
 	"leadproxy/internal/election"
+	"leadproxy/internal/federation"
+	"leadproxy/internal/kvstore"
 	"leadproxy/internal/ledger"
-	"leadproxy/internal/outbound"
 	"leadproxy/internal/scheduler"
-	"leadproxy/internal/spill"
-	"leadproxy/internal/state"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
-// ErrUnreachable means that a job may run in another cell, which does not answer.
-var ErrUnreachable = errors.New("the cell that may run the job does not answer")
+// ErrCellUnreachable means that a job may run in another cell, which does not answer.
+var ErrCellUnreachable = errors.New("the cell that may run the job does not answer")
 
-// RoomOffer is a neighbour's answer to the question for room.
-type RoomOffer struct {
+// CapacityOffer is a neighbour's answer to the question for room.
+type CapacityOffer struct {
 	Cores      float64
 	For        time.Duration
 	RetryAfter time.Duration
@@ -31,28 +31,28 @@
 // Neighbours speaks to the leaders of other cells.
 type Neighbours interface {
 	// Exchange has a neighbour answer messages.
-	Exchange(ctx context.Context, cell string, messages []spill.Message) ([]spill.Answer, error)
-	// Room asks a neighbour for room for so many cores.
-	Room(ctx context.Context, cell string, cores float64) (RoomOffer, error)
+	Exchange(ctx context.Context, cell string, messages []federation.Message) ([]federation.Answer, error)
+	// AskCapacity asks a neighbour for room for so many cores.
+	AskCapacity(ctx context.Context, cell string, cores float64) (CapacityOffer, error)
 }
 
-// Answer answers another cell's messages, if this node leads.
-func (d *Dispatcher) Answer(ctx context.Context, home string, messages []spill.Message) ([]spill.Answer, error) {
+// AnswerTransfers answers another cell's messages, if this node leads.
+func (d *Dispatcher) AnswerTransfers(ctx context.Context, home string, messages []federation.Message) ([]federation.Answer, error) {
 	answer, err := d.askLeader(ctx, func(to scheduler.Recipient) scheduler.Event {
-		return scheduler.TransfersAsked{Home: home, Messages: messages, To: to}
+		return scheduler.TransferRequest{Origin: home, Messages: messages, ReplyTo: to}
 	})
 	if err != nil {
 		return nil, err
 	}
-	return answer.(scheduler.AnswerTransfers).Answers, nil
+	return answer.(scheduler.TransferReply).Answers, nil
 }
 
 // askLeader asks the core before users are heard, if this node leads. The answer counts
 // only while the term does.
 func (d *Dispatcher) askLeader(ctx context.Context, event func(to scheduler.Recipient) scheduler.Event) (scheduler.Effect, error) {
 	v := d.elector.View()
-	if !v.InTerm(time.Now()) {
-		return nil, ErrNotLeading
+	if !v.IsLeader(time.Now()) {
+		return nil, ErrNotLeader
 	}
 	reply := make(chan scheduler.Effect, 1)
 	to := answerTo(func(answer scheduler.Effect, _ error) { reply <- answer })
@@ -63,8 +63,8 @@
 	}
 	select {
 	case answer := <-reply:
-		if !d.elector.InTerm(v.Term) {
-			return nil, ErrNotLeading
+		if !d.elector.IsLeader(v.Term) {
+			return nil, ErrNotLeader
 		}
 		return answer, nil
 	case <-ctx.Done():
@@ -72,37 +72,37 @@
 	}
 }
 
-// Lend answers another cell's question for room, if this node leads.
-func (d *Dispatcher) Lend(ctx context.Context, home string, cores float64) (RoomOffer, error) {
+// OfferCapacity answers another cell's question for room, if this node leads.
+func (d *Dispatcher) OfferCapacity(ctx context.Context, home string, cores float64) (CapacityOffer, error) {
 	answer, err := d.askLeader(ctx, func(to scheduler.Recipient) scheduler.Event {
-		return scheduler.RoomAsked{Home: home, Cores: cores, To: to}
+		return scheduler.CapacityRequest{Origin: home, Cores: cores, ReplyTo: to}
 	})
 	if err != nil {
-		return RoomOffer{}, err
+		return CapacityOffer{}, err
 	}
-	a := answer.(scheduler.AnswerRoom)
-	return RoomOffer{Cores: a.Cores, For: a.For, RetryAfter: a.RetryAfter, Reason: a.Reason}, nil
+	a := answer.(scheduler.CapacityReply)
+	return CapacityOffer{Cores: a.Cores, For: a.For, RetryAfter: a.RetryAfter, Reason: a.Reason}, nil
 }
 
 // ListTransfers lists the transfers, if this node leads.
-func (d *Dispatcher) ListTransfers(ctx context.Context) (scheduler.TransferList, error) {
-	answer, err := d.askLeader(ctx, func(to scheduler.Recipient) scheduler.Event { return scheduler.TransfersListed{To: to} })
+func (d *Dispatcher) ListTransfers(ctx context.Context) (scheduler.TransferListReply, error) {
+	answer, err := d.askLeader(ctx, func(to scheduler.Recipient) scheduler.Event { return scheduler.TransferListRequest{ReplyTo: to} })
 	if err != nil {
-		return scheduler.TransferList{}, err
+		return scheduler.TransferListReply{}, err
 	}
-	return answer.(scheduler.TransferList), nil
+	return answer.(scheduler.TransferListReply), nil
 }
 
 // sendTransfers carries out an exchange with a neighbour.
 func (t *term) sendTransfers(ctx context.Context, e scheduler.SendTransfers) {
 	answers, err := t.Cells.Exchange(ctx, e.Cell, e.Messages)
-	t.decide(ctx, scheduler.TransfersAnswered{Cell: e.Cell, Answers: answers, Err: err})
+	t.decide(ctx, scheduler.TransferResult{Cell: e.Cell, Answers: answers, Err: err})
 }
 
 // askRoom asks a neighbour for room.
-func (t *term) askRoom(ctx context.Context, e scheduler.AskRoom) {
-	offer, err := t.Cells.Room(ctx, e.Cell, e.Cores)
-	t.decide(ctx, scheduler.RoomAnswered{Cell: e.Cell, Cores: offer.Cores, For: offer.For, RetryAfter: offer.RetryAfter, Reason: offer.Reason, Err: err})
+func (t *term) askRoom(ctx context.Context, e scheduler.AskCapacity) {
+	offer, err := t.Cells.AskCapacity(ctx, e.Cell, e.Cores)
+	t.decide(ctx, scheduler.CapacityResult{Cell: e.Cell, Cores: offer.Cores, For: offer.For, RetryAfter: offer.RetryAfter, Reason: offer.Reason, Err: err})
 }
 
 // guestRetry is how long a write rests whose outcome is not known.
@@ -110,52 +110,52 @@
 
 // putGuest carries out a write of a guest's record, again and again until its outcome is
 // certain or the term is over.
-func (t *term) putGuest(ctx context.Context, e scheduler.PutGuest) {
+func (t *term) putGuest(ctx context.Context, e scheduler.WriteForeign) {
 	txn, err := t.guestTxn(e)
 	if err != nil {
-		t.log.Error("a guest's record can't be encoded", "job", e.Write.Key.Ref, "error", err)
+		t.log.Error("a guest's record can't be encoded", "job", e.Write.Key.JobID, "error", err)
 		return
 	}
 	for ctx.Err() == nil {
-		ok, answer, err := t.store.Txn(ctx, state.Leader, txn)
+		ok, answer, err := t.store.CompareAndSwap(ctx, kvstore.PriorityLeader, txn)
 		if err == nil && ok {
-			t.decide(ctx, scheduler.GuestWritten{Write: e.Write, Job: e.Job, Version: answer.Revision})
+			t.decide(ctx, scheduler.ForeignWriteResult{Write: e.Write, Job: e.Job, Version: answer.Revision})
 			return
 		}
-		if err == nil && slices.Contains(answer.Failed, election.Key) {
+		if err == nil && slices.Contains(answer.FailedKeys, election.LeaderKey) {
 			return // the term is over, and so is this
 		}
 		if err == nil {
-			var settled scheduler.GuestWritten
+			var settled scheduler.ForeignWriteResult
 			if settled, err = t.rereadGuest(ctx, e); err == nil {
 				t.decide(ctx, settled)
 				return
 			}
 		}
-		t.log.Debug("a guest's record is not written yet", "job", e.Write.Key.Ref, "error", err)
-		outbound.Pause(ctx, guestRetry)
+		t.log.Debug("a guest's record is not written yet", "job", e.Write.Key.JobID, "error", err)
+		transport.Pause(ctx, guestRetry)
 	}
 }
 
 // guestTxn is the transaction of such a write. A late copy of it finds the guest's key
 // changed, and that is never deleted.
-func (t *term) guestTxn(e scheduler.PutGuest) (wire.Txn, error) {
-	key := ledger.GuestKey(e.Write.Key)
+func (t *term) guestTxn(e scheduler.WriteForeign) (wire.CompareAndSwap, error) {
+	key := ledger.ForeignKey(e.Write.Key)
 	value, err := json.Marshal(e.Write.Record)
 	if err != nil {
-		return wire.Txn{}, err
+		return wire.CompareAndSwap{}, err
 	}
-	txn := wire.Txn{
-		If:   []wire.Condition{{Key: election.Key, Version: t.number}, {Key: key, Version: e.Write.Version}},
-		Then: []wire.Change{{Set: key, Value: value}},
+	txn := wire.CompareAndSwap{
+		Conditions: []wire.Condition{{Key: election.LeaderKey, Version: t.number}, {Key: key, Version: e.Write.Version}},
+		Changes:    []wire.Change{{Set: key, Value: value}},
 	}
 	if e.Job == nil {
 		return txn, nil
 	}
-	job := ledger.JobKey(e.Write.Key.Ref)
+	job := ledger.JobKey(e.Write.Key.JobID)
 	record, err := json.Marshal(e.Job)
-	txn.If = append(txn.If, wire.Condition{Key: job})
-	txn.Then = append(txn.Then, wire.Change{Set: job, Value: record})
+	txn.Conditions = append(txn.Conditions, wire.Condition{Key: job})
+	txn.Changes = append(txn.Changes, wire.Change{Set: job, Value: record})
 	return txn, err
 }
 
@@ -164,17 +164,17 @@
 
 // rereadGuest tells what came of a write whose conditions failed: an earlier try of it
 // was carried out, or there is a job of that name.
-func (t *term) rereadGuest(ctx context.Context, e scheduler.PutGuest) (scheduler.GuestWritten, error) {
-	entry, found, err := t.store.Get(ctx, state.Leader, ledger.GuestKey(e.Write.Key))
+func (t *term) rereadGuest(ctx context.Context, e scheduler.WriteForeign) (scheduler.ForeignWriteResult, error) {
+	entry, found, err := t.store.Get(ctx, kvstore.PriorityLeader, ledger.ForeignKey(e.Write.Key))
 	if err != nil {
-		return scheduler.GuestWritten{}, err
+		return scheduler.ForeignWriteResult{}, err
 	}
-	var record spill.GuestRecord
+	var record federation.ForeignRecord
 	if found && json.Unmarshal(entry.Value, &record) == nil && record == e.Write.Record {
-		return scheduler.GuestWritten{Write: e.Write, Job: e.Job, Version: entry.Version}, nil
+		return scheduler.ForeignWriteResult{Write: e.Write, Job: e.Job, Version: entry.Version}, nil
 	}
 	if entry.Version == e.Write.Version && e.Job != nil {
-		return scheduler.GuestWritten{Write: e.Write, Job: e.Job, JobExists: true}, nil
+		return scheduler.ForeignWriteResult{Write: e.Write, Job: e.Job, JobExists: true}, nil
 	}
-	return scheduler.GuestWritten{}, errGuestChanged
+	return scheduler.ForeignWriteResult{}, errGuestChanged
 }
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -8,45 +8,45 @@
 	"time"
 
 	"leadproxy/internal/election"
-	"leadproxy/internal/hints"
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/federation"
+	"leadproxy/internal/kvstore"
 	"leadproxy/internal/scheduler"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/spill"
+	"leadproxy/internal/softstate"
 	"leadproxy/internal/standby"
-	"leadproxy/internal/state"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
-// ErrNotLeading means that this node does not run a term.
-var ErrNotLeading = errors.New("this node does not lead")
+// ErrNotLeader means that this node does not run a term.
+var ErrNotLeader = errors.New("this node does not lead")
 
-// ErrDeciding means that whether a job is over is known to the state service alone.
-var ErrDeciding = errors.New("the job's end is being written")
+// ErrTerminalStatePending means that whether a job is over is known to the state service alone.
+var ErrTerminalStatePending = errors.New("the job's end is being written")
 
 // Dispatcher is where the rest of a node speaks to its dispatcher. It runs one core
 // for each term that this node leads and refuses everything in between.
 type Dispatcher struct {
-	net      outbound.Network
+	net      transport.Network
 	platform *settings.Platform
 	operator settings.Operator
 	elector  *election.Elector
-	store    *state.Client
+	store    *kvstore.Client
 	log      *slog.Logger
 	started  time.Time
-	workers  *callers
-	// Upgraded tells whether all nodes run a version that knows what this one
+	workers  *commandPool
+	// AllUpgraded tells whether all nodes run a version that knows what this one
 	// writes.
-	Upgraded func() bool
+	AllUpgraded func() bool
 	// Standby has a copy of the ledger for a term that begins here; nil: there is none.
 	Standby Standby
-	// HintView has what an earlier leader held in memory; nil: there is nothing.
-	HintView HintViewer
-	// Transfers tells whether all nodes know transfers between cells, Cells speaks to
+	// SoftStateView has what an earlier leader held in memory; nil: there is nothing.
+	SoftStateView SoftStateViewer
+	// TransfersSupported tells whether all nodes know transfers between cells, Cells speaks to
 	// the neighbours, and Note is told the steps of transfers.
-	Transfers func() bool
-	Cells     Neighbours
-	Note      func(spill.Note)
+	TransfersSupported func() bool
+	Cells              Neighbours
+	TraceTransfer      func(federation.TransferStep)
 	// machines is how many should be reporting to this leader; unanswered is how
 	// many direct commands in a row no worker has answered.
 	machines   atomic.Int64
@@ -67,10 +67,10 @@
 	Release()
 }
 
-// HintViewer keeps what a leader tells the nodes that may lead next.
-type HintViewer interface {
+// SoftStateViewer keeps what a leader tells the nodes that may lead next.
+type SoftStateViewer interface {
 	// View returns the hints for a term that begins here.
-	View(ctx context.Context, term uint64) hints.View
+	View(ctx context.Context, term uint64) softstate.View
 }
 
 // ask is an event with who wants to be told of its outcome: an effect, or an
@@ -87,12 +87,12 @@
 func (to answerTo) Deliver(answer scheduler.Effect) { to(answer, nil) }
 
 // NewDispatcher makes a dispatcher; Run starts it.
-func NewDispatcher(n outbound.Network, p *settings.Platform, op settings.Operator, e *election.Elector, store *state.Client, lines ConnLimits, log *slog.Logger) *Dispatcher {
+func NewDispatcher(n transport.Network, p *settings.Platform, op settings.Operator, e *election.Elector, store *kvstore.Client, lines ConnectionLimits, log *slog.Logger) *Dispatcher {
 	return &Dispatcher{
 		net: n, platform: p, operator: op, elector: e, store: store, log: log, started: time.Now(),
-		workers: newCallers(n, lines), Upgraded: func() bool { return false }, Transfers: func() bool { return false },
-		Note:    func(spill.Note) {},
-		reports: make(chan ask, 256), inner: make(chan scheduler.Event, 512), users: make(chan ask, 128),
+		workers: newCommandPool(n, lines), AllUpgraded: func() bool { return false }, TransfersSupported: func() bool { return false },
+		TraceTransfer: func(federation.TransferStep) {},
+		reports:       make(chan ask, 256), inner: make(chan scheduler.Event, 512), users: make(chan ask, 128),
 	}
 }
 
@@ -104,11 +104,11 @@
 	return t.Sub(d.started), t.UnixMilli()
 }
 
-// HangUp closes the connections to workers that are kept between two commands.
-func (d *Dispatcher) HangUp() { d.workers.hangUp() }
+// CloseIdleConnections closes the connections to workers that are kept between two commands.
+func (d *Dispatcher) CloseIdleConnections() { d.workers.hangUp() }
 
-// Unanswered is how many direct commands in a row no worker has answered.
-func (d *Dispatcher) Unanswered() int { return int(d.unanswered.Load()) }
+// UnansweredCommands is how many direct commands in a row no worker has answered.
+func (d *Dispatcher) UnansweredCommands() int { return int(d.unanswered.Load()) }
 
 // Machines is how many machines should be reporting to this node as the leader.
 func (d *Dispatcher) Machines() int { return int(d.machines.Load()) }
@@ -133,39 +133,41 @@
 	}
 }
 
-// Report has a worker's report answered.
-func (d *Dispatcher) Report(ctx context.Context, r *wire.Report) (*wire.ReportAnswer, error) {
-	return reportAnswer(d.ask(ctx, d.reports, func(to scheduler.Recipient) scheduler.Event { return scheduler.ReportIn{Report: r, To: to} }))
+// Heartbeat has a worker's report answered.
+func (d *Dispatcher) Heartbeat(ctx context.Context, r *wire.Heartbeat) (*wire.HeartbeatResponse, error) {
+	return reportAnswer(d.ask(ctx, d.reports, func(to scheduler.Recipient) scheduler.Event {
+		return scheduler.HeartbeatEvent{Heartbeat: r, ReplyTo: to}
+	}))
 }
 
-// ReportAsync has a worker's report answered through give, once, or never if the term
+// HeartbeatAsync has a worker's report answered through give, once, or never if the term
 // ends meanwhile. give must not wait.
-func (d *Dispatcher) ReportAsync(ctx context.Context, r *wire.Report, give func(*wire.ReportAnswer, error)) {
+func (d *Dispatcher) HeartbeatAsync(ctx context.Context, r *wire.Heartbeat, give func(*wire.HeartbeatResponse, error)) {
 	to := answerTo(func(answer scheduler.Effect, err error) { give(reportAnswer(answer, err)) })
 	select {
-	case d.reports <- ask{scheduler.ReportIn{Report: r, To: to}, to}:
+	case d.reports <- ask{scheduler.HeartbeatEvent{Heartbeat: r, ReplyTo: to}, to}:
 	case <-ctx.Done():
 	}
 }
 
-func reportAnswer(answer scheduler.Effect, err error) (*wire.ReportAnswer, error) {
+func reportAnswer(answer scheduler.Effect, err error) (*wire.HeartbeatResponse, error) {
 	if err != nil {
 		return nil, err
 	}
-	if a, ok := answer.(scheduler.AnswerReport); ok && a.Answer != nil {
-		return a.Answer, nil
+	if a, ok := answer.(scheduler.HeartbeatReply); ok && a.Response != nil {
+		return a.Response, nil
 	}
-	return nil, ErrNotLeading
+	return nil, ErrNotLeader
 }
 
 // Status asks for a job's state. With ErrDeciding only the record tells it.
 func (d *Dispatcher) Status(ctx context.Context, ref string) (wire.JobStatus, bool, error) {
-	return d.user(ctx, func(to scheduler.Recipient) scheduler.Event { return scheduler.StatusAsked{Ref: ref, To: to} })
+	return d.user(ctx, func(to scheduler.Recipient) scheduler.Event { return scheduler.StatusRequest{JobID: ref, ReplyTo: to} })
 }
 
 // Cancel has a job cancelled and waits until that is durable.
 func (d *Dispatcher) Cancel(ctx context.Context, ref string) (wire.JobStatus, bool, error) {
-	return d.user(ctx, func(to scheduler.Recipient) scheduler.Event { return scheduler.CancelAsked{Ref: ref, To: to} })
+	return d.user(ctx, func(to scheduler.Recipient) scheduler.Event { return scheduler.CancelRequest{JobID: ref, ReplyTo: to} })
 }
 
 func (d *Dispatcher) user(ctx context.Context, event func(to scheduler.Recipient) scheduler.Event) (wire.JobStatus, bool, error) {
@@ -173,19 +175,19 @@
 	if err != nil {
 		return wire.JobStatus{}, false, err
 	}
-	u := a.(scheduler.AnswerUser)
+	u := a.(scheduler.UserReply)
 	switch {
-	case u.Deciding:
-		return wire.JobStatus{}, true, ErrDeciding
-	case u.Unreachable:
-		return wire.JobStatus{}, true, ErrUnreachable
+	case u.TerminalStatePending:
+		return wire.JobStatus{}, true, ErrTerminalStatePending
+	case u.CellUnreachable:
+		return wire.JobStatus{}, true, ErrCellUnreachable
 	}
 	return u.Status, u.Known, nil
 }
 
-// JobRecorded tells of a job record. It is only a short cut for the watch, so it is
+// JobCreated tells of a job record. It is only a short cut for the watch, so it is
 // dropped rather than waited for.
-func (d *Dispatcher) JobRecorded(j scheduler.JobSeen) {
+func (d *Dispatcher) JobCreated(j scheduler.JobRecordEvent) {
 	select {
 	case d.inner <- j:
 	default:
@@ -222,13 +224,13 @@
 			reports, users, inner = d.reports, d.users, d.inner
 		}
 		select {
-		case v := <-d.elector.Changes():
-			if v.Mine && v.Term == current && stop != nil {
+		case v := <-d.elector.ViewChanges():
+			if v.Elected && v.Term == current && stop != nil {
 				break
 			}
 			end()
-			if v.Mine {
-				d.store.SetShare(leaderShare(d.platform.Facts.Nodes))
+			if v.Elected {
+				d.store.SetRateShare(leaderShare(d.platform.Facts.Nodes))
 				tctx, cancel := context.WithCancel(ctx)
 				stop, current, ended = cancel, v.Term, make(chan struct{})
 				go func(done chan struct{}, term uint64) {
@@ -236,12 +238,12 @@
 					d.lead(tctx, term)
 				}(ended, v.Term)
 			} else {
-				d.store.SetShare(FollowerShare(d.platform.Facts.Nodes))
+				d.store.SetRateShare(FollowerShare(d.platform.Facts.Nodes))
 			}
 		case a := <-reports:
-			a.reply(nil, ErrNotLeading)
+			a.reply(nil, ErrNotLeader)
 		case a := <-users:
-			a.reply(nil, ErrNotLeading)
+			a.reply(nil, ErrNotLeader)
 		case <-inner:
 		case <-ctx.Done():
 			return
--- a/internal/dispatch/plans.go
+++ b/internal/dispatch/plans.go
@@ -2,19 +2,19 @@
 
 import (
 	"context"
-	"leadproxy/internal/drain"
+	"leadproxy/internal/rollout"
 	"leadproxy/internal/scheduler"
 )
 
 // CreatePlan begins a plan, if this node leads.
-func (d *Dispatcher) CreatePlan(ctx context.Context, spec drain.Spec) error {
-	return d.askPlan(ctx, func(to scheduler.Recipient) scheduler.Event { return scheduler.PlanAsked{Spec: &spec, To: to} })
+func (d *Dispatcher) CreatePlan(ctx context.Context, spec rollout.Spec) error {
+	return d.askPlan(ctx, func(to scheduler.Recipient) scheduler.Event { return scheduler.PlanRequest{Spec: &spec, ReplyTo: to} })
 }
 
 // SteerPlan tells a plan something, if this node leads.
-func (d *Dispatcher) SteerPlan(ctx context.Context, name string, command drain.Command, argument string) error {
+func (d *Dispatcher) SteerPlan(ctx context.Context, name string, command rollout.Command, argument string) error {
 	return d.askPlan(ctx, func(to scheduler.Recipient) scheduler.Event {
-		return scheduler.PlanAsked{Name: name, Command: command, Argument: argument, To: to}
+		return scheduler.PlanRequest{Name: name, Command: command, Argument: argument, ReplyTo: to}
 	})
 }
 
@@ -23,14 +23,14 @@
 	if err != nil {
 		return err
 	}
-	return answer.(scheduler.PlanAnswer).Err
+	return answer.(scheduler.PlanReply).Err
 }
 
 // ListPlans lists the plans, if this node leads.
-func (d *Dispatcher) ListPlans(ctx context.Context) (scheduler.PlanList, error) {
-	answer, err := d.askLeader(ctx, func(to scheduler.Recipient) scheduler.Event { return scheduler.PlansListed{To: to} })
+func (d *Dispatcher) ListPlans(ctx context.Context) (scheduler.PlanListReply, error) {
+	answer, err := d.askLeader(ctx, func(to scheduler.Recipient) scheduler.Event { return scheduler.PlanListRequest{ReplyTo: to} })
 	if err != nil {
-		return scheduler.PlanList{}, err
+		return scheduler.PlanListReply{}, err
 	}
-	return answer.(scheduler.PlanList), nil
+	return answer.(scheduler.PlanListReply), nil
 }
--- a/internal/dispatch/takeover.go
+++ b/internal/dispatch/takeover.go
@@ -45,7 +45,7 @@
 		return
 	}
 	now := time.Now()
-	unsettled := t.core.Unsettled()
+	unsettled := t.core.UnresolvedHosts()
 	if times.decided.IsZero() && (len(effects) > 0 || unsettled == 0) {
 		times.decided = now
 	}
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -4,10 +4,10 @@
 	"context"
 	"time"
 
-	"leadproxy/internal/fleet"
+	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/ledger"
-	"leadproxy/internal/outbound"
 	"leadproxy/internal/scheduler"
+	"leadproxy/internal/transport"
 )
 
 // term is one term of leadership.
@@ -16,7 +16,7 @@
 	number     uint64
 	core       *scheduler.Core
 	ledger     *ledger.Ledger
-	cloud      *fleet.Client
+	cloud      *autoscaler.Client
 	tick       *time.Ticker
 	valueBytes int
 	// transfersAllowed: the core knows that transfers are.
@@ -61,19 +61,19 @@
 			cancel()
 		}
 	}()
-	cloud := fleet.NewClient(d.net, d.platform.Services.Cloud, d.platform.Facts.Cloud.RPS*cloudShare)
+	cloud := autoscaler.NewClient(d.net, d.platform.Services.Cloud, d.platform.Facts.Cloud.RPS*cloudShare)
 	go cloud.Run(ctx)
 	go d.watchJobs(ctx, snapshot.Revision)
 
 	hinted := d.viewHints(ctx, number)
 	now, wall := d.clocks()
 	size := d.valueBytes()
-	core := scheduler.NewCore(scheduler.Config{Term: number, Platform: d.platform, Operator: d.operator, ValueBytes: size, Hints: hinted}, snapshot, now, wall, d.log)
+	core := scheduler.NewCore(scheduler.Config{Term: number, Platform: d.platform, Operator: d.operator, ValueBytes: size, SoftState: hinted}, snapshot, now, wall, d.log)
 	t := &term{Dispatcher: d, number: number, core: core, ledger: book, cloud: cloud, tick: time.NewTicker(tickEvery), valueBytes: size}
 	defer t.tick.Stop()
 	defer d.machines.Store(0)
 	t.takeover = times
-	t.carryOut(ctx, core.TakeStart())
+	t.carryOut(ctx, core.InitialEffects())
 	t.run(ctx)
 }
 
@@ -81,7 +81,7 @@
 func (d *Dispatcher) ledgerLimits() ledger.Limits {
 	now := d.store.Limits()
 	writes := now.WriteRPS * leaderShare(d.platform.Facts.Nodes)
-	return ledger.Limits{Ops: max(minTxnOps, min(now.Ops, int(writes))), Bytes: maxTxnBytes, Value: now.ValueBytes, Ordinary: writes / 4}
+	return ledger.Limits{MaxChanges: max(minTxnOps, min(now.MaxChanges, int(writes))), TransactionBytes: maxTxnBytes, ValueBytes: now.ValueBytes, DeferrableRate: writes / 4}
 }
 
 // loadLedger reads the ledger, again and again until it can be read or ctx ends.
@@ -89,11 +89,11 @@
 	for ctx.Err() == nil {
 		snapshot, err := book.Load(ctx)
 		if err == nil {
-			d.log.Info("ledger read", "term", number, "jobs", len(snapshot.Jobs), "hires", len(snapshot.Hires), "revision", snapshot.Revision)
+			d.log.Info("ledger read", "term", number, "jobs", len(snapshot.Jobs), "hires", len(snapshot.ScaleOuts), "revision", snapshot.Revision)
 			return snapshot, true
 		}
 		d.log.Info("ledger not read yet", "term", number, "error", err)
-		outbound.Pause(ctx, loadEvery)
+		transport.Pause(ctx, loadEvery)
 	}
 	return ledger.Snapshot{}, false
 }
@@ -112,7 +112,7 @@
 		began := time.Now()
 		effects := t.core.Settle()
 		pause.after(began, time.Since(began))
-		t.machines.Store(int64(t.core.Reporting()))
+		t.machines.Store(int64(t.core.ExpectedAgents()))
 		t.carryOut(ctx, effects)
 		t.noteTakeover(effects)
 	}
@@ -125,11 +125,11 @@
 	now, wall := t.clocks()
 	if size != t.valueBytes {
 		t.valueBytes = size
-		t.core.Step(scheduler.Formats{ValueBytes: size}, now, wall)
+		t.core.Step(scheduler.ValueLimitChanged{ValueBytes: size}, now, wall)
 	}
-	if !t.transfersAllowed && t.Transfers() {
+	if !t.transfersAllowed && t.TransfersSupported() {
 		t.transfersAllowed = true
-		t.core.Step(scheduler.TransfersAllowed{}, now, wall)
+		t.core.Step(scheduler.TransfersEnabled{}, now, wall)
 	}
 }
 
@@ -143,7 +143,7 @@
 		if n == maxEventsAtOnce {
 			return
 		}
-		if event, ok = t.waiting(); !ok && t.core.Unplaced() {
+		if event, ok = t.waiting(); !ok && t.core.NeedsPlacement() {
 			if enough == nil {
 				enough = pause.over()
 			}
@@ -155,7 +155,7 @@
 // step steps the core with one event. Suspended, another leader may have begun: what
 // time alone would bring, such as giving up silent machines, is not ours to do then.
 func (t *term) step(event scheduler.Event) {
-	if _, isTick := event.(scheduler.Tick); isTick && !t.elector.InTerm(t.number) {
+	if _, isTick := event.(scheduler.Tick); isTick && !t.elector.IsLeader(t.number) {
 		return
 	}
 	now, wall := t.clocks()
@@ -168,7 +168,7 @@
 // nothing to be rewritten when the limits fall.
 func (d *Dispatcher) valueBytes() int {
 	size := d.store.Limits().ValueBytes
-	if d.Upgraded() {
+	if d.AllUpgraded() {
 		size = min(size, d.platform.Facts.State.LeastValueBytes())
 	}
 	// The service may count a value as it keeps it, with more between its parts than
@@ -217,11 +217,11 @@
 	case a := <-t.reports:
 		return a.event, true
 	case tags := <-t.ledger.Durable:
-		return scheduler.NowDurable{Tags: tags}, true
+		return scheduler.WritesDurable{Tags: tags}, true
 	case tags := <-t.ledger.Rejected:
-		return scheduler.Rejected{Tags: tags}, true
+		return scheduler.WritesRejected{Tags: tags}, true
 	case r := <-t.cloud.Results:
-		return scheduler.CloudBack{Result: r}, true
+		return scheduler.CloudResult{Result: r}, true
 	case e := <-t.inner:
 		return e, true
 	case <-t.tick.C:
@@ -249,11 +249,11 @@
 	case a := <-t.reports:
 		return a.event, true
 	case tags := <-t.ledger.Durable:
-		return scheduler.NowDurable{Tags: tags}, true
+		return scheduler.WritesDurable{Tags: tags}, true
 	case tags := <-t.ledger.Rejected:
-		return scheduler.Rejected{Tags: tags}, true
+		return scheduler.WritesRejected{Tags: tags}, true
 	case r := <-t.cloud.Results:
-		return scheduler.CloudBack{Result: r}, true
+		return scheduler.CloudResult{Result: r}, true
 	case e := <-t.inner:
 		return e, true
 	case <-t.tick.C:
@@ -272,26 +272,26 @@
 	var writes []ledger.Write
 	for _, e := range effects {
 		switch e := e.(type) {
-		case scheduler.AnswerReport:
-			e.To.Deliver(e)
-		case scheduler.AnswerUser:
-			e.To.Deliver(e)
-		case scheduler.Put:
+		case scheduler.HeartbeatReply:
+			e.ReplyTo.Deliver(e)
+		case scheduler.UserReply:
+			e.ReplyTo.Deliver(e)
+		case scheduler.WriteLedger:
 			writes = append(writes, e.Writes...)
 		case scheduler.CallCloud:
 			t.callCloud(ctx, e.Call)
-		case scheduler.Direct:
+		case scheduler.SendCommands:
 			go t.direct(ctx, t.number, e)
-		case scheduler.Inspect:
+		case scheduler.InspectWorker:
 			go t.inspect(ctx, e)
-		case scheduler.EndTerm:
+		case scheduler.ResignLeadership:
 			t.elector.Resign(t.number)
-		case scheduler.HintsGiven:
-			e.To.Deliver(e)
-		case scheduler.PlanAnswer:
-			e.To.Deliver(e)
-		case scheduler.PlanList:
-			e.To.Deliver(e)
+		case scheduler.SoftStateReply:
+			e.ReplyTo.Deliver(e)
+		case scheduler.PlanReply:
+			e.ReplyTo.Deliver(e)
+		case scheduler.PlanListReply:
+			e.ReplyTo.Deliver(e)
 		default:
 			t.carryOutTransfer(ctx, e)
 		}
@@ -306,27 +306,27 @@
 	switch e := effect.(type) {
 	case scheduler.SendTransfers:
 		go t.sendTransfers(ctx, e)
-	case scheduler.AskRoom:
+	case scheduler.AskCapacity:
 		go t.askRoom(ctx, e)
-	case scheduler.PutGuest:
+	case scheduler.WriteForeign:
 		go t.putGuest(ctx, e)
-	case scheduler.AnswerTransfers:
-		e.To.Deliver(e)
-	case scheduler.AnswerRoom:
-		e.To.Deliver(e)
-	case scheduler.TransferList:
-		e.To.Deliver(e)
-	case scheduler.TransferNote:
-		t.Note(e.Note)
+	case scheduler.TransferReply:
+		e.ReplyTo.Deliver(e)
+	case scheduler.CapacityReply:
+		e.ReplyTo.Deliver(e)
+	case scheduler.TransferListReply:
+		e.ReplyTo.Deliver(e)
+	case scheduler.TraceTransfer:
+		t.TraceTransfer(e.Step)
 	}
 }
 
 // callCloud makes a call to the cloud if the term holds. A suspended leader that deletes
 // machines takes them from the next one; the core tries again later.
-func (t *term) callCloud(ctx context.Context, call fleet.Call) {
+func (t *term) callCloud(ctx context.Context, call autoscaler.Call) {
 	if !t.mayAct(t.number, "cloud call") {
-		go t.decide(ctx, scheduler.CloudBack{Result: fleet.Result{Call: call, Err: fleet.ErrRefused}})
+		go t.decide(ctx, scheduler.CloudResult{Result: autoscaler.Result{Call: call, Err: autoscaler.ErrNotExecuted}})
 		return
 	}
-	t.cloud.Put(ctx, call)
+	t.cloud.Submit(ctx, call)
 }
--- a/internal/dispatch/watch.go
+++ b/internal/dispatch/watch.go
@@ -8,22 +8,22 @@
 
 	"github.com/segmentio/encoding/json"
 
+	"leadproxy/internal/kvstore"
 	"leadproxy/internal/ledger"
-	"leadproxy/internal/outbound"
 	"leadproxy/internal/scheduler"
-	"leadproxy/internal/state"
+	"leadproxy/internal/transport"
 )
 
 // watchJobs tells the core of job records as nodes create them.
 func (d *Dispatcher) watchJobs(ctx context.Context, after uint64) {
 	for ctx.Err() == nil {
 		news, err := d.store.Watch(ctx, ledger.JobPrefix, after, 20*time.Second)
-		if errors.Is(err, state.ErrTooOld) {
+		if errors.Is(err, kvstore.ErrCompacted) {
 			after = d.reread(ctx)
 			continue
 		}
 		if err != nil {
-			outbound.Pause(ctx, 200*time.Millisecond)
+			transport.Pause(ctx, 200*time.Millisecond)
 			continue
 		}
 		for _, e := range news.Events {
@@ -39,19 +39,19 @@
 func (d *Dispatcher) reread(ctx context.Context) uint64 {
 	revision, after := uint64(0), ""
 	for ctx.Err() == nil {
-		page, err := d.store.List(ctx, state.Leader, ledger.JobPrefix, after, 1000)
+		page, err := d.store.List(ctx, kvstore.PriorityLeader, ledger.JobPrefix, after, 1000)
 		if err != nil {
-			outbound.Pause(ctx, 200*time.Millisecond)
+			transport.Pause(ctx, 200*time.Millisecond)
 			continue
 		}
 		if revision == 0 {
 			revision = page.Revision
 		}
-		for _, e := range page.Items {
+		for _, e := range page.Entries {
 			d.tellRecord(ctx, e.Key, e.Value, e.Version)
 			after = e.Key
 		}
-		if !page.More || len(page.Items) == 0 {
+		if !page.More || len(page.Entries) == 0 {
 			break
 		}
 	}
@@ -65,5 +65,5 @@
 		d.log.Error("job record can't be read", "key", key, "error", err)
 		return
 	}
-	d.decide(ctx, scheduler.JobSeen{Ref: ref, Record: rec, Version: version})
+	d.decide(ctx, scheduler.JobRecordEvent{JobID: ref, Record: rec, Version: version})
 }
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -15,14 +15,14 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/kvstore"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/state"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
-// Key is where the leader's name stands.
-const Key = "leader"
+// LeaderKey is where the leader's name stands.
+const LeaderKey = "leader"
 
 // holder is the value of Key.
 type holder struct {
@@ -33,23 +33,23 @@
 // View is what a node knows of the leadership at one moment. It is never
 // changed once published.
 type View struct {
-	Leader string // "" when unknown
-	Term   uint64 // the leader's term
-	Mine   bool   // this node holds the key
-	Until  time.Time
+	Leader      string // "" when unknown
+	Term        uint64 // the leader's term
+	Elected     bool   // this node holds the key
+	LeaseExpiry time.Time
 }
 
-// InTerm tells whether this node may act as the leader at a moment.
-func (v *View) InTerm(now time.Time) bool { return v.Mine && now.Before(v.Until) }
+// IsLeader tells whether this node may act as the leader at a moment.
+func (v *View) IsLeader(now time.Time) bool { return v.Elected && now.Before(v.LeaseExpiry) }
 
 // Store is the part of the state service that an election needs.
 type Store interface {
-	List(ctx context.Context, p state.Priority, under, after string, limit int) (wire.Entries, error)
-	Txn(ctx context.Context, p state.Priority, t wire.Txn) (bool, wire.TxnAnswer, error)
-	NewLease(ctx context.Context, ttl time.Duration) (uint64, error)
-	Renew(ctx context.Context, lease uint64) error
-	EndLease(ctx context.Context, lease uint64) error
-	Watch(ctx context.Context, under string, after uint64, wait time.Duration) (wire.News, error)
+	List(ctx context.Context, p kvstore.Priority, under, after string, limit int) (wire.EntryPage, error)
+	CompareAndSwap(ctx context.Context, p kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error)
+	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
+	RenewLease(ctx context.Context, lease uint64) error
+	RevokeLease(ctx context.Context, lease uint64) error
+	Watch(ctx context.Context, under string, after uint64, wait time.Duration) (wire.WatchResponse, error)
 }
 
 // Elector takes part in elections for one node.
@@ -65,8 +65,8 @@
 	// reader must keep up; a view that was not read is replaced.
 	changes chan *View
 
-	// Others grant extensions during outages of the state service; nil: nobody does.
-	Others Others
+	// Peers grant extensions during outages of the state service; nil: nobody does.
+	Peers Peers
 	// Ready tells whether this node could decide at once if it were elected; nil: all are
 	// alike. One that could not lets those that can stand first, for readyWait.
 	Ready func() bool
@@ -87,11 +87,11 @@
 	firstUntil atomic.Int64
 }
 
-// StandAside has this node let another one stand first for a while.
-func (e *Elector) StandAside(d time.Duration) { e.asideUntil.Store(time.Now().Add(d).UnixNano()) }
+// YieldCandidacy has this node let another one stand first for a while.
+func (e *Elector) YieldCandidacy(d time.Duration) { e.asideUntil.Store(time.Now().Add(d).UnixNano()) }
 
-// StandFirst has this node stand at once for a while, also if it has just resigned.
-func (e *Elector) StandFirst(d time.Duration) { e.firstUntil.Store(time.Now().Add(d).UnixNano()) }
+// CampaignNow has this node stand at once for a while, also if it has just resigned.
+func (e *Elector) CampaignNow(d time.Duration) { e.firstUntil.Store(time.Now().Add(d).UnixNano()) }
 
 // The times of giving way after a resignation.
 const (
@@ -123,18 +123,18 @@
 // View returns the latest view.
 func (e *Elector) View() *View { return e.view.Load() }
 
-// InTerm tells whether this node may act as the leader of the given term now.
-func (e *Elector) InTerm(term uint64) bool {
+// IsLeader tells whether this node may act as the leader of the given term now.
+func (e *Elector) IsLeader(term uint64) bool {
 	v := e.view.Load()
-	return v.Term == term && v.InTerm(time.Now())
+	return v.Term == term && v.IsLeader(time.Now())
 }
 
-// Changes is where changes of leader or role are told, the newest only.
-func (e *Elector) Changes() <-chan *View { return e.changes }
+// ViewChanges is where changes of leader or role are told, the newest only.
+func (e *Elector) ViewChanges() <-chan *View { return e.changes }
 
 func (e *Elector) publish(v *View) {
 	old := e.view.Swap(v)
-	if old.Mine == v.Mine && old.Term == v.Term && old.Leader == v.Leader {
+	if old.Elected == v.Elected && old.Term == v.Term && old.Leader == v.Leader {
 		return
 	}
 	select {
@@ -155,7 +155,7 @@
 	for ctx.Err() == nil {
 		if err := e.round(ctx); err != nil && ctx.Err() == nil {
 			e.log.Debug("election round failed", "error", err)
-			outbound.Pause(ctx, 150*time.Millisecond+rand.N(100*time.Millisecond))
+			transport.Pause(ctx, 150*time.Millisecond+rand.N(100*time.Millisecond))
 		}
 	}
 }
@@ -164,20 +164,20 @@
 	// The watch must begin at the service's present revision: the key's own may
 	// be so old that the service no longer keeps what came after it, and each
 	// round would end at once.
-	page, err := e.store.List(ctx, state.Lease, Key, "", 1)
+	page, err := e.store.List(ctx, kvstore.PriorityLease, LeaderKey, "", 1)
 	if err != nil {
 		return err
 	}
-	if len(page.Items) == 0 || page.Items[0].Key != Key {
+	if len(page.Entries) == 0 || page.Entries[0].Key != LeaderKey {
 		e.publish(&View{})
 		if e.givesWay() {
-			outbound.Pause(ctx, 100*time.Millisecond)
+			transport.Pause(ctx, 100*time.Millisecond)
 			return nil
 		}
 		return e.stand(ctx)
 	}
 	e.vacant = time.Time{}
-	entry := page.Items[0]
+	entry := page.Entries[0]
 	var h holder
 	if err := json.Unmarshal(entry.Value, &h); err != nil {
 		e.log.Error("leader key can't be read", "error", err)
@@ -188,11 +188,11 @@
 		// never acted. Nobody acts on this term: end it at once rather than
 		// wait for its lease.
 		e.log.Info("ending the lease of an earlier incarnation", "term", entry.Version)
-		return e.store.EndLease(ctx, entry.Lease)
+		return e.store.RevokeLease(ctx, entry.Lease)
 	}
 	e.publish(&View{Leader: h.Node, Term: entry.Version})
-	_, err = e.store.Watch(ctx, Key, page.Revision, 20*time.Second)
-	if errors.Is(err, state.ErrTooOld) {
+	_, err = e.store.Watch(ctx, LeaderKey, page.Revision, 20*time.Second)
+	if errors.Is(err, kvstore.ErrCompacted) {
 		return nil
 	}
 	return err
@@ -216,7 +216,7 @@
 
 func (e *Elector) stand(ctx context.Context) error {
 	sent := time.Now()
-	lease, err := e.store.NewLease(ctx, e.ttl)
+	lease, err := e.store.GrantLease(ctx, e.ttl)
 	if err != nil {
 		return err
 	}
@@ -224,13 +224,13 @@
 	if err != nil {
 		return err
 	}
-	ok, answer, err := e.store.Txn(ctx, state.Lease, wire.Txn{
-		If:   []wire.Condition{{Key: Key}},
-		Then: []wire.Change{{Set: Key, Value: value, Lease: lease}},
+	ok, answer, err := e.store.CompareAndSwap(ctx, kvstore.PriorityLease, wire.CompareAndSwap{
+		Conditions: []wire.Condition{{Key: LeaderKey}},
+		Changes:    []wire.Change{{Set: LeaderKey, Value: value, Lease: lease}},
 	})
 	if err != nil || !ok {
 		// Whatever became of the candidacy, without its lease it is void.
-		if end := e.store.EndLease(ctx, lease); end != nil {
+		if end := e.store.RevokeLease(ctx, lease); end != nil {
 			e.log.Debug("candidate's lease not ended", "error", end)
 		}
 		return err
@@ -265,7 +265,7 @@
 func (e *Elector) stepDown(ctx context.Context, term, lease uint64) {
 	e.publish(&View{})
 	e.aside = time.Now().Add(standAside)
-	if err := e.store.EndLease(ctx, lease); err != nil {
+	if err := e.store.RevokeLease(ctx, lease); err != nil {
 		e.log.Debug("lease not ended, it will end by itself", "term", term, "error", err)
 	}
 }
@@ -275,7 +275,7 @@
 func (e *Elector) lead(ctx context.Context, term, lease uint64, sent time.Time) {
 	e.log.Info("leading", "term", term)
 	until := e.validUntil(sent)
-	e.begin(ctx, &View{Leader: e.node, Term: term, Mine: true, Until: until})
+	e.begin(ctx, &View{Leader: e.node, Term: term, Elected: true, LeaseExpiry: until})
 	lapsed, extending, why := false, false, "nobody was asked"
 	for ctx.Err() == nil {
 		wait := e.ttl / 4
@@ -294,8 +294,8 @@
 			go func() { extensions <- e.askForExtension(ctx) }()
 		}
 		sent := time.Now()
-		err := e.store.Renew(ctx, lease)
-		if errors.Is(err, state.ErrNoLease) {
+		err := e.store.RenewLease(ctx, lease)
+		if errors.Is(err, kvstore.ErrLeaseExpired) {
 			e.log.Info("leadership lost: the lease has ended", "term", term)
 			e.publish(&View{})
 			return
@@ -306,7 +306,7 @@
 				why = v.why
 				if v.until.After(until) && time.Now().Before(until) {
 					until = v.until
-					e.publish(&View{Leader: e.node, Term: term, Mine: true, Until: until})
+					e.publish(&View{Leader: e.node, Term: term, Elected: true, LeaseExpiry: until})
 				}
 			} else if !lapsed && !extending {
 				e.log.Info("lease not renewed: asking the others for an extension", "term", term, "error", err)
@@ -323,6 +323,6 @@
 		}
 		lapsed, extending = false, false
 		until = e.validUntil(sent)
-		e.publish(&View{Leader: e.node, Term: term, Mine: true, Until: until})
+		e.publish(&View{Leader: e.node, Term: term, Elected: true, LeaseExpiry: until})
 	}
 }
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -10,9 +10,9 @@
 	"testing/synctest"
 	"time"
 
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/kvstore"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/state"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
@@ -49,39 +49,39 @@
 	}
 }
 
-func (f *fakeStore) List(context.Context, state.Priority, string, string, int) (wire.Entries, error) {
+func (f *fakeStore) List(context.Context, kvstore.Priority, string, string, int) (wire.EntryPage, error) {
 	defer f.take()()
 	f.expire()
 	f.reads++
 	if f.down {
-		return wire.Entries{}, state.ErrRefused
+		return wire.EntryPage{}, kvstore.ErrUnavailable
 	}
-	page := wire.Entries{Revision: f.revision}
+	page := wire.EntryPage{Revision: f.revision}
 	if f.entry != nil {
-		page.Items = []wire.Entry{*f.entry}
+		page.Entries = []wire.Entry{*f.entry}
 	}
 	return page, nil
 }
 
-func (f *fakeStore) Txn(_ context.Context, _ state.Priority, t wire.Txn) (bool, wire.TxnAnswer, error) {
+func (f *fakeStore) CompareAndSwap(_ context.Context, _ kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
 	defer f.take()()
 	f.expire()
 	if f.down {
-		return false, wire.TxnAnswer{}, state.ErrRefused
+		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnavailable
 	}
 	if f.entry != nil {
-		return false, wire.TxnAnswer{Failed: []string{Key}}, nil
+		return false, wire.CompareAndSwapResponse{FailedKeys: []string{LeaderKey}}, nil
 	}
 	f.revision++
 	f.standing++
-	f.entry = &wire.Entry{Key: Key, Value: t.Then[0].Value, Version: f.revision, Lease: t.Then[0].Lease}
-	return true, wire.TxnAnswer{Revision: f.revision}, nil
+	f.entry = &wire.Entry{Key: LeaderKey, Value: t.Changes[0].Value, Version: f.revision, Lease: t.Changes[0].Lease}
+	return true, wire.CompareAndSwapResponse{Revision: f.revision}, nil
 }
 
-func (f *fakeStore) NewLease(_ context.Context, ttl time.Duration) (uint64, error) {
+func (f *fakeStore) GrantLease(_ context.Context, ttl time.Duration) (uint64, error) {
 	defer f.take()()
 	if f.down {
-		return 0, state.ErrRefused
+		return 0, kvstore.ErrUnavailable
 	}
 	id := uint64(len(f.ends) + 1)
 	f.ttl = ttl
@@ -89,20 +89,20 @@
 	return id, nil
 }
 
-func (f *fakeStore) Renew(_ context.Context, id uint64) error {
+func (f *fakeStore) RenewLease(_ context.Context, id uint64) error {
 	defer f.take()()
 	f.expire()
 	if f.down {
-		return state.ErrRefused
+		return kvstore.ErrUnavailable
 	}
 	if f.entry == nil || f.entry.Lease != id {
-		return state.ErrNoLease
+		return kvstore.ErrLeaseExpired
 	}
 	f.ends[id] = time.Now().Add(f.ttl)
 	return nil
 }
 
-func (f *fakeStore) EndLease(_ context.Context, id uint64) error {
+func (f *fakeStore) RevokeLease(_ context.Context, id uint64) error {
 	defer f.take()()
 	f.ended = append(f.ended, id)
 	if f.entry != nil && f.entry.Lease == id {
@@ -111,15 +111,15 @@
 	return nil
 }
 
-func (f *fakeStore) Watch(ctx context.Context, _ string, after uint64, _ time.Duration) (wire.News, error) {
+func (f *fakeStore) Watch(ctx context.Context, _ string, after uint64, _ time.Duration) (wire.WatchResponse, error) {
 	done := f.take()
 	old := f.kept > 0 && after+f.kept < f.revision
 	done()
 	if old {
-		return wire.News{}, state.ErrTooOld
+		return wire.WatchResponse{}, kvstore.ErrCompacted
 	}
-	outbound.Pause(ctx, 100*time.Millisecond)
-	return wire.News{}, ctx.Err()
+	transport.Pause(ctx, 100*time.Millisecond)
+	return wire.WatchResponse{}, ctx.Err()
 }
 
 func start(t *testing.T, f *fakeStore) *Elector {
@@ -139,7 +139,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	return &wire.Entry{Key: Key, Value: v, Version: 3, Lease: lease}
+	return &wire.Entry{Key: LeaderKey, Value: v, Version: 3, Lease: lease}
 }
 
 func TestLeaseIsCountedFromTheSendingAndLapsesBeforeTheService(t *testing.T) {
@@ -148,7 +148,7 @@
 		e := start(t, f)
 		pass(20 * time.Second)
 		v := e.View()
-		if !v.InTerm(time.Now()) || v.Term != 1 {
+		if !v.IsLeader(time.Now()) || v.Term != 1 {
 			t.Fatalf("not leading: %+v", v)
 		}
 		give := f.take()
@@ -156,7 +156,7 @@
 		end := f.ends[1]
 		give()
 		pass(time.Until(end) - 150*time.Millisecond)
-		if e.View().InTerm(time.Now()) {
+		if e.View().IsLeader(time.Now()) {
 			t.Error("still in term within the margin of the lease's end")
 		}
 		// The outage ends and the lease has lived on: the same term resumes.
@@ -164,7 +164,7 @@
 		f.down, f.ends[1] = false, time.Now().Add(6*time.Second)
 		give()
 		pass(time.Second)
-		if v := e.View(); !v.InTerm(time.Now()) || v.Term != 1 {
+		if v := e.View(); !v.IsLeader(time.Now()) || v.Term != 1 {
 			t.Errorf("the term did not resume: %+v", v)
 		}
 	})
@@ -180,11 +180,11 @@
 		f.ends[90] = time.Now().Add(5 * time.Second)
 		give()
 		pass(3 * time.Second)
-		if v := e.View(); v.Mine || v.Leader != "n2" {
+		if v := e.View(); v.Elected || v.Leader != "n2" {
 			t.Errorf("view after the loss: %+v", v)
 		}
 		pass(10 * time.Second)
-		if v := e.View(); !v.InTerm(time.Now()) || v.Term == 1 {
+		if v := e.View(); !v.IsLeader(time.Now()) || v.Term == 1 {
 			t.Errorf("view after the other's lease: %+v", v)
 		}
 	})
@@ -203,7 +203,7 @@
 		give()
 		pass(time.Second) // it may have promised not to lead
 		defer f.take()()
-		if len(f.ended) != 1 || f.ended[0] != 90 || !e.View().InTerm(time.Now()) {
+		if len(f.ended) != 1 || f.ended[0] != 90 || !e.View().IsLeader(time.Now()) {
 			t.Errorf("ended %v, view %+v", f.ended, e.View())
 		}
 	})
@@ -228,7 +228,7 @@
 func TestAnOldLeaderKeyIsWatchedQuietly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newStore()
-		f.entry = &wire.Entry{Key: Key, Value: json.RawMessage(`{"node":"n2"}`), Version: 1, Lease: 1}
+		f.entry = &wire.Entry{Key: LeaderKey, Value: json.RawMessage(`{"node":"n2"}`), Version: 1, Lease: 1}
 		f.ends[1] = time.Now().Add(time.Hour)
 		f.revision, f.kept = 50000, 10000
 		start(t, f)
@@ -272,20 +272,20 @@
 				f, o := newStore(), &others{}
 				o.promise.Store(c.before)
 				e := New("n1", settings.Operator{LeaderLease: 3 * time.Second, LeaseMargin: 150 * time.Millisecond}, f, slog.New(slog.NewTextHandler(io.Discard, nil)))
-				e.Others = o
+				e.Peers = o
 				go e.Run(t.Context())
 				pass(10 * time.Second)
 				give := f.take()
 				f.down = true
 				give()
 				pass(9 * time.Second)
-				if got := e.View().InTerm(time.Now()); got != c.inTerm {
+				if got := e.View().IsLeader(time.Now()); got != c.inTerm {
 					t.Errorf("in term after nine seconds: %v, want %v", got, c.inTerm)
 				}
 				pass(time.Second)
 				o.promise.Store(c.after)
 				pass(10 * time.Second)
-				if got := e.View().InTerm(time.Now()); got != c.inTerm2 {
+				if got := e.View().IsLeader(time.Now()); got != c.inTerm2 {
 					t.Errorf("in term after twenty seconds: %v, want %v", got, c.inTerm2)
 				}
 			})
@@ -314,11 +314,11 @@
 		f.down = false
 		go e.Run(t.Context())
 		pass(extensionTime - 100*time.Millisecond)
-		if e.View().Mine {
+		if e.View().Elected {
 			t.Error("acts as the leader against its promise")
 		}
 		pass(200 * time.Millisecond)
-		if !e.View().InTerm(time.Now()) {
+		if !e.View().IsLeader(time.Now()) {
 			t.Error("does not act once its promise is over")
 		}
 		give := f.take()
@@ -331,11 +331,11 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := start(t, newStore())
 		pass(extensionTime - 100*time.Millisecond)
-		if e.View().Mine {
+		if e.View().Elected {
 			t.Error("acts within what its earlier life may have promised")
 		}
 		pass(200 * time.Millisecond)
-		if !e.View().Mine {
+		if !e.View().Elected {
 			t.Error("does not act afterwards")
 		}
 	})
@@ -358,12 +358,12 @@
 				f.entry.Version, f.revision = 9, 9
 				give()
 				pass(200 * time.Millisecond)
-				if v := e.View(); v.Mine && v.Term == 9 {
+				if v := e.View(); v.Elected && v.Term == 9 {
 					t.Error("acts on a term of its earlier life")
 				}
 				pass(3 * time.Second)
 				defer f.take()()
-				if v := e.View(); len(f.ended) == 0 || f.ended[0] != 91 || !v.InTerm(time.Now()) || v.Term == 9 {
+				if v := e.View(); len(f.ended) == 0 || f.ended[0] != 91 || !v.IsLeader(time.Now()) || v.Term == 9 {
 					t.Errorf("ended %v, view %+v", f.ended, v)
 				}
 			})
@@ -395,7 +395,7 @@
 				e.Resign(c.term)
 				pass(time.Second)
 				give := f.take()
-				if resigned := before.Term == c.term; resigned != (f.entry == nil) || resigned == e.InTerm(before.Term) {
+				if resigned := before.Term == c.term; resigned != (f.entry == nil) || resigned == e.IsLeader(before.Term) {
 					t.Errorf("entry %v, view %+v a second later", f.entry, e.View())
 				}
 				if c.other && f.entry == nil {
@@ -406,7 +406,7 @@
 				}
 				give()
 				pass(10 * time.Second)
-				if v := e.View(); v.Mine != c.mine || c.mine && (v.Term != before.Term) != c.again {
+				if v := e.View(); v.Elected != c.mine || c.mine && (v.Term != before.Term) != c.again {
 					t.Errorf("view %+v, before %+v", v, before)
 				}
 			})
--- a/internal/election/extension.go
+++ b/internal/election/extension.go
@@ -4,9 +4,9 @@
 	"context"
 	"time"
 
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/kvstore"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/state"
+	"leadproxy/internal/transport"
 )
 
 // While the state service is out for everybody, no lease ends and nobody can
@@ -23,8 +23,8 @@
 // checkLimit bounds the look at the state service before a promise.
 const checkLimit = 300 * time.Millisecond
 
-// Others asks the other controllers.
-type Others interface {
+// Peers asks the other controllers.
+type Peers interface {
 	Names() []string
 	// RequestExtension asks a node for its promise.
 	RequestExtension(ctx context.Context, node string, hold time.Duration) (bool, error)
@@ -38,7 +38,7 @@
 	}
 	check, cancel := context.WithTimeout(ctx, checkLimit)
 	defer cancel()
-	if _, err := e.store.List(check, state.Lease, Key, "", 1); err == nil {
+	if _, err := e.store.List(check, kvstore.PriorityLease, LeaderKey, "", 1); err == nil {
 		return false // the service serves us: an election can go its way
 	}
 	e.turn <- struct{}{}
@@ -79,7 +79,7 @@
 		if wait <= 0 {
 			return
 		}
-		outbound.Pause(ctx, wait)
+		transport.Pause(ctx, wait)
 	}
 }
 
@@ -91,7 +91,7 @@
 
 // askForExtension asks all others at once.
 func (e *Elector) askForExtension(ctx context.Context) extension {
-	if e.Others == nil || len(e.Others.Names()) == 0 {
+	if e.Peers == nil || len(e.Peers.Names()) == 0 {
 		return extension{why: "there is nobody to ask"}
 	}
 	asked := time.Now()
@@ -102,11 +102,11 @@
 		ok   bool
 		err  error
 	}
-	names := e.Others.Names()
+	names := e.Peers.Names()
 	answers := make(chan said, len(names))
 	for _, n := range names {
 		go func() {
-			ok, err := e.Others.RequestExtension(ctx, n, extensionTime)
+			ok, err := e.Peers.RequestExtension(ctx, n, extensionTime)
 			answers <- said{n, ok, err}
 		}()
 	}
--- a/internal/election/golden_test.go
+++ b/internal/election/golden_test.go
@@ -9,5 +9,5 @@
 // TestGoldenLeader compares the leader's key and its value.
 func TestGoldenLeader(t *testing.T) {
 	property.CheckGolden(t, "leader", &holder{})
-	property.CheckGoldenValues(t, "keys", map[string]any{"leader": Key})
+	property.CheckGoldenValues(t, "keys", map[string]any{"leader": LeaderKey})
 }
--- a/internal/takeovers/page.go
+++ b/internal/failoverreport/page.go
@@ -1,4 +1,4 @@
-package takeovers
+package failoverreport
 
 import (
 	"fmt"
--- a/internal/takeovers/takeovers.go
+++ b/internal/failoverreport/takeovers.go
@@ -1,6 +1,6 @@
 // Package takeovers makes a report of how leadership was taken over from what the
 // controllers have logged.
-package takeovers
+package failoverreport
 
 import (
 	"bufio"
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -75,8 +75,8 @@
 // Submits notes that a user sends a job, and whether it can run.
 func (c *Checker) Submits(j *wire.Job, canRun bool) {
 	c.do(func() {
-		if c.jobs[j.Ref] == nil {
-			c.jobs[j.Ref] = &checkedJob{job: j, canRun: canRun, done: map[string]bool{}}
+		if c.jobs[j.ID] == nil {
+			c.jobs[j.ID] = &checkedJob{job: j, canRun: canRun, done: map[string]bool{}}
 		}
 	})
 }
@@ -155,7 +155,7 @@
 	if j.told != "" && !j.toldAt.After(asked) && status != j.told {
 		c.breaks("went_back", "%s: %s after %s", ref, status, j.told)
 	}
-	if status != wire.Done && status != wire.Aborted {
+	if status != wire.JobDone && status != wire.JobCancelled {
 		if p, since := c.cancelledBefore(j); p != "" && asked.Sub(since) > c.limits.Cancel {
 			c.breaks("orphaned", "%s is %s %s after %s was told as cancelled", ref, status, asked.Sub(since), p)
 		}
@@ -164,10 +164,10 @@
 	if j.told != "" && status != j.told {
 		c.breaks("went_back", "%s: both %s and %s", ref, j.told, status)
 	}
-	if status == wire.Done && len(j.done) < j.job.Tasks {
+	if status == wire.JobDone && len(j.done) < j.job.Tasks {
 		c.breaks("not_done", "%s: %d of %d", ref, len(j.done), j.job.Tasks)
 	}
-	if status == wire.Aborted && !c.cancelWanted(j) {
+	if status == wire.JobCancelled && !c.cancelWanted(j) {
 		c.breaks("went_back", "%s: cancelled by nobody", ref)
 	}
 	if j.told == "" {
@@ -178,14 +178,14 @@
 // ancestors calls f for all jobs that one needs, directly or through others.
 func (c *Checker) ancestors(j *checkedJob, f func(ref string, p *checkedJob)) {
 	seen := map[string]bool{}
-	todo := slices.Clone(j.job.WaitsOn)
+	todo := slices.Clone(j.job.DependsOn)
 	for len(todo) > 0 {
 		ref := todo[0]
 		todo = todo[1:]
 		if p := c.jobs[ref]; p != nil && !seen[ref] {
 			seen[ref] = true
 			f(ref, p)
-			todo = append(todo, p.job.WaitsOn...)
+			todo = append(todo, p.job.DependsOn...)
 		}
 	}
 }
@@ -194,7 +194,7 @@
 // first of them, and since when.
 func (c *Checker) cancelledBefore(j *checkedJob) (first string, since time.Time) {
 	c.ancestors(j, func(ref string, p *checkedJob) {
-		if p.told == wire.Aborted && (first == "" || p.toldAt.Before(since)) {
+		if p.told == wire.JobCancelled && (first == "" || p.toldAt.Before(since)) {
 			first, since = ref, p.toldAt
 		}
 	})
@@ -221,12 +221,12 @@
 	}
 	inZone := 1
 	for t, o := range c.on {
-		if ref, _, _ := wire.SplitTask(t); ref != s.Ref || t == task {
+		if ref, _, _ := wire.ParseTaskName(t); ref != s.ID || t == task {
 			continue
 		}
 		if o.zone == p.zone {
 			inZone++
-		} else if s.OneZone {
+		} else if s.Gang {
 			wrong = "zone " + p.zone + " while another task is in " + o.zone
 		}
 	}
--- a/internal/fake/checker_runs.go
+++ b/internal/fake/checker_runs.go
@@ -46,13 +46,13 @@
 
 // cancelDue tells whether a job's tasks must be gone.
 func (c *Checker) cancelDue(j *checkedJob) bool {
-	return j.told == wire.Aborted && time.Since(j.toldAt) > c.limits.Cancel
+	return j.told == wire.JobCancelled && time.Since(j.toldAt) > c.limits.Cancel
 }
 
 // Begins notes that a task is on a machine from now on.
 func (c *Checker) Begins(task, machine, typ, zone string, spot bool) {
 	c.do(func() {
-		ref, _, _ := wire.SplitTask(task)
+		ref, _, _ := wire.ParseTaskName(task)
 		j := c.jobs[ref]
 		if j == nil {
 			c.breaks("invented", "%s started and was never submitted", task)
@@ -66,7 +66,7 @@
 				c.breaks("too_early", "%s starts, and %s has %d of %d done", task, ref, len(p.done), p.job.Tasks)
 			}
 		})
-		if j.told == wire.Aborted {
+		if j.told == wire.JobCancelled {
 			c.lateStarts++
 			if c.cancelDue(j) {
 				c.breaks("ran_cancelled", "%s starts %s after the confirmation", task, time.Since(j.toldAt))
@@ -93,7 +93,7 @@
 	}
 	used := 0.0
 	for t := range c.on {
-		ref, _, _ := wire.SplitTask(t)
+		ref, _, _ := wire.ParseTaskName(t)
 		if j := c.jobs[ref]; j != nil && j.job.Team == team {
 			used += j.job.CPUs
 		}
@@ -111,7 +111,7 @@
 			delete(c.on, task)
 		}
 		c.ended(task, machine, completed)
-		ref, _, _ := wire.SplitTask(task)
+		ref, _, _ := wire.ParseTaskName(task)
 		if j := c.jobs[ref]; completed && j != nil {
 			j.done[task] = true
 		}
@@ -120,7 +120,7 @@
 
 // stays looks at a task that is still on its machine.
 func (c *Checker) stays(task string) {
-	ref, _, _ := wire.SplitTask(task)
+	ref, _, _ := wire.ParseTaskName(task)
 	if j := c.jobs[ref]; j != nil && c.cancelDue(j) {
 		c.breaks("ran_cancelled", "%s is on %s %s after the confirmation", task, c.on[task].machine, time.Since(j.toldAt))
 		j.toldAt = time.Now() // once is enough
@@ -130,16 +130,16 @@
 // Renewed notes that an answer has renewed a worker's lease. Tasks in its report whose job
 // was told as cancelled before that was sent must be stopped by it: else they would live on
 // by such answers, which the time alone tells only much later.
-func (c *Checker) Renewed(machine string, sent time.Time, tasks []wire.TaskReport, orders []wire.Order) {
+func (c *Checker) Renewed(machine string, sent time.Time, tasks []wire.TaskStatus, orders []wire.Command) {
 	c.do(func() {
 		for i := range tasks {
 			t := &tasks[i]
-			ref, _, _ := wire.SplitTask(t.Task)
+			ref, _, _ := wire.ParseTaskName(t.Task)
 			j := c.jobs[ref]
-			if t.Status == wire.TaskEnded || j == nil || j.told != wire.Aborted || j.toldAt.After(sent) {
+			if t.Status == wire.TaskEnded || j == nil || j.told != wire.JobCancelled || j.toldAt.After(sent) {
 				continue
 			}
-			if !slices.ContainsFunc(orders, func(o wire.Order) bool { return o.Verb == wire.Stop && o.Attempt == t.Attempt }) {
+			if !slices.ContainsFunc(orders, func(o wire.Command) bool { return o.Verb == wire.VerbStop && o.Attempt == t.Attempt }) {
 				c.breaks("renewed_without_stop", "%s of %s, %s after the confirmation", t.Task, machine, sent.Sub(j.toldAt))
 			}
 		}
