--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -13,12 +13,12 @@
 type history struct{ *Checker }
 
 func (h history) submit(ref string, tasks int, change func(j *wire.Job)) {
-	j := &wire.Job{Ref: ref, Team: "t", Tasks: tasks, CPUs: 2, MemGB: 1, Spot: true}
+	j := &wire.Job{ID: ref, Team: "t", Tasks: tasks, CPUs: 2, MemGB: 1, Spot: true}
 	if change != nil {
 		change(j)
 	}
 	h.Submits(j, true)
-	h.answer(AskedSubmit, ref, 201, wire.Queued)
+	h.answer(AskedSubmit, ref, 201, wire.JobQueued)
 }
 
 // answer is given to a question asked a second before.
@@ -50,8 +50,8 @@
 			h.submit("job-1", 2, nil)
 			h.run("job-1/0", "m1")
 			h.run("job-1/1", "m2")
-			h.answer(AskedStatus, "job-1", 200, wire.Done)
-			h.answer(AskedSubmit, "job-1", 200, wire.Done)
+			h.answer(AskedStatus, "job-1", 200, wire.JobDone)
+			h.answer(AskedSubmit, "job-1", 200, wire.JobDone)
 			h.answer(AskedStatus, "job-9", 404, "")
 		}},
 		{"a task ends on one machine and starts on another", "", func(h history) {
@@ -84,12 +84,12 @@
 			h.run("job-1/0", "m1")
 		}},
 		{"not together", "wrong_place", func(h history) {
-			h.submit("job-1", 2, func(j *wire.Job) { j.OneZone = true })
+			h.submit("job-1", 2, func(j *wire.Job) { j.Gang = true })
 			h.Begins("job-1/0", "m1", "m", "a", true)
 			h.Begins("job-1/1", "m2", "m", "b", true)
 		}},
 		{"together, one after the other", "", func(h history) {
-			h.submit("job-1", 2, func(j *wire.Job) { j.OneZone = true })
+			h.submit("job-1", 2, func(j *wire.Job) { j.Gang = true })
 			h.run("job-1/0", "m1")
 			h.Begins("job-1/1", "m2", "m", "b", true)
 		}},
@@ -101,41 +101,41 @@
 		{"goes on after the cancellation", "ran_cancelled", func(h history) {
 			h.submit("job-1", 1, nil)
 			h.Begins("job-1/0", "m1", "m", "a", true)
-			h.answer(AskedCancel, "job-1", 200, wire.Aborted)
+			h.answer(AskedCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(41 * time.Second)
 			h.Look(time.Time{}, nil)
 		}},
 		{"a lease renewed without the stop of a cancelled task", "renewed_without_stop", func(h history) {
 			h.submit("job-1", 1, nil)
-			h.answer(AskedCancel, "job-1", 200, wire.Aborted)
-			h.Renewed("m1", time.Now(), []wire.TaskReport{{Task: "job-1/0", Attempt: 1, Status: wire.TaskRunning}}, nil)
+			h.answer(AskedCancel, "job-1", 200, wire.JobCancelled)
+			h.Renewed("m1", time.Now(), []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, Status: wire.TaskRunning}}, nil)
 		}},
 		{"a lease renewed with the stops of cancelled tasks, and of reports from before", "", func(h history) {
 			h.submit("job-1", 1, nil)
 			before := time.Now()
-			h.answer(AskedCancel, "job-1", 200, wire.Aborted)
-			tasks := []wire.TaskReport{{Task: "job-1/0", Attempt: 1, Status: wire.TaskRunning}, {Task: "job-1/0", Attempt: 2, Status: wire.TaskEnded}}
+			h.answer(AskedCancel, "job-1", 200, wire.JobCancelled)
+			tasks := []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, Status: wire.TaskRunning}, {Task: "job-1/0", Attempt: 2, Status: wire.TaskEnded}}
 			h.Renewed("m1", before, tasks, nil)
-			h.Renewed("m1", time.Now(), tasks, []wire.Order{{Verb: wire.Stop, Task: "job-1/0", Attempt: 1}})
+			h.Renewed("m1", time.Now(), tasks, []wire.Command{{Verb: wire.VerbStop, Task: "job-1/0", Attempt: 1}})
 		}},
 		{"ends late after the cancellation", "ran_cancelled", func(h history) {
 			h.submit("job-1", 1, nil)
 			h.Begins("job-1/0", "m1", "m", "a", true)
-			h.answer(AskedStatus, "job-1", 200, wire.Queued)
-			h.answer(AskedCancel, "job-1", 200, wire.Aborted)
+			h.answer(AskedStatus, "job-1", 200, wire.JobQueued)
+			h.answer(AskedCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(41 * time.Second)
 			h.Ends("job-1/0", "m1", false)
 		}},
 		{"ends in time after the cancellation", "", func(h history) {
 			h.submit("job-1", 1, nil)
 			h.Begins("job-1/0", "m1", "m", "a", true)
-			h.answer(AskedCancel, "job-1", 200, wire.Aborted)
+			h.answer(AskedCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(39 * time.Second)
 			h.Ends("job-1/0", "m1", false)
 		}},
 		{"starts long after the cancellation", "ran_cancelled", func(h history) {
 			h.submit("job-1", 1, nil)
-			h.answer(AskedCancel, "job-1", 200, wire.Aborted)
+			h.answer(AskedCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(41 * time.Second)
 			h.Begins("job-1/0", "m1", "m", "a", true)
 		}},
@@ -162,94 +162,94 @@
 			for k := range 30 {
 				h.Asks("job-1")
 				if k%14 == 13 {
-					h.answer(AskedStatus, "job-1", 200, wire.Queued)
+					h.answer(AskedStatus, "job-1", 200, wire.JobQueued)
 				}
 				time.Sleep(5 * time.Second)
 				h.Look(calm, nil)
 			}
 		}},
-		{"nobody submitted it", "invented", func(h history) { h.answer(AskedStatus, "job-1", 200, wire.Queued) }},
+		{"nobody submitted it", "invented", func(h history) { h.answer(AskedStatus, "job-1", 200, wire.JobQueued) }},
 		{"nobody submitted what starts", "invented", func(h history) { h.Begins("job-1/0", "m1", "m", "a", true) }},
 		{"done too early", "not_done", func(h history) {
 			h.submit("job-1", 2, nil)
 			h.run("job-1/0", "m1")
-			h.answer(AskedStatus, "job-1", 200, wire.Done)
+			h.answer(AskedStatus, "job-1", 200, wire.JobDone)
 		}},
 		{"queued after done", "went_back", func(h history) {
 			h.submit("job-1", 1, nil)
 			h.run("job-1/0", "m1")
-			h.answer(AskedStatus, "job-1", 200, wire.Done)
-			h.answer(AskedSubmit, "job-1", 200, wire.Queued)
+			h.answer(AskedStatus, "job-1", 200, wire.JobDone)
+			h.answer(AskedSubmit, "job-1", 200, wire.JobQueued)
 		}},
 		{"aborted after done", "went_back", func(h history) {
 			h.submit("job-1", 1, nil)
 			h.run("job-1/0", "m1")
 			h.Cancels("job-1")
-			h.answer(AskedStatus, "job-1", 200, wire.Done)
+			h.answer(AskedStatus, "job-1", 200, wire.JobDone)
 			asked := time.Now().Add(-time.Hour)
-			h.Answered(AskedStatus, "job-1", asked, 200, wire.Aborted)
+			h.Answered(AskedStatus, "job-1", asked, 200, wire.JobCancelled)
 		}},
 		{"cancelled by nobody", "went_back", func(h history) {
 			h.submit("job-1", 1, nil)
-			h.answer(AskedStatus, "job-1", 200, wire.Aborted)
+			h.answer(AskedStatus, "job-1", 200, wire.JobCancelled)
 		}},
 		{"an answer that was on its way", "", func(h history) {
 			h.submit("job-1", 1, nil)
 			asked := time.Now()
 			h.run("job-1/0", "m1")
-			h.answer(AskedStatus, "job-1", 200, wire.Done)
-			h.Answered(AskedStatus, "job-1", asked, 200, wire.Running)
+			h.answer(AskedStatus, "job-1", 200, wire.JobDone)
+			h.Answered(AskedStatus, "job-1", asked, 200, wire.JobRunning)
 		}},
 		{"accepted though it can't run", "accepted_unfit", func(h history) {
-			h.Submits(&wire.Job{Ref: "job-1", Tasks: 1}, false)
-			h.answer(AskedSubmit, "job-1", 201, wire.Queued)
+			h.Submits(&wire.Job{ID: "job-1", Tasks: 1}, false)
+			h.answer(AskedSubmit, "job-1", 201, wire.JobQueued)
 		}},
 		{"refused though it can run", "refused_fit", func(h history) {
-			h.Submits(&wire.Job{Ref: "job-1", Tasks: 1}, true)
+			h.Submits(&wire.Job{ID: "job-1", Tasks: 1}, true)
 			h.answer(AskedSubmit, "job-1", 422, "")
 		}},
 		{"starts before what it needs is done", "too_early", func(h history) {
 			h.submit("job-1", 2, nil)
-			h.submit("job-2", 1, func(j *wire.Job) { j.WaitsOn = []string{"job-1"} })
+			h.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
 			h.run("job-1/0", "m1")
 			h.run("job-2/0", "m1")
 		}},
 		{"starts before what it needs through another is done", "too_early", func(h history) {
 			h.submit("job-1", 1, nil)
-			h.submit("job-2", 0, func(j *wire.Job) { j.WaitsOn = []string{"job-1"} })
-			h.submit("job-3", 1, func(j *wire.Job) { j.WaitsOn = []string{"job-2"} })
+			h.submit("job-2", 0, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
+			h.submit("job-3", 1, func(j *wire.Job) { j.DependsOn = []string{"job-2"} })
 			h.run("job-3/0", "m1")
 		}},
 		{"starts when what it needs is done", "", func(h history) {
 			h.submit("job-1", 1, nil)
-			h.submit("job-2", 1, func(j *wire.Job) { j.WaitsOn = []string{"job-1"} })
+			h.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
 			h.run("job-1/0", "m1")
 			h.run("job-2/0", "m1")
 		}},
 		{"queued long after what it needs was cancelled", "orphaned", func(h history) {
 			h.submit("job-1", 1, nil)
-			h.submit("job-2", 1, func(j *wire.Job) { j.WaitsOn = []string{"job-1"} })
-			h.submit("job-3", 1, func(j *wire.Job) { j.WaitsOn = []string{"job-2"} })
-			h.answer(AskedCancel, "job-1", 200, wire.Aborted)
+			h.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
+			h.submit("job-3", 1, func(j *wire.Job) { j.DependsOn = []string{"job-2"} })
+			h.answer(AskedCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(41 * time.Second)
-			h.answer(AskedStatus, "job-3", 200, wire.Queued)
+			h.answer(AskedStatus, "job-3", 200, wire.JobQueued)
 		}},
 		{"cancelled with what it needs", "", func(h history) {
 			h.submit("job-1", 1, nil)
-			h.submit("job-2", 1, func(j *wire.Job) { j.WaitsOn = []string{"job-1"} })
-			h.answer(AskedCancel, "job-1", 200, wire.Aborted)
-			h.answer(AskedStatus, "job-2", 200, wire.Queued)
-			h.answer(AskedStatus, "job-2", 200, wire.Aborted)
+			h.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
+			h.answer(AskedCancel, "job-1", 200, wire.JobCancelled)
+			h.answer(AskedStatus, "job-2", 200, wire.JobQueued)
+			h.answer(AskedStatus, "job-2", 200, wire.JobCancelled)
 		}},
 		{"cancelled with what needs it", "went_back", func(h history) {
 			h.submit("job-1", 1, nil)
-			h.submit("job-2", 1, func(j *wire.Job) { j.WaitsOn = []string{"job-1"} })
-			h.answer(AskedCancel, "job-2", 200, wire.Aborted)
-			h.answer(AskedStatus, "job-1", 200, wire.Aborted)
+			h.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
+			h.answer(AskedCancel, "job-2", 200, wire.JobCancelled)
+			h.answer(AskedStatus, "job-1", 200, wire.JobCancelled)
 		}},
 		{"waits for others although there is room", "", func(h history) {
 			h.submit("job-1", 1, func(j *wire.Job) { j.Zone = &zone })
-			h.submit("job-2", 1, func(j *wire.Job) { j.WaitsOn = []string{"job-1"} })
+			h.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
 			calm := time.Now()
 			for range 30 {
 				h.Look(calm, []Room{{Type: "m", Zone: "a", CPUs: 2, MemGB: 2}})
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
@@ -23,7 +23,7 @@
 	Prefix  string        // of the machines' names; "": vm-
 	Worker  WorkerConfig
 	// Host makes the network of a machine, and its address there.
-	Host    func(name string) (n outbound.Network, addr string)
+	Host    func(name string) (n transport.Network, addr string)
 	Trouble Troubles
 }
 
@@ -46,11 +46,11 @@
 }
 
 // NewCloud starts a cloud.
-func NewCloud(t testing.TB, n outbound.Network, addr string, config CloudConfig) *Cloud {
+func NewCloud(t testing.TB, n transport.Network, addr string, config CloudConfig) *Cloud {
 	c := &Cloud{actor: newActor(t), t: t, config: config, hires: map[string][]string{}, machines: map[string]*rented{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /flavors", func(w http.ResponseWriter, _ *http.Request) {
-		answer(w, http.StatusOK, wire.Flavors{Types: config.Types})
+		answer(w, http.StatusOK, wire.MachineTypes{Types: config.Types})
 	})
 	mux.HandleFunc("POST /machines", c.hire)
 	mux.HandleFunc("POST /machines/delete", c.remove)
@@ -63,19 +63,19 @@
 func (c *Cloud) Addr() string { return c.addr }
 
 func (c *Cloud) hire(w http.ResponseWriter, r *http.Request) {
-	var h wire.Hire
+	var h wire.ScaleOutRequest
 	if err := json.NewDecoder(r.Body).Decode(&h); err != nil {
-		answer(w, http.StatusBadRequest, wire.Problem{Error: err.Error()})
+		answer(w, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
 	at := slices.IndexFunc(c.config.Types, func(t wire.MachineType) bool { return t.Name == h.Type })
 	if at < 0 || h.Count < 1 || h.Count > 50 {
-		answer(w, http.StatusBadRequest, wire.Problem{Error: "no such type, or a wrong number"})
+		answer(w, http.StatusBadRequest, wire.ErrorResponse{Error: "no such type, or a wrong number"})
 		return
 	}
 	var names []string
 	c.do(func() {
-		if known, ok := c.hires[h.Request]; ok {
+		if known, ok := c.hires[h.RequestID]; ok {
 			names = known
 			return
 		}
@@ -86,44 +86,44 @@
 			names = append(names, c.rent(h, c.config.Types[at]))
 		}
 		if len(names) > 0 {
-			c.hires[h.Request] = names
+			c.hires[h.RequestID] = names
 		}
 	})
 	if len(names) == 0 {
-		answer(w, http.StatusServiceUnavailable, wire.Problem{Error: "no capacity"})
+		answer(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"})
 		return
 	}
-	answer(w, http.StatusOK, wire.Machines{Machines: names})
+	answer(w, http.StatusOK, wire.MachineNames{Names: names})
 }
 
 // rent has a machine come up.
-func (c *Cloud) rent(h wire.Hire, size wire.MachineType) string {
+func (c *Cloud) rent(h wire.ScaleOutRequest, size wire.MachineType) string {
 	name := fmt.Sprintf("%s%06d", cmp.Or(c.config.Prefix, "vm-"), c.count)
 	c.count++
 	n, addr := c.config.Host(name)
-	m := &rented{since: time.Now(), listed: wire.ListedMachine{Name: name, Address: addr, Type: h.Type, Zone: h.Zone, Spot: h.Spot, Status: wire.Booting}}
+	m := &rented{since: time.Now(), listed: wire.ListedMachine{Name: name, Address: addr, Type: h.Type, Zone: h.Zone, Spot: h.Spot, Status: wire.MachineBooting}}
 	c.machines[name] = m
 	ctx := c.t.Context()
 	go func() {
-		outbound.Pause(ctx, c.config.Boot)
+		transport.Pause(ctx, c.config.Boot)
 		c.do(func() {
 			if m.gone || ctx.Err() != nil {
 				return
 			}
 			m.worker = newWorker(c.t, n, addr, name, h, size, c.config.Worker)
-			m.listed.Address, m.listed.Status = m.worker.Addr(), wire.MachineUp
+			m.listed.Address, m.listed.Status = m.worker.Addr(), wire.MachineRunning
 		})
 	}()
 	return name
 }
 
 func (c *Cloud) remove(w http.ResponseWriter, r *http.Request) {
-	var m wire.Machines
+	var m wire.MachineNames
 	if err := json.NewDecoder(r.Body).Decode(&m); err != nil {
-		answer(w, http.StatusBadRequest, wire.Problem{Error: err.Error()})
+		answer(w, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
-	c.Take(m.Machines...)
+	c.Take(m.Names...)
 	answer(w, http.StatusOK, struct{}{})
 }
 
--- a/internal/fake/deployment.go
+++ b/internal/fake/deployment.go
@@ -8,8 +8,8 @@
 	"testing"
 	"time"
 
-	"leadproxy/internal/outbound"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
@@ -79,7 +79,7 @@
 	p.Report = cmp.Or(p.Report, deploymentReport)
 	p.Lease = cmp.Or(p.Lease, deploymentLease)
 	p.Cancel = cmp.Or(p.Cancel, deploymentCancel)
-	network := outbound.TCP{}
+	network := transport.TCP{}
 	d := &Deployment{State: NewState(t, network, "127.0.0.1:0", p.Writes)}
 	d.Check = NewChecker(t, Limits{Cancel: p.Cancel, CPUs: p.CPUs, Waiting: 90 * time.Second, Silent: 75 * time.Second})
 	public, back := Reserve(t, p.Controllers), Reserve(t, p.Controllers)
@@ -161,6 +161,6 @@
 		Boot:  time.Second, ListLag: 2 * time.Second, Most: p.Machines,
 		Worker:  WorkerConfig{Nodes: workers, Report: p.Report, Lease: p.Lease, Fetch: 200 * time.Millisecond, Run: p.Run, Check: check, Saving: p.Saving, Trouble: p.Commands},
 		Trouble: p.Calls,
-		Host:    func(string) (outbound.Network, string) { return outbound.TCP{}, "127.0.0.1:0" },
+		Host:    func(string) (transport.Network, string) { return transport.TCP{}, "127.0.0.1:0" },
 	}
 }
--- a/internal/fake/process.go
+++ b/internal/fake/process.go
@@ -126,7 +126,7 @@
 	var holder struct {
 		Node string `json:"node"`
 	}
-	if value := s.Value(election.Key); value == nil || json.Unmarshal(value, &holder) != nil {
+	if value := s.Value(election.LeaderKey); value == nil || json.Unmarshal(value, &holder) != nil {
 		return -1
 	}
 	return slices.IndexFunc(controllers, func(c *Process) bool { return c.Platform.Node == holder.Node })
--- a/internal/fake/state.go
+++ b/internal/fake/state.go
@@ -10,8 +10,8 @@
 	"testing"
 	"time"
 
-	"leadproxy/internal/outbound"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
@@ -23,7 +23,7 @@
 	keys     map[string]wire.Entry
 	leases   map[uint64]*lease
 	sorted   []string // the keys in order, while none has come or gone since
-	history  []wire.Event
+	history  []wire.WatchEvent
 	// forgotten is up to where changes are no longer kept.
 	forgotten uint64
 	waiters   []chan struct{}
@@ -42,7 +42,7 @@
 }
 
 // NewState starts a state service that lives as long as the test.
-func NewState(t testing.TB, n outbound.Network, addr string, trouble Troubles) *State {
+func NewState(t testing.TB, n transport.Network, addr string, trouble Troubles) *State {
 	s := &State{actor: newActor(t), keys: map[string]wire.Entry{}, leases: map[uint64]*lease{}, refused: map[string]bool{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/{key...}", s.get)
@@ -103,20 +103,20 @@
 }
 
 // tooMuch tells how a transaction is refused for the limits; 0: it is not.
-func (s *State) tooMuch(t *wire.Txn) int {
+func (s *State) tooMuch(t *wire.CompareAndSwap) int {
 	if s.limits.TxnOps == 0 {
 		return 0
 	}
 	now := time.Now()
 	s.level = min(s.level+s.limits.WriteRPS*now.Sub(s.filled).Seconds(), s.limits.WriteRPS)
 	s.filled = now
-	if len(t.Then) > s.limits.TxnOps || slices.ContainsFunc(t.Then, func(c wire.Change) bool { return len(c.Value) > int(s.limits.ValueKB*1024) }) {
+	if len(t.Changes) > s.limits.TxnOps || slices.ContainsFunc(t.Changes, func(c wire.Change) bool { return len(c.Value) > int(s.limits.ValueKB*1024) }) {
 		return http.StatusBadRequest
 	}
-	if s.level < float64(len(t.Then)) {
+	if s.level < float64(len(t.Changes)) {
 		return http.StatusTooManyRequests
 	}
-	s.level -= float64(len(t.Then))
+	s.level -= float64(len(t.Changes))
 	return 0
 }
 
@@ -129,7 +129,7 @@
 		var refused bool
 		var slow time.Duration
 		s.do(func() { refused, slow = s.refuses(r.RemoteAddr), s.slow })
-		outbound.Pause(r.Context(), stateTakes+slow)
+		transport.Pause(r.Context(), stateTakes+slow)
 		if refused {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -192,7 +192,7 @@
 }
 
 // Changes lists all changes so far, in order.
-func (s *State) Changes() (changes []wire.Event) {
+func (s *State) Changes() (changes []wire.WatchEvent) {
 	s.do(func() { changes = slices.Clone(s.history) })
 	return changes
 }
@@ -250,10 +250,10 @@
 		}
 		if c.Set != "" {
 			s.keys[c.Set] = wire.Entry{Key: c.Set, Value: c.Value, Version: s.revision, Lease: c.Lease}
-			s.history = append(s.history, wire.Event{Set: c.Set, Value: c.Value, Version: s.revision})
+			s.history = append(s.history, wire.WatchEvent{Set: c.Set, Value: c.Value, Version: s.revision})
 		} else {
 			delete(s.keys, c.Delete)
-			s.history = append(s.history, wire.Event{Delete: c.Delete, Version: s.revision})
+			s.history = append(s.history, wire.WatchEvent{Delete: c.Delete, Version: s.revision})
 		}
 	}
 	s.wake()
@@ -273,7 +273,7 @@
 	var rev uint64
 	s.do(func() { e, found = s.keys[r.PathValue("key")]; rev = s.revision })
 	if !found {
-		answer(w, http.StatusNotFound, wire.TxnAnswer{Revision: rev})
+		answer(w, http.StatusNotFound, wire.CompareAndSwapResponse{Revision: rev})
 		return
 	}
 	answer(w, http.StatusOK, e)
@@ -284,7 +284,7 @@
 	if err != nil {
 		limit = 1000
 	}
-	page := wire.Entries{Items: []wire.Entry{}}
+	page := wire.EntryPage{Entries: []wire.Entry{}}
 	s.do(func() {
 		page.Revision = s.revision
 		keys := s.inOrder()
@@ -297,10 +297,10 @@
 			if k <= r.FormValue("from") {
 				continue
 			}
-			if page.More = len(page.Items) == limit; page.More {
+			if page.More = len(page.Entries) == limit; page.More {
 				break
 			}
-			page.Items = append(page.Items, s.keys[k])
+			page.Entries = append(page.Entries, s.keys[k])
 		}
 	})
 	answer(w, http.StatusOK, page)
@@ -315,45 +315,45 @@
 }
 
 func (s *State) txn(w http.ResponseWriter, r *http.Request) {
-	var t wire.Txn
+	var t wire.CompareAndSwap
 	if err := json.NewDecoder(r.Body).Decode(&t); err != nil {
-		answer(w, http.StatusBadRequest, wire.Problem{Error: err.Error()})
+		answer(w, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
 	status, body := http.StatusOK, any(nil)
 	s.do(func() {
 		if refused := s.tooMuch(&t); refused != 0 {
-			status, body = refused, wire.Problem{Error: "beyond the limits"}
+			status, body = refused, wire.ErrorResponse{Error: "beyond the limits"}
 			return
 		}
-		for _, c := range t.Then {
+		for _, c := range t.Changes {
 			if c.Lease != 0 && s.leases[c.Lease] == nil {
-				status, body = http.StatusBadRequest, wire.Problem{Error: "no such lease"}
+				status, body = http.StatusBadRequest, wire.ErrorResponse{Error: "no such lease"}
 				return
 			}
 		}
 		var failed []string
-		for _, c := range t.If {
+		for _, c := range t.Conditions {
 			if s.keys[c.Key].Version != c.Version {
 				failed = append(failed, c.Key)
 			}
 		}
 		if failed != nil {
-			status, body = http.StatusConflict, wire.TxnAnswer{Failed: failed, Revision: s.revision}
+			status, body = http.StatusConflict, wire.CompareAndSwapResponse{FailedKeys: failed, Revision: s.revision}
 			return
 		}
-		if len(t.Then) > 0 {
-			s.apply(t.Then)
+		if len(t.Changes) > 0 {
+			s.apply(t.Changes)
 		}
-		body = wire.TxnAnswer{Revision: s.revision}
+		body = wire.CompareAndSwapResponse{Revision: s.revision}
 	})
 	answer(w, status, body)
 }
 
 func (s *State) newLease(w http.ResponseWriter, r *http.Request) {
-	var terms wire.LeaseTerms
+	var terms wire.LeaseRequest
 	if err := json.NewDecoder(r.Body).Decode(&terms); err != nil {
-		answer(w, http.StatusBadRequest, wire.Problem{Error: err.Error()})
+		answer(w, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
 	var id uint64
@@ -363,7 +363,7 @@
 		ttl := time.Duration(float64(terms.TTLMS) * (1 - s.drift) * float64(time.Millisecond))
 		s.leases[id] = &lease{ttl, time.Now().Add(ttl)}
 	})
-	answer(w, http.StatusOK, wire.LeaseAnswer{Lease: id})
+	answer(w, http.StatusOK, wire.LeaseResponse{Lease: id})
 }
 
 // onLease runs f on a lease, or answers 404.
@@ -378,7 +378,7 @@
 		}
 	})
 	if !found {
-		answer(w, http.StatusNotFound, wire.Problem{Error: "no such lease"})
+		answer(w, http.StatusNotFound, wire.ErrorResponse{Error: "no such lease"})
 		return
 	}
 	answer(w, http.StatusOK, struct{}{})
@@ -396,19 +396,19 @@
 	from, err := strconv.ParseUint(r.FormValue("from"), 10, 64)
 	wait, err2 := strconv.Atoi(r.FormValue("wait_ms"))
 	if err != nil || err2 != nil {
-		answer(w, http.StatusBadRequest, wire.Problem{Error: "from and wait_ms must be numbers"})
+		answer(w, http.StatusBadRequest, wire.ErrorResponse{Error: "from and wait_ms must be numbers"})
 		return
 	}
 	gone := false
 	s.do(func() { gone = from < s.forgotten })
 	if gone {
-		answer(w, http.StatusGone, wire.Problem{Error: "no longer kept"})
+		answer(w, http.StatusGone, wire.ErrorResponse{Error: "no longer kept"})
 		return
 	}
 	over := time.NewTimer(time.Duration(wait) * time.Millisecond)
 	defer over.Stop()
 	for {
-		news := wire.News{Events: []wire.Event{}}
+		news := wire.WatchResponse{Events: []wire.WatchEvent{}}
 		changed := make(chan struct{})
 		s.do(func() {
 			if s.refuses(r.RemoteAddr) {
--- a/internal/fake/trouble.go
+++ b/internal/fake/trouble.go
@@ -13,7 +13,7 @@
 	"testing"
 	"time"
 
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/transport"
 )
 
 // Fault is what goes wrong with one message.
@@ -65,7 +65,7 @@
 			h.ServeHTTP(w, again())
 		case Delayed:
 			go func() {
-				outbound.Pause(ctx, trouble.For)
+				transport.Pause(ctx, trouble.For)
 				if ctx.Err() == nil {
 					h.ServeHTTP(httptest.NewRecorder(), again())
 				}
@@ -82,7 +82,7 @@
 }
 
 // serve serves h at an address until the test ends or the result is called.
-func serve(t testing.TB, n outbound.Network, addr string, h http.Handler) (at string, end func()) {
+func serve(t testing.TB, n transport.Network, addr string, h http.Handler) (at string, end func()) {
 	l, err := n.Listen(t.Context(), addr)
 	if err != nil {
 		t.Error(err)
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
@@ -27,7 +27,7 @@
 // request and every answer.
 type Users struct {
 	t       testing.TB
-	network outbound.Network
+	network transport.Network
 	nodes   []string // the controllers' public addresses
 	check   *Checker
 	random  chan *rand.Rand
@@ -36,7 +36,7 @@
 
 // NewUsers makes users of the controllers at the given addresses, whose random
 // choices follow from a seed.
-func NewUsers(t testing.TB, n outbound.Network, nodes []string, check *Checker, seed uint64) *Users {
+func NewUsers(t testing.TB, n transport.Network, nodes []string, check *Checker, seed uint64) *Users {
 	u := &Users{t: t, network: n, nodes: nodes, check: check, random: make(chan *rand.Rand, 1)}
 	u.random <- rand.New(rand.NewPCG(seed, 7))
 	return u
@@ -44,7 +44,7 @@
 
 // NewJob describes a job of n tasks of one CPU each; change, unless nil, alters it.
 func NewJob(ref string, n int, change func(j *wire.Job)) *wire.Job {
-	j := &wire.Job{Ref: ref, Class: "c", Team: "open", Kind: "batch", Priority: "standard", Tasks: n, CPUs: 1, MemGB: 1, Image: "i", ImageGB: 0.5, Spot: true, EstimateS: 8}
+	j := &wire.Job{ID: ref, Class: "c", Team: "open", Kind: "batch", Priority: "standard", Tasks: n, CPUs: 1, MemGB: 1, Image: "i", ImageGB: 0.5, Spot: true, EstimatedRunS: 8}
 	if change != nil {
 		change(j)
 	}
@@ -103,7 +103,7 @@
 
 // send carries out one request on a connection of its own.
 func (u *Users) send(node int, end time.Time, method, path string, payload []byte) (code int, text []byte, err error) {
-	line := outbound.NewConn(u.network, u.nodes[node])
+	line := transport.NewConn(u.network, u.nodes[node])
 	defer line.Close()
 	if err := line.Open(u.t.Context(), connectLimit); err != nil {
 		return 0, nil, err
@@ -140,11 +140,11 @@
 func (u *Users) Submit(j *wire.Job) {
 	u.check.Submits(j, true)
 	u.pending.Go(func() {
-		code, _ := u.Until(AskedSubmit, j.Ref, j)
+		code, _ := u.Until(AskedSubmit, j.ID, j)
 		if code != 200 && code != 201 {
 			return // the user gave up; that it counts, if accepted, the checker knows
 		}
-		u.Look(j.Ref, j)
+		u.Look(j.ID, j)
 		u.pollUntilOver(j)
 	})
 }
@@ -152,7 +152,7 @@
 // Accept has a user submit a job until it is accepted.
 func (u *Users) Accept(j *wire.Job) bool {
 	u.check.Submits(j, true)
-	code, _ := u.Until(AskedSubmit, j.Ref, j)
+	code, _ := u.Until(AskedSubmit, j.ID, j)
 	return code == 200 || code == 201
 }
 
@@ -164,8 +164,8 @@
 func (u *Users) pollUntilOver(j *wire.Job) {
 	for u.t.Context().Err() == nil {
 		time.Sleep(pollEvery)
-		if code, status := u.Call(u.AnyNode(), AskedStatus, j.Ref, nil); code == 200 && (status == wire.Done || status == wire.Aborted) {
-			u.Look(j.Ref, j)
+		if code, status := u.Call(u.AnyNode(), AskedStatus, j.ID, nil); code == 200 && (status == wire.JobDone || status == wire.JobCancelled) {
+			u.Look(j.ID, j)
 			return
 		}
 	}
@@ -175,17 +175,17 @@
 // everywhere.
 func (u *Users) Cancel(j *wire.Job) {
 	u.pending.Go(func() {
-		if code, _ := u.Until(AskedCancel, j.Ref, nil); code == 200 {
-			u.Look(j.Ref, j)
+		if code, _ := u.Until(AskedCancel, j.ID, nil); code == 200 {
+			u.Look(j.ID, j)
 		}
 	})
 }
 
 // CancelAt is Cancel at one node, once; it tells whether that was confirmed.
 func (u *Users) CancelAt(node int, j *wire.Job) bool {
-	code, status := u.Call(node, AskedCancel, j.Ref, nil)
-	if code == 200 && status == wire.Aborted {
-		u.Look(j.Ref, j)
+	code, status := u.Call(node, AskedCancel, j.ID, nil)
+	if code == 200 && status == wire.JobCancelled {
+		u.Look(j.ID, j)
 		return true
 	}
 	return false
@@ -224,9 +224,9 @@
 	}
 	jobs := []*wire.Job{
 		NewJob(ref(0), 2, func(j *wire.Job) { j.Priority = "idle" }),
-		NewJob(ref(1), 3, func(j *wire.Job) { j.Priority, j.WaitsOn = "idle", []string{ref(0)} }),
-		NewJob(ref(2), 1, func(j *wire.Job) { j.Team, j.WaitsOn = "tight", []string{ref(0), ref(0)} }),
-		NewJob(ref(3), 2, func(j *wire.Job) { j.Priority, j.WaitsOn, j.DeadlineS = "high", needed, &due }),
+		NewJob(ref(1), 3, func(j *wire.Job) { j.Priority, j.DependsOn = "idle", []string{ref(0)} }),
+		NewJob(ref(2), 1, func(j *wire.Job) { j.Team, j.DependsOn = "tight", []string{ref(0), ref(0)} }),
+		NewJob(ref(3), 2, func(j *wire.Job) { j.Priority, j.DependsOn, j.DeadlineS = "high", needed, &due }),
 	}
 	for i, j := range jobs {
 		if i == 3 && u.Random() < 0.2 {
@@ -270,17 +270,17 @@
 
 func (u *Users) sendUnfit() {
 	for n, change := range []func(j *wire.Job){
-		func(j *wire.Job) { j.WaitsOn = []string{"job-930000"} },
-		func(j *wire.Job) { j.WaitsOn = []string{j.Ref} },
+		func(j *wire.Job) { j.DependsOn = []string{"job-930000"} },
+		func(j *wire.Job) { j.DependsOn = []string{j.ID} },
 		func(j *wire.Job) { j.CPUs = 9 },
 		func(j *wire.Job) { j.Team = "nobody" },
 		func(j *wire.Job) { j.Types = []string{"other"} },
 	} {
 		j := NewJob(fmt.Sprintf("job-91000%d", n), 1, change)
 		u.check.Submits(j, false)
-		if code, _ := u.Call(u.AnyNode(), AskedSubmit, j.Ref, j); code != 422 && code != 0 && code < 429 {
+		if code, _ := u.Call(u.AnyNode(), AskedSubmit, j.ID, j); code != 422 && code != 0 && code < 429 {
 			u.t.Errorf("a job that can never run: %d", code)
 		}
-		u.Call(u.AnyNode(), AskedStatus, j.Ref, nil)
+		u.Call(u.AnyNode(), AskedStatus, j.ID, nil)
 	}
 }
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -9,7 +9,7 @@
 	"testing"
 	"time"
 
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
@@ -34,11 +34,11 @@
 type Worker struct {
 	actor
 	name   string
-	hire   wire.Hire
+	hire   wire.ScaleOutRequest
 	size   wire.MachineType
 	config WorkerConfig
 	host   *Host // nil on the machine's own network
-	net    outbound.Network
+	net    transport.Network
 	addr   string
 	hangUp func()
 	ctx    context.Context
@@ -64,7 +64,7 @@
 // workerTicks is the worker's own pace.
 const workerTicks = 250 * time.Millisecond
 
-func newWorker(t testing.TB, n outbound.Network, addr, name string, hire wire.Hire, size wire.MachineType, config WorkerConfig) *Worker {
+func newWorker(t testing.TB, n transport.Network, addr, name string, hire wire.ScaleOutRequest, size wire.MachineType, config WorkerConfig) *Worker {
 	ctx, cancel := context.WithCancel(t.Context())
 	seed := fnv.New64a()
 	seed.Write([]byte(name))
@@ -79,7 +79,7 @@
 		if !w.reachable(r.Context()) {
 			return
 		}
-		var report wire.Report
+		var report wire.Heartbeat
 		w.do(func() { report = w.report() })
 		answer(rw, http.StatusOK, report)
 	})
@@ -225,23 +225,23 @@
 }
 
 func (w *Worker) commands(rw http.ResponseWriter, r *http.Request) {
-	var c wire.Commands
+	var c wire.CommandRequest
 	if err := json.NewDecoder(r.Body).Decode(&c); err != nil {
-		answer(rw, http.StatusBadRequest, wire.Problem{Error: err.Error()})
+		answer(rw, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
 	if !w.reachable(r.Context()) {
 		return
 	}
-	outbound.Pause(w.ctx, time.Millisecond)
+	transport.Pause(w.ctx, time.Millisecond)
 	status := http.StatusOK
-	var report wire.Report
+	var report wire.Heartbeat
 	w.do(func() {
-		if w.ctx.Err() != nil || c.Token < w.token || c.Session != w.session {
+		if w.ctx.Err() != nil || c.FencingToken < w.token || c.AgentEpoch != w.session {
 			status = http.StatusConflict
 		} else {
-			w.hearToken(c.Token)
-			w.execute(c.Orders)
+			w.hearToken(c.FencingToken)
+			w.execute(c.Commands)
 		}
 		report = w.report()
 	})
--- a/internal/fake/worker_reports.go
+++ b/internal/fake/worker_reports.go
@@ -6,21 +6,21 @@
 	"slices"
 	"time"
 
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
-func (w *Worker) report() wire.Report {
+func (w *Worker) report() wire.Heartbeat {
 	w.seq++
-	r := wire.Report{Machine: w.name, Address: w.Addr(), Type: w.hire.Type, Zone: w.hire.Zone, Spot: w.hire.Spot,
-		Session: w.session, Seq: w.seq, Token: w.token, Tasks: []wire.TaskReport{}}
+	r := wire.Heartbeat{Machine: w.name, Address: w.Addr(), Type: w.hire.Type, Zone: w.hire.Zone, Spot: w.hire.Spot,
+		AgentEpoch: w.session, Sequence: w.seq, FencingToken: w.token, Tasks: []wire.TaskStatus{}}
 	for _, t := range w.tasks {
-		r.Tasks = append(r.Tasks, t.TaskReport)
+		r.Tasks = append(r.Tasks, t.TaskStatus)
 	}
 	return r
 }
 
-func (w *Worker) encode(r wire.Report) []byte {
+func (w *Worker) encode(r wire.Heartbeat) []byte {
 	body, err := json.Marshal(r)
 	if err != nil {
 		panic(err) // a report of our own making
@@ -64,7 +64,7 @@
 	select {
 	case <-regular.C:
 	case <-w.news:
-		outbound.Pause(w.ctx, time.Until(last.Add(minReportInterval)))
+		transport.Pause(w.ctx, time.Until(last.Add(minReportInterval)))
 	case <-w.ctx.Done():
 	}
 }
@@ -100,13 +100,13 @@
 			next, wait = i, time.Duration(w.chance.Int64N(int64(minReportInterval)))
 		}
 		at, last = next, time.Time{}
-		outbound.Pause(w.ctx, wait)
+		transport.Pause(w.ctx, wait)
 	}
 }
 
 // post sends a report and returns what came back.
 func (w *Worker) post(addr string, body []byte) (status int, text []byte, err error) {
-	line := outbound.NewConn(w.net, addr)
+	line := transport.NewConn(w.net, addr)
 	defer line.Close()
 	end := time.Now().Add(patience)
 	if err := line.Open(w.ctx, patience); err != nil {
@@ -118,7 +118,7 @@
 // tell sends a report to a controller. It returns whom to go to if the answer
 // names somebody, and whether to stay.
 func (w *Worker) tell(addr string, sent time.Time) (boss string, ok bool) {
-	var report wire.Report
+	var report wire.Heartbeat
 	var body []byte
 	var copyAfter func() time.Duration
 	w.do(func() {
@@ -133,7 +133,7 @@
 	if copyAfter != nil {
 		after := copyAfter()
 		go func() {
-			outbound.Pause(w.ctx, after)
+			transport.Pause(w.ctx, after)
 			if w.ctx.Err() == nil {
 				w.post(addr, body)
 			}
@@ -144,7 +144,7 @@
 	var inboundCut bool
 	w.do(func() { hung, inboundCut = w.hung, w.inboundCut })
 	if inboundCut {
-		outbound.Pause(w.ctx, max(0, patience-time.Since(sent)))
+		transport.Pause(w.ctx, max(0, patience-time.Since(sent)))
 		return "", false
 	}
 	if hung != nil {
@@ -157,25 +157,25 @@
 		return "", false
 	}
 	if status != http.StatusOK {
-		var e wire.Elsewhere
+		var e wire.Redirect
 		if status != http.StatusMisdirectedRequest || json.Unmarshal(text, &e) != nil {
 			return "", false
 		}
 		return e.Leader, false
 	}
-	var a wire.ReportAnswer
+	var a wire.HeartbeatResponse
 	if json.Unmarshal(text, &a) != nil {
 		return "", false
 	}
 	w.do(func() {
 		w.expire()
-		if w.ctx.Err() != nil || a.Token < w.token || report.Session != w.session {
+		if w.ctx.Err() != nil || a.FencingToken < w.token || report.AgentEpoch != w.session {
 			return // it is dropped
 		}
-		w.hearToken(a.Token)
+		w.hearToken(a.FencingToken)
 		w.renewed = sent
-		w.config.Check.Renewed(w.name, sent, report.Tasks, a.Orders)
-		w.execute(a.Orders)
+		w.config.Check.Renewed(w.name, sent, report.Tasks, a.Commands)
+		w.execute(a.Commands)
 	})
 	return "", true
 }
--- a/internal/fake/worker_tasks.go
+++ b/internal/fake/worker_tasks.go
@@ -9,7 +9,7 @@
 
 // workerTask is one attempt on a machine, as its worker knows it.
 type workerTask struct {
-	wire.TaskReport
+	wire.TaskStatus
 	job   *wire.Job
 	ran   time.Duration
 	saved time.Time // when its progress will be saved
@@ -40,7 +40,7 @@
 			if t.ran += past; t.ran >= w.config.Run(t.Task) {
 				w.complete(t)
 			}
-		case wire.TaskSaving:
+		case wire.TaskCheckpointing:
 			if !now.Before(t.saved) {
 				w.stopped(t, true)
 			}
@@ -55,24 +55,24 @@
 }
 
 func (w *Worker) complete(t *workerTask) {
-	t.Status, t.Why = wire.TaskEnded, wire.WhyDone
+	t.Status, t.ExitReason = wire.TaskEnded, wire.ExitDone
 	w.change()
 	w.config.Check.Ends(t.Task, w.name, true)
 }
 
 // execute carries out orders, on the actor.
-func (w *Worker) execute(orders []wire.Order) {
+func (w *Worker) execute(orders []wire.Command) {
 	for _, o := range orders {
 		switch o.Verb {
-		case wire.Start:
+		case wire.VerbStart:
 			w.start(o)
-		case wire.Stop:
+		case wire.VerbStop:
 			for _, t := range w.tasks {
 				if t.Task == o.Task && t.Attempt == o.Attempt {
 					w.stop(t, o)
 				}
 			}
-		case wire.Forget:
+		case wire.VerbForget:
 			w.tasks = slices.DeleteFunc(w.tasks, func(t *workerTask) bool {
 				forget := t.Task == o.Task && t.Attempt == o.Attempt && t.Status == wire.TaskEnded
 				if forget {
@@ -86,17 +86,17 @@
 }
 
 // stop has a task end, once it has saved its progress if the order leaves it the time.
-func (w *Worker) stop(t *workerTask, o wire.Order) {
+func (w *Worker) stop(t *workerTask, o wire.Command) {
 	grace := 0.0
-	if o.GraceS != nil {
-		grace = *o.GraceS
+	if o.GracePeriodS != nil {
+		grace = *o.GracePeriodS
 	}
 	switch {
-	case t.Status == wire.TaskEnded, t.Status == wire.TaskSaving && grace > 0:
-	case t.Status == wire.TaskRunning && t.job.CheckpointS > 0 && grace >= t.job.SaveS:
-		t.Status, t.saved = wire.TaskSaving, time.Now()
+	case t.Status == wire.TaskEnded, t.Status == wire.TaskCheckpointing && grace > 0:
+	case t.Status == wire.TaskRunning && t.job.CheckpointIntervalS > 0 && grace >= t.job.CheckpointDurationS:
+		t.Status, t.saved = wire.TaskCheckpointing, time.Now()
 		if w.config.Saving {
-			t.saved = t.saved.Add(time.Duration(t.job.SaveS * float64(time.Second)))
+			t.saved = t.saved.Add(time.Duration(t.job.CheckpointDurationS * float64(time.Second)))
 		}
 		w.change()
 		w.advance()
@@ -113,24 +113,26 @@
 	if saved {
 		w.config.Check.Saves(t.Task, t.ran)
 	}
-	t.Status, t.Why, t.Saved = wire.TaskEnded, wire.WhyStopped, saved
+	t.Status, t.ExitReason, t.CheckpointSaved = wire.TaskEnded, wire.ExitStopped, saved
 	w.change()
 }
 
 // there tells whether a task counts as on its machine.
-func (t *workerTask) there() bool { return t.Status == wire.TaskRunning || t.Status == wire.TaskSaving }
+func (t *workerTask) there() bool {
+	return t.Status == wire.TaskRunning || t.Status == wire.TaskCheckpointing
+}
 
-func (w *Worker) start(o wire.Order) {
+func (w *Worker) start(o wire.Command) {
 	if w.known[o.Attempt] {
 		return
 	}
 	w.known[o.Attempt] = true
 	w.change()
-	t := &workerTask{TaskReport: wire.TaskReport{Task: o.Task, Attempt: o.Attempt, Status: wire.TaskEnded}}
+	t := &workerTask{TaskStatus: wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: wire.TaskEnded}}
 	w.tasks = append(w.tasks, t)
-	ref, _, _ := wire.SplitTask(o.Task)
+	ref, _, _ := wire.ParseTaskName(o.Task)
 	if t.job = w.config.Check.Job(ref); t.job == nil {
-		t.Why = wire.WhyNoSuch
+		t.ExitReason = wire.ExitNoSuchTask
 		return
 	}
 	cpus, mem := t.job.CPUs, t.job.MemGB
@@ -139,14 +141,14 @@
 			continue
 		}
 		if other.Task == o.Task {
-			t.Why = wire.WhyInUse
+			t.ExitReason = wire.ExitInUse
 			return
 		}
 		cpus += other.job.CPUs
 		mem += other.job.MemGB
 	}
 	if cpus > w.size.CPUs || mem > w.size.MemGB {
-		t.Why = wire.WhyNoRoom
+		t.ExitReason = wire.ExitNoRoom
 		return
 	}
 	t.Status = wire.TaskFetching
--- a/internal/spill/checks_test.go
+++ b/internal/federation/checks_test.go
@@ -1,4 +1,4 @@
-package spill
+package federation
 
 import "leadproxy/internal/property"
 
--- a/internal/spill/golden_test.go
+++ b/internal/federation/golden_test.go
@@ -1,4 +1,4 @@
-package spill
+package federation
 
 import (
 	"testing"
@@ -8,8 +8,8 @@
 
 // TestGoldenRecords compares the records of transfers with how they have to be stored.
 func TestGoldenRecords(t *testing.T) {
-	property.CheckGolden(t, "away", &AwayRecord{})
-	property.CheckGolden(t, "guest", &GuestRecord{})
+	property.CheckGolden(t, "away", &DelegatedRecord{})
+	property.CheckGolden(t, "guest", &ForeignRecord{})
 }
 
 // TestGoldenConstants compares the stored states, the numbers that travel between cells, and
@@ -19,10 +19,10 @@
 		"away offered":       Offered,
 		"away accepted":      Accepted,
 		"away returned":      Returned,
-		"guest accepted":     GuestAccepted,
-		"guest refused":      GuestRefused,
-		"guest revoked":      GuestRevoked,
-		"guest released":     GuestReleased,
+		"guest accepted":     ForeignAccepted,
+		"guest refused":      ForeignRefused,
+		"guest revoked":      ForeignRevoked,
+		"guest released":     ForeignReleased,
 		"step planned":       StepPlanned,
 		"step accepted":      StepAccepted,
 		"step refused":       StepRefused,
--- a/internal/spill/guests.go
+++ b/internal/federation/guests.go
@@ -1,36 +1,36 @@
-package spill
+package federation
 
 import (
 	"cmp"
 	"slices"
 )
 
-// GuestKey names a transfer at the neighbour.
-type GuestKey struct{ Home, Ref string }
+// ForeignKey names a transfer at the neighbour.
+type ForeignKey struct{ Origin, JobID string }
 
-// GuestEffect is what follows from a step of Guests.
-type GuestEffect interface{ isGuestEffect() }
+// ForeignEffect is what follows from a step of Guests.
+type ForeignEffect interface{ isGuestEffect() }
 
-func (WriteGuest) isGuestEffect()      {}
-func (CancelGuest) isGuestEffect()     {}
-func (NoteGuestEffect) isGuestEffect() {}
+func (WriteForeign) isGuestEffect()  {}
+func (CancelForeign) isGuestEffect() {}
+func (TraceForeign) isGuestEffect()  {}
 
 // The effects of Guests.
 type (
-	// WriteGuest writes a guest's record if its key still has a version, under the
+	// WriteForeign writes a guest's record if its key still has a version, under the
 	// leader's term. With a body, it also creates the job's record, and neither is
 	// written if there is such a job. Written is to be called with what came of it,
 	// once that is certain.
-	WriteGuest struct {
-		Key     GuestKey
-		Record  GuestRecord
+	WriteForeign struct {
+		Key     ForeignKey
+		Record  ForeignRecord
 		Version uint64
 		Body    *OfferBody
 	}
-	// CancelGuest has an accepted job cancelled.
-	CancelGuest struct{ Ref string }
-	// NoteGuestEffect tells of a step.
-	NoteGuestEffect struct{ Note Note }
+	// CancelForeign has an accepted job cancelled.
+	CancelForeign struct{ JobID string }
+	// TraceForeign tells of a step.
+	TraceForeign struct{ Step TransferStep }
 )
 
 // JobState is what the neighbour knows of a job that it has accepted.
@@ -40,80 +40,82 @@
 	Done, Running int
 }
 
-// GuestJobs looks up the jobs that the neighbour has accepted.
-type GuestJobs interface {
-	// GuestState is the state of a guest.
-	GuestState(key GuestKey) (JobState, bool)
+// LocalJobs looks up the jobs that the neighbour has accepted.
+type LocalJobs interface {
+	// ForeignJobState is the state of a guest.
+	ForeignJobState(key ForeignKey) (JobState, bool)
 	// Admit tells whether an offer is taken now, and else why not.
 	Admit(home string, ref string, body *OfferBody) Refusal
 }
 
 // guest is the neighbour's view of one job's latest transfer from one home.
 type guest struct {
-	record  GuestRecord
+	record  ForeignRecord
 	version uint64 // of its key; 0: there is none
 	// writing is the record that is on its way; nil: none.
-	writing *GuestRecord
+	writing *ForeignRecord
 }
 
-// Guests is the neighbour's side of all transfers, in one term of its leader.
-type Guests struct {
-	guests map[GuestKey]*guest
-	jobs   GuestJobs
-	out    []GuestEffect
+// ForeignJobs is the neighbour's side of all transfers, in one term of its leader.
+type ForeignJobs struct {
+	guests map[ForeignKey]*guest
+	jobs   LocalJobs
+	out    []ForeignEffect
 }
 
-// NewGuests makes the neighbour's side.
-func NewGuests(jobs GuestJobs) *Guests { return &Guests{guests: map[GuestKey]*guest{}, jobs: jobs} }
+// NewForeignJobs makes the neighbour's side.
+func NewForeignJobs(jobs LocalJobs) *ForeignJobs {
+	return &ForeignJobs{guests: map[ForeignKey]*guest{}, jobs: jobs}
+}
 
 // Take returns the effects since the last call.
-func (g *Guests) Take() []GuestEffect {
+func (g *ForeignJobs) Take() []ForeignEffect {
 	out := g.out
 	g.out = nil
 	return out
 }
 
-func (g *Guests) emit(effect GuestEffect) { g.out = append(g.out, effect) }
+func (g *ForeignJobs) emit(effect ForeignEffect) { g.out = append(g.out, effect) }
 
-func (g *Guests) note(key GuestKey, epoch uint64, step, reason string) {
-	g.emit(NoteGuestEffect{Note{Home: key.Home, Ref: key.Ref, Epoch: epoch, Step: step, Reason: reason}})
+func (g *ForeignJobs) note(key ForeignKey, epoch uint64, step, reason string) {
+	g.emit(TraceForeign{TransferStep{Origin: key.Origin, JobID: key.JobID, Epoch: epoch, Step: step, Reason: reason}})
 }
 
 // Restore takes a record over from an earlier leader.
-func (g *Guests) Restore(key GuestKey, record GuestRecord, version uint64) {
+func (g *ForeignJobs) Restore(key ForeignKey, record ForeignRecord, version uint64) {
 	g.guests[key] = &guest{record: record, version: version}
 }
 
 // Record is a guest's record, for operators.
-func (g *Guests) Record(key GuestKey) (GuestRecord, bool) {
+func (g *ForeignJobs) Record(key ForeignKey) (ForeignRecord, bool) {
 	r := g.guests[key]
 	if r == nil {
-		return GuestRecord{}, false
+		return ForeignRecord{}, false
 	}
 	return r.record, true
 }
 
 // Keys lists the transfers in order.
-func (g *Guests) Keys() []GuestKey {
-	var keys []GuestKey
+func (g *ForeignJobs) Keys() []ForeignKey {
+	var keys []ForeignKey
 	for key := range g.guests {
 		keys = append(keys, key)
 	}
-	slices.SortFunc(keys, func(a, b GuestKey) int {
-		return cmp.Or(cmp.Compare(a.Home, b.Home), cmp.Compare(a.Ref, b.Ref))
+	slices.SortFunc(keys, func(a, b ForeignKey) int {
+		return cmp.Or(cmp.Compare(a.Origin, b.Origin), cmp.Compare(a.JobID, b.JobID))
 	})
 	return keys
 }
 
 // Asked answers a message of a home. Nothing is answered as decided before it is durable.
-func (g *Guests) Asked(home string, m Message, wallMS int64) Answer {
-	key := GuestKey{home, m.Ref}
+func (g *ForeignJobs) Asked(home string, m Message, wallMS int64) Answer {
+	key := ForeignKey{home, m.JobID}
 	r := g.guests[key]
 	if r == nil {
 		r = &guest{}
 		g.guests[key] = r
 	}
-	answer := Answer{Ref: m.Ref, Epoch: m.Epoch}
+	answer := Answer{JobID: m.JobID, Epoch: m.Epoch}
 	switch {
 	case m.Epoch < r.record.Epoch:
 		answer.Outcome = OutcomeStale
@@ -131,16 +133,16 @@
 }
 
 // askedAgain answers a message of an epoch that is decided.
-func (g *Guests) askedAgain(key GuestKey, r *guest, m Message, wallMS int64, a *Answer) {
+func (g *ForeignJobs) askedAgain(key ForeignKey, r *guest, m Message, wallMS int64, a *Answer) {
 	switch r.record.State {
-	case GuestRefused:
+	case ForeignRefused:
 		a.Outcome, a.Reason, a.Temporary = OutcomeRefused, r.record.Reason, r.record.Temporary
-	case GuestRevoked:
+	case ForeignRevoked:
 		a.Outcome = OutcomeRevoked
-	case GuestReleased:
+	case ForeignReleased:
 		a.Outcome = OutcomeReleased
 		return
-	case GuestAccepted:
+	case ForeignAccepted:
 		g.askedAccepted(key, r, m, wallMS, a)
 		return
 	}
@@ -150,8 +152,8 @@
 }
 
 // askedAccepted answers a message about an accepted job.
-func (g *Guests) askedAccepted(key GuestKey, r *guest, m Message, wallMS int64, a *Answer) {
-	job, known := g.jobs.GuestState(key)
+func (g *ForeignJobs) askedAccepted(key ForeignKey, r *guest, m Message, wallMS int64, a *Answer) {
+	job, known := g.jobs.ForeignJobState(key)
 	a.Done, a.Running = job.Done, job.Running
 	switch {
 	case !known:
@@ -160,10 +162,10 @@
 		a.Outcome = OutcomeAccepted
 		if m.Kind == Cancel {
 			g.note(key, m.Epoch, StepCancelling, "home asks for it")
-			g.emit(CancelGuest{key.Ref})
+			g.emit(CancelForeign{key.JobID})
 		}
 	case m.Kind == Release:
-		g.write(key, r, GuestRecord{Epoch: m.Epoch, State: GuestReleased, SinceMS: wallMS, Repeatable: r.record.Repeatable}, nil)
+		g.write(key, r, ForeignRecord{Epoch: m.Epoch, State: ForeignReleased, SinceMS: wallMS, Repeatable: r.record.Repeatable}, nil)
 		a.Outcome = OutcomePending
 	case job.Aborted:
 		a.Outcome = OutcomeAborted
@@ -174,14 +176,14 @@
 
 // askedFirst answers the first message of an epoch. While an earlier epoch may still
 // run here, nothing is decided: home has to settle that one first.
-func (g *Guests) askedFirst(key GuestKey, r *guest, m Message, wallMS int64, a *Answer) {
-	if r.record.State == GuestAccepted {
-		if job, known := g.jobs.GuestState(key); !known || !job.Over {
+func (g *ForeignJobs) askedFirst(key ForeignKey, r *guest, m Message, wallMS int64, a *Answer) {
+	if r.record.State == ForeignAccepted {
+		if job, known := g.jobs.ForeignJobState(key); !known || !job.Over {
 			a.Outcome, a.Reason = OutcomePending, "an earlier epoch of the job still runs here"
 			return
 		}
 	}
-	record := GuestRecord{Epoch: m.Epoch, SinceMS: wallMS}
+	record := ForeignRecord{Epoch: m.Epoch, SinceMS: wallMS}
 	switch m.Kind {
 	case Status:
 		a.Outcome = OutcomeAbsent
@@ -190,7 +192,7 @@
 		a.Outcome = OutcomeReleased
 		return
 	case Revoke, Cancel:
-		record.State = GuestRevoked
+		record.State = ForeignRevoked
 		g.write(key, r, record, nil)
 	case Offer:
 		g.offered(key, r, m.Body, record)
@@ -199,34 +201,34 @@
 }
 
 // offered decides a new offer.
-func (g *Guests) offered(key GuestKey, r *guest, body *OfferBody, record GuestRecord) {
+func (g *ForeignJobs) offered(key ForeignKey, r *guest, body *OfferBody, record ForeignRecord) {
 	if body == nil {
 		return // malformed; nothing is decided by it
 	}
-	if refusal := g.jobs.Admit(key.Home, key.Ref, body); refusal.Reason != "" {
-		record.State, record.Reason, record.Temporary = GuestRefused, refusal.Reason, refusal.Temporary
+	if refusal := g.jobs.Admit(key.Origin, key.JobID, body); refusal.Reason != "" {
+		record.State, record.Reason, record.Temporary = ForeignRefused, refusal.Reason, refusal.Temporary
 		g.write(key, r, record, nil)
 		return
 	}
-	record.State, record.Repeatable = GuestAccepted, body.Repeatable
+	record.State, record.Repeatable = ForeignAccepted, body.Repeatable
 	g.write(key, r, record, body)
 }
 
-func (g *Guests) write(key GuestKey, r *guest, record GuestRecord, body *OfferBody) {
+func (g *ForeignJobs) write(key ForeignKey, r *guest, record ForeignRecord, body *OfferBody) {
 	r.writing = &record
-	g.emit(WriteGuest{Key: key, Record: record, Version: r.version, Body: body})
+	g.emit(WriteForeign{Key: key, Record: record, Version: r.version, Body: body})
 }
 
 // Written tells what came of a write: the version of the guest's key after it, and
 // whether a job of that name was in the way. Then nothing was written.
-func (g *Guests) Written(key GuestKey, record GuestRecord, version uint64, jobExists bool, wallMS int64) {
+func (g *ForeignJobs) Written(key ForeignKey, record ForeignRecord, version uint64, jobExists bool, wallMS int64) {
 	r := g.guests[key]
 	if r == nil || r.writing == nil || *r.writing != record {
 		return
 	}
 	r.writing = nil
 	if jobExists {
-		refused := GuestRecord{Epoch: record.Epoch, State: GuestRefused, SinceMS: wallMS, Reason: "a job of this name is known here"}
+		refused := ForeignRecord{Epoch: record.Epoch, State: ForeignRefused, SinceMS: wallMS, Reason: "a job of this name is known here"}
 		g.write(key, r, refused, nil)
 		return
 	}
@@ -234,4 +236,4 @@
 	g.note(key, record.Epoch, guestSteps[record.State], record.Reason)
 }
 
-var guestSteps = map[GuestState]string{GuestAccepted: StepAccepted, GuestRefused: StepRefused, GuestRevoked: StepRevoked, GuestReleased: StepReleased}
+var guestSteps = map[ForeignState]string{ForeignAccepted: StepAccepted, ForeignRefused: StepRefused, ForeignRevoked: StepRevoked, ForeignReleased: StepReleased}
--- a/internal/spill/home.go
+++ b/internal/federation/home.go
@@ -1,4 +1,4 @@
-package spill
+package federation
 
 import (
 	"slices"
@@ -11,47 +11,47 @@
 	RetryEvery = 250 * time.Millisecond
 	// PollEvery is how often a neighbour is asked about a job that it runs.
 	PollEvery = time.Second
-	// OfferPatience is how long an offer may go unanswered before it is revoked.
-	OfferPatience = 8 * time.Second
+	// OfferTimeout is how long an offer may go unanswered before it is revoked.
+	OfferTimeout = 8 * time.Second
 	// maxEpochs bounds the transfers of one job: a job that nobody takes stays home.
 	maxEpochs = 4
 )
 
-// HomeEffect is what follows from a step of Home.
-type HomeEffect interface{ isHomeEffect() }
+// OriginEffect is what follows from a step of Home.
+type OriginEffect interface{ isHomeEffect() }
 
-func (SaveAway) isHomeEffect()   {}
-func (DropAway) isHomeEffect()   {}
-func (Send) isHomeEffect()       {}
-func (ReturnJob) isHomeEffect()  {}
-func (EndJob) isHomeEffect()     {}
-func (NoteEffect) isHomeEffect() {}
+func (SaveDelegated) isHomeEffect() {}
+func (DropDelegated) isHomeEffect() {}
+func (Send) isHomeEffect()          {}
+func (ReturnJob) isHomeEffect()     {}
+func (EndJob) isHomeEffect()        {}
+func (TraceOrigin) isHomeEffect()   {}
 
 // The effects of Home.
 type (
-	// SaveAway writes a job's record under home's term. Saved is to be called once
+	// SaveDelegated writes a job's record under home's term. Saved is to be called once
 	// that is durable.
-	SaveAway struct {
-		Ref    string
-		Record AwayRecord
+	SaveDelegated struct {
+		JobID  string
+		Record DelegatedRecord
 	}
-	// DropAway deletes a job's record.
-	DropAway struct{ Ref string }
+	// DropDelegated deletes a job's record.
+	DropDelegated struct{ JobID string }
 	// Send sends a message to a neighbour.
 	Send struct {
 		Cell    string
 		Message Message
 	}
 	// ReturnJob tells that a job is home's to run again.
-	ReturnJob struct{ Ref string }
+	ReturnJob struct{ JobID string }
 	// EndJob tells that a job is over. Over is to be called once home's record of the
 	// job says so.
 	EndJob struct {
-		Ref     string
+		JobID   string
 		Aborted bool
 	}
-	// NoteEffect tells of a step.
-	NoteEffect struct{ Note Note }
+	// TraceOrigin tells of a step.
+	TraceOrigin struct{ Step TransferStep }
 )
 
 // phase is what home is waiting for in a transfer.
@@ -74,7 +74,7 @@
 // transfer is home's view of one job's latest transfer.
 type transfer struct {
 	ref    string
-	record AwayRecord
+	record DelegatedRecord
 	phase  phase
 	body   *OfferBody
 	// cancelling: the job's user wants it cancelled.
@@ -91,37 +91,37 @@
 // away tells whether home must not run the job.
 func (t *transfer) away() bool { return t.phase != cleaning && t.phase != closed }
 
-// Home is home's side of all transfers, in one term of its leader.
-type Home struct {
+// DelegatedJobs is home's side of all transfers, in one term of its leader.
+type DelegatedJobs struct {
 	transfers map[string]*transfer
 	takeBack  func(cell string) time.Duration
-	out       []HomeEffect
+	out       []OriginEffect
 }
 
-// NewHome makes home's side. takeBack is after how long without an answer from a
+// NewDelegatedJobs makes home's side. takeBack is after how long without an answer from a
 // neighbour a repeatable job is taken back from it; 0: never.
-func NewHome(takeBack func(cell string) time.Duration) *Home {
-	return &Home{transfers: map[string]*transfer{}, takeBack: takeBack}
+func NewDelegatedJobs(takeBack func(cell string) time.Duration) *DelegatedJobs {
+	return &DelegatedJobs{transfers: map[string]*transfer{}, takeBack: takeBack}
 }
 
 // Take returns the effects since the last call.
-func (h *Home) Take() []HomeEffect {
+func (h *DelegatedJobs) Take() []OriginEffect {
 	out := h.out
 	h.out = nil
 	return out
 }
 
-func (h *Home) emit(effect HomeEffect) { h.out = append(h.out, effect) }
+func (h *DelegatedJobs) emit(effect OriginEffect) { h.out = append(h.out, effect) }
 
-func (h *Home) note(t *transfer, step, reason string) {
-	h.emit(NoteEffect{Note{Cell: t.record.Cell, Ref: t.ref, Epoch: t.record.Epoch, Step: step, Reason: reason}})
+func (h *DelegatedJobs) note(t *transfer, step, reason string) {
+	h.emit(TraceOrigin{TransferStep{Cell: t.record.Cell, JobID: t.ref, Epoch: t.record.Epoch, Step: step, Reason: reason}})
 }
 
-func (h *Home) save(t *transfer) { h.emit(SaveAway{t.ref, t.record}) }
+func (h *DelegatedJobs) save(t *transfer) { h.emit(SaveDelegated{t.ref, t.record}) }
 
 // Restore takes a transfer over from an earlier leader, whose last message may or may
 // not have been sent. over tells whether home's record of the job has its end.
-func (h *Home) Restore(ref string, record AwayRecord, body *OfferBody, over bool, now time.Duration) {
+func (h *DelegatedJobs) Restore(ref string, record DelegatedRecord, body *OfferBody, over bool, now time.Duration) {
 	t := &transfer{ref: ref, record: record, body: body, over: over, began: now, heard: now, next: now}
 	h.transfers[ref] = t
 	switch {
@@ -142,24 +142,24 @@
 
 // MayBegin tells whether a job may be offered to a cell: not where an earlier epoch may
 // still run, and not for ever.
-func (h *Home) MayBegin(ref string) bool {
+func (h *DelegatedJobs) MayBegin(ref string) bool {
 	t := h.transfers[ref]
 	return t == nil || t.phase == closed && t.record.Epoch < maxEpochs
 }
 
-// Away tells whether home must not run a job.
-func (h *Home) Away(ref string) bool {
+// Delegated tells whether home must not run a job.
+func (h *DelegatedJobs) Delegated(ref string) bool {
 	t := h.transfers[ref]
 	return t != nil && t.away()
 }
 
 // Begin plans a transfer. From now on home must not run the job.
-func (h *Home) Begin(ref, cell string, body *OfferBody, now time.Duration, wallMS int64) {
+func (h *DelegatedJobs) Begin(ref, cell string, body *OfferBody, now time.Duration, wallMS int64) {
 	epoch := uint64(1)
 	if old := h.transfers[ref]; old != nil {
 		epoch = old.record.Epoch + 1
 	}
-	record := AwayRecord{Cell: cell, Epoch: epoch, State: Offered, SinceMS: wallMS, Repeatable: body.Repeatable}
+	record := DelegatedRecord{Cell: cell, Epoch: epoch, State: Offered, SinceMS: wallMS, Repeatable: body.Repeatable}
 	t := &transfer{ref: ref, record: record, body: body, began: now, heard: now}
 	h.transfers[ref] = t
 	h.save(t)
@@ -167,7 +167,7 @@
 }
 
 // Saved tells that a record is durable.
-func (h *Home) Saved(ref string, record AwayRecord, now time.Duration) {
+func (h *DelegatedJobs) Saved(ref string, record DelegatedRecord, now time.Duration) {
 	t := h.transfers[ref]
 	if t == nil || t.record != record {
 		return // a later one is being written
@@ -182,7 +182,7 @@
 		h.emit(ReturnJob{ref})
 	case t.phase == returning && t.cancelling:
 		t.phase = ending
-		h.emit(EndJob{Ref: ref, Aborted: true})
+		h.emit(EndJob{JobID: ref, Aborted: true})
 	case t.phase == returning:
 		t.phase = closed
 		h.note(t, StepReturned, "")
@@ -191,7 +191,7 @@
 }
 
 // Tick sends what is due.
-func (h *Home) Tick(now time.Duration) {
+func (h *DelegatedJobs) Tick(now time.Duration) {
 	for _, t := range h.sorted() {
 		h.giveUp(t, now)
 		if now < t.next {
@@ -202,7 +202,7 @@
 			continue
 		}
 		t.next = now + every
-		m := Message{Kind: kind, Ref: t.ref, Epoch: t.record.Epoch}
+		m := Message{Kind: kind, JobID: t.ref, Epoch: t.record.Epoch}
 		if kind == Offer {
 			m.Body = t.body
 		}
@@ -211,7 +211,7 @@
 }
 
 // sorted lists the transfers in one order everywhere, so that a replay does the same.
-func (h *Home) sorted() []*transfer {
+func (h *DelegatedJobs) sorted() []*transfer {
 	refs := make([]string, 0, len(h.transfers))
 	for ref := range h.transfers {
 		refs = append(refs, ref)
@@ -254,8 +254,8 @@
 // giveUp revokes an offer that nobody answers, and takes a repeatable job back from a
 // neighbour that has been silent for long. A job whose user wants it cancelled is not
 // taken back: that could not be confirmed while the neighbour may run it.
-func (h *Home) giveUp(t *transfer, now time.Duration) {
-	if t.phase == offering && !t.cancelling && now-t.began >= OfferPatience {
+func (h *DelegatedJobs) giveUp(t *transfer, now time.Duration) {
+	if t.phase == offering && !t.cancelling && now-t.began >= OfferTimeout {
 		t.phase, t.next = revoking, now
 		h.note(t, StepRevoking, "the offer was not settled in time")
 	}
@@ -269,7 +269,7 @@
 }
 
 // giveBack closes the epoch: home runs the job once that is durable.
-func (h *Home) giveBack(t *transfer, cleanup bool) {
+func (h *DelegatedJobs) giveBack(t *transfer, cleanup bool) {
 	t.phase = returning
 	t.record.State, t.record.Cleanup = Returned, cleanup
 	h.save(t)
@@ -277,8 +277,8 @@
 
 // Answered takes a neighbour's answer. One of another epoch or from another cell than
 // the record's tells nothing: its transfer is closed.
-func (h *Home) Answered(cell string, a Answer, now time.Duration) {
-	t := h.transfers[a.Ref]
+func (h *DelegatedJobs) Answered(cell string, a Answer, now time.Duration) {
+	t := h.transfers[a.JobID]
 	if t == nil || t.record.Cell != cell || t.record.Epoch != a.Epoch {
 		return
 	}
@@ -296,7 +296,7 @@
 	}
 }
 
-func (h *Home) answeredOpen(t *transfer, a Answer, now time.Duration) {
+func (h *DelegatedJobs) answeredOpen(t *transfer, a Answer, now time.Duration) {
 	switch a.Outcome {
 	case OutcomeAccepted:
 		t.done, t.running = a.Done, a.Running
@@ -312,7 +312,7 @@
 	case OutcomeDone, OutcomeAborted:
 		t.phase = ending
 		h.note(t, StepEnded, a.Outcome.String())
-		h.emit(EndJob{Ref: t.ref, Aborted: a.Outcome == OutcomeAborted})
+		h.emit(EndJob{JobID: t.ref, Aborted: a.Outcome == OutcomeAborted})
 	case OutcomeRefused, OutcomeRevoked:
 		if t.phase == running {
 			h.note(t, StepContradiction, "the neighbour had accepted the job and says "+a.Outcome.String())
@@ -329,7 +329,7 @@
 
 // answeredCleaning ends the cleanup once the neighbour surely does not run the job, and
 // knows that nobody wants its result.
-func (h *Home) answeredCleaning(t *transfer, a Answer) {
+func (h *DelegatedJobs) answeredCleaning(t *transfer, a Answer) {
 	switch a.Outcome {
 	case OutcomeDone, OutcomeAborted:
 		t.ended, t.next = true, t.heard
@@ -347,13 +347,13 @@
 	t.phase = closed
 	h.save(t)
 	if t.cancelling {
-		h.emit(EndJob{Ref: t.ref, Aborted: true})
+		h.emit(EndJob{JobID: t.ref, Aborted: true})
 	}
 }
 
 // Cancel notes that a job's user wants it cancelled, and tells whether home may cancel
 // it at once. If not, EndJob follows when the neighbour's answer allows it.
-func (h *Home) Cancel(ref string, now time.Duration) (atOnce bool) {
+func (h *DelegatedJobs) Cancel(ref string, now time.Duration) (atOnce bool) {
 	t := h.transfers[ref]
 	if t == nil || t.phase == closed {
 		return true
@@ -368,7 +368,7 @@
 }
 
 // Over tells that home's record of a job has its end.
-func (h *Home) Over(ref string, now time.Duration) {
+func (h *DelegatedJobs) Over(ref string, now time.Duration) {
 	t := h.transfers[ref]
 	if t == nil {
 		return
@@ -382,7 +382,7 @@
 	}
 }
 
-func (h *Home) drop(t *transfer) {
+func (h *DelegatedJobs) drop(t *transfer) {
 	delete(h.transfers, t.ref)
-	h.emit(DropAway{t.ref})
+	h.emit(DropDelegated{t.ref})
 }
--- a/internal/spill/model_test.go
+++ b/internal/federation/model_test.go
@@ -1,4 +1,4 @@
-package spill
+package federation
 
 import (
 	"fmt"
@@ -33,37 +33,37 @@
 // homeWrite is a write of home's leader on its way: of a transfer, or of a job's end.
 type homeWrite struct {
 	ref    string
-	record *AwayRecord // nil: see below
+	record *DelegatedRecord // nil: see below
 	drop   bool
 	end    string // of the job
 }
 
 // homeCell is home: what is durable, and its present leader.
 type homeCell struct {
-	away    map[string]AwayRecord
+	away    map[string]DelegatedRecord
 	ends    map[string]string // of jobs, durable
 	started map[string]bool   // durable before the first start
 	// The leader's.
-	home    *Home
+	home    *DelegatedJobs
 	decided map[string]string
 	writes  []homeWrite
 }
 
 // guestWrite is a write of a neighbour's leader on its way.
-type guestWrite struct{ effect WriteGuest }
+type guestWrite struct{ effect WriteForeign }
 
 // guestCell is a neighbour: what is durable, and its present leader.
 type guestCell struct {
 	name     string
 	admits   bool
-	records  map[GuestKey]GuestRecord
-	versions map[GuestKey]uint64
+	records  map[ForeignKey]ForeignRecord
+	versions map[ForeignKey]uint64
 	revision uint64
 	jobs     map[string]*OfferBody
 	own      map[string]bool // jobs of its own users, by the same names
 	ends     map[string]string
 	// The leader's.
-	guests *Guests
+	guests *ForeignJobs
 	writes []guestWrite
 	cancel map[string]bool // cancellations being written
 }
@@ -93,14 +93,14 @@
 
 func newWorld(t failer) *world {
 	w := &world{t: t, jobs: map[string]*modelJob{}, guests: map[string]*guestCell{}, cells: []string{"b", "c"}}
-	w.home = &homeCell{away: map[string]AwayRecord{}, ends: map[string]string{}, started: map[string]bool{}}
+	w.home = &homeCell{away: map[string]DelegatedRecord{}, ends: map[string]string{}, started: map[string]bool{}}
 	for i := range modelJobs {
 		ref := fmt.Sprintf("job-%d", i)
 		w.refs = append(w.refs, ref)
 		w.jobs[ref] = &modelJob{ref: ref, repeatable: i == 0, begun: map[string]bool{}, completed: map[string]bool{}}
 	}
 	for _, name := range w.cells {
-		w.guests[name] = &guestCell{name: name, admits: true, records: map[GuestKey]GuestRecord{}, versions: map[GuestKey]uint64{}, jobs: map[string]*OfferBody{}, own: map[string]bool{}, ends: map[string]string{}}
+		w.guests[name] = &guestCell{name: name, admits: true, records: map[ForeignKey]ForeignRecord{}, versions: map[ForeignKey]uint64{}, jobs: map[string]*OfferBody{}, own: map[string]bool{}, ends: map[string]string{}}
 		w.lead(w.guests[name])
 	}
 	w.leadHome()
@@ -116,7 +116,7 @@
 // leadHome begins a term of home.
 func (w *world) leadHome() {
 	h := w.home
-	h.home = NewHome(func(string) time.Duration { return takeBack })
+	h.home = NewDelegatedJobs(func(string) time.Duration { return takeBack })
 	h.decided, h.writes = map[string]string{}, nil
 	for ref, end := range h.ends {
 		h.decided[ref] = end
@@ -134,14 +134,14 @@
 	for effects := w.home.home.Take(); len(effects) > 0; effects = w.home.home.Take() {
 		for _, effect := range effects {
 			switch e := effect.(type) {
-			case SaveAway:
-				w.home.writes = append(w.home.writes, homeWrite{ref: e.Ref, record: &e.Record})
-			case DropAway:
-				w.home.writes = append(w.home.writes, homeWrite{ref: e.Ref, drop: true})
+			case SaveDelegated:
+				w.home.writes = append(w.home.writes, homeWrite{ref: e.JobID, record: &e.Record})
+			case DropDelegated:
+				w.home.writes = append(w.home.writes, homeWrite{ref: e.JobID, drop: true})
 			case Send:
 				w.packets = append(w.packets, packet{cell: e.Cell, message: &e.Message})
 			case EndJob:
-				w.decide(e.Ref, map[bool]string{true: "aborted", false: "done"}[e.Aborted])
+				w.decide(e.JobID, map[bool]string{true: "aborted", false: "done"}[e.Aborted])
 			}
 		}
 	}
@@ -219,7 +219,7 @@
 
 // startHome starts a job at home where its leader may.
 func (w *world) startHome(ref string) {
-	if w.home.decided[ref] == "" && !w.home.home.Away(ref) {
+	if w.home.decided[ref] == "" && !w.home.home.Delegated(ref) {
 		w.home.started[ref] = true
 		w.starts(ref, "home")
 	}
@@ -227,7 +227,7 @@
 
 // finishHome has a job end that runs at home.
 func (w *world) finishHome(ref string) {
-	if w.jobs[ref].begun["home"] && w.home.decided[ref] == "" && !w.home.home.Away(ref) {
+	if w.jobs[ref].begun["home"] && w.home.decided[ref] == "" && !w.home.home.Delegated(ref) {
 		w.jobs[ref].completed["home"] = true
 		w.decide(ref, "done")
 	}
@@ -248,7 +248,7 @@
 // spill begins a transfer where home's leader may.
 func (w *world) spill(ref, cell string) {
 	h := w.home
-	if h.decided[ref] == "" && !h.started[ref] && !h.home.Away(ref) && h.home.MayBegin(ref) {
+	if h.decided[ref] == "" && !h.started[ref] && !h.home.Delegated(ref) && h.home.MayBegin(ref) {
 		h.home.Begin(ref, cell, w.body(ref), w.now, w.now.Milliseconds())
 		w.carryOutHome()
 	}
@@ -267,7 +267,7 @@
 
 // lead begins a term of a neighbour.
 func (w *world) lead(g *guestCell) {
-	g.guests = NewGuests(modelGuests{g})
+	g.guests = NewForeignJobs(modelGuests{g})
 	g.writes, g.cancel = nil, map[string]bool{}
 	for key, record := range g.records {
 		g.guests.Restore(key, record, g.versions[key])
@@ -277,9 +277,9 @@
 // modelGuests is what a neighbour's leader knows of its jobs.
 type modelGuests struct{ *guestCell }
 
-// GuestState is the state of a guest.
-func (g modelGuests) GuestState(key GuestKey) (JobState, bool) {
-	return JobState{Over: g.ends[key.Ref] != "", Aborted: g.ends[key.Ref] == "aborted"}, g.jobs[key.Ref] != nil
+// ForeignJobState is the state of a guest.
+func (g modelGuests) ForeignJobState(key ForeignKey) (JobState, bool) {
+	return JobState{Over: g.ends[key.JobID] != "", Aborted: g.ends[key.JobID] == "aborted"}, g.jobs[key.JobID] != nil
 }
 
 // Admit takes an offer if the test lets it.
@@ -293,10 +293,10 @@
 func (w *world) carryOutGuest(g *guestCell) {
 	for _, effect := range g.guests.Take() {
 		switch e := effect.(type) {
-		case WriteGuest:
+		case WriteForeign:
 			g.writes = append(g.writes, guestWrite{e})
-		case CancelGuest:
-			g.cancel[e.Ref] = true
+		case CancelForeign:
+			g.cancel[e.JobID] = true
 		}
 	}
 }
@@ -312,17 +312,17 @@
 	}
 }
 
-func (w *world) applyGuest(g *guestCell, write WriteGuest) (exists, ok bool) {
+func (w *world) applyGuest(g *guestCell, write WriteForeign) (exists, ok bool) {
 	if g.versions[write.Key] != write.Version {
 		return false, false
 	}
-	if write.Body != nil && (g.jobs[write.Key.Ref] != nil || g.own[write.Key.Ref]) {
+	if write.Body != nil && (g.jobs[write.Key.JobID] != nil || g.own[write.Key.JobID]) {
 		return true, false
 	}
 	g.revision++
 	g.records[write.Key], g.versions[write.Key] = write.Record, g.revision
 	if write.Body != nil {
-		g.jobs[write.Key.Ref] = write.Body
+		g.jobs[write.Key.JobID] = write.Body
 	}
 	return false, true
 }
@@ -513,7 +513,7 @@
 			if g.jobs[ref] != nil && g.ends[ref] == "" {
 				w.t.Fatalf("%s is open in %s: %s", ref, cell, w.describe(ref))
 			}
-			if g.records[GuestKey{"a", ref}].State == GuestAccepted {
+			if g.records[ForeignKey{"a", ref}].State == ForeignAccepted {
 				w.t.Fatalf("%s is not released in %s: %s", ref, cell, w.describe(ref))
 			}
 		}
@@ -526,7 +526,7 @@
 		text += fmt.Sprintf(", %s of epoch %d to %s, cancelling %v", phaseNames[tr.phase], tr.record.Epoch, tr.record.Cell, tr.cancelling)
 	}
 	for _, cell := range w.cells {
-		if r, ok := w.guests[cell].records[GuestKey{"a", ref}]; ok {
+		if r, ok := w.guests[cell].records[ForeignKey{"a", ref}]; ok {
 			text += fmt.Sprintf(", %s has %+v", cell, r)
 		}
 	}
@@ -575,12 +575,12 @@
 	w.home.home.Tick(w.now)
 	w.carryOutHome()
 	w.flush() // home returns it, the neighbour cancels it
-	if w.home.home.Away(ref) || w.guests["b"].ends[ref] != "aborted" {
+	if w.home.home.Delegated(ref) || w.guests["b"].ends[ref] != "aborted" {
 		t.Fatalf("not taken back: %s", w.describe(ref))
 	}
 	w.flush() // and releases it
 	w.spill(ref, "b")
-	if !w.home.home.Away(ref) {
+	if !w.home.home.Delegated(ref) {
 		t.Fatalf("not offered again: %s", w.describe(ref))
 	}
 	w.flush()
--- a/internal/spill/mutants_test.go
+++ b/internal/federation/mutants_test.go
@@ -1,6 +1,6 @@
 //go:build mutants
 
-package spill
+package federation
 
 import (
 	"testing"
--- a/internal/spill/policy.go
+++ b/internal/federation/policy.go
@@ -1,4 +1,4 @@
-package spill
+package federation
 
 import (
 	"time"
@@ -41,34 +41,34 @@
 	Credit float64
 	// Jobs may still be sent there.
 	Jobs int
-	// Barred: it has refused this job, or an earlier epoch is not settled.
-	Barred bool
+	// Excluded: it has refused this job, or an earlier epoch is not settled.
+	Excluded bool
 }
 
-// Chooser names the neighbour for a job. It is SLOW-FIT with cells for machines: in the
+// CellSelector names the neighbour for a job. It is SLOW-FIT with cells for machines: in the
 // operators' order, the first in which the job's load, its share of the capacity, is at
 // most L and the total stays within c times L. Where some have room but none passes, L
 // doubles and what is away counts as nothing; where none has room, the job stays. The
 // capacity and the credit are hard bounds besides.
-type Chooser struct {
+type CellSelector struct {
 	goal slowfit.Goal
 	// forgotten is what was away when the present phase began, by cell.
 	forgotten []float64
 }
 
-// NewChooser makes a chooser with the c of SLOW-FIT.
-func NewChooser(c float64) *Chooser { return &Chooser{goal: slowfit.Goal{C: c}} }
+// NewCellSelector makes a chooser with the c of SLOW-FIT.
+func NewCellSelector(c float64) *CellSelector { return &CellSelector{goal: slowfit.Goal{C: c}} }
 
 // rounding absorbs the rounding of sums of decimal amounts.
 const rounding = 1e-6
 
 func (c *Cell) room(cores float64) bool {
-	return !c.Barred && c.Jobs > 0 && cores <= c.Credit+rounding && c.Used+cores <= c.Capacity+rounding
+	return !c.Excluded && c.Jobs > 0 && cores <= c.Credit+rounding && c.Used+cores <= c.Capacity+rounding
 }
 
 // Choose returns the place of the neighbour that a job of so many cores goes to, or -1.
 // The neighbours are always given in the same order.
-func (c *Chooser) Choose(cells []Cell, cores float64) int {
+func (c *CellSelector) Choose(cells []Cell, cores float64) int {
 	if len(c.forgotten) != len(cells) {
 		c.forgotten = make([]float64, len(cells))
 	}
@@ -101,7 +101,7 @@
 }
 
 // passes tells whether a job keeps to the goal in a cell.
-func (c *Chooser) passes(i int, cell *Cell, cores float64) bool {
+func (c *CellSelector) passes(i int, cell *Cell, cores float64) bool {
 	// What has come back since the phase began is taken from what counts.
 	c.forgotten[i] = min(c.forgotten[i], cell.Used)
 	share := cores / cell.Capacity
@@ -110,4 +110,4 @@
 }
 
 // Rest starts the goal anew, when nothing is away.
-func (c *Chooser) Rest() { c.goal.L, c.forgotten = 0, nil }
+func (c *CellSelector) Rest() { c.goal.L, c.forgotten = 0, nil }
--- a/internal/spill/policy_test.go
+++ b/internal/federation/policy_test.go
@@ -1,4 +1,4 @@
-package spill
+package federation
 
 import (
 	"testing"
@@ -53,13 +53,13 @@
 		{"none passes: L doubles and what is away counts as nothing", 0.05, []Cell{cell(100, 25, 50)}, 8, 0, 0.1},
 		{"no credit", 1, []Cell{cell(100, 0, 4)}, 8, -1, 1},
 		{"no capacity left", 1, []Cell{cell(100, 95, 50)}, 8, -1, 1},
-		{"barred", 1, []Cell{{Capacity: 100, Credit: 100, Jobs: 1, Barred: true}}, 8, -1, 1},
+		{"barred", 1, []Cell{{Capacity: 100, Credit: 100, Jobs: 1, Excluded: true}}, 8, -1, 1},
 		{"too many jobs", 1, []Cell{{Capacity: 100, Credit: 100}}, 8, -1, 1},
 		{"no neighbours", 0, nil, 8, -1, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			choice := NewChooser(5)
+			choice := NewCellSelector(5)
 			choice.goal.L = c.l
 			if got := choice.Choose(c.cells, c.cores); got != c.want || choice.goal.L != c.wantL {
 				t.Errorf("cell %d with L %v, want %d with %v", got, choice.goal.L, c.want, c.wantL)
@@ -73,7 +73,7 @@
 // largest share placed so far asks for, or of the total over c.
 func TestChooseBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		choice := NewChooser(5)
+		choice := NewCellSelector(5)
 		cells := make([]Cell, rapid.IntRange(1, 4).Draw(t, "cells"))
 		for i := range cells {
 			cells[i].Capacity = float64(rapid.IntRange(1, 200).Draw(t, "capacity"))
--- a/internal/spill/types.go
+++ b/internal/federation/types.go
@@ -6,32 +6,32 @@
 // durable write or the time, and return effects. Neither does I/O, so that the same code
 // runs in the leader and under a model checker. docs/design-spill.md argues why a job
 // gets one final answer and why at most one cell runs it.
-package spill
+package federation
 
 import "time"
 
-// AwayState is the state of a transfer in home's record.
-type AwayState string
+// DelegatedState is the state of a transfer in home's record.
+type DelegatedState string
 
 // The states of a transfer in home's record.
 const (
 	// Offered: the neighbour may have accepted the job, or may yet accept it.
-	Offered AwayState = "offered"
+	Offered DelegatedState = "offered"
 	// Accepted: the neighbour has accepted the job and alone decides what runs.
-	Accepted AwayState = "accepted"
+	Accepted DelegatedState = "accepted"
 	// Returned: the epoch is closed and the job is home's to run.
-	Returned AwayState = "returned"
+	Returned DelegatedState = "returned"
 )
 
-// AwayRecord is home's record of a job's latest transfer. It is durable before the
+// DelegatedRecord is home's record of a job's latest transfer. It is durable before the
 // offer is sent, and stays until the job is over and the neighbour needs nothing more.
-type AwayRecord struct {
+type DelegatedRecord struct {
 	// Cell is the neighbour.
 	Cell string `json:"to"`
 	// Epoch numbers the transfers of one job from 1. What belongs to another epoch
 	// than the record's changes nothing.
-	Epoch uint64    `json:"epoch"`
-	State AwayState `json:"state"`
+	Epoch uint64         `json:"epoch"`
+	State DelegatedState `json:"state"`
 	// SinceMS is the time of day at which the transfer began.
 	SinceMS int64 `json:"since_ms"`
 	// Repeatable is the declaration of the job's class when the transfer began.
@@ -40,27 +40,27 @@
 	Cleanup bool `json:"cleanup,omitempty"`
 }
 
-// GuestState is the state of a transfer in the neighbour's record.
-type GuestState string
+// ForeignState is the state of a transfer in the neighbour's record.
+type ForeignState string
 
 // The states of a transfer in the neighbour's record. All but GuestAccepted close the
 // epoch without a run.
 const (
-	GuestAccepted GuestState = "accepted"
-	GuestRefused  GuestState = "refused"
-	GuestRevoked  GuestState = "revoked"
-	// GuestReleased: home knows the result and will not ask again.
-	GuestReleased GuestState = "released"
+	ForeignAccepted ForeignState = "accepted"
+	ForeignRefused  ForeignState = "refused"
+	ForeignRevoked  ForeignState = "revoked"
+	// ForeignReleased: home knows the result and will not ask again.
+	ForeignReleased ForeignState = "released"
 )
 
-// GuestRecord is the neighbour's record of a job's latest transfer from one home. The
+// ForeignRecord is the neighbour's record of a job's latest transfer from one home. The
 // first write of an epoch decides it: an accept and a revocation need the same key at
 // the same version, so that exactly one of them is carried out. It is never deleted, or a
 // late copy of the offer would find no trace of it.
-type GuestRecord struct {
-	Epoch   uint64     `json:"epoch"`
-	State   GuestState `json:"state"`
-	SinceMS int64      `json:"since_ms"`
+type ForeignRecord struct {
+	Epoch   uint64       `json:"epoch"`
+	State   ForeignState `json:"state"`
+	SinceMS int64        `json:"since_ms"`
 	// Repeatable is home's declaration, as the offer carried it.
 	Repeatable bool `json:"repeatable,omitempty"`
 	// Reason is why the offer was refused, and Temporary is set when another one may
@@ -94,7 +94,7 @@
 // Message is what home sends about one job. It may be lost, late or doubled.
 type Message struct {
 	Kind  Kind
-	Ref   string
+	JobID string
 	Epoch uint64
 	// Body has the job, with an offer.
 	Body *OfferBody
@@ -143,7 +143,7 @@
 
 // Answer is a neighbour's answer to one message.
 type Answer struct {
-	Ref     string
+	JobID   string
 	Epoch   uint64
 	Outcome Outcome
 	// Done and Running count the tasks of an accepted job, for display.
@@ -161,14 +161,14 @@
 	Temporary bool
 }
 
-// Note is a step of a transfer for logs, counters and traces.
-type Note struct {
-	// Home is the job's home where that is another cell; Cell is the neighbour.
-	Home, Cell string
-	Ref        string
-	Epoch      uint64
-	Step       string
-	Reason     string
+// TransferStep is a step of a transfer for logs, counters and traces.
+type TransferStep struct {
+	// Origin is the job's home where that is another cell; Cell is the neighbour.
+	Origin, Cell string
+	JobID        string
+	Epoch        uint64
+	Step         string
+	Reason       string
 }
 
 // The steps that notes tell of.
--- a/internal/spill/views.go
+++ b/internal/federation/views.go
@@ -1,32 +1,32 @@
-package spill
+package federation
 
 import "time"
 
-// HomeView is a transfer as operators see it at home.
-type HomeView struct {
-	Ref        string
-	Record     AwayRecord
+// DelegatedView is a transfer as operators see it at home.
+type DelegatedView struct {
+	JobID      string
+	Record     DelegatedRecord
 	Phase      string
 	Cancelling bool
-	// Heard is how long ago the neighbour last answered about it.
-	Heard         time.Duration
+	// LastAnswer is how long ago the neighbour last answered about it.
+	LastAnswer    time.Duration
 	Done, Running int
 }
 
 // List lists the transfers at a moment, but those that are closed.
-func (h *Home) List(now time.Duration) []HomeView {
-	var views []HomeView
+func (h *DelegatedJobs) List(now time.Duration) []DelegatedView {
+	var views []DelegatedView
 	for _, t := range h.sorted() {
 		if t.phase == closed {
 			continue
 		}
-		views = append(views, HomeView{Ref: t.ref, Record: t.record, Phase: phaseNames[t.phase], Cancelling: t.cancelling, Heard: now - t.heard, Done: t.done, Running: t.running})
+		views = append(views, DelegatedView{JobID: t.ref, Record: t.record, Phase: phaseNames[t.phase], Cancelling: t.cancelling, LastAnswer: now - t.heard, Done: t.done, Running: t.running})
 	}
 	return views
 }
 
 // Cell names the neighbour of a job's latest transfer; "": there is none.
-func (h *Home) Cell(ref string) string {
+func (h *DelegatedJobs) Cell(ref string) string {
 	if t := h.transfers[ref]; t != nil {
 		return t.record.Cell
 	}
@@ -34,7 +34,7 @@
 }
 
 // With lists the jobs that a neighbour may run, in order.
-func (h *Home) With(cell string) []string {
+func (h *DelegatedJobs) With(cell string) []string {
 	var refs []string
 	for _, t := range h.sorted() {
 		if t.record.Cell == cell && t.elsewhere() {
@@ -49,14 +49,14 @@
 	return t.phase != closed && t.phase != releasing && t.phase != ending
 }
 
-// Elsewhere tells whether a neighbour may run a job.
-func (h *Home) Elsewhere(ref string) bool {
+// MayRunRemotely tells whether a neighbour may run a job.
+func (h *DelegatedJobs) MayRunRemotely(ref string) bool {
 	t := h.transfers[ref]
 	return t != nil && t.elsewhere()
 }
 
 // Progress counts a job's tasks as its neighbour last told.
-func (h *Home) Progress(ref string) (done, running int) {
+func (h *DelegatedJobs) Progress(ref string) (done, running int) {
 	if t := h.transfers[ref]; t != nil {
 		return t.done, t.running
 	}
@@ -64,4 +64,4 @@
 }
 
 // Idle tells whether there are no transfers at all.
-func (h *Home) Idle() bool { return len(h.transfers) == 0 }
+func (h *DelegatedJobs) Idle() bool { return len(h.transfers) == 0 }
--- a/internal/intake/groupcommit.go
+++ b/internal/jobapi/groupcommit.go
@@ -1,4 +1,4 @@
-package intake
+package jobapi
 
 import (
 	"context"
@@ -9,16 +9,16 @@
 
 	"github.com/segmentio/encoding/json"
 
+	"leadproxy/internal/kvstore"
 	"leadproxy/internal/ledger"
-	"leadproxy/internal/state"
 	"leadproxy/internal/wire"
 )
 
 // Store is the part of the state service that intake needs.
 type Store interface {
-	Get(ctx context.Context, p state.Priority, key string) (wire.Entry, bool, error)
-	Txn(ctx context.Context, p state.Priority, t wire.Txn) (bool, wire.TxnAnswer, error)
-	Limits() state.Limits
+	Get(ctx context.Context, p kvstore.Priority, key string) (wire.Entry, bool, error)
+	CompareAndSwap(ctx context.Context, p kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error)
+	Limits() kvstore.Limits
 	Serving() bool
 }
 
@@ -64,7 +64,7 @@
 // ops is how many records go into one transaction.
 func (c *groupCommit) ops() int {
 	l := c.store.Limits()
-	return max(1, min(l.Ops, int(l.WriteRPS*c.share)))
+	return max(1, min(l.MaxChanges, int(l.WriteRPS*c.share)))
 }
 
 var (
@@ -135,7 +135,7 @@
 	ctx, cancel := context.WithTimeout(ctx, commitLimit)
 	defer cancel()
 	for len(batch) > 0 {
-		var txn wire.Txn
+		var txn wire.CompareAndSwap
 		seen := map[string]bool{}
 		var round, again []*accept
 		for _, a := range batch {
@@ -146,17 +146,17 @@
 			}
 			seen[a.key] = true
 			round = append(round, a)
-			txn.If = append(txn.If, wire.Condition{Key: a.key})
-			txn.Then = append(txn.Then, wire.Change{Set: a.key, Value: a.value})
+			txn.Conditions = append(txn.Conditions, wire.Condition{Key: a.key})
+			txn.Changes = append(txn.Changes, wire.Change{Set: a.key, Value: a.value})
 		}
-		ok, answer, err := c.store.Txn(ctx, state.Accept, txn)
-		if ops := c.ops(); errors.Is(err, state.ErrLimits) && len(batch) > ops {
+		ok, answer, err := c.store.CompareAndSwap(ctx, kvstore.PriorityAccept, txn)
+		if ops := c.ops(); errors.Is(err, kvstore.ErrLimitsLowered) && len(batch) > ops {
 			for part := range slices.Chunk(batch, ops) {
 				c.commit(ctx, part)
 			}
 			return
 		}
-		if errors.Is(err, state.ErrUnknown) && ctx.Err() == nil {
+		if errors.Is(err, kvstore.ErrUnknownOutcome) && ctx.Err() == nil {
 			// Creating is safe to repeat: what was carried out is then known.
 			continue
 		}
@@ -167,7 +167,7 @@
 			return
 		}
 		failed := map[string]bool{}
-		for _, key := range answer.Failed {
+		for _, key := range answer.FailedKeys {
 			failed[key] = true
 		}
 		for _, a := range round {
--- a/internal/intake/http.go
+++ b/internal/jobapi/http.go
@@ -1,4 +1,4 @@
-package intake
+package jobapi
 
 import (
 	"context"
--- a/internal/intake/intake.go
+++ b/internal/jobapi/intake.go
@@ -2,7 +2,7 @@
 // cancellations. Every node serves them. Nothing is told that is older than
 // what any node may have told before: terminal states come from the leader in
 // its term or from a fresh read of the state service.
-package intake
+package jobapi
 
 import (
 	"context"
@@ -17,10 +17,10 @@
 
 	"leadproxy/internal/dispatch"
 	"leadproxy/internal/election"
+	"leadproxy/internal/kvstore"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/scheduler"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/state"
 	"leadproxy/internal/wire"
 )
 
@@ -53,7 +53,7 @@
 type Dispatcher interface {
 	Status(ctx context.Context, ref string) (wire.JobStatus, bool, error)
 	Cancel(ctx context.Context, ref string) (wire.JobStatus, bool, error)
-	JobRecorded(j scheduler.JobSeen)
+	JobCreated(j scheduler.JobRecordEvent)
 }
 
 // Types tells the machine types, and whether they are known yet.
@@ -99,7 +99,7 @@
 }
 
 func problem(status int, format string, args ...any) Answer {
-	return JSON(status, wire.Problem{Error: fmt.Sprintf(format, args...)})
+	return JSON(status, wire.ErrorResponse{Error: fmt.Sprintf(format, args...)})
 }
 
 // later tells a user to come again.
@@ -187,10 +187,10 @@
 // accept records a job and answers its submission. cancelled is set when a job that it
 // needs is.
 func (s *Service) accept(ctx context.Context, job *wire.Job, body []byte, cancelled, local bool) Answer {
-	ref := job.Ref
+	ref := job.ID
 	rec := ledger.JobRecord{Job: job, AcceptedMS: time.Now().UnixMilli()}
 	created, err := s.commits.create(ctx, ref, rec)
-	if errors.Is(err, errFull) || errors.Is(err, state.ErrBusy) {
+	if errors.Is(err, errFull) || errors.Is(err, kvstore.ErrOverloaded) {
 		if a, ok := s.repeated(ctx, ref, local); ok {
 			return a
 		}
@@ -200,7 +200,7 @@
 		return problem(http.StatusBadRequest, "%s", err)
 	case errors.Is(err, errFull):
 		return busy
-	case errors.Is(err, state.ErrBusy):
+	case errors.Is(err, kvstore.ErrOverloaded):
 		// Another node may have some of its share of the rate left.
 		return s.elsewhere(ctx, Submit, ref, body, local, busy)
 	case err != nil:
@@ -214,12 +214,12 @@
 		return s.known(ctx, ref, rec, local)
 	}
 	s.log.Debug("submission recorded", "job", ref, "class", job.Class, "tasks", job.Tasks)
-	s.dispatcher.JobRecorded(scheduler.JobSeen{Ref: ref, Record: rec, Version: created.version})
+	s.dispatcher.JobCreated(scheduler.JobRecordEvent{JobID: ref, Record: rec, Version: created.version})
 	if cancelled {
 		// From its first moment on: that follows from what is durable.
-		return JSON(http.StatusCreated, wire.Accepted{Ref: ref, Status: wire.Aborted})
+		return JSON(http.StatusCreated, wire.JobResponse{ID: ref, Status: wire.JobCancelled})
 	}
-	return JSON(http.StatusCreated, wire.Accepted{Ref: ref, Status: wire.Queued})
+	return JSON(http.StatusCreated, wire.JobResponse{ID: ref, Status: wire.JobQueued})
 }
 
 // repeated answers a submission if its job is recorded already.
@@ -235,19 +235,19 @@
 // known answers the repetition of an accepted job, whose record was read since
 // the user asked.
 func (s *Service) known(ctx context.Context, ref string, rec ledger.JobRecord, local bool) Answer {
-	if rec.Home != "" {
-		return problem(http.StatusUnprocessableEntity, "a job of this name runs here for cell %s", rec.Home)
+	if rec.Origin != "" {
+		return problem(http.StatusUnprocessableEntity, "a job of this name runs here for cell %s", rec.Origin)
 	}
 	if rec.Terminal == "" {
 		if st, ok := s.fromLeader(ctx, ref, local); ok {
-			return JSON(http.StatusOK, wire.Accepted{Ref: ref, Status: st.Status})
+			return JSON(http.StatusOK, wire.JobResponse{ID: ref, Status: st.Status})
 		}
 	}
 	status, err := s.recorded(ctx, &rec)
 	if err != nil {
 		return noState
 	}
-	return JSON(http.StatusOK, wire.Accepted{Ref: ref, Status: status})
+	return JSON(http.StatusOK, wire.JobResponse{ID: ref, Status: status})
 }
 
 // judgeNeeds tells why a job can never run, or that this can't be told yet. A zero
@@ -283,7 +283,7 @@
 
 // record reads a job's record from the state service.
 func (s *Service) record(ctx context.Context, ref string) (rec ledger.JobRecord, found bool, err error) {
-	e, found, err := s.store.Get(ctx, state.Read, ledger.JobKey(ref))
+	e, found, err := s.store.Get(ctx, kvstore.PriorityRead, ledger.JobKey(ref))
 	if err != nil || !found {
 		return rec, false, err
 	}
@@ -302,13 +302,13 @@
 // another node has read as done.
 func (s *Service) fromDispatcher(ctx context.Context, ref string) (wire.JobStatus, bool, error) {
 	v := s.elector.View()
-	if !v.InTerm(time.Now()) {
+	if !v.IsLeader(time.Now()) {
 		return wire.JobStatus{}, false, errNotHere
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
 	st, found, err := s.dispatcher.Status(ctx, ref)
-	if err == nil && !s.elector.InTerm(v.Term) {
+	if err == nil && !s.elector.IsLeader(v.Term) {
 		err = errNotHere
 	}
 	return st, found, err
@@ -332,7 +332,7 @@
 }
 
 func (s *Service) status(ctx context.Context, ref string, local bool) Answer {
-	if !wire.ValidRef(ref) {
+	if !wire.ValidJobID(ref) {
 		return problem(http.StatusNotFound, "there is no such job")
 	}
 	if st, ok := s.fromLeader(ctx, ref, local); ok {
@@ -354,13 +354,13 @@
 // --- cancellations ---
 
 func (s *Service) cancel(ctx context.Context, ref string, local bool) Answer {
-	if !wire.ValidRef(ref) {
+	if !wire.ValidJobID(ref) {
 		return problem(http.StatusNotFound, "there is no such job")
 	}
 	ctx, cancel := context.WithTimeout(ctx, 4*time.Second)
 	defer cancel()
 	v := s.elector.View()
-	if !v.InTerm(time.Now()) {
+	if !v.IsLeader(time.Now()) {
 		return s.cancelElsewhere(ctx, v.Leader, ref, local)
 	}
 	st, found, err := s.dispatcher.Cancel(ctx, ref)
@@ -371,7 +371,7 @@
 		st, found, err = s.dispatcher.Cancel(ctx, ref)
 	}
 	switch {
-	case errors.Is(err, dispatch.ErrUnreachable):
+	case errors.Is(err, dispatch.ErrCellUnreachable):
 		return later(http.StatusServiceUnavailable, 1, err.Error())
 	case err != nil:
 		return later(http.StatusServiceUnavailable, 1, "the cancellation could not be recorded")
@@ -380,7 +380,7 @@
 	}
 	// The state that the dispatcher tells here is durable.
 	s.log.Debug("cancellation answered", "job", ref, "status", st.Status, "term", v.Term)
-	return JSON(http.StatusOK, wire.Accepted{Ref: ref, Status: st.Status})
+	return JSON(http.StatusOK, wire.JobResponse{ID: ref, Status: st.Status})
 }
 
 // cancelElsewhere has the leader cancel a job. Without one, what is over already can
@@ -394,9 +394,9 @@
 	switch st, found, err := s.fromRecords(ctx, ref); {
 	case err == nil && !found:
 		return problem(http.StatusNotFound, "there is no such job")
-	case err == nil && st.Status != wire.Queued:
+	case err == nil && st.Status != wire.JobQueued:
 		s.log.Debug("cancellation answered by the job's record", "job", ref, "status", st.Status)
-		return JSON(http.StatusOK, wire.Accepted{Ref: ref, Status: st.Status})
+		return JSON(http.StatusOK, wire.JobResponse{ID: ref, Status: st.Status})
 	}
 	return later(http.StatusServiceUnavailable, 1, "no controller leads at the moment")
 }
@@ -404,7 +404,7 @@
 // tellDispatcher tells this node's dispatcher of a job that is so new that it has not
 // seen it. A zero answer is no refusal.
 func (s *Service) tellDispatcher(ctx context.Context, ref string) (refusal Answer) {
-	e, found, err := s.store.Get(ctx, state.Read, ledger.JobKey(ref))
+	e, found, err := s.store.Get(ctx, kvstore.PriorityRead, ledger.JobKey(ref))
 	switch {
 	case err != nil:
 		return noState
@@ -416,10 +416,10 @@
 	case err != nil:
 		s.log.Error("job record can't be read", "job", ref, "error", err)
 		return problem(http.StatusInternalServerError, "the job's record can't be read")
-	case rec.Home != "":
+	case rec.Origin != "":
 		return problem(http.StatusNotFound, "there is no such job of this cell")
 	}
-	s.dispatcher.JobRecorded(scheduler.JobSeen{Ref: ref, Record: rec, Version: e.Version})
+	s.dispatcher.JobCreated(scheduler.JobRecordEvent{JobID: ref, Record: rec, Version: e.Version})
 	return Answer{}
 }
 
--- a/internal/intake/intake_test.go
+++ b/internal/jobapi/intake_test.go
@@ -1,4 +1,4 @@
-package intake
+package jobapi
 
 import (
 	"context"
@@ -20,10 +20,10 @@
 
 	"leadproxy/internal/dispatch"
 	"leadproxy/internal/election"
+	"leadproxy/internal/kvstore"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/scheduler"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/state"
 	"leadproxy/internal/wire"
 )
 
@@ -37,13 +37,13 @@
 	unserved bool
 }
 
-func (f *fakeStore) Get(ctx context.Context, _ state.Priority, key string) (wire.Entry, bool, error) {
+func (f *fakeStore) Get(ctx context.Context, _ kvstore.Priority, key string) (wire.Entry, bool, error) {
 	if f.unserved {
 		<-ctx.Done()
-		return wire.Entry{}, false, state.ErrUnknown
+		return wire.Entry{}, false, kvstore.ErrUnknownOutcome
 	}
 	if f.down {
-		return wire.Entry{}, false, state.ErrRefused
+		return wire.Entry{}, false, kvstore.ErrUnavailable
 	}
 	rec, ok := f.records[key]
 	value, err := json.Marshal(rec)
@@ -52,34 +52,34 @@
 
 func (f *fakeStore) Serving() bool { return !f.unserved }
 
-func (f *fakeStore) Limits() state.Limits {
-	return state.Limits{Ops: 8, ValueBytes: 16 << 10, WriteRPS: 40}
+func (f *fakeStore) Limits() kvstore.Limits {
+	return kvstore.Limits{MaxChanges: 8, ValueBytes: 16 << 10, WriteRPS: 40}
 }
 
-func (f *fakeStore) Txn(ctx context.Context, _ state.Priority, t wire.Txn) (bool, wire.TxnAnswer, error) {
+func (f *fakeStore) CompareAndSwap(ctx context.Context, _ kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
 	if f.unserved {
 		<-ctx.Done()
-		return false, wire.TxnAnswer{}, state.ErrUnknown
+		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnknownOutcome
 	}
 	if f.down {
-		return false, wire.TxnAnswer{}, state.ErrRefused
+		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnavailable
 	}
 	if f.busy {
-		return false, wire.TxnAnswer{}, state.ErrBusy
+		return false, wire.CompareAndSwapResponse{}, kvstore.ErrOverloaded
 	}
-	for _, c := range t.If {
+	for _, c := range t.Conditions {
 		if _, ok := f.records[c.Key]; ok {
-			return false, wire.TxnAnswer{Failed: []string{c.Key}}, nil
+			return false, wire.CompareAndSwapResponse{FailedKeys: []string{c.Key}}, nil
 		}
 	}
-	for _, c := range t.Then {
+	for _, c := range t.Changes {
 		var rec ledger.JobRecord
 		if err := json.Unmarshal(c.Value, &rec); err != nil {
-			return false, wire.TxnAnswer{}, err
+			return false, wire.CompareAndSwapResponse{}, err
 		}
 		f.records[c.Set] = rec
 	}
-	return true, wire.TxnAnswer{Revision: 9}, nil
+	return true, wire.CompareAndSwapResponse{Revision: 9}, nil
 }
 
 // fakePeers answers every request that is passed on with one answer, or not.
@@ -97,14 +97,14 @@
 type fakeDispatcher struct{}
 
 func (fakeDispatcher) Status(context.Context, string) (wire.JobStatus, bool, error) {
-	return wire.JobStatus{}, false, dispatch.ErrNotLeading
+	return wire.JobStatus{}, false, dispatch.ErrNotLeader
 }
 
 func (fakeDispatcher) Cancel(context.Context, string) (wire.JobStatus, bool, error) {
-	return wire.JobStatus{}, false, dispatch.ErrNotLeading
+	return wire.JobStatus{}, false, dispatch.ErrNotLeader
 }
 
-func (fakeDispatcher) JobRecorded(scheduler.JobSeen) {}
+func (fakeDispatcher) JobCreated(scheduler.JobRecordEvent) {}
 
 func TestUsersAPI(t *testing.T) {
 	body := func(change ...string) string {
@@ -177,19 +177,19 @@
 		t.Run(c.name, func(t *testing.T) {
 			log := slog.New(slog.NewTextHandler(io.Discard, nil))
 			store := &fakeStore{down: c.down, busy: c.busy, records: map[string]ledger.JobRecord{
-				"job/job-3": {Home: "lima", Epoch: 1, Terminal: wire.Done, Tasks: 1, Done: 1},
-				"job/job-7": {Terminal: wire.Done, Tasks: 2, Done: 2}, "job/job-8": {Job: &wire.Job{Ref: "job-8", Tasks: 1}},
-				"job/job-6":  {Terminal: wire.Aborted, Job: &wire.Job{Ref: "job-6", Tasks: 1}},
-				"job/job-5":  {Job: &wire.Job{Ref: "job-5", Tasks: 1, WaitsOn: []string{"job-7", "job-51"}}},
-				"job/job-51": {Job: &wire.Job{Ref: "job-51", Tasks: 1, WaitsOn: []string{"job-6"}}},
-				"job/job-4":  {Job: &wire.Job{Ref: "job-4", Tasks: 1}}}}
+				"job/job-3": {Origin: "lima", TransferEpoch: 1, Terminal: wire.JobDone, Tasks: 1, Done: 1},
+				"job/job-7": {Terminal: wire.JobDone, Tasks: 2, Done: 2}, "job/job-8": {Job: &wire.Job{ID: "job-8", Tasks: 1}},
+				"job/job-6":  {Terminal: wire.JobCancelled, Job: &wire.Job{ID: "job-6", Tasks: 1}},
+				"job/job-5":  {Job: &wire.Job{ID: "job-5", Tasks: 1, DependsOn: []string{"job-7", "job-51"}}},
+				"job/job-51": {Job: &wire.Job{ID: "job-51", Tasks: 1, DependsOn: []string{"job-6"}}},
+				"job/job-4":  {Job: &wire.Job{ID: "job-4", Tasks: 1}}}}
 			many := []string{}
 			for i := range maxAncestors + 1 {
 				ref := fmt.Sprintf("job-4%d", i)
 				many = append(many, ref)
-				store.records["job/"+ref] = ledger.JobRecord{Job: &wire.Job{Ref: ref, Tasks: 1}}
+				store.records["job/"+ref] = ledger.JobRecord{Job: &wire.Job{ID: ref, Tasks: 1}}
 			}
-			store.records["job/job-4"].Job.WaitsOn = many
+			store.records["job/job-4"].Job.DependsOn = many
 			p := &settings.Platform{Node: "n1", Facts: settings.Facts{Teams: []settings.Team{{Name: "t", CPUsMax: 6}},
 				State: settings.StateLimits{WriteRPS: 40, TxnOps: 8, ValueKB: 16}}}
 			types := func() ([]wire.MachineType, bool) {
@@ -226,14 +226,14 @@
 	accepted, refused := 0, 0
 	for length := range limit {
 		// The name of the class stays in the record of a cancelled job.
-		j := &wire.Job{Ref: fmt.Sprintf("job-%d", length), Class: strings.Repeat("c", length), Kind: "batch", Priority: "high", Tasks: 100000}
-		_, err := c.create(t.Context(), j.Ref, ledger.JobRecord{Job: j, AcceptedMS: 1796190522949})
+		j := &wire.Job{ID: fmt.Sprintf("job-%d", length), Class: strings.Repeat("c", length), Kind: "batch", Priority: "high", Tasks: 100000}
+		_, err := c.create(t.Context(), j.ID, ledger.JobRecord{Job: j, AcceptedMS: 1796190522949})
 		if err != nil {
 			refused++
 			continue
 		}
 		accepted++
-		end := ledger.JobRecord{Job: j.Essence(), AcceptedMS: 1796190522949, Terminal: wire.Aborted, Tasks: j.Tasks, Done: j.Tasks - 1, EndedMS: 1796190522949}
+		end := ledger.JobRecord{Job: j.CancelledSummary(), AcceptedMS: 1796190522949, Terminal: wire.JobCancelled, Tasks: j.Tasks, Done: j.Tasks - 1, EndedMS: 1796190522949}
 		b, err := json.Marshal(end)
 		if err != nil || len(b) > limit {
 			t.Errorf("%d bytes of class: the end takes %d bytes of %d: %v", length, len(b), limit, err)
--- a/internal/intake/pipeline.go
+++ b/internal/jobapi/pipeline.go
@@ -1,4 +1,4 @@
-package intake
+package jobapi
 
 import (
 	"context"
@@ -25,13 +25,13 @@
 // that can't be told at the moment; a zero answer is no refusal. It also tells whether
 // one that it needs is cancelled, and the job with it as soon as it is accepted.
 func (s *Service) judgeAncestors(ctx context.Context, j *wire.Job, local bool) (refusal Answer, cancelled bool) {
-	if len(j.WaitsOn) == 0 {
+	if len(j.DependsOn) == 0 {
 		return Answer{}, false
 	}
 	if !s.Upgraded() {
 		return notUpgraded, false
 	}
-	if slices.Contains(j.WaitsOn, j.Ref) {
+	if slices.Contains(j.DependsOn, j.ID) {
 		return problem(http.StatusUnprocessableEntity, "waits_on names the job itself"), false
 	}
 	type look struct {
@@ -40,8 +40,8 @@
 		status string
 		err    error
 	}
-	looks := make(chan look, len(j.WaitsOn))
-	for _, ref := range j.WaitsOn {
+	looks := make(chan look, len(j.DependsOn))
+	for _, ref := range j.DependsOn {
 		go func() {
 			if st, ok := s.fromLeader(ctx, ref, local); ok {
 				looks <- look{ref, true, st.Status, nil}
@@ -51,7 +51,7 @@
 			looks <- look{ref, found, st.Status, err}
 		}()
 	}
-	for range j.WaitsOn {
+	for range j.DependsOn {
 		l := <-looks
 		switch {
 		case l.err != nil:
@@ -60,7 +60,7 @@
 		case !l.found && refusal.Status == 0:
 			refusal = problem(http.StatusUnprocessableEntity, "waits_on names %s, which was never accepted", l.ref)
 		}
-		cancelled = cancelled || l.status == wire.Aborted
+		cancelled = cancelled || l.status == wire.JobCancelled
 	}
 	return refusal, cancelled
 }
@@ -68,11 +68,11 @@
 // fromRecords tells a job's state by its record and those of its ancestors alone.
 func (s *Service) fromRecords(ctx context.Context, ref string) (st wire.JobStatus, found bool, err error) {
 	rec, found, err := s.record(ctx, ref)
-	if err != nil || !found || rec.Home != "" {
+	if err != nil || !found || rec.Origin != "" {
 		return st, false, err // users speak to a job's home alone
 	}
 	status, err := s.recorded(ctx, &rec)
-	return wire.JobStatus{Ref: ref, Status: status, Done: rec.Done}, true, err
+	return wire.JobStatus{ID: ref, Status: status, Done: rec.Done}, true, err
 }
 
 // recorded is the state of a job as its record and those of its ancestors tell it: an
@@ -83,10 +83,10 @@
 		return rec.Terminal, nil
 	}
 	if rec.Job == nil {
-		return wire.Queued, nil
+		return wire.JobQueued, nil
 	}
 	seen := map[string]bool{}
-	todo := slices.Clone(rec.Job.WaitsOn)
+	todo := slices.Clone(rec.Job.DependsOn)
 	for len(todo) > 0 {
 		ref := todo[0]
 		todo = todo[1:]
@@ -101,12 +101,12 @@
 		switch {
 		case err != nil:
 			return "", err
-		case !found || p.Terminal == wire.Done:
-		case p.Terminal == wire.Aborted:
-			return wire.Aborted, nil
+		case !found || p.Terminal == wire.JobDone:
+		case p.Terminal == wire.JobCancelled:
+			return wire.JobCancelled, nil
 		case p.Job != nil:
-			todo = append(todo, p.Job.WaitsOn...)
+			todo = append(todo, p.Job.DependsOn...)
 		}
 	}
-	return wire.Queued, nil
+	return wire.JobQueued, nil
 }
--- a/internal/state/client.go
+++ b/internal/kvstore/client.go
@@ -1,7 +1,7 @@
 // Package state is the client of the state service. One pacer per process owns
 // the node's share of the service's rate limits and grants requests by
 // priority; the rest is plain requests and their outcomes.
-package state
+package kvstore
 
 import (
 	"bytes"
@@ -18,45 +18,45 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"leadproxy/internal/outbound"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
 // The outcomes besides success that callers tell apart.
 var (
-	// ErrRefused: the request was not carried out (503, or no connection).
-	ErrRefused = errors.New("state service refused the request")
-	// ErrUnknown: no response; it may have been, or may yet be, carried out.
-	ErrUnknown = errors.New("outcome of the state request is unknown")
-	// ErrNoLease: the lease has ended.
-	ErrNoLease = errors.New("no such lease")
-	// ErrTooOld: the watch's revision is no longer kept.
-	ErrTooOld = errors.New("revision is no longer kept")
-	// ErrBusy: this node's share of the rate is used up and the queue is full.
-	ErrBusy = errors.New("too many state requests are waiting")
-	// ErrBad: the service found the request malformed.
-	ErrBad = errors.New("state service rejected the request")
-	// ErrLimits: the request was not carried out, since the service's limits have
+	// ErrUnavailable: the request was not carried out (503, or no connection).
+	ErrUnavailable = errors.New("state service refused the request")
+	// ErrUnknownOutcome: no response; it may have been, or may yet be, carried out.
+	ErrUnknownOutcome = errors.New("outcome of the state request is unknown")
+	// ErrLeaseExpired: the lease has ended.
+	ErrLeaseExpired = errors.New("no such lease")
+	// ErrCompacted: the watch's revision is no longer kept.
+	ErrCompacted = errors.New("revision is no longer kept")
+	// ErrOverloaded: this node's share of the rate is used up and the queue is full.
+	ErrOverloaded = errors.New("too many state requests are waiting")
+	// ErrInvalidRequest: the service found the request malformed.
+	ErrInvalidRequest = errors.New("state service rejected the request")
+	// ErrLimitsLowered: the request was not carried out, since the service's limits have
 	// fallen below it. Limits tells the new ones.
-	ErrLimits = errors.New("the state service's limits have fallen")
+	ErrLimitsLowered = errors.New("the state service's limits have fallen")
 )
 
 // Limits are the bounds of a transaction that hold at the moment, as far as known.
 type Limits struct {
-	Ops        int
+	MaxChanges int
 	ValueBytes int
 	RPS        float64
 	WriteRPS   float64
 }
 
 func limitsOf(l settings.StateLimits) *Limits {
-	return &Limits{Ops: l.TxnOps, ValueBytes: int(l.ValueKB * 1024), RPS: l.RPS, WriteRPS: l.WriteRPS}
+	return &Limits{MaxChanges: l.TxnOps, ValueBytes: int(l.ValueKB * 1024), RPS: l.RPS, WriteRPS: l.WriteRPS}
 }
 
 // exceeds tells whether a transaction is more than the limits allow.
-func (l *Limits) exceeds(t *wire.Txn) bool {
-	return len(t.Then) > l.Ops || slices.ContainsFunc(t.Then, func(c wire.Change) bool { return len(c.Value) > l.ValueBytes })
+func (l *Limits) exceeds(t *wire.CompareAndSwap) bool {
+	return len(t.Changes) > l.MaxChanges || slices.ContainsFunc(t.Changes, func(c wire.Change) bool { return len(c.Value) > l.ValueBytes })
 }
 
 // Priority ranks requests when the rate is short.
@@ -64,10 +64,10 @@
 
 // The priorities, the most urgent first.
 const (
-	Lease Priority = iota
-	Leader
-	Accept
-	Read
+	PriorityLease Priority = iota
+	PriorityLeader
+	PriorityAccept
+	PriorityRead
 	priorities
 )
 
@@ -77,7 +77,7 @@
 	http  *http.Client
 	pacer *pacer
 	// renewals is for Renew alone.
-	renewals *outbound.Conn
+	renewals *transport.Conn
 }
 
 // timeout bounds one ordinary request, renewTimeout a renewal.
@@ -88,19 +88,19 @@
 
 // New makes a client whose pacer runs until ctx ends. Of the service's limits share
 // is this node's at the start.
-func New(ctx context.Context, n outbound.Network, addr string, l settings.StateLimits, share float64, log *slog.Logger) *Client {
+func New(ctx context.Context, n transport.Network, addr string, l settings.StateLimits, share float64, log *slog.Logger) *Client {
 	c := &Client{
 		base:     "http://" + addr,
-		http:     outbound.NewClient(n, 16),
+		http:     transport.NewClient(n, 16),
 		pacer:    newPacer(l, share, log),
-		renewals: outbound.NewConn(n, addr),
+		renewals: transport.NewConn(n, addr),
 	}
 	go c.pacer.run(ctx)
 	return c
 }
 
-// SetShare changes this node's part of the service's rate.
-func (c *Client) SetShare(share float64) { c.pacer.shares <- share }
+// SetRateShare changes this node's part of the service's rate.
+func (c *Client) SetRateShare(share float64) { c.pacer.shares <- share }
 
 // Limits are the service's limits as far as they have shown themselves.
 func (c *Client) Limits() Limits { return *c.pacer.limits.Load() }
@@ -128,7 +128,7 @@
 			continue
 		}
 		refused := err == nil && status == http.StatusServiceUnavailable
-		if err == nil || errors.Is(err, ErrRefused) {
+		if err == nil || errors.Is(err, ErrUnavailable) {
 			c.pacer.note(err == nil && !refused)
 		} else if limit <= 2*timeout && !errors.Is(ctx.Err(), context.Canceled) {
 			// A cut that swallows packets shows only as silence. A watch is
@@ -136,7 +136,7 @@
 			c.pacer.note(false)
 		}
 		if refused {
-			return status, nil, ErrRefused
+			return status, nil, ErrUnavailable
 		}
 		return status, answer, err
 	}
@@ -154,22 +154,22 @@
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
-		if outbound.NeverSent(err) {
-			return 0, nil, fmt.Errorf("%w: %w", ErrRefused, err)
+		if transport.NotSent(err) {
+			return 0, nil, fmt.Errorf("%w: %w", ErrUnavailable, err)
 		}
-		return 0, nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return 0, nil, fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	}
 	defer resp.Body.Close()
 	answer, err := io.ReadAll(resp.Body)
 	if err != nil {
-		return 0, nil, fmt.Errorf("%w: %w", ErrUnknown, err)
+		return 0, nil, fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	}
 	return resp.StatusCode, answer, nil
 }
 
 func decode(answer []byte, into any) error {
 	if err := json.Unmarshal(answer, into); err != nil {
-		return fmt.Errorf("%w: answer can't be read: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: answer can't be read: %w", ErrUnknownOutcome, err)
 	}
 	return nil
 }
@@ -178,7 +178,7 @@
 	if len(answer) > 200 {
 		answer = answer[:200]
 	}
-	return fmt.Errorf("%w: status %d: %s", ErrBad, status, answer)
+	return fmt.Errorf("%w: status %d: %s", ErrInvalidRequest, status, answer)
 }
 
 // Get reads a key; found is false when it does not exist.
@@ -198,7 +198,7 @@
 }
 
 // List reads one page of the keys under a prefix, and the service's revision.
-func (c *Client) List(ctx context.Context, p Priority, under, after string, limit int) (page wire.Entries, err error) {
+func (c *Client) List(ctx context.Context, p Priority, under, after string, limit int) (page wire.EntryPage, err error) {
 	q := url.Values{"under": {under}, "limit": {strconv.Itoa(limit)}}
 	if after != "" {
 		q.Set("from", after)
@@ -215,14 +215,14 @@
 
 // Lister reads pages of keys.
 type Lister interface {
-	List(ctx context.Context, p Priority, under, after string, limit int) (wire.Entries, error)
+	List(ctx context.Context, p Priority, under, after string, limit int) (wire.EntryPage, error)
 }
 
 // Listing is all keys under a prefix. They were read in pages, the first at one revision
 // of the service and the last at another.
 type Listing struct {
-	Entries      []wire.Entry
-	Began, Ended uint64
+	Entries                     []wire.Entry
+	FirstRevision, LastRevision uint64
 }
 
 // ListAll reads all keys under a prefix, page by page.
@@ -233,23 +233,23 @@
 		if err != nil {
 			return Listing{}, err
 		}
-		if all.Began == 0 {
-			all.Began = page.Revision
+		if all.FirstRevision == 0 {
+			all.FirstRevision = page.Revision
 		}
-		all.Entries, all.Ended = append(all.Entries, page.Items...), page.Revision
-		if !page.More || len(page.Items) == 0 {
+		all.Entries, all.LastRevision = append(all.Entries, page.Entries...), page.Revision
+		if !page.More || len(page.Entries) == 0 {
 			return all, nil
 		}
-		after = page.Items[len(page.Items)-1].Key
+		after = page.Entries[len(page.Entries)-1].Key
 	}
 }
 
-// Txn carries out a transaction. ok is false when a condition failed.
-func (c *Client) Txn(ctx context.Context, p Priority, t wire.Txn) (ok bool, a wire.TxnAnswer, err error) {
-	if t.Then == nil {
-		t.Then = []wire.Change{}
+// CompareAndSwap carries out a transaction. ok is false when a condition failed.
+func (c *Client) CompareAndSwap(ctx context.Context, p Priority, t wire.CompareAndSwap) (ok bool, a wire.CompareAndSwapResponse, err error) {
+	if t.Changes == nil {
+		t.Changes = []wire.Change{}
 	}
-	status, answer, err := c.do(ctx, p, len(t.Then), timeout, http.MethodPost, "/txn", t)
+	status, answer, err := c.do(ctx, p, len(t.Changes), timeout, http.MethodPost, "/txn", t)
 	if err != nil {
 		return false, a, err
 	}
@@ -259,36 +259,36 @@
 		return err == nil && status == http.StatusOK, a, err
 	}
 	if bytes.Contains(answer, []byte("no such lease")) {
-		return false, a, ErrNoLease
+		return false, a, ErrLeaseExpired
 	}
 	// The service does not say which limit it is, nor when they fall.
 	if next := c.pacer.next; status == http.StatusBadRequest && next != nil && next.exceeds(&t) {
 		c.pacer.fall("a transaction was too large")
-		return false, a, ErrLimits
+		return false, a, ErrLimitsLowered
 	}
 	return false, a, unexpected(status, answer)
 }
 
-// NewLease obtains a lease.
-func (c *Client) NewLease(ctx context.Context, ttl time.Duration) (uint64, error) {
-	status, answer, err := c.do(ctx, Lease, 0, timeout, http.MethodPost, "/leases", wire.LeaseTerms{TTLMS: ttl.Milliseconds()})
+// GrantLease obtains a lease.
+func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
+	status, answer, err := c.do(ctx, PriorityLease, 0, timeout, http.MethodPost, "/leases", wire.LeaseRequest{TTLMS: ttl.Milliseconds()})
 	if err != nil {
 		return 0, err
 	}
 	if status != http.StatusOK {
 		return 0, unexpected(status, answer)
 	}
-	var a wire.LeaseAnswer
+	var a wire.LeaseResponse
 	return a.Lease, decode(answer, &a)
 }
 
-// Renew renews a lease. It waits for no grant and on no other goroutine of ours.
+// RenewLease renews a lease. It waits for no grant and on no other goroutine of ours.
 // One goroutine at a time may call it.
-func (c *Client) Renew(ctx context.Context, lease uint64) error {
+func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	path := "/leases/" + strconv.FormatUint(lease, 10) + "/renew"
 	if err := c.renewals.Open(ctx, renewTimeout); err != nil {
 		c.pacer.note(false)
-		return fmt.Errorf("%w: %w", ErrRefused, err)
+		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	c.pacer.spend()
 	status, answer, err := c.renewals.Do(time.Now().Add(renewTimeout), http.MethodPost, path, []byte("{}"))
@@ -296,20 +296,20 @@
 	c.pacer.note(served)
 	switch {
 	case err != nil:
-		return fmt.Errorf("%w: %w", ErrUnknown, err)
+		return fmt.Errorf("%w: %w", ErrUnknownOutcome, err)
 	case !served || status == http.StatusTooManyRequests:
-		return ErrRefused
+		return ErrUnavailable
 	case status == http.StatusOK:
 		return nil
 	case status == http.StatusNotFound:
-		return ErrNoLease
+		return ErrLeaseExpired
 	}
 	return unexpected(status, answer)
 }
 
-// EndLease ends a lease at once, with the keys attached to it.
-func (c *Client) EndLease(ctx context.Context, lease uint64) error {
-	status, answer, err := c.do(ctx, Lease, 0, timeout, http.MethodDelete, "/leases/"+strconv.FormatUint(lease, 10), nil)
+// RevokeLease ends a lease at once, with the keys attached to it.
+func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
+	status, answer, err := c.do(ctx, PriorityLease, 0, timeout, http.MethodDelete, "/leases/"+strconv.FormatUint(lease, 10), nil)
 	if err != nil {
 		return err
 	}
@@ -320,9 +320,9 @@
 }
 
 // Watch waits until a key under the prefix has changed after a revision.
-func (c *Client) Watch(ctx context.Context, under string, after uint64, wait time.Duration) (n wire.News, err error) {
+func (c *Client) Watch(ctx context.Context, under string, after uint64, wait time.Duration) (n wire.WatchResponse, err error) {
 	q := url.Values{"under": {under}, "from": {strconv.FormatUint(after, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
-	status, answer, err := c.do(ctx, Leader, 0, wait+2*time.Second, http.MethodGet, "/changes?"+q.Encode(), nil)
+	status, answer, err := c.do(ctx, PriorityLeader, 0, wait+2*time.Second, http.MethodGet, "/changes?"+q.Encode(), nil)
 	if err != nil {
 		return n, err
 	}
@@ -330,7 +330,7 @@
 	case http.StatusOK:
 		return n, decode(answer, &n)
 	case http.StatusGone:
-		return n, ErrTooOld
+		return n, ErrCompacted
 	}
 	return n, unexpected(status, answer)
 }
--- a/internal/state/pacer.go
+++ b/internal/kvstore/pacer.go
@@ -1,4 +1,4 @@
-package state
+package kvstore
 
 import (
 	"context"
@@ -71,13 +71,13 @@
 	select {
 	case p.incoming <- g:
 	case <-ctx.Done():
-		return ErrBusy
+		return ErrOverloaded
 	}
 	select {
 	case err := <-g.ready:
 		return err
 	case <-ctx.Done():
-		return ErrBusy
+		return ErrOverloaded
 	}
 }
 
@@ -91,7 +91,7 @@
 	if p.next == nil || p.limits.Swap(p.next) == p.next {
 		return
 	}
-	p.log.Info("the state service's limits have fallen as announced", "why", why, "value_bytes", p.next.ValueBytes, "ops", p.next.Ops, "write_rps", p.next.WriteRPS)
+	p.log.Info("the state service's limits have fallen as announced", "why", why, "value_bytes", p.next.ValueBytes, "ops", p.next.MaxChanges, "write_rps", p.next.WriteRPS)
 }
 
 // rates are this node's shares of the service's rates.
@@ -159,7 +159,7 @@
 		select {
 		case g := <-p.incoming:
 			if len(p.queues[g.priority]) >= maxWaiting {
-				g.ready <- ErrBusy
+				g.ready <- ErrOverloaded
 				break
 			}
 			p.queues[g.priority] = append(p.queues[g.priority], g)
@@ -212,7 +212,7 @@
 				lack = max(lack, (needW-p.writes.level)/wps)
 			}
 			switch {
-			case g.priority == Lease:
+			case g.priority == PriorityLease:
 				// Lease traffic may borrow: a lost lease costs more than a 429.
 			case needW > 0 && !writing:
 				keep = append(keep, g)
--- a/internal/state/pacer_test.go
+++ b/internal/kvstore/pacer_test.go
@@ -1,4 +1,4 @@
-package state
+package kvstore
 
 import (
 	"context"
@@ -39,7 +39,7 @@
 				defer cancel()
 				granted := 0
 				for ctx.Err() == nil {
-					if p.wait(ctx, Leader, c.writes) == nil {
+					if p.wait(ctx, PriorityLeader, c.writes) == nil {
 						granted++
 					}
 				}
@@ -54,16 +54,16 @@
 func TestUrgentRequestsGoFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := startPacer(t, 10, 10, 1)
-		for p.wait(t.Context(), Read, 0) == nil {
+		for p.wait(t.Context(), PriorityRead, 0) == nil {
 			ctx, cancel := context.WithTimeout(t.Context(), time.Millisecond)
-			err := p.wait(ctx, Read, 0)
+			err := p.wait(ctx, PriorityRead, 0)
 			cancel()
 			if err != nil {
 				break // the budget is used up
 			}
 		}
 		order := make(chan Priority, 3)
-		for _, pr := range []Priority{Read, Accept, Leader} {
+		for _, pr := range []Priority{PriorityRead, PriorityAccept, PriorityLeader} {
 			go func() {
 				if p.wait(t.Context(), pr, 0) == nil {
 					order <- pr
@@ -71,12 +71,12 @@
 			}()
 			synctest.Wait()
 		}
-		if a, b, c := <-order, <-order, <-order; a != Leader || b != Accept || c != Read {
+		if a, b, c := <-order, <-order, <-order; a != PriorityLeader || b != PriorityAccept || c != PriorityRead {
 			t.Errorf("granted in the order %v %v %v", a, b, c)
 		}
 		// A lease is renewed even when the budget is used up.
 		before := time.Now()
-		if err := p.wait(t.Context(), Lease, 0); err != nil || time.Since(before) > 0 {
+		if err := p.wait(t.Context(), PriorityLease, 0); err != nil || time.Since(before) > 0 {
 			t.Errorf("a renewal waited %v: %v", time.Since(before), err)
 		}
 	})
@@ -93,7 +93,7 @@
 		var written atomic.Int64
 		for range 50 {
 			go func() {
-				if p.wait(ctx, Accept, 1) == nil {
+				if p.wait(ctx, PriorityAccept, 1) == nil {
 					written.Add(1)
 				}
 			}()
@@ -101,7 +101,7 @@
 		synctest.Wait()
 		for range 20 {
 			before := time.Now()
-			if err := p.wait(ctx, Read, 0); err != nil || time.Since(before) > 100*time.Millisecond {
+			if err := p.wait(ctx, PriorityRead, 0); err != nil || time.Since(before) > 100*time.Millisecond {
 				t.Errorf("a question waited %v: %v", time.Since(before), err)
 			}
 		}
@@ -141,14 +141,14 @@
 					time.Sleep(c.every)
 				}
 				synctest.Wait()
-				if l := p.limits.Load(); p.fallen() != c.fallen || (l.Ops == 5) != c.fallen {
+				if l := p.limits.Load(); p.fallen() != c.fallen || (l.MaxChanges == 5) != c.fallen {
 					t.Errorf("fallen: %v, limits %+v", p.fallen(), l)
 				}
 				granted := 0
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
 				for ctx.Err() == nil {
-					if p.wait(ctx, Leader, 1) == nil {
+					if p.wait(ctx, PriorityLeader, 1) == nil {
 						granted++
 					}
 				}
@@ -159,12 +159,12 @@
 		})
 	}
 	l := limitsOf(*next)
-	for _, large := range []wire.Txn{{Then: make([]wire.Change, 6)}, {Then: []wire.Change{{Set: "a", Value: make([]byte, 2049)}}}} {
+	for _, large := range []wire.CompareAndSwap{{Changes: make([]wire.Change, 6)}, {Changes: []wire.Change{{Set: "a", Value: make([]byte, 2049)}}}} {
 		if !l.exceeds(&large) {
-			t.Errorf("%d changes are within the limits", len(large.Then))
+			t.Errorf("%d changes are within the limits", len(large.Changes))
 		}
 	}
-	if l.exceeds(&wire.Txn{Then: make([]wire.Change, 5)}) {
+	if l.exceeds(&wire.CompareAndSwap{Changes: make([]wire.Change, 5)}) {
 		t.Error("five changes are beyond the limits")
 	}
 }
@@ -175,11 +175,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for range maxWaiting {
-			go func() { _ = p.wait(ctx, Accept, 0) }()
+			go func() { _ = p.wait(ctx, PriorityAccept, 0) }()
 		}
 		synctest.Wait()
 		before := time.Now()
-		if err := p.wait(ctx, Accept, 0); !errors.Is(err, ErrBusy) || time.Since(before) > 0 {
+		if err := p.wait(ctx, PriorityAccept, 0); !errors.Is(err, ErrOverloaded) || time.Since(before) > 0 {
 			t.Errorf("turned away after %v: %v", time.Since(before), err)
 		}
 	})
--- a/internal/handover/handover.go
+++ b/internal/leadertransfer/handover.go
@@ -1,6 +1,6 @@
 // Package handover has operators see how the controllers' standbys stand, and move the
 // leadership to one of them on purpose.
-package handover
+package leadertransfer
 
 import (
 	"cmp"
@@ -19,12 +19,12 @@
 	"google.golang.org/grpc/status"
 
 	"leadproxy/internal/election"
-	"leadproxy/internal/handover/handoverpb"
-	"leadproxy/internal/hints"
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/leadertransfer/handoverpb"
 	"leadproxy/internal/rpc"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/softstate"
 	"leadproxy/internal/standby"
+	"leadproxy/internal/transport"
 )
 
 const (
@@ -40,15 +40,15 @@
 type Server struct {
 	handoverpb.UnimplementedHandoverServer
 	platform *settings.Platform
-	net      outbound.Network
+	net      transport.Network
 	elector  *election.Elector
-	standby  *standby.Follower // nil: this node does not follow
-	hints    *hints.Follower   // nil: this node follows no hints
+	standby  *standby.Follower   // nil: this node does not follow
+	hints    *softstate.Follower // nil: this node follows no hints
 	log      *slog.Logger
 }
 
 // NewServer makes a server for a controller.
-func NewServer(n outbound.Network, p *settings.Platform, e *election.Elector, s *standby.Follower, h *hints.Follower, log *slog.Logger) *Server {
+func NewServer(n transport.Network, p *settings.Platform, e *election.Elector, s *standby.Follower, h *softstate.Follower, log *slog.Logger) *Server {
 	return &Server{platform: p, net: n, elector: e, standby: s, hints: h, log: log}
 }
 
@@ -56,14 +56,14 @@
 func (s *Server) Status(context.Context, *handoverpb.StatusRequest) (*handoverpb.StatusReply, error) {
 	v := s.elector.View()
 	reply := &handoverpb.StatusReply{Node: s.platform.Node, Leader: v.Leader}
-	if v.InTerm(time.Now()) {
+	if v.IsLeader(time.Now()) {
 		reply.Term = v.Term
 	}
 	if s.hints != nil {
 		h := s.hints.Status()
 		reply.HintsTerm, reply.HintsMachines = h.Term, int64(h.Machines)
 		if h.Term > 0 {
-			reply.HintsMs = time.Since(h.Heard).Milliseconds()
+			reply.HintsMs = time.Since(h.LastBatch).Milliseconds()
 		}
 	}
 	if s.standby == nil {
@@ -94,7 +94,7 @@
 			return
 		}
 		v := s.elector.View()
-		if !v.InTerm(time.Now()) {
+		if !v.IsLeader(time.Now()) {
 			continue
 		}
 		if v.Term != term {
@@ -119,9 +119,9 @@
 		return nil, status.Errorf(codes.InvalidArgument, "standing aside for %s", wait)
 	}
 	if r.First {
-		s.elector.StandFirst(wait)
+		s.elector.CampaignNow(wait)
 	} else {
-		s.elector.StandAside(wait)
+		s.elector.YieldCandidacy(wait)
 	}
 	return &handoverpb.StandAsideReply{}, nil
 }
@@ -129,7 +129,7 @@
 // HandOver gives this controller's term to another one whose copy is complete.
 func (s *Server) HandOver(ctx context.Context, r *handoverpb.HandOverRequest) (*handoverpb.HandOverReply, error) {
 	v := s.elector.View()
-	if !v.InTerm(time.Now()) {
+	if !v.IsLeader(time.Now()) {
 		return nil, status.Errorf(codes.Unavailable, "this controller does not lead, %q does", v.Leader)
 	}
 	chosen, err := choose(s.askOthers(ctx), r.To)
@@ -207,13 +207,13 @@
 }
 
 // call makes one call to a controller.
-func call(ctx context.Context, n outbound.Network, addr string, do func(ctx context.Context, c handoverpb.HandoverClient) error) error {
+func call(ctx context.Context, n transport.Network, addr string, do func(ctx context.Context, c handoverpb.HandoverClient) error) error {
 	return rpc.Call(ctx, n, addr, callLimit, func(ctx context.Context, conn *grpc.ClientConn) error {
 		return do(ctx, handoverpb.NewHandoverClient(conn))
 	})
 }
 
-func fetchStatus(ctx context.Context, n outbound.Network, addr string) (st *handoverpb.StatusReply, err error) {
+func fetchStatus(ctx context.Context, n transport.Network, addr string) (st *handoverpb.StatusReply, err error) {
 	err = call(ctx, n, addr, func(ctx context.Context, c handoverpb.HandoverClient) error {
 		st, err = c.Status(ctx, &handoverpb.StatusRequest{})
 		return err
@@ -230,7 +230,7 @@
 
 // WriteStatus asks all controllers of a deployment how they stand and writes a table. Who
 // could not take over with a complete copy is named.
-func WriteStatus(ctx context.Context, out io.Writer, n outbound.Network, p *settings.Platform) error {
+func WriteStatus(ctx context.Context, out io.Writer, n transport.Network, p *settings.Platform) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CONTROLLER\tROLE\tSTANDBY\tREVISION\tLAG\tKEYS\tMB\tHEARD\tHINTS\tWHY")
 	var all []*handoverpb.StatusReply
@@ -272,9 +272,9 @@
 }
 
 // Request has the leader hand over to a controller, or to the one whose copy is the newest.
-func Request(ctx context.Context, n outbound.Network, p *settings.Platform, to string) (*handoverpb.HandOverReply, error) {
+func Request(ctx context.Context, n transport.Network, p *settings.Platform, to string) (*handoverpb.HandOverReply, error) {
 	var reply *handoverpb.HandOverReply
-	err := rpc.AskLeader(ctx, n, controllers(p), callLimit, func(ctx context.Context, conn *grpc.ClientConn) error {
+	err := rpc.CallLeader(ctx, n, controllers(p), callLimit, func(ctx context.Context, conn *grpc.ClientConn) error {
 		var err error
 		reply, err = handoverpb.NewHandoverClient(conn).HandOver(ctx, &handoverpb.HandOverRequest{To: to})
 		return err
--- a/internal/handover/handover_test.go
+++ b/internal/leadertransfer/handover_test.go
@@ -1,11 +1,11 @@
-package handover
+package leadertransfer
 
 import (
 	"errors"
 	"strings"
 	"testing"
 
-	"leadproxy/internal/handover/handoverpb"
+	"leadproxy/internal/leadertransfer/handoverpb"
 )
 
 // TestChoose: who takes over on purpose.
--- a/internal/ledger/decode.go
+++ b/internal/ledger/decode.go
@@ -10,9 +10,9 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"leadproxy/internal/drain"
-	"leadproxy/internal/fleet"
-	"leadproxy/internal/spill"
+	"leadproxy/internal/autoscaler"
+	"leadproxy/internal/federation"
+	"leadproxy/internal/rollout"
 	"leadproxy/internal/wire"
 )
 
@@ -48,7 +48,7 @@
 		if r.Job == nil {
 			return errors.New("neither a description nor a terminal state")
 		}
-	case wire.Done, wire.Aborted:
+	case wire.JobDone, wire.JobCancelled:
 	default:
 		return fmt.Errorf("unknown terminal state %q", r.Terminal)
 	}
@@ -57,12 +57,12 @@
 	}
 	if j := r.Job; j != nil {
 		switch {
-		case j.Ref != ref:
-			return fmt.Errorf("it describes %q", j.Ref)
+		case j.ID != ref:
+			return fmt.Errorf("it describes %q", j.ID)
 		case j.Tasks < 1 || j.Tasks > wire.MaxTasks:
 			return fmt.Errorf("%d tasks", j.Tasks)
 		}
-		for _, amount := range []float64{j.CPUs, j.GPUs, j.MemGB, j.ImageGB, j.EstimateS, j.CheckpointS, j.SaveS} {
+		for _, amount := range []float64{j.CPUs, j.GPUs, j.MemGB, j.ImageGB, j.EstimatedRunS, j.CheckpointIntervalS, j.CheckpointDurationS} {
 			if !(amount >= 0) || math.IsInf(amount, 0) {
 				return fmt.Errorf("an amount of %v", amount)
 			}
@@ -79,7 +79,7 @@
 
 // collect turns entries of the ledger's prefixes into a snapshot.
 func collect(entries []wire.Entry) Snapshot {
-	d := decoder{Snapshot{Silent: map[string]SilentRecord{}}, map[string]*SavedJob{}}
+	d := decoder{Snapshot{Unreachable: map[string]UnreachableRecord{}}, map[string]*SavedJob{}}
 	for i := range entries {
 		e := &entries[i]
 		if err := d.add(e); err != nil {
@@ -120,7 +120,7 @@
 
 func (d *decoder) job(ref string) *SavedJob {
 	if d.jobs[ref] == nil {
-		d.jobs[ref] = &SavedJob{Ref: ref}
+		d.jobs[ref] = &SavedJob{ID: ref}
 	}
 	return d.jobs[ref]
 }
@@ -166,42 +166,42 @@
 }
 
 func (d *decoder) addSilent(e *wire.Entry) error {
-	var r SilentRecord
+	var r UnreachableRecord
 	if err := json.Unmarshal(e.Value, &r); err != nil {
 		return err
 	}
-	d.snapshot.Silent[e.Key] = r
+	d.snapshot.Unreachable[e.Key] = r
 	return nil
 }
 
 func (d *decoder) addHire(e *wire.Entry) error {
-	var r HireRecord
+	var r ScaleOutRecord
 	if err := json.Unmarshal(e.Value, &r); err != nil {
 		return err
 	}
-	if HireKey(r.Hire.Request) != e.Key || r.Hire.Count < 1 || r.Hire.Count > fleet.MaxHire {
-		return fmt.Errorf("a hire of %d machines named %q", r.Hire.Count, r.Hire.Request)
+	if ScaleOutKey(r.Request.RequestID) != e.Key || r.Request.Count < 1 || r.Request.Count > autoscaler.MaxScaleOut {
+		return fmt.Errorf("a hire of %d machines named %q", r.Request.Count, r.Request.RequestID)
 	}
-	d.snapshot.Hires = append(d.snapshot.Hires, r)
+	d.snapshot.ScaleOuts = append(d.snapshot.ScaleOuts, r)
 	return nil
 }
 
 // addAway reads a transfer of this cell's. A job whose record can't be read may run
 // elsewhere, and is noted as away all the same.
 func (d *decoder) addAway(e *wire.Entry) error {
-	saved := SavedAway{Ref: strings.TrimPrefix(e.Key, awayPrefix)}
+	saved := SavedDelegated{JobID: strings.TrimPrefix(e.Key, awayPrefix)}
 	err := json.Unmarshal(e.Value, &saved.Record)
-	if r := saved.Record; err == nil && (r.Cell == "" || r.Epoch == 0 || r.State != spill.Offered && r.State != spill.Accepted && r.State != spill.Returned) {
+	if r := saved.Record; err == nil && (r.Cell == "" || r.Epoch == 0 || r.State != federation.Offered && r.State != federation.Accepted && r.State != federation.Returned) {
 		err = fmt.Errorf("epoch %d to %q is %q", r.Epoch, r.Cell, r.State)
 	}
 	saved.Unknown = err != nil
-	d.snapshot.Away = append(d.snapshot.Away, saved)
+	d.snapshot.Delegated = append(d.snapshot.Delegated, saved)
 	return err
 }
 
 // addPlan reads a plan that drains machines. One that can't be read is not carried out.
 func (d *decoder) addPlan(e *wire.Entry) error {
-	var r drain.Record
+	var r rollout.Record
 	if err := json.Unmarshal(e.Value, &r); err != nil {
 		return err
 	}
@@ -219,15 +219,15 @@
 	if !found {
 		return errors.New("the key names no job")
 	}
-	saved := SavedGuest{Key: spill.GuestKey{Home: home, Ref: ref}, Version: e.Version}
+	saved := SavedForeign{Key: federation.ForeignKey{Origin: home, JobID: ref}, Version: e.Version}
 	err := json.Unmarshal(e.Value, &saved.Record)
 	if err == nil && saved.Record.Epoch == 0 {
 		err = errors.New("it has no epoch")
 	}
 	if err != nil {
-		saved.Record = spill.GuestRecord{Epoch: math.MaxUint64, State: spill.GuestRefused}
+		saved.Record = federation.ForeignRecord{Epoch: math.MaxUint64, State: federation.ForeignRefused}
 	}
-	d.snapshot.Guests = append(d.snapshot.Guests, saved)
+	d.snapshot.Foreign = append(d.snapshot.Foreign, saved)
 	return err
 }
 
@@ -243,7 +243,7 @@
 		if ja.Record.AcceptedMS != jb.Record.AcceptedMS {
 			return ja.Record.AcceptedMS < jb.Record.AcceptedMS
 		}
-		return ja.Ref < jb.Ref
+		return ja.ID < jb.ID
 	})
 	return s
 }
--- a/internal/ledger/decode_test.go
+++ b/internal/ledger/decode_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"leadproxy/internal/spill"
+	"leadproxy/internal/federation"
 	"leadproxy/internal/wire"
 )
 
@@ -42,14 +42,14 @@
 			if len(s.Malformed) != 1 || s.Malformed[0].Key != key {
 				t.Errorf("%s: %.60s: malformed are %v", key, value, s.Malformed)
 			}
-			if len(s.Jobs) != 1 || s.Jobs[0].Record.Job == nil || len(s.Jobs[0].Finished) != 1 || len(s.Jobs[0].Hosts) != 1 || len(s.Hires) != 1 {
+			if len(s.Jobs) != 1 || s.Jobs[0].Record.Job == nil || len(s.Jobs[0].Finished) != 1 || len(s.Jobs[0].Hosts) != 1 || len(s.ScaleOuts) != 1 {
 				t.Errorf("%s: %.60s: what is left: %+v", key, value, s)
 			}
-			if strings.HasPrefix(key, "cell/away/") && (len(s.Away) != 1 || !s.Away[0].Unknown) {
-				t.Errorf("%s: %.60s: the job is not noted as away: %+v", key, value, s.Away)
+			if strings.HasPrefix(key, "cell/away/") && (len(s.Delegated) != 1 || !s.Delegated[0].Unknown) {
+				t.Errorf("%s: %.60s: the job is not noted as away: %+v", key, value, s.Delegated)
 			}
-			if strings.HasPrefix(key, "cell/guest/b/") && (len(s.Guests) != 1 || s.Guests[0].Record.State != spill.GuestRefused) {
-				t.Errorf("%s: %.60s: the transfer is not closed: %+v", key, value, s.Guests)
+			if strings.HasPrefix(key, "cell/guest/b/") && (len(s.Foreign) != 1 || s.Foreign[0].Record.State != federation.ForeignRefused) {
+				t.Errorf("%s: %.60s: the transfer is not closed: %+v", key, value, s.Foreign)
 			}
 			if unknown := strings.HasPrefix(key, "host/") && len(key) < 20; s.Jobs[0].HostsUnknown != unknown {
 				t.Errorf("%s: %.60s: hosts unknown: %v", key, value, s.Jobs[0].HostsUnknown)
@@ -72,7 +72,7 @@
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
 		s := collect([]wire.Entry{{Key: key, Value: json.RawMessage(value), Version: 1}})
 		for _, j := range s.Jobs {
-			if r := j.Record; r.Job != nil && (r.Job.Tasks < 1 || r.Job.Tasks > wire.MaxTasks || r.Job.Ref != j.Ref) {
+			if r := j.Record; r.Job != nil && (r.Job.Tasks < 1 || r.Job.Tasks > wire.MaxTasks || r.Job.ID != j.ID) {
 				t.Errorf("%+v", r)
 			}
 			for _, c := range j.Finished {
@@ -80,7 +80,7 @@
 					t.Errorf("chunk %d", c.Chunk)
 				}
 				c.Ranges.Each(func(i int) {
-					if i < 0 || i >= ChunkTasks {
+					if i < 0 || i >= TasksPerChunk {
 						t.Errorf("task %d of a chunk", i)
 					}
 				})
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -6,16 +6,16 @@
 	"testing"
 
 	"leadproxy/internal/election"
+	"leadproxy/internal/federation"
 	"leadproxy/internal/property"
-	"leadproxy/internal/spill"
 )
 
 // TestGoldenRecords compares every record with how it has to be stored.
 func TestGoldenRecords(t *testing.T) {
 	records := map[string]any{
 		"job":    &JobRecord{},
-		"hire":   &HireRecord{},
-		"silent": &SilentRecord{},
+		"hire":   &ScaleOutRecord{},
+		"silent": &UnreachableRecord{},
 		"fin":    &Ranges{},
 	}
 	for name, sample := range records {
@@ -23,7 +23,7 @@
 	}
 	done := map[int]bool{0: true, 1: true, 2: true, 5: true, 9: true}
 	property.CheckGoldenValues(t, "fin_of_tasks_0_1_2_5_9", map[string]any{
-		"ranges": EncodeRanges(func(i int) bool { return done[i] }, ChunkTasks),
+		"ranges": EncodeRanges(func(i int) bool { return done[i] }, TasksPerChunk),
 	})
 }
 
@@ -33,23 +33,23 @@
 		"prefixes":                        Prefixes(),
 		"job prefix":                      JobPrefix,
 		"job-17":                          JobKey("job-17"),
-		"finished tasks, job-17, chunk 0": FinKey("job-17", 0),
-		"finished tasks, job-17, chunk 3": FinKey("job-17", 3),
-		"finished tasks, job-17, chunk 3, part from 512": FinPartKey("job-17", 3, 512),
+		"finished tasks, job-17, chunk 0": FinishedTasksKey("job-17", 0),
+		"finished tasks, job-17, chunk 3": FinishedTasksKey("job-17", 3),
+		"finished tasks, job-17, chunk 3, part from 512": FinishedTasksPartKey("job-17", 3, 512),
 		"hosts, job-17, chunk 0":                         HostKey("job-17", 0),
 		"hosts, job-17, chunk 2":                         HostKey("job-17", 2),
-		"hire h-1":                                       HireKey("h-1"),
+		"hire h-1":                                       ScaleOutKey("h-1"),
 		"gone machine m-1":                               GoneKey("m-1"),
-		"silent 4-2":                                     SilentKey("4-2"),
+		"silent 4-2":                                     UnreachableKey("4-2"),
 		"plan p-1":                                       PlanKey("p-1"),
-		"transfer away, job-17":                          AwayKey("job-17"),
-		"transfer in, home east, job-17":                 GuestKey(spill.GuestKey{Home: "east", Ref: "job-17"}),
+		"transfer away, job-17":                          DelegatedKey("job-17"),
+		"transfer in, home east, job-17":                 ForeignKey(federation.ForeignKey{Origin: "east", JobID: "job-17"}),
 		"fence":                                          fenceKey,
-		"leader":                                         election.Key,
-		"tasks of a chunk":                               ChunkTasks,
-		"hosts of a chunk":                               ChunkHosts,
-		"tasks of a part of 16384 bytes":                 PartTasks(16384),
-		"tasks of a part of 1024 bytes":                  PartTasks(1024),
+		"leader":                                         election.LeaderKey,
+		"tasks of a chunk":                               TasksPerChunk,
+		"hosts of a chunk":                               HostsPerChunk,
+		"tasks of a part of 16384 bytes":                 TasksPerPart(16384),
+		"tasks of a part of 1024 bytes":                  TasksPerPart(1024),
 	})
 }
 
@@ -57,12 +57,12 @@
 // key and deletes another.
 func TestGoldenTransaction(t *testing.T) {
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	l := New(7, nil, fixed(Limits{Ops: 10, Bytes: 1 << 20, Value: 16384}), log)
+	l := New(7, nil, fixed(Limits{MaxChanges: 10, TransactionBytes: 1 << 20, ValueBytes: 16384}), log)
 	l.doubt = true
 	l.versions[fenceKey] = 5
 	l.versions[GoneKey("m-1")] = 6
 	err := l.enqueueAll([]Write{
-		{Key: HireKey("h-1"), Value: HireRecord{Machines: []string{"m-1"}}, Urgent: true},
+		{Key: ScaleOutKey("h-1"), Value: ScaleOutRecord{Machines: []string{"m-1"}}, Urgent: true},
 		{Key: GoneKey("m-1"), Urgent: true},
 	})
 	if err != nil {
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -11,20 +11,20 @@
 	"github.com/segmentio/encoding/json"
 
 	"leadproxy/internal/election"
-	"leadproxy/internal/outbound"
-	"leadproxy/internal/state"
+	"leadproxy/internal/kvstore"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
 // Store is the part of the state service that the ledger needs.
 type Store interface {
-	Get(ctx context.Context, p state.Priority, key string) (wire.Entry, bool, error)
-	List(ctx context.Context, p state.Priority, under, after string, limit int) (wire.Entries, error)
-	Txn(ctx context.Context, p state.Priority, t wire.Txn) (bool, wire.TxnAnswer, error)
+	Get(ctx context.Context, p kvstore.Priority, key string) (wire.Entry, bool, error)
+	List(ctx context.Context, p kvstore.Priority, under, after string, limit int) (wire.EntryPage, error)
+	CompareAndSwap(ctx context.Context, p kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error)
 }
 
-// ErrDeposed ends a ledger whose term is over.
-var ErrDeposed = errors.New("another term has begun")
+// ErrLeadershipLost ends a ledger whose term is over.
+var ErrLeadershipLost = errors.New("another term has begun")
 
 // Write is one change of a key.
 type Write struct {
@@ -79,19 +79,19 @@
 
 // Limits bounds one transaction, and the rate of those writes that can wait.
 type Limits struct {
-	Ops   int
-	Bytes int
-	Value int // most bytes of one value
-	// Ordinary is how many ordinary writes a second there may be; 0: as many
+	MaxChanges       int
+	TransactionBytes int
+	ValueBytes       int // most bytes of one value
+	// DeferrableRate is how many ordinary writes a second there may be; 0: as many
 	// as go. Under load there is always another finished task to write down,
 	// and together they would leave nothing of the service's rate for urgent
 	// writes and for submissions. What waits for its turn is written together
 	// with what comes after it.
-	Ordinary float64
+	DeferrableRate float64
 }
 
 // burst is how many ordinary writes may go at once.
-func (l Limits) burst() float64 { return max(1, min(l.Ordinary/2, float64(l.Ops))) }
+func (l Limits) burst() float64 { return max(1, min(l.DeferrableRate/2, float64(l.MaxChanges))) }
 
 type pendingWrite struct {
 	value  json.RawMessage // nil deletes
@@ -118,12 +118,12 @@
 	var entries []wire.Entry
 	var revision uint64
 	for _, prefix := range Prefixes() {
-		listing, err := state.ListAll(ctx, l.store, state.Leader, prefix)
+		listing, err := kvstore.ListAll(ctx, l.store, kvstore.PriorityLeader, prefix)
 		if err != nil {
 			return Snapshot{}, fmt.Errorf("reading %s: %w", prefix, err)
 		}
 		if revision == 0 {
-			revision = listing.Began
+			revision = listing.FirstRevision
 		}
 		entries = append(entries, listing.Entries...)
 	}
@@ -157,7 +157,7 @@
 	writes []*pendingWrite
 	fenced bool // the fence was moved
 	ok     bool
-	answer wire.TxnAnswer
+	answer wire.CompareAndSwapResponse
 	err    error
 	// reread holds the versions of keys whose condition failed.
 	reread map[string]uint64
@@ -182,7 +182,7 @@
 			}
 		case r := <-results:
 			committing = false
-			if errors.Is(r.err, state.ErrBad) && len(r.keys) == 1 {
+			if errors.Is(r.err, kvstore.ErrInvalidRequest) && len(r.keys) == 1 {
 				l.resting[r.keys[0]] = r.writes[0]
 				go l.rest(ctx, r)
 				continue
@@ -248,7 +248,7 @@
 // other.
 func (l *Ledger) rest(ctx context.Context, r outcome) {
 	l.log.Error("ledger write rejected", "key", r.keys[0], "error", r.err)
-	outbound.Pause(ctx, restFor)
+	transport.Pause(ctx, restFor)
 	select {
 	case l.retries <- r:
 	case <-ctx.Done():
@@ -271,30 +271,30 @@
 
 // commit carries out one transaction and, where it fails, does the waiting
 // that must not hold up the ledger's mailbox.
-func (l *Ledger) commit(ctx context.Context, txn wire.Txn) outcome {
+func (l *Ledger) commit(ctx context.Context, txn wire.CompareAndSwap) outcome {
 	o := l.transact(ctx, txn)
-	if o.err != nil && !errors.Is(o.err, ErrDeposed) {
-		outbound.Pause(ctx, 100*time.Millisecond)
+	if o.err != nil && !errors.Is(o.err, ErrLeadershipLost) {
+		transport.Pause(ctx, 100*time.Millisecond)
 	}
 	return o
 }
 
 // transact carries out one transaction once.
-func (l *Ledger) transact(ctx context.Context, txn wire.Txn) outcome {
+func (l *Ledger) transact(ctx context.Context, txn wire.CompareAndSwap) outcome {
 	var o outcome
-	o.ok, o.answer, o.err = l.store.Txn(ctx, state.Leader, txn)
+	o.ok, o.answer, o.err = l.store.CompareAndSwap(ctx, kvstore.PriorityLeader, txn)
 	if o.err != nil || o.ok {
 		return o
 	}
 	// An earlier try whose outcome we did not learn was carried out, or a job
 	// record was written by another node. Learn the versions anew.
 	o.reread = map[string]uint64{}
-	for _, key := range o.answer.Failed {
-		if key == election.Key {
-			o.err = ErrDeposed
+	for _, key := range o.answer.FailedKeys {
+		if key == election.LeaderKey {
+			o.err = ErrLeadershipLost
 			return o
 		}
-		e, _, err := l.store.Get(ctx, state.Leader, key)
+		e, _, err := l.store.Get(ctx, kvstore.PriorityLeader, key)
 		if err != nil {
 			l.log.Debug("ledger key not reread", "key", key, "error", err)
 			continue
@@ -353,10 +353,10 @@
 // wait tells how long there is nothing to be sent though something is pending:
 // no urgent write, and the ordinary ones have used up their rate.
 func (l *Ledger) wait(now time.Time) time.Duration {
-	if l.limits.Ordinary == 0 {
+	if l.limits.DeferrableRate == 0 {
 		return 0
 	}
-	l.allowed = min(l.limits.burst(), l.allowed+l.limits.Ordinary*now.Sub(l.refilled).Seconds())
+	l.allowed = min(l.limits.burst(), l.allowed+l.limits.DeferrableRate*now.Sub(l.refilled).Seconds())
 	l.refilled = now
 	for len(l.urgent) > 0 && l.pending[l.urgent[0]] == nil {
 		l.urgent = l.urgent[1:]
@@ -365,15 +365,15 @@
 	if len(l.urgent) > 0 || need == 0 || l.allowed >= need {
 		return 0
 	}
-	return time.Duration((need-l.allowed)/l.limits.Ordinary*float64(time.Second)) + time.Millisecond
+	return time.Duration((need-l.allowed)/l.limits.DeferrableRate*float64(time.Second)) + time.Millisecond
 }
 
 // batch takes as many pending writes as one transaction may carry.
-func (l *Ledger) batch() ([]string, []*pendingWrite, wire.Txn) {
-	txn := wire.Txn{If: []wire.Condition{{Key: election.Key, Version: l.term}, {Key: fenceKey, Version: l.versions[fenceKey]}}}
-	ops := l.limits.Ops
+func (l *Ledger) batch() ([]string, []*pendingWrite, wire.CompareAndSwap) {
+	txn := wire.CompareAndSwap{Conditions: []wire.Condition{{Key: election.LeaderKey, Version: l.term}, {Key: fenceKey, Version: l.versions[fenceKey]}}}
+	ops := l.limits.MaxChanges
 	if l.doubt {
-		txn.Then = append(txn.Then, wire.Change{Set: fenceKey, Value: json.RawMessage(strconv.FormatUint(l.term, 10))})
+		txn.Changes = append(txn.Changes, wire.Change{Set: fenceKey, Value: json.RawMessage(strconv.FormatUint(l.term, 10))})
 		ops--
 	}
 	var keys []string
@@ -391,7 +391,7 @@
 				return
 			}
 			cost := len(p.value) + 2*len(key) + 100
-			if len(keys) > 0 && size+cost > l.limits.Bytes {
+			if len(keys) > 0 && size+cost > l.limits.TransactionBytes {
 				return
 			}
 			size += cost
@@ -399,17 +399,17 @@
 			delete(l.pending, key)
 			keys = append(keys, key)
 			writes = append(writes, p)
-			txn.If = append(txn.If, wire.Condition{Key: key, Version: l.versions[key]})
+			txn.Conditions = append(txn.Conditions, wire.Condition{Key: key, Version: l.versions[key]})
 			if p.value == nil {
-				txn.Then = append(txn.Then, wire.Change{Delete: key})
+				txn.Changes = append(txn.Changes, wire.Change{Delete: key})
 			} else {
-				txn.Then = append(txn.Then, wire.Change{Set: key, Value: p.value})
+				txn.Changes = append(txn.Changes, wire.Change{Set: key, Value: p.value})
 			}
 		}
 	}
-	take(&l.urgent, l.limits.Ops)
-	if l.limits.Ordinary == 0 {
-		take(&l.ordinary, l.limits.Ops)
+	take(&l.urgent, l.limits.MaxChanges)
+	if l.limits.DeferrableRate == 0 {
+		take(&l.ordinary, l.limits.MaxChanges)
 		return keys, writes, txn
 	}
 	urgent := len(keys)
@@ -439,14 +439,14 @@
 		return tags, nil, nil
 	}
 	switch {
-	case errors.Is(r.err, ErrDeposed):
+	case errors.Is(r.err, ErrLeadershipLost):
 		return nil, nil, r.err
-	case errors.Is(r.err, state.ErrUnknown):
+	case errors.Is(r.err, kvstore.ErrUnknownOutcome):
 		l.doubt = true
 		l.log.Debug("ledger write of unknown outcome", "keys", len(r.keys), "error", r.err)
-	case errors.Is(r.err, state.ErrLimits):
+	case errors.Is(r.err, kvstore.ErrLimitsLowered):
 		l.limits = l.bounds()
-	case errors.Is(r.err, state.ErrBad):
+	case errors.Is(r.err, kvstore.ErrInvalidRequest):
 		// One of them is at fault: they are tried singly from now on.
 		for _, key := range r.keys {
 			l.singly[key] = true
@@ -459,7 +459,7 @@
 	}
 	for i, key := range r.keys {
 		old := r.writes[i]
-		if errors.Is(r.err, state.ErrLimits) && l.limits.Value > 0 && len(old.value) > l.limits.Value {
+		if errors.Is(r.err, kvstore.ErrLimitsLowered) && l.limits.ValueBytes > 0 && len(old.value) > l.limits.ValueBytes {
 			l.log.Info("value is larger than the state service takes any more", "key", key, "bytes", len(old.value))
 			tooLarge = append(tooLarge, old.tags...)
 			continue
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -14,7 +14,7 @@
 	"time"
 
 	"leadproxy/internal/election"
-	"leadproxy/internal/state"
+	"leadproxy/internal/kvstore"
 	"leadproxy/internal/wire"
 )
 
@@ -49,7 +49,7 @@
 		}
 	}
 	// The worst chunk must stay below the least value limit of 16 KiB.
-	worst, err := json.Marshal(EncodeRanges(func(i int) bool { return i%2 == 0 }, ChunkTasks))
+	worst, err := json.Marshal(EncodeRanges(func(i int) bool { return i%2 == 0 }, TasksPerChunk))
 	if err != nil || len(worst) > 12<<10 {
 		t.Errorf("the worst chunk takes %d bytes", len(worst))
 	}
@@ -64,7 +64,7 @@
 	// outcomes of the coming transactions, one letter each: c carried out, l lost
 	// before, r its answer lost, h held back and carried out by release.
 	steps string
-	held  []wire.Txn
+	held  []wire.CompareAndSwap
 	// turn, unless nil, is held by whoever looks at or changes the rest.
 	turn chan struct{}
 	// rejects is a key that the service finds malformed.
@@ -80,16 +80,16 @@
 	return func() { <-f.turn }
 }
 
-func (f *fakeStore) Get(_ context.Context, _ state.Priority, key string) (wire.Entry, bool, error) {
+func (f *fakeStore) Get(_ context.Context, _ kvstore.Priority, key string) (wire.Entry, bool, error) {
 	v, ok := f.keys[key]
 	return wire.Entry{Key: key, Version: v}, ok, nil
 }
 
-func (f *fakeStore) List(context.Context, state.Priority, string, string, int) (wire.Entries, error) {
-	return wire.Entries{Revision: f.revision}, nil
+func (f *fakeStore) List(context.Context, kvstore.Priority, string, string, int) (wire.EntryPage, error) {
+	return wire.EntryPage{Revision: f.revision}, nil
 }
 
-func (f *fakeStore) Txn(_ context.Context, _ state.Priority, t wire.Txn) (bool, wire.TxnAnswer, error) {
+func (f *fakeStore) CompareAndSwap(_ context.Context, _ kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
 	defer f.take()()
 	step := byte('c')
 	if f.steps != "" {
@@ -97,39 +97,39 @@
 	}
 	switch step {
 	case 'l':
-		return false, wire.TxnAnswer{}, state.ErrUnknown
+		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnknownOutcome
 	case 'b':
-		return false, wire.TxnAnswer{}, state.ErrBad
+		return false, wire.CompareAndSwapResponse{}, kvstore.ErrInvalidRequest
 	case 'z':
-		return false, wire.TxnAnswer{}, state.ErrLimits
+		return false, wire.CompareAndSwapResponse{}, kvstore.ErrLimitsLowered
 	case 'h':
 		f.held = append(f.held, t)
-		return false, wire.TxnAnswer{}, state.ErrUnknown
+		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnknownOutcome
 	}
-	for _, c := range t.Then {
+	for _, c := range t.Changes {
 		if f.rejects != "" && c.Set == f.rejects {
-			return false, wire.TxnAnswer{}, state.ErrBad
+			return false, wire.CompareAndSwapResponse{}, kvstore.ErrInvalidRequest
 		}
 	}
 	ok, a := f.apply(t)
 	if step == 'r' {
-		return false, wire.TxnAnswer{}, state.ErrUnknown
+		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnknownOutcome
 	}
 	return ok, a, nil
 }
 
-func (f *fakeStore) apply(t wire.Txn) (bool, wire.TxnAnswer) {
+func (f *fakeStore) apply(t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse) {
 	var failed []string
-	for _, c := range t.If {
+	for _, c := range t.Conditions {
 		if f.keys[c.Key] != c.Version {
 			failed = append(failed, c.Key)
 		}
 	}
 	if failed != nil {
-		return false, wire.TxnAnswer{Failed: failed}
+		return false, wire.CompareAndSwapResponse{FailedKeys: failed}
 	}
 	f.revision++
-	for _, c := range t.Then {
+	for _, c := range t.Changes {
 		if c.Delete != "" {
 			delete(f.keys, c.Delete)
 			delete(f.values, c.Delete)
@@ -137,17 +137,17 @@
 		}
 		f.keys[c.Set], f.values[c.Set] = f.revision, string(c.Value)
 	}
-	return true, wire.TxnAnswer{Revision: f.revision}
+	return true, wire.CompareAndSwapResponse{Revision: f.revision}
 }
 
 func TestWritesThroughLossAndDelay(t *testing.T) {
 	for _, steps := range []string{"c", "lc", "rc", "hc", "lrhc", "hhrlc"} {
 		t.Run(steps, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := &fakeStore{revision: 9, keys: map[string]uint64{election.Key: 5, "job/j": 3}, values: map[string]string{}, steps: steps}
+				f := &fakeStore{revision: 9, keys: map[string]uint64{election.LeaderKey: 5, "job/j": 3}, values: map[string]string{}, steps: steps}
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				l := New(5, f, fixed(Limits{Ops: 4, Bytes: 1 << 14}), slog.New(slog.NewTextHandler(io.Discard, nil)))
+				l := New(5, f, fixed(Limits{MaxChanges: 4, TransactionBytes: 1 << 14}), slog.New(slog.NewTextHandler(io.Discard, nil)))
 				go func() { _ = l.Run(ctx) }()
 				l.Put(ctx, []Write{{Key: "job/j", Value: "old", Version: 3, Tag: numberTag(1)}})
 				if tags := <-l.Durable; !reflect.DeepEqual(tags, []Tag{numberTag(1)}) {
@@ -163,7 +163,7 @@
 					t.Errorf("the key holds %s", f.values["job/j"])
 				}
 				// Once another leader's key stands, nothing is written.
-				f.keys[election.Key] = 77
+				f.keys[election.LeaderKey] = 77
 				l.Put(ctx, []Write{{Key: "job/j", Value: "late", Tag: numberTag(3)}})
 				synctest.Wait()
 				if f.values["job/j"] != `"new"` {
@@ -182,10 +182,10 @@
 	for _, steps := range []string{"hc", "hhc", "hlrc", "rhc"} {
 		t.Run(steps, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := &fakeStore{revision: 9, keys: map[string]uint64{election.Key: 5}, values: map[string]string{}, steps: steps}
+				f := &fakeStore{revision: 9, keys: map[string]uint64{election.LeaderKey: 5}, values: map[string]string{}, steps: steps}
 				ctx, cancel := context.WithCancel(t.Context())
 				defer cancel()
-				l := New(5, f, fixed(Limits{Ops: 4, Bytes: 1 << 14}), slog.New(slog.NewTextHandler(io.Discard, nil)))
+				l := New(5, f, fixed(Limits{MaxChanges: 4, TransactionBytes: 1 << 14}), slog.New(slog.NewTextHandler(io.Discard, nil)))
 				if _, err := l.Load(ctx); err != nil {
 					t.Fatal(err)
 				}
@@ -212,9 +212,9 @@
 // back to be written in smaller pieces, and holds up nothing else.
 func TestValuesThatAreTooLarge(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeStore{keys: map[string]uint64{election.Key: 5}, values: map[string]string{}, steps: "z"}
+		f := &fakeStore{keys: map[string]uint64{election.LeaderKey: 5}, values: map[string]string{}, steps: "z"}
 		bounds := make(chan Limits, 1)
-		bounds <- Limits{Ops: 9, Bytes: 1 << 14, Value: 100}
+		bounds <- Limits{MaxChanges: 9, TransactionBytes: 1 << 14, ValueBytes: 100}
 		l := New(5, f, func() Limits {
 			b := <-bounds
 			defer func() { bounds <- b }()
@@ -226,7 +226,7 @@
 		l.Put(ctx, []Write{{Key: "a", Value: "small", Tag: numberTag(1)}, {Key: "b", Value: strings.Repeat("x", 50), Tag: numberTag(2)}, {Key: "c", Value: "small", Tag: numberTag(3)}})
 		synctest.Wait()
 		<-bounds
-		bounds <- Limits{Ops: 1, Bytes: 1 << 14, Value: 20}
+		bounds <- Limits{MaxChanges: 1, TransactionBytes: 1 << 14, ValueBytes: 20}
 		if tags := <-l.Rejected; !reflect.DeepEqual(tags, []Tag{numberTag(2)}) {
 			t.Errorf("given back: %v", tags)
 		}
@@ -241,9 +241,9 @@
 // TestRejectedWriteHoldsUpNoOther: one of several writes is malformed to the service.
 func TestRejectedWriteHoldsUpNoOther(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeStore{keys: map[string]uint64{election.Key: 5}, values: map[string]string{}, steps: "b"}
+		f := &fakeStore{keys: map[string]uint64{election.LeaderKey: 5}, values: map[string]string{}, steps: "b"}
 		f.rejects = "b"
-		l := New(5, f, fixed(Limits{Ops: 9, Bytes: 1 << 14}), slog.New(slog.NewTextHandler(io.Discard, nil)))
+		l := New(5, f, fixed(Limits{MaxChanges: 9, TransactionBytes: 1 << 14}), slog.New(slog.NewTextHandler(io.Discard, nil)))
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() { _ = l.Run(ctx) }()
@@ -259,10 +259,10 @@
 
 func TestDeposedLedgerEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeStore{keys: map[string]uint64{election.Key: 6}, values: map[string]string{}}
-		l := New(5, f, fixed(Limits{Ops: 4, Bytes: 1 << 14}), slog.New(slog.NewTextHandler(io.Discard, nil)))
+		f := &fakeStore{keys: map[string]uint64{election.LeaderKey: 6}, values: map[string]string{}}
+		l := New(5, f, fixed(Limits{MaxChanges: 4, TransactionBytes: 1 << 14}), slog.New(slog.NewTextHandler(io.Discard, nil)))
 		go l.Put(t.Context(), []Write{{Key: "a", Value: 1}})
-		if err := l.Run(t.Context()); !errors.Is(err, ErrDeposed) {
+		if err := l.Run(t.Context()); !errors.Is(err, ErrLeadershipLost) {
 			t.Errorf("ended with %v", err)
 		}
 	})
@@ -273,12 +273,12 @@
 // used up.
 func TestOrdinaryWritesLeaveRoomForUrgentOnes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := &fakeStore{keys: map[string]uint64{election.Key: 5}, values: map[string]string{}, turn: make(chan struct{}, 1)}
+		f := &fakeStore{keys: map[string]uint64{election.LeaderKey: 5}, values: map[string]string{}, turn: make(chan struct{}, 1)}
 		written := func() (all int, urgent bool) {
 			defer f.take()()
 			return len(f.values), f.values["job/j"] != ""
 		}
-		l := New(5, f, fixed(Limits{Ops: 40, Bytes: 1 << 14, Ordinary: 10}), slog.New(slog.NewTextHandler(io.Discard, nil)))
+		l := New(5, f, fixed(Limits{MaxChanges: 40, TransactionBytes: 1 << 14, DeferrableRate: 10}), slog.New(slog.NewTextHandler(io.Discard, nil)))
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		go func() { _ = l.Run(ctx) }()
@@ -314,15 +314,15 @@
 }
 
 func TestBatchKeepsToTheLimits(t *testing.T) {
-	l := New(5, nil, fixed(Limits{Ops: 3, Bytes: 1000}), nil)
+	l := New(5, nil, fixed(Limits{MaxChanges: 3, TransactionBytes: 1000}), nil)
 	for _, w := range []Write{{Key: "a", Value: 1}, {Key: "b", Value: 1}, {Key: "a", Value: 2}, {Key: "c", Value: 1, Urgent: true}, {Key: "d", Value: 1}} {
 		if err := l.enqueue(w); err != nil {
 			t.Fatal(err)
 		}
 	}
 	keys, writes, txn := l.batch()
-	if !reflect.DeepEqual(keys, []string{"c", "a", "b"}) || string(writes[1].value) != "2" || len(txn.If) != 5 {
-		t.Errorf("batch %v, value of a %s, %d conditions", keys, writes[1].value, len(txn.If))
+	if !reflect.DeepEqual(keys, []string{"c", "a", "b"}) || string(writes[1].value) != "2" || len(txn.Conditions) != 5 {
+		t.Errorf("batch %v, value of a %s, %d conditions", keys, writes[1].value, len(txn.Conditions))
 	}
 	if keys, _, _ := l.batch(); !reflect.DeepEqual(keys, []string{"d"}) {
 		t.Errorf("second batch %v", keys)
@@ -343,11 +343,11 @@
 	for i := range 2000 {
 		ref := fmt.Sprintf("job-%06d", i)
 		if i%5 > 0 {
-			add(JobKey(ref), JobRecord{AcceptedMS: 1, Terminal: wire.Done, Tasks: 120, Done: 120, Class: "c", Team: "t", Cores: 120, RunS: 15})
+			add(JobKey(ref), JobRecord{AcceptedMS: 1, Terminal: wire.JobDone, Tasks: 120, Done: 120, Class: "c", Team: "t", Cores: 120, RunS: 15})
 			continue
 		}
-		add(JobKey(ref), JobRecord{AcceptedMS: 1, Job: &wire.Job{Ref: ref, Class: "c", Team: "t", Kind: "batch", Priority: "high", Tasks: 120, CPUs: 1, MemGB: 3, Image: "i", ImageGB: 1, Spot: true, EstimateS: 15}})
-		add(FinKey(ref, 0), EncodeRanges(func(i int) bool { return i%3 > 0 }, 120))
+		add(JobKey(ref), JobRecord{AcceptedMS: 1, Job: &wire.Job{ID: ref, Class: "c", Team: "t", Kind: "batch", Priority: "high", Tasks: 120, CPUs: 1, MemGB: 3, Image: "i", ImageGB: 1, Spot: true, EstimatedRunS: 15}})
+		add(FinishedTasksKey(ref, 0), EncodeRanges(func(i int) bool { return i%3 > 0 }, 120))
 		var hosts []string
 		for k := range 40 {
 			hosts = append(hosts, fmt.Sprintf("vm-%06d", 40*i+k))
--- a/internal/ledger/plans_test.go
+++ b/internal/ledger/plans_test.go
@@ -5,15 +5,15 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"leadproxy/internal/drain"
+	"leadproxy/internal/rollout"
 	"leadproxy/internal/wire"
 )
 
 // TestPlansOfOtherVersions: a plan that another version has written, or that can't be read,
 // is not carried out, and keeps nobody from leading.
 func TestPlansOfOtherVersions(t *testing.T) {
-	record := drain.Record{Version: drain.RecordVersion, Phase: drain.Choosing, Spec: drain.Spec{Name: "winter"}}
-	entry := func(name string, change func(r *drain.Record)) wire.Entry {
+	record := rollout.Record{Version: rollout.RecordVersion, Phase: rollout.Choosing, Spec: rollout.Spec{Name: "winter"}}
+	entry := func(name string, change func(r *rollout.Record)) wire.Entry {
 		r := record
 		if change != nil {
 			change(&r)
@@ -26,9 +26,9 @@
 	}
 	s := collect([]wire.Entry{
 		entry("winter", nil),
-		entry("winter-2", func(r *drain.Record) { r.Version, r.Spec.Name = drain.RecordVersion+1, "winter-2" }),
+		entry("winter-2", func(r *rollout.Record) { r.Version, r.Spec.Name = rollout.RecordVersion+1, "winter-2" }),
 		entry("winter-3", nil), // the record of another plan
-		entry("winter-4", func(r *drain.Record) { r.Phase, r.Spec.Name = "thinking", "winter-4" }),
+		entry("winter-4", func(r *rollout.Record) { r.Phase, r.Spec.Name = "thinking", "winter-4" }),
 		{Key: PlanKey("winter-5"), Value: json.RawMessage(`[`)},
 	})
 	if len(s.Plans) != 1 || s.Plans[0].Spec.Name != "winter" || len(s.Malformed) != 4 {
--- a/internal/ledger/property_test.go
+++ b/internal/ledger/property_test.go
@@ -26,8 +26,8 @@
 }
 
 func newLedgerMachine(t *rapid.T) *ledgerMachine {
-	limits := Limits{Ops: rapid.IntRange(2, 6).Draw(t, "ops"), Bytes: rapid.IntRange(400, 4000).Draw(t, "bytes")}
-	store := &fakeStore{revision: 9, keys: map[string]uint64{election.Key: 5}, values: map[string]string{}}
+	limits := Limits{MaxChanges: rapid.IntRange(2, 6).Draw(t, "ops"), TransactionBytes: rapid.IntRange(400, 4000).Draw(t, "bytes")}
+	store := &fakeStore{revision: 9, keys: map[string]uint64{election.LeaderKey: 5}, values: map[string]string{}}
 	l := New(5, store, fixed(limits), slog.New(slog.NewTextHandler(io.Discard, nil)))
 	return &ledgerMachine{l, store, map[string]string{}, 0, map[Tag]int{}}
 }
@@ -54,12 +54,12 @@
 	}
 	fenced := m.ledger.doubt
 	keys, writes, txn := m.ledger.batch()
-	m.checkBatch(t, keys, len(txn.Then))
+	m.checkBatch(t, keys, len(txn.Changes))
 	size := 0
-	for _, c := range txn.Then {
+	for _, c := range txn.Changes {
 		size += len(c.Value)
 	}
-	if len(keys) > 1 && size > m.ledger.limits.Bytes {
+	if len(keys) > 1 && size > m.ledger.limits.TransactionBytes {
 		t.Fatalf("a batch of %d keys has %d bytes", len(keys), size)
 	}
 	m.store.steps = fate
@@ -77,8 +77,8 @@
 
 func (m *ledgerMachine) checkBatch(t *rapid.T, keys []string, changes int) {
 	once := slices.Compact(slices.Sorted(slices.Values(keys)))
-	if len(once) != len(keys) || changes > m.ledger.limits.Ops || len(keys) == 0 {
-		t.Fatalf("a batch of %v with %d changes, of %d", keys, changes, m.ledger.limits.Ops)
+	if len(once) != len(keys) || changes > m.ledger.limits.MaxChanges || len(keys) == 0 {
+		t.Fatalf("a batch of %v with %d changes, of %d", keys, changes, m.ledger.limits.MaxChanges)
 	}
 }
 
--- a/internal/ledger/records.go
+++ b/internal/ledger/records.go
@@ -8,8 +8,8 @@
 	"fmt"
 	"strconv"
 
-	"leadproxy/internal/drain"
-	"leadproxy/internal/spill"
+	"leadproxy/internal/federation"
+	"leadproxy/internal/rollout"
 	"leadproxy/internal/wire"
 )
 
@@ -45,81 +45,81 @@
 	Team  string  `json:"team,omitempty"`
 	Cores float64 `json:"cores,omitempty"`
 	RunS  float64 `json:"run_s,omitempty"`
-	// Home is the cell whose job this is, if that is another one, and Epoch the number
+	// Origin is the cell whose job this is, if that is another one, and Epoch the number
 	// of its transfer.
-	Home  string `json:"home,omitempty"`
-	Epoch uint64 `json:"epoch,omitempty"`
+	Origin        string `json:"home,omitempty"`
+	TransferEpoch uint64 `json:"epoch,omitempty"`
 }
 
 // JobKey is the key of a job's record.
 func JobKey(ref string) string { return JobPrefix + ref }
 
-// AwayKey is the key of home's record of a job's latest transfer.
-func AwayKey(ref string) string { return awayPrefix + ref }
+// DelegatedKey is the key of home's record of a job's latest transfer.
+func DelegatedKey(ref string) string { return awayPrefix + ref }
 
-// GuestKey is the key of the neighbour's record of a job's latest transfer.
-func GuestKey(key spill.GuestKey) string { return guestPrefix + key.Home + "/" + key.Ref }
+// ForeignKey is the key of the neighbour's record of a job's latest transfer.
+func ForeignKey(key federation.ForeignKey) string { return guestPrefix + key.Origin + "/" + key.JobID }
 
-// SavedAway is a transfer as home's ledger holds it.
-type SavedAway struct {
-	Ref    string
-	Record spill.AwayRecord
+// SavedDelegated is a transfer as home's ledger holds it.
+type SavedDelegated struct {
+	JobID  string
+	Record federation.DelegatedRecord
 	// Unknown is set when the record could not be read: the job may be anywhere.
 	Unknown bool
 }
 
-// SavedGuest is a transfer as the neighbour's ledger holds it.
-type SavedGuest struct {
-	Key     spill.GuestKey
-	Record  spill.GuestRecord
+// SavedForeign is a transfer as the neighbour's ledger holds it.
+type SavedForeign struct {
+	Key     federation.ForeignKey
+	Record  federation.ForeignRecord
 	Version uint64
 }
 
 // PlanKey is the key of a plan that drains machines.
 func PlanKey(name string) string { return planPrefix + name }
 
-// HireRecord is a hire that was, or may have been, sent to the cloud.
-type HireRecord struct {
-	Hire wire.Hire `json:"hire"`
+// ScaleOutRecord is a hire that was, or may have been, sent to the cloud.
+type ScaleOutRecord struct {
+	Request wire.ScaleOutRequest `json:"hire"`
 	// Machines is known once the cloud has answered.
 	Machines []string `json:"machines,omitempty"`
 }
 
-// HireKey is the key of a hire's record.
-func HireKey(name string) string { return hirePrefix + name }
+// ScaleOutKey is the key of a hire's record.
+func ScaleOutKey(name string) string { return hirePrefix + name }
 
-// ChunkTasks is how many tasks one key of finished ranges covers. The worst
+// TasksPerChunk is how many tasks one key of finished ranges covers. The worst
 // case, every other task done, stays well below the least value limit.
-const ChunkTasks = 1024
+const TasksPerChunk = 1024
 
 // GoneKey is the key that marks a machine as gone for good, so that a new
 // leader need not wait for word of it. It is kept while an unfinished job names
 // the machine as a host.
 func GoneKey(machine string) string { return gonePrefix + machine }
 
-// SilentRecord tells of machines that a leader does not hear, and when, by the
+// UnreachableRecord tells of machines that a leader does not hear, and when, by the
 // time of day, their workers' leases are over: it has not answered them since,
 // and does not before this record is empty.
-type SilentRecord struct {
-	OverMS   int64    `json:"over_ms"`
-	Machines []string `json:"machines"`
+type UnreachableRecord struct {
+	LeaseExpiryMS int64    `json:"over_ms"`
+	Machines      []string `json:"machines"`
 }
 
-// SilentKey is the key of one such record.
-func SilentKey(name string) string { return silentPrefix + name }
+// UnreachableKey is the key of one such record.
+func UnreachableKey(name string) string { return silentPrefix + name }
 
-// FinPartKey is the key of the part of a chunk that begins with its task first. A
+// FinishedTasksPartKey is the key of the part of a chunk that begins with its task first. A
 // chunk whose ranges are more than a value may hold is written in parts. What the
 // chunk's own key holds besides stays true: a task that is done remains done.
-func FinPartKey(ref string, chunk, first int) string {
-	return fmt.Sprintf("%s.%d", FinKey(ref, chunk), first)
+func FinishedTasksPartKey(ref string, chunk, first int) string {
+	return fmt.Sprintf("%s.%d", FinishedTasksKey(ref, chunk), first)
 }
 
-// PartTasks is how many tasks a part has so that its ranges fit a value of so many
+// TasksPerPart is how many tasks a part has so that its ranges fit a value of so many
 // bytes in the worst case, every other task done: five bytes each. It is a power of
 // two.
-func PartTasks(bytes int) int {
-	n := ChunkTasks
+func TasksPerPart(bytes int) int {
+	n := TasksPerChunk
 	for n > 1 && n*5+16 > bytes {
 		n /= 2
 	}
@@ -135,8 +135,10 @@
 	return n
 }
 
-// FinKey is the key of one chunk of a job's finished tasks.
-func FinKey(ref string, chunk int) string { return fmt.Sprintf("%s%s/%d", finPrefix, ref, chunk) }
+// FinishedTasksKey is the key of one chunk of a job's finished tasks.
+func FinishedTasksKey(ref string, chunk int) string {
+	return fmt.Sprintf("%s%s/%d", finPrefix, ref, chunk)
+}
 
 // Ranges are finished tasks as pairs of first and last, relative to the chunk.
 type Ranges []int
@@ -160,21 +162,21 @@
 // Each calls f for every task in the ranges.
 func (r Ranges) Each(f func(i int)) {
 	for k := 0; k+1 < len(r); k += 2 {
-		for i := max(r[k], 0); i <= r[k+1] && i < ChunkTasks; i++ {
+		for i := max(r[k], 0); i <= r[k+1] && i < TasksPerChunk; i++ {
 			f(i)
 		}
 	}
 }
 
-// ChunkHosts is how many machine names one key holds.
-const ChunkHosts = 200
+// HostsPerChunk is how many machine names one key holds.
+const HostsPerChunk = 200
 
 // HostKey is the key of one chunk of the machines a job's tasks may be on.
 func HostKey(ref string, chunk int) string { return fmt.Sprintf("%s%s/%d", hostPrefix, ref, chunk) }
 
-// NamesFit is how many of some names, from the first on, fit a value of so many
+// NamesThatFit is how many of some names, from the first on, fit a value of so many
 // bytes; at least one.
-func NamesFit(names []string, bytes int) int {
+func NamesThatFit(names []string, bytes int) int {
 	size := 2
 	for i, name := range names {
 		if size += len(name) + 3; size > bytes && i > 0 {
@@ -186,7 +188,7 @@
 
 // SavedJob is a job as the ledger holds it.
 type SavedJob struct {
-	Ref     string
+	ID      string
 	Version uint64
 	Record  JobRecord
 	// Finished and Hosts are as they are kept, by chunk and part.
@@ -213,16 +215,16 @@
 
 // Snapshot is the whole ledger, read at the start of a term.
 type Snapshot struct {
-	Jobs  []SavedJob
-	Hires []HireRecord
-	Gone  []string
-	// Away and Guests are the transfers.
-	Away   []SavedAway
-	Guests []SavedGuest
+	Jobs      []SavedJob
+	ScaleOuts []ScaleOutRecord
+	Gone      []string
+	// Delegated and Guests are the transfers.
+	Delegated []SavedDelegated
+	Foreign   []SavedForeign
 	// Plans are the plans that drain machines.
-	Plans []drain.Record
-	// Silent is by the records' keys.
-	Silent map[string]SilentRecord
+	Plans []rollout.Record
+	// Unreachable is by the records' keys.
+	Unreachable map[string]UnreachableRecord
 	// Revision is where a watch for further job records starts.
 	Revision uint64
 	// Malformed are the keys that could not be read. What they held is not in the
--- a/internal/ledger/versions_test.go
+++ b/internal/ledger/versions_test.go
@@ -39,13 +39,13 @@
 		t.Fatal(s.Malformed)
 	}
 	open, aborted, done := s.Jobs[0].Record, s.Jobs[1].Record, s.Jobs[2].Record
-	if open.Terminal != "" || open.Job.Tasks != 5 || open.Job.WaitsOn != nil || *open.Job.DeadlineS != 90 || open.AcceptedMS != 946684800123 {
+	if open.Terminal != "" || open.Job.Tasks != 5 || open.Job.DependsOn != nil || *open.Job.DeadlineS != 90 || open.AcceptedMS != 946684800123 {
 		t.Errorf("an open job: %+v", open)
 	}
-	if aborted.Terminal != wire.Aborted || aborted.Done != 2 || aborted.Job.Team != "t" {
+	if aborted.Terminal != wire.JobCancelled || aborted.Done != 2 || aborted.Job.Team != "t" {
 		t.Errorf("a cancelled job: %+v", aborted)
 	}
-	if done.Terminal != wire.Done || done.Cores != 7.5 || done.EndedMS != 0 {
+	if done.Terminal != wire.JobDone || done.Cores != 7.5 || done.EndedMS != 0 {
 		t.Errorf("a job that is done: %+v", done)
 	}
 	finished := 0
@@ -53,8 +53,8 @@
 	if finished != 3 || len(s.Jobs[0].Hosts) != 1 || !reflect.DeepEqual(s.Jobs[0].Hosts[0].Machines, []string{"vm-000001", "vm-000002"}) {
 		t.Errorf("what is kept besides: %+v", s.Jobs[0])
 	}
-	if len(s.Hires) != 1 || s.Hires[0].Hire.Count != 2 || len(s.Gone) != 1 || s.Silent["silent/7-1"].OverMS != 946684800999 {
-		t.Errorf("hires %+v, gone %v, silent %+v", s.Hires, s.Gone, s.Silent)
+	if len(s.ScaleOuts) != 1 || s.ScaleOuts[0].Request.Count != 2 || len(s.Gone) != 1 || s.Unreachable["silent/7-1"].LeaseExpiryMS != 946684800999 {
+		t.Errorf("hires %+v, gone %v, silent %+v", s.ScaleOuts, s.Gone, s.Unreachable)
 	}
 }
 
@@ -99,8 +99,8 @@
 // are its own; what is new are fields that it ignores.
 func TestProductionReadsWhatWeWrite(t *testing.T) {
 	zone, due := "a", 90.0
-	j := &wire.Job{Ref: "job-000001", Class: "c", Team: "t", Kind: "batch", Priority: "high", Tasks: 5, CPUs: 1.5, MemGB: 2, Image: "i", ImageGB: 0.5,
-		Types: []string{"m8"}, Zone: &zone, Spot: true, EstimateS: 8, DeadlineS: &due}
+	j := &wire.Job{ID: "job-000001", Class: "c", Team: "t", Kind: "batch", Priority: "high", Tasks: 5, CPUs: 1.5, MemGB: 2, Image: "i", ImageGB: 0.5,
+		Types: []string{"m8"}, Zone: &zone, Spot: true, EstimatedRunS: 8, DeadlineS: &due}
 	cases := []struct {
 		name     string
 		rec      JobRecord
@@ -110,9 +110,9 @@
 		terminal string
 	}{
 		{"an open job", JobRecord{Job: j, AcceptedMS: 946684800123}, oldOpen, "", true, ""},
-		{"done", JobRecord{AcceptedMS: 946684800123, Terminal: wire.Done, Tasks: 5, Done: 5, Class: "c", Team: "t", Cores: 7.5, RunS: 8.25, EndedMS: 946684801000}, "", "ended_ms", false, "done"},
-		{"cancelled", JobRecord{Job: j.Essence(), AcceptedMS: 946684800123, Terminal: wire.Aborted, Tasks: 5, Done: 2, EndedMS: 946684801000}, "", "ended_ms", true, "aborted"},
-		{"one that waits", JobRecord{Job: &wire.Job{Ref: "job-000002", Class: "c", Team: "t", Kind: "batch", Priority: "high", Tasks: 1, WaitsOn: []string{"job-000001"}}}, "", "waits_on", true, ""},
+		{"done", JobRecord{AcceptedMS: 946684800123, Terminal: wire.JobDone, Tasks: 5, Done: 5, Class: "c", Team: "t", Cores: 7.5, RunS: 8.25, EndedMS: 946684801000}, "", "ended_ms", false, "done"},
+		{"cancelled", JobRecord{Job: j.CancelledSummary(), AcceptedMS: 946684800123, Terminal: wire.JobCancelled, Tasks: 5, Done: 2, EndedMS: 946684801000}, "", "ended_ms", true, "aborted"},
+		{"one that waits", JobRecord{Job: &wire.Job{ID: "job-000002", Class: "c", Team: "t", Kind: "batch", Priority: "high", Tasks: 1, DependsOn: []string{"job-000001"}}}, "", "waits_on", true, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -156,7 +156,7 @@
 	}
 	done := map[int]bool{}
 	for _, f := range s.Jobs[0].Finished {
-		f.Ranges.Each(func(i int) { done[f.Chunk*ChunkTasks+i] = true })
+		f.Ranges.Each(func(i int) { done[f.Chunk*TasksPerChunk+i] = true })
 	}
 	if len(done) != 6 || !done[130] || !done[2] {
 		t.Errorf("done: %v", done)
@@ -165,8 +165,8 @@
 		t.Errorf("hosts: %+v", s.Jobs[0].Hosts)
 	}
 	for _, limit := range []int{256, 1024, 2048, 16 << 10} {
-		n := PartTasks(limit)
-		worst := EncodeRanges(func(i int) bool { return i%2 == 0 && i >= ChunkTasks-n }, ChunkTasks)
+		n := TasksPerPart(limit)
+		worst := EncodeRanges(func(i int) bool { return i%2 == 0 && i >= TasksPerChunk-n }, TasksPerChunk)
 		if b, err := json.Marshal(worst); err != nil || len(b) > limit || len(b) > worst.Size() {
 			t.Errorf("a part of %d tasks takes %d bytes of %d, reckoned as %d: %v", n, len(b), limit, worst.Size(), err)
 		}
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -8,11 +8,11 @@
 
 	"google.golang.org/grpc"
 
-	"leadproxy/internal/intake"
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/jobapi"
 	"leadproxy/internal/peers/peerpb"
 	"leadproxy/internal/rpc"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/transport"
 )
 
 // window is how much may be on its way unread, both ways. A fixed one spares the
@@ -34,7 +34,7 @@
 
 // Dial prepares a connection to each of the other controllers for the node of a
 // name, until ctx ends. Nothing is sent until the first request.
-func Dial(ctx context.Context, n outbound.Network, node string, others []settings.Peer) (*Peers, error) {
+func Dial(ctx context.Context, n transport.Network, node string, others []settings.Peer) (*Peers, error) {
 	p := &Peers{byName: map[string]peer{}}
 	for _, o := range others {
 		conn, err := rpc.Connect(n, o.Addr, grpc.WithInitialWindowSize(window), grpc.WithInitialConnWindowSize(window))
@@ -72,16 +72,16 @@
 }
 
 // Ask passes a user's request on to a node.
-func (p *Peers) Ask(ctx context.Context, node string, k intake.Kind, ref string, body []byte) (intake.Answer, error) {
+func (p *Peers) Ask(ctx context.Context, node string, k jobapi.Kind, ref string, body []byte) (jobapi.Answer, error) {
 	o, err := p.find(node)
 	if err != nil {
-		return intake.Answer{}, err
+		return jobapi.Answer{}, err
 	}
 	r, err := o.client.Ask(ctx, &peerpb.AskRequest{Kind: peerpb.AskRequest_Kind(k), Ref: ref, Body: body})
 	if err != nil {
-		return intake.Answer{}, fmt.Errorf("node %s: %w", node, err)
+		return jobapi.Answer{}, fmt.Errorf("node %s: %w", node, err)
 	}
-	return intake.Answer{Status: int(r.Status), Body: r.Body, RetryAfter: int(r.RetryAfterS)}, nil
+	return jobapi.Answer{Status: int(r.Status), Body: r.Body, RetryAfter: int(r.RetryAfterS)}, nil
 }
 
 // Ping asks whether a node answers, and how many reports workers have sent it
@@ -114,8 +114,8 @@
 // server answers the other controllers.
 type server struct {
 	peerpb.UnimplementedPeerServer
-	intake  *intake.Service
-	reports Reports
+	intake  *jobapi.Service
+	reports HeartbeatReceiver
 	promise func(ctx context.Context, hold time.Duration) bool
 	heard   func(within time.Duration) int
 }
@@ -129,7 +129,7 @@
 }
 
 func (s *server) Ask(ctx context.Context, r *peerpb.AskRequest) (*peerpb.AskReply, error) {
-	a := s.intake.Handle(ctx, intake.Kind(r.Kind), r.Ref, r.Body, true)
+	a := s.intake.Handle(ctx, jobapi.Kind(r.Kind), r.Ref, r.Body, true)
 	return &peerpb.AskReply{Status: int32(a.Status), Body: a.Body, RetryAfterS: int32(a.RetryAfter)}, nil
 }
 
@@ -137,7 +137,7 @@
 // reports if this node leads; promise is the elector's; heard counts the reports
 // that have come straight here.
 // The caller may register further services with it.
-func NewServer(in *intake.Service, reports Reports,
+func NewServer(in *jobapi.Service, reports HeartbeatReceiver,
 	promise func(ctx context.Context, hold time.Duration) bool, heard func(within time.Duration) int) *grpc.Server {
 	g := grpc.NewServer(grpc.InitialWindowSize(window), grpc.InitialConnWindowSize(window))
 	peerpb.RegisterPeerServer(g, &server{intake: in, reports: reports, promise: promise, heard: heard})
--- a/internal/peers/share.go
+++ b/internal/peers/share.go
@@ -4,22 +4,22 @@
 	"context"
 	"time"
 
-	"leadproxy/internal/intake"
+	"leadproxy/internal/jobapi"
 	"leadproxy/internal/peers/peerpb"
 )
 
-// Reports is who answers workers' reports that other nodes have forwarded here.
-type Reports interface {
+// HeartbeatReceiver is who answers workers' reports that other nodes have forwarded here.
+type HeartbeatReceiver interface {
 	// Shared answers a report through give, at once or later, or never. The
 	// answer is asked for as it is written.
-	Shared(ctx context.Context, body []byte, give func(answer func() intake.Answer))
+	Shared(ctx context.Context, body []byte, give func(answer func() jobapi.Answer))
 	// Connected tells that a node forwards reports here, until its stream ends.
 	Connected(ctx context.Context, node string)
 }
 
 type sharedAnswer struct {
 	id     uint64
-	answer func() intake.Answer
+	answer func() jobapi.Answer
 }
 
 // Share serves another node's stream.
@@ -42,7 +42,7 @@
 			s.reports.Connected(ctx, batch.Node)
 		}
 		for _, r := range batch.Reports {
-			s.reports.Shared(ctx, r.Body, func(answer func() intake.Answer) {
+			s.reports.Shared(ctx, r.Body, func(answer func() jobapi.Answer) {
 				select {
 				case answers <- sharedAnswer{r.Id, answer}:
 				default: // more than any node has in flight; it has given these up
--- a/internal/reportcli/reportcli.go
+++ b/internal/reportcmd/reportcli.go
@@ -1,6 +1,6 @@
 // Package reportcli is the command line that the programs share which make an HTML report
 // from controllers' logs.
-package reportcli
+package reportcmd
 
 import (
 	"bytes"
--- a/internal/reportcli/reportcli_test.go
+++ b/internal/reportcmd/reportcli_test.go
@@ -1,4 +1,4 @@
-package reportcli
+package reportcmd
 
 import (
 	"errors"
--- a/internal/drain/account.go
+++ b/internal/rollout/account.go
@@ -1,7 +1,7 @@
 // Package drain has the rules of draining machines in steps: which jobs may be disrupted at
 // a time, and how a rollout goes from step to step. Both are pure: the caller tells the time
 // and what has happened, and carries out what follows.
-package drain
+package rollout
 
 import (
 	"cmp"
--- a/internal/drain/checks_test.go
+++ b/internal/rollout/checks_test.go
@@ -1,4 +1,4 @@
-package drain
+package rollout
 
 import "leadproxy/internal/property"
 
--- a/internal/drain/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -1,4 +1,4 @@
-package drain
+package rollout
 
 import (
 	"testing"
--- a/internal/drain/mutants_test.go
+++ b/internal/rollout/mutants_test.go
@@ -1,6 +1,6 @@
 //go:build mutants
 
-package drain
+package rollout
 
 import (
 	"testing"
--- a/internal/rollouts/proof_test.go
+++ b/internal/rolloutservice/proof_test.go
@@ -1,6 +1,6 @@
 //go:build drain
 
-package rollouts_test
+package rolloutservice_test
 
 import (
 	"bytes"
@@ -15,9 +15,9 @@
 	"time"
 
 	"leadproxy/internal/fake"
-	"leadproxy/internal/outbound"
 	"leadproxy/internal/rolloutreport"
-	"leadproxy/internal/rollouts"
+	"leadproxy/internal/rolloutservice"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
@@ -44,7 +44,7 @@
 	}
 	submit := func(k int) {
 		d.Users.Submit(fake.NewJob(fmt.Sprintf("job-%06d", k), 2, func(j *wire.Job) {
-			j.Team, j.CPUs, j.EstimateS, j.CheckpointS, j.SaveS = teams[k%2], 4, taskRuns.Seconds(), 5, 1
+			j.Team, j.CPUs, j.EstimatedRunS, j.CheckpointIntervalS, j.CheckpointDurationS = teams[k%2], 4, taskRuns.Seconds(), 5, 1
 		}))
 	}
 	for k := range replaced {
@@ -59,7 +59,7 @@
 	}
 	began := time.Now()
 	create := func() bool {
-		_, err := rollouts.Create(t.Context(), outbound.TCP{}, d.Platform, "[plan]\nname = winter\nmachines = "+strings.Join(old, ", ")+"\nbatch = 25%\nwait_s = 300\nhealth_s = 300")
+		_, err := rolloutservice.Create(t.Context(), transport.TCP{}, d.Platform, "[plan]\nname = winter\nmachines = "+strings.Join(old, ", ")+"\nbatch = 25%\nwait_s = 300\nhealth_s = 300")
 		return err == nil || strings.Contains(err.Error(), "of that name")
 	}
 	fake.Await(t, "the plan begun", time.Minute, create)
@@ -141,12 +141,12 @@
 
 // status is what an operator sees.
 func status(t *testing.T, d *fake.Deployment) string {
-	list, err := rollouts.List(t.Context(), outbound.TCP{}, d.Platform)
+	list, err := rolloutservice.List(t.Context(), transport.TCP{}, d.Platform)
 	if err != nil {
 		return err.Error()
 	}
 	var b strings.Builder
-	if err := rollouts.Write(&b, list, time.Now()); err != nil {
+	if err := rolloutservice.Write(&b, list, time.Now()); err != nil {
 		t.Error(err)
 	}
 	return b.String()
--- a/internal/rollouts/rollouts.go
+++ b/internal/rolloutservice/rollouts.go
@@ -1,6 +1,6 @@
 // Package rollouts has operators create, steer and watch the plans that drain machines,
 // through any controller, over gRPC. What the plans mean is in package drain.
-package rollouts
+package rolloutservice
 
 import (
 	"context"
@@ -16,12 +16,12 @@
 	"google.golang.org/grpc/status"
 
 	"leadproxy/internal/dispatch"
-	"leadproxy/internal/drain"
-	"leadproxy/internal/outbound"
-	"leadproxy/internal/rollouts/rolloutpb"
+	"leadproxy/internal/rollout"
+	"leadproxy/internal/rolloutservice/rolloutpb"
 	"leadproxy/internal/rpc"
 	"leadproxy/internal/scheduler"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/transport"
 )
 
 // callLimit bounds a call: a command waits until it is durable.
@@ -29,9 +29,9 @@
 
 // Leader is what plans need of the dispatcher.
 type Leader interface {
-	CreatePlan(ctx context.Context, spec drain.Spec) error
-	SteerPlan(ctx context.Context, name string, command drain.Command, argument string) error
-	ListPlans(ctx context.Context) (scheduler.PlanList, error)
+	CreatePlan(ctx context.Context, spec rollout.Spec) error
+	SteerPlan(ctx context.Context, name string, command rollout.Command, argument string) error
+	ListPlans(ctx context.Context) (scheduler.PlanListReply, error)
 }
 
 // Server answers operators.
@@ -49,7 +49,7 @@
 	switch {
 	case err == nil:
 		return nil
-	case errors.Is(err, dispatch.ErrNotLeading):
+	case errors.Is(err, dispatch.ErrNotLeader):
 		return status.Error(codes.Unavailable, "this controller does not lead")
 	case errors.Is(err, context.DeadlineExceeded), errors.Is(err, context.Canceled):
 		return status.Error(codes.DeadlineExceeded, "not durable yet: look whether it was taken, and ask again")
@@ -59,7 +59,7 @@
 
 // Create begins a plan.
 func (s *Server) Create(ctx context.Context, r *rolloutpb.CreateRequest) (*rolloutpb.CreateReply, error) {
-	spec, err := drain.ParseSpec(r.Text)
+	spec, err := rollout.ParseSpec(r.Text)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
@@ -68,7 +68,7 @@
 
 // Steer tells a plan something.
 func (s *Server) Steer(ctx context.Context, r *rolloutpb.SteerRequest) (*rolloutpb.SteerReply, error) {
-	return &rolloutpb.SteerReply{}, statusOf(s.leader.SteerPlan(ctx, r.Name, drain.Command(r.Command), r.Argument))
+	return &rolloutpb.SteerReply{}, statusOf(s.leader.SteerPlan(ctx, r.Name, rollout.Command(r.Command), r.Argument))
 }
 
 // List tells how all plans stand.
@@ -91,14 +91,14 @@
 }
 
 // ask asks the leader of a deployment.
-func ask(ctx context.Context, n outbound.Network, p *settings.Platform, do func(ctx context.Context, c rolloutpb.RolloutsClient) error) error {
-	return rpc.AskLeader(ctx, n, p.Controllers(), callLimit, func(ctx context.Context, conn *grpc.ClientConn) error {
+func ask(ctx context.Context, n transport.Network, p *settings.Platform, do func(ctx context.Context, c rolloutpb.RolloutsClient) error) error {
+	return rpc.CallLeader(ctx, n, p.Controllers(), callLimit, func(ctx context.Context, conn *grpc.ClientConn) error {
 		return do(ctx, rolloutpb.NewRolloutsClient(conn))
 	})
 }
 
 // Create begins a plan from its text and returns its name.
-func Create(ctx context.Context, n outbound.Network, p *settings.Platform, text string) (name string, err error) {
+func Create(ctx context.Context, n transport.Network, p *settings.Platform, text string) (name string, err error) {
 	err = ask(ctx, n, p, func(ctx context.Context, c rolloutpb.RolloutsClient) error {
 		reply, err := c.Create(ctx, &rolloutpb.CreateRequest{Text: text})
 		name = reply.GetName()
@@ -108,7 +108,7 @@
 }
 
 // Steer tells a plan something.
-func Steer(ctx context.Context, n outbound.Network, p *settings.Platform, name string, command drain.Command, argument string) error {
+func Steer(ctx context.Context, n transport.Network, p *settings.Platform, name string, command rollout.Command, argument string) error {
 	return ask(ctx, n, p, func(ctx context.Context, c rolloutpb.RolloutsClient) error {
 		_, err := c.Steer(ctx, &rolloutpb.SteerRequest{Name: name, Command: string(command), Argument: argument})
 		return err
@@ -116,7 +116,7 @@
 }
 
 // List asks how all plans stand.
-func List(ctx context.Context, n outbound.Network, p *settings.Platform) (reply *rolloutpb.ListReply, err error) {
+func List(ctx context.Context, n transport.Network, p *settings.Platform) (reply *rolloutpb.ListReply, err error) {
 	err = ask(ctx, n, p, func(ctx context.Context, c rolloutpb.RolloutsClient) error {
 		var err error
 		reply, err = c.List(ctx, &rolloutpb.ListRequest{})
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -13,8 +13,8 @@
 	"google.golang.org/grpc/credentials/insecure"
 	"google.golang.org/grpc/status"
 
-	"leadproxy/internal/outbound"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/transport"
 )
 
 // maxReconnect bounds how long a broken connection rests: a controller that was restarted
@@ -25,7 +25,7 @@
 
 // Connect prepares a connection to an address of a controller. Nothing is sent before the
 // first call.
-func Connect(n outbound.Network, addr string, more ...grpc.DialOption) (*grpc.ClientConn, error) {
+func Connect(n transport.Network, addr string, more ...grpc.DialOption) (*grpc.ClientConn, error) {
 	options := append([]grpc.DialOption{
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: reconnect, MinConnectTimeout: maxReconnect}),
@@ -35,7 +35,7 @@
 }
 
 // Call makes one call over a connection of its own, within a time.
-func Call(ctx context.Context, n outbound.Network, addr string, limit time.Duration, do func(ctx context.Context, conn *grpc.ClientConn) error) error {
+func Call(ctx context.Context, n transport.Network, addr string, limit time.Duration, do func(ctx context.Context, conn *grpc.ClientConn) error) error {
 	conn, err := Connect(n, addr)
 	if err != nil {
 		return err
@@ -46,9 +46,9 @@
 	return do(ctx, conn)
 }
 
-// AskLeader has controllers asked one after the other until one answers, which is the one
+// CallLeader has controllers asked one after the other until one answers, which is the one
 // that leads. What that one refuses, none of the others would do.
-func AskLeader(ctx context.Context, n outbound.Network, controllers []settings.Peer, limit time.Duration, ask func(ctx context.Context, conn *grpc.ClientConn) error) error {
+func CallLeader(ctx context.Context, n transport.Network, controllers []settings.Peer, limit time.Duration, ask func(ctx context.Context, conn *grpc.ClientConn) error) error {
 	var errs []error
 	for _, c := range controllers {
 		err := Call(ctx, n, c.Addr, limit, ask)
--- a/internal/scheduler/answers.go
+++ b/internal/scheduler/answers.go
@@ -7,12 +7,12 @@
 	"leadproxy/internal/wire"
 )
 
-// openAnswer is a report's answer, which is given at the end of the step so
+// heldAnswer is a report's answer, which is given at the end of the step so
 // that starts decided in it travel along.
-type openAnswer struct {
-	to      Recipient
-	machine *machine
-	report  *wire.Report
+type heldAnswer struct {
+	replyTo   Recipient
+	machine   *machine
+	heartbeat *wire.Heartbeat
 	// outdated: the report is older than what is known of its worker.
 	outdated bool
 	// until is when an answer that waits for starts to become durable is given
@@ -26,92 +26,92 @@
 const awaitFor = 400 * time.Millisecond
 
 // awaits keeps an answer back while starts for its machine are being written down.
-func (c *Core) awaits(a openAnswer) bool {
+func (c *Core) awaits(a heldAnswer) bool {
 	m := a.machine
-	if a.until > 0 || !m.known(c.term) || !m.planned() {
+	if a.until > 0 || !m.trusted(c.term) || !m.plannable() {
 		return false
 	}
 	a.until = c.now + awaitFor
-	m.asking, m.awaiting = 0, a.report
-	c.awaiting = append(c.awaiting, a)
+	m.openAnswer, m.heldHeartbeat = 0, a.heartbeat
+	c.awaitingWrites = append(c.awaitingWrites, a)
 	return true
 }
 
-// planned tells whether starts for a machine are being written down.
-func (m *machine) planned() bool {
-	return slices.ContainsFunc(m.bookings, func(b *booking) bool { return b.state == bookPlanned })
+// plannable tells whether starts for a machine are being written down.
+func (m *machine) plannable() bool {
+	return slices.ContainsFunc(m.allocations, func(b *allocation) bool { return b.state == allocationPlanned })
 }
 
 // resumeAnswers has the answers given that need not wait any longer. One whose
 // worker has sent a newer report since goes without orders.
 func (c *Core) resumeAnswers() {
-	keep := c.awaiting[:0]
-	for _, a := range c.awaiting {
+	keep := c.awaitingWrites[:0]
+	for _, a := range c.awaitingWrites {
 		m := a.machine
-		if m.awaiting == a.report {
-			if c.now < a.until && m.state != machineGone && m.planned() {
+		if m.heldHeartbeat == a.heartbeat {
+			if c.now < a.until && m.state != machineGone && m.plannable() {
 				keep = append(keep, a)
 				continue
 			}
-			m.awaiting = nil
-			m.asking = len(c.answers) + 1
-			if len(m.outbox) > 0 {
-				c.outboxes = append(c.outboxes, m) // for what does not go into the answer
+			m.heldHeartbeat = nil
+			m.openAnswer = len(c.openAnswers) + 1
+			if len(m.pendingCommands) > 0 {
+				c.machinesWithCommands = append(c.machinesWithCommands, m) // for what does not go into the answer
 			}
 		} else {
 			a.outdated = true
 		}
-		c.answers = append(c.answers, a)
+		c.openAnswers = append(c.openAnswers, a)
 	}
-	clear(c.awaiting[len(keep):])
-	c.awaiting = keep
+	clear(c.awaitingWrites[len(keep):])
+	c.awaitingWrites = keep
 }
 
 // giveAnswers answers the reports of this step. Only the newest report of a
 // machine gets orders.
 func (c *Core) giveAnswers() {
-	for i, a := range c.answers {
+	for i, a := range c.openAnswers {
 		m := a.machine
 		if m.state == machineGone {
-			c.emit(AnswerReport{To: a.to})
+			c.emit(HeartbeatReply{ReplyTo: a.replyTo})
 			continue
 		}
-		if c.holdAnswer(a) || m.asking == i+1 && c.awaits(a) {
+		if c.holdAnswerForUnreachable(a) || m.openAnswer == i+1 && c.awaits(a) {
 			continue
 		}
 		// An answer renews the worker's lease, whatever it orders and however little its
 		// report is believed. So none goes without the stops of what must not run.
-		believed := !a.outdated && m.asking == i+1 && m.known(c.term)
-		orders := c.stopsFor(m, a.report, believed)
+		believed := !a.outdated && m.openAnswer == i+1 && m.trusted(c.term)
+		orders := c.requiredStops(m, a.heartbeat, believed)
 		if believed {
-			orders = c.ordersFor(m, a.report, orders)
+			orders = c.commandsFor(m, a.heartbeat, orders)
 		}
-		answer := &wire.ReportAnswer{Token: m.token, Orders: orders}
-		if m.asking == i+1 {
-			m.asking = 0
+		answer := &wire.HeartbeatResponse{FencingToken: m.fencingToken, Commands: orders}
+		if m.openAnswer == i+1 {
+			m.openAnswer = 0
 		}
-		c.emit(AnswerReport{To: a.to, Answer: answer})
+		c.emit(HeartbeatReply{ReplyTo: a.replyTo, Response: answer})
 	}
-	clear(c.answers)
-	c.answers = c.answers[:0]
+	clear(c.openAnswers)
+	c.openAnswers = c.openAnswers[:0]
 }
 
 // withOutbox adds a machine's waiting orders to the answer of its report, as
 // far as they go in. Unlike a direct command, an answer is never executed late:
 // the worker's next report shows what became of it.
-func (c *Core) withOutbox(m *machine, r *wire.Report, orders []wire.Order) []wire.Order {
-	if r.Session != m.session {
+func (c *Core) withOutbox(m *machine, r *wire.Heartbeat, orders []wire.Command) []wire.Command {
+	if r.AgentEpoch != m.agentEpoch {
 		return orders
 	}
-	for len(m.outbox) > 0 && len(orders) < maxOrders {
-		o := m.outbox[0]
-		m.outbox = m.outbox[1:]
-		if o.Verb == wire.Start {
-			b := m.booking(o.Attempt)
+	for len(m.pendingCommands) > 0 && len(orders) < maxCommandsPerResponse {
+		o := m.pendingCommands[0]
+		m.pendingCommands = m.pendingCommands[1:]
+		if o.Verb == wire.VerbStart {
+			b := m.allocation(o.Attempt)
 			if b == nil {
 				continue // released since
 			}
-			b.state, b.answered = bookSent, r.Seq
+			b.state, b.answeredSequence = allocationSent, r.Sequence
 		}
 		orders = append(orders, o)
 	}
@@ -124,20 +124,20 @@
 // the tasks anyway, or for others like it.
 const forgetAtOnce = 8
 
-// ordersFor adds to the stops of a report that is believed what else its answer orders:
+// commandsFor adds to the stops of a report that is believed what else its answer orders:
 // which ended tasks the worker may drop, and what waits for its machine.
-func (c *Core) ordersFor(m *machine, r *wire.Report, orders []wire.Order) []wire.Order {
-	var done []wire.Order
+func (c *Core) commandsFor(m *machine, r *wire.Heartbeat, orders []wire.Command) []wire.Command {
+	var done []wire.Command
 	for i := range r.Tasks {
-		if len(orders)+len(done) >= maxOrders {
+		if len(orders)+len(done) >= maxCommandsPerResponse {
 			break
 		}
 		t := &r.Tasks[i]
 		if t.Status != wire.TaskEnded || !c.mayForget(m, t) {
 			continue
 		}
-		forget := wire.Order{Verb: wire.Forget, Task: t.Task, Attempt: t.Attempt}
-		if t.Why == wire.WhyDone {
+		forget := wire.Command{Verb: wire.VerbForget, Task: t.Task, Attempt: t.Attempt}
+		if t.ExitReason == wire.ExitDone {
 			done = append(done, forget)
 		} else {
 			orders = append(orders, forget)
@@ -153,12 +153,12 @@
 // mayForget tells whether an ended attempt may be dropped by its worker: not
 // while a copy of its start may still arrive, since the worker would run it
 // again, and not before its end is in the ledger.
-func (c *Core) mayForget(m *machine, t *wire.TaskReport) bool {
-	if _, unsettled := m.pending[t.Attempt]; unsettled {
+func (c *Core) mayForget(m *machine, t *wire.TaskStatus) bool {
+	if _, unsettled := m.unresolvedStarts[t.Attempt]; unsettled {
 		return false
 	}
 	j, n, _ := c.taskOf(m, t)
-	if j == nil || t.Why != wire.WhyDone || j.terminalDurable {
+	if j == nil || t.ExitReason != wire.ExitDone || j.terminalDurable {
 		return true
 	}
 	return int(n) < len(j.tasks) && j.tasks[n].state == taskDurable
--- a/internal/scheduler/answers_test.go
+++ b/internal/scheduler/answers_test.go
@@ -35,8 +35,8 @@
 		}, "answer with nothing, answer with nothing, command with start start start start "},
 		{"a new session", func(g *stage, _ func()) {
 			r := g.reportOf("vm-1", ours)
-			r.Session = 2
-			g.step(ReportIn{Report: r, To: recipient("w")})
+			r.AgentEpoch = 2
+			g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: recipient("w")})
 			g.release()
 		}, "answer with nothing, answer with nothing"},
 		{"the machine is gone", func(g *stage, _ func()) {
@@ -50,16 +50,16 @@
 			g.up("vm-1")
 			g.submit(newTestJob("job-1", 4, 1))
 			first := g.starts()
-			g.settle(DirectDone)
-			var ended []wire.TaskReport
+			g.settle(CommandExecuted)
+			var ended []wire.TaskStatus
 			for _, o := range first {
-				ended = append(ended, taskIn(o, wire.TaskEnded, wire.WhyDone))
+				ended = append(ended, taskIn(o, wire.TaskEnded, wire.ExitDone))
 			}
 			g.submit(newTestJob("job-2", 4, 1))
 			g.want("started on a full machine", len(g.starts()), 0)
 
 			g.held, g.out = true, nil
-			report := func() { g.step(ReportIn{Report: g.reportOf("vm-1", ours, ended...), To: recipient("w")}) }
+			report := func() { g.step(HeartbeatEvent{Heartbeat: g.reportOf("vm-1", ours, ended...), ReplyTo: recipient("w")}) }
 			report()
 			g.want("answered at once", len(g.out), 0)
 			c.then(g, report)
@@ -71,17 +71,17 @@
 				got += s
 			}
 			for _, e := range g.out {
-				switch a := e.(AnswerReport); {
-				case a.Answer == nil:
+				switch a := e.(HeartbeatReply); {
+				case a.Response == nil:
 					add("no answer")
-				case len(a.Answer.Orders) == 0:
+				case len(a.Response.Commands) == 0:
 					add("answer with nothing")
 				default:
-					add("answer with " + verbs(a.Answer))
+					add("answer with " + verbs(a.Response))
 				}
 			}
 			for _, d := range g.start {
-				add("command with " + verbs(&wire.ReportAnswer{Orders: d.Commands.Orders}))
+				add("command with " + verbs(&wire.HeartbeatResponse{Commands: d.Request.Commands}))
 			}
 			g.want("sent", got, c.want)
 			seen := map[string]bool{}
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -30,5 +30,5 @@
 		c.exhausted = true
 		c.log.Info("giving the term up: its attempts are nearly used up", "term", c.term, "attempts", c.attempts)
 	}
-	c.emit(EndTerm{})
+	c.emit(ResignLeadership{})
 }
