--- a/internal/scheduler/attempts_test.go
+++ b/internal/scheduler/attempts_test.go
@@ -13,7 +13,7 @@
 func TestAttemptsOfATermAreBounded(t *testing.T) {
 	g := newStage(t, ledger.Snapshot{})
 	g.up("vm-1")
-	ends := func() bool { return slices.Contains(g.out, Effect(EndTerm{})) }
+	ends := func() bool { return slices.Contains(g.out, Effect(ResignLeadership{})) }
 	g.wait(time.Second)
 	g.want("given up at the start", ends(), false)
 	g.c.attempts = maxAttempts - attemptReserve
@@ -27,7 +27,7 @@
 	for _, o := range orders {
 		g.want("the term of an attempt", o.Attempt>>tokenBits, uint64(testTerm))
 	}
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	g.submit(newTestJob("job-2", 1, 1))
 	g.want("started with none left", len(g.starts()), 0)
 }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -9,7 +9,7 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"leadproxy/internal/fleet"
+	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/wire"
@@ -28,7 +28,7 @@
 }
 
 type siteMachine struct {
-	report wire.Report
+	report wire.Heartbeat
 	ends   map[uint64]time.Duration
 	next   time.Duration // its next report
 }
@@ -41,19 +41,19 @@
 		Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 56}, Objectives: []settings.Objective{{Kind: "wait", Class: "small", WithinS: 4}}}}
 	s := &site{at: map[string]*siteMachine{}, counts: map[string]int{}}
 	s.c = NewCore(Config{Term: testTerm, Platform: p, Operator: settings.Defaults()}, ledger.Snapshot{}, 0, 0, slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})))
-	s.take(s.c.TakeStart())
+	s.take(s.c.InitialEffects())
 	var types []wire.MachineType
 	for i, cpus := range []float64{4, 8, 32} {
 		types = append(types, wire.MachineType{Name: fmt.Sprintf("m%d", i), CPUs: cpus, MemGB: 4 * cpus, CacheGB: 50, FetchGBPerS: 0.5, Price: cpus, SpotPrice: cpus / 2, BootS: 40, Zones: []string{"a", "b", "c"}})
 	}
-	s.step(CloudBack{fleet.Result{Call: fleet.Call{Types: true}, Types: types}})
+	s.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Types: true}, Types: types}})
 	for i := range machines {
 		typ := 0
 		if i%20 >= 11 {
 			typ = 1 + i%20/19
 		}
 		m := &siteMachine{ends: map[uint64]time.Duration{}, next: time.Duration(i) * 8 * time.Second / time.Duration(machines)}
-		m.report = wire.Report{Machine: fmt.Sprintf("vm-%06d", i), Address: "10.1.0.1:9000", Type: types[typ].Name, Zone: types[typ].Zones[i%3], Spot: i%4 > 0, Session: 1}
+		m.report = wire.Heartbeat{Machine: fmt.Sprintf("vm-%06d", i), Address: "10.1.0.1:9000", Type: types[typ].Name, Zone: types[typ].Zones[i%3], Spot: i%4 > 0, AgentEpoch: 1}
 		s.machines = append(s.machines, m)
 		s.at[m.report.Machine] = m
 	}
@@ -72,7 +72,7 @@
 	for _, e := range effects {
 		s.counts[fmt.Sprintf("%T", e)]++
 		switch e := e.(type) {
-		case Put:
+		case WriteLedger:
 			for _, w := range e.Writes {
 				s.counts["writes"]++
 				if w.Value != nil {
@@ -84,44 +84,44 @@
 					tags = append(tags, w.Tag)
 				}
 			}
-		case Direct:
+		case SendCommands:
 			m := s.at[e.Machine]
-			m.obey(s.now, e.Commands.Token, e.Commands.Orders)
+			m.obey(s.now, e.Request.FencingToken, e.Request.Commands)
 			r := m.say()
-			s.backlog = append(s.backlog, DirectBack{Call: e.Call, Outcome: DirectDone, Report: &r})
-		case AnswerReport:
-			if e.Answer != nil {
-				e.To.(*siteMachine).obey(s.now, e.Answer.Token, e.Answer.Orders)
+			s.backlog = append(s.backlog, CommandResult{CommandID: e.CommandID, Outcome: CommandExecuted, Heartbeat: &r})
+		case HeartbeatReply:
+			if e.Response != nil {
+				e.ReplyTo.(*siteMachine).obey(s.now, e.Response.FencingToken, e.Response.Commands)
 			}
 		case CallCloud:
 			if e.Call.List {
-				s.backlog = append(s.backlog, CloudBack{fleet.Result{Call: e.Call}})
+				s.backlog = append(s.backlog, CloudResult{autoscaler.Result{Call: e.Call}})
 			}
 		}
 	}
 	if len(tags) > 0 {
-		s.backlog = append(s.backlog, NowDurable{tags})
+		s.backlog = append(s.backlog, WritesDurable{tags})
 	}
 }
 
-func (m *siteMachine) say() wire.Report {
-	m.report.Seq++
+func (m *siteMachine) say() wire.Heartbeat {
+	m.report.Sequence++
 	r := m.report
-	r.Tasks = append([]wire.TaskReport(nil), r.Tasks...)
+	r.Tasks = append([]wire.TaskStatus(nil), r.Tasks...)
 	return r
 }
 
-func (m *siteMachine) obey(now time.Duration, token uint64, orders []wire.Order) {
-	if token > m.report.Token {
-		m.report.Token = token
+func (m *siteMachine) obey(now time.Duration, token uint64, orders []wire.Command) {
+	if token > m.report.FencingToken {
+		m.report.FencingToken = token
 		m.next = min(m.next, now+500*time.Millisecond)
 	}
 	for _, o := range orders {
 		switch o.Verb {
-		case wire.Start:
-			m.report.Tasks = append(m.report.Tasks, wire.TaskReport{Task: o.Task, Attempt: o.Attempt, Status: wire.TaskRunning})
+		case wire.VerbStart:
+			m.report.Tasks = append(m.report.Tasks, wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: wire.TaskRunning})
 			m.ends[o.Attempt] = now + 10*time.Second + time.Duration(o.Attempt%7)*time.Second
-		case wire.Forget:
+		case wire.VerbForget:
 			for i := range m.report.Tasks {
 				if m.report.Tasks[i].Attempt == o.Attempt {
 					m.report.Tasks = append(m.report.Tasks[:i], m.report.Tasks[i+1:]...)
@@ -140,18 +140,18 @@
 		for s.jobs*120 < int(s.now.Seconds()*float64(tasks)) {
 			s.jobs++
 			due := 50.0
-			j := &wire.Job{Ref: fmt.Sprintf("job-%06d", s.jobs), Class: "small", Team: "t", Kind: "batch", Priority: "high", Tasks: 120, CPUs: 1, MemGB: 3,
-				Image: fmt.Sprintf("i%d", s.jobs%20), ImageGB: 1, Spot: true, EstimateS: 15, DeadlineS: &due}
+			j := &wire.Job{ID: fmt.Sprintf("job-%06d", s.jobs), Class: "small", Team: "t", Kind: "batch", Priority: "high", Tasks: 120, CPUs: 1, MemGB: 3,
+				Image: fmt.Sprintf("i%d", s.jobs%20), ImageGB: 1, Spot: true, EstimatedRunS: 15, DeadlineS: &due}
 			if s.jobs%10 == 0 {
 				j.Class, j.CPUs, j.MemGB, j.Priority, j.Tasks = "large", 8, 15, "standard", 60
 			}
-			s.c.Step(JobSeen{Ref: j.Ref, Record: ledger.JobRecord{Job: j, AcceptedMS: s.now.Milliseconds()}, Version: 3}, s.now, s.now.Milliseconds())
+			s.c.Step(JobRecordEvent{JobID: j.ID, Record: ledger.JobRecord{Job: j, AcceptedMS: s.now.Milliseconds()}, Version: 3}, s.now, s.now.Milliseconds())
 		}
 		for _, m := range s.machines {
 			for i := range m.report.Tasks {
 				t := &m.report.Tasks[i]
 				if t.Status == wire.TaskRunning && m.ends[t.Attempt] <= s.now {
-					t.Status, t.Why = wire.TaskEnded, wire.WhyDone
+					t.Status, t.ExitReason = wire.TaskEnded, wire.ExitDone
 					m.next = min(m.next, s.now+300*time.Millisecond)
 				}
 			}
@@ -159,7 +159,7 @@
 				m.next = s.now + 8*time.Second
 				r := m.say()
 				s.counts["reports"]++
-				s.c.Step(ReportIn{Report: &r, To: m}, s.now, s.now.Milliseconds())
+				s.c.Step(HeartbeatEvent{Heartbeat: &r, ReplyTo: m}, s.now, s.now.Milliseconds())
 			}
 		}
 		if s.now%(250*time.Millisecond) == 0 {
@@ -214,14 +214,14 @@
 					for i := range jobs {
 						j := newTestJob(fmt.Sprintf("job-%d", i), 1, 1)
 						if i > 0 {
-							j.WaitsOn = shapes[shape](i)
+							j.DependsOn = shapes[shape](i)
 						}
 						if i == jobs-1 {
 							j.DeadlineS, j.Priority = &due, "critical"
 						}
-						s.c.Step(JobSeen{Ref: j.Ref, Record: ledger.JobRecord{Job: j, AcceptedMS: s.now.Milliseconds()}, Version: 1}, s.now, s.now.Milliseconds())
+						s.c.Step(JobRecordEvent{JobID: j.ID, Record: ledger.JobRecord{Job: j, AcceptedMS: s.now.Milliseconds()}, Version: 1}, s.now, s.now.Milliseconds())
 					}
-					s.c.Step(JobSeen{Ref: "job-0", Record: ledger.JobRecord{Job: newTestJob("job-0", 1, 1).Essence(), Terminal: wire.Aborted}, Version: 2}, s.now, s.now.Milliseconds())
+					s.c.Step(JobRecordEvent{JobID: "job-0", Record: ledger.JobRecord{Job: newTestJob("job-0", 1, 1).CancelledSummary(), Terminal: wire.JobCancelled}, Version: 2}, s.now, s.now.Milliseconds())
 				}
 				b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(jobs-1), "ns/edge")
 			})
--- a/internal/scheduler/blame.go
+++ b/internal/scheduler/blame.go
@@ -32,17 +32,17 @@
 		j.failedOn = map[int32]bool{}
 	}
 	j.failedOn[m.index] = true
-	c.log.Info("task failed", "machine", m.name, "task", wire.TaskName(j.ref, int(n)), "attempt", attempt, "machines", len(j.failedOn))
+	c.log.Info("task failed", "machine", m.name, "task", wire.TaskName(j.id, int(n)), "attempt", attempt, "machines", len(j.failedOn))
 	if j.suspect() {
 		// It is tried again now and then until its user cancels it.
 		c.holdJob(j)
 		return
 	}
-	if m.blamedFor == nil {
-		m.blamedFor = map[int32]bool{}
+	if m.failedJobs == nil {
+		m.failedJobs = map[int32]bool{}
 	}
-	m.blamedFor[j.index] = true
-	if len(m.blamedFor) >= blameLimit || j.done > 0 {
+	m.failedJobs[j.index] = true
+	if len(m.failedJobs) >= blameLimit || j.done > 0 {
 		c.quarantine(m)
 	}
 }
@@ -51,7 +51,7 @@
 // fault.
 func (c *Core) clearOfBlame(j *job) {
 	for i := range j.failedOn {
-		if m := c.machines[i]; m.blamedFor[j.index] {
+		if m := c.machines[i]; m.failedJobs[j.index] {
 			c.quarantine(m)
 		}
 	}
@@ -59,10 +59,10 @@
 }
 
 func (c *Core) quarantine(m *machine) {
-	if m.quarantine || m.state == machineGone {
+	if m.quarantined || m.state == machineGone {
 		return
 	}
-	m.quarantine = true
-	c.touch(m)
-	c.log.Info("machine quarantined: tasks fail on it", "machine", m.name, "jobs", len(m.blamedFor), "bookings", len(m.bookings))
+	m.quarantined = true
+	c.indexChanged(m)
+	c.log.Info("machine quarantined: tasks fail on it", "machine", m.name, "jobs", len(m.failedJobs), "bookings", len(m.allocations))
 }
--- a/internal/scheduler/cancel_test.go
+++ b/internal/scheduler/cancel_test.go
@@ -12,18 +12,18 @@
 	g.up("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
 	o := g.starts()[0]
-	g.settle(DirectUnknown)
+	g.settle(CommandOutcomeUnknown)
 	g.held, g.out = true, nil
-	g.step(CancelAsked{Ref: "job-1", To: recipient("u")})
+	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 	g.want("answers before it is durable", len(g.out), 0)
-	g.want("state before it is durable", g.jobStatus("job-1") == wire.Aborted, false)
+	g.want("state before it is durable", g.jobStatus("job-1") == wire.JobCancelled, false)
 	g.out = nil
 	g.release()
-	g.want("the answer", g.out[0].(AnswerUser).Status.Status, wire.Aborted)
+	g.want("the answer", g.out[0].(UserReply).Status.Status, wire.JobCancelled)
 	// The start command arrives late, after the cancellation.
 	g.want("orders", verbs(g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskRunning, "")))), "stop ")
-	g.report(g.reportOf("vm-1", ours+1, taskIn(o, wire.TaskEnded, wire.WhyStopped)))
-	g.want("state", g.jobStatus("job-1"), wire.Aborted)
+	g.report(g.reportOf("vm-1", ours+1, taskIn(o, wire.TaskEnded, wire.ExitStopped)))
+	g.want("state", g.jobStatus("job-1"), wire.JobCancelled)
 	g.want("bookings left", g.c.jobs[0].booked, 0)
 }
 
@@ -36,18 +36,18 @@
 	g.up("vm-1")
 	g.submit(newTestJob("job-1", 2, 1))
 	orders := g.starts()
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	g.held, g.out = true, nil
-	g.step(CancelAsked{Ref: "job-1", To: recipient("u")})
+	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 	stops := ""
 	for _, d := range g.start {
-		for _, o := range d.Commands.Orders {
+		for _, o := range d.Request.Commands {
 			stops += o.Verb + " "
 		}
 	}
 	g.want("commands before it is durable", stops, "stop stop ")
 	for _, e := range g.out {
-		if a, ok := e.(AnswerUser); ok {
+		if a, ok := e.(UserReply); ok {
 			t.Errorf("told %+v before it is durable", a)
 		}
 	}
@@ -67,18 +67,18 @@
 	g.submit(newTestJob("job-1", 1, 1))
 	start, o := g.start[0], g.starts()[0]
 	g.start = nil
-	g.step(CancelAsked{Ref: "job-1", To: recipient("u")})
+	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 	stop := g.start[0]
 	g.start = nil
-	g.step(DirectBack{Call: stop.Call, Outcome: DirectDone, Report: g.reportOf("vm-1", ours)})
+	g.step(CommandResult{CommandID: stop.CommandID, Outcome: CommandExecuted, Heartbeat: g.reportOf("vm-1", ours)})
 	g.want("the stop again, as the start may have come since", len(g.start), 1)
 	again := g.start[0]
 	g.start = nil
-	g.step(DirectBack{Call: again.Call, Outcome: DirectDone, Report: g.reportOf("vm-1", ours)})
+	g.step(CommandResult{CommandID: again.CommandID, Outcome: CommandExecuted, Heartbeat: g.reportOf("vm-1", ours)})
 	g.want("commands while the start is on its way for longer", len(g.start), 0)
-	g.step(DirectBack{Call: start.Call, Outcome: DirectDone, Report: g.reportOf("vm-1", ours, taskIn(o, wire.TaskFetching, ""))})
-	g.want("the stop once the start was carried out", len(g.start) == 1 && g.start[0].Commands.Orders[0].Verb == wire.Stop, true)
-	g.step(DirectBack{Call: g.start[0].Call, Outcome: DirectDone, Report: g.reportOf("vm-1", ours, taskIn(o, wire.TaskEnded, wire.WhyStopped))})
+	g.step(CommandResult{CommandID: start.CommandID, Outcome: CommandExecuted, Heartbeat: g.reportOf("vm-1", ours, taskIn(o, wire.TaskFetching, ""))})
+	g.want("the stop once the start was carried out", len(g.start) == 1 && g.start[0].Request.Commands[0].Verb == wire.VerbStop, true)
+	g.step(CommandResult{CommandID: g.start[0].CommandID, Outcome: CommandExecuted, Heartbeat: g.reportOf("vm-1", ours, taskIn(o, wire.TaskEnded, wire.ExitStopped))})
 	g.want("bookings left", g.c.jobs[0].booked, 0)
 }
 
@@ -87,28 +87,28 @@
 	g.up("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
 	o := g.starts()[0]
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	g.held = true
-	g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskEnded, wire.WhyDone)))
-	g.want("told before it is durable", g.jobStatus("job-1") == wire.Done, false)
+	g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskEnded, wire.ExitDone)))
+	g.want("told before it is durable", g.jobStatus("job-1") == wire.JobDone, false)
 	// The state service may have the write while its answer is on its way, and
 	// another node may have told a user: "queued" would go back on that.
-	g.want("sent to the record while it is being written", g.out[0].(AnswerUser).Deciding, true)
+	g.want("sent to the record while it is being written", g.out[0].(UserReply).TerminalStatePending, true)
 	g.out = nil
-	g.step(CancelAsked{Ref: "job-1", To: recipient("u")})
+	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 	g.release()
-	g.want("the answer", g.out[0].(AnswerUser).Status.Status, wire.Done)
-	g.want("told once it is durable", g.jobStatus("job-1"), wire.Done)
-	g.want("without a look at the record", g.out[0].(AnswerUser).Deciding, false)
+	g.want("the answer", g.out[0].(UserReply).Status.Status, wire.JobDone)
+	g.want("told once it is durable", g.jobStatus("job-1"), wire.JobDone)
+	g.want("without a look at the record", g.out[0].(UserReply).TerminalStatePending, false)
 }
 
 // TestCancelledJobWhoseRangesAreStillThere: the leader ended between writing a
 // job's cancellation and deleting its ranges. The next one counted the finished
 // tasks twice and ended on that, as did every one after it.
 func TestCancelledJobWhoseRangesAreStillThere(t *testing.T) {
-	rec := ledger.JobRecord{Job: newTestJob("job-1", 3, 1), Terminal: wire.Aborted, Tasks: 3, Done: 2}
-	g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{Ref: "job-1", Record: rec, Hosts: savedHosts("vm-1"), Finished: savedRanges(0, 1)}}})
-	g.want("state", g.jobStatus("job-1"), wire.Aborted)
+	rec := ledger.JobRecord{Job: newTestJob("job-1", 3, 1), Terminal: wire.JobCancelled, Tasks: 3, Done: 2}
+	g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec, Hosts: savedHosts("vm-1"), Finished: savedRanges(0, 1)}}})
+	g.want("state", g.jobStatus("job-1"), wire.JobCancelled)
 	g.up("vm-1")
 	g.want("starts", len(g.starts()), 0)
 	g.want("settled", g.c.jobs[0].settled, true)
--- a/internal/scheduler/cancelled.go
+++ b/internal/scheduler/cancelled.go
@@ -11,9 +11,9 @@
 // may be alive cancel_s after a user was told. It decides nothing. What it logs as an error
 // must never happen, and fails tests.
 
-// MessageOverdue is what a leader logs as an error when a task of a cancelled job may still
+// MessageCancelledTaskOverdue is what a leader logs as an error when a task of a cancelled job may still
 // run past its bound.
-const MessageOverdue = "a cancelled task may run past its bound"
+const MessageCancelledTaskOverdue = "a cancelled task may run past its bound"
 
 // cancelledEvery is how often what was done about cancelled tasks is logged.
 const cancelledEvery = time.Minute
@@ -42,48 +42,48 @@
 // overdue tells whether a job's tasks must all be gone. Time in which this controller stood
 // still or was suspended does not count: what it has booked is as old as that.
 func (c *Core) overdue(j *job) bool {
-	return j.terminal == wire.Aborted && j.terminalDurable && c.now-max(j.endedAt, c.awake) > c.cancelBound()
+	return j.terminal == wire.JobCancelled && j.terminalDurable && c.now-max(j.endedAt, c.tickingSince) > c.cancelBound()
 }
 
 // noteStop notes that an answer stops a task that must not run.
-func (c *Core) noteStop(m *machine, t *wire.TaskReport) {
+func (c *Core) noteStop(m *machine, t *wire.TaskStatus) {
 	j, _, _ := c.taskOf(m, t)
 	switch {
 	case j == nil:
-		c.cancelled.counts.Unknown++
+		c.cancelWatch.counts.Unknown++
 		c.log.Info("stopping a task whose job is not known", "machine", m.name, "task", t.Task, "attempt", t.Attempt)
-	case j.terminal == wire.Aborted:
-		c.cancelled.counts.Repeated++
+	case j.terminal == wire.JobCancelled:
+		c.cancelWatch.counts.Repeated++
 		if c.debug {
 			c.log.Debug("stopping a cancelled task", "machine", m.name, "task", t.Task, "attempt", t.Attempt,
-				"status", t.Status, "since", (c.now - j.endedAt).Seconds(), "echoed", m.known(c.term))
+				"status", t.Status, "since", (c.now - j.endedAt).Seconds(), "echoed", m.trusted(c.term))
 		}
 	}
 }
 
 // watchCancelled looks for bookings of cancelled jobs past their bound, each job once.
 func (c *Core) watchCancelled() {
-	for _, j := range c.active {
+	for _, j := range c.activeJobs {
 		if j.booked > 0 && !j.overdueNoted && c.overdue(j) {
 			j.overdueNoted = true
 			c.noteOverdue(j)
 		}
 	}
-	if c.now-c.cancelled.logged >= cancelledEvery {
+	if c.now-c.cancelWatch.logged >= cancelledEvery {
 		c.logCancelled()
 	}
 }
 
 // noteOverdue logs where a cancelled job's tasks may still be.
 func (c *Core) noteOverdue(j *job) {
-	for _, m := range c.live {
-		for _, b := range m.bookings {
+	for _, m := range c.liveMachines {
+		for _, b := range m.allocations {
 			if b.job != j.index {
 				continue
 			}
-			c.cancelled.counts.Overdue++
-			c.log.Error(MessageOverdue, "term", c.term, "machine", m.name, "task", c.taskName(b), "attempt", b.attempt, "status", b.status,
-				"since", (c.now - j.endedAt).Seconds(), "heard", (c.now - m.heard).Seconds(), "echoed", (c.now - m.echoed).Seconds(),
+			c.cancelWatch.counts.Overdue++
+			c.log.Error(MessageCancelledTaskOverdue, "term", c.term, "machine", m.name, "task", c.taskName(b), "attempt", b.attempt, "status", b.status,
+				"since", (c.now - j.endedAt).Seconds(), "heard", (c.now - m.lastHeartbeat).Seconds(), "echoed", (c.now - m.lastAcknowledged).Seconds(),
 				"deleting", m.state == machineDeleting, "stop_ordered", b.stopping)
 		}
 	}
@@ -91,8 +91,8 @@
 
 // logCancelled logs what was done about cancelled tasks, if there was anything.
 func (c *Core) logCancelled() {
-	if n := c.cancelled.counts; n != (cancelledCounts{}) {
+	if n := c.cancelWatch.counts; n != (cancelledCounts{}) {
 		c.log.Info("cancelled tasks", "stops_due", n.Due, "stops_repeated", n.Repeated, "unknown_tasks", n.Unknown, "overdue", n.Overdue)
 	}
-	c.cancelled = cancelled{logged: c.now}
+	c.cancelWatch = cancelled{logged: c.now}
 }
--- a/internal/scheduler/cancelled_test.go
+++ b/internal/scheduler/cancelled_test.go
@@ -4,7 +4,7 @@
 	"testing"
 	"time"
 
-	"leadproxy/internal/fleet"
+	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/wire"
 )
@@ -14,34 +14,34 @@
 func TestOverdueCancelledTasksAreNoted(t *testing.T) {
 	for _, q := range []struct {
 		name string
-		act  func(g *stage, task wire.TaskReport)
+		act  func(g *stage, task wire.TaskStatus)
 		want bool
 	}{
-		{"a worker that goes on after each stop", func(g *stage, task wire.TaskReport) {
+		{"a worker that goes on after each stop", func(g *stage, task wire.TaskStatus) {
 			for range 22 {
 				g.wait(3 * time.Second)
 				g.echo("vm-1", task)
 			}
 		}, true},
-		{"a worker that stops it", func(g *stage, task wire.TaskReport) {
-			task.Status, task.Why = wire.TaskEnded, wire.WhyStopped
+		{"a worker that stops it", func(g *stage, task wire.TaskStatus) {
+			task.Status, task.ExitReason = wire.TaskEnded, wire.ExitStopped
 			for range 22 {
 				g.wait(3 * time.Second)
 				g.echo("vm-1", task)
 			}
 		}, false},
-		{"a worker that is not heard: its lease is over before", func(g *stage, _ wire.TaskReport) {
+		{"a worker that is not heard: its lease is over before", func(g *stage, _ wire.TaskStatus) {
 			g.wait(66 * time.Second)
 		}, false},
-		{"a controller that stood still", func(g *stage, task wire.TaskReport) {
+		{"a controller that stood still", func(g *stage, task wire.TaskStatus) {
 			g.now += 66 * time.Second
 			g.step(Tick{})
 			g.echo("vm-1", task)
 			g.wait(3 * time.Second)
 		}, false},
-		{"a new leader that finds it", func(g *stage, task wire.TaskReport) {
-			next := newStageAt(g.t, g.now, testConfig(g.c.cfg.Operator, g.c.cfg.Platform.Facts.Teams...), ledger.Snapshot{Jobs: []ledger.SavedJob{{Ref: "job-1", Version: 4,
-				Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), Terminal: wire.Aborted, Tasks: 1, EndedMS: 1}, Hosts: savedHosts("vm-1")}}})
+		{"a new leader that finds it", func(g *stage, task wire.TaskStatus) {
+			next := newStageAt(g.t, g.now, testConfig(g.c.cfg.Operator, g.c.cfg.Platform.Facts.Teams...), ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
+				Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), Terminal: wire.JobCancelled, Tasks: 1, EndedMS: 1}, Hosts: savedHosts("vm-1")}}})
 			for range 22 {
 				next.wait(3 * time.Second)
 				next.echo("vm-1", task)
@@ -54,9 +54,9 @@
 			g.up("vm-1")
 			g.submit(newTestJob("job-1", 1, 1))
 			task := taskIn(g.starts()[0], wire.TaskRunning, "")
-			g.settle(DirectDone)
-			g.step(CancelAsked{Ref: "job-1", To: recipient("u")})
-			g.settle(DirectUnknown)
+			g.settle(CommandExecuted)
+			g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
+			g.settle(CommandOutcomeUnknown)
 			q.act(g, task)
 			g.want("noted", g.c.jobs[0].overdueNoted, q.want)
 		})
@@ -66,15 +66,15 @@
 // TestProbeThatFindsACancelledTask: a new leader's probe is back before the worker's next
 // report, which may be many seconds later. The stop goes at once, not with its answer.
 func TestProbeThatFindsACancelledTask(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{Ref: "job-1", Version: 4,
-		Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), Terminal: wire.Aborted, Tasks: 1}, Hosts: savedHosts("vm-1")}}})
+	g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
+		Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), Terminal: wire.JobCancelled, Tasks: 1}, Hosts: savedHosts("vm-1")}}})
 	g.now += time.Second
-	g.step(CloudBack{fleet.Result{Call: fleet.Call{List: true}, List: []wire.ListedMachine{
-		{Name: "vm-1", Address: "10.1.0.1:9000", Type: "m4", Zone: "a", Spot: true, Status: wire.MachineUp, AgeS: 90}}}})
+	g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}, List: []wire.ListedMachine{
+		{Name: "vm-1", Address: "10.1.0.1:9000", Type: "m4", Zone: "a", Spot: true, Status: wire.MachineRunning, AgeS: 90}}}})
 	g.want("probes", len(g.start), 1)
 	probe := g.start[0]
 	g.start = nil
-	task := wire.TaskReport{Task: "job-1/0", Attempt: 6<<tokenBits | 1, Status: wire.TaskRunning}
-	g.step(DirectBack{Call: probe.Call, Outcome: DirectDone, Report: g.reportOf("vm-1", ours, task)})
-	g.want("a stop", len(g.start) == 1 && g.start[0].Commands.Orders[0].Verb == wire.Stop, true)
+	task := wire.TaskStatus{Task: "job-1/0", Attempt: 6<<tokenBits | 1, Status: wire.TaskRunning}
+	g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandExecuted, Heartbeat: g.reportOf("vm-1", ours, task)})
+	g.want("a stop", len(g.start) == 1 && g.start[0].Request.Commands[0].Verb == wire.VerbStop, true)
 }
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -10,11 +10,11 @@
 	"slices"
 	"time"
 
-	"leadproxy/internal/fleet"
-	"leadproxy/internal/hints"
+	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/slowfit"
+	"leadproxy/internal/softstate"
 	"leadproxy/internal/wire"
 )
 
@@ -25,8 +25,8 @@
 	Operator settings.Operator
 	// ValueBytes is how many bytes a value may have.
 	ValueBytes int
-	// Hints is what an earlier leader held in memory; nil: not known.
-	Hints *hints.View
+	// SoftState is what an earlier leader held in memory; nil: not known.
+	SoftState *softstate.View
 }
 
 // tokenBits is the room that a token and an attempt leave for the counter
@@ -43,67 +43,67 @@
 	now   time.Duration
 	wall  int64 // time of day in ms at now
 
-	began     time.Duration
-	ticked    time.Duration   // last tick
-	cutAt     []time.Duration // by zone: when it last seemed to be cut off
-	awake     time.Duration   // since when ticks have come without a break
-	leaseTime time.Duration   // a worker's lease, stretched by drift and margin
-	report    time.Duration
+	termStart         time.Duration
+	lastTick          time.Duration   // last tick
+	zoneCutAt         []time.Duration // by zone: when it last seemed to be cut off
+	tickingSince      time.Duration   // since when ticks have come without a break
+	agentLease        time.Duration   // a worker's lease, stretched by drift and margin
+	heartbeatInterval time.Duration
 
-	jobs      []*job
-	jobIndex  map[string]int32
-	machines  []*machine
-	machineAt map[string]int32
-	live      []*machine // all that are not gone
-	zones     names
-	images    names
-	classes   names
-	aims      []classAims // by class
-	types     []machineType
-	typeAt    map[string]int32
-	teams     []team
-	teamAt    map[string]int32
-	spareTeam int32 // for jobs of teams that the settings no longer name
+	jobs               []*job
+	jobIndexByID       map[string]int32
+	machines           []*machine
+	machineIndexByName map[string]int32
+	liveMachines       []*machine // all that are not gone
+	zones              names
+	images             names
+	classes            names
+	classObjectives    []classAims // by class
+	types              []machineType
+	typeIndexByName    map[string]int32
+	teams              []team
+	teamIndexByName    map[string]int32
+	unknownTeam        int32 // for jobs of teams that the settings no longer name
 
-	active    []*job             // jobs that are not settled
-	unseen    map[string][]int32 // jobs that wait for one that this leader has not seen
-	aborting  map[int32]bool     // jobs whose cancellation is being written
-	goal      slowfit.Goal
-	calmSince time.Duration
-	index     slowfit.Index
-	pools     []poolKey // by the index's numbers
-	poolAt    map[poolKey]int32
-	stale     []*machine // to be brought up to date in the index
-	unwritten []*job     // with something new for the ledger
-	reporting int        // machines that should be
-	openCores float64    // of the machines in the index
-	classUse  []float64  // booked cores, by class
-	silence   silence
+	activeJobs     []*job             // jobs that are not settled
+	awaitedJobs    map[string][]int32 // jobs that wait for one that this leader has not seen
+	cancelling     map[int32]bool     // jobs whose cancellation is being written
+	goal           slowfit.Goal
+	lowLoadSince   time.Duration
+	index          slowfit.Index
+	pools          []poolKey // by the index's numbers
+	poolIndexByKey map[poolKey]int32
+	staleInIndex   []*machine // to be brought up to date in the index
+	unwrittenJobs  []*job     // with something new for the ledger
+	expectedAgents int        // machines that should be
+	openCores      float64    // of the machines in the index
+	coresByClass   []float64  // booked cores, by class
+	unreachable    unreachableAgents
 	// How many tags of writes are not durable yet, and since when none has
 	// become so.
-	wantDurable int
-	durableAt   time.Duration
-	held        []openAnswer // to machines that are noted as silent
-	holders     []*job       // jobs for which a machine is kept free
-	probes      probes
-	inspects    int // workers that are being asked what they are
-	attempts    uint64
-	exhausted   bool         // the term is being given up since attempts are short
-	looks       uint64       // reports looked at
-	answers     []openAnswer // of this step
-	awaiting    []openAnswer // that wait for starts to be written down
-	outboxes    []*machine   // with orders of this step
-	calls       map[uint64]*directCall
-	callID      uint64
-	dirty       bool
-	fleet       fleetState
-	transfers   transfers
-	hinted      hinted
-	drains      drains
-	changes     uint64 // counts the changes of machines that hints tell of
+	pendingWrites        int
+	lastDurableAt        time.Duration
+	heldForUnreachable   []heldAnswer // to machines that are noted as silent
+	reservingJobs        []*job       // jobs for which a machine is kept free
+	probes               probes
+	inspectionsInFlight  int // workers that are being asked what they are
+	attempts             uint64
+	exhausted            bool         // the term is being given up since attempts are short
+	heartbeatsProcessed  uint64       // reports looked at
+	openAnswers          []heldAnswer // of this step
+	awaitingWrites       []heldAnswer // that wait for starts to be written down
+	machinesWithCommands []*machine   // with orders of this step
+	commandsInFlight     map[uint64]*commandInFlight
+	lastCommandID        uint64
+	needsPlacement       bool
+	autoscaling          autoscaling
+	federation           federationState
+	inherited            inheritedSoftState
+	evictions            evictionState
+	softStateVersion     uint64 // counts the changes of machines that hints tell of
 
-	costs     costs
-	cancelled cancelled
+	spendingLog spendingLog
+	cancelWatch cancelled
 
 	out []Effect
 }
@@ -123,15 +123,15 @@
 	return t.Price
 }
 
-type directCall struct {
-	machine  *machine
-	session  uint64
-	token    uint64
-	attempts []uint64 // that it starts
-	stops    []uint64 // attempts that it stops
-	probe    bool
-	sent     time.Duration // of a probe
-	hinted   bool          // a probe to where a hint says that its machine is reached
+type commandInFlight struct {
+	machine              *machine
+	agentEpoch           uint64
+	fencingToken         uint64
+	startedAttempts      []uint64 // that it starts
+	stoppedAttempts      []uint64 // attempts that it stops
+	probe                bool
+	sent                 time.Duration // of a probe
+	addressFromSoftState bool          // a probe to where a hint says that its machine is reached
 }
 
 // NewCore starts a term from what the ledger holds. now is the node's steady
@@ -139,40 +139,40 @@
 func NewCore(cfg Config, s ledger.Snapshot, now time.Duration, wall int64, log *slog.Logger) *Core {
 	w := cfg.Platform.Facts.Workers
 	c := &Core{
-		cfg: cfg, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), term: cfg.Term, now: now, wall: wall, began: now, ticked: now, awake: now, costs: costs{until: now, logged: now}, cancelled: cancelled{logged: now},
-		leaseTime: settings.Stretch(settings.Seconds(w.LeaseS)) + 250*time.Millisecond,
-		report:    settings.Seconds(w.ReportS),
-		unseen:    map[string][]int32{}, aborting: map[int32]bool{},
-		jobIndex: map[string]int32{}, machineAt: map[string]int32{},
-		typeAt: map[string]int32{}, teamAt: map[string]int32{},
+		cfg: cfg, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), term: cfg.Term, now: now, wall: wall, termStart: now, lastTick: now, tickingSince: now, spendingLog: spendingLog{until: now, logged: now}, cancelWatch: cancelled{logged: now},
+		agentLease:        settings.Stretch(settings.Seconds(w.LeaseS)) + 250*time.Millisecond,
+		heartbeatInterval: settings.Seconds(w.ReportS),
+		awaitedJobs:       map[string][]int32{}, cancelling: map[int32]bool{},
+		jobIndexByID: map[string]int32{}, machineIndexByName: map[string]int32{},
+		typeIndexByName: map[string]int32{}, teamIndexByName: map[string]int32{},
 		goal:   slowfit.Goal{C: cfg.Operator.SlowFitC},
-		probes: probes{atOnce: fewProbes}, calls: map[uint64]*directCall{}, poolAt: map[poolKey]int32{},
+		probes: probes{atOnce: fewProbes}, commandsInFlight: map[uint64]*commandInFlight{}, poolIndexByKey: map[poolKey]int32{},
 	}
 	for _, t := range cfg.Platform.Facts.Teams {
-		c.teamAt[t.Name] = int32(len(c.teams))
+		c.teamIndexByName[t.Name] = int32(len(c.teams))
 		c.teams = append(c.teams, team{guarantee: limitUnits(t.CPUs, t.GPUs), limit: limitUnits(t.CPUsMax, t.GPUsMax)})
 	}
-	c.spareTeam = int32(len(c.teams))
+	c.unknownTeam = int32(len(c.teams))
 	c.teams = append(c.teams, team{})
-	c.fleet.begin()
+	c.autoscaling.begin()
 	c.newTransfers()
-	c.restoreHints(cfg.Hints)
-	c.fleet.limited = make([]fleet.Stream, len(c.teams))
+	c.restoreSoftState(cfg.SoftState)
+	c.autoscaling.limitedDemand = make([]autoscaler.DemandEstimator, len(c.teams))
 	for _, name := range s.Gone {
 		m := c.machineNamed(name)
-		m.state, m.goneNoted = machineGone, true
+		m.state, m.goneRecorded = machineGone, true
 	}
 	for i := range s.Jobs {
 		c.restore(&s.Jobs[i])
 	}
-	c.restoreLinks()
-	for _, h := range s.Hires {
-		c.restoreHire(h)
+	c.restoreDependencies()
+	for _, h := range s.ScaleOuts {
+		c.restoreScaleOut(h)
 	}
-	c.restoreNotes(s.Silent)
+	c.restoreUnreachable(s.Unreachable)
 	c.restoreTransfers(&s)
-	c.restoreDrains(s.Plans)
-	c.probeHinted()
+	c.restoreEvictions(s.Plans)
+	c.probeInherited()
 	c.flush()
 	return c
 }
@@ -182,53 +182,53 @@
 func (c *Core) Step(event Event, now time.Duration, wall int64) {
 	c.now, c.wall = now, wall
 	switch e := event.(type) {
-	case JobSeen:
-		c.jobSeen(e)
-	case ReportIn:
-		c.reportIn(e)
-	case DirectBack:
-		c.directBack(e)
-	case InspectBack:
-		c.inspectBack(e)
-	case CancelAsked:
-		c.cancelAsked(e)
-	case StatusAsked:
-		c.statusAsked(e)
-	case NowDurable:
-		c.wantDurable, c.durableAt = c.wantDurable-len(e.Tags), c.now
+	case JobRecordEvent:
+		c.jobRecorded(e)
+	case HeartbeatEvent:
+		c.heartbeatReceived(e)
+	case CommandResult:
+		c.commandResult(e)
+	case InspectResult:
+		c.inspectResult(e)
+	case CancelRequest:
+		c.cancelRequested(e)
+	case StatusRequest:
+		c.statusRequested(e)
+	case WritesDurable:
+		c.pendingWrites, c.lastDurableAt = c.pendingWrites-len(e.Tags), c.now
 		for _, tag := range e.Tags {
 			c.durable(tag)
 		}
-	case CloudBack:
-		c.cloudBack(e.Result)
-	case Formats:
+	case CloudResult:
+		c.cloudResult(e.Result)
+	case ValueLimitChanged:
 		c.cfg.ValueBytes = e.ValueBytes
-	case Rejected:
-		c.wantDurable -= len(e.Tags)
+	case WritesRejected:
+		c.pendingWrites -= len(e.Tags)
 		for _, tag := range e.Tags {
 			c.rejected(tag)
 		}
 	case Tick:
 		c.tick()
-	case HintsAsked:
-		c.hintsAsked(e)
-	case PlanAsked:
+	case SoftStateRequest:
+		c.softStateRequested(e)
+	case PlanRequest:
 		c.planAsked(e)
-	case PlansListed:
+	case PlanListRequest:
 		c.plansListed(e)
 	default:
 		c.stepTransfers(event)
 	}
 }
 
-// Unplaced tells whether Settle would place tasks.
-func (c *Core) Unplaced() bool { return c.dirty }
+// NeedsPlacement tells whether Settle would place tasks.
+func (c *Core) NeedsPlacement() bool { return c.needsPlacement }
 
 // Settle places what can be placed after one or more steps and returns all that
 // must be done. Under load many events share one placement.
 func (c *Core) Settle() []Effect {
-	if c.dirty {
-		c.dirty = false
+	if c.needsPlacement {
+		c.needsPlacement = false
 		c.place()
 	}
 	c.flush()
@@ -237,8 +237,8 @@
 	return out
 }
 
-// TakeStart returns the effects of NewCore.
-func (c *Core) TakeStart() []Effect {
+// InitialEffects returns the effects of NewCore.
+func (c *Core) InitialEffects() []Effect {
 	out := c.out
 	c.out = nil
 	return out
@@ -248,12 +248,12 @@
 
 func (c *Core) put(w ledger.Write) {
 	if w.Tag != nil {
-		if c.wantDurable == 0 {
-			c.durableAt = c.now
+		if c.pendingWrites == 0 {
+			c.lastDurableAt = c.now
 		}
-		c.wantDurable++
+		c.pendingWrites++
 	}
-	c.emit(Put{Writes: []ledger.Write{w}})
+	c.emit(WriteLedger{Writes: []ledger.Write{w}})
 }
 
 // longestTick is how far apart two ticks can be while we are well.
@@ -261,42 +261,42 @@
 
 // tick does what time alone brings.
 func (c *Core) tick() {
-	if c.now-c.ticked > longestTick {
+	if c.now-c.lastTick > longestTick {
 		// We were suspended, or starved. Nobody was heard through no fault of
 		// theirs.
-		c.awake = c.now
+		c.tickingSince = c.now
 	}
-	c.ticked = c.now
+	c.lastTick = c.now
 	c.spend()
-	for _, m := range c.live {
-		c.checkMachine(m)
-		if m.isOpen != c.open(m) {
+	for _, m := range c.liveMachines {
+		c.expireLease(m)
+		if m.schedulable != c.accepts(m) {
 			// It has fallen silent, or is no longer shunned.
-			c.touch(m)
-			c.dirty = true
+			c.indexChanged(m)
+			c.needsPlacement = true
 		}
 	}
-	for _, j := range c.active {
+	for _, j := range c.activeJobs {
 		if j.notBefore > 0 && c.now >= j.notBefore {
 			j.notBefore = 0
-			c.dirty = true
+			c.needsPlacement = true
 		}
 	}
-	c.sweep()
+	c.dropFinished()
 	c.watchCancelled()
-	c.noteSilence()
-	c.dropNotes()
-	c.dropHints()
-	c.fleetTick()
+	c.recordUnreachable()
+	c.dropUnreachable()
+	c.dropInherited()
+	c.autoscalingTick()
 	c.endExhausted()
-	c.spillTick()
-	c.drainTick()
+	c.federationTick()
+	c.evictionTick()
 	c.lowerGoal()
 }
 
 // anyWaiting tells whether some task could be placed if there were room.
 func (c *Core) anyWaiting() bool {
-	return slices.ContainsFunc(c.active, func(j *job) bool { return j.placeable(c.now) })
+	return slices.ContainsFunc(c.activeJobs, func(j *job) bool { return j.placeable(c.now) })
 }
 
 // calmFor is how long nothing must have waited before the goal falls.
@@ -307,18 +307,18 @@
 // for the optimum: no placement brings the busiest one below that.
 func (c *Core) lowerGoal() {
 	if c.anyWaiting() {
-		c.calmSince = c.now
+		c.lowLoadSince = c.now
 		return
 	}
-	if c.now-c.calmSince < calmFor {
+	if c.now-c.lowLoadSince < calmFor {
 		return
 	}
-	c.calmSince = c.now
+	c.lowLoadSince = c.now
 	load, n := 0.0, 0
-	for _, m := range c.live {
-		if c.open(m) {
+	for _, m := range c.liveMachines {
+		if c.accepts(m) {
 			n++
-			for _, b := range m.bookings {
+			for _, b := range m.allocations {
 				load += b.share
 			}
 		}
@@ -333,25 +333,25 @@
 	}
 }
 
-// sweep forgets jobs and machines that need no more attention.
-func (c *Core) sweep() {
-	keep := c.active[:0]
-	for _, j := range c.active {
+// dropFinished forgets jobs and machines that need no more attention.
+func (c *Core) dropFinished() {
+	keep := c.activeJobs[:0]
+	for _, j := range c.activeJobs {
 		if !j.settled {
 			keep = append(keep, j)
 		}
 	}
-	clear(c.active[len(keep):])
-	c.active = keep
-	live := c.live[:0]
-	for _, m := range c.live {
-		if m.state != machineGone || m.goneNoted && m.hostOf > 0 {
+	clear(c.activeJobs[len(keep):])
+	c.activeJobs = keep
+	live := c.liveMachines[:0]
+	for _, m := range c.liveMachines {
+		if m.state != machineGone || m.goneRecorded && m.namedByJobs > 0 {
 			live = append(live, m)
-		} else if m.goneNoted {
-			m.goneNoted = false
+		} else if m.goneRecorded {
+			m.goneRecorded = false
 			c.put(ledger.Write{Key: ledger.GoneKey(m.name)})
 		}
 	}
-	clear(c.live[len(live):])
-	c.live = live
+	clear(c.liveMachines[len(live):])
+	c.liveMachines = live
 }
--- a/internal/scheduler/core_test.go
+++ b/internal/scheduler/core_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"leadproxy/internal/fleet"
+	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/wire"
@@ -16,7 +16,7 @@
 	g := newStage(t, ledger.Snapshot{})
 	g.submit(newTestJob("job-1", 1, 1))
 	// Its token may be an earlier leader's, whose commands can still arrive.
-	g.want("token told", g.report(g.reportOf("vm-1", 6<<tokenBits)).Token, uint64(ours))
+	g.want("token told", g.report(g.reportOf("vm-1", 6<<tokenBits)).FencingToken, uint64(ours))
 	g.want("starts before the echo", len(g.starts()), 0)
 	g.report(g.reportOf("vm-1", ours))
 	g.want("starts after the echo", len(g.starts()), 1)
@@ -35,47 +35,47 @@
 func TestStartOfUnknownOutcome(t *testing.T) {
 	cases := []struct {
 		name  string
-		act   func(g *stage, o wire.Order)
+		act   func(g *stage, o wire.Command)
 		again int // further starts
 	}{
-		{"stays booked while the token is not echoed", func(g *stage, o wire.Order) {
+		{"stays booked while the token is not echoed", func(g *stage, o wire.Command) {
 			g.report(g.reportOf("vm-1", ours))
 		}, 0},
-		{"is given up once a raised token is echoed without it", func(g *stage, o wire.Order) {
+		{"is given up once a raised token is echoed without it", func(g *stage, o wire.Command) {
 			g.report(g.reportOf("vm-1", ours+1))
 		}, 1},
-		{"stands when the echo shows it", func(g *stage, o wire.Order) {
+		{"stands when the echo shows it", func(g *stage, o wire.Command) {
 			g.report(g.reportOf("vm-1", ours+1, taskIn(o, wire.TaskRunning, "")))
 		}, 0},
-		{"is given up with the session", func(g *stage, o wire.Order) {
+		{"is given up with the session", func(g *stage, o wire.Command) {
 			r := g.reportOf("vm-1", ours)
-			r.Session = 2
+			r.AgentEpoch = 2
 			g.report(r)
 			g.echo("vm-1")
 		}, 1},
-		{"is not given up for a silent machine within its lease", func(g *stage, o wire.Order) {
+		{"is not given up for a silent machine within its lease", func(g *stage, o wire.Command) {
 			g.up("vm-2")
 			g.wait(6 * time.Second)
 		}, 0},
-		{"is given up when the machine is deleted", func(g *stage, o wire.Order) {
+		{"is given up when the machine is deleted", func(g *stage, o wire.Command) {
 			g.up("vm-2")
-			g.step(CloudBack{fleet.Result{Call: fleet.Call{Delete: []string{"vm-1"}}}})
+			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
 		}, 1},
-		{"is kept when the deletion's outcome is unknown", func(g *stage, o wire.Order) {
+		{"is kept when the deletion's outcome is unknown", func(g *stage, o wire.Command) {
 			g.up("vm-2")
-			g.step(CloudBack{fleet.Result{Call: fleet.Call{Delete: []string{"vm-1"}}, Err: fleet.ErrUnknown}})
+			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}, Err: autoscaler.ErrUnknownOutcome}})
 		}, 0},
-		{"is given up when the machine is listed as failed", func(g *stage, o wire.Order) {
+		{"is given up when the machine is listed as failed", func(g *stage, o wire.Command) {
 			g.up("vm-2")
-			g.step(CloudBack{fleet.Result{Call: fleet.Call{List: true}, List: []wire.ListedMachine{{Name: "vm-1", Type: "m4", Zone: "a", Status: wire.MachineFailed}}}})
+			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}, List: []wire.ListedMachine{{Name: "vm-1", Type: "m4", Zone: "a", Status: wire.MachineFailed}}}})
 		}, 1},
-		{"absence from the list proves nothing", func(g *stage, o wire.Order) {
+		{"absence from the list proves nothing", func(g *stage, o wire.Command) {
 			g.up("vm-2")
-			g.step(CloudBack{fleet.Result{Call: fleet.Call{List: true}}})
+			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}}})
 		}, 0},
-		{"a stale report proves nothing", func(g *stage, o wire.Order) {
+		{"a stale report proves nothing", func(g *stage, o wire.Command) {
 			r := g.reportOf("vm-1", ours+1)
-			r.Seq = 1
+			r.Sequence = 1
 			g.report(r)
 		}, 0},
 	}
@@ -85,8 +85,8 @@
 			g.up("vm-1")
 			g.submit(newTestJob("job-1", 1, 1))
 			first := g.starts()[0]
-			g.settle(DirectUnknown)
-			g.want("token", g.report(g.reportOf("vm-1", ours)).Token, uint64(ours+1))
+			g.settle(CommandOutcomeUnknown)
+			g.want("token", g.report(g.reportOf("vm-1", ours)).FencingToken, uint64(ours+1))
 			c.act(g, first)
 			g.wait(shunFor + time.Second/2)
 			again := g.starts()
@@ -101,24 +101,24 @@
 func TestStartInAnAnswer(t *testing.T) {
 	cases := []struct {
 		name  string
-		act   func(g *stage, o wire.Order)
+		act   func(g *stage, o wire.Command)
 		again int // further starts
 	}{
-		{"the answer to a direct command proves nothing: ours may be on its way", func(g *stage, o wire.Order) {
-			g.step(CancelAsked{Ref: "job-9", To: recipient("u")})
-			g.step(DirectBack{Call: g.start[0].Call, Outcome: DirectDone, Report: g.reportOf("vm-1", ours)})
+		{"the answer to a direct command proves nothing: ours may be on its way", func(g *stage, o wire.Command) {
+			g.step(CancelRequest{JobID: "job-9", ReplyTo: recipient("u")})
+			g.step(CommandResult{CommandID: g.start[0].CommandID, Outcome: CommandExecuted, Heartbeat: g.reportOf("vm-1", ours)})
 		}, 0},
-		{"a late copy of the report proves nothing", func(g *stage, o wire.Order) {
+		{"a late copy of the report proves nothing", func(g *stage, o wire.Command) {
 			r := g.reportOf("vm-1", ours)
-			r.Seq = 1
+			r.Sequence = 1
 			g.report(r)
 		}, 0},
-		{"the next report without it gives it up", func(g *stage, o wire.Order) {
+		{"the next report without it gives it up", func(g *stage, o wire.Command) {
 			g.report(g.reportOf("vm-1", ours))
 			g.want("starts before it shows that it hears us", len(g.starts()), 0)
 			g.echo("vm-1")
 		}, 1},
-		{"the next report with it confirms it", func(g *stage, o wire.Order) {
+		{"the next report with it confirms it", func(g *stage, o wire.Command) {
 			g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskFetching, "")))
 		}, 0},
 	}
@@ -128,12 +128,12 @@
 			g.up("vm-1")
 			g.submit(newTestJob("job-9", 1, 3))
 			nine := g.starts()[0]
-			g.settle(DirectDone)
+			g.settle(CommandExecuted)
 			g.submit(newTestJob("job-1", 8, 2)) // no room for it beside the other
 			g.report(g.reportOf("vm-1", ours, taskIn(nine, wire.TaskRunning, "")))
 			g.want("starts without room", len(g.starts()), 0)
 			// The first job's host is on record, so its next start can go at once.
-			g.report(g.reportOf("vm-1", ours, taskIn(nine, wire.TaskEnded, wire.WhyStopped)))
+			g.report(g.reportOf("vm-1", ours, taskIn(nine, wire.TaskEnded, wire.ExitStopped)))
 			g.want("starts in the answer", len(g.answered), 2) // a forget and the start
 			o := g.starts()[0]
 			g.answered = nil
@@ -146,25 +146,25 @@
 func TestForget(t *testing.T) {
 	cases := []struct {
 		name    string
-		outcome DirectOutcome
+		outcome CommandOutcome
 		token   uint64
 		why     string
 		durable bool
 		want    int
 	}{
-		{"ends in the ledger", DirectDone, ours, wire.WhyDone, true, forgetAtOnce},
-		{"ends not yet in the ledger", DirectDone, ours, wire.WhyDone, false, 0},
-		{"while the starts may still be repeated", DirectUnknown, ours, wire.WhyDone, true, 0},
-		{"once the raised token is echoed", DirectUnknown, ours + 1, wire.WhyDone, true, forgetAtOnce},
-		{"failures", DirectDone, ours, wire.WhyError, true, forgetAtOnce},
-		{"failures whose starts may still be repeated", DirectUnknown, ours, wire.WhyError, true, 0},
+		{"ends in the ledger", CommandExecuted, ours, wire.ExitDone, true, forgetAtOnce},
+		{"ends not yet in the ledger", CommandExecuted, ours, wire.ExitDone, false, 0},
+		{"while the starts may still be repeated", CommandOutcomeUnknown, ours, wire.ExitDone, true, 0},
+		{"once the raised token is echoed", CommandOutcomeUnknown, ours + 1, wire.ExitDone, true, forgetAtOnce},
+		{"failures", CommandExecuted, ours, wire.ExitError, true, forgetAtOnce},
+		{"failures whose starts may still be repeated", CommandOutcomeUnknown, ours, wire.ExitError, true, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := newStage(t, ledger.Snapshot{})
 			g.up("vm-1")
 			g.submit(newTestJob("job-1", forgetAtOnce+1, 0.25))
-			var ended []wire.TaskReport
+			var ended []wire.TaskStatus
 			for _, o := range g.starts()[:forgetAtOnce] {
 				ended = append(ended, taskIn(o, wire.TaskEnded, c.why))
 			}
@@ -184,8 +184,8 @@
 	g.up("vm-1")
 	g.submit(newTestJob("job-1", 2, 1))
 	orders := g.starts()
-	g.settle(DirectDone)
-	done, runs := taskIn(orders[0], wire.TaskEnded, wire.WhyDone), taskIn(orders[1], wire.TaskRunning, "")
+	g.settle(CommandExecuted)
+	done, runs := taskIn(orders[0], wire.TaskEnded, wire.ExitDone), taskIn(orders[1], wire.TaskRunning, "")
 	g.report(g.reportOf("vm-1", ours, done, runs))
 	g.want("alone", verbs(g.report(g.reportOf("vm-1", ours, done, runs))), "")
 	g.held = true // so that the start waits for the report
@@ -197,10 +197,10 @@
 
 func TestTakeover(t *testing.T) {
 	saved := func(hosts ...string) ledger.Snapshot {
-		return ledger.Snapshot{Jobs: []ledger.SavedJob{{Ref: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 2, 1)},
+		return ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 2, 1)},
 			Hosts: savedHosts(hosts...), Finished: savedRanges(0, 0)}}}
 	}
-	old := wire.Order{Task: "job-1/1", Attempt: 6<<tokenBits | 1}
+	old := wire.Command{Task: "job-1/1", Attempt: 6<<tokenBits | 1}
 	gone := saved("vm-1")
 	gone.Gone = []string{"vm-1"}
 	cases := []struct {
@@ -221,7 +221,7 @@
 		}, 0},
 		{"every host must be cleared", saved("vm-1", "vm-2"), func(g *stage) { g.up("vm-1") }, 0},
 		{"a deletion clears it", saved("vm-1"), func(g *stage) {
-			g.step(CloudBack{fleet.Result{Call: fleet.Call{Delete: []string{"vm-1"}}}})
+			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
 		}, 1},
 		{"not before the lease must be over", saved("vm-1"), func(g *stage) {
 			g.wait(30 * time.Second)
@@ -238,7 +238,7 @@
 			g.up("vm-9")
 			c.act(g)
 			g.want("starts", len(g.starts()), c.starts)
-			g.want("state", g.jobStatus("job-1") == wire.Done, false)
+			g.want("state", g.jobStatus("job-1") == wire.JobDone, false)
 		})
 	}
 }
@@ -251,7 +251,7 @@
 }
 
 func TestLimits(t *testing.T) {
-	unseen := ledger.Snapshot{Jobs: []ledger.SavedJob{{Ref: "job-9", Record: ledger.JobRecord{Job: newTestJob("job-9", 1, 1)}, Hosts: savedHosts("vm-7")}}}
+	unseen := ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-9", Record: ledger.JobRecord{Job: newTestJob("job-9", 1, 1)}, Hosts: savedHosts("vm-7")}}}
 	cases := []struct {
 		name   string
 		saved  ledger.Snapshot
@@ -266,7 +266,7 @@
 		{"another zone", ledger.Snapshot{}, settings.Team{Name: "t"}, func(j *wire.Job) { z := "b"; j.Zone = &z }, 0},
 		{"no spot machine", ledger.Snapshot{}, settings.Team{Name: "t"}, func(j *wire.Job) { j.Spot = false }, 0},
 		{"half of the tasks in one zone", ledger.Snapshot{}, settings.Team{Name: "t"}, func(j *wire.Job) { j.Spread = true }, 2},
-		{"all in one zone", ledger.Snapshot{}, settings.Team{Name: "t"}, func(j *wire.Job) { j.OneZone = true }, 4},
+		{"all in one zone", ledger.Snapshot{}, settings.Team{Name: "t"}, func(j *wire.Job) { j.Gang = true }, 4},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -283,15 +283,15 @@
 }
 
 func TestHireOfAnEarlierLeaderIsRepeatedUnderItsName(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{Hires: []ledger.HireRecord{
-		{Hire: wire.Hire{Request: "h6-1", Type: "m4", Zone: "a", Count: 2}},
-		{Hire: wire.Hire{Request: "h6-2", Type: "m4", Zone: "a", Count: 1}, Machines: []string{"vm-3"}},
+	g := newStage(t, ledger.Snapshot{ScaleOuts: []ledger.ScaleOutRecord{
+		{Request: wire.ScaleOutRequest{RequestID: "h6-1", Type: "m4", Zone: "a", Count: 2}},
+		{Request: wire.ScaleOutRequest{RequestID: "h6-2", Type: "m4", Zone: "a", Count: 1}, Machines: []string{"vm-3"}},
 	}})
-	if len(g.hires) != 1 || g.hires[0].Request != "h6-1" {
+	if len(g.hires) != 1 || g.hires[0].RequestID != "h6-1" {
 		t.Fatalf("repeated %v, want h6-1 only", g.hires)
 	}
-	g.step(CloudBack{fleet.Result{Call: fleet.Call{Hire: &g.hires[0]}, Machines: []string{"vm-1", "vm-2"}}})
-	g.want("machines known", len(g.c.live), 3)
+	g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{ScaleOut: &g.hires[0]}, Machines: []string{"vm-1", "vm-2"}}})
+	g.want("machines known", len(g.c.liveMachines), 3)
 }
 
 func TestHireIsDurableBeforeItIsSent(t *testing.T) {
@@ -303,8 +303,8 @@
 	g.release()
 	g.want("hires after", len(g.hires) > 0, true)
 	for _, h := range g.hires {
-		if h.Request[:3] != fmt.Sprintf("h%d-", testTerm) {
-			t.Errorf("the name %s does not embed the term", h.Request)
+		if h.RequestID[:3] != fmt.Sprintf("h%d-", testTerm) {
+			t.Errorf("the name %s does not embed the term", h.RequestID)
 		}
 	}
 }
@@ -312,11 +312,11 @@
 func TestANewLeaderLearnsTheDemandFromFinishedJobs(t *testing.T) {
 	var s ledger.Snapshot
 	for i := range 30 {
-		s.Jobs = append(s.Jobs, ledger.SavedJob{Ref: fmt.Sprintf("job-%d", i), Record: ledger.JobRecord{
-			AcceptedMS: int64(i-30) * 10000, Terminal: wire.Done, Tasks: 1, Done: 1, Class: "c", Cores: 8, RunS: 20}})
+		s.Jobs = append(s.Jobs, ledger.SavedJob{ID: fmt.Sprintf("job-%d", i), Record: ledger.JobRecord{
+			AcceptedMS: int64(i-30) * 10000, Terminal: wire.JobDone, Tasks: 1, Done: 1, Class: "c", Cores: 8, RunS: 20}})
 	}
 	g := newStage(t, s)
-	mean, _ := fleet.Demand(0, g.c.fleet.streams)
+	mean, _ := autoscaler.Demand(0, g.c.autoscaling.demand)
 	if mean < 13 || mean > 16 {
 		t.Errorf("mean demand %v cores, want about 16", mean)
 	}
@@ -331,23 +331,23 @@
 		saved ledger.Snapshot
 		act   func(g *stage)
 	}{
-		{"its node died right after the write, before this term", ledger.Snapshot{Jobs: []ledger.SavedJob{{Ref: "job-1", Record: rec}}}, func(g *stage) {}},
+		{"its node died right after the write, before this term", ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec}}}, func(g *stage) {}},
 		{"accepted during the takeover: only the watch tells of it", ledger.Snapshot{}, func(g *stage) {
-			g.step(JobSeen{Ref: "job-1", Record: rec, Version: 3})
+			g.step(JobRecordEvent{JobID: "job-1", Record: rec, Version: 3})
 		}},
-		{"all its machines are gone", ledger.Snapshot{Jobs: []ledger.SavedJob{{Ref: "job-1", Record: rec, Hosts: savedHosts("vm-7", "vm-8")}}}, func(g *stage) {
+		{"all its machines are gone", ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec, Hosts: savedHosts("vm-7", "vm-8")}}}, func(g *stage) {
 			g.wait(31 * time.Second)
 		}},
-		{"its machines were deleted by an earlier leader", ledger.Snapshot{Gone: []string{"vm-7"}, Jobs: []ledger.SavedJob{{Ref: "job-1", Record: rec, Hosts: savedHosts("vm-7")}}}, func(g *stage) {}},
-		{"told of twice", ledger.Snapshot{Jobs: []ledger.SavedJob{{Ref: "job-1", Record: rec}}}, func(g *stage) {
-			g.step(JobSeen{Ref: "job-1", Record: rec, Version: 3})
+		{"its machines were deleted by an earlier leader", ledger.Snapshot{Gone: []string{"vm-7"}, Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec, Hosts: savedHosts("vm-7")}}}, func(g *stage) {}},
+		{"told of twice", ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec}}}, func(g *stage) {
+			g.step(JobRecordEvent{JobID: "job-1", Record: rec, Version: 3})
 		}},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := newStage(t, c.saved)
 			c.act(g)
-			g.want("state", g.jobStatus("job-1"), wire.Queued)
+			g.want("state", g.jobStatus("job-1"), wire.JobQueued)
 			g.up("vm-1")
 			g.want("starts", len(g.starts()), 2)
 		})
@@ -359,7 +359,7 @@
 // still gets its starts only when it is in the ledger.
 func TestWritesOfAStepTravelTogether(t *testing.T) {
 	g := newStage(t, ledger.Snapshot{})
-	const machines = ledger.ChunkHosts + 50
+	const machines = ledger.HostsPerChunk + 50
 	for i := range machines {
 		g.up(fmt.Sprintf("vm-%03d", i))
 	}
@@ -368,23 +368,23 @@
 	puts := g.puts
 	g.submit(newTestJob("job-1", 4*machines, 1))
 	g.want("writes for all machines", g.puts-puts, 2)
-	g.want("hosts in the first", len(g.writes["host/job-1/0"].Value.([]string)), ledger.ChunkHosts)
+	g.want("hosts in the first", len(g.writes["host/job-1/0"].Value.([]string)), ledger.HostsPerChunk)
 	g.want("hosts in the second", len(g.writes["host/job-1/1"].Value.([]string)), 50)
 	g.want("started before that is durable", len(g.starts()), 0)
 	g.release()
-	tasks := map[string][]wire.TaskReport{}
+	tasks := map[string][]wire.TaskStatus{}
 	for _, d := range g.start {
-		for _, o := range d.Commands.Orders {
-			tasks[d.Machine] = append(tasks[d.Machine], taskIn(o, wire.TaskEnded, wire.WhyDone))
+		for _, o := range d.Request.Commands {
+			tasks[d.Machine] = append(tasks[d.Machine], taskIn(o, wire.TaskEnded, wire.ExitDone))
 		}
 	}
 	g.want("started then", len(g.starts()), 4*machines)
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 
 	g.held = true
 	puts = g.puts
 	for _, name := range []string{"vm-001", "vm-002", "vm-003"} {
-		g.c.Step(ReportIn{Report: g.reportOf(name, ours, tasks[name]...), To: recipient("w")}, g.now, g.now.Milliseconds())
+		g.c.Step(HeartbeatEvent{Heartbeat: g.reportOf(name, ours, tasks[name]...), ReplyTo: recipient("w")}, g.now, g.now.Milliseconds())
 	}
 	g.take(g.c.Settle())
 	g.want("writes for the ended tasks of three machines", g.puts-puts, 1)
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -6,23 +6,23 @@
 	"slices"
 	"time"
 
-	"leadproxy/internal/fleet"
+	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/slowfit"
 )
 
 // arrived learns from a job that has just come in.
 func (c *Core) arrived(j *job) {
-	f := &c.fleet
+	f := &c.autoscaling
 	cores := j.size.CPUs * float64(j.total)
 	c.learnArrival(j.class, j.team, j.arrived, cores, c.expectedRun(j).Seconds())
-	f.addSize(j.size, cores*j.spec.EstimateS, c.aims[j.class].wait > 0)
+	f.addSize(j.size, cores*j.spec.EstimatedRunS, c.classObjectives[j.class].wait > 0)
 }
 
 // learnArrival learns the demand from one job.
 func (c *Core) learnArrival(class, team int32, at time.Duration, cores, seconds float64) {
-	c.fleet.streams[class].Arrived(at, cores, seconds)
+	c.autoscaling.demand[class].ObserveArrival(at, cores, seconds)
 	if c.teams[team].limit.cpus > 0 {
-		c.fleet.limited[team].Arrived(at, cores, seconds)
+		c.autoscaling.limitedDemand[team].ObserveArrival(at, cores, seconds)
 	}
 }
 
@@ -36,7 +36,7 @@
 // maxSizes bounds the sizes that are remembered.
 const maxSizes = 16
 
-func (f *fleetState) addSize(size slowfit.Size, weight float64, wait bool) {
+func (f *autoscaling) addSize(size slowfit.Size, weight float64, wait bool) {
 	at := -1
 	for i := range f.sizes {
 		f.sizes[i].weight *= 0.98
@@ -58,7 +58,7 @@
 // demand, then those of classes that must not wait.
 func (c *Core) headroomSizes() []slowfit.Size {
 	var out []slowfit.Size
-	for i, s := range c.fleet.sizes {
+	for i, s := range c.autoscaling.sizes {
 		if i == 0 || s.wait {
 			out = append(out, s.size)
 		}
@@ -66,16 +66,16 @@
 	return out
 }
 
-func (f *fleetState) learnRatio(class int32, ratio float64) {
+func (f *autoscaling) learnRatio(class int32, ratio float64) {
 	ratio = min(max(ratio, 0.1), 10)
-	if old := f.ratios[class]; old > 0 {
+	if old := f.runRatios[class]; old > 0 {
 		ratio = old + (ratio-old)/16
 	}
-	f.ratios[class] = ratio
+	f.runRatios[class] = ratio
 }
 
-func (f *fleetState) ratio(class int32) float64 {
-	if r := f.ratios[class]; r > 0 {
+func (f *autoscaling) ratio(class int32) float64 {
+	if r := f.runRatios[class]; r > 0 {
 		return r
 	}
 	return 1
@@ -85,11 +85,11 @@
 // team asks for beyond its limit is none of it.
 func (c *Core) headroomCores() float64 {
 	spread := c.cfg.Operator.HeadroomSpread
-	mean, deviation := fleet.Demand(c.now, c.fleet.streams)
+	mean, deviation := autoscaler.Demand(c.now, c.autoscaling.demand)
 	variance, capped := deviation*deviation, 0.0
 	for i, t := range c.teams {
 		if t.limit.cpus > 0 {
-			m, d := fleet.Demand(c.now, c.fleet.limited[i:i+1])
+			m, d := autoscaler.Demand(c.now, c.autoscaling.limitedDemand[i:i+1])
 			mean, variance = mean-m, variance-d*d
 			capped += min(m+spread*d, float64(t.limit.cpus)/perUnit)
 		}
--- a/internal/scheduler/drain_acts.go
+++ b/internal/scheduler/drain_acts.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 
-	"leadproxy/internal/drain"
-	"leadproxy/internal/fleet"
+	"leadproxy/internal/autoscaler"
+	"leadproxy/internal/rollout"
 )
 
 // What plans that drain machines have done.
@@ -15,113 +15,113 @@
 // cordon has nothing start on the machines that plans are emptying, and keeps those that
 // they have hired.
 func (c *Core) cordon() {
-	for _, m := range c.live {
+	for _, m := range c.liveMachines {
 		cordoned, kept := false, false
-		for _, p := range c.drains.plans {
+		for _, p := range c.evictions.plans {
 			cordoned = cordoned || p.rollout.Cordons(m.name)
 			kept = kept || p.rollout.Keeps(m.name)
 		}
-		m.kept = kept
+		m.keptForPlan = kept
 		if m.cordoned != cordoned {
 			m.cordoned = cordoned
-			c.touch(m)
-			c.dirty = true
+			c.indexChanged(m)
+			c.needsPlacement = true
 		}
 	}
 }
 
 // carryOutPlan does what a plan wants.
-func (c *Core) carryOutPlan(act drain.Act) {
+func (c *Core) carryOutPlan(act rollout.Act) {
 	switch a := act.(type) {
-	case drain.MoveTask:
+	case rollout.MoveTask:
 		if m := c.machineIfKnown(a.Machine); m != nil {
 			c.moveTask(m, a.Ref, int32(a.Task))
 		}
-	case drain.ReturnMachine:
+	case rollout.ReturnMachine:
 		if m := c.machineIfKnown(a.Machine); m != nil && (m.state == machineDeleting || c.isEmpty(m)) {
 			c.askDelete(m, "drained")
 		}
-	case drain.HireAhead:
-		c.hireAhead(a)
+	case rollout.HireAhead:
+		c.scaleOutAhead(a)
 	}
 }
 
 // moveTask has a task stopped, after it has saved its progress if it can.
 func (c *Core) moveTask(m *machine, ref string, n int32) {
-	for _, b := range slices.Clone(m.bookings) {
+	for _, b := range slices.Clone(m.allocations) {
 		j := c.jobs[b.job]
-		if j.ref != ref || b.task != n || b.stopping || j.spec == nil {
+		if j.id != ref || b.task != n || b.stopping || j.spec == nil {
 			continue
 		}
 		b.moving = true
 		grace := 0.0
-		if j.spec.CheckpointS > 0 {
-			grace = j.spec.SaveS
+		if j.spec.CheckpointIntervalS > 0 {
+			grace = j.spec.CheckpointDurationS
 		}
 		c.log.Info("task is moved", "task", c.taskName(b), "machine", m.name, "grace_s", grace)
-		c.stopBooking(m, b, grace)
+		c.stopAllocation(m, b, grace)
 	}
 }
 
 // requestsFor are the hires for a plan's replacements: one for each kind of machine, in
 // parts that the cloud takes. They are none until all of the machines are known: a request
 // that is made once for fewer brings no more later.
-func (c *Core) requestsFor(request string, like []string) map[string]fleet.PlannedHire {
-	counts := map[fleet.Offer]int{}
+func (c *Core) requestsFor(request string, like []string) map[string]autoscaler.PlannedScaleOut {
+	counts := map[autoscaler.CapacityPool]int{}
 	for _, name := range like {
 		m := c.machineIfKnown(name)
 		switch {
 		case m != nil && m.typ >= 0 && m.zone >= 0:
-			counts[fleet.Offer{Type: m.typ, Zone: m.zone, Spot: m.spot}]++
+			counts[autoscaler.CapacityPool{Type: m.typ, Zone: m.zone, Spot: m.spot}]++
 		case !c.mayMove():
 			return nil
 		}
 	}
-	requests := map[string]fleet.PlannedHire{}
+	requests := map[string]autoscaler.PlannedScaleOut{}
 	for offer, n := range counts {
 		for part := 0; n > 0; part++ {
-			count := min(n, fleet.MaxHire)
+			count := min(n, autoscaler.MaxScaleOut)
 			name := fmt.Sprintf("%s-%s-%s-%t-%d", request, c.types[offer.Type].Name, c.zones.list[offer.Zone], offer.Spot, part)
-			requests[name] = fleet.PlannedHire{Offer: offer, Count: count, Why: "to replace machines that are drained"}
+			requests[name] = autoscaler.PlannedScaleOut{Pool: offer, Count: count, Reason: "to replace machines that are drained"}
 			n -= count
 		}
 	}
 	return requests
 }
 
-// hireAhead hires replacements. A request that the cloud has refused is made again under
+// scaleOutAhead hires replacements. A request that the cloud has refused is made again under
 // its name when the offer may be asked for again.
-func (c *Core) hireAhead(a drain.HireAhead) {
+func (c *Core) scaleOutAhead(a rollout.HireAhead) {
 	requests := c.requestsFor(a.Request, a.Like)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
 		w := requests[name]
-		if c.fleet.hires[name] != nil || c.drains.hired[name] != nil || c.now < c.fleet.offer(w.Offer).blockedUntil {
+		if c.autoscaling.scaleOuts[name] != nil || c.evictions.rented[name] != nil || c.now < c.autoscaling.pool(w.Pool).blockedUntil {
 			continue
 		}
-		c.startNamedHire(name, w)
+		c.startNamedScaleOut(name, w)
 	}
 }
 
-// hiredFor is what the requests for a plan's replacements have brought, once all are
+// rentedForPlan is what the requests for a plan's replacements have brought, once all are
 // answered.
-func (c *Core) hiredFor(r *drain.Record) (machines []string) {
+func (c *Core) rentedForPlan(r *rollout.Record) (machines []string) {
 	requests := c.requestsFor(r.Hire, r.Batch)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
-		if c.drains.hired[name] == nil {
+		if c.evictions.rented[name] == nil {
 			return nil
 		}
-		machines = append(machines, c.drains.hired[name]...)
+		machines = append(machines, c.evictions.rented[name]...)
 	}
 	return machines
 }
 
-// noteHired notes the machines of a hire, if it may be a plan's.
-func (c *Core) noteHired(request string, machines []string) {
-	if !strings.HasPrefix(request, drain.HirePrefix) {
+// noteRented notes the machines of a hire, if it may be a plan's.
+func (c *Core) noteRented(request string, machines []string) {
+	if !strings.HasPrefix(request, rollout.HirePrefix) {
 		return
 	}
-	if c.drains.hired == nil {
-		c.drains.hired = map[string][]string{}
+	if c.evictions.rented == nil {
+		c.evictions.rented = map[string][]string{}
 	}
-	c.drains.hired[request] = machines
+	c.evictions.rented[request] = machines
 }
--- a/internal/scheduler/drain_view.go
+++ b/internal/scheduler/drain_view.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"leadproxy/internal/drain"
+	"leadproxy/internal/rollout"
 )
 
 // What plans that drain machines are told of the world.
@@ -13,12 +13,12 @@
 type roomKey struct{ job, zone int32 }
 
 // planView tells a plan how the world is.
-func (c *Core) planView(p *plan) *drain.View {
+func (c *Core) planView(p *plan) *rollout.View {
 	r, _ := p.rollout.Record()
 	room := map[roomKey]bool{}
-	v := &drain.View{Now: c.now, WallMS: c.wall, MayMove: c.mayMove(), Running: c.runningJobs()}
-	if r.Phase == drain.Choosing {
-		for _, m := range c.live {
+	v := &rollout.View{Now: c.now, WallMS: c.wall, MayMove: c.mayMove(), Running: c.runningJobs()}
+	if r.Phase == rollout.Choosing {
+		for _, m := range c.liveMachines {
 			if c.selects(&r, m) {
 				v.Candidates = append(v.Candidates, c.planMachine(m, room))
 			}
@@ -28,17 +28,17 @@
 		if m := c.machineIfKnown(name); m != nil {
 			v.Batch = append(v.Batch, c.planMachine(m, room))
 		} else {
-			v.Batch = append(v.Batch, drain.Machine{Name: name, Gone: v.MayMove})
+			v.Batch = append(v.Batch, rollout.Machine{Name: name, Gone: v.MayMove})
 		}
 	}
 	if r.Hire != "" {
-		v.Hired = c.hiredFor(&r)
+		v.Hired = c.rentedForPlan(&r)
 	}
 	for _, name := range r.Replacements {
 		if m := c.machineIfKnown(name); m != nil {
 			v.Replacements = append(v.Replacements, c.replacement(m))
 		} else {
-			v.Replacements = append(v.Replacements, drain.Replacement{Name: name, Failed: v.MayMove})
+			v.Replacements = append(v.Replacements, rollout.Replacement{Name: name, Failed: v.MayMove})
 		}
 	}
 	return v
@@ -48,7 +48,7 @@
 // leader's that nobody has heard of once jobs may be moved is gone: the cloud's list has been
 // read since, and a lease has passed.
 func (c *Core) machineIfKnown(name string) *machine {
-	if i, ok := c.machineAt[name]; ok {
+	if i, ok := c.machineIndexByName[name]; ok {
 		return c.machines[i]
 	}
 	return nil
@@ -57,19 +57,19 @@
 // mayMove tells whether jobs may be disrupted on purpose: what an earlier leader has started
 // is known, and what it has disrupted counts no more.
 func (c *Core) mayMove() bool {
-	return c.Unsettled() == 0 && c.now-c.began >= max(c.cfg.Operator.Drain.Budgets.Longest(), c.leaseTime)
+	return c.UnresolvedHosts() == 0 && c.now-c.termStart >= max(c.cfg.Operator.Drain.Budgets.Longest(), c.agentLease)
 }
 
 // runningJobs counts the running jobs of a group, once for all who ask in a step.
-func (c *Core) runningJobs() func(drain.Group) int {
-	var counts map[drain.Group]int
-	return func(g drain.Group) int {
+func (c *Core) runningJobs() func(rollout.Group) int {
+	var counts map[rollout.Group]int
+	return func(g rollout.Group) int {
 		if counts == nil {
-			counts = map[drain.Group]int{}
-			for _, j := range c.active {
+			counts = map[rollout.Group]int{}
+			for _, j := range c.activeJobs {
 				if j.spec != nil && j.booked > 0 && !j.over() {
-					counts[drain.TeamGroup(j.spec.Team)]++
-					counts[drain.ClassGroup(j.spec.Class)]++
+					counts[rollout.TeamGroup(j.spec.Team)]++
+					counts[rollout.ClassGroup(j.spec.Class)]++
 				}
 			}
 		}
@@ -79,27 +79,27 @@
 
 // selects tells whether a machine is one of a plan's: it matches, and was hired before the
 // plan was made.
-func (c *Core) selects(r *drain.Record, m *machine) bool {
+func (c *Core) selects(r *rollout.Record, m *machine) bool {
 	if m.state == machineGone || m.state == machineDeleting || m.zone < 0 {
 		return false
 	}
-	hiredMS := c.wall - (c.now - m.hired).Milliseconds()
+	hiredMS := c.wall - (c.now - m.rentedAt).Milliseconds()
 	return hiredMS <= r.CreatedMS && r.Spec.Selects(m.name, m.typeName, c.zones.list[m.zone])
 }
 
 // isEmpty tells whether a machine is proved to run nothing, and nothing that was sent there
 // may still start.
 func (c *Core) isEmpty(m *machine) bool {
-	return m.known(c.term) && len(m.bookings) == 0 && len(m.pending) == 0 && len(m.unclear) == 0 && len(m.outbox) == 0 && m.awaiting == nil
+	return m.trusted(c.term) && len(m.allocations) == 0 && len(m.unresolvedStarts) == 0 && len(m.inDoubtJobs) == 0 && len(m.pendingCommands) == 0 && m.heldHeartbeat == nil
 }
 
 // planMachine is a machine as a plan sees it.
-func (c *Core) planMachine(m *machine, room map[roomKey]bool) drain.Machine {
-	out := drain.Machine{Name: m.name, Empty: c.isEmpty(m), Gone: m.state == machineGone}
-	if m.state == machineDeleting && len(m.bookings) == 0 {
+func (c *Core) planMachine(m *machine, room map[roomKey]bool) rollout.Machine {
+	out := rollout.Machine{Name: m.name, Empty: c.isEmpty(m), Gone: m.state == machineGone}
+	if m.state == machineDeleting && len(m.allocations) == 0 {
 		out.Empty = true
 	}
-	for _, b := range m.bookings {
+	for _, b := range m.allocations {
 		if j := c.jobs[b.job]; j.spec != nil && !j.over() {
 			out.Tasks = append(out.Tasks, c.planTask(m, j, b, room))
 		}
@@ -107,16 +107,16 @@
 	return out
 }
 
-func (c *Core) planTask(m *machine, j *job, b *booking, room map[roomKey]bool) drain.Task {
+func (c *Core) planTask(m *machine, j *job, b *allocation, room map[roomKey]bool) rollout.Task {
 	key := roomKey{j.index, m.zone}
 	if _, known := room[key]; !known {
 		room[key] = c.roomElsewhere(m, j)
 	}
-	t := drain.Task{Job: accountOf(j), Index: int(b.task), Left: c.expectedRun(j), Slack: j.slack(c.now), Stopping: b.stopping, HasRoom: room[key]}
-	if b.ranSince > 0 {
-		ran := c.now - b.ranSince
+	t := rollout.Task{Job: accountOf(j), Index: int(b.task), Left: c.expectedRun(j), Slack: j.slack(c.now), Stopping: b.stopping, HasRoom: room[key]}
+	if b.runningSince > 0 {
+		ran := c.now - b.runningSince
 		t.Left = max(t.Left-ran, t.Left/4)
-		if j.spec.CheckpointS <= 0 {
+		if j.spec.CheckpointIntervalS <= 0 {
 			t.Lost = ran
 		}
 	}
@@ -126,16 +126,16 @@
 // roomElsewhere tells whether a job's task would find room on another machine now; the tasks
 // of a job that stays together, in its zone.
 func (c *Core) roomElsewhere(from *machine, j *job) bool {
-	return slices.ContainsFunc(c.live, func(m *machine) bool {
-		return m != from && c.open(m) && j.allows(m.typ, m.zone, m.spot) && j.size.Within(m.free) && (!j.spec.OneZone || m.zone == from.zone)
+	return slices.ContainsFunc(c.liveMachines, func(m *machine) bool {
+		return m != from && c.accepts(m) && j.allows(m.typ, m.zone, m.spot) && j.size.Within(m.free) && (!j.spec.Gang || m.zone == from.zone)
 	})
 }
 
 // replacement is a machine that was hired ahead, as a plan sees it.
-func (c *Core) replacement(m *machine) drain.Replacement {
-	r := drain.Replacement{Name: m.name, Failed: m.state == machineGone || m.state == machineDeleting || m.quarantine}
-	if c.open(m) && m.begun > 0 {
-		r.Healthy = max(1, c.now-m.begun)
+func (c *Core) replacement(m *machine) rollout.Replacement {
+	r := rollout.Replacement{Name: m.name, Failed: m.state == machineGone || m.state == machineDeleting || m.quarantined}
+	if c.accepts(m) && m.epochSeenAt > 0 {
+		r.Healthy = max(1, c.now-m.epochSeenAt)
 	}
 	return r
 }
--- a/internal/scheduler/drains.go
+++ b/internal/scheduler/drains.go
@@ -7,34 +7,34 @@
 	"slices"
 	"time"
 
-	"leadproxy/internal/drain"
 	"leadproxy/internal/ledger"
+	"leadproxy/internal/rollout"
 )
 
 // Plans that drain machines. What they decide is in package drain; here it is told what
 // happens, and what it wants is carried out.
 
-// drainEvery is how often plans go on.
-const drainEvery = time.Second
+// evictionInterval is how often plans go on.
+const evictionInterval = time.Second
 
 // keptPlans is how many plans that have ended are kept to be looked at.
 const keptPlans = 20
 
-// drains are the plans of a term; without an account there are none.
-type drains struct {
-	account *drain.Account
-	plans   map[string]*plan
-	next    time.Duration
-	turn    int // which plan goes on first
-	// hired is what requests for replacements have brought.
-	hired map[string][]string
+// evictionState are the plans of a term; without an account there are none.
+type evictionState struct {
+	disruptions *rollout.Account
+	plans       map[string]*plan
+	next        time.Duration
+	turn        int // which plan goes on first
+	// rented is what requests for replacements have brought.
+	rented map[string][]string
 	// noted are the disrupted jobs that the log tells of.
-	noted map[string]drain.Entry
+	noted map[string]rollout.Entry
 }
 
 // plan is one plan under way.
 type plan struct {
-	rollout *drain.Rollout
+	rollout *rollout.Rollout
 	written uint64 // the generation that is being written
 	waiting []planWaiter
 	tooLong bool // its record does not fit a value
@@ -57,26 +57,26 @@
 
 // The errors of commands about plans.
 var (
-	errNoDrains   = errors.New("draining is not enabled in the settings")
-	errNoPlan     = errors.New("there is no plan of that name")
-	errPlanExists = errors.New("there is a plan of that name")
+	errEvictionDisabled = errors.New("draining is not enabled in the settings")
+	errNoPlan           = errors.New("there is no plan of that name")
+	errPlanExists       = errors.New("there is a plan of that name")
 )
 
-// restoreDrains goes on with the plans of the ledger, after the jobs and machines.
-func (c *Core) restoreDrains(records []drain.Record) {
+// restoreEvictions goes on with the plans of the ledger, after the jobs and machines.
+func (c *Core) restoreEvictions(records []rollout.Record) {
 	if !c.cfg.Operator.Drain.Enabled {
 		return
 	}
-	c.drains.account, c.drains.plans = drain.NewAccount(c.cfg.Operator.Drain.Budgets), map[string]*plan{}
+	c.evictions.disruptions, c.evictions.plans = rollout.NewAccount(c.cfg.Operator.Drain.Budgets), map[string]*plan{}
 	for _, r := range records {
-		c.drains.plans[r.Spec.Name] = &plan{rollout: drain.NewRollout(r, c.drains.account, c.taskIsDone, c.now, c.wall)}
+		c.evictions.plans[r.Spec.Name] = &plan{rollout: rollout.NewRollout(r, c.evictions.disruptions, c.taskIsDone, c.now, c.wall)}
 	}
 	c.cordon()
 }
 
 // taskIsDone tells whether a task has ended, by the ledger.
 func (c *Core) taskIsDone(ref string, n int) bool {
-	i, ok := c.jobIndex[ref]
+	i, ok := c.jobIndexByID[ref]
 	if !ok {
 		return true
 	}
@@ -85,49 +85,49 @@
 }
 
 // accountOf is a job as the account sees it.
-func accountOf(j *job) drain.Job {
-	return drain.Job{Ref: j.ref, Team: j.spec.Team, Class: j.spec.Class}
+func accountOf(j *job) rollout.Job {
+	return rollout.Job{Ref: j.id, Team: j.spec.Team, Class: j.spec.Class}
 }
 
 // displaced charges a task that has lost its place. saved: its progress was saved.
-func (c *Core) displaced(m *machine, b *booking, saved bool, why string) {
+func (c *Core) displaced(m *machine, b *allocation, saved bool, why string) {
 	j := c.jobs[b.job]
-	if c.drains.account == nil || j.over() || j.spec == nil || b.ranSince == 0 && !b.moving {
+	if c.evictions.disruptions == nil || j.over() || j.spec == nil || b.runningSince == 0 && !b.moving {
 		return
 	}
-	cause := drain.Cause(why)
+	cause := rollout.Cause(why)
 	switch {
 	case b.moving:
-		cause = drain.Move
-	case m.noticeAt > 0:
+		cause = rollout.Move
+	case m.terminationAt > 0:
 		cause = "the cloud takes its machine back"
 	}
 	lost := time.Duration(0)
-	if !saved && b.ranSince > 0 {
-		lost = c.now - b.ranSince
+	if !saved && b.runningSince > 0 {
+		lost = c.now - b.runningSince
 	}
-	c.drains.account.Lose(accountOf(j), int(b.task), lost, cause, c.now)
+	c.evictions.disruptions.Lose(accountOf(j), int(b.task), lost, cause, c.now)
 }
 
 // taskRuns tells the account that a task runs.
-func (c *Core) taskRuns(b *booking) {
-	if c.drains.account != nil {
-		c.drains.account.Runs(c.jobs[b.job].ref, int(b.task), c.now)
+func (c *Core) taskRuns(b *allocation) {
+	if c.evictions.disruptions != nil {
+		c.evictions.disruptions.Runs(c.jobs[b.job].id, int(b.task), c.now)
 	}
 }
 
-// drainTick has all plans go on, beginning with another one each time.
-func (c *Core) drainTick() {
-	d := &c.drains
-	if d.account == nil || c.now < d.next {
+// evictionTick has all plans go on, beginning with another one each time.
+func (c *Core) evictionTick() {
+	d := &c.evictions
+	if d.disruptions == nil || c.now < d.next {
 		return
 	}
-	d.next = c.now + drainEvery
-	d.account.Tick(c.now)
+	d.next = c.now + evictionInterval
+	d.disruptions.Tick(c.now)
 	c.logDisruptions()
 	names := c.planNames()
 	for i := range names {
-		c.goOn(names[(i+d.turn)%len(names)])
+		c.advancePlans(names[(i+d.turn)%len(names)])
 	}
 	d.turn++
 	c.cordon()
@@ -136,38 +136,38 @@
 
 // logDisruptions logs the beginning and the end of each job's disruption.
 func (c *Core) logDisruptions() {
-	noted := map[string]drain.Entry{}
-	for _, e := range c.drains.account.Entries(c.now) {
+	noted := map[string]rollout.Entry{}
+	for _, e := range c.evictions.disruptions.Entries(c.now) {
 		if !e.Open {
 			continue
 		}
 		noted[e.Job.Ref] = e
-		if _, known := c.drains.noted[e.Job.Ref]; !known {
+		if _, known := c.evictions.noted[e.Job.Ref]; !known {
 			c.log.Info("job is disrupted", "job", e.Job.Ref, "team", e.Job.Team, "class", e.Job.Class, "cause", e.Cause, "seconds", e.For.Seconds())
 		}
 	}
-	for ref, e := range c.drains.noted {
+	for ref, e := range c.evictions.noted {
 		if _, open := noted[ref]; !open {
 			c.log.Info("job is whole again", "job", ref, "team", e.Job.Team, "class", e.Job.Class, "cause", e.Cause)
 		}
 	}
-	c.drains.noted = noted
+	c.evictions.noted = noted
 }
 
 // planNames lists the plans in the order of their creation.
 func (c *Core) planNames() []string {
-	names := slices.Collect(maps.Keys(c.drains.plans))
+	names := slices.Collect(maps.Keys(c.evictions.plans))
 	slices.SortFunc(names, func(a, b string) int {
-		x, _ := c.drains.plans[a].rollout.Record()
-		y, _ := c.drains.plans[b].rollout.Record()
+		x, _ := c.evictions.plans[a].rollout.Record()
+		y, _ := c.evictions.plans[b].rollout.Record()
 		return cmp.Or(cmp.Compare(x.CreatedMS, y.CreatedMS), cmp.Compare(a, b))
 	})
 	return names
 }
 
-// goOn has one plan go on: what it wants is done, or its record is written first.
-func (c *Core) goOn(name string) {
-	p := c.drains.plans[name]
+// advancePlans has one plan go on: what it wants is done, or its record is written first.
+func (c *Core) advancePlans(name string) {
+	p := c.evictions.plans[name]
 	before, _ := p.rollout.Record()
 	for _, act := range p.rollout.Step(c.planView(p)) {
 		c.carryOutPlan(act)
@@ -191,7 +191,7 @@
 // planDurable notes that a plan's record is durable. Who waits for that is answered, and
 // what it allows comes with the next step.
 func (c *Core) planDurable(t planTag) {
-	p := c.drains.plans[t.name]
+	p := c.evictions.plans[t.name]
 	if p == nil {
 		return
 	}
@@ -202,22 +202,22 @@
 			still = append(still, w)
 			continue
 		}
-		c.emit(PlanAnswer{To: w.to})
+		c.emit(PlanReply{ReplyTo: w.to})
 	}
 	p.waiting = still
-	c.drains.next = 0
+	c.evictions.next = 0
 }
 
 // dropOldPlans forgets plans that have ended, the oldest ones first.
 func (c *Core) dropOldPlans() {
 	var ended []string
 	for _, name := range c.planNames() {
-		if r, _ := c.drains.plans[name].rollout.Record(); r.Phase.Over() && len(r.Moves) == 0 && c.drains.plans[name].rollout.Durable() {
+		if r, _ := c.evictions.plans[name].rollout.Record(); r.Phase.Over() && len(r.Moves) == 0 && c.evictions.plans[name].rollout.Durable() {
 			ended = append(ended, name)
 		}
 	}
 	for _, name := range ended[:max(0, len(ended)-keptPlans)] {
-		delete(c.drains.plans, name)
+		delete(c.evictions.plans, name)
 		c.put(ledger.Write{Key: ledger.PlanKey(name)})
 	}
 }
@@ -225,7 +225,7 @@
 // planRejected notes that a plan's record does not fit a value: the plan stands still until
 // it is aborted.
 func (c *Core) planRejected(t planTag) {
-	if p := c.drains.plans[t.name]; p != nil {
+	if p := c.evictions.plans[t.name]; p != nil {
 		p.tooLong = true
 		c.log.Error("the record of a plan takes more than a value may hold", "plan", t.name)
 	}
--- a/internal/scheduler/drains_test.go
+++ b/internal/scheduler/drains_test.go
@@ -6,40 +6,40 @@
 	"testing"
 	"time"
 
-	"leadproxy/internal/drain"
 	"leadproxy/internal/ledger"
+	"leadproxy/internal/rollout"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/wire"
 )
 
 // newDrainStage begins a term that carries plans out, with one in the ledger unless it is
 // nil.
-func newDrainStage(t tester, r *drain.Record) *stage {
+func newDrainStage(t tester, r *rollout.Record) *stage {
 	operator := settings.Defaults()
-	operator.Drain = settings.Drain{Enabled: true, Budgets: drain.Budgets{General: drain.Budget{Jobs: 1, Window: time.Second}}}
+	operator.Drain = settings.Drain{Enabled: true, Budgets: rollout.Budgets{General: rollout.Budget{Jobs: 1, Window: time.Second}}}
 	var s ledger.Snapshot
 	if r != nil {
-		s.Plans = []drain.Record{*r}
+		s.Plans = []rollout.Record{*r}
 	}
 	return newStageAt(t, time.Hour, testConfig(operator, settings.Team{Name: "t"}), s)
 }
 
-func somePlan(phase drain.Phase, batch ...string) *drain.Record {
-	return &drain.Record{Version: drain.RecordVersion, CreatedMS: time.Hour.Milliseconds(), PhaseMS: time.Hour.Milliseconds(), Phase: phase, Step: 1, Batch: batch,
-		Spec: drain.Spec{Name: "winter", Types: []string{"m4"}, Canary: 1, Batch: 1, WaitS: 100, HealthS: 100}}
+func somePlan(phase rollout.Phase, batch ...string) *rollout.Record {
+	return &rollout.Record{Version: rollout.RecordVersion, CreatedMS: time.Hour.Milliseconds(), PhaseMS: time.Hour.Milliseconds(), Phase: phase, Step: 1, Batch: batch,
+		Spec: rollout.Spec{Name: "winter", Types: []string{"m4"}, Canary: 1, Batch: 1, WaitS: 100, HealthS: 100}}
 }
 
 // written is the plan's record as it was last written.
-func (g *stage) written() drain.Record {
-	r, _ := g.writes[ledger.PlanKey("winter")].Value.(drain.Record)
+func (g *stage) written() rollout.Record {
+	r, _ := g.writes[ledger.PlanKey("winter")].Value.(rollout.Record)
 	return r
 }
 
 // answerTo is what a command about a plan is answered.
-func (g *stage) answer(e PlanAsked) error {
-	e.To = recipient("operator")
+func (g *stage) answer(e PlanRequest) error {
+	e.ReplyTo = recipient("operator")
 	g.step(e)
-	a, ok := last[PlanAnswer](g)
+	a, ok := last[PlanReply](g)
 	if !ok {
 		return errors.New("not answered")
 	}
@@ -50,40 +50,40 @@
 // took it for one that boots, and waited until that was given up, longer than leaders
 // lasted.
 func TestMachineOfABatchThatNobodyKnows(t *testing.T) {
-	g := newDrainStage(t, somePlan(drain.Draining, "vm-9"))
+	g := newDrainStage(t, somePlan(rollout.Draining, "vm-9"))
 	g.wait(10 * time.Second)
 	g.want("machines", len(g.c.machines), 0)
 	g.want("written before all can have been heard of", g.puts, 0)
 	g.wait(30 * time.Second)
 	r := g.written()
-	g.want("the plan", []any{r.Phase, r.Drained, len(g.c.machines)}, []any{drain.Finished, 1, 0})
+	g.want("the plan", []any{r.Phase, r.Drained, len(g.c.machines)}, []any{rollout.Finished, 1, 0})
 }
 
 // TestCommandsAreAnsweredWhenDurable: a plan that is begun counts once it is written, and
 // what makes no sense is refused at once.
 func TestCommandsAreAnsweredWhenDurable(t *testing.T) {
 	g := newDrainStage(t, nil)
-	spec := somePlan(drain.Choosing).Spec
-	if err := g.answer(PlanAsked{Spec: &spec}); err == nil || !strings.Contains(err.Error(), "no machine") {
+	spec := somePlan(rollout.Choosing).Spec
+	if err := g.answer(PlanRequest{Spec: &spec}); err == nil || !strings.Contains(err.Error(), "no machine") {
 		t.Errorf("no machine is there: %v", err)
 	}
 	g.up("vm-1")
 	g.held = true
-	g.step(PlanAsked{Spec: &spec, To: recipient("operator")})
-	g.want("durable", g.c.drains.plans["winter"].rollout.Durable(), false)
+	g.step(PlanRequest{Spec: &spec, ReplyTo: recipient("operator")})
+	g.want("durable", g.c.evictions.plans["winter"].rollout.Durable(), false)
 	g.release()
-	answer, _ := last[PlanAnswer](g)
+	answer, _ := last[PlanReply](g)
 	g.want("answer once durable", answer.Err, nil)
-	if err := g.answer(PlanAsked{Spec: &spec}); !errors.Is(err, errPlanExists) {
+	if err := g.answer(PlanRequest{Spec: &spec}); !errors.Is(err, errPlanExists) {
 		t.Error(err)
 	}
-	if err := g.answer(PlanAsked{Name: "summer", Command: drain.Pause}); !errors.Is(err, errNoPlan) {
+	if err := g.answer(PlanRequest{Name: "summer", Command: rollout.Pause}); !errors.Is(err, errNoPlan) {
 		t.Error(err)
 	}
-	g.want("paused", g.answer(PlanAsked{Name: "winter", Command: drain.Pause}), nil)
+	g.want("paused", g.answer(PlanRequest{Name: "winter", Command: rollout.Pause}), nil)
 	g.want("written", g.written().Paused, true)
-	off := newStage(t, ledger.Snapshot{Plans: []drain.Record{*somePlan(drain.Choosing)}})
-	if err := off.answer(PlanAsked{Name: "winter", Command: drain.Pause}); !errors.Is(err, errNoDrains) {
+	off := newStage(t, ledger.Snapshot{Plans: []rollout.Record{*somePlan(rollout.Choosing)}})
+	if err := off.answer(PlanRequest{Name: "winter", Command: rollout.Pause}); !errors.Is(err, errEvictionDisabled) {
 		t.Error(err)
 	}
 }
@@ -94,15 +94,15 @@
 	g := newDrainStage(t, nil)
 	g.up("vm-1")
 	job := newTestJob("job-1", 1, 1)
-	job.CheckpointS, job.SaveS, job.EstimateS = 10, 7, 1000
+	job.CheckpointIntervalS, job.CheckpointDurationS, job.EstimatedRunS = 10, 7, 1000
 	g.submit(job)
 	o := g.starts()[0]
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	g.now += time.Minute
 	running := taskIn(o, wire.TaskRunning, "")
 	g.report(g.reportOf("vm-1", ours, running))
-	spec := somePlan(drain.Choosing).Spec
-	g.want("begun", g.answer(PlanAsked{Spec: &spec}), nil)
+	spec := somePlan(rollout.Choosing).Spec
+	g.want("begun", g.answer(PlanRequest{Spec: &spec}), nil)
 	for range 4 {
 		g.wait(2 * time.Second)
 		g.echo("vm-1", running)
@@ -119,8 +119,8 @@
 	g.release()
 	g.wait(time.Second)
 	g.want("stops", len(g.start), 1)
-	stop := g.start[0].Commands.Orders[0]
-	g.want("the stop", []any{stop.Verb, stop.Attempt, *stop.GraceS}, []any{wire.Stop, o.Attempt, 7.0})
+	stop := g.start[0].Request.Commands[0]
+	g.want("the stop", []any{stop.Verb, stop.Attempt, *stop.GracePeriodS}, []any{wire.VerbStop, o.Attempt, 7.0})
 }
 
 // TestNoticeWhileDraining: the cloud takes a machine back that a plan is emptying. What that
@@ -129,13 +129,13 @@
 	g := newDrainStage(t, nil)
 	g.up("vm-1")
 	g.up("vm-2")
-	var running []wire.TaskReport
+	var running []wire.TaskStatus
 	for _, ref := range []string{"job-1", "job-2"} {
 		job := newTestJob(ref, 1, 3)
-		job.CheckpointS, job.SaveS, job.EstimateS = 10, 1, 10000
+		job.CheckpointIntervalS, job.CheckpointDurationS, job.EstimatedRunS = 10, 1, 10000
 		g.submit(job)
 		running = append(running, taskIn(g.starts()[0], wire.TaskRunning, ""))
-		g.settle(DirectDone)
+		g.settle(CommandExecuted)
 	}
 	machines := []string{"vm-1", "vm-2"}
 	if g.c.jobs[0].hosts[0].machine != g.c.machineNamed("vm-1").index {
@@ -152,26 +152,26 @@
 		report()
 	}
 	g.start = nil
-	notice := g.reportOf(machines[0], g.c.machineNamed(machines[0]).token, running[0])
+	notice := g.reportOf(machines[0], g.c.machineNamed(machines[0]).fencingToken, running[0])
 	seconds := 60.0
-	notice.NoticeS = &seconds
+	notice.TerminationNoticeS = &seconds
 	g.report(notice)
 	stopped := running[0]
-	stopped.Status, stopped.Why, stopped.Saved = wire.TaskEnded, wire.WhyStopped, true
+	stopped.Status, stopped.ExitReason, stopped.CheckpointSaved = wire.TaskEnded, wire.ExitStopped, true
 	g.echo(machines[0], stopped)
-	entries := g.c.drains.account.Entries(g.now)
-	if len(entries) != 1 || entries[0].Job.Ref != "job-1" || entries[0].Cause == drain.Move {
+	entries := g.c.evictions.disruptions.Entries(g.now)
+	if len(entries) != 1 || entries[0].Job.Ref != "job-1" || entries[0].Cause == rollout.Move {
 		t.Fatalf("%+v", entries)
 	}
 	g.start = nil
-	spec := drain.Spec{Name: "winter", Machines: []string{machines[1]}, Canary: 1, Batch: 1, WaitS: 100, HealthS: 100}
-	g.want("begun", g.answer(PlanAsked{Spec: &spec}), nil)
+	spec := rollout.Spec{Name: "winter", Machines: []string{machines[1]}, Canary: 1, Batch: 1, WaitS: 100, HealthS: 100}
+	g.want("begun", g.answer(PlanRequest{Spec: &spec}), nil)
 	g.wait(3 * time.Second)
 	g.want("moves while the budget is used up", len(g.written().Moves), 0)
-	g.want("what it waits for", strings.Contains(strings.Join(g.c.drains.plans["winter"].rollout.Waits(), " "), "room for it elsewhere"), true)
+	g.want("what it waits for", strings.Contains(strings.Join(g.c.evictions.plans["winter"].rollout.Waits(), " "), "room for it elsewhere"), true)
 	g.echo(machines[1], running[1])
 	g.wait(28 * time.Second)
 	g.echo(machines[1], running[1])
 	g.wait(4 * time.Second)
-	g.want("what it waits for in the end", strings.Join(g.c.drains.plans["winter"].rollout.Waits(), " "), "job-2/0 on "+machines[1]+": the budget of team t: 1 of 1 jobs")
+	g.want("what it waits for in the end", strings.Join(g.c.evictions.plans["winter"].rollout.Waits(), " "), "job-2/0 on "+machines[1]+": the budget of team t: 1 of 1 jobs")
 }
--- a/internal/scheduler/echo.go
+++ b/internal/scheduler/echo.go
@@ -6,21 +6,21 @@
 	"leadproxy/internal/wire"
 )
 
-// unheard notes a sign that a machine does not hear us: it gets no work until
+// markUnacknowledged notes a sign that a machine does not hear us: it gets no work until
 // it has echoed a higher token. That its reports come in shows nothing.
-func (c *Core) unheard(m *machine) {
-	m.token++
-	m.raisedAt, m.doubted = c.now, true
-	c.touch(m)
+func (c *Core) markUnacknowledged(m *machine) {
+	m.fencingToken++
+	m.tokenRaisedAt, m.unacknowledged = c.now, true
+	c.indexChanged(m)
 }
 
-// raiseToken raises a machine's token now and then: the worker's next report echoes
+// raiseFencingToken raises a machine's token now and then: the worker's next report echoes
 // it if the answer has arrived. Not while a command is on its way there, which
 // would then be refused.
-func (c *Core) raiseToken(m *machine) {
-	if m.known(c.term) && m.directs == 0 && m.echo >= m.token && c.now-m.raisedAt >= c.leaseTime/4 {
-		m.token++
-		m.raisedAt = c.now
+func (c *Core) raiseFencingToken(m *machine) {
+	if m.trusted(c.term) && m.commandsInFlight == 0 && m.acknowledgedToken >= m.fencingToken && c.now-m.tokenRaisedAt >= c.agentLease/4 {
+		m.fencingToken++
+		m.tokenRaisedAt = c.now
 	}
 }
 
@@ -32,53 +32,53 @@
 	maxInspects  = 32
 )
 
-// staleReport looks into a report that is older than what we know: mostly a
+// inspectStaleSender looks into a report that is older than what we know: mostly a
 // late copy, but a worker that has truly begun anew counts from 1 again, and
 // must not be taken for a copy for ever.
-func (c *Core) staleReport(m *machine, r *wire.Report) {
-	wait := min(inspectEvery<<min(m.copies, 8), c.leaseTime)
-	if r.Address == "" || m.inspecting || c.inspects >= maxInspects || c.now-m.inspected < wait && m.inspected > 0 {
+func (c *Core) inspectStaleSender(m *machine, r *wire.Heartbeat) {
+	wait := min(inspectEvery<<min(m.staleHeartbeats, 8), c.agentLease)
+	if r.Address == "" || m.inspecting || c.inspectionsInFlight >= maxInspects || c.now-m.lastInspection < wait && m.lastInspection > 0 {
 		return
 	}
-	c.inspects++
-	m.inspecting, m.inspected = true, c.now
-	m.askedAt = stamp{m.session, m.seq}
-	c.emit(Inspect{Machine: m.name, Address: r.Address})
+	c.inspectionsInFlight++
+	m.inspecting, m.lastInspection = true, c.now
+	m.inspectedAt = heartbeatPosition{m.agentEpoch, m.heartbeatSequence}
+	c.emit(InspectWorker{Machine: m.name, Address: r.Address})
 }
 
-// inspectBack takes what a worker has said of itself after we had asked. If
+// inspectResult takes what a worker has said of itself after we had asked. If
 // that is older than what we had from it before we asked, it has begun anew.
-func (c *Core) inspectBack(e InspectBack) {
+func (c *Core) inspectResult(e InspectResult) {
 	m := c.machineNamed(e.Machine)
 	m.inspecting = false
-	c.inspects--
-	r := e.Report
-	if r == nil || r.Machine != m.name || m.state == machineGone || r.Token>>tokenBits > c.term {
+	c.inspectionsInFlight--
+	r := e.Heartbeat
+	if r == nil || r.Machine != m.name || m.state == machineGone || r.FencingToken>>tokenBits > c.term {
 		return
 	}
-	if anew := (stamp{r.Session, r.Seq}).before(m.askedAt); !anew {
-		m.copies++
+	if anew := (heartbeatPosition{r.AgentEpoch, r.Sequence}).before(m.inspectedAt); !anew {
+		m.staleHeartbeats++
 	} else {
-		m.copies = 0
-		c.log.Info("worker counts from the beginning again", "machine", m.name, "session", r.Session, "bookings", len(m.bookings))
+		m.staleHeartbeats = 0
+		c.log.Info("worker counts from the beginning again", "machine", m.name, "session", r.AgentEpoch, "bookings", len(m.allocations))
 		there := map[uint64]bool{}
 		for _, t := range r.Tasks {
 			there[t.Attempt] = true
 		}
-		for k := len(m.bookings) - 1; k >= 0; k-- {
+		for k := len(m.allocations) - 1; k >= 0; k-- {
 			// A command on its way to the worker that was may yet be executed
 			// by the one that is.
-			if b := m.bookings[k]; m.pending[b.attempt] == 0 && !there[b.attempt] {
+			if b := m.allocations[k]; m.unresolvedStarts[b.attempt] == 0 && !there[b.attempt] {
 				c.release(m, b)
 			}
 		}
-		m.session, m.seq, m.over, m.echo, m.begun = r.Session, 0, 0, 0, c.now
-		c.unheard(m)
+		m.agentEpoch, m.heartbeatSequence, m.expiredEpoch, m.acknowledgedToken, m.epochSeenAt = r.AgentEpoch, 0, 0, 0, c.now
+		c.markUnacknowledged(m)
 		// A late report of the life that is over looks newer than all that comes
 		// from now on.
-		m.floor = m.token
-		for a := range m.pending {
-			m.pending[a] = m.token
+		m.minAcceptedToken = m.fencingToken
+		for a := range m.unresolvedStarts {
+			m.unresolvedStarts[a] = m.fencingToken
 		}
 	}
 	c.observe(m, r, false)
--- a/internal/scheduler/fair.go
+++ b/internal/scheduler/fair.go
@@ -25,32 +25,32 @@
 
 // placeAged starts the first tasks of jobs that have waited too long.
 func (c *Core) placeAged(queue []*job, uncertain []units) {
-	c.placeHeld(uncertain)
+	c.placeReserved(uncertain)
 	var aged []*job
 	for _, j := range queue {
-		if !j.begun && j.booked == 0 && j.held == nil && c.now-j.arrived >= agedAfter {
+		if !j.startedOnce && j.booked == 0 && j.reservedMachine == nil && c.now-j.arrived >= agedAfter {
 			aged = append(aged, j)
 		}
 	}
 	slices.SortStableFunc(aged, func(a, b *job) int { return cmp.Compare(a.arrived, b.arrived) })
 	for _, j := range aged {
 		if c.placeJob(j, uncertain, func(placed int) bool { return placed == 0 }) == 0 && c.withinLimit(j, uncertain) {
-			c.hold(j)
+			c.reserve(j)
 		}
 	}
 }
 
-// hold keeps the machine free for a job's first task on which the least is left
+// reserve keeps the machine free for a job's first task on which the least is left
 // to do.
-func (c *Core) hold(j *job) {
-	if len(c.holders) > 0 && len(c.holders) >= len(c.live)/heldPart || j.sought > 0 && c.now-j.sought < time.Second {
+func (c *Core) reserve(j *job) {
+	if len(c.reservingJobs) > 0 && len(c.reservingJobs) >= len(c.liveMachines)/heldPart || j.reservationSoughtAt > 0 && c.now-j.reservationSoughtAt < time.Second {
 		return
 	}
-	j.sought = c.now
+	j.reservationSoughtAt = c.now
 	var best *machine
 	least := 0.0
-	for _, m := range c.live {
-		if !m.isOpen || m.held || !j.allows(m.typ, m.zone, m.spot) || j.failedOn[m.index] || !j.size.Within(m.total) {
+	for _, m := range c.liveMachines {
+		if !m.schedulable || m.reserved || !j.allows(m.typ, m.zone, m.spot) || j.failedOn[m.index] || !j.size.Within(m.total) {
 			continue
 		}
 		if left := c.busy(m); best == nil || left < least {
@@ -60,23 +60,23 @@
 	if best == nil {
 		return
 	}
-	c.log.Info("machine kept free for a job that has waited long", "machine", best.name, "job", j.ref, "waited", (c.now - j.arrived).Seconds(), "core_seconds_left", least)
-	best.held, j.held = true, best
-	c.holders = append(c.holders, j)
+	c.log.Info("machine kept free for a job that has waited long", "machine", best.name, "job", j.id, "waited", (c.now - j.arrived).Seconds(), "core_seconds_left", least)
+	best.reserved, j.reservedMachine = true, best
+	c.reservingJobs = append(c.reservingJobs, j)
 	c.refresh(best)
 }
 
-// placeHeld starts the jobs whose machine has become free enough, and gives up
+// placeReserved starts the jobs whose machine has become free enough, and gives up
 // what is no longer to be kept.
-func (c *Core) placeHeld(uncertain []units) {
-	c.holders = slices.DeleteFunc(c.holders, func(j *job) bool {
-		m := j.held
-		waits := !j.begun && j.booked == 0 && j.placeable(c.now)
-		if waits && m.isOpen && !j.size.Within(m.free) {
+func (c *Core) placeReserved(uncertain []units) {
+	c.reservingJobs = slices.DeleteFunc(c.reservingJobs, func(j *job) bool {
+		m := j.reservedMachine
+		waits := !j.startedOnce && j.booked == 0 && j.placeable(c.now)
+		if waits && m.schedulable && !j.size.Within(m.free) {
 			return false
 		}
-		m.held, j.held = false, nil
-		if waits && m.isOpen && c.withinLimit(j, uncertain) {
+		m.reserved, j.reservedMachine = false, nil
+		if waits && m.schedulable && c.withinLimit(j, uncertain) {
 			c.startOn(j, m)
 		}
 		c.refresh(m)
@@ -88,7 +88,7 @@
 // of the open cores.
 func (c *Core) placeUnderserved(queue []*job, uncertain []units) {
 	classes, teams := map[int32]bool{}, map[int32]bool{}
-	for _, j := range c.active {
+	for _, j := range c.activeJobs {
 		if !j.over() && !j.blocked() {
 			classes[j.class], teams[j.team] = true, true
 		}
@@ -99,21 +99,21 @@
 	part := reservedPart * c.openCores
 	for _, j := range queue {
 		c.placeJob(j, uncertain, func(int) bool {
-			class := c.classUse[j.class]+j.size.CPUs <= part/float64(len(classes))
+			class := c.coresByClass[j.class]+j.size.CPUs <= part/float64(len(classes))
 			team := float64(c.teams[j.team].booked.cpus)/perUnit+j.size.CPUs <= part/float64(len(teams))
 			return class || team
 		})
 	}
 }
 
-// turn ranks jobs of one priority: first those that have waited longer than
+// ageBucket ranks jobs of one priority: first those that have waited longer than
 // every job should, so that each gets its turn, the longer the sooner; then those
 // that can meet their deadline; then those that can't any more.
-func (c *Core) turn(j *job) time.Duration {
+func (c *Core) ageBucket(j *job) time.Duration {
 	switch age := c.now - j.arrived; {
 	case age >= beginWithin:
 		return -age
-	case j.due != never && j.due-c.now < c.expectedRun(j):
+	case j.deadline != never && j.deadline-c.now < c.expectedRun(j):
 		return turnLate
 	}
 	return turnInTime
--- a/internal/scheduler/fleet.go
+++ b/internal/scheduler/fleet.go
@@ -3,7 +3,7 @@
 import (
 	"time"
 
-	"leadproxy/internal/fleet"
+	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/slowfit"
 	"leadproxy/internal/wire"
@@ -11,83 +11,83 @@
 
 // The times of the fleet's routine.
 const (
-	typesEvery   = 30 * time.Second
-	listEvery    = 4 * time.Second
-	planEvery    = 500 * time.Millisecond
-	refusedFirst = 8 * time.Second
-	refusedMost  = 30 * time.Second
-	minRental    = 60 * time.Second // a machine is charged for this long at least
-	maxOpenHires = 8
-	maxCalls     = 4 // for one offer at once
+	typesEvery       = 30 * time.Second
+	listEvery        = 4 * time.Second
+	planEvery        = 500 * time.Millisecond
+	refusedFirst     = 8 * time.Second
+	refusedMost      = 30 * time.Second
+	minRental        = 60 * time.Second // a machine is charged for this long at least
+	maxOpenScaleOuts = 8
+	maxCalls         = 4 // for one offer at once
 )
 
-// fleetState is what the leader knows of the cloud and of its own demand.
-type fleetState struct {
-	offers    map[fleet.Offer]*offerState
-	hires     map[string]*hire
-	hireCount uint64
-	nextList  time.Duration
-	nextTypes time.Duration
-	nextPlan  time.Duration
-	listing   bool
-	typing    bool
-	streams   []fleet.Stream // by class
-	limited   []fleet.Stream // by team, only of those with a limit
-	ratios    []float64      // by class, of run times to estimates; 0: not learned yet
-	deletes   []string       // to be asked for at the end of the step
-	sizes     []sized        // of the demand, the one with most core-seconds first
+// autoscaling is what the leader knows of the cloud and of its own demand.
+type autoscaling struct {
+	pools         map[autoscaler.CapacityPool]*poolState
+	scaleOuts     map[string]*scaleOut
+	scaleOutCount uint64
+	nextList      time.Duration
+	nextTypes     time.Duration
+	nextPlan      time.Duration
+	listing       bool
+	readingTypes  bool
+	demand        []autoscaler.DemandEstimator // by class
+	limitedDemand []autoscaler.DemandEstimator // by team, only of those with a limit
+	runRatios     []float64                    // by class, of run times to estimates; 0: not learned yet
+	deletes       []string                     // to be asked for at the end of the step
+	sizes         []sized                      // of the demand, the one with most core-seconds first
 }
 
-type offerState struct {
-	blockedUntil time.Duration
-	backoff      time.Duration
-	full         int // hires in a row that were filled
+type poolState struct {
+	blockedUntil  time.Duration
+	backoff       time.Duration
+	fillsRequests int // hires in a row that were filled
 }
 
-// most is how many machines of an offer may be asked for at once: one call's
+// maxCount is how many machines of an offer may be asked for at once: one call's
 // worth at first, more once the cloud has filled some.
-func (o *offerState) most() int { return min(1+o.full, maxCalls) * fleet.MaxHire }
+func (o *poolState) maxCount() int { return min(1+o.fillsRequests, maxCalls) * autoscaler.MaxScaleOut }
 
-func (f *fleetState) begin() {
-	f.offers = map[fleet.Offer]*offerState{}
-	f.hires = map[string]*hire{}
+func (f *autoscaling) begin() {
+	f.pools = map[autoscaler.CapacityPool]*poolState{}
+	f.scaleOuts = map[string]*scaleOut{}
 }
 
-func (f *fleetState) offer(o fleet.Offer) *offerState {
-	if f.offers[o] == nil {
-		f.offers[o] = &offerState{}
+func (f *autoscaling) pool(o autoscaler.CapacityPool) *poolState {
+	if f.pools[o] == nil {
+		f.pools[o] = &poolState{}
 	}
-	return f.offers[o]
+	return f.pools[o]
 }
 
-// fleetTick runs the routine: reading the cloud, returning, hiring.
-func (c *Core) fleetTick() {
-	f := &c.fleet
-	if !f.typing && c.now >= f.nextTypes {
-		f.typing = true
-		c.emit(CallCloud{fleet.Call{Types: true}})
+// autoscalingTick runs the routine: reading the cloud, returning, hiring.
+func (c *Core) autoscalingTick() {
+	f := &c.autoscaling
+	if !f.readingTypes && c.now >= f.nextTypes {
+		f.readingTypes = true
+		c.emit(CallCloud{autoscaler.Call{Types: true}})
 	}
 	if !f.listing && c.now >= f.nextList {
 		f.listing = true
-		c.emit(CallCloud{fleet.Call{List: true}})
+		c.emit(CallCloud{autoscaler.Call{List: true}})
 	}
-	for _, h := range f.hires {
+	for _, h := range f.scaleOuts {
 		if h.open && !h.sent && h.retry > 0 && c.now >= h.retry {
-			c.sendHire(h)
+			c.sendScaleOut(h)
 		}
 	}
 	if c.now < f.nextPlan || len(c.types) == 0 {
 		return
 	}
 	f.nextPlan = c.now + planEvery
-	c.returnMachines()
-	c.hireMachines()
+	c.scaleIn()
+	c.scaleOutMachines()
 }
 
-func (c *Core) cloudBack(r fleet.Result) {
+func (c *Core) cloudResult(r autoscaler.Result) {
 	switch {
-	case r.Call.Hire != nil:
-		c.hireBack(r)
+	case r.Call.ScaleOut != nil:
+		c.scaleOutResult(r)
 	case r.Call.Delete != nil:
 		for _, name := range r.Call.Delete {
 			if m := c.machineNamed(name); r.Err == nil {
@@ -95,17 +95,17 @@
 			}
 		}
 	case r.Call.Types:
-		c.fleet.typing = false
-		c.fleet.nextTypes = c.now + typesEvery
+		c.autoscaling.readingTypes = false
+		c.autoscaling.nextTypes = c.now + typesEvery
 		if r.Err != nil {
 			c.log.Debug("machine types not read", "error", r.Err)
-			c.fleet.nextTypes = c.now + time.Second
+			c.autoscaling.nextTypes = c.now + time.Second
 			return
 		}
 		c.typesRead(r.Types)
 	case r.Call.List:
-		c.fleet.listing = false
-		c.fleet.nextList = c.now + listEvery
+		c.autoscaling.listing = false
+		c.autoscaling.nextList = c.now + listEvery
 		if r.Err != nil {
 			c.log.Debug("machines not listed", "error", r.Err)
 			return
@@ -116,12 +116,12 @@
 
 func (c *Core) typesRead(types []wire.MachineType) {
 	for _, t := range types {
-		i, ok := c.typeAt[t.Name]
+		i, ok := c.typeIndexByName[t.Name]
 		if !ok {
 			i = int32(len(c.types))
-			c.typeAt[t.Name] = i
+			c.typeIndexByName[t.Name] = i
 			c.types = append(c.types, machineType{MachineType: t, boot: settings.Seconds(t.BootS)})
-			c.hintType(i)
+			c.inheritType(i)
 		}
 		mt := &c.types[i]
 		mt.MachineType = t
@@ -131,23 +131,23 @@
 			mt.zones = append(mt.zones, c.zones.of(z))
 		}
 		if !ok {
-			for _, m := range c.live {
+			for _, m := range c.liveMachines {
 				if m.typeName == t.Name {
 					c.describe(m, t.Name, c.zones.list[m.zone], m.spot, "")
 				}
 			}
-			for _, j := range c.active {
+			for _, j := range c.activeJobs {
 				j.types = nil
 			}
-			c.dirty = true
+			c.needsPlacement = true
 		}
 	}
 }
 
 func (c *Core) listRead(list []wire.ListedMachine) {
-	for _, m := range c.live {
+	for _, m := range c.liveMachines {
 		if m.listed {
-			m.missing++
+			m.missedListings++
 		}
 	}
 	for i := range list {
@@ -158,14 +158,14 @@
 		}
 		if !m.listed {
 			m.listed = true
-			m.hired = c.now - settings.Seconds(l.AgeS)
-			c.hireSeen(m)
+			m.rentedAt = c.now - settings.Seconds(l.AgeS)
+			c.scaleOutMachineSeen(m)
 		}
 		if m.typeName == "" {
 			c.describe(m, l.Type, l.Zone, l.Spot, l.Address)
 		}
-		m.missing = 0
-		if l.Status == wire.MachineUp && settings.Seconds(l.AgeS) > c.now-c.began {
+		m.missedListings = 0
+		if l.Status == wire.MachineRunning && settings.Seconds(l.AgeS) > c.now-c.termStart {
 			c.probe(m)
 		}
 		if l.Status == wire.MachineFailed {
--- a/internal/scheduler/graph.go
+++ b/internal/scheduler/graph.go
@@ -24,29 +24,29 @@
 
 // dependencies is what a job has in the graph.
 type dependencies struct {
-	needs    []int32 // predecessors that have been seen
-	children []int32 // jobs that wait for this one
-	open     int     // predecessors that are not done, seen or not
+	dependsOn  []int32 // predecessors that have been seen
+	dependents []int32 // jobs that wait for this one
+	open       int     // predecessors that are not done, seen or not
 }
 
 // blocked tells whether a job waits for others, or is away. It takes no part of its
 // team's guarantee, is in no queue, and hires nothing.
-func (j *job) blocked() bool { return j.deps.open > 0 || j.away }
+func (j *job) blocked() bool { return j.deps.open > 0 || j.delegated }
 
-// link brings a new job into the graph, as a job that needs others and as one that
+// linkDependencies brings a new job into the graph, as a job that needs others and as one that
 // others wait for.
-func (c *Core) link(j *job) {
+func (c *Core) linkDependencies(j *job) {
 	if j.spec != nil && !j.over() {
-		for _, ref := range j.spec.WaitsOn {
-			if at, ok := c.jobIndex[ref]; ok {
+		for _, ref := range j.spec.DependsOn {
+			if at, ok := c.jobIndexByID[ref]; ok {
 				c.needs(j, c.jobs[at])
 				continue
 			}
 			j.deps.open++
-			c.unseen[ref] = append(c.unseen[ref], j.index)
+			c.awaitedJobs[ref] = append(c.awaitedJobs[ref], j.index)
 		}
 	}
-	for _, at := range c.unseen[j.ref] {
+	for _, at := range c.awaitedJobs[j.id] {
 		child := c.jobs[at]
 		child.deps.open-- // counted while it was not seen
 		c.needs(child, j)
@@ -54,38 +54,38 @@
 			c.becomesReady(child, c.now)
 		}
 	}
-	delete(c.unseen, j.ref)
+	delete(c.awaitedJobs, j.id)
 }
 
 // needs notes that a job waits for another one.
 func (c *Core) needs(j, p *job) {
-	j.deps.needs = append(j.deps.needs, p.index)
-	if p.terminalDurable && p.terminal == wire.Done {
+	j.deps.dependsOn = append(j.deps.dependsOn, p.index)
+	if p.terminalDurable && p.terminal == wire.JobDone {
 		return
 	}
 	j.deps.open++
-	p.deps.children = append(p.deps.children, j.index)
+	p.deps.dependents = append(p.deps.dependents, j.index)
 }
 
-// settleLinks draws the conclusions for a job that has been linked: it may be
+// settleDependencies draws the conclusions for a job that has been linked: it may be
 // cancelled with an ancestor, ready, or raise those that it waits for.
-func (c *Core) settleLinks(j *job) {
-	for _, at := range j.deps.needs {
-		if p := c.jobs[at]; p.terminalDurable && p.terminal == wire.Aborted {
-			c.abortWith(j, p)
+func (c *Core) settleDependencies(j *job) {
+	for _, at := range j.deps.dependsOn {
+		if p := c.jobs[at]; p.terminalDurable && p.terminal == wire.JobCancelled {
+			c.cancelDependent(j, p)
 			return
 		}
 	}
-	c.raise(j)
+	c.raisePriority(j)
 	if j.blocked() {
-		c.log.Debug("job waits for others", "job", j.ref, "open", j.deps.open, "first", c.firstOpen(j))
+		c.log.Debug("job waits for others", "job", j.id, "open", j.deps.open, "first", c.firstOpen(j))
 	}
 }
 
 // firstOpen names a job that another one waits for.
 func (c *Core) firstOpen(j *job) string {
-	for _, ref := range j.spec.WaitsOn {
-		at, ok := c.jobIndex[ref]
+	for _, ref := range j.spec.DependsOn {
+		at, ok := c.jobIndexByID[ref]
 		if !ok {
 			return ref + " (not seen yet)"
 		}
@@ -96,43 +96,43 @@
 	return ""
 }
 
-// raise has all that a job needs, directly or through others, be as urgent as the
+// raisePriority has all that a job needs, directly or through others, be as urgent as the
 // job is: its priority, and in time for its deadline, less what lies between.
-func (c *Core) raise(j *job) {
+func (c *Core) raisePriority(j *job) {
 	todo := []*job{j}
 	for len(todo) > 0 {
 		j, todo = todo[len(todo)-1], todo[:len(todo)-1]
-		due := j.due
+		due := j.deadline
 		if due != never {
 			due -= c.expectedRun(j)
 		}
-		for _, at := range j.deps.needs {
+		for _, at := range j.deps.dependsOn {
 			p := c.jobs[at]
-			if p.over() || p.spec == nil || p.rank <= j.rank && p.due <= due {
+			if p.over() || p.spec == nil || p.priorityClass <= j.priorityClass && p.deadline <= due {
 				continue
 			}
-			p.rank, p.due = min(p.rank, j.rank), min(p.due, due)
-			c.dirty = true
+			p.priorityClass, p.deadline = min(p.priorityClass, j.priorityClass), min(p.deadline, due)
+			c.needsPlacement = true
 			todo = append(todo, p)
 		}
 	}
 }
 
-// raiseBy has a job that was seen late be as urgent as those that wait for it.
-func (c *Core) raiseBy(p *job) {
-	for _, at := range p.deps.children {
-		c.raise(c.jobs[at])
+// raisePriorityBy has a job that was seen late be as urgent as those that wait for it.
+func (c *Core) raisePriorityBy(p *job) {
+	for _, at := range p.deps.dependents {
+		c.raisePriority(c.jobs[at])
 	}
 }
 
 // releaseDependents tells a job's dependents that it is durably over.
 func (c *Core) releaseDependents(p *job) {
-	children := p.deps.children
-	p.deps.children = nil
+	children := p.deps.dependents
+	p.deps.dependents = nil
 	for _, at := range children {
 		j := c.jobs[at]
-		if p.terminal == wire.Aborted {
-			c.abortWith(j, p)
+		if p.terminal == wire.JobCancelled {
+			c.cancelDependent(j, p)
 			continue
 		}
 		if j.deps.open--; j.deps.open == 0 && !j.over() {
@@ -145,39 +145,39 @@
 func (c *Core) becomesReady(j *job, at time.Duration) {
 	j.arrived = at
 	c.arrived(j)
-	c.dirty = true
-	c.log.Debug("all that a job waits for is done", "job", j.ref, "tasks", j.total)
+	c.needsPlacement = true
+	c.log.Debug("all that a job waits for is done", "job", j.id, "tasks", j.total)
 }
 
-// abortWith cancels a job since another one that it needs is cancelled.
-func (c *Core) abortWith(j, p *job) {
+// cancelDependent cancels a job since another one that it needs is cancelled.
+func (c *Core) cancelDependent(j, p *job) {
 	if j.terminalDurable {
 		return
 	}
-	c.log.Debug("job is cancelled with one that it needs", "job", j.ref, "needs", p.ref)
+	c.log.Debug("job is cancelled with one that it needs", "job", j.id, "needs", p.id)
 	if !j.over() {
-		j.terminal = wire.Aborted
+		j.terminal = wire.JobCancelled
 		c.writeTerminal(j, false)
 	}
 	c.terminalIsDurable(j)
 }
 
-// deciding tells whether the state service may know more of a job's end than this
+// terminalStatePending tells whether the state service may know more of a job's end than this
 // leader does: its own end is being written, or the cancellation of one that it needs,
 // directly or through others. That may have been carried out and its answer lost;
 // another node has then read it and told a user, and "queued" would go back on that.
-func (c *Core) deciding(j *job) bool {
+func (c *Core) terminalStatePending(j *job) bool {
 	if j.terminalDurable {
 		return false
 	}
 	if j.over() {
 		return true
 	}
-	if len(c.aborting) == 0 {
+	if len(c.cancelling) == 0 {
 		return false // as nearly always; an ancestor need not be looked for
 	}
 	seen := map[int32]bool{}
-	todo := slices.Clone(j.deps.needs)
+	todo := slices.Clone(j.deps.dependsOn)
 	for len(todo) > 0 {
 		at := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
@@ -185,11 +185,11 @@
 		if p.terminalDurable || seen[at] {
 			continue
 		}
-		if c.aborting[at] {
+		if c.cancelling[at] {
 			return true
 		}
 		seen[at] = true
-		todo = append(todo, p.deps.needs...)
+		todo = append(todo, p.deps.dependsOn...)
 	}
 	return false
 }
@@ -197,23 +197,23 @@
 // readySince is when the last of a restored job's predecessors was done.
 func (c *Core) readySince(j *job) time.Duration {
 	last := j.arrived
-	for _, at := range j.deps.needs {
+	for _, at := range j.deps.dependsOn {
 		last = max(last, c.jobs[at].endedAt)
 	}
 	return min(last, c.now)
 }
 
-// restoreLinks builds the graph from what the ledger holds, before anything is
+// restoreDependencies builds the graph from what the ledger holds, before anything is
 // started.
-func (c *Core) restoreLinks() {
+func (c *Core) restoreDependencies() {
 	for _, j := range c.jobs {
-		c.link(j)
+		c.linkDependencies(j)
 	}
 	for _, j := range slices.Clone(c.jobs) {
-		if j.spec == nil || len(j.spec.WaitsOn) == 0 || j.over() {
+		if j.spec == nil || len(j.spec.DependsOn) == 0 || j.over() {
 			continue
 		}
-		c.settleLinks(j)
+		c.settleDependencies(j)
 		if !j.over() && !j.blocked() {
 			c.becomesReady(j, c.readySince(j))
 		}
@@ -221,4 +221,4 @@
 }
 
 // waitsFor tells whether a restored or new job has others to wait for.
-func waitsFor(rec *ledger.JobRecord) bool { return rec.Job != nil && len(rec.Job.WaitsOn) > 0 }
+func waitsFor(rec *ledger.JobRecord) bool { return rec.Job != nil && len(rec.Job.DependsOn) > 0 }
--- a/internal/scheduler/graph_model_test.go
+++ b/internal/scheduler/graph_model_test.go
@@ -71,28 +71,28 @@
 			j.MemGB = 0.01 // the machine has room for all
 			for range r.IntN(4) {
 				if len(refs) > 0 {
-					j.WaitsOn = append(j.WaitsOn, refs[r.IntN(len(refs))])
+					j.DependsOn = append(j.DependsOn, refs[r.IntN(len(refs))])
 				}
 			}
-			slices.Sort(j.WaitsOn)
-			j.WaitsOn = slices.Compact(j.WaitsOn)
+			slices.Sort(j.DependsOn)
+			j.DependsOn = slices.Compact(j.DependsOn)
 			refs = append(refs, ref)
-			m.needs[ref] = j.WaitsOn
+			m.needs[ref] = j.DependsOn
 			g.submit(j)
 		case k < 8:
 			if ref := refs[r.IntN(len(refs))]; m.ready(ref) {
-				g.settle(DirectDone)
+				g.settle(CommandExecuted)
 				g.finishTask("vm-1", ref)
 				m.done[ref] = true
 			}
 		case k < 9:
 			ref := refs[r.IntN(len(refs))]
-			g.step(CancelAsked{Ref: ref, To: recipient("u")})
+			g.step(CancelRequest{JobID: ref, ReplyTo: recipient("u")})
 			m.cancelled[ref] = m.cancelled[ref] || !m.done[ref]
 		default:
 			g = takeOver(t, g, refs)
 		}
-		g.settle(DirectDone)
+		g.settle(CommandExecuted)
 		g.agrees(m, refs)
 	}
 }
@@ -107,7 +107,7 @@
 		if w, ok := g.writes[ledger.JobKey(ref)]; ok {
 			record = w.Value.(ledger.JobRecord)
 		}
-		s.Jobs = append(s.Jobs, ledger.SavedJob{Ref: ref, Version: 1, Record: record})
+		s.Jobs = append(s.Jobs, ledger.SavedJob{ID: ref, Version: 1, Record: record})
 	}
 	n := newStage(t, s)
 	n.specs = g.specs
@@ -122,17 +122,17 @@
 func (g *stage) agrees(m *graphModel, refs []string) {
 	g.t.Helper()
 	for _, ref := range refs {
-		want := []string{wire.Queued, wire.Running}
+		want := []string{wire.JobQueued, wire.JobRunning}
 		switch {
 		case m.done[ref]:
-			want = []string{wire.Done}
+			want = []string{wire.JobDone}
 		case m.aborted(ref):
-			want = []string{wire.Aborted}
+			want = []string{wire.JobCancelled}
 		}
 		if got := g.jobStatus(ref); !slices.Contains(want, got) {
 			g.t.Errorf("%s is %s, want %v", ref, got, want)
 		}
-		j := g.c.jobs[g.c.jobIndex[ref]]
+		j := g.c.jobs[g.c.jobIndexByID[ref]]
 		if booked := j.tasks != nil && !j.over() && j.booked > 0; booked != m.ready(ref) {
 			g.t.Errorf("%s has a task on a machine: %v, ready: %v", ref, booked, m.ready(ref))
 		}
--- a/internal/scheduler/graph_test.go
+++ b/internal/scheduler/graph_test.go
@@ -14,19 +14,19 @@
 // after is a job of one task that waits for others.
 func after(ref string, others ...string) *wire.Job {
 	j := newTestJob(ref, 1, 1)
-	j.WaitsOn = others
+	j.DependsOn = others
 	return j
 }
 
 // finishTask has a machine report the one task of a job as done.
 func (g *stage) finishTask(machine, ref string) {
 	g.t.Helper()
-	var tasks []wire.TaskReport
+	var tasks []wire.TaskStatus
 	there := false
-	for _, b := range g.c.machineNamed(machine).bookings {
-		t := taskIn(wire.Order{Task: g.c.taskName(b), Attempt: b.attempt}, wire.TaskRunning, "")
+	for _, b := range g.c.machineNamed(machine).allocations {
+		t := taskIn(wire.Command{Task: g.c.taskName(b), Attempt: b.attempt}, wire.TaskRunning, "")
 		if t.Task == ref+"/0" {
-			t.Status, t.Why, there = wire.TaskEnded, wire.WhyDone, true
+			t.Status, t.ExitReason, there = wire.TaskEnded, wire.ExitDone, true
 		}
 		tasks = append(tasks, t)
 	}
@@ -38,10 +38,10 @@
 func (g *stage) started() string {
 	var refs []string
 	for _, o := range g.starts() {
-		ref, _, _ := wire.SplitTask(o.Task)
+		ref, _, _ := wire.ParseTaskName(o.Task)
 		refs = append(refs, ref)
 	}
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	return strings.Join(refs, " ")
 }
 
@@ -56,7 +56,7 @@
 		g.submit(after("job-3", "job-1"))
 		g.submit(after("job-4", "job-2", "job-3"))
 		g.want("started at first", g.started(), "job-1")
-		g.want("state of what waits", g.jobStatus("job-4"), wire.Queued)
+		g.want("state of what waits", g.jobStatus("job-4"), wire.JobQueued)
 		g.want("demand for it", len(g.c.queue()), 0)
 		g.held = true
 		g.finishTask("vm-1", "job-1")
@@ -68,10 +68,10 @@
 		g.finishTask("vm-1", "job-3")
 		g.want("started at last", g.started(), "job-4")
 		g.finishTask("vm-1", "job-4")
-		g.want("state at last", g.jobStatus("job-4"), wire.Done)
+		g.want("state at last", g.jobStatus("job-4"), wire.JobDone)
 	})
 	t.Run("a predecessor that is done already, and one seen later", func(t *testing.T) {
-		g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{Ref: "job-0", Record: ledger.JobRecord{Terminal: wire.Done, Tasks: 1, Done: 1}}}})
+		g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-0", Record: ledger.JobRecord{Terminal: wire.JobDone, Tasks: 1, Done: 1}}}})
 		g.up("vm-1")
 		g.submit(after("job-2", "job-0", "job-1"))
 		g.want("started", g.started(), "")
@@ -85,10 +85,10 @@
 		g.up("vm-1")
 		g.submit(after("job-2", "job-1"))
 		g.submit(after("job-4", "job-3"))
-		g.step(JobSeen{Ref: "job-1", Record: ledger.JobRecord{Terminal: wire.Done, Tasks: 1, Done: 1}, Version: 4})
-		g.step(JobSeen{Ref: "job-3", Record: ledger.JobRecord{Job: after("job-3"), Terminal: wire.Aborted}, Version: 4})
+		g.step(JobRecordEvent{JobID: "job-1", Record: ledger.JobRecord{Terminal: wire.JobDone, Tasks: 1, Done: 1}, Version: 4})
+		g.step(JobRecordEvent{JobID: "job-3", Record: ledger.JobRecord{Job: after("job-3"), Terminal: wire.JobCancelled}, Version: 4})
 		g.want("started", g.started(), "job-2")
-		g.want("state of the other", g.jobStatus("job-4"), wire.Aborted)
+		g.want("state of the other", g.jobStatus("job-4"), wire.JobCancelled)
 	})
 	t.Run("a guarantee", func(t *testing.T) {
 		// Both teams want all of the one machine. What waits for others is none of
@@ -102,7 +102,7 @@
 		for i := range 10 {
 			g.submit(after(fmt.Sprintf("job-2%d", i), "job-1"))
 		}
-		g.want("first in the queue", g.c.queue()[0].ref, "job-1")
+		g.want("first in the queue", g.c.queue()[0].id, "job-1")
 		g.want("in the queue", len(g.c.queue()), 2)
 	})
 	t.Run("a long chain and a wide fan", func(t *testing.T) {
@@ -118,10 +118,10 @@
 			}
 			g.submit(after(fmt.Sprintf("job-2%d", i), before))
 		}
-		g.step(CancelAsked{Ref: "job-0", To: recipient("u")})
-		g.want("the last of the fan", g.jobStatus(fmt.Sprintf("job-1%d", n-1)), wire.Aborted)
-		g.want("the last of the chain", g.jobStatus(fmt.Sprintf("job-2%d", n-1)), wire.Aborted)
-		g.want("what the ledger has of it", g.writes[fmt.Sprintf("job/job-2%d", n-1)].Value.(ledger.JobRecord).Terminal, wire.Aborted)
+		g.step(CancelRequest{JobID: "job-0", ReplyTo: recipient("u")})
+		g.want("the last of the fan", g.jobStatus(fmt.Sprintf("job-1%d", n-1)), wire.JobCancelled)
+		g.want("the last of the chain", g.jobStatus(fmt.Sprintf("job-2%d", n-1)), wire.JobCancelled)
+		g.want("what the ledger has of it", g.writes[fmt.Sprintf("job/job-2%d", n-1)].Value.(ledger.JobRecord).Terminal, wire.JobCancelled)
 	})
 }
 
@@ -129,9 +129,9 @@
 // that of their ancestor is durable, without writes of their own, and stay so.
 func TestDependentsOfACancelledJob(t *testing.T) {
 	open := func(ref string, needs ...string) ledger.SavedJob {
-		return ledger.SavedJob{Ref: ref, Version: 3, Record: ledger.JobRecord{Job: after(ref, needs...), AcceptedMS: 1}}
+		return ledger.SavedJob{ID: ref, Version: 3, Record: ledger.JobRecord{Job: after(ref, needs...), AcceptedMS: 1}}
 	}
-	cancelled := ledger.SavedJob{Ref: "job-1", Version: 3, Record: ledger.JobRecord{Job: after("job-1").Essence(), Terminal: wire.Aborted}}
+	cancelled := ledger.SavedJob{ID: "job-1", Version: 3, Record: ledger.JobRecord{Job: after("job-1").CancelledSummary(), Terminal: wire.JobCancelled}}
 	cases := []struct {
 		name  string
 		saved []ledger.SavedJob
@@ -139,51 +139,51 @@
 		want  string // the state of job-3, which needs job-2, which needs job-1
 	}{
 		// "" is for the record alone to tell.
-		{"before it is durable", nil, func(g *stage) { g.held = true; g.step(CancelAsked{Ref: "job-1", To: recipient("u")}) }, ""},
-		{"before that of the one between", nil, func(g *stage) { g.held = true; g.step(CancelAsked{Ref: "job-2", To: recipient("u")}) }, ""},
-		{"once it is durable", nil, func(g *stage) { g.step(CancelAsked{Ref: "job-1", To: recipient("u")}) }, wire.Aborted},
-		{"the one between", nil, func(g *stage) { g.step(CancelAsked{Ref: "job-2", To: recipient("u")}) }, wire.Aborted},
-		{"the last alone", nil, func(g *stage) { g.step(CancelAsked{Ref: "job-3", To: recipient("u")}) }, wire.Aborted},
+		{"before it is durable", nil, func(g *stage) { g.held = true; g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")}) }, ""},
+		{"before that of the one between", nil, func(g *stage) { g.held = true; g.step(CancelRequest{JobID: "job-2", ReplyTo: recipient("u")}) }, ""},
+		{"once it is durable", nil, func(g *stage) { g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")}) }, wire.JobCancelled},
+		{"the one between", nil, func(g *stage) { g.step(CancelRequest{JobID: "job-2", ReplyTo: recipient("u")}) }, wire.JobCancelled},
+		{"the last alone", nil, func(g *stage) { g.step(CancelRequest{JobID: "job-3", ReplyTo: recipient("u")}) }, wire.JobCancelled},
 		{"done before", nil, func(g *stage) {
 			g.finishTask("vm-1", "job-1")
-			g.step(CancelAsked{Ref: "job-1", To: recipient("u")})
-		}, wire.Queued},
-		{"the leader ended between its write and theirs", []ledger.SavedJob{open("job-3", "job-2"), open("job-2", "job-1"), cancelled}, nil, wire.Aborted},
+			g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
+		}, wire.JobQueued},
+		{"the leader ended between its write and theirs", []ledger.SavedJob{open("job-3", "job-2"), open("job-2", "job-1"), cancelled}, nil, wire.JobCancelled},
 		{"submitted after it", []ledger.SavedJob{cancelled}, func(g *stage) {
 			g.submit(after("job-2", "job-1"))
 			g.submit(after("job-3", "job-2"))
-		}, wire.Aborted},
+		}, wire.JobCancelled},
 		{"one of several ancestors, the others run on", nil, func(g *stage) {
 			g.submit(after("job-5"))
 			g.submit(after("job-6"))
 			g.submit(after("job-7", "job-5", "job-6"))
 			g.submit(after("job-8", "job-7", "job-3"))
-			g.step(CancelAsked{Ref: "job-5", To: recipient("u")})
-			g.want("what needs it", g.jobStatus("job-7"), wire.Aborted)
-			g.want("what needs that", g.jobStatus("job-8"), wire.Aborted)
-			g.want("what it was beside", g.jobStatus("job-6") != wire.Aborted, true)
-		}, wire.Queued},
+			g.step(CancelRequest{JobID: "job-5", ReplyTo: recipient("u")})
+			g.want("what needs it", g.jobStatus("job-7"), wire.JobCancelled)
+			g.want("what needs that", g.jobStatus("job-8"), wire.JobCancelled)
+			g.want("what it was beside", g.jobStatus("job-6") != wire.JobCancelled, true)
+		}, wire.JobQueued},
 		{"both ways of a diamond", nil, func(g *stage) {
 			g.submit(after("job-4", "job-1"))
 			g.submit(after("job-9", "job-4", "job-2"))
-			g.step(CancelAsked{Ref: "job-1", To: recipient("u")})
-			g.want("where the ways meet", g.jobStatus("job-9"), wire.Aborted)
-			g.want("the other way", g.jobStatus("job-4"), wire.Aborted)
-		}, wire.Aborted},
+			g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
+			g.want("where the ways meet", g.jobStatus("job-9"), wire.JobCancelled)
+			g.want("the other way", g.jobStatus("job-4"), wire.JobCancelled)
+		}, wire.JobCancelled},
 		{"one way of a diamond", nil, func(g *stage) {
 			g.submit(after("job-4", "job-1"))
 			g.submit(after("job-9", "job-4", "job-2"))
-			g.step(CancelAsked{Ref: "job-4", To: recipient("u")})
-			g.want("where the ways meet", g.jobStatus("job-9"), wire.Aborted)
-		}, wire.Queued},
+			g.step(CancelRequest{JobID: "job-4", ReplyTo: recipient("u")})
+			g.want("where the ways meet", g.jobStatus("job-9"), wire.JobCancelled)
+		}, wire.JobQueued},
 		{"cancelled as its last task ends", nil, func(g *stage) {
 			g.held = true
 			g.finishTask("vm-1", "job-1")
-			g.step(CancelAsked{Ref: "job-1", To: recipient("u")})
+			g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 			g.release()
-			g.want("the one that was cancelled", g.jobStatus("job-1"), wire.Done)
-		}, wire.Queued},
-		{"a takeover without it", []ledger.SavedJob{open("job-3", "job-2"), open("job-2", "job-1"), open("job-1")}, nil, wire.Queued},
+			g.want("the one that was cancelled", g.jobStatus("job-1"), wire.JobDone)
+		}, wire.JobQueued},
+		{"a takeover without it", []ledger.SavedJob{open("job-3", "job-2"), open("job-2", "job-1"), open("job-1")}, nil, wire.JobQueued},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -193,20 +193,20 @@
 				g.submit(after("job-1"))
 				g.submit(after("job-2", "job-1"))
 				g.submit(after("job-3", "job-2"))
-				g.settle(DirectDone)
+				g.settle(CommandExecuted)
 			}
 			if c.play != nil {
 				c.play(g)
 			}
 			state := g.jobStatus("job-3")
-			if g.out[0].(AnswerUser).Deciding {
+			if g.out[0].(UserReply).TerminalStatePending {
 				state = ""
 			}
 			g.want("state of the last", state, c.want)
-			g.settle(DirectDone)
+			g.settle(CommandExecuted)
 			g.wait(time.Second)
 			for _, o := range g.starts() {
-				if ref, _, _ := wire.SplitTask(o.Task); ref == "job-3" {
+				if ref, _, _ := wire.ParseTaskName(o.Task); ref == "job-3" {
 					t.Errorf("%s was started", o.Task)
 				}
 			}
@@ -223,25 +223,25 @@
 	first.Priority = "idle"
 	g.submit(first)
 	g.submit(after("job-2", "job-1"))
-	of := func(ref string) *job { return g.c.jobs[g.c.jobIndex[ref]] }
-	g.want("without an end", of("job-1").rank > of("job-2").rank, false)
-	g.want("its deadline", of("job-1").due, never)
+	of := func(ref string) *job { return g.c.jobs[g.c.jobIndexByID[ref]] }
+	g.want("without an end", of("job-1").priorityClass > of("job-2").priorityClass, false)
+	g.want("its deadline", of("job-1").deadline, never)
 	last := after("job-3", "job-2")
 	last.Priority = "critical"
 	due := 100.0
 	last.DeadlineS = &due
 	g.submit(last)
 	for _, ref := range []string{"job-1", "job-2", "job-3"} {
-		g.want("rank of "+ref, of(ref).rank, 0)
+		g.want("rank of "+ref, of(ref).priorityClass, 0)
 	}
-	g.want("due of the last", of("job-3").due, 100*time.Second)
-	g.want("due of the one before", of("job-2").due, 90*time.Second)
-	g.want("due of the first", of("job-1").due, 80*time.Second)
-	g.want("first in the queue", g.c.queue()[0].ref, "job-1")
-	g.want("rank of another job", of("job-7").rank, 2)
+	g.want("due of the last", of("job-3").deadline, 100*time.Second)
+	g.want("due of the one before", of("job-2").deadline, 90*time.Second)
+	g.want("due of the first", of("job-1").deadline, 80*time.Second)
+	g.want("first in the queue", g.c.queue()[0].id, "job-1")
+	g.want("rank of another job", of("job-7").priorityClass, 2)
 	g.now += 3 * time.Minute
 	g.up("vm-1")
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	g.finishTask("vm-1", "job-1")
 	g.want("when the second became ready", of("job-2").arrived, g.now)
 }
@@ -256,30 +256,30 @@
 		g.up(fmt.Sprintf("vm-%06d", i))
 	}
 	g.submit(newTestJob("job-1", tasks, 1))
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	hosts := g.writes["host/job-1/0"]
 	g.want("hosts in one key at first", len(hosts.Value.([]string)), machines)
-	g.step(Formats{ValueBytes: limit})
+	g.step(ValueLimitChanged{ValueBytes: limit})
 	// The write was not carried out: everything of it goes in pieces.
 	j := g.c.jobs[0]
 	for i := range j.hosts {
 		j.hosts[i].durable = false
 	}
 	clear(g.writes)
-	g.step(Rejected{Tags: []ledger.Tag{hosts.Tag}})
+	g.step(WritesRejected{Tags: []ledger.Tag{hosts.Tag}})
 	for i := 0; i < machines; i++ {
 		name := fmt.Sprintf("vm-%06d", i)
-		var reports []wire.TaskReport
-		for _, b := range g.c.machineNamed(name).bookings {
+		var reports []wire.TaskStatus
+		for _, b := range g.c.machineNamed(name).allocations {
 			status, why := wire.TaskRunning, ""
 			if b.task%2 == 0 {
-				status, why = wire.TaskEnded, wire.WhyDone
+				status, why = wire.TaskEnded, wire.ExitDone
 			}
-			reports = append(reports, taskIn(wire.Order{Task: g.c.taskName(b), Attempt: b.attempt}, status, why))
+			reports = append(reports, taskIn(wire.Command{Task: g.c.taskName(b), Attempt: b.attempt}, status, why))
 		}
 		g.echo(name, reports...)
 	}
-	saved := ledger.SavedJob{Ref: "job-1", Record: ledger.JobRecord{Job: j.spec}}
+	saved := ledger.SavedJob{ID: "job-1", Record: ledger.JobRecord{Job: j.spec}}
 	found := map[string]bool{}
 	for key, w := range g.writes {
 		switch v := w.Value.(type) {
@@ -309,7 +309,7 @@
 	g.want("done for a new leader", n.c.jobs[0].done, tasks/2)
 	g.want("its hosts", len(n.c.jobs[0].hosts), machines)
 	// All of it is deleted with the job.
-	n.step(CancelAsked{Ref: "job-1", To: recipient("u")})
+	n.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 	n.wait(40 * time.Second)
 	for _, h := range saved.Hosts {
 		if w, ok := n.writes[h.Key]; !ok || w.Value != nil {
--- a/internal/scheduler/guests.go
+++ b/internal/scheduler/guests.go
@@ -7,10 +7,10 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"leadproxy/internal/fleet"
+	"leadproxy/internal/autoscaler"
+	"leadproxy/internal/federation"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/spill"
 	"leadproxy/internal/wire"
 )
 
@@ -22,119 +22,119 @@
 	noRoomFor = 5 * time.Second
 )
 
-// transfersAsked answers another cell's messages.
-func (c *Core) transfersAsked(e TransfersAsked) {
-	answers := make([]spill.Answer, 0, len(e.Messages))
+// transfersRequested answers another cell's messages.
+func (c *Core) transfersRequested(e TransferRequest) {
+	answers := make([]federation.Answer, 0, len(e.Messages))
 	for _, m := range e.Messages {
-		a := c.transfers.guests.Asked(e.Home, m, c.wall)
+		a := c.federation.foreign.Asked(e.Origin, m, c.wall)
 		if a.Temporary {
 			a.RetryAfter = noRoomFor
 		}
 		answers = append(answers, a)
 	}
-	c.carryOutGuests()
-	c.emit(AnswerTransfers{To: e.To, Answers: answers})
+	c.applyForeignEffects()
+	c.emit(TransferReply{ReplyTo: e.ReplyTo, Answers: answers})
 }
 
-// carryOutGuests does what the neighbour's side of the transfers wants done.
-func (c *Core) carryOutGuests() {
-	for _, effect := range c.transfers.guests.Take() {
+// applyForeignEffects does what the neighbour's side of the transfers wants done.
+func (c *Core) applyForeignEffects() {
+	for _, effect := range c.federation.foreign.Take() {
 		switch e := effect.(type) {
-		case spill.WriteGuest:
-			c.putGuest(e)
-		case spill.CancelGuest:
-			if at, ok := c.jobIndex[e.Ref]; ok && !c.jobs[at].over() {
-				c.abort(c.jobs[at])
+		case federation.WriteForeign:
+			c.writeForeign(e)
+		case federation.CancelForeign:
+			if at, ok := c.jobIndexByID[e.JobID]; ok && !c.jobs[at].over() {
+				c.cancel(c.jobs[at])
 			}
-		case spill.NoteGuestEffect:
-			c.noteTransfer(e.Note)
+		case federation.TraceForeign:
+			c.traceTransfer(e.Step)
 		}
 	}
 }
 
-// putGuest has a guest's record written, with the job's if it is accepted.
-func (c *Core) putGuest(e spill.WriteGuest) {
-	put := PutGuest{Write: e}
+// writeForeign has a guest's record written, with the job's if it is accepted.
+func (c *Core) writeForeign(e federation.WriteForeign) {
+	put := WriteForeign{Write: e}
 	if e.Body != nil {
 		spec, _, err := wire.ParseJob(e.Body.Job)
 		if err != nil {
-			c.log.Error("an admitted job can't be read", "job", e.Key.Ref, "error", err)
+			c.log.Error("an admitted job can't be read", "job", e.Key.JobID, "error", err)
 			return
 		}
-		put.Job = &ledger.JobRecord{Job: spec, AcceptedMS: e.Body.AcceptedMS, Home: e.Key.Home, Epoch: e.Record.Epoch}
+		put.Job = &ledger.JobRecord{Job: spec, AcceptedMS: e.Body.AcceptedMS, Origin: e.Key.Origin, TransferEpoch: e.Record.Epoch}
 	}
 	c.emit(put)
 }
 
-// guestWritten takes what came of such a write.
-func (c *Core) guestWritten(e GuestWritten) {
+// foreignWritten takes what came of such a write.
+func (c *Core) foreignWritten(e ForeignWriteResult) {
 	if e.Job != nil && !e.JobExists {
-		c.jobSeen(JobSeen{Ref: e.Write.Key.Ref, Record: *e.Job, Version: e.Version})
+		c.jobRecorded(JobRecordEvent{JobID: e.Write.Key.JobID, Record: *e.Job, Version: e.Version})
 	}
-	c.transfers.guests.Written(e.Write.Key, e.Write.Record, e.Version, e.JobExists, c.wall)
-	c.carryOutGuests()
+	c.federation.foreign.Written(e.Write.Key, e.Write.Record, e.Version, e.JobExists, c.wall)
+	c.applyForeignEffects()
 }
 
-// guestJobs is what the neighbour's side of the transfers asks of the core.
-type guestJobs struct{ *Core }
+// localJobs is what the neighbour's side of the transfers asks of the core.
+type localJobs struct{ *Core }
 
-// GuestState is the state of a guest.
-func (c guestJobs) GuestState(key spill.GuestKey) (spill.JobState, bool) {
-	at, ok := c.jobIndex[key.Ref]
-	if !ok || c.jobs[at].home != key.Home {
-		return spill.JobState{}, false
+// ForeignJobState is the state of a guest.
+func (c localJobs) ForeignJobState(key federation.ForeignKey) (federation.JobState, bool) {
+	at, ok := c.jobIndexByID[key.JobID]
+	if !ok || c.jobs[at].origin != key.Origin {
+		return federation.JobState{}, false
 	}
 	j := c.jobs[at]
 	status := c.status(j)
-	return spill.JobState{Over: j.terminalDurable, Aborted: j.terminal == wire.Aborted, Done: status.Done, Running: status.Running}, true
+	return federation.JobState{Over: j.terminalDurable, Aborted: j.terminal == wire.JobCancelled, Done: status.Done, Running: status.Running}, true
 }
 
 // Admit tells whether an offer is taken now, and else why not.
-func (c guestJobs) Admit(home, ref string, body *spill.OfferBody) spill.Refusal {
-	n, ok := c.transfers.cells.Find(home)
+func (c localJobs) Admit(home, ref string, body *federation.OfferBody) federation.Refusal {
+	n, ok := c.federation.cells.Find(home)
 	switch {
 	case !ok || n.LendCores <= 0:
-		return spill.Refusal{Reason: "nothing is lent to cell " + home}
+		return federation.Refusal{Reason: "nothing is lent to cell " + home}
 	case n.Drain:
-		return spill.Refusal{Reason: "the relation is being drained"}
-	case !c.transfers.allowed:
-		return spill.Refusal{Reason: "not all controllers here know transfers", Temporary: true}
+		return federation.Refusal{Reason: "the relation is being drained"}
+	case !c.federation.allowed:
+		return federation.Refusal{Reason: "not all controllers here know transfers", Temporary: true}
 	}
 	spec, _, err := wire.ParseJob(body.Job)
 	if err != nil {
-		return spill.Refusal{Reason: "the job can't be read: " + err.Error()}
+		return federation.Refusal{Reason: "the job can't be read: " + err.Error()}
 	}
-	if reason := c.refuseGuest(ref, spec); reason != "" {
-		return spill.Refusal{Reason: reason}
+	if reason := c.refuseForeign(ref, spec); reason != "" {
+		return federation.Refusal{Reason: reason}
 	}
-	credit := c.transfers.credits[home]
+	credit := c.federation.credits[home]
 	cores := spec.CPUs * float64(spec.Tasks)
 	if credit == nil || c.now >= credit.until || cores > credit.cores {
-		return spill.Refusal{Reason: fmt.Sprintf("no room was promised for %v cores", cores), Temporary: true}
+		return federation.Refusal{Reason: fmt.Sprintf("no room was promised for %v cores", cores), Temporary: true}
 	}
 	credit.cores -= cores
-	return spill.Refusal{}
+	return federation.Refusal{}
 }
 
-// refuseGuest tells why a job of another cell can't run here at all.
-func (c *Core) refuseGuest(ref string, spec *wire.Job) (reason string) {
-	if spec.Ref != ref {
+// refuseForeign tells why a job of another cell can't run here at all.
+func (c *Core) refuseForeign(ref string, spec *wire.Job) (reason string) {
+	if spec.ID != ref {
 		return "the offer describes another job"
 	}
-	if _, known := c.jobIndex[ref]; known {
+	if _, known := c.jobIndexByID[ref]; known {
 		return "a job of this name is known here"
 	}
-	if len(spec.WaitsOn) > 0 {
+	if len(spec.DependsOn) > 0 {
 		return "it waits for jobs of its home"
 	}
 	// The record with the cell's name must fit, with room for its end.
-	if text, err := json.Marshal(spec); err != nil || len(text)+guestRecordRoom > c.cfg.ValueBytes {
+	if text, err := json.Marshal(spec); err != nil || len(text)+foreignRecordOverhead > c.cfg.ValueBytes {
 		return "its description is longer than can be recorded here"
 	}
 	if spec.Zone != nil {
 		return "it is bound to a zone of its home"
 	}
-	if at, known := c.teamAt[spec.Team]; known {
+	if at, known := c.teamIndexByName[spec.Team]; known {
 		if limit := c.teams[at].limit; !unitsOf(sizeOf(spec)).within(limit) {
 			return "one of its tasks needs more than its team's limit here"
 		}
@@ -147,50 +147,50 @@
 	return ""
 }
 
-// guestRecordRoom is what a record holds besides the description, its end included.
-const guestRecordRoom = 320
+// foreignRecordOverhead is what a record holds besides the description, its end included.
+const foreignRecordOverhead = 320
 
-// roomAsked offers room to another cell, or says when to ask again.
-func (c *Core) roomAsked(e RoomAsked) {
-	answer := AnswerRoom{To: e.To, RetryAfter: noRoomFor}
-	n, ok := c.transfers.cells.Find(e.Home)
+// capacityRequested offers room to another cell, or says when to ask again.
+func (c *Core) capacityRequested(e CapacityRequest) {
+	answer := CapacityReply{ReplyTo: e.ReplyTo, RetryAfter: noRoomFor}
+	n, ok := c.federation.cells.Find(e.Origin)
 	switch {
 	case !ok:
-		answer.Reason = "cell " + e.Home + " is not a neighbour"
+		answer.Reason = "cell " + e.Origin + " is not a neighbour"
 	case n.Drain:
 		answer.Reason = "the relation is being drained"
-	case !c.transfers.allowed:
+	case !c.federation.allowed:
 		answer.Reason = "not all controllers here know transfers"
 	default:
-		delete(c.transfers.credits, e.Home) // the new offer takes its place
-		answer.Cores = max(0, min(e.Cores, c.lendable(n)))
+		delete(c.federation.credits, e.Origin) // the new offer takes its place
+		answer.Cores = max(0, min(e.Cores, c.offerableCapacity(n)))
 		if answer.Cores <= 0 {
 			answer.Reason = "no room beyond this cell's own work"
 			break
 		}
 		answer.For, answer.RetryAfter = creditFor, 0
-		c.transfers.credits[e.Home] = &credit{cores: answer.Cores, until: c.now + creditFor}
+		c.federation.credits[e.Origin] = &credit{cores: answer.Cores, until: c.now + creditFor}
 	}
 	c.emit(answer)
 }
 
-// lendable is how many cores may be offered to a cell: what is free or could be hired,
+// offerableCapacity is how many cores may be offered to a cell: what is free or could be hired,
 // less what this cell's own work waits for, its headroom, what is guaranteed to its teams
 // and what is promised or accepted already.
-func (c *Core) lendable(n settings.Neighbour) float64 {
-	room := c.hireableCores()
-	for _, m := range c.live {
-		if m.isOpen && !m.held {
+func (c *Core) offerableCapacity(n settings.Neighbour) float64 {
+	room := c.scalableCores()
+	for _, m := range c.liveMachines {
+		if m.schedulable && !m.reserved {
 			room += m.free.CPUs
 		}
 	}
 	fromHome, own := 0.0, 0.0
-	for _, j := range c.active {
+	for _, j := range c.activeJobs {
 		if j.over() || j.blocked() {
 			continue
 		}
 		room -= j.size.CPUs * float64(len(j.waiting))
-		if j.home == n.Name {
+		if j.origin == n.Name {
 			fromHome += j.cores()
 		}
 		own += j.size.CPUs * float64(j.booked)
@@ -199,7 +199,7 @@
 	for _, t := range c.teams {
 		room -= max(0, float64(t.guarantee.cpus-t.booked.cpus)/perUnit)
 	}
-	for _, credit := range c.transfers.credits {
+	for _, credit := range c.federation.credits {
 		if c.now < credit.until {
 			room -= credit.cores
 		}
@@ -207,10 +207,10 @@
 	return min(room, n.LendCores-fromHome)
 }
 
-// hireableCores is what the cloud may still give.
-func (c *Core) hireableCores() float64 {
+// scalableCores is what the cloud may still give.
+func (c *Core) scalableCores() float64 {
 	most := c.cfg.Operator.MaxMachines
-	if len(c.types) == 0 || !c.offersOpen() {
+	if len(c.types) == 0 || !c.poolsOpen() {
 		return 0
 	}
 	largest := 0.0
@@ -218,7 +218,7 @@
 		largest = max(largest, c.types[i].total.CPUs)
 	}
 	if most == 0 {
-		return largest * fleet.MaxHire
+		return largest * autoscaler.MaxScaleOut
 	}
 	return largest * float64(max(0, most-c.machineCount()))
 }
--- a/internal/scheduler/hints.go
+++ b/internal/scheduler/hints.go
@@ -5,60 +5,60 @@
 	"slices"
 	"time"
 
-	"leadproxy/internal/fleet"
-	"leadproxy/internal/hints"
+	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/softstate"
 )
 
-// hinted is what an earlier leader's hints say. It is looked at where this term knows
+// inheritedSoftState is what an earlier leader's hints say. It is looked at where this term knows
 // nothing better, and dropped when its beginning is over.
-type hinted struct {
-	machines map[string]hints.Machine
-	ran      map[uint64]time.Duration // by attempt: how long before the term it began to run
-	learned  hints.Learned
+type inheritedSoftState struct {
+	machines   map[string]softstate.Machine
+	runningFor map[uint64]time.Duration // by attempt: how long before the term it began to run
+	estimates  softstate.Estimates
 }
 
-// restoreHints takes the hints of an earlier leader, before anything else is restored.
-func (c *Core) restoreHints(v *hints.View) {
+// restoreSoftState takes the hints of an earlier leader, before anything else is restored.
+func (c *Core) restoreSoftState(v *softstate.View) {
 	if v == nil || len(v.Machines) == 0 {
 		return
 	}
-	c.hinted = hinted{machines: v.Machines, ran: map[uint64]time.Duration{}, learned: v.Learned}
+	c.inherited = inheritedSoftState{machines: v.Machines, runningFor: map[uint64]time.Duration{}, estimates: v.Estimates}
 	for _, m := range v.Machines {
-		for _, b := range m.Bookings {
-			if b.Ran > 0 {
-				c.hinted.ran[b.Attempt] = b.Ran
+		for _, b := range m.Allocations {
+			if b.Running > 0 {
+				c.inherited.runningFor[b.Attempt] = b.Running
 			}
 		}
 	}
 }
 
-// probeHinted probes the machines that the ledger names where the hints say that they are
+// probeInherited probes the machines that the ledger names where the hints say that they are
 // reached, without waiting for the cloud's list.
-func (c *Core) probeHinted() {
-	for _, m := range c.live {
-		if m.hinted {
+func (c *Core) probeInherited() {
+	for _, m := range c.liveMachines {
+		if m.addressFromSoftState {
 			c.probe(m)
 		}
 	}
 }
 
-// dropHints forgets the hints once the term's beginning is over.
-func (c *Core) dropHints() {
-	if c.hinted.machines != nil && c.now-c.began > probeFor {
-		c.hinted = hinted{}
+// dropInherited forgets the hints once the term's beginning is over.
+func (c *Core) dropInherited() {
+	if c.inherited.machines != nil && c.now-c.termStart > probeFor {
+		c.inherited = inheritedSoftState{}
 	}
 }
 
-// hintMachine fills in what the hints say of a machine that is new to this term. The list of
+// inheritMachine fills in what the hints say of a machine that is new to this term. The list of
 // the cloud and its reports overwrite that.
-func (c *Core) hintMachine(m *machine) {
-	h, ok := c.hinted.machines[m.name]
+func (c *Core) inheritMachine(m *machine) {
+	h, ok := c.inherited.machines[m.name]
 	if !ok {
 		return
 	}
-	m.hinted, m.address, m.hintedSession = true, h.Address, h.Session
-	if len(h.Bookings) == 0 {
+	m.addressFromSoftState, m.address, m.softStateEpoch = true, h.Address, h.AgentEpoch
+	if len(h.Allocations) == 0 {
 		m.idleSince = c.now - h.Idle
 	}
 	for _, i := range h.Images {
@@ -66,11 +66,11 @@
 	}
 }
 
-// hintFailed takes back what a hint said of where a machine is reached. The cloud's list or
+// inheritedAddressFailed takes back what a hint said of where a machine is reached. The cloud's list or
 // its next report tells.
-func (c *Core) hintFailed(m *machine) {
-	m.hinted, m.hintedSession, m.probes = false, 0, 0
-	if m.session == 0 {
+func (c *Core) inheritedAddressFailed(m *machine) {
+	m.addressFromSoftState, m.softStateEpoch, m.probes = false, 0, 0
+	if m.agentEpoch == 0 {
 		m.address = ""
 	}
 }
@@ -81,100 +81,100 @@
 	if attempt>>tokenBits == c.term {
 		return c.now, true
 	}
-	ran, ok := c.hinted.ran[attempt]
+	ran, ok := c.inherited.runningFor[attempt]
 	if !ok {
 		return c.now, false
 	}
-	return max(c.began-ran, 1), true
+	return max(c.termStart-ran, 1), true
 }
 
-// hintType fills in what the hints say of a machine type that is new to this term.
-func (c *Core) hintType(index int32) {
+// inheritType fills in what the hints say of a machine type that is new to this term.
+func (c *Core) inheritType(index int32) {
 	t := &c.types[index]
-	if s, ok := c.hinted.learned.Boots[t.Name]; ok {
+	if s, ok := c.inherited.estimates.BootSeconds[t.Name]; ok {
 		t.boot = settings.Seconds(s)
 	}
-	for _, o := range c.hinted.learned.Offers {
+	for _, o := range c.inherited.estimates.Pools {
 		if o.Type != t.Name {
 			continue
 		}
-		st := c.fleet.offer(fleet.Offer{Type: index, Zone: c.zones.of(o.Zone), Spot: o.Spot})
-		st.blockedUntil = c.now + min(o.Blocked, refusedMost)
+		st := c.autoscaling.pool(autoscaler.CapacityPool{Type: index, Zone: c.zones.of(o.Zone), Spot: o.Spot})
+		st.blockedUntil = c.now + min(o.BackoffLeft, refusedMost)
 		st.backoff = min(o.Backoff, refusedMost)
-		st.full = o.Filled
+		st.fillsRequests = o.Filled
 	}
 }
 
 // changed notes that hints of our own have something new to tell of a machine.
 func (c *Core) changed(m *machine) {
-	c.changes++
-	m.changed = c.changes
+	c.softStateVersion++
+	m.changedAt = c.softStateVersion
 }
 
-// hintsAsked tells what has changed since an earlier answer, oldest change first.
-func (c *Core) hintsAsked(e HintsAsked) {
+// softStateRequested tells what has changed since an earlier answer, oldest change first.
+func (c *Core) softStateRequested(e SoftStateRequest) {
 	var changed []*machine
 	for _, m := range c.machines {
-		if m.changed > e.Since && (m.state != machineGone || e.Since > 0) {
+		if m.changedAt > e.Since && (m.state != machineGone || e.Since > 0) {
 			changed = append(changed, m)
 		}
 	}
-	slices.SortFunc(changed, func(a, b *machine) int { return cmp.Compare(a.changed, b.changed) })
-	given := HintsGiven{To: e.To, Term: c.term, Upto: c.changes, Learned: c.learnedHints()}
-	if len(changed) > hints.MaxChanges {
-		changed = changed[:hints.MaxChanges]
-		given.Upto = changed[hints.MaxChanges-1].changed
+	slices.SortFunc(changed, func(a, b *machine) int { return cmp.Compare(a.changedAt, b.changedAt) })
+	given := SoftStateReply{ReplyTo: e.ReplyTo, Term: c.term, UpTo: c.softStateVersion, Estimates: c.estimates()}
+	if len(changed) > softstate.MaxChanges {
+		changed = changed[:softstate.MaxChanges]
+		given.UpTo = changed[softstate.MaxChanges-1].changedAt
 		given.More = true
 	}
 	for _, m := range changed {
-		given.Machines = append(given.Machines, c.machineHint(m))
+		given.Machines = append(given.Machines, c.machineSoftState(m))
 	}
 	c.emit(given)
 }
 
-// machineHint is what is known of a machine.
-func (c *Core) machineHint(m *machine) hints.Machine {
-	h := hints.Machine{Name: m.name, Gone: m.state == machineGone, Address: m.address, Session: m.session, Token: m.token,
-		Heard: max(0, c.now-m.heard), Idle: max(0, c.now-m.idleSince)}
+// machineSoftState is what is known of a machine.
+func (c *Core) machineSoftState(m *machine) softstate.Machine {
+	h := softstate.Machine{Name: m.name, Gone: m.state == machineGone, Address: m.address, AgentEpoch: m.agentEpoch, FencingToken: m.fencingToken,
+		SinceHeartbeat: max(0, c.now-m.lastHeartbeat), Idle: max(0, c.now-m.idleSince)}
 	for _, i := range m.images {
-		h.Images = append(h.Images, hints.Image{Name: c.images.list[i.image], GB: i.gb})
+		h.Images = append(h.Images, softstate.Image{Name: c.images.list[i.image], GB: i.gb})
 	}
-	for _, b := range m.bookings {
-		k := hints.Booking{Task: c.taskName(b), Attempt: b.attempt}
-		if b.ranSince > 0 {
-			k.Ran = c.now - b.ranSince
+	for _, b := range m.allocations {
+		k := softstate.Allocation{Task: c.taskName(b), Attempt: b.attempt}
+		if b.runningSince > 0 {
+			k.Running = c.now - b.runningSince
 		}
-		h.Bookings = append(h.Bookings, k)
+		h.Allocations = append(h.Allocations, k)
 	}
 	return h
 }
 
-// learnedHints is what this term has learned.
-func (c *Core) learnedHints() hints.Learned {
-	l := hints.Learned{RunRatios: map[string]float64{}, Boots: map[string]float64{}}
-	for class, ratio := range c.fleet.ratios {
+// estimates is what this term has learned.
+func (c *Core) estimates() softstate.Estimates {
+	l := softstate.Estimates{RunRatios: map[string]float64{}, BootSeconds: map[string]float64{}}
+	for class, ratio := range c.autoscaling.runRatios {
 		if ratio > 0 {
 			l.RunRatios[c.classes.list[class]] = ratio
 		}
 	}
 	for i := range c.types {
 		if boot := c.types[i].boot.Seconds(); boot > 0 {
-			l.Boots[c.types[i].Name] = boot
+			l.BootSeconds[c.types[i].Name] = boot
 		}
 	}
-	for o, st := range c.fleet.offers {
-		if o.Type < 0 || o.Zone < 0 || *st == (offerState{}) {
+	for o, st := range c.autoscaling.pools {
+		if o.Type < 0 || o.Zone < 0 || *st == (poolState{}) {
 			continue
 		}
-		l.Offers = append(l.Offers, hints.Offer{Type: c.types[o.Type].Name, Zone: c.zones.list[o.Zone], Spot: o.Spot,
-			Blocked: max(0, st.blockedUntil-c.now), Backoff: st.backoff, Filled: st.full})
+		l.Pools = append(l.Pools, softstate.CapacityPool{Type: c.types[o.Type].Name, Zone: c.zones.list[o.Zone], Spot: o.Spot,
+			BackoffLeft: max(0, st.blockedUntil-c.now), Backoff: st.backoff, Filled: st.fillsRequests})
 	}
-	slices.SortFunc(l.Offers, compareOffers)
+	slices.SortFunc(l.Pools, comparePools)
 	return l
 }
 
-func compareOffers(a, b hints.Offer) int {
-	spot := func(o hints.Offer) int {
+func comparePools(a, b softstate.CapacityPool) int {
+	spot := func(o softstate.CapacityPool) int {
 		if o.Spot {
 			return 1
 		}
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -4,7 +4,7 @@
 	"math"
 	"time"
 
-	"leadproxy/internal/fleet"
+	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/slowfit"
@@ -30,16 +30,16 @@
 
 // job is a job in the leader's memory. Once it is over, tasks is nil.
 type job struct {
-	index   int32
-	ref     string
-	spec    *wire.Job
-	version uint64
-	accept  int64 // acceptedMS of the record
-	arrived time.Duration
-	// due and rank are its own, or those of a job that needs it where that is more
+	index      int32
+	id         string
+	spec       *wire.Job
+	version    uint64
+	acceptedMS int64 // acceptedMS of the record
+	arrived    time.Duration
+	// deadline and rank are its own, or those of a job that needs it where that is more
 	// urgent.
-	due  time.Duration // never without a deadline
-	rank int
+	deadline      time.Duration // never without a deadline
+	priorityClass int
 	// endedAt is when its end became durable, or was decided if that was before this term.
 	endedAt time.Duration
 	deps    dependencies
@@ -56,40 +56,40 @@
 	done    int
 	booked  int
 
-	// home is the cell whose job this is, if that is another one, and epoch the number
+	// origin is the cell whose job this is, if that is another one, and epoch the number
 	// of its transfer. away is set while another cell may run a job of this one.
-	home  string
-	epoch uint64
-	away  bool
+	origin        string
+	transferEpoch uint64
+	delegated     bool
 
 	// For a job that must stay in one zone or be spread: its tasks by zone, and
 	// which zone was last found best.
-	inZone     []int
-	zoneSought time.Duration
-	zoneWish   int32
+	inZone        []int
+	zoneSought    time.Duration
+	preferredZone int32
 
-	hosts    []host
-	hostAt   map[int32]int
-	hostsPut int // how many of them have been written, or are being
+	hosts        []host
+	hostAt       map[int32]int
+	hostsWritten int // how many of them have been written, or are being
 	// hostChunks are the first hosts of the keys that hold them. finKeys are the
 	// keys of finished tasks, inParts the chunks that are written in parts.
-	hostChunks []int
-	finKeys    map[string]bool
-	inParts    map[int]bool
-	// ended are tasks that have ended and are not written down yet.
-	ended     []int32
-	unwritten bool
-	unclear   map[int32]bool // machines that may run unseen tasks of it
+	hostChunks    []int
+	finishedKeys  map[string]bool
+	chunksInParts map[int]bool
+	// unwrittenTasks are tasks that have ended and are not written down yet.
+	unwrittenTasks []int32
+	queuedForWrite bool
+	inDoubtHosts   map[int32]bool // machines that may run unseen tasks of it
 
 	terminal        string // decided, being written or durable
 	terminalDurable bool
 	settled         bool // all that a terminal state requires is done
 	overdueNoted    bool // its tasks may have run past the bound of a cancellation
-	waiters         []Recipient
+	replyTo         []Recipient
 
-	begun  bool          // some task of it has been seen running, or is done
-	held   *machine      // kept free for its first task
-	sought time.Duration // when such a machine was last looked for
+	startedOnce         bool          // some task of it has been seen running, or is done
+	reservedMachine     *machine      // kept free for its first task
+	reservationSoughtAt time.Duration // when such a machine was last looked for
 
 	imageOnly bool // for the moment it is offered only machines with its image
 
@@ -102,7 +102,7 @@
 
 // placeable tells whether waiting tasks may be started now.
 func (j *job) placeable(now time.Duration) bool {
-	return !j.over() && !j.blocked() && len(j.waiting) > 0 && len(j.unclear) == 0 && now >= j.notBefore
+	return !j.over() && !j.blocked() && len(j.waiting) > 0 && len(j.inDoubtHosts) == 0 && now >= j.notBefore
 }
 
 // never is the deadline of a job without one.
@@ -110,19 +110,19 @@
 
 // slack is the time left until the deadline beyond the estimated run.
 func (j *job) slack(now time.Duration) time.Duration {
-	if j.due == never {
+	if j.deadline == never {
 		return never
 	}
-	return j.due - now - settings.Seconds(j.spec.EstimateS)
+	return j.deadline - now - settings.Seconds(j.spec.EstimatedRunS)
 }
 
 func (c *Core) newJob(ref string, rec ledger.JobRecord, version uint64) *job {
-	j := &job{index: int32(len(c.jobs)), ref: ref, spec: rec.Job, version: version, accept: rec.AcceptedMS,
-		home: rec.Home, epoch: rec.Epoch, terminal: rec.Terminal, terminalDurable: rec.Terminal != "", total: rec.Tasks, done: rec.Done, due: never, zone: -1}
+	j := &job{index: int32(len(c.jobs)), id: ref, spec: rec.Job, version: version, acceptedMS: rec.AcceptedMS,
+		origin: rec.Origin, transferEpoch: rec.TransferEpoch, terminal: rec.Terminal, terminalDurable: rec.Terminal != "", total: rec.Tasks, done: rec.Done, deadline: never, zone: -1}
 	if rec.EndedMS > 0 {
 		j.endedAt = c.ago(rec.EndedMS)
 	}
-	c.jobIndex[ref] = j.index
+	c.jobIndexByID[ref] = j.index
 	c.jobs = append(c.jobs, j)
 	s := rec.Job
 	if s == nil {
@@ -131,9 +131,9 @@
 	}
 	j.arrived = c.ago(rec.AcceptedMS)
 	if s.DeadlineS != nil {
-		j.due = j.arrived + settings.Seconds(*s.DeadlineS)
+		j.deadline = j.arrived + settings.Seconds(*s.DeadlineS)
 	}
-	j.rank = s.Rank()
+	j.priorityClass = s.PriorityClass()
 	j.size = sizeOf(s)
 	j.class = c.classOf(s.Class)
 	j.image = c.images.of(s.Image)
@@ -144,7 +144,7 @@
 	j.total = s.Tasks
 	j.hostAt = map[int32]int{}
 	j.tasks = make([]task, s.Tasks)
-	c.active = append(c.active, j)
+	c.activeJobs = append(c.activeJobs, j)
 	return j
 }
 
@@ -166,14 +166,14 @@
 // classOf returns a class's index and makes room for what is kept by class.
 func (c *Core) classOf(name string) int32 {
 	i := c.classes.of(name)
-	for int(i) >= len(c.aims) {
-		c.aims = append(c.aims, classAims{})
-		c.classUse = append(c.classUse, 0)
-		c.fleet.streams = append(c.fleet.streams, fleet.Stream{})
-		c.fleet.ratios = append(c.fleet.ratios, 0)
+	for int(i) >= len(c.classObjectives) {
+		c.classObjectives = append(c.classObjectives, classAims{})
+		c.coresByClass = append(c.coresByClass, 0)
+		c.autoscaling.demand = append(c.autoscaling.demand, autoscaler.DemandEstimator{})
+		c.autoscaling.runRatios = append(c.autoscaling.runRatios, 0)
 		for _, o := range c.cfg.Platform.Facts.Objectives {
 			if o.Kind == "wait" && o.Class == name {
-				c.aims[i] = classAims{wait: settings.Seconds(o.WithinS)}
+				c.classObjectives[i] = classAims{wait: settings.Seconds(o.WithinS)}
 			}
 		}
 	}
@@ -182,10 +182,10 @@
 
 // teamOf returns a team's index.
 func (c *Core) teamOf(name string) int32 {
-	if i, ok := c.teamAt[name]; ok {
+	if i, ok := c.teamIndexByName[name]; ok {
 		return i
 	}
-	return c.spareTeam
+	return c.unknownTeam
 }
 
 // fillWaiting lists the waiting tasks, the lowest number to go first.
@@ -198,13 +198,13 @@
 	}
 }
 
-func (c *Core) jobSeen(e JobSeen) *job {
-	if i, ok := c.jobIndex[e.Ref]; ok {
+func (c *Core) jobRecorded(e JobRecordEvent) *job {
+	if i, ok := c.jobIndexByID[e.JobID]; ok {
 		return c.jobs[i]
 	}
-	j := c.newJob(e.Ref, e.Record, e.Version)
+	j := c.newJob(e.JobID, e.Record, e.Version)
 	j.fillWaiting()
-	c.link(j)
+	c.linkDependencies(j)
 	if j.terminalDurable {
 		// Its end was written while this leader had not seen it yet.
 		c.releaseDependents(j)
@@ -216,13 +216,13 @@
 		c.settleJob(j)
 		return j
 	}
-	c.log.Debug("job accepted", "job", j.ref, "tasks", j.total, "cpus", j.size.CPUs, "class", j.spec.Class)
-	c.settleLinks(j)
-	if !j.over() && !j.blocked() && j.home == "" {
+	c.log.Debug("job accepted", "job", j.id, "tasks", j.total, "cpus", j.size.CPUs, "class", j.spec.Class)
+	c.settleDependencies(j)
+	if !j.over() && !j.blocked() && j.origin == "" {
 		c.arrived(j)
 	}
-	c.raiseBy(j)
-	c.dirty = true
+	c.raisePriorityBy(j)
+	c.needsPlacement = true
 	return j
 }
 
@@ -230,26 +230,26 @@
 // is durable.
 func (c *Core) finish(j *job, terminal string) {
 	j.terminal = terminal
-	if c.drains.account != nil {
-		c.drains.account.Over(j.ref, c.now)
+	if c.evictions.disruptions != nil {
+		c.evictions.disruptions.Over(j.id, c.now)
 	}
-	if terminal == wire.Aborted {
-		c.aborting[j.index] = true
+	if terminal == wire.JobCancelled {
+		c.cancelling[j.index] = true
 	}
 	c.writeTerminal(j, true)
 }
 
 // writeTerminal writes a job's terminal state.
 func (c *Core) writeTerminal(j *job, urgent bool) {
-	rec := ledger.JobRecord{AcceptedMS: j.accept, Terminal: j.terminal, Tasks: j.total, Done: j.done, EndedMS: c.wall, Home: j.home, Epoch: j.epoch}
-	if j.terminal == wire.Aborted {
+	rec := ledger.JobRecord{AcceptedMS: j.acceptedMS, Terminal: j.terminal, Tasks: j.total, Done: j.done, EndedMS: c.wall, Origin: j.origin, TransferEpoch: j.transferEpoch}
+	if j.terminal == wire.JobCancelled {
 		// What a new leader needs stays: it charges the team for tasks that it has
 		// not yet seen gone. The whole description may be more than fits by now.
-		rec.Job = j.spec.Essence()
-	} else if j.home == "" {
+		rec.Job = j.spec.CancelledSummary()
+	} else if j.origin == "" {
 		rec.Class, rec.Team, rec.Cores, rec.RunS = j.spec.Class, j.spec.Team, j.size.CPUs*float64(j.total), c.expectedRun(j).Seconds()
 	}
-	c.put(ledger.Write{Key: ledger.JobKey(j.ref), Value: rec, Urgent: urgent, Version: j.version, Tag: terminalTag{j.index}})
+	c.put(ledger.Write{Key: ledger.JobKey(j.id), Value: rec, Urgent: urgent, Version: j.version, Tag: terminalTag{j.index}})
 }
 
 func (c *Core) terminalIsDurable(j *job) {
@@ -257,33 +257,33 @@
 		return // it followed from another job's end before its own record was written
 	}
 	j.terminalDurable, j.endedAt = true, c.now
-	delete(c.aborting, j.index)
+	delete(c.cancelling, j.index)
 	j.waiting = nil
-	c.log.Debug("job is over", "job", j.ref, "state", j.terminal, "seconds", (c.now - j.arrived).Seconds(), "late", c.now > j.due)
-	for _, to := range j.waiters {
-		c.emit(AnswerUser{To: to, Known: true, Status: c.status(j)})
+	c.log.Debug("job is over", "job", j.id, "state", j.terminal, "seconds", (c.now - j.arrived).Seconds(), "late", c.now > j.deadline)
+	for _, to := range j.replyTo {
+		c.emit(UserReply{ReplyTo: to, Known: true, Status: c.status(j)})
 	}
-	j.waiters = nil
+	j.replyTo = nil
 	c.stopTasks(j)
-	c.dirty = true
+	c.needsPlacement = true
 	c.releaseDependents(j)
 	c.settleJob(j)
-	c.transfers.home.Over(j.ref, c.now)
-	c.carryOutHome()
+	c.federation.delegated.Over(j.id, c.now)
+	c.applyOriginEffects()
 }
 
 // settleJob drops what is kept for a job that is over, once nothing of it is on
 // any machine any more.
 func (c *Core) settleJob(j *job) {
-	if !j.terminalDurable || j.settled || j.booked > 0 || len(j.unclear) > 0 {
+	if !j.terminalDurable || j.settled || j.booked > 0 || len(j.inDoubtHosts) > 0 {
 		return
 	}
 	j.settled = true
 	c.dropKeys(j)
 	for _, h := range j.hosts {
-		c.machines[h.machine].hostOf--
+		c.machines[h.machine].namedByJobs--
 	}
-	j.tasks, j.hosts, j.hostAt, j.failedOn, j.hostChunks, j.finKeys = nil, nil, nil, nil, nil, nil
+	j.tasks, j.hosts, j.hostAt, j.failedOn, j.hostChunks, j.finishedKeys = nil, nil, nil, nil, nil, nil
 }
 
 // taskEnded notes that a task has completed.
@@ -296,16 +296,16 @@
 	}
 	j.tasks[n].state = taskDone
 	j.done++
-	j.begun = true
-	if c.drains.account != nil {
-		c.drains.account.Ends(j.ref, int(n), c.now)
+	j.startedOnce = true
+	if c.evictions.disruptions != nil {
+		c.evictions.disruptions.Ends(j.id, int(n), c.now)
 	}
 	c.clearOfBlame(j)
 	if j.done == j.total {
-		c.finish(j, wire.Done)
+		c.finish(j, wire.JobDone)
 		return
 	}
-	j.ended = append(j.ended, n)
+	j.unwrittenTasks = append(j.unwrittenTasks, n)
 	c.unwrittenJob(j)
 }
 
@@ -325,5 +325,5 @@
 	}
 	j.tasks[n].state = taskWaiting
 	j.waiting = append(j.waiting, n)
-	c.dirty = true
+	c.needsPlacement = true
 }
--- a/internal/scheduler/machines_test.go
+++ b/internal/scheduler/machines_test.go
@@ -6,7 +6,7 @@
 	"testing"
 	"time"
 
-	"leadproxy/internal/fleet"
+	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/wire"
 )
@@ -17,9 +17,9 @@
 		ends       []string // how the starts of one job end on vm-1, vm-2, ...
 		quarantine int
 	}{
-		{"one failure alone blames nobody", []string{wire.WhyError}, 0},
-		{"a success elsewhere blames the machine", []string{wire.WhyError, wire.WhyDone}, 1},
-		{"a job that fails everywhere blames no machine", []string{wire.WhyError, wire.WhyError, wire.WhyError}, 0},
+		{"one failure alone blames nobody", []string{wire.ExitError}, 0},
+		{"a success elsewhere blames the machine", []string{wire.ExitError, wire.ExitDone}, 1},
+		{"a job that fails everywhere blames no machine", []string{wire.ExitError, wire.ExitError, wire.ExitError}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -31,13 +31,13 @@
 			for len(c.ends) > 0 {
 				d := g.start[0]
 				g.start = g.start[1:]
-				g.step(DirectBack{Call: d.Call, Outcome: DirectDone})
-				g.report(g.reportOf(d.Machine, ours, taskIn(d.Commands.Orders[0], wire.TaskEnded, c.ends[0])))
+				g.step(CommandResult{CommandID: d.CommandID, Outcome: CommandExecuted})
+				g.report(g.reportOf(d.Machine, ours, taskIn(d.Request.Commands[0], wire.TaskEnded, c.ends[0])))
 				c.ends = c.ends[1:]
 			}
 			n := 0
 			for _, m := range g.c.machines {
-				if m.quarantine {
+				if m.quarantined {
 					n++
 				}
 			}
@@ -50,7 +50,7 @@
 	g := newStage(t, ledger.Snapshot{})
 	g.up("vm-1")
 	g.submit(newTestJob("job-1", 1, 4))
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	g.wait(14 * time.Second)
 	g.want("asked to delete", g.deleted, []string{"vm-1"})
 	g.up("vm-2")
@@ -123,7 +123,7 @@
 	g := newStage(t, ledger.Snapshot{})
 	g.up("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
-	g.settle(DirectNotSent)
+	g.settle(CommandNotSent)
 	g.want("starts at once", len(g.starts()), 0)
 	g.echo("vm-1")
 	g.want("starts after an echo", len(g.starts()), 0)
@@ -136,17 +136,17 @@
 	g.up("vm-1")
 	g.up("vm-2")
 	g.submit(newTestJob("job-1", 2, 4))
-	g.settle(DirectDone)
-	g.step(CloudBack{fleet.Result{Call: fleet.Call{Delete: []string{"vm-1"}}}})
-	g.want("noted", g.c.machines[0].goneNoted, true)
-	g.step(CancelAsked{Ref: "job-1", To: recipient("u")})
+	g.settle(CommandExecuted)
+	g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
+	g.want("noted", g.c.machines[0].goneRecorded, true)
+	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 	g.report(g.reportOf("vm-2", ours))
 	g.wait(time.Second)
-	g.want("noted after the job is over", g.c.machines[0].goneNoted, false)
+	g.want("noted after the job is over", g.c.machines[0].goneRecorded, false)
 }
 
 func TestUnheardHostAfterATakeoverIsDeleted(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{Ref: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}})
+	g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}})
 	g.wait(13 * time.Second)
 	g.want("asked to delete", g.deleted, []string{"vm-1"})
 }
@@ -161,7 +161,7 @@
 	g.up("vm-3")
 	g.submit(newTestJob("job-1", 1, 4))
 	first := g.starts()[0]
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	deaf := ours
 	tell := func(d time.Duration) {
 		for end := g.now + d; g.now < end; {
@@ -173,7 +173,7 @@
 		}
 	}
 	tell(19 * time.Second) // a quarter of a lease until it is raisedAt, two rounds to wait
-	g.want("deaf machine is closed", g.c.machines[0].isOpen, false)
+	g.want("deaf machine is closed", g.c.machines[0].schedulable, false)
 	g.submit(newTestJob("job-2", 2, 4))
 	for _, d := range g.start {
 		if d.Machine == "vm-1" {
@@ -184,7 +184,7 @@
 	tell(6 * time.Second)
 	g.want("asked to delete", g.deleted, []string{"vm-1"})
 	g.want("its task stays booked until then", g.c.jobs[0].booked, 1)
-	g.step(CloudBack{fleet.Result{Call: fleet.Call{Delete: []string{"vm-1"}}}})
+	g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
 	g.want("and waits again afterwards", len(g.c.jobs[0].waiting), 1)
 }
 
@@ -192,11 +192,11 @@
 // revives no machine, frees or doubles no booking, renews no lease in our books
 // and ends no doubt.
 func TestLateCopiesOfReports(t *testing.T) {
-	running := func(g *stage) wire.Order {
+	running := func(g *stage) wire.Command {
 		g.up("vm-1")
 		g.submit(newTestJob("job-1", 1, 1))
 		o := g.starts()[0]
-		g.settle(DirectDone)
+		g.settle(CommandExecuted)
 		return o
 	}
 	cases := []struct {
@@ -209,11 +209,11 @@
 			g.report(&old)
 			o := running(g)
 			g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskRunning, "")))
-			over := g.c.machines[0].leaseOver
+			over := g.c.machines[0].leaseExpiry
 			g.wait(8 * time.Second)
 			g.report(&old)
 			g.want("bookings", g.c.jobs[0].booked, 1)
-			g.want("the end of the lease", g.c.machines[0].leaseOver, over)
+			g.want("the end of the lease", g.c.machines[0].leaseExpiry, over)
 		}},
 		{"after its lease: what it lists is over", func(g *stage) {
 			o := running(g)
@@ -230,7 +230,7 @@
 		{"after its machine was deleted", func(g *stage) {
 			o := running(g)
 			held := *g.reportOf("vm-1", ours, taskIn(o, wire.TaskRunning, ""))
-			g.step(CloudBack{fleet.Result{Call: fleet.Call{Delete: []string{"vm-1"}}}})
+			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
 			if a := g.report(&held); a != nil {
 				t.Errorf("answered with %v", a)
 			}
@@ -238,10 +238,10 @@
 			g.want("state", g.c.machines[0].state, machineGone)
 		}},
 		{"from before a takeover: it ends no doubt and books nothing", func(g *stage) {
-			saved := ledger.Snapshot{Jobs: []ledger.SavedJob{{Ref: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}}
+			saved := ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}}
 			g2 := newStage(t, saved)
 			g2.up("vm-9")
-			old := wire.Order{Task: "job-1/0", Attempt: 6<<tokenBits | 1}
+			old := wire.Command{Task: "job-1/0", Attempt: 6<<tokenBits | 1}
 			g2.report(g2.reportOf("vm-1", 6<<tokenBits, taskIn(old, wire.TaskRunning, "")))
 			g2.want("bookings", g2.c.jobs[0].booked, 0)
 			g2.want("starts", len(g2.starts()), 0)
@@ -253,13 +253,13 @@
 			o := running(g)
 			held := *g.reportOf("vm-1", ours, taskIn(o, wire.TaskRunning, ""))
 			r := g.reportOf("vm-1", ours)
-			r.Session = 2
+			r.AgentEpoch = 2
 			g.report(r)
 			g.echo("vm-1")
 			n := g.c.jobs[0].booked
 			g.report(&held)
 			g.want("bookings", g.c.jobs[0].booked, n)
-			g.want("session", g.c.machines[0].session, 2)
+			g.want("session", g.c.machines[0].agentEpoch, 2)
 		}},
 	}
 	for _, c := range cases {
@@ -284,25 +284,25 @@
 			g.up("vm-1")
 			g.submit(newTestJob("job-1", 1, 1))
 			o := g.starts()[0]
-			g.settle(DirectDone)
+			g.settle(CommandExecuted)
 			g.seq["vm-1"] = 40
 			g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskRunning, "")))
 			again := *g.reportOf("vm-1", 0)
-			again.Seq = 1
+			again.Sequence = 1
 			g.report(&again)
 			asked := 0
 			for _, e := range g.out {
-				if _, ok := e.(Inspect); ok {
+				if _, ok := e.(InspectWorker); ok {
 					asked++
 				}
 			}
 			g.want("asked", asked, 1)
 			now := again
-			now.Seq = c.says
+			now.Sequence = c.says
 			if c.says > 40 {
-				now.Token, now.Tasks = ours, []wire.TaskReport{taskIn(o, wire.TaskRunning, "")}
+				now.FencingToken, now.Tasks = ours, []wire.TaskStatus{taskIn(o, wire.TaskRunning, "")}
 			}
-			g.step(InspectBack{Machine: "vm-1", Report: &now})
+			g.step(InspectResult{Machine: "vm-1", Heartbeat: &now})
 			g.seq["vm-1"] = c.says
 			if c.says < 40 {
 				g.echo("vm-1")
@@ -316,12 +316,12 @@
 			// it says that the new attempt is not there, and the task was started on
 			// another machine as well.
 			n := g.starts()[0]
-			g.settle(DirectDone)
+			g.settle(CommandExecuted)
 			old := *g.reportOf("vm-1", ours, taskIn(o, wire.TaskRunning, ""))
-			old.Seq = 41
+			old.Sequence = 41
 			g.report(&old)
 			g.want("bookings after an old report", g.c.jobs[0].booked, 1)
-			g.want("the new attempt", g.c.machineNamed("vm-1").booking(n.Attempt) != nil, true)
+			g.want("the new attempt", g.c.machineNamed("vm-1").allocation(n.Attempt) != nil, true)
 		})
 	}
 }
@@ -334,16 +334,16 @@
 	g.up("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
 	g.starts()
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	old := *g.reportOf("vm-1", (testTerm-1)<<tokenBits)
-	old.Seq = 90
+	old.Sequence = 90
 	g.report(&old)
 	g.want("bookings after it", g.c.jobs[0].booked, 1)
 	g.want("started elsewhere", len(g.starts()), 0)
 	// Its worker may truly have begun anew with higher counts: it says so again with
 	// the token that the answer gave it.
-	again := *g.reportOf("vm-1", g.c.machineNamed("vm-1").token)
-	again.Seq = 91
+	again := *g.reportOf("vm-1", g.c.machineNamed("vm-1").fencingToken)
+	again.Sequence = 91
 	g.report(&again)
 	g.want("started anew", len(g.starts()), 1)
 }
@@ -367,11 +367,11 @@
 			j := newTestJob("job-1", 1, 1)
 			c.change(j)
 			g.submit(j)
-			g.settle(DirectNotSent) // what fits waits as well: commands don't get there
+			g.settle(CommandNotSent) // what fits waits as well: commands don't get there
 			for range 100 {
 				g.wait(time.Second)
 				g.echo("vm-1")
-				g.settle(DirectNotSent)
+				g.settle(CommandNotSent)
 			}
 			g.want("returned", len(slices.Compact(g.deleted)), c.deleted)
 		})
@@ -381,7 +381,7 @@
 // TestOneLostCommandIsNoSilence: a machine that one command did not reach gets
 // no work until it echoes, but is not given up at once.
 func TestOneLostCommandIsNoSilence(t *testing.T) {
-	for _, outcome := range []DirectOutcome{DirectUnknown, DirectNotSent} {
+	for _, outcome := range []CommandOutcome{CommandOutcomeUnknown, CommandNotSent} {
 		g := newStage(t, ledger.Snapshot{})
 		for _, name := range []string{"vm-1", "vm-2", "vm-3"} {
 			g.up(name)
@@ -394,7 +394,7 @@
 		}
 		g.submit(newTestJob("job-1", 1, 4))
 		g.settle(outcome)
-		g.want("open before the echo", g.c.open(g.c.machines[0]), false)
+		g.want("open before the echo", g.c.accepts(g.c.machines[0]), false)
 		g.wait(time.Second)
 		g.want("deleted", len(g.deleted), 0)
 	}
@@ -405,34 +405,34 @@
 func TestANewLeaderProbesMachines(t *testing.T) {
 	cases := []struct {
 		name   string
-		answer func(g *stage, d Direct)
+		answer func(g *stage, d SendCommands)
 		starts int
 	}{
-		{"the answer is an echo", func(g *stage, d Direct) {
-			g.step(DirectBack{Call: d.Call, Outcome: DirectDone, Report: g.reportOf("vm-1", d.Commands.Token)})
+		{"the answer is an echo", func(g *stage, d SendCommands) {
+			g.step(CommandResult{CommandID: d.CommandID, Outcome: CommandExecuted, Heartbeat: g.reportOf("vm-1", d.Request.FencingToken)})
 		}, 1},
-		{"another session is tried once more", func(g *stage, d Direct) {
+		{"another session is tried once more", func(g *stage, d SendCommands) {
 			r := g.reportOf("vm-1", 6<<tokenBits)
-			r.Session = 3
-			g.step(DirectBack{Call: d.Call, Outcome: DirectRefused, Report: r})
+			r.AgentEpoch = 3
+			g.step(CommandResult{CommandID: d.CommandID, Outcome: CommandRejected, Heartbeat: r})
 			again := g.start[len(g.start)-1]
-			g.want("session", again.Commands.Session, 3)
-			r = g.reportOf("vm-1", again.Commands.Token)
-			r.Session = 3
-			g.step(DirectBack{Call: again.Call, Outcome: DirectDone, Report: r})
+			g.want("session", again.Request.AgentEpoch, 3)
+			r = g.reportOf("vm-1", again.Request.FencingToken)
+			r.AgentEpoch = 3
+			g.step(CommandResult{CommandID: again.CommandID, Outcome: CommandExecuted, Heartbeat: r})
 		}, 1},
-		{"no answer settles nothing", func(g *stage, d Direct) {
-			g.step(DirectBack{Call: d.Call, Outcome: DirectUnknown})
+		{"no answer settles nothing", func(g *stage, d SendCommands) {
+			g.step(CommandResult{CommandID: d.CommandID, Outcome: CommandOutcomeUnknown})
 		}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{Ref: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}})
+			g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}})
 			g.now += time.Second
-			g.step(CloudBack{fleet.Result{Call: fleet.Call{List: true}, List: []wire.ListedMachine{
-				{Name: "vm-1", Address: "10.1.0.1:9000", Type: "m4", Zone: "a", Spot: true, Status: wire.MachineUp, AgeS: 90},
-				{Name: "vm-2", Address: "10.1.0.2:9000", Type: "m4", Zone: "a", Spot: true, Status: wire.Booting, AgeS: 90}}}})
-			if len(g.start) != 1 || g.start[0].Machine != "vm-1" || len(g.start[0].Commands.Orders) != 0 {
+			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}, List: []wire.ListedMachine{
+				{Name: "vm-1", Address: "10.1.0.1:9000", Type: "m4", Zone: "a", Spot: true, Status: wire.MachineRunning, AgeS: 90},
+				{Name: "vm-2", Address: "10.1.0.2:9000", Type: "m4", Zone: "a", Spot: true, Status: wire.MachineBooting, AgeS: 90}}}})
+			if len(g.start) != 1 || g.start[0].Machine != "vm-1" || len(g.start[0].Request.Commands) != 0 {
 				t.Fatalf("probed with %+v, want vm-1 without orders", g.start)
 			}
 			c.answer(g, g.start[0])
@@ -447,7 +447,7 @@
 	g := newStage(t, ledger.Snapshot{})
 	asked := func() (names []string) {
 		for _, e := range g.out {
-			if i, ok := e.(Inspect); ok {
+			if i, ok := e.(InspectWorker); ok {
 				names = append(names, i.Machine)
 			}
 		}
@@ -456,7 +456,7 @@
 	}
 	const machines = 100
 	name := func(i int) string { return fmt.Sprintf("vm-%d", i) }
-	copies := map[string]*wire.Report{}
+	copies := map[string]*wire.Heartbeat{}
 	for i := range machines {
 		copies[name(i)] = g.reportOf(name(i), 0)
 		g.up(name(i))
@@ -464,22 +464,22 @@
 	}
 	g.out = nil
 	for i := range machines {
-		g.step(ReportIn{Report: copies[name(i)], To: recipient("w")})
+		g.step(HeartbeatEvent{Heartbeat: copies[name(i)], ReplyTo: recipient("w")})
 	}
 	at := asked()
 	g.want("asked at once", len(at), maxInspects)
 	for _, n := range at {
-		g.step(InspectBack{Machine: n, Report: g.reportOf(n, ours)})
+		g.step(InspectResult{Machine: n, Heartbeat: g.reportOf(n, ours)})
 	}
 	count := 0
 	for range 60 {
 		g.wait(time.Second)
 		g.echo("vm-0")
 		g.out = nil
-		g.step(ReportIn{Report: copies["vm-0"], To: recipient("w")})
+		g.step(HeartbeatEvent{Heartbeat: copies["vm-0"], ReplyTo: recipient("w")})
 		for _, n := range asked() {
 			count++
-			g.step(InspectBack{Machine: n, Report: g.reportOf(n, ours)})
+			g.step(InspectResult{Machine: n, Heartbeat: g.reportOf(n, ours)})
 		}
 	}
 	if count < 1 || count > 5 {
@@ -504,16 +504,16 @@
 			g := newStage(t, ledger.Snapshot{})
 			var list []wire.ListedMachine
 			for i := range 300 {
-				list = append(list, wire.ListedMachine{Name: fmt.Sprintf("vm-%03d", i), Address: "10.1.0.1:9000", Type: "m4", Zone: "a", Status: wire.MachineUp, AgeS: 100})
+				list = append(list, wire.ListedMachine{Name: fmt.Sprintf("vm-%03d", i), Address: "10.1.0.1:9000", Type: "m4", Zone: "a", Status: wire.MachineRunning, AgeS: 100})
 			}
 			g.now += time.Second
-			g.step(CloudBack{fleet.Result{Call: fleet.Call{List: true}, List: list}})
+			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}, List: list}})
 			g.want("at first", len(g.start), fewProbes)
 			most := 0
 			for len(g.start) > 0 && g.now < 8*time.Second {
 				most = max(most, len(g.start))
 				g.now += c.takes
-				g.settle(DirectDone)
+				g.settle(CommandExecuted)
 			}
 			g.want("at most", most, c.most)
 		})
--- a/internal/scheduler/offers.go
+++ b/internal/scheduler/offers.go
@@ -4,8 +4,8 @@
 	"slices"
 	"time"
 
+	"leadproxy/internal/federation"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/spill"
 )
 
 // Which jobs are offered to other cells, when, and to whom.
@@ -16,73 +16,73 @@
 // mayLeave tells whether a job can run in another cell: whole, never started anywhere,
 // of this cell, and not bound to a zone of it.
 func (c *Core) mayLeave(j *job) bool {
-	return j.placeable(c.now) && j.home == "" && !j.begun && j.booked == 0 && len(j.hosts) == 0 && j.done == 0 &&
-		j.held == nil && j.zone < 0 && !j.suspect() && c.transfers.home.MayBegin(j.ref)
+	return j.placeable(c.now) && j.origin == "" && !j.startedOnce && j.booked == 0 && len(j.hosts) == 0 && j.done == 0 &&
+		j.reservedMachine == nil && j.zone < 0 && !j.suspect() && c.federation.delegated.MayBegin(j.id)
 }
 
 // expectedLate tells whether a job that begins after a wait misses its deadline or,
 // without one, waits longer than it may.
 func (c *Core) expectedLate(j *job, wait time.Duration) bool {
-	if j.due == never {
-		return c.now-j.arrived+wait > c.transfers.cells.MaxWait
+	if j.deadline == never {
+		return c.now-j.arrived+wait > c.federation.cells.MaxWait
 	}
-	return c.now+wait+c.expectedRun(j) > j.due
+	return c.now+wait+c.expectedRun(j) > j.deadline
 }
 
-// lookForRoom offers jobs to neighbours that have room for them while this cell is short
+// findCellForJobs offers jobs to neighbours that have room for them while this cell is short
 // of it.
-func (c *Core) lookForRoom() {
-	t := &c.transfers
+func (c *Core) findCellForJobs() {
+	t := &c.federation
 	late := c.expectedLateJobs()
-	if !t.shortage.Look(c.now, len(late) > 0 && !c.canHire()) {
+	if !t.shortage.Look(c.now, len(late) > 0 && !c.canScaleOut()) {
 		return
 	}
 	wanted := 0.0
 	for _, j := range late {
 		wanted += j.cores()
 	}
-	choice := c.offering()
-	c.askForRoom(choice, wanted)
+	choice := c.delegationInput()
+	c.askForCapacity(choice, wanted)
 	for _, j := range late {
 		if !choice.credit() {
 			break
 		}
 		c.offer(j, choice)
 	}
-	c.carryOutHome()
+	c.applyOriginEffects()
 }
 
 // offering is what offers are decided by at one moment.
 type offering struct {
-	cells []spill.Cell // the neighbours, in order
-	used  []units      // by team, in all cells
+	cells []federation.Cell // the neighbours, in order
+	used  []units           // by team, in all cells
 }
 
-// offering looks at the neighbours and the teams.
-func (c *Core) offering() *offering {
-	t := &c.transfers
-	o := &offering{cells: make([]spill.Cell, len(t.neighbours)), used: c.uncertainUse()}
+// delegationInput looks at the neighbours and the teams.
+func (c *Core) delegationInput() *offering {
+	t := &c.federation
+	o := &offering{cells: make([]federation.Cell, len(t.neighbours)), used: c.uncertainUse()}
 	for i := range o.used {
 		o.used[i] = o.used[i].plus(c.teams[i].booked)
 	}
 	idle := true
 	for i, n := range t.neighbours {
-		jobs, cores := c.awayIn(n)
+		jobs, cores := c.delegatedTo(n)
 		idle = idle && jobs == 0
-		o.cells[i] = spill.Cell{Capacity: n.MaxCores, Used: cores, Jobs: n.MaxJobs - jobs}
+		o.cells[i] = federation.Cell{Capacity: n.MaxCores, Used: cores, Jobs: n.MaxJobs - jobs}
 		if c.now < n.until && !n.Drain {
 			o.cells[i].Credit = n.credit
 		}
 	}
 	if idle {
-		t.chooser.Rest()
+		t.selector.Rest()
 	}
 	return o
 }
 
 // credit tells whether some neighbour has offered room.
 func (o *offering) credit() bool {
-	return slices.ContainsFunc(o.cells, func(cell spill.Cell) bool { return cell.Credit > 0 })
+	return slices.ContainsFunc(o.cells, func(cell federation.Cell) bool { return cell.Credit > 0 })
 }
 
 // expectedLateJobs lists, in the order of the queue, the jobs that may leave and whose
@@ -90,7 +90,7 @@
 // shared by the cores that there are. A job that leaves is ahead of none.
 func (c *Core) expectedLateJobs() []*job {
 	cores, ahead := 0.0, 0.0
-	for _, m := range c.live {
+	for _, m := range c.liveMachines {
 		if c.counts(m) {
 			cores += m.total.CPUs
 			ahead += c.busy(m)
@@ -98,7 +98,7 @@
 	}
 	var late []*job
 	for _, j := range c.queue() {
-		wait := c.transfers.cells.MaxWait + time.Second
+		wait := c.federation.cells.MaxWait + time.Second
 		if cores > 0 {
 			wait = settings.Seconds(ahead / cores)
 		}
@@ -111,52 +111,52 @@
 	return late
 }
 
-// canHire tells whether machines are coming or could be asked for.
-func (c *Core) canHire() bool {
-	if len(c.openHires()) > 0 {
+// canScaleOut tells whether machines are coming or could be asked for.
+func (c *Core) canScaleOut() bool {
+	if len(c.openScaleOuts()) > 0 {
 		return true
 	}
-	if slices.ContainsFunc(c.live, func(m *machine) bool { return m.state == machineBooting && m.typ >= 0 }) {
+	if slices.ContainsFunc(c.liveMachines, func(m *machine) bool { return m.state == machineStarting && m.typ >= 0 }) {
 		return true
 	}
 	if most := c.cfg.Operator.MaxMachines; most > 0 && c.machineCount() >= most {
 		return false
 	}
-	return c.offersOpen()
+	return c.poolsOpen()
 }
 
-// offersOpen tells whether some offer of the cloud was not refused a moment ago.
-func (c *Core) offersOpen() bool {
-	for range c.openOffers() {
+// poolsOpen tells whether some offer of the cloud was not refused a moment ago.
+func (c *Core) poolsOpen() bool {
+	for range c.openPools() {
 		return true
 	}
 	return false
 }
 
-// askForRoom asks the neighbours what they have for so many cores.
-func (c *Core) askForRoom(choice *offering, cores float64) {
-	for i, n := range c.transfers.neighbours {
+// askForCapacity asks the neighbours what they have for so many cores.
+func (c *Core) askForCapacity(choice *offering, cores float64) {
+	for i, n := range c.federation.neighbours {
 		cell := choice.cells[i]
 		free := min(cores, cell.Capacity-cell.Used)
-		if n.Drain || n.asking || c.now < n.askAt || cell.Jobs <= 0 || free <= 0 || cell.Credit >= free {
+		if n.Drain || n.capacityRequested || c.now < n.nextCapacityRequest || cell.Jobs <= 0 || free <= 0 || cell.Credit >= free {
 			continue
 		}
-		n.asking = true
-		c.emit(AskRoom{Cell: n.Name, Cores: free})
+		n.capacityRequested = true
+		c.emit(AskCapacity{Cell: n.Name, Cores: free})
 	}
 }
 
 // askAgain is how long a neighbour rests that was asked for room.
 const askAgain = 2 * time.Second
 
-// roomAnswered takes a neighbour's answer to the question for room.
-func (c *Core) roomAnswered(e RoomAnswered) {
+// capacityResult takes a neighbour's answer to the question for room.
+func (c *Core) capacityResult(e CapacityResult) {
 	n := c.neighbourNamed(e.Cell)
 	if n == nil {
 		return
 	}
-	n.asking = false
-	n.askAt = c.now + max(askAgain, e.RetryAfter)
+	n.capacityRequested = false
+	n.nextCapacityRequest = c.now + max(askAgain, e.RetryAfter)
 	if e.Err != nil {
 		c.log.Debug("neighbour not asked for room", "cell", n.Name, "error", e.Err)
 		return
@@ -171,14 +171,14 @@
 	if e.Cores <= 0 {
 		return
 	}
-	c.lookForRoom()
+	c.findCellForJobs()
 	c.exchange()
 }
 
-// awayIn is what is away in a cell: jobs, and their cores.
-func (c *Core) awayIn(n *neighbour) (jobs int, cores float64) {
-	for _, ref := range c.transfers.home.With(n.Name) {
-		if at, ok := c.jobIndex[ref]; ok && !c.jobs[at].over() {
+// delegatedTo is what is away in a cell: jobs, and their cores.
+func (c *Core) delegatedTo(n *neighbour) (jobs int, cores float64) {
+	for _, ref := range c.federation.delegated.With(n.Name) {
+		if at, ok := c.jobIndexByID[ref]; ok && !c.jobs[at].over() {
 			jobs++
 			cores += c.jobs[at].cores()
 		}
@@ -192,10 +192,10 @@
 	if c.roomInLimit(j, o.used[j.team]) < j.total {
 		return
 	}
-	for i, n := range c.transfers.neighbours {
-		o.cells[i].Barred = n.refused[j.ref]
+	for i, n := range c.federation.neighbours {
+		o.cells[i].Excluded = n.refused[j.id]
 	}
-	at := c.transfers.chooser.Choose(o.cells, j.cores())
+	at := c.federation.selector.Choose(o.cells, j.cores())
 	if at < 0 {
 		return
 	}
@@ -203,11 +203,11 @@
 	if body == nil {
 		return
 	}
-	n, cell := c.transfers.neighbours[at], &o.cells[at]
+	n, cell := c.federation.neighbours[at], &o.cells[at]
 	n.credit -= j.cores()
 	cell.Credit, cell.Used, cell.Jobs = n.credit, cell.Used+j.cores(), cell.Jobs-1
 	o.used[j.team] = o.used[j.team].plus(unitsOf(j.size).times(j.total))
-	j.away = true
-	c.transfers.home.Begin(j.ref, n.Name, body, c.now, c.wall)
-	c.log.Info("job is offered to a neighbour", "job", j.ref, "cell", n.Name, "cores", j.cores(), "waited_s", (c.now - j.arrived).Seconds(), "share", j.cores()/n.MaxCores)
+	j.delegated = true
+	c.federation.delegated.Begin(j.id, n.Name, body, c.now, c.wall)
+	c.log.Info("job is offered to a neighbour", "job", j.id, "cell", n.Name, "cores", j.cores(), "waited_s", (c.now - j.arrived).Seconds(), "share", j.cores()/n.MaxCores)
 }
--- a/internal/scheduler/owed_stops_test.go
+++ b/internal/scheduler/owed_stops_test.go
@@ -19,70 +19,70 @@
 // end in series (TestCancelledDuringSeriesOfLeaders); their logs have no stop after the
 // cancellation. The rest was found by going through all that answers a report.
 func TestEveryAnswerStopsCancelledTasks(t *testing.T) {
-	start := wire.Order{Task: "job-1/0", Attempt: 6<<tokenBits | 1}
-	cancelled := ledger.Snapshot{Jobs: []ledger.SavedJob{{Ref: "job-1", Version: 4,
-		Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), Terminal: wire.Aborted, Tasks: 1}, Hosts: savedHosts("vm-1")}}}
+	start := wire.Command{Task: "job-1/0", Attempt: 6<<tokenBits | 1}
+	cancelled := ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
+		Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), Terminal: wire.JobCancelled, Tasks: 1}, Hosts: savedHosts("vm-1")}}}
 	// running has a leader of our term start a task, and a user cancel its job.
-	running := func(t *testing.T) (*stage, wire.TaskReport) {
+	running := func(t *testing.T) (*stage, wire.TaskStatus) {
 		g := newStage(t, ledger.Snapshot{})
 		g.up("vm-1")
 		g.submit(newTestJob("job-1", 1, 1))
 		task := taskIn(g.starts()[0], wire.TaskRunning, "")
-		g.settle(DirectDone)
+		g.settle(CommandExecuted)
 		g.report(g.reportOf("vm-1", ours, task))
-		g.step(CancelAsked{Ref: "job-1", To: recipient("u")})
-		g.settle(DirectUnknown)
+		g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
+		g.settle(CommandOutcomeUnknown)
 		return g, task
 	}
 	for _, q := range []struct {
 		name   string
-		answer func(t *testing.T) *wire.ReportAnswer
+		answer func(t *testing.T) *wire.HeartbeatResponse
 	}{
-		{"the newest report", func(t *testing.T) *wire.ReportAnswer {
+		{"the newest report", func(t *testing.T) *wire.HeartbeatResponse {
 			g, task := running(t)
 			return g.report(g.reportOf("vm-1", ours, task))
 		}},
-		{"a machine that is being returned", func(t *testing.T) *wire.ReportAnswer {
+		{"a machine that is being returned", func(t *testing.T) *wire.HeartbeatResponse {
 			g, task := running(t)
 			g.wait(14 * time.Second) // four rounds without an echo; the cloud does not answer
 			g.want("asked to delete", g.deleted, []string{"vm-1"})
 			return g.report(g.reportOf("vm-1", ours, task))
 		}},
-		{"the first report to a new leader", func(t *testing.T) *wire.ReportAnswer {
+		{"the first report to a new leader", func(t *testing.T) *wire.HeartbeatResponse {
 			g := newStage(t, cancelled)
 			return g.report(g.reportOf("vm-1", 6<<tokenBits, taskIn(start, wire.TaskRunning, "")))
 		}},
-		{"a report that looks older than one that was seen", func(t *testing.T) *wire.ReportAnswer {
+		{"a report that looks older than one that was seen", func(t *testing.T) *wire.HeartbeatResponse {
 			g, task := running(t)
 			old := g.reportOf("vm-1", ours, task)
 			g.report(g.reportOf("vm-1", ours, task))
 			return g.report(old)
 		}},
-		{"a report of a lower token than its machine has shown", func(t *testing.T) *wire.ReportAnswer {
+		{"a report of a lower token than its machine has shown", func(t *testing.T) *wire.HeartbeatResponse {
 			g, task := running(t)
 			g.echo("vm-1", task)
 			return g.report(g.reportOf("vm-1", ours, task))
 		}},
-		{"a job that is over and forgotten here", func(t *testing.T) *wire.ReportAnswer {
+		{"a job that is over and forgotten here", func(t *testing.T) *wire.HeartbeatResponse {
 			g, task := running(t)
 			g.echo("vm-1")
 			g.want("settled", g.c.jobs[0].settled, true)
 			return g.echo("vm-1", task)
 		}},
-		{"a job that nobody knows, as its record can't be read", func(t *testing.T) *wire.ReportAnswer {
+		{"a job that nobody knows, as its record can't be read", func(t *testing.T) *wire.HeartbeatResponse {
 			g := newStage(t, ledger.Snapshot{})
 			g.up("vm-1")
 			return g.report(g.reportOf("vm-1", ours, taskIn(start, wire.TaskRunning, "")))
 		}},
-		{"a task beyond its job's total", func(t *testing.T) *wire.ReportAnswer {
+		{"a task beyond its job's total", func(t *testing.T) *wire.HeartbeatResponse {
 			g := newStage(t, cancelled)
 			g.up("vm-1")
-			return g.report(g.reportOf("vm-1", ours, wire.TaskReport{Task: "job-1/1", Attempt: 6<<tokenBits | 2, Status: wire.TaskFetching}))
+			return g.report(g.reportOf("vm-1", ours, wire.TaskStatus{Task: "job-1/1", Attempt: 6<<tokenBits | 2, Status: wire.TaskFetching}))
 		}},
-		{"a task whose name can't be read", func(t *testing.T) *wire.ReportAnswer {
+		{"a task whose name can't be read", func(t *testing.T) *wire.HeartbeatResponse {
 			g := newStage(t, cancelled)
 			g.up("vm-1")
-			return g.report(g.reportOf("vm-1", ours, wire.TaskReport{Task: "job-1", Attempt: 6<<tokenBits | 2, Status: wire.TaskRunning}))
+			return g.report(g.reportOf("vm-1", ours, wire.TaskStatus{Task: "job-1", Attempt: 6<<tokenBits | 2, Status: wire.TaskRunning}))
 		}},
 	} {
 		t.Run(q.name, func(t *testing.T) {
@@ -107,21 +107,21 @@
 	g := newStage(t, ledger.Snapshot{})
 	g.up("vm-1")
 	j := newTestJob("job-1", 1, 1)
-	j.CheckpointS, j.SaveS = 10, 100
+	j.CheckpointIntervalS, j.CheckpointDurationS = 10, 100
 	g.submit(j)
 	o := g.starts()[0]
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	notice := 300.0
 	r := g.reportOf("vm-1", ours, taskIn(o, wire.TaskRunning, ""))
-	r.NoticeS = &notice
-	saving := g.report(r).Orders
-	g.want("time to save before the cancellation", len(saving) > 0 && *saving[0].GraceS >= 100, true)
+	r.TerminationNoticeS = &notice
+	saving := g.report(r).Commands
+	g.want("time to save before the cancellation", len(saving) > 0 && *saving[0].GracePeriodS >= 100, true)
 	g.start = nil
-	g.step(CancelAsked{Ref: "job-1", To: recipient("u")})
+	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 	if g.want("commands at the cancellation", len(g.start), 1); len(g.start) == 1 {
-		g.want("time to save in the command", *g.start[0].Commands.Orders[0].GraceS, 0.0)
+		g.want("time to save in the command", *g.start[0].Request.Commands[0].GracePeriodS, 0.0)
 	}
-	g.settle(DirectUnknown)
-	orders := g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskSaving, ""))).Orders
-	g.want("time to save in the next answer", len(orders) == 1 && *orders[0].GraceS == 0, true)
+	g.settle(CommandOutcomeUnknown)
+	orders := g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskCheckpointing, ""))).Commands
+	g.want("time to save in the next answer", len(orders) == 1 && *orders[0].GracePeriodS == 0, true)
 }
