--- a/internal/scheduler/place.go
+++ b/internal/scheduler/place.go
@@ -13,17 +13,17 @@
 // less than their share (fair.go), then all jobs in the order of the queue; each
 // task where SLOW-FIT puts it.
 func (c *Core) place() {
-	for _, m := range c.stale {
+	for _, m := range c.staleInIndex {
 		c.refresh(m)
 	}
-	c.stale = c.stale[:0]
+	c.staleInIndex = c.staleInIndex[:0]
 	queue := c.queue()
 	uncertain := c.uncertainUse()
 	c.placeAged(queue, uncertain)
 	c.placeUnderserved(queue, uncertain)
 	for from := 0; from < len(queue); {
 		to := from + 1
-		for to < len(queue) && queue[to].rank == queue[from].rank {
+		for to < len(queue) && queue[to].priorityClass == queue[from].priorityClass {
 			to++
 		}
 		c.placeRank(queue[from:to], uncertain)
@@ -39,7 +39,7 @@
 func (c *Core) placeRank(queue []*job, uncertain []units) {
 	if len(queue) > 1 {
 		for _, j := range queue {
-			j.imageOnly = c.mayAwaitImage(j)
+			j.imageOnly = c.mayWaitForImage(j)
 			c.placeJob(j, uncertain, nil)
 			j.imageOnly = false
 		}
@@ -49,13 +49,13 @@
 	}
 }
 
-// mayAwaitImage tells whether a job has time to let others go first: more than
+// mayWaitForImage tells whether a job has time to let others go first: more than
 // fetching its image would take, or none at all any more.
-func (c *Core) mayAwaitImage(j *job) bool {
-	if j.due == never {
+func (c *Core) mayWaitForImage(j *job) bool {
+	if j.deadline == never {
 		return true
 	}
-	slack := j.due - c.now - c.expectedRun(j)
+	slack := j.deadline - c.now - c.expectedRun(j)
 	slowest := time.Duration(0)
 	for i := range c.types {
 		if t := &c.types[i]; t.FetchGBPerS > 0 {
@@ -65,9 +65,9 @@
 	return slack < 0 || slack > 2*slowest
 }
 
-// open tells whether a machine takes new tasks at all.
-func (c *Core) open(m *machine) bool {
-	return m.state == machineUp && m.known(c.term) && m.session > m.over && m.typ >= 0 && m.note == nil && !m.cordoned && !m.quarantine && c.now >= m.shunned && m.noticeAt == 0 && !m.doubted && c.now-m.echoed < c.silentAfter()
+// accepts tells whether a machine takes new tasks at all.
+func (c *Core) accepts(m *machine) bool {
+	return m.state == machineUp && m.trusted(c.term) && m.agentEpoch > m.expiredEpoch && m.typ >= 0 && m.unreachable == nil && !m.cordoned && !m.quarantined && c.now >= m.avoidUntil && m.terminationAt == 0 && !m.unacknowledged && c.now-m.lastAcknowledged < c.unreachableAfter()
 }
 
 // queue returns the jobs with tasks to place, in order: teams within their
@@ -76,7 +76,7 @@
 func (c *Core) queue() []*job {
 	var queue []*job
 	demand := make([]units, len(c.teams))
-	for _, j := range c.active {
+	for _, j := range c.activeJobs {
 		if !j.over() && !j.blocked() {
 			demand[j.team] = demand[j.team].plus(unitsOf(j.size).times(j.total - j.done))
 		}
@@ -86,7 +86,7 @@
 	}
 	crowded := map[int]bool{} // by rank: somebody is late already
 	for _, j := range queue {
-		crowded[j.rank] = crowded[j.rank] || c.turn(j) == turnLate
+		crowded[j.priorityClass] = crowded[j.priorityClass] || c.ageBucket(j) == turnLate
 	}
 	// A team whose unfinished jobs all fit within its guarantee need not wait
 	// for other teams.
@@ -102,24 +102,24 @@
 			}
 			return 1
 		}
-		if a.rank != b.rank {
-			return a.rank - b.rank
+		if a.priorityClass != b.priorityClass {
+			return a.priorityClass - b.priorityClass
 		}
 		work := 0
-		if crowded[a.rank] {
+		if crowded[a.priorityClass] {
 			work = cmp.Compare(c.workLeft(a), c.workLeft(b))
 		}
-		return cmp.Or(cmp.Compare(c.turn(a), c.turn(b)), guestsLast(a, b), work, cmp.Compare(a.slack(c.now), b.slack(c.now)), int(a.index)-int(b.index))
+		return cmp.Or(cmp.Compare(c.ageBucket(a), c.ageBucket(b)), foreignJobsLast(a, b), work, cmp.Compare(a.slack(c.now), b.slack(c.now)), int(a.index)-int(b.index))
 	})
 	return queue
 }
 
-// guestsLast has this cell's own jobs go before those of other cells.
-func guestsLast(a, b *job) int {
+// foreignJobsLast has this cell's own jobs go before those of other cells.
+func foreignJobsLast(a, b *job) int {
 	switch {
-	case (a.home == "") == (b.home == ""):
+	case (a.origin == "") == (b.origin == ""):
 		return 0
-	case a.home == "":
+	case a.origin == "":
 		return -1
 	}
 	return 1
@@ -129,14 +129,14 @@
 // heard of in this term, and in other cells.
 func (c *Core) uncertainUse() []units {
 	use := make([]units, len(c.teams))
-	transfers := !c.transfers.home.Idle()
-	for _, j := range c.active {
-		if len(j.unclear) > 0 && j.terminal != wire.Done {
+	transfers := !c.federation.delegated.Idle()
+	for _, j := range c.activeJobs {
+		if len(j.inDoubtHosts) > 0 && j.terminal != wire.JobDone {
 			n := j.total - j.done - j.booked
 			use[j.team] = use[j.team].plus(unitsOf(j.size).times(max(n, 0)))
 		}
-		unreadable := j.away && !c.transfers.home.Away(j.ref)
-		if unreadable || transfers && c.transfers.home.Elsewhere(j.ref) {
+		unreadable := j.delegated && !c.federation.delegated.Delegated(j.id)
+		if unreadable || transfers && c.federation.delegated.MayRunRemotely(j.id) {
 			// All of its tasks may run there at once, also if its transfer's record can't
 			// be read.
 			use[j.team] = use[j.team].plus(unitsOf(j.size).times(j.total))
@@ -167,8 +167,8 @@
 	}
 	c.resolveTypes(j)
 	only := int32(-1)
-	if j.spec.OneZone {
-		only = c.oneZone(j)
+	if j.spec.Gang {
+		only = c.gangZone(j)
 	}
 	for len(j.waiting) > 0 && c.attemptsLeft() && (more == nil || more(placed)) {
 		if j.suspect() && j.booked > 0 || !c.withinLimit(j, uncertain) {
@@ -181,7 +181,7 @@
 		m := c.machines[at]
 		c.startOn(j, m)
 		placed++
-		if only < 0 && j.spec.OneZone {
+		if only < 0 && j.spec.Gang {
 			only = m.zone
 		}
 	}
@@ -192,7 +192,7 @@
 func (c *Core) startOn(j *job, m *machine) {
 	n := j.waiting[len(j.waiting)-1]
 	j.waiting = j.waiting[:len(j.waiting)-1]
-	b := c.book(m, j, n, c.nextAttempt(), true)
+	b := c.allocate(m, j, n, c.nextAttempt(), true)
 	c.refresh(m)
 	if c.debug {
 		c.log.Debug("task placed", "task", c.taskName(b), "attempt", b.attempt, "machine", m.name, "goal", c.goal.L, "share", b.share, "load", m.load, "image", m.has(j.image))
@@ -213,7 +213,7 @@
 	}
 	// Images that are fetched at the same time share the rate.
 	fetching := 1
-	for _, b := range m.bookings {
+	for _, b := range m.allocations {
 		if o := c.jobs[b.job]; b.status != wire.TaskRunning && o.image != j.image && !m.has(o.image) {
 			fetching++
 			break
@@ -224,7 +224,7 @@
 
 // fetching tells whether a machine is about to fetch an image for some task.
 func (c *Core) fetching(m *machine, image int32) bool {
-	for _, b := range m.bookings {
+	for _, b := range m.allocations {
 		if b.status != wire.TaskRunning && c.jobs[b.job].image == image {
 			return true
 		}
@@ -232,35 +232,35 @@
 	return false
 }
 
-// oneZone chooses the zone for a job that must stay in one: where it is, or
+// gangZone chooses the zone for a job that must stay in one: where it is, or
 // else where the most of it fits now. That takes a look at all machines, so it
 // holds for a while.
-func (c *Core) oneZone(j *job) int32 {
+func (c *Core) gangZone(j *job) int32 {
 	for z, n := range j.inZone {
 		if n > 0 {
 			return int32(z)
 		}
 	}
 	if j.zoneSought > 0 && c.now-j.zoneSought < time.Second {
-		return j.zoneWish
+		return j.preferredZone
 	}
 	slots := make([]int, len(c.zones.list))
 	best := int32(-1)
-	for _, m := range c.live {
-		if m.isOpen && j.allows(m.typ, m.zone, m.spot) {
+	for _, m := range c.liveMachines {
+		if m.schedulable && j.allows(m.typ, m.zone, m.spot) {
 			slots[m.zone] += j.size.Slots(m.free)
 			if best < 0 || slots[m.zone] > slots[best] {
 				best = m.zone
 			}
 		}
 	}
-	j.zoneSought, j.zoneWish = c.now, best
+	j.zoneSought, j.preferredZone = c.now, best
 	return best
 }
 
 // zoned counts a job's tasks by zone as they come and go.
 func (j *job) zoned(zone int32, change int) {
-	if zone < 0 || j.spec == nil || !j.spec.OneZone && !j.spec.Spread {
+	if zone < 0 || j.spec == nil || !j.spec.Gang && !j.spec.Spread {
 		return
 	}
 	for int(zone) >= len(j.inZone) {
@@ -282,7 +282,7 @@
 	}
 	j.types = []int32{}
 	for _, name := range j.spec.Types {
-		if t, ok := c.typeAt[name]; ok {
+		if t, ok := c.typeIndexByName[name]; ok {
 			j.types = append(j.types, t)
 		}
 	}
@@ -290,13 +290,13 @@
 
 // learnRun learns how true the owners' estimates of a class are.
 func (c *Core) learnRun(j *job, took time.Duration) {
-	if j.spec == nil || j.spec.EstimateS <= 0 {
+	if j.spec == nil || j.spec.EstimatedRunS <= 0 {
 		return
 	}
-	c.fleet.learnRatio(j.class, took.Seconds()/j.spec.EstimateS)
+	c.autoscaling.learnRatio(j.class, took.Seconds()/j.spec.EstimatedRunS)
 }
 
 // expectedRun is how long a task of a job is expected to run.
 func (c *Core) expectedRun(j *job) time.Duration {
-	return time.Duration(j.spec.EstimateS * c.fleet.ratio(j.class) * float64(time.Second))
+	return time.Duration(j.spec.EstimatedRunS * c.autoscaling.ratio(j.class) * float64(time.Second))
 }
--- a/internal/scheduler/planning.go
+++ b/internal/scheduler/planning.go
@@ -4,37 +4,37 @@
 	"iter"
 	"math"
 
-	"leadproxy/internal/fleet"
+	"leadproxy/internal/autoscaler"
 )
 
 // counts tells whether a machine is part of the capacity to plan with.
 func (c *Core) counts(m *machine) bool {
 	switch m.state {
-	case machineBooting:
+	case machineStarting:
 		return m.typ >= 0
 	case machineUp:
-		return m.typ >= 0 && !m.quarantine && !m.cordoned && m.noticeAt == 0 && c.quiet(m) < c.silentAfter()
+		return m.typ >= 0 && !m.quarantined && !m.cordoned && m.terminationAt == 0 && c.inactive(m) < c.unreachableAfter()
 	}
 	return false
 }
 
-// hireMachines asks for what waiting tasks need and what is to be kept warm.
-func (c *Core) hireMachines() {
-	open := len(c.openHires())
-	for _, w := range fleet.Plan(c.plan()) {
-		for ; w.Count > 0; w.Count -= fleet.MaxHire {
-			if open >= maxOpenHires {
+// scaleOutMachines asks for what waiting tasks need and what is to be kept warm.
+func (c *Core) scaleOutMachines() {
+	open := len(c.openScaleOuts())
+	for _, w := range autoscaler.Plan(c.plan()) {
+		for ; w.Count > 0; w.Count -= autoscaler.MaxScaleOut {
+			if open >= maxOpenScaleOuts {
 				return
 			}
-			c.startHire(w)
+			c.startScaleOut(w)
 			open++
 		}
 	}
 }
 
-func (c *Core) openHires() []*hire {
-	var out []*hire
-	for _, h := range c.fleet.hires {
+func (c *Core) openScaleOuts() []*scaleOut {
+	var out []*scaleOut
+	for _, h := range c.autoscaling.scaleOuts {
 		if h.open {
 			out = append(out, h)
 		}
@@ -43,33 +43,33 @@
 }
 
 // plan describes the situation to plan hires from.
-func (c *Core) plan() fleet.Situation {
-	s := fleet.Situation{MaxMachines: c.cfg.Operator.MaxMachines, Sizes: c.headroomSizes(), Headroom: c.headroomCores()}
-	c.planOffers(&s)
+func (c *Core) plan() autoscaler.PlanInput {
+	s := autoscaler.PlanInput{MaxMachines: c.cfg.Operator.MaxMachines, Sizes: c.headroomSizes(), Headroom: c.headroomCores()}
+	c.planPools(&s)
 	c.planMachines(&s)
-	c.planHires(&s)
+	c.planScaleOuts(&s)
 	c.planWaiting(&s)
 	return s
 }
 
-// planOffers lists the machine types and the offers that may be asked for.
-func (c *Core) planOffers(s *fleet.Situation) {
+// planPools lists the machine types and the offers that may be asked for.
+func (c *Core) planPools(s *autoscaler.PlanInput) {
 	for i := range c.types {
-		s.Types = append(s.Types, fleet.Type{Total: c.types[i].total, Boot: c.types[i].boot})
+		s.Types = append(s.Types, autoscaler.MachineType{Total: c.types[i].total, Boot: c.types[i].boot})
 	}
-	for o, st := range c.openOffers() {
-		s.Offers = append(s.Offers, fleet.Priced{Offer: o, Price: c.types[o.Type].price(o.Spot), Most: st.most()})
+	for o, st := range c.openPools() {
+		s.Pools = append(s.Pools, autoscaler.PricedPool{CapacityPool: o, Price: c.types[o.Type].price(o.Spot), MaxCount: st.maxCount()})
 	}
 }
 
-// openOffers are the offers of the cloud that were not refused a moment ago.
-func (c *Core) openOffers() iter.Seq2[fleet.Offer, *offerState] {
-	return func(yield func(fleet.Offer, *offerState) bool) {
+// openPools are the offers of the cloud that were not refused a moment ago.
+func (c *Core) openPools() iter.Seq2[autoscaler.CapacityPool, *poolState] {
+	return func(yield func(autoscaler.CapacityPool, *poolState) bool) {
 		for i := range c.types {
 			for _, z := range c.types[i].zones {
 				for _, spot := range []bool{true, false} {
-					o := fleet.Offer{Type: int32(i), Zone: z, Spot: spot}
-					if st := c.fleet.offer(o); c.now >= st.blockedUntil && !yield(o, st) {
+					o := autoscaler.CapacityPool{Type: int32(i), Zone: z, Spot: spot}
+					if st := c.autoscaling.pool(o); c.now >= st.blockedUntil && !yield(o, st) {
 						return
 					}
 				}
@@ -80,7 +80,7 @@
 
 // machineCount is how many machines there are, up or coming.
 func (c *Core) machineCount() (n int) {
-	for _, m := range c.live {
+	for _, m := range c.liveMachines {
 		if m.state != machineGone {
 			n++
 		}
@@ -89,31 +89,31 @@
 }
 
 // planMachines counts the machines that are up or coming.
-func (c *Core) planMachines(s *fleet.Situation) {
+func (c *Core) planMachines(s *autoscaler.PlanInput) {
 	s.Machines += c.machineCount()
-	for _, m := range c.live {
+	for _, m := range c.liveMachines {
 		if !c.counts(m) {
 			continue
 		}
 		s.Cores += m.total.CPUs
-		o := fleet.Offer{Type: m.typ, Zone: m.zone, Spot: m.spot}
-		if m.known(c.term) {
-			s.Up = append(s.Up, fleet.Present{Offer: o, Busy: c.busy(m)})
+		o := autoscaler.CapacityPool{Type: m.typ, Zone: m.zone, Spot: m.spot}
+		if m.trusted(c.term) {
+			s.Running = append(s.Running, autoscaler.RunningMachine{CapacityPool: o, BusyCoreSeconds: c.busy(m)})
 		} else {
-			s.Coming = append(s.Coming, fleet.Coming{Offer: o, Room: m.free})
+			s.Pending = append(s.Pending, autoscaler.PendingMachine{CapacityPool: o, Free: m.free})
 		}
 	}
 }
 
-// planHires counts the machines of hires that the cloud has not answered yet.
-func (c *Core) planHires(s *fleet.Situation) {
-	for _, h := range c.openHires() {
-		if h.offer.Type < 0 {
+// planScaleOuts counts the machines of hires that the cloud has not answered yet.
+func (c *Core) planScaleOuts(s *autoscaler.PlanInput) {
+	for _, h := range c.openScaleOuts() {
+		if h.pool.Type < 0 {
 			continue
 		}
-		total := c.types[h.offer.Type].total
-		for range h.record.Hire.Count {
-			s.Coming = append(s.Coming, fleet.Coming{Offer: h.offer, Room: total})
+		total := c.types[h.pool.Type].total
+		for range h.record.Request.Count {
+			s.Pending = append(s.Pending, autoscaler.PendingMachine{CapacityPool: h.pool, Free: total})
 			s.Cores += total.CPUs
 			s.Machines++
 		}
@@ -122,7 +122,7 @@
 
 // planWaiting lists the tasks that wait, in the order of the queue. What a team's limit
 // leaves is shared by all its waiting jobs.
-func (c *Core) planWaiting(s *fleet.Situation) {
+func (c *Core) planWaiting(s *autoscaler.PlanInput) {
 	used := make([]units, len(c.teams))
 	for i := range used {
 		used[i] = c.teams[i].booked
@@ -135,8 +135,8 @@
 			n = min(n, 1)
 		}
 		if n > 0 {
-			s.Waiting = append(s.Waiting, fleet.Group{Size: j.size, Count: n, Run: c.expectedRun(j), Slack: j.slack(c.now),
-				Allows: func(o fleet.Offer) bool { return j.allows(o.Type, o.Zone, o.Spot) }})
+			s.Queued = append(s.Queued, autoscaler.TaskGroup{Size: j.size, Count: n, Run: c.expectedRun(j), Slack: j.slack(c.now),
+				Allows: func(o autoscaler.CapacityPool) bool { return j.allows(o.Type, o.Zone, o.Spot) }})
 		}
 	}
 }
@@ -144,15 +144,15 @@
 // busy is the core-seconds that are expected to be left of a machine's tasks.
 func (c *Core) busy(m *machine) float64 {
 	sum := 0.0
-	for _, b := range m.bookings {
+	for _, b := range m.allocations {
 		j := c.jobs[b.job]
 		if j.spec == nil {
 			continue
 		}
 		left := c.expectedRun(j)
-		if b.ranSince > 0 {
+		if b.runningSince > 0 {
 			// One that has outrun its estimate goes on for some time more.
-			left = max(left-(c.now-b.ranSince), left/4)
+			left = max(left-(c.now-b.runningSince), left/4)
 		}
 		sum += j.size.CPUs * left.Seconds()
 	}
--- a/internal/scheduler/pools.go
+++ b/internal/scheduler/pools.go
@@ -14,33 +14,33 @@
 	spot      bool
 }
 
-// touch notes that the index may no longer show a machine as it is.
-func (c *Core) touch(m *machine) {
-	if !m.stale {
-		m.stale = true
-		c.stale = append(c.stale, m)
+// indexChanged notes that the index may no longer show a machine as it is.
+func (c *Core) indexChanged(m *machine) {
+	if !m.indexStale {
+		m.indexStale = true
+		c.staleInIndex = append(c.staleInIndex, m)
 	}
 }
 
 // refresh brings the index up to date for a machine.
 func (c *Core) refresh(m *machine) {
-	m.stale = false
-	m.isOpen = c.open(m)
-	c.openCores -= m.cores
-	m.cores = 0
-	if m.isOpen {
-		m.cores = m.total.CPUs
-		c.openCores += m.cores
+	m.indexStale = false
+	m.schedulable = c.accepts(m)
+	c.openCores -= m.indexedCores
+	m.indexedCores = 0
+	if m.schedulable {
+		m.indexedCores = m.total.CPUs
+		c.openCores += m.indexedCores
 	}
-	if !m.isOpen || m.held {
+	if !m.schedulable || m.reserved {
 		c.index.Close(m.index)
 		return
 	}
 	key := poolKey{m.typ, m.zone, m.spot}
-	pool, ok := c.poolAt[key]
+	pool, ok := c.poolIndexByKey[key]
 	if !ok {
 		pool = int32(c.index.AddPool(m.total))
-		c.poolAt[key] = pool
+		c.poolIndexByKey[key] = pool
 		c.pools = append(c.pools, key)
 	}
 	if m.pool != pool {
@@ -55,7 +55,7 @@
 	for _, s := range m.images {
 		tags |= imageTag(s.image)
 	}
-	for _, b := range m.bookings {
+	for _, b := range m.allocations {
 		tags |= imageTag(c.jobs[b.job].image)
 	}
 	c.index.Open(m.index, m.free, load, tags)
@@ -76,7 +76,7 @@
 		at.Allowed = func(i int32) bool { return w.Favoured(i) && (w.Allowed == nil || w.Allowed(i)) }
 		return c.index.Place(&c.goal, &at)
 	}
-	if aim := c.aims[j.class].wait; aim > 0 {
+	if aim := c.classObjectives[j.class].wait; aim > 0 {
 		soon := w
 		soon.Allowed = func(i int32) bool {
 			m := c.machines[i]
@@ -106,7 +106,7 @@
 // that dearer ones run empty and can go back.
 func (c *Core) request(j *job, only int32) slowfit.Request {
 	cheap, image := 2, 1
-	if c.aims[j.class].wait > 0 {
+	if c.classObjectives[j.class].wait > 0 {
 		cheap, image = 1, 2
 	}
 	w := slowfit.Request{Task: j.size, Bonus: image, FavouredTag: imageTag(j.image),
--- a/internal/scheduler/probe.go
+++ b/internal/scheduler/probe.go
@@ -36,7 +36,7 @@
 
 // probe has a machine of an earlier term told our token.
 func (c *Core) probe(m *machine) {
-	if m.probes > 0 || m.known(c.term) || m.address == "" || c.now-c.began > probeFor {
+	if m.probes > 0 || m.trusted(c.term) || m.address == "" || c.now-c.termStart > probeFor {
 		return
 	}
 	m.probes = 1
@@ -48,30 +48,30 @@
 	for len(c.probes.waiting) > 0 && c.probes.underWay < c.probes.atOnce {
 		m := c.probes.waiting[0]
 		c.probes.waiting = c.probes.waiting[1:]
-		if m.known(c.term) || m.state == machineGone || m.state == machineDeleting {
+		if m.trusted(c.term) || m.state == machineGone || m.state == machineDeleting {
 			continue
 		}
 		c.probes.underWay++
 		// Its session is not known before its first word, unless by a hint; nearly all
 		// are in their first.
-		c.send(&directCall{machine: m, session: max(m.session, m.hintedSession, 1), token: m.token, probe: true, sent: c.now, hinted: m.hinted}, []wire.Order{})
+		c.send(&commandInFlight{machine: m, agentEpoch: max(m.agentEpoch, m.softStateEpoch, 1), fencingToken: m.fencingToken, probe: true, sent: c.now, addressFromSoftState: m.addressFromSoftState}, []wire.Command{})
 	}
 }
 
-// probeBack follows up on a probe: one that named the wrong session is repeated
+// probeResult follows up on a probe: one that named the wrong session is repeated
 // once with the right one.
-func (c *Core) probeBack(call *directCall, outcome DirectOutcome) {
+func (c *Core) probeResult(call *commandInFlight, outcome CommandOutcome) {
 	m := call.machine
 	c.probes.underWay--
 	switch took := c.now - call.sent; {
-	case outcome == DirectUnknown || outcome == DirectNotSent:
+	case outcome == CommandOutcomeUnknown || outcome == CommandNotSent:
 		// It tells of that machine only.
 	case took <= probeSoon:
 		c.probes.atOnce = min(c.probes.atOnce+1, maxProbes)
 	case took >= probeLate:
 		c.probes.atOnce = max(c.probes.atOnce/2, fewProbes)
 	}
-	if outcome == DirectRefused && m.probes == 1 && !m.known(c.term) {
+	if outcome == CommandRejected && m.probes == 1 && !m.trusted(c.term) {
 		m.probes++
 		c.probes.waiting = append(c.probes.waiting, m)
 	}
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"leadproxy/internal/fleet"
+	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/wire"
@@ -25,12 +25,12 @@
 	}
 	order := func() (refs []string) {
 		for _, j := range g.c.queue() {
-			refs = append(refs, j.ref)
+			refs = append(refs, j.id)
 		}
 		return refs
 	}
 	g.want("order", order(), []string{"job-3", "job-4", "job-2", "job-1", "job-6", "job-5"})
-	g.step(CancelAsked{Ref: "job-5", To: recipient("u")})
+	g.step(CancelRequest{JobID: "job-5", ReplyTo: recipient("u")})
 	g.want("order once nobody is late", order(), []string{"job-3", "job-6", "job-4", "job-2", "job-1"})
 	g.want("slack without a deadline", g.c.jobs[0].slack(0) == math.MaxInt64, true)
 	// Nobody comes last for ever.
@@ -45,9 +45,9 @@
 	g.up("vm-1")
 	g.submit(newTestJob("job-1", 4, 1))
 	o := g.starts()
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	g.c.goal.L = 1 // as a burst has left it
-	tell := func(tasks ...wire.TaskReport) {
+	tell := func(tasks ...wire.TaskStatus) {
 		for range 8 {
 			g.wait(time.Second)
 			g.report(g.reportOf("vm-1", ours, tasks...))
@@ -55,7 +55,7 @@
 	}
 	tell(taskIn(o[0], wire.TaskRunning, ""), taskIn(o[1], wire.TaskRunning, ""), taskIn(o[2], wire.TaskRunning, ""), taskIn(o[3], wire.TaskRunning, ""))
 	g.want("goal while the machine is full", g.c.goal.L, 1.0)
-	g.report(g.reportOf("vm-1", ours, taskIn(o[0], wire.TaskEnded, wire.WhyDone), taskIn(o[1], wire.TaskEnded, wire.WhyDone), taskIn(o[2], wire.TaskEnded, wire.WhyDone), taskIn(o[3], wire.TaskEnded, wire.WhyDone)))
+	g.report(g.reportOf("vm-1", ours, taskIn(o[0], wire.TaskEnded, wire.ExitDone), taskIn(o[1], wire.TaskEnded, wire.ExitDone), taskIn(o[2], wire.TaskEnded, wire.ExitDone), taskIn(o[3], wire.TaskEnded, wire.ExitDone)))
 	tell()
 	g.want("goal once all is quiet", g.c.goal.L < 1, true)
 }
@@ -66,18 +66,18 @@
 	g.submit(newTestJob("job-1", wire.MaxTasks, 0.01))
 	started := 0
 	for _, d := range g.start {
-		body, err := json.Marshal(d.Commands)
+		body, err := json.Marshal(d.Request)
 		if err != nil || len(body) > wire.MaxBody {
 			t.Errorf("a command takes %d bytes: %v", len(body), err)
 		}
-		started += len(d.Commands.Orders)
+		started += len(d.Request.Commands)
 	}
 	// 4 cores hold 400 tasks, but 16 GB only 16.
 	g.want("starts", started, 16)
 	small := newTestJob("job-2", wire.MaxTasks, 0.01)
 	small.MemGB, small.Priority = 0, "high"
 	g.start = nil
-	g.step(CancelAsked{Ref: "job-1", To: recipient("u")})
+	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 	g.submit(small)
 	g.want("commands for many starts", len(g.start) > 1, true)
 }
@@ -110,18 +110,18 @@
 			for i := range c.machines {
 				g.up(fmt.Sprintf("vm-%d", i))
 			}
-			running := map[string][]wire.Order{}
+			running := map[string][]wire.Command{}
 			began := time.Duration(-1)
 			jobs := 0
 			collect := func() {
 				for _, d := range g.start {
-					for _, o := range d.Commands.Orders {
-						if o.Verb == wire.Start {
+					for _, o := range d.Request.Commands {
+						if o.Verb == wire.VerbStart {
 							running[d.Machine] = append(running[d.Machine], o)
 						}
 					}
 				}
-				g.settle(DirectDone)
+				g.settle(CommandExecuted)
 			}
 			victim := c.victim()
 			for step := 0; g.now < c.within+time.Second && began < 0; step++ {
@@ -142,13 +142,13 @@
 						g.echo(name)
 						continue
 					}
-					tasks := []wire.TaskReport{taskIn(all[0], wire.TaskEnded, wire.WhyDone)}
+					tasks := []wire.TaskStatus{taskIn(all[0], wire.TaskEnded, wire.ExitDone)}
 					for _, o := range all[1:] {
 						tasks = append(tasks, taskIn(o, wire.TaskRunning, ""))
 					}
 					running[name] = all[1:]
-					for _, o := range g.echo(name, tasks...).Orders {
-						if o.Verb == wire.Start {
+					for _, o := range g.echo(name, tasks...).Commands {
+						if o.Verb == wire.VerbStart {
 							running[name] = append(running[name], o)
 						}
 					}
@@ -185,7 +185,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := newStage(t, ledger.Snapshot{})
-			g.step(CloudBack{fleet.Result{Call: fleet.Call{Types: true}, Types: []wire.MachineType{
+			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Types: true}, Types: []wire.MachineType{
 				{Name: "m4", CPUs: 4, MemGB: 16, CacheGB: 20, FetchGBPerS: 0.1, Price: 1, SpotPrice: 0.5, BootS: 40, Zones: []string{"a", "b"}}}}})
 			g.up("vm-1")
 			job := func(ref, image string, due float64) *wire.Job {
@@ -195,11 +195,11 @@
 			}
 			g.submit(job("job-1", "here", 300))
 			o := g.starts()[0]
-			g.settle(DirectDone)
+			g.settle(CommandExecuted)
 			g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskRunning, "")))
 			g.submit(job("job-2", "elsewhere", c.due))
 			g.submit(job("job-3", "here", 250))
-			g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskEnded, wire.WhyDone)))
+			g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskEnded, wire.ExitDone)))
 			if s := g.starts(); len(s) != 1 || s[0].Task != c.first {
 				t.Errorf("started %v, want %s", s, c.first)
 			}
--- a/internal/scheduler/records.go
+++ b/internal/scheduler/records.go
@@ -4,8 +4,8 @@
 	"maps"
 	"slices"
 
+	"leadproxy/internal/federation"
 	"leadproxy/internal/ledger"
-	"leadproxy/internal/spill"
 )
 
 // The tags of ledger writes.
@@ -14,46 +14,46 @@
 		job      int32
 		from, to int
 	}
-	finTag struct {
+	finishedTag struct {
 		job   int32
 		tasks []int32
 	}
-	terminalTag struct{ job int32 }
-	hireTag     struct{ name string }
-	noteTag     struct{ key string }
-	awayTag     struct {
+	terminalTag    struct{ job int32 }
+	scaleOutTag    struct{ name string }
+	unreachableTag struct{ key string }
+	delegatedTag   struct {
 		ref    string
-		record spill.AwayRecord
+		record federation.DelegatedRecord
 	}
 )
 
 // IsTag marks the tags for the ledger.
-func (hostTag) IsTag()     {}
-func (finTag) IsTag()      {}
-func (terminalTag) IsTag() {}
-func (hireTag) IsTag()     {}
-func (noteTag) IsTag()     {}
-func (awayTag) IsTag()     {}
+func (hostTag) IsTag()        {}
+func (finishedTag) IsTag()    {}
+func (terminalTag) IsTag()    {}
+func (scaleOutTag) IsTag()    {}
+func (unreachableTag) IsTag() {}
+func (delegatedTag) IsTag()   {}
 
-// fin notes a key of finished tasks.
-func (j *job) fin(key string) {
-	if j.finKeys == nil {
-		j.finKeys = map[string]bool{}
+// finishedKey notes a key of finished tasks.
+func (j *job) finishedKey(key string) {
+	if j.finishedKeys == nil {
+		j.finishedKeys = map[string]bool{}
 	}
-	j.finKeys[key] = true
+	j.finishedKeys[key] = true
 }
 
 // dropKeys deletes what the ledger holds of a finished job besides its record.
 func (c *Core) dropKeys(j *job) {
 	var writes []ledger.Write
 	for chunk := range j.hostChunks {
-		writes = append(writes, ledger.Write{Key: ledger.HostKey(j.ref, chunk)})
+		writes = append(writes, ledger.Write{Key: ledger.HostKey(j.id, chunk)})
 	}
-	for _, key := range slices.Sorted(maps.Keys(j.finKeys)) {
+	for _, key := range slices.Sorted(maps.Keys(j.finishedKeys)) {
 		writes = append(writes, ledger.Write{Key: key})
 	}
 	if len(writes) > 0 {
-		c.emit(Put{Writes: writes})
+		c.emit(WriteLedger{Writes: writes})
 	}
 }
 
@@ -72,23 +72,23 @@
 		}
 		j.hostChunks = slices.DeleteFunc(j.hostChunks, func(from int) bool { return from >= first })
 		j.hostChunks = append(j.hostChunks, first)
-		j.hostsPut = first
+		j.hostsWritten = first
 		c.unwrittenJob(j)
-	case finTag:
+	case finishedTag:
 		j := c.jobs[t.job]
 		if j.tasks != nil {
-			j.ended = append(j.ended, t.tasks...)
+			j.unwrittenTasks = append(j.unwrittenTasks, t.tasks...)
 			c.unwrittenJob(j)
 		}
 	case terminalTag:
 		j := c.jobs[t.job]
-		c.log.Error("the end of a job takes more than a value may hold", "job", j.ref)
+		c.log.Error("the end of a job takes more than a value may hold", "job", j.id)
 		c.writeTerminal(j, true)
-	case hireTag:
+	case scaleOutTag:
 		c.log.Error("a hire takes more than a value may hold", "hire", t.name)
 	case planTag:
 		c.planRejected(t)
-	case awayTag:
+	case delegatedTag:
 		c.log.Error("the record of a transfer takes more than a value may hold", "job", t.ref)
 	}
 }
@@ -107,7 +107,7 @@
 			j.hosts[i].durable = true
 			c.sendPlanned(j, c.machines[j.hosts[i].machine])
 		}
-	case finTag:
+	case finishedTag:
 		j := c.jobs[t.job]
 		for _, n := range t.tasks {
 			if j.tasks != nil && j.tasks[n].state == taskDone {
@@ -116,15 +116,15 @@
 		}
 	case terminalTag:
 		c.terminalIsDurable(c.jobs[t.job])
-	case hireTag:
-		c.hireDurable(t.name)
-	case noteTag:
-		c.noteGone(t.key)
+	case scaleOutTag:
+		c.scaleOutDurable(t.name)
+	case unreachableTag:
+		c.unreachableWithdrawn(t.key)
 	case planTag:
 		c.planDurable(t)
-	case awayTag:
-		c.transfers.home.Saved(t.ref, t.record, c.now)
-		c.carryOutHome()
+	case delegatedTag:
+		c.federation.delegated.Saved(t.ref, t.record, c.now)
+		c.applyOriginEffects()
 		c.exchange()
 	}
 }
@@ -134,7 +134,7 @@
 func (c *Core) addHost(j *job, m *machine) {
 	j.hostAt[m.index] = len(j.hosts)
 	j.hosts = append(j.hosts, host{machine: m.index})
-	m.hostOf++
+	m.namedByJobs++
 	c.unwrittenJob(j)
 }
 
@@ -142,28 +142,28 @@
 // burst brings dozens of machines and ended tasks of one job in a step, and each
 // by itself would be written with all that came before it.
 func (c *Core) unwrittenJob(j *job) {
-	if !j.unwritten {
-		j.unwritten = true
-		c.unwritten = append(c.unwritten, j)
+	if !j.queuedForWrite {
+		j.queuedForWrite = true
+		c.unwrittenJobs = append(c.unwrittenJobs, j)
 	}
 }
 
 // writeJobs writes what is new about jobs.
 func (c *Core) writeJobs() {
-	for _, j := range c.unwritten {
-		j.unwritten = false
+	for _, j := range c.unwrittenJobs {
+		j.queuedForWrite = false
 		if j.tasks != nil {
 			c.writeHosts(j)
 			c.writeDone(j)
 		}
 	}
-	clear(c.unwritten)
-	c.unwritten = c.unwritten[:0]
+	clear(c.unwrittenJobs)
+	c.unwrittenJobs = c.unwrittenJobs[:0]
 }
 
 // writeHosts writes the chunks in which a job has new hosts.
 func (c *Core) writeHosts(j *job) {
-	for from := j.hostsPut; from < len(j.hosts); {
+	for from := j.hostsWritten; from < len(j.hosts); {
 		first, names := 0, []string(nil)
 		if n := len(j.hostChunks); n > 0 {
 			first = j.hostChunks[n-1]
@@ -175,34 +175,34 @@
 			first, names = from, c.chunkFrom(j, from)
 		}
 		to := first + len(names)
-		c.put(ledger.Write{Key: ledger.HostKey(j.ref, len(j.hostChunks)-1), Value: names, Urgent: true, Tag: hostTag{j.index, from, to}})
+		c.put(ledger.Write{Key: ledger.HostKey(j.id, len(j.hostChunks)-1), Value: names, Urgent: true, Tag: hostTag{j.index, from, to}})
 		from = to
 	}
-	j.hostsPut = len(j.hosts)
+	j.hostsWritten = len(j.hosts)
 }
 
 // chunkFrom names the hosts of a job, from one of them on, that go into one key.
 func (c *Core) chunkFrom(j *job, first int) []string {
-	hosts := j.hosts[first:min(first+ledger.ChunkHosts, len(j.hosts))]
+	hosts := j.hosts[first:min(first+ledger.HostsPerChunk, len(j.hosts))]
 	names := make([]string, len(hosts))
 	for i, h := range hosts {
 		names[i] = c.machines[h.machine].name
 	}
-	return names[:ledger.NamesFit(names, c.cfg.ValueBytes)]
+	return names[:ledger.NamesThatFit(names, c.cfg.ValueBytes)]
 }
 
 // writeDone writes the chunks in which a job has tasks that have ended since they
 // were last written. Of a job that is over, its record tells all.
 func (c *Core) writeDone(j *job) {
-	ended := j.ended
-	j.ended = nil
+	ended := j.unwrittenTasks
+	j.unwrittenTasks = nil
 	if j.over() {
 		return
 	}
 	slices.Sort(ended)
 	for len(ended) > 0 {
-		chunk := int(ended[0]) / ledger.ChunkTasks
-		n, _ := slices.BinarySearch(ended, int32((chunk+1)*ledger.ChunkTasks))
+		chunk := int(ended[0]) / ledger.TasksPerChunk
+		n, _ := slices.BinarySearch(ended, int32((chunk+1)*ledger.TasksPerChunk))
 		c.writeChunk(j, chunk, ended[:n])
 		ended = ended[n:]
 	}
@@ -210,34 +210,34 @@
 
 // writeChunk writes the finished tasks of one chunk, some of which are new.
 func (c *Core) writeChunk(j *job, chunk int, ended []int32) {
-	first := chunk * ledger.ChunkTasks
-	size := min(ledger.ChunkTasks, j.total-first)
+	first := chunk * ledger.TasksPerChunk
+	size := min(ledger.TasksPerChunk, j.total-first)
 	done := func(i int) bool { return j.tasks[first+i].state >= taskDone }
 	ranges := ledger.EncodeRanges(done, size)
 	if ranges.Size() <= c.cfg.ValueBytes {
-		key := ledger.FinKey(j.ref, chunk)
-		j.fin(key)
-		c.put(ledger.Write{Key: key, Value: ranges, Tag: finTag{j.index, ended}})
+		key := ledger.FinishedTasksKey(j.id, chunk)
+		j.finishedKey(key)
+		c.put(ledger.Write{Key: key, Value: ranges, Tag: finishedTag{j.index, ended}})
 		return
 	}
 	// It has to be written in parts; all of them the first time, since the chunk's
 	// own key may not hold what has ended since it was last written.
-	all := !j.inParts[chunk]
-	if j.inParts == nil {
-		j.inParts = map[int]bool{}
+	all := !j.chunksInParts[chunk]
+	if j.chunksInParts == nil {
+		j.chunksInParts = map[int]bool{}
 	}
-	j.inParts[chunk] = true
-	part := ledger.PartTasks(c.cfg.ValueBytes)
+	j.chunksInParts[chunk] = true
+	part := ledger.TasksPerPart(c.cfg.ValueBytes)
 	for from := 0; from < size; from += part {
 		to := min(from+part, size)
 		n, _ := slices.BinarySearch(ended, int32(first+to))
 		ranges := ledger.EncodeRanges(func(i int) bool { return i >= from && done(i) }, to)
 		if len(ranges) > 0 && (all || n > 0) {
-			key := ledger.FinPartKey(j.ref, chunk, from)
-			j.fin(key)
+			key := ledger.FinishedTasksPartKey(j.id, chunk, from)
+			j.finishedKey(key)
 			w := ledger.Write{Key: key, Value: ranges}
 			if n > 0 {
-				w.Tag = finTag{j.index, ended[:n]}
+				w.Tag = finishedTag{j.index, ended[:n]}
 			}
 			c.put(w)
 		}
--- a/internal/scheduler/renewal_model_test.go
+++ b/internal/scheduler/renewal_model_test.go
@@ -13,7 +13,7 @@
 
 	"pgregory.net/rapid"
 
-	"leadproxy/internal/fleet"
+	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/property"
 	"leadproxy/internal/settings"
@@ -37,27 +37,27 @@
 	name                string
 	session, seq, token uint64
 	renewed             time.Duration
-	tasks               []wire.TaskReport
+	tasks               []wire.TaskStatus
 	known               map[uint64]bool
 	hung                bool
 }
 
-func (w *modelWorker) report() *wire.Report {
+func (w *modelWorker) report() *wire.Heartbeat {
 	w.seq++
-	return &wire.Report{Machine: w.name, Address: w.name + ":9000", Type: "m4", Zone: "a", Spot: true,
-		Session: w.session, Seq: w.seq, Token: w.token, Tasks: slices.Clone(w.tasks)}
+	return &wire.Heartbeat{Machine: w.name, Address: w.name + ":9000", Type: "m4", Zone: "a", Spot: true,
+		AgentEpoch: w.session, Sequence: w.seq, FencingToken: w.token, Tasks: slices.Clone(w.tasks)}
 }
 
-func (w *modelWorker) execute(orders []wire.Order) {
+func (w *modelWorker) execute(orders []wire.Command) {
 	for _, o := range orders {
-		at := slices.IndexFunc(w.tasks, func(t wire.TaskReport) bool { return t.Attempt == o.Attempt })
+		at := slices.IndexFunc(w.tasks, func(t wire.TaskStatus) bool { return t.Attempt == o.Attempt })
 		switch {
-		case o.Verb == wire.Start && !w.known[o.Attempt]:
+		case o.Verb == wire.VerbStart && !w.known[o.Attempt]:
 			w.known[o.Attempt] = true
-			w.tasks = append(w.tasks, wire.TaskReport{Task: o.Task, Attempt: o.Attempt, Status: wire.TaskRunning})
-		case o.Verb == wire.Stop && at >= 0 && w.tasks[at].Status != wire.TaskEnded:
-			w.tasks[at].Status, w.tasks[at].Why = wire.TaskEnded, wire.WhyStopped
-		case o.Verb == wire.Forget && at >= 0 && w.tasks[at].Status == wire.TaskEnded:
+			w.tasks = append(w.tasks, wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: wire.TaskRunning})
+		case o.Verb == wire.VerbStop && at >= 0 && w.tasks[at].Status != wire.TaskEnded:
+			w.tasks[at].Status, w.tasks[at].ExitReason = wire.TaskEnded, wire.ExitStopped
+		case o.Verb == wire.VerbForget && at >= 0 && w.tasks[at].Status == wire.TaskEnded:
 			w.tasks = slices.Delete(w.tasks, at, at+1)
 			delete(w.known, o.Attempt)
 		}
@@ -65,13 +65,13 @@
 }
 
 // command carries a direct command out, or refuses it.
-func (w *modelWorker) command(c wire.Commands) DirectOutcome {
-	if c.Token < w.token || c.Session != w.session {
-		return DirectRefused
+func (w *modelWorker) command(c wire.CommandRequest) CommandOutcome {
+	if c.FencingToken < w.token || c.AgentEpoch != w.session {
+		return CommandRejected
 	}
-	w.token = c.Token
-	w.execute(c.Orders)
-	return DirectDone
+	w.token = c.FencingToken
+	w.execute(c.Commands)
+	return CommandExecuted
 }
 
 // expire ends the session if no answer has renewed its lease for so long.
@@ -89,8 +89,8 @@
 	workers []*modelWorker
 	refs    []string
 	told    map[string]time.Duration // when a job was told as cancelled
-	reports map[recipient]*wire.Report
-	answers map[recipient]*wire.ReportAnswer
+	reports map[recipient]*wire.Heartbeat
+	answers map[recipient]*wire.HeartbeatResponse
 	late    []func() // messages that are held up
 	count   int
 }
@@ -108,7 +108,7 @@
 }
 
 func playRenewals(t tester, r property.Chooser, steps int) {
-	h := &renewals{t: t, r: r, g: newStage(t, ledger.Snapshot{}), told: map[string]time.Duration{}, reports: map[recipient]*wire.Report{}, answers: map[recipient]*wire.ReportAnswer{}}
+	h := &renewals{t: t, r: r, g: newStage(t, ledger.Snapshot{}), told: map[string]time.Duration{}, reports: map[recipient]*wire.Heartbeat{}, answers: map[recipient]*wire.HeartbeatResponse{}}
 	for k := range 4 {
 		h.workers = append(h.workers, &modelWorker{name: fmt.Sprintf("vm-%d", k+1), session: 1, known: map[uint64]bool{}})
 	}
@@ -132,7 +132,7 @@
 		h.submit()
 	case k < 30 && len(h.refs) > 0:
 		ref := h.refs[h.r.IntN(len(h.refs))]
-		h.g.step(CancelAsked{Ref: ref, To: recipient(ref)})
+		h.g.step(CancelRequest{JobID: ref, ReplyTo: recipient(ref)})
 	case k < 33 && len(h.late) > 0:
 		at := h.r.IntN(len(h.late))
 		message := h.late[at]
@@ -143,7 +143,7 @@
 	case k < 36:
 		for i := range w.tasks {
 			if w.tasks[i].Status == wire.TaskRunning {
-				w.tasks[i].Status, w.tasks[i].Why = wire.TaskEnded, wire.WhyDone
+				w.tasks[i].Status, w.tasks[i].ExitReason = wire.TaskEnded, wire.ExitDone
 				break
 			}
 		}
@@ -166,7 +166,7 @@
 
 func (h *renewals) submit() {
 	j := newTestJob(fmt.Sprintf("job-%06d", len(h.refs)), 1+h.r.IntN(3), 1)
-	h.refs = append(h.refs, j.Ref)
+	h.refs = append(h.refs, j.ID)
 	h.g.submit(j)
 }
 
@@ -185,19 +185,19 @@
 		return
 	}
 	answer := h.deliver(report)
-	if answer == nil || h.r.IntN(8) == 0 || answer.Token < w.token {
+	if answer == nil || h.r.IntN(8) == 0 || answer.FencingToken < w.token {
 		return
 	}
-	w.token, w.renewed = answer.Token, sent
-	w.execute(answer.Orders)
+	w.token, w.renewed = answer.FencingToken, sent
+	w.execute(answer.Commands)
 }
 
 // deliver brings a report to the core and returns the answer, if it is given at once.
-func (h *renewals) deliver(report *wire.Report) *wire.ReportAnswer {
+func (h *renewals) deliver(report *wire.Heartbeat) *wire.HeartbeatResponse {
 	h.count++
 	to := recipient(fmt.Sprint("report ", h.count))
 	h.reports[to] = report
-	h.g.step(ReportIn{Report: report, To: to})
+	h.g.step(HeartbeatEvent{Heartbeat: report, ReplyTo: to})
 	h.look()
 	return h.answers[to]
 }
@@ -214,20 +214,20 @@
 	if i < 0 || h.workers[i].hung || h.r.IntN(3) == 0 {
 		if i >= 0 && h.r.IntN(2) == 0 {
 			w := h.workers[i]
-			h.late = append(h.late, func() { w.command(d.Commands) })
+			h.late = append(h.late, func() { w.command(d.Request) })
 		}
-		h.g.step(DirectBack{Call: d.Call, Outcome: DirectUnknown})
+		h.g.step(CommandResult{CommandID: d.CommandID, Outcome: CommandOutcomeUnknown})
 		return
 	}
 	w := h.workers[i]
-	h.g.step(DirectBack{Call: d.Call, Outcome: w.command(d.Commands), Report: w.report()})
+	h.g.step(CommandResult{CommandID: d.CommandID, Outcome: w.command(d.Request), Heartbeat: w.report()})
 }
 
 // remove has the cloud delete a machine at last.
 func (h *renewals) remove(name string) {
 	h.workers = slices.DeleteFunc(h.workers, func(w *modelWorker) bool { return w.name == name && len(h.workers) > 2 })
 	if !slices.ContainsFunc(h.workers, func(w *modelWorker) bool { return w.name == name }) {
-		h.g.step(CloudBack{fleet.Result{Call: fleet.Call{Delete: []string{name}}}})
+		h.g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{name}}}})
 	}
 }
 
@@ -267,7 +267,7 @@
 	for _, d := range old.start {
 		if i := slices.IndexFunc(h.workers, func(w *modelWorker) bool { return w.name == d.Machine }); i >= 0 {
 			w := h.workers[i]
-			h.late = append(h.late, func() { w.command(d.Commands) })
+			h.late = append(h.late, func() { w.command(d.Request) })
 		}
 	}
 	h.g = newStageAt(h.t, old.now, cfg, snapshot)
@@ -285,26 +285,26 @@
 	h.g.out = nil
 	for _, e := range out {
 		switch e := e.(type) {
-		case AnswerUser:
-			if _, known := h.told[e.Status.Ref]; !known && e.Status.Status == wire.Aborted {
-				h.told[e.Status.Ref] = h.g.now
+		case UserReply:
+			if _, known := h.told[e.Status.ID]; !known && e.Status.Status == wire.JobCancelled {
+				h.told[e.Status.ID] = h.g.now
 			}
-		case AnswerReport:
-			if to, ok := e.To.(recipient); ok && e.Answer != nil {
-				h.answers[to] = e.Answer
-				h.owes(h.reports[to], e.Answer)
+		case HeartbeatReply:
+			if to, ok := e.ReplyTo.(recipient); ok && e.Response != nil {
+				h.answers[to] = e.Response
+				h.owes(h.reports[to], e.Response)
 			}
-		case Inspect:
+		case InspectWorker:
 			for _, w := range h.workers {
 				if w.name == e.Machine && !w.hung {
-					h.g.step(InspectBack{Machine: w.name, Report: w.report()})
+					h.g.step(InspectResult{Machine: w.name, Heartbeat: w.report()})
 				}
 			}
 		}
 	}
 	for _, w := range h.workers {
 		for _, t := range w.tasks {
-			ref, _, _ := wire.SplitTask(t.Task)
+			ref, _, _ := wire.ParseTaskName(t.Task)
 			if told, cancelled := h.told[ref]; cancelled && !w.hung && t.Status != wire.TaskEnded && h.g.now-told > modelCancel {
 				h.t.Errorf("%s is on %s %s after its job was told as cancelled", t.Task, w.name, h.g.now-told)
 			}
@@ -313,14 +313,14 @@
 }
 
 // owes sees to it that an answer has the stops that its report asks for.
-func (h *renewals) owes(report *wire.Report, answer *wire.ReportAnswer) {
+func (h *renewals) owes(report *wire.Heartbeat, answer *wire.HeartbeatResponse) {
 	for _, t := range report.Tasks {
-		ref, _, _ := wire.SplitTask(t.Task)
+		ref, _, _ := wire.ParseTaskName(t.Task)
 		if _, cancelled := h.told[ref]; !cancelled || t.Status == wire.TaskEnded {
 			continue
 		}
-		if !slices.ContainsFunc(answer.Orders, func(o wire.Order) bool { return o.Verb == wire.Stop && o.Attempt == t.Attempt }) {
-			h.t.Errorf("%s renewed without the stop of %s: %+v", report.Machine, t.Task, answer.Orders)
+		if !slices.ContainsFunc(answer.Commands, func(o wire.Command) bool { return o.Verb == wire.VerbStop && o.Attempt == t.Attempt }) {
+			h.t.Errorf("%s renewed without the stop of %s: %+v", report.Machine, t.Task, answer.Commands)
 		}
 	}
 }
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -12,10 +12,10 @@
 	if s.Record.Job == nil && s.Record.Terminal == "" {
 		// Ranges or hosts whose job record is missing: records are never
 		// deleted, so there is nothing that could run.
-		c.log.Error("ledger has traces of a job without a record", "job", s.Ref)
+		c.log.Error("ledger has traces of a job without a record", "job", s.ID)
 		return
 	}
-	j := c.newJob(s.Ref, s.Record, s.Version)
+	j := c.newJob(s.ID, s.Record, s.Version)
 	if s.Record.Class != "" {
 		accepted := c.now - time.Duration(c.wall-s.Record.AcceptedMS)*time.Millisecond
 		c.learnArrival(c.classOf(s.Record.Class), c.teamOf(s.Record.Team), accepted, s.Record.Cores, s.Record.RunS)
@@ -32,9 +32,9 @@
 	}
 	finished := 0
 	for _, f := range s.Finished {
-		j.fin(f.Key)
+		j.finishedKey(f.Key)
 		f.Ranges.Each(func(i int) {
-			if n := f.Chunk*ledger.ChunkTasks + i; n < len(j.tasks) && j.tasks[n].state != taskDurable {
+			if n := f.Chunk*ledger.TasksPerChunk + i; n < len(j.tasks) && j.tasks[n].state != taskDurable {
 				j.tasks[n].state = taskDurable
 				finished++
 			}
@@ -45,23 +45,23 @@
 	// could begin a term.
 	j.done = max(j.done, finished)
 	j.fillWaiting()
-	j.begun = j.done > 0 || len(s.Hosts) > 0
+	j.startedOnce = j.done > 0 || len(s.Hosts) > 0
 	c.restoreHosts(j, s.Hosts)
 	if s.HostsUnknown {
 		// Its tasks may be on machines that nobody can name. Those that live report
 		// within a lease, and what the others ran is over by then.
-		j.notBefore = c.now + c.leaseTime
+		j.notBefore = c.now + c.agentLease
 	}
-	if !waitsFor(&s.Record) && j.home == "" {
+	if !waitsFor(&s.Record) && j.origin == "" {
 		c.arrived(j)
 	}
 	switch {
 	case j.over():
 		c.settleJob(j)
 	case j.done == j.total:
-		c.finish(j, wire.Done)
+		c.finish(j, wire.JobDone)
 	}
-	c.dirty = true
+	c.needsPlacement = true
 }
 
 // restoreHosts notes the machines that a job's tasks may be on. Until each has
@@ -85,24 +85,24 @@
 		}
 		j.hostAt[m.index] = len(j.hosts)
 		j.hosts = append(j.hosts, host{machine: m.index, durable: true})
-		j.hostsPut = len(j.hosts)
-		m.hostOf++
+		j.hostsWritten = len(j.hosts)
+		m.namedByJobs++
 		if m.state == machineGone {
 			continue
 		}
-		if j.unclear == nil {
-			j.unclear = map[int32]bool{}
+		if j.inDoubtHosts == nil {
+			j.inDoubtHosts = map[int32]bool{}
 		}
-		j.unclear[m.index] = true
-		m.unclear = append(m.unclear, j.index)
+		j.inDoubtHosts[m.index] = true
+		m.inDoubtJobs = append(m.inDoubtJobs, j.index)
 	}
 }
 
-// Unsettled is how many machines may still run what an earlier leader started there.
-func (c *Core) Unsettled() int {
+// UnresolvedHosts is how many machines may still run what an earlier leader started there.
+func (c *Core) UnresolvedHosts() int {
 	n := 0
-	for _, m := range c.live {
-		if len(m.unclear) > 0 {
+	for _, m := range c.liveMachines {
+		if len(m.inDoubtJobs) > 0 {
 			n++
 		}
 	}
@@ -115,20 +115,20 @@
 // Jobs is how many jobs this term knows.
 func (c *Core) Jobs() int { return len(c.jobs) }
 
-// clearMachine ends the doubt about what an earlier leader started on m.
-func (c *Core) clearMachine(m *machine, why string) {
-	if len(m.unclear) > 0 {
-		c.log.Debug("earlier starts on a machine are settled", "machine", m.name, "why", why, "jobs", len(m.unclear), "after", (c.now - c.began).Seconds())
+// resolveInDoubt ends the doubt about what an earlier leader started on m.
+func (c *Core) resolveInDoubt(m *machine, why string) {
+	if len(m.inDoubtJobs) > 0 {
+		c.log.Debug("earlier starts on a machine are settled", "machine", m.name, "why", why, "jobs", len(m.inDoubtJobs), "after", (c.now - c.termStart).Seconds())
 	}
-	for _, i := range m.unclear {
+	for _, i := range m.inDoubtJobs {
 		j := c.jobs[i]
-		delete(j.unclear, m.index)
-		if len(j.unclear) == 0 {
-			c.dirty = true
+		delete(j.inDoubtHosts, m.index)
+		if len(j.inDoubtHosts) == 0 {
+			c.needsPlacement = true
 			if j.over() {
 				c.settleJob(j)
 			}
 		}
 	}
-	m.unclear = nil
+	m.inDoubtJobs = nil
 }
--- a/internal/scheduler/returns.go
+++ b/internal/scheduler/returns.go
@@ -5,56 +5,58 @@
 	"slices"
 	"time"
 
-	"leadproxy/internal/fleet"
+	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/settings"
 )
 
 // askDelete has a machine deleted. It is gone only when the cloud says so; until
 // then it is asked for again now and then.
 func (c *Core) askDelete(m *machine, why string) {
-	if m.state == machineDeleting && c.now-m.asked < 10*time.Second {
+	if m.state == machineDeleting && c.now-m.lastDeleteRequest < 10*time.Second {
 		return
 	}
-	c.log.Info("returning machine", "machine", m.name, "why", why, "bookings", len(m.bookings), "age", (c.now - m.hired).Seconds())
-	m.state, m.asked = machineDeleting, c.now
-	c.touch(m)
-	c.fleet.deletes = append(c.fleet.deletes, m.name)
+	c.log.Info("returning machine", "machine", m.name, "why", why, "bookings", len(m.allocations), "age", (c.now - m.rentedAt).Seconds())
+	m.state, m.lastDeleteRequest = machineDeleting, c.now
+	c.indexChanged(m)
+	c.autoscaling.deletes = append(c.autoscaling.deletes, m.name)
 }
 
 // flushDeletes asks for the deletions of a step together, since the cloud takes
 // few calls.
 func (c *Core) flushDeletes() {
-	for names := c.fleet.deletes; len(names) > 0; {
-		n := min(len(names), fleet.MaxDelete)
-		c.emit(CallCloud{fleet.Call{Delete: slices.Clone(names[:n])}})
+	for names := c.autoscaling.deletes; len(names) > 0; {
+		n := min(len(names), autoscaler.MaxDelete)
+		c.emit(CallCloud{autoscaler.Call{Delete: slices.Clone(names[:n])}})
 		names = names[n:]
 	}
-	c.fleet.deletes = c.fleet.deletes[:0]
+	c.autoscaling.deletes = c.autoscaling.deletes[:0]
 }
 
-// quiet is how long a machine has not shown that it hears this leader. That its
+// inactive is how long a machine has not shown that it hears this leader. That its
 // reports come in alone shows nothing.
-func (c *Core) quiet(m *machine) time.Duration { return c.now - max(m.echoed, m.begun, c.awake) }
+func (c *Core) inactive(m *machine) time.Duration {
+	return c.now - max(m.lastAcknowledged, m.epochSeenAt, c.tickingSince)
+}
 
 // expected tells whether a machine should be reporting: it has, or an earlier
 // leader has started something on it.
 func (c *Core) expected(m *machine) bool {
-	return m.state == machineUp || m.state == machineBooting && len(m.unclear) > 0
+	return m.state == machineUp || m.state == machineStarting && len(m.inDoubtJobs) > 0
 }
 
-// Reporting is how many machines should be reporting.
-func (c *Core) Reporting() int { return c.reporting }
+// ExpectedAgents is how many machines should be reporting.
+func (c *Core) ExpectedAgents() int { return c.expectedAgents }
 
-// returnMachines gives back what is broken, lost, or not needed any more.
-func (c *Core) returnMachines() {
+// scaleIn gives back what is broken, lost, or not needed any more.
+func (c *Core) scaleIn() {
 	cores := c.countFleet()
 	headroom := c.headroomCores()
 	waiting := c.placeableWithinLimit()
-	for _, m := range c.live {
+	for _, m := range c.liveMachines {
 		if m.state == machineGone {
 			continue
 		}
-		if why := c.reasonToReturn(m); why != "" {
+		if why := c.reasonToScaleIn(m); why != "" {
 			c.askDelete(m, why)
 			continue
 		}
@@ -79,7 +81,7 @@
 func (c *Core) countFleet() (cores float64) {
 	zones := make([]zoneCount, len(c.zones.list))
 	var all zoneCount
-	for _, m := range c.live {
+	for _, m := range c.liveMachines {
 		if c.counts(m) {
 			cores += m.total.CPUs
 		}
@@ -88,12 +90,12 @@
 		}
 		zones[m.zone].up++
 		all.up++
-		if c.quiet(m) >= c.silentAfter() && m.missing < 2 {
+		if c.inactive(m) >= c.unreachableAfter() && m.missedListings < 2 {
 			zones[m.zone].silent++
 			all.silent++
 		}
 	}
-	c.reporting = all.up
+	c.expectedAgents = all.up
 	c.noteCuts(zones, all)
 	return cores
 }
@@ -103,20 +105,20 @@
 // would lose that. When it ends, or their reports come by another way, they come back
 // one by one.
 func (c *Core) noteCuts(zones []zoneCount, all zoneCount) {
-	for len(c.cutAt) < len(zones) {
-		c.cutAt = append(c.cutAt, math.MinInt64/2)
+	for len(c.zoneCutAt) < len(zones) {
+		c.zoneCutAt = append(c.zoneCutAt, math.MinInt64/2)
 	}
 	maxSilent := 2*all.silent > max(all.up, 2)
 	for i, z := range zones {
 		if maxSilent || z.up > 1 && z.silent == z.up {
-			c.cutAt[i] = c.now
+			c.zoneCutAt[i] = c.now
 		}
 	}
 }
 
 // cutOff tells whether a machine's zone seems to be cut off, or was a moment ago.
 func (c *Core) cutOff(m *machine) bool {
-	return m.zone >= 0 && c.now-c.cutAt[m.zone] < 4*c.report
+	return m.zone >= 0 && c.now-c.zoneCutAt[m.zone] < 4*c.heartbeatInterval
 }
 
 // placeableWithinLimit lists the jobs with tasks that their teams' limits let run.
@@ -130,7 +132,7 @@
 // them is not: on a large site there is always something waiting. Nor is one that only
 // tasks beyond their team's limit would use.
 func (c *Core) mayGoIdle(m *machine, waiting []*job) bool {
-	if m.state != machineUp || m.kept || len(m.bookings) > 0 || c.now-m.hired < minRental || !m.known(c.term) {
+	if m.state != machineUp || m.keptForPlan || len(m.allocations) > 0 || c.now-m.rentedAt < minRental || !m.trusted(c.term) {
 		return false
 	}
 	return !slices.ContainsFunc(waiting, func(j *job) bool {
@@ -138,27 +140,27 @@
 	})
 }
 
-// reasonToReturn tells why a machine is to be given back whether or not it is wanted;
+// reasonToScaleIn tells why a machine is to be given back whether or not it is wanted;
 // "": there is no reason.
-func (c *Core) reasonToReturn(m *machine) string {
-	quiet := c.quiet(m)
+func (c *Core) reasonToScaleIn(m *machine) string {
+	quiet := c.inactive(m)
 	switch {
 	case m.state == machineDeleting:
 		return "not yet known to be gone"
-	case c.expected(m) && quiet > c.silentAfter() && m.missing >= 2:
+	case c.expected(m) && quiet > c.unreachableAfter() && m.missedListings >= 2:
 		// Absence from the list proves nothing, but its deletion will.
 		return "silent and not listed any more"
-	case c.expected(m) && quiet > 4*c.report && !c.cutOff(m):
+	case c.expected(m) && quiet > 4*c.heartbeatInterval && !c.cutOff(m):
 		return "silent"
-	case m.state == machineBooting:
+	case m.state == machineStarting:
 		return c.reasonToStopBoot(m, quiet)
-	case quiet > c.leaseTime+c.report:
+	case quiet > c.agentLease+c.heartbeatInterval:
 		return "lost"
-	case len(m.bookings) > 0:
+	case len(m.allocations) > 0:
 		return ""
-	case m.noticeAt > 0:
+	case m.terminationAt > 0:
 		return "will be taken back"
-	case m.quarantine:
+	case m.quarantined:
 		return "faulty"
 	}
 	return ""
@@ -175,10 +177,10 @@
 	switch {
 	case m.typ >= 0:
 		patience = time.Duration(c.cfg.Operator.BootPatience * float64(settings.Seconds(c.types[m.typ].BootS)))
-	case quiet < c.leaseTime:
+	case quiet < c.agentLease:
 		return ""
 	}
-	if c.now-m.hired > patience && c.now-c.began > c.leaseTime {
+	if c.now-m.rentedAt > patience && c.now-c.termStart > c.agentLease {
 		return "did not come up"
 	}
 	return ""
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -15,7 +15,7 @@
 // nodes of the index that reports of ended tasks cause to be looked at.
 func looksPerReport(t *testing.T, machines int) int {
 	g := newStage(t, ledger.Snapshot{})
-	tasks := map[string][]wire.TaskReport{}
+	tasks := map[string][]wire.TaskStatus{}
 	for i := range machines {
 		name := fmt.Sprintf("vm-%06d", i)
 		g.up(name)
@@ -27,7 +27,7 @@
 		for _, o := range g.starts() {
 			tasks[name] = append(tasks[name], taskIn(o, wire.TaskRunning, ""))
 		}
-		g.settle(DirectDone)
+		g.settle(CommandExecuted)
 	}
 	for i := range 30 {
 		j := newTestJob(fmt.Sprintf("job-9%05d", i), 10, 2)
@@ -39,7 +39,7 @@
 	const reports = 50
 	for i := range reports {
 		name := fmt.Sprintf("vm-%06d", 1+2*i)
-		tasks[name][0].Status, tasks[name][0].Why = wire.TaskEnded, wire.WhyDone
+		tasks[name][0].Status, tasks[name][0].ExitReason = wire.TaskEnded, wire.ExitDone
 		g.report(g.reportOf(name, ours, tasks[name]...))
 	}
 	return (g.c.index.Looks() - before) / reports
@@ -70,12 +70,12 @@
 	g.want("hired for 4 cores of 40", machines, 1)
 
 	g.up("vm-1")
-	running := []wire.TaskReport{}
+	running := []wire.TaskStatus{}
 	for _, o := range g.starts() {
 		running = append(running, taskIn(o, wire.TaskRunning, ""))
 	}
 	g.want("started within the limit", len(running), 4)
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	g.up("vm-2")
 	for range 100 {
 		g.wait(time.Second)
--- a/internal/scheduler/silence_test.go
+++ b/internal/scheduler/silence_test.go
@@ -12,9 +12,9 @@
 
 // noted returns the record of silent machines that was last written, and its
 // key.
-func (g *stage) noted() (string, *ledger.SilentRecord) {
+func (g *stage) noted() (string, *ledger.UnreachableRecord) {
 	for key, w := range g.writes {
-		if r, ok := w.Value.(ledger.SilentRecord); ok && len(r.Machines) > 0 && strings.HasPrefix(key, ledger.SilentKey("")) {
+		if r, ok := w.Value.(ledger.UnreachableRecord); ok && len(r.Machines) > 0 && strings.HasPrefix(key, ledger.UnreachableKey("")) {
 			return key, &r
 		}
 	}
@@ -24,7 +24,7 @@
 // answers counts the reports that were answered with a 200.
 func (g *stage) answers() (n int) {
 	for _, e := range g.out {
-		if a, ok := e.(AnswerReport); ok && a.Answer != nil {
+		if a, ok := e.(HeartbeatReply); ok && a.Response != nil {
 			n++
 		}
 	}
@@ -39,7 +39,7 @@
 	heard := g.now
 	g.submit(newTestJob("job-1", 1, 1))
 	o := g.starts()[0]
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	g.wait(5 * time.Second)
 	if _, r := g.noted(); r != nil {
 		t.Errorf("noted after 5 s: %+v", r)
@@ -49,13 +49,13 @@
 	if r == nil {
 		t.Fatal("not noted after 11 s")
 	}
-	if over := time.Duration(r.OverMS) * time.Millisecond; over < heard+30*time.Second || over > heard+31*time.Second || len(r.Machines) != 1 {
+	if over := time.Duration(r.LeaseExpiryMS) * time.Millisecond; over < heard+30*time.Second || over > heard+31*time.Second || len(r.Machines) != 1 {
 		t.Errorf("noted %+v", r)
 	}
 	g.held, g.out = true, nil
 	report := func() {
-		r := g.reportOf("vm-1", g.c.machineNamed("vm-1").token, taskIn(o, wire.TaskRunning, ""))
-		g.step(ReportIn{Report: r, To: recipient("w")})
+		r := g.reportOf("vm-1", g.c.machineNamed("vm-1").fencingToken, taskIn(o, wire.TaskRunning, ""))
+		g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: recipient("w")})
 	}
 	report()
 	g.want("answered before the note is withdrawn", g.answers(), 0)
@@ -67,7 +67,7 @@
 	g.out = nil
 	report()
 	g.want("answered from then on", g.answers(), 1)
-	g.want("its task goes on", g.jobStatus("job-1"), wire.Running)
+	g.want("its task goes on", g.jobStatus("job-1"), wire.JobRunning)
 	g.wait(11 * time.Second)
 	again, _ := g.noted()
 	g.want("the key of the next note", again, key)
@@ -76,11 +76,11 @@
 // TestANewLeaderBelievesTheNotes: what an earlier leader started on a machine
 // that was silent is over when the note says, not a lease after the takeover.
 func TestANewLeaderBelievesTheNotes(t *testing.T) {
-	key := ledger.SilentKey("6-1")
+	key := ledger.UnreachableKey("6-1")
 	saved := func(over time.Duration, machines ...string) ledger.Snapshot {
-		s := ledger.Snapshot{Jobs: []ledger.SavedJob{{Ref: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}}
+		s := ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}}
 		if machines != nil {
-			s.Silent = map[string]ledger.SilentRecord{key: {OverMS: over.Milliseconds(), Machines: machines}}
+			s.Unreachable = map[string]ledger.UnreachableRecord{key: {LeaseExpiryMS: over.Milliseconds(), Machines: machines}}
 		}
 		return s
 	}
@@ -113,14 +113,14 @@
 		g := newStage(t, saved(5*time.Second, "vm-1"))
 		g.up("vm-2")
 		g.held, g.out = true, nil
-		old := wire.TaskReport{Task: "job-1/0", Attempt: 6<<tokenBits | 1, Status: wire.TaskRunning}
-		g.step(ReportIn{Report: g.reportOf("vm-1", 6<<tokenBits, old), To: recipient("w")})
+		old := wire.TaskStatus{Task: "job-1/0", Attempt: 6<<tokenBits | 1, Status: wire.TaskRunning}
+		g.step(HeartbeatEvent{Heartbeat: g.reportOf("vm-1", 6<<tokenBits, old), ReplyTo: recipient("w")})
 		g.want("answered before the note is withdrawn", g.answers(), 0)
 		g.release()
 		g.want("answered afterwards", g.answers(), 1)
 		g.echo("vm-1", old)
 		g.wait(6 * time.Second)
-		g.want("its task goes on", g.jobStatus("job-1"), wire.Running)
+		g.want("its task goes on", g.jobStatus("job-1"), wire.JobRunning)
 		g.want("and is not started again", len(g.starts()), 0)
 	})
 }
@@ -135,7 +135,7 @@
 		saved ledger.Snapshot
 		heard time.Duration // when it first answers a direct command
 	}{
-		{"its silence was noted", ledger.Snapshot{Silent: map[string]ledger.SilentRecord{ledger.SilentKey("6-1"): {OverMS: 3000, Machines: []string{"vm-1"}}}}, time.Second},
+		{"its silence was noted", ledger.Snapshot{Unreachable: map[string]ledger.UnreachableRecord{ledger.UnreachableKey("6-1"): {LeaseExpiryMS: 3000, Machines: []string{"vm-1"}}}}, time.Second},
 		{"it is heard late", ledger.Snapshot{}, 25 * time.Second},
 	}
 	for _, c := range cases {
@@ -144,16 +144,16 @@
 			g.wait(c.heard)
 			m := g.c.machineNamed("vm-1")
 			m.address = "10.1.0.1:9000"
-			g.c.send(&directCall{machine: m, session: 2, token: m.token}, []wire.Order{})
+			g.c.send(&commandInFlight{machine: m, agentEpoch: 2, fencingToken: m.fencingToken}, []wire.Command{})
 			g.take(g.c.Settle())
 			probe := g.start[len(g.start)-1]
 			g.start = nil
 			r := g.reportOf("vm-1", ours)
-			r.Session = 2
-			g.step(DirectBack{Call: probe.Call, Outcome: DirectDone, Report: r})
+			r.AgentEpoch = 2
+			g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandExecuted, Heartbeat: r})
 			g.submit(newTestJob("job-1", 1, 1))
 			g.want("started there", len(g.starts()), 1)
-			g.settle(DirectDone)
+			g.settle(CommandExecuted)
 			heard := g.now
 			for g.now < heard+28*time.Second {
 				g.wait(time.Second)
@@ -175,7 +175,7 @@
 	g := newStage(t, ledger.Snapshot{})
 	g.up("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	g.held = true
 	g.submit(newTestJob("job-2", 1, 4)) // hires, which waits for the ledger
 	g.wait(12 * time.Second)
--- a/internal/scheduler/spending.go
+++ b/internal/scheduler/spending.go
@@ -19,8 +19,8 @@
 	lost      float64 // of running: what tasks had run that have to run again
 }
 
-// costs is what the machines have cost since it was last logged.
-type costs struct {
+// spendingLog is what the machines have cost since it was last logged.
+type spendingLog struct {
 	spent  spending
 	until  time.Duration // as far as that is reckoned
 	logged time.Duration
@@ -50,64 +50,64 @@
 
 // spend adds what the machines have cost since the last time.
 func (c *Core) spend() {
-	if c.now-c.costs.until < spendEvery {
+	if c.now-c.spendingLog.until < spendEvery {
 		return
 	}
-	elapsed := (c.now - c.costs.until).Seconds()
-	c.costs.until = c.now
-	for _, m := range c.live {
+	elapsed := (c.now - c.spendingLog.until).Seconds()
+	c.spendingLog.until = c.now
+	for _, m := range c.liveMachines {
 		cost := c.pricePerSecond(m) * elapsed
 		switch m.state {
-		case machineBooting:
-			c.costs.spent.booting += cost
+		case machineStarting:
+			c.spendingLog.spent.booting += cost
 		case machineUp:
 			c.spendOn(m, cost)
 		case machineDeleting:
-			c.costs.spent.returning += cost
+			c.spendingLog.spent.returning += cost
 		case machineGone:
 		}
 	}
-	if c.now-c.costs.logged >= spendingEvery {
+	if c.now-c.spendingLog.logged >= spendingEvery {
 		c.logSpending()
 	}
 }
 
 // spendOn divides the cost of a machine that is up.
 func (c *Core) spendOn(m *machine, cost float64) {
-	if len(m.bookings) == 0 || m.total.CPUs <= 0 {
-		c.costs.spent.idle += cost
+	if len(m.allocations) == 0 || m.total.CPUs <= 0 {
+		c.spendingLog.spent.idle += cost
 		return
 	}
 	free := cost
-	for _, b := range m.bookings {
+	for _, b := range m.allocations {
 		share := cost * c.jobs[b.job].size.CPUs / m.total.CPUs
 		free -= share
 		switch {
 		case b.stopping:
-			c.costs.spent.saving += share
+			c.spendingLog.spent.saving += share
 		case b.status == wire.TaskRunning:
-			c.costs.spent.running += share
+			c.spendingLog.spent.running += share
 		default:
-			c.costs.spent.fetching += share
+			c.spendingLog.spent.fetching += share
 		}
 	}
-	c.costs.spent.partIdle += max(free, 0)
+	c.spendingLog.spent.partIdle += max(free, 0)
 }
 
 // lostWork counts what a task had run that has to run again.
-func (c *Core) lostWork(m *machine, b *booking) {
+func (c *Core) lostWork(m *machine, b *allocation) {
 	j := c.jobs[b.job]
-	if b.ranSince == 0 || m.total.CPUs <= 0 || j.over() {
+	if b.runningSince == 0 || m.total.CPUs <= 0 || j.over() {
 		return
 	}
-	c.costs.spent.lost += c.pricePerSecond(m) * j.size.CPUs / m.total.CPUs * (c.now - b.ranSince).Seconds()
+	c.spendingLog.spent.lost += c.pricePerSecond(m) * j.size.CPUs / m.total.CPUs * (c.now - b.runningSince).Seconds()
 }
 
 func (c *Core) logSpending() {
-	s := &c.costs.spent
+	s := &c.spendingLog.spent
 	if s.total() > 0 {
-		c.log.Info("money spent", "seconds", (c.now - c.costs.logged).Seconds(), "total", s.total(), "booting", s.booting, "fetching", s.fetching,
-			"running", s.running, "saving", s.saving, "part_idle", s.partIdle, "idle", s.idle, "returning", s.returning, "lost", s.lost, "machines", len(c.live))
+		c.log.Info("money spent", "seconds", (c.now - c.spendingLog.logged).Seconds(), "total", s.total(), "booting", s.booting, "fetching", s.fetching,
+			"running", s.running, "saving", s.saving, "part_idle", s.partIdle, "idle", s.idle, "returning", s.returning, "lost", s.lost, "machines", len(c.liveMachines))
 	}
-	c.costs.spent, c.costs.logged = spending{}, c.now
+	c.spendingLog.spent, c.spendingLog.logged = spending{}, c.now
 }
--- a/internal/scheduler/spending_test.go
+++ b/internal/scheduler/spending_test.go
@@ -12,21 +12,21 @@
 // TestSpendingIsDividedByUse: what a machine costs goes to what it does, and all of it
 // goes somewhere.
 func TestSpendingIsDividedByUse(t *testing.T) {
-	running := func(j *job) *booking { return &booking{job: j.index, status: wire.TaskRunning} }
-	fetching := func(j *job) *booking { return &booking{job: j.index, status: wire.TaskFetching} }
-	stopping := func(j *job) *booking { return &booking{job: j.index, status: wire.TaskRunning, stopping: true} }
+	running := func(j *job) *allocation { return &allocation{job: j.index, status: wire.TaskRunning} }
+	fetching := func(j *job) *allocation { return &allocation{job: j.index, status: wire.TaskFetching} }
+	stopping := func(j *job) *allocation { return &allocation{job: j.index, status: wire.TaskRunning, stopping: true} }
 	cases := []struct {
 		name     string
 		state    machineState
-		bookings []func(j *job) *booking // of one core each, on four
-		want     spending                // in hundredths of what the machine costs
+		bookings []func(j *job) *allocation // of one core each, on four
+		want     spending                   // in hundredths of what the machine costs
 	}{
-		{"boots", machineBooting, nil, spending{booting: 100}},
+		{"boots", machineStarting, nil, spending{booting: 100}},
 		{"has nothing to do", machineUp, nil, spending{idle: 100}},
 		{"is being returned", machineDeleting, nil, spending{returning: 100}},
 		{"is gone", machineGone, nil, spending{}},
-		{"runs one task", machineUp, []func(j *job) *booking{running}, spending{running: 25, partIdle: 75}},
-		{"does all at once", machineUp, []func(j *job) *booking{running, fetching, stopping, running}, spending{running: 50, fetching: 25, saving: 25}},
+		{"runs one task", machineUp, []func(j *job) *allocation{running}, spending{running: 25, partIdle: 75}},
+		{"does all at once", machineUp, []func(j *job) *allocation{running, fetching, stopping, running}, spending{running: 50, fetching: 25, saving: 25}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -34,12 +34,12 @@
 			g.up("vm-1")
 			g.submit(newTestJob("job-000001", 1, 1))
 			c := g.c
-			m, j := c.machines[c.machineAt["vm-1"]], c.jobs[0]
-			m.state, m.bookings = tc.state, nil
+			m, j := c.machines[c.machineIndexByName["vm-1"]], c.jobs[0]
+			m.state, m.allocations = tc.state, nil
 			for _, book := range tc.bookings {
-				m.bookings = append(m.bookings, book(j))
+				m.allocations = append(m.allocations, book(j))
 			}
-			c.costs.spent, c.costs.until, c.costs.logged = spending{}, c.now, c.now
+			c.spendingLog.spent, c.spendingLog.until, c.spendingLog.logged = spending{}, c.now, c.now
 			c.now += 10 * time.Second
 			c.spend()
 			unit := c.pricePerSecond(m) * 10 / 100
@@ -47,10 +47,10 @@
 				name      string
 				got, want float64
 			}{
-				{"booting", c.costs.spent.booting, tc.want.booting}, {"fetching", c.costs.spent.fetching, tc.want.fetching},
-				{"running", c.costs.spent.running, tc.want.running}, {"saving", c.costs.spent.saving, tc.want.saving},
-				{"partly idle", c.costs.spent.partIdle, tc.want.partIdle}, {"idle", c.costs.spent.idle, tc.want.idle},
-				{"returning", c.costs.spent.returning, tc.want.returning},
+				{"booting", c.spendingLog.spent.booting, tc.want.booting}, {"fetching", c.spendingLog.spent.fetching, tc.want.fetching},
+				{"running", c.spendingLog.spent.running, tc.want.running}, {"saving", c.spendingLog.spent.saving, tc.want.saving},
+				{"partly idle", c.spendingLog.spent.partIdle, tc.want.partIdle}, {"idle", c.spendingLog.spent.idle, tc.want.idle},
+				{"returning", c.spendingLog.spent.returning, tc.want.returning},
 			} {
 				if unit == 0 || math.Abs(part.got/unit-part.want) > 1e-6 {
 					t.Errorf("%s: %v of the cost, want %v", part.name, part.got/unit, part.want)
--- a/internal/scheduler/stage_test.go
+++ b/internal/scheduler/stage_test.go
@@ -6,7 +6,7 @@
 	"log/slog"
 	"time"
 
-	"leadproxy/internal/fleet"
+	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/wire"
@@ -18,14 +18,14 @@
 	c        *Core
 	now      time.Duration
 	seq      map[string]uint64
-	start    []Direct     // commands not yet settled
-	answered []wire.Order // in answers to reports, since the last settle
+	start    []SendCommands // commands not yet settled
+	answered []wire.Command // in answers to reports, since the last settle
 	out      []Effect
 	others   []Effect // those that have no place above, from the beginning
 	// held, while set, keeps ledger writes from becoming durable.
 	held    bool
 	pending []ledger.Tag
-	hires   []wire.Hire
+	hires   []wire.ScaleOutRequest
 	deleted []string
 	writes  map[string]ledger.Write // the last by key
 	puts    int                     // writes so far
@@ -80,8 +80,8 @@
 	g := &stage{now: now, t: t, seq: map[string]uint64{}, writes: map[string]ledger.Write{}, specs: map[string]*wire.Job{}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	g.c = NewCore(cfg, s, now, now.Milliseconds(), log)
-	g.take(g.c.TakeStart())
-	g.step(CloudBack{fleet.Result{Call: fleet.Call{Types: true}, Types: []wire.MachineType{
+	g.take(g.c.InitialEffects())
+	g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Types: true}, Types: []wire.MachineType{
 		{Name: "m4", CPUs: 4, MemGB: 16, CacheGB: 20, Price: 1, SpotPrice: 0.5, BootS: 40, Zones: []string{"a", "b"}}}}})
 	return g
 }
@@ -95,7 +95,7 @@
 	var tags []ledger.Tag
 	for _, e := range effects {
 		switch e := e.(type) {
-		case Put:
+		case WriteLedger:
 			for _, w := range e.Writes {
 				g.writes[w.Key] = w
 				g.puts++
@@ -103,17 +103,17 @@
 					tags = append(tags, w.Tag)
 				}
 			}
-		case Direct:
+		case SendCommands:
 			g.start = append(g.start, e)
 		case CallCloud:
-			if e.Call.Hire != nil {
-				g.hires = append(g.hires, *e.Call.Hire)
+			if e.Call.ScaleOut != nil {
+				g.hires = append(g.hires, *e.Call.ScaleOut)
 			}
 			g.deleted = append(g.deleted, e.Call.Delete...)
-		case AnswerReport:
+		case HeartbeatReply:
 			g.out = append(g.out, e)
-			if e.Answer != nil {
-				g.answered = append(g.answered, e.Answer.Orders...)
+			if e.Response != nil {
+				g.answered = append(g.answered, e.Response.Commands...)
 			}
 		default:
 			g.out = append(g.out, e)
@@ -123,7 +123,7 @@
 	if g.held {
 		g.pending = append(g.pending, tags...)
 	} else if len(tags) > 0 {
-		g.step(NowDurable{tags})
+		g.step(WritesDurable{tags})
 	}
 }
 
@@ -132,7 +132,7 @@
 	g.held = false
 	tags := g.pending
 	g.pending = nil
-	g.step(NowDurable{tags})
+	g.step(WritesDurable{tags})
 }
 
 // wait lets time pass, a tick at a time.
@@ -143,18 +143,18 @@
 	}
 }
 
-func (g *stage) reportOf(name string, token uint64, tasks ...wire.TaskReport) *wire.Report {
+func (g *stage) reportOf(name string, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	g.seq[name]++
-	return &wire.Report{Machine: name, Address: "10.1.0.1:9000", Type: "m4", Zone: "a", Spot: true, Session: 1, Seq: g.seq[name], Token: token, Tasks: tasks}
+	return &wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", Type: "m4", Zone: "a", Spot: true, AgentEpoch: 1, Sequence: g.seq[name], FencingToken: token, Tasks: tasks}
 }
 
 // report sends a report and returns the answer.
-func (g *stage) report(r *wire.Report) *wire.ReportAnswer {
+func (g *stage) report(r *wire.Heartbeat) *wire.HeartbeatResponse {
 	g.out = nil
-	g.step(ReportIn{Report: r, To: recipient("w")})
+	g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: recipient("w")})
 	for _, e := range g.out {
-		if a, ok := e.(AnswerReport); ok {
-			return a.Answer
+		if a, ok := e.(HeartbeatReply); ok {
+			return a.Response
 		}
 	}
 	g.t.Fatal("the report was not answered")
@@ -167,32 +167,32 @@
 func (g *stage) up(name string) { g.report(g.reportOf(name, 0)); g.report(g.reportOf(name, ours)) }
 
 // echo has a worker show that it has heard our latest token.
-func (g *stage) echo(name string, tasks ...wire.TaskReport) *wire.ReportAnswer {
+func (g *stage) echo(name string, tasks ...wire.TaskStatus) *wire.HeartbeatResponse {
 	m := g.c.machineNamed(name)
-	r := g.reportOf(name, m.token, tasks...)
-	r.Session = max(m.session, 1)
+	r := g.reportOf(name, m.fencingToken, tasks...)
+	r.AgentEpoch = max(m.agentEpoch, 1)
 	return g.report(r)
 }
 
 func newTestJob(ref string, tasks int, cpus float64) *wire.Job {
-	return &wire.Job{Ref: ref, Class: "c", Team: "t", Kind: "batch", Priority: "standard", Tasks: tasks, CPUs: cpus, MemGB: 1, Image: "i", Spot: true, EstimateS: 10}
+	return &wire.Job{ID: ref, Class: "c", Team: "t", Kind: "batch", Priority: "standard", Tasks: tasks, CPUs: cpus, MemGB: 1, Image: "i", Spot: true, EstimatedRunS: 10}
 }
 
 func (g *stage) submit(j *wire.Job) {
-	g.specs[j.Ref] = j
-	g.step(JobSeen{Ref: j.Ref, Record: ledger.JobRecord{Job: j, AcceptedMS: g.now.Milliseconds()}, Version: 3})
+	g.specs[j.ID] = j
+	g.step(JobRecordEvent{JobID: j.ID, Record: ledger.JobRecord{Job: j, AcceptedMS: g.now.Milliseconds()}, Version: 3})
 }
 
 // starts lists the starts in unsettled commands and in answers.
-func (g *stage) starts() (orders []wire.Order) {
+func (g *stage) starts() (orders []wire.Command) {
 	for _, o := range g.answered {
-		if o.Verb == wire.Start {
+		if o.Verb == wire.VerbStart {
 			orders = append(orders, o)
 		}
 	}
 	for _, d := range g.start {
-		for _, o := range d.Commands.Orders {
-			if o.Verb == wire.Start {
+		for _, o := range d.Request.Commands {
+			if o.Verb == wire.VerbStart {
 				orders = append(orders, o)
 			}
 		}
@@ -201,21 +201,21 @@
 }
 
 // settle ends all commands that are on their way.
-func (g *stage) settle(outcome DirectOutcome) {
+func (g *stage) settle(outcome CommandOutcome) {
 	calls := g.start
 	g.start, g.answered = nil, nil
 	for _, d := range calls {
-		g.step(DirectBack{Call: d.Call, Outcome: outcome})
+		g.step(CommandResult{CommandID: d.CommandID, Outcome: outcome})
 	}
 }
 
-func taskIn(o wire.Order, status, why string) wire.TaskReport {
-	return wire.TaskReport{Task: o.Task, Attempt: o.Attempt, Status: status, Why: why}
+func taskIn(o wire.Command, status, why string) wire.TaskStatus {
+	return wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: status, ExitReason: why}
 }
 
-func verbs(a *wire.ReportAnswer) string {
+func verbs(a *wire.HeartbeatResponse) string {
 	s := ""
-	for _, o := range a.Orders {
+	for _, o := range a.Commands {
 		s += o.Verb + " "
 	}
 	return s
@@ -231,6 +231,6 @@
 // jobStatus asks for a job's state.
 func (g *stage) jobStatus(ref string) string {
 	g.out = nil
-	g.step(StatusAsked{Ref: ref, To: recipient("u")})
-	return g.out[0].(AnswerUser).Status.Status
+	g.step(StatusRequest{JobID: ref, ReplyTo: recipient("u")})
+	return g.out[0].(UserReply).Status.Status
 }
--- a/internal/scheduler/stops.go
+++ b/internal/scheduler/stops.go
@@ -6,30 +6,30 @@
 	"leadproxy/internal/wire"
 )
 
-// stopBooking has an attempt stopped. What was never sent is simply freed.
-func (c *Core) stopBooking(m *machine, b *booking, grace float64) {
-	if b.state <= bookQueued {
+// stopAllocation has an attempt stopped. What was never sent is simply freed.
+func (c *Core) stopAllocation(m *machine, b *allocation, grace float64) {
+	if b.state <= allocationQueued {
 		c.release(m, b)
 		return
 	}
-	b.stopping, b.grace = true, grace
-	c.orderStop(m, b)
+	b.stopping, b.gracePeriod = true, grace
+	c.sendStop(m, b)
 }
 
-// stopsFor lists the stops that the answer to a report owes: those of the tasks in it that
+// requiredStops lists the stops that the answer to a report owes: those of the tasks in it that
 // must not run. It decides that for every answer, since each renews the worker's lease. That
 // a report may be an old copy is no reason to leave one out: stopping an attempt that is no
 // longer there does nothing.
-func (c *Core) stopsFor(m *machine, r *wire.Report, believed bool) []wire.Order {
-	stops := []wire.Order{}
+func (c *Core) requiredStops(m *machine, r *wire.Heartbeat, believed bool) []wire.Command {
+	stops := []wire.Command{}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		if t.Status == wire.TaskEnded || len(stops) >= maxOrders {
+		if t.Status == wire.TaskEnded || len(stops) >= maxCommandsPerResponse {
 			continue // what is left is stopped in the answers to the next reports
 		}
 		if grace, must := c.mustStop(m, t, believed); must {
 			c.noteStop(m, t)
-			stops = append(stops, stopOrder(t.Task, t.Attempt, grace))
+			stops = append(stops, stopCommand(t.Task, t.Attempt, grace))
 		}
 	}
 	return stops
@@ -37,7 +37,7 @@
 
 // mustStop tells whether a task that a machine reports as alive must not run, and how long
 // it may take to save its progress.
-func (c *Core) mustStop(m *machine, t *wire.TaskReport, believed bool) (grace float64, must bool) {
+func (c *Core) mustStop(m *machine, t *wire.TaskStatus, believed bool) (grace float64, must bool) {
 	j, _, b := c.taskOf(m, t)
 	switch {
 	case j == nil:
@@ -50,44 +50,44 @@
 		// What is not booked from a report that may be an old copy is not looked at yet.
 		return 0, believed
 	}
-	return b.grace, b.stopping
+	return b.gracePeriod, b.stopping
 }
 
-func stopOrder(task string, attempt uint64, grace float64) wire.Order {
-	return wire.Order{Verb: wire.Stop, Task: task, Attempt: attempt, GraceS: &grace}
+func stopCommand(task string, attempt uint64, grace float64) wire.Command {
+	return wire.Command{Verb: wire.VerbStop, Task: task, Attempt: attempt, GracePeriodS: &grace}
 }
 
 // repeatStops sends stops again that a worker may have ignored. A start and its stop that
 // are sent one after the other, in two commands or in an answer and a command, arrive in
 // any order, and a worker ignores the stop of what it does not know yet: the start acted
 // after its stop, and the task ran until the worker's next report was answered.
-func (c *Core) repeatStops(call *directCall, r *wire.Report) {
+func (c *Core) repeatStops(call *commandInFlight, r *wire.Heartbeat) {
 	m := call.machine
-	if r == nil || r.Machine != m.name || r.Session != m.session {
+	if r == nil || r.Machine != m.name || r.AgentEpoch != m.agentEpoch {
 		return
 	}
-	for _, attempt := range call.attempts {
-		if b := m.booking(attempt); b != nil && b.stopping && isAlive(r, attempt) {
-			c.orderStop(m, b)
+	for _, attempt := range call.startedAttempts {
+		if b := m.allocation(attempt); b != nil && b.stopping && isAlive(r, attempt) {
+			c.sendStop(m, b)
 		}
 	}
-	for _, attempt := range call.stops {
-		b := m.booking(attempt)
-		if b != nil && b.stopping && b.state == bookSent && !b.stopRepeated && !isAlive(r, attempt) {
+	for _, attempt := range call.stoppedAttempts {
+		b := m.allocation(attempt)
+		if b != nil && b.stopping && b.state == allocationSent && !b.stopRepeated && !isAlive(r, attempt) {
 			b.stopRepeated = true
-			c.orderStop(m, b)
+			c.sendStop(m, b)
 		}
 	}
 }
 
-// orderStop has a machine told to stop a booked attempt.
-func (c *Core) orderStop(m *machine, b *booking) {
-	c.order(m, stopOrder(c.taskName(b), b.attempt, b.grace))
+// sendStop has a machine told to stop a booked attempt.
+func (c *Core) sendStop(m *machine, b *allocation) {
+	c.queueCommand(m, stopCommand(c.taskName(b), b.attempt, b.gracePeriod))
 }
 
 // isAlive tells whether a report lists an attempt that has not ended.
-func isAlive(r *wire.Report, attempt uint64) bool {
-	return slices.ContainsFunc(r.Tasks, func(t wire.TaskReport) bool {
+func isAlive(r *wire.Heartbeat, attempt uint64) bool {
+	return slices.ContainsFunc(r.Tasks, func(t wire.TaskStatus) bool {
 		return t.Attempt == attempt && t.Status != wire.TaskEnded
 	})
 }
--- a/internal/scheduler/transfer_events.go
+++ b/internal/scheduler/transfer_events.go
@@ -3,20 +3,20 @@
 import (
 	"time"
 
+	"leadproxy/internal/federation"
 	"leadproxy/internal/ledger"
-	"leadproxy/internal/spill"
 )
 
 // The events of transfers between cells.
 type (
-	// TransfersAnswered is the outcome of an exchange with a neighbour.
-	TransfersAnswered struct {
+	// TransferResult is the outcome of an exchange with a neighbour.
+	TransferResult struct {
 		Cell    string
-		Answers []spill.Answer
+		Answers []federation.Answer
 		Err     error
 	}
-	// RoomAnswered is a neighbour's answer to the question for room.
-	RoomAnswered struct {
+	// CapacityResult is a neighbour's answer to the question for room.
+	CapacityResult struct {
 		Cell       string
 		Cores      float64
 		For        time.Duration
@@ -24,30 +24,30 @@
 		Reason     string
 		Err        error
 	}
-	// TransfersAsked are another cell's messages.
-	TransfersAsked struct {
-		Home     string
-		Messages []spill.Message
-		To       Recipient
+	// TransferRequest are another cell's messages.
+	TransferRequest struct {
+		Origin   string
+		Messages []federation.Message
+		ReplyTo  Recipient
 	}
-	// RoomAsked is another cell's question for room.
-	RoomAsked struct {
-		Home  string
-		Cores float64
-		To    Recipient
+	// CapacityRequest is another cell's question for room.
+	CapacityRequest struct {
+		Origin  string
+		Cores   float64
+		ReplyTo Recipient
 	}
-	// GuestWritten tells what came of a PutGuest.
-	GuestWritten struct {
-		Write   spill.WriteGuest
+	// ForeignWriteResult tells what came of a PutGuest.
+	ForeignWriteResult struct {
+		Write   federation.WriteForeign
 		Job     *ledger.JobRecord
 		Version uint64
 		// JobExists: nothing was written, since there is a job of that name.
 		JobExists bool
 	}
-	// TransfersAllowed tells that every controller of this cell knows transfers.
-	TransfersAllowed struct{}
-	// TransfersListed is an operator's question.
-	TransfersListed struct{ To Recipient }
+	// TransfersEnabled tells that every controller of this cell knows transfers.
+	TransfersEnabled struct{}
+	// TransferListRequest is an operator's question.
+	TransferListRequest struct{ ReplyTo Recipient }
 )
 
 // The effects of transfers between cells.
@@ -55,58 +55,58 @@
 	// SendTransfers sends messages to a neighbour. TransfersAnswered follows.
 	SendTransfers struct {
 		Cell     string
-		Messages []spill.Message
+		Messages []federation.Message
 	}
-	// AskRoom asks a neighbour for room. RoomAnswered follows.
-	AskRoom struct {
+	// AskCapacity asks a neighbour for room. RoomAnswered follows.
+	AskCapacity struct {
 		Cell  string
 		Cores float64
 	}
-	// AnswerTransfers answers another cell's messages.
-	AnswerTransfers struct {
-		To      Recipient
-		Answers []spill.Answer
+	// TransferReply answers another cell's messages.
+	TransferReply struct {
+		ReplyTo Recipient
+		Answers []federation.Answer
 	}
-	// AnswerRoom answers another cell's question for room.
-	AnswerRoom struct {
-		To         Recipient
+	// CapacityReply answers another cell's question for room.
+	CapacityReply struct {
+		ReplyTo    Recipient
 		Cores      float64
 		For        time.Duration
 		RetryAfter time.Duration
 		Reason     string
 	}
-	// PutGuest writes a guest's record, and with Job that as well, if neither key has
+	// WriteForeign writes a guest's record, and with Job that as well, if neither key has
 	// changed. GuestWritten follows once the outcome is certain.
-	PutGuest struct {
-		Write spill.WriteGuest
+	WriteForeign struct {
+		Write federation.WriteForeign
 		Job   *ledger.JobRecord
 	}
-	// TransferNote tells of a step of a transfer.
-	TransferNote struct{ Note spill.Note }
-	// TransferList answers an operator.
-	TransferList struct {
-		To     Recipient
-		Away   []spill.HomeView
-		Guests []GuestView
-		Cells  []CellView
-		Counts map[TransferCount]int
+	// TraceTransfer tells of a step of a transfer.
+	TraceTransfer struct{ Step federation.TransferStep }
+	// TransferListReply answers an operator.
+	TransferListReply struct {
+		ReplyTo   Recipient
+		Delegated []federation.DelegatedView
+		Foreign   []ForeignView
+		Cells     []CellView
+		Counts    map[TransferCount]int
 	}
 )
 
-// GuestView is a transfer as operators see it at the neighbour.
-type GuestView struct {
-	Key    spill.GuestKey
-	Record spill.GuestRecord
-	State  spill.JobState
+// ForeignView is a transfer as operators see it at the neighbour.
+type ForeignView struct {
+	Key    federation.ForeignKey
+	Record federation.ForeignRecord
+	State  federation.JobState
 }
 
 // CellView is a neighbour as operators see it.
 type CellView struct {
-	Name   string
-	Drain  bool
-	Silent bool
-	Jobs   int
-	Cores  float64
-	Credit float64
-	Lent   float64
+	Name        string
+	Drain       bool
+	Unreachable bool
+	Jobs        int
+	Cores       float64
+	Credit      float64
+	Offered     float64
 }
--- a/internal/scheduler/transfer_list.go
+++ b/internal/scheduler/transfer_list.go
@@ -3,29 +3,29 @@
 import (
 	"maps"
 
-	"leadproxy/internal/spill"
+	"leadproxy/internal/federation"
 )
 
 // transfersListed answers an operator.
-func (c *Core) transfersListed(e TransfersListed) {
-	t := &c.transfers
-	list := TransferList{To: e.To, Away: t.home.List(c.now), Counts: maps.Clone(t.counts)}
+func (c *Core) transfersListed(e TransferListRequest) {
+	t := &c.federation
+	list := TransferListReply{ReplyTo: e.ReplyTo, Delegated: t.delegated.List(c.now), Counts: maps.Clone(t.counts)}
 	lent := map[string]float64{}
-	for _, key := range t.guests.Keys() {
-		record, _ := t.guests.Record(key)
-		state, _ := c.guestState(key)
-		if record.State == spill.GuestAccepted {
-			list.Guests = append(list.Guests, GuestView{Key: key, Record: record, State: state})
+	for _, key := range t.foreign.Keys() {
+		record, _ := t.foreign.Record(key)
+		state, _ := c.foreignState(key)
+		if record.State == federation.ForeignAccepted {
+			list.Foreign = append(list.Foreign, ForeignView{Key: key, Record: record, State: state})
 		}
 	}
-	for _, j := range c.active {
-		if j.home != "" && !j.over() {
-			lent[j.home] += j.cores()
+	for _, j := range c.activeJobs {
+		if j.origin != "" && !j.over() {
+			lent[j.origin] += j.cores()
 		}
 	}
 	for _, n := range t.neighbours {
-		jobs, cores := c.awayIn(n)
-		view := CellView{Name: n.Name, Drain: n.Drain, Silent: n.silent, Jobs: jobs, Cores: cores, Lent: lent[n.Name]}
+		jobs, cores := c.delegatedTo(n)
+		view := CellView{Name: n.Name, Drain: n.Drain, Unreachable: n.unreachable, Jobs: jobs, Cores: cores, Offered: lent[n.Name]}
 		if c.now < n.until {
 			view.Credit = n.credit
 		}
@@ -34,7 +34,7 @@
 	c.emit(list)
 }
 
-// guestState is the state of a guest.
-func (c *Core) guestState(key spill.GuestKey) (spill.JobState, bool) {
-	return guestJobs{c}.GuestState(key)
+// foreignState is the state of a guest.
+func (c *Core) foreignState(key federation.ForeignKey) (federation.JobState, bool) {
+	return localJobs{c}.ForeignJobState(key)
 }
--- a/internal/scheduler/transfers_test.go
+++ b/internal/scheduler/transfers_test.go
@@ -7,9 +7,9 @@
 	"testing"
 	"time"
 
+	"leadproxy/internal/federation"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/spill"
 	"leadproxy/internal/wire"
 )
 
@@ -28,12 +28,12 @@
 	}
 	g := newStageWith(t, o, ledger.Snapshot{}, teams...)
 	g.up("vm-1")
-	g.step(TransfersAllowed{})
+	g.step(TransfersEnabled{})
 	return g
 }
 
 // wait lets time pass while the machine reports what it runs.
-func (g *stage) waitWith(d time.Duration, machine string, tasks ...wire.TaskReport) {
+func (g *stage) waitWith(d time.Duration, machine string, tasks ...wire.TaskStatus) {
 	for end := g.now + d; g.now < end; {
 		g.wait(time.Second)
 		g.echo(machine, tasks...)
@@ -41,15 +41,15 @@
 }
 
 // fill has a job take the whole machine for long and returns how it is reported.
-func (g *stage) fill(ref string) []wire.TaskReport {
+func (g *stage) fill(ref string) []wire.TaskStatus {
 	j := newTestJob(ref, 4, 1)
-	j.EstimateS = 1000
+	j.EstimatedRunS = 1000
 	g.submit(j)
-	var running []wire.TaskReport
+	var running []wire.TaskStatus
 	for _, o := range g.starts() {
 		running = append(running, taskIn(o, wire.TaskRunning, ""))
 	}
-	g.settle(DirectDone)
+	g.settle(CommandExecuted)
 	return running
 }
 
@@ -65,14 +65,14 @@
 
 // offered plays a shortage up to the neighbour's offer of room and names the jobs that
 // are offered to it.
-func (g *stage) offered(room float64, running []wire.TaskReport) (refs []string) {
+func (g *stage) offered(room float64, running []wire.TaskStatus) (refs []string) {
 	g.waitWith(20*time.Second, "vm-1", running...)
-	if ask, ok := last[AskRoom](g); ok {
-		g.step(RoomAnswered{Cell: ask.Cell, Cores: min(room, ask.Cores), For: 5 * time.Second})
+	if ask, ok := last[AskCapacity](g); ok {
+		g.step(CapacityResult{Cell: ask.Cell, Cores: min(room, ask.Cores), For: 5 * time.Second})
 	}
 	if send, ok := last[SendTransfers](g); ok {
 		for _, m := range send.Messages {
-			refs = append(refs, fmt.Sprintf("%s %s/%d", m.Kind, m.Ref, m.Epoch))
+			refs = append(refs, fmt.Sprintf("%s %s/%d", m.Kind, m.JobID, m.Epoch))
 		}
 	}
 	return refs
@@ -92,7 +92,7 @@
 		{"more than the room that was offered", nil, nil, 1, ""},
 		{"nobody has room", nil, nil, 0, ""},
 		{"bound to a zone", nil, func(j *wire.Job) { j.Zone = &zone }, 100, ""},
-		{"waits for another one", nil, func(j *wire.Job) { j.WaitsOn = []string{"job-1"} }, 100, ""},
+		{"waits for another one", nil, func(j *wire.Job) { j.DependsOn = []string{"job-1"} }, 100, ""},
 		{"more than may be away", func(o *settings.Operator) { o.Cells.Neighbours[0].MaxCores = 1 }, nil, 100, ""},
 		{"no jobs may be away", func(o *settings.Operator) { o.Cells.Neighbours[0].MaxJobs = 0 }, nil, 100, ""},
 		{"the relation is being drained", func(o *settings.Operator) { o.Cells.Neighbours[0].Drain = true }, nil, 100, ""},
@@ -131,23 +131,23 @@
 	running := g.fill("job-1")
 	g.submit(tight("job-2"))
 	g.want("offered", len(g.offered(100, running)), 1)
-	g.want("its record", g.writes[ledger.AwayKey("job-2")].Value.(spill.AwayRecord).State, spill.Offered)
-	answer := func(o spill.Outcome, running int) {
-		g.step(TransfersAnswered{Cell: "puno", Answers: []spill.Answer{{Ref: "job-2", Epoch: 1, Outcome: o, Running: running}}})
+	g.want("its record", g.writes[ledger.DelegatedKey("job-2")].Value.(federation.DelegatedRecord).State, federation.Offered)
+	answer := func(o federation.Outcome, running int) {
+		g.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: o, Running: running}}})
 	}
-	answer(spill.OutcomeAccepted, 2)
-	g.want("told while it runs there", g.jobStatus("job-2"), wire.Running)
+	answer(federation.OutcomeAccepted, 2)
+	g.want("told while it runs there", g.jobStatus("job-2"), wire.JobRunning)
 	g.up("vm-2")
 	g.submit(tight("job-3"))
 	g.want("started within the limit of both cells", len(g.starts()), 1)
-	answer(spill.OutcomeDone, 0)
-	g.want("told in the end", g.jobStatus("job-2"), wire.Done)
+	answer(federation.OutcomeDone, 0)
+	g.want("told in the end", g.jobStatus("job-2"), wire.JobDone)
 	g.wait(time.Second)
-	if send, ok := last[SendTransfers](g); !ok || send.Messages[0].Kind != spill.Release {
+	if send, ok := last[SendTransfers](g); !ok || send.Messages[0].Kind != federation.Release {
 		t.Errorf("after the end: %+v", send)
 	}
-	answer(spill.OutcomeReleased, 0)
-	if w := g.writes[ledger.AwayKey("job-2")]; w.Value != nil {
+	answer(federation.OutcomeReleased, 0)
+	if w := g.writes[ledger.DelegatedKey("job-2")]; w.Value != nil {
 		t.Errorf("the record stays: %+v", w.Value)
 	}
 }
@@ -160,35 +160,35 @@
 		running := g.fill("job-1")
 		g.submit(newTestJob("job-2", 1, 1))
 		g.offered(100, running)
-		g.step(TransfersAnswered{Cell: "puno", Answers: []spill.Answer{{Ref: "job-2", Epoch: 1, Outcome: spill.OutcomeAccepted}}})
+		g.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: federation.OutcomeAccepted}}})
 		if silent {
-			g.step(TransfersAnswered{Cell: "puno", Err: errNeighbourSilent})
+			g.step(TransferResult{Cell: "puno", Err: errNeighbourSilent})
 		}
 		g.others = nil
-		g.step(CancelAsked{Ref: "job-2", To: recipient("u")})
-		told, ok := last[AnswerUser](g)
+		g.step(CancelRequest{JobID: "job-2", ReplyTo: recipient("u")})
+		told, ok := last[UserReply](g)
 		g.want("told at once", ok, silent)
-		g.want("as unreachable", told.Unreachable, silent)
-		g.step(TransfersAnswered{Cell: "puno", Answers: []spill.Answer{{Ref: "job-2", Epoch: 1, Outcome: spill.OutcomeAborted}}})
-		g.want("in the end", g.jobStatus("job-2"), wire.Aborted)
+		g.want("as unreachable", told.CellUnreachable, silent)
+		g.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: federation.OutcomeAborted}}})
+		g.want("in the end", g.jobStatus("job-2"), wire.JobCancelled)
 	}
 }
 
 // TestUnknownTransfer: a job whose transfer's record can't be read may run elsewhere. It
 // was not started here, but its cancellation was confirmed.
 func TestUnknownTransfer(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{Ref: "job-1", Version: 1, Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}}},
-		Away: []ledger.SavedAway{{Ref: "job-1", Unknown: true}}}, settings.Team{Name: "t", CPUsMax: 1.5})
+	g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 1, Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}}},
+		Delegated: []ledger.SavedDelegated{{JobID: "job-1", Unknown: true}}}, settings.Team{Name: "t", CPUsMax: 1.5})
 	g.up("vm-1")
 	g.want("started", len(g.starts()), 0)
 	g.submit(newTestJob("job-2", 1, 1))
 	g.want("started of the rest of the team's limit", len(g.starts()), 0)
 	g.submit(newTestJob("job-3", 1, 0.5))
 	g.want("started beside it", len(g.starts()), 1)
-	g.step(CancelAsked{Ref: "job-1", To: recipient("u")})
-	told, _ := last[AnswerUser](g)
-	g.want("told as unreachable", told.Unreachable, true)
-	g.want("its state", g.jobStatus("job-1"), wire.Queued)
+	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
+	told, _ := last[UserReply](g)
+	g.want("told as unreachable", told.CellUnreachable, true)
+	g.want("its state", g.jobStatus("job-1"), wire.JobQueued)
 }
 
 // TestLending: what another cell is offered.
@@ -218,8 +218,8 @@
 			if c.before != nil {
 				c.before(g)
 			}
-			g.step(RoomAsked{Home: c.home, Cores: c.ask, To: recipient("r")})
-			answer, _ := last[AnswerRoom](g)
+			g.step(CapacityRequest{Origin: c.home, Cores: c.ask, ReplyTo: recipient("r")})
+			answer, _ := last[CapacityReply](g)
 			if answer.Cores != c.want || !strings.Contains(answer.Reason, c.why) || (answer.Cores == 0) != (answer.RetryAfter > 0) {
 				t.Errorf("%+v, want %v cores, %q", answer, c.want, c.why)
 			}
@@ -228,14 +228,14 @@
 }
 
 // offerOf is another cell's offer.
-func offerOf(g *stage, ref, job string) spill.Outcome {
-	m := spill.Message{Kind: spill.Offer, Ref: ref, Epoch: 1, Body: &spill.OfferBody{Job: []byte(job), Cores: 1}}
-	g.step(TransfersAsked{Home: "puno", Messages: []spill.Message{m}, To: recipient("r")})
-	if put, ok := last[PutGuest](g); ok && put.Write.Key.Ref == ref {
-		g.step(GuestWritten{Write: put.Write, Job: put.Job, Version: 9})
+func offerOf(g *stage, ref, job string) federation.Outcome {
+	m := federation.Message{Kind: federation.Offer, JobID: ref, Epoch: 1, Body: &federation.OfferBody{Job: []byte(job), Cores: 1}}
+	g.step(TransferRequest{Origin: "puno", Messages: []federation.Message{m}, ReplyTo: recipient("r")})
+	if put, ok := last[WriteForeign](g); ok && put.Write.Key.JobID == ref {
+		g.step(ForeignWriteResult{Write: put.Write, Job: put.Job, Version: 9})
 	}
-	g.step(TransfersAsked{Home: "puno", Messages: []spill.Message{{Kind: spill.Status, Ref: ref, Epoch: 1}}, To: recipient("r")})
-	answer, _ := last[AnswerTransfers](g)
+	g.step(TransferRequest{Origin: "puno", Messages: []federation.Message{{Kind: federation.Status, JobID: ref, Epoch: 1}}, ReplyTo: recipient("r")})
+	answer, _ := last[TransferReply](g)
 	return answer.Answers[0].Outcome
 }
 
@@ -247,28 +247,28 @@
 	g := newCell(t, nil)
 	g.submit(newTestJob("job-1", 1, 1))
 	none := offerOf(g, "job-80", fmt.Sprintf(described, "job-80", 1, "null", "[]"))
-	g.want("without a promise of room", none, spill.OutcomeRefused)
-	g.step(RoomAsked{Home: "puno", Cores: 3, To: recipient("r")})
+	g.want("without a promise of room", none, federation.OutcomeRefused)
+	g.step(CapacityRequest{Origin: "puno", Cores: 3, ReplyTo: recipient("r")})
 	cases := []struct {
 		name, ref, job string
-		want           spill.Outcome
+		want           federation.Outcome
 	}{
-		{"a name that is known here", "job-1", fmt.Sprintf(described, "job-1", 1, "null", "[]"), spill.OutcomeRefused},
-		{"another job's description", "job-81", fmt.Sprintf(described, "job-82", 1, "null", "[]"), spill.OutcomeRefused},
-		{"what is no job", "job-83", `{"ref":"job-83"}`, spill.OutcomeRefused},
-		{"bound to a zone", "job-84", fmt.Sprintf(described, "job-84", 1, `"a"`, "[]"), spill.OutcomeRefused},
-		{"waits for a job of its home", "job-85", fmt.Sprintf(described, "job-85", 1, "null", `["job-1"]`), spill.OutcomeRefused},
-		{"fits no machine", "job-86", fmt.Sprintf(described, "job-86", 64, "null", "[]"), spill.OutcomeRefused},
-		{"within the promise", "job-87", fmt.Sprintf(described, "job-87", 2, "null", "[]"), spill.OutcomeAccepted},
-		{"beyond it", "job-88", fmt.Sprintf(described, "job-88", 2, "null", "[]"), spill.OutcomeRefused},
+		{"a name that is known here", "job-1", fmt.Sprintf(described, "job-1", 1, "null", "[]"), federation.OutcomeRefused},
+		{"another job's description", "job-81", fmt.Sprintf(described, "job-82", 1, "null", "[]"), federation.OutcomeRefused},
+		{"what is no job", "job-83", `{"ref":"job-83"}`, federation.OutcomeRefused},
+		{"bound to a zone", "job-84", fmt.Sprintf(described, "job-84", 1, `"a"`, "[]"), federation.OutcomeRefused},
+		{"waits for a job of its home", "job-85", fmt.Sprintf(described, "job-85", 1, "null", `["job-1"]`), federation.OutcomeRefused},
+		{"fits no machine", "job-86", fmt.Sprintf(described, "job-86", 64, "null", "[]"), federation.OutcomeRefused},
+		{"within the promise", "job-87", fmt.Sprintf(described, "job-87", 2, "null", "[]"), federation.OutcomeAccepted},
+		{"beyond it", "job-88", fmt.Sprintf(described, "job-88", 2, "null", "[]"), federation.OutcomeRefused},
 	}
 	for _, c := range cases {
 		g.want(c.name, offerOf(g, c.ref, c.job).String(), c.want.String())
 	}
-	g.step(StatusAsked{Ref: "job-87", To: recipient("u")})
-	told, _ := last[AnswerUser](g)
+	g.step(StatusRequest{JobID: "job-87", ReplyTo: recipient("u")})
+	told, _ := last[UserReply](g)
 	g.want("its state is told to users here", told.Known, false)
-	guest := g.c.jobs[g.c.jobIndex["job-87"]]
+	guest := g.c.jobs[g.c.jobIndexByID["job-87"]]
 	g.want("it may leave", g.c.mayLeave(guest), false)
 	own := newTestJob("job-2", 4, 1)
 	own.Priority = "high"
@@ -276,7 +276,7 @@
 	g.submit(own)
 	var order []string
 	for _, j := range g.c.queue() {
-		order = append(order, j.ref)
+		order = append(order, j.id)
 	}
 	g.want("the order of jobs of one priority", strings.Join(order, " "), "job-2 job-87")
 }
--- a/internal/settings/drain.go
+++ b/internal/settings/drain.go
@@ -8,13 +8,13 @@
 
 	"gopkg.in/ini.v1"
 
-	"leadproxy/internal/drain"
+	"leadproxy/internal/rollout"
 )
 
 // Drain is whether plans that drain machines are carried out, and what they may disrupt.
 type Drain struct {
 	Enabled bool
-	Budgets drain.Budgets
+	Budgets rollout.Budgets
 }
 
 // The sections of the file.
@@ -29,7 +29,7 @@
 )
 
 func defaultDrain() Drain {
-	return Drain{Budgets: drain.Budgets{General: drain.Budget{Jobs: 1, Window: defaultWindow}, Of: map[drain.Group]drain.Budget{}}}
+	return Drain{Budgets: rollout.Budgets{General: rollout.Budget{Jobs: 1, Window: defaultWindow}, Of: map[rollout.Group]rollout.Budget{}}}
 }
 
 // isDrain tells whether a section is about draining.
@@ -52,9 +52,9 @@
 		class, isClass := strings.CutPrefix(s.Name(), classBudgets)
 		switch {
 		case isTeam && team != "":
-			d.Budgets.Of[drain.TeamGroup(team)] = r.budget(s, d.Budgets.General)
+			d.Budgets.Of[rollout.TeamGroup(team)] = r.budget(s, d.Budgets.General)
 		case isClass && class != "":
-			d.Budgets.Of[drain.ClassGroup(class)] = r.budget(s, d.Budgets.General)
+			d.Budgets.Of[rollout.ClassGroup(class)] = r.budget(s, d.Budgets.General)
 		case strings.HasPrefix(s.Name(), budgetSection+"."):
 			r.fail(s.Name(), "", s.Name(), "[budget.team.NAME] or [budget.class.NAME]")
 		}
@@ -63,7 +63,7 @@
 }
 
 // budget reads one budget; what it does not say is the general one's.
-func (r *sectionReader) budget(s *ini.Section, b drain.Budget) drain.Budget {
+func (r *sectionReader) budget(s *ini.Section, b rollout.Budget) rollout.Budget {
 	r.each(s, map[string]func(string) string{
 		"jobs":     func(v string) string { return readBudgetJobs(v, &b) },
 		"share":    func(v string) string { return readBudgetShare(v, &b) },
@@ -76,7 +76,7 @@
 	return b
 }
 
-func readBudgetJobs(v string, b *drain.Budget) string {
+func readBudgetJobs(v string, b *rollout.Budget) string {
 	if v == noDisruption {
 		b.Jobs, b.Share = 0, 0
 		return ""
@@ -89,7 +89,7 @@
 	return ""
 }
 
-func readBudgetShare(v string, b *drain.Budget) string {
+func readBudgetShare(v string, b *rollout.Budget) string {
 	percent, ok := strings.CutSuffix(v, "%")
 	var n float64
 	if !ok || number(strings.TrimSpace(percent), &n, 0.01, 100) != "" {
--- a/internal/settings/drain_test.go
+++ b/internal/settings/drain_test.go
@@ -5,7 +5,7 @@
 	"testing"
 	"time"
 
-	"leadproxy/internal/drain"
+	"leadproxy/internal/rollout"
 )
 
 // TestDrainFiles: the files that operators start from are valid, and nothing is on by
@@ -16,7 +16,7 @@
 		t.Fatal(err)
 	}
 	o, err := ParseOperator("drain.ini", string(text))
-	if err != nil || !o.Drain.Enabled || o.Drain.Budgets.General != (drain.Budget{Jobs: 2, Window: time.Minute}) {
+	if err != nil || !o.Drain.Enabled || o.Drain.Budgets.General != (rollout.Budget{Jobs: 2, Window: time.Minute}) {
 		t.Errorf("%+v, %v", o.Drain, err)
 	}
 	if Defaults().Drain.Enabled {
@@ -25,7 +25,7 @@
 	if text, err = os.ReadFile("../../deploy/drain-plan.ini"); err != nil {
 		t.Fatal(err)
 	}
-	if s, err := drain.ParseSpec(string(text)); err != nil || s.Name != "winter-image" || !s.Surge {
+	if s, err := rollout.ParseSpec(string(text)); err != nil || s.Name != "winter-image" || !s.Surge {
 		t.Errorf("%+v, %v", s, err)
 	}
 }
@@ -37,7 +37,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := map[drain.Group]drain.Budget{drain.TeamGroup("a"): {Share: 0.25, Window: 10 * time.Second}, drain.ClassGroup("c"): {Window: 10 * time.Second}}
+	want := map[rollout.Group]rollout.Budget{rollout.TeamGroup("a"): {Share: 0.25, Window: 10 * time.Second}, rollout.ClassGroup("c"): {Window: 10 * time.Second}}
 	for g, b := range want {
 		if o.Drain.Budgets.Of[g] != b {
 			t.Errorf("%s: %+v", g, o.Drain.Budgets.Of[g])
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -14,7 +14,7 @@
 
 	"github.com/BurntSushi/toml"
 
-	"leadproxy/internal/drain"
+	"leadproxy/internal/rollout"
 )
 
 var updateSettings = commandline.Bool("update-settings", false, "write the golden files of the settings anew")
@@ -237,7 +237,7 @@
 }
 
 // budgetOf reads one thing of a group's budget, if it has one.
-func budgetOf(group drain.Group, read func(drain.Budget) any) func(Operator) any {
+func budgetOf(group rollout.Group, read func(rollout.Budget) any) func(Operator) any {
 	return func(o Operator) any {
 		if b, ok := o.Drain.Budgets.Of[group]; ok {
 			return read(b)
@@ -253,9 +253,9 @@
 	}
 }
 
-func budgetJobs(b drain.Budget) any   { return b.Jobs }
-func budgetShare(b drain.Budget) any  { return b.Share }
-func budgetWindow(b drain.Budget) any { return b.Window }
+func budgetJobs(b rollout.Budget) any   { return b.Jobs }
+func budgetShare(b rollout.Budget) any  { return b.Share }
+func budgetWindow(b rollout.Budget) any { return b.Window }
 
 // operatorFileKeys are all keys of the operators' file, as they stand in the example.
 var operatorFileKeys = []iniKey[Operator]{
@@ -286,25 +286,25 @@
 	{"drain", "enabled", "no", func(o Operator) any { return o.Drain.Enabled }},
 	{"budget", "jobs", "9", func(o Operator) any { return o.Drain.Budgets.General.Jobs }},
 	{"budget", "window_s", "90", func(o Operator) any { return o.Drain.Budgets.General.Window }},
-	{"budget.team.settlement", "share", "20%", budgetOf(drain.TeamGroup("settlement"), budgetShare)},
-	{"budget.team.settlement", "window_s", "90", budgetOf(drain.TeamGroup("settlement"), budgetWindow)},
-	{"budget.class.fraud-scoring", "jobs", "9", budgetOf(drain.ClassGroup("fraud-scoring"), budgetJobs)},
-	{"budget.class.fraud-scoring", "window_s", "90", budgetOf(drain.ClassGroup("fraud-scoring"), budgetWindow)},
+	{"budget.team.settlement", "share", "20%", budgetOf(rollout.TeamGroup("settlement"), budgetShare)},
+	{"budget.team.settlement", "window_s", "90", budgetOf(rollout.TeamGroup("settlement"), budgetWindow)},
+	{"budget.class.fraud-scoring", "jobs", "9", budgetOf(rollout.ClassGroup("fraud-scoring"), budgetJobs)},
+	{"budget.class.fraud-scoring", "window_s", "90", budgetOf(rollout.ClassGroup("fraud-scoring"), budgetWindow)},
 }
 
 // planFileKeys are all keys of a plan that drains machines.
-var planFileKeys = []iniKey[drain.Spec]{
-	{"plan", "name", "another", func(s drain.Spec) any { return s.Name }},
-	{"plan", "zones", "x, y", func(s drain.Spec) any { return s.Zones }},
-	{"plan", "types", "x, y", func(s drain.Spec) any { return s.Types }},
-	{"plan", "machines", "x, y", func(s drain.Spec) any { return s.Machines }},
-	{"plan", "canary", "9", func(s drain.Spec) any { return s.Canary }},
-	{"plan", "batch", "20%", func(s drain.Spec) any { return fmt.Sprintf("%d machines, share %v", s.Batch, s.Share) }},
-	{"plan", "surge", "no", func(s drain.Spec) any { return s.Surge }},
-	{"plan", "check_s", "90", func(s drain.Spec) any { return s.CheckS }},
-	{"plan", "health_s", "9000", func(s drain.Spec) any { return s.HealthS }},
-	{"plan", "wait_s", "90", func(s drain.Spec) any { return s.WaitS }},
-	{"plan", "deadline_s", "90000", func(s drain.Spec) any { return s.DeadlineS }},
+var planFileKeys = []iniKey[rollout.Spec]{
+	{"plan", "name", "another", func(s rollout.Spec) any { return s.Name }},
+	{"plan", "zones", "x, y", func(s rollout.Spec) any { return s.Zones }},
+	{"plan", "types", "x, y", func(s rollout.Spec) any { return s.Types }},
+	{"plan", "machines", "x, y", func(s rollout.Spec) any { return s.Machines }},
+	{"plan", "canary", "9", func(s rollout.Spec) any { return s.Canary }},
+	{"plan", "batch", "20%", func(s rollout.Spec) any { return fmt.Sprintf("%d machines, share %v", s.Batch, s.Share) }},
+	{"plan", "surge", "no", func(s rollout.Spec) any { return s.Surge }},
+	{"plan", "check_s", "90", func(s rollout.Spec) any { return s.CheckS }},
+	{"plan", "health_s", "9000", func(s rollout.Spec) any { return s.HealthS }},
+	{"plan", "wait_s", "90", func(s rollout.Spec) any { return s.WaitS }},
+	{"plan", "deadline_s", "90000", func(s rollout.Spec) any { return s.DeadlineS }},
 }
 
 // TestGoldenOperatorFile compares the keys of the operators' file: their defaults, what is read
@@ -328,8 +328,8 @@
 
 // TestGoldenPlanFile does the same for plans that drain machines.
 func TestGoldenPlanFile(t *testing.T) {
-	checkINI(t, "drain-plan", planFileKeys, drain.ParseSpec)
-	compareINI(t, "deploy-drain-plan.txt", planFileKeys, drain.ParseSpec, readFile(t, filepath.Join("..", "..", "deploy", "drain-plan.ini")))
+	checkINI(t, "drain-plan", planFileKeys, rollout.ParseSpec)
+	compareINI(t, "deploy-drain-plan.txt", planFileKeys, rollout.ParseSpec, readFile(t, filepath.Join("..", "..", "deploy", "drain-plan.ini")))
 }
 
 // compareINI compares what is read of a file.
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -14,8 +14,8 @@
 	"time"
 
 	"leadproxy/internal/fake"
-	"leadproxy/internal/outbound"
 	"leadproxy/internal/scheduler"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
@@ -113,7 +113,7 @@
 
 // runTime is how long a task runs: some seconds by its job's name, or for ever.
 func (p *plan) runTime(task string) time.Duration {
-	ref, _, _ := wire.SplitTask(task)
+	ref, _, _ := wire.ParseTaskName(task)
 	if toCallOff(ref) {
 		return time.Hour
 	}
@@ -149,17 +149,17 @@
 			j.Tasks *= r.plan.moreTasks()
 		}
 		if random.IntN(3) == 0 {
-			j.CheckpointS, j.SaveS = 2, float64(1+random.IntN(5))
+			j.CheckpointIntervalS, j.CheckpointDurationS = 2, float64(1+random.IntN(5))
 		}
 	})
 	r.d.Users.Submit(j)
-	if !toCallOff(j.Ref) {
+	if !toCallOff(j.ID) {
 		return
 	}
 	r.open <- append(<-r.open, j)
 	after := time.Duration(random.Int64N(int64(15 * time.Second)))
 	r.d.Users.Go(func() {
-		outbound.Pause(r.t.Context(), after)
+		transport.Pause(r.t.Context(), after)
 		r.cancel(j)
 	})
 }
@@ -167,8 +167,8 @@
 // cancel has a user cancel a job until that is answered.
 func (r *run) cancel(j *wire.Job) {
 	for r.t.Context().Err() == nil {
-		if code, _ := r.d.Users.Until(fake.AskedCancel, j.Ref, nil); code == 200 {
-			r.d.Users.Look(j.Ref, j)
+		if code, _ := r.d.Users.Until(fake.AskedCancel, j.ID, nil); code == 200 {
+			r.d.Users.Look(j.ID, j)
 			return
 		}
 	}
@@ -188,7 +188,7 @@
 // look holds the deployment to the rules all the time.
 func (r *run) look() {
 	for r.t.Context().Err() == nil {
-		outbound.Pause(r.t.Context(), lookEvery)
+		transport.Pause(r.t.Context(), lookEvery)
 		calm := <-r.calm
 		r.calm <- calm
 		r.d.Check.Look(calm, r.d.Cloud.Rooms())
@@ -273,7 +273,7 @@
 func (r *run) alarms() {
 	for _, n := range r.d.Nodes {
 		for _, line := range strings.Split(n.Log(), "\n") {
-			if strings.Contains(line, scheduler.MessageOverdue) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
+			if strings.Contains(line, scheduler.MessageCancelledTaskOverdue) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
 				r.t.Errorf("%s: %s", n.Platform.Node, line)
 			}
 		}
--- a/internal/hints/follower.go
+++ b/internal/softstate/follower.go
@@ -1,4 +1,4 @@
-package hints
+package softstate
 
 import (
 	"context"
@@ -8,7 +8,7 @@
 
 	"google.golang.org/grpc"
 
-	"leadproxy/internal/hints/hintpb"
+	"leadproxy/internal/softstate/hintpb"
 )
 
 // The times of a stream, on the follower's side.
@@ -21,9 +21,9 @@
 
 // Status is how a follower stands. It is never changed once published.
 type Status struct {
-	Term     uint64 // of the hints; 0: there are none
-	Machines int
-	Heard    time.Time // when the last batch came
+	Term      uint64 // of the hints; 0: there are none
+	Machines  int
+	LastBatch time.Time // when the last batch came
 }
 
 // Follower keeps the hints of whoever leads. Its inbox belongs to the goroutine that runs
@@ -35,7 +35,7 @@
 	// connect returns a connection to a controller.
 	connect func(node string) (grpc.ClientConnInterface, error)
 	log     *slog.Logger
-	inbox   *Inbox
+	inbox   *Replica
 	views   chan viewRequest
 	status  atomic.Pointer[Status]
 }
@@ -47,7 +47,7 @@
 
 // NewFollower makes a follower for the node of a name; Run starts it.
 func NewFollower(node string, leader func() string, connect func(node string) (grpc.ClientConnInterface, error), log *slog.Logger) *Follower {
-	f := &Follower{node: node, leader: leader, connect: connect, log: log, inbox: NewInbox(), views: make(chan viewRequest)}
+	f := &Follower{node: node, leader: leader, connect: connect, log: log, inbox: NewReplica(), views: make(chan viewRequest)}
 	f.status.Store(&Status{})
 	return f
 }
@@ -169,7 +169,7 @@
 	if err := f.inbox.Apply(decode(r.batch), now); err != nil {
 		return err
 	}
-	f.status.Store(&Status{Term: f.inbox.Term(), Machines: f.inbox.Size(), Heard: now})
+	f.status.Store(&Status{Term: f.inbox.Term(), Machines: f.inbox.Size(), LastBatch: now})
 	s.acks <- r.batch.GetSequence()
 	return nil
 }
--- a/internal/hints/hints.go
+++ b/internal/softstate/hints.go
@@ -5,7 +5,7 @@
 // Hints make a new leader's first guesses better. Nothing that is decided may be wrong
 // because of one: they never add a machine, a job or a booking, and the ledger and a worker's
 // report are believed against them.
-package hints
+package softstate
 
 import (
 	"errors"
@@ -18,15 +18,15 @@
 
 // Machine is what a leader knows of a machine beyond the ledger.
 type Machine struct {
-	Name     string
-	Gone     bool // the machine is no more
-	Address  string
-	Session  uint64
-	Token    uint64
-	Heard    time.Duration // how long ago it was last heard
-	Idle     time.Duration // how long it has been without tasks
-	Images   []Image
-	Bookings []Booking
+	Name           string
+	Gone           bool // the machine is no more
+	Address        string
+	AgentEpoch     uint64
+	FencingToken   uint64
+	SinceHeartbeat time.Duration // how long ago it was last heard
+	Idle           time.Duration // how long it has been without tasks
+	Images         []Image
+	Allocations    []Allocation
 }
 
 // Image is an image on a machine, and its size.
@@ -35,43 +35,43 @@
 	GB   float64
 }
 
-// Booking is an attempt on a machine.
-type Booking struct {
+// Allocation is an attempt on a machine.
+type Allocation struct {
 	Task    string
 	Attempt uint64
-	Ran     time.Duration // how long it has run; 0: it does not run yet
+	Running time.Duration // how long it has run; 0: it does not run yet
 }
 
-// Learned is what a leader has learned from what it saw.
-type Learned struct {
-	RunRatios map[string]float64 // by class: run times against the owners' estimates
-	Boots     map[string]float64 // by machine type: seconds from hire to first report
-	Offers    []Offer
+// Estimates is what a leader has learned from what it saw.
+type Estimates struct {
+	RunRatios   map[string]float64 // by class: run times against the owners' estimates
+	BootSeconds map[string]float64 // by machine type: seconds from hire to first report
+	Pools       []CapacityPool
 }
 
-// Offer is how the cloud has answered hires of a machine type in a zone.
-type Offer struct {
-	Type, Zone string
-	Spot       bool
-	Blocked    time.Duration // it is not asked again for so long
-	Backoff    time.Duration
-	Filled     int // hires in a row that were filled
+// CapacityPool is how the cloud has answered hires of a machine type in a zone.
+type CapacityPool struct {
+	Type, Zone  string
+	Spot        bool
+	BackoffLeft time.Duration // it is not asked again for so long
+	Backoff     time.Duration
+	Filled      int // hires in a row that were filled
 }
 
 // Batch is a part of a term's hints. The batches of a stream are numbered from 1.
 type Batch struct {
 	Term, Sequence uint64
 	Machines       []Machine
-	Learned        *Learned // nil: nothing new
+	Estimates      *Estimates // nil: nothing new
 }
 
 // Changes is what a leader answers: what has changed since an earlier answer.
 type Changes struct {
-	Term     uint64
-	Machines []Machine
-	Learned  Learned
-	Upto     uint64 // to be named in the next question
-	More     bool   // there is more than this
+	Term      uint64
+	Machines  []Machine
+	Estimates Estimates
+	UpTo      uint64 // to be named in the next question
+	More      bool   // there is more than this
 }
 
 // MaxChanges is how many machines one answer holds at most.
@@ -100,9 +100,9 @@
 
 // View is the hints of a term, for the one after it.
 type View struct {
-	Term     uint64
-	Machines map[string]Machine
-	Learned  Learned
+	Term      uint64
+	Machines  map[string]Machine
+	Estimates Estimates
 }
 
 // kept is a machine's hint and when it came.
@@ -111,30 +111,30 @@
 	at      time.Time
 }
 
-// Inbox keeps the hints of the newest term. It is a pure state: the caller tells the time.
-type Inbox struct {
+// Replica keeps the hints of the newest term. It is a pure state: the caller tells the time.
+type Replica struct {
 	term      uint64
 	sequence  uint64 // of the last batch of the stream
 	machines  map[string]kept
-	learned   Learned
+	learned   Estimates
 	learnedAt time.Time
 }
 
-// NewInbox makes an empty inbox.
-func NewInbox() *Inbox { return &Inbox{machines: map[string]kept{}} }
+// NewReplica makes an empty inbox.
+func NewReplica() *Replica { return &Replica{machines: map[string]kept{}} }
 
 // Begin notes that a stream begins: the next batch is its first.
-func (b *Inbox) Begin() { b.sequence = 0 }
+func (b *Replica) Begin() { b.sequence = 0 }
 
 // Term is the term of the hints; 0: there are none.
-func (b *Inbox) Term() uint64 { return b.term }
+func (b *Replica) Term() uint64 { return b.term }
 
 // Size is how many machines there are hints of.
-func (b *Inbox) Size() int { return len(b.machines) }
+func (b *Replica) Size() int { return len(b.machines) }
 
 // Apply takes a batch. One that was taken before is ignored; after an error nothing of it
 // was taken, and the stream must begin anew.
-func (b *Inbox) Apply(batch Batch, now time.Time) error {
+func (b *Replica) Apply(batch Batch, now time.Time) error {
 	if batch.Term < b.term {
 		return fmt.Errorf("%w: %d after %d", ErrOldTerm, batch.Term, b.term)
 	}
@@ -155,7 +155,7 @@
 		return ErrTooMany
 	}
 	if batch.Term > b.term {
-		b.learned, b.learnedAt = Learned{}, now
+		b.learned, b.learnedAt = Estimates{}, now
 	}
 	b.machines, b.term, b.sequence = machines, batch.Term, batch.Sequence
 	for _, m := range batch.Machines {
@@ -165,8 +165,8 @@
 		}
 		b.machines[m.Name] = kept{m, now}
 	}
-	if batch.Learned != nil {
-		b.learned, b.learnedAt = *batch.Learned, now
+	if batch.Estimates != nil {
+		b.learned, b.learnedAt = *batch.Estimates, now
 	}
 	return nil
 }
@@ -178,33 +178,33 @@
 	}
 	for i := range b.Machines {
 		m := &b.Machines[i]
-		if m.Name == "" || len(m.Bookings) > maxBookings || len(m.Images) > maxImages || m.Heard < 0 || m.Idle < 0 {
+		if m.Name == "" || len(m.Allocations) > maxBookings || len(m.Images) > maxImages || m.SinceHeartbeat < 0 || m.Idle < 0 {
 			return fmt.Errorf("%w: machine %q", ErrInvalid, m.Name)
 		}
-		for _, k := range m.Bookings {
-			if k.Ran < 0 {
+		for _, k := range m.Allocations {
+			if k.Running < 0 {
 				return fmt.Errorf("%w: booking of machine %q", ErrInvalid, m.Name)
 			}
 		}
 	}
-	if b.Learned == nil {
+	if b.Estimates == nil {
 		return nil
 	}
-	return b.Learned.check()
+	return b.Estimates.check()
 }
 
-func (l *Learned) check() error {
-	if len(l.RunRatios)+len(l.Boots)+len(l.Offers) > maxLearned {
+func (l *Estimates) check() error {
+	if len(l.RunRatios)+len(l.BootSeconds)+len(l.Pools) > maxLearned {
 		return fmt.Errorf("%w: too much was learned", ErrInvalid)
 	}
-	values := slices.Concat(slices.Collect(maps.Values(l.RunRatios)), slices.Collect(maps.Values(l.Boots)))
+	values := slices.Concat(slices.Collect(maps.Values(l.RunRatios)), slices.Collect(maps.Values(l.BootSeconds)))
 	for _, v := range values {
 		if !(v > 0) || math.IsInf(v, 0) {
 			return fmt.Errorf("%w: learned %v", ErrInvalid, v)
 		}
 	}
-	for _, o := range l.Offers {
-		if o.Blocked < 0 || o.Backoff < 0 || o.Filled < 0 {
+	for _, o := range l.Pools {
+		if o.BackoffLeft < 0 || o.Backoff < 0 || o.Filled < 0 {
 			return fmt.Errorf("%w: offer of %s in %s", ErrInvalid, o.Type, o.Zone)
 		}
 	}
@@ -216,7 +216,7 @@
 
 // View returns the hints for a term that begins now, brought up to date by the time that has
 // passed. Hints of that term itself, or of a later one, are none for it.
-func (b *Inbox) View(term uint64, now time.Time) View {
+func (b *Replica) View(term uint64, now time.Time) View {
 	v := View{Machines: map[string]Machine{}}
 	if b.term == 0 || b.term >= term {
 		return v
@@ -226,32 +226,32 @@
 		v.Machines[name] = k.machine.after(now.Sub(k.at))
 	}
 	if now.Sub(b.learnedAt) <= oldest {
-		v.Learned = b.learned.after(now.Sub(b.learnedAt))
+		v.Estimates = b.learned.after(now.Sub(b.learnedAt))
 	}
 	return v
 }
 
 // after is a hint some time later.
 func (m Machine) after(passed time.Duration) Machine {
-	m.Heard += passed
-	if len(m.Bookings) == 0 {
+	m.SinceHeartbeat += passed
+	if len(m.Allocations) == 0 {
 		m.Idle += passed
 	}
-	m.Bookings = slices.Clone(m.Bookings)
-	for i := range m.Bookings {
-		if k := &m.Bookings[i]; k.Ran > 0 {
-			k.Ran += passed
+	m.Allocations = slices.Clone(m.Allocations)
+	for i := range m.Allocations {
+		if k := &m.Allocations[i]; k.Running > 0 {
+			k.Running += passed
 		}
 	}
 	return m
 }
 
 // after is what was learned, some time later.
-func (l Learned) after(passed time.Duration) Learned {
-	l.Offers = slices.Clone(l.Offers)
-	for i := range l.Offers {
-		o := &l.Offers[i]
-		o.Blocked = max(0, o.Blocked-passed)
+func (l Estimates) after(passed time.Duration) Estimates {
+	l.Pools = slices.Clone(l.Pools)
+	for i := range l.Pools {
+		o := &l.Pools[i]
+		o.BackoffLeft = max(0, o.BackoffLeft-passed)
 	}
 	return l
 }
--- a/internal/hints/inbox_test.go
+++ b/internal/softstate/inbox_test.go
@@ -1,4 +1,4 @@
-package hints
+package softstate
 
 import (
 	"errors"
@@ -56,7 +56,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		c := property.Drawn{T: t}
 		now := time.Unix(1000, 0)
-		inbox, leader := NewInbox(), &modelLeader{term: 1, machines: map[string]Machine{}}
+		inbox, leader := NewReplica(), &modelLeader{term: 1, machines: map[string]Machine{}}
 		leader.open()
 		inbox.Begin()
 		var old []Batch
@@ -76,7 +76,7 @@
 			switch c.IntN(7) {
 			case 0, 1: // a machine changes
 				name := fmt.Sprintf("vm-%d", c.IntN(5))
-				leader.machines[name] = Machine{Name: name, Session: uint64(1 + c.IntN(9))}
+				leader.machines[name] = Machine{Name: name, AgentEpoch: uint64(1 + c.IntN(9))}
 				leader.pending[name] = true
 			case 2: // a machine goes
 				name := fmt.Sprintf("vm-%d", c.IntN(5))
@@ -113,8 +113,8 @@
 					t.Fatalf("%v, the leader has %v", got, leader.machines)
 				}
 				for name, m := range leader.machines {
-					if got[name].Session != m.Session {
-						t.Fatalf("%s: session %d, the leader has %d", name, got[name].Session, m.Session)
+					if got[name].AgentEpoch != m.AgentEpoch {
+						t.Fatalf("%s: session %d, the leader has %d", name, got[name].AgentEpoch, m.AgentEpoch)
 					}
 				}
 			}
@@ -130,16 +130,16 @@
 	cases := map[string]Batch{
 		"no term":           {Sequence: 1},
 		"no name":           {Term: 1, Sequence: 1, Machines: []Machine{{}}},
-		"heard in future":   {Term: 1, Sequence: 1, Machines: []Machine{{Name: "vm-1", Heard: -1}}},
-		"ran before it ran": {Term: 1, Sequence: 1, Machines: []Machine{{Name: "vm-1", Bookings: []Booking{{Ran: -1}}}}},
-		"many bookings":     {Term: 1, Sequence: 1, Machines: []Machine{{Name: "vm-1", Bookings: make([]Booking, maxBookings+1)}}},
-		"not a number":      {Term: 1, Sequence: 1, Learned: &Learned{RunRatios: map[string]float64{"c": math.NaN()}}},
-		"a negative boot":   {Term: 1, Sequence: 1, Learned: &Learned{Boots: map[string]float64{"m8": -1}}},
-		"a negative offer":  {Term: 1, Sequence: 1, Learned: &Learned{Offers: []Offer{{Blocked: -1}}}},
+		"heard in future":   {Term: 1, Sequence: 1, Machines: []Machine{{Name: "vm-1", SinceHeartbeat: -1}}},
+		"ran before it ran": {Term: 1, Sequence: 1, Machines: []Machine{{Name: "vm-1", Allocations: []Allocation{{Running: -1}}}}},
+		"many bookings":     {Term: 1, Sequence: 1, Machines: []Machine{{Name: "vm-1", Allocations: make([]Allocation, maxBookings+1)}}},
+		"not a number":      {Term: 1, Sequence: 1, Estimates: &Estimates{RunRatios: map[string]float64{"c": math.NaN()}}},
+		"a negative boot":   {Term: 1, Sequence: 1, Estimates: &Estimates{BootSeconds: map[string]float64{"m8": -1}}},
+		"a negative offer":  {Term: 1, Sequence: 1, Estimates: &Estimates{Pools: []CapacityPool{{BackoffLeft: -1}}}},
 		"too many machines": {Term: 1, Sequence: 1, Machines: make([]Machine, MaxMachines+1)},
 	}
 	for name, batch := range cases {
-		inbox := NewInbox()
+		inbox := NewReplica()
 		if name == "too many machines" {
 			for i := range batch.Machines {
 				batch.Machines[i].Name = fmt.Sprint(i)
@@ -155,21 +155,21 @@
 // once it is old.
 func TestHintsAge(t *testing.T) {
 	now := time.Now()
-	inbox := NewInbox()
-	learned := &Learned{RunRatios: map[string]float64{"c": 2}, Offers: []Offer{{Type: "m8", Blocked: 5 * time.Second}}}
-	batch := Batch{Term: 1, Sequence: 1, Learned: learned, Machines: []Machine{
-		{Name: "vm-1", Bookings: []Booking{{Attempt: 1, Ran: time.Second}, {Attempt: 2}}}, {Name: "vm-2", Idle: time.Second}}}
+	inbox := NewReplica()
+	learned := &Estimates{RunRatios: map[string]float64{"c": 2}, Pools: []CapacityPool{{Type: "m8", BackoffLeft: 5 * time.Second}}}
+	batch := Batch{Term: 1, Sequence: 1, Estimates: learned, Machines: []Machine{
+		{Name: "vm-1", Allocations: []Allocation{{Attempt: 1, Running: time.Second}, {Attempt: 2}}}, {Name: "vm-2", Idle: time.Second}}}
 	if err := inbox.Apply(decode(encode(batch)), now); err != nil {
 		t.Fatal(err)
 	}
 	v := inbox.View(2, now.Add(3*time.Second))
-	if b := v.Machines["vm-1"].Bookings; b[0].Ran != 4*time.Second || b[1].Ran != 0 || v.Machines["vm-2"].Idle != 4*time.Second {
+	if b := v.Machines["vm-1"].Allocations; b[0].Running != 4*time.Second || b[1].Running != 0 || v.Machines["vm-2"].Idle != 4*time.Second {
 		t.Errorf("%+v", v.Machines)
 	}
-	if v.Learned.RunRatios["c"] != 2 || v.Learned.Offers[0].Blocked != 2*time.Second {
-		t.Errorf("%+v", v.Learned)
+	if v.Estimates.RunRatios["c"] != 2 || v.Estimates.Pools[0].BackoffLeft != 2*time.Second {
+		t.Errorf("%+v", v.Estimates)
 	}
-	if late := inbox.View(2, now.Add(2*oldest)); late.Learned.RunRatios != nil {
-		t.Errorf("old: %+v", late.Learned)
+	if late := inbox.View(2, now.Add(2*oldest)); late.Estimates.RunRatios != nil {
+		t.Errorf("old: %+v", late.Estimates)
 	}
 }
--- a/internal/hints/server.go
+++ b/internal/softstate/server.go
@@ -1,4 +1,4 @@
-package hints
+package softstate
 
 import (
 	"context"
@@ -10,8 +10,8 @@
 	"google.golang.org/grpc/codes"
 	"google.golang.org/grpc/status"
 
-	"leadproxy/internal/hints/hintpb"
-	"leadproxy/internal/outbound"
+	"leadproxy/internal/softstate/hintpb"
+	"leadproxy/internal/transport"
 )
 
 // The times of a stream, on the leader's side.
@@ -27,9 +27,9 @@
 
 // Source is the leader's memory.
 type Source interface {
-	// Hints tells what has changed since an earlier answer; an error means that this
+	// SoftState tells what has changed since an earlier answer; an error means that this
 	// controller does not lead.
-	Hints(ctx context.Context, since uint64) (Changes, error)
+	SoftState(ctx context.Context, since uint64) (Changes, error)
 }
 
 // Server tells the other controllers the hints of this one while it leads.
@@ -74,7 +74,7 @@
 	term         uint64
 	sequence     uint64
 	since        uint64
-	learned      Learned // as last told
+	learned      Estimates // as last told
 }
 
 // receive hands on what is acknowledged until the follower is gone.
@@ -101,7 +101,7 @@
 			return err
 		}
 		if !more {
-			outbound.Pause(ctx, tellEvery)
+			transport.Pause(ctx, tellEvery)
 		}
 		if ctx.Err() != nil {
 			return nil
@@ -113,7 +113,7 @@
 func (f *following) tell(ctx context.Context) (more bool, err error) {
 	asking, cancel := context.WithTimeout(ctx, askLimit)
 	defer cancel()
-	changes, err := f.server.source.Hints(asking, f.since)
+	changes, err := f.server.source.SoftState(asking, f.since)
 	if err != nil {
 		return false, status.Error(codes.Unavailable, err.Error())
 	}
@@ -123,13 +123,13 @@
 	if changes.Term != f.term {
 		return false, status.Error(codes.Unavailable, "another term has begun")
 	}
-	f.since = changes.Upto
+	f.since = changes.UpTo
 	batch := Batch{Term: f.term, Sequence: f.sequence + 1, Machines: changes.Machines}
-	if f.sequence == 0 || !sameLearned(changes.Learned, f.learned) {
-		f.learned = changes.Learned
-		batch.Learned = &f.learned
+	if f.sequence == 0 || !sameLearned(changes.Estimates, f.learned) {
+		f.learned = changes.Estimates
+		batch.Estimates = &f.learned
 	}
-	if len(batch.Machines) == 0 && batch.Learned == nil {
+	if len(batch.Machines) == 0 && batch.Estimates == nil {
 		return changes.More, nil
 	}
 	f.sequence++
@@ -141,10 +141,10 @@
 
 // sameLearned tells whether nothing was learned. How long an offer is still blocked only
 // passes.
-func sameLearned(a, b Learned) bool {
-	return reflect.DeepEqual(a.RunRatios, b.RunRatios) && reflect.DeepEqual(a.Boots, b.Boots) &&
-		slices.EqualFunc(a.Offers, b.Offers, func(x, y Offer) bool {
-			return x.Type == y.Type && x.Zone == y.Zone && x.Spot == y.Spot && x.Backoff == y.Backoff && x.Filled == y.Filled && x.Blocked <= y.Blocked
+func sameLearned(a, b Estimates) bool {
+	return reflect.DeepEqual(a.RunRatios, b.RunRatios) && reflect.DeepEqual(a.BootSeconds, b.BootSeconds) &&
+		slices.EqualFunc(a.Pools, b.Pools, func(x, y CapacityPool) bool {
+			return x.Type == y.Type && x.Zone == y.Zone && x.Spot == y.Spot && x.Backoff == y.Backoff && x.Filled == y.Filled && x.BackoffLeft <= y.BackoffLeft
 		})
 }
 
--- a/internal/hints/size_test.go
+++ b/internal/softstate/size_test.go
@@ -1,4 +1,4 @@
-package hints
+package softstate
 
 import (
 	"fmt"
@@ -19,9 +19,9 @@
 )
 
 func busyMachine(i int) Machine {
-	m := Machine{Name: fmt.Sprintf("vm-%06d", i), Address: fmt.Sprintf("10.20.%d.%d:9000", i/256, i%256), Session: 3, Token: 1 << 40, Heard: time.Second}
+	m := Machine{Name: fmt.Sprintf("vm-%06d", i), Address: fmt.Sprintf("10.20.%d.%d:9000", i/256, i%256), AgentEpoch: 3, FencingToken: 1 << 40, SinceHeartbeat: time.Second}
 	for k := range tasksEach {
-		m.Bookings = append(m.Bookings, Booking{Task: fmt.Sprintf("job-%06d/%d", i, k), Attempt: 1<<40 + uint64(i*tasksEach+k), Ran: time.Hour})
+		m.Allocations = append(m.Allocations, Allocation{Task: fmt.Sprintf("job-%06d/%d", i, k), Attempt: 1<<40 + uint64(i*tasksEach+k), Running: time.Hour})
 		m.Images = append(m.Images, Image{Name: fmt.Sprintf("image-%d", k), GB: 1.5})
 	}
 	return m
@@ -29,7 +29,7 @@
 
 // TestLargestFleetsHints: what 4,000 busy machines cost, sent and kept.
 func TestLargestFleetsHints(t *testing.T) {
-	inbox, now := NewInbox(), time.Now()
+	inbox, now := NewReplica(), time.Now()
 	inbox.Begin()
 	var before, after runtime.MemStats
 	runtime.GC()
--- a/internal/hints/stream_test.go
+++ b/internal/softstate/stream_test.go
@@ -1,4 +1,4 @@
-package hints
+package softstate
 
 import (
 	"context"
@@ -15,8 +15,8 @@
 	"google.golang.org/grpc/status"
 
 	"leadproxy/internal/fake"
-	"leadproxy/internal/hints/hintpb"
 	"leadproxy/internal/rpc"
+	"leadproxy/internal/softstate/hintpb"
 )
 
 // memory is a leader's memory.
@@ -27,7 +27,7 @@
 	asked int
 }
 
-func (m *memory) Hints(_ context.Context, since uint64) (Changes, error) {
+func (m *memory) SoftState(_ context.Context, since uint64) (Changes, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.asked++
@@ -36,10 +36,10 @@
 		return Changes{}, errors.New("not leading")
 	case since < uint64(len(m.parts)):
 		c := m.parts[since]
-		c.Term, c.Upto, c.More = m.term, since+1, since+1 < uint64(len(m.parts))
+		c.Term, c.UpTo, c.More = m.term, since+1, since+1 < uint64(len(m.parts))
 		return c, nil
 	}
-	return Changes{Term: m.term, Upto: since}, nil
+	return Changes{Term: m.term, UpTo: since}, nil
 }
 
 // change has the memory be another one.
@@ -96,7 +96,7 @@
 
 func part(names ...string) (c Changes) {
 	for _, name := range names {
-		c.Machines = append(c.Machines, Machine{Name: name, Address: name + ":9000", Session: 1})
+		c.Machines = append(c.Machines, Machine{Name: name, Address: name + ":9000", AgentEpoch: 1})
 	}
 	return c
 }
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -7,15 +7,15 @@
 	"sync/atomic"
 	"time"
 
-	"leadproxy/internal/outbound"
-	"leadproxy/internal/state"
+	"leadproxy/internal/kvstore"
+	"leadproxy/internal/transport"
 	"leadproxy/internal/wire"
 )
 
 // Store is the part of the state service that following needs.
 type Store interface {
-	List(ctx context.Context, p state.Priority, under, after string, limit int) (wire.Entries, error)
-	Watch(ctx context.Context, under string, after uint64, wait time.Duration) (wire.News, error)
+	List(ctx context.Context, p kvstore.Priority, under, after string, limit int) (wire.EntryPage, error)
+	Watch(ctx context.Context, under string, after uint64, wait time.Duration) (wire.WatchResponse, error)
 }
 
 // The times of following.
@@ -151,7 +151,7 @@
 // lost tells whether an error leaves the replica without a way on. After any other one the
 // changes are asked for again from the same revision.
 func lost(err error) bool {
-	return errors.Is(err, state.ErrTooOld) || errors.Is(err, ErrGap) || errors.Is(err, ErrTooLarge)
+	return errors.Is(err, kvstore.ErrCompacted) || errors.Is(err, ErrGap) || errors.Is(err, ErrTooLarge)
 }
 
 // publish tells how the standby stands, and logs when that changes.
@@ -171,7 +171,7 @@
 func (f *Follower) read(ctx context.Context) error {
 	f.gate = Gate{}
 	f.publish(nil)
-	var all state.Listing
+	var all kvstore.Listing
 	for _, prefix := range f.replica.prefixes {
 		select {
 		case p := <-f.promotes:
@@ -180,17 +180,17 @@
 		}
 		// Not with the rank of users' questions: under load those use up this node's share,
 		// and a standby that was just started stayed behind for seconds.
-		listing, err := state.ListAll(ctx, f.store, state.Leader, prefix)
+		listing, err := kvstore.ListAll(ctx, f.store, kvstore.PriorityLeader, prefix)
 		if err != nil {
 			return err
 		}
-		if all.Began == 0 {
-			all.Began = listing.Began
+		if all.FirstRevision == 0 {
+			all.FirstRevision = listing.FirstRevision
 		}
-		all.Ended = max(all.Ended, listing.Ended)
+		all.LastRevision = max(all.LastRevision, listing.LastRevision)
 		all.Entries = append(all.Entries, listing.Entries...)
 	}
-	if err := f.replica.Reset(all.Entries, all.Began, all.Ended); err != nil {
+	if err := f.replica.Reset(all.Entries, all.FirstRevision, all.LastRevision); err != nil {
 		return err
 	}
 	f.gate.Followed(f.replica.Consistent())
@@ -229,7 +229,7 @@
 
 type watched struct {
 	after uint64
-	news  wire.News
+	news  wire.WatchResponse
 	err   error
 }
 
@@ -299,7 +299,7 @@
 	}
 	for p.ctx.Err() == nil {
 		w := <-f.watch(p.ctx, 0)
-		if errors.Is(w.err, state.ErrTooOld) {
+		if errors.Is(w.err, kvstore.ErrCompacted) {
 			return w.err
 		}
 		if w.err == nil {
@@ -311,7 +311,7 @@
 				return nil
 			}
 		}
-		outbound.Pause(p.ctx, 50*time.Millisecond)
+		transport.Pause(p.ctx, 50*time.Millisecond)
 	}
 	return errNoTime
 }
--- a/internal/standby/follower_test.go
+++ b/internal/standby/follower_test.go
@@ -12,8 +12,8 @@
 	"time"
 
 	"leadproxy/internal/fake"
+	"leadproxy/internal/kvstore"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/state"
 	"leadproxy/internal/wire"
 )
 
@@ -21,7 +21,7 @@
 type stage struct {
 	t        *testing.T
 	service  *fake.State
-	store    *state.Client
+	store    *kvstore.Client
 	follower *Follower
 }
 
@@ -32,7 +32,7 @@
 		s.service.Put(fmt.Sprintf("job/%06d", i), fmt.Sprintf(`"value %d"`, i))
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	s.store = state.New(t.Context(), n.Host("n1"), "state:1", settings.StateLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32}, 0.5, log)
+	s.store = kvstore.New(t.Context(), n.Host("n1"), "state:1", settings.StateLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32}, 0.5, log)
 	s.follower = NewFollower(s.store, modelPrefixes, maxBytes, log)
 	go s.follower.Run(t.Context())
 	return s
@@ -58,7 +58,7 @@
 func (s *stage) fresh() (all []wire.Entry) {
 	s.t.Helper()
 	for _, prefix := range modelPrefixes {
-		listing, err := state.ListAll(s.t.Context(), s.store, state.Leader, prefix)
+		listing, err := kvstore.ListAll(s.t.Context(), s.store, kvstore.PriorityLeader, prefix)
 		if err != nil {
 			s.t.Fatal(err)
 		}
@@ -120,7 +120,7 @@
 		{"its changes are no longer kept", 1 << 20, func(s *stage) {
 			s.await(Following)
 			s.service.Forget()
-		}, state.ErrTooOld, "no longer kept"},
+		}, kvstore.ErrCompacted, "no longer kept"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/standby/model_test.go
+++ b/internal/standby/model_test.go
@@ -24,7 +24,7 @@
 type modelService struct {
 	revision uint64
 	keys     map[string]wire.Entry
-	history  []wire.Event
+	history  []wire.WatchEvent
 	leader   string // "" while nobody's key is there
 	term     uint64
 }
@@ -33,12 +33,12 @@
 	s.revision++
 	if value == "" {
 		delete(s.keys, key)
-		s.history = append(s.history, wire.Event{Delete: key, Version: s.revision})
+		s.history = append(s.history, wire.WatchEvent{Delete: key, Version: s.revision})
 		return
 	}
 	e := wire.Entry{Key: key, Value: json.RawMessage(value), Version: s.revision}
 	s.keys[key] = e
-	s.history = append(s.history, wire.Event{Set: key, Value: e.Value, Version: s.revision})
+	s.history = append(s.history, wire.WatchEvent{Set: key, Value: e.Value, Version: s.revision})
 }
 
 // write carries out a leader's write if its key is still there.
@@ -66,7 +66,7 @@
 }
 
 // changes answers a watch; ok is false when the revision is no longer kept.
-func (s *modelService) changes(from uint64) (n wire.News, ok bool) {
+func (s *modelService) changes(from uint64) (n wire.WatchResponse, ok bool) {
 	if kept := len(s.history) - keptChanges; kept > 0 && s.history[kept].Version > from+1 {
 		return n, false
 	}
@@ -107,7 +107,7 @@
 // changes is an answer of the watch.
 type changes struct {
 	after uint64
-	news  wire.News
+	news  wire.WatchResponse
 }
 
 var modelPrefixes = []string{"fin/", "host/", "job/"}
--- a/internal/standby/proof_test.go
+++ b/internal/standby/proof_test.go
@@ -37,7 +37,7 @@
 			case <-stop:
 				return
 			case <-time.After(400 * time.Millisecond):
-				d.users.Submit(fake.NewJob(fmt.Sprintf("job-%06d", k), 4, func(j *wire.Job) { j.EstimateS = 2 }))
+				d.users.Submit(fake.NewJob(fmt.Sprintf("job-%06d", k), 4, func(j *wire.Job) { j.EstimatedRunS = 2 }))
 			}
 		}
 	})
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -51,7 +51,7 @@
 
 // Apply takes the service's changes after a revision. Those that are known already are
 // passed over, and an answer that is older changes nothing.
-func (r *Replica) Apply(after uint64, n wire.News) error {
+func (r *Replica) Apply(after uint64, n wire.WatchResponse) error {
 	if after > r.revision {
 		return fmt.Errorf("%w: those after %d have come, up to %d all are known", ErrGap, after, r.revision)
 	}
@@ -59,7 +59,7 @@
 		return nil
 	}
 	events := slices.Clone(n.Events)
-	slices.SortStableFunc(events, func(a, b wire.Event) int {
+	slices.SortStableFunc(events, func(a, b wire.WatchEvent) int {
 		switch {
 		case a.Version < b.Version:
 			return -1
--- a/internal/standby/takeover_measure_test.go
+++ b/internal/standby/takeover_measure_test.go
@@ -73,7 +73,7 @@
 				}
 				t.Logf("| %d | %v | %s | %s | %s | %d MB |", machines, warm, strings.Join(views, ", "), strings.Join(settled, ", "), strings.Join(ending, ", "), d.memory()>>20)
 				for k := range 10 {
-					d.users.Cancel(&wire.Job{Ref: fmt.Sprintf("job-%06d", k)})
+					d.users.Cancel(&wire.Job{ID: fmt.Sprintf("job-%06d", k)})
 				}
 				d.users.Wait()
 			})
--- a/internal/outbound/conn.go
+++ b/internal/transport/conn.go
@@ -1,4 +1,4 @@
-package outbound
+package transport
 
 import (
 	"bufio"
--- a/internal/outbound/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -1,4 +1,4 @@
-package outbound
+package transport
 
 import (
 	"bufio"
@@ -76,11 +76,11 @@
 	if status, _, err := do("/last"); status != 200 || err != nil || line.IsOpen() {
 		t.Errorf("the last answer on a connection: %d %v, open %v", status, err, line.IsOpen())
 	}
-	if _, _, err := do("/broken"); err == nil || line.IsOpen() || NeverSent(err) {
+	if _, _, err := do("/broken"); err == nil || line.IsOpen() || NotSent(err) {
 		t.Errorf("broken off: %v, open %v", err, line.IsOpen())
 	}
 	l.Close()
-	if err := line.Open(context.Background(), time.Second); !NeverSent(err) {
+	if err := line.Open(context.Background(), time.Second); !NotSent(err) {
 		t.Errorf("nobody listens: %v", err)
 	}
 }
--- a/internal/outbound/outbound.go
+++ b/internal/transport/outbound.go
@@ -1,6 +1,6 @@
 // Package outbound has what all calls to other systems share: the network, their
 // HTTP client, what a failed call proves, and waiting before the next.
-package outbound
+package transport
 
 import (
 	"context"
@@ -54,10 +54,10 @@
 	}}
 }
 
-// NeverSent tells of a failed call that it was surely not carried out: there
+// NotSent tells of a failed call that it was surely not carried out: there
 // was no connection, and an attempt to connect that was given up never
 // completes later.
-func NeverSent(err error) bool {
+func NotSent(err error) bool {
 	var op *net.OpError
 	return errors.As(err, &op) && op.Op == "dial"
 }
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -16,15 +16,15 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		job, ref, err := ParseJob(body)
 		if err != nil {
-			if ref != "" && !ValidRef(ref) {
+			if ref != "" && !ValidJobID(ref) {
 				t.Errorf("a refused job has the ref %q", ref)
 			}
 			return
 		}
-		if job.Tasks < 1 || job.Tasks > MaxTasks || !ValidRef(job.Ref) || job.Ref != ref {
+		if job.Tasks < 1 || job.Tasks > MaxTasks || !ValidJobID(job.ID) || job.ID != ref {
 			t.Errorf("%+v", job)
 		}
-		for _, amount := range []float64{job.CPUs, job.GPUs, job.MemGB, job.ImageGB, job.EstimateS, job.CheckpointS, job.SaveS} {
+		for _, amount := range []float64{job.CPUs, job.GPUs, job.MemGB, job.ImageGB, job.EstimatedRunS, job.CheckpointIntervalS, job.CheckpointDurationS} {
 			if !(amount >= 0) || math.IsInf(amount, 0) {
 				t.Errorf("an amount of %v", amount)
 			}
@@ -34,7 +34,7 @@
 			t.Fatal(err)
 		}
 		again, _, err := ParseJob(text)
-		if err != nil || again.Ref != job.Ref || again.Tasks != job.Tasks || again.CPUs != job.CPUs {
+		if err != nil || again.ID != job.ID || again.Tasks != job.Tasks || again.CPUs != job.CPUs {
 			t.Errorf("%s reads as %+v, %v", text, again, err)
 		}
 	})
@@ -50,15 +50,15 @@
 		f.Add([]byte(body))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		report, err := ParseReport(body)
+		report, err := ParseHeartbeat(body)
 		if err != nil {
 			return
 		}
-		if report.Machine == "" || report.Session == 0 {
+		if report.Machine == "" || report.AgentEpoch == 0 {
 			t.Errorf("%+v", report)
 		}
 		for _, task := range report.Tasks {
-			if _, n, ok := SplitTask(task.Task); !ok || n < 0 || n >= MaxTasks || task.Status == "" {
+			if _, n, ok := ParseTaskName(task.Task); !ok || n < 0 || n >= MaxTasks || task.Status == "" {
 				t.Errorf("%+v", task)
 			}
 		}
@@ -77,7 +77,7 @@
 		f.Add([]byte(body))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		for _, into := range []any{&News{}, &Entries{}, &Entry{}, &TxnAnswer{}, &LeaseAnswer{}, &MachineList{}, &Machines{}, &Flavors{}, &Report{}, &ReportAnswer{}, &Elsewhere{}, &JobStatus{}} {
+		for _, into := range []any{&WatchResponse{}, &EntryPage{}, &Entry{}, &CompareAndSwapResponse{}, &LeaseResponse{}, &MachineList{}, &MachineNames{}, &MachineTypes{}, &Heartbeat{}, &HeartbeatResponse{}, &Redirect{}, &JobStatus{}} {
 			if json.Unmarshal(body, into) != nil {
 				continue
 			}
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -23,40 +23,40 @@
 
 // Job is a job as its user submits it.
 type Job struct {
-	Ref         string   `json:"ref"`
-	Class       string   `json:"lane"`
-	Team        string   `json:"owner"`
-	Kind        string   `json:"shape"`
-	Priority    string   `json:"urgency"`
-	Tasks       int      `json:"pieces"`
-	CPUs        float64  `json:"vcpus"`
-	GPUs        float64  `json:"gpus"`
-	MemGB       float64  `json:"mem_gb"`
-	Image       string   `json:"bundle"`
-	ImageGB     float64  `json:"size_gb"`
-	Types       []string `json:"flavors"`
-	Zone        *string  `json:"room"`
-	OneZone     bool     `json:"together"`
-	Spread      bool     `json:"spread"`
-	Spot        bool     `json:"loaners"`
-	EstimateS   float64  `json:"guess_s"`
-	CheckpointS float64  `json:"snapshot_s"`
-	SaveS       float64  `json:"flush_s"`
-	DeadlineS   *float64 `json:"due_s"`
-	// WaitsOn names the jobs that have to be done before any task of this one
+	ID                  string   `json:"ref"`
+	Class               string   `json:"lane"`
+	Team                string   `json:"owner"`
+	Kind                string   `json:"shape"`
+	Priority            string   `json:"urgency"`
+	Tasks               int      `json:"pieces"`
+	CPUs                float64  `json:"vcpus"`
+	GPUs                float64  `json:"gpus"`
+	MemGB               float64  `json:"mem_gb"`
+	Image               string   `json:"bundle"`
+	ImageGB             float64  `json:"size_gb"`
+	Types               []string `json:"flavors"`
+	Zone                *string  `json:"room"`
+	Gang                bool     `json:"together"`
+	Spread              bool     `json:"spread"`
+	Spot                bool     `json:"loaners"`
+	EstimatedRunS       float64  `json:"guess_s"`
+	CheckpointIntervalS float64  `json:"snapshot_s"`
+	CheckpointDurationS float64  `json:"flush_s"`
+	DeadlineS           *float64 `json:"due_s"`
+	// DependsOn names the jobs that have to be done before any task of this one
 	// starts, each once.
-	WaitsOn []string `json:"waits_on,omitempty"`
+	DependsOn []string `json:"waits_on,omitempty"`
 }
 
-// Essence is what is kept of the description of a cancelled job: a new leader
+// CancelledSummary is what is kept of the description of a cancelled job: a new leader
 // charges the job's team for tasks that it has not seen gone.
-func (j *Job) Essence() *Job {
-	return &Job{Ref: j.Ref, Class: j.Class, Team: j.Team, Kind: j.Kind, Priority: j.Priority, Tasks: j.Tasks,
-		CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, OneZone: j.OneZone, Spread: j.Spread, Spot: j.Spot, EstimateS: j.EstimateS}
+func (j *Job) CancelledSummary() *Job {
+	return &Job{ID: j.ID, Class: j.Class, Team: j.Team, Kind: j.Kind, Priority: j.Priority, Tasks: j.Tasks,
+		CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Gang: j.Gang, Spread: j.Spread, Spot: j.Spot, EstimatedRunS: j.EstimatedRunS}
 }
 
-// Rank is the job's priority as a number, 0 the most urgent.
-func (j *Job) Rank() int {
+// PriorityClass is the job's priority as a number, 0 the most urgent.
+func (j *Job) PriorityClass() int {
 	for i, p := range priorities {
 		if p == j.Priority {
 			return i
@@ -68,8 +68,8 @@
 // PriorityName is the priority of a rank.
 func PriorityName(rank int) string { return priorities[min(max(rank, 0), len(priorities)-1)] }
 
-// ValidRef tells whether s has the form of a job id.
-func ValidRef(s string) bool {
+// ValidJobID tells whether s has the form of a job id.
+func ValidJobID(s string) bool {
 	digits, ok := strings.CutPrefix(s, "job-")
 	if !ok || len(digits) == 0 || len(digits) > 32 {
 		return false
@@ -82,10 +82,10 @@
 	return true
 }
 
-// SplitTask takes a task's name apart.
-func SplitTask(name string) (ref string, n int, ok bool) {
+// ParseTaskName takes a task's name apart.
+func ParseTaskName(name string) (ref string, n int, ok bool) {
 	ref, num, ok := strings.Cut(name, "/")
-	if !ok || !ValidRef(ref) {
+	if !ok || !ValidJobID(ref) {
 		return "", 0, false
 	}
 	for _, r := range num {
@@ -115,12 +115,12 @@
 	j := &Job{}
 	j.readNames(&r)
 	ref := ""
-	if ValidRef(j.Ref) {
-		ref = j.Ref
+	if ValidJobID(j.ID) {
+		ref = j.ID
 	}
 	j.readNeeds(&r)
 	j.readTimes(&r)
-	j.WaitsOn = r.refs("waits_on")
+	j.DependsOn = r.refs("waits_on")
 	if r.err != nil {
 		return nil, ref, r.err
 	}
@@ -136,8 +136,8 @@
 
 // readNames reads what the job and its kind are called.
 func (j *Job) readNames(r *reader) {
-	j.Ref = r.text("ref", maxName, false)
-	if r.err == nil && !ValidRef(j.Ref) {
+	j.ID = r.text("ref", maxName, false)
+	if r.err == nil && !ValidJobID(j.ID) {
 		r.fail("ref", "job- and digits")
 	}
 	j.Class = r.text("lane", maxName, false)
@@ -147,7 +147,7 @@
 		r.fail("shape", "\"batch\"")
 	}
 	j.Priority = r.text("urgency", maxWord, false)
-	if r.err == nil && j.Rank() == len(priorities) {
+	if r.err == nil && j.PriorityClass() == len(priorities) {
 		r.fail("urgency", "one of "+strings.Join(priorities, ", "))
 	}
 }
@@ -165,16 +165,16 @@
 		r.fail("flavors", "a list of at least one machine type, or null")
 	}
 	r.optional("room", &j.Zone, "a zone's name, or null")
-	j.OneZone = r.flag("together")
+	j.Gang = r.flag("together")
 	j.Spread = r.flag("spread")
 	j.Spot = r.flag("loaners")
 }
 
 // readTimes reads how long the tasks take, and by when they should be done.
 func (j *Job) readTimes(r *reader) {
-	j.EstimateS = r.number("guess_s", 0, 1e9, false)
-	j.CheckpointS = r.number("snapshot_s", 0, 1e9, false)
-	j.SaveS = r.number("flush_s", 0, 1e9, false)
+	j.EstimatedRunS = r.number("guess_s", 0, 1e9, false)
+	j.CheckpointIntervalS = r.number("snapshot_s", 0, 1e9, false)
+	j.CheckpointDurationS = r.number("flush_s", 0, 1e9, false)
 	if r.present("due_s") {
 		v := r.number("due_s", 0, 1e9, false)
 		j.DeadlineS = &v
@@ -238,7 +238,7 @@
 	var all, once []string
 	r.optional(key, &all, "a list of job ids, or null")
 	for _, ref := range all {
-		if !ValidRef(ref) {
+		if !ValidJobID(ref) {
 			r.fail(key, "a list of job ids, or null")
 		}
 		if !slices.Contains(once, ref) {
@@ -248,10 +248,10 @@
 	return once
 }
 
-// ParseReport reads a worker's report. What it returns shares the body's memory:
+// ParseHeartbeat reads a worker's report. What it returns shares the body's memory:
 // the body must not change afterwards, and what is kept for long is to be cloned.
-func ParseReport(body []byte) (*Report, error) {
-	var r Report
+func ParseHeartbeat(body []byte) (*Heartbeat, error) {
+	var r Heartbeat
 	if err := decode(body, &r, json.ZeroCopy); err != nil {
 		return nil, err
 	}
@@ -260,15 +260,15 @@
 		return nil, fmt.Errorf("host must name the machine")
 	case r.Type == "" || r.Zone == "":
 		return nil, fmt.Errorf("flavor and room must be given")
-	case r.Session == 0:
+	case r.AgentEpoch == 0:
 		return nil, fmt.Errorf("tenure must be 1 or more")
-	case r.NoticeS != nil && (*r.NoticeS < 0 || math.IsNaN(*r.NoticeS)):
+	case r.TerminationNoticeS != nil && (*r.TerminationNoticeS < 0 || math.IsNaN(*r.TerminationNoticeS)):
 		return nil, fmt.Errorf("warning_s must be null, or 0 or more")
 	}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		t.Status = known(t.Status, TaskRunning, TaskEnded, TaskFetching, TaskSaving)
-		if _, _, ok := SplitTask(t.Task); !ok {
+		t.Status = known(t.Status, TaskRunning, TaskEnded, TaskFetching, TaskCheckpointing)
+		if _, _, ok := ParseTaskName(t.Task); !ok {
 			return nil, fmt.Errorf("piece %q is not a task's name", t.Task)
 		}
 		// A state that we don't know yet still occupies its machine, so it is
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -7,107 +7,107 @@
 
 // JobStatus is the answer about a job.
 type JobStatus struct {
-	Ref     string `json:"ref"`
+	ID      string `json:"ref"`
 	Status  string `json:"status"`
 	Done    int    `json:"done"`
 	Running int    `json:"running"`
 }
 
-// Accepted is the answer to a submission or a cancellation.
-type Accepted struct {
-	Ref    string `json:"ref"`
+// JobResponse is the answer to a submission or a cancellation.
+type JobResponse struct {
+	ID     string `json:"ref"`
 	Status string `json:"status"`
 }
 
 // The states of a job.
 const (
-	Queued  = "queued"
-	Running = "running"
-	Done    = "done"
-	Aborted = "aborted"
+	JobQueued    = "queued"
+	JobRunning   = "running"
+	JobDone      = "done"
+	JobCancelled = "aborted"
 )
 
-// Problem is the body of every error.
-type Problem struct {
+// ErrorResponse is the body of every error.
+type ErrorResponse struct {
 	Error string `json:"error"`
 }
 
-// Report is what a worker tells of itself.
-type Report struct {
-	Machine string       `json:"host"`
-	Address string       `json:"address"`
-	Type    string       `json:"flavor"`
-	Zone    string       `json:"room"`
-	Spot    bool         `json:"loaners"`
-	Session uint64       `json:"tenure"`
-	Seq     uint64       `json:"tick"`
-	Token   uint64       `json:"baton"`
-	NoticeS *float64     `json:"warning_s"`
-	Tasks   []TaskReport `json:"pieces"`
-}
-
-// TaskReport is one task in a report.
-type TaskReport struct {
-	Task    string `json:"piece"`
-	Attempt uint64 `json:"try"`
-	Status  string `json:"status"`
-	Why     string `json:"cause"`
-	Saved   bool   `json:"stored"`
+// Heartbeat is what a worker tells of itself.
+type Heartbeat struct {
+	Machine            string       `json:"host"`
+	Address            string       `json:"address"`
+	Type               string       `json:"flavor"`
+	Zone               string       `json:"room"`
+	Spot               bool         `json:"loaners"`
+	AgentEpoch         uint64       `json:"tenure"`
+	Sequence           uint64       `json:"tick"`
+	FencingToken       uint64       `json:"baton"`
+	TerminationNoticeS *float64     `json:"warning_s"`
+	Tasks              []TaskStatus `json:"pieces"`
+}
+
+// TaskStatus is one task in a report.
+type TaskStatus struct {
+	Task            string `json:"piece"`
+	Attempt         uint64 `json:"try"`
+	Status          string `json:"status"`
+	ExitReason      string `json:"cause"`
+	CheckpointSaved bool   `json:"stored"`
 }
 
 // The states of a task on a machine.
 const (
-	TaskFetching = "fetching"
-	TaskRunning  = "running"
-	TaskSaving   = "flushing"
-	TaskEnded    = "ended"
+	TaskFetching      = "fetching"
+	TaskRunning       = "running"
+	TaskCheckpointing = "flushing"
+	TaskEnded         = "ended"
 )
 
 // Why a task ended.
 const (
-	WhyDone    = "done"
-	WhyStopped = "stopped"
-	WhyError   = "error"
-	WhyNoRoom  = "no_room"
-	WhyInUse   = "in_use"
-	WhyNoSuch  = "no_such"
+	ExitDone       = "done"
+	ExitStopped    = "stopped"
+	ExitError      = "error"
+	ExitNoRoom     = "no_room"
+	ExitInUse      = "in_use"
+	ExitNoSuchTask = "no_such"
 )
 
-// Order is one command to a worker.
-type Order struct {
-	Verb    string   `json:"verb"`
-	Task    string   `json:"piece"`
-	Attempt uint64   `json:"try"`
-	GraceS  *float64 `json:"wind_down_s,omitempty"`
+// Command is one command to a worker.
+type Command struct {
+	Verb         string   `json:"verb"`
+	Task         string   `json:"piece"`
+	Attempt      uint64   `json:"try"`
+	GracePeriodS *float64 `json:"wind_down_s,omitempty"`
 }
 
 // The verbs of orders.
 const (
-	Start  = "start"
-	Stop   = "stop"
-	Forget = "forget"
+	VerbStart  = "start"
+	VerbStop   = "stop"
+	VerbForget = "forget"
 )
 
-// ReportAnswer is the answer to a report.
-type ReportAnswer struct {
-	Token  uint64  `json:"baton"`
-	Orders []Order `json:"orders"`
+// HeartbeatResponse is the answer to a report.
+type HeartbeatResponse struct {
+	FencingToken uint64    `json:"baton"`
+	Commands     []Command `json:"orders"`
 }
 
-// Elsewhere sends a worker to another node.
-type Elsewhere struct {
+// Redirect sends a worker to another node.
+type Redirect struct {
 	Leader string `json:"boss,omitempty"`
 }
 
-// Commands is a direct command to a worker.
-type Commands struct {
-	Token   uint64  `json:"baton"`
-	Session uint64  `json:"tenure"`
-	Orders  []Order `json:"orders"`
+// CommandRequest is a direct command to a worker.
+type CommandRequest struct {
+	FencingToken uint64    `json:"baton"`
+	AgentEpoch   uint64    `json:"tenure"`
+	Commands     []Command `json:"orders"`
 }
 
-// Flavors is the cloud's list of machine types.
-type Flavors struct {
+// MachineTypes is the cloud's list of machine types.
+type MachineTypes struct {
 	Types []MachineType `json:"flavors"`
 }
 
@@ -125,18 +125,18 @@
 	Zones       []string `json:"rooms"`
 }
 
-// Hire asks the cloud for machines.
-type Hire struct {
-	Request string `json:"hire"`
-	Type    string `json:"flavor"`
-	Zone    string `json:"room"`
-	Spot    bool   `json:"loaners"`
-	Count   int    `json:"number"`
+// ScaleOutRequest asks the cloud for machines.
+type ScaleOutRequest struct {
+	RequestID string `json:"hire"`
+	Type      string `json:"flavor"`
+	Zone      string `json:"room"`
+	Spot      bool   `json:"loaners"`
+	Count     int    `json:"number"`
 }
 
-// Machines names machines, in a hire's answer and in a deletion.
-type Machines struct {
-	Machines []string `json:"hosts"`
+// MachineNames names machines, in a hire's answer and in a deletion.
+type MachineNames struct {
+	Names []string `json:"hosts"`
 }
 
 // MachineList is one page of the cloud's list.
@@ -158,9 +158,9 @@
 
 // The states of a machine in the list.
 const (
-	Booting       = "booting"
-	MachineUp     = "running"
-	MachineFailed = "failed"
+	MachineBooting = "booting"
+	MachineRunning = "running"
+	MachineFailed  = "failed"
 )
 
 // Entry is a key of the state service with its value.
@@ -171,9 +171,9 @@
 	Lease   uint64          `json:"hold"`
 }
 
-// Entries is one page of keys.
-type Entries struct {
-	Items    []Entry `json:"entries"`
+// EntryPage is one page of keys.
+type EntryPage struct {
+	Entries  []Entry `json:"entries"`
 	More     bool    `json:"has_next"`
 	Revision uint64  `json:"epoch"`
 }
@@ -192,36 +192,36 @@
 	Delete string          `json:"delete,omitempty"`
 }
 
-// Txn is an atomic change of several keys.
-type Txn struct {
-	If   []Condition `json:"when"`
-	Then []Change    `json:"apply"`
+// CompareAndSwap is an atomic change of several keys.
+type CompareAndSwap struct {
+	Conditions []Condition `json:"when"`
+	Changes    []Change    `json:"apply"`
 }
 
-// TxnAnswer is the answer to a transaction.
-type TxnAnswer struct {
-	Revision uint64   `json:"epoch"`
-	Failed   []string `json:"failed"`
+// CompareAndSwapResponse is the answer to a transaction.
+type CompareAndSwapResponse struct {
+	Revision   uint64   `json:"epoch"`
+	FailedKeys []string `json:"failed"`
 }
 
-// LeaseTerms asks for a lease.
-type LeaseTerms struct {
+// LeaseRequest asks for a lease.
+type LeaseRequest struct {
 	TTLMS int64 `json:"life_ms"`
 }
 
-// LeaseAnswer names a lease.
-type LeaseAnswer struct {
+// LeaseResponse names a lease.
+type LeaseResponse struct {
 	Lease uint64 `json:"hold"`
 }
 
-// News is the answer to a watch.
-type News struct {
-	Revision uint64  `json:"epoch"`
-	Events   []Event `json:"news"`
+// WatchResponse is the answer to a watch.
+type WatchResponse struct {
+	Revision uint64       `json:"epoch"`
+	Events   []WatchEvent `json:"news"`
 }
 
-// Event is one change in a watch's answer.
-type Event struct {
+// WatchEvent is one change in a watch's answer.
+type WatchEvent struct {
 	Set     string          `json:"set"`
 	Value   json.RawMessage `json:"data"`
 	Delete  string          `json:"delete"`
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -89,7 +89,7 @@
 		"job-000412/3": true, "job-1/0": true, "job-1/99999": true,
 		"job-1/100000": false, "job-1/-1": false, "job-1/03": false, "job-1": false, "job-x/1": false, "/1": false,
 	} {
-		if _, _, ok := SplitTask(name); ok != want {
+		if _, _, ok := ParseTaskName(name); ok != want {
 			t.Errorf("%s: %v, want %v", name, ok, want)
 		}
 	}
@@ -125,7 +125,7 @@
 		{"null", `null`, false},
 	}
 	for _, c := range cases {
-		if _, err := ParseReport([]byte(c.body)); (err == nil) != c.ok {
+		if _, err := ParseHeartbeat([]byte(c.body)); (err == nil) != c.ok {
 			t.Errorf("%s: %v", c.name, err)
 		}
 	}
