--- a/cmd/takeoverreport/main.go
+++ b/cmd/failoverreport/main.go
@@ -1,4 +1,4 @@
-// Command takeoverreport makes an HTML report of takeovers from controllers' logs. It is a
+// Command failoverreport makes an HTML report of takeovers from controllers' logs. It is a
 // program of its own: what draws the plots takes more memory and time to start than a
 // controller has.
 package main
@@ -13,7 +13,7 @@
 
 func main() {
 	reportcmd.Main(reportcmd.Report{
-		Name:        "takeoverreport",
+		Name:        "failoverreport",
 		Description: "Makes a report of how leadership was taken over, with and without a standby's view.",
 		Write:       write,
 	})
--- a/cmd/drainreport/main.go
+++ b/cmd/rolloutreport/main.go
@@ -1,4 +1,4 @@
-// Command drainreport makes an HTML report of drained machines from controllers' logs. It is
+// Command rolloutreport makes an HTML report of drained machines from controllers' logs. It is
 // a program of its own: what draws the plots takes more memory and time to start than a
 // controller has.
 package main
@@ -13,7 +13,7 @@
 
 func main() {
 	reportcmd.Main(reportcmd.Report{
-		Name:        "drainreport",
+		Name:        "rolloutreport",
 		Description: "Makes a report of how machines were drained and which jobs that disrupted.",
 		Write:       write,
 	})
--- a/internal/autoscaler/fleet.go
+++ b/internal/autoscaler/cloud.go
@@ -1,6 +1,5 @@
-// Package fleet speaks to the cloud: which types there are, hiring, listing and
-// returning machines. Its actor owns the cloud's rate budget. What to hire is
-// decided by Plan, which is pure.
+// Package autoscaler is the client of the cloud and the planner of scale-out. The client's
+// goroutine owns the cloud's rate budget; Plan, which decides what to rent, is pure.
 package autoscaler
 
 import (
--- a/internal/capability/upgrade.go
+++ b/internal/capability/capability.go
@@ -1,8 +1,8 @@
-// Package upgrade tells when all controllers run a version that knows a capability.
-// While a deployment is upgraded, versions run side by side: what an older one would
-// misunderstand may be asked of the service, and be written, only when none can be up
-// any more. That a node does not answer proves nothing, so each announces durably what
-// it knows, once, and only all announcements together count.
+// Package capability negotiates what the controllers of a deployment may use while two
+// versions of the program run side by side. Each controller announces its level once, in the
+// key-value store. A new kind of record or request is used only when every controller has
+// announced that it supports it: an unanswered request proves nothing about a controller's
+// version.
 package capability
 
 import (
--- a/internal/controller/node.go
+++ b/internal/controller/controller.go
@@ -1,5 +1,6 @@
-// Package node puts the slices of one controller together and serves its
-// addresses.
+// Package controller assembles one controller process from its parts and serves its two
+// addresses: HTTP for users, workers and health checks, gRPC for the other controllers.
+// It owns no cluster state. Reading begins with Run.
 package controller
 
 import (
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,3 +1,6 @@
+// Package dispatch runs the scheduler's core for the terms that this controller leads: it
+// passes heartbeats, user requests and results of I/O to the core as events, and carries out
+// the effects that follow. Its goroutine owns the core; everybody else sends it messages.
 package dispatch
 
 import (
--- a/internal/failoverreport/takeovers.go
+++ b/internal/failoverreport/failoverreport.go
@@ -1,5 +1,4 @@
-// Package takeovers makes a report of how leadership was taken over from what the
-// controllers have logged.
+// Package failoverreport makes an HTML report of failovers from the logs of the controllers.
 package failoverreport
 
 import (
--- a/internal/jobapi/intake.go
+++ b/internal/jobapi/service.go
@@ -1,7 +1,8 @@
-// Package intake is the users' side of a node: submissions, questions and
-// cancellations. Every node serves them. Nothing is told that is older than
-// what any node may have told before: terminal states come from the leader in
-// its term or from a fresh read of the state service.
+// Package jobapi serves the users' HTTP interface: submissions, status queries and
+// cancellations. Every controller serves it. No response may be older than what any controller
+// has told before, so terminal states come from the leader in its term or from a fresh read of
+// the key-value store. The package owns the batch of submissions that wait for their commit,
+// and no other state.
 package jobapi
 
 import (
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -1,6 +1,6 @@
-// Package state is the client of the state service. One pacer per process owns
-// the node's share of the service's rate limits and grants requests by
-// priority; the rest is plain requests and their outcomes.
+// Package kvstore is the client of the consensus-backed key-value store (the protocol's state
+// service): reads, compare-and-swap transactions, leases and watches. One rate limiter per
+// process owns this controller's share of the store's rate and grants requests by priority.
 package kvstore
 
 import (
--- a/internal/leadertransfer/handover.go
+++ b/internal/leadertransfer/leadertransfer.go
@@ -1,5 +1,5 @@
-// Package handover has operators see how the controllers' standbys stand, and move the
-// leadership to one of them on purpose.
+// Package leadertransfer lets operators see the state of the controllers' standbys and transfer
+// the leadership to one of them on purpose.
 package leadertransfer
 
 import (
--- a/internal/reportcmd/reportcli.go
+++ b/internal/reportcmd/reportcmd.go
@@ -1,5 +1,5 @@
-// Package reportcli is the command line that the programs share which make an HTML report
-// from controllers' logs.
+// Package reportcmd is the command line of the programs that make an HTML report from
+// controllers' logs.
 package reportcmd
 
 import (
--- a/internal/rollout/account.go
+++ b/internal/rollout/disruptions.go
@@ -1,6 +1,6 @@
-// Package drain has the rules of draining machines in steps: which jobs may be disrupted at
-// a time, and how a rollout goes from step to step. Both are pure: the caller tells the time
-// and what has happened, and carries out what follows.
+// Package rollout controls how machines are drained and replaced in steps, within disruption
+// budgets: which jobs may be disrupted at a time, and the phases of a plan. It is pure: the
+// caller passes the time and the events, and carries out the actions that are returned.
 package rollout
 
 import (
--- a/internal/rolloutservice/rollouts.go
+++ b/internal/rolloutservice/service.go
@@ -1,5 +1,5 @@
-// Package rollouts has operators create, steer and watch the plans that drain machines,
-// through any controller, over gRPC. What the plans mean is in package drain.
+// Package rolloutservice is the gRPC service by which operators create, steer and list the
+// plans that drain machines, through any controller. Package rollout defines the plans.
 package rolloutservice
 
 import (
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -1,7 +1,6 @@
-// Package dispatch decides what the leader does: which machines there are, what runs on
-// them, what waits, and which orders follow. Its core is a deterministic step
-// from a state, an event and a time to effects, without I/O; the actor around
-// it (dispatcher.go, term.go) carries the effects out.
+// Package scheduler decides what the leader does: which machines exist, what runs on them, what
+// waits, and which commands follow. Its core is a deterministic step from a state, an event and
+// a time to effects, without I/O. Package dispatch carries the effects out.
 package scheduler
 
 import (
--- a/internal/softstate/hints.go
+++ b/internal/softstate/softstate.go
@@ -1,10 +1,10 @@
-// Package hints brings what a leader holds only in memory to the controllers that may lead
-// next: where machines are reached, what runs there and since when, which images they have,
-// what was learned about run times, boots and the cloud's offers.
+// Package softstate replicates what a leader holds only in memory to the controllers that may
+// lead next: addresses of machines, the tasks that run there and since when, cached images, and
+// estimates of run times, boot times and cloud capacity.
 //
-// Hints make a new leader's first guesses better. Nothing that is decided may be wrong
-// because of one: they never add a machine, a job or a booking, and the ledger and a worker's
-// report are believed against them.
+// Soft state improves a new leader's first estimates. No decision may be wrong because of it:
+// it never adds a machine, a job or an allocation, and the ledger and a worker's heartbeat
+// take precedence.
 package softstate
 
 import (
--- a/internal/transport/outbound.go
+++ b/internal/transport/transport.go
@@ -1,5 +1,5 @@
-// Package outbound has what all calls to other systems share: the network, their
-// HTTP client, what a failed call proves, and waiting before the next.
+// Package transport has what all calls to other systems share: the network interface, the HTTP
+// client, whether a failed call can have been executed, and the pause before a retry.
 package transport
 
 import (
