--- a/internal/softstate/convert.go
+++ b/internal/softstate/convert.go
@@ -16,18 +16,18 @@
 		out.Machines = append(out.Machines, encodeMachine(m))
 	}
 	if b.Estimates != nil {
-		out.Learned = encodeLearned(b.Estimates)
+		out.Estimates = encodeLearned(b.Estimates)
 	}
 	return out
 }
 
 func encodeMachine(m Machine) *hintpb.Machine {
-	out := &hintpb.Machine{Name: m.Name, Gone: m.Gone, Address: m.Address, Session: m.AgentEpoch, Token: m.FencingToken, HeardMs: toMillis(m.SinceHeartbeat), IdleMs: toMillis(m.Idle)}
+	out := &hintpb.Machine{Name: m.Name, Gone: m.Gone, Address: m.Address, AgentEpoch: m.AgentEpoch, FencingToken: m.FencingToken, SinceHeartbeatMs: toMillis(m.SinceHeartbeat), IdleMs: toMillis(m.Idle)}
 	for _, i := range m.Images {
 		out.Images = append(out.Images, &hintpb.Image{Name: i.Name, Gb: i.GB})
 	}
 	for _, k := range m.Allocations {
-		out.Bookings = append(out.Bookings, &hintpb.Booking{Task: k.Task, Attempt: k.Attempt, RanMs: toMillis(k.Running)})
+		out.Allocations = append(out.Allocations, &hintpb.Booking{Task: k.Task, Attempt: k.Attempt, RunningMs: toMillis(k.Running)})
 	}
 	return out
 }
@@ -35,7 +35,7 @@
 func encodeLearned(l *Estimates) *hintpb.Learned {
 	out := &hintpb.Learned{RunRatios: l.RunRatios, BootS: l.BootSeconds}
 	for _, o := range l.Pools {
-		out.Offers = append(out.Offers, &hintpb.Offer{Type: o.Type, Zone: o.Zone, Spot: o.Spot, BlockedMs: toMillis(o.BackoffLeft), BackoffMs: toMillis(o.Backoff), Filled: int64(o.Filled)})
+		out.Pools = append(out.Pools, &hintpb.Offer{Type: o.Type, Zone: o.Zone, Spot: o.Spot, BackoffLeftMs: toMillis(o.BackoffLeft), BackoffMs: toMillis(o.Backoff), Filled: int64(o.Filled)})
 	}
 	return out
 }
@@ -46,29 +46,29 @@
 	for _, m := range b.GetMachines() {
 		out.Machines = append(out.Machines, decodeMachine(m))
 	}
-	if b.GetLearned() != nil {
-		out.Estimates = decodeLearned(b.GetLearned())
+	if b.GetEstimates() != nil {
+		out.Estimates = decodeLearned(b.GetEstimates())
 	}
 	return out
 }
 
 func decodeMachine(m *hintpb.Machine) Machine {
-	out := Machine{Name: m.GetName(), Gone: m.GetGone(), Address: m.GetAddress(), AgentEpoch: m.GetSession(), FencingToken: m.GetToken(),
-		SinceHeartbeat: fromMillis(m.GetHeardMs()), Idle: fromMillis(m.GetIdleMs())}
+	out := Machine{Name: m.GetName(), Gone: m.GetGone(), Address: m.GetAddress(), AgentEpoch: m.GetAgentEpoch(), FencingToken: m.GetFencingToken(),
+		SinceHeartbeat: fromMillis(m.GetSinceHeartbeatMs()), Idle: fromMillis(m.GetIdleMs())}
 	for _, i := range m.GetImages() {
 		out.Images = append(out.Images, Image{Name: i.GetName(), GB: i.GetGb()})
 	}
-	for _, k := range m.GetBookings() {
-		out.Allocations = append(out.Allocations, Allocation{Task: k.GetTask(), Attempt: k.GetAttempt(), Running: fromMillis(k.GetRanMs())})
+	for _, k := range m.GetAllocations() {
+		out.Allocations = append(out.Allocations, Allocation{Task: k.GetTask(), Attempt: k.GetAttempt(), Running: fromMillis(k.GetRunningMs())})
 	}
 	return out
 }
 
 func decodeLearned(l *hintpb.Learned) *Estimates {
 	out := &Estimates{RunRatios: l.GetRunRatios(), BootSeconds: l.GetBootS()}
-	for _, o := range l.GetOffers() {
+	for _, o := range l.GetPools() {
 		out.Pools = append(out.Pools, CapacityPool{Type: o.GetType(), Zone: o.GetZone(), Spot: o.GetSpot(),
-			BackoffLeft: fromMillis(o.GetBlockedMs()), Backoff: fromMillis(o.GetBackoffMs()), Filled: int(o.GetFilled())})
+			BackoffLeft: fromMillis(o.GetBackoffLeftMs()), Backoff: fromMillis(o.GetBackoffMs()), Filled: int(o.GetFilled())})
 	}
 	return out
 }
