--- a/cmd/failoverreport/main.go
+++ b/cmd/failoverreport/main.go
@@ -1,5 +1,5 @@
-// Command failoverreport makes an HTML report of takeovers from controllers' logs. It is a
-// program of its own: what draws the plots takes more memory and time to start than a
+// Command failoverreport makes an HTML report of failovers from controllers' logs. It is a
+// program of its own since the plotting library takes more memory and start-up time than a
 // controller has.
 package main
 
@@ -14,18 +14,19 @@
 func main() {
 	reportcmd.Main(reportcmd.Report{
 		Name:        "failoverreport",
-		Description: "Makes a report of how leadership was taken over, with and without a standby's view.",
+		Description: "Makes a report of the failovers of a deployment, with and without standbys.",
 		Write:       write,
 	})
 }
 
+// write reads the logs and writes the page.
 func write(page io.Writer, logs []string) error {
 	all, err := failoverreport.ReadLogs(logs...)
 	if err != nil {
 		return err
 	}
 	if len(all) == 0 {
-		return errors.New("the logs tell of no takeover")
+		return errors.New("the logs contain no failover")
 	}
 	return failoverreport.WritePage(page, all)
 }
--- a/cmd/leadproxy/commands.go
+++ b/cmd/leadproxy/commands.go
@@ -124,7 +124,7 @@
 	if err != nil {
 		return err
 	}
-	reply, err := leadertransfer.Request(context.Background(), transport.TCP{}, platform, c.To)
+	reply, err := leadertransfer.RequestTransfer(context.Background(), transport.TCP{}, platform, c.To)
 	if err != nil {
 		return err
 	}
--- a/internal/controller/leader_transfer_test.go
+++ b/internal/controller/leader_transfer_test.go
@@ -19,9 +19,9 @@
 		for range 4 {
 			was := c.leader()
 			to := (was + 1) % len(c.nodes)
-			reply, err := leadertransfer.Request(c.t.Context(), operator, c.nodes[0].platform, c.name(to))
+			reply, err := leadertransfer.RequestTransfer(c.t.Context(), operator, c.nodes[0].platform, c.name(to))
 			if !c.operator.Standby.Follow {
-				if err == nil || !strings.Contains(err.Error(), "does not follow") {
+				if err == nil || !strings.Contains(err.Error(), "has no standby") {
 					t.Errorf("without standbys: %v, %v", reply, err)
 				}
 				return
--- a/internal/dispatch/failover.go
+++ b/internal/dispatch/failover.go
@@ -31,8 +31,8 @@
 	times.warm = true
 	snapshot := book.Adopt(view.Entries, view.Revision)
 	g := view.Gate
-	d.log.Info("the standby's view is complete", "term", number, "jobs", len(snapshot.Jobs), "ended", g.Ended.Why, "complete", g.Complete.Why,
-		"complete_s", g.Complete.Took.Seconds(), "fenced", g.Fenced.Why)
+	d.log.Info("the standby's view is complete", "term", number, "jobs", len(snapshot.Jobs), "ended", g.PreviousTermEnded.Reason, "complete", g.ReplicaComplete.Reason,
+		"complete_s", g.ReplicaComplete.Elapsed.Seconds(), "fenced", g.EarlierWritesFenced.Reason)
 	return snapshot, true
 }
 
--- a/internal/failoverreport/failoverreport.go
+++ b/internal/failoverreport/failoverreport.go
@@ -12,24 +12,25 @@
 	"time"
 )
 
-// Takeover is one takeover, as its new leader has logged it. Times are in seconds since the
+// Failover is one failover as the new leader has logged it. Durations are in seconds since the
 // term was won.
-type Takeover struct {
+type Failover struct {
 	At   time.Time
 	Term uint64
-	// Warm: the term decided on the standby's view.
-	Warm bool
-	// View is when the ledger was known, Decided when the first effect of the term was
-	// decided, Settled when nothing that an earlier leader may have started was in doubt.
-	View, Decided, Settled float64
-	Jobs, Machines         int
+	// FromStandby: the term acted on the standby's replica; else it read the ledger.
+	FromStandby bool
+	// ViewReady is when the ledger's content was known, FirstDecision when the term decided its
+	// first effect, Resolved when no host was in doubt any more: when the tasks of earlier
+	// leaders were known for every machine.
+	ViewReady, FirstDecision, Resolved float64
+	Jobs, Machines                     int
 }
 
-var line = regexp.MustCompile(`^time=(\S+) .*msg=takeover term=(\d+) warm=(true|false) view_s=(\S+) decided_s=(\S+) settled_s=(\S+) jobs=(\d+) machines=(\d+)`)
+var failoverLine = regexp.MustCompile(`^time=(\S+) .*msg=takeover term=(\d+) warm=(true|false) view_s=(\S+) decided_s=(\S+) settled_s=(\S+) jobs=(\d+) machines=(\d+)`)
 
-// ReadLogs reads the takeovers from controllers' logs, the earliest first.
-func ReadLogs(files ...string) ([]Takeover, error) {
-	var all []Takeover
+// ReadLogs reads the failovers from controllers' logs, the earliest first.
+func ReadLogs(files ...string) ([]Failover, error) {
+	var all []Failover
 	for _, name := range files {
 		f, err := os.Open(name)
 		if err != nil {
@@ -42,19 +43,19 @@
 		}
 		all = append(all, read...)
 	}
-	slices.SortStableFunc(all, func(a, b Takeover) int { return a.At.Compare(b.At) })
+	slices.SortStableFunc(all, func(a, b Failover) int { return a.At.Compare(b.At) })
 	return all, nil
 }
 
-// longestLine bounds a line of a log.
+// longestLine bounds the length of a log line in bytes.
 const longestLine = 1 << 20
 
-func readLog(in io.Reader) ([]Takeover, error) {
-	var all []Takeover
+func readLog(in io.Reader) ([]Failover, error) {
+	var all []Failover
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, longestLine)
 	for n := 1; lines.Scan(); n++ {
-		fields := line.FindStringSubmatch(lines.Text())
+		fields := failoverLine.FindStringSubmatch(lines.Text())
 		if fields == nil {
 			continue
 		}
@@ -67,15 +68,16 @@
 	return all, lines.Err()
 }
 
-func parse(fields []string) (t Takeover, err error) {
+// parse converts the submatches of failoverLine.
+func parse(fields []string) (t Failover, err error) {
 	if t.At, err = time.Parse(time.RFC3339Nano, fields[1]); err != nil {
 		return t, err
 	}
 	if t.Term, err = strconv.ParseUint(fields[2], 10, 64); err != nil {
 		return t, err
 	}
-	t.Warm = fields[3] == "true"
-	for i, into := range []*float64{&t.View, &t.Decided, &t.Settled} {
+	t.FromStandby = fields[3] == "true"
+	for i, into := range []*float64{&t.ViewReady, &t.FirstDecision, &t.Resolved} {
 		if *into, err = strconv.ParseFloat(fields[4+i], 64); err != nil {
 			return t, err
 		}
@@ -88,25 +90,25 @@
 	return t, nil
 }
 
-// Phase is one of the times of a takeover.
+// Phase is one of the durations of a failover.
 type Phase struct {
 	Name string
-	Of   func(t Takeover) float64
+	Of   func(f Failover) float64
 }
 
-// Phases are the times of a takeover, in their order.
+// Phases are the durations of a failover, in their order.
 var Phases = []Phase{
-	{"until the view was complete", func(t Takeover) float64 { return t.View }},
-	{"until the first decision", func(t Takeover) float64 { return t.Decided }},
-	{"until all machines were settled", func(t Takeover) float64 { return t.Settled }},
+	{"until the ledger was known", func(f Failover) float64 { return f.ViewReady }},
+	{"until the first decision", func(f Failover) float64 { return f.FirstDecision }},
+	{"until no host was in doubt", func(f Failover) float64 { return f.Resolved }},
 }
 
-// times lists a phase of the takeovers with or without a standby's view, the shortest
-// first.
-func times(all []Takeover, p Phase, warm bool) []float64 {
+// phaseDurations returns the durations of a phase in ascending order, of the failovers with or
+// without a standby.
+func phaseDurations(all []Failover, p Phase, fromStandby bool) []float64 {
 	var values []float64
 	for _, t := range all {
-		if t.Warm == warm {
+		if t.FromStandby == fromStandby {
 			values = append(values, p.Of(t))
 		}
 	}
@@ -114,7 +116,7 @@
 	return values
 }
 
-// percentile is the value that a share of sorted values does not exceed.
+// percentile returns the value that the given share of the sorted values does not exceed.
 func percentile(sorted []float64, share float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/leadertransfer/leadertransfer.go
+++ b/internal/leadertransfer/leadertransfer.go
@@ -27,40 +27,42 @@
 	"leadproxy/internal/transport"
 )
 
+// The timeouts of a transfer.
 const (
-	callLimit = 2 * time.Second
-	// asideFor is how long the others let the chosen controller stand first.
-	asideFor = 1500 * time.Millisecond
-	// newest is how long ago the service may last have answered a standby that is to
-	// lead: a quiet watch is answered when its wait is over.
-	newest = 20 * time.Second
+	// callTimeout bounds one call to a controller.
+	callTimeout = 2 * time.Second
+	// yieldDuration is for how long the other controllers yield their candidacy to the successor.
+	yieldDuration = 1500 * time.Millisecond
+	// maxReplicaAge bounds how long ago the store may have responded last to the standby of
+	// the successor. A watch without a change is answered only when its wait is over.
+	maxReplicaAge = 20 * time.Second
 )
 
-// Server answers operators and the other controllers.
+// Server serves the requests of operators and of the other controllers.
 type Server struct {
 	handoverpb.UnimplementedHandoverServer
-	platform *settings.Platform
-	net      transport.Network
-	elector  *election.Elector
-	standby  *standby.Follower   // nil: this node does not follow
-	hints    *softstate.Follower // nil: this node follows no hints
-	log      *slog.Logger
+	platform  *settings.Platform
+	net       transport.Network
+	elector   *election.Elector
+	standby   *standby.Follower   // nil: this controller has no standby
+	softState *softstate.Follower // nil: this controller replicates no soft state
+	log       *slog.Logger
 }
 
 // NewServer makes a server for a controller.
 func NewServer(n transport.Network, p *settings.Platform, e *election.Elector, s *standby.Follower, h *softstate.Follower, log *slog.Logger) *Server {
-	return &Server{platform: p, net: n, elector: e, standby: s, hints: h, log: log}
+	return &Server{platform: p, net: n, elector: e, standby: s, softState: h, log: log}
 }
 
-// Status tells how this controller stands.
+// Status returns the role of this controller and the state of its standby.
 func (s *Server) Status(context.Context, *handoverpb.StatusRequest) (*handoverpb.StatusReply, error) {
 	v := s.elector.View()
 	reply := &handoverpb.StatusReply{Node: s.platform.Node, Leader: v.Leader}
 	if v.IsLeader(time.Now()) {
 		reply.Term = v.Term
 	}
-	if s.hints != nil {
-		h := s.hints.Status()
+	if s.softState != nil {
+		h := s.softState.Status()
 		reply.HintsTerm, reply.HintsMachines = h.Term, int64(h.Machines)
 		if h.Term > 0 {
 			reply.HintsMs = time.Since(h.LastBatch).Milliseconds()
@@ -70,21 +72,21 @@
 		return reply, nil
 	}
 	st := s.standby.Status()
-	reply.Follows, reply.State, reply.Why = true, st.State.String(), st.Why
+	reply.Follows, reply.State, reply.Why = true, st.State.String(), st.Reason
 	reply.Revision, reply.Keys, reply.Bytes = st.Revision, int64(st.Keys), int64(st.Bytes)
-	if !st.Heard.IsZero() {
-		reply.HeardMs = time.Since(st.Heard).Milliseconds()
+	if !st.LastResponse.IsZero() {
+		reply.HeardMs = time.Since(st.LastResponse).Milliseconds()
 	}
 	return reply, nil
 }
 
-// watchEvery is how often a leader looks whether some standby is complete.
-const watchEvery = 10 * time.Second
+// standbyCheckInterval is how often the leader checks whether a standby is complete.
+const standbyCheckInterval = 10 * time.Second
 
-// Run has the leader log when no standby is complete, and when one is again, until ctx
-// ends.
+// Run logs, while this controller is the leader, when no standby is complete and when one is
+// again, until ctx ends.
 func (s *Server) Run(ctx context.Context) {
-	tick := time.NewTicker(watchEvery)
+	tick := time.NewTicker(standbyCheckInterval)
 	defer tick.Stop()
 	term, lacking := uint64(0), false
 	for {
@@ -100,23 +102,23 @@
 		if v.Term != term {
 			term, lacking = v.Term, false
 		}
-		_, err := choose(s.askOthers(ctx), "")
+		_, err := chooseSuccessor(s.peerStatuses(ctx), "")
 		if lack := err != nil; lack != lacking && ctx.Err() == nil {
 			lacking = lack
 			if lack {
-				s.log.Warn("no standby is complete: a takeover would read everything anew", "term", term, "why", err)
+				s.log.Warn("no standby is complete: a failover would read the whole ledger", "leader_term", term, "error", err)
 			} else {
-				s.log.Info("a standby is complete again", "term", term)
+				s.log.Info("a standby is complete again", "leader_term", term)
 			}
 		}
 	}
 }
 
-// StandAside lets another controller be elected, or has this one stand first.
+// StandAside makes this controller yield its candidacy for a while, or campaign at once.
 func (s *Server) StandAside(_ context.Context, r *handoverpb.StandAsideRequest) (*handoverpb.StandAsideReply, error) {
 	wait := time.Duration(r.ForMs) * time.Millisecond
-	if wait < 0 || wait > 2*asideFor {
-		return nil, status.Errorf(codes.InvalidArgument, "standing aside for %s", wait)
+	if wait < 0 || wait > 2*yieldDuration {
+		return nil, status.Errorf(codes.InvalidArgument, "yielding the candidacy for %s", wait)
 	}
 	if r.First {
 		s.elector.CampaignNow(wait)
@@ -126,38 +128,38 @@
 	return &handoverpb.StandAsideReply{}, nil
 }
 
-// HandOver gives this controller's term to another one whose copy is complete.
+// HandOver transfers the leadership from this controller to one whose standby is complete.
 func (s *Server) HandOver(ctx context.Context, r *handoverpb.HandOverRequest) (*handoverpb.HandOverReply, error) {
 	v := s.elector.View()
 	if !v.IsLeader(time.Now()) {
-		return nil, status.Errorf(codes.Unavailable, "this controller does not lead, %q does", v.Leader)
+		return nil, status.Errorf(codes.Unavailable, "this controller is not the leader, %q is", v.Leader)
 	}
-	chosen, err := choose(s.askOthers(ctx), r.To)
+	successor, err := chooseSuccessor(s.peerStatuses(ctx), r.To)
 	if err != nil {
 		return nil, status.Error(codes.FailedPrecondition, err.Error())
 	}
 	for _, p := range s.platform.Peers {
-		s.sendTurn(ctx, p, p.Node == chosen)
+		s.requestCandidacy(ctx, p, p.Node == successor)
 	}
-	s.log.Info("handing the leadership over", "term", v.Term, "to", chosen)
+	s.log.Info("transferring the leadership", "leader_term", v.Term, "successor", successor)
 	s.elector.Resign(v.Term)
-	return &handoverpb.HandOverReply{To: chosen, Term: v.Term}, nil
+	return &handoverpb.HandOverReply{To: successor, Term: v.Term}, nil
 }
 
-// sendTurn has a controller stand aside, or first. One that can't be asked may be elected.
-func (s *Server) sendTurn(ctx context.Context, p settings.Peer, first bool) {
+// requestCandidacy asks a controller to campaign at once, or to yield its candidacy. One that
+// can't be reached may be elected.
+func (s *Server) requestCandidacy(ctx context.Context, p settings.Peer, first bool) {
 	err := call(ctx, s.net, p.Addr, func(ctx context.Context, c handoverpb.HandoverClient) error {
-		_, err := c.StandAside(ctx, &handoverpb.StandAsideRequest{ForMs: asideFor.Milliseconds(), First: first})
+		_, err := c.StandAside(ctx, &handoverpb.StandAsideRequest{ForMs: yieldDuration.Milliseconds(), First: first})
 		return err
 	})
 	if err != nil {
-		s.log.Info("a controller was not asked to stand aside", "node", p.Node, "error", err)
+		s.log.Info("candidacy request failed", "controller", p.Node, "error", err)
 	}
 }
 
-// askOthers asks the other controllers how they stand; those that do not answer are left
-// out.
-func (s *Server) askOthers(ctx context.Context) []*handoverpb.StatusReply {
+// peerStatuses returns the status of the other controllers, without those that do not respond.
+func (s *Server) peerStatuses(ctx context.Context) []*handoverpb.StatusReply {
 	var all []*handoverpb.StatusReply
 	for _, p := range s.platform.Peers {
 		if st, err := fetchStatus(ctx, s.net, p.Addr); err == nil {
@@ -167,52 +169,53 @@
 	return all
 }
 
-// ErrNoStandby means that no controller can take over with a complete copy.
+// ErrNoStandby means that no other controller has a complete standby.
 var ErrNoStandby = errors.New("no standby is complete")
 
-// choose names the controller that is to lead: the one that is asked for, or the one with
-// the newest copy.
-func choose(all []*handoverpb.StatusReply, to string) (string, error) {
+// chooseSuccessor returns the name of the requested controller, or without a request of the one
+// whose standby has the newest revision.
+func chooseSuccessor(all []*handoverpb.StatusReply, to string) (string, error) {
 	slices.SortStableFunc(all, func(a, b *handoverpb.StatusReply) int { return cmp.Compare(b.Revision, a.Revision) })
 	var reasons []string
-	known := to == ""
+	found := to == ""
 	for _, st := range all {
 		if to != "" && st.Node != to {
 			continue
 		}
-		known = true
-		why := unfit(st)
-		if why == "" {
+		found = true
+		reason := ineligibleReason(st)
+		if reason == "" {
 			return st.Node, nil
 		}
-		reasons = append(reasons, st.Node+" "+why)
+		reasons = append(reasons, st.Node+" "+reason)
 	}
-	if !known {
-		return "", fmt.Errorf("%w: %q is not another controller that answers", ErrNoStandby, to)
+	if !found {
+		return "", fmt.Errorf("%w: %q is not another controller that responds", ErrNoStandby, to)
 	}
-	return "", fmt.Errorf("%w: %s", ErrNoStandby, cmp.Or(strings.Join(reasons, ", "), "no other controller answers"))
+	return "", fmt.Errorf("%w: %s", ErrNoStandby, cmp.Or(strings.Join(reasons, ", "), "no other controller responds"))
 }
 
-// unfit tells why a controller can't take over with a complete copy; "": it can.
-func unfit(st *handoverpb.StatusReply) string {
+// ineligibleReason returns why a controller has no complete standby; "": it has one.
+func ineligibleReason(st *handoverpb.StatusReply) string {
 	switch {
 	case !st.Follows:
-		return "does not follow"
+		return "has no standby"
 	case st.State != standby.Following.String():
 		return "is " + st.State
-	case time.Duration(st.HeardMs)*time.Millisecond > newest:
-		return fmt.Sprintf("has not heard the state service for %d s", st.HeardMs/1000)
+	case time.Duration(st.HeardMs)*time.Millisecond > maxReplicaAge:
+		return fmt.Sprintf("had no response of the store for %d s", st.HeardMs/1000)
 	}
 	return ""
 }
 
 // call makes one call to a controller.
 func call(ctx context.Context, n transport.Network, addr string, do func(ctx context.Context, c handoverpb.HandoverClient) error) error {
-	return rpc.Call(ctx, n, addr, callLimit, func(ctx context.Context, conn *grpc.ClientConn) error {
+	return rpc.Call(ctx, n, addr, callTimeout, func(ctx context.Context, conn *grpc.ClientConn) error {
 		return do(ctx, handoverpb.NewHandoverClient(conn))
 	})
 }
 
+// fetchStatus returns the status of a controller.
 func fetchStatus(ctx context.Context, n transport.Network, addr string) (st *handoverpb.StatusReply, err error) {
 	err = call(ctx, n, addr, func(ctx context.Context, c handoverpb.HandoverClient) error {
 		st, err = c.Status(ctx, &handoverpb.StatusRequest{})
@@ -221,15 +224,15 @@
 	return st, err
 }
 
-// controllers are all of a deployment, in the order of their names.
+// controllers returns all controllers of a deployment in the order of their names.
 func controllers(p *settings.Platform) []settings.Peer {
 	all := p.Controllers()
 	slices.SortFunc(all, func(a, b settings.Peer) int { return strings.Compare(a.Node, b.Node) })
 	return all
 }
 
-// WriteStatus asks all controllers of a deployment how they stand and writes a table. Who
-// could not take over with a complete copy is named.
+// WriteStatus writes a table of all controllers of a deployment with the state of their standbys,
+// and a line if none of them is complete.
 func WriteStatus(ctx context.Context, out io.Writer, n transport.Network, p *settings.Platform) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "CONTROLLER\tROLE\tSTANDBY\tREVISION\tLAG\tKEYS\tMB\tHEARD\tHINTS\tWHY")
@@ -253,28 +256,29 @@
 		if st.Revision > 0 {
 			lag = fmt.Sprint(newestRevision - st.Revision)
 		}
-		complete = complete || st.Term == 0 && unfit(st) == ""
+		complete = complete || st.Term == 0 && ineligibleReason(st) == ""
 		heard := (time.Duration(st.HeardMs) * time.Millisecond).Round(100 * time.Millisecond)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%.1f\t%s ago\t%s\t%s\n", st.Node, role, cmp.Or(st.State, "off"), st.Revision, lag, st.Keys, float64(st.Bytes)/(1<<20), heard, hintsText(st), st.Why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%.1f\t%s ago\t%s\t%s\n", st.Node, role, cmp.Or(st.State, "off"), st.Revision, lag, st.Keys, float64(st.Bytes)/(1<<20), heard, softStateText(st), st.Why)
 	}
 	if !complete {
-		fmt.Fprintln(w, "\nno standby is complete: a takeover reads everything anew")
+		fmt.Fprintln(w, "\nno standby is complete: a failover reads the whole ledger")
 	}
 	return w.Flush()
 }
 
-// hintsText tells which hints a controller has.
-func hintsText(st *handoverpb.StatusReply) string {
+// softStateText describes the soft state that a controller has.
+func softStateText(st *handoverpb.StatusReply) string {
 	if st.HintsTerm == 0 {
 		return "-"
 	}
 	return fmt.Sprintf("%d machines of term %d", st.HintsMachines, st.HintsTerm)
 }
 
-// Request has the leader hand over to a controller, or to the one whose copy is the newest.
-func Request(ctx context.Context, n transport.Network, p *settings.Platform, to string) (*handoverpb.HandOverReply, error) {
+// RequestTransfer has the leader transfer the leadership to a controller, or to the one whose
+// standby has the newest revision.
+func RequestTransfer(ctx context.Context, n transport.Network, p *settings.Platform, to string) (*handoverpb.HandOverReply, error) {
 	var reply *handoverpb.HandOverReply
-	err := rpc.CallLeader(ctx, n, controllers(p), callLimit, func(ctx context.Context, conn *grpc.ClientConn) error {
+	err := rpc.CallLeader(ctx, n, controllers(p), callTimeout, func(ctx context.Context, conn *grpc.ClientConn) error {
 		var err error
 		reply, err = handoverpb.NewHandoverClient(conn).HandOver(ctx, &handoverpb.HandOverRequest{To: to})
 		return err
--- a/internal/softstate/follower.go
+++ b/internal/softstate/follower.go
@@ -11,31 +11,31 @@
 	"leadproxy/internal/softstate/hintpb"
 )
 
-// The times of a stream, on the follower's side.
+// The intervals of the follower.
 const (
-	// reopenEvery is how long a stream rests that has ended.
-	reopenEvery = time.Second
-	// lookEvery is how often a follower looks who leads.
-	lookEvery = 500 * time.Millisecond
+	// reconnectDelay is the pause before a stream that has ended is opened again.
+	reconnectDelay = time.Second
+	// leaderCheckInterval is how often the follower checks who the leader is.
+	leaderCheckInterval = 500 * time.Millisecond
 )
 
-// Status is how a follower stands. It is never changed once published.
+// Status is a follower's state at one moment. It is never changed once published.
 type Status struct {
-	Term      uint64 // of the hints; 0: there are none
+	Term      uint64 // of the soft state; 0: there is none
 	Machines  int
 	LastBatch time.Time // when the last batch came
 }
 
-// Follower keeps the hints of whoever leads. Its inbox belongs to the goroutine that runs
-// it.
+// Follower replicates the soft state of the present leader. Its replica belongs to the goroutine
+// of Run.
 type Follower struct {
 	node string
-	// leader names the controller that leads; "": none, or unknown.
+	// leader returns the name of the leader; "": none, or unknown.
 	leader func() string
 	// connect returns a connection to a controller.
 	connect func(node string) (grpc.ClientConnInterface, error)
 	log     *slog.Logger
-	inbox   *Replica
+	replica *Replica
 	views   chan viewRequest
 	status  atomic.Pointer[Status]
 }
@@ -47,15 +47,15 @@
 
 // NewFollower makes a follower for the node of a name; Run starts it.
 func NewFollower(node string, leader func() string, connect func(node string) (grpc.ClientConnInterface, error), log *slog.Logger) *Follower {
-	f := &Follower{node: node, leader: leader, connect: connect, log: log, inbox: NewReplica(), views: make(chan viewRequest)}
+	f := &Follower{node: node, leader: leader, connect: connect, log: log, replica: NewReplica(), views: make(chan viewRequest)}
 	f.status.Store(&Status{})
 	return f
 }
 
-// Status tells how the follower stands.
+// Status returns the follower's present state.
 func (f *Follower) Status() Status { return *f.status.Load() }
 
-// View returns the hints for a term that begins here.
+// View returns the soft state for a term that begins on this controller.
 func (f *Follower) View(ctx context.Context, term uint64) View {
 	request := viewRequest{term, make(chan View, 1)}
 	select {
@@ -66,31 +66,31 @@
 	}
 }
 
-// received is what a stream brings: a batch, or its end.
-type received struct {
+// streamEvent is a batch that a stream has received, or the error that ended it.
+type streamEvent struct {
 	batch *hintpb.Batch
 	err   error
 }
 
-// Run follows whoever leads until ctx ends.
+// Run follows the present leader until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
-	look := time.NewTicker(lookEvery)
-	defer look.Stop()
+	leaderCheck := time.NewTicker(leaderCheckInterval)
+	defer leaderCheck.Stop()
 	var s stream
-	defer func() { s.end() }()
+	defer func() { s.close() }()
 	for {
 		select {
-		case r := <-f.views:
-			r.reply <- f.inbox.View(r.term, time.Now())
-		case r := <-s.batches:
-			if err := f.take(&s, r); err != nil {
-				f.log.Debug("hints are not followed", "leader", s.leader, "error", err)
-				s.end()
-				s.rest = time.Now().Add(reopenEvery)
+		case request := <-f.views:
+			request.reply <- f.replica.View(request.term, time.Now())
+		case event := <-s.batches:
+			if err := f.applyBatch(&s, event); err != nil {
+				f.log.Debug("soft-state stream ended", "leader", s.leader, "error", err)
+				s.close()
+				s.retryAt = time.Now().Add(reconnectDelay)
 			}
-		case <-look.C:
-			if leader := f.leader(); leader != s.leader || s.batches == nil && time.Now().After(s.rest) {
-				s.end()
+		case <-leaderCheck.C:
+			if leader := f.leader(); leader != s.leader || s.batches == nil && time.Now().After(s.retryAt) {
+				s.close()
 				s = f.open(ctx, leader)
 			}
 		case <-ctx.Done():
@@ -99,25 +99,26 @@
 	}
 }
 
-// stream is one stream to a leader; without batches there is none.
+// stream is the stream from one leader; with nil batches there is none.
 type stream struct {
-	leader  string
-	batches chan received
-	acks    chan uint64 // has room for one: the next batch comes only after it
-	cancel  context.CancelFunc
-	rest    time.Time // no other one is opened before
+	leader           string
+	batches          chan streamEvent
+	acknowledgements chan uint64 // has room for one: the next batch is sent only after it
+	cancel           context.CancelFunc
+	retryAt          time.Time // no other stream is opened before
 }
 
-func (s *stream) end() {
+// close ends the stream, if there is one.
+func (s *stream) close() {
 	if s.cancel != nil {
 		s.cancel()
 	}
 	s.cancel, s.batches = nil, nil
 }
 
-// open opens a stream to a leader other than this node.
+// open opens a stream from a leader other than this controller.
 func (f *Follower) open(ctx context.Context, leader string) stream {
-	s := stream{leader: leader, rest: time.Now().Add(reopenEvery)}
+	s := stream{leader: leader, retryAt: time.Now().Add(reconnectDelay)}
 	if leader == "" || leader == f.node {
 		return s
 	}
@@ -125,15 +126,15 @@
 	if err != nil {
 		return s
 	}
-	f.inbox.Begin()
+	f.replica.BeginStream()
 	ctx, s.cancel = context.WithCancel(ctx)
-	s.batches, s.acks = make(chan received), make(chan uint64, 1)
-	go receive(ctx, hintpb.NewHintsClient(conn), f.node, s.batches, s.acks)
+	s.batches, s.acknowledgements = make(chan streamEvent), make(chan uint64, 1)
+	go receiveBatches(ctx, hintpb.NewHintsClient(conn), f.node, s.batches, s.acknowledgements)
 	return s
 }
 
-// receive serves a stream: each batch is handed on, and acknowledged once it was taken.
-func receive(ctx context.Context, client hintpb.HintsClient, node string, out chan<- received, acks <-chan uint64) {
+// receiveBatches passes each batch of a stream on, and acknowledges it once it was applied.
+func receiveBatches(ctx context.Context, client hintpb.HintsClient, node string, out chan<- streamEvent, acks <-chan uint64) {
 	call, err := client.Follow(ctx)
 	if err == nil {
 		err = call.Send(&hintpb.Acknowledgement{Node: node})
@@ -144,7 +145,7 @@
 			batch, err = call.Recv()
 		}
 		select {
-		case out <- received{batch, err}:
+		case out <- streamEvent{batch, err}:
 		case <-ctx.Done():
 			return
 		}
@@ -160,16 +161,16 @@
 	}
 }
 
-// take applies a batch and has it acknowledged.
-func (f *Follower) take(s *stream, r received) error {
-	if r.err != nil {
-		return r.err
+// applyBatch applies a received batch and has it acknowledged.
+func (f *Follower) applyBatch(s *stream, event streamEvent) error {
+	if event.err != nil {
+		return event.err
 	}
 	now := time.Now()
-	if err := f.inbox.Apply(decode(r.batch), now); err != nil {
+	if err := f.replica.Apply(decode(event.batch), now); err != nil {
 		return err
 	}
-	f.status.Store(&Status{Term: f.inbox.Term(), Machines: f.inbox.Size(), LastBatch: now})
-	s.acks <- r.batch.GetSequence()
+	f.status.Store(&Status{Term: f.replica.Term(), Machines: f.replica.MachineCount(), LastBatch: now})
+	s.acknowledgements <- event.batch.GetSequence()
 	return nil
 }
--- a/internal/softstate/server.go
+++ b/internal/softstate/server.go
@@ -14,25 +14,25 @@
 	"leadproxy/internal/transport"
 )
 
-// The times of a stream, on the leader's side.
+// The intervals and timeouts of the leader.
 const (
-	// tellEvery is how often a leader looks for what has changed.
-	tellEvery = 500 * time.Millisecond
-	// askLimit bounds how long the core may take to tell.
-	askLimit = 2 * time.Second
-	// ackLimit is how long a follower may take to acknowledge a batch. Then its stream ends,
-	// so that what a frozen follower costs is one batch, and not for ever.
-	ackLimit = 10 * time.Second
+	// sendInterval is the interval between two checks for changes.
+	sendInterval = 500 * time.Millisecond
+	// sourceTimeout bounds how long the source may take to list its changes.
+	sourceTimeout = 2 * time.Second
+	// acknowledgementTimeout bounds how long a follower may take to acknowledge a batch. After
+	// that its stream ends, so that a frozen follower costs no more than one batch.
+	acknowledgementTimeout = 10 * time.Second
 )
 
-// Source is the leader's memory.
+// Source is the memory of the leader.
 type Source interface {
-	// SoftState tells what has changed since an earlier answer; an error means that this
-	// controller does not lead.
+	// SoftState returns the changes since the position of an earlier call. An error means that
+	// this controller is not the leader.
 	SoftState(ctx context.Context, since uint64) (Changes, error)
 }
 
-// Server tells the other controllers the hints of this one while it leads.
+// Server streams this controller's soft state to the other controllers while it is the leader.
 type Server struct {
 	hintpb.UnimplementedHintsServer
 	source Source
@@ -40,45 +40,45 @@
 	log    *slog.Logger
 }
 
-// NewServer makes a server that tells the hints of a source to the controllers of some
-// names.
+// NewServer makes a server that streams the soft state of a source to the controllers with the
+// given names.
 func NewServer(source Source, others []string, log *slog.Logger) *Server {
 	return &Server{source: source, others: others, log: log}
 }
 
-// Follow serves a stream until the term is over or the follower is gone.
+// Follow serves one follower until the term is over or the follower disconnects.
 func (s *Server) Follow(stream hintpb.Hints_FollowServer) error {
 	first, err := stream.Recv()
 	if err != nil {
 		return err
 	}
 	if !slices.Contains(s.others, first.GetNode()) {
-		s.log.Warn("hints refused: not one of the controllers", "node", first.GetNode())
+		s.log.Warn("soft-state stream refused: unknown controller", "controller", first.GetNode())
 		return status.Errorf(codes.PermissionDenied, "%q is not one of the controllers", first.GetNode())
 	}
 	if first.GetSequence() != 0 {
 		return status.Error(codes.InvalidArgument, "a stream begins with sequence 0")
 	}
-	f := &following{server: s, stream: stream, acknowledged: make(chan uint64)}
+	f := &followerStream{server: s, stream: stream, acknowledged: make(chan uint64)}
 	ctx, cancel := context.WithCancel(stream.Context())
 	defer cancel()
-	go f.receive(ctx, cancel)
+	go f.receiveAcknowledgements(ctx, cancel)
 	return f.run(ctx)
 }
 
-// following is one stream.
-type following struct {
-	server       *Server
-	stream       hintpb.Hints_FollowServer
-	acknowledged chan uint64
-	term         uint64
-	sequence     uint64
-	since        uint64
-	learned      Estimates // as last told
+// followerStream is the stream to one follower.
+type followerStream struct {
+	server        *Server
+	stream        hintpb.Hints_FollowServer
+	acknowledged  chan uint64
+	term          uint64
+	sequence      uint64
+	since         uint64
+	sentEstimates Estimates // as last sent
 }
 
-// receive hands on what is acknowledged until the follower is gone.
-func (f *following) receive(ctx context.Context, cancel context.CancelFunc) {
+// receiveAcknowledgements passes acknowledgements on until the follower disconnects.
+func (f *followerStream) receiveAcknowledgements(ctx context.Context, cancel context.CancelFunc) {
 	defer cancel()
 	for {
 		ack, err := f.stream.Recv()
@@ -93,15 +93,15 @@
 	}
 }
 
-// run sends what changes, one batch at a time.
-func (f *following) run(ctx context.Context) error {
+// run sends changes as they occur, one batch at a time.
+func (f *followerStream) run(ctx context.Context) error {
 	for {
-		more, err := f.tell(ctx)
+		more, err := f.sendChanges(ctx)
 		if err != nil {
 			return err
 		}
 		if !more {
-			transport.Pause(ctx, tellEvery)
+			transport.Pause(ctx, sendInterval)
 		}
 		if ctx.Err() != nil {
 			return nil
@@ -109,11 +109,12 @@
 	}
 }
 
-// tell sends what has changed, if anything, and waits until the follower has it.
-func (f *following) tell(ctx context.Context) (more bool, err error) {
-	asking, cancel := context.WithTimeout(ctx, askLimit)
+// sendChanges sends the next changes, if there are any, and waits until the follower has
+// acknowledged them. With more, further changes are available at once.
+func (f *followerStream) sendChanges(ctx context.Context) (more bool, err error) {
+	listing, cancel := context.WithTimeout(ctx, sourceTimeout)
 	defer cancel()
-	changes, err := f.server.source.SoftState(asking, f.since)
+	changes, err := f.server.source.SoftState(listing, f.since)
 	if err != nil {
 		return false, status.Error(codes.Unavailable, err.Error())
 	}
@@ -125,9 +126,9 @@
 	}
 	f.since = changes.UpTo
 	batch := Batch{Term: f.term, Sequence: f.sequence + 1, Machines: changes.Machines}
-	if f.sequence == 0 || !sameLearned(changes.Estimates, f.learned) {
-		f.learned = changes.Estimates
-		batch.Estimates = &f.learned
+	if f.sequence == 0 || !sameEstimates(changes.Estimates, f.sentEstimates) {
+		f.sentEstimates = changes.Estimates
+		batch.Estimates = &f.sentEstimates
 	}
 	if len(batch.Machines) == 0 && batch.Estimates == nil {
 		return changes.More, nil
@@ -139,17 +140,18 @@
 	return changes.More, f.awaitAcknowledgement(ctx)
 }
 
-// sameLearned tells whether nothing was learned. How long an offer is still blocked only
-// passes.
-func sameLearned(a, b Estimates) bool {
+// sameEstimates tells whether two estimates differ in nothing but the remaining backoff of capacity
+// pools, which decreases by itself.
+func sameEstimates(a, b Estimates) bool {
 	return reflect.DeepEqual(a.RunRatios, b.RunRatios) && reflect.DeepEqual(a.BootSeconds, b.BootSeconds) &&
 		slices.EqualFunc(a.Pools, b.Pools, func(x, y CapacityPool) bool {
 			return x.Type == y.Type && x.Zone == y.Zone && x.Spot == y.Spot && x.Backoff == y.Backoff && x.Filled == y.Filled && x.BackoffLeft <= y.BackoffLeft
 		})
 }
 
-func (f *following) awaitAcknowledgement(ctx context.Context) error {
-	limit := time.NewTimer(ackLimit)
+// awaitAcknowledgement waits until the last batch is acknowledged.
+func (f *followerStream) awaitAcknowledgement(ctx context.Context) error {
+	limit := time.NewTimer(acknowledgementTimeout)
 	defer limit.Stop()
 	select {
 	case got := <-f.acknowledged:
--- a/internal/softstate/size_test.go
+++ b/internal/softstate/size_test.go
@@ -9,13 +9,13 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The largest fleet that hints are reckoned for, and its machines' tasks.
+// The largest cluster that has to be supported, and the tasks of its machines.
 const (
-	largestFleet  = 4000
-	tasksEach     = 8
-	maxFleetBytes = 4 << 20 // to bring everything once
-	maxBatchBytes = 1 << 20 // a quarter of what gRPC takes
-	maxKeptBytes  = 16 << 20
+	largestCluster  = 4000
+	tasksEach       = 8
+	maxStreamBytes  = 4 << 20 // to bring everything once
+	maxBatchBytes   = 1 << 20 // a quarter of what gRPC takes
+	maxReplicaBytes = 16 << 20
 )
 
 func busyMachine(i int) Machine {
@@ -27,31 +27,31 @@
 	return m
 }
 
-// TestLargestFleetsHints: what 4,000 busy machines cost, sent and kept.
-func TestLargestFleetsHints(t *testing.T) {
-	inbox, now := NewReplica(), time.Now()
-	inbox.Begin()
+// TestSoftStateOfLargestCluster: the bytes sent and kept for 4,000 busy machines.
+func TestSoftStateOfLargestCluster(t *testing.T) {
+	replica, now := NewReplica(), time.Now()
+	replica.BeginStream()
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	total, most := 0, 0
-	for i := 0; i < largestFleet; i += MaxChanges {
+	for i := 0; i < largestCluster; i += MaxChanges {
 		batch := Batch{Term: 1, Sequence: uint64(i/MaxChanges + 1)}
-		for k := i; k < min(i+MaxChanges, largestFleet); k++ {
+		for k := i; k < min(i+MaxChanges, largestCluster); k++ {
 			batch.Machines = append(batch.Machines, busyMachine(k))
 		}
 		message := encode(batch)
 		size := proto.Size(message)
 		total, most = total+size, max(most, size)
-		if err := inbox.Apply(decode(message), now); err != nil {
+		if err := replica.Apply(decode(message), now); err != nil {
 			t.Fatal(err)
 		}
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
 	kept := int(after.HeapAlloc) - int(before.HeapAlloc)
-	t.Logf("%d machines: %d KB sent, the largest batch %d KB, %d KB kept", inbox.Size(), total>>10, most>>10, kept>>10)
-	if inbox.Size() != largestFleet || total > maxFleetBytes || most > maxBatchBytes || kept > maxKeptBytes {
-		t.Errorf("%d machines: %d bytes sent, the largest batch %d, %d kept", inbox.Size(), total, most, kept)
+	t.Logf("%d machines: %d KB sent, the largest batch %d KB, %d KB kept", replica.MachineCount(), total>>10, most>>10, kept>>10)
+	if replica.MachineCount() != largestCluster || total > maxStreamBytes || most > maxBatchBytes || kept > maxReplicaBytes {
+		t.Errorf("%d machines: %d bytes sent, the largest batch %d, %d kept", replica.MachineCount(), total, most, kept)
 	}
 }
--- a/internal/softstate/stream_test.go
+++ b/internal/softstate/stream_test.go
@@ -19,7 +19,7 @@
 	"leadproxy/internal/softstate/hintpb"
 )
 
-// memory is a leader's memory.
+// memory is a fake of a leader's memory.
 type memory struct {
 	mu    sync.Mutex
 	term  uint64 // 0: it does not lead
@@ -42,7 +42,7 @@
 	return Changes{Term: m.term, UpTo: since}, nil
 }
 
-// change has the memory be another one.
+// change replaces the memory.
 func (m *memory) change(term uint64, parts []Changes) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -101,9 +101,9 @@
 	return c
 }
 
-// TestFollowing: hints come in parts, changes follow, and after a break of the link and in
-// another term everything comes anew.
-func TestFollowing(t *testing.T) {
+// TestFollowerReplicates: soft state arrives in parts, changes follow, and after a break of the
+// connection and in another term everything is sent again.
+func TestFollowerReplicates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memory{term: 7, parts: []Changes{part("vm-1", "vm-2"), part("vm-3")}}
 		p := newPair(t, m, []string{"n2"})
@@ -124,7 +124,7 @@
 		p.net.Heal("n1", "n2")
 		view(3, 7)
 		m.change(0, nil)
-		view(3, 7) // the leader is no more: its hints stay for the next term
+		view(3, 7) // the leader has ended: its soft state is kept for the next term
 		m.change(9, []Changes{part("vm-5")})
 		view(1, 9)
 		if s := p.follower.Status(); s.Term != 9 || s.Machines != 1 {
@@ -133,8 +133,8 @@
 	})
 }
 
-// TestStrangersAreRefused: a stream from a controller that is none.
-func TestStrangersAreRefused(t *testing.T) {
+// TestUnknownControllersAreRefused: a stream is refused to whoever is not one of the controllers.
+func TestUnknownControllersAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, &memory{term: 7, parts: []Changes{part("vm-1")}}, []string{"n3"})
 		defer p.stop()
@@ -146,7 +146,7 @@
 }
 
 // TestFrozenFollowerCostsOneBatch: a follower that acknowledges nothing is sent one batch,
-// and its stream ends after a while.
+// and its stream ends after the timeout.
 func TestFrozenFollowerCostsOneBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &memory{term: 7}
@@ -170,17 +170,17 @@
 			}
 		}
 		took := time.Since(began)
-		if batches != 1 || took < ackLimit || took > ackLimit+time.Second {
+		if batches != 1 || took < acknowledgementTimeout || took > acknowledgementTimeout+time.Second {
 			t.Errorf("%d batches in %s: %v", batches, took, err)
 		}
-		if others := int(took/tellEvery) + 2; m.questions()-asked > others {
+		if others := int(took/sendInterval) + 2; m.questions()-asked > others {
 			t.Errorf("asked %d times for it", m.questions()-asked-others)
 		}
 	})
 }
 
-// TestWrongAcknowledgementEndsAStream: so does a stream that does not begin with nothing.
-func TestWrongAcknowledgementEndsAStream(t *testing.T) {
+// TestWrongAcknowledgementEndsStream: a wrong sequence, also in the opening message, ends the stream.
+func TestWrongAcknowledgementEndsStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := newPair(t, &memory{term: 7, parts: []Changes{part("vm-1")}}, []string{"n2", "n3"})
 		defer p.stop()
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -12,102 +12,103 @@
 	"leadproxy/internal/wire"
 )
 
-// Store is the part of the state service that following needs.
+// Store is the part of the key-value store that a follower needs.
 type Store interface {
 	List(ctx context.Context, p kvstore.Priority, under, after string, limit int) (wire.EntryPage, error)
 	Watch(ctx context.Context, under string, after uint64, wait time.Duration) (wire.WatchResponse, error)
 }
 
-// The times of following.
+// The intervals and timeouts of a follower.
 const (
-	// watchWait is how long a quiet watch waits.
-	watchWait = 15 * time.Second
-	// followEvery is the least time between two watches: each answer costs a request of
-	// this node's share, and the leader writes all the time.
-	followEvery = 250 * time.Millisecond
-	// restEvery is how long a read rests that has failed.
-	restEvery = time.Second
-	// confirmLimit is how long a won term waits for the view to be complete. Then
-	// everything is read anew, as without a standby.
-	confirmLimit = 1200 * time.Millisecond
+	// watchTimeout is how long a watch waits for a change.
+	watchTimeout = 15 * time.Second
+	// watchInterval is the least time between two watches: each costs a request of this
+	// controller's share of the store's rate, and the leader writes all the time.
+	watchInterval = 250 * time.Millisecond
+	// retryInterval is the pause after a failed read.
+	retryInterval = time.Second
+	// confirmTimeout is how long a new term waits for a complete replica. After that the
+	// whole ledger is read, as without a standby.
+	confirmTimeout = 1200 * time.Millisecond
 )
 
-// Status is how a standby stands. It is never changed once published.
+// Status is a standby's state at one moment. It is never changed once published.
 type Status struct {
 	State    State
 	Revision uint64
 	Keys     int
 	Bytes    int
-	// Heard is when the service last answered.
-	Heard time.Time
-	Why   string // it is not following
+	// LastResponse is when the store last responded.
+	LastResponse time.Time
+	Reason       string // for which it is not following
 }
 
-// View is what a term decides on: all keys as of a revision.
+// View is the replica that a term acts on: all entries as of a revision.
 type View struct {
 	Entries  []wire.Entry
 	Revision uint64
 	Gate     Gate
 }
 
-// Follower keeps a node's replica. Its state belongs to the goroutine that runs it.
+// Follower keeps a controller's replica. Its state belongs to the goroutine of Run.
 type Follower struct {
-	store    Store
-	log      *slog.Logger
-	replica  *Replica
-	gate     Gate
-	promotes chan promotion
-	released chan struct{}
-	status   atomic.Pointer[Status]
-	began    time.Time
+	store      Store
+	log        *slog.Logger
+	replica    *Replica
+	gate       Gate
+	promotions chan promotion
+	released   chan struct{}
+	status     atomic.Pointer[Status]
+	started    time.Time
 }
 
+// promotion is the request of a term for the replica.
 type promotion struct {
 	term  uint64
 	ctx   context.Context
-	reply chan promoted // has room for one
+	reply chan promotionResult // has room for one
 }
 
-type promoted struct {
+// promotionResult is the reply to a promotion.
+type promotionResult struct {
 	view View
 	err  error
 }
 
 // NewFollower makes a follower of some prefixes; Run starts it.
 func NewFollower(store Store, prefixes []string, maxBytes int, log *slog.Logger) *Follower {
-	f := &Follower{store: store, log: log, replica: NewReplica(prefixes, maxBytes), promotes: make(chan promotion), released: make(chan struct{}, 1), began: time.Now()}
+	f := &Follower{store: store, log: log, replica: NewReplica(prefixes, maxBytes), promotions: make(chan promotion), released: make(chan struct{}, 1), started: time.Now()}
 	f.status.Store(&Status{})
 	return f
 }
 
-// Status tells how the standby stands.
+// Status returns the standby's present state.
 func (f *Follower) Status() Status { return *f.status.Load() }
 
-// Ready tells whether the replica is the copy of a moment and follows.
+// Ready tells whether the replica is consistent and kept up to date.
 func (f *Follower) Ready() bool { return f.Status().State == Following }
 
-// Promote returns the view of a term that this node has won, once all conditions for its
-// first decision are met. An error means that they can't be had in time, and why:
-// everything is to be read anew. The replica is given away; Release has the follower begin
-// again.
+// Promote returns the view for a term that this controller has won, once all conditions of the
+// gate are met. An error says which condition was not met in time: the term has to read the
+// whole ledger. The replica is released to the term; after Release the follower reads it again.
 func (f *Follower) Promote(ctx context.Context, term uint64) (View, error) {
-	limited, cancel := context.WithTimeout(ctx, confirmLimit)
+	limited, cancel := context.WithTimeout(ctx, confirmTimeout)
 	defer cancel()
-	p := promotion{term, limited, make(chan promoted, 1)}
+	p := promotion{term, limited, make(chan promotionResult, 1)}
 	select {
-	case f.promotes <- p:
+	case f.promotions <- p:
 	case <-limited.Done():
-		return View{}, errNoTime
+		return View{}, errNotConfirmedInTime
 	}
 	select {
 	case r := <-p.reply:
 		return r.view, r.err
 	case <-limited.Done():
-		return View{}, errNoTime
+		return View{}, errNotConfirmedInTime
 	}
 }
 
-// Release tells that the term is over for which the replica was given away.
+// Release is called when the term is over for which Promote was called.
 func (f *Follower) Release() {
 	select {
 	case f.released <- struct{}{}:
@@ -115,71 +116,71 @@
 	}
 }
 
-// errUsed means that a term has begun here and is over: everything is to be read anew.
-var errUsed = errors.New("a term of this node has used the replica")
+// errReplicaReleased means that a term of this controller has used the replica and is over.
+var errReplicaReleased = errors.New("the replica was released to a term of this controller")
 
 // Run follows until ctx ends.
 func (f *Follower) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		err := f.read(ctx)
+		err := f.readAll(ctx)
 		if err == nil {
-			err = f.follow(ctx)
+			err = f.followChanges(ctx)
 		}
 		f.gate.Demote()
-		if ctx.Err() != nil || errors.Is(err, errUsed) {
+		if ctx.Err() != nil || errors.Is(err, errReplicaReleased) {
 			continue
 		}
-		f.publish(err)
+		f.publishStatus(err)
 		select {
-		case p := <-f.promotes:
-			f.serve(ctx, p)
-		case <-time.After(restAfter(err)):
+		case p := <-f.promotions:
+			f.releaseReplica(ctx, p)
+		case <-time.After(retryDelay(err)):
 		case <-ctx.Done():
 		}
 	}
 }
 
-// restAfter is how long nothing is read after a failure. What is too large will be so
-// again.
-func restAfter(err error) time.Duration {
+// retryDelay is the pause after an error. A ledger that is too large is likely to be so on the
+// next read, so that pause is longer.
+func retryDelay(err error) time.Duration {
 	if errors.Is(err, ErrTooLarge) {
 		return time.Minute
 	}
-	return restEvery
+	return retryInterval
 }
 
-// lost tells whether an error leaves the replica without a way on. After any other one the
-// changes are asked for again from the same revision.
-func lost(err error) bool {
-	return errors.Is(err, kvstore.ErrCompacted) || errors.Is(err, ErrGap) || errors.Is(err, ErrTooLarge)
+// replicaUnusable tells whether the replica has to be read again after an error. After any other
+// error the watch is repeated from the same revision.
+func replicaUnusable(err error) bool {
+	return errors.Is(err, kvstore.ErrCompacted) || errors.Is(err, ErrMissingChanges) || errors.Is(err, ErrTooLarge)
 }
 
-// publish tells how the standby stands, and logs when that changes.
-func (f *Follower) publish(err error) {
-	was := f.Status()
-	s := &Status{State: f.gate.State(), Revision: f.replica.Revision(), Keys: f.replica.Keys(), Bytes: f.replica.Bytes(), Heard: time.Now()}
+// publishStatus publishes the present status, and logs a change of state.
+func (f *Follower) publishStatus(err error) {
+	previous := f.Status()
+	s := &Status{State: f.gate.State(), Revision: f.replica.Revision(), Keys: f.replica.Keys(), Bytes: f.replica.Bytes(), LastResponse: time.Now()}
 	if err != nil {
-		s.Why, s.Heard = err.Error(), was.Heard
+		s.Reason, s.LastResponse = err.Error(), previous.LastResponse
 	}
 	f.status.Store(s)
-	if s.State != was.State {
-		f.log.Info("standby", "state", s.State, "revision", s.Revision, "keys", s.Keys, "bytes", s.Bytes, "why", s.Why)
+	if s.State != previous.State {
+		f.log.Info("standby", "state", s.State, "revision", s.Revision, "keys", s.Keys, "bytes", s.Bytes, "reason", s.Reason)
 	}
 }
 
-// read lists all keys.
-func (f *Follower) read(ctx context.Context) error {
+// readAll reads all entries from the store.
+func (f *Follower) readAll(ctx context.Context) error {
 	f.gate = Gate{}
-	f.publish(nil)
+	f.publishStatus(nil)
 	var all kvstore.Listing
 	for _, prefix := range f.replica.prefixes {
 		select {
-		case p := <-f.promotes:
-			return f.serve(ctx, p)
+		case p := <-f.promotions:
+			return f.releaseReplica(ctx, p)
 		default:
 		}
-		// Not with the rank of users' questions: under load those use up this node's share,
-		// and a standby that was just started stayed behind for seconds.
+		// With the priority of user queries a standby that has just started stayed behind for
+		// seconds under load, since those queries use up this controller's share.
 		listing, err := kvstore.ListAll(ctx, f.store, kvstore.PriorityLeader, prefix)
 		if err != nil {
 			return err
@@ -193,125 +194,126 @@
 	if err := f.replica.Reset(all.Entries, all.FirstRevision, all.LastRevision); err != nil {
 		return err
 	}
-	f.gate.Followed(f.replica.Consistent())
-	f.publish(nil)
+	f.gate.ReplicaUpdated(f.replica.Consistent())
+	f.publishStatus(nil)
 	return nil
 }
 
-// follow applies changes until that fails, or a term has used the replica.
-func (f *Follower) follow(ctx context.Context) error {
+// followChanges applies changes until an error makes the replica unusable or a term has used it.
+func (f *Follower) followChanges(ctx context.Context) error {
 	pause := time.NewTimer(0)
 	defer pause.Stop()
 	for {
 		select {
-		case p := <-f.promotes:
-			return f.serve(ctx, p)
+		case p := <-f.promotions:
+			return f.releaseReplica(ctx, p)
 		case <-pause.C:
 		case <-ctx.Done():
 			return ctx.Err()
 		}
 		watching, cancel := context.WithCancel(ctx)
-		news := f.watch(watching, watchWait)
+		response := f.watch(watching, watchTimeout)
 		select {
-		case p := <-f.promotes:
+		case p := <-f.promotions:
 			cancel()
-			<-news
-			return f.serve(ctx, p)
-		case w := <-news:
+			<-response
+			return f.releaseReplica(ctx, p)
+		case result := <-response:
 			cancel()
-			if err := f.take(w); err != nil {
+			if err := f.applyWatch(result); err != nil {
 				return err
 			}
 		}
-		pause.Reset(followEvery)
+		pause.Reset(watchInterval)
 	}
 }
 
-type watched struct {
-	after uint64
-	news  wire.WatchResponse
-	err   error
+// watchResult is the outcome of a watch that began after a revision.
+type watchResult struct {
+	after    uint64
+	response wire.WatchResponse
+	err      error
 }
 
-// watch asks for changes. The answer is always sent.
-func (f *Follower) watch(ctx context.Context, wait time.Duration) chan watched {
-	answer := make(chan watched, 1)
+// watch starts a watch. Its result is always sent.
+func (f *Follower) watch(ctx context.Context, wait time.Duration) chan watchResult {
+	result := make(chan watchResult, 1)
 	after := f.replica.Revision()
 	if !f.replica.Consistent() {
-		wait = 0 // the changes that bring it there have happened
+		wait = 0 // the changes that are missing have been made already
 	}
 	go func() {
-		news, err := f.store.Watch(ctx, "", after, wait)
-		answer <- watched{after, news, err}
+		response, err := f.store.Watch(ctx, "", after, wait)
+		result <- watchResult{after, response, err}
 	}()
-	return answer
+	return result
 }
 
-// take applies an answer of the watch.
-func (f *Follower) take(w watched) error {
-	if lost(w.err) {
-		return w.err
+// applyWatch applies the result of a watch.
+func (f *Follower) applyWatch(result watchResult) error {
+	if replicaUnusable(result.err) {
+		return result.err
 	}
-	if w.err != nil {
-		// The replica stays as it is, and is behind until the service answers again.
-		f.gate.Followed(false)
-		f.publish(w.err)
+	if result.err != nil {
+		// The replica is kept, and is behind until the store responds again.
+		f.gate.ReplicaUpdated(false)
+		f.publishStatus(result.err)
 		return nil
 	}
-	if err := f.replica.Apply(w.after, w.news); err != nil {
+	if err := f.replica.Apply(result.after, result.response); err != nil {
 		return err
 	}
-	f.gate.Followed(f.replica.Consistent())
-	f.publish(nil)
+	f.gate.ReplicaUpdated(f.replica.Consistent())
+	f.publishStatus(nil)
 	return nil
 }
 
-// serve answers a term that this node has won: with the replica, if that may be decided
-// on. Then it waits until the term is over, since what this node writes itself it need not
-// follow.
-func (f *Follower) serve(ctx context.Context, p promotion) error {
+// releaseReplica replies to the promotion of a term that this controller has won, with the
+// replica if the term may act on it. Then it waits until the term is over: the leader need not
+// follow its own writes.
+func (f *Follower) releaseReplica(ctx context.Context, p promotion) error {
 	select {
 	case <-f.released:
 	default:
 	}
-	if err := f.confirm(p); err != nil {
-		p.reply <- promoted{err: err}
+	if err := f.confirmReplica(p); err != nil {
+		p.reply <- promotionResult{err: err}
 	} else {
-		p.reply <- promoted{view: View{Entries: f.replica.Entries(), Revision: f.replica.Revision(), Gate: f.gate}}
+		p.reply <- promotionResult{view: View{Entries: f.replica.Entries(), Revision: f.replica.Revision(), Gate: f.gate}}
 	}
 	f.replica = NewReplica(f.replica.prefixes, f.replica.maxBytes)
-	f.publish(nil)
+	f.publishStatus(nil)
 	select {
 	case <-f.released:
 	case <-ctx.Done():
 	}
-	return errUsed
+	return errReplicaReleased
 }
 
-// errNoTime means that the service did not show in time that the view is complete.
-var errNoTime = errors.New("the view was not complete in time")
+// errNotConfirmedInTime means that no response of the store showed in time that the replica is
+// complete.
+var errNotConfirmedInTime = errors.New("the replica was not complete in time")
 
-// confirm asks the service for all changes that there are, until the view is as new as the
-// term.
-func (f *Follower) confirm(p promotion) error {
-	if err := f.gate.Won(p.term, time.Since(f.began)); err != nil {
+// confirmReplica applies all changes that the store has, until the replica is as new as the term.
+func (f *Follower) confirmReplica(p promotion) error {
+	if err := f.gate.TermWon(p.term, time.Since(f.started)); err != nil {
 		return err
 	}
 	for p.ctx.Err() == nil {
-		w := <-f.watch(p.ctx, 0)
-		if errors.Is(w.err, kvstore.ErrCompacted) {
-			return w.err
+		result := <-f.watch(p.ctx, 0)
+		if errors.Is(result.err, kvstore.ErrCompacted) {
+			return result.err
 		}
-		if w.err == nil {
-			if err := f.replica.Apply(w.after, w.news); err != nil {
+		if result.err == nil {
+			if err := f.replica.Apply(result.after, result.response); err != nil {
 				return err
 			}
-			f.gate.Read(f.replica.Revision(), f.replica.Consistent(), time.Since(f.began))
+			f.gate.ReplicaConfirmed(f.replica.Revision(), f.replica.Consistent(), time.Since(f.started))
 			if f.gate.MayDecide(p.term) {
 				return nil
 			}
 		}
 		transport.Pause(p.ctx, 50*time.Millisecond)
 	}
-	return errNoTime
+	return errNotConfirmedInTime
 }
--- a/internal/standby/follower_test.go
+++ b/internal/standby/follower_test.go
@@ -116,7 +116,7 @@
 		says     string
 	}{
 		{"it is larger than it may be", 1000, func(s *stage) { s.await(Demoted) }, nil, "demoted"},
-		{"the service does not answer", 1 << 20, func(s *stage) { s.await(Following); s.service.Outage(true) }, errNoTime, "in time"},
+		{"the service does not answer", 1 << 20, func(s *stage) { s.await(Following); s.service.Outage(true) }, errNotConfirmedInTime, "in time"},
 		{"its changes are no longer kept", 1 << 20, func(s *stage) {
 			s.await(Following)
 			s.service.Forget()
--- a/internal/standby/gate.go
+++ b/internal/standby/gate.go
@@ -5,20 +5,20 @@
 	"time"
 )
 
-// State is what a standby is doing.
+// State is the state of a standby.
 type State int
 
 // The states of a standby.
 const (
-	// CatchingUp: the replica is being read, or its changes are not all known yet.
+	// CatchingUp: the replica is being read, or lacks changes.
 	CatchingUp State = iota
-	// Following: the replica is the copy of a moment and follows the changes.
+	// Following: the replica is a consistent copy and is kept up to date.
 	Following
-	// Confirming: this node has won a term and looks whether its view is complete.
+	// Confirming: this controller has won a term and checks that its replica is complete.
 	Confirming
-	// Active: the term decides on the replica.
+	// Active: the term acts on the replica.
 	Active
-	// Demoted: the replica is in doubt or was given away; it is to be read anew.
+	// Demoted: the replica is unusable or was released; it has to be read again.
 	Demoted
 )
 
@@ -27,39 +27,39 @@
 // String is the state's name in logs.
 func (s State) String() string { return stateNames[s] }
 
-// Evidence is one of the conditions for the first decision of a term.
-type Evidence struct {
-	Met  bool
-	Why  string
-	Took time.Duration // since the term was won
+// Condition is one of the conditions under which a term may act on the replica.
+type Condition struct {
+	Met     bool
+	Reason  string
+	Elapsed time.Duration // since the term was won
 }
 
-// Gate tells when a term may decide on the replica. It is pure: each call is an event,
-// with the time at which it came.
+// Gate decides when a term may act on the replica. It does no I/O: each call is an event with
+// the time of its arrival.
 //
 // The conditions are, in this order:
 //
-//   - Ended: the term before has ended. This node's key was created, and that is possible
-//     only when the key of the one before is gone: its lease has ended at the service, or
-//     it has resigned. The creation's revision is the new term.
-//   - Complete: the replica has all changes up to that revision, from an answer that the
-//     service has given since. Each write of the terms before needs their key, so none is
-//     carried out later.
-//   - Fenced: so a transaction of theirs whose outcome nobody has learned either is in the
-//     replica or never will be in the ledger.
+//   - PreviousTermEnded: this controller's leader key was created, which is possible only when
+//     the key of the previous leader is gone: its lease has expired, or it has resigned. The
+//     revision of the creation is the new term.
+//   - ReplicaComplete: the replica has all changes up to that revision, from a response that the
+//     store has given since. Each write of an earlier term has that term's key as a condition,
+//     so none is applied later.
+//   - EarlierWritesFenced: so a transaction of an earlier term whose outcome is unknown either is
+//     in the replica or will never be applied.
 type Gate struct {
 	state State
 	term  uint64
 	wonAt time.Duration
 	// The conditions of the present term.
-	Ended, Complete, Fenced Evidence
+	PreviousTermEnded, ReplicaComplete, EarlierWritesFenced Condition
 }
 
-// State is what the standby is doing.
+// State returns the state of the standby.
 func (g *Gate) State() State { return g.state }
 
-// Followed tells how the replica stands: whether it is the copy of a moment.
-func (g *Gate) Followed(consistent bool) {
+// ReplicaUpdated is called after each change of the replica, with whether it is consistent.
+func (g *Gate) ReplicaUpdated(consistent bool) {
 	if g.state == Confirming || g.state == Active {
 		return
 	}
@@ -69,49 +69,49 @@
 	}
 }
 
-// Won tells that this node's key was created at a revision, which is its term. A replica
-// that is not the copy of a moment is not decided on: it may take longer than reading
-// everything anew.
-func (g *Gate) Won(term uint64, now time.Duration) error {
+// TermWon is called when this controller's leader key was created, at a revision that is its
+// term. It returns an error unless the replica is consistent: bringing it up to date may take
+// longer than reading everything.
+func (g *Gate) TermWon(term uint64, now time.Duration) error {
 	if g.state != Following {
 		return fmt.Errorf("the standby is %s", g.state)
 	}
 	g.state, g.term, g.wonAt = Confirming, term, now
-	g.Ended = Evidence{Met: true, Why: fmt.Sprintf("the key was free and is held since revision %d", term)}
-	g.Complete, g.Fenced = Evidence{Why: "the service has not answered yet"}, Evidence{Why: "the view is not complete"}
+	g.PreviousTermEnded = Condition{Met: true, Reason: fmt.Sprintf("the leader key was created at revision %d", term)}
+	g.ReplicaComplete, g.EarlierWritesFenced = Condition{Reason: "the store has not responded yet"}, Condition{Reason: "the replica is not complete"}
 	return nil
 }
 
-// Read tells up to which revision the replica has all changes, by an answer of the service
-// to a question that was asked after the term was won.
-func (g *Gate) Read(revision uint64, consistent bool, now time.Duration) {
+// ReplicaConfirmed is called with the revision up to which the replica has all changes, by the
+// response to a request that was sent after the term was won.
+func (g *Gate) ReplicaConfirmed(revision uint64, consistent bool, now time.Duration) {
 	if g.state != Confirming {
 		return
 	}
-	took := now - g.wonAt
+	elapsed := now - g.wonAt
 	if revision < g.term || !consistent {
-		g.Complete = Evidence{Why: fmt.Sprintf("the view is of revision %d, before %d", revision, g.term), Took: took}
+		g.ReplicaComplete = Condition{Reason: fmt.Sprintf("the replica is of revision %d, before %d", revision, g.term), Elapsed: elapsed}
 		return
 	}
-	g.Complete = Evidence{Met: true, Why: fmt.Sprintf("the view is of revision %d", revision), Took: took}
-	g.Fenced = Evidence{Met: true, Why: "no write of an earlier term can follow", Took: took}
+	g.ReplicaComplete = Condition{Met: true, Reason: fmt.Sprintf("the replica is of revision %d", revision), Elapsed: elapsed}
+	g.EarlierWritesFenced = Condition{Met: true, Reason: "no write of an earlier term can be applied any more", Elapsed: elapsed}
 	g.state = Active
 }
 
-// MayDecide tells whether a term may decide on the replica.
+// MayDecide tells whether a term may act on the replica.
 func (g *Gate) MayDecide(term uint64) bool {
-	return g.state == Active && g.term == term && g.Ended.Met && g.Complete.Met && g.Fenced.Met
+	return g.state == Active && g.term == term && g.PreviousTermEnded.Met && g.ReplicaComplete.Met && g.EarlierWritesFenced.Met
 }
 
-// Missing names the condition that is not met; "": all are.
-func (g *Gate) Missing() string {
-	for _, e := range []Evidence{g.Ended, g.Complete, g.Fenced} {
+// UnmetCondition returns the reason of the first unmet condition; "": all are met.
+func (g *Gate) UnmetCondition() string {
+	for _, e := range []Condition{g.PreviousTermEnded, g.ReplicaComplete, g.EarlierWritesFenced} {
 		if !e.Met {
-			return e.Why
+			return e.Reason
 		}
 	}
 	return ""
 }
 
-// Demote tells that the replica is not to be decided on any more.
+// Demote is called when the replica may not be used any more.
 func (g *Gate) Demote() { *g = Gate{state: Demoted} }
--- a/internal/standby/model_test.go
+++ b/internal/standby/model_test.go
@@ -147,7 +147,7 @@
 	n.listed = 0
 	n.gate = Gate{}
 	if n.replica.Reset(n.listing, n.began, n.ended) == nil {
-		n.gate.Followed(false)
+		n.gate.ReplicaUpdated(false)
 	}
 }
 
@@ -166,7 +166,7 @@
 	if n.gate.State() == Demoted || n.replica.Apply(c.after, c.news) != nil {
 		return
 	}
-	n.gate.Followed(n.replica.Consistent())
+	n.gate.ReplicaUpdated(n.replica.Consistent())
 }
 
 // failer is a test or a property.
@@ -181,7 +181,7 @@
 		return
 	}
 	term := w.service.term
-	if n.gate.Won(term, w.now) != nil {
+	if n.gate.TermWon(term, w.now) != nil {
 		return // it reads everything anew
 	}
 	if n.gate.MayDecide(term) {
@@ -199,7 +199,7 @@
 	}
 	w.confirm(t, n, changes{after, news})
 	if !n.gate.MayDecide(term) {
-		t.Fatalf("%s may not decide: %s", n.name, n.gate.Missing())
+		t.Fatalf("%s may not decide: %s", n.name, n.gate.UnmetCondition())
 	}
 	if got, want := n.replica.Entries(), w.service.ledgerKeys(); !reflect.DeepEqual(got, want) {
 		t.Fatalf("%s decides on %v, the service holds %v", n.name, got, want)
@@ -210,7 +210,7 @@
 	if n.replica.Apply(c.after, c.news) != nil {
 		return
 	}
-	n.gate.Read(n.replica.Revision(), n.replica.Consistent(), w.now)
+	n.gate.ReplicaConfirmed(n.replica.Revision(), n.replica.Consistent(), w.now)
 	if n.gate.MayDecide(w.service.term) && n.replica.Revision() < w.service.term {
 		t.Fatalf("%s may decide at revision %d in term %d", n.name, n.replica.Revision(), w.service.term)
 	}
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -1,7 +1,8 @@
-// Package standby keeps a copy of the leader's durable state on the controllers that do
-// not lead, so that one of them can decide soon after it is elected. A replica is read
-// once and then follows the state service's changes; a gate tells when it may be decided
-// on. docs/design-standby.md argues why that is as safe as reading everything anew.
+// Package standby keeps a replica of the ledger on the controllers that are not the leader, so
+// that a failover need not read the ledger. A Replica is read once and then follows the store's
+// changes; a Gate decides when a new term may act on it. Follower, whose goroutine owns both, is
+// where to begin reading. docs/design-standby.md argues why this is as safe as reading the whole
+// ledger.
 package standby
 
 import (
@@ -13,47 +14,47 @@
 	"leadproxy/internal/wire"
 )
 
-// ErrTooLarge means that the keys take more memory than the replica may have.
-var ErrTooLarge = errors.New("the replica would take more memory than it may")
+// ErrTooLarge means that the entries exceed the memory limit of the replica.
+var ErrTooLarge = errors.New("the replica exceeds its memory limit")
 
-// entryCost is what an entry takes besides its key and value.
-const entryCost = 160
+// entryOverhead is the memory that an entry takes besides its key and value.
+const entryOverhead = 160
 
-// Replica is a copy of the keys under some prefixes. It has no goroutine of its own.
+// Replica is a copy of the entries under some prefixes. It does no I/O.
 type Replica struct {
 	prefixes []string
 	maxBytes int
 	entries  map[string]wire.Entry
 	bytes    int
-	// revision is that up to which all changes are applied; floor is the one from which
-	// on the copy is that of a single moment.
-	revision, floor uint64
+	// All changes up to revision are applied. From consistentFrom on the copy is that of a
+	// single revision: before, its pages are of different ones.
+	revision, consistentFrom uint64
 }
 
-// NewReplica makes an empty replica of some prefixes that may take so many bytes.
+// NewReplica makes an empty replica of the entries under prefixes, of at most maxBytes.
 func NewReplica(prefixes []string, maxBytes int) *Replica {
 	return &Replica{prefixes: prefixes, maxBytes: maxBytes, entries: map[string]wire.Entry{}}
 }
 
-// Reset begins with what was listed. The listing began at one revision of the service and
-// ended at another: between them its pages are of different moments, and the changes since
-// it began bring them together.
+// Reset replaces the replica by listed entries. The pages of a listing are of different
+// revisions, from began to ended; applying all changes since began makes the replica consistent.
 func (r *Replica) Reset(entries []wire.Entry, began, ended uint64) error {
-	r.entries, r.bytes, r.revision, r.floor = map[string]wire.Entry{}, 0, began, ended
+	r.entries, r.bytes, r.revision, r.consistentFrom = map[string]wire.Entry{}, 0, began, ended
 	for _, e := range entries {
 		r.put(e)
 	}
-	return r.check()
+	return r.checkSize()
 }
 
-// ErrGap means that changes are missing between the replica and those that have come.
-var ErrGap = errors.New("changes are missing")
+// ErrMissingChanges means that changes between the replica's revision and the received ones are
+// missing.
+var ErrMissingChanges = errors.New("changes are missing")
 
-// Apply takes the service's changes after a revision. Those that are known already are
-// passed over, and an answer that is older changes nothing.
+// Apply applies the changes of a watch that began after a revision. Changes that are applied
+// already are skipped, and a response older than the replica has no effect.
 func (r *Replica) Apply(after uint64, n wire.WatchResponse) error {
 	if after > r.revision {
-		return fmt.Errorf("%w: those after %d have come, up to %d all are known", ErrGap, after, r.revision)
+		return fmt.Errorf("%w: received those after %d, the replica is at %d", ErrMissingChanges, after, r.revision)
 	}
 	if n.Revision <= r.revision {
 		return nil
@@ -70,61 +71,62 @@
 	})
 	for _, e := range events {
 		key := e.Set + e.Delete
-		if e.Version <= r.revision || !r.covers(key) {
+		if e.Version <= r.revision || !r.hasPrefix(key) {
 			continue
 		}
 		if e.Delete != "" {
-			r.drop(key)
+			r.remove(key)
 		} else {
 			r.put(wire.Entry{Key: key, Value: e.Value, Version: e.Version})
 		}
 	}
 	r.revision = n.Revision
-	return r.check()
+	return r.checkSize()
 }
 
-func (r *Replica) covers(key string) bool {
+// hasPrefix tells whether the replica holds keys like this one.
+func (r *Replica) hasPrefix(key string) bool {
 	return slices.ContainsFunc(r.prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 }
 
 func (r *Replica) put(e wire.Entry) {
-	r.drop(e.Key)
-	// The answer that brought it holds much else.
+	r.remove(e.Key)
+	// Without the clones the entry would keep the whole response in memory.
 	e.Value = slices.Clone(e.Value)
 	e.Key = strings.Clone(e.Key)
 	r.entries[e.Key] = e
-	r.bytes += cost(e)
+	r.bytes += memoryCost(e)
 }
 
-func (r *Replica) drop(key string) {
+func (r *Replica) remove(key string) {
 	if old, ok := r.entries[key]; ok {
-		r.bytes -= cost(old)
+		r.bytes -= memoryCost(old)
 		delete(r.entries, key)
 	}
 }
 
-func cost(e wire.Entry) int { return entryCost + len(e.Key) + len(e.Value) }
+func memoryCost(e wire.Entry) int { return entryOverhead + len(e.Key) + len(e.Value) }
 
-func (r *Replica) check() error {
+func (r *Replica) checkSize() error {
 	if r.bytes > r.maxBytes {
 		return fmt.Errorf("%w: %d bytes of %d", ErrTooLarge, r.bytes, r.maxBytes)
 	}
 	return nil
 }
 
-// Revision is that up to which all changes are in the replica.
+// Revision is the revision up to which all changes are applied.
 func (r *Replica) Revision() uint64 { return r.revision }
 
-// Bytes is about what it takes in memory.
+// Bytes is the approximate memory of the entries.
 func (r *Replica) Bytes() int { return r.bytes }
 
-// Keys is how many keys it holds.
+// Keys is the number of entries.
 func (r *Replica) Keys() int { return len(r.entries) }
 
-// Consistent tells whether it is the copy of a single moment.
-func (r *Replica) Consistent() bool { return r.revision >= r.floor }
+// Consistent tells whether the replica is a copy of a single revision.
+func (r *Replica) Consistent() bool { return r.revision >= r.consistentFrom }
 
-// Entries lists what it holds, in the order of the keys.
+// Entries returns the entries in the order of their keys.
 func (r *Replica) Entries() []wire.Entry {
 	all := make([]wire.Entry, 0, len(r.entries))
 	for _, e := range r.entries {
