--- a/internal/cells/proof_test.go
+++ b/internal/cells/proof_test.go
@@ -169,7 +169,7 @@
 		}
 	}
 	for _, run := range check.Runs() {
-		ref, _, _ := wire.ParseTaskName(run.Task)
+		ref := wire.JobIDOfTask(run.Task)
 		e := of(ref)
 		e.attempts++
 		if name, _, _ := strings.Cut(run.Machine, "-vm-"); !slices.Contains(e.cells, name) {
--- a/internal/controller/cells_measure_test.go
+++ b/internal/controller/cells_measure_test.go
@@ -29,7 +29,7 @@
 // runOf is how long a job's tasks run: 10 to 30 s, the same with and without spilling.
 func runOf(seed uint64) func(task string) time.Duration {
 	return func(task string) time.Duration {
-		ref, _, _ := wire.ParseTaskName(task)
+		ref := wire.JobIDOfTask(task)
 		h := fnv.New64a()
 		fmt.Fprint(h, seed, ref)
 		return meanRun/2 + time.Duration(rand.New(rand.NewPCG(h.Sum64(), 1)).Int64N(int64(meanRun)))
@@ -89,7 +89,7 @@
 		spilled = len(f.spilled("a"))
 		starts, ends := map[string]time.Time{}, map[string]time.Time{}
 		for _, run := range f.check.Runs() {
-			ref, _, _ := wire.ParseTaskName(run.Task)
+			ref := wire.JobIDOfTask(run.Task)
 			if run.Began.After(starts[ref]) {
 				starts[ref] = run.Began
 			}
--- a/internal/controller/drain_measure_test.go
+++ b/internal/controller/drain_measure_test.go
@@ -111,7 +111,7 @@
 func (r *drainResult) count(c *cluster, accepted map[string]time.Time) {
 	ends := map[string]time.Time{}
 	for _, run := range c.check.Runs() {
-		ref, _, _ := wire.ParseTaskName(run.Task)
+		ref := wire.JobIDOfTask(run.Task)
 		if run.Completed && run.Ended.After(ends[ref]) {
 			ends[ref] = run.Ended
 		}
--- a/internal/controller/scenario_test.go
+++ b/internal/controller/scenario_test.go
@@ -32,7 +32,7 @@
 // go on when all troubles are over. Pipelines are short.
 func long(d time.Duration) func(task string) time.Duration {
 	return func(task string) time.Duration {
-		ref, _, _ := wire.ParseTaskName(task)
+		ref := wire.JobIDOfTask(task)
 		if strings.HasPrefix(ref, "job-0") && strings.Contains("02468", ref[len(ref)-1:]) {
 			return d
 		}
--- a/internal/controller/state_service_test.go
+++ b/internal/controller/state_service_test.go
@@ -129,8 +129,8 @@
 			// Every other task ends soon, and of the rest every other one a little later:
 			// their ranges are more than a small value holds.
 			run := func(task string) time.Duration {
-				_, n, _ := wire.ParseTaskName(task)
-				return []time.Duration{3 * time.Second, 25 * time.Second, 3 * time.Second, 63 * time.Second}[n%4]
+				name, _ := wire.ParseTaskName(task)
+				return []time.Duration{3 * time.Second, 25 * time.Second, 3 * time.Second, 63 * time.Second}[name.Index%4]
 			}
 			absent := 0
 			if name == "before all nodes are known" {
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -221,7 +221,7 @@
 	}
 	inZone := 1
 	for t, o := range c.on {
-		if ref, _, _ := wire.ParseTaskName(t); ref != s.ID || t == task {
+		if ref := wire.JobIDOfTask(t); ref != s.ID || t == task {
 			continue
 		}
 		if o.zone == p.zone {
--- a/internal/fake/checker_runs.go
+++ b/internal/fake/checker_runs.go
@@ -52,7 +52,7 @@
 // Begins notes that a task is on a machine from now on.
 func (c *Checker) Begins(task, machine, typ, zone string, spot bool) {
 	c.do(func() {
-		ref, _, _ := wire.ParseTaskName(task)
+		ref := wire.JobIDOfTask(task)
 		j := c.jobs[ref]
 		if j == nil {
 			c.breaks("invented", "%s started and was never submitted", task)
@@ -93,7 +93,7 @@
 	}
 	used := 0.0
 	for t := range c.on {
-		ref, _, _ := wire.ParseTaskName(t)
+		ref := wire.JobIDOfTask(t)
 		if j := c.jobs[ref]; j != nil && j.job.Team == team {
 			used += j.job.CPUs
 		}
@@ -111,7 +111,7 @@
 			delete(c.on, task)
 		}
 		c.ended(task, machine, completed)
-		ref, _, _ := wire.ParseTaskName(task)
+		ref := wire.JobIDOfTask(task)
 		if j := c.jobs[ref]; completed && j != nil {
 			j.done[task] = true
 		}
@@ -120,7 +120,7 @@
 
 // stays looks at a task that is still on its machine.
 func (c *Checker) stays(task string) {
-	ref, _, _ := wire.ParseTaskName(task)
+	ref := wire.JobIDOfTask(task)
 	if j := c.jobs[ref]; j != nil && c.cancelDue(j) {
 		c.breaks("ran_cancelled", "%s is on %s %s after the confirmation", task, c.on[task].machine, time.Since(j.toldAt))
 		j.toldAt = time.Now() // once is enough
@@ -134,7 +134,7 @@
 	c.do(func() {
 		for i := range tasks {
 			t := &tasks[i]
-			ref, _, _ := wire.ParseTaskName(t.Task)
+			ref := wire.JobIDOfTask(t.Task)
 			j := c.jobs[ref]
 			if t.Status == wire.TaskEnded || j == nil || j.told != wire.JobCancelled || j.toldAt.After(sent) {
 				continue
--- a/internal/fake/checker_waiting.go
+++ b/internal/fake/checker_waiting.go
@@ -72,7 +72,7 @@
 	}
 	there := len(j.done)
 	for t := range c.on {
-		if r, _, _ := wire.ParseTaskName(t); r == ref && !j.done[t] {
+		if r := wire.JobIDOfTask(t); r == ref && !j.done[t] {
 			there++
 		}
 	}
@@ -84,7 +84,7 @@
 	if limit := c.limits.CPUs[s.Team]; limit > 0 {
 		used := s.CPUs
 		for t := range c.on {
-			ref, _, _ := wire.ParseTaskName(t)
+			ref := wire.JobIDOfTask(t)
 			if o := c.jobs[ref]; o != nil && o.job.Team == s.Team {
 				used += o.job.CPUs
 			}
@@ -118,7 +118,7 @@
 func (c *Checker) On(ref string) (on, done int) {
 	c.do(func() {
 		for t := range c.on {
-			if r, _, _ := wire.ParseTaskName(t); ref == "" || r == ref {
+			if r := wire.JobIDOfTask(t); ref == "" || r == ref {
 				on++
 			}
 		}
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -101,7 +101,7 @@
 	name := fmt.Sprintf("%s%06d", cmp.Or(c.config.Prefix, "vm-"), c.count)
 	c.count++
 	n, addr := c.config.Host(name)
-	m := &rented{since: time.Now(), listed: wire.ListedMachine{Name: name, Address: addr, Type: h.Type, Zone: h.Zone, Spot: h.Spot, Status: wire.MachineBooting}}
+	m := &rented{since: time.Now(), listed: wire.ListedMachine{Name: name, Address: addr, CapacityPool: h.CapacityPool, Status: wire.MachineBooting}}
 	c.machines[name] = m
 	ctx := c.t.Context()
 	go func() {
--- a/internal/fake/stops.go
+++ b/internal/fake/stops.go
@@ -18,7 +18,7 @@
 func Stops(runs []Run) (stops []Stop) {
 	last := map[string]Run{}
 	for _, r := range runs {
-		ref, _, _ := wire.ParseTaskName(r.Task)
+		ref := wire.JobIDOfTask(r.Task)
 		before, again := last[r.Task]
 		last[r.Task] = r
 		if !again {
--- a/internal/fake/worker_reports.go
+++ b/internal/fake/worker_reports.go
@@ -12,7 +12,7 @@
 
 func (w *Worker) report() wire.Heartbeat {
 	w.seq++
-	r := wire.Heartbeat{Machine: w.name, Address: w.Addr(), Type: w.hire.Type, Zone: w.hire.Zone, Spot: w.hire.Spot,
+	r := wire.Heartbeat{Machine: w.name, Address: w.Addr(), CapacityPool: w.hire.CapacityPool,
 		AgentEpoch: w.session, Sequence: w.seq, FencingToken: w.token, Tasks: []wire.TaskStatus{}}
 	for _, t := range w.tasks {
 		r.Tasks = append(r.Tasks, t.TaskStatus)
--- a/internal/fake/worker_tasks.go
+++ b/internal/fake/worker_tasks.go
@@ -130,7 +130,7 @@
 	w.change()
 	t := &workerTask{TaskStatus: wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: wire.TaskEnded}}
 	w.tasks = append(w.tasks, t)
-	ref, _, _ := wire.ParseTaskName(o.Task)
+	ref := wire.JobIDOfTask(o.Task)
 	if t.job = w.config.Check.Job(ref); t.job == nil {
 		t.ExitReason = wire.ExitNoSuchTask
 		return
--- a/internal/jobapi/service.go
+++ b/internal/jobapi/service.go
@@ -131,13 +131,15 @@
 // --- submissions ---
 
 func (s *Service) submit(ctx context.Context, body []byte, local bool) Answer {
-	job, ref, err := wire.ParseJob(body)
-	if ref == "" {
-		return problem(http.StatusBadRequest, "%s", err)
+	job, err := wire.ParseJob(body)
+	var invalid *wire.InvalidJobError
+	if errors.As(err, &invalid) && invalid.JobID != "" {
+		return s.refuse(ctx, invalid.JobID, body, verdict{refusal: problem(http.StatusBadRequest, "%s", err)}, local)
 	}
 	if err != nil {
-		return s.refuse(ctx, ref, body, verdict{refusal: problem(http.StatusBadRequest, "%s", err)}, local)
+		return problem(http.StatusBadRequest, "%s", err)
 	}
+	ref := job.ID
 	if a, ok := s.servedElsewhere(ctx, Submit, ref, body, &local); ok {
 		return a
 	}
--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -40,7 +40,9 @@
 	stopRepeated bool
 }
 
-func (c *Core) taskName(b *allocation) string { return wire.TaskName(c.jobs[b.job].id, int(b.task)) }
+func (c *Core) taskName(b *allocation) string {
+	return wire.TaskName{JobID: c.jobs[b.job].id, Index: int(b.task)}.String()
+}
 
 func (m *machine) allocation(attempt uint64) *allocation {
 	for _, b := range m.allocations {
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -53,7 +53,7 @@
 			typ = 1 + i%20/19
 		}
 		m := &siteMachine{ends: map[uint64]time.Duration{}, next: time.Duration(i) * 8 * time.Second / time.Duration(machines)}
-		m.report = wire.Heartbeat{Machine: fmt.Sprintf("vm-%06d", i), Address: "10.1.0.1:9000", Type: types[typ].Name, Zone: types[typ].Zones[i%3], Spot: i%4 > 0, AgentEpoch: 1}
+		m.report = wire.Heartbeat{Machine: fmt.Sprintf("vm-%06d", i), Address: "10.1.0.1:9000", CapacityPool: wire.CapacityPool{Type: types[typ].Name, Zone: types[typ].Zones[i%3], Spot: i%4 > 0}, AgentEpoch: 1}
 		s.machines = append(s.machines, m)
 		s.at[m.report.Machine] = m
 	}
--- a/internal/scheduler/cancel_watch_test.go
+++ b/internal/scheduler/cancel_watch_test.go
@@ -70,7 +70,7 @@
 		Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), Terminal: wire.JobCancelled, Tasks: 1}, Hosts: savedHosts("vm-1")}}})
 	g.now += time.Second
 	g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}, List: []wire.ListedMachine{
-		{Name: "vm-1", Address: "10.1.0.1:9000", Type: "m4", Zone: "a", Spot: true, Status: wire.MachineRunning, AgeS: 90}}}})
+		{Name: "vm-1", Address: "10.1.0.1:9000", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a", Spot: true}, Status: wire.MachineRunning, AgeS: 90}}}})
 	g.want("probes", len(g.start), 1)
 	probe := g.start[0]
 	g.start = nil
--- a/internal/scheduler/core_test.go
+++ b/internal/scheduler/core_test.go
@@ -67,7 +67,7 @@
 		}, 0},
 		{"is given up when the machine is listed as failed", func(g *stage, o wire.Command) {
 			g.up("vm-2")
-			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}, List: []wire.ListedMachine{{Name: "vm-1", Type: "m4", Zone: "a", Status: wire.MachineFailed}}}})
+			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}, List: []wire.ListedMachine{{Name: "vm-1", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a"}, Status: wire.MachineFailed}}}})
 		}, 1},
 		{"absence from the list proves nothing", func(g *stage, o wire.Command) {
 			g.up("vm-2")
@@ -284,8 +284,8 @@
 
 func TestHireOfAnEarlierLeaderIsRepeatedUnderItsName(t *testing.T) {
 	g := newStage(t, ledger.Snapshot{ScaleOuts: []ledger.ScaleOutRecord{
-		{Request: wire.ScaleOutRequest{RequestID: "h6-1", Type: "m4", Zone: "a", Count: 2}},
-		{Request: wire.ScaleOutRequest{RequestID: "h6-2", Type: "m4", Zone: "a", Count: 1}, Machines: []string{"vm-3"}},
+		{Request: wire.ScaleOutRequest{RequestID: "h6-1", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a"}, Count: 2}},
+		{Request: wire.ScaleOutRequest{RequestID: "h6-2", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a"}, Count: 1}, Machines: []string{"vm-3"}},
 	}})
 	if len(g.hires) != 1 || g.hires[0].RequestID != "h6-1" {
 		t.Fatalf("repeated %v, want h6-1 only", g.hires)
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -38,7 +38,7 @@
 func (g *stage) started() string {
 	var refs []string
 	for _, o := range g.starts() {
-		ref, _, _ := wire.ParseTaskName(o.Task)
+		ref := wire.JobIDOfTask(o.Task)
 		refs = append(refs, ref)
 	}
 	g.settle(CommandExecuted)
@@ -206,7 +206,7 @@
 			g.settle(CommandExecuted)
 			g.wait(time.Second)
 			for _, o := range g.starts() {
-				if ref, _, _ := wire.ParseTaskName(o.Task); ref == "job-3" {
+				if ref := wire.JobIDOfTask(o.Task); ref == "job-3" {
 					t.Errorf("%s was started", o.Task)
 				}
 			}
--- a/internal/scheduler/failure_attribution.go
+++ b/internal/scheduler/failure_attribution.go
@@ -32,7 +32,7 @@
 		j.failedOn = map[int32]bool{}
 	}
 	j.failedOn[m.index] = true
-	c.log.Info("task failed", "machine", m.name, "task", wire.TaskName(j.id, int(n)), "attempt", attempt, "machines", len(j.failedOn))
+	c.log.Info("task failed", "machine", m.name, "task", wire.TaskName{JobID: j.id, Index: int(n)}.String(), "attempt", attempt, "machines", len(j.failedOn))
 	if j.suspect() {
 		// It is tried again now and then until its user cancels it.
 		c.holdJob(j)
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -56,7 +56,7 @@
 func (c *Core) writeForeign(e federation.WriteForeign) {
 	put := WriteForeign{Write: e}
 	if e.Body != nil {
-		spec, _, err := wire.ParseJob(e.Body.Job)
+		spec, err := wire.ParseJob(e.Body.Job)
 		if err != nil {
 			c.log.Error("an admitted job can't be read", "job", e.Key.JobID, "error", err)
 			return
@@ -100,7 +100,7 @@
 	case !c.federation.allowed:
 		return federation.Refusal{Reason: "not all controllers here know transfers", Temporary: true}
 	}
-	spec, _, err := wire.ParseJob(body.Job)
+	spec, err := wire.ParseJob(body.Job)
 	if err != nil {
 		return federation.Refusal{Reason: "the job can't be read: " + err.Error()}
 	}
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -145,7 +145,7 @@
 
 func (g *stage) reportOf(name string, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	g.seq[name]++
-	return &wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", Type: "m4", Zone: "a", Spot: true, AgentEpoch: 1, Sequence: g.seq[name], FencingToken: token, Tasks: tasks}
+	return &wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a", Spot: true}, AgentEpoch: 1, Sequence: g.seq[name], FencingToken: token, Tasks: tasks}
 }
 
 // report sends a report and returns the answer.
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -133,12 +133,12 @@
 	if b := m.allocation(t.Attempt); b != nil {
 		return c.jobs[b.job], b.task, b
 	}
-	ref, k, ok := wire.ParseTaskName(t.Task)
-	at, known := c.jobIndexByID[ref]
-	if !ok || !known || c.jobs[at].spec != nil && k >= c.jobs[at].total {
+	name, err := wire.ParseTaskName(t.Task)
+	at, known := c.jobIndexByID[name.JobID]
+	if err != nil || !known || c.jobs[at].spec != nil && name.Index >= c.jobs[at].total {
 		return nil, 0, nil
 	}
-	return c.jobs[at], int32(k), nil
+	return c.jobs[at], int32(name.Index), nil
 }
 
 // reconcileTasks brings the bookings of a machine in line with a fresh report, or
--- a/internal/scheduler/machines_test.go
+++ b/internal/scheduler/machines_test.go
@@ -430,8 +430,8 @@
 			g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}})
 			g.now += time.Second
 			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}, List: []wire.ListedMachine{
-				{Name: "vm-1", Address: "10.1.0.1:9000", Type: "m4", Zone: "a", Spot: true, Status: wire.MachineRunning, AgeS: 90},
-				{Name: "vm-2", Address: "10.1.0.2:9000", Type: "m4", Zone: "a", Spot: true, Status: wire.MachineBooting, AgeS: 90}}}})
+				{Name: "vm-1", Address: "10.1.0.1:9000", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a", Spot: true}, Status: wire.MachineRunning, AgeS: 90},
+				{Name: "vm-2", Address: "10.1.0.2:9000", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a", Spot: true}, Status: wire.MachineBooting, AgeS: 90}}}})
 			if len(g.start) != 1 || g.start[0].Machine != "vm-1" || len(g.start[0].Request.Commands) != 0 {
 				t.Fatalf("probed with %+v, want vm-1 without orders", g.start)
 			}
@@ -504,7 +504,7 @@
 			g := newStage(t, ledger.Snapshot{})
 			var list []wire.ListedMachine
 			for i := range 300 {
-				list = append(list, wire.ListedMachine{Name: fmt.Sprintf("vm-%03d", i), Address: "10.1.0.1:9000", Type: "m4", Zone: "a", Status: wire.MachineRunning, AgeS: 100})
+				list = append(list, wire.ListedMachine{Name: fmt.Sprintf("vm-%03d", i), Address: "10.1.0.1:9000", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a"}, Status: wire.MachineRunning, AgeS: 100})
 			}
 			g.now += time.Second
 			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}, List: list}})
--- a/internal/scheduler/renewal_model_test.go
+++ b/internal/scheduler/renewal_model_test.go
@@ -44,7 +44,7 @@
 
 func (w *modelWorker) report() *wire.Heartbeat {
 	w.seq++
-	return &wire.Heartbeat{Machine: w.name, Address: w.name + ":9000", Type: "m4", Zone: "a", Spot: true,
+	return &wire.Heartbeat{Machine: w.name, Address: w.name + ":9000", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a", Spot: true},
 		AgentEpoch: w.session, Sequence: w.seq, FencingToken: w.token, Tasks: slices.Clone(w.tasks)}
 }
 
@@ -304,7 +304,7 @@
 	}
 	for _, w := range h.workers {
 		for _, t := range w.tasks {
-			ref, _, _ := wire.ParseTaskName(t.Task)
+			ref := wire.JobIDOfTask(t.Task)
 			if told, cancelled := h.told[ref]; cancelled && !w.hung && t.Status != wire.TaskEnded && h.g.now-told > modelCancel {
 				h.t.Errorf("%s is on %s %s after its job was told as cancelled", t.Task, w.name, h.g.now-told)
 			}
@@ -315,7 +315,7 @@
 // owes sees to it that an answer has the stops that its report asks for.
 func (h *renewals) owes(report *wire.Heartbeat, answer *wire.HeartbeatResponse) {
 	for _, t := range report.Tasks {
-		ref, _, _ := wire.ParseTaskName(t.Task)
+		ref := wire.JobIDOfTask(t.Task)
 		if _, cancelled := h.told[ref]; !cancelled || t.Status == wire.TaskEnded {
 			continue
 		}
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -30,7 +30,7 @@
 func (c *Core) startNamedScaleOut(name string, w autoscaler.PlannedScaleOut) {
 	t := c.types[w.Pool.Type]
 	h := &scaleOut{pool: w.Pool, open: true, record: ledger.ScaleOutRecord{Request: wire.ScaleOutRequest{
-		RequestID: name, Type: t.Name, Zone: c.zones.list[w.Pool.Zone], Spot: w.Pool.Spot, Count: min(w.Count, autoscaler.MaxScaleOut)}}}
+		RequestID: name, CapacityPool: wire.CapacityPool{Type: t.Name, Zone: c.zones.list[w.Pool.Zone], Spot: w.Pool.Spot}, Count: min(w.Count, autoscaler.MaxScaleOut)}}}
 	c.autoscaling.scaleOuts[name] = h
 	c.log.Info("hiring", "request", name, "type", t.Name, "zone", h.record.Request.Zone, "spot", w.Pool.Spot, "count", h.record.Request.Count, "why", w.Reason)
 	c.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.record, Urgent: true, Tag: scaleOutTag{name}})
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -113,7 +113,7 @@
 
 // runTime is how long a task runs: some seconds by its job's name, or for ever.
 func (p *plan) runTime(task string) time.Duration {
-	ref, _, _ := wire.ParseTaskName(task)
+	ref := wire.JobIDOfTask(task)
 	if toCallOff(ref) {
 		return time.Hour
 	}
--- a/internal/wire/fuzz_test.go
+++ b/internal/wire/fuzz_test.go
@@ -14,14 +14,14 @@
 		f.Add([]byte(body))
 	}
 	f.Fuzz(func(t *testing.T, body []byte) {
-		job, ref, err := ParseJob(body)
+		job, err := ParseJob(body)
 		if err != nil {
-			if ref != "" && !ValidJobID(ref) {
-				t.Errorf("a refused job has the ref %q", ref)
+			if id := namedJobID(t, job, err); id != "" && !ValidJobID(id) {
+				t.Errorf("a refused job has the id %q", id)
 			}
 			return
 		}
-		if job.Tasks < 1 || job.Tasks > MaxTasks || !ValidJobID(job.ID) || job.ID != ref {
+		if job.Tasks < 1 || job.Tasks > MaxTasks || !ValidJobID(job.ID) {
 			t.Errorf("%+v", job)
 		}
 		for _, amount := range []float64{job.CPUs, job.GPUs, job.MemGB, job.ImageGB, job.EstimatedRunS, job.CheckpointIntervalS, job.CheckpointDurationS} {
@@ -33,7 +33,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, _, err := ParseJob(text)
+		again, err := ParseJob(text)
 		if err != nil || again.ID != job.ID || again.Tasks != job.Tasks || again.CPUs != job.CPUs {
 			t.Errorf("%s reads as %+v, %v", text, again, err)
 		}
@@ -58,7 +58,7 @@
 			t.Errorf("%+v", report)
 		}
 		for _, task := range report.Tasks {
-			if _, n, ok := ParseTaskName(task.Task); !ok || n < 0 || n >= MaxTasks || task.Status == "" {
+			if name, err := ParseTaskName(task.Task); err != nil || name.Index < 0 || name.Index >= MaxTasks || task.Status == "" {
 				t.Errorf("%+v", task)
 			}
 		}
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -66,7 +66,7 @@
 		"host running":            MachineRunning,
 		"host failed":             MachineFailed,
 		"priorities":              priorities,
-		"name of task 7 of job-3": TaskName("job-3", 7),
+		"name of task 7 of job-3": TaskName{JobID: "job-3", Index: 7}.String(),
 		"largest body":            MaxBody,
 		"most tasks":              MaxTasks,
 	})
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"math"
 	"slices"
-	"strconv"
 	"strings"
 
 	"github.com/segmentio/encoding/json"
@@ -82,34 +81,27 @@
 	return true
 }
 
-// ParseTaskName takes a task's name apart.
-func ParseTaskName(name string) (ref string, n int, ok bool) {
-	ref, num, ok := strings.Cut(name, "/")
-	if !ok || !ValidJobID(ref) {
-		return "", 0, false
-	}
-	for _, r := range num {
-		if r < '0' || r > '9' {
-			return "", 0, false
-		}
-	}
-	n, err := strconv.Atoi(num)
-	return ref, n, err == nil && n < MaxTasks && (num[0] != '0' || len(num) == 1)
+// InvalidJobError says why a submission can't be read.
+type InvalidJobError struct {
+	// JobID is the id that the submission names, empty unless it is well-formed. With
+	// it a job that was accepted before is recognised in spite of the fault.
+	JobID string
+	Err   error
 }
 
-// TaskName is the name of task n of a job.
-func TaskName(ref string, n int) string { return ref + "/" + strconv.Itoa(n) }
+func (e *InvalidJobError) Error() string { return e.Err.Error() }
+
+// Unwrap returns the fault, an *InvalidFieldError if it lies in one field.
+func (e *InvalidJobError) Unwrap() error { return e.Err }
 
-// ParseJob reads a submission. When the body is an object with a well-formed
-// ref, that ref is returned even with an error, so that a job accepted before
-// can be recognised.
-func ParseJob(body []byte) (*Job, string, error) {
+// ParseJob reads a submission. The error is an *InvalidJobError.
+func ParseJob(body []byte) (*Job, error) {
 	var fields map[string]json.RawMessage
 	if err := decode(body, &fields, 0); err != nil {
-		return nil, "", err
+		return nil, &InvalidJobError{Err: err}
 	}
 	if fields == nil {
-		return nil, "", errors.New("the body must be one JSON object")
+		return nil, &InvalidJobError{Err: errors.New("the body must be one JSON object")}
 	}
 	r := reader{fields: fields}
 	j := &Job{}
@@ -122,9 +114,9 @@
 	j.readTimes(&r)
 	j.DependsOn = r.refs("waits_on")
 	if r.err != nil {
-		return nil, ref, r.err
+		return nil, &InvalidJobError{JobID: ref, Err: r.err}
 	}
-	return j, ref, nil
+	return j, nil
 }
 
 // The most characters of names.
@@ -189,7 +181,7 @@
 
 func (r *reader) fail(key, want string) {
 	if r.err == nil {
-		r.err = fmt.Errorf("%s must be %s", key, want)
+		r.err = &InvalidFieldError{Field: key, Requirement: "be " + want}
 	}
 }
 
@@ -257,19 +249,21 @@
 	}
 	switch {
 	case r.Machine == "" || len(r.Machine) > 200:
-		return nil, fmt.Errorf("host must name the machine")
-	case r.Type == "" || r.Zone == "":
-		return nil, fmt.Errorf("flavor and room must be given")
+		return nil, &InvalidFieldError{"host", "name the machine"}
+	case r.Type == "":
+		return nil, &InvalidFieldError{"flavor", "be given"}
+	case r.Zone == "":
+		return nil, &InvalidFieldError{"room", "be given"}
 	case r.AgentEpoch == 0:
-		return nil, fmt.Errorf("tenure must be 1 or more")
+		return nil, &InvalidFieldError{"tenure", "be 1 or more"}
 	case r.TerminationNoticeS != nil && (*r.TerminationNoticeS < 0 || math.IsNaN(*r.TerminationNoticeS)):
-		return nil, fmt.Errorf("warning_s must be null, or 0 or more")
+		return nil, &InvalidFieldError{"warning_s", "be null, or 0 or more"}
 	}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		t.Status = known(t.Status, TaskRunning, TaskEnded, TaskFetching, TaskCheckpointing)
-		if _, _, ok := ParseTaskName(t.Task); !ok {
-			return nil, fmt.Errorf("piece %q is not a task's name", t.Task)
+		if _, err := ParseTaskName(t.Task); err != nil {
+			return nil, err
 		}
 		// A state that we don't know yet still occupies its machine, so it is
 		// taken as it is; refusing the report would cost the worker its lease.
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -32,13 +32,19 @@
 	Error string `json:"error"`
 }
 
+// CapacityPool is what the cloud rents machines from: one machine type in one zone, spot or
+// on demand.
+type CapacityPool struct {
+	Type string `json:"flavor"`
+	Zone string `json:"room"`
+	Spot bool   `json:"loaners"`
+}
+
 // Heartbeat is what a worker tells of itself.
 type Heartbeat struct {
-	Machine            string       `json:"host"`
-	Address            string       `json:"address"`
-	Type               string       `json:"flavor"`
-	Zone               string       `json:"room"`
-	Spot               bool         `json:"loaners"`
+	Machine string `json:"host"`
+	Address string `json:"address"`
+	CapacityPool
 	AgentEpoch         uint64       `json:"tenure"`
 	Sequence           uint64       `json:"tick"`
 	FencingToken       uint64       `json:"baton"`
@@ -128,10 +134,8 @@
 // ScaleOutRequest asks the cloud for machines.
 type ScaleOutRequest struct {
 	RequestID string `json:"hire"`
-	Type      string `json:"flavor"`
-	Zone      string `json:"room"`
-	Spot      bool   `json:"loaners"`
-	Count     int    `json:"number"`
+	CapacityPool
+	Count int `json:"number"`
 }
 
 // MachineNames names machines, in a hire's answer and in a deletion.
@@ -147,13 +151,11 @@
 
 // ListedMachine is one machine in the cloud's list.
 type ListedMachine struct {
-	Name    string  `json:"ref"`
-	Address string  `json:"address"`
-	Type    string  `json:"flavor"`
-	Zone    string  `json:"room"`
-	Spot    bool    `json:"loaners"`
-	Status  string  `json:"status"`
-	AgeS    float64 `json:"held_s"`
+	Name    string `json:"ref"`
+	Address string `json:"address"`
+	CapacityPool
+	Status string  `json:"status"`
+	AgeS   float64 `json:"held_s"`
 }
 
 // The states of a machine in the list.
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"errors"
 	"strings"
 	"testing"
 )
@@ -29,6 +30,19 @@
 	return string(b)
 }
 
+// namedJobID is the id that a submission names, whether it was accepted or not.
+func namedJobID(t *testing.T, job *Job, err error) string {
+	t.Helper()
+	if err == nil {
+		return job.ID
+	}
+	var invalid *InvalidJobError
+	if !errors.As(err, &invalid) {
+		t.Fatalf("the error is %T, want an *InvalidJobError", err)
+	}
+	return invalid.JobID
+}
+
 func TestParseJob(t *testing.T) {
 	cases := []struct {
 		name, body string
@@ -70,9 +84,9 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			j, ref, err := ParseJob([]byte(c.body))
-			if ref != c.ref {
-				t.Errorf("ref %q, want %q", ref, c.ref)
+			j, err := ParseJob([]byte(c.body))
+			if id := namedJobID(t, j, err); id != c.ref {
+				t.Errorf("job id %q, want %q", id, c.ref)
 			}
 			switch {
 			case c.bad == "" && (err != nil || j == nil):
@@ -89,8 +103,12 @@
 		"job-000412/3": true, "job-1/0": true, "job-1/99999": true,
 		"job-1/100000": false, "job-1/-1": false, "job-1/03": false, "job-1": false, "job-x/1": false, "/1": false,
 	} {
-		if _, _, ok := ParseTaskName(name); ok != want {
-			t.Errorf("%s: %v, want %v", name, ok, want)
+		parsed, err := ParseTaskName(name)
+		if (err == nil) != want {
+			t.Errorf("%s: %v, want it taken: %v", name, err, want)
+		}
+		if err == nil && parsed.String() != name {
+			t.Errorf("%s is written as %s", name, parsed)
 		}
 	}
 }
