--- a/internal/cells/server.go
+++ b/internal/cells/server.go
@@ -137,7 +137,7 @@
 // guestState is what a guest's job has come to.
 func guestState(g scheduler.ForeignView) string {
 	switch {
-	case g.State.Over && g.State.Aborted:
+	case g.State.Over && g.State.Cancelled:
 		return "aborted, not released"
 	case g.State.Over:
 		return "done, not released"
--- a/internal/federation/delegated_jobs.go
+++ b/internal/federation/delegated_jobs.go
@@ -5,32 +5,32 @@
 	"time"
 )
 
-// The times of a transfer at home.
+// The intervals and bounds of a transfer at the origin.
 const (
-	// RetryEvery is how often a message is repeated whose answer settles something.
-	RetryEvery = 250 * time.Millisecond
-	// PollEvery is how often a neighbour is asked about a job that it runs.
-	PollEvery = time.Second
+	// RetryInterval is how often a message is repeated until its answer decides the transfer.
+	RetryInterval = 250 * time.Millisecond
+	// PollInterval is how often the state of a job that runs at a neighbour is requested.
+	PollInterval = time.Second
 	// OfferTimeout is how long an offer may go unanswered before it is revoked.
 	OfferTimeout = 8 * time.Second
-	// maxEpochs bounds the transfers of one job: a job that nobody takes stays home.
+	// maxEpochs bounds the transfers of one job: after that it stays at the origin.
 	maxEpochs = 4
 )
 
-// OriginEffect is what follows from a step of Home.
-type OriginEffect interface{ isHomeEffect() }
+// OriginEffect is an effect of a step of DelegatedJobs.
+type OriginEffect interface{ isOriginEffect() }
 
-func (SaveDelegated) isHomeEffect() {}
-func (DropDelegated) isHomeEffect() {}
-func (Send) isHomeEffect()          {}
-func (ReturnJob) isHomeEffect()     {}
-func (EndJob) isHomeEffect()        {}
-func (TraceOrigin) isHomeEffect()   {}
+func (SaveDelegated) isOriginEffect() {}
+func (DropDelegated) isOriginEffect() {}
+func (Send) isOriginEffect()          {}
+func (ReturnJob) isOriginEffect()     {}
+func (EndJob) isOriginEffect()        {}
+func (TraceOrigin) isOriginEffect()   {}
 
-// The effects of Home.
+// The effects at the origin.
 type (
-	// SaveDelegated writes a job's record under home's term. Saved is to be called once
-	// that is durable.
+	// SaveDelegated writes a job's record under the origin's term. RecordSaved has to be
+	// called once it is durable.
 	SaveDelegated struct {
 		JobID  string
 		Record DelegatedRecord
@@ -42,167 +42,168 @@
 		Cell    string
 		Message Message
 	}
-	// ReturnJob tells that a job is home's to run again.
+	// ReturnJob has the origin run the job again.
 	ReturnJob struct{ JobID string }
-	// EndJob tells that a job is over. Over is to be called once home's record of the
-	// job says so.
+	// EndJob has the origin write the job's terminal state. JobOver has to be called once
+	// that is durable.
 	EndJob struct {
-		JobID   string
-		Aborted bool
+		JobID     string
+		Cancelled bool
 	}
-	// TraceOrigin tells of a step.
+	// TraceOrigin records a step for logs, counters and traces.
 	TraceOrigin struct{ Step TransferStep }
 )
 
-// phase is what home is waiting for in a transfer.
+// phase is the phase of a transfer at the origin.
 type phase int
 
 const (
-	planned   phase = iota // the record is being written; nothing was sent
-	offering               // an offer is out
-	revoking               // the offer is to be undone unless it was accepted
-	running                // accepted
-	returning              // the record that closes the epoch is being written
-	cleaning               // taken back; the neighbour is to cancel what it may run
-	ending                 // the job's end is being written at home
-	releasing              // the neighbour is to know that home has the result
-	closed                 // returned; kept for its epoch
+	phasePlanned   phase = iota // the record is being written; nothing was sent
+	phaseOffering               // the offer was sent
+	phaseRevoking               // the offer is being withdrawn, unless it was accepted
+	phaseRunning                // accepted
+	phaseReturning              // the record that closes the epoch is being written
+	phaseCleaning               // reclaimed; the neighbour has to cancel what it may run
+	phaseEnding                 // the job's terminal state is being written at the origin
+	phaseReleasing              // the neighbour is told that the origin has the result
+	phaseClosed                 // returned; kept for the number of its epoch
 )
 
 var phaseNames = [...]string{"planned", "offering", "revoking", "running", "returning", "cleaning", "ending", "releasing", "closed"}
 
-// transfer is home's view of one job's latest transfer.
+// transfer is the origin's state of one job's latest transfer.
 type transfer struct {
-	ref    string
+	jobID  string
 	record DelegatedRecord
 	phase  phase
 	body   *OfferBody
-	// cancelling: the job's user wants it cancelled.
-	cancelling bool
-	over       bool          // home's record of the job has its end
-	ended      bool          // the neighbour's run of what was taken back has ended
-	began      time.Duration // of the transfer, as far as this leader knows
-	heard      time.Duration // the last answer of this epoch
-	next       time.Duration // when the next message is due
-	done       int
-	running    int
+	// cancelling: the job's user has requested its cancellation.
+	cancelling     bool
+	jobOver        bool          // the origin's record of the job has its terminal state
+	remoteRunEnded bool          // the neighbour's run of a reclaimed job has ended
+	startedAt      time.Duration // of the transfer, as far as this leader knows
+	lastAnswer     time.Duration // when the last answer of this epoch came
+	nextMessageAt  time.Duration // when the next message is due
+	tasksDone      int
+	tasksRunning   int
 }
 
-// away tells whether home must not run the job.
-func (t *transfer) away() bool { return t.phase != cleaning && t.phase != closed }
+// delegated tells whether the origin must not run the job.
+func (t *transfer) delegated() bool { return t.phase != phaseCleaning && t.phase != phaseClosed }
 
-// DelegatedJobs is home's side of all transfers, in one term of its leader.
+// DelegatedJobs is the origin's side of all transfers in one term of its leader.
 type DelegatedJobs struct {
-	transfers map[string]*transfer
-	takeBack  func(cell string) time.Duration
-	out       []OriginEffect
+	transfers    map[string]*transfer
+	reclaimAfter func(cell string) time.Duration
+	effects      []OriginEffect
 }
 
-// NewDelegatedJobs makes home's side. takeBack is after how long without an answer from a
-// neighbour a repeatable job is taken back from it; 0: never.
-func NewDelegatedJobs(takeBack func(cell string) time.Duration) *DelegatedJobs {
-	return &DelegatedJobs{transfers: map[string]*transfer{}, takeBack: takeBack}
+// NewDelegatedJobs makes the origin's side. reclaimAfter returns after how long without an answer
+// of a neighbour a repeatable job is reclaimed from it; 0: never.
+func NewDelegatedJobs(reclaimAfter func(cell string) time.Duration) *DelegatedJobs {
+	return &DelegatedJobs{transfers: map[string]*transfer{}, reclaimAfter: reclaimAfter}
 }
 
-// Take returns the effects since the last call.
-func (h *DelegatedJobs) Take() []OriginEffect {
-	out := h.out
-	h.out = nil
+// TakeEffects returns the effects since the last call.
+func (h *DelegatedJobs) TakeEffects() []OriginEffect {
+	out := h.effects
+	h.effects = nil
 	return out
 }
 
-func (h *DelegatedJobs) emit(effect OriginEffect) { h.out = append(h.out, effect) }
+func (h *DelegatedJobs) emit(effect OriginEffect) { h.effects = append(h.effects, effect) }
 
-func (h *DelegatedJobs) note(t *transfer, step, reason string) {
-	h.emit(TraceOrigin{TransferStep{Cell: t.record.Cell, JobID: t.ref, Epoch: t.record.Epoch, Step: step, Reason: reason}})
+// trace records a step of a transfer.
+func (h *DelegatedJobs) trace(t *transfer, step, reason string) {
+	h.emit(TraceOrigin{TransferStep{Cell: t.record.Cell, JobID: t.jobID, Epoch: t.record.Epoch, Step: step, Reason: reason}})
 }
 
-func (h *DelegatedJobs) save(t *transfer) { h.emit(SaveDelegated{t.ref, t.record}) }
+func (h *DelegatedJobs) save(t *transfer) { h.emit(SaveDelegated{t.jobID, t.record}) }
 
-// Restore takes a transfer over from an earlier leader, whose last message may or may
-// not have been sent. over tells whether home's record of the job has its end.
+// Restore adds a transfer of an earlier leader, whose last message may or may not have been
+// sent. over tells whether the origin's record of the job has its terminal state.
 func (h *DelegatedJobs) Restore(ref string, record DelegatedRecord, body *OfferBody, over bool, now time.Duration) {
-	t := &transfer{ref: ref, record: record, body: body, over: over, began: now, heard: now, next: now}
+	t := &transfer{jobID: ref, record: record, body: body, jobOver: over, startedAt: now, lastAnswer: now, nextMessageAt: now}
 	h.transfers[ref] = t
 	switch {
 	case record.State == Returned && record.Cleanup:
-		t.phase = cleaning
+		t.phase = phaseCleaning
 	case record.State == Returned && over:
 		h.drop(t)
 	case record.State == Returned:
-		t.phase = closed
+		t.phase = phaseClosed
 	case over:
-		t.phase = releasing
+		t.phase = phaseReleasing
 	case record.State == Accepted:
-		t.phase = running
+		t.phase = phaseRunning
 	default:
-		t.phase = offering
+		t.phase = phaseOffering
 	}
 }
 
-// MayBegin tells whether a job may be offered to a cell: not where an earlier epoch may
-// still run, and not for ever.
+// MayBegin tells whether a job may be offered to a cell: not while an earlier epoch may still
+// run, and only maxEpochs times.
 func (h *DelegatedJobs) MayBegin(ref string) bool {
 	t := h.transfers[ref]
-	return t == nil || t.phase == closed && t.record.Epoch < maxEpochs
+	return t == nil || t.phase == phaseClosed && t.record.Epoch < maxEpochs
 }
 
-// Delegated tells whether home must not run a job.
+// Delegated tells whether the origin must not run a job.
 func (h *DelegatedJobs) Delegated(ref string) bool {
 	t := h.transfers[ref]
-	return t != nil && t.away()
+	return t != nil && t.delegated()
 }
 
-// Begin plans a transfer. From now on home must not run the job.
+// Begin plans a transfer. From now on the origin must not run the job.
 func (h *DelegatedJobs) Begin(ref, cell string, body *OfferBody, now time.Duration, wallMS int64) {
 	epoch := uint64(1)
 	if old := h.transfers[ref]; old != nil {
 		epoch = old.record.Epoch + 1
 	}
 	record := DelegatedRecord{Cell: cell, Epoch: epoch, State: Offered, SinceMS: wallMS, Repeatable: body.Repeatable}
-	t := &transfer{ref: ref, record: record, body: body, began: now, heard: now}
+	t := &transfer{jobID: ref, record: record, body: body, startedAt: now, lastAnswer: now}
 	h.transfers[ref] = t
 	h.save(t)
-	h.note(t, StepPlanned, "")
+	h.trace(t, StepPlanned, "")
 }
 
-// Saved tells that a record is durable.
-func (h *DelegatedJobs) Saved(ref string, record DelegatedRecord, now time.Duration) {
+// RecordSaved is called when a record is durable.
+func (h *DelegatedJobs) RecordSaved(ref string, record DelegatedRecord, now time.Duration) {
 	t := h.transfers[ref]
 	if t == nil || t.record != record {
 		return // a later one is being written
 	}
 	switch {
-	case t.phase == planned:
-		t.phase, t.next, t.heard, t.began = offering, now, now, now
+	case t.phase == phasePlanned:
+		t.phase, t.nextMessageAt, t.lastAnswer, t.startedAt = phaseOffering, now, now, now
 		h.Tick(now)
-	case t.phase == returning && t.record.Cleanup:
-		t.phase, t.next = cleaning, now
-		h.note(t, StepReturned, "the neighbour may still run it, and is to cancel it")
+	case t.phase == phaseReturning && t.record.Cleanup:
+		t.phase, t.nextMessageAt = phaseCleaning, now
+		h.trace(t, StepReturned, "the neighbour may still run it, and is to cancel it")
 		h.emit(ReturnJob{ref})
-	case t.phase == returning && t.cancelling:
-		t.phase = ending
-		h.emit(EndJob{JobID: ref, Aborted: true})
-	case t.phase == returning:
-		t.phase = closed
-		h.note(t, StepReturned, "")
+	case t.phase == phaseReturning && t.cancelling:
+		t.phase = phaseEnding
+		h.emit(EndJob{JobID: ref, Cancelled: true})
+	case t.phase == phaseReturning:
+		t.phase = phaseClosed
+		h.trace(t, StepReturned, "")
 		h.emit(ReturnJob{ref})
 	}
 }
 
-// Tick sends what is due.
+// Tick sends the messages that are due.
 func (h *DelegatedJobs) Tick(now time.Duration) {
 	for _, t := range h.sorted() {
-		h.giveUp(t, now)
-		if now < t.next {
+		h.expire(t, now)
+		if now < t.nextMessageAt {
 			continue
 		}
-		kind, every := t.due()
+		kind, every := t.nextMessage()
 		if kind == 0 {
 			continue
 		}
-		t.next = now + every
-		m := Message{Kind: kind, JobID: t.ref, Epoch: t.record.Epoch}
+		t.nextMessageAt = now + every
+		m := Message{Kind: kind, JobID: t.jobID, Epoch: t.record.Epoch}
 		if kind == Offer {
 			m.Body = t.body
 		}
@@ -210,7 +211,7 @@
 	}
 }
 
-// sorted lists the transfers in one order everywhere, so that a replay does the same.
+// sorted returns the transfers in the order of their jobs, so that a replay gives the same effects.
 func (h *DelegatedJobs) sorted() []*transfer {
 	refs := make([]string, 0, len(h.transfers))
 	for ref := range h.transfers {
@@ -224,165 +225,167 @@
 	return all
 }
 
-// due is the message that a transfer waits to send, and when it is to be repeated; 0:
-// none.
-func (t *transfer) due() (Kind, time.Duration) {
+// nextMessage returns the kind of message that a transfer has to send and the interval of its
+// repetition; 0: none.
+func (t *transfer) nextMessage() (Kind, time.Duration) {
 	switch t.phase {
-	case offering, revoking, running:
+	case phaseOffering, phaseRevoking, phaseRunning:
 		if t.cancelling {
-			return Cancel, RetryEvery
+			return Cancel, RetryInterval
 		}
 	}
 	switch t.phase {
-	case offering:
-		return Offer, RetryEvery
-	case revoking:
-		return Revoke, RetryEvery
-	case running:
-		return Status, PollEvery
-	case cleaning:
-		if t.ended {
-			return Release, RetryEvery
+	case phaseOffering:
+		return Offer, RetryInterval
+	case phaseRevoking:
+		return Revoke, RetryInterval
+	case phaseRunning:
+		return Status, PollInterval
+	case phaseCleaning:
+		if t.remoteRunEnded {
+			return Release, RetryInterval
 		}
-		return Cancel, PollEvery
-	case releasing:
-		return Release, PollEvery
+		return Cancel, PollInterval
+	case phaseReleasing:
+		return Release, PollInterval
 	}
 	return 0, 0
 }
 
-// giveUp revokes an offer that nobody answers, and takes a repeatable job back from a
-// neighbour that has been silent for long. A job whose user wants it cancelled is not
-// taken back: that could not be confirmed while the neighbour may run it.
-func (h *DelegatedJobs) giveUp(t *transfer, now time.Duration) {
-	if t.phase == offering && !t.cancelling && now-t.began >= OfferTimeout {
-		t.phase, t.next = revoking, now
-		h.note(t, StepRevoking, "the offer was not settled in time")
+// expire revokes an offer that was not answered in time, and reclaims a repeatable job from a
+// neighbour that has not answered for long. A job whose cancellation is requested is not
+// reclaimed: the cancellation could not be confirmed while the neighbour may run the job.
+func (h *DelegatedJobs) expire(t *transfer, now time.Duration) {
+	if t.phase == phaseOffering && !t.cancelling && now-t.startedAt >= OfferTimeout {
+		t.phase, t.nextMessageAt = phaseRevoking, now
+		h.trace(t, StepRevoking, "the offer was not answered in time")
 	}
-	limit := h.takeBack(t.record.Cell)
-	waits := t.phase == offering || t.phase == revoking || t.phase == running
-	if !waits || t.cancelling || !t.record.Repeatable || limit <= 0 || now-t.heard < limit {
+	limit := h.reclaimAfter(t.record.Cell)
+	waits := t.phase == phaseOffering || t.phase == phaseRevoking || t.phase == phaseRunning
+	if !waits || t.cancelling || !t.record.Repeatable || limit <= 0 || now-t.lastAnswer < limit {
 		return
 	}
-	h.note(t, StepTakenBack, "the neighbour was silent and the class may be repeated")
-	h.giveBack(t, true)
+	h.trace(t, StepReclaimed, "the neighbour did not answer and the class is repeatable")
+	h.closeEpoch(t, true)
 }
 
-// giveBack closes the epoch: home runs the job once that is durable.
-func (h *DelegatedJobs) giveBack(t *transfer, cleanup bool) {
-	t.phase = returning
+// closeEpoch closes the epoch: the origin runs the job once that is durable.
+func (h *DelegatedJobs) closeEpoch(t *transfer, cleanup bool) {
+	t.phase = phaseReturning
 	t.record.State, t.record.Cleanup = Returned, cleanup
 	h.save(t)
 }
 
-// Answered takes a neighbour's answer. One of another epoch or from another cell than
-// the record's tells nothing: its transfer is closed.
-func (h *DelegatedJobs) Answered(cell string, a Answer, now time.Duration) {
+// HandleAnswer handles a neighbour's answer. One of another epoch or cell than the record's is
+// ignored: its transfer is closed.
+func (h *DelegatedJobs) HandleAnswer(cell string, a Answer, now time.Duration) {
 	t := h.transfers[a.JobID]
 	if t == nil || t.record.Cell != cell || t.record.Epoch != a.Epoch {
 		return
 	}
-	t.heard = now
+	t.lastAnswer = now
 	switch t.phase {
-	case offering, revoking, running:
-		h.answeredOpen(t, a, now)
-	case cleaning:
-		h.answeredCleaning(t, a)
-	case releasing:
+	case phaseOffering, phaseRevoking, phaseRunning:
+		h.handleOpenAnswer(t, a, now)
+	case phaseCleaning:
+		h.handleCleanupAnswer(t, a)
+	case phaseReleasing:
 		if a.Outcome == OutcomeReleased || a.Outcome == OutcomeStale {
-			h.note(t, StepReleased, "")
+			h.trace(t, StepReleased, "")
 			h.drop(t)
 		}
 	}
 }
 
-func (h *DelegatedJobs) answeredOpen(t *transfer, a Answer, now time.Duration) {
+// handleOpenAnswer handles an answer while the neighbour may run the job.
+func (h *DelegatedJobs) handleOpenAnswer(t *transfer, a Answer, now time.Duration) {
 	switch a.Outcome {
 	case OutcomeAccepted:
-		t.done, t.running = a.Done, a.Running
-		if t.phase != running {
-			t.phase, t.next = running, now+PollEvery
+		t.tasksDone, t.tasksRunning = a.Done, a.Running
+		if t.phase != phaseRunning {
+			t.phase, t.nextMessageAt = phaseRunning, now+PollInterval
 			t.record.State = Accepted
 			h.save(t)
-			h.note(t, StepAccepted, "")
+			h.trace(t, StepAccepted, "")
 		}
 		if t.cancelling {
-			t.next = min(t.next, now+RetryEvery)
+			t.nextMessageAt = min(t.nextMessageAt, now+RetryInterval)
 		}
-	case OutcomeDone, OutcomeAborted:
-		t.phase = ending
-		h.note(t, StepEnded, a.Outcome.String())
-		h.emit(EndJob{JobID: t.ref, Aborted: a.Outcome == OutcomeAborted})
+	case OutcomeDone, OutcomeCancelled:
+		t.phase = phaseEnding
+		h.trace(t, StepEnded, a.Outcome.String())
+		h.emit(EndJob{JobID: t.jobID, Cancelled: a.Outcome == OutcomeCancelled})
 	case OutcomeRefused, OutcomeRevoked:
-		if t.phase == running {
-			h.note(t, StepContradiction, "the neighbour had accepted the job and says "+a.Outcome.String())
+		if t.phase == phaseRunning {
+			h.trace(t, StepContradiction, "the neighbour had accepted the job and answers "+a.Outcome.String())
 			return
 		}
 		if a.Outcome == OutcomeRefused {
-			h.note(t, StepRefused, a.Reason)
+			h.trace(t, StepRefused, a.Reason)
 		} else {
-			h.note(t, StepRevoked, a.Reason)
+			h.trace(t, StepRevoked, a.Reason)
 		}
-		h.giveBack(t, false)
+		h.closeEpoch(t, false)
 	}
 }
 
-// answeredCleaning ends the cleanup once the neighbour surely does not run the job, and
-// knows that nobody wants its result.
-func (h *DelegatedJobs) answeredCleaning(t *transfer, a Answer) {
+// handleCleanupAnswer ends the cleanup once the neighbour certainly does not run the job and has
+// released it.
+func (h *DelegatedJobs) handleCleanupAnswer(t *transfer, a Answer) {
 	switch a.Outcome {
-	case OutcomeDone, OutcomeAborted:
-		t.ended, t.next = true, t.heard
+	case OutcomeDone, OutcomeCancelled:
+		t.remoteRunEnded, t.nextMessageAt = true, t.lastAnswer
 		return
 	case OutcomeRefused, OutcomeRevoked, OutcomeReleased, OutcomeStale:
 	default:
 		return
 	}
-	h.note(t, StepCleaned, a.Outcome.String())
+	h.trace(t, StepCleaned, a.Outcome.String())
 	t.record.Cleanup = false
-	if t.over {
+	if t.jobOver {
 		h.drop(t)
 		return
 	}
-	t.phase = closed
+	t.phase = phaseClosed
 	h.save(t)
 	if t.cancelling {
-		h.emit(EndJob{JobID: t.ref, Aborted: true})
+		h.emit(EndJob{JobID: t.jobID, Cancelled: true})
 	}
 }
 
-// Cancel notes that a job's user wants it cancelled, and tells whether home may cancel
-// it at once. If not, EndJob follows when the neighbour's answer allows it.
-func (h *DelegatedJobs) Cancel(ref string, now time.Duration) (atOnce bool) {
+// Cancel is called when a job's user requests its cancellation. It returns whether the origin may
+// cancel the job at once. If not, EndJob follows when the neighbour's answer allows it.
+func (h *DelegatedJobs) Cancel(ref string, now time.Duration) (immediate bool) {
 	t := h.transfers[ref]
-	if t == nil || t.phase == closed {
+	if t == nil || t.phase == phaseClosed {
 		return true
 	}
 	if !t.cancelling {
 		t.cancelling = true
-		t.next = min(t.next, now)
-		h.note(t, StepCancelling, "")
+		t.nextMessageAt = min(t.nextMessageAt, now)
+		h.trace(t, StepCancelling, "")
 		h.Tick(now)
 	}
 	return false
 }
 
-// Over tells that home's record of a job has its end.
-func (h *DelegatedJobs) Over(ref string, now time.Duration) {
+// JobOver is called when the origin's record of a job has its terminal state.
+func (h *DelegatedJobs) JobOver(ref string, now time.Duration) {
 	t := h.transfers[ref]
 	if t == nil {
 		return
 	}
-	t.over = true
+	t.jobOver = true
 	switch t.phase {
-	case ending:
-		t.phase, t.next = releasing, now
-	case closed:
+	case phaseEnding:
+		t.phase, t.nextMessageAt = phaseReleasing, now
+	case phaseClosed:
 		h.drop(t)
 	}
 }
 
+// drop forgets a transfer and deletes its record.
 func (h *DelegatedJobs) drop(t *transfer) {
-	delete(h.transfers, t.ref)
-	h.emit(DropDelegated{t.ref})
+	delete(h.transfers, t.jobID)
+	h.emit(DropDelegated{t.jobID})
 }
--- /dev/null
+++ b/internal/federation/delegated_status.go
@@ -0,0 +1,67 @@
+package federation
+
+import "time"
+
+// DelegatedView is the origin's state of a transfer for operators.
+type DelegatedView struct {
+	JobID      string
+	Record     DelegatedRecord
+	Phase      string
+	Cancelling bool
+	// LastAnswer is how long ago the neighbour answered last.
+	LastAnswer    time.Duration
+	Done, Running int
+}
+
+// List returns the transfers that are not closed.
+func (h *DelegatedJobs) List(now time.Duration) []DelegatedView {
+	var views []DelegatedView
+	for _, t := range h.sorted() {
+		if t.phase == phaseClosed {
+			continue
+		}
+		views = append(views, DelegatedView{JobID: t.jobID, Record: t.record, Phase: phaseNames[t.phase], Cancelling: t.cancelling, LastAnswer: now - t.lastAnswer, Done: t.tasksDone, Running: t.tasksRunning})
+	}
+	return views
+}
+
+// Cell returns the neighbour of a job's latest transfer; "": there is none.
+func (h *DelegatedJobs) Cell(ref string) string {
+	if t := h.transfers[ref]; t != nil {
+		return t.record.Cell
+	}
+	return ""
+}
+
+// JobsAt returns the jobs that a neighbour may run, in order.
+func (h *DelegatedJobs) JobsAt(cell string) []string {
+	var refs []string
+	for _, t := range h.sorted() {
+		if t.record.Cell == cell && t.mayRunRemotely() {
+			refs = append(refs, t.jobID)
+		}
+	}
+	return refs
+}
+
+// mayRunRemotely tells whether the neighbour may run the job.
+func (t *transfer) mayRunRemotely() bool {
+	return t.phase != phaseClosed && t.phase != phaseReleasing && t.phase != phaseEnding
+}
+
+// MayRunRemotely tells whether a neighbour may run a job.
+func (h *DelegatedJobs) MayRunRemotely(ref string) bool {
+	t := h.transfers[ref]
+	return t != nil && t.mayRunRemotely()
+}
+
+// Progress returns the task counts of the neighbour's last answer.
+func (h *DelegatedJobs) Progress(ref string) (done, running int) {
+	if t := h.transfers[ref]; t != nil {
+		return t.tasksDone, t.tasksRunning
+	}
+	return 0, 0
+}
+
+// Idle tells whether there are no transfers.
+func (h *DelegatedJobs) Idle() bool { return len(h.transfers) == 0 }
--- a/internal/federation/foreign_jobs.go
+++ b/internal/federation/foreign_jobs.go
@@ -5,100 +5,100 @@
 	"slices"
 )
 
-// ForeignKey names a transfer at the neighbour.
+// ForeignKey identifies a transfer at the neighbour.
 type ForeignKey struct{ Origin, JobID string }
 
-// ForeignEffect is what follows from a step of Guests.
-type ForeignEffect interface{ isGuestEffect() }
+// ForeignEffect is an effect of a step of ForeignJobs.
+type ForeignEffect interface{ isForeignEffect() }
 
-func (WriteForeign) isGuestEffect()  {}
-func (CancelForeign) isGuestEffect() {}
-func (TraceForeign) isGuestEffect()  {}
+func (WriteForeign) isForeignEffect()  {}
+func (CancelForeign) isForeignEffect() {}
+func (TraceForeign) isForeignEffect()  {}
 
-// The effects of Guests.
+// The effects at the neighbour.
 type (
-	// WriteForeign writes a guest's record if its key still has a version, under the
-	// leader's term. With a body, it also creates the job's record, and neither is
-	// written if there is such a job. Written is to be called with what came of it,
-	// once that is certain.
+	// WriteForeign writes a transfer's record by compare-and-swap on the version of its key,
+	// under the leader's term. With a body it also creates the job's record; neither is
+	// written if there is a job of that name. RecordWritten has to be called with the
+	// outcome once that is known.
 	WriteForeign struct {
 		Key     ForeignKey
 		Record  ForeignRecord
 		Version uint64
 		Body    *OfferBody
 	}
-	// CancelForeign has an accepted job cancelled.
+	// CancelForeign cancels an accepted job.
 	CancelForeign struct{ JobID string }
-	// TraceForeign tells of a step.
+	// TraceForeign records a step for logs, counters and traces.
 	TraceForeign struct{ Step TransferStep }
 )
 
-// JobState is what the neighbour knows of a job that it has accepted.
+// JobState is the state of a job that the neighbour has accepted.
 type JobState struct {
-	// Over: its end is durable. Aborted tells which one.
-	Over, Aborted bool
-	Done, Running int
+	// Over: its terminal state is durable. Cancelled tells which one.
+	Over, Cancelled bool
+	Done, Running   int
 }
 
 // LocalJobs looks up the jobs that the neighbour has accepted.
 type LocalJobs interface {
-	// ForeignJobState is the state of a guest.
+	// ForeignJobState returns the state of a job; false: there is no record of it.
 	ForeignJobState(key ForeignKey) (JobState, bool)
-	// Admit tells whether an offer is taken now, and else why not.
-	Admit(home string, ref string, body *OfferBody) Refusal
+	// Admit returns why an offer is refused; the zero Refusal accepts it.
+	Admit(origin, jobID string, body *OfferBody) Refusal
 }
 
-// guest is the neighbour's view of one job's latest transfer from one home.
-type guest struct {
+// foreignJob is the neighbour's state of one job's latest transfer from one origin.
+type foreignJob struct {
 	record  ForeignRecord
 	version uint64 // of its key; 0: there is none
-	// writing is the record that is on its way; nil: none.
-	writing *ForeignRecord
+	// pendingRecord is the record that is being written; nil: none.
+	pendingRecord *ForeignRecord
 }
 
-// ForeignJobs is the neighbour's side of all transfers, in one term of its leader.
+// ForeignJobs is the neighbour's side of all transfers in one term of its leader.
 type ForeignJobs struct {
-	guests map[ForeignKey]*guest
-	jobs   LocalJobs
-	out    []ForeignEffect
+	records   map[ForeignKey]*foreignJob
+	localJobs LocalJobs
+	effects   []ForeignEffect
 }
 
 // NewForeignJobs makes the neighbour's side.
 func NewForeignJobs(jobs LocalJobs) *ForeignJobs {
-	return &ForeignJobs{guests: map[ForeignKey]*guest{}, jobs: jobs}
+	return &ForeignJobs{records: map[ForeignKey]*foreignJob{}, localJobs: jobs}
 }
 
-// Take returns the effects since the last call.
-func (g *ForeignJobs) Take() []ForeignEffect {
-	out := g.out
-	g.out = nil
+// TakeEffects returns the effects since the last call.
+func (f *ForeignJobs) TakeEffects() []ForeignEffect {
+	out := f.effects
+	f.effects = nil
 	return out
 }
 
-func (g *ForeignJobs) emit(effect ForeignEffect) { g.out = append(g.out, effect) }
+func (f *ForeignJobs) emit(effect ForeignEffect) { f.effects = append(f.effects, effect) }
 
-func (g *ForeignJobs) note(key ForeignKey, epoch uint64, step, reason string) {
-	g.emit(TraceForeign{TransferStep{Origin: key.Origin, JobID: key.JobID, Epoch: epoch, Step: step, Reason: reason}})
+func (f *ForeignJobs) trace(key ForeignKey, epoch uint64, step, reason string) {
+	f.emit(TraceForeign{TransferStep{Origin: key.Origin, JobID: key.JobID, Epoch: epoch, Step: step, Reason: reason}})
 }
 
-// Restore takes a record over from an earlier leader.
-func (g *ForeignJobs) Restore(key ForeignKey, record ForeignRecord, version uint64) {
-	g.guests[key] = &guest{record: record, version: version}
+// Restore adds the record of a transfer that an earlier leader has written.
+func (f *ForeignJobs) Restore(key ForeignKey, record ForeignRecord, version uint64) {
+	f.records[key] = &foreignJob{record: record, version: version}
 }
 
-// Record is a guest's record, for operators.
-func (g *ForeignJobs) Record(key ForeignKey) (ForeignRecord, bool) {
-	r := g.guests[key]
-	if r == nil {
+// Record returns a transfer's record, for operators.
+func (f *ForeignJobs) Record(key ForeignKey) (ForeignRecord, bool) {
+	entry := f.records[key]
+	if entry == nil {
 		return ForeignRecord{}, false
 	}
-	return r.record, true
+	return entry.record, true
 }
 
-// Keys lists the transfers in order.
-func (g *ForeignJobs) Keys() []ForeignKey {
+// Keys returns the transfers in the order of origin and job.
+func (f *ForeignJobs) Keys() []ForeignKey {
 	var keys []ForeignKey
-	for key := range g.guests {
+	for key := range f.records {
 		keys = append(keys, key)
 	}
 	slices.SortFunc(keys, func(a, b ForeignKey) int {
@@ -107,78 +107,78 @@
 	return keys
 }
 
-// Asked answers a message of a home. Nothing is answered as decided before it is durable.
-func (g *ForeignJobs) Asked(home string, m Message, wallMS int64) Answer {
-	key := ForeignKey{home, m.JobID}
-	r := g.guests[key]
-	if r == nil {
-		r = &guest{}
-		g.guests[key] = r
+// HandleMessage answers a message of an origin. A decision is answered only once it is durable.
+func (f *ForeignJobs) HandleMessage(origin string, m Message, wallMS int64) Answer {
+	key := ForeignKey{origin, m.JobID}
+	entry := f.records[key]
+	if entry == nil {
+		entry = &foreignJob{}
+		f.records[key] = entry
 	}
 	answer := Answer{JobID: m.JobID, Epoch: m.Epoch}
 	switch {
-	case m.Epoch < r.record.Epoch:
+	case m.Epoch < entry.record.Epoch:
 		answer.Outcome = OutcomeStale
-	case r.writing != nil:
+	case entry.pendingRecord != nil:
 		answer.Outcome = OutcomePending
-	case m.Epoch == r.record.Epoch:
-		g.askedAgain(key, r, m, wallMS, &answer)
+	case m.Epoch == entry.record.Epoch:
+		f.answerDecided(key, entry, m, wallMS, &answer)
 	default:
-		g.askedFirst(key, r, m, wallMS, &answer)
+		f.decide(key, entry, m, wallMS, &answer)
 	}
-	if r.version == 0 && r.writing == nil {
-		delete(g.guests, key) // it holds nothing; a stranger's questions must not fill the map
+	if entry.version == 0 && entry.pendingRecord == nil {
+		delete(f.records, key) // it is empty; messages of arbitrary jobs must not fill the map
 	}
 	return answer
 }
 
-// askedAgain answers a message of an epoch that is decided.
-func (g *ForeignJobs) askedAgain(key ForeignKey, r *guest, m Message, wallMS int64, a *Answer) {
-	switch r.record.State {
+// answerDecided answers a message of an epoch whose outcome is durable.
+func (f *ForeignJobs) answerDecided(key ForeignKey, entry *foreignJob, m Message, wallMS int64, a *Answer) {
+	switch entry.record.State {
 	case ForeignRefused:
-		a.Outcome, a.Reason, a.Temporary = OutcomeRefused, r.record.Reason, r.record.Temporary
+		a.Outcome, a.Reason, a.Temporary = OutcomeRefused, entry.record.Reason, entry.record.Temporary
 	case ForeignRevoked:
 		a.Outcome = OutcomeRevoked
 	case ForeignReleased:
 		a.Outcome = OutcomeReleased
 		return
 	case ForeignAccepted:
-		g.askedAccepted(key, r, m, wallMS, a)
+		f.answerAccepted(key, entry, m, wallMS, a)
 		return
 	}
 	if m.Kind == Release {
-		a.Outcome = OutcomeReleased // there is nothing to be kept but the record
+		a.Outcome = OutcomeReleased // nothing but the record is kept
 	}
 }
 
-// askedAccepted answers a message about an accepted job.
-func (g *ForeignJobs) askedAccepted(key ForeignKey, r *guest, m Message, wallMS int64, a *Answer) {
-	job, known := g.jobs.ForeignJobState(key)
+// answerAccepted answers a message about an accepted job.
+func (f *ForeignJobs) answerAccepted(key ForeignKey, entry *foreignJob, m Message, wallMS int64, a *Answer) {
+	job, known := f.localJobs.ForeignJobState(key)
 	a.Done, a.Running = job.Done, job.Running
 	switch {
 	case !known:
-		a.Outcome = OutcomePending // its record was written and is still to be read
+		a.Outcome = OutcomePending // its record was written but not read yet
 	case !job.Over:
 		a.Outcome = OutcomeAccepted
 		if m.Kind == Cancel {
-			g.note(key, m.Epoch, StepCancelling, "home asks for it")
-			g.emit(CancelForeign{key.JobID})
+			f.trace(key, m.Epoch, StepCancelling, "requested by the origin")
+			f.emit(CancelForeign{key.JobID})
 		}
 	case m.Kind == Release:
-		g.write(key, r, ForeignRecord{Epoch: m.Epoch, State: ForeignReleased, SinceMS: wallMS, Repeatable: r.record.Repeatable}, nil)
+		f.write(key, entry, ForeignRecord{Epoch: m.Epoch, State: ForeignReleased, SinceMS: wallMS, Repeatable: entry.record.Repeatable}, nil)
 		a.Outcome = OutcomePending
-	case job.Aborted:
-		a.Outcome = OutcomeAborted
+	case job.Cancelled:
+		a.Outcome = OutcomeCancelled
 	default:
 		a.Outcome = OutcomeDone
 	}
 }
 
-// askedFirst answers the first message of an epoch. While an earlier epoch may still
-// run here, nothing is decided: home has to settle that one first.
-func (g *ForeignJobs) askedFirst(key ForeignKey, r *guest, m Message, wallMS int64, a *Answer) {
-	if r.record.State == ForeignAccepted {
-		if job, known := g.jobs.ForeignJobState(key); !known || !job.Over {
+// decide decides an epoch by its first message. While an earlier epoch may still run here,
+// nothing is decided: the origin has to end that one first.
+func (f *ForeignJobs) decide(key ForeignKey, entry *foreignJob, m Message, wallMS int64, a *Answer) {
+	if entry.record.State == ForeignAccepted {
+		if job, known := f.localJobs.ForeignJobState(key); !known || !job.Over {
 			a.Outcome, a.Reason = OutcomePending, "an earlier epoch of the job still runs here"
 			return
 		}
@@ -193,47 +193,48 @@
 		return
 	case Revoke, Cancel:
 		record.State = ForeignRevoked
-		g.write(key, r, record, nil)
+		f.write(key, entry, record, nil)
 	case Offer:
-		g.offered(key, r, m.Body, record)
+		f.decideOffer(key, entry, m.Body, record)
 	}
 	a.Outcome = OutcomePending
 }
 
-// offered decides a new offer.
-func (g *ForeignJobs) offered(key ForeignKey, r *guest, body *OfferBody, record ForeignRecord) {
+// decideOffer accepts or refuses a new offer.
+func (f *ForeignJobs) decideOffer(key ForeignKey, entry *foreignJob, body *OfferBody, record ForeignRecord) {
 	if body == nil {
-		return // malformed; nothing is decided by it
+		return // malformed; the epoch stays undecided
 	}
-	if refusal := g.jobs.Admit(key.Origin, key.JobID, body); refusal.Reason != "" {
+	if refusal := f.localJobs.Admit(key.Origin, key.JobID, body); refusal.Reason != "" {
 		record.State, record.Reason, record.Temporary = ForeignRefused, refusal.Reason, refusal.Temporary
-		g.write(key, r, record, nil)
+		f.write(key, entry, record, nil)
 		return
 	}
 	record.State, record.Repeatable = ForeignAccepted, body.Repeatable
-	g.write(key, r, record, body)
+	f.write(key, entry, record, body)
 }
 
-func (g *ForeignJobs) write(key ForeignKey, r *guest, record ForeignRecord, body *OfferBody) {
-	r.writing = &record
-	g.emit(WriteForeign{Key: key, Record: record, Version: r.version, Body: body})
+// write writes a record; with a body it accepts the job.
+func (f *ForeignJobs) write(key ForeignKey, entry *foreignJob, record ForeignRecord, body *OfferBody) {
+	entry.pendingRecord = &record
+	f.emit(WriteForeign{Key: key, Record: record, Version: entry.version, Body: body})
 }
 
-// Written tells what came of a write: the version of the guest's key after it, and
-// whether a job of that name was in the way. Then nothing was written.
-func (g *ForeignJobs) Written(key ForeignKey, record ForeignRecord, version uint64, jobExists bool, wallMS int64) {
-	r := g.guests[key]
-	if r == nil || r.writing == nil || *r.writing != record {
+// RecordWritten is called with the outcome of a write: the version of its key, or that a job of
+// that name exists, in which case nothing was written.
+func (f *ForeignJobs) RecordWritten(key ForeignKey, record ForeignRecord, version uint64, jobExists bool, wallMS int64) {
+	entry := f.records[key]
+	if entry == nil || entry.pendingRecord == nil || *entry.pendingRecord != record {
 		return
 	}
-	r.writing = nil
+	entry.pendingRecord = nil
 	if jobExists {
-		refused := ForeignRecord{Epoch: record.Epoch, State: ForeignRefused, SinceMS: wallMS, Reason: "a job of this name is known here"}
-		g.write(key, r, refused, nil)
+		refused := ForeignRecord{Epoch: record.Epoch, State: ForeignRefused, SinceMS: wallMS, Reason: "a job of this name exists here"}
+		f.write(key, entry, refused, nil)
 		return
 	}
-	r.record, r.version = record, version
-	g.note(key, record.Epoch, guestSteps[record.State], record.Reason)
+	entry.record, entry.version = record, version
+	f.trace(key, record.Epoch, stepOfState[record.State], record.Reason)
 }
 
-var guestSteps = map[ForeignState]string{ForeignAccepted: StepAccepted, ForeignRefused: StepRefused, ForeignRevoked: StepRevoked, ForeignReleased: StepReleased}
+var stepOfState = map[ForeignState]string{ForeignAccepted: StepAccepted, ForeignRefused: StepRefused, ForeignRevoked: StepRevoked, ForeignReleased: StepReleased}
--- a/internal/rollout/mutants_test.go
+++ b/internal/rollout/mutants_test.go
@@ -11,9 +11,9 @@
 // mutants each take one guard of the account or the rollout out. docs/design-drain.md has
 // the command.
 var mutants = []property.Mutant{
-	{Name: "budgets are not looked at", File: "account.go", From: "if used >= limit {", To: "if false {"},
-	{Name: "classes have no budget", File: "account.go", From: "{TeamGroup(j.Team), ClassGroup(j.Class)}", To: "{TeamGroup(j.Team)}"},
-	{Name: "progress need not be regained", File: "account.go", From: "now-t.since >= t.lost", To: "true"},
+	{Name: "budgets are not looked at", File: "disruptions.go", From: "if used >= limit {", To: "if false {"},
+	{Name: "classes have no budget", File: "disruptions.go", From: "{TeamGroup(j.Team), ClassGroup(j.Class)}", To: "{TeamGroup(j.Team)}"},
+	{Name: "progress need not be regained", File: "disruptions.go", From: "now-t.since >= t.lost", To: "true"},
 	{Name: "moves are not charged", File: "rollout.go", From: "	r.account.Lose(t.Job, t.Index, t.Lost, Move, v.Now)\n	r.record.Moves", To: "	r.record.Moves"},
 	{Name: "moves are not charged anew", File: "rollout.go", From: "			r.account.Lose(t.Job, t.Index, t.Lost, Move, v.Now)\n			acts", To: "			acts"},
 	{Name: "a new leader forgets moves", File: "rollout.go", From: "for _, m := range r.Moves {\n		ago", To: "for _, m := range r.Moves[:0] {\n		ago"},
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -34,7 +34,7 @@
 func (c *Core) findCellForJobs() {
 	t := &c.federation
 	late := c.expectedLateJobs()
-	if !t.shortage.Look(c.now, len(late) > 0 && !c.canScaleOut()) {
+	if !t.shortage.Observe(c.now, len(late) > 0 && !c.canScaleOut()) {
 		return
 	}
 	wanted := 0.0
@@ -75,7 +75,7 @@
 		}
 	}
 	if idle {
-		t.selector.Rest()
+		t.selector.Reset()
 	}
 	return o
 }
@@ -177,7 +177,7 @@
 
 // delegatedTo is what is away in a cell: jobs, and their cores.
 func (c *Core) delegatedTo(n *neighbour) (jobs int, cores float64) {
-	for _, ref := range c.federation.delegated.With(n.Name) {
+	for _, ref := range c.federation.delegated.JobsAt(n.Name) {
 		if at, ok := c.jobIndexByID[ref]; ok && !c.jobs[at].over() {
 			jobs++
 			cores += c.jobs[at].cores()
@@ -195,7 +195,7 @@
 	for i, n := range c.federation.neighbours {
 		o.cells[i].Excluded = n.refused[j.id]
 	}
-	at := c.federation.selector.Choose(o.cells, j.cores())
+	at := c.federation.selector.Select(o.cells, j.cores())
 	if at < 0 {
 		return
 	}
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -69,7 +69,7 @@
 	t.cells = c.cfg.Operator.Cells
 	t.delegated = federation.NewDelegatedJobs(c.reclaimAfter)
 	t.foreign = federation.NewForeignJobs(localJobs{c})
-	t.shortage = federation.Shortage{For: t.cells.ShortageFor}
+	t.shortage = federation.Shortage{MinDuration: t.cells.ShortageFor}
 	t.selector = federation.NewCellSelector(c.cfg.Operator.SlowFitC)
 	t.credits = map[string]*credit{}
 	t.counts = map[TransferCount]int{}
@@ -162,7 +162,7 @@
 
 // applyOriginEffects does what home's side of the transfers wants done.
 func (c *Core) applyOriginEffects() {
-	for effects := c.federation.delegated.Take(); len(effects) > 0; effects = c.federation.delegated.Take() {
+	for effects := c.federation.delegated.TakeEffects(); len(effects) > 0; effects = c.federation.delegated.TakeEffects() {
 		for _, effect := range effects {
 			switch e := effect.(type) {
 			case federation.SaveDelegated:
@@ -269,7 +269,7 @@
 		}
 	}
 	for _, a := range e.Answers {
-		c.federation.delegated.Answered(e.Cell, a, c.now)
+		c.federation.delegated.HandleAnswer(e.Cell, a, c.now)
 		switch {
 		case a.Outcome != federation.OutcomeRefused:
 		case a.Temporary:
@@ -303,7 +303,7 @@
 	j := c.jobs[at]
 	switch {
 	case j.over():
-	case e.Aborted:
+	case e.Cancelled:
 		c.cancel(j)
 	default:
 		j.done = j.total
@@ -331,7 +331,7 @@
 // refuseCancellations tells users who wait for a cell that has fallen silent to come
 // again.
 func (c *Core) refuseCancellations(n *neighbour) {
-	for _, ref := range c.federation.delegated.With(n.Name) {
+	for _, ref := range c.federation.delegated.JobsAt(n.Name) {
 		at, ok := c.jobIndexByID[ref]
 		if !ok || c.jobs[at].over() {
 			continue
--- a/internal/scheduler/federation_test.go
+++ b/internal/scheduler/federation_test.go
@@ -169,7 +169,7 @@
 		told, ok := last[UserReply](g)
 		g.want("told at once", ok, silent)
 		g.want("as unreachable", told.CellUnreachable, silent)
-		g.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: federation.OutcomeAborted}}})
+		g.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: federation.OutcomeCancelled}}})
 		g.want("in the end", g.jobStatus("job-2"), wire.JobCancelled)
 	}
 }
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -26,7 +26,7 @@
 func (c *Core) transfersRequested(e TransferRequest) {
 	answers := make([]federation.Answer, 0, len(e.Messages))
 	for _, m := range e.Messages {
-		a := c.federation.foreign.Asked(e.Origin, m, c.wall)
+		a := c.federation.foreign.HandleMessage(e.Origin, m, c.wall)
 		if a.Temporary {
 			a.RetryAfter = noRoomFor
 		}
@@ -38,7 +38,7 @@
 
 // applyForeignEffects does what the neighbour's side of the transfers wants done.
 func (c *Core) applyForeignEffects() {
-	for _, effect := range c.federation.foreign.Take() {
+	for _, effect := range c.federation.foreign.TakeEffects() {
 		switch e := effect.(type) {
 		case federation.WriteForeign:
 			c.writeForeign(e)
@@ -71,7 +71,7 @@
 	if e.Job != nil && !e.JobExists {
 		c.jobRecorded(JobRecordEvent{JobID: e.Write.Key.JobID, Record: *e.Job, Version: e.Version})
 	}
-	c.federation.foreign.Written(e.Write.Key, e.Write.Record, e.Version, e.JobExists, c.wall)
+	c.federation.foreign.RecordWritten(e.Write.Key, e.Write.Record, e.Version, e.JobExists, c.wall)
 	c.applyForeignEffects()
 }
 
@@ -86,7 +86,7 @@
 	}
 	j := c.jobs[at]
 	status := c.status(j)
-	return federation.JobState{Over: j.terminalDurable, Aborted: j.terminal == wire.JobCancelled, Done: status.Done, Running: status.Running}, true
+	return federation.JobState{Over: j.terminalDurable, Cancelled: j.terminal == wire.JobCancelled, Done: status.Done, Running: status.Running}, true
 }
 
 // Admit tells whether an offer is taken now, and else why not.
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -268,7 +268,7 @@
 	c.needsPlacement = true
 	c.releaseDependents(j)
 	c.settleJob(j)
-	c.federation.delegated.Over(j.id, c.now)
+	c.federation.delegated.JobOver(j.id, c.now)
 	c.applyOriginEffects()
 }
 
--- a/internal/scheduler/ledger_writes.go
+++ b/internal/scheduler/ledger_writes.go
@@ -123,7 +123,7 @@
 	case planTag:
 		c.planDurable(t)
 	case delegatedTag:
-		c.federation.delegated.Saved(t.ref, t.record, c.now)
+		c.federation.delegated.RecordSaved(t.ref, t.record, c.now)
 		c.applyOriginEffects()
 		c.exchange()
 	}
