--- a/internal/cells/proof_test.go
+++ b/internal/cells/proof_test.go
@@ -26,7 +26,7 @@
 )
 
 // Real controllers of three cells on the loopback interface, with fakes of the outside
-// systems in this process. docs/operations-spill.md has the command.
+// systems in this process. docs/operations-federation.md has the command.
 
 var ledgerFile = flag.String("ledger", "", "where to write the ledger of jobs")
 
--- a/internal/controller/cells_measure_test.go
+++ b/internal/controller/cells_measure_test.go
@@ -16,7 +16,7 @@
 )
 
 // The measured load: one cell is asked for more than it has for five minutes, the others
-// for less. docs/operations-spill.md has the command.
+// for less. docs/operations-federation.md has the command.
 const (
 	measuredFor   = 5 * time.Minute
 	floodedEvery  = 2 * time.Second // jobs of 8 cores for 20 s: 80 cores of the 64 there are
--- a/internal/federation/doc.go
+++ b/internal/federation/doc.go
@@ -5,5 +5,5 @@
 // Both sides of a transfer are pure: DelegatedJobs (at the origin) and ForeignJobs (at the
 // neighbour) take a message, a response, a durable write or the time, and return effects.
 // Neither does I/O, so the same code runs in the leader and under a model checker.
-// docs/design-spill.md argues why a job gets one final state and why at most one cell runs it.
+// docs/design-federation.md argues why a job gets one final state and why at most one cell runs it.
 package federation
--- a/internal/federation/mutants_test.go
+++ b/internal/federation/mutants_test.go
@@ -8,7 +8,7 @@
 	"leadproxy/internal/property"
 )
 
-// mutants each remove one guard of the transfers. docs/operations-spill.md has the
+// mutants each remove one guard of the transfers. docs/operations-federation.md has the
 // command. The check of the answering cell is not among them: epochs alone distinguish the
 // transfers of one job, to whichever cell.
 var mutants = []property.Mutant{
--- a/internal/rollout/mutants_test.go
+++ b/internal/rollout/mutants_test.go
@@ -8,7 +8,7 @@
 	"leadproxy/internal/property"
 )
 
-// mutants each take one guard of the account or the rollout out. docs/design-drain.md has
+// mutants each take one guard of the account or the rollout out. docs/design-rollouts.md has
 // the command.
 var mutants = []property.Mutant{
 	{Name: "budgets are not looked at", File: "disruptions.go", From: "if used >= limit {", To: "if false {"},
