--- /dev/null
+++ b/internal/election/extension_grants.go
@@ -0,0 +1,103 @@
+package election
+
+import (
+	"context"
+	"time"
+
+	"leadproxy/internal/kvstore"
+)
+
+// While the key-value store is unavailable to everybody, no lease expires there and no controller
+// can become the leader, but a controller can't distinguish this from being cut off alone. A
+// leader whose renewals fail therefore asks every other controller for an extension of its lease.
+// A controller that grants one does not act as the leader while it lasts. With the grants of all,
+// and only without a gap since its own lease, the leader may act until the extension ends. A
+// controller grants one only when the store does not serve it either. One that was just started
+// does not act before any extension that its earlier incarnation may have granted is over.
+
+// extensionDuration is how long an extension lasts.
+const extensionDuration = 1500 * time.Millisecond
+
+// storeCheckTimeout bounds the check of the store before an extension is granted.
+const storeCheckTimeout = 300 * time.Millisecond
+
+// extensionGrants records until when this controller must not act as the leader since it has
+// granted extensions to another one.
+type extensionGrants struct {
+	// access is a semaphore with one slot, held while the other fields are used and while this
+	// controller is published as the leader.
+	access chan struct{}
+	// grantedUntil is the end of the last extension granted.
+	grantedUntil time.Time
+	// holdsKey is true while this controller holds the leader key, whether or not it may act.
+	holdsKey bool
+}
+
+func newExtensionGrants(grantedUntil time.Time) *extensionGrants {
+	return &extensionGrants{access: make(chan struct{}, 1), grantedUntil: grantedUntil}
+}
+
+func (g *extensionGrants) lock()   { g.access <- struct{}{} }
+func (g *extensionGrants) unlock() { <-g.access }
+
+// grant records an extension and reports whether it was granted.
+func (g *extensionGrants) grant(duration time.Duration) bool {
+	g.lock()
+	defer g.unlock()
+	if g.holdsKey {
+		// The store has served this controller since. Extensions granted before still prevent
+		// it from acting. With further ones a former leader that the store refuses could stay
+		// leader for ever, while no controller could confirm or write anything.
+		return false
+	}
+	if end := time.Now().Add(duration); end.After(g.grantedUntil) {
+		g.grantedUntil = end
+	}
+	return true
+}
+
+// setKeyHeld records that this controller holds the leader key.
+func (g *extensionGrants) setKeyHeld() {
+	g.lock()
+	defer g.unlock()
+	g.holdsKey = true
+}
+
+// setKeyReleased records that this controller no longer holds the leader key.
+func (g *extensionGrants) setKeyReleased() {
+	g.lock()
+	defer g.unlock()
+	g.holdsKey = false
+}
+
+// runUnlessGranted calls a function unless an extension lasts, and returns how long it still does.
+// No extension is granted during the call.
+func (g *extensionGrants) runUnlessGranted(f func()) (remaining time.Duration) {
+	g.lock()
+	defer g.unlock()
+	remaining = time.Until(g.grantedUntil)
+	if remaining <= 0 {
+		f()
+	}
+	return remaining
+}
+
+// GrantExtension answers another controller's request for an extension. It reports whether this
+// controller will not act as the leader for the duration.
+func (e *Elector) GrantExtension(ctx context.Context, duration time.Duration) bool {
+	if duration <= 0 || duration > 2*extensionDuration {
+		return false
+	}
+	if e.storeServes(ctx) {
+		return false // an election is possible
+	}
+	return e.grants.grant(duration)
+}
+
+// storeServes reports whether the store answers this controller now.
+func (e *Elector) storeServes(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, storeCheckTimeout)
+	defer cancel()
+	_, err := e.store.List(ctx, kvstore.PriorityLease, LeaderKey, "", 1)
+	return err == nil
+}
--- /dev/null
+++ b/internal/election/leader_term_test.go
@@ -0,0 +1,95 @@
+package election
+
+import (
+	"testing"
+	"testing/synctest"
+	"time"
+)
+
+func TestLeadershipIsSuspendedBeforeTheLeaseExpiresAndResumes(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newFakeStore()
+		e := startElector(t, f)
+		advance(20 * time.Second)
+		if v := e.View(); !v.IsLeader(time.Now()) || v.Term != 1 {
+			t.Fatalf("not the leader: %+v", v)
+		}
+		var expiry time.Time
+		f.update(func() {
+			f.unavailable = true
+			expiry = f.leaseExpiries[1]
+		})
+		advance(time.Until(expiry) - 150*time.Millisecond)
+		if e.View().IsLeader(time.Now()) {
+			t.Error("still the leader within the margin of the lease's end")
+		}
+		// The outage ends and the lease still holds at the store: the same term resumes.
+		f.update(func() {
+			f.unavailable = false
+			f.leaseExpiries[1] = time.Now().Add(6 * time.Second)
+		})
+		advance(time.Second)
+		if v := e.View(); !v.IsLeader(time.Now()) || v.Term != 1 {
+			t.Errorf("the term did not resume: %+v", v)
+		}
+	})
+}
+
+func TestLostLeaseEndsTheTermAndALaterTermIsNew(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) {
+		f := newFakeStore()
+		e := startElector(t, f)
+		advance(time.Second)
+		f.update(func() { f.setHolder(leaderEntry(t, "n2", 90), 5*time.Second) })
+		advance(3 * time.Second)
+		if v := e.View(); v.Elected || v.Leader != "n2" {
+			t.Errorf("view after the loss: %+v", v)
+		}
+		advance(10 * time.Second)
+		if v := e.View(); !v.IsLeader(time.Now()) || v.Term == 1 {
+			t.Errorf("view after the other's lease: %+v", v)
+		}
+	})
+}
+
+// TestResignation: a leader that resigns does nothing more in its term and yields to the others,
+// but leads again if no other controller campaigns.
+func TestResignation(t *testing.T) {
+	cases := []struct {
+		name           string
+		resignedTerm   uint64
+		otherCampaigns bool
+		leadsAgain     bool // ten seconds later
+		inNewTerm      bool
+	}{
+		{"another controller leads", 1, true, false, false},
+		{"no other controller campaigns", 1, false, true, true},
+		{"a term that ended long ago", 7, false, true, false},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				f := newFakeStore()
+				e := startElector(t, f)
+				advance(5 * time.Second)
+				before := e.View()
+				e.Resign(c.resignedTerm)
+				advance(time.Second)
+				f.update(func() {
+					if resigned := before.Term == c.resignedTerm; resigned != (f.entry == nil) || resigned == e.IsLeader(before.Term) {
+						t.Errorf("entry %v, view %+v a second later", f.entry, e.View())
+					}
+					if c.otherCampaigns && f.entry == nil {
+						f.revision++
+						f.setHolder(leaderEntry(t, "n2", 90), time.Hour)
+						f.entry.Version = f.revision
+					}
+				})
+				advance(10 * time.Second)
+				if v := e.View(); v.Elected != c.leadsAgain || c.leadsAgain && (v.Term != before.Term) != c.inNewTerm {
+					t.Errorf("view %+v, before %+v", v, before)
+				}
+			})
+		})
+	}
+}
--- /dev/null
+++ b/internal/election/yield.go
@@ -0,0 +1,65 @@
+package election
+
+import (
+	"sync/atomic"
+	"time"
+)
+
+// How long a controller yields its candidacy.
+const (
+	// yieldAfterResignation is how long a controller that has resigned yields.
+	yieldAfterResignation = 20 * time.Second
+	// maxYield bounds yielding while there is no leader: nobody else may be able to campaign.
+	maxYield = 2 * time.Second
+	// maxYieldUntilReady bounds it for a controller that yields only as it is not ready.
+	maxYieldUntilReady = 500 * time.Millisecond
+)
+
+// candidacyYield decides whether this controller lets the others campaign first. Requests come
+// from any goroutine; everything else belongs to the elector's.
+type candidacyYield struct {
+	// noLeaderSince is when the leader key was first found missing; zero while there is a leader.
+	noLeaderSince time.Time
+	// resignedUntil is until when this controller yields as it has resigned.
+	resignedUntil time.Time
+	// requestedUntil is until when it was asked to yield, campaignNowUntil until when it was
+	// asked not to, which takes precedence. Both are nanoseconds of the time of day.
+	requestedUntil   atomic.Int64
+	campaignNowUntil atomic.Int64
+}
+
+// leaderSeen records that there is a leader.
+func (y *candidacyYield) leaderSeen() { y.noLeaderSince = time.Time{} }
+
+// resigned records that this controller has resigned.
+func (y *candidacyYield) resigned() { y.resignedUntil = time.Now().Add(yieldAfterResignation) }
+
+// shouldYield reports, while there is no leader, whether the others are to campaign first. A nil
+// ready function means that this controller is ready.
+func (y *candidacyYield) shouldYield(ready func() bool) bool {
+	now := time.Now()
+	if y.noLeaderSince.IsZero() {
+		y.noLeaderSince = now
+	}
+	if now.UnixNano() < y.campaignNowUntil.Load() {
+		return false
+	}
+	withoutLeader := now.Sub(y.noLeaderSince)
+	if ready != nil && !ready() && withoutLeader < maxYieldUntilReady {
+		return true
+	}
+	requested := now.UnixNano() < y.requestedUntil.Load()
+	resigned := !now.After(y.resignedUntil)
+	return (requested || resigned) && withoutLeader < maxYield
+}
+
+// YieldCandidacy makes this controller let the others campaign first for a while.
+func (e *Elector) YieldCandidacy(d time.Duration) {
+	e.yield.requestedUntil.Store(time.Now().Add(d).UnixNano())
+}
+
+// CampaignNow makes this controller campaign without yielding for a while, also if it has just
+// resigned.
+func (e *Elector) CampaignNow(d time.Duration) {
+	e.yield.campaignNowUntil.Store(time.Now().Add(d).UnixNano())
+}
