--- a/internal/dispatch/command_pool.go
+++ b/internal/dispatch/command_pool.go
@@ -141,6 +141,6 @@
 	if !may() {
 		return 0, nil, false, ErrNotLeader
 	}
-	status, answer, err = line.Do(end, method, path, payload)
-	return status, answer, true, err
+	response, err := line.Do(end, transport.Request{Method: method, Path: path, Body: payload})
+	return response.Status, response.Body, true, err
 }
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -108,7 +108,8 @@
 	if err := line.Open(u.t.Context(), connectLimit); err != nil {
 		return 0, nil, err
 	}
-	return line.Do(end, method, path, payload)
+	response, err := line.Do(end, transport.Request{Method: method, Path: path, Body: payload})
+	return response.Status, response.Body, err
 }
 
 // Until repeats a request at any nodes, as users do, until it gets a final answer.
--- a/internal/fake/worker_reports.go
+++ b/internal/fake/worker_reports.go
@@ -112,7 +112,8 @@
 	if err := line.Open(w.ctx, patience); err != nil {
 		return 0, nil, err
 	}
-	return line.Do(end, http.MethodPost, "/v1/report", body)
+	response, err := line.Do(end, transport.Request{Method: http.MethodPost, Path: "/v1/report", Body: body})
+	return response.Status, response.Body, err
 }
 
 // tell sends a report to a controller. It returns whom to go to if the answer
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -291,7 +291,8 @@
 		return fmt.Errorf("%w: %w", ErrUnavailable, err)
 	}
 	c.pacer.spend()
-	status, answer, err := c.renewals.Do(time.Now().Add(renewTimeout), http.MethodPost, path, []byte("{}"))
+	response, err := c.renewals.Do(time.Now().Add(renewTimeout), transport.Request{Method: http.MethodPost, Path: path, Body: []byte("{}")})
+	status, answer := response.Status, response.Body
 	served := err == nil && status != http.StatusServiceUnavailable
 	c.pacer.note(served)
 	switch {
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -4,131 +4,125 @@
 	"bufio"
 	"bytes"
 	"context"
-	"errors"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"os"
-	"syscall"
 	"time"
 )
 
-// Conn is a connection that one goroutine at a time uses by itself, from the
-// request to the answer. An http.Client hands each request from goroutine to
-// goroutine, two for each connection that it keeps. On a controller that is short
-// of time each of those hands over only when all else that is ready has had its
-// turn: a leader that was busy with a thousand workers lost its lease over that.
-// And two goroutines with their buffers for each of a thousand machines take
+// Conn is an HTTP connection that one goroutine at a time uses directly, from the request to the
+// response. An http.Client passes each request from goroutine to goroutine, two for each connection
+// that it keeps. On a controller that is short of processor time each of them continues only after
+// everything else that is ready to run: a leader that was busy with a thousand workers lost its
+// lease over that. Also, two goroutines with their buffers for each of a thousand machines take
 // 40 MB.
 type Conn struct {
-	net  Network
-	addr string
-	conn net.Conn
-	in   *bufio.Reader
-	used time.Time
+	network  Network
+	addr     string
+	conn     net.Conn // nil while closed
+	reader   *bufio.Reader
+	lastUsed time.Time
 }
 
-// connBuffer is for a connection's answers. Most are shorter.
-const connBuffer = 2 << 10
+// Request is one HTTP request on a connection. Its body is JSON; a nil body is none.
+type Request struct {
+	Method string
+	Path   string
+	Body   []byte
+}
 
-// quietFor is how long a connection may have been idle without being looked at before
-// it is used again.
-const quietFor = 500 * time.Millisecond
+// Response is the response to a request.
+type Response struct {
+	Status int
+	Body   []byte
+}
 
-// NewConn makes a connection to an address, not open yet.
-func NewConn(n Network, addr string) *Conn { return &Conn{net: n, addr: addr} }
+const (
+	// connBufferSize is the size of a connection's read buffer. Most responses are shorter.
+	connBufferSize = 2 << 10
+	// idleCheckAfter is how long a connection may have been idle before it is checked, ahead of
+	// its next use, for having been closed by the peer.
+	idleCheckAfter = 500 * time.Millisecond
+)
 
-// IsOpen tells whether there is a connection to be kept.
-func (l *Conn) IsOpen() bool { return l.conn != nil }
+// NewConn returns a connection to an address that is not open yet.
+func NewConn(n Network, addr string) *Conn { return &Conn{network: n, addr: addr} }
+
+// IsOpen reports whether the connection can be used again.
+func (c *Conn) IsOpen() bool { return c.conn != nil }
 
 // IdleSince is when the connection was last used.
-func (l *Conn) IdleSince() time.Time { return l.used }
+func (c *Conn) IdleSince() time.Time { return c.lastUsed }
 
 // Close closes the connection.
-func (l *Conn) Close() {
-	if l.conn != nil {
-		l.conn.Close()
-		l.conn = nil
+func (c *Conn) Close() {
+	if c.conn != nil {
+		c.conn.Close()
+		c.conn = nil
 	}
 }
 
-// Open sees to it that there is a connection. An error means that nothing was
-// sent.
-func (l *Conn) Open(ctx context.Context, limit time.Duration) error {
-	if l.conn != nil && time.Since(l.used) > quietFor && hungUp(l.conn) {
-		l.Close()
+// Open connects unless the connection is open and the peer has not closed it. After an error
+// nothing was sent.
+func (c *Conn) Open(ctx context.Context, timeout time.Duration) error {
+	if c.conn != nil && time.Since(c.lastUsed) > idleCheckAfter && closedByPeer(c.conn) {
+		c.Close()
 	}
-	if l.conn != nil {
+	if c.conn != nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	conn, err := l.net.Dial(ctx, l.addr)
+	conn, err := c.network.Dial(ctx, c.addr)
 	if err != nil {
-		return err
+		return fmt.Errorf("connect to %s: %w", c.addr, err)
 	}
-	l.conn, l.in, l.used = conn, bufio.NewReaderSize(conn, connBuffer), time.Now()
+	c.conn = conn
+	c.reader = bufio.NewReaderSize(conn, connBufferSize)
+	c.lastUsed = time.Now()
 	return nil
 }
 
-// Do carries out one request on an open connection, until end. After an error it may
-// have been carried out, and the connection is closed.
-func (l *Conn) Do(end time.Time, method, path string, payload []byte) (status int, answer []byte, err error) {
-	status, answer, closing, err := l.speak(end, method, path, payload)
-	if err != nil || closing {
-		l.Close()
+// Do carries out one request on an open connection, until a deadline. After an error the request
+// may have been executed, and the connection is closed.
+func (c *Conn) Do(deadline time.Time, r Request) (Response, error) {
+	response, err := c.exchange(deadline, r)
+	if err != nil {
+		c.Close()
+		err = fmt.Errorf("%s http://%s%s: %w", r.Method, c.addr, r.Path, err)
 	}
-	l.used = time.Now()
-	return status, answer, err
+	c.lastUsed = time.Now()
+	return response, err
 }
 
-func (l *Conn) speak(end time.Time, method, path string, payload []byte) (status int, answer []byte, closing bool, err error) {
-	if err := l.conn.SetDeadline(end); err != nil {
-		return 0, nil, false, fmt.Errorf("connection to %s: %w", l.addr, err)
+// exchange sends a request and reads its response. It closes the connection if the peer is going
+// to close it.
+func (c *Conn) exchange(deadline time.Time, r Request) (Response, error) {
+	if err := c.conn.SetDeadline(deadline); err != nil {
+		return Response{}, fmt.Errorf("set the deadline: %w", err)
 	}
-	req, err := http.NewRequest(method, "http://"+l.addr+path, bytes.NewReader(payload))
+	request, err := http.NewRequest(r.Method, "http://"+c.addr+r.Path, bytes.NewReader(r.Body))
 	if err != nil {
-		return 0, nil, false, fmt.Errorf("connection to %s: %w", l.addr, err)
+		return Response{}, err
 	}
-	if payload != nil {
-		req.Header.Set("Content-Type", "application/json")
+	if r.Body != nil {
+		request.Header.Set("Content-Type", "application/json")
 	}
-	if err := req.Write(l.conn); err != nil {
-		return 0, nil, false, fmt.Errorf("connection to %s: %w", l.addr, err)
+	if err := request.Write(c.conn); err != nil {
+		return Response{}, fmt.Errorf("send the request: %w", err)
 	}
-	resp, err := http.ReadResponse(l.in, req)
+	httpResponse, err := http.ReadResponse(c.reader, request)
 	if err != nil {
-		return 0, nil, false, fmt.Errorf("connection to %s: %w", l.addr, err)
+		return Response{}, fmt.Errorf("read the response: %w", err)
 	}
-	defer resp.Body.Close()
-	answer, err = io.ReadAll(resp.Body)
-	return resp.StatusCode, answer, resp.Close, err
-}
-
-// hungUp tells whether the other side has closed an idle connection: there is
-// something to be read, if only the end. A request on such a connection would be
-// lost, and nobody could tell whether it was carried out.
-func hungUp(conn net.Conn) bool {
-	sc, ok := conn.(syscall.Conn)
-	if !ok {
-		// Not a socket: a read that may not wait tells as much.
-		if err := conn.SetReadDeadline(time.Now()); err != nil {
-			return true
-		}
-		_, err := conn.Read(make([]byte, 1))
-		return !errors.Is(err, os.ErrDeadlineExceeded)
-	}
-	raw, err := sc.SyscallConn()
+	defer httpResponse.Body.Close()
+	body, err := io.ReadAll(httpResponse.Body)
 	if err != nil {
-		return true
+		return Response{}, fmt.Errorf("read the response's body: %w", err)
+	}
+	if httpResponse.Close {
+		c.Close()
 	}
-	gone := false
-	err = raw.Read(func(fd uintptr) bool {
-		var b [1]byte
-		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		gone = err != syscall.EAGAIN
-		return true
-	})
-	return gone || err != nil
+	return Response{Status: httpResponse.StatusCode, Body: body}, nil
 }
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -10,77 +10,97 @@
 	"time"
 )
 
-// TestConn: a line is used again as long as the other side keeps it. One that was
-// hung up while idle is noticed before anything is sent on it: a command that
-// broke off could have been carried out.
-func TestConn(t *testing.T) {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+// testServer accepts connections and answers each request by its path.
+type testServer struct {
+	listener net.Listener
+	accepted chan net.Conn // connections
+	requests chan string   // methods, paths and bodies
+}
+
+func newTestServer(t *testing.T) *testServer {
+	t.Helper()
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer l.Close()
-	conns := make(chan net.Conn, 10)
-	requests := make(chan string, 10)
-	go func() {
-		for {
-			c, err := l.Accept()
-			if err != nil {
-				return
-			}
-			conns <- c
-			go func() {
-				in := bufio.NewReader(c)
-				for {
-					req, err := http.ReadRequest(in)
-					if err != nil {
-						return
-					}
-					body, _ := io.ReadAll(req.Body)
-					requests <- req.Method + req.URL.Path + string(body)
-					answer := "HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\nno"
-					switch req.URL.Path {
-					case "/last":
-						answer = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"
-					case "/broken":
-						c.Close()
-						return
-					}
-					if _, err := io.WriteString(c, answer); err != nil {
-						return
-					}
-				}
-			}()
+	t.Cleanup(func() { listener.Close() })
+	s := &testServer{listener: listener, accepted: make(chan net.Conn, 10), requests: make(chan string, 10)}
+	go s.run()
+	return s
+}
+
+func (s *testServer) run() {
+	for {
+		conn, err := s.listener.Accept()
+		if err != nil {
+			return
+		}
+		s.accepted <- conn
+		go s.serve(conn)
+	}
+}
+
+// serve answers a connection's requests. It closes the connection in place of an answer to
+// /broken, and announces with the answer to /last that it is going to.
+func (s *testServer) serve(conn net.Conn) {
+	reader := bufio.NewReader(conn)
+	for {
+		request, err := http.ReadRequest(reader)
+		if err != nil {
+			return
 		}
-	}()
-	line := NewConn(TCP{}, l.Addr().String())
-	do := func(path string) (int, string, error) {
-		if err := line.Open(context.Background(), time.Second); err != nil {
-			t.Fatal(err)
+		body, _ := io.ReadAll(request.Body)
+		s.requests <- request.Method + request.URL.Path + string(body)
+		answer := "HTTP/1.1 409 Conflict\r\nContent-Length: 2\r\n\r\nno"
+		switch request.URL.Path {
+		case "/last":
+			answer = "HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 2\r\n\r\nok"
+		case "/broken":
+			conn.Close()
+			return
 		}
-		status, answer, err := line.Do(time.Now().Add(time.Second), http.MethodPost, path, []byte("{}"))
-		return status, string(answer), err
+		if _, err := io.WriteString(conn, answer); err != nil {
+			return
+		}
+	}
+}
+
+// post opens the connection and sends a request on it.
+func post(t *testing.T, c *Conn, path string) (Response, error) {
+	t.Helper()
+	if err := c.Open(context.Background(), time.Second); err != nil {
+		t.Fatal(err)
 	}
+	return c.Do(time.Now().Add(time.Second), Request{Method: http.MethodPost, Path: path, Body: []byte("{}")})
+}
+
+// TestConn: a connection is used again as long as the peer keeps it. One that the peer has closed
+// while it was idle is noticed before anything is sent on it: a command that broke off could have
+// been executed.
+func TestConn(t *testing.T) {
+	server := newTestServer(t)
+	conn := NewConn(TCP{}, server.listener.Addr().String())
 	for range 3 {
-		if status, answer, err := do("/commands"); status != 409 || answer != "no" || err != nil {
-			t.Errorf("%d %q %v", status, answer, err)
+		if r, err := post(t, conn, "/commands"); r.Status != 409 || string(r.Body) != "no" || err != nil {
+			t.Errorf("%d %q %v", r.Status, r.Body, err)
 		}
 	}
-	if len(conns) != 1 || <-requests != "POST/commands{}" {
-		t.Errorf("%d connections for three requests", len(conns))
+	if len(server.accepted) != 1 || <-server.requests != "POST/commands{}" {
+		t.Errorf("%d connections for three requests", len(server.accepted))
 	}
-	(<-conns).Close()
-	line.used = time.Now().Add(-time.Minute)
-	if status, _, err := do("/commands"); status != 409 || err != nil || len(conns) != 1 {
-		t.Errorf("after the other side had hung up: %d %v", status, err)
+	(<-server.accepted).Close()
+	conn.lastUsed = time.Now().Add(-time.Minute)
+	if r, err := post(t, conn, "/commands"); r.Status != 409 || err != nil || len(server.accepted) != 1 {
+		t.Errorf("after the peer had closed the connection: %d %v", r.Status, err)
 	}
-	if status, _, err := do("/last"); status != 200 || err != nil || line.IsOpen() {
-		t.Errorf("the last answer on a connection: %d %v, open %v", status, err, line.IsOpen())
+	if r, err := post(t, conn, "/last"); r.Status != 200 || err != nil || conn.IsOpen() {
+		t.Errorf("the last answer on a connection: %d %v, open %v", r.Status, err, conn.IsOpen())
 	}
-	if _, _, err := do("/broken"); err == nil || line.IsOpen() || NotSent(err) {
-		t.Errorf("broken off: %v, open %v", err, line.IsOpen())
+	if _, err := post(t, conn, "/broken"); err == nil || conn.IsOpen() || NotSent(err) {
+		t.Errorf("broken off: %v, open %v", err, conn.IsOpen())
 	}
-	l.Close()
-	if err := line.Open(context.Background(), time.Second); !NotSent(err) {
-		t.Errorf("nobody listens: %v", err)
+	server.listener.Close()
+	if err := conn.Open(context.Background(), time.Second); !NotSent(err) {
+		t.Errorf("without a listener: %v", err)
 	}
 }
