--- /dev/null
+++ b/internal/kvstore/entries.go
@@ -0,0 +1,73 @@
+package kvstore
+
+import (
+	"bytes"
+	"context"
+	"net/http"
+	"net/url"
+	"strconv"
+
+	"leadproxy/internal/wire"
+)
+
+// noSuchLease is the protocol's error text for a transaction that attaches a key to a lease that has
+// expired. Its status, 400, is that of other invalid requests too, so that only the text
+// distinguishes it.
+const noSuchLease = "no such lease"
+
+// Get reads a key; found is false when it does not exist.
+func (c *Client) Get(ctx context.Context, p Priority, key string) (entry wire.Entry, found bool, err error) {
+	resp, err := c.send(ctx, request{method: http.MethodGet, path: "/store/" + key, priority: p, timeout: requestTimeout})
+	if err != nil {
+		return entry, false, err
+	}
+	switch resp.status {
+	case http.StatusOK:
+		err = resp.decode(&entry)
+		return entry, err == nil, err
+	case http.StatusNotFound:
+		return entry, false, nil
+	}
+	return entry, false, resp.rejected()
+}
+
+// CompareAndSwap executes a transaction. ok is false when a condition failed.
+func (c *Client) CompareAndSwap(ctx context.Context, p Priority, t wire.CompareAndSwap) (ok bool, result wire.CompareAndSwapResponse, err error) {
+	if t.Changes == nil {
+		t.Changes = []wire.Change{}
+	}
+	r := request{method: http.MethodPost, path: "/txn", body: t, priority: p, writes: len(t.Changes), timeout: requestTimeout}
+	resp, err := c.send(ctx, r)
+	if err != nil {
+		return false, result, err
+	}
+	switch resp.status {
+	case http.StatusOK, http.StatusConflict:
+		err = resp.decode(&result)
+		return err == nil && resp.status == http.StatusOK, result, err
+	}
+	if bytes.Contains(resp.body, []byte(noSuchLease)) {
+		return false, result, r.fail(ErrLeaseExpired)
+	}
+	if resp.status == http.StatusBadRequest && c.limits.recordRejected(&t) {
+		return false, result, r.fail(ErrLimitsLowered)
+	}
+	return false, result, resp.rejected()
+}
+
+// List reads one page of the keys under a prefix, after a key, and the store's revision.
+func (c *Client) List(ctx context.Context, p Priority, under, after string, limit int) (page wire.EntryPage, err error) {
+	query := url.Values{"under": {under}, "limit": {strconv.Itoa(limit)}}
+	if after != "" {
+		query.Set("from", after)
+	}
+	resp, err := c.send(ctx, request{method: http.MethodGet, path: "/store?" + query.Encode(), priority: p, timeout: listTimeout})
+	if err != nil {
+		return page, err
+	}
+	if resp.status != http.StatusOK {
+		return page, resp.rejected()
+	}
+	err = resp.decode(&page)
+	return page, err
+}
--- /dev/null
+++ b/internal/kvstore/watch.go
@@ -0,0 +1,32 @@
+package kvstore
+
+import (
+	"context"
+	"net/http"
+	"net/url"
+	"strconv"
+	"time"
+
+	"leadproxy/internal/wire"
+)
+
+// watchGrace is how much longer than asked for a watch's response may take.
+const watchGrace = 2 * time.Second
+
+// Watch waits until a key under the prefix has changed after a revision.
+func (c *Client) Watch(ctx context.Context, under string, after uint64, wait time.Duration) (changes wire.WatchResponse, err error) {
+	query := url.Values{"under": {under}, "from": {strconv.FormatUint(after, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
+	r := request{method: http.MethodGet, path: "/changes?" + query.Encode(), priority: PriorityLeader, timeout: wait + watchGrace}
+	resp, err := c.send(ctx, r)
+	if err != nil {
+		return changes, err
+	}
+	switch resp.status {
+	case http.StatusOK:
+		err = resp.decode(&changes)
+		return changes, err
+	case http.StatusGone:
+		return changes, r.fail(ErrCompacted)
+	}
+	return changes, resp.rejected()
+}
