--- a/internal/capability/golden_test.go
+++ b/internal/capability/golden_test.go
@@ -6,7 +6,7 @@
 	"leadproxy/internal/property"
 )
 
-// TestGoldenAnnouncement compares a node's key and its value.
+// TestGoldenAnnouncement compares a controller's key and its value.
 func TestGoldenAnnouncement(t *testing.T) {
 	property.CheckGolden(t, "node", &announcement{})
 	property.CheckGoldenValues(t, "constants", map[string]any{
--- /dev/null
+++ b/internal/capability/negotiator_test.go
@@ -0,0 +1,108 @@
+package capability
+
+import (
+	"context"
+	"io"
+	"log/slog"
+	"maps"
+	"sync"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"github.com/segmentio/encoding/json"
+
+	"leadproxy/internal/kvstore"
+	"leadproxy/internal/wire"
+)
+
+// fakeStore holds announcements. It rejects all reads while it is unavailable.
+type fakeStore struct {
+	mu          sync.Mutex // guards entries
+	entries     map[string]string
+	unavailable bool
+}
+
+func (f *fakeStore) List(context.Context, kvstore.Priority, string, string, int) (wire.EntryPage, error) {
+	if f.unavailable {
+		return wire.EntryPage{}, kvstore.ErrUnavailable
+	}
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	var page wire.EntryPage
+	for key, value := range f.entries {
+		page.Entries = append(page.Entries, wire.Entry{Key: key, Value: json.RawMessage(value), Version: 1})
+	}
+	return page, nil
+}
+
+func (f *fakeStore) CompareAndSwap(_ context.Context, _ kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	for _, change := range t.Changes {
+		f.entries[change.Set] = string(change.Value)
+	}
+	return true, wire.CompareAndSwapResponse{}, nil
+}
+
+func (f *fakeStore) get(key string) string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	return f.entries[key]
+}
+
+// add adds or replaces entries.
+func (f *fakeStore) add(entries map[string]string) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	maps.Copy(f.entries, entries)
+}
+
+// TestAllControllersHaveToAnnounce: only announcements count, and only those of all controllers of
+// the settings. One without an announcement, or with a lower one, may run an older version.
+func TestAllControllersHaveToAnnounce(t *testing.T) {
+	cases := []struct {
+		name        string
+		entries     map[string]string
+		unavailable bool
+		commonLevel int
+	}{
+		{"all support it", map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":3,"more":7}`}, false, Level},
+		{"one supports a level less", map[string]string{"node/n2": `{"level":1}`, "node/n3": `{"level":2}`}, false, Pipelines},
+		{"this one supported less", map[string]string{"node/n1": `{"level":1}`, "node/n2": `{"level":2}`, "node/n3": `{"level":2}`}, false, Level},
+		{"one is missing", map[string]string{"node/n2": `{"level":2}`}, false, 0},
+		{"one supports nothing", map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":0}`}, false, 0},
+		{"one can't be decoded", map[string]string{"node/n2": `{"level":2}`, "node/n3": `7`}, false, 0},
+		{"another name", map[string]string{"node/n2": `{"level":2}`, "node/n4": `{"level":2}`}, false, 0},
+		{"the store is unavailable", map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":2}`}, true, 0},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			synctest.Test(t, func(t *testing.T) {
+				store := &fakeStore{entries: c.entries, unavailable: c.unavailable}
+				negotiator := New("n1", Level, []string{"n2", "n3"}, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
+				go negotiator.Run(t.Context())
+				time.Sleep(3 * pollInterval)
+				synctest.Wait()
+				for level := 1; level <= Level; level++ {
+					if got := negotiator.AllSupport(level); got != (c.commonLevel >= level) {
+						t.Errorf("level %d: %v, want those up to %d", level, got, c.commonLevel)
+					}
+				}
+				if got := store.get("node/n1"); (got == `{"level":2}`) == c.unavailable {
+					t.Errorf("announced as %q", got)
+				}
+				if c.commonLevel == Level || c.unavailable {
+					return
+				}
+				// The last controller starts with the new version.
+				store.add(map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":2}`})
+				time.Sleep(2 * pollInterval)
+				synctest.Wait()
+				if !negotiator.AllSupport(Level) {
+					t.Error("not all support the level after the last one has announced it")
+				}
+			})
+		})
+	}
+}
