--- a/internal/lint/protocol_words_lists_test.go
+++ b/internal/lint/protocol_words_lists_test.go
@@ -101,9 +101,6 @@
 	{"internal/controller/sockets.go", "orders", "not renamed yet"},
 	{"internal/dispatch/job_watch.go", "news", "not renamed yet"},
 	{"internal/dispatch/term.go", "stepTogether", "several events share one step; no gang"},
-	{"internal/federation/delegated_jobs.go", "Aborted", "not renamed yet"},
-	{"internal/federation/foreign_jobs.go", "Aborted", "not renamed yet"},
-	{"internal/federation/types.go", "OutcomeAborted", "not renamed yet"},
 	{"internal/ledger/decode.go", "addHire", "not renamed yet"},
 	{"internal/ledger/records.go", "hirePrefix", "not renamed yet"},
 	{"internal/rollout/record.go", "Hiring", "not renamed yet"},
@@ -116,21 +113,21 @@
 	{"internal/scheduler/commands.go", "orders", "not renamed yet"},
 	{"internal/scheduler/eviction_view.go", "hiredMS", "not renamed yet"},
 	{"internal/scheduler/heartbeat_responses.go", "orders", "not renamed yet"},
-	{"internal/standby/follower.go", "news", "not renamed yet"},
 }
 
 // allowedFields are the fields that may be named like their tag though it is a word of the
 // protocol.
 var allowedFields = []exception{
-	{"internal/federation/types.go", "Epoch", "a transfer epoch: the term of docs/design-federation.md"},
+	{"internal/federation/records.go", "Epoch", "a transfer epoch: the term of docs/design-federation.md"},
 	{"internal/rollout/record.go", "Ref", "not renamed yet"},
 }
 
 // allowedLiterals are the string literals that may equal a name of the protocol.
 var allowedLiterals = []exception{
-	{"internal/federation/types.go", "aborted", "an outcome's name in logs"},
-	{"internal/kvstore/client.go", "under", "parameter of the store's URLs"},
-	{"internal/kvstore/client.go", "wait_ms", "parameter of the store's URLs"},
+	{"internal/federation/messages.go", "aborted", "an outcome's name in logs"},
+	{"internal/kvstore/entries.go", "under", "parameter of the store's URLs"},
+	{"internal/kvstore/watch.go", "under", "parameter of the store's URLs"},
+	{"internal/kvstore/watch.go", "wait_ms", "parameter of the store's URLs"},
 	{"internal/rollout/record.go", "aborted", "a plan's phase as the ledger holds it"},
 	{"internal/scheduler/ledger_writes.go", "hire", "not renamed yet"},
 }
