--- a/internal/ledger/decode_test.go
+++ b/internal/ledger/decode_test.go
@@ -9,8 +9,8 @@
 	"leadproxy/internal/wire"
 )
 
-// malformed are values that no controller writes, by key.
-var malformed = map[string][]string{
+// malformedValues are values that no controller writes, by key.
+var malformedValues = map[string][]string{
 	"job/job-000009": {``, `null`, `7`, `[]`, `{}`, `{"job":7}`, `{"job":{"ref":"job-000009","pieces":0}}`, `{"job":{"ref":"job-000009","pieces":-1}}`,
 		`{"job":{"ref":"job-000009","pieces":1000000000000}}`, `{"job":{"ref":"job-000001","pieces":1}}`, `{"job":{"ref":"job-000009","pieces":1,"vcpus":-4}}`,
 		`{"fate":"lost"}`, `{"fate":"done","tasks":-1}`, `{"fate":"done","done":1000000000}`, `{"job":{"ref":"job-000009","pieces":1},"accepted_ms":"soon"}`, strings.Repeat("[", 20000)},
@@ -33,9 +33,9 @@
 // TestMalformedKeysConcernThemselvesAlone: one value that can't be read kept every node
 // from leading, since no ledger was read without it.
 func TestMalformedKeysConcernThemselvesAlone(t *testing.T) {
-	for key, values := range malformed {
+	for key, values := range malformedValues {
 		for _, value := range values {
-			s := collect([]wire.Entry{
+			s := decodeSnapshot([]wire.Entry{
 				entry("job/job-000001", oldOpen), entry("fin/job-000001/3", oldRanges), entry("host/job-000001/3", oldHosts),
 				entry(key, value), entry("hire/h7-9", strings.Replace(oldHire, "h7-1", "h7-9", 1)),
 			})
@@ -61,7 +61,7 @@
 // FuzzCollect: whatever a key holds, it is read or named as malformed, and what is read
 // is within the bounds that the dispatcher counts on.
 func FuzzCollect(f *testing.F) {
-	for key, values := range malformed {
+	for key, values := range malformedValues {
 		for _, value := range values {
 			f.Add(key, []byte(value))
 		}
@@ -70,7 +70,7 @@
 		f.Add(key, []byte(value))
 	}
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
-		s := collect([]wire.Entry{{Key: key, Value: json.RawMessage(value), Version: 1}})
+		s := decodeSnapshot([]wire.Entry{{Key: key, Value: json.RawMessage(value), Version: 1}})
 		for _, j := range s.Jobs {
 			if r := j.Record; r.Job != nil && (r.Job.Tasks < 1 || r.Job.Tasks > wire.MaxTasks || r.Job.ID != j.ID) {
 				t.Errorf("%+v", r)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -3,7 +3,6 @@
 import (
 	"context"
 	"errors"
-	"fmt"
 	"log/slog"
 	"strconv"
 	"time"
@@ -23,9 +22,6 @@
 	CompareAndSwap(ctx context.Context, p kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error)
 }
 
-// ErrLeadershipLost ends a ledger whose term is over.
-var ErrLeadershipLost = errors.New("another term has begun")
-
 // Write is one change of a key.
 type Write struct {
 	Key    string
@@ -108,11 +104,6 @@
 	}
 }
 
-// Prefixes are the keys that make up the ledger.
-func Prefixes() []string {
-	return []string{JobPrefix, finPrefix, hostPrefix, hirePrefix, gonePrefix, silentPrefix, planPrefix, cellPrefix, fenceKey}
-}
-
 // Load reads the whole ledger.
 func (l *Ledger) Load(ctx context.Context) (Snapshot, error) {
 	var entries []wire.Entry
@@ -120,7 +111,7 @@
 	for _, prefix := range Prefixes() {
 		listing, err := kvstore.ListAll(ctx, l.store, kvstore.PriorityLeader, prefix)
 		if err != nil {
-			return Snapshot{}, fmt.Errorf("reading %s: %w", prefix, err)
+			return Snapshot{}, &KeyError{Op: OpList, Key: prefix, Err: err}
 		}
 		if revision == 0 {
 			revision = listing.FirstRevision
@@ -136,7 +127,7 @@
 	for _, e := range entries {
 		l.versions[e.Key] = e.Version
 	}
-	s := collect(entries)
+	s := decodeSnapshot(entries)
 	s.Revision = revision
 	for _, malformed := range s.Malformed {
 		l.log.Error("ledger key can't be read, going on without it", "key", malformed.Key, "error", malformed.Err)
@@ -318,7 +309,7 @@
 	if w.Value != nil {
 		var err error
 		if value, err = json.Marshal(w.Value); err != nil {
-			return fmt.Errorf("ledger key %s: %w", w.Key, err)
+			return &KeyError{Op: OpEncode, Key: w.Key, Err: err}
 		}
 	}
 	p := l.pending[w.Key]
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -357,7 +357,7 @@
 	b.ReportAllocs()
 	b.ResetTimer()
 	for range b.N {
-		if s := collect(entries); len(s.Malformed) > 0 || len(s.Jobs) != 2000 {
+		if s := decodeSnapshot(entries); len(s.Malformed) > 0 || len(s.Jobs) != 2000 {
 			b.Fatal(len(s.Jobs), s.Malformed)
 		}
 	}
--- a/internal/ledger/plans_test.go
+++ b/internal/ledger/plans_test.go
@@ -24,7 +24,7 @@
 		}
 		return wire.Entry{Key: PlanKey(name), Value: value}
 	}
-	s := collect([]wire.Entry{
+	s := decodeSnapshot([]wire.Entry{
 		entry("winter", nil),
 		entry("winter-2", func(r *rollout.Record) { r.Version, r.Spec.Name = rollout.RecordVersion+1, "winter-2" }),
 		entry("winter-3", nil), // the record of another plan
--- a/internal/ledger/versions_test.go
+++ b/internal/ledger/versions_test.go
@@ -30,7 +30,7 @@
 
 // TestReadsWhatProductionWrites: every kind of record.
 func TestReadsWhatProductionWrites(t *testing.T) {
-	s := collect([]wire.Entry{
+	s := decodeSnapshot([]wire.Entry{
 		entry("job/job-000001", oldOpen), entry("job/job-000002", strings.Replace(oldAborted, "job-000001", "job-000002", 1)), entry("job/job-000003", oldDone),
 		entry("fin/job-000001/0", oldRanges), entry("host/job-000001/0", oldHosts), entry("hire/h7-1", oldHire),
 		entry("gone/vm-000009", "true"), entry("silent/7-1", oldSilent),
@@ -147,7 +147,7 @@
 // TestPartsAreReadWithTheirChunk: finished tasks in parts count together with what
 // the chunk's own key holds, and production takes none of their keys for a chunk's.
 func TestPartsAreReadWithTheirChunk(t *testing.T) {
-	s := collect([]wire.Entry{
+	s := decodeSnapshot([]wire.Entry{
 		entry("job/job-000001", oldOpen), entry("fin/job-000001/0", `[0,1]`), entry("fin/job-000001/0.0", `[0,2]`), entry("fin/job-000001/0.128", `[128,130]`),
 		entry("host/job-000001/0", `["vm-1"]`), entry("host/job-000001/1", `["vm-2"]`),
 	})
