--- a/internal/ledger/property_test.go
+++ b/internal/ledger/batching_property_test.go
@@ -3,33 +3,28 @@
 import (
 	"context"
 	"fmt"
-	"io"
-	"log/slog"
 	"slices"
 	"testing"
 
 	"pgregory.net/rapid"
 
-	"leadproxy/internal/election"
 	_ "leadproxy/internal/property" // fixes the seed
 )
 
-// ledgerMachine drives a ledger's steps by hand over a state service that loses
-// transactions, loses their answers, or carries them out late, and keeps what every key
-// must hold in the end.
+// ledgerMachine drives a ledger's steps by hand over a store that loses transactions, loses
+// their responses, or carries them out late, and keeps what every key must hold in the end.
 type ledgerMachine struct {
 	ledger  *Ledger
 	store   *fakeStore
 	want    map[string]string // the last value of each key; missing: deleted
 	tags    int               // handed out so far
-	durable map[Tag]int       // how often each was told
+	durable map[Tag]int       // how often each was handed back
 }
 
 func newLedgerMachine(t *rapid.T) *ledgerMachine {
 	limits := Limits{MaxChanges: rapid.IntRange(2, 6).Draw(t, "ops"), TransactionBytes: rapid.IntRange(400, 4000).Draw(t, "bytes")}
-	store := &fakeStore{revision: 9, keys: map[string]uint64{election.LeaderKey: 5}, values: map[string]string{}}
-	l := New(5, store, fixed(limits), slog.New(slog.NewTextHandler(io.Discard, nil)))
-	return &ledgerMachine{l, store, map[string]string{}, 0, map[Tag]int{}}
+	store := newFakeStore(testTerm)
+	return &ledgerMachine{newTestLedger(store, limits), store, map[string]string{}, 0, map[Tag]int{}}
 }
 
 // enqueue writes or deletes a key.
@@ -42,47 +37,48 @@
 		text := fmt.Sprintf("%0*d", rapid.IntRange(1, 300).Draw(t, "length"), m.tags)
 		w.Value, m.want[key] = text, fmt.Sprintf("%q", text)
 	}
-	if err := m.ledger.enqueue(w); err != nil {
+	if err := m.ledger.enqueue([]Write{w}); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// commit carries one transaction out, with whatever befalls it.
+// commit carries one transaction out, or whatever else its fate is.
 func (m *ledgerMachine) commit(t *rapid.T, fate string) {
-	if len(m.ledger.pending) == 0 {
+	if len(m.ledger.queue.pending) == 0 {
 		return
 	}
-	fenced := m.ledger.doubt
-	keys, writes, txn := m.ledger.batch()
-	m.checkBatch(t, keys, len(txn.Changes))
-	size := 0
-	for _, c := range txn.Changes {
-		size += len(c.Value)
-	}
-	if len(keys) > 1 && size > m.ledger.limits.TransactionBytes {
-		t.Fatalf("a batch of %d keys has %d bytes", len(keys), size)
+	next := m.ledger.nextTransaction()
+	m.checkTransaction(t, next)
+	m.store.fates = fate
+	o := m.ledger.committer.attempt(context.Background(), next)
+	m.store.fates = ""
+	settled, err := m.ledger.applyOutcome(context.Background(), o)
+	if err != nil || len(settled.rejected) > 0 {
+		t.Fatalf("settled with %v, rejected: %v", err, settled.rejected)
 	}
-	m.store.steps = fate
-	o := m.ledger.transact(context.Background(), txn)
-	m.store.steps = ""
-	o.keys, o.writes, o.fenced = keys, writes, fenced
-	durable, tooLarge, err := m.ledger.settle(o)
-	if err != nil || len(tooLarge) > 0 {
-		t.Fatalf("settled with %v, too large: %v", err, tooLarge)
-	}
-	for _, tag := range durable {
+	for _, tag := range settled.durable {
 		m.durable[tag]++
 	}
 }
 
-func (m *ledgerMachine) checkBatch(t *rapid.T, keys []string, changes int) {
-	once := slices.Compact(slices.Sorted(slices.Values(keys)))
-	if len(once) != len(keys) || changes > m.ledger.limits.MaxChanges || len(keys) == 0 {
-		t.Fatalf("a batch of %v with %d changes, of %d", keys, changes, m.ledger.limits.MaxChanges)
+// checkTransaction checks that a transaction has each key once and keeps to the limits.
+func (m *ledgerMachine) checkTransaction(t *rapid.T, next transaction) {
+	t.Helper()
+	keys, changes, limits := keysOf(next.writes), next.request.Changes, m.ledger.limits
+	distinct := slices.Compact(slices.Sorted(slices.Values(keys)))
+	if len(distinct) != len(keys) || len(changes) > limits.MaxChanges || len(keys) == 0 {
+		t.Fatalf("a transaction of %v with %d changes, of %d", keys, len(changes), limits.MaxChanges)
+	}
+	size := 0
+	for _, c := range changes {
+		size += len(c.Value)
+	}
+	if len(keys) > 1 && size > limits.TransactionBytes {
+		t.Fatalf("a transaction of %d keys has %d bytes", len(keys), size)
 	}
 }
 
-// release carries out a transaction that was held up.
+// release carries out a transaction that was held back.
 func (m *ledgerMachine) release(t *rapid.T) {
 	if len(m.store.held) == 0 {
 		return
@@ -99,12 +95,10 @@
 	for range 100 {
 		m.commit(t, "c")
 	}
-	for _, txn := range m.store.held {
-		m.store.apply(txn)
-	}
+	m.store.releaseHeld()
 	for n := range m.tags {
-		if told := m.durable[numberTag(n+1)]; told != 1 {
-			t.Fatalf("the write with tag %d was told durable %d times", n+1, told)
+		if times := m.durable[numberTag(n+1)]; times != 1 {
+			t.Fatalf("tag %d was handed back %d times", n+1, times)
 		}
 	}
 	for n := range 6 {
@@ -115,9 +109,9 @@
 	}
 }
 
-// TestBatchingKeepsEveryLastWrite: whatever becomes of the transactions and whenever
-// late ones arrive, each key ends with its last write, each tag is told once, and no
-// batch exceeds its limits.
+// TestBatchingKeepsEveryLastWrite: whatever happens to the transactions and whenever
+// late ones arrive, each key ends with its last write, each tag is handed back once, and no
+// transaction exceeds its limits.
 func TestBatchingKeepsEveryLastWrite(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newLedgerMachine(t)
--- a/internal/ledger/versions_test.go
+++ b/internal/ledger/compatibility_test.go
@@ -13,15 +13,15 @@
 // While a deployment is upgraded, this version and the one in production work on the
 // same ledger. These are records as production writes them, word for word.
 const (
-	oldJob = `{"ref":"job-000001","lane":"c","owner":"t","shape":"batch","urgency":"high","pieces":5,"vcpus":1.5,"gpus":0,"mem_gb":2,` +
+	productionDescription = `{"ref":"job-000001","lane":"c","owner":"t","shape":"batch","urgency":"high","pieces":5,"vcpus":1.5,"gpus":0,"mem_gb":2,` +
 		`"bundle":"i","size_gb":0.5,"flavors":["m8"],"room":"a","together":false,"spread":false,"loaners":true,"guess_s":8,"snapshot_s":0,"flush_s":0,"due_s":90}`
-	oldOpen    = `{"job":` + oldJob + `,"accepted_ms":946684800123}`
-	oldAborted = `{"job":` + oldJob + `,"accepted_ms":946684800123,"fate":"aborted","tasks":5,"done":2}`
-	oldDone    = `{"accepted_ms":946684800123,"fate":"done","tasks":5,"done":5,"class":"c","team":"t","cores":7.5,"run_s":8.25}`
-	oldHire    = `{"hire":{"hire":"h7-1","flavor":"m8","room":"a","loaners":true,"number":2},"machines":["vm-000001"]}`
-	oldSilent  = `{"over_ms":946684800999,"machines":["vm-000002"]}`
-	oldRanges  = `[0,1,4,4]`
-	oldHosts   = `["vm-000001","vm-000002"]`
+	productionOpen    = `{"job":` + productionDescription + `,"accepted_ms":946684800123}`
+	productionCancelled = `{"job":` + productionDescription + `,"accepted_ms":946684800123,"fate":"aborted","tasks":5,"done":2}`
+	productionDone    = `{"accepted_ms":946684800123,"fate":"done","tasks":5,"done":5,"class":"c","team":"t","cores":7.5,"run_s":8.25}`
+	productionScaleOut    = `{"hire":{"hire":"h7-1","flavor":"m8","room":"a","loaners":true,"number":2},"machines":["vm-000001"]}`
+	productionUnreachable  = `{"over_ms":946684800999,"machines":["vm-000002"]}`
+	productionRanges  = `[0,1,4,4]`
+	productionHosts   = `["vm-000001","vm-000002"]`
 )
 
 func entry(key, value string) wire.Entry {
@@ -31,9 +31,9 @@
 // TestReadsWhatProductionWrites: every kind of record.
 func TestReadsWhatProductionWrites(t *testing.T) {
 	s := decodeSnapshot([]wire.Entry{
-		entry("job/job-000001", oldOpen), entry("job/job-000002", strings.Replace(oldAborted, "job-000001", "job-000002", 1)), entry("job/job-000003", oldDone),
-		entry("fin/job-000001/0", oldRanges), entry("host/job-000001/0", oldHosts), entry("hire/h7-1", oldHire),
-		entry("gone/vm-000009", "true"), entry("silent/7-1", oldSilent),
+		entry("job/job-000001", productionOpen), entry("job/job-000002", strings.Replace(productionCancelled, "job-000001", "job-000002", 1)), entry("job/job-000003", productionDone),
+		entry("fin/job-000001/0", productionRanges), entry("host/job-000001/0", productionHosts), entry("hire/h7-1", productionScaleOut),
+		entry("gone/vm-000009", "true"), entry("silent/7-1", productionUnreachable),
 	})
 	if len(s.Malformed) > 0 {
 		t.Fatal(s.Malformed)
@@ -54,7 +54,7 @@
 		t.Errorf("what is kept besides: %+v", s.Jobs[0])
 	}
 	if len(s.ScaleOuts) != 1 || s.ScaleOuts[0].Request.Count != 2 || len(s.Gone) != 1 || s.Unreachable["silent/7-1"].LeaseExpiryMS != 946684800999 {
-		t.Errorf("hires %+v, gone %v, silent %+v", s.ScaleOuts, s.Gone, s.Unreachable)
+		t.Errorf("scale-outs %+v, gone %v, unreachable %+v", s.ScaleOuts, s.Gone, s.Unreachable)
 	}
 }
 
@@ -109,10 +109,10 @@
 		isOpen   bool
 		terminal string
 	}{
-		{"an open job", JobRecord{Job: j, AcceptedMS: 946684800123}, oldOpen, "", true, ""},
+		{"an open job", JobRecord{Job: j, AcceptedMS: 946684800123}, productionOpen, "", true, ""},
 		{"done", JobRecord{AcceptedMS: 946684800123, Terminal: wire.JobDone, Tasks: 5, Done: 5, Class: "c", Team: "t", Cores: 7.5, RunS: 8.25, EndedMS: 946684801000}, "", "ended_ms", false, "done"},
 		{"cancelled", JobRecord{Job: j.CancelledSummary(), AcceptedMS: 946684800123, Terminal: wire.JobCancelled, Tasks: 5, Done: 2, EndedMS: 946684801000}, "", "ended_ms", true, "aborted"},
-		{"one that waits", JobRecord{Job: &wire.Job{ID: "job-000002", Class: "c", Team: "t", Kind: "batch", Priority: "high", Tasks: 1, DependsOn: []string{"job-000001"}}}, "", "waits_on", true, ""},
+		{"one with dependencies", JobRecord{Job: &wire.Job{ID: "job-000002", Class: "c", Team: "t", Kind: "batch", Priority: "high", Tasks: 1, DependsOn: []string{"job-000001"}}}, "", "waits_on", true, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -148,7 +148,7 @@
 // the chunk's own key holds, and production takes none of their keys for a chunk's.
 func TestPartsAreReadWithTheirChunk(t *testing.T) {
 	s := decodeSnapshot([]wire.Entry{
-		entry("job/job-000001", oldOpen), entry("fin/job-000001/0", `[0,1]`), entry("fin/job-000001/0.0", `[0,2]`), entry("fin/job-000001/0.128", `[128,130]`),
+		entry("job/job-000001", productionOpen), entry("fin/job-000001/0", `[0,1]`), entry("fin/job-000001/0.0", `[0,2]`), entry("fin/job-000001/0.128", `[128,130]`),
 		entry("host/job-000001/0", `["vm-1"]`), entry("host/job-000001/1", `["vm-2"]`),
 	})
 	if len(s.Malformed) > 0 {
--- a/internal/ledger/decode_test.go
+++ b/internal/ledger/decode_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"encoding/json"
+	"fmt"
 	"strings"
 	"testing"
 
@@ -30,43 +31,52 @@
 	"hire/h7-1":                            {`7`, `{}`, `{"hire":{"hire":"h7-2","number":1}}`, `{"hire":{"hire":"h7-1","number":-1}}`, `{"hire":{"hire":"h7-1","number":1000}}`},
 }
 
-// TestMalformedKeysConcernThemselvesAlone: one value that can't be read kept every node
-// from leading, since no ledger was read without it.
+// TestMalformedKeysConcernThemselvesAlone: one value that can't be read kept every
+// controller from leading, since no ledger was read without it.
 func TestMalformedKeysConcernThemselvesAlone(t *testing.T) {
 	for key, values := range malformedValues {
 		for _, value := range values {
-			s := decodeSnapshot([]wire.Entry{
-				entry("job/job-000001", oldOpen), entry("fin/job-000001/3", oldRanges), entry("host/job-000001/3", oldHosts),
-				entry(key, value), entry("hire/h7-9", strings.Replace(oldHire, "h7-1", "h7-9", 1)),
+			t.Run(fmt.Sprintf("%s %.20s", key, value), func(t *testing.T) {
+				s := decodeSnapshot([]wire.Entry{
+					entry("job/job-000001", productionOpen), entry("fin/job-000001/3", productionRanges), entry("host/job-000001/3", productionHosts),
+					entry(key, value), entry("hire/h7-9", strings.Replace(productionScaleOut, "h7-1", "h7-9", 1)),
+				})
+				checkOneMalformed(t, &s, key)
 			})
-			if len(s.Malformed) != 1 || s.Malformed[0].Key != key {
-				t.Errorf("%s: %.60s: malformed are %v", key, value, s.Malformed)
-			}
-			if len(s.Jobs) != 1 || s.Jobs[0].Record.Job == nil || len(s.Jobs[0].Finished) != 1 || len(s.Jobs[0].Hosts) != 1 || len(s.ScaleOuts) != 1 {
-				t.Errorf("%s: %.60s: what is left: %+v", key, value, s)
-			}
-			if strings.HasPrefix(key, "cell/away/") && (len(s.Delegated) != 1 || !s.Delegated[0].Unknown) {
-				t.Errorf("%s: %.60s: the job is not noted as away: %+v", key, value, s.Delegated)
-			}
-			if strings.HasPrefix(key, "cell/guest/b/") && (len(s.Foreign) != 1 || s.Foreign[0].Record.State != federation.ForeignRefused) {
-				t.Errorf("%s: %.60s: the transfer is not closed: %+v", key, value, s.Foreign)
-			}
-			if unknown := strings.HasPrefix(key, "host/") && len(key) < 20; s.Jobs[0].HostsUnknown != unknown {
-				t.Errorf("%s: %.60s: hosts unknown: %v", key, value, s.Jobs[0].HostsUnknown)
-			}
 		}
 	}
 }
 
-// FuzzCollect: whatever a key holds, it is read or named as malformed, and what is read
-// is within the bounds that the dispatcher counts on.
-func FuzzCollect(f *testing.F) {
+// checkOneMalformed checks that a snapshot lacks one key alone, and what is assumed in its
+// place.
+func checkOneMalformed(t *testing.T, s *Snapshot, key string) {
+	t.Helper()
+	if len(s.Malformed) != 1 || s.Malformed[0].Key != key {
+		t.Errorf("malformed are %v", s.Malformed)
+	}
+	if len(s.Jobs) != 1 || s.Jobs[0].Record.Job == nil || len(s.Jobs[0].Finished) != 1 || len(s.Jobs[0].Hosts) != 1 || len(s.ScaleOuts) != 1 {
+		t.Errorf("what is left: %+v", s)
+	}
+	if strings.HasPrefix(key, delegatedPrefix) && (len(s.Delegated) != 1 || !s.Delegated[0].Unknown) {
+		t.Errorf("the job is not recorded as delegated: %+v", s.Delegated)
+	}
+	if strings.HasPrefix(key, foreignPrefix+"b/") && (len(s.Foreign) != 1 || s.Foreign[0].Record.State != federation.ForeignRefused) {
+		t.Errorf("the transfer is not refused: %+v", s.Foreign)
+	}
+	if unknown := strings.HasPrefix(key, hostsPrefix) && len(key) < 20; s.Jobs[0].HostsUnknown != unknown {
+		t.Errorf("hosts unknown: %v", s.Jobs[0].HostsUnknown)
+	}
+}
+
+// FuzzDecodeSnapshot: whatever a key holds, it is decoded or named as malformed, and what is
+// decoded is within the bounds that the scheduler relies on.
+func FuzzDecodeSnapshot(f *testing.F) {
 	for key, values := range malformedValues {
 		for _, value := range values {
 			f.Add(key, []byte(value))
 		}
 	}
-	for key, value := range map[string]string{"job/job-000001": oldOpen, "job/job-000003": oldDone, "fin/job-000001/0": oldRanges, "host/job-000001/0": oldHosts, "hire/h7-1": oldHire, "silent/7-1": oldSilent} {
+	for key, value := range map[string]string{"job/job-000001": productionOpen, "job/job-000003": productionDone, "fin/job-000001/0": productionRanges, "host/job-000001/0": productionHosts, "hire/h7-1": productionScaleOut, "silent/7-1": productionUnreachable} {
 		f.Add(key, []byte(value))
 	}
 	f.Fuzz(func(t *testing.T, key string, value []byte) {
--- /dev/null
+++ b/internal/ledger/finished_tasks_test.go
@@ -0,0 +1,43 @@
+package ledger
+
+import (
+	"encoding/json"
+	"reflect"
+	"strings"
+	"testing"
+)
+
+func TestRanges(t *testing.T) {
+	cases := []struct {
+		name, done string
+		want       Ranges
+	}{
+		{"no tasks", "", nil},
+		{"none done", "....", nil},
+		{"one of one", "x", Ranges{0, 0}},
+		{"all done", "xxxx", Ranges{0, 3}},
+		{"two ranges", ".xx.x", Ranges{1, 2, 4, 4}},
+		{"every other task", "x.x.x", Ranges{0, 0, 2, 2, 4, 4}},
+	}
+	for _, c := range cases {
+		t.Run(c.name, func(t *testing.T) {
+			got := EncodeRanges(func(i int) bool { return c.done[i] == 'x' }, len(c.done))
+			if !reflect.DeepEqual(got, c.want) {
+				t.Errorf("%q gives %v, want %v", c.done, got, c.want)
+			}
+			decoded := []byte(strings.Repeat(".", len(c.done)))
+			got.Each(func(i int) { decoded[i] = 'x' })
+			if string(decoded) != c.done {
+				t.Errorf("%v is decoded to %q, want %q", got, decoded, c.done)
+			}
+		})
+	}
+}
+
+// TestWorstChunk: the ranges of a chunk stay below the least value limit of 16 KiB.
+func TestWorstChunk(t *testing.T) {
+	worst, err := json.Marshal(EncodeRanges(func(i int) bool { return i%2 == 0 }, TasksPerChunk))
+	if err != nil || len(worst) > 12<<10 {
+		t.Errorf("the worst chunk takes %d bytes", len(worst))
+	}
+}
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -1,8 +1,6 @@
 package ledger
 
 import (
-	"io"
-	"log/slog"
 	"testing"
 
 	"leadproxy/internal/election"
@@ -56,18 +54,18 @@
 // TestGoldenTransaction compares the transaction of a term that moves the fence, writes one
 // key and deletes another.
 func TestGoldenTransaction(t *testing.T) {
-	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	l := New(7, nil, fixed(Limits{MaxChanges: 10, TransactionBytes: 1 << 20, ValueBytes: 16384}), log)
-	l.doubt = true
-	l.versions[fenceKey] = 5
-	l.versions[GoneKey("m-1")] = 6
-	err := l.enqueueAll([]Write{
+	limits := Limits{MaxChanges: 10, TransactionBytes: 1 << 20, ValueBytes: 16384}
+	l := New(7, nil, constantLimits(limits), discardLog())
+	l.transactions.outcomeUnknown = true
+	l.transactions.versions[fenceKey] = 5
+	l.transactions.versions[GoneKey("m-1")] = 6
+	err := l.enqueue([]Write{
 		{Key: ScaleOutKey("h-1"), Value: ScaleOutRecord{Machines: []string{"m-1"}}, Urgent: true},
 		{Key: GoneKey("m-1"), Urgent: true},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	_, _, txn := l.batch()
-	property.CheckGoldenValues(t, "transaction_with_fence", map[string]any{"transaction": txn})
+	next := l.nextTransaction()
+	property.CheckGoldenValues(t, "transaction_with_fence", map[string]any{"transaction": next.request})
 }
--- /dev/null
+++ b/internal/ledger/load.go
@@ -0,0 +1,39 @@
+package ledger
+
+import (
+	"context"
+
+	"leadproxy/internal/kvstore"
+	"leadproxy/internal/wire"
+)
+
+// Load reads the whole ledger.
+func (l *Ledger) Load(ctx context.Context) (Snapshot, error) {
+	var entries []wire.Entry
+	var revision uint64
+	for _, prefix := range Prefixes() {
+		listing, err := kvstore.ListAll(ctx, l.committer.store, kvstore.PriorityLeader, prefix)
+		if err != nil {
+			return Snapshot{}, &KeyError{Op: OpList, Key: prefix, Err: err}
+		}
+		if revision == 0 {
+			revision = listing.FirstRevision
+		}
+		entries = append(entries, listing.Entries...)
+	}
+	return l.Adopt(entries, revision), nil
+}
+
+// Adopt begins with the keys of the ledger as they were read, all of them at a revision
+// or later.
+func (l *Ledger) Adopt(entries []wire.Entry, revision uint64) Snapshot {
+	for _, entry := range entries {
+		l.transactions.versions[entry.Key] = entry.Version
+	}
+	snapshot := decodeSnapshot(entries)
+	snapshot.Revision = revision
+	for _, malformed := range snapshot.Malformed {
+		l.log.Error("malformed ledger key skipped", "key", malformed.Key, "error", malformed.Err)
+	}
+	return snapshot
+}
