--- a/internal/controller/deciders_test.go
+++ b/internal/controller/deciders_test.go
@@ -39,7 +39,7 @@
 		return nil
 	}
 	r.Attrs(func(a slog.Attr) bool {
-		if a.Key != "term" {
+		if a.Key != "leader_term" {
 			return true
 		}
 		term := a.Value.Uint64()
--- a/internal/controller/heartbeat_handler.go
+++ b/internal/controller/heartbeat_handler.go
@@ -24,7 +24,7 @@
 type reporter interface {
 	Heartbeat(ctx context.Context, r *wire.Heartbeat) (*wire.HeartbeatResponse, error)
 	HeartbeatAsync(ctx context.Context, r *wire.Heartbeat, give func(*wire.HeartbeatResponse, error))
-	Machines() int
+	ExpectedMachines() int
 }
 
 // reportForwarder forwards reports to other nodes.
@@ -126,7 +126,7 @@
 	if !v.IsLeader(time.Now()) {
 		return sendTo(h.otherLeader())
 	}
-	if to := h.balancer.pass(ctx, report.Machine, int(h.socketUse.open.Load()), h.dispatcher.Machines()); to != "" {
+	if to := h.balancer.pass(ctx, report.Machine, int(h.socketUse.open.Load()), h.dispatcher.ExpectedMachines()); to != "" {
 		return sendTo(to)
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportLimit)
@@ -144,7 +144,7 @@
 	switch {
 	case err == nil && h.elector.IsLeader(term):
 		if len(answer.Commands) > 0 && h.log.Enabled(context.Background(), slog.LevelDebug) {
-			h.log.Debug(dispatch.MessageLeaderAction, "term", term, "what", "answer")
+			h.log.Debug(dispatch.MessageLeaderAction, "leader_term", term, "action", "heartbeat response")
 		}
 		return jobapi.JSON(http.StatusOK, answer)
 	case err != nil && !errors.Is(err, dispatch.ErrNotLeader):
--- a/internal/controller/heartbeat_handler_test.go
+++ b/internal/controller/heartbeat_handler_test.go
@@ -105,7 +105,7 @@
 // term is over.
 type eager struct{}
 
-func (eager) Machines() int { return 0 }
+func (eager) ExpectedMachines() int { return 0 }
 
 func (e eager) HeartbeatAsync(ctx context.Context, r *wire.Heartbeat, give func(*wire.HeartbeatResponse, error)) {
 	give(e.Heartbeat(ctx, r))
--- /dev/null
+++ b/internal/controller/machine_types.go
@@ -0,0 +1,45 @@
+package controller
+
+import (
+	"context"
+	"log/slog"
+	"sync/atomic"
+	"time"
+
+	"leadproxy/internal/autoscaler"
+	"leadproxy/internal/jobapi"
+	"leadproxy/internal/transport"
+	"leadproxy/internal/wire"
+)
+
+const (
+	// typesInterval is how often the machine types are read, as new ones may come.
+	typesInterval = 2 * time.Minute
+	// typesRetryInterval is how long to wait after they could not be read.
+	typesRetryInterval = time.Second
+)
+
+// watchTypes reads the machine types until they are known, and now and then after that.
+func watchTypes(ctx context.Context, cloud *autoscaler.Client, log *slog.Logger) jobapi.Types {
+	var known atomic.Pointer[[]wire.MachineType]
+	go func() {
+		for ctx.Err() == nil {
+			wait := typesInterval
+			types, err := cloud.Types(ctx)
+			if err == nil && len(types) > 0 {
+				known.Store(&types)
+			} else {
+				log.Debug("reading the machine types failed", "error", err)
+				wait = typesRetryInterval
+			}
+			transport.Pause(ctx, wait)
+		}
+	}()
+	return func() ([]wire.MachineType, bool) {
+		types := known.Load()
+		if types == nil {
+			return nil, false
+		}
+		return *types, true
+	}
+}
--- /dev/null
+++ b/internal/controller/serve.go
@@ -0,0 +1,44 @@
+package controller
+
+import (
+	"context"
+	"fmt"
+	"net"
+
+	"github.com/julienschmidt/httprouter"
+	"golang.org/x/net/netutil"
+
+	"leadproxy/internal/cells/cellpb"
+	"leadproxy/internal/leadertransfer/handoverpb"
+	"leadproxy/internal/peers"
+	"leadproxy/internal/rolloutservice"
+	"leadproxy/internal/rolloutservice/rolloutpb"
+	"leadproxy/internal/settings"
+	"leadproxy/internal/softstate/hintpb"
+)
+
+// serve serves both addresses until one fails or ctx ends.
+func (c *components) serve(ctx context.Context, public, back net.Listener) error {
+	router := httprouter.New()
+	c.jobs.Routes(router)
+	router.POST("/v1/report", c.heartbeats.serve)
+	grpcServer := peers.NewServer(c.jobs, c.heartbeats, c.elector.GrantExtension, c.heartbeats.heard.last)
+	cellpb.RegisterCellServer(grpcServer, c.services.cells)
+	handoverpb.RegisterHandoverServer(grpcServer, c.services.leaderTransfer)
+	hintpb.RegisterHintsServer(grpcServer, c.services.softState)
+	rolloutpb.RegisterRolloutsServer(grpcServer, rolloutservice.NewServer(c.dispatcher))
+	web := newServer(router, c.sockets, settings.Seconds(c.platform.Facts.Workers.LeaseS), c.log)
+	failed := make(chan error, 2)
+	go func() { failed <- grpcServer.Serve(back) }()
+	go func() { failed <- web.Serve(netutil.LimitListener(public, c.budget.inbound)) }()
+	select {
+	case err := <-failed:
+		return fmt.Errorf("serving: %w", err)
+	case <-ctx.Done():
+		grpcServer.Stop()
+		if err := web.Close(); err != nil {
+			c.log.Debug("closing the HTTP server failed", "error", err)
+		}
+		return nil
+	}
+}
--- a/internal/dispatch/command_pool.go
+++ b/internal/dispatch/command_pool.go
@@ -9,138 +9,200 @@
 
 // ConnectionLimits bounds the connections to workers.
 type ConnectionLimits struct {
-	MaxInFlight int // calls on their way
-	// MaxIdle is how many connections are kept between two calls, and Few how many
-	// while Crowded tells that sockets are short.
+	MaxInFlight int // commands in flight at once
+	// MaxIdle is how many connections are kept open between two commands,
+	// MaxIdleWhenScarce how many while SocketsScarce reports that sockets are short.
 	MaxIdle, MaxIdleWhenScarce int
 	SocketsScarce              func() bool
 }
 
-// keepFor is how long a connection is kept unused.
-const keepFor = time.Minute
+// idleTimeout is how long an unused connection is kept open.
+const idleTimeout = time.Minute
 
-// commandPool call workers. A new connection costs several times what a command
-// does, so they are kept as far as there are sockets. Those that are idle are
-// owned by run.
+// commandPool sends commands to workers. Opening a connection costs several times as much
+// as a command, so connections are kept open between two commands as far as there are
+// sockets. The idle ones are owned by the goroutine that executes run.
 type commandPool struct {
-	net    transport.Network
-	lines  ConnectionLimits
-	turns  chan struct{} // who has put something in may call, and takes it out
-	takes  chan take
-	gives  chan given
-	shorts chan struct{}
-	ended  chan struct{}
+	network  transport.Network
+	limits   ConnectionLimits
+	inFlight chan struct{} // semaphore: one element for each command in flight
+	acquire  chan acquireRequest
+	release  chan idleConnection
+	trim     chan struct{}
+	stopped  chan struct{} // closed as run returns
 }
 
-type take struct {
-	addr string
-	line chan *transport.Conn
+// acquireRequest asks for an idle connection to an address; the reply is nil if there is none.
+type acquireRequest struct {
+	address string
+	reply   chan *transport.Conn // has room for one
 }
 
-type given struct {
-	addr string
-	line *transport.Conn
+// idleConnection is an open connection that is given back after a command.
+type idleConnection struct {
+	address    string
+	connection *transport.Conn
 }
 
-func newCommandPool(n transport.Network, l ConnectionLimits) *commandPool {
-	return &commandPool{net: n, lines: l, turns: make(chan struct{}, l.MaxInFlight), takes: make(chan take), gives: make(chan given), shorts: make(chan struct{}), ended: make(chan struct{})}
+func newCommandPool(network transport.Network, limits ConnectionLimits) *commandPool {
+	return &commandPool{
+		network:  network,
+		limits:   limits,
+		inFlight: make(chan struct{}, limits.MaxInFlight),
+		acquire:  make(chan acquireRequest),
+		release:  make(chan idleConnection),
+		trim:     make(chan struct{}),
+		stopped:  make(chan struct{}),
+	}
 }
 
 // run keeps idle connections until ctx ends.
-func (c *commandPool) run(ctx context.Context) {
-	defer close(c.ended)
-	idle := map[string]*transport.Conn{}
-	drop := func(addr string) {
-		idle[addr].Close()
-		delete(idle, addr)
-	}
-	tidy := time.NewTicker(keepFor / 4)
-	defer tidy.Stop()
+func (p *commandPool) run(ctx context.Context) {
+	defer close(p.stopped)
+	idle := idleConnections{}
+	defer idle.trimTo(0)
+	expiry := time.NewTicker(idleTimeout / 4)
+	defer expiry.Stop()
 	for {
 		select {
-		case t := <-c.takes:
-			t.line <- idle[t.addr] // nil: none
-			delete(idle, t.addr)
-		case g := <-c.gives:
-			if idle[g.addr] != nil || len(idle) >= c.most() {
-				g.line.Close()
-				break
-			}
-			idle[g.addr] = g.line
-		case <-c.shorts:
-			for addr := range idle {
-				if len(idle) <= c.lines.MaxIdleWhenScarce {
-					break
-				}
-				drop(addr)
-			}
-		case <-tidy.C:
-			for addr, l := range idle {
-				if time.Since(l.IdleSince()) > keepFor {
-					drop(addr)
-				}
-			}
+		case request := <-p.acquire:
+			request.reply <- idle.take(request.address)
+		case returned := <-p.release:
+			idle.add(returned, p.maxIdle())
+		case <-p.trim:
+			idle.trimTo(p.limits.MaxIdleWhenScarce)
+		case <-expiry.C:
+			idle.closeExpired()
 		case <-ctx.Done():
-			for addr := range idle {
-				drop(addr)
-			}
 			return
 		}
 	}
 }
 
-func (c *commandPool) most() int {
-	if c.lines.SocketsScarce() {
-		return c.lines.MaxIdleWhenScarce
+// maxIdle is how many idle connections may be kept at the moment.
+func (p *commandPool) maxIdle() int {
+	if p.limits.SocketsScarce() {
+		return p.limits.MaxIdleWhenScarce
 	}
-	return c.lines.MaxIdle
+	return p.limits.MaxIdle
 }
 
-// hangUp has what is kept beyond few closed.
-func (c *commandPool) hangUp() {
+// trimIdle closes the idle connections beyond MaxIdleWhenScarce.
+func (p *commandPool) trimIdle() {
 	select {
-	case c.shorts <- struct{}{}:
-	case <-c.ended:
+	case p.trim <- struct{}{}:
+	case <-p.stopped:
+	}
+}
+
+// idleConnections holds the idle connections by address, one for each.
+type idleConnections map[string]*transport.Conn
+
+// take removes the connection to an address and returns it, or nil if there is none.
+func (c idleConnections) take(address string) *transport.Conn {
+	connection := c[address]
+	delete(c, address)
+	return connection
+}
+
+// add keeps a connection, or closes it if there is one to that address or there are limit
+// of them already.
+func (c idleConnections) add(returned idleConnection, limit int) {
+	if c[returned.address] != nil || len(c) >= limit {
+		returned.connection.Close()
+		return
 	}
+	c[returned.address] = returned.connection
+}
+
+// trimTo closes connections until at most limit are left.
+func (c idleConnections) trimTo(limit int) {
+	for address := range c {
+		if len(c) <= limit {
+			return
+		}
+		c.closeOne(address)
+	}
+}
+
+// closeExpired closes the connections that have been idle for longer than idleTimeout.
+func (c idleConnections) closeExpired() {
+	for address, connection := range c {
+		if time.Since(connection.IdleSince()) > idleTimeout {
+			c.closeOne(address)
+		}
+	}
+}
+
+func (c idleConnections) closeOne(address string) {
+	c[address].Close()
+	delete(c, address)
 }
 
-// call sends one request to a worker and waits for its answer. Once there is a
-// connection, may tells whether it may still be sent. With sent false it never
-// was.
-func (c *commandPool) call(ctx context.Context, addr, method, path string, payload []byte, may func() bool) (status int, answer []byte, sent bool, err error) {
+// workerRequest is an HTTP request to a worker.
+type workerRequest struct {
+	address string
+	method  string
+	path    string
+	body    []byte
+}
+
+// workerResponse is what came of a workerRequest. With sent false, no part of the request
+// has left this process; with sent true and an error, the outcome is unknown.
+type workerResponse struct {
+	sent   bool
+	status int
+	body   []byte
+}
+
+// call sends one request to a worker and waits for the response. maySend is checked once
+// the connection is open, right before the request is sent: opening may have taken longer
+// than the leader's lease.
+func (p *commandPool) call(ctx context.Context, request workerRequest, maySend func() bool) (workerResponse, error) {
 	select {
-	case c.turns <- struct{}{}:
-		defer func() { <-c.turns }()
+	case p.inFlight <- struct{}{}:
+		defer func() { <-p.inFlight }()
 	case <-ctx.Done():
-		return 0, nil, false, ctx.Err()
+		return workerResponse{}, ctx.Err()
+	}
+	deadline := time.Now().Add(commandTimeout)
+	connection, err := p.connection(ctx, request.address)
+	if err != nil {
+		return workerResponse{}, err
 	}
-	end := time.Now().Add(directTimeout)
-	t := take{addr, make(chan *transport.Conn, 1)}
+	defer p.keep(ctx, request.address, connection)
+	if err := connection.Open(ctx, dialTimeout); err != nil {
+		return workerResponse{}, err
+	}
+	if !maySend() {
+		return workerResponse{}, ErrNotLeader
+	}
+	status, body, err := connection.Do(deadline, request.method, request.path, request.body)
+	return workerResponse{sent: true, status: status, body: body}, err
+}
+
+// connection returns an idle connection to an address, or a new one that is not open yet.
+func (p *commandPool) connection(ctx context.Context, address string) (*transport.Conn, error) {
+	request := acquireRequest{address: address, reply: make(chan *transport.Conn, 1)}
 	select {
-	case c.takes <- t:
+	case p.acquire <- request:
 	case <-ctx.Done():
-		return 0, nil, false, ctx.Err()
+		return nil, ctx.Err()
 	}
-	line := <-t.line
-	if line == nil {
-		line = transport.NewConn(c.net, addr)
+	if idle := <-request.reply; idle != nil {
+		return idle, nil
 	}
-	defer func() {
-		if !line.IsOpen() {
-			return
-		}
-		select {
-		case c.gives <- given{addr, line}:
-		case <-ctx.Done():
-			line.Close()
-		}
-	}()
-	if err := line.Open(ctx, dialTimeout); err != nil {
-		return 0, nil, false, err
+	return transport.NewConn(p.network, address), nil
+}
+
+// keep gives a connection back for the next command, if it is still open.
+func (p *commandPool) keep(ctx context.Context, address string, connection *transport.Conn) {
+	if !connection.IsOpen() {
+		return
 	}
-	if !may() {
-		return 0, nil, false, ErrNotLeader
+	select {
+	case p.release <- idleConnection{address: address, connection: connection}:
+	case <-ctx.Done():
+		connection.Close()
 	}
-	status, answer, err = line.Do(end, method, path, payload)
-	return status, answer, true, err
 }
--- a/internal/dispatch/command_pool_test.go
+++ b/internal/dispatch/command_pool_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"context"
+	"errors"
 	"net"
 	"net/http"
 	"net/http/httptest"
@@ -11,45 +12,67 @@
 	"leadproxy/internal/transport"
 )
 
-// TestConnectionsToWorkers: they are kept as far as there are sockets, and no
-// further.
-func TestConnectionsToWorkers(t *testing.T) {
-	var opened atomic.Int64
-	workers := make([]*httptest.Server, 4)
-	for i := range workers {
-		workers[i] = httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
-		workers[i].Config.ConnState = func(_ net.Conn, s http.ConnState) {
+// startWorkers starts HTTP servers that accept every command. opened counts their connections.
+func startWorkers(t *testing.T, count int) (addresses []string, opened *atomic.Int64) {
+	t.Helper()
+	opened = &atomic.Int64{}
+	for range count {
+		worker := httptest.NewUnstartedServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }))
+		worker.Config.ConnState = func(_ net.Conn, s http.ConnState) {
 			if s == http.StateNew {
 				opened.Add(1)
 			}
 		}
-		workers[i].Start()
-		defer workers[i].Close()
+		worker.Start()
+		t.Cleanup(worker.Close)
+		addresses = append(addresses, worker.Listener.Addr().String())
 	}
-	var crowded atomic.Bool
-	c := newCommandPool(transport.TCP{}, ConnectionLimits{MaxInFlight: 2, MaxIdle: 3, MaxIdleWhenScarce: 1, SocketsScarce: crowded.Load})
+	return addresses, opened
+}
+
+func commandTo(address string) workerRequest {
+	return workerRequest{address: address, method: http.MethodPost, path: "/commands", body: []byte("{}")}
+}
+
+// TestIdleConnectionLimits: connections are kept between commands as far as there are
+// sockets, and no further.
+func TestIdleConnectionLimits(t *testing.T) {
+	workers, opened := startWorkers(t, 4)
+	var scarce atomic.Bool
+	pool := newCommandPool(transport.TCP{}, ConnectionLimits{MaxInFlight: 2, MaxIdle: 3, MaxIdleWhenScarce: 1, SocketsScarce: scarce.Load})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
-	go c.run(ctx)
-	round := func(what string, want int64) {
+	go pool.run(ctx)
+	callAll := func(name string, wantOpened int64) {
 		t.Helper()
 		before := opened.Load()
-		for _, w := range workers {
-			status, _, sent, err := c.call(ctx, w.Listener.Addr().String(), http.MethodPost, "/commands", []byte("{}"), func() bool { return true })
-			if status != http.StatusOK || !sent || err != nil {
-				t.Errorf("%s: %d %v %v", what, status, sent, err)
+		for _, address := range workers {
+			response, err := pool.call(ctx, commandTo(address), func() bool { return true })
+			if response.status != http.StatusOK || !response.sent || err != nil {
+				t.Errorf("%s: %d %v %v", name, response.status, response.sent, err)
 			}
 		}
-		if n := opened.Load() - before; n != want {
-			t.Errorf("%s: %d connections opened, want %d", what, n, want)
+		if n := opened.Load() - before; n != wantOpened {
+			t.Errorf("%s: %d connections opened, want %d", name, n, wantOpened)
 		}
 	}
-	round("first", 4)
-	round("three are kept", 1)
-	crowded.Store(true)
-	c.hangUp()
-	round("one is kept", 3)
-	if _, _, sent, err := c.call(ctx, workers[0].Listener.Addr().String(), http.MethodPost, "/commands", nil, func() bool { return false }); sent || err == nil {
-		t.Errorf("past the term: sent %v, %v", sent, err)
+	callAll("no connection is open", 4)
+	callAll("three are kept", 1)
+	scarce.Store(true)
+	pool.trimIdle()
+	callAll("sockets are scarce: one is kept", 3)
+}
+
+// TestCommandIsNotSentPastTheTerm: once the connection is open, the leadership is checked
+// again before anything is sent.
+func TestCommandIsNotSentPastTheTerm(t *testing.T) {
+	workers, _ := startWorkers(t, 1)
+	pool := newCommandPool(transport.TCP{}, ConnectionLimits{MaxInFlight: 2, MaxIdle: 3, MaxIdleWhenScarce: 1, SocketsScarce: func() bool { return false }})
+	ctx, cancel := context.WithCancel(t.Context())
+	defer cancel()
+	go pool.run(ctx)
+	response, err := pool.call(ctx, commandTo(workers[0]), func() bool { return false })
+	if response.sent || !errors.Is(err, ErrNotLeader) {
+		t.Errorf("sent %v, error %v", response.sent, err)
 	}
 }
--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -13,85 +13,106 @@
 	"leadproxy/internal/wire"
 )
 
-// directTimeout bounds a direct command, dialTimeout the connecting for it. What
-// is slower is settled through the worker's reports.
+// commandTimeout bounds a command to a worker, dialTimeout opening the connection for it.
+// The outcome of what is slower is learned from the worker's heartbeats.
 const (
-	directTimeout = 2 * time.Second
-	dialTimeout   = time.Second
+	commandTimeout = 2 * time.Second
+	dialTimeout    = time.Second
 )
 
-// direct sends a command to a worker and brings its outcome back.
-func (d *Dispatcher) direct(ctx context.Context, term uint64, e scheduler.SendCommands) {
-	back := scheduler.CommandResult{CommandID: e.CommandID}
-	back.Outcome, back.Heartbeat = d.command(ctx, term, e)
-	d.decide(ctx, back)
-}
-
-// MessageLeaderAction is what a leader logs as something leaves it that only a leader may do.
-const MessageLeaderAction = "leader acts"
+// MessageLeaderAction is the log message of a leader as it does something that only a
+// leader may do.
+const MessageLeaderAction = "leader action"
 
-// mayAct tells whether this node leads a term as something is about to leave it.
-func (d *Dispatcher) mayAct(term uint64, what string) bool {
+// confirmLeadership reports whether this controller still leads a term. It is called right
+// before an action that only the leader may take, such as a command to a worker.
+func (d *Dispatcher) confirmLeadership(term uint64, action string) bool {
 	if !d.elector.IsLeader(term) {
-		d.log.Debug("dropped: the term is over", "term", term, "what", what)
+		d.log.Debug("action dropped: not the leader any more", "leader_term", term, "action", action)
 		return false
 	}
 	if d.log.Enabled(context.Background(), slog.LevelDebug) {
-		d.log.Debug(MessageLeaderAction, "term", term, "what", what)
+		d.log.Debug(MessageLeaderAction, "leader_term", term, "action", action)
 	}
 	return true
 }
 
-// inspect asks a worker what it is now.
-func (d *Dispatcher) inspect(ctx context.Context, e scheduler.InspectWorker) {
-	back := scheduler.InspectResult{Machine: e.Machine}
-	status, answer, _, err := d.workers.call(ctx, e.Address, http.MethodGet, "/inspect", nil, func() bool { return true })
-	switch {
-	case err != nil:
-		d.log.Debug("worker not inspected", "machine", e.Machine, "error", err)
-	case status == http.StatusOK:
-		if back.Heartbeat, err = wire.ParseHeartbeat(answer); err != nil {
-			d.log.Info("worker's answer can't be read", "machine", e.Machine, "error", err)
-		}
-	}
-	d.decide(ctx, back)
+// sendCommands sends commands to a worker and passes their outcome to the core.
+func (d *Dispatcher) sendCommands(ctx context.Context, term uint64, effect scheduler.SendCommands) {
+	result := scheduler.CommandResult{CommandID: effect.CommandID}
+	result.Outcome, result.Heartbeat = d.postCommands(ctx, term, effect)
+	d.postEvent(ctx, result)
 }
 
-func (d *Dispatcher) command(ctx context.Context, term uint64, e scheduler.SendCommands) (scheduler.CommandOutcome, *wire.Heartbeat) {
-	payload, err := json.Marshal(e.Request)
+// postCommands sends commands to a worker. The heartbeat is the worker's response, nil if
+// there is none that can be read.
+func (d *Dispatcher) postCommands(ctx context.Context, term uint64, effect scheduler.SendCommands) (scheduler.CommandOutcome, *wire.Heartbeat) {
+	body, err := json.Marshal(effect.Request)
 	if err != nil {
-		d.log.Error("command not encoded", "machine", e.Machine, "error", err)
+		d.log.Error("command encoding failed", "machine", effect.Machine, "error", err)
 		return scheduler.CommandNotSent, nil
 	}
-	// Past the lease another leader may act: no order leaves here.
-	may := func() bool { return d.mayAct(term, "command") }
-	if !may() {
+	// Past the lease another leader may act: no command leaves here.
+	maySend := func() bool { return d.confirmLeadership(term, "command") }
+	if !maySend() {
 		return scheduler.CommandNotSent, nil
 	}
-	status, answer, sent, err := d.workers.call(ctx, e.Address, http.MethodPost, "/commands", payload, may)
+	request := workerRequest{address: effect.Address, method: http.MethodPost, path: "/commands", body: body}
+	response, err := d.workers.call(ctx, request, maySend)
+	d.countUnanswered(response, err)
 	switch {
-	case !sent:
-		if !errors.Is(err, ErrNotLeader) {
-			d.unanswered.Add(1)
-		}
+	case !response.sent:
 		return scheduler.CommandNotSent, nil
 	case err != nil:
-		d.unanswered.Add(1)
 		return scheduler.CommandOutcomeUnknown, nil
 	}
-	d.unanswered.Store(0)
-	var outcome scheduler.CommandOutcome
+	outcome := commandOutcome(response.status)
+	if outcome == scheduler.CommandOutcomeUnknown {
+		return outcome, nil
+	}
+	heartbeat, err := wire.ParseHeartbeat(response.body)
+	if err != nil {
+		return outcome, nil
+	}
+	return outcome, heartbeat
+}
+
+// countUnanswered counts the commands in a row that no worker has answered. A command that
+// was held back because the term is over is none of them.
+func (d *Dispatcher) countUnanswered(response workerResponse, err error) {
+	switch {
+	case !response.sent && errors.Is(err, ErrNotLeader):
+	case err != nil:
+		d.unansweredCommands.Add(1)
+	default:
+		d.unansweredCommands.Store(0)
+	}
+}
+
+// commandOutcome is what the status of a worker's response says about the commands.
+func commandOutcome(status int) scheduler.CommandOutcome {
 	switch status {
 	case http.StatusOK:
-		outcome = scheduler.CommandExecuted
+		return scheduler.CommandExecuted
 	case http.StatusConflict, http.StatusBadRequest:
-		outcome = scheduler.CommandRejected
-	default:
-		return scheduler.CommandOutcomeUnknown, nil
+		return scheduler.CommandRejected
 	}
-	report, err := wire.ParseHeartbeat(answer)
-	if err != nil {
-		return outcome, nil
+	return scheduler.CommandOutcomeUnknown
+}
+
+// inspectWorker asks a worker for its state and passes the response to the core. Reading
+// does no harm, so it takes no leadership check.
+func (d *Dispatcher) inspectWorker(ctx context.Context, effect scheduler.InspectWorker) {
+	result := scheduler.InspectResult{Machine: effect.Machine}
+	request := workerRequest{address: effect.Address, method: http.MethodGet, path: "/inspect"}
+	response, err := d.workers.call(ctx, request, func() bool { return true })
+	switch {
+	case err != nil:
+		d.log.Debug("worker inspection failed", "machine", effect.Machine, "error", err)
+	case response.status == http.StatusOK:
+		if result.Heartbeat, err = wire.ParseHeartbeat(response.body); err != nil {
+			d.log.Info("worker inspection response malformed", "machine", effect.Machine, "error", err)
+		}
 	}
-	return outcome, report
+	d.postEvent(ctx, result)
 }
--- /dev/null
+++ b/internal/dispatch/effects.go
@@ -0,0 +1,74 @@
+package dispatch
+
+import (
+	"context"
+
+	"leadproxy/internal/autoscaler"
+	"leadproxy/internal/ledger"
+	"leadproxy/internal/scheduler"
+)
+
+// executeEffects executes what the core has decided: replies at once, I/O in the background,
+// and all writes of the ledger together.
+func (t *term) executeEffects(ctx context.Context, effects []scheduler.Effect) {
+	var writes []ledger.Write
+	for _, effect := range effects {
+		switch effect := effect.(type) {
+		case scheduler.WriteLedger:
+			writes = append(writes, effect.Writes...)
+		case scheduler.CallCloud:
+			t.callCloud(ctx, effect.Call)
+		case scheduler.SendCommands:
+			go t.sendCommands(ctx, t.number, effect)
+		case scheduler.InspectWorker:
+			go t.inspectWorker(ctx, effect)
+		case scheduler.ResignLeadership:
+			t.elector.Resign(t.number)
+		case scheduler.SendTransfers:
+			go t.sendTransfers(ctx, effect)
+		case scheduler.AskCapacity:
+			go t.askCapacity(ctx, effect)
+		case scheduler.WriteForeign:
+			go t.writeForeignRecord(ctx, effect)
+		case scheduler.TraceTransfer:
+			t.config.TraceTransfer(effect.Step)
+		default:
+			deliverReply(effect)
+		}
+	}
+	if len(writes) > 0 {
+		t.ledger.Put(ctx, writes)
+	}
+}
+
+// deliverReply passes a reply to the caller who waits for it.
+func deliverReply(effect scheduler.Effect) {
+	switch reply := effect.(type) {
+	case scheduler.HeartbeatReply:
+		reply.ReplyTo.Deliver(effect)
+	case scheduler.UserReply:
+		reply.ReplyTo.Deliver(effect)
+	case scheduler.SoftStateReply:
+		reply.ReplyTo.Deliver(effect)
+	case scheduler.PlanReply:
+		reply.ReplyTo.Deliver(effect)
+	case scheduler.PlanListReply:
+		reply.ReplyTo.Deliver(effect)
+	case scheduler.TransferReply:
+		reply.ReplyTo.Deliver(effect)
+	case scheduler.CapacityReply:
+		reply.ReplyTo.Deliver(effect)
+	case scheduler.TransferListReply:
+		reply.ReplyTo.Deliver(effect)
+	}
+}
+
+// callCloud makes a call to the cloud if the term still holds. A suspended leader that
+// deletes machines would take them from its successor; the core tries again later.
+func (t *term) callCloud(ctx context.Context, call autoscaler.Call) {
+	if !t.confirmLeadership(t.number, "cloud call") {
+		go t.postEvent(ctx, scheduler.CloudResult{Result: autoscaler.Result{Call: call, Err: autoscaler.ErrNotExecuted}})
+		return
+	}
+	t.cloud.Submit(ctx, call)
+}
--- a/internal/dispatch/failover.go
+++ b/internal/dispatch/failover.go
@@ -8,51 +8,57 @@
 	"leadproxy/internal/scheduler"
 )
 
-// takeover is when the phases of a takeover were over.
-type takeover struct {
-	began   time.Time // the term was won
-	viewed  time.Time // the ledger was known
-	decided time.Time // the first start was decided, or there was none to decide
-	warm    bool      // the view was the standby's
-	settled bool      // all is logged
+// MessageFailover is the log message of a new leader once its failover is complete. The
+// failover report reads it.
+const MessageFailover = "failover completed"
+
+// failoverTimings is when the phases of a failover were complete.
+type failoverTimings struct {
+	termWon       time.Time
+	ledgerKnown   time.Time
+	firstDecision time.Time // the first effect, or as there was nothing in doubt any more
+	fromStandby   bool      // the ledger is the standby's copy
+	logged        bool
 }
 
-// takeOver learns the ledger at the start of a term: from the standby, if its view is
-// complete, or else by reading everything.
-func (d *Dispatcher) takeOver(ctx context.Context, book *ledger.Ledger, number uint64, times *takeover) (ledger.Snapshot, bool) {
-	if d.Standby == nil {
-		return d.loadLedger(ctx, book, number)
+// restoreLedger learns the ledger at the start of a term: from the standby if its copy is
+// complete, or else by reading it whole.
+func (d *Dispatcher) restoreLedger(ctx context.Context, book *ledger.Ledger, number uint64, timings *failoverTimings) (ledger.Snapshot, bool) {
+	if d.config.Standby == nil {
+		return d.readLedger(ctx, book, number)
 	}
-	view, err := d.Standby.Promote(ctx, number)
+	view, err := d.config.Standby.Promote(ctx, number)
 	if err != nil {
-		d.log.Info("the standby's view is not decided on: reading the ledger", "term", number, "why", err)
-		return d.loadLedger(ctx, book, number)
+		d.log.Info("standby copy not usable, reading the ledger", "leader_term", number, "reason", err)
+		return d.readLedger(ctx, book, number)
 	}
-	times.warm = true
+	timings.fromStandby = true
 	snapshot := book.Adopt(view.Entries, view.Revision)
-	g := view.Gate
-	d.log.Info("the standby's view is complete", "term", number, "jobs", len(snapshot.Jobs), "ended", g.Ended.Why, "complete", g.Complete.Why,
-		"complete_s", g.Complete.Took.Seconds(), "fenced", g.Fenced.Why)
+	gate := view.Gate
+	d.log.Info("standby copy promoted", "leader_term", number, "jobs", len(snapshot.Jobs), "ended", gate.Ended.Why, "complete", gate.Complete.Why,
+		"complete_s", gate.Complete.Took.Seconds(), "fenced", gate.Fenced.Why)
 	return snapshot, true
 }
 
-// noteTakeover logs, once, how long the phases of this term's beginning took: to a
-// complete view, to the first decision, and until nothing that an earlier leader may have
-// started was in doubt.
-func (t *term) noteTakeover(effects []scheduler.Effect) {
-	times := &t.takeover
-	if times.settled {
+// recordFailover logs, once, how long the phases of this term's failover took: until the
+// ledger was known, until the first decision, and until no host that an earlier leader may
+// have started tasks on was in doubt.
+func (t *term) recordFailover(effects []scheduler.Effect) {
+	timings := &t.timings
+	if timings.logged {
 		return
 	}
 	now := time.Now()
-	unsettled := t.core.UnresolvedHosts()
-	if times.decided.IsZero() && (len(effects) > 0 || unsettled == 0) {
-		times.decided = now
+	inDoubt := t.core.UnresolvedHosts()
+	if timings.firstDecision.IsZero() && (len(effects) > 0 || inDoubt == 0) {
+		timings.firstDecision = now
 	}
-	if unsettled > 0 {
+	if inDoubt > 0 {
 		return
 	}
-	times.settled = true
-	t.log.Info("takeover", "term", t.number, "warm", times.warm, "view_s", times.viewed.Sub(times.began).Seconds(),
-		"decided_s", times.decided.Sub(times.began).Seconds(), "settled_s", now.Sub(times.began).Seconds(), "jobs", t.core.Jobs(), "machines", t.core.Machines())
+	timings.logged = true
+	sinceTermWon := func(at time.Time) float64 { return at.Sub(timings.termWon).Seconds() }
+	t.log.Info(MessageFailover, "leader_term", t.number, "from_standby", timings.fromStandby,
+		"ledger_known_s", sinceTermWon(timings.ledgerKnown), "first_decision_s", sinceTermWon(timings.firstDecision),
+		"resolved_s", sinceTermWon(now), "jobs", t.core.Jobs(), "machines", t.core.Machines())
 }
--- /dev/null
+++ b/internal/dispatch/foreign_records.go
@@ -0,0 +1,110 @@
+package dispatch
+
+import (
+	"context"
+	"errors"
+	"fmt"
+	"slices"
+	"time"
+
+	"github.com/segmentio/encoding/json"
+
+	"leadproxy/internal/election"
+	"leadproxy/internal/federation"
+	"leadproxy/internal/kvstore"
+	"leadproxy/internal/ledger"
+	"leadproxy/internal/scheduler"
+	"leadproxy/internal/transport"
+	"leadproxy/internal/wire"
+)
+
+// foreignRetryInterval is how long to wait after a write whose outcome is unknown.
+const foreignRetryInterval = 200 * time.Millisecond
+
+// Errors of a write of a foreign job's record.
+var (
+	// errTermOver: the leader's key has changed, so this term may write nothing more.
+	errTermOver = errors.New("the term is over")
+	// errForeignChanged: somebody else has written the record's key.
+	errForeignChanged = errors.New("the key of the foreign job's record has changed")
+)
+
+// writeForeignRecord writes the record of a job of another cell by compare-and-swap, again
+// and again until the outcome is certain or the term is over.
+func (t *term) writeForeignRecord(ctx context.Context, effect scheduler.WriteForeign) {
+	job := effect.Write.Key.JobID
+	transaction, err := t.foreignTransaction(effect)
+	if err != nil {
+		t.log.Error("foreign job record encoding failed", "job", job, "error", err)
+		return
+	}
+	for ctx.Err() == nil {
+		result, err := t.tryForeignWrite(ctx, effect, transaction)
+		if err == nil {
+			t.postEvent(ctx, result)
+			return
+		}
+		if errors.Is(err, errTermOver) {
+			return
+		}
+		t.log.Debug("foreign job record write failed, retrying", "job", job, "error", err)
+		transport.Pause(ctx, foreignRetryInterval)
+	}
+}
+
+// tryForeignWrite tries the write once. An error other than errTermOver means that its
+// outcome is not certain yet.
+func (t *term) tryForeignWrite(ctx context.Context, effect scheduler.WriteForeign, transaction wire.CompareAndSwap) (scheduler.ForeignWriteResult, error) {
+	swapped, response, err := t.store.CompareAndSwap(ctx, kvstore.PriorityLeader, transaction)
+	switch {
+	case err != nil:
+		return scheduler.ForeignWriteResult{}, err
+	case swapped:
+		return scheduler.ForeignWriteResult{Write: effect.Write, Job: effect.Job, Version: response.Revision}, nil
+	case slices.Contains(response.FailedKeys, election.LeaderKey):
+		return scheduler.ForeignWriteResult{}, errTermOver
+	}
+	return t.rereadForeignRecord(ctx, effect)
+}
+
+// foreignTransaction is the transaction of such a write. A late copy of it finds the
+// record's key changed, and that key is never deleted.
+func (t *term) foreignTransaction(effect scheduler.WriteForeign) (wire.CompareAndSwap, error) {
+	key := ledger.ForeignKey(effect.Write.Key)
+	value, err := json.Marshal(effect.Write.Record)
+	if err != nil {
+		return wire.CompareAndSwap{}, fmt.Errorf("foreign record: %w", err)
+	}
+	transaction := wire.CompareAndSwap{
+		Conditions: []wire.Condition{{Key: election.LeaderKey, Version: t.number}, {Key: key, Version: effect.Write.Version}},
+		Changes:    []wire.Change{{Set: key, Value: value}},
+	}
+	if effect.Job == nil {
+		return transaction, nil
+	}
+	record, err := json.Marshal(effect.Job)
+	if err != nil {
+		return wire.CompareAndSwap{}, fmt.Errorf("job record: %w", err)
+	}
+	jobKey := ledger.JobKey(effect.Write.Key.JobID)
+	transaction.Conditions = append(transaction.Conditions, wire.Condition{Key: jobKey})
+	transaction.Changes = append(transaction.Changes, wire.Change{Set: jobKey, Value: record})
+	return transaction, nil
+}
+
+// rereadForeignRecord finds the outcome of a write whose conditions failed: an earlier try
+// of it was carried out, or there is a job of that name.
+func (t *term) rereadForeignRecord(ctx context.Context, effect scheduler.WriteForeign) (scheduler.ForeignWriteResult, error) {
+	entry, found, err := t.store.Get(ctx, kvstore.PriorityLeader, ledger.ForeignKey(effect.Write.Key))
+	if err != nil {
+		return scheduler.ForeignWriteResult{}, err
+	}
+	var record federation.ForeignRecord
+	if found && json.Unmarshal(entry.Value, &record) == nil && record == effect.Write.Record {
+		return scheduler.ForeignWriteResult{Write: effect.Write, Job: effect.Job, Version: entry.Version}, nil
+	}
+	if entry.Version == effect.Write.Version && effect.Job != nil {
+		return scheduler.ForeignWriteResult{Write: effect.Write, Job: effect.Job, JobExists: true}, nil
+	}
+	return scheduler.ForeignWriteResult{}, errForeignChanged
+}
--- a/internal/dispatch/job_watch.go
+++ b/internal/dispatch/job_watch.go
@@ -14,42 +14,52 @@
 	"leadproxy/internal/transport"
 )
 
-// watchJobs tells the core of job records as nodes create them.
-func (d *Dispatcher) watchJobs(ctx context.Context, after uint64) {
+const (
+	// watchTimeout is how long one request of the watch waits for changes.
+	watchTimeout = 20 * time.Second
+	// watchRetryInterval is how long to wait after a request has failed.
+	watchRetryInterval = 200 * time.Millisecond
+	// listPageSize is how many job records are read at once.
+	listPageSize = 1000
+)
+
+// watchJobs passes job records to the core as controllers create them.
+func (d *Dispatcher) watchJobs(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
-		news, err := d.store.Watch(ctx, ledger.JobPrefix, after, 20*time.Second)
+		changes, err := d.store.Watch(ctx, ledger.JobPrefix, revision, watchTimeout)
 		if errors.Is(err, kvstore.ErrCompacted) {
-			after = d.reread(ctx)
+			revision = d.rereadJobs(ctx)
 			continue
 		}
 		if err != nil {
-			transport.Pause(ctx, 200*time.Millisecond)
+			transport.Pause(ctx, watchRetryInterval)
 			continue
 		}
-		for _, e := range news.Events {
-			if e.Set != "" {
-				d.tellRecord(ctx, e.Set, e.Value, e.Version)
+		for _, change := range changes.Events {
+			if change.Set != "" {
+				d.postJobRecord(ctx, change.Set, change.Value, change.Version)
 			}
 		}
-		after = max(after, news.Revision)
+		revision = max(revision, changes.Revision)
 	}
 }
 
-// reread goes through all job records when the watch has fallen too far behind.
-func (d *Dispatcher) reread(ctx context.Context) uint64 {
+// rereadJobs passes all job records to the core when the watch has fallen too far behind.
+// It returns the revision from which the watch continues.
+func (d *Dispatcher) rereadJobs(ctx context.Context) uint64 {
 	revision, after := uint64(0), ""
 	for ctx.Err() == nil {
-		page, err := d.store.List(ctx, kvstore.PriorityLeader, ledger.JobPrefix, after, 1000)
+		page, err := d.store.List(ctx, kvstore.PriorityLeader, ledger.JobPrefix, after, listPageSize)
 		if err != nil {
-			transport.Pause(ctx, 200*time.Millisecond)
+			transport.Pause(ctx, watchRetryInterval)
 			continue
 		}
 		if revision == 0 {
 			revision = page.Revision
 		}
-		for _, e := range page.Entries {
-			d.tellRecord(ctx, e.Key, e.Value, e.Version)
-			after = e.Key
+		for _, entry := range page.Entries {
+			d.postJobRecord(ctx, entry.Key, entry.Value, entry.Version)
+			after = entry.Key
 		}
 		if !page.More || len(page.Entries) == 0 {
 			break
@@ -58,12 +68,12 @@
 	return revision
 }
 
-func (d *Dispatcher) tellRecord(ctx context.Context, key string, value json.RawMessage, version uint64) {
-	ref := strings.TrimPrefix(key, ledger.JobPrefix)
-	rec, err := ledger.DecodeJob(ref, value)
+func (d *Dispatcher) postJobRecord(ctx context.Context, key string, value json.RawMessage, version uint64) {
+	job := strings.TrimPrefix(key, ledger.JobPrefix)
+	record, err := ledger.DecodeJob(job, value)
 	if err != nil {
-		d.log.Error("job record can't be read", "key", key, "error", err)
+		d.log.Error("job record malformed", "key", key, "error", err)
 		return
 	}
-	d.decide(ctx, scheduler.JobRecordEvent{JobID: ref, Record: rec, Version: version})
+	d.postEvent(ctx, scheduler.JobRecordEvent{JobID: job, Record: record, Version: version})
 }
--- /dev/null
+++ b/internal/dispatch/rollout_plans.go
@@ -0,0 +1,37 @@
+package dispatch
+
+import (
+	"context"
+
+	"leadproxy/internal/rollout"
+	"leadproxy/internal/scheduler"
+)
+
+// CreatePlan begins a rollout plan, if this controller leads.
+func (d *Dispatcher) CreatePlan(ctx context.Context, spec rollout.Spec) error {
+	return d.requestPlan(ctx, scheduler.PlanRequest{Spec: &spec})
+}
+
+// SteerPlan gives a command to a rollout plan, if this controller leads.
+func (d *Dispatcher) SteerPlan(ctx context.Context, name string, command rollout.Command, argument string) error {
+	return d.requestPlan(ctx, scheduler.PlanRequest{Name: name, Command: command, Argument: argument})
+}
+
+// requestPlan waits until a request about a plan is durable or refused.
+func (d *Dispatcher) requestPlan(ctx context.Context, request scheduler.PlanRequest) error {
+	reply, err := askLeader[scheduler.PlanReply](ctx, d, func(replyTo scheduler.Recipient) scheduler.Event {
+		request.ReplyTo = replyTo
+		return request
+	})
+	if err != nil {
+		return err
+	}
+	return reply.Err
+}
+
+// ListPlans lists the rollout plans, if this controller leads.
+func (d *Dispatcher) ListPlans(ctx context.Context) (scheduler.PlanListReply, error) {
+	return askLeader[scheduler.PlanListReply](ctx, d, func(replyTo scheduler.Recipient) scheduler.Event {
+		return scheduler.PlanListRequest{ReplyTo: replyTo}
+	})
+}
--- a/internal/dispatch/soft_state.go
+++ b/internal/dispatch/soft_state.go
@@ -2,35 +2,36 @@
 
 import (
 	"context"
+	"time"
+
 	"leadproxy/internal/scheduler"
 	"leadproxy/internal/softstate"
-	"time"
 )
 
-// SoftState tells what this leader holds in memory alone and has changed since an earlier
+// SoftState returns what this leader holds in memory alone and has changed since an earlier
 // answer.
 func (d *Dispatcher) SoftState(ctx context.Context, since uint64) (softstate.Changes, error) {
-	answer, err := d.askLeader(ctx, func(to scheduler.Recipient) scheduler.Event {
-		return scheduler.SoftStateRequest{Since: since, ReplyTo: to}
+	reply, err := askLeader[scheduler.SoftStateReply](ctx, d, func(replyTo scheduler.Recipient) scheduler.Event {
+		return scheduler.SoftStateRequest{Since: since, ReplyTo: replyTo}
 	})
 	if err != nil {
 		return softstate.Changes{}, err
 	}
-	g := answer.(scheduler.SoftStateReply)
-	return softstate.Changes{Term: g.Term, Machines: g.Machines, Estimates: g.Estimates, UpTo: g.UpTo, More: g.More}, nil
+	return softstate.Changes{Term: reply.Term, Machines: reply.Machines, Estimates: reply.Estimates, UpTo: reply.UpTo, More: reply.More}, nil
 }
 
-// hintsLimit bounds how long a term waits for its hints, which this node has in memory.
-const hintsLimit = 100 * time.Millisecond
+// softStateTimeout bounds how long a term waits for its soft state, which this controller
+// has in memory.
+const softStateTimeout = 100 * time.Millisecond
 
-// viewHints returns the hints for a term that begins, or nil.
-func (d *Dispatcher) viewHints(ctx context.Context, term uint64) *softstate.View {
-	if d.SoftStateView == nil {
+// viewSoftState returns the soft state for a term that begins, or nil.
+func (d *Dispatcher) viewSoftState(ctx context.Context, term uint64) *softstate.View {
+	if d.config.SoftState == nil {
 		return nil
 	}
-	ctx, cancel := context.WithTimeout(ctx, hintsLimit)
+	ctx, cancel := context.WithTimeout(ctx, softStateTimeout)
 	defer cancel()
-	v := d.SoftStateView.View(ctx, term)
-	d.log.Info("hints of an earlier leader", "term", term, "of", v.Term, "machines", len(v.Machines))
-	return &v
+	view := d.config.SoftState.View(ctx, term)
+	d.log.Info("soft state of an earlier leader", "leader_term", term, "earlier_term", view.Term, "machines", len(view.Machines))
+	return &view
 }
--- a/internal/failoverreport/failoverreport.go
+++ b/internal/failoverreport/failoverreport.go
@@ -25,7 +25,10 @@
 	Jobs, Machines         int
 }
 
-var line = regexp.MustCompile(`^time=(\S+) .*msg=takeover term=(\d+) warm=(true|false) view_s=(\S+) decided_s=(\S+) settled_s=(\S+) jobs=(\d+) machines=(\d+)`)
+// line matches what a new leader logs, in the form of this version or of earlier ones, which
+// logged msg=takeover with other names of the fields in the same order.
+var line = regexp.MustCompile(`^time=(\S+) .*msg=(?:"failover completed" leader_term|takeover term)=(\d+) (?:from_standby|warm)=(true|false) ` +
+	`(?:ledger_known_s|view_s)=(\S+) (?:first_decision_s|decided_s)=(\S+) (?:resolved_s|settled_s)=(\S+) jobs=(\d+) machines=(\d+)`)
 
 // ReadLogs reads the takeovers from controllers' logs, the earliest first.
 func ReadLogs(files ...string) ([]Takeover, error) {
--- a/internal/failoverreport/failoverreport_test.go
+++ b/internal/failoverreport/failoverreport_test.go
@@ -4,6 +4,7 @@
 	"bytes"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 )
@@ -13,6 +14,27 @@
 time=2026-12-02T10:22:00.105Z level=INFO msg=takeover term=900 warm=false view_s=0.5 decided_s=0.76 settled_s=2.5 jobs=990 machines=11
 `
 
+// currentLog has the lines of someLog as this version logs them.
+const currentLog = `time=2026-12-02T10:23:00.105Z level=INFO msg=serving node=n1
+time=2026-12-02T10:23:00.105Z level=INFO msg="failover completed" leader_term=1015 from_standby=true ledger_known_s=0.008 first_decision_s=0.26 resolved_s=1.5 jobs=1000 machines=12
+time=2026-12-02T10:22:00.105Z level=INFO msg="failover completed" leader_term=900 from_standby=false ledger_known_s=0.5 first_decision_s=0.76 resolved_s=2.5 jobs=990 machines=11
+`
+
+// TestLogsOfBothForms: lines of this version and of earlier ones say the same.
+func TestLogsOfBothForms(t *testing.T) {
+	earlier, err := readLog(strings.NewReader(someLog))
+	if err != nil {
+		t.Fatal(err)
+	}
+	current, err := readLog(strings.NewReader(currentLog))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(current) != 2 || !slices.Equal(earlier, current) {
+		t.Errorf("earlier form: %+v, current form: %+v", earlier, current)
+	}
+}
+
 // TestReport: logs become a page with percentiles and plots.
 func TestReport(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "n1.log")
@@ -43,6 +65,7 @@
 // FuzzReadLog: whatever a log holds, it is read or refused.
 func FuzzReadLog(f *testing.F) {
 	f.Add([]byte(someLog))
+	f.Add([]byte(currentLog))
 	f.Add([]byte("time=x msg=takeover term=1 warm=true view_s=1 decided_s=1 settled_s=1 jobs=1 machines=1"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		all, err := readLog(bytes.NewReader(text))
--- a/internal/jobapi/service.go
+++ b/internal/jobapi/service.go
@@ -52,8 +52,8 @@
 
 // Dispatcher is the node's dispatcher.
 type Dispatcher interface {
-	Status(ctx context.Context, ref string) (wire.JobStatus, bool, error)
-	Cancel(ctx context.Context, ref string) (wire.JobStatus, bool, error)
+	Status(ctx context.Context, ref string) (wire.JobStatus, error)
+	Cancel(ctx context.Context, ref string) (wire.JobStatus, error)
 	JobCreated(j scheduler.JobRecordEvent)
 }
 
@@ -301,24 +301,24 @@
 // while the term does, and not while the job's end is being written: a leader
 // that is slow to learn of its own write would say "queued" of a job that
 // another node has read as done.
-func (s *Service) fromDispatcher(ctx context.Context, ref string) (wire.JobStatus, bool, error) {
+func (s *Service) fromDispatcher(ctx context.Context, ref string) (wire.JobStatus, error) {
 	v := s.elector.View()
 	if !v.IsLeader(time.Now()) {
-		return wire.JobStatus{}, false, errNotHere
+		return wire.JobStatus{}, errNotHere
 	}
 	ctx, cancel := context.WithTimeout(ctx, time.Second)
 	defer cancel()
-	st, found, err := s.dispatcher.Status(ctx, ref)
+	st, err := s.dispatcher.Status(ctx, ref)
 	if err == nil && !s.elector.IsLeader(v.Term) {
 		err = errNotHere
 	}
-	return st, found, err
+	return st, err
 }
 
 // fromLeader asks the leader about a job, this node or another one. Unless local,
 // what another node can read itself counts as well.
 func (s *Service) fromLeader(ctx context.Context, ref string, local bool) (st wire.JobStatus, ok bool) {
-	if st, found, err := s.fromDispatcher(ctx, ref); err == nil && found {
+	if st, err := s.fromDispatcher(ctx, ref); err == nil {
 		return st, true
 	}
 	v := s.elector.View()
@@ -364,20 +364,20 @@
 	if !v.IsLeader(time.Now()) {
 		return s.cancelElsewhere(ctx, v.Leader, ref, local)
 	}
-	st, found, err := s.dispatcher.Cancel(ctx, ref)
-	if err == nil && !found {
+	st, err := s.dispatcher.Cancel(ctx, ref)
+	if errors.Is(err, dispatch.ErrJobUnknown) {
 		if refusal := s.tellDispatcher(ctx, ref); refusal.Status != 0 {
 			return refusal
 		}
-		st, found, err = s.dispatcher.Cancel(ctx, ref)
+		st, err = s.dispatcher.Cancel(ctx, ref)
 	}
 	switch {
 	case errors.Is(err, dispatch.ErrCellUnreachable):
 		return later(http.StatusServiceUnavailable, 1, err.Error())
+	case errors.Is(err, dispatch.ErrJobUnknown):
+		return later(http.StatusServiceUnavailable, 1, "the job is not yet known to the leader")
 	case err != nil:
 		return later(http.StatusServiceUnavailable, 1, "the cancellation could not be recorded")
-	case !found:
-		return later(http.StatusServiceUnavailable, 1, "the job is not yet known to the leader")
 	}
 	// The state that the dispatcher tells here is durable.
 	s.log.Debug("cancellation answered", "job", ref, "status", st.Status, "term", v.Term)
--- a/internal/jobapi/service_test.go
+++ b/internal/jobapi/service_test.go
@@ -96,12 +96,12 @@
 
 type fakeDispatcher struct{}
 
-func (fakeDispatcher) Status(context.Context, string) (wire.JobStatus, bool, error) {
-	return wire.JobStatus{}, false, dispatch.ErrNotLeader
+func (fakeDispatcher) Status(context.Context, string) (wire.JobStatus, error) {
+	return wire.JobStatus{}, dispatch.ErrNotLeader
 }
 
-func (fakeDispatcher) Cancel(context.Context, string) (wire.JobStatus, bool, error) {
-	return wire.JobStatus{}, false, dispatch.ErrNotLeader
+func (fakeDispatcher) Cancel(context.Context, string) (wire.JobStatus, error) {
+	return wire.JobStatus{}, dispatch.ErrNotLeader
 }
 
 func (fakeDispatcher) JobCreated(scheduler.JobRecordEvent) {}
--- a/internal/standby/deployment_test.go
+++ b/internal/standby/deployment_test.go
@@ -27,7 +27,7 @@
 	first, ending float64 // first decision and settled, since the old leader's end
 }
 
-var takeoverLine = regexp.MustCompile(`time=(\S+) .*msg=takeover .*warm=(\w+) view_s=(\S+) decided_s=(\S+) settled_s=(\S+)`)
+var takeoverLine = regexp.MustCompile(`time=(\S+) .*msg="failover completed" .*from_standby=(\w+) ledger_known_s=(\S+) first_decision_s=(\S+) resolved_s=(\S+)`)
 
 // deployment is three controllers over a ledger of many jobs.
 type deployment struct {
--- a/internal/standby/proof_test.go
+++ b/internal/standby/proof_test.go
@@ -79,7 +79,7 @@
 	}
 }
 
-var readAnewLine = regexp.MustCompile(`reading the ledger" term=\d+ why="([^"]*)`)
+var readAnewLine = regexp.MustCompile(`reading the ledger" leader_term=\d+ reason="([^"]*)`)
 
 // readAnew counts why takeovers did not decide on the standby's view.
 func (d *deployment) readAnew() map[string]int {
