--- a/internal/controller/assembly.go
+++ b/internal/controller/assembly.go
@@ -78,10 +78,11 @@
 		softState:      softstate.NewServer(c.dispatcher, others.Names(), log),
 	}
 	types := watchTypes(ctx, autoscaler.NewClient(n, p.Services.Cloud, facts.Cloud.RPS), log)
-	c.jobs = jobapi.New(ctx, p, c.elector, store, c.dispatcher, others, types, rate, log)
-	c.jobs.Upgraded = c.supports(capability.Pipelines)
 	c.health = &health{serving: store.Serving, peers: others, log: log}
-	c.jobs.Healthy = c.health.OK
+	c.jobs = jobapi.New(ctx, jobapi.Config{
+		Platform: p, Elector: c.elector, Store: store, Dispatcher: c.dispatcher, Peers: others, MachineTypes: types,
+		StoreShare: rate, PipelinesSupported: c.supports(capability.Pipelines), Healthy: c.health.OK, Log: log,
+	})
 	c.heartbeats = newReportHandler(ctx, p.Node, c.elector, c.dispatcher, others, c.sockets, log)
 	c.reachability = &reachability{elector: c.elector, heard: c.heartbeats.heard, shared: c.heartbeats.forwarded, up: c.dispatcher.ExpectedMachines,
 		unanswered: c.dispatcher.UnansweredCommands, report: settings.Seconds(facts.Workers.ReportS), peers: others, log: log}
--- a/internal/controller/heartbeat_handler.go
+++ b/internal/controller/heartbeat_handler.go
@@ -29,7 +29,7 @@
 
 // reportForwarder forwards reports to other nodes.
 type reportForwarder interface {
-	Report(ctx context.Context, node string, body []byte) (jobapi.Answer, error)
+	Report(ctx context.Context, node string, body []byte) (jobapi.Response, error)
 	Connect(ctx context.Context, node string)
 }
 
@@ -83,36 +83,36 @@
 	return ""
 }
 
-func problem(status int, text string) jobapi.Answer {
+func problem(status int, text string) jobapi.Response {
 	return jobapi.JSON(status, wire.ErrorResponse{Error: text})
 }
 
 // sendTo has a worker report to another node; "": to any other.
-func sendTo(node string) jobapi.Answer {
+func sendTo(node string) jobapi.Response {
 	return jobapi.JSON(http.StatusMisdirectedRequest, wire.Redirect{Leader: node})
 }
 
 // malformed answers what is no report.
-func (h *reportHandler) malformed(err error) jobapi.Answer {
+func (h *reportHandler) malformed(err error) jobapi.Response {
 	h.log.Info("malformed report", "error", err)
 	return problem(http.StatusBadRequest, err.Error())
 }
 
 // Shared answers a report that another node has forwarded here.
-func (h *reportHandler) Shared(ctx context.Context, body []byte, give func(answer func() jobapi.Answer)) {
+func (h *reportHandler) Shared(ctx context.Context, body []byte, give func(answer func() jobapi.Response)) {
 	report, err := wire.ParseHeartbeat(body)
 	if err != nil {
-		give(func() jobapi.Answer { return h.malformed(err) })
+		give(func() jobapi.Response { return h.malformed(err) })
 		return
 	}
 	h.forwarded.add()
 	v := h.elector.View()
 	if !v.IsLeader(time.Now()) {
-		give(func() jobapi.Answer { return sendTo(h.otherLeader()) })
+		give(func() jobapi.Response { return sendTo(h.otherLeader()) })
 		return
 	}
 	h.dispatcher.HeartbeatAsync(ctx, report, func(answer *wire.HeartbeatResponse, err error) {
-		give(func() jobapi.Answer { return h.answerTo(v.Term, answer, err) })
+		give(func() jobapi.Response { return h.answerTo(v.Term, answer, err) })
 	})
 }
 
@@ -121,7 +121,7 @@
 
 // answer answers a report if this node leads, and else sends the worker
 // elsewhere.
-func (h *reportHandler) answer(ctx context.Context, report *wire.Heartbeat) jobapi.Answer {
+func (h *reportHandler) answer(ctx context.Context, report *wire.Heartbeat) jobapi.Response {
 	v := h.elector.View()
 	if !v.IsLeader(time.Now()) {
 		return sendTo(h.otherLeader())
@@ -140,7 +140,7 @@
 // a 200 would keep the worker here. An answer that another node forwards is
 // written a little later than that. It still renews the worker's lease only from
 // when the report was sent, within our term.
-func (h *reportHandler) answerTo(term uint64, answer *wire.HeartbeatResponse, err error) jobapi.Answer {
+func (h *reportHandler) answerTo(term uint64, answer *wire.HeartbeatResponse, err error) jobapi.Response {
 	switch {
 	case err == nil && h.elector.IsLeader(term):
 		if len(answer.Commands) > 0 && h.log.Enabled(context.Background(), slog.LevelDebug) {
@@ -166,7 +166,7 @@
 }
 
 // take answers a report that a worker has sent here.
-func (h *reportHandler) take(ctx context.Context, body []byte) jobapi.Answer {
+func (h *reportHandler) take(ctx context.Context, body []byte) jobapi.Response {
 	if leader := h.otherLeader(); leader != "" {
 		return h.forward(ctx, leader, body)
 	}
@@ -179,7 +179,7 @@
 
 // forward has the leader answer a report. What it says is passed on as it is: a
 // 200 leaves this node only as the leader's answer from its term.
-func (h *reportHandler) forward(ctx context.Context, leader string, body []byte) jobapi.Answer {
+func (h *reportHandler) forward(ctx context.Context, leader string, body []byte) jobapi.Response {
 	ctx, cancel := context.WithTimeout(ctx, reportLimit)
 	defer cancel()
 	a, err := h.peers.Report(ctx, leader, body)
--- a/internal/controller/heartbeat_handler_test.go
+++ b/internal/controller/heartbeat_handler_test.go
@@ -19,16 +19,16 @@
 
 // forwarderTo is a line to the leader: it answers with what it holds, or not at all.
 type forwarderTo struct {
-	answer jobapi.Answer
+	answer jobapi.Response
 	err    error
 }
 
 func (l forwarderTo) Connect(context.Context, string) {}
 
-func (l forwarderTo) Report(ctx context.Context, _ string, _ []byte) (jobapi.Answer, error) {
+func (l forwarderTo) Report(ctx context.Context, _ string, _ []byte) (jobapi.Response, error) {
 	if l.answer.Status == 0 && l.err == nil {
 		<-ctx.Done()
-		return jobapi.Answer{}, ctx.Err()
+		return jobapi.Response{}, ctx.Err()
 	}
 	return l.answer, l.err
 }
@@ -121,13 +121,13 @@
 	e := election.New("n1", settings.Operator{LeaderLease: time.Second}, nil, quiet)
 	g := newReportHandler(t.Context(), "n1", e, eager{}, nil, &socketUse{}, quiet)
 	body := []byte(`{"host":"vm-1","address":"10.1.0.1:9000","flavor":"m","room":"a","tenure":1,"tick":4,"baton":0,"pieces":[]}`)
-	check := func(how string, a jobapi.Answer) {
+	check := func(how string, a jobapi.Response) {
 		if a.Status != http.StatusMisdirectedRequest || strings.Contains(string(a.Body), "boss") || strings.Contains(string(a.Body), "start") {
 			t.Errorf("%s: answered %d %s", how, a.Status, a.Body)
 		}
 	}
 	check("straight", g.take(t.Context(), body))
-	g.Shared(t.Context(), body, func(answer func() jobapi.Answer) { check("carried", answer()) })
+	g.Shared(t.Context(), body, func(answer func() jobapi.Response) { check("carried", answer()) })
 	// The term may end between the dispatcher's answer and its writing.
 	answer, err := eager{}.Heartbeat(t.Context(), nil)
 	check("too late", g.answerTo(1, answer, err))
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -20,7 +20,7 @@
 )
 
 // watchTypes reads the machine types until they are known, and now and then after that.
-func watchTypes(ctx context.Context, cloud *autoscaler.Client, log *slog.Logger) jobapi.Types {
+func watchTypes(ctx context.Context, cloud *autoscaler.Client, log *slog.Logger) jobapi.MachineTypes {
 	var known atomic.Pointer[[]wire.MachineType]
 	go func() {
 		for ctx.Err() == nil {
--- /dev/null
+++ b/internal/jobapi/cancellations.go
@@ -0,0 +1,83 @@
+package jobapi
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"time"
+
+	"leadproxy/internal/dispatch"
+	"leadproxy/internal/scheduler"
+	"leadproxy/internal/wire"
+)
+
+// cancelTimeout bounds a cancellation, also one that another controller carries out.
+const cancelTimeout = 4 * time.Second
+
+// cancel has the leader cancel a job and responds once that is durable.
+func (s *Service) cancel(ctx context.Context, request Request) Response {
+	if !wire.ValidJobID(request.JobID) {
+		return jobNotFound
+	}
+	ctx, cancel := context.WithTimeout(ctx, cancelTimeout)
+	defer cancel()
+	view := s.Elector.View()
+	if !view.IsLeader(time.Now()) {
+		return s.cancelAtLeader(ctx, view.Leader, request)
+	}
+	status, err := s.Dispatcher.Cancel(ctx, request.JobID)
+	if errors.Is(err, dispatch.ErrJobUnknown) {
+		if rejection := s.announceRecord(ctx, request.JobID); !rejection.IsZero() {
+			return rejection
+		}
+		status, err = s.Dispatcher.Cancel(ctx, request.JobID)
+	}
+	switch {
+	case errors.Is(err, dispatch.ErrCellUnreachable):
+		return retryLater(http.StatusServiceUnavailable, 1, err.Error())
+	case errors.Is(err, dispatch.ErrJobUnknown):
+		return retryLater(http.StatusServiceUnavailable, 1, "the job is not yet known to the leader")
+	case err != nil:
+		return retryLater(http.StatusServiceUnavailable, 1, "the cancellation could not be recorded")
+	}
+	// The state that the dispatcher returns here is durable.
+	s.Log.Debug("cancellation answered", "job", request.JobID, "status", status.Status, "leader_term", view.Term)
+	return JSON(http.StatusOK, wire.JobResponse{ID: request.JobID, Status: status.Status})
+}
+
+// cancelAtLeader forwards a cancellation to the leader. Without one, a job that has ended
+// can still be answered for.
+func (s *Service) cancelAtLeader(ctx context.Context, leader string, request Request) Response {
+	if !request.LocalOnly && leader != "" && leader != s.Platform.Node {
+		if response, err := s.askPeer(ctx, cancelTimeout, leader, request); err == nil {
+			return response
+		}
+	}
+	status, err := s.statusFromRecords(ctx, request.JobID)
+	switch {
+	case errors.Is(err, errNoRecord):
+		return jobNotFound
+	case err == nil && status.Status != wire.JobQueued:
+		s.Log.Debug("cancellation answered by the job's record", "job", request.JobID, "status", status.Status)
+		return JSON(http.StatusOK, wire.JobResponse{ID: request.JobID, Status: status.Status})
+	}
+	return retryLater(http.StatusServiceUnavailable, 1, "no controller leads at the moment")
+}
+
+// announceRecord passes the record of a job to this controller's dispatcher, for one so new
+// that the dispatcher has not seen it. The zero response is no rejection.
+func (s *Service) announceRecord(ctx context.Context, jobID string) Response {
+	stored, err := s.readRecord(ctx, jobID)
+	switch {
+	case errors.Is(err, errNoRecord):
+		return jobNotFound
+	case errors.Is(err, errMalformedRecord):
+		return problem(http.StatusInternalServerError, "the job's record can't be read")
+	case err != nil:
+		return storeUnavailable
+	case stored.record.Origin != "":
+		return problem(http.StatusNotFound, "there is no such job of this cell")
+	}
+	s.Dispatcher.JobCreated(scheduler.JobRecordEvent{JobID: jobID, Record: stored.record, Version: stored.version})
+	return Response{}
+}
--- a/internal/jobapi/dependencies.go
+++ b/internal/jobapi/dependencies.go
@@ -10,103 +10,119 @@
 	"leadproxy/internal/wire"
 )
 
-// maxAncestors bounds how many records are read to tell the state of a job that
-// waits for others, where the leader can't be asked.
+// maxAncestors bounds how many records are read to find the state of a job that depends on
+// others, where the leader can't be asked.
 const maxAncestors = 64
 
-// errAncestors: whether a job is cancelled with one that it needs can't be told.
-var errAncestors = errors.New("too many jobs to look at")
+// errTooManyAncestors: whether a job is cancelled with one that it depends on can't be found.
+var errTooManyAncestors = errors.New("the job depends on more jobs than can be read")
 
-// notUpgraded tells a user to come again when all nodes know jobs that wait for
-// others: one that does not would start them at once.
-var notUpgraded = later(http.StatusServiceUnavailable, 3, "not all controllers are known to have been upgraded to jobs that wait for others")
+// notUpgraded asks a user to repeat the submission once all controllers know jobs that
+// depend on others: one that does not would start them at once.
+var notUpgraded = retryLater(http.StatusServiceUnavailable, 3, "not all controllers are known to have been upgraded to jobs that wait for others")
 
-// judgeAncestors refuses a job that names one that was never accepted, or of which
-// that can't be told at the moment; a zero answer is no refusal. It also tells whether
-// one that it needs is cancelled, and the job with it as soon as it is accepted.
-func (s *Service) judgeAncestors(ctx context.Context, j *wire.Job, local bool) (refusal Answer, cancelled bool) {
-	if len(j.DependsOn) == 0 {
-		return Answer{}, false
-	}
-	if !s.Upgraded() {
-		return notUpgraded, false
-	}
-	if slices.Contains(j.DependsOn, j.ID) {
-		return problem(http.StatusUnprocessableEntity, "waits_on names the job itself"), false
-	}
-	type look struct {
-		ref    string
-		found  bool
-		status string
-		err    error
-	}
-	looks := make(chan look, len(j.DependsOn))
-	for _, ref := range j.DependsOn {
-		go func() {
-			if st, ok := s.fromLeader(ctx, ref, local); ok {
-				looks <- look{ref, true, st.Status, nil}
-				return
-			}
-			st, found, err := s.fromRecords(ctx, ref)
-			looks <- look{ref, found, st.Status, err}
-		}()
+// dependencyCheck is the outcome of the check of the jobs that a job depends on.
+type dependencyCheck struct {
+	rejection Response // zero: none
+	// cancelled: one of them is, and the job with it as soon as it is accepted.
+	cancelled bool
+}
+
+// checkDependencies rejects a job that depends on one that was never accepted, or of which
+// that can't be read at the moment.
+func (s *Service) checkDependencies(ctx context.Context, job *wire.Job, localOnly bool) dependencyCheck {
+	switch {
+	case len(job.DependsOn) == 0:
+		return dependencyCheck{}
+	case !s.PipelinesSupported():
+		return dependencyCheck{rejection: notUpgraded}
+	case slices.Contains(job.DependsOn, job.ID):
+		return dependencyCheck{rejection: problem(http.StatusUnprocessableEntity, "waits_on names the job itself")}
 	}
-	for range j.DependsOn {
-		l := <-looks
+	var check dependencyCheck
+	lookups := s.lookUpDependencies(ctx, job.DependsOn, localOnly)
+	for range job.DependsOn {
+		lookup := <-lookups
+		notAccepted := errors.Is(lookup.err, errNoRecord)
 		switch {
-		case l.err != nil:
-			// Another one may be unknown for certain, but the user comes again.
-			refusal = noState
-		case !l.found && refusal.Status == 0:
-			refusal = problem(http.StatusUnprocessableEntity, "waits_on names %s, which was never accepted", l.ref)
+		case lookup.err != nil && !notAccepted:
+			// Another one may not exist for certain, but the user repeats the submission.
+			check.rejection = storeUnavailable
+		case notAccepted && check.rejection.IsZero():
+			check.rejection = problem(http.StatusUnprocessableEntity, "waits_on names %s, which was never accepted", lookup.jobID)
 		}
-		cancelled = cancelled || l.status == wire.JobCancelled
+		check.cancelled = check.cancelled || lookup.state == wire.JobCancelled
 	}
-	return refusal, cancelled
+	return check
 }
 
-// fromRecords tells a job's state by its record and those of its ancestors alone.
-func (s *Service) fromRecords(ctx context.Context, ref string) (st wire.JobStatus, found bool, err error) {
-	rec, found, err := s.record(ctx, ref)
-	if err != nil || !found || rec.Origin != "" {
-		return st, false, err // users speak to a job's home alone
-	}
-	status, err := s.recorded(ctx, &rec)
-	return wire.JobStatus{ID: ref, Status: status, Done: rec.Done}, true, err
+// dependencyLookup is the state of a job that another one depends on.
+type dependencyLookup struct {
+	jobID string
+	state string
+	err   error // errNoRecord: it was never accepted
 }
 
-// recorded is the state of a job as its record and those of its ancestors tell it: an
-// open job is cancelled when one that it needs, directly or through others, is, and
-// else called queued.
-func (s *Service) recorded(ctx context.Context, rec *ledger.JobRecord) (string, error) {
-	if rec.Terminal != "" {
-		return rec.Terminal, nil
+// lookUpDependencies finds the states of jobs at once. They come in any order.
+func (s *Service) lookUpDependencies(ctx context.Context, jobs []string, localOnly bool) <-chan dependencyLookup {
+	lookups := make(chan dependencyLookup, len(jobs))
+	for _, jobID := range jobs {
+		go func() {
+			status, err := s.statusFromLeader(ctx, jobID, localOnly)
+			if err != nil {
+				status, err = s.statusFromRecords(ctx, jobID)
+			}
+			lookups <- dependencyLookup{jobID: jobID, state: status.Status, err: err}
+		}()
 	}
-	if rec.Job == nil {
+	return lookups
+}
+
+// recordedState is the state of a job by its record and those of its ancestors: an open job
+// is cancelled when one that it depends on, directly or through others, is, and else
+// called queued.
+func (s *Service) recordedState(ctx context.Context, record *ledger.JobRecord) (string, error) {
+	switch {
+	case record.Terminal != "":
+		return record.Terminal, nil
+	case record.Job == nil:
 		return wire.JobQueued, nil
 	}
-	seen := map[string]bool{}
-	todo := slices.Clone(rec.Job.DependsOn)
-	for len(todo) > 0 {
-		ref := todo[0]
-		todo = todo[1:]
-		if seen[ref] {
+	cancelled, err := s.anyAncestorCancelled(ctx, record.Job.DependsOn)
+	switch {
+	case err != nil:
+		return "", err
+	case cancelled:
+		return wire.JobCancelled, nil
+	}
+	return wire.JobQueued, nil
+}
+
+// anyAncestorCancelled reports whether one of the jobs, or one that these depend on, is
+// cancelled. What comes before a job that is done does not count any more.
+func (s *Service) anyAncestorCancelled(ctx context.Context, jobs []string) (bool, error) {
+	visited := map[string]bool{}
+	for pending := slices.Clone(jobs); len(pending) > 0; {
+		jobID := pending[0]
+		pending = pending[1:]
+		if visited[jobID] {
 			continue
 		}
-		if len(seen) >= maxAncestors {
-			return "", errAncestors
+		if len(visited) >= maxAncestors {
+			return false, errTooManyAncestors
 		}
-		seen[ref] = true
-		p, found, err := s.record(ctx, ref)
+		visited[jobID] = true
+		stored, err := s.readRecord(ctx, jobID)
 		switch {
+		case errors.Is(err, errNoRecord):
 		case err != nil:
-			return "", err
-		case !found || p.Terminal == wire.JobDone:
-		case p.Terminal == wire.JobCancelled:
-			return wire.JobCancelled, nil
-		case p.Job != nil:
-			todo = append(todo, p.Job.DependsOn...)
+			return false, err
+		case stored.record.Terminal == wire.JobDone:
+		case stored.record.Terminal == wire.JobCancelled:
+			return true, nil
+		case stored.record.Job != nil:
+			pending = append(pending, stored.record.Job.DependsOn...)
 		}
 	}
-	return wire.JobQueued, nil
+	return false, nil
 }
--- /dev/null
+++ b/internal/jobapi/fakes_test.go
@@ -0,0 +1,126 @@
+package jobapi
+
+import (
+	"context"
+	"encoding/json"
+	"errors"
+	"io"
+	"log/slog"
+	"testing"
+	"time"
+
+	"leadproxy/internal/dispatch"
+	"leadproxy/internal/election"
+	"leadproxy/internal/kvstore"
+	"leadproxy/internal/ledger"
+	"leadproxy/internal/scheduler"
+	"leadproxy/internal/settings"
+	"leadproxy/internal/wire"
+)
+
+// fakeStore holds job records; while down it refuses everything.
+type fakeStore struct {
+	records map[string]ledger.JobRecord
+	down    bool
+	busy    bool // there are no writes left
+	// unserved is set while the store does not serve this controller: a request hangs
+	// until its user gives up.
+	unserved bool
+}
+
+func (f *fakeStore) Get(ctx context.Context, _ kvstore.Priority, key string) (wire.Entry, bool, error) {
+	if f.unserved {
+		<-ctx.Done()
+		return wire.Entry{}, false, kvstore.ErrUnknownOutcome
+	}
+	if f.down {
+		return wire.Entry{}, false, kvstore.ErrUnavailable
+	}
+	rec, ok := f.records[key]
+	value, err := json.Marshal(rec)
+	return wire.Entry{Key: key, Value: value, Version: 3}, ok, err
+}
+
+func (f *fakeStore) Serving() bool { return !f.unserved }
+
+func (f *fakeStore) Limits() kvstore.Limits {
+	return kvstore.Limits{MaxChanges: 8, ValueBytes: 16 << 10, WriteRPS: 40}
+}
+
+func (f *fakeStore) CompareAndSwap(ctx context.Context, _ kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
+	if f.unserved {
+		<-ctx.Done()
+		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnknownOutcome
+	}
+	if f.down {
+		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnavailable
+	}
+	if f.busy {
+		return false, wire.CompareAndSwapResponse{}, kvstore.ErrOverloaded
+	}
+	for _, c := range t.Conditions {
+		if _, ok := f.records[c.Key]; ok {
+			return false, wire.CompareAndSwapResponse{FailedKeys: []string{c.Key}}, nil
+		}
+	}
+	for _, c := range t.Changes {
+		var rec ledger.JobRecord
+		if err := json.Unmarshal(c.Value, &rec); err != nil {
+			return false, wire.CompareAndSwapResponse{}, err
+		}
+		f.records[c.Set] = rec
+	}
+	return true, wire.CompareAndSwapResponse{Revision: 9}, nil
+}
+
+// fakePeers gives one response to every request that is forwarded, or none.
+type fakePeers struct{ response *Response }
+
+func (f *fakePeers) Ask(context.Context, string, Request) (Response, error) {
+	if f.response == nil {
+		return Response{}, errors.New("no response")
+	}
+	return *f.response, nil
+}
+
+func (f *fakePeers) Names() []string { return []string{"n2"} }
+
+// fakeDispatcher belongs to a controller that does not lead.
+type fakeDispatcher struct{}
+
+func (fakeDispatcher) Status(context.Context, string) (wire.JobStatus, error) {
+	return wire.JobStatus{}, dispatch.ErrNotLeader
+}
+
+func (fakeDispatcher) Cancel(context.Context, string) (wire.JobStatus, error) {
+	return wire.JobStatus{}, dispatch.ErrNotLeader
+}
+
+func (fakeDispatcher) JobCreated(scheduler.JobRecordEvent) {}
+
+// newTestService makes the service of controller n1, which does not lead, for one team and
+// one machine type.
+func newTestService(t *testing.T, store Store, peers Peers, change func(config *Config)) *Service {
+	t.Helper()
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	config := Config{
+		Platform: &settings.Platform{Node: "n1", Facts: settings.Facts{
+			Teams: []settings.Team{{Name: "t", CPUsMax: 6}},
+			State: settings.StateLimits{WriteRPS: 40, TxnOps: 8, ValueKB: 16},
+		}},
+		Elector:    election.New("n1", settings.Operator{LeaderLease: time.Second}, nil, log),
+		Store:      store,
+		Dispatcher: fakeDispatcher{},
+		Peers:      peers,
+		MachineTypes: func() ([]wire.MachineType, bool) {
+			return []wire.MachineType{{Name: "m", CPUs: 8, MemGB: 32, Zones: []string{"a"}}}, true
+		},
+		StoreShare:         0.5,
+		PipelinesSupported: func() bool { return true },
+		Log:                log,
+	}
+	if change != nil {
+		change(&config)
+	}
+	return New(t.Context(), config)
+}
--- a/internal/jobapi/group_commit.go
+++ b/internal/jobapi/group_commit.go
@@ -14,172 +14,208 @@
 	"leadproxy/internal/wire"
 )
 
-// Store is the part of the state service that intake needs.
+// Store is the part of the key-value store's client that the job API needs.
 type Store interface {
 	Get(ctx context.Context, p kvstore.Priority, key string) (wire.Entry, bool, error)
 	CompareAndSwap(ctx context.Context, p kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error)
 	Limits() kvstore.Limits
+	// Serving reports whether the store serves this controller.
 	Serving() bool
 }
 
-// accept is one job that wants its record created.
-type accept struct {
+// Errors of creating a job's record.
+var (
+	errQueueFull     = errors.New("too many submissions are waiting")
+	errRecordTooLong = errors.New("the job's description is longer than can be recorded")
+	errRecordExists  = errors.New("the job has a record already")
+)
+
+const (
+	// maxQueued bounds the records that wait for a batch.
+	maxQueued = 256
+	// contendedQueue is from how many waiting records on they probably come faster than
+	// they can be written.
+	contendedQueue = 4
+	// maxTransactionBytes keeps a transaction below the store's 64 KiB.
+	maxTransactionBytes = 48 << 10
+	// lastRecordBytes is the room that the last record of a transaction may need.
+	lastRecordBytes = 4 << 10
+	// recordOverhead is what a record takes in a transaction besides its value and, twice,
+	// its key.
+	recordOverhead = 100
+	// terminalStateBytes is what a job's end may add to its record: the terminal state,
+	// two counts and the time of day. A record that fits without it could never be ended.
+	terminalStateBytes = 96
+	// commitTimeout is how long a batch is tried: the user has to learn in time that it
+	// failed, or another controller to try.
+	commitTimeout = 2 * time.Second
+)
+
+// creation is one record that waits for its creation.
+type creation struct {
 	key    string
 	value  json.RawMessage
-	result chan accepted
+	result chan creationResult // has room for one
 }
 
-// accepted is the outcome of an accept.
-type accepted struct {
-	version uint64 // of the record that was created
-	known   bool   // a record was there already
+// creationResult is the version of the record that was created, or why it was not.
+type creationResult struct {
+	version uint64
 	err     error
 }
 
-// groupCommit creates job records, those that wait at the same time in one
-// transaction.
+// groupCommit creates job records, those that wait at the same time in one transaction.
 type groupCommit struct {
-	store    Store
-	share    float64 // of the state service's writes
-	bytes    int     // most bytes of one record
-	incoming chan *accept
-	// waiting is how many wait for their records.
-	waiting atomic.Int64
-}
-
-// manyWaiting is from how many on there is reason to think that the records come
-// faster than they can be written.
-const manyWaiting = 4
-
-// pressed tells whether many wait for their records.
-func (c *groupCommit) pressed() bool { return c.waiting.Load() >= manyWaiting }
-
-// maxBytes keeps a transaction below the service's 64 KiB.
-const maxBytes = 48 << 10
-
-func newGroupCommit(store Store, share float64, bytes int) *groupCommit {
-	return &groupCommit{store: store, share: share, bytes: bytes, incoming: make(chan *accept, 256)}
+	store          Store
+	share          float64 // of the store's writes
+	maxRecordBytes int
+	queue          chan *creation
+	waiting        atomic.Int64 // callers of create
 }
 
-// ops is how many records go into one transaction.
-func (c *groupCommit) ops() int {
-	l := c.store.Limits()
-	return max(1, min(l.MaxChanges, int(l.WriteRPS*c.share)))
+func newGroupCommit(store Store, share float64, maxRecordBytes int) *groupCommit {
+	return &groupCommit{store: store, share: share, maxRecordBytes: maxRecordBytes, queue: make(chan *creation, maxQueued)}
 }
 
-var (
-	errFull = errors.New("too many submissions are waiting")
-	errLong = errors.New("the job's description is longer than can be recorded")
-)
+// contended reports whether many records wait for their creation.
+func (c *groupCommit) contended() bool { return c.waiting.Load() >= contendedQueue }
 
-// endRoom is what a job's end may add to its record: the terminal state, two counts
-// and the time of day. A record that fits without it could never be ended.
-const endRoom = 96
+// maxBatch is how many records go into one transaction.
+func (c *groupCommit) maxBatch() int {
+	limits := c.store.Limits()
+	return max(1, min(limits.MaxChanges, int(limits.WriteRPS*c.share)))
+}
 
-// create has a job record created unless there is one.
-func (c *groupCommit) create(ctx context.Context, ref string, rec ledger.JobRecord) (accepted, error) {
-	value, err := json.Marshal(rec)
+// create creates a job's record and returns its version. If there is one already, the error
+// is errRecordExists.
+func (c *groupCommit) create(ctx context.Context, jobID string, record ledger.JobRecord) (uint64, error) {
+	value, err := json.Marshal(record)
 	if err != nil {
-		return accepted{}, err
+		return 0, err
 	}
-	if len(value)+endRoom > c.bytes {
-		return accepted{}, errLong
+	if len(value)+terminalStateBytes > c.maxRecordBytes {
+		return 0, errRecordTooLong
 	}
 	c.waiting.Add(1)
 	defer c.waiting.Add(-1)
-	a := &accept{key: ledger.JobKey(ref), value: value, result: make(chan accepted, 1)}
+	waiting := &creation{key: ledger.JobKey(jobID), value: value, result: make(chan creationResult, 1)}
 	select {
-	case c.incoming <- a:
+	case c.queue <- waiting:
 	default:
-		return accepted{}, errFull
+		return 0, errQueueFull
 	}
 	select {
-	case r := <-a.result:
-		return r, r.err
+	case result := <-waiting.result:
+		return result.version, result.err
 	case <-ctx.Done():
-		return accepted{}, ctx.Err()
+		return 0, ctx.Err()
 	}
 }
 
+// run commits the records that wait, in batches, until ctx ends.
 func (c *groupCommit) run(ctx context.Context) {
 	for {
-		var batch []*accept
-		size := 0
 		select {
-		case a := <-c.incoming:
-			batch, size = append(batch, a), len(a.value)
+		case first := <-c.queue:
+			go c.commit(ctx, c.gather(first))
 		case <-ctx.Done():
 			return
 		}
-	gather:
-		for ops := c.ops(); len(batch) < ops && size < maxBytes-(4<<10); {
-			select {
-			case a := <-c.incoming:
-				batch = append(batch, a)
-				size += len(a.value) + 2*len(a.key) + 100
-			default:
-				break gather
-			}
-		}
-		go c.commit(ctx, batch)
 	}
 }
 
-// commitLimit is how long a batch is tried: the user still wants to hear in
-// time that it did not go, or another node to try.
-const commitLimit = 2 * time.Second
+// gather makes a batch of a record and of those that wait already.
+func (c *groupCommit) gather(first *creation) []*creation {
+	batch := []*creation{first}
+	size := len(first.value)
+	for limit := c.maxBatch(); len(batch) < limit && size < maxTransactionBytes-lastRecordBytes; {
+		select {
+		case next := <-c.queue:
+			batch = append(batch, next)
+			size += len(next.value) + 2*len(next.key) + recordOverhead
+		default:
+			return batch
+		}
+	}
+	return batch
+}
 
-// commit creates a batch of records. Those that exist already are told so and
-// the rest is tried once more without them.
-func (c *groupCommit) commit(ctx context.Context, batch []*accept) {
-	ctx, cancel := context.WithTimeout(ctx, commitLimit)
+// commit creates a batch of records. Those that exist already are reported as such, and the
+// rest is tried once more without them.
+func (c *groupCommit) commit(ctx context.Context, batch []*creation) {
+	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	for len(batch) > 0 {
-		var txn wire.CompareAndSwap
-		seen := map[string]bool{}
-		var round, again []*accept
-		for _, a := range batch {
-			if seen[a.key] {
-				// The same job twice in one batch: the second finds the first.
-				again = append(again, a)
-				continue
-			}
-			seen[a.key] = true
-			round = append(round, a)
-			txn.Conditions = append(txn.Conditions, wire.Condition{Key: a.key})
-			txn.Changes = append(txn.Changes, wire.Change{Set: a.key, Value: a.value})
-		}
-		ok, answer, err := c.store.CompareAndSwap(ctx, kvstore.PriorityAccept, txn)
-		if ops := c.ops(); errors.Is(err, kvstore.ErrLimitsLowered) && len(batch) > ops {
-			for part := range slices.Chunk(batch, ops) {
+		attempt := newCommitAttempt(batch)
+		created, response, err := c.store.CompareAndSwap(ctx, kvstore.PriorityAccept, attempt.transaction)
+		if limit := c.maxBatch(); errors.Is(err, kvstore.ErrLimitsLowered) && len(batch) > limit {
+			for part := range slices.Chunk(batch, limit) {
 				c.commit(ctx, part)
 			}
 			return
 		}
 		if errors.Is(err, kvstore.ErrUnknownOutcome) && ctx.Err() == nil {
-			// Creating is safe to repeat: what was carried out is then known.
+			// Creating is safe to repeat: what was carried out then exists.
 			continue
 		}
 		if err != nil {
-			for _, a := range batch {
-				a.result <- accepted{err: err}
+			for _, waiting := range batch {
+				waiting.result <- creationResult{err: err}
 			}
 			return
 		}
-		failed := map[string]bool{}
-		for _, key := range answer.FailedKeys {
-			failed[key] = true
+		if created {
+			batch = attempt.succeeded(response.Revision)
+		} else {
+			batch = attempt.conflicted(response.FailedKeys)
 		}
-		for _, a := range round {
-			switch {
-			case ok:
-				a.result <- accepted{version: answer.Revision}
-			case failed[a.key]:
-				a.result <- accepted{known: true}
-			default:
-				again = append(again, a)
-			}
+	}
+}
+
+// commitAttempt is one try to create the records of a batch.
+type commitAttempt struct {
+	transaction wire.CompareAndSwap
+	included    []*creation
+	// repeated are records of a key that another record of the batch has. They find that
+	// one when they are tried.
+	repeated []*creation
+}
+
+func newCommitAttempt(batch []*creation) *commitAttempt {
+	attempt := &commitAttempt{}
+	seen := map[string]bool{}
+	for _, waiting := range batch {
+		if seen[waiting.key] {
+			attempt.repeated = append(attempt.repeated, waiting)
+			continue
+		}
+		seen[waiting.key] = true
+		attempt.included = append(attempt.included, waiting)
+		attempt.transaction.Conditions = append(attempt.transaction.Conditions, wire.Condition{Key: waiting.key})
+		attempt.transaction.Changes = append(attempt.transaction.Changes, wire.Change{Set: waiting.key, Value: waiting.value})
+	}
+	return attempt
+}
+
+// succeeded reports the version of the records that were created. It returns what is still
+// to be tried.
+func (a *commitAttempt) succeeded(version uint64) []*creation {
+	for _, waiting := range a.included {
+		waiting.result <- creationResult{version: version}
+	}
+	return a.repeated
+}
+
+// conflicted reports the records that exist already, for which nothing was created. It
+// returns what is still to be tried.
+func (a *commitAttempt) conflicted(existing []string) []*creation {
+	again := a.repeated
+	for _, waiting := range a.included {
+		if slices.Contains(existing, waiting.key) {
+			waiting.result <- creationResult{err: errRecordExists}
+			continue
 		}
-		batch = again
+		again = append(again, waiting)
 	}
+	return again
 }
--- a/internal/jobapi/http.go
+++ b/internal/jobapi/http.go
@@ -13,84 +13,106 @@
 	"leadproxy/internal/wire"
 )
 
-// maxAtOnce bounds the users' requests that are being served; beyond it they
-// are turned away at once, so that workers' reports keep their room.
-const maxAtOnce = 200
+// maxConcurrentRequests bounds the users' requests that are being served; beyond it they are
+// turned away at once, so that workers' heartbeats keep their room.
+const maxConcurrentRequests = 200
+
+// How long a request may take. The clients give up a little later.
+const (
+	submitTimeout        = 4500 * time.Millisecond
+	statusTimeout        = 1800 * time.Millisecond
+	cancelRequestTimeout = 4500 * time.Millisecond
+)
 
 // Routes adds the users' paths to a router.
-func (s *Service) Routes(r *httprouter.Router) {
-	slots := make(chan struct{}, maxAtOnce)
-	serve := func(k Kind, limit time.Duration) httprouter.Handle {
-		return func(w http.ResponseWriter, req *http.Request, ps httprouter.Params) {
-			select {
-			case slots <- struct{}{}:
-				defer func() { <-slots }()
-			default:
-				Write(w, later(http.StatusTooManyRequests, 2, "too many requests are being served"))
-				return
-			}
-			ctx, cancel := context.WithTimeout(req.Context(), limit)
-			defer cancel()
-			body, err := ReadBody(w, req)
-			if err != nil {
-				Write(w, problem(http.StatusBadRequest, "%s", err))
-				return
-			}
-			Write(w, s.Handle(ctx, k, ps.ByName("id"), body, false))
-		}
-	}
-	r.POST("/v2/runs", serve(Submit, 4500*time.Millisecond))
-	r.GET("/v2/runs/:id", serve(Status, 1800*time.Millisecond))
-	r.POST("/v2/runs/:id/cancel", serve(Cancel, 4500*time.Millisecond))
-	r.GET("/healthz", func(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
-		if s.Healthy != nil && !s.Healthy() {
-			Write(w, problem(http.StatusServiceUnavailable, "this node reaches neither the state service nor another node"))
-			return
-		}
-		Write(w, Answer{Status: http.StatusOK, Body: []byte(`{"status":"ok"}`)})
-	})
-	r.NotFound = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+func (s *Service) Routes(router *httprouter.Router) {
+	slots := make(chan struct{}, maxConcurrentRequests)
+	router.POST("/v2/runs", s.handler(Submit, submitTimeout, slots))
+	router.GET("/v2/runs/:id", s.handler(Status, statusTimeout, slots))
+	router.POST("/v2/runs/:id/cancel", s.handler(Cancel, cancelRequestTimeout, slots))
+	router.GET("/healthz", s.serveHealth)
+	router.NotFound = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		Write(w, problem(http.StatusNotFound, "there is nothing at this path"))
 	})
-	r.MethodNotAllowed = http.HandlerFunc(func(w http.ResponseWriter, req *http.Request) {
-		Write(w, problem(http.StatusMethodNotAllowed, "%s is not a method of this path", req.Method))
+	router.MethodNotAllowed = http.HandlerFunc(func(w http.ResponseWriter, httpRequest *http.Request) {
+		Write(w, problem(http.StatusMethodNotAllowed, "%s is not a method of this path", httpRequest.Method))
 	})
-	r.RedirectTrailingSlash, r.RedirectFixedPath = false, false
+	router.RedirectTrailingSlash, router.RedirectFixedPath = false, false
 }
 
-// usualBody is up to where a body's room is taken at once. A longer one gets its
-// room as it comes: thousands of slow senders must not hold what they only announce.
-const usualBody = 4 << 10
+// handler serves requests of a kind, as long as there is a free slot, each within a time.
+func (s *Service) handler(kind Kind, timeout time.Duration, slots chan struct{}) httprouter.Handle {
+	return func(w http.ResponseWriter, httpRequest *http.Request, params httprouter.Params) {
+		select {
+		case slots <- struct{}{}:
+			defer func() { <-slots }()
+		default:
+			Write(w, tooManyRequests)
+			return
+		}
+		ctx, cancel := context.WithTimeout(httpRequest.Context(), timeout)
+		defer cancel()
+		body, err := ReadBody(w, httpRequest)
+		if err != nil {
+			Write(w, problem(http.StatusBadRequest, "%s", err))
+			return
+		}
+		request := Request{Kind: kind, JobID: params.ByName("id")}
+		if kind == Submit {
+			request.Body = body
+		}
+		Write(w, s.Handle(ctx, request))
+	}
+}
+
+// serveHealth responds to the health checks of the load balancer.
+func (s *Service) serveHealth(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
+	if s.Healthy != nil && !s.Healthy() {
+		Write(w, problem(http.StatusServiceUnavailable, "this node reaches neither the state service nor another node"))
+		return
+	}
+	Write(w, Response{Status: http.StatusOK, Body: []byte(`{"status":"ok"}`)})
+}
+
+// preallocatedBody is up to where the room for a body is allocated at once. A longer one gets
+// its room as it comes: thousands of slow senders must not hold what they only announce.
+const preallocatedBody = 4 << 10
+
+// Errors of reading a request's body.
+var (
+	errBodyTooLong    = errors.New("the body is longer than 64 KiB")
+	errBodyUnreadable = errors.New("the body could not be read")
+)
 
 // ReadBody reads a request's body up to the protocol's limit.
-func ReadBody(w http.ResponseWriter, req *http.Request) ([]byte, error) {
-	if n := req.ContentLength; n > 0 && n <= usualBody {
-		// The usual case, many hundred times a second: read into what it takes.
+func ReadBody(w http.ResponseWriter, request *http.Request) ([]byte, error) {
+	if n := request.ContentLength; n > 0 && n <= preallocatedBody {
+		// The usual case, many hundred times a second: one allocation of the right size.
 		body := make([]byte, n)
-		if _, err := io.ReadFull(req.Body, body); err != nil {
-			return nil, errors.New("the body could not be read")
+		if _, err := io.ReadFull(request.Body, body); err != nil {
+			return nil, errBodyUnreadable
 		}
 		return body, nil
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, req.Body, wire.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, wire.MaxBody))
 	var tooLarge *http.MaxBytesError
-	if errors.As(err, &tooLarge) {
-		return nil, errors.New("the body is longer than 64 KiB")
-	}
-	if err != nil {
-		return nil, errors.New("the body could not be read")
+	switch {
+	case errors.As(err, &tooLarge):
+		return nil, errBodyTooLong
+	case err != nil:
+		return nil, errBodyUnreadable
 	}
 	return body, nil
 }
 
-// Write sends an answer.
-func Write(w http.ResponseWriter, a Answer) {
+// Write sends a response.
+func Write(w http.ResponseWriter, response Response) {
 	w.Header().Set("Content-Type", "application/json")
-	if a.RetryAfter > 0 {
-		w.Header().Set("Retry-After", strconv.Itoa(a.RetryAfter))
+	if response.RetryAfter > 0 {
+		w.Header().Set("Retry-After", strconv.Itoa(response.RetryAfter))
 	}
-	w.WriteHeader(a.Status)
-	if _, err := w.Write(a.Body); err != nil {
-		return // the user has gone
+	w.WriteHeader(response.Status)
+	if _, err := w.Write(response.Body); err != nil {
+		return // the client has gone
 	}
 }
--- a/internal/jobapi/service_test.go
+++ b/internal/jobapi/http_test.go
@@ -1,111 +1,23 @@
 package jobapi
 
 import (
-	"context"
 	"encoding/json"
-	"errors"
 	"fmt"
 	"io"
-	"log/slog"
 	"net/http"
 	"net/http/httptest"
 	"runtime"
 	"strings"
 	"testing"
 	"testing/iotest"
-	"testing/synctest"
-	"time"
 
 	"github.com/julienschmidt/httprouter"
 
-	"leadproxy/internal/dispatch"
-	"leadproxy/internal/election"
-	"leadproxy/internal/kvstore"
 	"leadproxy/internal/ledger"
-	"leadproxy/internal/scheduler"
-	"leadproxy/internal/settings"
 	"leadproxy/internal/wire"
 )
 
-// fakeStore holds job records; while down it refuses everything.
-type fakeStore struct {
-	records map[string]ledger.JobRecord
-	down    bool
-	busy    bool // there are no writes left
-	// unserved is set while the service does not serve this node: a request hangs
-	// until its user gives up.
-	unserved bool
-}
-
-func (f *fakeStore) Get(ctx context.Context, _ kvstore.Priority, key string) (wire.Entry, bool, error) {
-	if f.unserved {
-		<-ctx.Done()
-		return wire.Entry{}, false, kvstore.ErrUnknownOutcome
-	}
-	if f.down {
-		return wire.Entry{}, false, kvstore.ErrUnavailable
-	}
-	rec, ok := f.records[key]
-	value, err := json.Marshal(rec)
-	return wire.Entry{Key: key, Value: value, Version: 3}, ok, err
-}
-
-func (f *fakeStore) Serving() bool { return !f.unserved }
-
-func (f *fakeStore) Limits() kvstore.Limits {
-	return kvstore.Limits{MaxChanges: 8, ValueBytes: 16 << 10, WriteRPS: 40}
-}
-
-func (f *fakeStore) CompareAndSwap(ctx context.Context, _ kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
-	if f.unserved {
-		<-ctx.Done()
-		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnknownOutcome
-	}
-	if f.down {
-		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnavailable
-	}
-	if f.busy {
-		return false, wire.CompareAndSwapResponse{}, kvstore.ErrOverloaded
-	}
-	for _, c := range t.Conditions {
-		if _, ok := f.records[c.Key]; ok {
-			return false, wire.CompareAndSwapResponse{FailedKeys: []string{c.Key}}, nil
-		}
-	}
-	for _, c := range t.Changes {
-		var rec ledger.JobRecord
-		if err := json.Unmarshal(c.Value, &rec); err != nil {
-			return false, wire.CompareAndSwapResponse{}, err
-		}
-		f.records[c.Set] = rec
-	}
-	return true, wire.CompareAndSwapResponse{Revision: 9}, nil
-}
-
-// fakePeers answers every request that is passed on with one answer, or not.
-type fakePeers struct{ answer *Answer }
-
-func (f *fakePeers) Ask(context.Context, string, Kind, string, []byte) (Answer, error) {
-	if f.answer == nil {
-		return Answer{}, errors.New("no answer")
-	}
-	return *f.answer, nil
-}
-
-func (f *fakePeers) Names() []string { return []string{"n2"} }
-
-type fakeDispatcher struct{}
-
-func (fakeDispatcher) Status(context.Context, string) (wire.JobStatus, error) {
-	return wire.JobStatus{}, dispatch.ErrNotLeader
-}
-
-func (fakeDispatcher) Cancel(context.Context, string) (wire.JobStatus, error) {
-	return wire.JobStatus{}, dispatch.ErrNotLeader
-}
-
-func (fakeDispatcher) JobCreated(scheduler.JobRecordEvent) {}
-
+// TestUsersAPI: each kind of request gets its status, with a time to come again where that helps.
 func TestUsersAPI(t *testing.T) {
 	body := func(change ...string) string {
 		s := `{"ref":"job-1","lane":"c","owner":"t","shape":"batch","urgency":"high","pieces":2,"vcpus":2,"gpus":0,"mem_gb":4,
@@ -113,13 +25,14 @@
 			"snapshot_s":0,"flush_s":0,"due_s":null}`
 		return strings.NewReplacer(change...).Replace(s)
 	}
-	elsewhere := Answer{Status: http.StatusCreated, Body: []byte(`{"ref":"job-1","status":"queued"}`)}
+	elsewhere := Response{Status: http.StatusCreated, Body: []byte(`{"ref":"job-1","status":"queued"}`)}
 	const old = `"job-1"`
 	cases := []struct {
 		name, method, path, body string
-		down, untyped, busy      bool
-		mixed                    bool // another version may be up
-		peer                     *Answer
+		down, busy               bool // the store
+		untyped                  bool // the machine types are not known yet
+		mixed                    bool // another version may be running
+		peer                     *Response
 		status                   int
 		says                     string
 		retry                    bool
@@ -175,7 +88,6 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			log := slog.New(slog.NewTextHandler(io.Discard, nil))
 			store := &fakeStore{down: c.down, busy: c.busy, records: map[string]ledger.JobRecord{
 				"job/job-3": {Origin: "lima", TransferEpoch: 1, Terminal: wire.JobDone, Tasks: 1, Done: 1},
 				"job/job-7": {Terminal: wire.JobDone, Tasks: 2, Done: 2}, "job/job-8": {Job: &wire.Job{ID: "job-8", Tasks: 1}},
@@ -190,14 +102,11 @@
 				store.records["job/"+ref] = ledger.JobRecord{Job: &wire.Job{ID: ref, Tasks: 1}}
 			}
 			store.records["job/job-4"].Job.DependsOn = many
-			p := &settings.Platform{Node: "n1", Facts: settings.Facts{Teams: []settings.Team{{Name: "t", CPUsMax: 6}},
-				State: settings.StateLimits{WriteRPS: 40, TxnOps: 8, ValueKB: 16}}}
-			types := func() ([]wire.MachineType, bool) {
-				return []wire.MachineType{{Name: "m", CPUs: 8, MemGB: 32, Zones: []string{"a"}}}, !c.untyped
-			}
-			e := election.New("n1", settings.Operator{LeaderLease: time.Second}, nil, log)
-			s := New(t.Context(), p, e, store, fakeDispatcher{}, &fakePeers{c.peer}, types, 0.5, log)
-			s.Upgraded = func() bool { return !c.mixed }
+			s := newTestService(t, store, &fakePeers{c.peer}, func(config *Config) {
+				config.PipelinesSupported = func() bool { return !c.mixed }
+				types, _ := config.MachineTypes()
+				config.MachineTypes = func() ([]wire.MachineType, bool) { return types, !c.untyped }
+			})
 			router := httprouter.New()
 			s.Routes(router)
 			w := httptest.NewRecorder()
@@ -215,72 +124,10 @@
 	}
 }
 
-// TestWhatIsAcceptedFitsWithItsEnd: a record that is just short enough when it is
-// accepted has to be short enough with its terminal state as well, in the least value
-// that the state service will take. Else the job could never be ended.
-func TestWhatIsAcceptedFitsWithItsEnd(t *testing.T) {
-	const limit = 1024
-	store := &fakeStore{records: map[string]ledger.JobRecord{}}
-	c := newGroupCommit(store, 1, limit)
-	go c.run(t.Context())
-	accepted, refused := 0, 0
-	for length := range limit {
-		// The name of the class stays in the record of a cancelled job.
-		j := &wire.Job{ID: fmt.Sprintf("job-%d", length), Class: strings.Repeat("c", length), Kind: "batch", Priority: "high", Tasks: 100000}
-		_, err := c.create(t.Context(), j.ID, ledger.JobRecord{Job: j, AcceptedMS: 1796190522949})
-		if err != nil {
-			refused++
-			continue
-		}
-		accepted++
-		end := ledger.JobRecord{Job: j.CancelledSummary(), AcceptedMS: 1796190522949, Terminal: wire.JobCancelled, Tasks: j.Tasks, Done: j.Tasks - 1, EndedMS: 1796190522949}
-		b, err := json.Marshal(end)
-		if err != nil || len(b) > limit {
-			t.Errorf("%d bytes of class: the end takes %d bytes of %d: %v", length, len(b), limit, err)
-		}
-	}
-	if accepted == 0 || refused == 0 {
-		t.Errorf("%d accepted, %d refused", accepted, refused)
-	}
-}
-
-// TestUnservedNodePassesOnAtOnce: behind a cut that swallows what is sent to the state
-// service, each submission took two seconds to find that out before another node had
-// it.
-func TestUnservedNodePassesOnAtOnce(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) {
-		p := &settings.Platform{Node: "n1", Facts: settings.Facts{Teams: []settings.Team{{Name: "t"}}, State: settings.StateLimits{WriteRPS: 40, TxnOps: 8, ValueKB: 16}}}
-		types := func() ([]wire.MachineType, bool) {
-			return []wire.MachineType{{Name: "m", CPUs: 8, MemGB: 32, Zones: []string{"a"}}}, true
-		}
-		log := slog.New(slog.NewTextHandler(io.Discard, nil))
-		e := election.New("n1", settings.Operator{LeaderLease: time.Second}, nil, log)
-		other := Answer{Status: http.StatusCreated, Body: []byte(`{"ref":"job-1","status":"queued"}`)}
-		body := []byte(`{"ref":"job-1","lane":"c","owner":"t","shape":"batch","urgency":"high","pieces":2,"vcpus":2,"gpus":0,"mem_gb":4,
-			"bundle":"i","size_gb":1,"together":false,"spread":false,"loaners":true,"guess_s":5,"snapshot_s":0,"flush_s":0}`)
-		for _, k := range []Kind{Submit, Status} {
-			for _, answers := range []bool{true, false} {
-				peers := &fakePeers{}
-				if answers {
-					peers.answer = &other
-				}
-				s := New(t.Context(), p, e, &fakeStore{unserved: true}, fakeDispatcher{}, peers, types, 0.5, log)
-				ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
-				began := time.Now()
-				a := s.Handle(ctx, k, "job-1", body, false)
-				cancel()
-				if took := time.Since(began); answers && (a.Status != http.StatusCreated || took > 10*time.Millisecond) || !answers && a.Status != http.StatusServiceUnavailable {
-					t.Errorf("kind %d, another node answers: %v: %d after %v", k, answers, a.Status, took)
-				}
-			}
-		}
-	})
-}
-
-// TestAnnouncedBodiesTakeNoRoom: a sender that announces a long body and is slow, or
+// TestAnnouncedBodiesAreNotPreallocated: a sender that announces a long body and is slow, or
 // breaks off, must not hold room for all of it; two thousand of them would be more
 // than the memory of a small controller.
-func TestAnnouncedBodiesTakeNoRoom(t *testing.T) {
+func TestAnnouncedBodiesAreNotPreallocated(t *testing.T) {
 	read := func(announced int64, body string) (room uint64, err error) {
 		var before, after runtime.MemStats
 		req := httptest.NewRequest("POST", "/v1/report", io.MultiReader(strings.NewReader(body), iotest.ErrReader(io.ErrUnexpectedEOF)))
--- /dev/null
+++ b/internal/jobapi/submissions.go
@@ -0,0 +1,92 @@
+package jobapi
+
+import (
+	"context"
+	"errors"
+	"net/http"
+	"time"
+
+	"leadproxy/internal/kvstore"
+	"leadproxy/internal/ledger"
+	"leadproxy/internal/scheduler"
+	"leadproxy/internal/wire"
+)
+
+// submit accepts a job, or responds why it does not.
+func (s *Service) submit(ctx context.Context, request Request) Response {
+	job, jobID, err := wire.ParseJob(request.Body)
+	if jobID == "" {
+		return problem(http.StatusBadRequest, "%s", err)
+	}
+	request.JobID = jobID
+	if err != nil {
+		return s.reject(ctx, request, admission{rejection: problem(http.StatusBadRequest, "%s", err)})
+	}
+	if response := s.forwardWhileUnserved(ctx, &request); !response.IsZero() {
+		return response
+	}
+	admission := s.checkAdmission(ctx, job, request.LocalOnly)
+	if !admission.rejection.IsZero() {
+		return s.reject(ctx, request, admission)
+	}
+	if s.commits.contended() {
+		// Users who were turned away repeat what may be recorded already. That
+		// would take of the writes of which there are too few.
+		if response := s.idempotentResponse(ctx, request); !response.IsZero() {
+			return response
+		}
+	}
+	return s.record(ctx, request, job, admission.initialStatus)
+}
+
+// reject responds to a submission that can't be accepted. A job that was accepted before
+// stays accepted, whatever is wrong with its submission now.
+func (s *Service) reject(ctx context.Context, request Request, admission admission) Response {
+	stored, err := s.readRecord(ctx, request.JobID)
+	switch {
+	case err == nil:
+		return s.repeatedResponse(ctx, request, stored.record)
+	case admission.undecided:
+		return s.forwardOr(ctx, request, storeUnavailable)
+	case !errors.Is(err, errNoRecord) && admission.rejection.Status != http.StatusServiceUnavailable:
+		return s.forwardOr(ctx, request, storeUnavailable)
+	}
+	return admission.rejection
+}
+
+// record writes the record of a new job and responds to its submission.
+func (s *Service) record(ctx context.Context, request Request, job *wire.Job, status string) Response {
+	record := ledger.JobRecord{Job: job, AcceptedMS: time.Now().UnixMilli()}
+	version, err := s.commits.create(ctx, job.ID, record)
+	if err != nil {
+		return s.notRecorded(ctx, request, err)
+	}
+	s.Log.Debug("submission recorded", "job", job.ID, "class", job.Class, "tasks", job.Tasks)
+	s.Dispatcher.JobCreated(scheduler.JobRecordEvent{JobID: job.ID, Record: record, Version: version})
+	return JSON(http.StatusCreated, wire.JobResponse{ID: job.ID, Status: status})
+}
+
+// notRecorded responds to a submission whose record could not be created.
+func (s *Service) notRecorded(ctx context.Context, request Request, err error) Response {
+	if errors.Is(err, errQueueFull) || errors.Is(err, kvstore.ErrOverloaded) {
+		if response := s.idempotentResponse(ctx, request); !response.IsZero() {
+			return response
+		}
+	}
+	switch {
+	case errors.Is(err, errRecordTooLong):
+		return problem(http.StatusBadRequest, "%s", err)
+	case errors.Is(err, errQueueFull):
+		return tooManySubmissions
+	case errors.Is(err, kvstore.ErrOverloaded):
+		// Another controller may have some of its share of the rate left.
+		return s.forwardOr(ctx, request, tooManySubmissions)
+	case errors.Is(err, errRecordExists):
+		if response := s.idempotentResponse(ctx, request); !response.IsZero() {
+			return response
+		}
+		return s.forwardOr(ctx, request, storeUnavailable)
+	}
+	s.Log.Debug("submission not recorded", "job", request.JobID, "error", err)
+	return s.forwardOr(ctx, request, storeUnavailable)
+}
--- a/internal/peers/forwarder.go
+++ b/internal/peers/forwarder.go
@@ -39,22 +39,22 @@
 var ErrNoStream = errors.New("no stream to the other node")
 
 // Report has the leader answer a worker's report.
-func (p *Peers) Report(ctx context.Context, node string, body []byte) (jobapi.Answer, error) {
+func (p *Peers) Report(ctx context.Context, node string, body []byte) (jobapi.Response, error) {
 	o, err := p.find(node)
 	if err != nil {
-		return jobapi.Answer{}, err
+		return jobapi.Response{}, err
 	}
 	request := forwardRequest{body: body, reply: make(chan forwardReply, 1)}
 	select {
 	case o.forwarder.requests <- request:
 	case <-ctx.Done():
-		return jobapi.Answer{}, ctx.Err()
+		return jobapi.Response{}, ctx.Err()
 	}
 	select {
 	case r := <-request.reply:
 		return r.answer, r.err
 	case <-ctx.Done():
-		return jobapi.Answer{}, ctx.Err()
+		return jobapi.Response{}, ctx.Err()
 	}
 }
 
@@ -86,11 +86,11 @@
 }
 
 type forwardReply struct {
-	answer jobapi.Answer
+	answer jobapi.Response
 	err    error
 }
 
-func (r forwardRequest) give(a jobapi.Answer, err error) {
+func (r forwardRequest) give(a jobapi.Response, err error) {
 	if r.reply != nil {
 		r.reply <- forwardReply{a, err}
 	}
@@ -165,7 +165,7 @@
 func (f *forwarder) take(ctx context.Context, r forwardRequest) {
 	now := time.Now()
 	if f.stream == 0 && now.Before(f.retryAt) || len(f.waiting) >= maxInFlight || !f.unheard.IsZero() && now.Sub(f.unheard) > answerLimit {
-		r.give(jobapi.Answer{}, ErrNoStream)
+		r.give(jobapi.Response{}, ErrNoStream)
 		return
 	}
 	if f.stream == 0 {
@@ -221,7 +221,7 @@
 	f.hangUp()
 	f.stream, f.sends, f.batches, f.unheard = 0, nil, nil, time.Time{}
 	for _, r := range f.waiting {
-		r.give(jobapi.Answer{}, ErrNoStream)
+		r.give(jobapi.Response{}, ErrNoStream)
 	}
 	clear(f.waiting)
 }
@@ -236,7 +236,7 @@
 		for _, a := range e.answers.Answers {
 			if r, ok := f.waiting[a.Id]; ok {
 				delete(f.waiting, a.Id)
-				r.give(jobapi.Answer{Status: int(a.Status), Body: a.Body}, nil)
+				r.give(jobapi.Response{Status: int(a.Status), Body: a.Body}, nil)
 			}
 		}
 		f.unheard = time.Time{}
--- a/internal/peers/forwarder_test.go
+++ b/internal/peers/forwarder_test.go
@@ -231,7 +231,7 @@
 	const workers, bytes = 8000, 20 << 10
 	answers := make(chan sharedAnswer, workers)
 	for id := range uint64(workers) {
-		answers <- sharedAnswer{id, func() jobapi.Answer { return jobapi.Answer{Status: 200, Body: make([]byte, bytes)} }}
+		answers <- sharedAnswer{id, func() jobapi.Response { return jobapi.Response{Status: 200, Body: make([]byte, bytes)} }}
 	}
 	next := uint64(0)
 	for len(answers) > 0 {
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -71,17 +71,17 @@
 	return o, nil
 }
 
-// Ask passes a user's request on to a node.
-func (p *Peers) Ask(ctx context.Context, node string, k jobapi.Kind, ref string, body []byte) (jobapi.Answer, error) {
+// Ask forwards a user's request to a controller.
+func (p *Peers) Ask(ctx context.Context, node string, request jobapi.Request) (jobapi.Response, error) {
 	o, err := p.find(node)
 	if err != nil {
-		return jobapi.Answer{}, err
+		return jobapi.Response{}, err
 	}
-	r, err := o.client.Ask(ctx, &peerpb.AskRequest{Kind: peerpb.AskRequest_Kind(k), Ref: ref, Body: body})
+	reply, err := o.client.Ask(ctx, &peerpb.AskRequest{Kind: peerpb.AskRequest_Kind(request.Kind), Ref: request.JobID, Body: request.Body})
 	if err != nil {
-		return jobapi.Answer{}, fmt.Errorf("node %s: %w", node, err)
+		return jobapi.Response{}, fmt.Errorf("node %s: %w", node, err)
 	}
-	return jobapi.Answer{Status: int(r.Status), Body: r.Body, RetryAfter: int(r.RetryAfterS)}, nil
+	return jobapi.Response{Status: int(reply.Status), Body: reply.Body, RetryAfter: int(reply.RetryAfterS)}, nil
 }
 
 // Ping asks whether a node answers, and how many reports workers have sent it
@@ -129,7 +129,7 @@
 }
 
 func (s *server) Ask(ctx context.Context, r *peerpb.AskRequest) (*peerpb.AskReply, error) {
-	a := s.intake.Handle(ctx, jobapi.Kind(r.Kind), r.Ref, r.Body, true)
+	a := s.intake.Handle(ctx, jobapi.Request{Kind: jobapi.Kind(r.Kind), JobID: r.Ref, Body: r.Body, LocalOnly: true})
 	return &peerpb.AskReply{Status: int32(a.Status), Body: a.Body, RetryAfterS: int32(a.RetryAfter)}, nil
 }
 
--- a/internal/peers/share.go
+++ b/internal/peers/share.go
@@ -12,14 +12,14 @@
 type HeartbeatReceiver interface {
 	// Shared answers a report through give, at once or later, or never. The
 	// answer is asked for as it is written.
-	Shared(ctx context.Context, body []byte, give func(answer func() jobapi.Answer))
+	Shared(ctx context.Context, body []byte, give func(answer func() jobapi.Response))
 	// Connected tells that a node forwards reports here, until its stream ends.
 	Connected(ctx context.Context, node string)
 }
 
 type sharedAnswer struct {
 	id     uint64
-	answer func() jobapi.Answer
+	answer func() jobapi.Response
 }
 
 // Share serves another node's stream.
@@ -42,7 +42,7 @@
 			s.reports.Connected(ctx, batch.Node)
 		}
 		for _, r := range batch.Reports {
-			s.reports.Shared(ctx, r.Body, func(answer func() jobapi.Answer) {
+			s.reports.Shared(ctx, r.Body, func(answer func() jobapi.Response) {
 				select {
 				case answers <- sharedAnswer{r.Id, answer}:
 				default: // more than any node has in flight; it has given these up
