--- a/internal/controller/heartbeat_handler.go
+++ b/internal/controller/heartbeat_handler.go
@@ -29,7 +29,7 @@
 
 // reportForwarder forwards reports to other nodes.
 type reportForwarder interface {
-	Report(ctx context.Context, node string, body []byte) (jobapi.Response, error)
+	ForwardHeartbeat(ctx context.Context, node string, body []byte) (jobapi.Response, error)
 	Connect(ctx context.Context, node string)
 }
 
@@ -98,8 +98,8 @@
 	return problem(http.StatusBadRequest, err.Error())
 }
 
-// Shared answers a report that another node has forwarded here.
-func (h *reportHandler) Shared(ctx context.Context, body []byte, give func(answer func() jobapi.Response)) {
+// ReceiveForwarded answers a report that another node has forwarded here.
+func (h *reportHandler) ReceiveForwarded(ctx context.Context, body []byte, give func(answer func() jobapi.Response)) {
 	report, err := wire.ParseHeartbeat(body)
 	if err != nil {
 		give(func() jobapi.Response { return h.malformed(err) })
@@ -116,8 +116,8 @@
 	})
 }
 
-// Connected notes that another node forwards reports here, until ctx ends.
-func (h *reportHandler) Connected(ctx context.Context, node string) { h.balancer.join(ctx, node) }
+// ForwarderConnected notes that another node forwards reports here, until ctx ends.
+func (h *reportHandler) ForwarderConnected(ctx context.Context, node string) { h.balancer.join(ctx, node) }
 
 // answer answers a report if this node leads, and else sends the worker
 // elsewhere.
@@ -182,7 +182,7 @@
 func (h *reportHandler) forward(ctx context.Context, leader string, body []byte) jobapi.Response {
 	ctx, cancel := context.WithTimeout(ctx, reportLimit)
 	defer cancel()
-	a, err := h.peers.Report(ctx, leader, body)
+	a, err := h.peers.ForwardHeartbeat(ctx, leader, body)
 	switch {
 	case err == nil:
 		return a
--- a/internal/controller/heartbeat_handler_test.go
+++ b/internal/controller/heartbeat_handler_test.go
@@ -25,7 +25,7 @@
 
 func (l forwarderTo) Connect(context.Context, string) {}
 
-func (l forwarderTo) Report(ctx context.Context, _ string, _ []byte) (jobapi.Response, error) {
+func (l forwarderTo) ForwardHeartbeat(ctx context.Context, _ string, _ []byte) (jobapi.Response, error) {
 	if l.answer.Status == 0 && l.err == nil {
 		<-ctx.Done()
 		return jobapi.Response{}, ctx.Err()
@@ -127,7 +127,7 @@
 		}
 	}
 	check("straight", g.take(t.Context(), body))
-	g.Shared(t.Context(), body, func(answer func() jobapi.Response) { check("carried", answer()) })
+	g.ReceiveForwarded(t.Context(), body, func(answer func() jobapi.Response) { check("carried", answer()) })
 	// The term may end between the dispatcher's answer and its writing.
 	answer, err := eager{}.Heartbeat(t.Context(), nil)
 	check("too late", g.answerTo(1, answer, err))
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -22,7 +22,9 @@
 	router := httprouter.New()
 	c.jobs.Routes(router)
 	router.POST("/v1/report", c.heartbeats.serve)
-	grpcServer := peers.NewServer(c.jobs, c.heartbeats, c.elector.GrantExtension, c.heartbeats.heard.last)
+	grpcServer := peers.NewServer(peers.ServerConfig{
+		Jobs: c.jobs, Heartbeats: c.heartbeats, GrantExtension: c.elector.GrantExtension, DirectHeartbeats: c.heartbeats.heard.last,
+	})
 	cellpb.RegisterCellServer(grpcServer, c.services.cells)
 	handoverpb.RegisterHandoverServer(grpcServer, c.services.leaderTransfer)
 	hintpb.RegisterHintsServer(grpcServer, c.services.softState)
--- /dev/null
+++ b/internal/peers/batch_queue.go
@@ -0,0 +1,62 @@
+package peers
+
+import (
+	"time"
+
+	"leadproxy/internal/peers/peerpb"
+)
+
+// batchQueue holds the batches of heartbeats that wait to be sent, in this order. Heartbeats
+// are added to the last one.
+type batchQueue struct {
+	batches   []*peerpb.ReportBatch
+	lastBytes int // bytes of heartbeats in the last batch
+	sendAt    time.Time
+	timer     *time.Timer // fires as the first batch becomes due
+}
+
+// noWakeUp is how long a timer waits that has nothing to wait for.
+const noWakeUp = time.Hour
+
+func newBatchQueue() *batchQueue { return &batchQueue{timer: time.NewTimer(noWakeUp)} }
+
+func (q *batchQueue) stop() { q.timer.Stop() }
+
+// wakeUp is ready as the first batch becomes due.
+func (q *batchQueue) wakeUp() <-chan time.Time { return q.timer.C }
+
+// due returns the first batch if it may be sent now, or nil.
+func (q *batchQueue) due() *peerpb.ReportBatch {
+	if len(q.batches) == 0 || time.Now().Before(q.sendAt) {
+		return nil
+	}
+	return q.batches[0]
+}
+
+// add adds a heartbeat to the last batch, or begins another one if that is full.
+func (q *batchQueue) add(heartbeat *peerpb.SharedReport) {
+	if len(q.batches) == 0 || q.lastBytes >= maxBatchBytes {
+		q.begin(&peerpb.ReportBatch{})
+	}
+	last := q.batches[len(q.batches)-1]
+	last.Reports = append(last.Reports, heartbeat)
+	q.lastBytes += len(heartbeat.Body)
+}
+
+// begin adds a batch, which is sent as soon as it may be.
+func (q *batchQueue) begin(batch *peerpb.ReportBatch) {
+	q.batches, q.lastBytes = append(q.batches, batch), 0
+	q.timer.Reset(max(0, time.Until(q.sendAt)))
+}
+
+// sent drops the first batch. Only after the last one is there time to gather heartbeats:
+// those before it are full.
+func (q *batchQueue) sent() {
+	q.batches[0] = nil
+	q.batches = q.batches[1:]
+	if len(q.batches) == 0 {
+		q.batches, q.sendAt = nil, time.Now().Add(minBatchInterval)
+	}
+}
+
+func (q *batchQueue) clear() { q.batches = nil }
--- a/internal/peers/forwarder_test.go
+++ b/internal/peers/forwarder_test.go
@@ -14,7 +14,7 @@
 	"leadproxy/internal/peers/peerpb"
 )
 
-// testStream is a line whose other end the test holds.
+// testStream is a stream whose other end the test holds.
 type testStream struct {
 	ctx     context.Context
 	sent    chan *peerpb.ReportBatch
@@ -22,63 +22,63 @@
 	broken  chan struct{}
 }
 
-func (l *testStream) Send(b *peerpb.ReportBatch) error {
+func (s *testStream) Send(b *peerpb.ReportBatch) error {
 	select {
-	case l.sent <- b:
+	case s.sent <- b:
 		return nil
-	case <-l.broken:
+	case <-s.broken:
 		return errors.New("broken")
-	case <-l.ctx.Done():
-		return l.ctx.Err()
+	case <-s.ctx.Done():
+		return s.ctx.Err()
 	}
 }
 
-func (l *testStream) Recv() (*peerpb.AnswerBatch, error) {
+func (s *testStream) Recv() (*peerpb.AnswerBatch, error) {
 	select {
-	case a := <-l.answers:
+	case a := <-s.answers:
 		return a, nil
-	case <-l.broken:
+	case <-s.broken:
 		return nil, errors.New("broken")
-	case <-l.ctx.Done():
-		return nil, l.ctx.Err()
+	case <-s.ctx.Done():
+		return nil, s.ctx.Err()
 	}
 }
 
-// TestForwarder: reports on their way to a leader are answered each with its own
-// answer, in any order; those of a line that breaks, or of a leader that says
-// nothing at all, are given back so that their workers go on.
+// TestForwarder: heartbeats in flight to a leader get each its own response, in any order;
+// those on a stream that breaks, or to a leader that sends no response at all, are refused
+// so that their workers try another controller.
 func TestForwarder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		var l *testStream
+		var stream *testStream
 		opened := 0
 		up := true
-		c := newForwarder("n0", func(ctx context.Context) (reportStream, error) {
+		forwarder := newForwarder("n0", func(ctx context.Context) (heartbeatStream, error) {
 			if opened++; !up {
 				return nil, errors.New("refused")
 			}
-			l = &testStream{ctx, make(chan *peerpb.ReportBatch, 100), make(chan *peerpb.AnswerBatch), make(chan struct{})}
-			return l, nil
+			stream = &testStream{ctx, make(chan *peerpb.ReportBatch, 100), make(chan *peerpb.AnswerBatch), make(chan struct{})}
+			return stream, nil
 		})
-		p := &Peers{byName: map[string]peer{"n1": {forwarder: c}}}
-		go c.run(t.Context())
+		p := &Peers{byName: map[string]peer{"n1": {forwarder: forwarder}}}
+		go forwarder.run(t.Context())
 		results := make(chan string, 100)
-		carry := func(body string) {
+		forward := func(body string) {
 			go func() {
 				ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 				defer cancel()
-				a, err := p.Report(ctx, "n1", []byte(body))
+				response, err := p.ForwardHeartbeat(ctx, "n1", []byte(body))
 				switch {
 				case errors.Is(err, ErrNoStream):
-					results <- body + " given back"
+					results <- body + " refused"
 				case err != nil:
 					results <- body + " late"
 				default:
-					results <- fmt.Sprintf("%s %d", body, a.Status)
+					results <- fmt.Sprintf("%s %d", body, response.Status)
 				}
 			}()
 			synctest.Wait()
 		}
-		check := func(what, want string) {
+		expect := func(name, want string) {
 			t.Helper()
 			synctest.Wait()
 			var got []string
@@ -87,13 +87,13 @@
 			}
 			sort.Strings(got)
 			if s := strings.Join(got, ", "); s != want {
-				t.Errorf("%s: %q, want %q", what, s, want)
+				t.Errorf("%s: %q, want %q", name, s, want)
 			}
 		}
-		got := func() (ids []uint64) {
+		sentIDs := func() (ids []uint64) {
 			synctest.Wait()
-			for len(l.sent) > 0 {
-				for _, r := range (<-l.sent).Reports {
+			for len(stream.sent) > 0 {
+				for _, r := range (<-stream.sent).Reports {
 					ids = append(ids, r.Id)
 				}
 			}
@@ -102,62 +102,62 @@
 
 		p.Connect(t.Context(), "n1")
 		synctest.Wait()
-		if b := <-l.sent; b.Node != "n0" || len(b.Reports) != 0 {
-			t.Errorf("the greeting is %v", b)
+		if b := <-stream.sent; b.Node != "n0" || len(b.Reports) != 0 {
+			t.Errorf("the first batch is %v", b)
 		}
-		time.Sleep(gather)
-		carry("a")
-		first := len(l.sent)
-		carry("b")
-		carry("c")
-		time.Sleep(gather)
+		time.Sleep(minBatchInterval)
+		forward("a")
+		first := len(stream.sent)
+		forward("b")
+		forward("c")
+		time.Sleep(minBatchInterval)
 		synctest.Wait()
-		if batches := len(l.sent); first != 1 || batches != 2 {
+		if batches := len(stream.sent); first != 1 || batches != 2 {
 			t.Errorf("%d batch at once and %d in all: want 1 and 2", first, batches)
 		}
-		ids := got()
-		l.answers <- &peerpb.AnswerBatch{Answers: []*peerpb.SharedAnswer{{Id: ids[2], Status: 200}, {Id: ids[0], Status: 421}, {Id: 99, Status: 200}}}
-		check("answered out of order", "a 421, c 200")
+		ids := sentIDs()
+		stream.answers <- &peerpb.AnswerBatch{Answers: []*peerpb.SharedAnswer{{Id: ids[2], Status: 200}, {Id: ids[0], Status: 421}, {Id: 99, Status: 200}}}
+		expect("responses out of order", "a 421, c 200")
 		time.Sleep(3 * time.Second)
-		check("one left without", "b late")
-		l.answers <- &peerpb.AnswerBatch{Answers: []*peerpb.SharedAnswer{{Id: ids[1], Status: 200}}}
-		check("its answer, too late", "")
+		expect("no response", "b late")
+		stream.answers <- &peerpb.AnswerBatch{Answers: []*peerpb.SharedAnswer{{Id: ids[1], Status: 200}}}
+		expect("its response, too late", "")
 
-		carry("d")
-		close(l.broken)
-		check("the line breaks", "d given back")
+		forward("d")
+		close(stream.broken)
+		expect("the stream breaks", "d refused")
 		up = false
-		time.Sleep(reopen)
-		carry("e")
-		check("it can't be opened", "e given back")
+		time.Sleep(reopenInterval)
+		forward("e")
+		expect("it can't be opened", "e refused")
 		tries := opened
-		carry("f")
-		check("nor is it tried at once again", "f given back")
+		forward("f")
+		expect("it is not tried again at once", "f refused")
 		if opened != tries {
 			t.Error("opened again at once")
 		}
 		up = true
-		time.Sleep(reopen)
-		carry("g")
-		l.answers <- &peerpb.AnswerBatch{Answers: []*peerpb.SharedAnswer{{Id: got()[0], Status: 200}}}
-		check("open again", "g 200")
+		time.Sleep(reopenInterval)
+		forward("g")
+		stream.answers <- &peerpb.AnswerBatch{Answers: []*peerpb.SharedAnswer{{Id: sentIDs()[0], Status: 200}}}
+		expect("open again", "g 200")
 
-		carry("h")
-		time.Sleep(answerLimit + time.Millisecond)
-		carry("i")
-		check("the leader says nothing", "i given back")
-		l.answers <- &peerpb.AnswerBatch{Answers: []*peerpb.SharedAnswer{{Id: got()[0], Status: 200}}}
-		check("it speaks", "h 200")
-		carry("j")
+		forward("h")
+		time.Sleep(silenceLimit + time.Millisecond)
+		forward("i")
+		expect("the leader is silent", "i refused")
+		stream.answers <- &peerpb.AnswerBatch{Answers: []*peerpb.SharedAnswer{{Id: sentIDs()[0], Status: 200}}}
+		expect("the leader responds", "h 200")
+		forward("j")
 		time.Sleep(10 * time.Second)
-		check("and falls silent", "j late")
-		carry("k")
-		l.answers <- &peerpb.AnswerBatch{Answers: []*peerpb.SharedAnswer{{Id: got()[1], Status: 200}}}
-		check("after a while it is tried again", "k 200")
+		expect("the leader is silent again", "j late")
+		forward("k")
+		stream.answers <- &peerpb.AnswerBatch{Answers: []*peerpb.SharedAnswer{{Id: sentIDs()[1], Status: 200}}}
+		expect("after a while it is tried again", "k 200")
 	})
 }
 
-// blockedStream takes no batch before it is let go, as behind a slow link.
+// blockedStream takes no batch until it is open, as behind a slow link.
 type blockedStream struct {
 	ctx     context.Context
 	open    chan struct{}
@@ -184,13 +184,13 @@
 	}
 }
 
-// TestForwarderTakesAWholeFleet: two reports of each of 4,000 workers wait for a slow
+// TestForwarderTakesAWholeCluster: two heartbeats of each of 4,000 workers wait for a slow
 // stream. All are forwarded in batches that gRPC accepts and answered; what comes
 // beyond the bound is refused at once.
-func TestForwarderTakesAWholeFleet(t *testing.T) {
+func TestForwarderTakesAWholeCluster(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stream := &blockedStream{t.Context(), make(chan struct{}), make(chan *peerpb.ReportBatch, 1000), make(chan *peerpb.AnswerBatch)}
-		f := newForwarder("n0", func(context.Context) (reportStream, error) { return stream, nil })
+		f := newForwarder("n0", func(context.Context) (heartbeatStream, error) { return stream, nil })
 		go f.run(t.Context())
 		replies := make(chan forwardReply, maxInFlight+1)
 		body := make([]byte, 2<<10)
@@ -202,7 +202,7 @@
 			t.Errorf("%d refused, want the one beyond the bound", len(replies)+1)
 		}
 		close(stream.open)
-		time.Sleep(gather)
+		time.Sleep(minBatchInterval)
 		synctest.Wait()
 		seen := map[uint64]bool{}
 		for len(stream.batches) > 0 {
@@ -225,17 +225,17 @@
 	})
 }
 
-// TestAnswerBatchesAreBounded: long answers to a whole fleet go in batches that gRPC
+// TestResponseBatchesAreBounded: long responses to a whole cluster go in batches that gRPC
 // accepts, each answer once and in order.
-func TestAnswerBatchesAreBounded(t *testing.T) {
+func TestResponseBatchesAreBounded(t *testing.T) {
 	const workers, bytes = 8000, 20 << 10
-	answers := make(chan sharedAnswer, workers)
+	answers := make(chan pendingResponse, workers)
 	for id := range uint64(workers) {
-		answers <- sharedAnswer{id, func() jobapi.Response { return jobapi.Response{Status: 200, Body: make([]byte, bytes)} }}
+		answers <- pendingResponse{id, func() jobapi.Response { return jobapi.Response{Status: 200, Body: make([]byte, bytes)} }}
 	}
 	next := uint64(0)
 	for len(answers) > 0 {
-		batch, full := gatherAnswers(<-answers, answers)
+		batch, full := gatherResponses(<-answers, answers)
 		if size := len(batch.Answers) * bytes; size > maxBatchBytes+bytes || full != (size >= maxBatchBytes) {
 			t.Fatalf("a batch of %d bytes, full: %v", size, full)
 		}
--- /dev/null
+++ b/internal/peers/outgoing_stream.go
@@ -0,0 +1,70 @@
+package peers
+
+import (
+	"context"
+
+	"leadproxy/internal/peers/peerpb"
+)
+
+// heartbeatStream is a gRPC stream to another controller.
+type heartbeatStream interface {
+	Send(*peerpb.ReportBatch) error
+	Recv() (*peerpb.AnswerBatch, error)
+}
+
+// openStream opens a stream that lasts until ctx ends.
+type openStream func(ctx context.Context) (heartbeatStream, error)
+
+// outgoingStream is the stream of a forwarder, which may still be being opened.
+type outgoingStream struct {
+	number  int // tells its events from those of earlier streams
+	cancel  context.CancelFunc
+	batches chan *peerpb.ReportBatch
+}
+
+// streamEvent is what a stream brings: responses, or its end.
+type streamEvent struct {
+	stream    int
+	responses *peerpb.AnswerBatch
+	err       error
+}
+
+// run opens the stream, sends the batches and reports the events, until the stream ends or
+// ctx does.
+func (s *outgoingStream) run(ctx context.Context, open openStream, events chan<- streamEvent) {
+	stream, err := open(ctx)
+	if err != nil {
+		s.report(ctx, events, streamEvent{err: err})
+		return
+	}
+	go s.receive(ctx, stream, events)
+	for {
+		select {
+		case batch := <-s.batches:
+			if stream.Send(batch) != nil {
+				return // receive reports why
+			}
+		case <-ctx.Done():
+			return
+		}
+	}
+}
+
+// receive reports the responses of a stream until it ends.
+func (s *outgoingStream) receive(ctx context.Context, stream heartbeatStream, events chan<- streamEvent) {
+	for {
+		responses, err := stream.Recv()
+		s.report(ctx, events, streamEvent{responses: responses, err: err})
+		if err != nil {
+			return
+		}
+	}
+}
+
+func (s *outgoingStream) report(ctx context.Context, events chan<- streamEvent, event streamEvent) {
+	event.stream = s.number
+	select {
+	case events <- event:
+	case <-ctx.Done():
+	}
+}
