--- a/internal/failoverreport/failoverreport.go
+++ b/internal/failoverreport/failoverreport.go
@@ -26,7 +26,10 @@
 	Jobs, Machines                     int
 }
 
-var failoverLine = regexp.MustCompile(`^time=(\S+) .*msg=takeover term=(\d+) warm=(true|false) view_s=(\S+) decided_s=(\S+) settled_s=(\S+) jobs=(\d+) machines=(\d+)`)
+// failoverLine matches what a new leader logs, in the form of this version or of earlier ones, which
+// logged msg=takeover with other names of the fields in the same order.
+var failoverLine = regexp.MustCompile(`^time=(\S+) .*msg=(?:"failover completed" leader_term|takeover term)=(\d+) (?:from_standby|warm)=(true|false) ` +
+	`(?:ledger_known_s|view_s)=(\S+) (?:first_decision_s|decided_s)=(\S+) (?:resolved_s|settled_s)=(\S+) jobs=(\d+) machines=(\d+)`)
 
 // ReadLogs reads the failovers from controllers' logs, the earliest first.
 func ReadLogs(files ...string) ([]Failover, error) {
--- a/internal/failoverreport/failoverreport_test.go
+++ b/internal/failoverreport/failoverreport_test.go
@@ -4,19 +4,41 @@
 	"bytes"
 	"os"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 )
 
-const exampleLog = `time=2026-12-02T10:23:00.105Z level=INFO msg=serving node=n1
+const earlierLog = `time=2026-12-02T10:23:00.105Z level=INFO msg=serving node=n1
 time=2026-12-02T10:23:00.105Z level=INFO msg=takeover term=1015 warm=true view_s=0.008 decided_s=0.26 settled_s=1.5 jobs=1000 machines=12
 time=2026-12-02T10:22:00.105Z level=INFO msg=takeover term=900 warm=false view_s=0.5 decided_s=0.76 settled_s=2.5 jobs=990 machines=11
 `
 
+// currentLog has the lines of earlierLog as this version logs them.
+const currentLog = `time=2026-12-02T10:23:00.105Z level=INFO msg=serving node=n1
+time=2026-12-02T10:23:00.105Z level=INFO msg="failover completed" leader_term=1015 from_standby=true ledger_known_s=0.008 first_decision_s=0.26 resolved_s=1.5 jobs=1000 machines=12
+time=2026-12-02T10:22:00.105Z level=INFO msg="failover completed" leader_term=900 from_standby=false ledger_known_s=0.5 first_decision_s=0.76 resolved_s=2.5 jobs=990 machines=11
+`
+
+// TestLogsOfBothForms: lines of this version and of earlier ones say the same.
+func TestLogsOfBothForms(t *testing.T) {
+	earlier, err := readLog(strings.NewReader(earlierLog))
+	if err != nil {
+		t.Fatal(err)
+	}
+	current, err := readLog(strings.NewReader(currentLog))
+	if err != nil {
+		t.Fatal(err)
+	}
+	if len(current) != 2 || !slices.Equal(earlier, current) {
+		t.Errorf("earlier form: %+v, current form: %+v", earlier, current)
+	}
+}
+
 // TestReport: the page of some logs has the percentiles and the plots.
 func TestReport(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "n1.log")
-	if err := os.WriteFile(file, []byte(exampleLog), 0o600); err != nil {
+	if err := os.WriteFile(file, []byte(earlierLog), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	all, err := ReadLogs(file)
@@ -42,7 +64,8 @@
 
 // FuzzReadLog: any text is read or refused.
 func FuzzReadLog(f *testing.F) {
-	f.Add([]byte(exampleLog))
+	f.Add([]byte(earlierLog))
+	f.Add([]byte(currentLog))
 	f.Add([]byte("time=x msg=takeover term=1 warm=true view_s=1 decided_s=1 settled_s=1 jobs=1 machines=1"))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		all, err := readLog(bytes.NewReader(text))
