--- /dev/null
+++ b/internal/slowfit/place.go
@@ -0,0 +1,164 @@
+package slowfit
+
+import "math"
+
+// Request is a task as placement sees it.
+type Request struct {
+	Task Size
+	// Pool tells whether the task may use a pool's machines, and their score:
+	// it breaks ties between equally slow machines, before their order does.
+	Pool func(pool int) (allowed bool, score int)
+	// Favoured, unless nil, accepts machines that have Bonus more score. All that
+	// it accepts carry the tag FavouredTag.
+	Favoured    func(machine int32) bool
+	FavouredTag uint64
+	Bonus       int
+	// Allowed, unless nil, excludes single machines. All that it accepts carry the
+	// tag AllowedTag.
+	Allowed    func(machine int32) bool
+	AllowedTag uint64
+}
+
+// accepts tells whether the task may use a machine.
+func (r *Request) accepts(machine int32) bool { return r.Allowed == nil || r.Allowed(machine) }
+
+// hasFavourites tells whether some machines have more score than others of their pool.
+func (r *Request) hasFavourites() bool { return r.Favoured != nil && r.Bonus > 0 }
+
+// loadBounds are what makes a machine assignable: the most load of the task on it, and its most
+// total load with the task.
+type loadBounds struct{ task, total float64 }
+
+// unbounded makes every machine assignable that has room.
+var unbounded = loadBounds{math.Inf(1), math.Inf(1)}
+
+// bounds are those of the goal.
+func (g *Goal) bounds() loadBounds { return loadBounds{g.L, g.C * g.L} }
+
+// Place names the machine for one task, or -1 when none has room. When some
+// machine has room but none is assignable, L doubles and earlier load
+// counts as nothing, until one is.
+func (x *Index) Place(g *Goal, r *Request) int32 {
+	if x.Infeasible(r.Task) {
+		return noMachine
+	}
+	if g.L == 0 {
+		if !x.hasRoom(r) {
+			return noMachine
+		}
+		if g.L = x.fastestShare(r.Task); g.L == 0 {
+			// The task takes nothing of any resource.
+			return x.find(r, unbounded)
+		}
+	}
+	for roomIsKnown := false; ; {
+		if machine := x.find(r, g.bounds()); machine != noMachine {
+			return machine
+		}
+		if !roomIsKnown && !x.hasRoom(r) {
+			return noMachine
+		}
+		roomIsKnown = true
+		g.double()
+		x.ClearLoads()
+	}
+}
+
+// hasRoom tells whether some machine has room for a task, whatever its load. If no machine at
+// all has, it remembers the task's size.
+func (x *Index) hasRoom(r *Request) bool {
+	if x.find(r, unbounded) != noMachine {
+		return true
+	}
+	if !x.hasRoomAnywhere(r.Task) {
+		x.infeasible.add(r.Task)
+	}
+	return false
+}
+
+// hasRoomAnywhere tells whether some machine has room for a task, be it one that the job may
+// not use.
+func (x *Index) hasRoomAnywhere(task Size) bool {
+	for _, p := range x.pools {
+		q := query{pool: p, task: task, maxLoad: math.Inf(1), visited: &x.nodesVisited}
+		if p.schedulable > 0 && q.firstLeaf(root) != noLeaf {
+			return true
+		}
+	}
+	return false
+}
+
+// fastestShare is a task's load on the fastest open machine that can carry it
+// at all.
+func (x *Index) fastestShare(task Size) float64 {
+	for k := len(x.poolsBySpeed) - 1; k >= 0; k-- {
+		p := x.pools[x.poolsBySpeed[k]]
+		if share := task.Share(p.total); p.schedulable > 0 && !math.IsInf(share, 1) {
+			return share
+		}
+	}
+	return 0
+}
+
+// find names the slowest assignable machine that has room.
+func (x *Index) find(r *Request, bounds loadBounds) int32 {
+	for from := 0; from < len(x.poolsBySpeed); {
+		to := x.endOfSpeed(from)
+		if machine := x.findAmong(r, x.poolsBySpeed[from:to], bounds); machine != noMachine {
+			return machine
+		}
+		from = to
+	}
+	return noMachine
+}
+
+// endOfSpeed is where, in poolsBySpeed, the pools end that are as slow as the one at from.
+func (x *Index) endOfSpeed(from int) int {
+	slowest := x.pools[x.poolsBySpeed[from]].total
+	to := from + 1
+	for to < len(x.poolsBySpeed) && slowest.compareSpeed(x.pools[x.poolsBySpeed[to]].total) == 0 {
+		to++
+	}
+	return to
+}
+
+// findAmong is find for pools of machines of one speed.
+func (x *Index) findAmong(r *Request, pools []int, bounds loadBounds) int32 {
+	best := candidate{machine: noMachine}
+	for _, number := range pools {
+		p := x.pools[number]
+		if p.schedulable == 0 || !r.Task.Within(p.nodes[root].free) {
+			continue
+		}
+		share := r.Task.Share(p.total)
+		if share > bounds.task+tolerance || math.IsInf(share, 1) {
+			continue
+		}
+		allowed, score := r.Pool(number)
+		if !allowed {
+			continue
+		}
+		q := query{pool: p, task: r.Task, maxLoad: bounds.total - share + tolerance, tags: r.AllowedTag, accepts: r.Allowed, visited: &x.nodesVisited}
+		q.improve(&best, r, score)
+	}
+	return best.machine
+}
+
+// candidate is the best machine found so far: the one with the highest score, and the
+// lowest rank among equals.
+type candidate struct {
+	machine     int32
+	score, rank int
+}
+
+// canImprove tells whether a machine with some score could be better.
+func (c *candidate) canImprove(score int) bool {
+	return c.machine == noMachine || score >= c.score
+}
+
+// consider takes a machine if it is better.
+func (c *candidate) consider(p *pool, leaf, score int) {
+	if c.machine == noMachine || score > c.score || score == c.score && p.ranks[leaf] < c.rank {
+		c.machine, c.score, c.rank = p.machines[leaf], score, p.ranks[leaf]
+	}
+}
--- /dev/null
+++ b/internal/slowfit/place_bench_test.go
@@ -0,0 +1,50 @@
+package slowfit
+
+import (
+	"fmt"
+	"testing"
+)
+
+// BenchmarkPlace places tasks on a cluster of six pools until hardly any machine has room, and
+// gives the room back.
+func BenchmarkPlace(b *testing.B) {
+	for _, machines := range []int{100, 1400, 10000} {
+		b.Run(fmt.Sprint(machines), func(b *testing.B) { benchmarkPlace(b, machines) })
+	}
+}
+
+func benchmarkPlace(b *testing.B, machines int) {
+	sizes := []Size{{4, 0, 16}, {8, 0, 32}, {32, 2, 128}}
+	x := &Index{}
+	for pool := range 6 {
+		x.AddPool(sizes[pool/2])
+	}
+	free := make([]Size, machines)
+	for i := range machines {
+		x.Join(int32(i), i%6)
+	}
+	vacate := func() {
+		for i := range free {
+			free[i] = sizes[i%6/2]
+			x.Open(int32(i), free[i], 0, uint64(i%8))
+		}
+	}
+	vacate()
+	goal := Goal{C: 5}
+	request := Request{Task: Size{CPUs: 1, MemGB: 2}, Bonus: 2, FavouredTag: 1,
+		Pool:     func(pool int) (bool, int) { return true, pool % 2 },
+		Favoured: func(machine int32) bool { return machine%2 == 1 },
+	}
+	b.ReportAllocs()
+	b.ResetTimer()
+	for i := range b.N {
+		request.Task.CPUs = float64(1 + i%3)
+		machine := x.Place(&goal, &request)
+		if machine < 0 {
+			vacate()
+			continue
+		}
+		free[machine] = free[machine].Minus(request.Task)
+		x.Open(machine, free[machine], 0, uint64(machine%8))
+	}
+}
--- /dev/null
+++ b/internal/slowfit/query.go
@@ -0,0 +1,59 @@
+package slowfit
+
+// root is the root of a pool's tree, noLeaf the result of a search that finds none.
+const (
+	root   = 1
+	noLeaf = -1
+)
+
+// query is a search in one pool for the first machine that has room for a task.
+type query struct {
+	pool    *pool
+	task    Size
+	maxLoad float64 // of the machine before it has the task
+	tags    uint64  // that the machine must have
+	// accepts, unless nil, excludes single machines.
+	accepts func(machine int32) bool
+	// visited counts the nodes that searches have visited.
+	visited *int
+}
+
+// improve has a candidate replaced by the first machine of the pool that has room, if that is
+// better. Machines that the request favours come before the others.
+func (q *query) improve(best *candidate, r *Request, score int) {
+	if r.hasFavourites() && best.canImprove(score+r.Bonus) {
+		favourites := *q
+		favourites.tags |= r.FavouredTag
+		favourites.accepts = func(machine int32) bool { return r.Favoured(machine) && r.accepts(machine) }
+		if leaf := favourites.firstLeaf(root); leaf != noLeaf {
+			best.consider(q.pool, leaf, score+r.Bonus)
+			return
+		}
+	}
+	if !best.canImprove(score) {
+		return
+	}
+	if leaf := q.firstLeaf(root); leaf != noLeaf {
+		best.consider(q.pool, leaf, score)
+	}
+}
+
+// firstLeaf is the first leaf below a node that satisfies the query, or noLeaf.
+func (q *query) firstLeaf(at int) int {
+	*q.visited++
+	n := &q.pool.nodes[at]
+	if n.load > q.maxLoad || n.tags&q.tags != q.tags || !q.task.Within(n.free) {
+		return noLeaf
+	}
+	if at >= q.pool.leaves {
+		leaf := at - q.pool.leaves
+		if q.accepts != nil && !q.accepts(q.pool.machines[leaf]) {
+			return noLeaf
+		}
+		return leaf
+	}
+	if leaf := q.firstLeaf(2 * at); leaf != noLeaf {
+		return leaf
+	}
+	return q.firstLeaf(2*at + 1)
+}
--- a/internal/slowfit/slowfit.go
+++ b/internal/slowfit/slowfit.go
@@ -1,70 +1,29 @@
-// Package slowfit decides where a task goes. It is SLOW-FIT of "On-line Load
-// Balancing of Temporary Tasks" (Azar, Kalyanasundaram, Plotkin, Pruhs and
-// Waarts, section 4), with the machine's booked room as a hard bound besides
-// the goal. It is pure: it sees machines and a task and names a machine.
+// Package slowfit decides which machine a task goes to. It is SLOW-FIT of "On-line Load
+// Balancing of Temporary Tasks" (Azar, Kalyanasundaram, Plotkin, Pruhs and Waarts, section 4),
+// with a machine's allocated resources as a hard bound besides. It is pure: it sees machines and
+// a task and names a machine.
+//
+// The paper's terms, as the code has them:
+//
+//   - The load of a task on a machine is the share that it takes of the machine. A machine is
+//     slower than another if the same task is a larger load on it; here, if it has fewer
+//     cores, or as many and less memory.
+//   - L is the estimate of the least possible maximum load of any machine. It doubles when
+//     it proves too low, which begins a new phase. Load of an earlier phase does not count
+//     any more.
+//   - c is the factor by which a machine's total load may exceed L.
+//   - A machine is assignable for a task if the task's load on it is at most L, and its total
+//     load with the task at most c times L. The task goes to the slowest assignable machine,
+//     among equally slow ones to the first.
 package slowfit
 
-import "math"
-
-// Size is an amount of each resource.
-type Size struct {
-	CPUs, GPUs, MemGB float64
-}
-
-// Plus adds o to s.
-func (s Size) Plus(o Size) Size {
-	return Size{s.CPUs + o.CPUs, s.GPUs + o.GPUs, s.MemGB + o.MemGB}
-}
-
-// Minus takes o from s.
-func (s Size) Minus(o Size) Size {
-	return Size{s.CPUs - o.CPUs, s.GPUs - o.GPUs, s.MemGB - o.MemGB}
-}
-
-// Times multiplies a size.
-func (s Size) Times(n float64) Size { return Size{s.CPUs * n, s.GPUs * n, s.MemGB * n} }
-
-// slack absorbs the rounding of sums of decimal amounts.
-const slack = 1e-6
-
-// Within tells whether s fits into room.
-func (s Size) Within(room Size) bool {
-	return s.CPUs <= room.CPUs+slack && s.GPUs <= room.GPUs+slack && s.MemGB <= room.MemGB+slack
-}
-
-// Slots is how many tasks of size s go into room.
-func (s Size) Slots(room Size) int {
-	n := 1e6
-	for _, r := range [3][2]float64{{s.CPUs, room.CPUs}, {s.GPUs, room.GPUs}, {s.MemGB, room.MemGB}} {
-		if r[0] > 0 {
-			n = min(n, math.Floor(r[1]/r[0]+slack))
-		}
-	}
-	return int(max(0, n))
-}
-
-// Share is the load that a task of size s puts on a machine of size total: the
-// largest share that it takes of any resource.
-func (s Size) Share(total Size) float64 {
-	share := 0.0
-	for _, r := range [3][2]float64{{s.CPUs, total.CPUs}, {s.GPUs, total.GPUs}, {s.MemGB, total.MemGB}} {
-		if r[0] > 0 {
-			if r[1] <= 0 {
-				return math.Inf(1)
-			}
-			share = max(share, r[0]/r[1])
-		}
-	}
-	return share
-}
-
-// Goal is the estimate of the optimal load, L in the paper.
+// Goal is the estimate of the optimal load.
 type Goal struct {
+	// C is c in the paper.
 	C float64
-	// L is 0 until the first task comes.
+	// L is L in the paper; 0 until the first task comes.
 	L float64
-	// Phase counts the changes of L. Load booked in an earlier phase does not
-	// count any more.
+	// Phase counts the changes of L. Load of an earlier phase does not count any more.
 	Phase uint32
 }
 
@@ -83,3 +42,9 @@
 	}
 	g.L /= 2
 }
+
+// double starts a new phase with a goal twice as high.
+func (g *Goal) double() {
+	g.L *= 2
+	g.Phase++
+}
