--- a/internal/autoscaler/demand_test.go
+++ b/internal/autoscaler/demand_test.go
@@ -9,8 +9,8 @@
 func TestDemand(t *testing.T) {
 	cases := []struct {
 		name     string
-		arrivals int
-		at       time.Duration // when it is asked, after the last arrival
+		arrivals int           // negative: so many at once
+		at       time.Duration // when the demand is estimated, after the last arrival
 		mean     float64
 	}{
 		{"too few to tell", 2, 0, 0},
@@ -22,7 +22,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			var s DemandEstimator
+			var estimator DemandEstimator
 			now := time.Duration(0)
 			gap := 10 * time.Second
 			if c.arrivals < 0 {
@@ -30,9 +30,9 @@
 			}
 			for range c.arrivals {
 				now += gap
-				s.ObserveArrival(now, 8, 20)
+				estimator.ObserveArrival(now, 8, 20)
 			}
-			mean, deviation := Demand(now+c.at, []DemandEstimator{s, {}})
+			mean, deviation := Demand(now+c.at, []DemandEstimator{estimator, {}})
 			if math.Abs(mean-c.mean) > 0.02*c.mean || math.Abs(deviation-math.Sqrt(c.mean*8)) > 0.02*deviation {
 				t.Errorf("mean %v, deviation %v, want mean %v", mean, deviation, c.mean)
 			}
