--- a/internal/ledger/commit.go
+++ b/internal/ledger/commit.go
@@ -45,7 +45,7 @@
 const failurePause = 100 * time.Millisecond
 
 // commit carries out one transaction. If it fails, it waits before it returns, so that the
-// ledger goes on taking writes meanwhile.
+// ledger accepts writes meanwhile.
 func (c committer) commit(ctx context.Context, t transaction) outcome {
 	o := c.attempt(ctx, t)
 	if o.err != nil && !errors.Is(o.err, ErrLeadershipLost) {
--- a/internal/slowfit/index.go
+++ b/internal/slowfit/index.go
@@ -34,7 +34,7 @@
 	return len(x.pools) - 1
 }
 
-// Join puts a machine into a pool, where it takes no tasks until it is opened. One that is in
+// Join puts a machine into a pool, as unschedulable. One that is in
 // another pool leaves that.
 func (x *Index) Join(machine int32, number int) {
 	x.Leave(machine)
@@ -106,5 +106,5 @@
 // Looks is how many nodes of the pools' trees have been visited so far.
 func (x *Index) Looks() int { return x.nodesVisited }
 
-// Infeasible tells whether it is known that no open machine has room for a task.
+// Infeasible tells whether it is known that no schedulable machine has room for a task.
 func (x *Index) Infeasible(task Size) bool { return x.infeasible.includes(task) }
--- a/internal/slowfit/index_test.go
+++ b/internal/slowfit/index_test.go
@@ -63,10 +63,10 @@
 // historyMachine is a machine of a history.
 type historyMachine struct {
 	scannedMachine
-	group int
-	image uint64 // its tags
-	open  bool
-	phase uint32 // to which its load belongs
+	group       int
+	image       uint64 // its tags
+	schedulable bool
+	phase       uint32 // to which its load belongs
 }
 
 // minMachines is how many machines every history has.
@@ -95,14 +95,14 @@
 	number := len(h.machines)
 	h.index.Join(int32(number), group)
 	h.machines = append(h.machines, historyMachine{
-		scannedMachine: scannedMachine{Total: size, Free: size, Index: number}, group: group, image: uint64(h.r.IntN(8)), open: true})
+		scannedMachine: scannedMachine{Total: size, Free: size, Index: number}, group: group, image: uint64(h.r.IntN(8)), schedulable: true})
 	h.update(number)
 }
 
 // update passes the state of a machine to the index.
 func (h *history) update(number int) {
 	m := &h.machines[number]
-	if !m.open {
+	if !m.schedulable {
 		h.index.Close(int32(number))
 		return
 	}
@@ -130,7 +130,7 @@
 		h.update(i)
 	case 1:
 		i := h.r.IntN(len(h.machines))
-		h.machines[i].open = !h.machines[i].open
+		h.machines[i].schedulable = !h.machines[i].schedulable
 		h.update(i)
 	case 2:
 		i := h.r.IntN(len(h.machines))
@@ -195,9 +195,9 @@
 
 // scan is the machine that the scan places a task on, or -1.
 func (h *history) scan(request *Request) int32 {
-	var open []scannedMachine
+	var schedulable []scannedMachine
 	for i, m := range h.machines {
-		if !m.open {
+		if !m.schedulable {
 			continue
 		}
 		seen := m.scannedMachine
@@ -209,10 +209,10 @@
 		if request.Favoured(int32(i)) {
 			seen.Score += request.Bonus
 		}
-		open = append(open, seen)
+		schedulable = append(schedulable, seen)
 	}
-	if k := scan(&h.scanGoal, open, request.Task); k >= 0 {
-		return int32(open[k].Index)
+	if k := scan(&h.scanGoal, schedulable, request.Task); k >= 0 {
+		return int32(schedulable[k].Index)
 	}
 	return -1
 }
--- a/internal/slowfit/infeasible.go
+++ b/internal/slowfit/infeasible.go
@@ -2,7 +2,7 @@
 
 import "slices"
 
-// infeasibleSizes are sizes for which no open machine has room. In a full cluster many
+// infeasibleSizes are sizes for which no schedulable machine has room. In a full cluster many
 // jobs wait and hardly any has room: those must not cost a search each time
 // that some machine gets a little free.
 type infeasibleSizes struct{ sizes []Size }
@@ -10,7 +10,7 @@
 // maxInfeasible bounds the sizes that are remembered.
 const maxInfeasible = 16
 
-// includes tells whether it is known that no open machine has room for a task.
+// includes tells whether it is known that no schedulable machine has room for a task.
 func (s *infeasibleSizes) includes(task Size) bool {
 	return slices.ContainsFunc(s.sizes, func(size Size) bool { return size.Within(task) })
 }
--- a/internal/slowfit/place.go
+++ b/internal/slowfit/place.go
@@ -88,7 +88,7 @@
 	return false
 }
 
-// fastestShare is a task's load on the fastest open machine that can carry it
+// fastestShare is a task's load on the fastest schedulable machine that can carry it
 // at all.
 func (x *Index) fastestShare(task Size) float64 {
 	for k := len(x.poolsBySpeed) - 1; k >= 0; k-- {
