--- a/internal/ledger/compatibility_test.go
+++ b/internal/ledger/compatibility_test.go
@@ -15,13 +15,13 @@
 const (
 	productionDescription = `{"ref":"job-000001","lane":"c","owner":"t","shape":"batch","urgency":"high","pieces":5,"vcpus":1.5,"gpus":0,"mem_gb":2,` +
 		`"bundle":"i","size_gb":0.5,"flavors":["m8"],"room":"a","together":false,"spread":false,"loaners":true,"guess_s":8,"snapshot_s":0,"flush_s":0,"due_s":90}`
-	productionOpen    = `{"job":` + productionDescription + `,"accepted_ms":946684800123}`
-	productionCancelled = `{"job":` + productionDescription + `,"accepted_ms":946684800123,"fate":"aborted","tasks":5,"done":2}`
-	productionDone    = `{"accepted_ms":946684800123,"fate":"done","tasks":5,"done":5,"class":"c","team":"t","cores":7.5,"run_s":8.25}`
+	productionOpen        = `{"job":` + productionDescription + `,"accepted_ms":946684800123}`
+	productionCancelled   = `{"job":` + productionDescription + `,"accepted_ms":946684800123,"fate":"aborted","tasks":5,"done":2}`
+	productionDone        = `{"accepted_ms":946684800123,"fate":"done","tasks":5,"done":5,"class":"c","team":"t","cores":7.5,"run_s":8.25}`
 	productionScaleOut    = `{"hire":{"hire":"h7-1","flavor":"m8","room":"a","loaners":true,"number":2},"machines":["vm-000001"]}`
-	productionUnreachable  = `{"over_ms":946684800999,"machines":["vm-000002"]}`
-	productionRanges  = `[0,1,4,4]`
-	productionHosts   = `["vm-000001","vm-000002"]`
+	productionUnreachable = `{"over_ms":946684800999,"machines":["vm-000002"]}`
+	productionRanges      = `[0,1,4,4]`
+	productionHosts       = `["vm-000001","vm-000002"]`
 )
 
 func entry(key, value string) wire.Entry {
