--- a/cmd/leadproxy/commands.go
+++ b/cmd/leadproxy/commands.go
@@ -35,10 +35,10 @@
 	if err != nil {
 		return err
 	}
-	if err := settings.CheckCells(platform, operator); err != nil {
+	if err := settings.CheckNeighbours(platform, operator); err != nil {
 		return err
 	}
-	if err := settings.CheckDrain(platform, operator); err != nil {
+	if err := settings.CheckBudgets(platform, operator); err != nil {
 		return err
 	}
 	if c.Check {
--- a/internal/rollout/disruptions.go
+++ b/internal/rollout/disruptions.go
@@ -9,15 +9,26 @@
 	"maps"
 	"math"
 	"slices"
+	"strings"
 	"time"
 )
 
 // Group is whom a budget is for: a team or a class.
 type Group string
 
-// TeamGroup and ClassGroup name groups.
-func TeamGroup(team string) Group   { return Group("team " + team) }
-func ClassGroup(class string) Group { return Group("class " + class) }
+const (
+	teamGroupPrefix  = "team "
+	classGroupPrefix = "class "
+)
+
+// TeamGroup is the group of all jobs of a team.
+func TeamGroup(team string) Group { return Group(teamGroupPrefix + team) }
+
+// ClassGroup is the group of all jobs of a class.
+func ClassGroup(class string) Group { return Group(classGroupPrefix + class) }
+
+// Team returns the name of the group's team; ok is false if the group is a class.
+func (g Group) Team() (name string, ok bool) { return strings.CutPrefix(string(g), teamGroupPrefix) }
 
 // Budget is how many jobs of a group may be disrupted at once.
 type Budget struct {
@@ -163,7 +174,7 @@
 	if b, ok = a.budgets.Of[g]; ok {
 		return b, true
 	}
-	if len(g) > 5 && g[:5] == "team " {
+	if name, isTeam := g.Team(); isTeam && name != "" {
 		return a.budgets.General, true
 	}
 	return Budget{}, false
--- /dev/null
+++ b/internal/settings/cell_sections.go
@@ -0,0 +1,144 @@
+package settings
+
+import (
+	"regexp"
+	"slices"
+	"strconv"
+	"strings"
+
+	"gopkg.in/ini.v1"
+)
+
+// The sections about cells.
+const (
+	cellSection            = "cell"
+	neighbourSectionPrefix = "neighbour."
+	classSectionPrefix     = "class."
+)
+
+// isCellSection reports whether a section is about cells.
+func isCellSection(section string) bool {
+	return section == cellSection || strings.HasPrefix(section, neighbourSectionPrefix) || strings.HasPrefix(section, classSectionPrefix)
+}
+
+var cellName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,38}[a-z0-9])?$`)
+
+const wantName = "a name of up to 40 lower-case letters, digits and hyphens"
+
+// cellReader reads the sections about cells.
+type cellReader struct {
+	sectionReader
+	cells Cells
+}
+
+// readCells reads all sections about cells of a file.
+func readCells(path, text string, file *ini.File) (Cells, []error) {
+	r := &cellReader{sectionReader{path: path, text: text}, defaultCells()}
+	r.refuseDuplicateSections()
+	for _, section := range file.Sections() {
+		name := section.Name()
+		switch {
+		case name == cellSection:
+			r.readCell(section)
+		case strings.HasPrefix(name, neighbourSectionPrefix):
+			r.readNeighbour(section, strings.TrimPrefix(name, neighbourSectionPrefix))
+		case strings.HasPrefix(name, classSectionPrefix):
+			r.readClass(section, strings.TrimPrefix(name, classSectionPrefix))
+		}
+	}
+	slices.SortStableFunc(r.cells.Neighbours, func(a, b Neighbour) int { return a.Preference - b.Preference })
+	r.checkCell()
+	r.checkNeighbours()
+	return r.cells, r.errs
+}
+
+// refuseDuplicateSections refuses sections that stand twice, which the INI library would merge.
+func (r *cellReader) refuseDuplicateSections() {
+	seen := map[string]bool{}
+	for i, line := range strings.Split(r.text, "\n") {
+		line = strings.TrimSpace(line)
+		name, ok := sectionHeader(line)
+		if !ok {
+			continue
+		}
+		if isCellSection(name) && seen[name] {
+			r.errs = append(r.errs, &FieldError{File: r.path, Line: i + 1, Key: name, Value: strconv.Quote(line), Want: "a section that stands once: two cells of one name, or two declarations"})
+		}
+		seen[name] = true
+	}
+}
+
+func (r *cellReader) readCell(section *ini.Section) {
+	cells := &r.cells
+	r.readKeys(section, sectionKeys{
+		"name": {wantName, func(value string) bool {
+			cells.Name = value
+			return cellName.MatchString(value)
+		}},
+		"spill":      yesNo(&cells.Spill),
+		"shortage_s": seconds(&cells.ShortageFor, 1, 3600),
+		"max_wait_s": seconds(&cells.MaxWait, 1, 86400),
+		"trace_file": text(&cells.TraceFile),
+	})
+}
+
+func (r *cellReader) readNeighbour(section *ini.Section, name string) {
+	neighbour := defaultNeighbour(name)
+	if !cellName.MatchString(name) {
+		r.refuse(section.Name(), "", name, wantName)
+	}
+	r.readKeys(section, sectionKeys{
+		"controllers": addresses(&neighbour.Controllers),
+		"preference":  truncatedNumber(&neighbour.Preference, 0, 1000),
+		"max_jobs":    truncatedNumber(&neighbour.MaxJobs, 0, 1e6),
+		"max_cores":   number(&neighbour.MaxCores, 0, 1e9),
+		"lend_cores":  number(&neighbour.LendCores, 0, 1e9),
+		"take_back_s": seconds(&neighbour.TakeBack, 10, 86400),
+		"drain":       yesNo(&neighbour.Drain),
+	})
+	if len(neighbour.Controllers) == 0 {
+		r.refuse(section.Name(), "controllers", "", "the addresses at which its controllers serve each other")
+	}
+	r.cells.Neighbours = append(r.cells.Neighbours, neighbour)
+}
+
+func (r *cellReader) readClass(section *ini.Section, name string) {
+	repeatable := false
+	r.readKeys(section, sectionKeys{"repeat": yesNo(&repeatable)})
+	if !section.HasKey("repeat") {
+		r.refuse(section.Name(), "repeat", "", "declared: yes if a job may run again after an uncertain run, no if it must run at most once")
+	}
+	r.cells.Repeatable[name] = repeatable
+}
+
+// checkCell refuses a [cell] section that contradicts the list of neighbours.
+func (r *cellReader) checkCell() {
+	if r.cells.Name == "" && len(r.cells.Neighbours) > 0 {
+		r.refuse(cellSection, "name", "", "this cell's name, since there are neighbours")
+	}
+	if r.cells.Spill && len(r.cells.Neighbours) == 0 {
+		r.refuse(cellSection, "spill", "yes", "no without neighbours")
+	}
+}
+
+// checkNeighbours refuses neighbours that are this cell, or that share a preference or an
+// address.
+func (r *cellReader) checkNeighbours() {
+	byPreference, byAddress := map[int]string{}, map[string]string{}
+	for _, neighbour := range r.cells.Neighbours {
+		section := neighbourSectionPrefix + neighbour.Name
+		if neighbour.Name == r.cells.Name {
+			r.refuse(section, "", neighbour.Name, "another cell than this one")
+		}
+		if other, taken := byPreference[neighbour.Preference]; taken && len(r.cells.Neighbours) > 1 {
+			r.refuse(section, "preference", strconv.Itoa(neighbour.Preference), "a preference that "+other+" does not have")
+		}
+		byPreference[neighbour.Preference] = neighbour.Name
+		for _, address := range neighbour.Controllers {
+			if other, taken := byAddress[address]; taken {
+				r.refuse(section, "controllers", address, "addresses that stand once; "+other+" has it too")
+			}
+			byAddress[address] = neighbour.Name
+		}
+	}
+}
--- a/internal/settings/cells_test.go
+++ b/internal/settings/cells_test.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"errors"
 	"os"
 	"reflect"
 	"strings"
@@ -8,7 +9,7 @@
 	"time"
 )
 
-const someCells = `[cell]
+const cellsText = `[cell]
 name = lima
 spill = yes
 [neighbour.puno]
@@ -26,7 +27,7 @@
 `
 
 func TestCells(t *testing.T) {
-	o, err := ParseOperator("cells.ini", someCells)
+	o, err := ParseOperator("cells.ini", cellsText)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -52,60 +53,40 @@
 	}
 }
 
-// TestStandby: the section is read, and its file is valid.
-func TestStandby(t *testing.T) {
-	text, err := os.ReadFile("../../deploy/standby.ini")
-	if err != nil {
-		t.Fatal(err)
-	}
-	o, err := ParseOperator("standby.ini", string(text))
-	if err != nil || !o.Standby.Follow || o.Standby.MaxMB != 64 {
-		t.Errorf("%+v, %v", o.Standby, err)
-	}
-	if Defaults().Standby.Follow {
-		t.Error("on by default")
-	}
-	for _, wrong := range []string{"follow = maybe", "max_mb = 0", "max_mb = lots", "warm = yes", "hints = yes", "follow = yes\nhints = perhaps"} {
-		if _, err := ParseOperator("standby.ini", "[standby]\n"+wrong); err == nil {
-			t.Errorf("%q is taken", wrong)
-		}
-	}
-}
-
 func TestCellsRefused(t *testing.T) {
 	cases := []struct{ name, from, to, want string }{
 		{"a neighbour with this cell's name", "[neighbour.puno]", "[neighbour.lima]", "another cell than this one"},
 		{"two cells of one name", "[neighbour.puno]", "[neighbour.arequipa]", "stands once"},
 		{"no name", "name = lima", "", "this cell's name"},
-		{"a name that is none", "name = lima", "name = Lima Norte", wantName},
+		{"an invalid name", "name = lima", "name = Lima Norte", wantName},
 		{"two with one preference", "preference = 2", "preference = 1", "preference"},
 		{"one address for two", "10.2.0.1:8081", "10.1.0.1:8081", "stand once"},
 		{"no addresses", "controllers = 10.2.0.1:8081", "", "controllers"},
 		{"a name for an address", "10.2.0.1:8081", "puno:8081", "IP addresses"},
 		{"an unknown key", "lend_cores = 8", "lend = 8", "known here"},
-		{"a negative bound", "lend_cores = 8", "lend_cores = -8", "a number from"},
+		{"a negative bound", "lend_cores = 8", "lend_cores = -8", "a number between"},
 		{"neither yes nor no", "drain = yes", "drain = soon", "yes or no"},
 		{"a class without declaration", "repeat = yes", "", "declared"},
 		{"a class declared twice", "[class.report]", "[class.report]\nrepeat = no\n[class.report]", "stands once"},
-		{"spilling to nobody", someCells[strings.Index(someCells, "[neighbour.puno]"):], "", "no without neighbours"},
+		{"delegating without neighbours", cellsText[strings.Index(cellsText, "[neighbour.puno]"):], "", "no without neighbours"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			_, err := ParseOperator("cells.ini", strings.Replace(someCells, c.from, c.to, 1))
+			_, err := ParseOperator("cells.ini", strings.Replace(cellsText, c.from, c.to, 1))
 			if err == nil || !strings.Contains(err.Error(), c.want) {
-				t.Errorf("said %v, want %q", err, c.want)
+				t.Errorf("error %v, want one on %q", err, c.want)
 			}
 		})
 	}
-	p, err := ParsePlatform("p.toml", platform)
+	p, err := ParsePlatform("p.toml", platformText)
 	if err != nil {
 		t.Fatal(err)
 	}
-	o, err := ParseOperator("cells.ini", strings.Replace(someCells, "10.2.0.1:8081", p.Peers[0].Addr, 1))
+	o, err := ParseOperator("cells.ini", strings.Replace(cellsText, "10.2.0.1:8081", p.Peers[0].Addr, 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	if CheckCells(p, o) == nil {
-		t.Error("a controller of this cell is taken for a neighbour's")
+	if err := CheckNeighbours(p, o); !errors.Is(err, ErrConflict) {
+		t.Errorf("the address of a controller of this cell is accepted as a neighbour's: %v", err)
 	}
 }
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -2,10 +2,10 @@
 
 import "testing"
 
-// FuzzParsePlatform: a platform file is taken or refused, and what is taken has the
-// amounts that the service divides by.
+// FuzzParsePlatform: a platform file is accepted or refused, and an accepted one has positive
+// values where the controller divides by them.
 func FuzzParsePlatform(f *testing.F) {
-	f.Add(platform)
+	f.Add(platformText)
 	f.Add("[facts.resources]\nsockets = -1")
 	f.Add("[[others]]\n[[others]]")
 	f.Fuzz(func(t *testing.T, text string) {
@@ -19,7 +19,8 @@
 	})
 }
 
-// FuzzParseOperator: an operators' file is taken or refused with its faults.
+// FuzzParseOperator: an operators' file is accepted or refused, and the values of an accepted
+// one are within their bounds.
 func FuzzParseOperator(f *testing.F) {
 	f.Add("[placement]\nc = 5\n")
 	f.Add("[fleet]\nmax_machines = 1e300\nidle_return_s = nan")
--- /dev/null
+++ b/internal/settings/golden_operator_test.go
@@ -0,0 +1,198 @@
+package settings
+
+import (
+	"fmt"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+
+	"leadproxy/internal/rollout"
+)
+
+// iniKey is a key of an INI file: its path, another value than the example's, and what was read
+// of it.
+type iniKey[T any] struct {
+	section, key, other string
+	read                func(T) any
+}
+
+func (k iniKey[T]) path() string { return "[" + k.section + "] " + k.key }
+
+// neighbourOf reads one thing of the example's neighbour, if it is there.
+func neighbourOf(read func(Neighbour) any) func(Operator) any {
+	return func(o Operator) any {
+		if n, ok := o.Cells.Find("arequipa"); ok {
+			return read(n)
+		}
+		return "no such neighbour"
+	}
+}
+
+// budgetOf reads one thing of a group's budget, if it has one.
+func budgetOf(group rollout.Group, read func(rollout.Budget) any) func(Operator) any {
+	return func(o Operator) any {
+		if b, ok := o.Drain.Budgets.Of[group]; ok {
+			return read(b)
+		}
+		return "no such budget"
+	}
+}
+
+func repeatOf(class string) func(Operator) any {
+	return func(o Operator) any {
+		repeat, declared := o.Cells.Repeatable[class]
+		return fmt.Sprintf("%v, declared %v", repeat, declared)
+	}
+}
+
+func jobsOf(b rollout.Budget) any   { return b.Jobs }
+func shareOf(b rollout.Budget) any  { return b.Share }
+func windowOf(b rollout.Budget) any { return b.Window }
+
+// operatorFileKeys are all keys of the operators' file, as they stand in the example.
+var operatorFileKeys = []iniKey[Operator]{
+	{"leadership", "lease_s", "5", func(o Operator) any { return o.LeaderLease }},
+	{"leadership", "margin_ms", "300", func(o Operator) any { return o.LeaseMargin }},
+	{"placement", "c", "9", func(o Operator) any { return o.SlowFitC }},
+	{"fleet", "idle_return_s", "90", func(o Operator) any { return o.IdleReturn }},
+	{"fleet", "boot_patience", "9", func(o Operator) any { return o.BootPatience }},
+	{"fleet", "warm_spread", "9", func(o Operator) any { return o.HeadroomSpread }},
+	{"fleet", "max_machines", "9", func(o Operator) any { return o.MaxMachines }},
+	{"cell", "name", "cusco", func(o Operator) any { return o.Cells.Name }},
+	{"cell", "spill", "no", func(o Operator) any { return o.Cells.Spill }},
+	{"cell", "shortage_s", "90", func(o Operator) any { return o.Cells.ShortageFor }},
+	{"cell", "max_wait_s", "90", func(o Operator) any { return o.Cells.MaxWait }},
+	{"cell", "trace_file", "another", func(o Operator) any { return o.Cells.TraceFile }},
+	{"neighbour.arequipa", "controllers", "10.9.0.1:8081", neighbourOf(func(n Neighbour) any { return n.Controllers })},
+	{"neighbour.arequipa", "preference", "9", neighbourOf(func(n Neighbour) any { return n.Preference })},
+	{"neighbour.arequipa", "max_jobs", "9", neighbourOf(func(n Neighbour) any { return n.MaxJobs })},
+	{"neighbour.arequipa", "max_cores", "9", neighbourOf(func(n Neighbour) any { return n.MaxCores })},
+	{"neighbour.arequipa", "lend_cores", "9", neighbourOf(func(n Neighbour) any { return n.LendCores })},
+	{"neighbour.arequipa", "take_back_s", "90", neighbourOf(func(n Neighbour) any { return n.TakeBack })},
+	{"neighbour.arequipa", "drain", "no", neighbourOf(func(n Neighbour) any { return n.Drain })},
+	{"class.statement-run", "repeat", "no", repeatOf("statement-run")},
+	{"class.settle-window", "repeat", "yes", repeatOf("settle-window")},
+	{"standby", "follow", "no", func(o Operator) any { return o.Standby.Follow }},
+	{"standby", "hints", "no", func(o Operator) any { return o.Standby.Hints }},
+	{"standby", "max_mb", "9", func(o Operator) any { return o.Standby.MaxMB }},
+	{"drain", "enabled", "no", func(o Operator) any { return o.Drain.Enabled }},
+	{"budget", "jobs", "9", func(o Operator) any { return o.Drain.Budgets.General.Jobs }},
+	{"budget", "window_s", "90", func(o Operator) any { return o.Drain.Budgets.General.Window }},
+	{"budget.team.settlement", "share", "20%", budgetOf(rollout.TeamGroup("settlement"), shareOf)},
+	{"budget.team.settlement", "window_s", "90", budgetOf(rollout.TeamGroup("settlement"), windowOf)},
+	{"budget.class.fraud-scoring", "jobs", "9", budgetOf(rollout.ClassGroup("fraud-scoring"), jobsOf)},
+	{"budget.class.fraud-scoring", "window_s", "90", budgetOf(rollout.ClassGroup("fraud-scoring"), windowOf)},
+}
+
+// planFileKeys are all keys of a plan that drains machines.
+var planFileKeys = []iniKey[rollout.Spec]{
+	{"plan", "name", "another", func(s rollout.Spec) any { return s.Name }},
+	{"plan", "zones", "x, y", func(s rollout.Spec) any { return s.Zones }},
+	{"plan", "types", "x, y", func(s rollout.Spec) any { return s.Types }},
+	{"plan", "machines", "x, y", func(s rollout.Spec) any { return s.Machines }},
+	{"plan", "canary", "9", func(s rollout.Spec) any { return s.Canary }},
+	{"plan", "batch", "20%", func(s rollout.Spec) any { return fmt.Sprintf("%d machines, share %v", s.Batch, s.Share) }},
+	{"plan", "surge", "no", func(s rollout.Spec) any { return s.Surge }},
+	{"plan", "check_s", "90", func(s rollout.Spec) any { return s.CheckS }},
+	{"plan", "health_s", "9000", func(s rollout.Spec) any { return s.HealthS }},
+	{"plan", "wait_s", "90", func(s rollout.Spec) any { return s.WaitS }},
+	{"plan", "deadline_s", "90000", func(s rollout.Spec) any { return s.DeadlineS }},
+}
+
+// TestGoldenOperatorFile compares the keys of the operators' file: their defaults, what is read
+// of an example that has them all and of the files of deploy, and which values they accept.
+func TestGoldenOperatorFile(t *testing.T) {
+	parse := func(text string) (Operator, error) { return ParseOperator("operator.ini", text) }
+	checkINI(t, "operator", operatorFileKeys, parse)
+	var listed []string
+	for _, k := range operatorFileKeys {
+		listed = append(listed, k.section+"."+k.key)
+	}
+	for _, key := range scalarKeyNames() {
+		if !slices.Contains(listed, key) {
+			t.Errorf("%s is missing in the list of keys", key)
+		}
+	}
+	for _, name := range []string{"cells", "drain", "standby"} {
+		compareINI(t, "deploy-"+name+".txt", operatorFileKeys, parse, readFile(t, filepath.Join("..", "..", "deploy", name+".ini")))
+	}
+}
+
+// TestGoldenPlanFile does the same for plans that drain machines.
+func TestGoldenPlanFile(t *testing.T) {
+	checkINI(t, "drain-plan", planFileKeys, rollout.ParseSpec)
+	compareINI(t, "deploy-drain-plan.txt", planFileKeys, rollout.ParseSpec, readFile(t, filepath.Join("..", "..", "deploy", "drain-plan.ini")))
+}
+
+// compareINI compares what is read of a file.
+func compareINI[T any](t *testing.T, golden string, keys []iniKey[T], parse func(string) (T, error), text string) {
+	t.Helper()
+	read, err := parse(text)
+	if err != nil {
+		t.Fatalf("%s: %v", golden, err)
+	}
+	compareGolden(t, golden, printed(iniValues(keys, read)))
+}
+
+// checkINI compares the example of a kind of file, what is read of it, and which values its keys
+// accept. Changing a key's value must change what is read of that key alone, and a key of
+// another name must be refused.
+func checkINI[T any](t *testing.T, name string, keys []iniKey[T], parse func(string) (T, error)) {
+	t.Helper()
+	text := readFile(t, filepath.Join("testdata", "golden", name+".ini"))
+	compareINI(t, name+".txt", keys, parse, text)
+	defaults, _ := parse("")
+	compareGolden(t, name+"-defaults.txt", printed(iniValues(keys, defaults)))
+	example, err := parse(text)
+	if err != nil {
+		t.Fatal(err)
+	}
+	before := iniValues(keys, example)
+	accepted := map[string]string{}
+	for _, k := range keys {
+		changed, err := parse(replaceINI(t, text, k.section, k.key, k.key+" = "+k.other))
+		// Hints without follow are an error; what is read is compared all the same.
+		if err != nil && k.path() != "[standby] follow" {
+			t.Errorf("%s = %s: %v", k.path(), k.other, err)
+		}
+		if differs := changedKeys(before, iniValues(keys, changed)); !slices.Equal(differs, []string{k.path()}) {
+			t.Errorf("%s is changed in the file: what is read differs in %v", k.path(), differs)
+		}
+		if _, err := parse(replaceINI(t, text, k.section, k.key, k.key+"x = "+k.other)); err == nil {
+			t.Errorf("%s: a key of another name is not refused", k.path())
+		}
+		var values []string
+		for _, value := range probes {
+			if _, err := parse(replaceINI(t, text, k.section, k.key, k.key+" = "+value)); err == nil {
+				values = append(values, value)
+			}
+		}
+		accepted[k.path()] = strings.Join(values, " ")
+	}
+	compareGolden(t, name+"-accepts.txt", printed(accepted))
+}
+
+// probes are values that each key is tried with.
+var probes = []string{"-1", "0", "0.5", "1", "1.5", "2.5", "4", "5", "9", "10", "49", "50", "60", "61", "100", "101", "500", "501", "1000", "1001",
+	"3600", "3601", "86400", "86401", "100000", "1e6", "1e7", "1e9", "1e10", "0%", "0.5%", "100%", "101%", "yes", "no", "none", "true", "on", "10.9.0.1:8081", "a,b", "A", "NaN"}
+
+func iniValues[T any](keys []iniKey[T], read T) map[string]string {
+	values := map[string]string{}
+	for _, k := range keys {
+		values[k.path()] = fmt.Sprintf("%v", k.read(read))
+	}
+	return values
+}
+
+// replaceINI replaces the line of a key in a section.
+func replaceINI(t *testing.T, text, section, key, line string) string {
+	t.Helper()
+	lines := strings.Split(text, "\n")
+	n := lineOf(text, section, key)
+	if n == 0 {
+		t.Fatalf("the example has no %s in [%s]", key, section)
+	}
+	lines[n-1] = line
+	return strings.Join(lines, "\n")
+}
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -1,31 +1,31 @@
 package settings
 
 import (
-	"bufio"
 	"errors"
 	"fmt"
+	"maps"
 	"os"
-	"strconv"
+	"slices"
 	"strings"
 	"time"
 
 	"gopkg.in/ini.v1"
 )
 
-// Operator holds what the operators set themselves, beyond the platform's
+// Operator holds the operators' own settings, in addition to the platform's
 // file. Every key has a default that fits an ordinary deployment.
 type Operator struct {
-	// LeaderLease is how long the leader's state lease lives unrenewed.
+	// LeaderLease is the time to live of the leader's lease in the key-value store.
 	LeaderLease time.Duration
-	// LeaseMargin is taken off the lease besides clock drift.
+	// LeaseMargin is subtracted from the lease, in addition to clock drift.
 	LeaseMargin time.Duration
-	// SlowFitC is c of SLOW-FIT.
+	// SlowFitC is the parameter c of the SLOW-FIT placement algorithm.
 	SlowFitC float64
 	// IdleReturn is how long a machine beyond the headroom stays idle
 	// before it is returned.
 	IdleReturn time.Duration
 	// BootPatience times a type's published boot time is how long a machine
-	// may take before it is given back.
+	// may take to boot before it is returned.
 	BootPatience float64
 	// HeadroomSpread is how many standard deviations above the learned mean
 	// demand are kept as headroom.
@@ -34,13 +34,13 @@
 	MaxMachines int
 	// Cells are this cell and its neighbours.
 	Cells Cells
-	// Standby is how nodes that do not lead follow the one that does.
+	// Standby configures how the controllers that do not lead follow the leader.
 	Standby Standby
-	// Drain is what plans that drain machines may do.
+	// Drain configures the plans that drain and replace machines.
 	Drain Drain
 }
 
-// Defaults returns the settings of an operator who has none of their own.
+// Defaults returns the settings that hold without an operators' file.
 func Defaults() Operator {
 	return Operator{
 		LeaderLease:    3 * time.Second,
@@ -51,46 +51,39 @@
 		HeadroomSpread: 3,
 		Cells:          defaultCells(),
 		Standby:        Standby{MaxMB: 64},
-		Drain:          defaultDrain(),
+		Drain:          defaultRollouts(),
 	}
 }
 
-type operatorKey struct {
-	section, key string
-	want         string
-	set          func(o *Operator, v float64) bool
+// scalarSections are the sections that hold single values: their keys, and where each is stored.
+func scalarSections(o *Operator) map[string]sectionKeys {
+	return map[string]sectionKeys{
+		"leadership": {
+			"lease_s":   seconds(&o.LeaderLease, 1, 60),
+			"margin_ms": milliseconds(&o.LeaseMargin, 50, 500),
+		},
+		"placement": {
+			"c": number(&o.SlowFitC, 1, 100),
+		},
+		"fleet": {
+			"idle_return_s": seconds(&o.IdleReturn, 5, 86400),
+			"boot_patience": number(&o.BootPatience, 1.5, 100),
+			"warm_spread":   number(&o.HeadroomSpread, 0, 10),
+			"max_machines":  machineBound(&o.MaxMachines),
+		},
+	}
 }
 
-// operatorKeys lists every key that the INI file may have.
-var operatorKeys = []operatorKey{
-	{"leadership", "lease_s", "between 1 and 60", func(o *Operator, v float64) bool {
-		o.LeaderLease = Seconds(v)
-		return v >= 1 && v <= 60
-	}},
-	{"leadership", "margin_ms", "between 50 and 500", func(o *Operator, v float64) bool {
-		o.LeaseMargin = Seconds(v / 1000)
-		return v >= 50 && v <= 500
-	}},
-	{"placement", "c", "between 1 and 100", func(o *Operator, v float64) bool {
-		o.SlowFitC = v
-		return v >= 1 && v <= 100
-	}},
-	{"fleet", "idle_return_s", "between 5 and 86400", func(o *Operator, v float64) bool {
-		o.IdleReturn = Seconds(v)
-		return v >= 5 && v <= 86400
-	}},
-	{"fleet", "boot_patience", "between 1.5 and 100", func(o *Operator, v float64) bool {
-		o.BootPatience = v
-		return v >= 1.5 && v <= 100
-	}},
-	{"fleet", "warm_spread", "between 0 and 10", func(o *Operator, v float64) bool {
-		o.HeadroomSpread = v
-		return v >= 0 && v <= 10
-	}},
-	{"fleet", "max_machines", "a whole number, 0 for no bound", func(o *Operator, v float64) bool {
-		o.MaxMachines = int(v)
-		return v >= 0 && v == float64(int(v)) && v <= 1e6
-	}},
+// machineBound reads the bound of the fleet.
+func machineBound(into *int) keyReader {
+	const mostMachines = 1e6
+	return keyReader{"a whole number, 0 for no bound", func(value string) bool {
+		bound, ok := parseWholeNumber(value, 0, mostMachines)
+		if ok {
+			*into = bound
+		}
+		return ok
+	}}
 }
 
 // LoadOperator reads the operators' INI file; an empty path gives the defaults.
@@ -100,77 +93,56 @@
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return Operator{}, fmt.Errorf("operator settings: %w", err)
+		return Operator{}, fmt.Errorf("read the operators' settings: %w", err)
 	}
 	return ParseOperator(path, string(text))
 }
 
-// ParseOperator validates the text of an operator file; path is for messages.
+// ParseOperator reads and validates the text of an operators' file; path is named in errors.
 func ParseOperator(path, text string) (Operator, error) {
-	o := Defaults()
-	f, err := ini.LoadSources(ini.LoadOptions{}, []byte(text))
+	operator := Defaults()
+	file, err := ini.LoadSources(ini.LoadOptions{}, []byte(text))
 	if err != nil {
-		return o, fmt.Errorf("%s: %w", path, err)
+		return operator, fmt.Errorf("%s: %w", path, err)
 	}
-	known := map[string]operatorKey{}
-	for _, k := range operatorKeys {
-		known[k.section+"."+k.key] = k
-	}
-	var errs []error
-	o.Cells, errs = readCells(path, text, f)
-	var wrong []error
-	o.Standby, wrong = readStandby(path, text, f)
-	errs = append(errs, wrong...)
-	o.Drain, wrong = readDrain(path, text, f)
-	errs = append(errs, wrong...)
-	for _, s := range f.Sections() {
-		if isCells(s.Name()) || isDrain(s.Name()) || s.Name() == standbySection {
+	var cellErrors, standbyErrors, rolloutErrors []error
+	operator.Cells, cellErrors = readCells(path, text, file)
+	operator.Standby, standbyErrors = readStandby(path, text, file)
+	operator.Drain, rolloutErrors = readRollouts(path, text, file)
+	scalarErrors := readScalars(path, text, file, &operator)
+	return operator, errors.Join(slices.Concat(cellErrors, standbyErrors, rolloutErrors, scalarErrors)...)
+}
+
+// readScalars reads all sections that no other reader is responsible for. Keys in sections that
+// are not known are refused.
+func readScalars(path, text string, file *ini.File, into *Operator) []error {
+	r := &sectionReader{path: path, text: text}
+	sections := scalarSections(into)
+	for _, section := range file.Sections() {
+		name := section.Name()
+		if isCellSection(name) || isRolloutSection(name) || name == standbySection {
 			continue
 		}
-		for _, k := range s.Keys() {
-			name := s.Name() + "." + k.Name()
-			fe := &FieldError{File: path, Line: lineOf(text, s.Name(), k.Name()), Key: name, Value: strconv.Quote(k.Value())}
-			spec, ok := known[name]
-			if !ok {
-				fe.Want = "one of the known keys (" + strings.Join(keyNames(), ", ") + ")"
-				errs = append(errs, fe)
-				continue
-			}
-			v, err := strconv.ParseFloat(strings.TrimSpace(k.Value()), 64)
-			if err != nil || !spec.set(&o, v) {
-				fe.Want = spec.want
-				errs = append(errs, fe)
-			}
+		keys, known := sections[name]
+		if known {
+			r.readKeys(section, keys)
+			continue
+		}
+		for _, key := range section.Keys() {
+			r.refuse(name, key.Name(), key.Value(), "one of the known keys ("+strings.Join(scalarKeyNames(), ", ")+")")
 		}
 	}
-	return o, errors.Join(errs...)
-}
-
-func keyNames() []string {
-	var out []string
-	for _, k := range operatorKeys {
-		out = append(out, k.section+"."+k.key)
-	}
-	return out
+	return r.errs
 }
 
-// lineOf finds a key's line, since the INI library does not keep it.
-func lineOf(text, section, key string) int {
-	at := ini.DefaultSection
-	sc := bufio.NewScanner(strings.NewReader(text))
-	for n := 1; sc.Scan(); n++ {
-		line := strings.TrimSpace(sc.Text())
-		if strings.HasPrefix(line, "[") && strings.HasSuffix(line, "]") {
-			at = strings.TrimSpace(line[1 : len(line)-1])
-			continue
-		}
-		name, _, ok := strings.Cut(line, "=")
-		if !ok {
-			name, _, ok = strings.Cut(line, ":")
-		}
-		if ok && at == section && strings.TrimSpace(name) == key {
-			return n
+// scalarKeyNames lists the keys of all scalar sections, each with its section.
+func scalarKeyNames() []string {
+	var names []string
+	for section, keys := range scalarSections(&Operator{}) {
+		for key := range maps.Keys(keys) {
+			names = append(names, section+"."+key)
 		}
 	}
-	return 0
+	slices.Sort(names)
+	return names
 }
--- /dev/null
+++ b/internal/settings/platform_validation.go
@@ -0,0 +1,155 @@
+package settings
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"net/netip"
+)
+
+// Bounds on what the platform may hand over.
+const (
+	maxAmount     = 1e9
+	minTxnOps     = 2
+	minSockets    = 16
+	maxClockError = 60000 // ms
+	maxListLag    = 3600  // s
+)
+
+// fieldValidator checks fields of a file and collects an error for each one that it refuses.
+type fieldValidator struct {
+	file string
+	errs []error
+}
+
+func (v *fieldValidator) refuse(key string, value any, want string) {
+	v.errs = append(v.errs, &FieldError{File: v.file, Key: key, Value: fmt.Sprintf("%#v", value), Want: want})
+}
+
+func (v *fieldValidator) address(key, value string) {
+	if _, err := netip.ParseAddrPort(value); err != nil {
+		v.refuse(key, value, "an IP address and port, as in 10.0.0.1:8080")
+	}
+}
+
+func (v *fieldValidator) positive(key string, value float64) {
+	if !(value > 0) || value > maxAmount {
+		v.refuse(key, value, "more than 0")
+	}
+}
+
+func (v *fieldValidator) atLeast(key string, value, least int) {
+	if value < least {
+		v.refuse(key, value, fmt.Sprintf("%d or more", least))
+	}
+}
+
+func (v *fieldValidator) between(key string, value, least, most float64) {
+	if !(value >= least) || value > most {
+		v.refuse(key, value, fmt.Sprintf("between %v and %v", least, most))
+	}
+}
+
+// validate returns an error for each field that is out of range or contradicts another.
+func (p *Platform) validate(path string) error {
+	v := &fieldValidator{file: path}
+	if p.Node == "" {
+		v.refuse("host_name", p.Node, "this controller's name")
+	}
+	v.address("public_addr", p.Listen)
+	v.address("back", p.Back)
+	if p.Back == p.Listen {
+		v.refuse("back", p.Back, "another address than public_addr")
+	}
+	v.address("services.cloud", p.Services.Cloud)
+	v.address("services.state", p.Services.State)
+	p.validatePeers(v)
+	p.Facts.validateTeams(v)
+	p.Facts.validateNumbers(v)
+	p.Facts.State.validateNext(v)
+	p.Facts.validateObjectives(v)
+	return errors.Join(v.errs...)
+}
+
+func (p *Platform) validatePeers(v *fieldValidator) {
+	names := map[string]bool{p.Node: true}
+	for i, peer := range p.Peers {
+		if peer.Node == "" || names[peer.Node] {
+			v.refuse(fmt.Sprintf("others[%d].host_name", i), peer.Node, "a name that no other controller has")
+		}
+		names[peer.Node] = true
+		v.address(fmt.Sprintf("others[%d].endpoint", i), peer.Addr)
+	}
+}
+
+func (facts *Facts) validateTeams(v *fieldValidator) {
+	names := map[string]bool{}
+	for i, team := range facts.Teams {
+		if team.Name == "" || names[team.Name] {
+			v.refuse(fmt.Sprintf("facts.teams[%d].name", i), team.Name, "a name that no other team has")
+		}
+		names[team.Name] = true
+		for _, amount := range []struct {
+			key   string
+			value float64
+		}{{"cpus", team.CPUs}, {"cpus_max", team.CPUsMax}, {"gpus", team.GPUs}, {"gpus_max", team.GPUsMax}} {
+			if !(amount.value >= 0) || math.IsInf(amount.value, 0) {
+				v.refuse(fmt.Sprintf("facts.teams[%d].%s", i, amount.key), amount.value, "0 or more")
+			}
+		}
+	}
+}
+
+func (facts *Facts) validateNumbers(v *fieldValidator) {
+	v.positive("facts.workers.report_s", facts.Workers.ReportS)
+	v.positive("facts.workers.lease_s", facts.Workers.LeaseS)
+	v.positive("facts.workers.cancel_s", facts.Workers.CancelS)
+	if facts.Workers.ReportS >= facts.Workers.LeaseS {
+		v.refuse("facts.workers.report_s", facts.Workers.ReportS, "less than facts.workers.lease_s")
+	}
+	v.positive("facts.state.rps", facts.State.RPS)
+	v.positive("facts.state.write_rps", facts.State.WriteRPS)
+	v.positive("facts.state.value_kb", facts.State.ValueKB)
+	v.atLeast("facts.state.txn_ops", facts.State.TxnOps, minTxnOps)
+	v.positive("facts.cloud.rps", facts.Cloud.RPS)
+	v.positive("facts.resources.cpu_share", facts.Resources.CPUShare)
+	v.positive("facts.resources.ram_mb", facts.Resources.RAMMB)
+	v.atLeast("facts.resources.sockets", facts.Resources.Sockets, minSockets)
+	v.between("facts.clock_error_ms", facts.ClockErrorMS, 0, maxClockError)
+	v.between("facts.cloud.list_lag_s", facts.Cloud.ListLagS, 0, maxListLag)
+}
+
+// validateNext checks the limits that are announced. A limit that is left out keeps its present
+// value.
+func (l *StateLimits) validateNext(v *fieldValidator) {
+	next := l.Next
+	if next == nil {
+		return
+	}
+	limits := []struct{ next, now *float64 }{
+		{&next.RPS, &l.RPS},
+		{&next.WriteRPS, &l.WriteRPS},
+		{&next.ValueKB, &l.ValueKB},
+	}
+	for _, limit := range limits {
+		if *limit.next == 0 {
+			*limit.next = *limit.now
+		}
+	}
+	if next.TxnOps == 0 {
+		next.TxnOps = l.TxnOps
+	}
+	v.positive("facts.state.next.rps", next.RPS)
+	v.positive("facts.state.next.write_rps", next.WriteRPS)
+	v.positive("facts.state.next.value_kb", next.ValueKB)
+	v.atLeast("facts.state.next.txn_ops", next.TxnOps, minTxnOps)
+}
+
+func (facts *Facts) validateObjectives(v *fieldValidator) {
+	for i, objective := range facts.Objectives {
+		v.between(fmt.Sprintf("facts.objectives[%d].share", i), objective.Share, 0, 1)
+		if !(objective.WithinS >= 0) || !(objective.Times >= 0) {
+			v.refuse(fmt.Sprintf("facts.objectives[%d]", i), objective.Kind, "an objective with times of 0 or more")
+		}
+	}
+}
--- a/internal/settings/drain_test.go
+++ b/internal/settings/rollouts_test.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"errors"
 	"os"
 	"testing"
 	"time"
@@ -8,9 +9,9 @@
 	"leadproxy/internal/rollout"
 )
 
-// TestDrainFiles: the files that operators start from are valid, and nothing is on by
-// default.
-func TestDrainFiles(t *testing.T) {
+// TestRolloutFiles: the files that operators start from are valid, and rollouts are not enabled
+// by default.
+func TestRolloutFiles(t *testing.T) {
 	text, err := os.ReadFile("../../deploy/drain.ini")
 	if err != nil {
 		t.Fatal(err)
@@ -20,7 +21,7 @@
 		t.Errorf("%+v, %v", o.Drain, err)
 	}
 	if Defaults().Drain.Enabled {
-		t.Error("on by default")
+		t.Error("rollouts are enabled by default")
 	}
 	if text, err = os.ReadFile("../../deploy/drain-plan.ini"); err != nil {
 		t.Fatal(err)
@@ -30,8 +31,8 @@
 	}
 }
 
-// TestBudgets: what a budget does not say is the general one's, and what makes no sense is
-// refused.
+// TestBudgets: a key that a budget leaves out has the general budget's value, and invalid budgets
+// are refused.
 func TestBudgets(t *testing.T) {
 	o, err := ParseOperator("b.ini", "[budget]\njobs = 3\nwindow_s = 10\n[budget.team.a]\nshare = 25%\n[budget.class.c]\njobs = none\n")
 	if err != nil {
@@ -46,15 +47,15 @@
 	for _, wrong := range []string{"[budget]\njobs = 0", "[budget]\njobs = -1", "[budget]\njobs = 1.5", "[budget]\nshare = 0%", "[budget]\nshare = 101%", "[budget]\nshare = 10",
 		"[budget]\njobs = 1\nshare = 10%", "[budget.teams.a]\njobs = 1", "[budget.team.]\njobs = 1", "[budget]\njob = 1", "[drain]\nenabled = maybe", "[drain]\nsurge = yes"} {
 		if _, err := ParseOperator("b.ini", wrong); err == nil {
-			t.Errorf("%q is taken", wrong)
+			t.Errorf("%q is accepted", wrong)
 		}
 	}
 	p := &Platform{Facts: Facts{Teams: []Team{{Name: "b"}}}}
-	if err := CheckDrain(p, o); err == nil {
-		t.Error("a budget of a team that nobody knows is taken")
+	if err := CheckBudgets(p, o); !errors.Is(err, ErrConflict) {
+		t.Errorf("a budget of an unknown team is accepted: %v", err)
 	}
 	p.Facts.Teams[0].Name = "a"
-	if err := CheckDrain(p, o); err != nil {
+	if err := CheckBudgets(p, o); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/settings/standby.go
+++ b/internal/settings/standby.go
@@ -6,31 +6,32 @@
 	"gopkg.in/ini.v1"
 )
 
-// Standby is how nodes that do not lead follow the one that does.
+// Standby configures how the controllers that do not lead follow the leader.
 type Standby struct {
 	// Follow has them keep a copy of the leader's durable state.
 	Follow bool
 	// MaxMB bounds that copy. One that would be larger is dropped.
 	MaxMB float64
-	// Hints has the leader tell them as well what it holds only in memory.
+	// Hints has the leader replicate its soft state to them too, which it holds only in memory.
 	Hints bool
 }
 
 const standbySection = "standby"
 
 // readStandby reads the section about standbys.
-func readStandby(path, text string, f *ini.File) (Standby, []error) {
-	s := Defaults().Standby
+func readStandby(path, text string, file *ini.File) (Standby, []error) {
+	standby := Defaults().Standby
+	if !file.HasSection(standbySection) {
+		return standby, nil
+	}
 	r := &sectionReader{path: path, text: text}
-	if f.HasSection(standbySection) {
-		r.each(f.Section(standbySection), map[string]func(string) string{
-			"follow": flag(&s.Follow),
-			"hints":  flag(&s.Hints),
-			"max_mb": func(v string) string { return number(v, &s.MaxMB, 1, 1e5) },
-		})
-		if s.Hints && !s.Follow {
-			r.errs = append(r.errs, fmt.Errorf("%s: [%s] hints need follow: nodes that do not follow read everything anew", path, standbySection))
-		}
+	r.readKeys(file.Section(standbySection), sectionKeys{
+		"follow": yesNo(&standby.Follow),
+		"hints":  yesNo(&standby.Hints),
+		"max_mb": number(&standby.MaxMB, 1, 1e5),
+	})
+	if standby.Hints && !standby.Follow {
+		r.errs = append(r.errs, fmt.Errorf("%s: [%s] hints need follow: controllers that do not follow read everything anew", path, standbySection))
 	}
-	return s, r.errs
+	return standby, r.errs
 }
