--- a/cmd/leadproxy/commands.go
+++ b/cmd/leadproxy/commands.go
@@ -79,20 +79,20 @@
 	if err != nil {
 		return err
 	}
-	var journeys []*cells.Journey
-	for _, j := range cells.Journeys(steps) {
-		if c.Job == "" || j.Job == c.Job {
-			journeys = append(journeys, j)
+	var jobs []*cells.JobTrace
+	for _, job := range cells.GroupByJob(steps) {
+		if c.Job == "" || job.JobID == c.Job {
+			jobs = append(jobs, job)
 		}
 	}
-	if len(journeys) == 0 {
+	if len(jobs) == 0 {
 		return fmt.Errorf("the files hold nothing of job %q", c.Job)
 	}
 	if c.HTML == "" {
-		return cells.WriteText(os.Stdout, journeys)
+		return cells.WriteText(os.Stdout, jobs)
 	}
 	var page bytes.Buffer
-	if err := cells.WritePage(&page, journeys); err != nil {
+	if err := cells.WritePage(&page, jobs); err != nil {
 		return err
 	}
 	return os.WriteFile(c.HTML, page.Bytes(), 0o666)
--- a/internal/cells/client.go
+++ b/internal/cells/client.go
@@ -1,5 +1,5 @@
-// Package cells carries transfers between the cells of an operator, over gRPC, and shows
-// them to operators. What the messages mean is in package spill.
+// Package cells carries transfers of jobs between the cells of an operator, over gRPC, and shows
+// them to operators. The meaning of the messages is defined by package federation.
 package cells
 
 import (
@@ -20,88 +20,92 @@
 	"leadproxy/internal/transport"
 )
 
-// version is that of the messages. Cells of different versions refuse one another.
-const version = 1
+// protocolVersion is the version of the messages. Cells of different versions refuse one another.
+const protocolVersion = 1
 
-// The times of a call: it may try each controller of a cell in turn.
+// The time limits of a call, which may try each controller of a cell in turn.
 const (
-	callLimit = 2 * time.Second
-	tryLimit  = 700 * time.Millisecond
+	callTimeout    = 2 * time.Second
+	attemptTimeout = 700 * time.Millisecond
 )
 
-// ErrNoCell means that the settings name no such neighbour.
-var ErrNoCell = errors.New("no such neighbour")
+// ErrUnknownCell means that the settings have no neighbour of that name.
+var ErrUnknownCell = errors.New("unknown neighbour")
 
-// Client speaks to the leaders of the neighbours.
+// Client calls the leaders of the neighbours.
 type Client struct {
-	cell    string
-	cancelS float64
-	peers   map[string]*neighbour
+	cell string
+	// cancelS is the time in seconds within which the tasks of a cancelled job are gone here.
+	cancelS    float64
+	neighbours map[string]*neighbour
 }
 
-// neighbour is the connections to the controllers of one cell.
+// neighbour holds the connections to the controllers of one cell.
 type neighbour struct {
 	controllers []cellpb.CellClient
-	// leader is the place of the one that answered last.
+	// leader is the index of the controller that answered last.
 	leader atomic.Int64
 }
 
 // Dial prepares connections to all controllers of the neighbours, until ctx ends.
-// Nothing is sent until the first call.
-func Dial(ctx context.Context, n transport.Network, c settings.Cells, cancelS float64) (*Client, error) {
-	client := &Client{cell: c.Name, cancelS: cancelS, peers: map[string]*neighbour{}}
-	for _, other := range c.Neighbours {
-		to := &neighbour{}
-		for _, addr := range other.Controllers {
-			conn, err := rpc.Connect(n, addr)
+// Nothing is sent before the first call.
+func Dial(ctx context.Context, network transport.Network, cells settings.Cells, cancelS float64) (*Client, error) {
+	client := &Client{cell: cells.Name, cancelS: cancelS, neighbours: map[string]*neighbour{}}
+	for _, configured := range cells.Neighbours {
+		connected := &neighbour{}
+		for _, address := range configured.Controllers {
+			conn, err := rpc.Connect(network, address)
 			if err != nil {
-				return nil, fmt.Errorf("cell %s, controller %s: %w", other.Name, addr, err)
+				return nil, fmt.Errorf("connect to controller %s of cell %s: %w", address, configured.Name, err)
 			}
 			context.AfterFunc(ctx, func() { conn.Close() })
-			to.controllers = append(to.controllers, cellpb.NewCellClient(conn))
+			connected.controllers = append(connected.controllers, cellpb.NewCellClient(conn))
 		}
-		client.peers[other.Name] = to
+		client.neighbours[configured.Name] = connected
 	}
 	return client, nil
 }
 
 func (c *Client) envelope(to string) *cellpb.Envelope {
-	return &cellpb.Envelope{Version: version, From: c.cell, To: to}
+	return &cellpb.Envelope{Version: protocolVersion, From: c.cell, To: to}
 }
 
-// call makes a call to a cell's leader, which any of its controllers may be. The one
-// that answered last is tried first.
-func (c *Client) call(ctx context.Context, cell string, try func(ctx context.Context, to cellpb.CellClient) error) error {
-	to := c.peers[cell]
-	if to == nil {
-		return ErrNoCell
+// request is one request to a controller of a cell.
+type request func(ctx context.Context, controller cellpb.CellClient) error
+
+// call sends a request to a cell's leader, which any of its controllers may be. The one that
+// answered last is tried first.
+func (c *Client) call(ctx context.Context, cell string, send request) error {
+	neighbour := c.neighbours[cell]
+	if neighbour == nil {
+		return fmt.Errorf("call cell %s: %w", cell, ErrUnknownCell)
 	}
-	ctx, cancel := context.WithTimeout(ctx, callLimit)
+	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	first := int(to.leader.Load())
+	first := int(neighbour.leader.Load())
 	var err error
-	for i := range to.controllers {
-		at := (first + i) % len(to.controllers)
-		if err = tryOnce(ctx, to.controllers[at], try); err == nil {
-			to.leader.Store(int64(at))
+	for i := range neighbour.controllers {
+		index := (first + i) % len(neighbour.controllers)
+		if err = attempt(ctx, neighbour.controllers[index], send); err == nil {
+			neighbour.leader.Store(int64(index))
 			return nil
 		}
-		if !elsewhere(err) || ctx.Err() != nil {
+		if !retryElsewhere(err) || ctx.Err() != nil {
 			break
 		}
 	}
-	return fmt.Errorf("cell %s: %w", cell, err)
+	return fmt.Errorf("call cell %s: %w", cell, err)
 }
 
-func tryOnce(ctx context.Context, to cellpb.CellClient, try func(ctx context.Context, to cellpb.CellClient) error) error {
-	ctx, cancel := context.WithTimeout(ctx, tryLimit)
+func attempt(ctx context.Context, controller cellpb.CellClient, send request) error {
+	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
-	return try(ctx, to)
+	return send(ctx, controller)
 }
 
-// elsewhere tells whether another controller of the cell may do better: this one does
-// not lead, does not answer, or is of a version before cells.
-func elsewhere(err error) bool {
+// retryElsewhere reports whether another controller of the cell may succeed: this one is not the
+// leader, does not answer, or has a version without cells.
+func retryElsewhere(err error) bool {
 	switch status.Code(err) {
 	case codes.Unavailable, codes.DeadlineExceeded, codes.Unimplemented:
 		return true
@@ -109,35 +113,35 @@
 	return false
 }
 
-// Exchange has a neighbour's leader answer messages.
+// Exchange sends messages to a neighbour's leader and returns its answers.
 func (c *Client) Exchange(ctx context.Context, cell string, messages []federation.Message) ([]federation.Answer, error) {
-	request := &cellpb.ExchangeRequest{Envelope: c.envelope(cell)}
+	exchange := &cellpb.ExchangeRequest{Envelope: c.envelope(cell)}
 	for _, m := range messages {
-		request.Messages = append(request.Messages, messageOut(m))
+		exchange.Messages = append(exchange.Messages, encodeMessage(m))
 	}
 	var answers []federation.Answer
-	err := c.call(ctx, cell, func(ctx context.Context, to cellpb.CellClient) error {
-		reply, err := to.Exchange(ctx, request)
+	err := c.call(ctx, cell, func(ctx context.Context, controller cellpb.CellClient) error {
+		reply, err := controller.Exchange(ctx, exchange)
 		if err != nil {
 			return err
 		}
 		for _, a := range reply.Answers {
-			answers = append(answers, answerIn(a))
+			answers = append(answers, decodeAnswer(a))
 		}
 		return nil
 	})
 	return answers, err
 }
 
-// AskCapacity asks a neighbour's leader for room for so many cores.
+// AskCapacity requests a capacity offer for a number of cores from a neighbour's leader.
 func (c *Client) AskCapacity(ctx context.Context, cell string, cores float64) (dispatch.CapacityOffer, error) {
 	var offer dispatch.CapacityOffer
-	err := c.call(ctx, cell, func(ctx context.Context, to cellpb.CellClient) error {
-		reply, err := to.Room(ctx, &cellpb.RoomRequest{Envelope: c.envelope(cell), Cores: cores, CancelS: c.cancelS})
+	err := c.call(ctx, cell, func(ctx context.Context, controller cellpb.CellClient) error {
+		reply, err := controller.Room(ctx, &cellpb.RoomRequest{Envelope: c.envelope(cell), Cores: cores, CancelS: c.cancelS})
 		if err != nil {
 			return err
 		}
-		offer = dispatch.CapacityOffer{Cores: max(0, min(reply.Cores, cores)), For: milliseconds(reply.ForMs), RetryAfter: milliseconds(reply.RetryAfterMs), Reason: reply.Reason}
+		offer = decodeOffer(reply, cores)
 		return nil
 	})
 	return offer, err
--- a/internal/cells/golden_test.go
+++ b/internal/cells/golden_test.go
@@ -14,9 +14,9 @@
 // TestGoldenExchange compares the bytes of an offer with its job, and of an answer, as they
 // travel between cells.
 func TestGoldenExchange(t *testing.T) {
-	offer := messageOut(federation.Message{Kind: federation.Offer, JobID: "job-17", Epoch: 3, Body: &federation.OfferBody{
+	offer := encodeMessage(federation.Message{Kind: federation.Offer, JobID: "job-17", Epoch: 3, Body: &federation.OfferBody{
 		Job: []byte(`{"ref":"job-17"}`), Cores: 4.5, AcceptedMS: 5, Repeatable: true}})
-	answer := answerOut(federation.Answer{JobID: "job-17", Epoch: 3, Outcome: federation.OutcomeRefused, Done: 4, Running: 5,
+	answer := encodeAnswer(federation.Answer{JobID: "job-17", Epoch: 3, Outcome: federation.OutcomeRefused, Done: 4, Running: 5,
 		Reason: "text-6", Temporary: true, RetryAfter: 7 * time.Second})
 	property.CheckGoldenValues(t, "exchange", map[string]any{
 		"offer":  encoded(t, offer),
--- /dev/null
+++ b/internal/cells/three_cells_test.go
@@ -0,0 +1,332 @@
+//go:build cells
+
+package cells
+
+import (
+	"bytes"
+	"context"
+	"encoding/json"
+	"flag"
+	"fmt"
+	"maps"
+	"os"
+	"os/exec"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"text/tabwriter"
+	"time"
+
+	"leadproxy/internal/fake"
+	"leadproxy/internal/federation"
+	"leadproxy/internal/ledger"
+	"leadproxy/internal/settings"
+	"leadproxy/internal/transport"
+	"leadproxy/internal/wire"
+)
+
+// Real controllers of three cells on the loopback interface, with fakes of the outside
+// systems in this process. docs/operations-federation.md has the command.
+
+var summaryFile = flag.String("ledger", "", "where to write the summary of all jobs")
+
+const (
+	repository  = "../.."
+	controllers = 3
+	taskTime    = 4 * time.Second
+	floodJobs   = 120
+	floodEvery  = 500 * time.Millisecond
+	cancelLimit = 20 * time.Second
+)
+
+// cell is one cell: its controllers and the outside systems that they use.
+type cell struct {
+	t         *testing.T
+	name      string
+	store     *fake.State
+	cloud     *fake.Cloud
+	users     *fake.Users
+	processes []*fake.Process
+	// relays are between the controllers and those of other cells.
+	relays       []*fake.Relay
+	settingsFile string
+	traceFile    string
+}
+
+// newCell starts the outside systems of a cell, and prepares its controllers.
+func newCell(t *testing.T, name string, machines int, check *fake.Checker) *cell {
+	t.Helper()
+	network := transport.TCP{}
+	c := &cell{t: t, name: name, store: fake.NewState(t, network, "127.0.0.1:0", nil)}
+	public, back := fake.Reserve(t, controllers), fake.Reserve(t, controllers)
+	var workers []fake.Node
+	for i, addr := range public {
+		workers = append(workers, fake.Node{Name: c.controllerName(i), Addr: addr})
+	}
+	c.users = fake.NewUsers(t, network, public, check, 1)
+	zones := []string{"x", "y", "z"}
+	c.cloud = fake.NewCloud(t, network, "127.0.0.1:0", fake.CloudConfig{Prefix: name + "-vm-",
+		Types: []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 1, Zones: zones}},
+		Boot:  time.Second, ListLag: 2 * time.Second, Most: machines,
+		Worker: fake.WorkerConfig{Nodes: workers, Report: time.Second, Lease: 8 * time.Second, Fetch: 200 * time.Millisecond,
+			Run: func(string) time.Duration { return taskTime }, Check: check},
+		Host: func(string) (transport.Network, string) { return network, "127.0.0.1:0" },
+	})
+	facts := settings.Facts{Nodes: controllers, Zones: zones, ClockErrorMS: 5, Teams: []settings.Team{{Name: "open"}},
+		Workers:   settings.Workers{ReportS: 1, LeaseS: 8, CancelS: cancelLimit.Seconds()},
+		State:     settings.StateLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32},
+		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 2},
+		Resources: settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 2000}}
+	dir := t.TempDir()
+	c.settingsFile, c.traceFile = filepath.Join(dir, "cells.ini"), filepath.Join(dir, "trace")
+	for i := range controllers {
+		c.relays = append(c.relays, fake.NewRelay(t, back[i]))
+		p := settings.Platform{Node: c.controllerName(i), Zone: zones[i], Listen: public[i], Back: back[i], Facts: facts,
+			Services: settings.Services{State: c.store.Addr(), Cloud: c.cloud.Addr()}}
+		for k := range controllers {
+			if k != i {
+				p.Peers = append(p.Peers, settings.Peer{Node: c.controllerName(k), Zone: zones[k], Addr: back[k]})
+			}
+		}
+		c.processes = append(c.processes, fake.NewProcess(t, dir, p, "--settings", c.settingsFile))
+	}
+	return c
+}
+
+func (c *cell) controllerName(i int) string { return fmt.Sprintf("%s-n%d", c.name, i) }
+
+// writeSettings writes the operators' settings of a cell and its neighbours.
+func (c *cell) writeSettings(machines int, neighbours ...*cell) {
+	c.t.Helper()
+	text := fmt.Sprintf("[fleet]\nmax_machines = %d\n[cell]\nname = %s\nspill = yes\nshortage_s = 3\nmax_wait_s = 5\ntrace_file = %s\n", machines, c.name, c.traceFile)
+	for preference, neighbour := range neighbours {
+		var addresses []string
+		for _, r := range neighbour.relays {
+			addresses = append(addresses, r.Addr())
+		}
+		text += fmt.Sprintf("[neighbour.%s]\ncontrollers = %s\npreference = %d\nmax_cores = 64\nlend_cores = 64\n", neighbour.name, strings.Join(addresses, ", "), preference)
+	}
+	if err := os.WriteFile(c.settingsFile, []byte(text), 0o600); err != nil {
+		c.t.Fatal(err)
+	}
+}
+
+// restartLeader kills the leader's process and starts it again.
+func (c *cell) restartLeader(program string) {
+	leader := fake.Leader(c.store, c.processes)
+	if leader < 0 {
+		c.t.Errorf("cell %s has no leader", c.name)
+		return
+	}
+	c.processes[leader].Kill()
+	time.Sleep(2 * time.Second)
+	c.processes[leader].Start(program)
+}
+
+// restartAll kills all controllers and starts them again.
+func (c *cell) restartAll(program string) {
+	for _, p := range c.processes {
+		p.Kill()
+	}
+	for _, p := range c.processes {
+		p.Start(program)
+	}
+}
+
+// cut has the messages between this cell and others be lost in one direction.
+func (c *cell) cut(direction fake.Direction) {
+	for _, r := range c.relays {
+		r.Lose(direction, true)
+	}
+}
+
+// restore ends a cut.
+func (c *cell) restore(direction fake.Direction) {
+	for _, r := range c.relays {
+		r.Lose(direction, false)
+		r.Break()
+	}
+}
+
+// jobSummary is the history of one job.
+type jobSummary struct {
+	id           string
+	cells        []string // in which its tasks were on machines
+	transfers    []string // their epochs and states
+	attempts     int
+	finalAnswers []string // in the origin's record
+}
+
+// summarizeJobs gathers the histories of all jobs from the stores and the machines.
+func summarizeJobs(check *fake.Checker, origin *cell, neighbours ...*cell) []*jobSummary {
+	byID := map[string]*jobSummary{}
+	summaryOf := func(id string) *jobSummary {
+		if byID[id] == nil {
+			byID[id] = &jobSummary{id: id}
+		}
+		return byID[id]
+	}
+	for _, change := range origin.store.Changes() {
+		id, ok := strings.CutPrefix(change.Set, ledger.JobPrefix)
+		if !ok {
+			continue
+		}
+		job := summaryOf(id)
+		if record, err := ledger.DecodeJob(id, change.Value); err == nil && record.Terminal != "" {
+			job.finalAnswers = append(job.finalAnswers, record.Terminal)
+		}
+	}
+	for _, neighbour := range neighbours {
+		for _, change := range neighbour.store.Changes() {
+			id, ok := strings.CutPrefix(change.Set, "cell/guest/"+origin.name+"/")
+			var record federation.ForeignRecord
+			if ok && json.Unmarshal(change.Value, &record) == nil {
+				job := summaryOf(id)
+				job.transfers = append(job.transfers, fmt.Sprintf("%s/%d %s", neighbour.name, record.Epoch, record.State))
+			}
+		}
+	}
+	for _, run := range check.Runs() {
+		job := summaryOf(wire.JobIDOfTask(run.Task))
+		job.attempts++
+		if name, _, _ := strings.Cut(run.Machine, "-vm-"); !slices.Contains(job.cells, name) {
+			job.cells = append(job.cells, name)
+		}
+	}
+	return slices.SortedFunc(maps.Values(byID), func(a, b *jobSummary) int { return strings.Compare(a.id, b.id) })
+}
+
+func writeSummary(t *testing.T, jobs []*jobSummary) {
+	t.Helper()
+	var text bytes.Buffer
+	w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(w, "JOB\tCELLS\tATTEMPTS\tFINAL ANSWERS\tTRANSFERS")
+	for _, job := range jobs {
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", job.id, strings.Join(job.cells, " "), job.attempts, strings.Join(job.finalAnswers, " "), strings.Join(job.transfers, ", "))
+	}
+	if err := w.Flush(); err != nil {
+		t.Fatal(err)
+	}
+	if *summaryFile != "" {
+		if err := os.WriteFile(*summaryFile, text.Bytes(), 0o600); err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// fault is a fault that is injected at a time since the beginning.
+type fault struct {
+	name   string
+	at     time.Duration
+	inject func()
+}
+
+// TestThreeCells floods one cell while controllers are killed and links are cut: each
+// job has a single final answer and ran in a single cell.
+func TestThreeCells(t *testing.T) {
+	program := fake.Build(t, repository)
+	check := fake.NewChecker(t, fake.Limits{Cancel: cancelLimit, Waiting: 90 * time.Second, Silent: 75 * time.Second})
+	a, b, c := newCell(t, "a", 2, check), newCell(t, "b", 12, check), newCell(t, "c", 12, check)
+	a.writeSettings(2, b, c)
+	b.writeSettings(12, a, c)
+	c.writeSettings(12, a, b)
+	startCells(t, program, a, b, c)
+	faults := []fault{
+		{"a's leader is killed", 12 * time.Second, func() { a.restartLeader(program) }},
+		{"messages from a to b are lost", 20 * time.Second, func() { b.cut(fake.Forth) }},
+		{"and no longer", 30 * time.Second, func() { b.restore(fake.Forth) }},
+		{"b's leader is killed", 33 * time.Second, func() { b.restartLeader(program) }},
+		{"answers from c are lost", 38 * time.Second, func() { c.cut(fake.Back) }},
+		{"and no longer", 48 * time.Second, func() { c.restore(fake.Back) }},
+		{"all controllers of a are killed", 52 * time.Second, func() { a.restartAll(program) }},
+	}
+	start := time.Now()
+	a.users.Go(func() {
+		for _, f := range faults {
+			time.Sleep(time.Until(start.Add(f.at)))
+			t.Logf("+%.0fs: %s", time.Since(start).Seconds(), f.name)
+			f.inject()
+		}
+	})
+	flood(a)
+	fake.Await(t, "all jobs over", 4*time.Minute, func() bool { return len(check.Open()) == 0 })
+	a.users.Wait()
+	fake.Await(t, "all transfers closed at the origin", 30*time.Second, func() bool { return a.store.Count("cell/away/") == 0 })
+	jobs := summarizeJobs(check, a, b, c)
+	writeSummary(t, jobs)
+	checkSummaries(t, jobs)
+	for _, broken := range check.Broken() {
+		t.Error(broken)
+	}
+	t.Logf("%.0f s", time.Since(start).Seconds())
+	showTrace(t, program, a, b, c)
+	if list, err := FetchList(context.Background(), transport.TCP{}, &a.processes[0].Platform); err != nil || list.Cell != "a" {
+		t.Errorf("the list: %v, %v", list, err)
+	}
+	if t.Failed() {
+		fake.KeepLogs(t, slices.Concat(a.processes, b.processes, c.processes))
+	}
+}
+
+// startCells starts all controllers and waits until each cell has a leader.
+func startCells(t *testing.T, program string, cells ...*cell) {
+	t.Helper()
+	for _, c := range cells {
+		for _, p := range c.processes {
+			p.Start(program)
+		}
+		fake.Await(t, "a leader of "+c.name, 20*time.Second, func() bool { return fake.Leader(c.store, c.processes) >= 0 })
+	}
+	time.Sleep(6 * time.Second) // all have announced their capabilities
+}
+
+// flood submits more jobs than a cell has capacity for, and cancels some.
+func flood(c *cell) {
+	for k := range floodJobs {
+		job := fake.NewJob(fmt.Sprintf("job-%06d", k), 4, func(j *wire.Job) { j.CPUs, j.EstimatedRunS = 2, taskTime.Seconds() })
+		c.users.Submit(job)
+		if k%20 == 19 {
+			c.users.Cancel(job)
+		}
+		time.Sleep(floodEvery)
+	}
+}
+
+// checkSummaries checks that each job has one final answer and ran in one cell, and that jobs
+// were delegated at all.
+func checkSummaries(t *testing.T, jobs []*jobSummary) {
+	t.Helper()
+	delegated, restarted := 0, 0
+	for _, job := range jobs {
+		if len(job.finalAnswers) != 1 {
+			t.Errorf("%s has the final answers %v", job.id, job.finalAnswers)
+		}
+		if len(job.cells) > 1 {
+			t.Errorf("%s ran in %v", job.id, job.cells)
+		}
+		if len(job.cells) == 1 && job.cells[0] != "a" {
+			delegated++
+		}
+		if job.attempts > 4 {
+			restarted++
+		}
+	}
+	t.Logf("%d jobs, %d ran elsewhere, %d with more than four attempts", len(jobs), delegated, restarted)
+	if len(jobs) != floodJobs || delegated == 0 {
+		t.Errorf("%d jobs, want %d; %d delegated, want some", len(jobs), floodJobs, delegated)
+	}
+}
+
+// showTrace has the program show the traces of all cells.
+func showTrace(t *testing.T, program string, cells ...*cell) {
+	t.Helper()
+	arguments := []string{"trace"}
+	for _, c := range cells {
+		arguments = append(arguments, c.traceFile)
+	}
+	out, err := exec.Command(program, arguments...).CombinedOutput()
+	if err != nil || !bytes.Contains(out, []byte("neighbour")) || !bytes.Contains(out, []byte("released")) {
+		t.Errorf("the trace: %v: %.500s", err, out)
+	}
+}
--- /dev/null
+++ b/internal/cells/trace_test.go
@@ -0,0 +1,106 @@
+package cells
+
+import (
+	"bytes"
+	"context"
+	"errors"
+	"io"
+	"log/slog"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+
+	"leadproxy/internal/federation"
+)
+
+// TestTraceOfBothCells: the steps of a job that two cells record belong to one trace, which can
+// be written as text and as a page.
+func TestTraceOfBothCells(t *testing.T) {
+	dir := t.TempDir()
+	var files []string
+	log := slog.New(slog.NewTextHandler(io.Discard, nil))
+	ctx, cancel := context.WithCancel(t.Context())
+	for cell, steps := range map[string][]federation.TransferStep{
+		"lima": {{Cell: "puno", JobID: "job-1", Epoch: 1, Step: federation.StepPlanned}, {Cell: "puno", JobID: "job-1", Epoch: 1, Step: federation.StepEnded, Reason: "done"},
+			{Cell: "puno", JobID: "job-2", Epoch: 3, Step: federation.StepRefused, Reason: "full <of> work"}},
+		"puno": {{Origin: "lima", JobID: "job-1", Epoch: 1, Step: federation.StepAccepted}},
+	} {
+		file := filepath.Join(dir, cell)
+		files = append(files, file)
+		tracer, err := NewTracer(ctx, cell, file, log)
+		if err != nil {
+			t.Fatal(err)
+		}
+		for _, s := range steps {
+			tracer.Note(s)
+		}
+	}
+	cancel()
+	// A controller that is killed may leave an incomplete line.
+	f, err := os.OpenFile(files[0], os.O_APPEND|os.O_WRONLY, 0)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if _, err := f.WriteString(`{"Name":"acc`); err != nil {
+		t.Fatal(err)
+	}
+	f.Close()
+	steps, err := ReadSteps(files...)
+	if err != nil {
+		t.Fatal(err)
+	}
+	jobs := GroupByJob(steps)
+	if len(steps) != 4 || len(jobs) != 2 {
+		t.Fatalf("%d steps of %d jobs, want 4 of 2", len(steps), len(jobs))
+	}
+	for _, job := range jobs {
+		if want := map[string]int{"job-1": 3, "job-2": 1}[job.JobID]; len(job.Steps) != want || job.Origin != "lima" {
+			t.Errorf("%s of %s has %d steps, want %d", job.JobID, job.Origin, len(job.Steps), want)
+		}
+	}
+	var text, page bytes.Buffer
+	if err := WriteText(&text, jobs); err != nil {
+		t.Fatal(err)
+	}
+	if err := WritePage(&page, jobs); err != nil {
+		t.Fatal(err)
+	}
+	for _, want := range []string{"job-1 of lima", "neighbour  puno", "epoch 3", "full <of> work"} {
+		if !strings.Contains(text.String(), want) {
+			t.Errorf("the text lacks %q:\n%s", want, text.String())
+		}
+	}
+	for _, want := range []string{"<h2>job-2 of lima", "full &lt;of&gt; work", `class="neighbour"`} {
+		if !strings.Contains(page.String(), want) {
+			t.Errorf("the page lacks %q", want)
+		}
+	}
+	if err := os.WriteFile(files[0], []byte(`{"Name":"x"}`), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	if _, err := ReadSteps(files[0]); !errors.Is(err, errNoStep) {
+		t.Errorf("a span that is not a step of a transfer: %v", err)
+	}
+}
+
+// FuzzReadSteps: any file is read or refused, and what was read can be written.
+func FuzzReadSteps(f *testing.F) {
+	f.Add([]byte(`{"Name":"accepted","SpanContext":{"TraceID":"ab"},"StartTime":"2026-01-01T00:00:00Z","EndTime":"2026-01-01T00:00:01Z",
+		"Attributes":[{"Key":"leadproxy.epoch","Value":{"Type":"INT64","Value":1}},{"Key":"leadproxy.side","Value":{"Type":"STRING","Value":"home"}}]}`))
+	f.Add([]byte(`{"Name":"x"} [`))
+	f.Add([]byte(`null`))
+	f.Fuzz(func(t *testing.T, text []byte) {
+		steps, err := readSteps(bytes.NewReader(text))
+		if err != nil {
+			return
+		}
+		jobs := GroupByJob(steps)
+		if err := WriteText(io.Discard, jobs); err != nil {
+			t.Error(err)
+		}
+		if err := WritePage(io.Discard, jobs); err != nil {
+			t.Error(err)
+		}
+	})
+}
