--- a/internal/lint/protocol_words_lists_test.go
+++ b/internal/lint/protocol_words_lists_test.go
@@ -106,13 +106,11 @@
 	{"internal/federation/types.go", "OutcomeAborted", "not renamed yet"},
 	{"internal/ledger/decode.go", "addHire", "not renamed yet"},
 	{"internal/ledger/records.go", "hirePrefix", "not renamed yet"},
-	{"internal/rollout/record.go", "Hiring", "not renamed yet"},
-	{"internal/rollout/record.go", "Aborted", "a plan that its operator aborted, as leadproxy drain abort says it"},
+	{"internal/rollout/record.go", "PhaseAborted", "a plan that its operator aborted, as leadproxy drain abort says it"},
 	{"internal/rollout/record.go", "Hire", "not renamed yet"},
-	{"internal/rollout/rollout.go", "HirePrefix", "not renamed yet"},
-	{"internal/rollout/rollout.go", "Hired", "not renamed yet"},
-	{"internal/rollout/rollout.go", "HireAhead", "not renamed yet"},
-	{"internal/rollout/rollout.go", "hire", "not renamed yet"},
+	{"internal/rollout/phases.go", "HirePrefix", "not renamed yet"},
+	{"internal/rollout/view.go", "Hired", "not renamed yet"},
+	{"internal/rollout/view.go", "HireAhead", "not renamed yet"},
 	{"internal/scheduler/commands.go", "orders", "not renamed yet"},
 	{"internal/scheduler/eviction_view.go", "hiredMS", "not renamed yet"},
 	{"internal/scheduler/heartbeat_responses.go", "orders", "not renamed yet"},
@@ -123,7 +121,6 @@
 // protocol.
 var allowedFields = []exception{
 	{"internal/federation/types.go", "Epoch", "a transfer epoch: the term of docs/design-federation.md"},
-	{"internal/rollout/record.go", "Ref", "not renamed yet"},
 }
 
 // allowedLiterals are the string literals that may equal a name of the protocol.
--- /dev/null
+++ b/internal/rollout/budgets.go
@@ -0,0 +1,88 @@
+package rollout
+
+import (
+	"fmt"
+	"math"
+	"strings"
+	"time"
+)
+
+// Group is the set of jobs that share a disruption budget: those of a team or of a class.
+type Group string
+
+const (
+	teamGroupPrefix  = "team "
+	classGroupPrefix = "class "
+)
+
+// TeamGroup is the group of all jobs of a team.
+func TeamGroup(team string) Group { return Group(teamGroupPrefix + team) }
+
+// ClassGroup is the group of all jobs of a class.
+func ClassGroup(class string) Group { return Group(classGroupPrefix + class) }
+
+// Team returns the name of the group's team; ok is false if the group is a class.
+func (g Group) Team() (name string, ok bool) { return strings.CutPrefix(string(g), teamGroupPrefix) }
+
+// Job identifies a job and the groups that it belongs to.
+type Job struct {
+	Ref         string
+	Team, Class string
+}
+
+func (j Job) groups() []Group { return []Group{TeamGroup(j.Team), ClassGroup(j.Class)} }
+
+// Budget is how many jobs of a group may be disrupted at once.
+type Budget struct {
+	// Jobs is a number of jobs. If it and Share are 0, no job may be disrupted.
+	Jobs int
+	// Share is a share of the group's running jobs, instead of a number; at least one job.
+	Share float64
+	// Window is the time for which a disruption counts at least.
+	Window time.Duration
+}
+
+// limit is the budget in jobs, for a group with a number of running jobs.
+func (b Budget) limit(running int) int {
+	if b.Share > 0 {
+		return max(1, int(math.Floor(b.Share*float64(running))))
+	}
+	return b.Jobs
+}
+
+// Budgets are the budgets of all groups.
+type Budgets struct {
+	// General is the budget of each team that has none of its own. Classes have none then.
+	General Budget
+	Of      map[Group]Budget
+}
+
+// budgetOf returns the budget of a group; ok is false if the group has none.
+func (b Budgets) budgetOf(g Group) (budget Budget, ok bool) {
+	if budget, ok = b.Of[g]; ok {
+		return budget, true
+	}
+	if name, isTeam := g.Team(); isTeam && name != "" {
+		return b.General, true
+	}
+	return Budget{}, false
+}
+
+// Longest is the longest window of all budgets.
+func (b Budgets) Longest() time.Duration {
+	longest := b.General.Window
+	for _, budget := range b.Of {
+		longest = max(longest, budget.Window)
+	}
+	return longest
+}
+
+// BudgetError means that the budget of a group does not allow another disrupted job.
+type BudgetError struct {
+	Group            Group
+	Disrupted, Limit int
+}
+
+func (e *BudgetError) Error() string {
+	return fmt.Sprintf("the budget of %s: %d of %d jobs", e.Group, e.Disrupted, e.Limit)
+}
--- a/internal/rollout/disruptions.go
+++ b/internal/rollout/disruptions.go
@@ -1,246 +1,182 @@
-// Package rollout controls how machines are drained and replaced in steps, within disruption
-// budgets: which jobs may be disrupted at a time, and the phases of a plan. It is pure: the
-// caller passes the time and the events, and carries out the actions that are returned.
 package rollout
 
 import (
 	"cmp"
-	"fmt"
 	"maps"
-	"math"
 	"slices"
-	"strings"
 	"time"
 )
 
-// Group is whom a budget is for: a team or a class.
-type Group string
-
-const (
-	teamGroupPrefix  = "team "
-	classGroupPrefix = "class "
-)
-
-// TeamGroup is the group of all jobs of a team.
-func TeamGroup(team string) Group { return Group(teamGroupPrefix + team) }
-
-// ClassGroup is the group of all jobs of a class.
-func ClassGroup(class string) Group { return Group(classGroupPrefix + class) }
-
-// Team returns the name of the group's team; ok is false if the group is a class.
-func (g Group) Team() (name string, ok bool) { return strings.CutPrefix(string(g), teamGroupPrefix) }
-
-// Budget is how many jobs of a group may be disrupted at once.
-type Budget struct {
-	// Jobs is a number; 0 with Share 0: none may.
-	Jobs int
-	// Share is of the group's running jobs, instead of a number; at least one job.
-	Share float64
-	// Window is how long a disruption counts at least.
-	Window time.Duration
-}
-
-// jobs is the budget in jobs for a group of which so many run.
-func (b Budget) jobs(running int) int {
-	if b.Share > 0 {
-		return max(1, int(math.Floor(b.Share*float64(running))))
-	}
-	return b.Jobs
-}
-
-// Budgets are those of all groups. Teams without one have the general one, classes none.
-type Budgets struct {
-	General Budget
-	Of      map[Group]Budget
-}
-
-// Job is a job as the account sees it.
-type Job struct {
-	Ref         string
-	Team, Class string
-}
-
-func (j Job) groups() []Group { return []Group{TeamGroup(j.Team), ClassGroup(j.Class)} }
-
-// Cause is why a task lost its place.
+// Cause is the reason for which a task lost its machine.
 type Cause string
 
-// Move is the voluntary cause; all others are involuntary.
+// Move is the cause of voluntary disruptions, the evictions by plans. All others are involuntary.
 const Move Cause = "move"
 
-// disruption is that of one job.
+// disruption is the disruption of one job: from the moment when a task loses its machine until
+// all its tasks have regained the progress that they lost.
 type disruption struct {
-	job   Job
-	began time.Duration
-	// tasks are those that have not regained what they lost, and what that is.
-	tasks map[int]*lostTask
-	cause Cause // the first one
-	ended time.Duration
-	open  bool
+	job     Job
+	started time.Duration
+	// tasks are those that have not regained their lost progress.
+	tasks map[int]*disruptedTask
+	// cause is that of the first task.
+	cause   Cause
+	ongoing bool
 }
 
-type lostTask struct {
-	lost    time.Duration
-	running bool
-	since   time.Duration // when it began to run again
+// disruptedTask is a task that has lost its machine.
+type disruptedTask struct {
+	lostProgress time.Duration
+	running      bool
+	runningSince time.Duration // if running
 }
 
-// Account counts the disrupted jobs. All voluntary disruption goes through it.
+// Account tracks the disrupted jobs and compares them with the budgets. Voluntary and
+// involuntary disruptions are recorded in it, and only voluntary ones are ever refused.
 type Account struct {
 	budgets Budgets
 	jobs    map[string]*disruption
 }
 
-// NewAccount makes an account with nothing disrupted.
+// NewAccount returns a tracker without disrupted jobs.
 func NewAccount(b Budgets) *Account { return &Account{budgets: b, jobs: map[string]*disruption{}} }
 
-// Lose notes that a task of a job has lost its place, and progress that took so long.
-func (a *Account) Lose(j Job, task int, lost time.Duration, cause Cause, now time.Duration) {
-	d := a.jobs[j.Ref]
+// Lose records that a task of a job has lost its machine, and progress that took a time to make.
+func (t *Account) Lose(j Job, index int, lostProgress time.Duration, cause Cause, now time.Duration) {
+	d := t.jobs[j.Ref]
 	if d == nil {
-		d = &disruption{job: j, began: now, cause: cause, tasks: map[int]*lostTask{}}
-		a.jobs[j.Ref] = d
+		d = &disruption{job: j, tasks: map[int]*disruptedTask{}}
+		t.jobs[j.Ref] = d
 	}
-	if !d.open {
-		d.open, d.began, d.cause = true, now, cause
+	if !d.ongoing {
+		d.ongoing, d.started, d.cause = true, now, cause
 	}
-	if t := d.tasks[task]; t != nil {
-		lost = max(lost, t.lost)
+	if task := d.tasks[index]; task != nil {
+		lostProgress = max(lostProgress, task.lostProgress)
 	}
-	d.tasks[task] = &lostTask{lost: lost}
+	d.tasks[index] = &disruptedTask{lostProgress: lostProgress}
 }
 
-// Runs notes that a task runs, from now on if it did not.
-func (a *Account) Runs(ref string, task int, now time.Duration) {
-	d := a.jobs[ref]
+// Runs records that a task runs, from now on if it did not before.
+func (t *Account) Runs(jobID string, index int, now time.Duration) {
+	d := t.jobs[jobID]
 	if d == nil {
 		return
 	}
-	if t := d.tasks[task]; t != nil && !t.running {
-		t.running, t.since = true, now
+	if task := d.tasks[index]; task != nil && !task.running {
+		task.running, task.runningSince = true, now
 	}
 }
 
-// Ends notes that a task is done, for which nothing is to be regained.
-func (a *Account) Ends(ref string, task int, now time.Duration) {
-	if d := a.jobs[ref]; d != nil {
-		delete(d.tasks, task)
-		d.settle(now)
+// Ends records that a task has finished and has no progress to regain any more.
+func (t *Account) Ends(jobID string, index int, now time.Duration) {
+	if d := t.jobs[jobID]; d != nil {
+		delete(d.tasks, index)
+		d.endIfRegained()
 	}
 }
 
-// Over notes that a job is over.
-func (a *Account) Over(ref string, now time.Duration) {
-	if d := a.jobs[ref]; d != nil {
+// Over records that a job has ended.
+func (t *Account) Over(jobID string, now time.Duration) {
+	if d := t.jobs[jobID]; d != nil {
 		clear(d.tasks)
-		d.settle(now)
+		d.endIfRegained()
 	}
 }
 
-// settle ends a disruption of which nothing is left.
-func (d *disruption) settle(now time.Duration) {
-	if d.open && len(d.tasks) == 0 {
-		d.open, d.ended = false, now
+// endIfRegained ends a disruption of which no task is left.
+func (d *disruption) endIfRegained() {
+	if len(d.tasks) == 0 {
+		d.ongoing = false
 	}
 }
 
-// Tick ends what has regained its progress and forgets what counts no longer.
-func (a *Account) Tick(now time.Duration) {
-	for ref, d := range a.jobs {
-		for n, t := range d.tasks {
-			if t.running && now-t.since >= t.lost {
-				delete(d.tasks, n)
+// Tick ends the disruptions whose progress is regained, and forgets those that do not count any
+// more.
+func (t *Account) Tick(now time.Duration) {
+	for jobID, d := range t.jobs {
+		for index, task := range d.tasks {
+			if task.running && now-task.runningSince >= task.lostProgress {
+				delete(d.tasks, index)
 			}
 		}
-		d.settle(now)
-		if !a.counts(d, now) {
-			delete(a.jobs, ref)
+		d.endIfRegained()
+		if !t.counts(d, now) {
+			delete(t.jobs, jobID)
 		}
 	}
 }
 
-// counts tells whether a disruption still counts for one of its groups.
-func (a *Account) counts(d *disruption, now time.Duration) bool {
-	return slices.ContainsFunc(d.job.groups(), func(g Group) bool { return a.countsFor(d, g, now) })
+// counts reports whether a disruption still counts for one of its groups.
+func (t *Account) counts(d *disruption, now time.Duration) bool {
+	return slices.ContainsFunc(d.job.groups(), func(g Group) bool { return t.countsFor(d, g, now) })
 }
 
-func (a *Account) countsFor(d *disruption, g Group, now time.Duration) bool {
-	b, ok := a.budget(g)
-	return d.open || ok && now-d.began < b.Window
+func (t *Account) countsFor(d *disruption, g Group, now time.Duration) bool {
+	budget, ok := t.budgets.budgetOf(g)
+	return d.ongoing || ok && now-d.started < budget.Window
 }
 
-// budget is a group's; ok is false if it has none.
-func (a *Account) budget(g Group) (b Budget, ok bool) {
-	if b, ok = a.budgets.Of[g]; ok {
-		return b, true
-	}
-	if name, isTeam := g.Team(); isTeam && name != "" {
-		return a.budgets.General, true
-	}
-	return Budget{}, false
-}
-
-// Longest is the longest window of all budgets.
-func (b Budgets) Longest() time.Duration {
-	longest := b.General.Window
-	for _, o := range b.Of {
-		longest = max(longest, o.Window)
-	}
-	return longest
-}
+// isRecorded reports whether a job's disruption still counts, as of the last tick.
+func (t *Account) isRecorded(jobID string) bool { return t.jobs[jobID] != nil }
 
-// Disrupted tells whether a job is disrupted now.
-func (a *Account) Disrupted(ref string) bool {
-	d := a.jobs[ref]
-	return d != nil && d.open
+// isDisrupted reports whether a job is disrupted now.
+func (t *Account) isDisrupted(jobID string) bool {
+	d := t.jobs[jobID]
+	return d != nil && d.ongoing
 }
 
-// Used is how many jobs count for a group.
-func (a *Account) Used(g Group, now time.Duration) (n int) {
-	for _, d := range a.jobs {
-		if slices.Contains(d.job.groups(), g) && a.countsFor(d, g, now) {
-			n++
+// disruptedJobs is the number of jobs that count for a group.
+func (t *Account) disruptedJobs(g Group, now time.Duration) int {
+	count := 0
+	for _, d := range t.jobs {
+		if slices.Contains(d.job.groups(), g) && t.countsFor(d, g, now) {
+			count++
 		}
 	}
-	return n
+	return count
 }
 
-// May tells whether a task of a job may be moved, and if not, what stands against it. running
-// is how many jobs of a group run. A job that is disrupted already does not count against
-// itself; but where machines have hit more jobs than the budget allows, none of them is moved
-// on top of that.
-func (a *Account) May(j Job, running func(Group) int, now time.Duration) (ok bool, why string) {
+// checkBudgets returns a BudgetError if the budgets do not allow to evict a task of a job.
+// running is the number of running jobs of a group. A job that is already disrupted does not
+// count against itself; but where lost machines have disrupted more jobs than the budget allows,
+// none of these is evicted on top of that.
+func (t *Account) checkBudgets(j Job, running func(Group) int, now time.Duration) error {
 	for _, g := range j.groups() {
-		b, ok := a.budget(g)
+		budget, ok := t.budgets.budgetOf(g)
 		if !ok {
 			continue
 		}
-		used, limit := a.Used(g, now), b.jobs(running(g))
-		if d := a.jobs[j.Ref]; d != nil && a.countsFor(d, g, now) {
-			used-- // it counts already
+		disrupted, limit := t.disruptedJobs(g, now), budget.limit(running(g))
+		if d := t.jobs[j.Ref]; d != nil && t.countsFor(d, g, now) {
+			disrupted-- // the job itself
 		}
-		if used >= limit {
-			return false, fmt.Sprintf("the budget of %s: %d of %d jobs", g, used, limit)
+		if disrupted >= limit {
+			return &BudgetError{Group: g, Disrupted: disrupted, Limit: limit}
 		}
 	}
-	return true, ""
+	return nil
 }
 
 // Entry is a disrupted job as operators see it.
 type Entry struct {
 	Job   Job
 	Cause Cause
-	For   time.Duration
+	// For is the time since the disruption began.
+	For time.Duration
+	// Tasks is the number of tasks that have not regained their lost progress.
 	Tasks int
-	Open  bool
+	// Open is false for a disruption that has ended and still counts.
+	Open bool
 }
 
 // Entries lists the jobs that count, the oldest disruption first.
-func (a *Account) Entries(now time.Duration) []Entry {
+func (t *Account) Entries(now time.Duration) []Entry {
 	var all []Entry
-	for _, ref := range slices.Sorted(maps.Keys(a.jobs)) {
-		d := a.jobs[ref]
-		all = append(all, Entry{Job: d.job, Cause: d.cause, For: now - d.began, Tasks: len(d.tasks), Open: d.open})
+	for _, jobID := range slices.Sorted(maps.Keys(t.jobs)) {
+		d := t.jobs[jobID]
+		all = append(all, Entry{Job: d.job, Cause: d.cause, For: now - d.started, Tasks: len(d.tasks), Open: d.ongoing})
 	}
 	slices.SortStableFunc(all, func(x, y Entry) int { return cmp.Compare(y.For, x.For) })
 	return all
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -6,23 +6,23 @@
 	"leadproxy/internal/property"
 )
 
-// TestGoldenRecords compares the record of a plan with how it has to be stored.
+// TestGoldenRecords compares the encoding of a plan's record with the stored one.
 func TestGoldenRecords(t *testing.T) {
 	property.CheckGolden(t, "plan", &Record{})
 	property.CheckGolden(t, "plan_request", &Spec{})
-	property.CheckGolden(t, "plan_move", &MoveRecord{})
+	property.CheckGolden(t, "plan_move", &EvictionRecord{})
 }
 
-// TestGoldenConstants compares the words that are stored or that operators use.
+// TestGoldenConstants compares the constants that are stored or that operators use.
 func TestGoldenConstants(t *testing.T) {
 	property.CheckGoldenValues(t, "constants", map[string]any{
 		"phase choosing":        Choosing,
-		"phase hiring":          Hiring,
+		"phase hiring":          PhaseScalingOut,
 		"phase draining":        Draining,
-		"phase checking":        Checking,
+		"phase checking":        PhaseChecking,
 		"phase finished":        Finished,
-		"phase aborted":         Aborted,
-		"phase failed":          Failed,
+		"phase aborted":         PhaseAborted,
+		"phase failed":          PhaseFailed,
 		"command pause":         Pause,
 		"command resume":        Resume,
 		"command abort":         Abort,
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -12,9 +12,9 @@
 	"leadproxy/internal/property"
 )
 
-// The model: machines with tasks of two teams' jobs, plans that drain them, and a leader
-// that is lost at any moment, with or without its last write. The world below knows the
-// truth: what runs where, and which jobs miss a task that had run.
+// The model is a cluster: machines with tasks of two teams' jobs, plans that drain them, and a
+// leader that fails at any moment, with or without its last write. It has the actual state: what
+// runs where, and which jobs have tasks that have not regained their progress.
 
 const (
 	modelWindow = 10 * time.Second
@@ -25,40 +25,51 @@
 	return Budgets{General: Budget{Jobs: 2, Window: modelWindow}, Of: map[Group]Budget{TeamGroup("b"): {Share: 0.25, Window: modelWindow}, ClassGroup("one"): {Jobs: 1, Window: modelWindow}}}
 }
 
-// modelTask is a task of the world.
+// modelTask is a task of the model.
 type modelTask struct {
-	job      Job
-	index    int
-	machine  string // "": it waits
-	ran      time.Duration
-	left     time.Duration
-	saves    bool
-	lost     time.Duration // to be regained since it last lost its place
-	displace bool          // it has lost its place and has not regained yet
-	byMove   bool
+	job     Job
+	index   int
+	machine string // "": it waits
+	// ran is the run time that is not lost, left is what remains.
+	ran, left   time.Duration
+	checkpoints bool
+	// disrupted means that it has lost its machine and has not regained lostProgress yet, and
+	// evicted that this was by a plan.
+	disrupted, evicted bool
+	lostProgress       time.Duration
 }
 
-type world struct {
-	t        *rapid.T
-	c        property.Drawn
-	now      time.Duration
-	machines map[string]bool // those that there are; the value: hired for a plan
+// progressAtRisk is the progress that the task would lose by losing its machine now.
+func (t *modelTask) progressAtRisk() time.Duration {
+	if t.checkpoints {
+		return 0
+	}
+	return t.ran
+}
+
+type model struct {
+	t      *rapid.T
+	random property.Drawn
+	now    time.Duration
+	// machines are those that exist; true: replacements that a plan rented.
+	machines map[string]bool
 	tasks    []*modelTask
-	hires    map[string][]string // by request
-	returned map[string]bool
+	rented   map[string][]string // by request
 
-	account  *Account
-	rollouts map[string]*Rollout
-	durable  map[string]Record
-	began    time.Duration // the leader's
+	disruptions *Account
+	plans       map[string]*Rollout
+	durable     map[string]Record
+	// leaderSince is when the current leader began.
+	leaderSince time.Duration
 }
 
-// groupsOf are the groups whose budgets a job is held to.
+// groupsOf are the groups whose budgets hold for a job. It is written apart from Job.groups, which
+// is under test.
 func groupsOf(j Job) []Group { return []Group{TeamGroup(j.Team), ClassGroup(j.Class)} }
 
-func (w *world) running(g Group) int {
+func (m *model) runningJobs(g Group) int {
 	jobs := map[string]bool{}
-	for _, t := range w.tasks {
+	for _, t := range m.tasks {
 		if t.machine != "" && slices.Contains(groupsOf(t.job), g) {
 			jobs[t.job.Ref] = true
 		}
@@ -66,282 +77,306 @@
 	return len(jobs)
 }
 
-// displacedJobs are the jobs of a group that truly are disrupted by moves.
-func (w *world) displacedJobs(g Group) map[string]bool {
+// evictedJobs are the jobs of a group that are in fact disrupted by evictions.
+func (m *model) evictedJobs(g Group) map[string]bool {
 	jobs := map[string]bool{}
-	for _, t := range w.tasks {
-		if t.displace && t.byMove && slices.Contains(groupsOf(t.job), g) {
+	for _, t := range m.tasks {
+		if t.disrupted && t.evicted && slices.Contains(groupsOf(t.job), g) {
 			jobs[t.job.Ref] = true
 		}
 	}
 	return jobs
 }
 
-// displace takes a task off its machine.
-func (w *world) displace(t *modelTask, cause Cause) {
-	lost := t.ran
-	if t.saves {
-		lost = 0
-	}
-	t.machine, t.displace, t.byMove, t.lost, t.ran = "", true, cause == Move, lost, t.ran-lost
+// takeOff takes a task off its machine.
+func (m *model) takeOff(t *modelTask, cause Cause) {
+	lost := t.progressAtRisk()
+	t.machine, t.disrupted, t.evicted = "", true, cause == Move
+	t.lostProgress, t.ran = lost, t.ran-lost
 	t.left += lost
 	if cause != Move {
-		w.account.Lose(t.job, t.index, lost, cause, w.now)
+		m.disruptions.Lose(t.job, t.index, lost, cause, m.now)
 		return
 	}
 	for _, g := range groupsOf(t.job) {
-		b, ok := w.account.budget(g)
-		if n := len(w.displacedJobs(g)); ok && n > max(1, b.jobs(w.running(g)+n)) {
-			w.t.Fatalf("%s: %d jobs are disrupted by moves", g, n)
+		budget, ok := m.disruptions.budgets.budgetOf(g)
+		if n := len(m.evictedJobs(g)); ok && n > max(1, budget.limit(m.runningJobs(g)+n)) {
+			m.t.Fatalf("%s: %d jobs are disrupted by evictions", g, n)
 		}
 	}
 }
 
-func (w *world) machine(name string) Machine {
-	m := Machine{Name: name, Gone: true}
-	if _, ok := w.machines[name]; !ok {
-		return m
+// machine is a machine as the plans see it.
+func (m *model) machine(name string) Machine {
+	if _, exists := m.machines[name]; !exists {
+		return Machine{Name: name, Gone: true}
 	}
-	m.Gone = false
-	for _, t := range w.tasks {
-		if t.machine != name {
-			continue
-		}
-		lost := t.ran
-		if t.saves {
-			lost = 0
+	machine := Machine{Name: name}
+	for _, t := range m.tasks {
+		if t.machine == name {
+			machine.Tasks = append(machine.Tasks, Task{Job: t.job, Index: t.index, Left: t.left, Lost: t.progressAtRisk(), Slack: time.Hour, HasRoom: true})
 		}
-		m.Tasks = append(m.Tasks, Task{Job: t.job, Index: t.index, Left: t.left, Lost: lost, Slack: time.Hour, HasRoom: true})
 	}
-	m.Empty = len(m.Tasks) == 0
-	return m
+	machine.Empty = len(machine.Tasks) == 0
+	return machine
 }
 
-func (w *world) view(r *Rollout) *View {
+func (m *model) view(r *Rollout) *View {
 	record, _ := r.Record()
-	v := &View{Now: w.now, WallMS: w.now.Milliseconds(), MayMove: w.now-w.began >= modelWindow, Running: w.running, Hired: w.hires[record.Hire]}
-	for _, name := range slices.Sorted(maps.Keys(w.machines)) {
-		if !w.machines[name] && !slices.Contains(record.Batch, name) {
-			v.Candidates = append(v.Candidates, w.machine(name))
+	v := &View{Now: m.now, WallMS: m.now.Milliseconds(), MayMove: m.now-m.leaderSince >= modelWindow, Running: m.runningJobs, Hired: m.rented[record.Hire]}
+	for _, name := range slices.Sorted(maps.Keys(m.machines)) {
+		if !m.machines[name] && !slices.Contains(record.Batch, name) {
+			v.Candidates = append(v.Candidates, m.machine(name))
 		}
 	}
 	for _, name := range record.Batch {
-		v.Batch = append(v.Batch, w.machine(name))
+		v.Batch = append(v.Batch, m.machine(name))
 	}
 	for _, name := range record.Replacements {
-		_, there := w.machines[name]
-		v.Replacements = append(v.Replacements, Replacement{Name: name, Healthy: time.Minute, Failed: !there})
+		_, exists := m.machines[name]
+		v.Replacements = append(v.Replacements, Replacement{Name: name, Healthy: time.Minute, Failed: !exists})
 	}
 	return v
 }
 
-// step has each plan go on once, and what it wants done.
-func (w *world) step() {
-	w.account.Tick(w.now)
-	for _, name := range slices.Sorted(maps.Keys(w.rollouts)) {
-		r := w.rollouts[name]
-		for _, act := range r.Step(w.view(r)) {
-			w.carryOut(r, act)
+// step takes a step of each plan and carries out its actions.
+func (m *model) step() {
+	m.disruptions.Tick(m.now)
+	for _, name := range slices.Sorted(maps.Keys(m.plans)) {
+		plan := m.plans[name]
+		for _, action := range plan.Step(m.view(plan)) {
+			m.carryOut(plan, action)
 		}
-		record, _ := r.Record()
-		if !record.Phase.Over() && r.Durable() && len(r.Waits()) == 0 && record.Phase != Draining {
-			w.t.Fatalf("plan %s is %s and waits for nothing", name, record.Phase)
+		record, _ := plan.Record()
+		if !record.Phase.Over() && plan.Durable() && len(plan.Waits()) == 0 && record.Phase != Draining {
+			m.t.Fatalf("plan %s is %s and waits for nothing", name, record.Phase)
 		}
 	}
 }
 
-func (w *world) carryOut(r *Rollout, act Act) {
-	if !r.Durable() {
-		w.t.Fatal("something is done before the record is durable")
+func (m *model) carryOut(plan *Rollout, action Act) {
+	if !plan.Durable() {
+		m.t.Fatal("an action is returned before the record is durable")
 	}
-	switch a := act.(type) {
+	switch a := action.(type) {
 	case MoveTask:
-		for _, t := range w.tasks {
+		for _, t := range m.tasks {
 			if t.job.Ref == a.Ref && t.index == a.Task && t.machine == a.Machine {
-				w.displace(t, Move)
+				m.takeOff(t, Move)
 			}
 		}
 	case ReturnMachine:
-		m := w.machine(a.Machine)
-		if len(m.Tasks) > 0 || m.Gone || w.machines[a.Machine] {
-			w.t.Fatalf("%s is returned: %+v", a.Machine, m)
+		machine := m.machine(a.Machine)
+		if len(machine.Tasks) > 0 || machine.Gone || m.machines[a.Machine] {
+			m.t.Fatalf("%s is returned: %+v", a.Machine, machine)
 		}
-		delete(w.machines, a.Machine)
-		w.returned[a.Machine] = true
+		delete(m.machines, a.Machine)
 	case HireAhead:
-		if w.hires[a.Request] == nil {
-			for i := range a.Like {
-				name := fmt.Sprintf("new-%s-%d", a.Request, i)
-				w.machines[name] = true
-				w.hires[a.Request] = append(w.hires[a.Request], name)
-			}
+		if m.rented[a.Request] != nil {
+			return
+		}
+		for i := range a.Like {
+			name := fmt.Sprintf("new-%s-%d", a.Request, i)
+			m.machines[name] = true
+			m.rented[a.Request] = append(m.rented[a.Request], name)
 		}
 	}
 }
 
-// save makes the plans' records durable; loseLeader begins a term on what is durable.
-func (w *world) save() {
-	for name, r := range w.rollouts {
-		record, generation := r.Record()
-		w.durable[name] = record
-		r.Saved(generation)
+// save makes the records of all plans durable.
+func (m *model) save() {
+	for name, plan := range m.plans {
+		record, generation := plan.Record()
+		m.durable[name] = record
+		plan.Saved(generation)
 	}
 }
 
-func (w *world) loseLeader() {
-	w.account, w.began = NewAccount(modelBudgets()), w.now
-	for _, name := range slices.Sorted(maps.Keys(w.durable)) {
-		w.rollouts[name] = NewRollout(w.durable[name], w.account, w.isDone, w.now, w.now.Milliseconds())
+// failOver begins the term of a new leader, from the durable records.
+func (m *model) failOver() {
+	m.disruptions, m.leaderSince = NewAccount(modelBudgets()), m.now
+	for _, name := range slices.Sorted(maps.Keys(m.durable)) {
+		m.plans[name] = NewRollout(m.durable[name], m.disruptions, m.isDone, m.now, m.now.Milliseconds())
 	}
-	for _, t := range w.tasks { // reports are heard anew
+	for _, t := range m.tasks { // the agents send heartbeats to the new leader
 		if t.machine != "" {
-			w.account.Runs(t.job.Ref, t.index, w.now)
+			m.disruptions.Runs(t.job.Ref, t.index, m.now)
 		}
 	}
 }
 
-func (w *world) isDone(ref string, task int) bool {
-	return !slices.ContainsFunc(w.tasks, func(t *modelTask) bool { return t.job.Ref == ref && t.index == task })
+func (m *model) isDone(jobID string, task int) bool {
+	return !slices.ContainsFunc(m.tasks, func(t *modelTask) bool { return t.job.Ref == jobID && t.index == task })
 }
 
-// pass lets a second pass: tasks run, end, and waiting ones are placed.
-func (w *world) pass(cordoned func(string) bool) {
-	w.now += modelTick
-	open := slices.DeleteFunc(slices.Sorted(maps.Keys(w.machines)), cordoned)
-	if len(open) == 0 { // the fleet hires what waiting tasks need
-		open = []string{fmt.Sprintf("extra-%d", w.now/modelTick)}
-		w.machines[open[0]] = true
+// tick lets a second pass: tasks run and finish, and waiting ones are placed.
+func (m *model) tick() {
+	m.now += modelTick
+	open := slices.DeleteFunc(slices.Sorted(maps.Keys(m.machines)), m.cordoned)
+	if len(open) == 0 { // the autoscaler rents a machine for waiting tasks
+		open = []string{fmt.Sprintf("extra-%d", m.now/modelTick)}
+		m.machines[open[0]] = true
 	}
-	var still []*modelTask
-	for _, t := range w.tasks {
-		switch {
-		case t.machine != "":
-			t.ran, t.left = t.ran+modelTick, t.left-modelTick
-			if t.displace && t.ran >= t.lost {
-				t.displace = false
-			}
-		default:
-			t.machine, t.ran = open[w.c.IntN(len(open))], 0
-			w.account.Runs(t.job.Ref, t.index, w.now)
+	var unfinished []*modelTask
+	for _, t := range m.tasks {
+		if t.machine != "" {
+			m.run(t)
+		} else {
+			t.machine, t.ran = open[m.random.IntN(len(open))], 0
+			m.disruptions.Runs(t.job.Ref, t.index, m.now)
 		}
 		if t.left > 0 {
-			still = append(still, t)
+			unfinished = append(unfinished, t)
 			continue
 		}
-		w.account.Ends(t.job.Ref, t.index, w.now)
+		m.disruptions.Ends(t.job.Ref, t.index, m.now)
+	}
+	m.tasks = unfinished
+}
+
+// run lets a task run for a tick.
+func (m *model) run(t *modelTask) {
+	t.ran, t.left = t.ran+modelTick, t.left-modelTick
+	if t.disrupted && t.ran >= t.lostProgress {
+		t.disrupted = false
+	}
+}
+
+// crash has a machine fail, unless there are too few.
+func (m *model) crash() {
+	names := slices.Sorted(maps.Keys(m.machines))
+	if len(names) < 3 {
+		return
+	}
+	name := names[m.random.IntN(len(names))]
+	delete(m.machines, name)
+	for _, t := range m.tasks {
+		if t.machine == name {
+			m.takeOff(t, "crash")
+		}
+	}
+}
+
+// pauseOrResume has the operator pause or resume each plan.
+func (m *model) pauseOrResume() {
+	for _, name := range slices.Sorted(maps.Keys(m.plans)) {
+		command := []Command{Pause, Resume}[m.random.IntN(2)]
+		if err := m.plans[name].Steer(command, "", m.now.Milliseconds()); err != nil && !m.plans[name].record.Phase.Over() {
+			m.t.Fatal(err)
+		}
 	}
-	w.tasks = still
 }
 
-func (w *world) cordoned(machine string) bool {
-	for _, r := range w.rollouts {
-		if r.Cordons(machine) {
+func (m *model) cordoned(machine string) bool {
+	for _, plan := range m.plans {
+		if plan.Cordons(machine) {
 			return true
 		}
 	}
 	return false
 }
 
-func newWorld(t *rapid.T) *world {
-	w := &world{t: t, c: property.Drawn{T: t}, now: time.Minute, machines: map[string]bool{}, hires: map[string][]string{}, returned: map[string]bool{},
-		rollouts: map[string]*Rollout{}, durable: map[string]Record{}, account: NewAccount(modelBudgets())}
-	for i := range 2 + w.c.IntN(5) {
-		w.machines[fmt.Sprintf("old-%d", i)] = false
+func newModel(t *rapid.T) *model {
+	m := &model{t: t, random: property.Drawn{T: t}, now: time.Minute, machines: map[string]bool{}, rented: map[string][]string{},
+		plans: map[string]*Rollout{}, durable: map[string]Record{}, disruptions: NewAccount(modelBudgets())}
+	for i := range 2 + m.random.IntN(5) {
+		m.machines[fmt.Sprintf("old-%d", i)] = false
 	}
-	names := slices.Sorted(maps.Keys(w.machines))
-	for i := range 2 + w.c.IntN(8) {
-		job := Job{Ref: fmt.Sprintf("job-%d", i), Team: []string{"a", "b"}[w.c.IntN(2)], Class: []string{"one", "many"}[w.c.IntN(2)]}
-		for k := range 1 + w.c.IntN(3) {
-			w.tasks = append(w.tasks, &modelTask{job: job, index: k, machine: names[w.c.IntN(len(names))],
-				left: time.Duration(10+w.c.IntN(200)) * time.Second, saves: w.c.IntN(2) == 0})
+	names := slices.Sorted(maps.Keys(m.machines))
+	for i := range 2 + m.random.IntN(8) {
+		job := Job{Ref: fmt.Sprintf("job-%d", i), Team: []string{"a", "b"}[m.random.IntN(2)], Class: []string{"one", "many"}[m.random.IntN(2)]}
+		for k := range 1 + m.random.IntN(3) {
+			m.tasks = append(m.tasks, &modelTask{job: job, index: k, machine: names[m.random.IntN(len(names))],
+				left: time.Duration(10+m.random.IntN(200)) * time.Second, checkpoints: m.random.IntN(2) == 0})
 		}
 	}
-	for i := range 1 + w.c.IntN(2) {
-		spec := Spec{Name: fmt.Sprintf("plan-%d", i), Zones: []string{"a"}, Canary: w.c.IntN(2), Batch: 1 + w.c.IntN(3), Surge: w.c.IntN(2) == 0, WaitS: float64(w.c.IntN(60)), CheckS: 1, HealthS: 600}
-		w.durable[spec.Name] = Record{Version: RecordVersion, Spec: spec, CreatedMS: w.now.Milliseconds(), Phase: Choosing, PhaseMS: w.now.Milliseconds()}
+	for i := range 1 + m.random.IntN(2) {
+		spec := Spec{Name: fmt.Sprintf("plan-%d", i), Zones: []string{"a"}, Canary: m.random.IntN(2), Batch: 1 + m.random.IntN(3), Surge: m.random.IntN(2) == 0, WaitS: float64(m.random.IntN(60)), CheckS: 1, HealthS: 600}
+		m.durable[spec.Name] = Record{Version: RecordVersion, Spec: spec, CreatedMS: m.now.Milliseconds(), Phase: Choosing, PhaseMS: m.now.Milliseconds()}
 	}
-	w.loseLeader()
-	return w
+	m.failOver()
+	return m
 }
 
-func (w *world) allOver() bool {
-	for _, r := range w.rollouts {
-		if !r.record.Phase.Over() {
+func (m *model) allOver() bool {
+	for _, plan := range m.plans {
+		if !plan.record.Phase.Over() {
 			return false
 		}
 	}
 	return true
 }
 
-// TestRollouts: whatever happens, moves never exceed a budget, nothing is done before it is
-// recorded, no machine is returned with a task on it, and once troubles end and the operator
-// lets what can't restart be moved, every plan ends with all its machines gone.
-func TestRollouts(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
-		for range w.c.IntN(120) {
-			switch w.c.IntN(12) {
-			case 0:
-				w.loseLeader() // its last write with it
-			case 1:
-				w.save()
-				w.loseLeader()
-			case 2: // a machine crashes
-				names := slices.Sorted(maps.Keys(w.machines))
-				if len(names) < 3 {
-					break
-				}
-				name := names[w.c.IntN(len(names))]
-				delete(w.machines, name)
-				for _, task := range w.tasks {
-					if task.machine == name {
-						w.displace(task, "crash")
-					}
-				}
-			case 3:
-				for _, name := range slices.Sorted(maps.Keys(w.rollouts)) {
-					command := []Command{Pause, Resume}[w.c.IntN(2)]
-					if err := w.rollouts[name].Steer(command, "", w.now.Milliseconds()); err != nil && !w.rollouts[name].record.Phase.Over() {
-						t.Fatal(err)
-					}
-				}
-			case 4, 5, 6:
-				w.save()
-			default:
-				w.pass(w.cordoned)
+// randomStep lets one random thing happen.
+func (m *model) randomStep() {
+	switch m.random.IntN(12) {
+	case 0: // the leader's last write is lost with it
+		m.failOver()
+	case 1:
+		m.save()
+		m.failOver()
+	case 2:
+		m.crash()
+	case 3:
+		m.pauseOrResume()
+	case 4, 5, 6:
+		m.save()
+	default:
+		m.tick()
+	}
+}
+
+// endTroubles has the operator resume each plan and allow all jobs to lose their progress.
+func (m *model) endTroubles() {
+	for _, plan := range m.plans {
+		if !plan.record.Phase.Over() {
+			if err := plan.Steer(Resume, "", m.now.Milliseconds()); err != nil {
+				m.t.Fatal(err)
 			}
-			w.step()
 		}
-		for _, r := range w.rollouts {
-			if !r.record.Phase.Over() {
-				if err := r.Steer(Resume, "", w.now.Milliseconds()); err != nil {
-					t.Fatal(err)
-				}
-			}
-			for _, task := range w.tasks {
-				r.Steer(Allow, task.job.Ref, w.now.Milliseconds())
-			}
+		for _, task := range m.tasks {
+			plan.Steer(Allow, task.job.Ref, m.now.Milliseconds())
 		}
+	}
+}
+
+// TestRollouts: evictions never exceed a budget, nothing is done before it is recorded, and no
+// machine is returned with a task on it. Once there are no more failures and the operator allows
+// jobs to lose their progress, every plan ends with all its machines gone.
+func TestRollouts(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		m := newModel(t)
+		for range m.random.IntN(120) {
+			m.randomStep()
+			m.step()
+		}
+		m.endTroubles()
 		for range 3000 {
-			if w.allOver() {
+			if m.allOver() {
 				break
 			}
-			w.save()
-			w.step()
-			w.pass(w.cordoned)
+			m.save()
+			m.step()
+			m.tick()
 		}
-		for name, r := range w.rollouts {
-			if !r.record.Phase.Over() {
-				t.Fatalf("plan %s has not ended: %s, %v", name, r.record.Phase, r.Waits())
-			}
-			if r.record.Phase == Failed {
-				continue // a replacement has crashed
-			}
-			for machine, hired := range w.machines {
-				if !hired {
-					t.Fatalf("plan %s is %s, and %s is there", name, r.record.Phase, machine)
-				}
+		m.checkEnded()
+	})
+}
+
+// checkEnded checks that every plan has ended and that those which did not fail have drained all
+// machines.
+func (m *model) checkEnded() {
+	for name, plan := range m.plans {
+		if !plan.record.Phase.Over() {
+			m.t.Fatalf("plan %s has not ended: %s, %v", name, plan.record.Phase, plan.Waits())
+		}
+		if plan.record.Phase == PhaseFailed {
+			continue // a replacement has crashed
+		}
+		for machine, isReplacement := range m.machines {
+			if !isReplacement {
+				m.t.Fatalf("plan %s is %s, and machine %s exists", name, plan.record.Phase, machine)
 			}
 		}
-	})
+	}
 }
--- a/internal/rollout/mutants_test.go
+++ b/internal/rollout/mutants_test.go
@@ -8,21 +8,21 @@
 	"leadproxy/internal/property"
 )
 
-// mutants each take one guard of the account or the rollout out. docs/design-rollouts.md has
+// mutants each remove one guard of the disruption accounting or the controller. docs/design-rollouts.md has
 // the command.
 var mutants = []property.Mutant{
-	{Name: "budgets are not looked at", File: "disruptions.go", From: "if used >= limit {", To: "if false {"},
-	{Name: "classes have no budget", File: "disruptions.go", From: "{TeamGroup(j.Team), ClassGroup(j.Class)}", To: "{TeamGroup(j.Team)}"},
-	{Name: "progress need not be regained", File: "disruptions.go", From: "now-t.since >= t.lost", To: "true"},
-	{Name: "moves are not charged", File: "rollout.go", From: "	r.account.Lose(t.Job, t.Index, t.Lost, Move, v.Now)\n	r.record.Moves", To: "	r.record.Moves"},
-	{Name: "moves are not charged anew", File: "rollout.go", From: "			r.account.Lose(t.Job, t.Index, t.Lost, Move, v.Now)\n			acts", To: "			acts"},
-	{Name: "a new leader forgets moves", File: "rollout.go", From: "for _, m := range r.Moves {\n		ago", To: "for _, m := range r.Moves[:0] {\n		ago"},
-	{Name: "nobody tells of tasks that have ended", File: "rollout.go", From: "if done(m.Ref, m.Task) {", To: "if false {"},
-	{Name: "acts come before the record", File: "rollout.go", From: "	if !r.Durable() {\n		return nil\n	}\n	return acts", To: "	return acts"},
-	{Name: "machines that are not empty are returned", File: "rollout.go", From: "case m.Empty:", To: "case true:"},
-	{Name: "machines are not cordoned", File: "rollout.go", From: "return (r.record.Phase == Draining", To: "return false && (r.record.Phase == Draining"},
-	{Name: "a step is over when one machine is gone", File: "rollout.go", From: "if gone < len(v.Batch) {", To: "if gone < 1 {"},
-	{Name: "a pause does not end", File: "steer.go", From: "r.record.Paused, r.record.Why = false, \"\"", To: "r.record.Why = \"\""},
+	{Name: "budgets are not checked", File: "disruptions.go", From: "if disrupted >= limit {", To: "if false {"},
+	{Name: "classes have no budget", File: "budgets.go", From: "{TeamGroup(j.Team), ClassGroup(j.Class)}", To: "{TeamGroup(j.Team)}"},
+	{Name: "progress need not be regained", File: "disruptions.go", From: "now-task.runningSince >= task.lostProgress", To: "true"},
+	{Name: "evictions are not counted", File: "evictions.go", From: "	c.disruptions.Lose(t.Job, t.Index, t.Lost, Move, v.Now)\n	c.record.Moves", To: "	c.record.Moves"},
+	{Name: "evictions are not counted again", File: "evictions.go", From: "			c.disruptions.Lose(t.Job, t.Index, t.Lost, Move, v.Now)\n			actions", To: "			actions"},
+	{Name: "a new leader does not count earlier evictions", File: "controller.go", From: "for _, e := range r.Moves {\n		ago", To: "for _, e := range r.Moves[:0] {\n		ago"},
+	{Name: "tasks that have finished meanwhile stay disrupted", File: "controller.go", From: "if isDone(e.JobID, e.Task) {", To: "if false {"},
+	{Name: "actions are returned before the record is durable", File: "controller.go", From: "	if !c.Durable() {\n		return nil\n	}\n	return actions", To: "	return actions"},
+	{Name: "machines that are not empty are returned", File: "phases.go", From: "case m.Empty:", To: "case true:"},
+	{Name: "machines are not cordoned", File: "controller.go", From: "return (c.record.Phase == Draining", To: "return false && (c.record.Phase == Draining"},
+	{Name: "a step is over when one machine is drained", File: "phases.go", From: "if drained < len(v.Batch) {", To: "if drained < 1 {"},
+	{Name: "a pause does not end", File: "commands.go", From: "c.record.Paused, c.record.Why = false, \"\"", To: "c.record.Why = \"\""},
 }
 
 // TestMutantsAreCaught runs the model against each of them.
--- /dev/null
+++ b/internal/rollout/phases.go
@@ -0,0 +1,128 @@
+package rollout
+
+import (
+	"cmp"
+	"fmt"
+	"slices"
+	"strings"
+	"time"
+)
+
+// HirePrefix begins the names of the requests for replacements.
+const HirePrefix = "drain-"
+
+// selectBatch selects the machines of the next batch: those on which the least progress would be
+// lost.
+func (c *Rollout) selectBatch(v *View) {
+	if !v.MayMove {
+		c.waitFor("all machines to be heard of since the leader began")
+		return
+	}
+	remaining := slices.DeleteFunc(slices.Clone(v.Candidates), func(m Machine) bool { return m.Gone || slices.Contains(c.record.Skipped, m.Name) })
+	if len(remaining) == 0 {
+		c.end(Finished, "no machine is left", v.WallMS)
+		return
+	}
+	slices.SortStableFunc(remaining, func(a, b Machine) int {
+		return cmp.Or(cmp.Compare(a.lostProgress(), b.lostProgress()), cmp.Compare(len(a.Tasks), len(b.Tasks)), strings.Compare(a.Name, b.Name))
+	})
+	c.record.Batch = nil
+	for _, m := range remaining[:c.record.Spec.batchSize(c.record.Step, len(remaining))] {
+		c.record.Batch = append(c.record.Batch, m.Name)
+	}
+	c.record.Step++
+	c.record.Replacements, c.record.Hire = nil, ""
+	if c.record.Spec.Surge {
+		c.record.Hire = HirePrefix + fmt.Sprintf("%s-%d-%d", c.record.Spec.Name, c.record.CreatedMS, c.record.Step)
+		c.enter(PhaseScalingOut, v.WallMS)
+		return
+	}
+	c.enter(Draining, v.WallMS)
+}
+
+// scaleOut rents the replacements and waits until they are healthy.
+func (c *Rollout) scaleOut(v *View) []Act {
+	if len(c.record.Replacements) == 0 && len(v.Hired) > 0 {
+		c.record.Replacements = slices.Clone(v.Hired)
+		c.recordChanged()
+		return nil
+	}
+	healthy := 0
+	for _, m := range v.Replacements {
+		if m.Failed {
+			c.endFailedReplacement(m, v)
+			return nil
+		}
+		if m.Healthy > 0 && m.Healthy >= seconds(c.record.Spec.CheckS) {
+			healthy++
+		}
+	}
+	if healthy >= len(c.record.Batch) {
+		c.enter(Draining, v.WallMS)
+		return nil
+	}
+	if c.phaseDuration(v) > seconds(c.record.Spec.HealthS) {
+		c.end(PhaseFailed, fmt.Sprintf("%d of %d replacements are healthy after health_s", healthy, len(c.record.Batch)), v.WallMS)
+		return nil
+	}
+	c.waitFor("replacements: %d of %d are healthy", healthy, len(c.record.Batch))
+	return []Act{HireAhead{Request: c.record.Hire, Like: c.record.Batch}}
+}
+
+func (c *Rollout) endFailedReplacement(m Replacement, v *View) {
+	c.end(PhaseFailed, "replacement "+m.Name+" has failed", v.WallMS)
+}
+
+// drainBatch evicts the tasks of the batch's machines and returns those that are empty.
+func (c *Rollout) drainBatch(v *View) []Act {
+	var actions []Act
+	drained := 0
+	for i := range v.Batch {
+		m := &v.Batch[i]
+		switch {
+		case m.Gone:
+			drained++
+		case slices.Contains(c.record.Skipped, m.Name):
+			drained++
+		case m.Empty:
+			actions = append(actions, ReturnMachine{m.Name})
+			c.waitFor("%s to be gone", m.Name)
+		default:
+			actions = append(actions, c.drainMachine(v, m)...)
+		}
+	}
+	if drained < len(v.Batch) {
+		return actions
+	}
+	c.record.Drained += drained
+	c.enter(PhaseChecking, v.WallMS)
+	return nil
+}
+
+// checkHealth ends the step once its evicted jobs are no longer disrupted and its replacements
+// are healthy.
+func (c *Rollout) checkHealth(v *View) {
+	for _, e := range c.record.Moves {
+		if c.disruptions.isDisrupted(e.JobID) {
+			c.waitFor("%s to be whole again", e.JobID)
+		}
+	}
+	for _, m := range v.Replacements {
+		if m.Failed {
+			c.endFailedReplacement(m, v)
+			return
+		}
+		if m.Healthy == 0 {
+			c.waitFor("replacement %s to be healthy", m.Name)
+		}
+	}
+	switch {
+	case len(c.waitReasons) == 0:
+		c.record.Batch = nil
+		c.enter(Choosing, v.WallMS)
+	case c.phaseDuration(v) > seconds(c.record.Spec.HealthS):
+		c.end(PhaseFailed, "not healthy after health_s: "+strings.Join(c.waitReasons, ", "), v.WallMS)
+	}
+}
+
+func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -5,76 +5,83 @@
 	"fmt"
 )
 
-// Phase is where a plan stands.
+// RecordVersion is the version of a plan's record. Others are refused.
+const RecordVersion = 1
+
+// Phase is the state of a plan.
 type Phase string
 
-// The phases. The last three are ends.
+// The phases. In the last three, the plan has ended.
 const (
-	Choosing Phase = "choosing"
-	Hiring   Phase = "hiring"
-	Draining Phase = "draining"
-	Checking Phase = "checking"
-	Finished Phase = "finished"
-	Aborted  Phase = "aborted"
-	Failed   Phase = "failed"
+	Choosing        Phase = "choosing"
+	PhaseScalingOut Phase = "hiring"
+	Draining        Phase = "draining"
+	PhaseChecking   Phase = "checking"
+	Finished        Phase = "finished"
+	PhaseAborted    Phase = "aborted"
+	PhaseFailed     Phase = "failed"
 )
 
-// Over tells whether a plan has ended.
-func (p Phase) Over() bool { return p == Finished || p == Aborted || p == Failed }
+// Over reports whether a plan has ended.
+func (p Phase) Over() bool { return p == Finished || p == PhaseAborted || p == PhaseFailed }
 
-// Record is a plan as the ledger keeps it.
+// Record is a plan as the ledger stores it.
 type Record struct {
 	Version   int   `json:"version"`
 	Spec      Spec  `json:"spec"`
 	CreatedMS int64 `json:"created_ms"`
 	Phase     Phase `json:"phase"`
-	// PhaseMS is when the phase began, by the time of day.
+	// PhaseMS is the time of day at which the phase began.
 	PhaseMS int64 `json:"phase_ms"`
 	Paused  bool  `json:"paused,omitempty"`
-	// Why tells why the plan is paused or has ended.
+	// Why is the reason for which the plan is paused or has ended.
 	Why  string `json:"why,omitempty"`
 	Step int    `json:"step"` // steps begun
-	// Batch are the machines of the present step, and Hire the request for their
+	// Batch are the machines of the current step, and Hire is the name of the request for their
 	// replacements.
-	Batch        []string     `json:"batch,omitempty"`
-	Hire         string       `json:"hire,omitempty"`
-	Replacements []string     `json:"replacements,omitempty"`
-	Moves        []MoveRecord `json:"moves,omitempty"`
-	// Allowed are jobs that the operator lets lose their progress, and Skipped machines
-	// that are left out.
+	Batch        []string         `json:"batch,omitempty"`
+	Hire         string           `json:"hire,omitempty"`
+	Replacements []string         `json:"replacements,omitempty"`
+	Moves        []EvictionRecord `json:"moves,omitempty"`
+	// Allowed are jobs that may lose their progress, by the operator's permission, and Skipped
+	// are machines that are left out.
 	Allowed []string `json:"allowed,omitempty"`
 	Skipped []string `json:"skipped,omitempty"`
-	Drained int      `json:"drained"` // machines that are gone, by the plan
+	// Drained counts the machines of past steps.
+	Drained int `json:"drained"`
 }
 
-// MoveRecord is a task that the plan has, or may have, told to stop.
-type MoveRecord struct {
-	Ref     string `json:"ref"`
+// EvictionRecord is a task that the plan has, or may have, evicted.
+type EvictionRecord struct {
+	JobID   string `json:"ref"`
 	Team    string `json:"team"`
 	Class   string `json:"class"`
 	Task    int    `json:"task"`
 	Machine string `json:"machine"`
-	// LostMS is the progress that is lost.
-	LostMS  int64 `json:"lost_ms,omitempty"`
-	BeganMS int64 `json:"began_ms"`
+	// LostProgressMS is the run time that has to be repeated.
+	LostProgressMS int64 `json:"lost_ms,omitempty"`
+	StartedMS      int64 `json:"began_ms"`
 }
 
-// Check tells what no controller can have written.
+// ErrRecord means that a plan's record can't have been written by a controller of this version.
+var ErrRecord = errors.New("invalid record of a plan")
+
+// Check returns ErrRecord for a record that can't be that of the named plan.
 func (r *Record) Check(name string) error {
 	if r.Version != RecordVersion {
-		return fmt.Errorf("a plan of version %d, %d is known", r.Version, RecordVersion)
+		return fmt.Errorf("%w: version %d, %d is known", ErrRecord, r.Version, RecordVersion)
 	}
 	switch r.Phase {
-	case Choosing, Hiring, Draining, Checking, Finished, Aborted, Failed:
+	case Choosing, PhaseScalingOut, Draining, PhaseChecking, Finished, PhaseAborted, PhaseFailed:
 	default:
-		return fmt.Errorf("unknown phase %q", r.Phase)
+		return fmt.Errorf("%w: unknown phase %q", ErrRecord, r.Phase)
 	}
 	if r.Spec.Name != name || r.Step < 0 || r.Drained < 0 {
-		return errors.New("not the record of that plan")
+		return fmt.Errorf("%w: plan %q, step %d, %d machines drained", ErrRecord, r.Spec.Name, r.Step, r.Drained)
 	}
-	for _, m := range r.Moves {
-		if m.Task < 0 || m.LostMS < 0 {
-			return fmt.Errorf("a move of task %d", m.Task)
+	for _, e := range r.Moves {
+		if e.Task < 0 || e.LostProgressMS < 0 {
+			return fmt.Errorf("%w: eviction of task %d of job %s", ErrRecord, e.Task, e.JobID)
 		}
 	}
 	return nil
