--- /dev/null
+++ b/internal/rolloutservice/status_table.go
@@ -0,0 +1,60 @@
+package rolloutservice
+
+import (
+	"fmt"
+	"io"
+	"strings"
+	"text/tabwriter"
+	"time"
+
+	"leadproxy/internal/rolloutservice/rolloutpb"
+)
+
+// maxWaitReasons is how many of the conditions that a plan waits for are shown.
+const maxWaitReasons = 20
+
+// Write writes the state of all plans, the conditions that they wait for, and the jobs that count
+// as disrupted, as tables.
+func Write(out io.Writer, list *rolloutpb.ListReply, now time.Time) error {
+	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	writePlans(w, list.Plans, now)
+	for _, p := range list.Plans {
+		writeWaitReasons(w, p)
+	}
+	writeDisruptions(w, list.Disrupted)
+	return w.Flush()
+}
+
+func writePlans(w io.Writer, plans []*rolloutpb.Plan, now time.Time) {
+	age := func(ms int64) time.Duration { return now.Sub(time.UnixMilli(ms)).Round(time.Second) }
+	fmt.Fprintln(w, "PLAN\tPHASE\tFOR\tSTEP\tDRAINED\tBATCH\tAGE\tWHY")
+	for _, p := range plans {
+		phase := p.Phase
+		if p.Paused {
+			phase += ", paused"
+		}
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", p.Name, phase, age(p.PhaseMs), p.Step, p.Drained, strings.Join(p.Batch, " "), age(p.CreatedMs), p.Why)
+	}
+}
+
+func writeWaitReasons(w io.Writer, p *rolloutpb.Plan) {
+	if len(p.Waits) == 0 {
+		return
+	}
+	fmt.Fprintf(w, "\n%s waits for\n", p.Name)
+	for i, reason := range p.Waits {
+		if i == maxWaitReasons {
+			fmt.Fprintf(w, "  and %d more\n", len(p.Waits)-maxWaitReasons)
+			return
+		}
+		fmt.Fprintf(w, "  %s\n", reason)
+	}
+}
+
+func writeDisruptions(w io.Writer, disruptions []*rolloutpb.Disrupted) {
+	fmt.Fprintln(w, "\nDISRUPTED\tTEAM\tCLASS\tCAUSE\tFOR\tTASKS TO REGAIN")
+	for _, d := range disruptions {
+		duration := (time.Duration(d.ForMs) * time.Millisecond).Round(time.Second)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\n", d.Ref, d.Team, d.Class, d.Cause, duration, d.Tasks)
+	}
+}
--- /dev/null
+++ b/internal/rolloutservice/status_table_test.go
@@ -0,0 +1,53 @@
+package rolloutservice
+
+import (
+	"bytes"
+	"fmt"
+	"strings"
+	"testing"
+	"time"
+
+	"leadproxy/internal/rolloutservice/rolloutpb"
+)
+
+// TestWrite: the tables have each plan with what it waits for, up to a bound, and each disrupted
+// job.
+func TestWrite(t *testing.T) {
+	now := time.UnixMilli(1_000_000)
+	var waits []string
+	for i := range 22 {
+		waits = append(waits, fmt.Sprintf("reason %d", i))
+	}
+	list := &rolloutpb.ListReply{
+		Plans: []*rolloutpb.Plan{
+			{Name: "winter", Phase: "draining", Paused: true, Why: "paused by an operator", Step: 2, Drained: 1, CreatedMs: 940_000, PhaseMs: 998_500, Batch: []string{"vm-1", "vm-2"}, Waits: waits},
+			{Name: "summer", Phase: "finished", CreatedMs: 400_000, PhaseMs: 500_000},
+		},
+		Disrupted: []*rolloutpb.Disrupted{{Ref: "job-1", Team: "florist", Class: "report", Cause: "move", ForMs: 61_400, Tasks: 3}},
+	}
+	var out bytes.Buffer
+	if err := Write(&out, list, now); err != nil {
+		t.Fatal(err)
+	}
+	want := `PLAN    PHASE             FOR    STEP  DRAINED  BATCH      AGE    WHY
+winter  draining, paused  2s     2     1        vm-1 vm-2  1m0s   paused by an operator
+summer  finished          8m20s  0     0                   10m0s  
+
+winter waits for
+` + listed(20) + `  and 2 more
+
+DISRUPTED  TEAM     CLASS   CAUSE  FOR   TASKS TO REGAIN
+job-1      florist  report  move   1m1s  3
+`
+	if out.String() != want {
+		t.Errorf("written:\n%s\nwant:\n%s", out.String(), want)
+	}
+}
+
+func listed(count int) string {
+	var b strings.Builder
+	for i := range count {
+		fmt.Fprintf(&b, "  reason %d\n", i)
+	}
+	return b.String()
+}
