--- a/cmd/leadproxy/golden_test.go
+++ b/cmd/leadproxy/golden_test.go
@@ -27,7 +27,7 @@
 	compareGolden(t, "help.txt", describeNode(parser.Model.Node))
 }
 
-// TestGoldenLogLevel compares which values LOG_LEVEL may have, and what they let through.
+// TestGoldenLogLevel compares the values that LOG_LEVEL may have, and the levels that each enables.
 func TestGoldenLogLevel(t *testing.T) {
 	var lines []string
 	for _, value := range []string{"", "error", "info", "debug", "ERROR", "Info", "warn", "warning", "trace", "0", " info"} {
@@ -47,6 +47,7 @@
 	compareGolden(t, "log-level.txt", lines)
 }
 
+// describeNode lists a command with its flags, arguments and subcommands.
 func describeNode(node *kong.Node) []string {
 	path := node.FullPath()
 	line := "command " + path
@@ -90,13 +91,14 @@
 	return text
 }
 
-func hidden(is bool) string {
-	if is {
+func hidden(isHidden bool) string {
+	if isHidden {
 		return " hidden"
 	}
 	return ""
 }
 
+// compareGolden compares lines, sorted, with a file of testdata/golden, byte for byte.
 func compareGolden(t *testing.T, name string, lines []string) {
 	t.Helper()
 	slices.Sort(lines)
--- a/cmd/leadproxy/main.go
+++ b/cmd/leadproxy/main.go
@@ -14,22 +14,22 @@
 // version is set at release builds.
 var version = "0.1.0-dev"
 
-// commandLine is the program's commands. Without a name it runs a controller.
+// commandLine is the commands of the program. The default is to run a controller.
 type commandLine struct {
-	Run       runCommand       `cmd:"" default:"withargs" help:"Run a controller (the default)."`
-	Transfers transfersCommand `cmd:"" help:"List the jobs that are away in other cells, and those of other cells here."`
-	Trace     traceCommand     `cmd:"" help:"Show the steps of jobs that left their cell, from trace files."`
-	Standby   standbyCommand   `cmd:"" help:"Show how the controllers' standbys stand."`
-	HandOver  handOverCommand  `cmd:"" name:"handover" help:"Have the leader hand over to a standby that is complete."`
-	Drain     drainCommand     `cmd:"" help:"Drain and replace machines in steps, within disruption budgets."`
-	Version   kong.VersionFlag `help:"Print the version and exit."`
+	Run            runCommand            `cmd:"" default:"withargs" help:"Run a controller (the default)."`
+	Transfers      transfersCommand      `cmd:"" help:"List the jobs that are delegated to other cells, and those of other cells here."`
+	Trace          traceCommand          `cmd:"" help:"Show the steps of delegated jobs, from trace files."`
+	Standby        standbyCommand        `cmd:"" help:"Show the state of the controllers' standbys."`
+	LeaderTransfer leaderTransferCommand `cmd:"" name:"handover" help:"Transfer the leadership to a standby whose copy is complete."`
+	Plans          planCommands          `cmd:"" name:"drain" help:"Drain and replace machines in steps, within disruption budgets."`
+	Version        kong.VersionFlag      `help:"Print the version and exit."`
 }
 
 func main() {
 	var cl commandLine
 	command := kong.Parse(&cl,
 		kong.Name("leadproxy"),
-		kong.Description("A controller of a cluster scheduler: it takes users' jobs, hires machines and runs the jobs' tasks on them."),
+		kong.Description("A controller of a cluster scheduler: it accepts users' jobs, rents machines and runs the jobs' tasks on them."),
 		kong.Vars{"version": version + revision()})
 	if err := command.Run(command.Selected().Name); err != nil {
 		fmt.Fprintln(os.Stderr, "leadproxy:", err)
@@ -37,15 +37,19 @@
 	}
 }
 
-func newLog(level string) (*slog.Logger, error) {
-	levels := map[string]slog.Level{"": slog.LevelInfo, "error": slog.LevelError, "info": slog.LevelInfo, "debug": slog.LevelDebug}
-	l, ok := levels[strings.ToLower(level)]
+// logLevels are the values of LOG_LEVEL, in any case.
+var logLevels = map[string]slog.Level{"": slog.LevelInfo, "error": slog.LevelError, "info": slog.LevelInfo, "debug": slog.LevelDebug}
+
+// newLog returns the program's logger; name is the value of LOG_LEVEL.
+func newLog(name string) (*slog.Logger, error) {
+	level, ok := logLevels[strings.ToLower(name)]
 	if !ok {
-		return nil, fmt.Errorf("LOG_LEVEL = %q: must be error, info or debug", level)
+		return nil, fmt.Errorf("LOG_LEVEL = %q: must be error, info or debug", name)
 	}
-	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: l})), nil
+	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
 
+// revision is the abbreviated commit that the program was built from, if that is known.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
--- /dev/null
+++ b/cmd/leadproxy/plan_commands.go
@@ -0,0 +1,120 @@
+package main
+
+import (
+	"context"
+	"fmt"
+	"os"
+	"strings"
+	"time"
+
+	"leadproxy/internal/rollout"
+	"leadproxy/internal/rolloutservice"
+	"leadproxy/internal/settings"
+	"leadproxy/internal/transport"
+)
+
+// planCommands groups the commands for plans that drain and replace machines. The name of a
+// subcommand that is one of rollout's commands is also the command that the plan is given.
+type planCommands struct {
+	Check  checkPlanCommand  `cmd:"" help:"Validate a plan."`
+	Start  startPlanCommand  `cmd:"" help:"Start a plan."`
+	Status planStatusCommand `cmd:"" help:"Show all plans, what they wait for, and which jobs count as disrupted."`
+	Pause  planCommand       `cmd:"" help:"Pause a plan: it evicts no more tasks."`
+	Resume planCommand       `cmd:"" help:"Resume a plan."`
+	Abort  planCommand       `cmd:"" help:"End a plan: machines that it has not returned are uncordoned."`
+	Allow  planNameCommand   `cmd:"" help:"Allow a plan to evict a job that loses its progress by that."`
+	Skip   planNameCommand   `cmd:"" help:"Leave a machine out of a plan."`
+}
+
+// platformFlag is the flag of the file that has the controllers' addresses.
+type platformFlag struct {
+	Config string `required:"" placeholder:"FILE" help:"The platform's settings file of any controller."`
+}
+
+// checkPlanCommand validates a plan.
+type checkPlanCommand struct {
+	Plan string `arg:"" help:"The plan (INI)."`
+}
+
+// Run runs the command.
+func (c *checkPlanCommand) Run() error {
+	text, err := os.ReadFile(c.Plan)
+	if err != nil {
+		return err
+	}
+	if _, err := rollout.ParseSpec(string(text)); err != nil {
+		return err
+	}
+	fmt.Println("the plan is valid; which machines it selects shows when it begins")
+	return nil
+}
+
+// startPlanCommand starts a plan.
+type startPlanCommand struct {
+	platformFlag
+	Plan string `arg:"" help:"The plan (INI)."`
+}
+
+// Run runs the command.
+func (c *startPlanCommand) Run() error {
+	text, err := os.ReadFile(c.Plan)
+	if err != nil {
+		return err
+	}
+	platform, err := settings.LoadPlatform(c.Config)
+	if err != nil {
+		return err
+	}
+	name, err := rolloutservice.Create(context.Background(), transport.TCP{}, platform, string(text))
+	if err != nil {
+		return err
+	}
+	fmt.Printf("plan %s has begun\n", name)
+	return nil
+}
+
+// planStatusCommand shows all plans.
+type planStatusCommand struct{ platformFlag }
+
+// Run runs the command.
+func (c *planStatusCommand) Run() error {
+	platform, err := settings.LoadPlatform(c.Config)
+	if err != nil {
+		return err
+	}
+	list, err := rolloutservice.List(context.Background(), transport.TCP{}, platform)
+	if err != nil {
+		return err
+	}
+	return rolloutservice.Write(os.Stdout, list, time.Now())
+}
+
+// planCommand gives a plan a command without an argument.
+type planCommand struct {
+	platformFlag
+	Plan string `arg:"" help:"The plan's name."`
+}
+
+// planNameCommand gives a plan a command about a job or a machine.
+type planNameCommand struct {
+	planCommand
+	Name string `arg:"" help:"The job, or the machine."`
+}
+
+// Run runs the command: name is that of the subcommand.
+func (c *planCommand) Run(name string) error { return c.send(rollout.Command(name), "") }
+
+// Run runs the command: name is that of the subcommand.
+func (c *planNameCommand) Run(name string) error { return c.send(rollout.Command(name), c.Name) }
+
+func (c *planCommand) send(command rollout.Command, argument string) error {
+	platform, err := settings.LoadPlatform(c.Config)
+	if err != nil {
+		return err
+	}
+	if err := rolloutservice.Steer(context.Background(), transport.TCP{}, platform, c.Plan, command, argument); err != nil {
+		return err
+	}
+	fmt.Println(strings.TrimSpace(fmt.Sprintf("plan %s: %s %s", c.Plan, command, argument)) + " is recorded")
+	return nil
+}
--- a/cmd/rolloutreport/main.go
+++ b/cmd/rolloutreport/main.go
@@ -1,6 +1,6 @@
-// Command rolloutreport makes an HTML report of drained machines from controllers' logs. It is
-// a program of its own: what draws the plots takes more memory and time to start than a
-// controller has.
+// Command rolloutreport makes an HTML report of rollouts, the plans that drain and replace
+// machines, from the logs of the controllers. It is a separate program because the library that
+// draws the plots takes more memory and start-up time than a controller may use.
 package main
 
 import (
@@ -11,10 +11,13 @@
 	"leadproxy/internal/rolloutreport"
 )
 
+// errNoPlan means that no plan has changed its phase in the logs.
+var errNoPlan = errors.New("the logs have no phase of a plan")
+
 func main() {
 	reportcmd.Main(reportcmd.Report{
 		Name:        "rolloutreport",
-		Description: "Makes a report of how machines were drained and which jobs that disrupted.",
+		Description: "Makes a report of the machines that plans have drained and the jobs that were disrupted.",
 		Write:       write,
 	})
 }
@@ -25,7 +28,7 @@
 		return err
 	}
 	if len(timeline.Phases) == 0 {
-		return errors.New("the logs tell of no plan")
+		return errNoPlan
 	}
 	return rolloutreport.WritePage(page, timeline)
 }
--- a/internal/reportcmd/reportcmd.go
+++ b/internal/reportcmd/reportcmd.go
@@ -15,16 +15,17 @@
 type Report struct {
 	Name        string // of the program
 	Description string
-	// Write writes the page that logs tell of, or returns why there is none.
+	// Write writes the page for the logs of those files. With an error, no page is kept.
 	Write func(page io.Writer, logs []string) error
 }
 
+// commandLine is the arguments and flags of a report's program.
 type commandLine struct {
 	Logs []string `arg:"" name:"log" help:"Logs of the controllers, all of them."`
 	HTML string   `required:"" name:"html" placeholder:"FILE" help:"The page to write."`
 }
 
-// Main makes a report as the command line says, and ends the program if it can't.
+// Main writes the report that the command line requests. It exits with status 1 on an error.
 func Main(report Report) {
 	var cl commandLine
 	kong.Parse(&cl, kong.Name(report.Name), kong.Description(report.Description))
@@ -34,7 +35,7 @@
 	}
 }
 
-// run writes the file only once the whole page is there.
+// run writes the file only once the page is complete, so that an earlier one is kept on an error.
 func (cl commandLine) run(report Report) error {
 	var page bytes.Buffer
 	if err := report.Write(&page, cl.Logs); err != nil {
--- a/internal/reportcmd/reportcmd_test.go
+++ b/internal/reportcmd/reportcmd_test.go
@@ -8,23 +8,23 @@
 	"testing"
 )
 
-// TestRun: a report that can't be made leaves the file that is there alone.
+// TestRun: a report that fails leaves the existing file unchanged.
 func TestRun(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "page.html")
 	cl := commandLine{Logs: []string{"a.log", "b.log"}, HTML: file}
-	whole := Report{Write: func(page io.Writer, logs []string) error {
+	complete := Report{Write: func(page io.Writer, logs []string) error {
 		_, err := io.WriteString(page, logs[0]+" "+logs[1])
 		return err
 	}}
-	if err := cl.run(whole); err != nil {
+	if err := cl.run(complete); err != nil {
 		t.Fatal(err)
 	}
-	nothing := errors.New("the logs tell of nothing")
-	broken := Report{Write: func(page io.Writer, _ []string) error {
+	errNoEvents := errors.New("the logs have no events")
+	failing := Report{Write: func(page io.Writer, _ []string) error {
 		io.WriteString(page, "half a page")
-		return nothing
+		return errNoEvents
 	}}
-	if err := cl.run(broken); !errors.Is(err, nothing) {
+	if err := cl.run(failing); !errors.Is(err, errNoEvents) {
 		t.Errorf("%v, want the reason", err)
 	}
 	if text, err := os.ReadFile(file); err != nil || string(text) != "a.log b.log" {
--- /dev/null
+++ b/internal/rolloutreport/plots.go
@@ -0,0 +1,71 @@
+package rolloutreport
+
+import (
+	"fmt"
+	"html/template"
+	"time"
+
+	"gonum.org/v1/plot"
+	"gonum.org/v1/plot/plotter"
+	"gonum.org/v1/plot/plotutil"
+	"gonum.org/v1/plot/vg"
+
+	"leadproxy/internal/svg"
+)
+
+// The size of a plot.
+const (
+	plotWidth  = 22 * vg.Centimeter
+	plotHeight = 7 * vg.Centimeter
+)
+
+// series is a line of a plot.
+type series struct {
+	name    string
+	samples []Sample
+}
+
+func (t *Timeline) plotDisruptedJobs() (template.HTML, error) {
+	var lines []series
+	for _, team := range t.Teams() {
+		lines = append(lines, series{team, t.DisruptedJobs(team)})
+	}
+	return drawSteps("disrupted jobs", t.start(), lines)
+}
+
+func (t *Timeline) plotDrainedMachines() (template.HTML, error) {
+	line := series{name: "drained"}
+	for i, r := range t.Returns {
+		line.samples = append(line.samples, Sample{At: r.At, Count: i + 1})
+	}
+	return drawSteps("machines", t.start(), []series{line})
+}
+
+// drawSteps draws counts over time, as an SVG.
+func drawSteps(label string, start time.Time, lines []series) (template.HTML, error) {
+	p := plot.New()
+	p.X.Label.Text = "seconds since the beginning"
+	p.Y.Label.Text = label
+	p.X.Min, p.Y.Min = 0, 0
+	p.Add(plotter.NewGrid())
+	for i, line := range lines {
+		drawn, err := plotter.NewLine(line.steps(start))
+		if err != nil {
+			return "", fmt.Errorf("plot of %s: %w", label, err)
+		}
+		drawn.Color, drawn.Width = plotutil.Color(i), vg.Points(1.5)
+		p.Add(drawn)
+		p.Legend.Add(line.name, drawn)
+	}
+	return svg.Draw(p, plotWidth, plotHeight)
+}
+
+// steps are the points of a line that is level between the samples.
+func (s series) steps(start time.Time) plotter.XYs {
+	points := plotter.XYs{{X: 0, Y: 0}}
+	for _, sample := range s.samples {
+		x := sample.At.Sub(start).Seconds()
+		points = append(points, plotter.XY{X: x, Y: points[len(points)-1].Y}, plotter.XY{X: x, Y: float64(sample.Count)})
+	}
+	return points
+}
--- a/internal/rolloutreport/timeline.go
+++ b/internal/rolloutreport/timeline.go
@@ -1,110 +1,44 @@
-// Package rolloutreport makes a report of how machines were drained from what the
-// controllers have logged: which machines went when, which jobs were disrupted, for how long
-// and why.
+// Package rolloutreport makes a report of rollouts from the logs of the controllers: which machines
+// were drained when, and which jobs were disrupted, for how long and why.
 package rolloutreport
 
 import (
 	"cmp"
-	"errors"
 	"fmt"
-	"io"
-	"os"
 	"slices"
 	"strconv"
 	"time"
-
-	"github.com/go-logfmt/logfmt"
 )
 
-// Phase is a change of a plan's phase.
-type Phase struct {
+// PhaseChange is a change of a plan's phase.
+type PhaseChange struct {
 	At            time.Time
 	Plan          string
-	Phase, Why    string
+	Phase, Reason string
 	Step, Drained int
 }
 
-// Disruption is a job that missed tasks, or their progress.
+// Disruption is the time for which a job had tasks that had not regained their lost progress.
 type Disruption struct {
-	Job, Team, Class, Cause string
-	Began, Over             time.Time // Over is zero while it lasts
+	JobID, Team, Class, Cause string
+	Start, End                time.Time // End is zero while it lasts
 }
 
-// Return is a machine that was returned since it was drained.
+// Return is the return of a drained machine.
 type Return struct {
 	At      time.Time
 	Machine string
 }
 
-// Timeline is what the logs tell, each in the order of time.
+// Timeline has the events of the logs, each kind in the order of time.
 type Timeline struct {
-	Phases      []Phase
+	Phases      []PhaseChange
 	Disruptions []Disruption
 	Returns     []Return
 }
 
-// The messages that controllers log.
-const (
-	messagePhase     = "draining"
-	messageDisrupted = "job is disrupted"
-	messageWhole     = "job is whole again"
-	messageReturn    = "returning machine"
-	drained          = "drained"
-)
-
-// ReadLogs reads a timeline from controllers' logs.
-func ReadLogs(files ...string) (*Timeline, error) {
-	var lines []line
-	for _, name := range files {
-		f, err := os.Open(name)
-		if err != nil {
-			return nil, err
-		}
-		read, err := readLines(f)
-		f.Close()
-		if err != nil {
-			return nil, fmt.Errorf("%s: %w", name, err)
-		}
-		lines = append(lines, read...)
-	}
-	return newTimeline(lines)
-}
-
-// line is a line of a log that tells of draining.
-type line struct {
-	at      time.Time
-	message string
-	fields  map[string]string
-}
-
-// readLines reads the lines that matter; others are passed over.
-func readLines(in io.Reader) (lines []line, err error) {
-	d := logfmt.NewDecoder(in)
-	for d.ScanRecord() {
-		fields := map[string]string{}
-		for d.ScanKeyval() {
-			fields[string(d.Key())] = string(d.Value())
-		}
-		switch fields["msg"] {
-		case messagePhase, messageDisrupted, messageWhole, messageReturn:
-		default:
-			continue
-		}
-		at, err := time.Parse(time.RFC3339Nano, fields["time"])
-		if err != nil {
-			return nil, fmt.Errorf("time of %q: %w", fields["msg"], err)
-		}
-		lines = append(lines, line{at, fields["msg"], fields})
-	}
-	var wrong *logfmt.SyntaxError
-	if err := d.Err(); err != nil && !errors.As(err, &wrong) {
-		return nil, err
-	}
-	return lines, nil
-}
-
-func newTimeline(lines []line) (*Timeline, error) {
-	slices.SortStableFunc(lines, func(a, b line) int { return a.at.Compare(b.at) })
+func newTimeline(lines []logLine) (*Timeline, error) {
+	slices.SortStableFunc(lines, func(a, b logLine) int { return a.time.Compare(b.time) })
 	t := &Timeline{}
 	for _, l := range lines {
 		if err := t.add(l); err != nil {
@@ -114,70 +48,100 @@
 	return t, nil
 }
 
-func (t *Timeline) add(l line) error {
+func (t *Timeline) add(l logLine) error {
 	switch l.message {
 	case messagePhase:
 		return t.addPhase(l)
 	case messageDisrupted:
 		return t.addDisruption(l)
 	case messageWhole:
-		if d := t.open(l.fields["job"]); d != nil {
-			d.Over = l.at
+		if d := t.ongoing(l.fields["job"]); d != nil {
+			d.End = l.time
 		}
 	case messageReturn:
 		if l.fields["why"] == drained {
-			t.addReturn(Return{l.at, l.fields["machine"]})
+			t.addReturn(Return{At: l.time, Machine: l.fields["machine"]})
 		}
 	}
 	return nil
 }
 
-func (t *Timeline) addPhase(l line) error {
-	if l.fields["phase"] == "" || l.fields["step"] == "" {
-		return nil // a plan that was begun
+// addPhase adds a change of a plan's phase. The line of a plan's creation has no step and is
+// ignored.
+func (t *Timeline) addPhase(l logLine) error {
+	plan, phase := l.fields["plan"], l.fields["phase"]
+	if phase == "" || l.fields["step"] == "" {
+		return nil
 	}
 	step, err := strconv.Atoi(l.fields["step"])
-	count, err2 := strconv.Atoi(l.fields["drained"])
-	if err := cmp.Or(err, err2); err != nil {
-		return fmt.Errorf("phase of plan %s: %w", l.fields["plan"], err)
+	if err != nil {
+		return fmt.Errorf("step of plan %s: %w", plan, err)
+	}
+	drained, err := strconv.Atoi(l.fields["drained"])
+	if err != nil {
+		return fmt.Errorf("drained machines of plan %s: %w", plan, err)
 	}
-	t.Phases = append(t.Phases, Phase{l.at, l.fields["plan"], l.fields["phase"], l.fields["why"], step, count})
+	t.Phases = append(t.Phases, PhaseChange{At: l.time, Plan: plan, Phase: phase, Reason: l.fields["why"], Step: step, Drained: drained})
 	return nil
 }
 
-// addDisruption notes a disruption. A new leader tells again of those that it knows.
-func (t *Timeline) addDisruption(l line) error {
-	if t.open(l.fields["job"]) != nil {
+// addDisruption adds a disruption. A new leader logs those that last again.
+func (t *Timeline) addDisruption(l logLine) error {
+	jobID := l.fields["job"]
+	if t.ongoing(jobID) != nil {
 		return nil
 	}
 	seconds, err := strconv.ParseFloat(l.fields["seconds"], 64)
 	if err != nil {
-		return fmt.Errorf("disruption of %s: %w", l.fields["job"], err)
+		return fmt.Errorf("duration of the disruption of %s: %w", jobID, err)
 	}
-	began := l.at.Add(-time.Duration(seconds * float64(time.Second)))
-	t.Disruptions = append(t.Disruptions, Disruption{Job: l.fields["job"], Team: l.fields["team"], Class: l.fields["class"], Cause: l.fields["cause"], Began: began})
+	t.Disruptions = append(t.Disruptions, Disruption{
+		JobID: jobID,
+		Team:  l.fields["team"],
+		Class: l.fields["class"],
+		Cause: l.fields["cause"],
+		Start: l.time.Add(-time.Duration(seconds * float64(time.Second))),
+	})
 	return nil
 }
 
-// open is a job's disruption that lasts.
-func (t *Timeline) open(job string) *Disruption {
+// ongoing is a job's disruption that has not ended; nil if there is none.
+func (t *Timeline) ongoing(jobID string) *Disruption {
 	for i := len(t.Disruptions) - 1; i >= 0; i-- {
-		if d := &t.Disruptions[i]; d.Job == job && d.Over.IsZero() {
+		if d := &t.Disruptions[i]; d.JobID == jobID && d.End.IsZero() {
 			return d
 		}
 	}
 	return nil
 }
 
-// addReturn notes a machine's return, which is asked for until it is gone.
+// addReturn adds a machine's return, which is logged again until the machine is gone.
 func (t *Timeline) addReturn(r Return) {
-	if !slices.ContainsFunc(t.Returns, func(o Return) bool { return o.Machine == r.Machine }) {
+	if !slices.ContainsFunc(t.Returns, func(other Return) bool { return other.Machine == r.Machine }) {
 		t.Returns = append(t.Returns, r)
 	}
 }
 
+// start is the time of the first event.
+func (t *Timeline) start() time.Time {
+	var first time.Time
+	include := func(at time.Time) {
+		if first.IsZero() || at.Before(first) {
+			first = at
+		}
+	}
+	for _, p := range t.Phases {
+		include(p.At)
+	}
+	for _, d := range t.Disruptions {
+		include(d.Start)
+	}
+	return first
+}
+
 // Teams lists the teams whose jobs were disrupted.
-func (t *Timeline) Teams() (teams []string) {
+func (t *Timeline) Teams() []string {
+	var teams []string
 	for _, d := range t.Disruptions {
 		teams = append(teams, d.Team)
 	}
@@ -185,37 +149,39 @@
 	return slices.Compact(teams)
 }
 
-// Count is how many there are from a moment on.
-type Count struct {
-	At time.Time
-	N  int
+// Sample is a count that holds from a time on.
+type Sample struct {
+	At    time.Time
+	Count int
 }
 
-// Disrupted is how many of a team's jobs were disrupted, over time.
-func (t *Timeline) Disrupted(team string) (counts []Count) {
-	var changes []Count
+// DisruptedJobs is the number of a team's disrupted jobs over time.
+func (t *Timeline) DisruptedJobs(team string) []Sample {
+	var changes []Sample
 	for _, d := range t.Disruptions {
 		if d.Team != team {
 			continue
 		}
-		changes = append(changes, Count{d.Began, 1})
-		if !d.Over.IsZero() {
-			changes = append(changes, Count{d.Over, -1})
+		changes = append(changes, Sample{At: d.Start, Count: 1})
+		if !d.End.IsZero() {
+			changes = append(changes, Sample{At: d.End, Count: -1})
 		}
 	}
-	slices.SortStableFunc(changes, func(a, b Count) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.N, b.N)) })
-	n := 0
-	for _, c := range changes {
-		n += c.N
-		counts = append(counts, Count{c.At, n})
+	slices.SortStableFunc(changes, func(a, b Sample) int { return cmp.Or(a.At.Compare(b.At), cmp.Compare(a.Count, b.Count)) })
+	var samples []Sample
+	count := 0
+	for _, change := range changes {
+		count += change.Count
+		samples = append(samples, Sample{At: change.At, Count: count})
 	}
-	return counts
+	return samples
 }
 
-// Most is how many of a team's jobs were disrupted at once at most.
-func (t *Timeline) Most(team string) (most int) {
-	for _, c := range t.Disrupted(team) {
-		most = max(most, c.N)
+// MaxDisrupted is the largest number of a team's jobs that were disrupted at once.
+func (t *Timeline) MaxDisrupted(team string) int {
+	most := 0
+	for _, s := range t.DisruptedJobs(team) {
+		most = max(most, s.Count)
 	}
 	return most
 }
--- a/internal/rolloutreport/timeline_test.go
+++ b/internal/rolloutreport/timeline_test.go
@@ -2,13 +2,15 @@
 
 import (
 	"bytes"
+	"errors"
+	"io/fs"
 	"os"
 	"path/filepath"
 	"strings"
 	"testing"
 )
 
-const someLog = `time=2026-12-02T10:00:00.000Z level=INFO msg=draining plan=winter phase=choosing machines=20
+const firstLog = `time=2026-12-02T10:00:00.000Z level=INFO msg=draining plan=winter phase=choosing machines=20
 time=2026-12-02T10:00:01.000Z level=INFO msg=draining plan=winter phase=draining paused=false step=1 batch=1 drained=0 why=""
 time=2026-12-02T10:00:02.000Z level=INFO msg="job is disrupted" job=job-1 team=florist class=c cause=move seconds=1
 time=2026-12-02T10:00:03.000Z level=INFO msg="something else" job=job-1
@@ -17,8 +19,8 @@
 time=2026-12-02T10:00:05.000Z level=INFO msg="returning machine" machine=vm-2 why=idle bookings=0 age=20
 `
 
-// The second controller takes over: it tells again of what lasts.
-const otherLog = `time=2026-12-02T10:00:06.000Z level=INFO msg="job is disrupted" job=job-1 team=florist class=c cause=move seconds=4
+// The second controller becomes the leader, and logs the disruptions that last again.
+const secondLog = `time=2026-12-02T10:00:06.000Z level=INFO msg="job is disrupted" job=job-1 team=florist class=c cause=move seconds=4
 time=2026-12-02T10:00:07.000Z level=INFO msg="job is disrupted" job=job-2 team=florist class=c cause="its machine is lost" seconds=0
 time=2026-12-02T10:00:09.000Z level=INFO msg="job is whole again" job=job-1 team=florist class=c cause=move
 time=2026-12-02T10:00:10.000Z level=INFO msg="returning machine" machine=vm-1 why=drained bookings=0 age=26
@@ -28,25 +30,25 @@
 func TestTimeline(t *testing.T) {
 	dir := t.TempDir()
 	var files []string
-	for name, text := range map[string]string{"b.log": otherLog, "a.log": someLog} {
+	for name, text := range map[string]string{"b.log": secondLog, "a.log": firstLog} {
 		file := filepath.Join(dir, name)
 		if err := os.WriteFile(file, []byte(text), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		files = append(files, file)
 	}
-	line, err := ReadLogs(files...)
+	timeline, err := ReadLogs(files...)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(line.Phases) != 1 || len(line.Returns) != 1 || len(line.Disruptions) != 2 || line.Most("florist") != 2 {
-		t.Fatalf("%+v", line)
+	if len(timeline.Phases) != 1 || len(timeline.Returns) != 1 || len(timeline.Disruptions) != 2 || timeline.MaxDisrupted("florist") != 2 {
+		t.Fatalf("%+v", timeline)
 	}
-	if first := line.Disruptions[0]; first.For() != "8s" || line.Disruptions[1].For() != "not over" {
-		t.Errorf("%+v", line.Disruptions)
+	if first := timeline.Disruptions[0]; first.Duration() != "8s" || timeline.Disruptions[1].Duration() != "not over" {
+		t.Errorf("%+v", timeline.Disruptions)
 	}
 	var out bytes.Buffer
-	if err := WritePage(&out, line); err != nil {
+	if err := WritePage(&out, timeline); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"<svg", "vm-1", "its machine is lost", "winter"} {
@@ -54,7 +56,7 @@
 			t.Errorf("the page lacks %q", want)
 		}
 	}
-	if _, err := ReadLogs(filepath.Join(dir, "none")); err == nil {
-		t.Error("a file that is not there")
+	if _, err := ReadLogs(filepath.Join(dir, "none")); !errors.Is(err, fs.ErrNotExist) {
+		t.Errorf("a file that does not exist: %v", err)
 	}
 }
--- a/internal/svg/svg.go
+++ b/internal/svg/svg.go
@@ -3,6 +3,7 @@
 
 import (
 	"bytes"
+	"fmt"
 	"html/template"
 
 	"gonum.org/v1/plot"
@@ -11,15 +12,16 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Draw draws a plot as an element of a page.
+// Draw returns a plot as an <svg> element for an HTML page.
 func Draw(p *plot.Plot, width, height vg.Length) (template.HTML, error) {
 	canvas := vgsvg.New(width, height)
 	p.Draw(draw.New(canvas))
-	var text bytes.Buffer
-	if _, err := canvas.WriteTo(&text); err != nil {
-		return "", err
+	var encoded bytes.Buffer
+	if _, err := canvas.WriteTo(&encoded); err != nil {
+		return "", fmt.Errorf("encode the plot: %w", err)
 	}
-	// What stands before the element belongs to a file of its own.
-	svg := text.Bytes()
-	return template.HTML(svg[max(0, bytes.Index(svg, []byte("<svg"))):]), nil
+	// The XML declaration before the element is for separate files only.
+	file := encoded.Bytes()
+	start := max(0, bytes.Index(file, []byte("<svg")))
+	return template.HTML(file[start:]), nil
 }
