--- a/internal/failoverreport/failoverreport.go
+++ b/internal/failoverreport/failoverreport.go
@@ -5,11 +5,12 @@
 	"bufio"
 	"fmt"
 	"io"
-	"os"
 	"regexp"
 	"slices"
 	"strconv"
 	"time"
+
+	"leadproxy/internal/inputfiles"
 )
 
 // Failover is one failover as the new leader has logged it. Durations are in seconds since the
@@ -30,18 +31,9 @@
 
 // ReadLogs reads the failovers from controllers' logs, the earliest first.
 func ReadLogs(files ...string) ([]Failover, error) {
-	var all []Failover
-	for _, name := range files {
-		f, err := os.Open(name)
-		if err != nil {
-			return nil, err
-		}
-		read, err := readLog(f)
-		f.Close()
-		if err != nil {
-			return nil, fmt.Errorf("%s: %w", name, err)
-		}
-		all = append(all, read...)
+	all, err := inputfiles.ReadAll(files, readLog)
+	if err != nil {
+		return nil, err
 	}
 	slices.SortStableFunc(all, func(a, b Failover) int { return a.At.Compare(b.At) })
 	return all, nil
