--- a/internal/rollout/spec_parser.go
+++ b/internal/rollout/spec_parser.go
@@ -3,12 +3,12 @@
 import (
 	"errors"
 	"fmt"
+	"math"
 	"regexp"
-	"slices"
-	"strconv"
-	"strings"
 
 	"gopkg.in/ini.v1"
+
+	"leadproxy/internal/inifile"
 )
 
 // ErrPlan means that a plan can't be carried out as it is written.
@@ -24,7 +24,7 @@
 	return Spec{Canary: 1, Batch: 1, WaitS: 600, CheckS: 15, HealthS: 600}
 }
 
-// specParser parses the keys of a plan's text and collects the errors in them.
+// specParser parses a plan's text and collects the errors in it.
 type specParser struct {
 	spec Spec
 	errs []error
@@ -44,9 +44,7 @@
 	for _, section := range file.Sections() {
 		switch {
 		case section.Name() == "plan":
-			for _, key := range section.Keys() {
-				p.parse(key.Name(), strings.TrimSpace(key.Value()))
-			}
+			p.readPlan(section)
 		case len(section.Keys()) > 0:
 			p.refuse("section [%s]: only [plan] is known", section.Name())
 		}
@@ -55,87 +53,46 @@
 	return p.spec, errors.Join(p.errs...)
 }
 
-func (p *specParser) parse(key, value string) {
+func (p *specParser) readPlan(section *ini.Section) {
 	spec := &p.spec
-	switch key {
-	case "name":
-		spec.Name = value
-	case "zones":
-		spec.Zones = list(value)
-	case "types":
-		spec.Types = list(value)
-	case "machines":
-		spec.Machines = list(value)
-	case "canary":
-		p.wholeNumber(key, value, 0, maxBatch, &spec.Canary)
-	case "batch":
-		p.batch(value)
-	case "surge":
-		p.yesNo(key, value, &spec.Surge)
-	case "wait_s":
-		p.secondsValue(key, value, &spec.WaitS)
-	case "check_s":
-		p.secondsValue(key, value, &spec.CheckS)
-	case "health_s":
-		p.secondsValue(key, value, &spec.HealthS)
-	case "deadline_s":
-		p.secondsValue(key, value, &spec.DeadlineS)
-	default:
-		p.refuse("%s: a key that is not known", key)
-	}
-}
-
-// list parses names separated by commas, sorted.
-func list(value string) []string {
-	var names []string
-	for _, name := range strings.Split(value, ",") {
-		if name = strings.TrimSpace(name); name != "" {
-			names = append(names, name)
-		}
+	refusals := inifile.ReadSection(section, inifile.Keys{
+		"name":       inifile.Text(&spec.Name),
+		"zones":      inifile.Names(&spec.Zones),
+		"types":      inifile.Names(&spec.Types),
+		"machines":   inifile.Names(&spec.Machines),
+		"canary":     inifile.Integer(&spec.Canary, 0, maxBatch),
+		"batch":      batch(spec),
+		"surge":      inifile.YesNo(&spec.Surge),
+		"wait_s":     durationSeconds(&spec.WaitS),
+		"check_s":    durationSeconds(&spec.CheckS),
+		"health_s":   durationSeconds(&spec.HealthS),
+		"deadline_s": durationSeconds(&spec.DeadlineS),
+	})
+	for _, r := range refusals {
+		p.refuse("%s = %q: must be %s", r.Key, r.Value, r.Want)
 	}
-	slices.Sort(names)
-	return slices.Compact(names)
 }
 
-// batch parses a number of machines, or a share of them in percent.
-func (p *specParser) batch(value string) {
-	percent, isShare := strings.CutSuffix(value, "%")
-	if !isShare {
-		p.wholeNumber("batch", value, 1, maxBatch, &p.spec.Batch)
-		return
-	}
-	share, err := strconv.ParseFloat(strings.TrimSpace(percent), 64)
-	if err != nil || !(share > 0) || share > 100 {
-		p.refuse("batch = %q: more than 0%% and at most 100%%", value)
-		return
-	}
-	p.spec.Batch, p.spec.Share = 0, share/100
+// durationSeconds reads a duration that the record keeps in seconds.
+func durationSeconds(into *float64) inifile.KeyReader {
+	reader := inifile.Number(into, 0, maxSeconds)
+	reader.Want = fmt.Sprintf("a number of seconds from 0 to %.0f", float64(maxSeconds))
+	return reader
 }
 
-func (p *specParser) wholeNumber(key, value string, least, most int, into *int) {
-	n, err := strconv.Atoi(value)
-	if err != nil || n < least || n > most {
-		p.refuse("%s = %q: a whole number from %d to %d", key, value, least, most)
-		return
-	}
-	*into = n
-}
-
-func (p *specParser) secondsValue(key, value string, into *float64) {
-	amount, err := strconv.ParseFloat(value, 64)
-	if err != nil || !(amount >= 0) || amount > maxSeconds {
-		p.refuse("%s = %q: a number of seconds from 0 to %.0f", key, value, float64(maxSeconds))
-		return
-	}
-	*into = amount
-}
-
-func (p *specParser) yesNo(key, value string, into *bool) {
-	switch value {
-	case "yes", "no":
-		*into = value == "yes"
-	default:
-		p.refuse("%s = %q: yes or no", key, value)
+// batch reads a number of machines, or a share of them in percent.
+func batch(into *Spec) inifile.KeyReader {
+	number := inifile.Integer(&into.Batch, 1, maxBatch)
+	return inifile.KeyReader{
+		Want: number.Want + ", or more than 0% and at most 100%",
+		Read: func(value string) bool {
+			percent, ok := inifile.ParsePercent(value, math.SmallestNonzeroFloat64, 100)
+			if !ok {
+				return number.Read(value)
+			}
+			into.Batch, into.Share = 0, percent/100
+			return true
+		},
 	}
 }
 
--- a/internal/settings/cell_sections.go
+++ b/internal/settings/cell_sections.go
@@ -1,6 +1,7 @@
 package settings
 
 import (
+	"leadproxy/internal/inifile"
 	"regexp"
 	"slices"
 	"strconv"
@@ -57,7 +58,7 @@
 	seen := map[string]bool{}
 	for i, line := range strings.Split(r.text, "\n") {
 		line = strings.TrimSpace(line)
-		name, ok := sectionHeader(line)
+		name, ok := inifile.SectionHeader(line)
 		if !ok {
 			continue
 		}
@@ -70,15 +71,15 @@
 
 func (r *cellReader) readCell(section *ini.Section) {
 	cells := &r.cells
-	r.readKeys(section, sectionKeys{
-		"name": {wantName, func(value string) bool {
+	r.readKeys(section, inifile.Keys{
+		"name": {Want: wantName, Read: func(value string) bool {
 			cells.Name = value
 			return cellName.MatchString(value)
 		}},
-		"spill":      yesNo(&cells.Spill),
-		"shortage_s": seconds(&cells.ShortageFor, 1, 3600),
-		"max_wait_s": seconds(&cells.MaxWait, 1, 86400),
-		"trace_file": text(&cells.TraceFile),
+		"spill":      inifile.YesNo(&cells.Spill),
+		"shortage_s": inifile.Seconds(&cells.ShortageFor, 1, 3600),
+		"max_wait_s": inifile.Seconds(&cells.MaxWait, 1, 86400),
+		"trace_file": inifile.Text(&cells.TraceFile),
 	})
 }
 
@@ -87,14 +88,14 @@
 	if !cellName.MatchString(name) {
 		r.refuse(section.Name(), "", name, wantName)
 	}
-	r.readKeys(section, sectionKeys{
+	r.readKeys(section, inifile.Keys{
 		"controllers": addresses(&neighbour.Controllers),
-		"preference":  truncatedNumber(&neighbour.Preference, 0, 1000),
-		"max_jobs":    truncatedNumber(&neighbour.MaxJobs, 0, 1e6),
-		"max_cores":   number(&neighbour.MaxCores, 0, 1e9),
-		"lend_cores":  number(&neighbour.LendCores, 0, 1e9),
-		"take_back_s": seconds(&neighbour.TakeBack, 10, 86400),
-		"drain":       yesNo(&neighbour.Drain),
+		"preference":  inifile.TruncatedNumber(&neighbour.Preference, 0, 1000),
+		"max_jobs":    inifile.TruncatedNumber(&neighbour.MaxJobs, 0, 1e6),
+		"max_cores":   inifile.Number(&neighbour.MaxCores, 0, 1e9),
+		"lend_cores":  inifile.Number(&neighbour.LendCores, 0, 1e9),
+		"take_back_s": inifile.Seconds(&neighbour.TakeBack, 10, 86400),
+		"drain":       inifile.YesNo(&neighbour.Drain),
 	})
 	if len(neighbour.Controllers) == 0 {
 		r.refuse(section.Name(), "controllers", "", "the addresses at which its controllers serve each other")
@@ -104,7 +105,7 @@
 
 func (r *cellReader) readClass(section *ini.Section, name string) {
 	repeatable := false
-	r.readKeys(section, sectionKeys{"repeat": yesNo(&repeatable)})
+	r.readKeys(section, inifile.Keys{"repeat": inifile.YesNo(&repeatable)})
 	if !section.HasKey("repeat") {
 		r.refuse(section.Name(), "repeat", "", "declared: yes if a job may run again after an uncertain run, no if it must run at most once")
 	}
--- a/internal/settings/golden_operator_test.go
+++ b/internal/settings/golden_operator_test.go
@@ -7,6 +7,7 @@
 	"strings"
 	"testing"
 
+	"leadproxy/internal/inifile"
 	"leadproxy/internal/rollout"
 )
 
@@ -189,7 +190,7 @@
 func replaceINI(t *testing.T, text, section, key, line string) string {
 	t.Helper()
 	lines := strings.Split(text, "\n")
-	n := lineOf(text, section, key)
+	n := inifile.LineOf(text, section, key)
 	if n == 0 {
 		t.Fatalf("the example has no %s in [%s]", key, section)
 	}
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"leadproxy/internal/inifile"
 	"maps"
 	"os"
 	"slices"
@@ -56,29 +57,29 @@
 }
 
 // scalarSections are the sections that hold single values: their keys, and where each is stored.
-func scalarSections(o *Operator) map[string]sectionKeys {
-	return map[string]sectionKeys{
+func scalarSections(o *Operator) map[string]inifile.Keys {
+	return map[string]inifile.Keys{
 		"leadership": {
-			"lease_s":   seconds(&o.LeaderLease, 1, 60),
-			"margin_ms": milliseconds(&o.LeaseMargin, 50, 500),
+			"lease_s":   inifile.Seconds(&o.LeaderLease, 1, 60),
+			"margin_ms": inifile.Milliseconds(&o.LeaseMargin, 50, 500),
 		},
 		"placement": {
-			"c": number(&o.SlowFitC, 1, 100),
+			"c": inifile.Number(&o.SlowFitC, 1, 100),
 		},
 		"fleet": {
-			"idle_return_s": seconds(&o.IdleReturn, 5, 86400),
-			"boot_patience": number(&o.BootPatience, 1.5, 100),
-			"warm_spread":   number(&o.HeadroomSpread, 0, 10),
+			"idle_return_s": inifile.Seconds(&o.IdleReturn, 5, 86400),
+			"boot_patience": inifile.Number(&o.BootPatience, 1.5, 100),
+			"warm_spread":   inifile.Number(&o.HeadroomSpread, 0, 10),
 			"max_machines":  machineBound(&o.MaxMachines),
 		},
 	}
 }
 
 // machineBound reads the bound of the fleet.
-func machineBound(into *int) keyReader {
+func machineBound(into *int) inifile.KeyReader {
 	const mostMachines = 1e6
-	return keyReader{"a whole number, 0 for no bound", func(value string) bool {
-		bound, ok := parseWholeNumber(value, 0, mostMachines)
+	return inifile.KeyReader{Want: "a whole number, 0 for no bound", Read: func(value string) bool {
+		bound, ok := inifile.ParseWholeNumber(value, 0, mostMachines)
 		if ok {
 			*into = bound
 		}
--- a/internal/settings/rollouts.go
+++ b/internal/settings/rollouts.go
@@ -8,6 +8,7 @@
 
 	"gopkg.in/ini.v1"
 
+	"leadproxy/internal/inifile"
 	"leadproxy/internal/rollout"
 )
 
@@ -50,7 +51,7 @@
 	rollouts := defaultRollouts()
 	r := &sectionReader{path: path, text: text}
 	if file.HasSection(rolloutSection) {
-		r.readKeys(file.Section(rolloutSection), sectionKeys{"enabled": yesNo(&rollouts.Enabled)})
+		r.readKeys(file.Section(rolloutSection), inifile.Keys{"enabled": inifile.YesNo(&rollouts.Enabled)})
 	}
 	if file.HasSection(budgetSection) {
 		rollouts.Budgets.General = r.readBudget(file.Section(budgetSection), rollouts.Budgets.General)
@@ -73,10 +74,10 @@
 
 // readBudget reads one budget. Keys that it leaves out keep the values of the given one.
 func (r *sectionReader) readBudget(section *ini.Section, budget rollout.Budget) rollout.Budget {
-	r.readKeys(section, sectionKeys{
+	r.readKeys(section, inifile.Keys{
 		"jobs":     budgetJobs(&budget),
 		"share":    budgetShare(&budget),
-		"window_s": seconds(&budget.Window, 0, 86400),
+		"window_s": inifile.Seconds(&budget.Window, 0, 86400),
 	})
 	// HasKey would look into [budget] as well.
 	if own := section.KeyStrings(); slices.Contains(own, "jobs") && slices.Contains(own, "share") {
@@ -86,13 +87,13 @@
 }
 
 // budgetJobs reads a budget as a number of jobs.
-func budgetJobs(into *rollout.Budget) keyReader {
-	return keyReader{"a whole number from 1, or none: then no plan ever moves these jobs", func(value string) bool {
+func budgetJobs(into *rollout.Budget) inifile.KeyReader {
+	return inifile.KeyReader{Want: "a whole number from 1, or none: then no plan ever moves these jobs", Read: func(value string) bool {
 		if value == noDisruption {
 			into.Jobs, into.Share = 0, 0
 			return true
 		}
-		jobs, ok := parseWholeNumber(value, 1, maxBudgetJobs)
+		jobs, ok := inifile.ParseWholeNumber(value, 1, maxBudgetJobs)
 		if ok {
 			into.Jobs, into.Share = jobs, 0
 		}
@@ -101,15 +102,11 @@
 }
 
 // budgetShare reads a budget as a share of the group's running jobs.
-func budgetShare(into *rollout.Budget) keyReader {
-	return keyReader{"more than 0% and at most 100%", func(value string) bool {
-		percent, isPercent := strings.CutSuffix(value, "%")
-		if !isPercent {
-			return false
-		}
-		n, ok := parseNumber(strings.TrimSpace(percent), 0.01, 100)
+func budgetShare(into *rollout.Budget) inifile.KeyReader {
+	return inifile.KeyReader{Want: "more than 0% and at most 100%", Read: func(value string) bool {
+		percent, ok := inifile.ParsePercent(value, 0.01, 100)
 		if ok {
-			into.Jobs, into.Share = 0, n/100
+			into.Jobs, into.Share = 0, percent/100
 		}
 		return ok
 	}}
--- a/internal/settings/standby.go
+++ b/internal/settings/standby.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"leadproxy/internal/inifile"
 
 	"gopkg.in/ini.v1"
 )
@@ -25,10 +26,10 @@
 		return standby, nil
 	}
 	r := &sectionReader{path: path, text: text}
-	r.readKeys(file.Section(standbySection), sectionKeys{
-		"follow": yesNo(&standby.Follow),
-		"hints":  yesNo(&standby.Hints),
-		"max_mb": number(&standby.MaxMB, 1, 1e5),
+	r.readKeys(file.Section(standbySection), inifile.Keys{
+		"follow": inifile.YesNo(&standby.Follow),
+		"hints":  inifile.YesNo(&standby.Hints),
+		"max_mb": inifile.Number(&standby.MaxMB, 1, 1e5),
 	})
 	if standby.Hints && !standby.Follow {
 		r.errs = append(r.errs, fmt.Errorf("%s: [%s] hints need follow: controllers that do not follow read everything anew", path, standbySection))
