--- a/internal/cells/trace_test.go
+++ b/internal/cells/trace_test.go
@@ -14,38 +14,52 @@
 	"leadproxy/internal/federation"
 )
 
-// TestTraceOfBothCells: the steps of a job that two cells record belong to one trace, which can
-// be written as text and as a page.
-func TestTraceOfBothCells(t *testing.T) {
+// writeTraces writes the trace files of two cells, the first with an incomplete line at its end.
+func writeTraces(t *testing.T) []string {
+	t.Helper()
 	dir := t.TempDir()
-	var files []string
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	ctx, cancel := context.WithCancel(t.Context())
-	for cell, steps := range map[string][]federation.TransferStep{
-		"lima": {{Cell: "puno", JobID: "job-1", Epoch: 1, Step: federation.StepPlanned}, {Cell: "puno", JobID: "job-1", Epoch: 1, Step: federation.StepEnded, Reason: "done"},
-			{Cell: "puno", JobID: "job-2", Epoch: 3, Step: federation.StepRefused, Reason: "full <of> work"}},
-		"puno": {{Origin: "lima", JobID: "job-1", Epoch: 1, Step: federation.StepAccepted}},
-	} {
-		file := filepath.Join(dir, cell)
+	defer cancel()
+	cells := []struct {
+		name  string
+		steps []federation.TransferStep
+	}{
+		{"lima", []federation.TransferStep{
+			{Cell: "puno", JobID: "job-1", Epoch: 1, Step: federation.StepPlanned},
+			{Cell: "puno", JobID: "job-1", Epoch: 1, Step: federation.StepEnded, Reason: "done"},
+			{Cell: "puno", JobID: "job-2", Epoch: 3, Step: federation.StepRefused, Reason: "full <of> work"},
+		}},
+		{"puno", []federation.TransferStep{{Origin: "lima", JobID: "job-1", Epoch: 1, Step: federation.StepAccepted}}},
+	}
+	var files []string
+	for _, cell := range cells {
+		file := filepath.Join(dir, cell.name)
 		files = append(files, file)
-		tracer, err := NewTracer(ctx, cell, file, log)
+		tracer, err := NewTracer(ctx, cell.name, file, log)
 		if err != nil {
 			t.Fatal(err)
 		}
-		for _, s := range steps {
-			tracer.Note(s)
+		for _, step := range cell.steps {
+			tracer.Note(step)
 		}
 	}
-	cancel()
 	// A controller that is killed may leave an incomplete line.
 	f, err := os.OpenFile(files[0], os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
 	}
+	defer f.Close()
 	if _, err := f.WriteString(`{"Name":"acc`); err != nil {
 		t.Fatal(err)
 	}
-	f.Close()
+	return files
+}
+
+// TestTraceOfBothCells: the steps of a job that two cells record belong to one trace, which can
+// be written as text and as a page.
+func TestTraceOfBothCells(t *testing.T) {
+	files := writeTraces(t)
 	steps, err := ReadSteps(files...)
 	if err != nil {
 		t.Fatal(err)
--- a/internal/settings/cell_sections.go
+++ b/internal/settings/cell_sections.go
@@ -53,7 +53,7 @@
 	return r.cells, r.errs
 }
 
-// refuseDuplicateSections refuses sections that stand twice, which the INI library would merge.
+// refuseDuplicateSections refuses sections that are declared twice, which the INI library would merge.
 func (r *cellReader) refuseDuplicateSections() {
 	seen := map[string]bool{}
 	for i, line := range strings.Split(r.text, "\n") {
@@ -63,7 +63,7 @@
 			continue
 		}
 		if isCellSection(name) && seen[name] {
-			r.errs = append(r.errs, &FieldError{File: r.path, Line: i + 1, Key: name, Value: strconv.Quote(line), Want: "a section that stands once: two cells of one name, or two declarations"})
+			r.errs = append(r.errs, &FieldError{File: r.path, Line: i + 1, Key: name, Value: strconv.Quote(line), Want: "a section that is declared once: two cells of one name, or two declarations"})
 		}
 		seen[name] = true
 	}
@@ -137,7 +137,7 @@
 		byPreference[neighbour.Preference] = neighbour.Name
 		for _, address := range neighbour.Controllers {
 			if other, taken := byAddress[address]; taken {
-				r.refuse(section, "controllers", address, "addresses that stand once; "+other+" has it too")
+				r.refuse(section, "controllers", address, "addresses that are listed once; "+other+" has it too")
 			}
 			byAddress[address] = neighbour.Name
 		}
--- a/internal/settings/cells_test.go
+++ b/internal/settings/cells_test.go
@@ -56,18 +56,18 @@
 func TestCellsRefused(t *testing.T) {
 	cases := []struct{ name, from, to, want string }{
 		{"a neighbour with this cell's name", "[neighbour.puno]", "[neighbour.lima]", "another cell than this one"},
-		{"two cells of one name", "[neighbour.puno]", "[neighbour.arequipa]", "stands once"},
+		{"two cells of one name", "[neighbour.puno]", "[neighbour.arequipa]", "declared once"},
 		{"no name", "name = lima", "", "this cell's name"},
 		{"an invalid name", "name = lima", "name = Lima Norte", wantName},
 		{"two with one preference", "preference = 2", "preference = 1", "preference"},
-		{"one address for two", "10.2.0.1:8081", "10.1.0.1:8081", "stand once"},
+		{"one address for two", "10.2.0.1:8081", "10.1.0.1:8081", "listed once"},
 		{"no addresses", "controllers = 10.2.0.1:8081", "", "controllers"},
 		{"a name for an address", "10.2.0.1:8081", "puno:8081", "IP addresses"},
 		{"an unknown key", "lend_cores = 8", "lend = 8", "known here"},
 		{"a negative bound", "lend_cores = 8", "lend_cores = -8", "a number between"},
 		{"neither yes nor no", "drain = yes", "drain = soon", "yes or no"},
 		{"a class without declaration", "repeat = yes", "", "declared"},
-		{"a class declared twice", "[class.report]", "[class.report]\nrepeat = no\n[class.report]", "stands once"},
+		{"a class declared twice", "[class.report]", "[class.report]\nrepeat = no\n[class.report]", "declared once"},
 		{"delegating without neighbours", cellsText[strings.Index(cellsText, "[neighbour.puno]"):], "", "no without neighbours"},
 	}
 	for _, c := range cases {
--- a/internal/settings/golden_operator_test.go
+++ b/internal/settings/golden_operator_test.go
@@ -51,7 +51,7 @@
 func shareOf(b rollout.Budget) any  { return b.Share }
 func windowOf(b rollout.Budget) any { return b.Window }
 
-// operatorFileKeys are all keys of the operators' file, as they stand in the example.
+// operatorFileKeys are all keys of the operators' file, as in the example.
 var operatorFileKeys = []iniKey[Operator]{
 	{"leadership", "lease_s", "5", func(o Operator) any { return o.LeaderLease }},
 	{"leadership", "margin_ms", "300", func(o Operator) any { return o.LeaseMargin }},
--- a/internal/settings/golden_platform_test.go
+++ b/internal/settings/golden_platform_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// TestGoldenPlatformKeys compares the list of a platform file's keys. Each must stand in the
+// TestGoldenPlatformKeys compares the list of a platform file's keys. Each must be in the
 // complete example, and changing its value there must change what is read of that key alone.
 func TestGoldenPlatformKeys(t *testing.T) {
 	text := readFile(t, filepath.Join("testdata", "golden", "platform.toml"))
@@ -58,7 +58,7 @@
 // index is the place of an item of a list in a key's path.
 var index = regexp.MustCompile(`\[\d+\]`)
 
-// walkTOML hands over every single value of a file with its path and a way to set it.
+// walkTOML visits every value of a file with its path and a function that sets it.
 func walkTOML(tree any, path string, visit func(path string, value any, set func(any))) {
 	switch tree := tree.(type) {
 	case map[string]any:
--- a/internal/settings/platform_validation.go
+++ b/internal/settings/platform_validation.go
@@ -7,7 +7,7 @@
 	"net/netip"
 )
 
-// Bounds on what the platform may hand over.
+// The bounds of the platform's values.
 const (
 	maxAmount     = 1e9
 	minTxnOps     = 2
