--- a/internal/cells/proof_test.go
+++ b/internal/cells/proof_test.go
@@ -125,9 +125,9 @@
 // lose has what this cell is sent by others, or answers them, be lost.
 func (c *cell) lose(way fake.Direction, on bool) {
 	for _, r := range c.relays {
-		r.Lose(way, on)
+		r.SetDropping(way, on)
 		if !on {
-			r.Break()
+			r.CloseConnections()
 		}
 	}
 }
@@ -205,7 +205,7 @@
 // TestThreeCells floods one cell while controllers are killed and links are cut: each
 // job has a single final answer and ran in a single cell.
 func TestThreeCells(t *testing.T) {
-	program := fake.Build(t, repository)
+	program := fake.BuildController(t, repository)
 	check := fake.NewChecker(t, fake.Limits{Cancel: cancelLimit, Waiting: 90 * time.Second, Silent: 75 * time.Second})
 	a, b, c := newCell(t, "a", 2, check), newCell(t, "b", 12, check), newCell(t, "c", 12, check)
 	a.introduce(2, b, c)
@@ -224,11 +224,11 @@
 		do   func()
 	}{
 		{"a's leader is killed", 12 * time.Second, func() { a.replaceLeader(program) }},
-		{"what a sends to b is lost", 20 * time.Second, func() { b.lose(fake.Forth, true) }},
-		{"and no longer", 30 * time.Second, func() { b.lose(fake.Forth, false) }},
+		{"what a sends to b is lost", 20 * time.Second, func() { b.lose(fake.ToServer, true) }},
+		{"and no longer", 30 * time.Second, func() { b.lose(fake.ToServer, false) }},
 		{"b's leader is killed", 33 * time.Second, func() { b.replaceLeader(program) }},
-		{"what c answers is lost", 38 * time.Second, func() { c.lose(fake.Back, true) }},
-		{"and no longer", 48 * time.Second, func() { c.lose(fake.Back, false) }},
+		{"what c answers is lost", 38 * time.Second, func() { c.lose(fake.ToClient, true) }},
+		{"and no longer", 48 * time.Second, func() { c.lose(fake.ToClient, false) }},
 		{"all controllers of a are killed", 52 * time.Second, func() {
 			for _, n := range a.nodes {
 				n.Kill()
--- a/internal/compat/deployment_test.go
+++ b/internal/compat/deployment_test.go
@@ -60,7 +60,7 @@
 			t.Fatalf("unpacking %s: %v: %s", commit, err, out)
 		}
 	}
-	return fake.Build(t, dir)
+	return fake.BuildController(t, dir)
 }
 
 // newDeployment starts everything but the controllers.
--- /dev/null
+++ b/internal/fake/checker_requests.go
@@ -0,0 +1,116 @@
+package fake
+
+import (
+	"net/http"
+	"time"
+
+	"leadproxy/internal/wire"
+)
+
+// RequestKind is the kind of a user's request.
+type RequestKind int
+
+// The kinds of requests.
+const (
+	AskedSubmit RequestKind = iota
+	AskedStatus
+	AskedCancel
+)
+
+// Submits records that a user submits a job, and whether it can run.
+func (c *Checker) Submits(j *wire.Job, runnable bool) {
+	c.do(func() {
+		if c.jobs[j.ID] == nil {
+			c.jobs[j.ID] = &checkedJob{job: j, runnable: runnable, completed: map[string]bool{}}
+		}
+	})
+}
+
+// Cancels records that a user requests the cancellation of a job.
+func (c *Checker) Cancels(jobID string) {
+	c.do(func() {
+		if j := c.jobs[jobID]; j != nil && j.cancelRequestedAt.IsZero() {
+			j.cancelRequestedAt = time.Now()
+		}
+	})
+}
+
+// RecordRequest records that a user sends a request about a job.
+func (c *Checker) RecordRequest(jobID string) {
+	c.do(func() {
+		if j := c.jobs[jobID]; j != nil {
+			j.lastRequestAt = time.Now()
+			if j.unansweredSince.IsZero() {
+				j.unansweredSince = j.lastRequestAt
+			}
+		}
+	})
+}
+
+// RecordResponse records the response to a user's request: when the request was sent, the status
+// code and the job's status in the body.
+func (c *Checker) RecordResponse(kind RequestKind, jobID string, sentAt time.Time, code int, status string) {
+	c.do(func() {
+		now := time.Now()
+		j := c.jobs[jobID]
+		if j == nil {
+			if isAccepted(code) {
+				c.violate(invariantInvented, "%s: %d %s", jobID, code, status)
+			}
+			return
+		}
+		// A request takes time to arrive: a response that came in the moment when this request
+		// was sent preceded it.
+		known := !j.acceptedAt.IsZero() && !j.acceptedAt.After(sentAt)
+		switch {
+		case isAccepted(code):
+			if !j.runnable {
+				c.violate(invariantAcceptedUnfit, "%s can't run or is incomplete: %d", jobID, code)
+			}
+			if j.acceptedAt.IsZero() {
+				j.acceptedAt = now
+			}
+			j.unansweredSince = time.Time{}
+			c.checkStatus(jobID, j, sentAt, status)
+		case code == http.StatusNotFound:
+			j.unansweredSince = time.Time{}
+			if known {
+				c.violate(invariantForgotten, "%s: 404", jobID)
+			}
+		case kind == AskedSubmit && (code == http.StatusBadRequest || code == http.StatusUnprocessableEntity):
+			if known {
+				c.violate(invariantForgotten, "%s: its repetition got %d", jobID, code)
+			} else if j.runnable {
+				c.violate(invariantRefusedFit, "%s: %d", jobID, code)
+			}
+		}
+	})
+}
+
+// checkStatus checks a job's status in a response to a request that was sent at some time.
+func (c *Checker) checkStatus(jobID string, j *checkedJob, sentAt time.Time, status string) {
+	if j.terminalStatus != "" && !j.terminalAt.After(sentAt) && status != j.terminalStatus {
+		c.violate(invariantWentBack, "%s: %s after %s", jobID, status, j.terminalStatus)
+	}
+	if status != wire.JobDone && status != wire.JobCancelled {
+		if dependency, since := c.cancelledDependency(j); dependency != "" && sentAt.Sub(since) > c.limits.Cancel {
+			c.violate(invariantOrphaned, "%s is %s %s after %s was told as cancelled", jobID, status, sentAt.Sub(since), dependency)
+		}
+		return
+	}
+	if j.terminalStatus != "" && status != j.terminalStatus {
+		c.violate(invariantWentBack, "%s: both %s and %s", jobID, j.terminalStatus, status)
+	}
+	if status == wire.JobDone && len(j.completed) < j.job.Tasks {
+		c.violate(invariantNotDone, "%s: %d of %d", jobID, len(j.completed), j.job.Tasks)
+	}
+	if status == wire.JobCancelled && !c.cancelRequested(j) {
+		c.violate(invariantWentBack, "%s: cancelled without a request", jobID)
+	}
+	if j.terminalStatus == "" {
+		j.terminalStatus, j.terminalAt = status, time.Now()
+	}
+}
+
+// isAccepted reports whether a status code says that the service has the job.
+func isAccepted(code int) bool { return code == http.StatusOK || code == http.StatusCreated }
--- /dev/null
+++ b/internal/fake/checker_tasks.go
@@ -0,0 +1,88 @@
+package fake
+
+import (
+	"slices"
+	"time"
+
+	"leadproxy/internal/wire"
+)
+
+// TaskRun is one run of a task on a machine.
+type TaskRun struct {
+	Task, Machine   string
+	Began           time.Time
+	Ended           time.Time     // zero while it runs
+	InitialProgress time.Duration // of the checkpoint that it began with
+	Completed       bool
+}
+
+// Runs lists all runs of tasks on machines, in the order in which they began.
+func (c *Checker) Runs() (runs []TaskRun) {
+	c.do(func() { runs = slices.Clone(c.runs) })
+	return runs
+}
+
+// RecordTaskStart records that a task runs on a machine from now on.
+func (c *Checker) RecordTaskStart(task, machine, machineType, zone string, spot bool) {
+	c.do(func() {
+		j := c.jobs[wire.JobIDOfTask(task)]
+		if j == nil {
+			c.violate(invariantInvented, "%s started and was never submitted", task)
+			return
+		}
+		if at, ok := c.running[task]; ok && (c.limits.MayRepeat == nil || !c.limits.MayRepeat(j.job.Class)) {
+			c.violate(invariantRanTwice, "%s starts on %s while on %s", task, machine, at.machine)
+		}
+		c.forEachDependency(j, func(jobID string, dependency *checkedJob) {
+			if len(dependency.completed) < dependency.job.Tasks {
+				c.violate(invariantTooEarly, "%s starts, and %s has %d of %d done", task, jobID, len(dependency.completed), dependency.job.Tasks)
+			}
+		})
+		if j.terminalStatus == wire.JobCancelled {
+			c.lateStarts++
+			if c.cancelDue(j) {
+				c.violate(invariantRanCancelled, "%s starts %s after the confirmation", task, time.Since(j.terminalAt))
+			}
+		}
+		at := location{machine: machine, machineType: machineType, zone: zone, spot: spot}
+		c.checkPlacement(task, j.job, at)
+		c.running[task] = at
+		c.runs = append(c.runs, TaskRun{Task: task, Machine: machine, Began: time.Now(), InitialProgress: c.checkpoints[task]})
+		c.checkQuota(j.job.Team)
+	})
+}
+
+// Ends records that a task no longer runs on a machine, and whether it has completed.
+func (c *Checker) Ends(task, machine string, completed bool) {
+	c.do(func() {
+		if c.running[task].machine == machine {
+			c.checkCancelledTask(task)
+			delete(c.running, task)
+		}
+		c.closeRun(task, machine, completed)
+		if j := c.jobs[wire.JobIDOfTask(task)]; completed && j != nil {
+			j.completed[task] = true
+		}
+	})
+}
+
+// closeRun records the end of a task's last run on a machine.
+func (c *Checker) closeRun(task, machine string, completed bool) {
+	for i := len(c.runs) - 1; i >= 0; i-- {
+		if r := &c.runs[i]; r.Task == task && r.Machine == machine {
+			r.Ended, r.Completed = time.Now(), completed
+			return
+		}
+	}
+}
+
+// RecordCheckpoint records the progress that a stopped task has saved.
+func (c *Checker) RecordCheckpoint(task string, ran time.Duration) {
+	c.do(func() { c.checkpoints[task] = ran })
+}
+
+// CheckpointedProgress is the saved progress that a task resumes from.
+func (c *Checker) CheckpointedProgress(task string) (ran time.Duration) {
+	c.do(func() { ran = c.checkpoints[task] })
+	return ran
+}
--- /dev/null
+++ b/internal/fake/checker_tasks_test.go
@@ -0,0 +1,58 @@
+package fake
+
+import (
+	"testing"
+
+	"leadproxy/internal/wire"
+)
+
+func TestCheckerTaskRuns(t *testing.T) {
+	zone := "b"
+	testChecker(t, []checkerCase{
+		{"a task ends on one machine and starts on another", "", func(s *scenario) {
+			s.submit("job-1", 1, nil)
+			s.RecordTaskStart("job-1/0", "m1", "m", "a", true)
+			s.Ends("job-1/0", "m1", false)
+			s.run("job-1/0", "m2")
+		}},
+		{"a task on two machines", "ran_twice", func(s *scenario) {
+			s.submit("job-1", 1, nil)
+			s.RecordTaskStart("job-1/0", "m1", "m", "a", true)
+			s.RecordTaskStart("job-1/0", "m2", "m", "a", true)
+		}},
+		{"a task of a job that was never submitted", "invented", func(s *scenario) { s.RecordTaskStart("job-1/0", "m1", "m", "a", true) }},
+		{"more CPUs than the team's limit", "quota", func(s *scenario) {
+			s.submit("job-1", 3, nil)
+			for _, task := range []string{"job-1/0", "job-1/1", "job-1/2"} {
+				s.RecordTaskStart(task, "m1", "m", "a", true)
+			}
+		}},
+		{"a wrong zone", "wrong_place", func(s *scenario) {
+			s.submit("job-1", 1, func(j *wire.Job) { j.Zone = &zone })
+			s.run("job-1/0", "m1")
+		}},
+		{"a wrong machine type", "wrong_place", func(s *scenario) {
+			s.submit("job-1", 1, func(j *wire.Job) { j.Types = []string{"other"} })
+			s.run("job-1/0", "m1")
+		}},
+		{"a spot machine for a job that excludes them", "wrong_place", func(s *scenario) {
+			s.submit("job-1", 1, func(j *wire.Job) { j.Spot = false })
+			s.run("job-1/0", "m1")
+		}},
+		{"a gang in two zones", "wrong_place", func(s *scenario) {
+			s.submit("job-1", 2, func(j *wire.Job) { j.Gang = true })
+			s.RecordTaskStart("job-1/0", "m1", "m", "a", true)
+			s.RecordTaskStart("job-1/1", "m2", "m", "b", true)
+		}},
+		{"a gang in two zones, one after the other", "", func(s *scenario) {
+			s.submit("job-1", 2, func(j *wire.Job) { j.Gang = true })
+			s.run("job-1/0", "m1")
+			s.RecordTaskStart("job-1/1", "m2", "m", "b", true)
+		}},
+		{"a spread job in one zone", "wrong_place", func(s *scenario) {
+			s.submit("job-1", 2, func(j *wire.Job) { j.Spread = true })
+			s.RecordTaskStart("job-1/0", "m1", "m", "a", true)
+			s.RecordTaskStart("job-1/1", "m2", "m", "a", true)
+		}},
+	})
+}
--- a/internal/fake/deployment.go
+++ b/internal/fake/deployment.go
@@ -2,7 +2,6 @@
 
 import (
 	"cmp"
-	"fmt"
 	"os"
 	"path/filepath"
 	"testing"
@@ -10,157 +9,137 @@
 
 	"leadproxy/internal/settings"
 	"leadproxy/internal/transport"
-	"leadproxy/internal/wire"
 )
 
-// DeploymentPlan is what a deployment is made of. Zero values stand for the usual.
+// DeploymentPlan describes a deployment. Times that are zero get defaults.
 type DeploymentPlan struct {
 	Controllers, Machines int
 	Teams                 []string
-	// CPUs limits what teams use at a time; none: no limit.
-	CPUs map[string]float64
-	// Operator is the text of the operators' settings.
-	Operator string
-	// Report is how often machines report, Lease how long a worker goes on unanswered, and
-	// Cancel how long tasks may be there after a cancellation.
-	Report, Lease, Cancel time.Duration
-	// Run is how long a task runs.
-	Run func(task string) time.Duration
-	// Saving has tasks take flush_s to save their progress.
-	Saving bool
-	// Seed is that of the users' choices.
+	// TeamCPULimits bounds the CPUs that a team uses at a time; no entry: unlimited.
+	TeamCPULimits map[string]float64
+	// OperatorSettings is the text of the operators' settings file.
+	OperatorSettings string
+	// HeartbeatInterval is that of the workers, WorkerLease how long a worker keeps its tasks
+	// without a response, and CancelDeadline within which time the tasks of a cancelled job end.
+	HeartbeatInterval, WorkerLease, CancelDeadline time.Duration
+	// RunTime is how long a task runs.
+	RunTime func(task string) time.Duration
+	// SlowCheckpoints makes tasks take flush_s to save a checkpoint; otherwise it is immediate.
+	SlowCheckpoints bool
+	// Seed is that of the users' random choices.
 	Seed uint64
-	// Relayed has all that controllers and workers say to controllers, and controllers to the
-	// state service, go through relays, which Links lists.
-	Relayed bool
-	// Writes befall transactions of the state service, Commands direct commands, and Calls
-	// the cloud.
-	Writes, Commands, Calls Troubles
+	// UseRelays puts relays into the connections from controllers and workers to controllers, and
+	// from controllers to the key-value store. Deployment.Relays lists them.
+	UseRelays bool
+	// WriteFaults are injected into transactions of the key-value store, CommandFaults into
+	// commands to workers, and CloudFaults into calls of the cloud.
+	WriteFaults, CommandFaults, CloudFaults Troubles
 }
 
-// The times and sizes of a deployment's machines.
+// The default times of a deployment's workers.
 const (
-	deploymentReport = time.Second
-	deploymentLease  = 20 * time.Second
-	deploymentCancel = 40 * time.Second
+	defaultHeartbeatInterval = time.Second
+	defaultWorkerLease       = 20 * time.Second
+	defaultCancelDeadline    = 40 * time.Second
 )
 
-// What a deployment's platform grants, by machine where it must grow with them.
-const (
-	leastSockets      = 2000
-	socketsPerMachine = 8
-	leastStateRPS     = 200
-	leastWriteRPS     = 80
-	machinesPerWrite  = 10 // a second
-)
-
-// Deployment is controllers as real processes on the loopback interface, with fakes of all
-// else.
+// Deployment has controllers as real processes on the loopback interface, and fakes of all other
+// systems.
 type Deployment struct {
-	State    *State
-	Cloud    *Cloud
-	Check    *Checker
-	Users    *Users
-	Nodes    []*Process
-	Platform *settings.Platform // of one controller
-	Links    []Links            // by controller, with relays
+	Store       *State
+	Cloud       *Cloud
+	Checker     *Checker
+	Users       *Users
+	Controllers []*Process
+	Platform    *settings.Platform // of one controller
+	Relays      []ControllerRelays // by controller, with DeploymentPlan.UseRelays
 }
 
-// Links are the relays of one controller.
-type Links struct {
-	State   *Relay
+// ControllerRelays are the relays around one controller.
+type ControllerRelays struct {
+	Store   *Relay   // from it to the key-value store
 	Workers *Relay   // from workers to it
-	Peers   []*Relay // from it to the others
+	Peers   []*Relay // from it to the other controllers
 }
 
 // NewDeployment makes a deployment. Its controllers are not started yet.
 func NewDeployment(t *testing.T, p DeploymentPlan) *Deployment {
 	t.Helper()
-	p.Report = cmp.Or(p.Report, deploymentReport)
-	p.Lease = cmp.Or(p.Lease, deploymentLease)
-	p.Cancel = cmp.Or(p.Cancel, deploymentCancel)
+	p.setDefaults()
 	network := transport.TCP{}
-	d := &Deployment{State: NewState(t, network, "127.0.0.1:0", p.Writes)}
-	d.Check = NewChecker(t, Limits{Cancel: p.Cancel, CPUs: p.CPUs, Waiting: 90 * time.Second, Silent: 75 * time.Second})
-	public, back := Reserve(t, p.Controllers), Reserve(t, p.Controllers)
-	d.Users = NewUsers(t, network, public, d.Check, cmp.Or(p.Seed, 1))
-	reportTo := public
-	if p.Relayed {
-		reportTo = d.relay(t, public)
+	d := &Deployment{Store: NewState(t, network, "127.0.0.1:0", p.WriteFaults)}
+	d.Checker = NewChecker(t, Limits{Cancel: p.CancelDeadline, CPUs: p.TeamCPULimits, Waiting: 90 * time.Second, Silent: 75 * time.Second})
+	addresses := controllerAddresses{public: Reserve(t, p.Controllers), peer: Reserve(t, p.Controllers)}
+	d.Users = NewUsers(t, network, addresses.public, d.Checker, cmp.Or(p.Seed, 1))
+	heartbeatAddresses := addresses.public
+	if p.UseRelays {
+		heartbeatAddresses = d.addRelays(t, addresses.public)
 	}
-	d.Cloud = NewCloud(t, network, "127.0.0.1:0", p.cloud(reportTo, d.Check))
+	d.Cloud = NewCloud(t, network, "127.0.0.1:0", p.cloudConfig(heartbeatAddresses, d.Checker))
+	d.addControllers(t, &p, addresses)
+	return d
+}
+
+func (p *DeploymentPlan) setDefaults() {
+	p.HeartbeatInterval = cmp.Or(p.HeartbeatInterval, defaultHeartbeatInterval)
+	p.WorkerLease = cmp.Or(p.WorkerLease, defaultWorkerLease)
+	p.CancelDeadline = cmp.Or(p.CancelDeadline, defaultCancelDeadline)
+}
+
+// addRelays puts relays before the key-value store and the controllers' public addresses. It
+// returns the addresses to which workers send heartbeats.
+func (d *Deployment) addRelays(t *testing.T, public []string) (heartbeatAddresses []string) {
+	for _, addr := range public {
+		relays := ControllerRelays{Store: NewRelay(t, d.Store.Addr()), Workers: NewRelay(t, addr)}
+		d.Relays = append(d.Relays, relays)
+		heartbeatAddresses = append(heartbeatAddresses, relays.Workers.Addr())
+	}
+	return heartbeatAddresses
+}
+
+// addControllers writes the settings files and adds the controllers.
+func (d *Deployment) addControllers(t *testing.T, p *DeploymentPlan, addresses controllerAddresses) {
+	t.Helper()
 	dir := t.TempDir()
 	operator := filepath.Join(dir, "operator.ini")
-	if err := os.WriteFile(operator, []byte(p.Operator), 0o600); err != nil {
+	if err := os.WriteFile(operator, []byte(p.OperatorSettings), 0o600); err != nil {
 		t.Fatal(err)
 	}
 	facts := p.facts()
 	for i := range p.Controllers {
-		node := settings.Platform{Node: nodeName(i), Zone: "a", Listen: public[i], Back: back[i], Facts: facts, Services: settings.Services{State: d.State.Addr(), Cloud: d.Cloud.Addr()}}
-		if p.Relayed {
-			node.Services.State = d.Links[i].State.Addr()
-		}
-		for k := range p.Controllers {
-			if k != i {
-				node.Peers = append(node.Peers, settings.Peer{Node: nodeName(k), Zone: "a", Addr: d.peerAddr(t, p.Relayed, i, back[k])})
-			}
-		}
-		d.Platform = &node
-		d.Nodes = append(d.Nodes, NewProcess(t, dir, node, "--settings", operator))
+		platform := d.platform(t, i, facts, addresses)
+		d.Platform = &platform
+		d.Controllers = append(d.Controllers, NewProcess(t, dir, platform, "--settings", operator))
 	}
-	return d
 }
 
-// relay puts relays before the state service and the controllers' public addresses. It
-// returns where workers report.
-func (d *Deployment) relay(t *testing.T, public []string) (reportTo []string) {
-	for _, addr := range public {
-		links := Links{State: NewRelay(t, d.State.Addr()), Workers: NewRelay(t, addr)}
-		d.Links = append(d.Links, links)
-		reportTo = append(reportTo, links.Workers.Addr())
+// platform returns the platform settings of one controller.
+func (d *Deployment) platform(t *testing.T, i int, facts settings.Facts, addresses controllerAddresses) settings.Platform {
+	platform := settings.Platform{
+		Node: controllerName(i), Zone: "a", Listen: addresses.public[i], Back: addresses.peer[i], Facts: facts,
+		Services: settings.Services{State: d.Store.Addr(), Cloud: d.Cloud.Addr()},
 	}
-	return reportTo
-}
-
-// peerAddr is where one controller reaches another.
-func (d *Deployment) peerAddr(t *testing.T, relayed bool, from int, back string) string {
-	if !relayed {
-		return back
+	if d.Relays != nil {
+		platform.Services.State = d.Relays[i].Store.Addr()
 	}
-	link := NewRelay(t, back)
-	d.Links[from].Peers = append(d.Links[from].Peers, link)
-	return link.Addr()
-}
-
-// facts is what the platform tells its controllers.
-func (p *DeploymentPlan) facts() settings.Facts {
-	writes := float64(leastWriteRPS + p.Machines/machinesPerWrite)
-	facts := settings.Facts{Nodes: p.Controllers, Zones: []string{"a"}, ClockErrorMS: 5,
-		Workers: settings.Workers{ReportS: p.Report.Seconds(), LeaseS: p.Lease.Seconds(), CancelS: p.Cancel.Seconds()},
-		State:   settings.StateLimits{RPS: writes * leastStateRPS / leastWriteRPS, WriteRPS: writes, ValueKB: 16, TxnOps: 32},
-		Cloud:   settings.CloudLimits{RPS: 5, ListLagS: 2}, Resources: settings.Resources{CPUShare: 1, RAMMB: 1000, Sockets: max(leastSockets, socketsPerMachine*p.Machines)}}
-	for _, team := range p.Teams {
-		facts.Teams = append(facts.Teams, settings.Team{Name: team, CPUsMax: p.CPUs[team]})
+	for k, address := range addresses.peer {
+		if k != i {
+			platform.Peers = append(platform.Peers, settings.Peer{Node: controllerName(k), Zone: "a", Addr: d.peerAddress(t, i, address)})
+		}
 	}
-	return facts
+	return platform
 }
 
-func nodeName(i int) string { return fmt.Sprintf("n%d", i) }
-
-// cloud is a cloud whose machines boot within a second.
-func (p *DeploymentPlan) cloud(reportTo []string, check *Checker) CloudConfig {
-	if p.Machines == 0 {
-		return CloudConfig{}
-	}
-	var workers []Node
-	for i, addr := range reportTo {
-		workers = append(workers, Node{Name: nodeName(i), Addr: addr})
-	}
-	return CloudConfig{
-		Types: []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 1, Zones: []string{"a"}}},
-		Boot:  time.Second, ListLag: 2 * time.Second, Most: p.Machines,
-		Worker:  WorkerConfig{Nodes: workers, Report: p.Report, Lease: p.Lease, Fetch: 200 * time.Millisecond, Run: p.Run, Check: check, Saving: p.Saving, Trouble: p.Commands},
-		Trouble: p.Calls,
-		Host:    func(string) (transport.Network, string) { return transport.TCP{}, "127.0.0.1:0" },
+// peerAddress is the address at which one controller reaches another: with relays, a new one's.
+func (d *Deployment) peerAddress(t *testing.T, from int, address string) string {
+	if d.Relays == nil {
+		return address
 	}
+	relay := NewRelay(t, address)
+	d.Relays[from].Peers = append(d.Relays[from].Peers, relay)
+	return relay.Addr()
 }
+
+// controllerAddresses are the addresses of a deployment's controllers for users and workers, and
+// for one another.
+type controllerAddresses struct{ public, peer []string }
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -7,48 +7,51 @@
 	"testing"
 )
 
-// Relay stands between two processes on the loopback interface and passes their bytes
-// on, until it is told to lose what goes one way, or both.
+// Relay stands between two processes on the loopback interface and copies their bytes in both
+// directions, until it is set to drop those of one direction, or both.
 type Relay struct {
 	actor
 	listener net.Listener
-	to       string
+	target   string
 	conns    map[net.Conn]struct{}
-	lost     map[Direction]bool
+	dropping map[Direction]bool
 }
 
-// Direction is a way through a relay.
+// Direction is a direction through a relay.
 type Direction int
 
-// The ways through a relay.
+// The directions through a relay.
 const (
-	Forth Direction = iota // from those who connect
-	Back                   // to them
+	ToServer Direction = iota // from those who connect
+	ToClient                  // to those who connect
 )
 
 // NewRelay starts a relay to an address that lives as long as the test.
-func NewRelay(t testing.TB, to string) *Relay {
+func NewRelay(t testing.TB, target string) *Relay {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Relay{actor: newActor(t), listener: l, to: to, conns: map[net.Conn]struct{}{}, lost: map[Direction]bool{}}
+	r := &Relay{actor: newActor(t), listener: l, target: target, conns: map[net.Conn]struct{}{}, dropping: map[Direction]bool{}}
 	t.Cleanup(func() {
 		l.Close()
-		r.Break()
+		r.CloseConnections()
 	})
 	go r.accept()
 	return r
 }
 
-// Addr is where it listens.
+// Addr is the address at which it listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// Lose has what goes one way vanish, or ends that. Connections stay open.
-func (r *Relay) Lose(way Direction, on bool) { r.do(func() { r.lost[way] = on }) }
+// SetDropping makes the relay drop the bytes of one direction, or ends that. Connections stay
+// open.
+func (r *Relay) SetDropping(d Direction, dropping bool) {
+	r.do(func() { r.dropping[d] = dropping })
+}
 
-// Break ends all connections.
-func (r *Relay) Break() {
+// CloseConnections closes all connections.
+func (r *Relay) CloseConnections() {
 	r.do(func() {
 		for c := range r.conns {
 			c.Close()
@@ -59,32 +62,37 @@
 
 func (r *Relay) accept() {
 	for {
-		in, err := r.listener.Accept()
+		client, err := r.listener.Accept()
 		if err != nil {
 			return
 		}
-		out, err := net.Dial("tcp", r.to)
+		server, err := net.Dial("tcp", r.target)
 		if err != nil {
-			in.Close() // nobody listens there
+			client.Close() // nothing listens there
 			continue
 		}
-		r.do(func() { r.conns[in], r.conns[out] = struct{}{}, struct{}{} })
-		var once sync.Once
-		end := func() {
-			once.Do(func() {
-				in.Close()
-				out.Close()
-				r.do(func() { delete(r.conns, in); delete(r.conns, out) })
-			})
-		}
-		go r.pass(out, in, Forth, end)
-		go r.pass(in, out, Back, end)
+		r.connect(client, server)
+	}
+}
+
+// connect copies bytes between two connections until one of them ends, and then closes both.
+func (r *Relay) connect(client, server net.Conn) {
+	r.do(func() { r.conns[client], r.conns[server] = struct{}{}, struct{}{} })
+	var once sync.Once
+	end := func() {
+		once.Do(func() {
+			client.Close()
+			server.Close()
+			r.do(func() { delete(r.conns, client); delete(r.conns, server) })
+		})
 	}
+	go r.copyBytes(server, client, ToServer, end)
+	go r.copyBytes(client, server, ToClient, end)
 }
 
-// pass passes one way's bytes on until the connection ends. What has been lost can't be
-// mended by what comes later: the connection then ends with the next bytes.
-func (r *Relay) pass(to io.Writer, from io.Reader, way Direction, end func()) {
+// copyBytes copies the bytes of one direction until the connection ends. After bytes were dropped
+// the stream is damaged for good: the connection then ends with the next bytes.
+func (r *Relay) copyBytes(to io.Writer, from io.Reader, d Direction, end func()) {
 	defer end()
 	buffer := make([]byte, 32<<10)
 	damaged := false
@@ -93,9 +101,9 @@
 		if err != nil {
 			return
 		}
-		lost := false
-		r.do(func() { lost = r.lost[way] })
-		if lost {
+		dropping := false
+		r.do(func() { dropping = r.dropping[d] })
+		if dropping {
 			damaged = true
 			continue
 		}
--- /dev/null
+++ b/internal/fake/store_faults.go
@@ -0,0 +1,98 @@
+package fake
+
+import (
+	"net/http"
+	"slices"
+	"time"
+
+	"leadproxy/internal/settings"
+	"leadproxy/internal/transport"
+	"leadproxy/internal/wire"
+)
+
+// Outage makes the store refuse all hosts, or ends that: then every lease has its full time to live
+// again.
+func (s *State) Outage(on bool) {
+	s.do(func() {
+		s.unavailable = on
+		if !on {
+			for _, l := range s.leases {
+				l.expiresAt = time.Now().Add(l.ttl)
+			}
+			s.wakeWatchers()
+		}
+	})
+}
+
+// Refuse makes the store refuse one host, or ends that. The host's leases expire meanwhile.
+func (s *State) Refuse(host string, on bool) {
+	s.do(func() { s.refusedHosts[host] = on; s.wakeWatchers() })
+}
+
+// RunFast makes the store's clock run fast by a share, so that leases expire early.
+func (s *State) RunFast(share float64) { s.do(func() { s.clockDrift = share }) }
+
+// Slow delays every response.
+func (s *State) Slow(d time.Duration) { s.do(func() { s.delay = d }) }
+
+// Limit makes the store refuse values and transactions beyond the limits, and writes beyond the
+// rate, from now on. What is stored stays readable.
+func (s *State) Limit(l settings.StateLimits) {
+	s.do(func() { s.limits, s.writeBudget, s.budgetRefilledAt = l, l.WriteRPS, time.Now() })
+}
+
+// Forget discards the history of changes (compaction): a watch from an earlier revision gets 410.
+func (s *State) Forget() {
+	s.do(func() {
+		s.revision++
+		s.compactedRevision, s.history = s.revision, nil
+		s.wakeWatchers()
+	})
+}
+
+// requestTime is how long each request takes at least.
+const requestTime = 2 * time.Millisecond
+
+// withAvailability serves h with the store's delay and refuses requests while it is unavailable.
+// Open watches are not ended.
+func (s *State) withAvailability(h http.Handler) http.Handler {
+	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		var refused bool
+		var delay time.Duration
+		s.do(func() { refused, delay = s.refuses(r.RemoteAddr), s.delay })
+		transport.Pause(r.Context(), requestTime+delay)
+		if refused {
+			w.WriteHeader(http.StatusServiceUnavailable)
+			return
+		}
+		h.ServeHTTP(w, r)
+	})
+}
+
+// refuses reports whether requests of a host are refused.
+func (s *State) refuses(host string) bool { return s.unavailable || s.refusedHosts[host] }
+
+// exceededLimit is the status code with which a transaction is refused because of the limits;
+// 0: it is not.
+func (s *State) exceededLimit(t *wire.CompareAndSwap) int {
+	if s.limits.TxnOps == 0 {
+		return 0
+	}
+	now := time.Now()
+	s.writeBudget = min(s.writeBudget+s.limits.WriteRPS*now.Sub(s.budgetRefilledAt).Seconds(), s.limits.WriteRPS)
+	s.budgetRefilledAt = now
+	if len(t.Changes) > s.limits.TxnOps || s.hasLargeValue(t.Changes) {
+		return http.StatusBadRequest
+	}
+	if s.writeBudget < float64(len(t.Changes)) {
+		return http.StatusTooManyRequests
+	}
+	s.writeBudget -= float64(len(t.Changes))
+	return 0
+}
+
+// hasLargeValue reports whether a value is larger than the limit.
+func (s *State) hasLargeValue(changes []wire.Change) bool {
+	maxBytes := int(s.limits.ValueKB * 1024)
+	return slices.ContainsFunc(changes, func(c wire.Change) bool { return len(c.Value) > maxBytes })
+}
--- a/internal/rolloutservice/proof_test.go
+++ b/internal/rolloutservice/proof_test.go
@@ -35,11 +35,11 @@
 // killed. By what the workers saw, no team ever has more jobs stopped than its budget, and
 // each task completes once. docs/operations-drain.md has the command.
 func TestReplaceTwentyWorkers(t *testing.T) {
-	program := fake.Build(t, "../..")
+	program := fake.BuildController(t, "../..")
 	teams := []string{"settlement", "florist"}
-	d := fake.NewDeployment(t, fake.DeploymentPlan{Controllers: 3, Machines: 2 * replaced, Teams: teams, Run: func(string) time.Duration { return taskRuns },
-		Operator: fmt.Sprintf("[standby]\nfollow = yes\nhints = yes\n[drain]\nenabled = yes\n[budget]\njobs = %d\nwindow_s = 3\n", teamBudget)})
-	for _, n := range d.Nodes {
+	d := fake.NewDeployment(t, fake.DeploymentPlan{Controllers: 3, Machines: 2 * replaced, Teams: teams, RunTime: func(string) time.Duration { return taskRuns },
+		OperatorSettings: fmt.Sprintf("[standby]\nfollow = yes\nhints = yes\n[drain]\nenabled = yes\n[budget]\njobs = %d\nwindow_s = 3\n", teamBudget)})
+	for _, n := range d.Controllers {
 		n.Start(program)
 	}
 	submit := func(k int) {
@@ -51,7 +51,7 @@
 		submit(k)
 		time.Sleep(200 * time.Millisecond)
 	}
-	working := func() bool { on, _ := d.Check.On(""); return on >= 2*replaced-2 }
+	working := func() bool { on, _ := d.Checker.On(""); return on >= 2*replaced-2 }
 	fake.Await(t, "all machines at work", time.Minute, working)
 	var old []string
 	for _, w := range d.Cloud.Workers() {
@@ -70,28 +70,28 @@
 		time.Sleep(time.Duration(1000+random.IntN(2000)) * time.Millisecond)
 		if time.Since(killed) > killEvery {
 			killed = time.Now()
-			leader := fake.Leader(d.State, d.Nodes)
-			d.Nodes[leader].Kill()
+			leader := fake.Leader(d.Store, d.Controllers)
+			d.Controllers[leader].Kill()
 			kills++
 			time.Sleep(time.Duration(random.IntN(5000)) * time.Millisecond)
-			d.Nodes[leader].Start(program)
+			d.Controllers[leader].Start(program)
 		}
 	}
 	took := time.Since(began)
 	if text := status(t, d); !strings.Contains(text, "finished") {
 		t.Errorf("after %s:\n%s", took, text)
-		fake.KeepLogs(t, d.Nodes)
+		fake.KeepLogs(t, d.Controllers)
 	}
 	for _, w := range d.Cloud.Workers() {
 		if slices.Contains(old, w.Name()) {
 			t.Errorf("%s is there", w.Name())
 		}
 	}
-	fake.Await(t, "all jobs over", 4*time.Minute, func() bool { return len(d.Check.Open()) == 0 })
+	fake.Await(t, "all jobs over", 4*time.Minute, func() bool { return len(d.Checker.Open()) == 0 })
 	d.Users.Wait()
-	stops := fake.Stops(d.Check.Runs())
+	stops := fake.Stops(d.Checker.Runs())
 	for _, team := range teams {
-		most := fake.MostStopped(stops, func(ref string) bool { return d.Check.Job(ref).Team == team })
+		most := fake.MostStopped(stops, func(ref string) bool { return d.Checker.Job(ref).Team == team })
 		if most > teamBudget {
 			t.Errorf("%d jobs of team %s were stopped at once", most, team)
 		}
@@ -100,10 +100,10 @@
 	if len(stops) == 0 {
 		t.Error("no task was moved")
 	}
-	for _, broken := range d.Check.Broken() {
+	for _, broken := range d.Checker.Broken() {
 		t.Error(broken)
 	}
-	completed := fake.Completions(d.Check.Runs())
+	completed := fake.Completions(d.Checker.Runs())
 	for task, n := range completed {
 		if n > 1 {
 			t.Errorf("%s was completed %d times", task, n)
@@ -119,7 +119,7 @@
 func writePage(t *testing.T, d *fake.Deployment) {
 	t.Helper()
 	var logs []string
-	for _, n := range d.Nodes {
+	for _, n := range d.Controllers {
 		file := filepath.Join(t.TempDir(), "log")
 		if err := os.WriteFile(file, []byte(n.Log()), 0o600); err != nil {
 			t.Fatal(err)
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -85,10 +85,10 @@
 		operator = "[standby]\nfollow = yes\nhints = yes\n"
 	}
 	r.d = fake.NewDeployment(t, fake.DeploymentPlan{Controllers: controllers, Machines: p.machines, Teams: []string{"open", "tight"},
-		CPUs: map[string]float64{"tight": tightCPUs}, Operator: operator, Report: p.pace.report, Lease: p.pace.lease, Cancel: p.pace.cancel,
-		Run: p.runTime, Saving: true, Seed: p.seed, Relayed: true, Writes: r.writes.befall, Commands: r.commands.befall, Calls: r.calls.befall})
+		TeamCPULimits: map[string]float64{"tight": tightCPUs}, OperatorSettings: operator, HeartbeatInterval: p.pace.report, WorkerLease: p.pace.lease, CancelDeadline: p.pace.cancel,
+		RunTime: p.runTime, SlowCheckpoints: true, Seed: p.seed, UseRelays: true, WriteFaults: r.writes.befall, CommandFaults: r.commands.befall, CloudFaults: r.calls.befall})
 	t.Logf("seed %d, %d machines, %v, standby %v:\n%s", p.seed, p.machines, p.pace, p.standby, r.schedule)
-	for _, n := range r.d.Nodes {
+	for _, n := range r.d.Controllers {
 		n.LogLevel = "info"
 		n.Start(program)
 	}
@@ -191,7 +191,7 @@
 		transport.Pause(r.t.Context(), lookEvery)
 		calm := <-r.calm
 		r.calm <- calm
-		r.d.Check.Look(calm, r.d.Cloud.Rooms())
+		r.d.Checker.Look(calm, r.d.Cloud.Rooms())
 	}
 }
 
@@ -247,31 +247,31 @@
 // left on machines, and the ledger is tidy.
 func (r *run) finish() {
 	close(r.stop)
-	for _, n := range r.d.Nodes {
+	for _, n := range r.d.Controllers {
 		r.resume(n)
 	}
 	<-r.calm
 	r.calm <- time.Now()
-	fake.Await(r.t, "all jobs over", 5*time.Minute, func() bool { return len(r.d.Check.Open()) == 0 })
-	if open := r.d.Check.Open(); len(open) > 0 {
+	fake.Await(r.t, "all jobs over", 5*time.Minute, func() bool { return len(r.d.Checker.Open()) == 0 })
+	if open := r.d.Checker.Open(); len(open) > 0 {
 		r.t.Errorf("still open: %v", open)
 	} else {
 		r.d.Users.Wait()
-		fake.Await(r.t, "all tasks gone", time.Minute, func() bool { on, _ := r.d.Check.On(""); return on == 0 })
-		fake.Await(r.t, "the ledger tidied up", time.Minute, func() bool { return r.d.State.Count("fin/")+r.d.State.Count("host/") == 0 })
+		fake.Await(r.t, "all tasks gone", time.Minute, func() bool { on, _ := r.d.Checker.On(""); return on == 0 })
+		fake.Await(r.t, "the ledger tidied up", time.Minute, func() bool { return r.d.Store.Count("fin/")+r.d.Store.Count("host/") == 0 })
 	}
-	for _, broken := range r.d.Check.Broken() {
+	for _, broken := range r.d.Checker.Broken() {
 		r.t.Error(broken)
 	}
 	r.alarms()
-	runs := r.d.Check.Runs()
+	runs := r.d.Checker.Runs()
 	r.t.Logf("seed %d: %d stays on machines, %d tasks completed, %d jobs, %d starts after a confirmed cancellation",
-		r.plan.seed, len(runs), len(fake.Completions(runs)), r.d.State.Count("job/"), r.d.Check.LateStarts())
+		r.plan.seed, len(runs), len(fake.Completions(runs)), r.d.Store.Count("job/"), r.d.Checker.LateStarts())
 }
 
 // alarms looks for what controllers must never log.
 func (r *run) alarms() {
-	for _, n := range r.d.Nodes {
+	for _, n := range r.d.Controllers {
 		for _, line := range strings.Split(n.Log(), "\n") {
 			if strings.Contains(line, scheduler.MessageCancelledTaskOverdue) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
 				r.t.Errorf("%s: %s", n.Platform.Node, line)
@@ -282,13 +282,13 @@
 
 // keep keeps all that tells of a failed run: logs, schedule and ledger.
 func (r *run) keep() {
-	dir := fake.KeepLogs(r.t, r.d.Nodes)
-	ledger, err := json.MarshalIndent(r.d.State.Entries(), "", " ")
+	dir := fake.KeepLogs(r.t, r.d.Controllers)
+	ledger, err := json.MarshalIndent(r.d.Store.Entries(), "", " ")
 	if err == nil {
 		err = os.WriteFile(filepath.Join(dir, "ledger.json"), ledger, 0o600)
 	}
 	if err == nil {
-		text := fmt.Sprintf("%+v\n%s\n%s\n", r.plan, r.schedule, strings.Join(r.d.Check.Broken(), "\n"))
+		text := fmt.Sprintf("%+v\n%s\n%s\n", r.plan, r.schedule, strings.Join(r.d.Checker.Broken(), "\n"))
 		err = os.WriteFile(filepath.Join(dir, "schedule.txt"), []byte(text), 0o600)
 	}
 	if err != nil {
--- a/internal/soak/schedule_test.go
+++ b/internal/soak/schedule_test.go
@@ -82,7 +82,7 @@
 		if random.IntN(2) == 0 {
 			t.target = leader
 		}
-		t.ways = [][]fake.Direction{{fake.Forth}, {fake.Back}, {fake.Forth, fake.Back}}[random.IntN(3)]
+		t.ways = [][]fake.Direction{{fake.ToServer}, {fake.ToClient}, {fake.ToServer, fake.ToClient}}[random.IntN(3)]
 		s = append(s, t)
 	}
 	which := random.IntN(len(meetings))
--- a/internal/soak/short_test.go
+++ b/internal/soak/short_test.go
@@ -11,5 +11,5 @@
 // operator, far longer than what a busy machine adds, and an answer that renews a lease
 // without the stops that it owes is found at once.
 func TestShortSoak(t *testing.T) {
-	play(t, fake.Build(t, "../.."), plan{seed: 1, machines: 12, length: 40 * time.Second, pace: operatorPace})
+	play(t, fake.BuildController(t, "../.."), plan{seed: 1, machines: 12, length: 40 * time.Second, pace: operatorPace})
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -39,7 +39,7 @@
 func TestSoak(t *testing.T) {
 	built := *program
 	if built == "" {
-		built = fake.Build(t, "../..")
+		built = fake.BuildController(t, "../..")
 	}
 	for k := range *seeds {
 		seed := *firstSeed + uint64(k)
--- a/internal/soak/troubles_test.go
+++ b/internal/soak/troubles_test.go
@@ -66,11 +66,11 @@
 	case hang, deaf, mute, reboot, taken, lateReports, oldReports:
 		return r.beginWithMachines(t)
 	case outage:
-		r.d.State.Outage(true)
-		return func() { r.d.State.Outage(false) }
+		r.d.Store.Outage(true)
+		return func() { r.d.Store.Outage(false) }
 	case slowState:
-		r.d.State.Slow(time.Duration(t.share * float64(time.Second)))
-		return func() { r.d.State.Slow(0) }
+		r.d.Store.Slow(time.Duration(t.share * float64(time.Second)))
+		return func() { r.d.Store.Slow(0) }
 	case lateWrites:
 		return r.writes.set(faulty{fake.Delayed, t.share, leastLate, mostLate})
 	case lostAnswers:
@@ -91,7 +91,7 @@
 
 // controller is the one that a trouble befalls.
 func (r *run) controller(t trouble) int {
-	if at := fake.Leader(r.d.State, r.d.Nodes); t.target == leader && at >= 0 {
+	if at := fake.Leader(r.d.Store, r.d.Controllers); t.target == leader && at >= 0 {
 		return at
 	}
 	return max(t.target, 0)
@@ -99,13 +99,13 @@
 
 func (r *run) beginWithProcesses(t trouble) (end func()) {
 	at := r.controller(t)
-	nodes := []*fake.Process{r.d.Nodes[at]}
+	nodes := []*fake.Process{r.d.Controllers[at]}
 	if t.kind == killAll {
-		nodes = r.d.Nodes
+		nodes = r.d.Controllers
 	}
 	for _, n := range nodes {
 		if t.kind == freeze {
-			n.Freeze(true)
+			n.Suspend()
 		} else {
 			n.Kill()
 		}
@@ -119,8 +119,8 @@
 
 // resume has a controller run, whatever befell it.
 func (r *run) resume(n *fake.Process) {
-	if n.Up() {
-		n.Freeze(false)
+	if n.Running() {
+		n.Resume()
 	} else {
 		n.Start(r.program)
 	}
@@ -128,16 +128,16 @@
 
 // linksOf are the relays that a trouble befalls.
 func (r *run) linksOf(t trouble) []*fake.Relay {
-	l := &r.d.Links[r.controller(t)]
+	l := &r.d.Relays[r.controller(t)]
 	switch t.kind {
 	case cutState:
-		return []*fake.Relay{l.State}
+		return []*fake.Relay{l.Store}
 	case cutPeers:
 		return l.Peers
 	case cutWorkers:
 		return []*fake.Relay{l.Workers}
 	}
-	return append([]*fake.Relay{l.State}, l.Peers...)
+	return append([]*fake.Relay{l.Store}, l.Peers...)
 }
 
 // lose has what goes some ways through relays vanish; the result ends that.
@@ -145,7 +145,7 @@
 	set := func(on bool) {
 		for _, relay := range relays {
 			for _, way := range ways {
-				relay.Lose(way, on)
+				relay.SetDropping(way, on)
 			}
 		}
 	}
--- a/internal/standby/deployment_test.go
+++ b/internal/standby/deployment_test.go
@@ -40,7 +40,7 @@
 
 func newDeployment(t *testing.T, jobs, machines int, warm bool) *deployment {
 	t.Helper()
-	d := deploy(t, fake.DeploymentPlan{Machines: machines, Run: func(string) time.Duration { return 2 * time.Second }}, warm)
+	d := deploy(t, fake.DeploymentPlan{Machines: machines, RunTime: func(string) time.Duration { return 2 * time.Second }}, warm)
 	for i := range jobs {
 		ref := fmt.Sprintf("job-%08d", i)
 		record := `{"accepted_ms":1796190522949,"fate":"done","tasks":16,"done":16,"ended_ms":1796190622949,"class":"c","team":"open","cores":16,"run_s":20}`
@@ -58,10 +58,10 @@
 	t.Helper()
 	plan.Controllers, plan.Teams = controllers, []string{"open"}
 	if warm {
-		plan.Operator = "[standby]\nfollow = yes\nmax_mb = 256\nhints = yes\n"
+		plan.OperatorSettings = "[standby]\nfollow = yes\nmax_mb = 256\nhints = yes\n"
 	}
 	d := fake.NewDeployment(t, plan)
-	return &deployment{t: t, state: d.State, check: d.Check, users: d.Users, nodes: d.Nodes}
+	return &deployment{t: t, state: d.Store, check: d.Checker, users: d.Users, nodes: d.Controllers}
 }
 
 // lines are the takeovers that the controllers have logged so far.
@@ -121,9 +121,9 @@
 	d.t.Helper()
 	leader := fake.Leader(d.state, d.nodes)
 	before, ended := len(d.lines()), time.Now()
-	d.nodes[leader].Freeze(true)
+	d.nodes[leader].Suspend()
 	p := d.next(before, ended)
 	time.Sleep(time.Second)
-	d.nodes[leader].Freeze(false)
+	d.nodes[leader].Resume()
 	return p
 }
--- a/internal/standby/proof_test.go
+++ b/internal/standby/proof_test.go
@@ -24,7 +24,7 @@
 // runs without end: each job is done once, and each successor decides within five seconds.
 // docs/design-standby.md has the command.
 func TestKillAndFreeze(t *testing.T) {
-	program := fake.Build(t, "../..")
+	program := fake.BuildController(t, "../..")
 	d := newDeployment(t, 0, 12, true)
 	for _, n := range d.nodes {
 		n.Start(program)
--- a/internal/standby/takeover_measure_test.go
+++ b/internal/standby/takeover_measure_test.go
@@ -19,7 +19,7 @@
 
 // TestMeasureTakeover ends leaders, with and without a standby in turns.
 func TestMeasureTakeover(t *testing.T) {
-	program := fake.Build(t, "../..")
+	program := fake.BuildController(t, "../..")
 	t.Log("| jobs | standby | view s, each | decided s, each | from the end of the leader to all settled s, each |")
 	for _, jobs := range []int{1000, 10000, 50000} {
 		for _, warm := range []bool{false, true} {
@@ -51,12 +51,12 @@
 // TestMeasureWorkers ends leaders of machines that all work, with and without a standby in
 // turns.
 func TestMeasureWorkers(t *testing.T) {
-	program := fake.Build(t, "../..")
+	program := fake.BuildController(t, "../..")
 	t.Log("| machines | standby | view s, each | settled s since the term was won, each | from the end of the leader to all settled s, each | most memory of a controller |")
 	for _, machines := range []int{200, 1000, 2000} {
 		for _, warm := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d machines, standby %v", machines, warm), func(t *testing.T) {
-				d := deploy(t, fake.DeploymentPlan{Machines: machines, Report: 5 * time.Second, Run: func(string) time.Duration { return time.Hour }}, warm)
+				d := deploy(t, fake.DeploymentPlan{Machines: machines, HeartbeatInterval: 5 * time.Second, RunTime: func(string) time.Duration { return time.Hour }}, warm)
 				for _, n := range d.nodes {
 					n.LogLevel = "info"
 					n.Start(program)
@@ -84,7 +84,7 @@
 // memory is the most that one of the controllers uses.
 func (d *deployment) memory() (most int) {
 	for _, n := range d.nodes {
-		most = max(most, n.Memory())
+		most = max(most, n.ResidentBytes())
 	}
 	return most
 }
