--- a/internal/federation/checks_test.go
+++ b/internal/federation/checks_test.go
@@ -2,4 +2,4 @@
 
 import "leadproxy/internal/property"
 
-func init() { property.More(4000, 100) }
+func init() { property.SetRapidDefaults(4000, 100) }
--- a/internal/property/mutants.go
+++ b/internal/property/mutants.go
@@ -9,27 +9,31 @@
 	"testing"
 )
 
-// Mutant is a version of a package with one guard out.
+// Mutant is a version of a package in which a text of one file, usually a safety check, is replaced
+// once.
 type Mutant struct{ Name, File, From, To string }
 
-// CatchMutants runs the tests of a package that match a pattern against each mutant: a
-// guard whose loss none of them shows is not tested. It is called in the package's folder.
+// CatchMutants runs the tests of a package that match a pattern against each mutant. A mutant that
+// no test fails for shows that the replaced code is not tested. It has to be called in the package's
+// directory.
 func CatchMutants(t *testing.T, pattern string, mutants []Mutant, flags ...string) {
+	t.Helper()
 	for _, m := range mutants {
 		t.Run(m.Name, func(t *testing.T) {
 			t.Parallel()
 			arguments := append([]string{"test", "-overlay", m.overlay(t), "-run", pattern, "."}, flags...)
 			out, err := exec.Command("go", arguments...).CombinedOutput()
 			if err == nil {
-				t.Error("no test shows it")
+				t.Error("no test fails")
 			} else if !strings.Contains(string(out), "--- FAIL: ") {
-				t.Errorf("it did not fail by a test: %s", out)
+				t.Errorf("go test fails, but no test does: %s", out)
 			}
 		})
 	}
 }
 
-// overlay writes the mutated file to where go test takes it from in place of the original.
+// overlay writes the mutated file and returns the overlay file that makes go test use it in place of
+// the original.
 func (m *Mutant) overlay(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(m.File)
@@ -37,22 +41,23 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(text), m.From) {
-		t.Fatalf("%s has no %q any more", m.File, m.From)
+		t.Fatalf("%s no longer has %q", m.File, m.From)
 	}
 	original, err := filepath.Abs(m.File)
 	if err != nil {
 		t.Fatal(err)
 	}
 	dir := t.TempDir()
-	mutated, file := filepath.Join(dir, m.File), filepath.Join(dir, "overlay.json")
-	overlay, err := json.Marshal(map[string]map[string]string{"Replace": {original: mutated}})
+	mutatedFile, overlayFile := filepath.Join(dir, m.File), filepath.Join(dir, "overlay.json")
+	overlay, err := json.Marshal(map[string]map[string]string{"Replace": {original: mutatedFile}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	for name, text := range map[string]string{mutated: strings.Replace(string(text), m.From, m.To, 1), file: string(overlay)} {
-		if err := os.WriteFile(name, []byte(text), 0o600); err != nil {
+	mutated := strings.Replace(string(text), m.From, m.To, 1)
+	for file, content := range map[string]string{mutatedFile: mutated, overlayFile: string(overlay)} {
+		if err := os.WriteFile(file, []byte(content), 0o600); err != nil {
 			t.Fatal(err)
 		}
 	}
-	return file
+	return overlayFile
 }
--- /dev/null
+++ b/internal/property/sampler.go
@@ -0,0 +1,69 @@
+package property
+
+import (
+	"fmt"
+	"reflect"
+
+	"github.com/segmentio/encoding/json"
+)
+
+// sampler sets fields to distinct values, in the order of the fields.
+type sampler struct{ count int }
+
+var rawMessage = reflect.TypeFor[json.RawMessage]()
+
+// fill sets a value and everything within it to samples other than zero.
+func (s *sampler) fill(v reflect.Value) error {
+	if v.Kind() != reflect.Struct {
+		s.count++
+	}
+	switch v.Kind() {
+	case reflect.Bool:
+		v.SetBool(true)
+	case reflect.Int, reflect.Int32, reflect.Int64:
+		v.SetInt(int64(s.count))
+	case reflect.Uint, reflect.Uint32, reflect.Uint64:
+		v.SetUint(uint64(s.count))
+	case reflect.Float64:
+		v.SetFloat(float64(s.count) + 0.5)
+	case reflect.String:
+		v.SetString(fmt.Sprintf("text-%d", s.count))
+	case reflect.Pointer:
+		v.Set(reflect.New(v.Type().Elem()))
+		return s.fill(v.Elem())
+	case reflect.Slice:
+		return s.fillSlice(v)
+	case reflect.Struct:
+		return s.fillStruct(v)
+	default:
+		return fmt.Errorf("no sample for the type %s", v.Type())
+	}
+	return nil
+}
+
+// fillSlice gives a slice one element, and byte slices a text.
+func (s *sampler) fillSlice(v reflect.Value) error {
+	switch {
+	case v.Type() == rawMessage:
+		v.SetBytes(fmt.Appendf(nil, `{"sample":%d}`, s.count))
+		return nil
+	case v.Type().Elem().Kind() == reflect.Uint8:
+		v.SetBytes(fmt.Appendf(nil, "bytes-%d", s.count))
+		return nil
+	}
+	v.Set(reflect.MakeSlice(v.Type(), 1, 1))
+	return s.fill(v.Index(0))
+}
+
+// fillStruct fills every field. An unexported field is an error: it would not be encoded either.
+func (s *sampler) fillStruct(v reflect.Value) error {
+	for i := range v.NumField() {
+		if field := v.Type().Field(i); !field.IsExported() {
+			return fmt.Errorf("the field %s of %s is not exported", field.Name, v.Type())
+		}
+		if err := s.fill(v.Field(i)); err != nil {
+			return err
+		}
+	}
+	return nil
+}
--- a/internal/standby/checks_test.go
+++ b/internal/standby/checks_test.go
@@ -2,4 +2,4 @@
 
 import "leadproxy/internal/property"
 
-func init() { property.More(4000, 80) }
+func init() { property.SetRapidDefaults(4000, 80) }
