--- /dev/null
+++ b/internal/compat/deployment_config_test.go
@@ -0,0 +1,94 @@
+//go:build upgrade
+
+package compat
+
+import (
+	"fmt"
+	"net"
+	"testing"
+	"time"
+
+	"leadproxy/internal/fake"
+	"leadproxy/internal/settings"
+	"leadproxy/internal/transport"
+	"leadproxy/internal/wire"
+)
+
+// The times and sizes of the deployment. The times are short, since these tests take real time.
+const (
+	heartbeatInterval = time.Second
+	workerLease       = 8 * time.Second
+	cancelDeadline    = 20 * time.Second
+	machineBootTime   = time.Second
+	taskRunTime       = 2 * time.Second
+	controllerCount   = 3
+	tightTeamCPUs     = 6 // the CPU limit of the team "tight"
+)
+
+func controllerName(i int) string { return fmt.Sprintf("n%d", i) }
+
+// platformFacts are the facts in the controllers' platform settings.
+func platformFacts(zones []string) settings.Facts {
+	return settings.Facts{
+		Nodes: controllerCount, Zones: zones, ClockErrorMS: 5,
+		Teams:     []settings.Team{{Name: "open"}, {Name: "tight", CPUsMax: tightTeamCPUs}},
+		Workers:   settings.Workers{ReportS: heartbeatInterval.Seconds(), LeaseS: workerLease.Seconds(), CancelS: cancelDeadline.Seconds()},
+		State:     settings.StateLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32},
+		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 2},
+		Resources: settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 2000},
+	}
+}
+
+// newCloud starts the cloud, whose workers send heartbeats to the controllers.
+func newCloud(t *testing.T, controllerAddresses, zones []string, checker *fake.Checker) *fake.Cloud {
+	t.Helper()
+	network := transport.TCP{}
+	var controllers []fake.Node
+	for i, addr := range controllerAddresses {
+		controllers = append(controllers, fake.Node{Name: controllerName(i), Addr: addr})
+	}
+	return fake.NewCloud(t, network, "127.0.0.1:0", fake.CloudConfig{
+		Types: []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: machineBootTime.Seconds(), Zones: zones}},
+		Boot:  machineBootTime, ListLag: 2 * time.Second, Most: 12,
+		Worker: fake.WorkerConfig{
+			Nodes: controllers, Report: heartbeatInterval, Lease: workerLease, Fetch: 200 * time.Millisecond,
+			Run: func(string) time.Duration { return taskRunTime }, Check: checker,
+		},
+		Host: func(string) (transport.Network, string) { return network, "127.0.0.1:0" },
+	})
+}
+
+// addControllers writes the controllers' settings. What they send one another goes through relays.
+func (d *deployment) addControllers(public, zones []string) {
+	d.t.Helper()
+	peerAddresses := fake.Reserve(d.t, controllerCount)
+	relayAddresses := d.startPeerRelays(peerAddresses)
+	facts := platformFacts(zones)
+	dir := d.t.TempDir()
+	for i := range controllerCount {
+		p := settings.Platform{
+			Node: controllerName(i), Zone: zones[i], Listen: public[i], Back: peerAddresses[i], Facts: facts,
+			Services: settings.Services{State: d.store.Addr(), Cloud: d.cloud.Addr()},
+		}
+		for k := range controllerCount {
+			if k != i {
+				p.Peers = append(p.Peers, settings.Peer{Node: controllerName(k), Zone: zones[k], Addr: relayAddresses[k]})
+			}
+		}
+		d.controllers = append(d.controllers, fake.NewProcess(d.t, dir, p))
+	}
+}
+
+// startPeerRelays starts a recording relay before each controller and returns the relays' addresses.
+func (d *deployment) startPeerRelays(peerAddresses []string) (relayAddresses []string) {
+	d.t.Helper()
+	for _, target := range peerAddresses {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			d.t.Fatal(err)
+		}
+		startGRPCRelay(d.t, l, target, d.recorder)
+		relayAddresses = append(relayAddresses, l.Addr().String())
+	}
+	return relayAddresses
+}
--- a/internal/compat/deployment_test.go
+++ b/internal/compat/deployment_test.go
@@ -4,8 +4,6 @@
 
 import (
 	"bytes"
-	"fmt"
-	"net"
 	"net/http"
 	"os/exec"
 	"sync/atomic"
@@ -13,38 +11,25 @@
 	"time"
 
 	"leadproxy/internal/fake"
-	"leadproxy/internal/settings"
 	"leadproxy/internal/transport"
-	"leadproxy/internal/wire"
 )
 
-// The times of the deployment. They are short, since these tests take real time.
-const (
-	reportEvery = time.Second
-	workerLease = 8 * time.Second
-	cancelLimit = 20 * time.Second
-	bootTime    = time.Second
-	taskTime    = 2 * time.Second
-	nodeCount   = 3
-	cpuLimit    = 6 // of the team "tight"
-)
-
-// deployment is real controller processes on the loopback interface, with the
-// fakes of the outside systems in this process.
+// deployment has controllers as real processes on the loopback interface, and fakes of the other
+// systems in this process.
 type deployment struct {
-	t        *testing.T
-	state    *fake.State
-	cloud    *fake.Cloud
-	check    *fake.Checker
-	users    *fake.Users
-	recorder *recorder
-	nodes    []*fake.Process
-	calm     atomic.Pointer[time.Time]
-	writes   atomic.Pointer[fake.Troubles]
+	t           *testing.T
+	store       *fake.State
+	cloud       *fake.Cloud
+	checker     *fake.Checker
+	users       *fake.Users
+	recorder    *recorder
+	controllers []*fake.Process
+	calm        atomic.Pointer[time.Time] // since when there are no faults; nil: there are
+	writeFaults atomic.Pointer[fake.Troubles]
 }
 
-// build builds a commit of the repository, or the working tree with "", and returns
-// the program.
+// build builds the program of a commit of the repository, or of the working tree with "", and returns
+// its path.
 func build(t *testing.T, commit string) string {
 	t.Helper()
 	dir := repository
@@ -68,112 +53,71 @@
 	t.Helper()
 	network := transport.TCP{}
 	d := &deployment{t: t, recorder: newRecorder()}
-	d.check = fake.NewChecker(t, fake.Limits{Cancel: cancelLimit, CPUs: map[string]float64{"tight": cpuLimit}, Waiting: 90 * time.Second, Silent: 75 * time.Second})
-	d.state = fake.NewState(t, network, "127.0.0.1:0", d.troubleWrites)
-	public := fake.Reserve(t, nodeCount)
-	var workers []fake.Node
-	for i, addr := range public {
-		workers = append(workers, fake.Node{Name: nodeName(i), Addr: addr})
-	}
-	d.users = fake.NewUsers(t, network, public, d.check, 1)
-	zones := []string{"a", "b", "c"}
-	d.cloud = fake.NewCloud(t, network, "127.0.0.1:0", fake.CloudConfig{
-		Types: []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: bootTime.Seconds(), Zones: zones}},
-		Boot:  bootTime, ListLag: 2 * time.Second, Most: 12,
-		Worker: fake.WorkerConfig{Nodes: workers, Report: reportEvery, Lease: workerLease, Fetch: 200 * time.Millisecond,
-			Run: func(string) time.Duration { return taskTime }, Check: d.check},
-		Host: func(string) (transport.Network, string) { return network, "127.0.0.1:0" },
+	d.checker = fake.NewChecker(t, fake.Limits{
+		Cancel: cancelDeadline, CPUs: map[string]float64{"tight": tightTeamCPUs},
+		Waiting: 90 * time.Second, Silent: 75 * time.Second,
 	})
-	d.configure(public, zones)
-	go d.watchRules()
+	d.store = fake.NewState(t, network, "127.0.0.1:0", d.injectWriteFault)
+	public := fake.Reserve(t, controllerCount)
+	d.users = fake.NewUsers(t, network, public, d.checker, 1)
+	zones := []string{"a", "b", "c"}
+	d.cloud = newCloud(t, public, zones, d.checker)
+	d.addControllers(public, zones)
+	go d.checkInvariants()
 	return d
 }
 
-func nodeName(i int) string { return fmt.Sprintf("n%d", i) }
-
-// configure writes the controllers' settings. What they send one another goes
-// through relays.
-func (d *deployment) configure(public, zones []string) {
-	d.t.Helper()
-	back := fake.Reserve(d.t, nodeCount)
-	var relays []string
-	for _, to := range back {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
-		if err != nil {
-			d.t.Fatal(err)
-		}
-		startRelay(d.t, l, to, d.recorder)
-		relays = append(relays, l.Addr().String())
-	}
-	facts := settings.Facts{Nodes: nodeCount, Zones: zones, ClockErrorMS: 5,
-		Teams:     []settings.Team{{Name: "open"}, {Name: "tight", CPUsMax: cpuLimit}},
-		Workers:   settings.Workers{ReportS: reportEvery.Seconds(), LeaseS: workerLease.Seconds(), CancelS: cancelLimit.Seconds()},
-		State:     settings.StateLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32},
-		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 2},
-		Resources: settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 2000}}
-	dir := d.t.TempDir()
-	for i := range nodeCount {
-		p := settings.Platform{Node: nodeName(i), Zone: zones[i], Listen: public[i], Back: back[i], Facts: facts,
-			Services: settings.Services{State: d.state.Addr(), Cloud: d.cloud.Addr()}}
-		for k := range nodeCount {
-			if k != i {
-				p.Peers = append(p.Peers, settings.Peer{Node: nodeName(k), Zone: zones[k], Addr: relays[k]})
-			}
-		}
-		d.nodes = append(d.nodes, fake.NewProcess(d.t, dir, p))
-	}
-}
-
-// troubleWrites lets the trouble that is set befall transactions.
-func (d *deployment) troubleWrites(from string, r *http.Request) fake.Trouble {
-	if f := d.writes.Load(); f != nil && r.URL.Path == "/txn" {
-		return (*f)(from, r)
+// injectWriteFault injects the fault that is set into transactions of the key-value store.
+func (d *deployment) injectWriteFault(from string, r *http.Request) fake.Trouble {
+	if inject := d.writeFaults.Load(); inject != nil && r.URL.Path == "/txn" {
+		return (*inject)(from, r)
 	}
 	return fake.Trouble{}
 }
 
-// watchRules has the checker look at the rules as long as the test goes on.
-func (d *deployment) watchRules() {
+// checkInvariants has the checker check what time alone can violate, until the test ends.
+func (d *deployment) checkInvariants() {
 	for d.t.Context().Err() == nil {
 		transport.Pause(d.t.Context(), time.Second)
 		calm := time.Time{}
-		if at := d.calm.Load(); at != nil {
-			calm = *at
+		if since := d.calm.Load(); since != nil {
+			calm = *since
 		}
-		d.check.Look(calm, d.cloud.Rooms())
+		d.checker.Look(calm, d.cloud.Rooms())
 	}
 }
 
 // start starts a controller with a program.
 func (d *deployment) start(i int, program string) {
 	d.t.Helper()
-	d.nodes[i].Start(program)
+	d.controllers[i].Start(program)
 }
 
-// startAll starts all controllers with a program and waits until one leads.
+// startAll starts all controllers with a program and waits until there is a leader.
 func (d *deployment) startAll(program string) {
 	d.t.Helper()
-	for i := range d.nodes {
+	for i := range d.controllers {
 		d.start(i, program)
 	}
 	d.await("a leader", 20*time.Second, func() bool { return d.leader() >= 0 })
 }
 
 // kill ends a controller's process without a signal that it could handle.
-func (d *deployment) kill(i int) { d.nodes[i].Kill() }
+func (d *deployment) kill(i int) { d.controllers[i].Kill() }
 
-// replace ends a controller and starts it again with a program.
-func (d *deployment) replace(i int, program string, away time.Duration) {
+// replace ends a controller and, after its downtime, starts it again with a program.
+func (d *deployment) replace(i int, program string, downtime time.Duration) {
 	d.t.Helper()
 	d.kill(i)
-	time.Sleep(away)
+	time.Sleep(downtime)
 	d.start(i, program)
-	d.await(nodeName(i)+" serves users", 20*time.Second, func() bool { return d.healthy(i) })
+	d.await(controllerName(i)+" serves users", 20*time.Second, func() bool { return d.healthy(i) })
 }
 
+// healthy reports whether a controller serves users.
 func (d *deployment) healthy(i int) bool {
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + d.nodes[i].Platform.Listen + "/healthz")
+	resp, err := client.Get("http://" + d.controllers[i].Platform.Listen + "/healthz")
 	if err != nil {
 		return false
 	}
@@ -181,32 +125,32 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// leader is the controller that the state service names, or -1.
-func (d *deployment) leader() int { return fake.Leader(d.state, d.nodes) }
+// leader is the index of the controller that the key-value store names as the leader, or -1.
+func (d *deployment) leader() int { return fake.Leader(d.store, d.controllers) }
 
 func (d *deployment) await(what string, limit time.Duration, ok func() bool) {
 	d.t.Helper()
 	fake.Await(d.t, what, limit, ok)
 }
 
-// finish ends a test: with the troubles over, all that was accepted has to be served,
-// and no rule may have been broken.
+// finish ends a test: without faults, all accepted jobs have to end, and no invariant may have been
+// violated.
 func (d *deployment) finish() {
 	d.t.Helper()
 	now := time.Now()
 	d.calm.Store(&now)
-	d.await("all jobs over", 2*time.Minute, func() bool { return len(d.check.Open()) == 0 })
-	if open := d.check.Open(); len(open) > 0 {
+	d.await("all jobs over", 2*time.Minute, func() bool { return len(d.checker.Open()) == 0 })
+	if open := d.checker.Open(); len(open) > 0 {
 		d.t.Errorf("still open: %v", open)
 	}
 	d.users.Wait()
-	d.await("the ledger tidied up", 30*time.Second, func() bool {
-		return d.state.Count("fin/")+d.state.Count("host/") == 0
+	d.await("the ledger cleaned up", 30*time.Second, func() bool {
+		return d.store.Count("fin/")+d.store.Count("host/") == 0
 	})
-	for _, broken := range d.check.Broken() {
-		d.t.Error(broken)
+	for _, violation := range d.checker.Broken() {
+		d.t.Error(violation)
 	}
 	if d.t.Failed() {
-		fake.KeepLogs(d.t, d.nodes)
+		fake.KeepLogs(d.t, d.controllers)
 	}
 }
--- a/internal/compat/doc.go
+++ b/internal/compat/doc.go
@@ -1,10 +1,9 @@
-// Package compat tests that this version and the one in production, which is named in
-// deploy/service.toml, work on each other's data and beside each other.
+// Package compat tests that this version and the one in production, which deploy/service.toml names,
+// can read each other's data and run at the same time.
 //
-// The tests that run always read recordings of what production writes and sends
-// (testdata/production). Those with the build tag upgrade build production from the
-// repository's history and run real processes of both versions on the loopback
-// interface, against the fakes of the outside systems:
+// The ordinary tests read recordings of what production writes and sends (testdata/production). Those
+// with the build tag upgrade build production from the repository's history and run real processes of
+// both versions on the loopback interface, with fakes of the other systems:
 //
 //	go test -tags upgrade -count 1 -timeout 10m ./internal/compat
 //
--- /dev/null
+++ b/internal/compat/exercise_test.go
@@ -0,0 +1,78 @@
+//go:build upgrade
+
+package compat
+
+import (
+	"fmt"
+	"net/http"
+	"time"
+
+	"leadproxy/internal/fake"
+	"leadproxy/internal/wire"
+)
+
+// exerciseEverything takes controllers of one version through most situations: jobs that end and
+// jobs that are cancelled, machines that are lost or unreachable, writes of unknown outcome, an
+// outage, and a leader that is killed.
+func (d *deployment) exerciseEverything(program string) {
+	d.t.Helper()
+	d.startAll(program)
+	d.submitVariety()
+	d.await("tasks on machines", 20*time.Second, func() bool { on, _ := d.checker.On(""); return on > 0 })
+	lostResponses := fake.Troubles(func(string, *http.Request) fake.Trouble { return fake.Trouble{Fault: fake.AnswerLost} })
+	d.writeFaults.Store(&lostResponses)
+	time.Sleep(2 * time.Second)
+	d.writeFaults.Store(nil)
+	d.users.Submit(fake.NewJob("job-000050", 20, nil))
+	d.await("more tasks on machines", 20*time.Second, func() bool { on, _ := d.checker.On("job-000050"); return on > 4 })
+	d.losePartOfMachines()
+	d.store.Outage(true)
+	time.Sleep(5 * time.Second)
+	d.store.Outage(false)
+	time.Sleep(3 * time.Second)
+	if leader := d.leader(); leader >= 0 {
+		d.replace(leader, program, time.Second)
+	}
+	d.finish()
+}
+
+// submitVariety has users submit jobs with all kinds of constraints, and cancel some.
+func (d *deployment) submitVariety() {
+	for k := range 12 {
+		zone := "a"
+		j := fake.NewJob(fmt.Sprintf("job-%06d", k), 1+4*(k%3), func(j *wire.Job) {
+			switch k % 4 {
+			case 1:
+				j.Zone, j.Team, j.Priority = &zone, "tight", "high"
+			case 2:
+				deadline := 30.0
+				j.Spread, j.DeadlineS, j.Types = true, &deadline, []string{"m8"}
+			case 3:
+				j.Gang, j.Spot = true, false
+			}
+		})
+		d.users.Submit(j)
+		if k%4 == 1 {
+			d.users.Cancel(j)
+		}
+		time.Sleep(300 * time.Millisecond)
+	}
+}
+
+// losePartOfMachines makes a third of the machines hang and another third unable to reach
+// controllers, for two leases.
+func (d *deployment) losePartOfMachines() {
+	for i, w := range d.cloud.Workers() {
+		switch i % 3 {
+		case 0:
+			w.Hang(true)
+		case 1:
+			w.CutOutbound(true)
+		}
+	}
+	time.Sleep(2 * workerLease)
+	for _, w := range d.cloud.Workers() {
+		w.Hang(false)
+		w.CutOutbound(false)
+	}
+}
--- a/internal/compat/recording.go
+++ b/internal/compat/recording.go
@@ -13,50 +13,50 @@
 	"leadproxy/internal/peers/peerpb"
 )
 
-// Recording is what a version was seen to write to the state service and to send
-// between controllers: one example of each shape.
+// Recording is what controllers of a version were observed to write to the key-value store and to
+// send to one another: one example of each shape.
 type Recording struct {
 	Commit   string    `json:"commit"`
 	Values   []Value   `json:"values"`
 	Messages []Message `json:"messages"`
 }
 
-// Value is what one key held.
+// Value is a key with its value.
 type Value struct {
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"value"`
 }
 
-// Message is one gRPC message as it travelled.
+// Message is one encoded gRPC message.
 type Message struct {
 	Method    string    `json:"method"`
 	Direction Direction `json:"direction"`
 	Payload   []byte    `json:"payload"`
 }
 
-// Direction is which way a message went.
+// Direction says whether a message is a request or a reply.
 type Direction string
 
-// The two directions.
+// The directions.
 const (
 	Request Direction = "request"
 	Reply   Direction = "reply"
 )
 
-// Read reads a recording from a file.
-func Read(path string) (Recording, error) {
+// ReadRecording reads a recording from a file.
+func ReadRecording(path string) (Recording, error) {
 	var r Recording
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return r, err
+		return r, fmt.Errorf("reading a recording: %w", err)
 	}
 	if err := json.Unmarshal(text, &r); err != nil {
-		return r, fmt.Errorf("%s: %w", path, err)
+		return r, fmt.Errorf("decoding the recording %s: %w", path, err)
 	}
 	return r, nil
 }
 
-// KeyFamily is the part of a key that tells what its value holds.
+// KeyFamily is the part of a key that determines the type of its value.
 func KeyFamily(key string) string {
 	family, rest, found := strings.Cut(key, "/")
 	switch {
@@ -68,12 +68,12 @@
 	return family
 }
 
-// FieldPaths lists the fields of a JSON value with their types, those of an array's
-// elements once, sorted.
+// FieldPaths lists the fields of a JSON value with their types, sorted. Fields of an array's elements
+// are listed once.
 func FieldPaths(value json.RawMessage) ([]string, error) {
 	var v any
 	if err := json.Unmarshal(value, &v); err != nil {
-		return nil, fmt.Errorf("%s: %w", value, err)
+		return nil, fmt.Errorf("decoding the value %s: %w", value, err)
 	}
 	paths := map[string]bool{}
 	collectPaths("", v, paths)
@@ -110,7 +110,8 @@
 	return all
 }
 
-// NewMessage makes an empty message of a method's type; nil: there is no such method.
+// NewMessage makes an empty message of the type that a method has in a direction; nil: there is no
+// such method.
 func NewMessage(method string, d Direction) proto.Message {
 	switch method + " " + string(d) {
 	case peerpb.Peer_Ask_FullMethodName + " " + string(Request):
@@ -133,14 +134,14 @@
 	return nil
 }
 
-// Populated lists the fields that a message carries, with the values of enums, sorted.
-func Populated(m protoreflect.Message) []string {
+// PopulatedFields lists the fields that a message carries, with the values of enums, sorted.
+func PopulatedFields(m protoreflect.Message) []string {
 	paths := map[string]bool{}
-	collectPopulated("", m, paths)
+	collectPopulatedFields("", m, paths)
 	return sorted(paths)
 }
 
-func collectPopulated(at string, m protoreflect.Message, paths map[string]bool) {
+func collectPopulatedFields(at string, m protoreflect.Message, paths map[string]bool) {
 	m.Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
 		path := at + "." + string(f.Name())
 		if f.Enum() != nil {
@@ -149,7 +150,7 @@
 		paths[path] = true
 		if f.IsList() && f.Message() != nil {
 			for i := range v.List().Len() {
-				collectPopulated(path+"[]", v.List().Get(i).Message(), paths)
+				collectPopulatedFields(path+"[]", v.List().Get(i).Message(), paths)
 			}
 		}
 		return true
--- a/internal/compat/recording_test.go
+++ b/internal/compat/recording_test.go
@@ -19,14 +19,14 @@
 	"leadproxy/internal/wire"
 )
 
-// Where things are, from this package.
+// Paths from this package's directory.
 const (
 	recordingFile = "testdata/production/recording.json"
 	protoFile     = "testdata/production/peer.proto"
 	repository    = "../.."
 )
 
-// productionCommit is the commit that deploy/service.toml names.
+// productionCommit is the commit that deploy/service.toml names as the one in production.
 func productionCommit(t *testing.T) string {
 	t.Helper()
 	var deploy struct {
@@ -38,9 +38,9 @@
 	return deploy.Production
 }
 
-func readProduction(t *testing.T) Recording {
+func readProductionRecording(t *testing.T) Recording {
 	t.Helper()
-	r, err := Read(recordingFile)
+	r, err := ReadRecording(recordingFile)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,15 +49,15 @@
 
 // TestRecordingIsOfProduction: a recording of another commit would prove nothing.
 func TestRecordingIsOfProduction(t *testing.T) {
-	if got, want := readProduction(t).Commit, productionCommit(t); got != want {
+	if got, want := readProductionRecording(t).Commit, productionCommit(t); got != want {
 		t.Errorf("the recording is of %s, production is %s: record it anew, as the package's comment says", got, want)
 	}
 }
 
-// TestRecordedValuesAreReadInFull: what production has written is read, and nothing
-// that it says is lost: written again it is the same.
+// TestRecordedValuesAreReadInFull: values that production has written are decoded without loss:
+// encoded again they are the same.
 func TestRecordedValuesAreReadInFull(t *testing.T) {
-	read := map[string]func() any{
+	newRecords := map[string]func() any{
 		"job":    func() any { return &ledger.JobRecord{} },
 		"fin":    func() any { return &ledger.Ranges{} },
 		"host":   func() any { return &[]string{} },
@@ -65,12 +65,12 @@
 		"silent": func() any { return &ledger.UnreachableRecord{} },
 	}
 	seen := map[string]int{}
-	for _, v := range readProduction(t).Values {
+	for _, v := range readProductionRecording(t).Values {
 		family := KeyFamily(v.Key)
 		seen[family]++
-		newRecord, ok := read[family]
+		newRecord, ok := newRecords[family]
 		if !ok {
-			continue // read as a whole, below, or by its version alone
+			continue // TestLedgerLoadsTheRecording reads it, or only its version matters
 		}
 		record := newRecord()
 		if err := json.Unmarshal(v.Value, record); err != nil {
@@ -81,18 +81,18 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if want := compacted(t, v.Value); !bytes.Equal(again, want) {
-			t.Errorf("%s: %s is read as %s", v.Key, want, again)
+		if want := compactJSON(t, v.Value); !bytes.Equal(again, want) {
+			t.Errorf("%s: %s is encoded again as %s", v.Key, want, again)
 		}
 	}
-	for family := range read {
+	for family := range newRecords {
 		if seen[family] == 0 {
 			t.Errorf("no value of the family %q is recorded", family)
 		}
 	}
 }
 
-func compacted(t *testing.T, value json.RawMessage) []byte {
+func compactJSON(t *testing.T, value json.RawMessage) []byte {
 	t.Helper()
 	var out bytes.Buffer
 	if err := json.Compact(&out, value); err != nil {
@@ -101,10 +101,10 @@
 	return out.Bytes()
 }
 
-// recordedStore is a state service that holds what was recorded.
-type recordedStore struct{ values []Value }
+// recordedKVStore is a key-value store with the recorded values.
+type recordedKVStore struct{ values []Value }
 
-func (s recordedStore) List(_ context.Context, _ kvstore.Priority, under, after string, _ int) (wire.EntryPage, error) {
+func (s recordedKVStore) List(_ context.Context, _ kvstore.Priority, under, after string, _ int) (wire.EntryPage, error) {
 	var page wire.EntryPage
 	for _, v := range s.values {
 		if strings.HasPrefix(v.Key, under) && v.Key > after {
@@ -114,7 +114,7 @@
 	return page, nil
 }
 
-func (s recordedStore) Get(_ context.Context, _ kvstore.Priority, key string) (wire.Entry, bool, error) {
+func (s recordedKVStore) Get(_ context.Context, _ kvstore.Priority, key string) (wire.Entry, bool, error) {
 	for _, v := range s.values {
 		if v.Key == key {
 			return wire.Entry{Key: key, Value: v.Value, Version: 1}, true, nil
@@ -123,19 +123,19 @@
 	return wire.Entry{}, false, nil
 }
 
-func (s recordedStore) CompareAndSwap(context.Context, kvstore.Priority, wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
+func (s recordedKVStore) CompareAndSwap(context.Context, kvstore.Priority, wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
 	return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnavailable
 }
 
-// TestLedgerLoadsTheRecording: a new leader of this version takes all of it over.
+// TestLedgerLoadsTheRecording: a new leader of this version loads all recorded values.
 func TestLedgerLoadsTheRecording(t *testing.T) {
-	values := readProduction(t).Values
+	values := readProductionRecording(t).Values
 	want := map[string]int{}
 	for _, v := range values {
 		want[KeyFamily(v.Key)]++
 	}
 	bounds := func() ledger.Limits { return ledger.Limits{} }
-	l := ledger.New(7, recordedStore{values}, bounds, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	l := ledger.New(7, recordedKVStore{values}, bounds, slog.New(slog.NewTextHandler(io.Discard, nil)))
 	s, err := l.Load(t.Context())
 	if err != nil {
 		t.Fatal(err)
@@ -155,17 +155,17 @@
 		hosts += len(j.Hosts)
 	}
 	if found != len(jobs) || finished != want["fin"] || hosts != want["host"] || len(s.ScaleOuts) != want["hire"] || len(s.Gone) != want["gone"] {
-		t.Errorf("%d of %d jobs, %d finished, %d hosts, %d hires, %d gone; recorded were %v", found, len(jobs), finished, hosts, len(s.ScaleOuts), len(s.Gone), want)
+		t.Errorf("%d of %d jobs, %d finished, %d hosts, %d scale-outs, %d gone; recorded were %v", found, len(jobs), finished, hosts, len(s.ScaleOuts), len(s.Gone), want)
 	}
 }
 
-// TestRecordedMessagesAreReadInFull: what production has sent to another controller is
-// read without a field left over, and sent again it is the same.
+// TestRecordedMessagesAreReadInFull: messages that production has sent to another controller are
+// decoded without unknown fields, and encoded again they are the same.
 func TestRecordedMessagesAreReadInFull(t *testing.T) {
-	for _, recorded := range readProduction(t).Messages {
+	for _, recorded := range readProductionRecording(t).Messages {
 		m := NewMessage(recorded.Method, recorded.Direction)
 		if m == nil {
-			t.Errorf("%s is not known any more", recorded.Method)
+			t.Errorf("%s is no longer known", recorded.Method)
 			continue
 		}
 		if err := proto.Unmarshal(recorded.Payload, m); err != nil {
@@ -173,17 +173,17 @@
 			continue
 		}
 		if unknown := m.ProtoReflect().GetUnknown(); len(unknown) > 0 {
-			t.Errorf("%s %s: fields that are not known: %x", recorded.Method, recorded.Direction, unknown)
+			t.Errorf("%s %s: unknown fields: %x", recorded.Method, recorded.Direction, unknown)
 		}
 		again, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 		if err != nil || !bytes.Equal(again, recorded.Payload) {
-			t.Errorf("%s %s: %x is sent again as %x: %v", recorded.Method, recorded.Direction, recorded.Payload, again, err)
+			t.Errorf("%s %s: %x is encoded again as %x: %v", recorded.Method, recorded.Direction, recorded.Payload, again, err)
 		}
 	}
 }
 
-// TestDeclaredMessagesStay: each message, field and method that production declares is
-// declared alike here, with the same number.
+// TestDeclaredMessagesStay: each message, field and method that production declares is declared here
+// with the same type and number.
 func TestDeclaredMessagesStay(t *testing.T) {
 	production, err := os.ReadFile(protoFile)
 	if err != nil {
@@ -193,16 +193,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	declared := declarations(string(current))
-	for d := range declarations(string(production)) {
+	declared := protoDeclarations(string(current))
+	for d := range protoDeclarations(string(production)) {
 		if !declared[d] {
 			t.Errorf("production declares %q, which is missing or different here", d)
 		}
 	}
 }
 
-// declarations lists the declarations of a proto file, each with its block's name.
-func declarations(text string) map[string]bool {
+// protoDeclarations lists the declarations of a proto file, each with the names of its enclosing
+// blocks.
+func protoDeclarations(text string) map[string]bool {
 	all := map[string]bool{}
 	var blocks []string
 	for line := range strings.Lines(text) {
