--- a/internal/cells/three_cells_test.go
+++ b/internal/cells/three_cells_test.go
@@ -137,15 +137,15 @@
 // cut has the messages between this cell and others be lost in one direction.
 func (c *cell) cut(direction fake.Direction) {
 	for _, r := range c.relays {
-		r.Lose(direction, true)
+		r.SetDropping(direction, true)
 	}
 }
 
 // restore ends a cut.
 func (c *cell) restore(direction fake.Direction) {
 	for _, r := range c.relays {
-		r.Lose(direction, false)
-		r.Break()
+		r.SetDropping(direction, false)
+		r.CloseConnections()
 	}
 }
 
@@ -225,7 +225,7 @@
 // TestThreeCells floods one cell while controllers are killed and links are cut: each
 // job has a single final answer and ran in a single cell.
 func TestThreeCells(t *testing.T) {
-	program := fake.Build(t, repository)
+	program := fake.BuildController(t, repository)
 	check := fake.NewChecker(t, fake.Limits{Cancel: cancelLimit, Waiting: 90 * time.Second, Silent: 75 * time.Second})
 	a, b, c := newCell(t, "a", 2, check), newCell(t, "b", 12, check), newCell(t, "c", 12, check)
 	a.writeSettings(2, b, c)
@@ -234,11 +234,11 @@
 	startCells(t, program, a, b, c)
 	faults := []fault{
 		{"a's leader is killed", 12 * time.Second, func() { a.restartLeader(program) }},
-		{"messages from a to b are lost", 20 * time.Second, func() { b.cut(fake.Forth) }},
-		{"and no longer", 30 * time.Second, func() { b.restore(fake.Forth) }},
+		{"messages from a to b are lost", 20 * time.Second, func() { b.cut(fake.ToServer) }},
+		{"and no longer", 30 * time.Second, func() { b.restore(fake.ToServer) }},
 		{"b's leader is killed", 33 * time.Second, func() { b.restartLeader(program) }},
-		{"answers from c are lost", 38 * time.Second, func() { c.cut(fake.Back) }},
-		{"and no longer", 48 * time.Second, func() { c.restore(fake.Back) }},
+		{"answers from c are lost", 38 * time.Second, func() { c.cut(fake.ToClient) }},
+		{"and no longer", 48 * time.Second, func() { c.restore(fake.ToClient) }},
 		{"all controllers of a are killed", 52 * time.Second, func() { a.restartAll(program) }},
 	}
 	start := time.Now()
--- a/internal/rolloutservice/replace_workers_test.go
+++ b/internal/rolloutservice/replace_workers_test.go
@@ -55,7 +55,7 @@
 		d.submit()
 		time.Sleep(200 * time.Millisecond)
 	}
-	allRun := func() bool { running, _ := d.Check.On(""); return running >= 2*replaced-2 }
+	allRun := func() bool { running, _ := d.Checker.On(""); return running >= 2*replaced-2 }
 	fake.Await(t, "tasks on all machines", time.Minute, allRun)
 	var old []string
 	for _, w := range d.Cloud.Workers() {
@@ -75,18 +75,18 @@
 	took := time.Since(start)
 	if text := d.status(); !strings.Contains(text, "finished") {
 		t.Errorf("after %s:\n%s", took, text)
-		fake.KeepLogs(t, d.Nodes)
+		fake.KeepLogs(t, d.Controllers)
 	}
 	for _, w := range d.Cloud.Workers() {
 		if slices.Contains(old, w.Name()) {
 			t.Errorf("%s was not replaced", w.Name())
 		}
 	}
-	fake.Await(t, "all jobs over", 4*time.Minute, func() bool { return len(d.Check.Open()) == 0 })
+	fake.Await(t, "all jobs over", 4*time.Minute, func() bool { return len(d.Checker.Open()) == 0 })
 	d.Users.Wait()
 	stopped := d.checkBudgets()
 	completed := d.checkCompletions()
-	for _, broken := range d.Check.Broken() {
+	for _, broken := range d.Checker.Broken() {
 		t.Error(broken)
 	}
 	t.Logf("%d machines replaced in %s, %d controllers killed, %d tasks stopped, %d completed", len(old), took.Round(time.Second), d.kills, stopped, completed)
@@ -97,10 +97,10 @@
 
 func startDeployment(t *testing.T) *deployment {
 	t.Helper()
-	program := fake.Build(t, "../..")
+	program := fake.BuildController(t, "../..")
 	operator := fmt.Sprintf("[standby]\nfollow = yes\nhints = yes\n[drain]\nenabled = yes\n[budget]\njobs = %d\nwindow_s = 3\n", teamBudget)
-	d := fake.NewDeployment(t, fake.DeploymentPlan{Controllers: 3, Machines: 2 * replaced, Teams: teams, Run: func(string) time.Duration { return taskRuns }, Operator: operator})
-	for _, n := range d.Nodes {
+	d := fake.NewDeployment(t, fake.DeploymentPlan{Controllers: 3, Machines: 2 * replaced, Teams: teams, RunTime: func(string) time.Duration { return taskRuns }, OperatorSettings: operator})
+	for _, n := range d.Controllers {
 		n.Start(program)
 	}
 	return &deployment{Deployment: d, t: t, program: program}
@@ -130,19 +130,19 @@
 func (d *deployment) restartLeader(pause time.Duration) {
 	d.leaderKilled = time.Now()
 	d.kills++
-	leader := fake.Leader(d.State, d.Nodes)
-	d.Nodes[leader].Kill()
+	leader := fake.Leader(d.Store, d.Controllers)
+	d.Controllers[leader].Kill()
 	time.Sleep(pause)
-	d.Nodes[leader].Start(d.program)
+	d.Controllers[leader].Start(d.program)
 }
 
 // checkBudgets checks that no team had more jobs stopped at once than its budget. It returns the
 // number of stopped tasks.
 func (d *deployment) checkBudgets() int {
 	d.t.Helper()
-	stops := fake.Stops(d.Check.Runs())
+	stops := fake.Stops(d.Checker.Runs())
 	for _, team := range teams {
-		most := fake.MostStopped(stops, func(jobID string) bool { return d.Check.Job(jobID).Team == team })
+		most := fake.MostStopped(stops, func(jobID string) bool { return d.Checker.Job(jobID).Team == team })
 		if most > teamBudget {
 			d.t.Errorf("%d jobs of team %s were stopped at once", most, team)
 		}
@@ -158,7 +158,7 @@
 // tasks.
 func (d *deployment) checkCompletions() int {
 	d.t.Helper()
-	completed := fake.Completions(d.Check.Runs())
+	completed := fake.Completions(d.Checker.Runs())
 	for task, n := range completed {
 		if n > 1 {
 			d.t.Errorf("%s was completed %d times", task, n)
@@ -172,7 +172,7 @@
 	t := d.t
 	t.Helper()
 	var logs []string
-	for _, n := range d.Nodes {
+	for _, n := range d.Controllers {
 		file := filepath.Join(t.TempDir(), "log")
 		if err := os.WriteFile(file, []byte(n.Log()), 0o600); err != nil {
 			t.Fatal(err)
