--- a/internal/controller/assembly.go
+++ b/internal/controller/assembly.go
@@ -24,15 +24,15 @@
 type components struct {
 	platform     *settings.Platform
 	log          *slog.Logger
-	budget       sockets
-	sockets      *socketUse
+	sockets      socketBudget
+	connections  *connectionTracker
 	elector      *election.Elector
 	dispatcher   *dispatch.Dispatcher
 	capabilities *capability.Negotiator
 	jobs         *jobapi.Service
-	heartbeats   *reportHandler
-	health       *health
-	reachability *reachability
+	heartbeats   *heartbeatHandler
+	health       *healthMonitor
+	reachability *reachabilityMonitor
 	followers    followers
 	services     peerServices
 }
@@ -56,8 +56,8 @@
 // started ends with ctx.
 func assemble(ctx context.Context, level int, n transport.Network, p *settings.Platform, op settings.Operator, log *slog.Logger) (*components, error) {
 	facts := p.Facts
-	c := &components{platform: p, log: log, budget: divide(facts.Resources)}
-	c.sockets = &socketUse{crowded: int64(c.budget.crowded), roomy: int64(c.budget.roomy)}
+	c := &components{platform: p, log: log, sockets: divideSockets(facts.Resources)}
+	c.connections = &connectionTracker{hangUpAbove: int64(c.sockets.hangUpAbove), scarceAbove: int64(c.sockets.scarceAbove)}
 	rate := dispatch.FollowerShare(facts.Nodes)
 	store := kvstore.New(ctx, n, p.Services.State, facts.State, rate, log)
 	c.elector = election.New(p.Node, op, store, log)
@@ -71,21 +71,29 @@
 	if err := c.addDispatcher(ctx, n, op, store); err != nil {
 		return nil, err
 	}
-	c.sockets.makeRoom = c.dispatcher.CloseIdleConnections
+	c.connections.closeIdle = c.dispatcher.CloseIdleConnections
 	c.services = peerServices{
 		cells:          cells.NewServer(op.Cells, facts.Workers.CancelS, c.dispatcher),
 		leaderTransfer: leadertransfer.NewServer(n, p, c.elector, c.followers.standby, c.followers.softState, log),
 		softState:      softstate.NewServer(c.dispatcher, others.Names(), log),
 	}
 	types := watchTypes(ctx, autoscaler.NewClient(n, p.Services.Cloud, facts.Cloud.RPS), log)
-	c.health = &health{serving: store.Serving, peers: others, log: log}
+	c.health = &healthMonitor{storeServing: store.Serving, peers: others, log: log}
 	c.jobs = jobapi.New(ctx, jobapi.Config{
 		Platform: p, Elector: c.elector, Store: store, Dispatcher: c.dispatcher, Peers: others, MachineTypes: types,
-		StoreShare: rate, PipelinesSupported: c.supports(capability.Pipelines), Healthy: c.health.OK, Log: log,
+		StoreShare: rate, PipelinesSupported: c.supports(capability.Pipelines), Healthy: c.health.Healthy, Log: log,
 	})
-	c.heartbeats = newReportHandler(ctx, p.Node, c.elector, c.dispatcher, others, c.sockets, log)
-	c.reachability = &reachability{elector: c.elector, heard: c.heartbeats.heard, shared: c.heartbeats.forwarded, up: c.dispatcher.ExpectedMachines,
-		unanswered: c.dispatcher.UnansweredCommands, report: settings.Seconds(facts.Workers.ReportS), peers: others, log: log}
+	c.heartbeats = newHeartbeatHandler(ctx, p.Node, c.elector, c.dispatcher, others, c.connections, log)
+	c.reachability = &reachabilityMonitor{
+		elector:             c.elector,
+		directHeartbeats:    c.heartbeats.direct,
+		forwardedHeartbeats: c.heartbeats.forwarded,
+		expectedMachines:    c.dispatcher.ExpectedMachines,
+		unansweredCommands:  c.dispatcher.UnansweredCommands,
+		heartbeatInterval:   settings.Seconds(facts.Workers.ReportS),
+		peers:               others,
+		log:                 log,
+	}
 	return c, nil
 }
 
@@ -121,7 +129,7 @@
 	config := dispatch.Config{
 		Network: n, Platform: c.platform, Operator: op, Elector: c.elector, Store: store, Log: c.log,
 		Connections: dispatch.ConnectionLimits{
-			MaxInFlight: c.budget.orders, MaxIdle: c.budget.kept, MaxIdleWhenScarce: c.budget.few, SocketsScarce: c.sockets.Crowded,
+			MaxInFlight: c.sockets.commands, MaxIdle: c.sockets.idle, MaxIdleWhenScarce: c.sockets.idleWhenScarce, SocketsScarce: c.connections.scarce,
 		},
 		PipelinesSupported: c.supports(capability.Pipelines),
 		TransfersSupported: c.supports(capability.Transfers),
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -20,7 +20,7 @@
 }
 
 // runAtLevel is Run for a version that knows the capabilities of a level: it announces
-// that level and uses what all nodes have announced.
+// that level and uses what all controllers have announced.
 func runAtLevel(ctx context.Context, level int, n transport.Network, p *settings.Platform, op settings.Operator, log *slog.Logger) error {
 	limitMemory(p.Facts.Resources)
 	public, err := n.Listen(ctx, p.Listen)
@@ -28,31 +28,31 @@
 		return fmt.Errorf("public_addr %s: %w", p.Listen, err)
 	}
 	defer public.Close()
-	back, err := n.Listen(ctx, p.Back)
+	internal, err := n.Listen(ctx, p.Back)
 	if err != nil {
 		return fmt.Errorf("back %s: %w", p.Back, err)
 	}
-	defer back.Close()
+	defer internal.Close()
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	components, err := assemble(ctx, level, n, p, op, log)
 	if err != nil {
 		return err
 	}
-	log.Info("serving", "node", p.Node, "zone", p.Zone, "public", p.Listen, "back", p.Back, "others", len(p.Peers))
+	log.Info("serving", "node", p.Node, "zone", p.Zone, "public_address", p.Listen, "peer_address", p.Back, "peers", len(p.Peers))
 	components.start(ctx)
-	return components.serve(ctx, public, back)
+	return components.serve(ctx, public, internal)
 }
 
 // How the process uses its memory. It is there to be used, and the processor is short:
 // garbage is collected seldom, but harder near the limit rather than have the process
 // killed.
 const (
-	gcPercent    = 400
-	memoryToFill = 0.7
+	gcPercent        = 400
+	memoryLimitShare = 0.7
 )
 
 func limitMemory(r settings.Resources) {
 	debug.SetGCPercent(gcPercent)
-	debug.SetMemoryLimit(int64(r.RAMMB * memoryToFill * (1 << 20)))
+	debug.SetMemoryLimit(int64(r.RAMMB * memoryLimitShare * (1 << 20)))
 }
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -7,82 +7,82 @@
 	"time"
 )
 
-// The times of judging a node's health. Being taken out by the load balancer
-// costs at least some seconds, so a moment without anybody to ask is no reason.
+// The times of health checks. Being taken out by the load balancer costs at least some
+// seconds, so a moment in which nothing can be reached is no reason.
 const (
-	healthEvery = 500 * time.Millisecond
-	aloneFor    = 2 * time.Second
-	pingLimit   = 800 * time.Millisecond
+	healthInterval     = 500 * time.Millisecond
+	isolationTolerance = 2 * time.Second
+	pingTimeout        = 800 * time.Millisecond
 )
 
-// health tells whether this node can serve users: with the state service, or
-// by passing them on to a node that answers. A node that has lost both, while
-// users and workers still reach it, must not draw users.
-type health struct {
-	serving func() bool // whether the state service serves this node
-	peers   pinger
-	log     *slog.Logger
-	alone   atomic.Bool
+// healthMonitor checks whether this controller can serve users: with the key-value store,
+// or by forwarding their requests to a controller that responds. A controller that has lost
+// both, while users and workers still reach it, must not attract users.
+type healthMonitor struct {
+	storeServing func() bool // whether the key-value store serves this controller
+	peers        pinger
+	log          *slog.Logger
+	isolated     atomic.Bool
 }
 
-// pinger asks other nodes whether they answer.
+// pinger checks whether other controllers respond.
 type pinger interface {
 	Names() []string
-	Ping(ctx context.Context, node string, within time.Duration) (reports int, err error)
+	Ping(ctx context.Context, node string, within time.Duration) (heartbeats int, err error)
 }
 
-// OK tells whether the node can serve.
-func (h *health) OK() bool { return !h.alone.Load() }
+// Healthy reports whether this controller can serve users.
+func (h *healthMonitor) Healthy() bool { return !h.isolated.Load() }
 
-// run judges until ctx ends.
-func (h *health) run(ctx context.Context) {
-	tick := time.NewTicker(healthEvery)
-	defer tick.Stop()
-	reached := time.Now()
+// run checks until ctx ends.
+func (h *healthMonitor) run(ctx context.Context) {
+	ticker := time.NewTicker(healthInterval)
+	defer ticker.Stop()
+	lastReached := time.Now()
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		if h.serving() || h.anyPeer(ctx) {
-			reached = time.Now()
+		if h.storeServing() || h.anyPeerResponds(ctx) {
+			lastReached = time.Now()
 		}
-		alone := time.Since(reached) > aloneFor
-		if h.alone.Swap(alone) != alone {
-			h.log.Info("neither the state service nor another node can be reached", "alone", alone)
+		isolated := time.Since(lastReached) > isolationTolerance
+		if h.isolated.Swap(isolated) != isolated {
+			h.log.Info("isolation from the key-value store and all controllers changed", "isolated", isolated)
 		}
 	}
 }
 
-// anyPeer tells whether some other node answers.
-func (h *health) anyPeer(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, pingLimit)
+// anyPeerResponds reports whether some other controller responds.
+func (h *healthMonitor) anyPeerResponds(ctx context.Context) bool {
+	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
-	answers := pingAll(ctx, h.peers, 0)
+	counts := pingAll(ctx, h.peers, 0)
 	for range h.peers.Names() {
-		if <-answers != noAnswer {
+		if <-counts != noResponse {
 			return true
 		}
 	}
 	return false
 }
 
-// noAnswer stands for the count of a node that does not answer.
-const noAnswer = -1
+// noResponse stands for the count of a controller that does not respond.
+const noResponse = -1
 
-// pingAll asks all other nodes at once. What each of them counts, or noAnswer,
-// comes in the order of the answers.
+// pingAll pings all other controllers at once. The numbers of heartbeats that they have got
+// within a time, or noResponse, come in the order of the responses.
 func pingAll(ctx context.Context, peers pinger, within time.Duration) <-chan int {
 	names := peers.Names()
 	counts := make(chan int, len(names))
-	for _, n := range names {
+	for _, name := range names {
 		go func() {
-			reports, err := peers.Ping(ctx, n, within)
+			heartbeats, err := peers.Ping(ctx, name, within)
 			if err != nil {
-				reports = noAnswer
+				heartbeats = noResponse
 			}
-			counts <- reports
+			counts <- heartbeats
 		}()
 	}
 	return counts
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -10,21 +10,23 @@
 	"time"
 )
 
-// fakePeers is one other node that answers or is silent.
+// fakePeers is one other controller that responds or does not.
 type fakePeers struct {
-	answers atomic.Bool
-	reports atomic.Int64 // of workers that have come there
+	responds   atomic.Bool
+	heartbeats atomic.Int64 // that have come there
 }
 
 func (f *fakePeers) Names() []string { return []string{"n2"} }
 
 func (f *fakePeers) Ping(ctx context.Context, _ string, _ time.Duration) (int, error) {
-	if !f.answers.Load() {
+	if !f.responds.Load() {
 		<-ctx.Done()
 	}
-	return int(f.reports.Load()), ctx.Err()
+	return int(f.heartbeats.Load()), ctx.Err()
 }
 
+// TestHealth: a controller is unhealthy only while it reaches neither the key-value store nor
+// another controller.
 func TestHealth(t *testing.T) {
 	type step struct {
 		state, peer bool
@@ -46,17 +48,17 @@
 				state, peers := make(chan bool, 1), &fakePeers{}
 				state <- true
 				serving := func() bool { s := <-state; state <- s; return s }
-				h := &health{serving: serving, peers: peers, log: slog.New(slog.NewTextHandler(io.Discard, nil))}
-				go h.run(t.Context())
+				monitor := &healthMonitor{storeServing: serving, peers: peers, log: slog.New(slog.NewTextHandler(io.Discard, nil))}
+				go monitor.run(t.Context())
 				for i, s := range c.steps {
 					synctest.Wait()
 					<-state
 					state <- s.state
-					peers.answers.Store(s.peer)
+					peers.responds.Store(s.peer)
 					time.Sleep(5 * time.Second)
 					synctest.Wait()
-					if h.OK() != s.healthy {
-						t.Errorf("step %d: healthy %v, want %v", i, h.OK(), s.healthy)
+					if monitor.Healthy() != s.healthy {
+						t.Errorf("step %d: healthy %v, want %v", i, monitor.Healthy(), s.healthy)
 					}
 				}
 			})
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -17,22 +17,23 @@
 	"leadproxy/internal/softstate/hintpb"
 )
 
-// serve serves both addresses until one fails or ctx ends.
-func (c *components) serve(ctx context.Context, public, back net.Listener) error {
+// serve serves both addresses, HTTP on the public and gRPC on the internal one, until one
+// fails or ctx ends.
+func (c *components) serve(ctx context.Context, public, internal net.Listener) error {
 	router := httprouter.New()
 	c.jobs.Routes(router)
 	router.POST("/v1/report", c.heartbeats.serve)
 	grpcServer := peers.NewServer(peers.ServerConfig{
-		Jobs: c.jobs, Heartbeats: c.heartbeats, GrantExtension: c.elector.GrantExtension, DirectHeartbeats: c.heartbeats.heard.last,
+		Jobs: c.jobs, Heartbeats: c.heartbeats, GrantExtension: c.elector.GrantExtension, DirectHeartbeats: c.heartbeats.direct.countWithin,
 	})
 	cellpb.RegisterCellServer(grpcServer, c.services.cells)
 	handoverpb.RegisterHandoverServer(grpcServer, c.services.leaderTransfer)
 	hintpb.RegisterHintsServer(grpcServer, c.services.softState)
 	rolloutpb.RegisterRolloutsServer(grpcServer, rolloutservice.NewServer(c.dispatcher))
-	web := newServer(router, c.sockets, settings.Seconds(c.platform.Facts.Workers.LeaseS), c.log)
+	web := newHTTPServer(router, c.connections, settings.Seconds(c.platform.Facts.Workers.LeaseS), c.log)
 	failed := make(chan error, 2)
-	go func() { failed <- grpcServer.Serve(back) }()
-	go func() { failed <- web.Serve(netutil.LimitListener(public, c.budget.inbound)) }()
+	go func() { failed <- grpcServer.Serve(internal) }()
+	go func() { failed <- web.Serve(netutil.LimitListener(public, c.sockets.inbound)) }()
 	select {
 	case err := <-failed:
 		return fmt.Errorf("serving: %w", err)
--- a/internal/controller/sockets.go
+++ b/internal/controller/sockets.go
@@ -10,64 +10,86 @@
 	"leadproxy/internal/settings"
 )
 
-// sockets divides what the settings allow this process. On a large fleet the
-// leader holds a connection of every worker, and those of machines that have
-// died until they are given up; whoever finds no socket left is not even told
-// so, health checks included.
-type sockets struct {
-	inbound int // users, workers and health checks
-	crowded int // from here on workers are asked to hang up after each answer
-	orders  int // direct commands on their way at once
-	// kept is how many connections to workers are kept between two commands
-	// while at most roomy are open for users and workers, few how many beyond.
-	roomy, kept, few int
+// socketBudget divides the sockets that the settings allow this process. On a large cluster
+// the leader holds a connection of every worker, and those of machines that have died until
+// they are closed; a client that finds no socket left does not even learn so, health checks
+// included.
+type socketBudget struct {
+	inbound     int // users, workers and health checks
+	hangUpAbove int // inbound, from here on workers are asked to hang up after each response
+	commands    int // commands to workers in flight
+	// idle is how many connections to workers are kept between two commands while at most
+	// scarceAbove inbound ones are open, idleWhenScarce how many beyond.
+	scarceAbove, idle, idleWhenScarce int
 }
 
-// divide leaves a sixteenth besides for the state service, the cloud and the
-// other nodes.
-func divide(r settings.Resources) sockets {
-	s := sockets{inbound: max(8, r.Sockets*3/4), orders: max(4, r.Sockets/8), few: max(2, r.Sockets/16)}
-	s.crowded = s.inbound * 7 / 8
-	// Where the nodes share the workers, half of what is for them is free.
-	s.roomy, s.kept = r.Sockets*3/8, max(2, r.Sockets*3/8)
-	return s
+// The least that each purpose gets, however few sockets there are.
+const (
+	minInbound        = 8
+	minCommands       = 4
+	minIdle           = 2
+	minIdleWhenScarce = 2
+)
+
+// divideSockets leaves a sixteenth besides for the key-value store, the cloud and the other
+// controllers.
+func divideSockets(r settings.Resources) socketBudget {
+	budget := socketBudget{
+		inbound:        max(minInbound, r.Sockets*3/4),
+		commands:       max(minCommands, r.Sockets/8),
+		idleWhenScarce: max(minIdleWhenScarce, r.Sockets/16),
+		// Where the controllers share the workers, half of what is for them is free.
+		scarceAbove: r.Sockets * 3 / 8,
+		idle:        max(minIdle, r.Sockets*3/8),
+	}
+	budget.hangUpAbove = budget.inbound * 7 / 8
+	return budget
 }
 
-// socketUse counts the connections of users and workers.
-type socketUse struct {
-	open     atomic.Int64
-	crowded  int64
-	roomy    int64
-	makeRoom func() // called when more than roomy have come; nil: nothing to be done
+// connectionTracker counts the inbound connections of users and workers.
+type connectionTracker struct {
+	open        atomic.Int64
+	hangUpAbove int64
+	scarceAbove int64
+	closeIdle   func() // called as sockets become scarce; nil: nothing to be done
 }
 
-// Crowded tells whether connections to workers are not to be kept.
-func (s *socketUse) Crowded() bool { return s.open.Load() > s.roomy }
+// scarce reports whether sockets are too few to keep connections to workers.
+func (t *connectionTracker) scarce() bool { return t.open.Load() > t.scarceAbove }
 
-// track is the HTTP server's hook for connections that come and go.
-func (s *socketUse) track(_ net.Conn, state http.ConnState) {
+// track is the HTTP server's hook for connections that open and close.
+func (t *connectionTracker) track(_ net.Conn, state http.ConnState) {
 	switch state {
 	case http.StateNew:
-		if s.open.Add(1) == s.roomy+1 && s.makeRoom != nil {
-			s.makeRoom()
+		if t.open.Add(1) == t.scarceAbove+1 && t.closeIdle != nil {
+			t.closeIdle()
 		}
 	case http.StateClosed, http.StateHijacked:
-		s.open.Add(-1)
+		t.open.Add(-1)
 	}
 }
 
-// newServer makes the server for users and workers. Who has been silent for a
-// worker's lease is gone.
-func newServer(h http.Handler, s *socketUse, lease time.Duration, log *slog.Logger) *http.Server {
-	return &http.Server{Handler: h, ConnState: s.track, IdleTimeout: lease,
-		ReadHeaderTimeout: 10 * time.Second, ReadTimeout: 15 * time.Second, WriteTimeout: 20 * time.Second,
-		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug)}
+// hangUpIfCrowded asks a worker to hang up where connections are short: it comes back for
+// its next heartbeat, and between two of them somebody else can be served.
+func (t *connectionTracker) hangUpIfCrowded(w http.ResponseWriter) {
+	if t.open.Load() > t.hangUpAbove {
+		w.Header().Set("Connection", "close")
+	}
 }
 
-// yield asks a worker to hang up where connections are short: it comes back for
-// its next report, and between two of them somebody else can be served.
-func (s *socketUse) yield(w http.ResponseWriter) {
-	if s.open.Load() > s.crowded {
-		w.Header().Set("Connection", "close")
+// The time limits of the HTTP server.
+const (
+	headerTimeout = 10 * time.Second
+	readTimeout   = 15 * time.Second
+	writeTimeout  = 20 * time.Second
+)
+
+// newHTTPServer makes the server for users and workers. A client that has sent nothing for
+// an agent's lease is gone.
+func newHTTPServer(handler http.Handler, connections *connectionTracker, agentLease time.Duration, log *slog.Logger) *http.Server {
+	return &http.Server{
+		Handler: handler, ConnState: connections.track, IdleTimeout: agentLease,
+		ReadHeaderTimeout: headerTimeout, ReadTimeout: readTimeout, WriteTimeout: writeTimeout,
+		ErrorLog: slog.NewLogLogger(log.Handler(), slog.LevelDebug),
 	}
 }
--- a/internal/controller/sockets_test.go
+++ b/internal/controller/sockets_test.go
@@ -29,9 +29,9 @@
 func (p pipes) Close() error   { close(p); return nil }
 func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
 
-// TestManyWorkersLeaveRoomForOthers: more workers than there are sockets report
-// round after round on connections that they keep, and some have died with
-// theirs open. All are answered, and so is a health check.
+// TestManyWorkersLeaveRoomForOthers: more workers than there are sockets send heartbeats
+// round after round on connections that they keep, and some have died with theirs open. All
+// get a response, and so does a health check.
 func TestManyWorkersLeaveRoomForOthers(t *testing.T) {
 	cases := []struct {
 		name          string
@@ -40,24 +40,24 @@
 	}{
 		{"few workers keep their connections", 64, 20, 0},
 		{"more workers than sockets", 64, 150, 0},
-		{"and connections of the dead", 64, 150, 12},
+		{"and connections of dead workers", 64, 150, 12},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				share := divide(settings.Resources{Sockets: c.sockets})
-				s := &socketUse{crowded: int64(share.crowded)}
-				l := make(pipes, 1000)
-				web := newServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-					s.yield(w)
+				budget := divideSockets(settings.Resources{Sockets: c.sockets})
+				connections := &connectionTracker{hangUpAbove: int64(budget.hangUpAbove)}
+				listener := make(pipes, 1000)
+				web := newHTTPServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
+					connections.hangUpIfCrowded(w)
 					w.WriteHeader(http.StatusOK)
-				}), s, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
-				go web.Serve(netutil.LimitListener(l, share.inbound))
+				}), connections, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
+				go web.Serve(netutil.LimitListener(listener, budget.inbound))
 				defer web.Close()
 				dial := func() (*http.Client, *http.Transport) {
 					tr := &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
 						ours, theirs := net.Pipe()
-						l <- theirs
+						listener <- theirs
 						return ours, nil
 					}}
 					return &http.Client{Transport: tr, Timeout: 4 * time.Second}, tr
@@ -73,7 +73,7 @@
 				}
 				for range c.dead {
 					ours, theirs := net.Pipe()
-					l <- theirs
+					listener <- theirs
 					defer ours.Close()
 				}
 				failed := make(chan error, 3*c.workers)
@@ -103,7 +103,7 @@
 					}
 				}
 				if len(bad) > 0 {
-					t.Errorf("reports not answered: %v", bad)
+					t.Errorf("heartbeats without a response: %v", bad)
 				}
 				time.Sleep(time.Minute)
 			})
@@ -111,30 +111,30 @@
 	}
 }
 
-// TestSocketsAddUp: what is kept to workers, with all else, never takes more
-// sockets than there are, however many come in; who comes must find room.
+// TestSocketsAddUp: the connections that are kept to workers, with all others, never take
+// more sockets than there are, however many come in.
 func TestSocketsAddUp(t *testing.T) {
 	for _, sockets := range []int{16, 64, 1000, 2928, 3500} {
-		d := divide(settings.Resources{Sockets: sockets})
+		budget := divideSockets(settings.Resources{Sockets: sockets})
 		rest := sockets / 16
-		if in := d.inbound + d.orders + d.few + rest; sockets >= 64 && in > sockets {
+		if in := budget.inbound + budget.commands + budget.idleWhenScarce + rest; sockets >= 64 && in > sockets {
 			t.Errorf("%d sockets: %d with all that may come in", sockets, in)
 		}
-		if in := d.roomy + d.orders + d.kept + rest; sockets >= 64 && in > sockets {
+		if in := budget.scarceAbove + budget.commands + budget.idle + rest; sockets >= 64 && in > sockets {
 			t.Errorf("%d sockets: %d while many are kept", sockets, in)
 		}
-		hungUp := 0
-		s := &socketUse{roomy: int64(d.roomy), makeRoom: func() { hungUp++ }}
-		for range d.roomy {
-			s.track(nil, http.StateNew)
+		closed := 0
+		connections := &connectionTracker{scarceAbove: int64(budget.scarceAbove), closeIdle: func() { closed++ }}
+		for range budget.scarceAbove {
+			connections.track(nil, http.StateNew)
 		}
-		if s.Crowded() || hungUp != 0 {
-			t.Errorf("%d sockets: crowded with %d", sockets, d.roomy)
+		if connections.scarce() || closed != 0 {
+			t.Errorf("%d sockets: scarce with %d", sockets, budget.scarceAbove)
 		}
-		s.track(nil, http.StateNew)
-		s.track(nil, http.StateNew)
-		if !s.Crowded() || hungUp != 1 {
-			t.Errorf("%d sockets: crowded %v, hung up %d times, with two more", sockets, s.Crowded(), hungUp)
+		connections.track(nil, http.StateNew)
+		connections.track(nil, http.StateNew)
+		if !connections.scarce() || closed != 1 {
+			t.Errorf("%d sockets: scarce %v, idle ones closed %d times, with two more", sockets, connections.scarce(), closed)
 		}
 	}
 }
