--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -17,48 +17,56 @@
 	"leadproxy/internal/transport"
 )
 
-// maxReconnect bounds how long a broken connection rests: a controller that was restarted
-// must not be shunned for long.
-const maxReconnect = time.Second
+// maxReconnectDelay bounds how long to wait before a broken connection is opened again: a
+// controller that was restarted must be reachable soon.
+const maxReconnectDelay = time.Second
 
-var reconnect = backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.5, Jitter: 0.2, MaxDelay: maxReconnect}
+var reconnectBackoff = backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.5, Jitter: 0.2, MaxDelay: maxReconnectDelay}
+
+// RefusedError is a controller's refusal of a call as such, which no other controller would
+// accept either.
+type RefusedError struct{ Reason string }
+
+// Error returns the reason as the controller gave it.
+func (e *RefusedError) Error() string { return e.Reason }
 
 // Connect prepares a connection to an address of a controller. Nothing is sent before the
 // first call.
-func Connect(n transport.Network, addr string, more ...grpc.DialOption) (*grpc.ClientConn, error) {
+func Connect(network transport.Network, address string, more ...grpc.DialOption) (*grpc.ClientConn, error) {
 	options := append([]grpc.DialOption{
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
-		grpc.WithConnectParams(grpc.ConnectParams{Backoff: reconnect, MinConnectTimeout: maxReconnect}),
-		grpc.WithContextDialer(n.Dial),
+		grpc.WithConnectParams(grpc.ConnectParams{Backoff: reconnectBackoff, MinConnectTimeout: maxReconnectDelay}),
+		grpc.WithContextDialer(network.Dial),
 	}, more...)
-	return grpc.NewClient("passthrough:///"+addr, options...)
+	return grpc.NewClient("passthrough:///"+address, options...)
 }
 
-// Call makes one call over a connection of its own, within a time.
-func Call(ctx context.Context, n transport.Network, addr string, limit time.Duration, do func(ctx context.Context, conn *grpc.ClientConn) error) error {
-	conn, err := Connect(n, addr)
+// Call makes one call over a connection of its own, within a timeout.
+func Call(ctx context.Context, network transport.Network, address string, timeout time.Duration, call func(ctx context.Context, conn *grpc.ClientConn) error) error {
+	conn, err := Connect(network, address)
 	if err != nil {
 		return err
 	}
 	defer conn.Close()
-	ctx, cancel := context.WithTimeout(ctx, limit)
+	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
-	return do(ctx, conn)
+	return call(ctx, conn)
 }
 
-// CallLeader has controllers asked one after the other until one answers, which is the one
-// that leads. What that one refuses, none of the others would do.
-func CallLeader(ctx context.Context, n transport.Network, controllers []settings.Peer, limit time.Duration, ask func(ctx context.Context, conn *grpc.ClientConn) error) error {
+// CallLeader makes a call to one controller after the other until one responds, which is the
+// leader. If that one refuses the call as such, the error is a RefusedError and the others
+// are not called.
+func CallLeader(ctx context.Context, network transport.Network, controllers []settings.Peer, timeout time.Duration, call func(ctx context.Context, conn *grpc.ClientConn) error) error {
 	var errs []error
-	for _, c := range controllers {
-		err := Call(ctx, n, c.Addr, limit, ask)
+	for _, controller := range controllers {
+		err := Call(ctx, network, controller.Addr, timeout, call)
 		switch status.Code(err) {
 		case codes.OK:
 			return nil
 		case codes.FailedPrecondition, codes.InvalidArgument:
-			return errors.New(status.Convert(err).Message())
+			return &RefusedError{Reason: status.Convert(err).Message()}
 		}
-		errs = append(errs, fmt.Errorf("controller %s: %w", c.Node, err))
+		errs = append(errs, fmt.Errorf("controller %s: %w", controller.Node, err))
 	}
 	return errors.Join(errs...)
 }
