--- a/internal/controller/agent_failures_test.go
+++ b/internal/controller/agent_failures_test.go
@@ -10,24 +10,23 @@
 	"leadproxy/internal/wire"
 )
 
-// Machines and their messages are late, lost or cut off. docs/failures.md tells which
-// code answers each combination. What must hold is the same for all: the checker looks
-// at it all the time, and inCluster ends a test only when all that was accepted is
-// served.
+// Machines and their messages are late, lost or cut off. docs/failures.md lists the
+// code that handles each combination. The same must hold for all: the checker checks it all
+// the time, and runScenario ends a test only when all that was accepted is served.
 
-// TestDelayedReports: an old report reaches every controller just as a new
-// leader begins, or after newer ones, also of an earlier session or attempt, or is
+// TestDelayedHeartbeats: an old heartbeat reaches every controller just as a new
+// leader begins, or after newer ones, also of an earlier agent epoch or attempt, or is
 // held back until a new leader has acted.
-func TestDelayedReports(t *testing.T) {
+func TestDelayedHeartbeats(t *testing.T) {
 	for name, when := range map[string]func(c *cluster, deliver func()){
 		"as the leader begins": func(c *cluster, deliver func()) {
 			c.kill(c.leader())
-			c.changed()
+			c.awaitNewTerm()
 			deliver()
 		},
 		"after it has acted": func(c *cluster, deliver func()) {
 			c.kill(c.leader())
-			c.changed()
+			c.awaitNewTerm()
 			time.Sleep(8 * time.Second)
 			deliver()
 			time.Sleep(30 * time.Second)
@@ -44,7 +43,7 @@
 			for _, w := range workers {
 				w.Hang(true)
 			}
-			time.Sleep(workerLease + time.Second)
+			time.Sleep(agentLease + time.Second)
 			for _, w := range workers {
 				w.Hang(false)
 			}
@@ -53,7 +52,7 @@
 				deliver()
 			}
 			c.kill(c.leader())
-			c.changed()
+			c.awaitNewTerm()
 			deliver()
 		},
 		"all the time": func(c *cluster, deliver func()) {
@@ -70,9 +69,9 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			inCluster(t, plan{run: long(30 * time.Second)}, func(c *cluster) {
-				jobs := c.stream(0, 10, 300*time.Millisecond, nil)
-				c.running(15)
+			runScenario(t, clusterPlan{runTime: longRunning(30 * time.Second)}, func(c *cluster) {
+				jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
+				c.awaitRunning(15)
 				workers := c.cloud.Workers()
 				for _, w := range workers {
 					w.SaveReport()
@@ -84,30 +83,30 @@
 						w.ReplayReport()
 					}
 				})
-				c.stream(100, 4, 300*time.Millisecond, nil)
+				c.submitJobs(100, 4, 300*time.Millisecond, nil)
 				time.Sleep(time.Minute)
-				c.revive()
+				c.startAll()
 			})
 		})
 	}
 }
 
-// TestReportFromEarlierTerm: a report from before a machine had its tasks reaches
+// TestHeartbeatFromEarlierTerm: a heartbeat from before a machine had its tasks reaches
 // the new leader again and again, while the machine hangs within its lease. What it
 // lacks is not over.
-func TestReportFromEarlierTerm(t *testing.T) {
-	inCluster(t, plan{run: long(60 * time.Second)}, func(c *cluster) {
-		c.stream(0, 1, time.Second, func(_ int, j *wire.Job) { j.Tasks = 20 })
-		c.running(20)
-		c.await("the first job's end", 2*time.Minute, func() bool { _, done := c.check.On("job-000000"); return done == 20 })
+func TestHeartbeatFromEarlierTerm(t *testing.T) {
+	runScenario(t, clusterPlan{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
+		c.submitJobs(0, 1, time.Second, func(_ int, j *wire.Job) { j.Tasks = 20 })
+		c.awaitRunning(20)
+		c.await("the first job's end", 2*time.Minute, func() bool { _, done := c.checker.On("job-000000"); return done == 20 })
 		workers := c.cloud.Workers()
 		for _, w := range workers {
 			w.SaveReport()
 		}
-		c.stream(10, 8, 200*time.Millisecond, func(k int, j *wire.Job) { j.ID = fmt.Sprintf("job-%06d", 10+2*k) })
-		c.running(20)
+		c.submitJobs(10, 8, 200*time.Millisecond, func(k int, j *wire.Job) { j.ID = fmt.Sprintf("job-%06d", 10+2*k) })
+		c.awaitRunning(20)
 		time.Sleep(4 * time.Second)
-		workers = half(workers)
+		workers = everyOther(workers)
 		for _, w := range workers {
 			w.Hang(true)
 		}
@@ -126,42 +125,42 @@
 	})
 }
 
-// TestFastBootsDuringTakeover: new machines are up within two seconds and get work at
-// once, while writes lag, and the leader ends: what is said of the hire and of the
+// TestFastBootsDuringFailover: new machines are up within two seconds and get work at
+// once, while writes lag, and the leader ends: what was written of the scale-out and of the
 // hosts may have no answer yet.
-func TestFastBootsDuringTakeover(t *testing.T) {
-	eachSeed(t, plan{boot: time.Second, run: long(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
+func TestFastBootsDuringFailover(t *testing.T) {
+	runWithSeeds(t, clusterPlan{bootTime: time.Second, runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		c.state.Slow(700 * time.Millisecond)
-		c.writes.Store(c.share(0.3, fake.Delayed, 2*time.Second, 8*time.Second))
-		c.hires.Store(c.share(0.3, fake.AnswerLost, 0, 0))
-		c.stream(0, 8, 200*time.Millisecond, func(_ int, j *wire.Job) { j.Tasks = 6 })
+		c.writeFaults.Store(c.randomFaults(0.3, fake.Delayed, 2*time.Second, 8*time.Second))
+		c.scaleOutFaults.Store(c.randomFaults(0.3, fake.AnswerLost, 0, 0))
+		c.submitJobs(0, 8, 200*time.Millisecond, func(_ int, j *wire.Job) { j.Tasks = 6 })
 		for range 3 {
-			time.Sleep(some(r, time.Second, 6*time.Second))
+			time.Sleep(randomDuration(r, time.Second, 6*time.Second))
 			if l := c.leader(); l >= 0 {
-				c.restart(l, some(r, 100*time.Millisecond, 3*time.Second))
+				c.restart(l, randomDuration(r, 100*time.Millisecond, 3*time.Second))
 			}
 		}
 		time.Sleep(10 * time.Second)
 		c.state.Slow(0)
-		c.writes.Store(nil)
-		c.hires.Store(nil)
+		c.writeFaults.Store(nil)
+		c.scaleOutFaults.Store(nil)
 	})
 }
 
 // TestDelayedCommands: a command or its answer is held up for seconds, and the
-// machine then goes on; jobs are cancelled and the leader changes meanwhile.
+// machine then resumes; jobs are cancelled and the leader changes meanwhile.
 func TestDelayedCommands(t *testing.T) {
 	for _, fault := range []fake.Fault{fake.Delayed, fake.AnswerLost, fake.RequestLost, fake.Duplicated} {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
-			inCluster(t, plan{run: long(30 * time.Second)}, func(c *cluster) {
-				c.held = true
-				c.orders.Store(c.share(0.5, fault, 2*time.Second, 15*time.Second))
-				jobs := c.stream(0, 12, 300*time.Millisecond, nil)
+			runScenario(t, clusterPlan{runTime: longRunning(30 * time.Second)}, func(c *cluster) {
+				c.commandsDelayed = true
+				c.commandFaults.Store(c.randomFaults(0.5, fault, 2*time.Second, 15*time.Second))
+				jobs := c.submitJobs(0, 12, 300*time.Millisecond, nil)
 				time.Sleep(3 * time.Second)
-				for _, w := range half(c.cloud.Workers()) {
+				for _, w := range everyOther(c.cloud.Workers()) {
 					w.Hang(true)
 				}
-				for _, j := range half(jobs) {
+				for _, j := range everyOther(jobs) {
 					c.users.Cancel(j)
 				}
 				time.Sleep(7 * time.Second)
@@ -169,35 +168,35 @@
 				for _, w := range c.cloud.Workers() {
 					w.Hang(false)
 				}
-				c.stream(100, 6, 300*time.Millisecond, nil)
+				c.submitJobs(100, 6, 300*time.Millisecond, nil)
 				time.Sleep(20 * time.Second)
-				c.orders.Store(nil)
+				c.commandFaults.Store(nil)
 			})
 		})
 	}
 }
 
 // TestUnreachableMachines: a leader ends while machines with long tasks can't be
-// reached, or don't hear the new leader's answer; or workers reach no controller
-// while direct commands still reach them.
+// reached, or don't get the new leader's response; or workers reach no controller
+// while commands still reach them.
 func TestUnreachableMachines(t *testing.T) {
-	for _, lasts := range []time.Duration{6 * time.Second, workerLease - 2*time.Second, workerLease + 5*time.Second} {
-		for name, away := range away {
+	for _, lasts := range []time.Duration{6 * time.Second, agentLease - 2*time.Second, agentLease + 5*time.Second} {
+		for name, away := range unreachableBy {
 			t.Run(fmt.Sprint(name, lasts), func(t *testing.T) {
-				inCluster(t, plan{run: long(60 * time.Second)}, func(c *cluster) {
-					c.stream(0, 10, 200*time.Millisecond, nil)
-					c.running(20)
-					workers := half(c.cloud.Workers())
+				runScenario(t, clusterPlan{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
+					c.submitJobs(0, 10, 200*time.Millisecond, nil)
+					c.awaitRunning(20)
+					workers := everyOther(c.cloud.Workers())
 					for _, w := range workers {
 						away(w, true)
 					}
 					c.kill(c.leader())
-					c.changed()
+					c.awaitNewTerm()
 					time.Sleep(lasts)
 					for _, w := range workers {
 						away(w, false)
 					}
-					c.revive()
+					c.startAll()
 				})
 			})
 		}
@@ -208,17 +207,17 @@
 // commands still reach them, for less and for longer than their lease; jobs are
 // cancelled meanwhile.
 func TestOutboundCutMachines(t *testing.T) {
-	for _, lasts := range []time.Duration{8 * time.Second, workerLease + 4*time.Second, cancelLimit + 10*time.Second} {
+	for _, lasts := range []time.Duration{8 * time.Second, agentLease + 4*time.Second, cancelLimit + 10*time.Second} {
 		t.Run(fmt.Sprint(lasts), func(t *testing.T) {
-			inCluster(t, plan{run: long(60 * time.Second)}, func(c *cluster) {
-				jobs := c.stream(0, 10, 200*time.Millisecond, nil)
-				c.running(20)
+			runScenario(t, clusterPlan{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
+				jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
+				c.awaitRunning(20)
 				workers := c.cloud.Workers()
 				for _, w := range workers {
 					w.CutOutbound(true)
 				}
 				time.Sleep(2 * time.Second)
-				for _, j := range half(jobs) {
+				for _, j := range everyOther(jobs) {
 					c.users.Cancel(j)
 				}
 				time.Sleep(lasts)
@@ -231,28 +230,28 @@
 }
 
 // TestMachineReboots: machines end and are back within a fraction of a second, their
-// workers counting from the beginning, while old reports arrive and the leader ends.
-// Commands are not held up here: a worker that has forgotten the tokens it saw
-// carries out whatever comes, however old, and no controller can help that.
+// workers counting from the beginning, while old heartbeats arrive and the leader ends.
+// Commands are not held up here: a worker that has lost the fencing tokens it saw
+// executes every command, however old, and no controller can help that.
 func TestMachineReboots(t *testing.T) {
-	eachSeed(t, plan{run: long(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
-		jobs := c.stream(0, 12, 300*time.Millisecond, nil)
-		c.running(15)
+	runWithSeeds(t, clusterPlan{runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
+		jobs := c.submitJobs(0, 12, 300*time.Millisecond, nil)
+		c.awaitRunning(15)
 		for _, w := range c.cloud.Workers() {
 			w.SaveReport()
 		}
 		for k := range 6 {
 			workers := c.cloud.Workers()
-			for _, w := range half(workers) {
+			for _, w := range everyOther(workers) {
 				w.Reboot()
 			}
 			c.users.Cancel(jobs[2*k])
-			time.Sleep(some(r, 100*time.Millisecond, 5*time.Second))
+			time.Sleep(randomDuration(r, 100*time.Millisecond, 5*time.Second))
 			for _, w := range workers {
 				w.ReplayReport()
 			}
 			if k%2 == 0 {
-				c.restart(c.leader(), some(r, 100*time.Millisecond, time.Second))
+				c.restart(c.leader(), randomDuration(r, 100*time.Millisecond, time.Second))
 				c.await("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
 			}
 		}
@@ -265,9 +264,9 @@
 	for _, leads := range []bool{true, false} {
 		for _, hold := range []bool{true, false} {
 			t.Run(fmt.Sprint(leads, hold), func(t *testing.T) {
-				inCluster(t, plan{run: long(50 * time.Second)}, func(c *cluster) {
-					jobs := c.stream(0, 10, 200*time.Millisecond, nil)
-					c.running(20)
+				runScenario(t, clusterPlan{runTime: longRunning(50 * time.Second)}, func(c *cluster) {
+					jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
+					c.awaitRunning(20)
 					in := c.leader()
 					if !leads {
 						in = c.follower()
@@ -292,10 +291,10 @@
 					}
 					cut(func(a, b string) { c.net.Cut(a, b, hold) })
 					time.Sleep(3 * time.Second)
-					for _, j := range half(jobs) {
+					for _, j := range everyOther(jobs) {
 						c.users.Cancel(j)
 					}
-					time.Sleep(workerLease + 5*time.Second)
+					time.Sleep(agentLease + 5*time.Second)
 					cut(c.net.Heal)
 				})
 			})
--- a/internal/controller/alarm_handler_test.go
+++ b/internal/controller/alarm_handler_test.go
@@ -7,19 +7,19 @@
 	"testing"
 )
 
-// alarms fails a test when a controller logs what must never happen.
-type alarms struct {
+// alarmHandler fails a test when a controller logs what must never happen.
+type alarmHandler struct {
 	t    *testing.T
 	next slog.Handler // takes the other lines
 }
 
 // Enabled takes what next takes, and all errors.
-func (a alarms) Enabled(ctx context.Context, level slog.Level) bool {
+func (a alarmHandler) Enabled(ctx context.Context, level slog.Level) bool {
 	return level >= slog.LevelError || a.next.Enabled(ctx, level)
 }
 
-// Handle looks at a line and passes it on.
-func (a alarms) Handle(ctx context.Context, r slog.Record) error {
+// Handle checks a line and passes it on.
+func (a alarmHandler) Handle(ctx context.Context, r slog.Record) error {
 	if r.Message == scheduler.MessageCancelledTaskOverdue {
 		text := ""
 		r.Attrs(func(attribute slog.Attr) bool {
@@ -35,9 +35,11 @@
 }
 
 // WithAttrs passes them on.
-func (a alarms) WithAttrs(attrs []slog.Attr) slog.Handler {
-	return alarms{a.t, a.next.WithAttrs(attrs)}
+func (a alarmHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
+	return alarmHandler{a.t, a.next.WithAttrs(attrs)}
 }
 
 // WithGroup passes it on.
-func (a alarms) WithGroup(name string) slog.Handler { return alarms{a.t, a.next.WithGroup(name)} }
+func (a alarmHandler) WithGroup(name string) slog.Handler {
+	return alarmHandler{a.t, a.next.WithGroup(name)}
+}
--- a/internal/controller/assembly.go
+++ b/internal/controller/assembly.go
@@ -38,7 +38,7 @@
 }
 
 // followers follow the leader, so that a term that begins here knows what it knew. Each is
-// nil if the settings don't ask for it.
+// nil unless the settings enable it.
 type followers struct {
 	standby   *standby.Follower
 	softState *softstate.Follower
@@ -102,7 +102,7 @@
 	return func() bool { return c.capabilities.AllSupport(level) }
 }
 
-// newFollowers makes the followers that the settings ask for.
+// newFollowers makes the followers that the settings enable.
 func (c *components) newFollowers(op settings.Operator, store *kvstore.Client, others *peers.Peers) followers {
 	var f followers
 	if op.Standby.Follow {
--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -17,23 +17,23 @@
 	"leadproxy/internal/wire"
 )
 
-// visitor is a worker or a user as cheap as can be, so that what is measured is
-// the node: a connection, a request written beforehand, an answer skipped.
-type visitor struct {
+// httpClient is a worker or a user that costs as little as possible, so that what is measured
+// is the controller: a connection, a prepared request, a response that is skipped.
+type httpClient struct {
 	conn net.Conn
 	in   *bufio.Reader
 }
 
-func newVisitor(b *testing.B, addr string) *visitor {
+func newHTTPClient(b *testing.B, addr string) *httpClient {
 	c, err := net.Dial("tcp", addr)
 	if err != nil {
 		b.Fatal(err)
 	}
 	b.Cleanup(func() { c.Close() })
-	return &visitor{c, bufio.NewReaderSize(c, 1024)}
+	return &httpClient{c, bufio.NewReaderSize(c, 1024)}
 }
 
-func (v *visitor) ask(b *testing.B, method, path, body string) int {
+func (v *httpClient) send(b *testing.B, method, path, body string) int {
 	if _, err := fmt.Fprintf(v.conn, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body); err != nil {
 		b.Fatal(err)
 	}
@@ -48,8 +48,8 @@
 	return resp.StatusCode
 }
 
-// alone starts one controller that leads, over our own fakes.
-func alone(b *testing.B) string {
+// startLeader starts one controller that leads, over our own fakes.
+func startLeader(b *testing.B) string {
 	store := fake.NewState(b, transport.TCP{}, "127.0.0.1:0", nil)
 	// The benchmark is the only worker.
 	refuse := func(_ string, r *http.Request) fake.Trouble {
@@ -74,7 +74,7 @@
 			b.Error(err)
 		}
 	}()
-	var v *visitor
+	var v *httpClient
 	for range 100 {
 		time.Sleep(50 * time.Millisecond)
 		if v == nil {
@@ -83,50 +83,50 @@
 				continue // it does not listen yet
 			}
 			b.Cleanup(func() { c.Close() })
-			v = &visitor{c, bufio.NewReader(c)}
+			v = &httpClient{c, bufio.NewReader(c)}
 		}
-		if v.ask(b, "POST", "/v1/report", report("vm-999999", 1)) == http.StatusOK {
+		if v.send(b, "POST", "/v1/report", heartbeatBody("vm-999999", 1)) == http.StatusOK {
 			return p.Listen
 		}
 	}
-	b.Fatal("the node does not lead")
+	b.Fatal("the controller does not lead")
 	return ""
 }
 
-// report is the report of a worker without tasks.
-func report(machine string, seq int) string {
+// heartbeatBody is the heartbeat of a worker without tasks.
+func heartbeatBody(machine string, seq int) string {
 	return fmt.Sprintf(`{"host":"%s","address":"10.1.0.232:9000","flavor":"m4","room":"a","loaners":true,"tenure":1,"tick":%d,"baton":16777216,"warning_s":null,"pieces":[]}`,
 		machine, seq)
 }
 
-// BenchmarkReport is a worker's report from its bytes to those of the answer,
+// BenchmarkReport is a worker's heartbeat from its bytes to those of the answer,
 // over a connection that is kept, with many workers at hand.
 func BenchmarkReport(b *testing.B) {
-	addr := alone(b)
+	addr := startLeader(b)
 	const workers = 400
-	var all [workers]*visitor
+	var all [workers]*httpClient
 	for i := range all {
-		all[i] = newVisitor(b, addr)
+		all[i] = newHTTPClient(b, addr)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		if s := all[i%workers].ask(b, "POST", "/v1/report", report(fmt.Sprintf("vm-%06d", i%workers), 1+i/workers)); s != http.StatusOK {
+		if s := all[i%workers].send(b, "POST", "/v1/report", heartbeatBody(fmt.Sprintf("vm-%06d", i%workers), 1+i/workers)); s != http.StatusOK {
 			b.Fatal(s)
 		}
 	}
 }
 
 // BenchmarkSubmission is a user's submission from its bytes to those of the answer,
-// with its record created in the state service.
+// with its record created in the key-value store.
 func BenchmarkSubmission(b *testing.B) {
-	addr := alone(b)
-	user := newVisitor(b, addr)
+	addr := startLeader(b)
+	user := newHTTPClient(b, addr)
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
 		job := fmt.Sprintf(`{"ref":"job-%09d","lane":"c","owner":"t","shape":"batch","urgency":"high","pieces":4,"vcpus":4,"gpus":0,"mem_gb":1,"bundle":"i","size_gb":1,"flavors":null,"room":null,"together":false,"spread":false,"loaners":true,"guess_s":20,"snapshot_s":0,"flush_s":0,"due_s":60}`, i)
-		if s := user.ask(b, "POST", "/v2/runs", job); s != http.StatusCreated {
+		if s := user.send(b, "POST", "/v2/runs", job); s != http.StatusCreated {
 			b.Fatal(s)
 		}
 	}
--- a/internal/controller/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -10,45 +10,44 @@
 	"leadproxy/internal/wire"
 )
 
-// Users cancel jobs while failures meet. docs/failures.md tells which
-// code answers each combination. What must hold is the same for all: the checker looks
-// at it all the time, and inCluster ends a test only when all that was accepted is
-// served.
+// Users cancel jobs while failures meet. docs/failures.md lists the
+// code that handles each combination. The same must hold for all: the checker checks it all
+// the time, and runScenario ends a test only when all that was accepted is served.
 
-// TestCancelThenOutage: the state service refuses the leader alone, cancellations are
-// confirmed through another node, and then the service is out for all for longer
-// than cancel_s, while workers keep reporting. Whoever goes on renewing leases
+// TestCancelThenOutage: the key-value store refuses the leader alone, cancellations are
+// confirmed through another controller, and then the service is out for all for longer
+// than cancel_s, while workers keep sending heartbeats. A controller that renews leases
 // must know of the confirmations.
 func TestCancelThenOutage(t *testing.T) {
 	for _, gap := range []time.Duration{0, 200 * time.Millisecond, time.Second, 2 * time.Second, 2500 * time.Millisecond, 2800 * time.Millisecond,
 		2900 * time.Millisecond, 3 * time.Second, 3100 * time.Millisecond, 3300 * time.Millisecond, 3600 * time.Millisecond, 4 * time.Second, 5 * time.Second, 6 * time.Second} {
 		for _, then := range []string{"", "kill", "cut", "hang", "lost"} {
 			t.Run(fmt.Sprint(gap, then), func(t *testing.T) {
-				inCluster(t, plan{run: long(100 * time.Second)}, func(c *cluster) {
-					jobs := c.stream(0, 8, 300*time.Millisecond, nil)
-					c.running(10)
+				runScenario(t, clusterPlan{runTime: longRunning(100 * time.Second)}, func(c *cluster) {
+					jobs := c.submitJobs(0, 8, 300*time.Millisecond, nil)
+					c.awaitRunning(10)
 					lead := c.leader()
 					c.state.Refuse(c.name(lead), true)
 					if then == "lost" {
-						c.writes.Store(c.share(1, fake.AnswerLost, 0, 0))
+						c.writeFaults.Store(c.randomFaults(1, fake.AnswerLost, 0, 0))
 					}
-					// Users call off half the jobs, again and again, while the leader is
+					// Users cancel half the jobs, again and again, while the leader is
 					// refused alone.
-					for _, j := range half(jobs) {
+					for _, j := range everyOther(jobs) {
 						c.users.Cancel(j)
 					}
 					time.Sleep(gap)
 					c.state.Outage(true)
-					c.writes.Store(nil)
+					c.writeFaults.Store(nil)
 					switch now := c.leader(); then {
 					case "kill": // and back at once
 						c.restart(lead, 300*time.Millisecond)
 					case "cut":
 						if now >= 0 {
-							c.alone(now, true, true)
+							c.isolate(now, true)
 						}
 					case "hang":
-						for _, w := range half(c.cloud.Workers()) {
+						for _, w := range everyOther(c.cloud.Workers()) {
 							w.Hang(true)
 						}
 					}
@@ -60,7 +59,7 @@
 					c.state.Refuse(c.name(lead), false)
 					c.state.Outage(false)
 					for i := range c.nodes {
-						c.alone(i, false, false)
+						c.reconnect(i)
 					}
 				})
 			})
@@ -68,19 +67,19 @@
 	}
 }
 
-// TestCancelThenOutageWithSlowState: the state service refuses the leader alone and is so slow with
-// the others that they promise not to act, since they can't tell that from an
+// TestCancelThenOutageWithSlowState: the key-value store refuses the leader alone and is so slow with
+// the others that they grant extensions of the lease, since they can't distinguish that from an
 // outage; then one of them wins the election, and users cancel through it, while
-// half of the workers reach the former leader only. Either it stops answering them,
-// or nobody else confirms. And it must not take long until somebody does.
+// half of the workers reach the former leader only. Either it stops responding to them,
+// or no other controller confirms a cancellation. And it must not take long until one does.
 func TestCancelThenOutageWithSlowState(t *testing.T) {
 	for _, slow := range []time.Duration{250 * time.Millisecond, 350 * time.Millisecond, 600 * time.Millisecond, 900 * time.Millisecond} {
 		t.Run(fmt.Sprint(slow), func(t *testing.T) {
-			inCluster(t, plan{run: long(100 * time.Second)}, func(c *cluster) {
-				jobs := c.stream(0, 8, 300*time.Millisecond, nil)
-				c.running(20)
+			runScenario(t, clusterPlan{runTime: longRunning(100 * time.Second)}, func(c *cluster) {
+				jobs := c.submitJobs(0, 8, 300*time.Millisecond, nil)
+				c.awaitRunning(20)
 				lead := c.leader()
-				workers := half(c.cloud.Workers())
+				workers := everyOther(c.cloud.Workers())
 				for _, w := range workers {
 					for i := range c.nodes {
 						if i != lead {
@@ -91,7 +90,7 @@
 				c.state.Slow(slow)
 				c.state.Refuse(c.name(lead), true)
 				began := time.Now()
-				for _, j := range half(jobs) {
+				for _, j := range everyOther(jobs) {
 					for c.users.CancelAt((lead+1)%len(c.nodes), j) == false && time.Since(began) < time.Minute {
 						time.Sleep(500 * time.Millisecond)
 					}
@@ -113,14 +112,14 @@
 }
 
 // TestCancelConfirmedByRecord: a cancellation is written by the leader, but only
-// that answer is lost; other nodes read it and tell users. Then the service is out
-// for all, and the leader goes on with the promises of all, for longer than
+// that answer is lost; other controllers read it and report it to users. Then the service is out
+// for all, and the leader keeps its term by the extensions that all have granted, for longer than
 // cancel_s, without ever learning that its write was carried out.
 func TestCancelConfirmedByRecord(t *testing.T) {
-	inCluster(t, plan{run: long(100 * time.Second)}, func(c *cluster) {
-		jobs := c.stream(0, 8, 300*time.Millisecond, nil)
-		c.running(10)
-		for k, j := range half(jobs) {
+	runScenario(t, clusterPlan{runTime: longRunning(100 * time.Second)}, func(c *cluster) {
+		jobs := c.submitJobs(0, 8, 300*time.Millisecond, nil)
+		c.awaitRunning(10)
+		for k, j := range everyOther(jobs) {
 			before := j.ID
 			for i := range 2 { // one that needs it, and one that needs that
 				child := fake.NewJob(fmt.Sprintf("job-%06d", 200+100*i+k), 1, func(j *wire.Job) { j.DependsOn = []string{before} })
@@ -130,35 +129,35 @@
 				before = child.ID
 			}
 		}
-		c.writes.Store(c.share(1, fake.AnswerLost, 0, 0))
-		for _, j := range half(jobs) {
+		c.writeFaults.Store(c.randomFaults(1, fake.AnswerLost, 0, 0))
+		for _, j := range everyOther(jobs) {
 			c.users.Cancel(j)
 		}
 		time.Sleep(300 * time.Millisecond)
-		for _, j := range half(jobs) {
+		for _, j := range everyOther(jobs) {
 			c.users.Look(j.ID, j)
 		}
 		time.Sleep(200 * time.Millisecond)
 		c.state.Outage(true)
-		c.writes.Store(nil)
+		c.writeFaults.Store(nil)
 		time.Sleep(cancelLimit + 20*time.Second)
 		c.state.Outage(false)
 	})
 }
 
 // TestCancelAtLastTask: a cancellation, a question or a repeated submission meets
-// the end of a job's last task, with no other trouble.
+// the end of a job's last task, with no other fault.
 func TestCancelAtLastTask(t *testing.T) {
-	eachSeed(t, plan{run: func(string) time.Duration { return 4 * time.Second }}, func(c *cluster, r *rand.Rand) {
-		c.stream(0, 1, 20*time.Second, nil) // machines are up then
+	runWithSeeds(t, clusterPlan{runTime: func(string) time.Duration { return 4 * time.Second }}, func(c *cluster, r *rand.Rand) {
+		c.submitJobs(0, 1, 20*time.Second, nil) // machines are up then
 		for k := range 30 {
 			j := fake.NewJob(fmt.Sprintf("job-%06d", 10+k), 1, nil)
 			c.users.Submit(j)
-			done := func() bool { _, n := c.check.On(j.ID); return n == 1 }
+			done := func() bool { _, n := c.checker.On(j.ID); return n == 1 }
 			for end := time.Now().Add(30 * time.Second); !done() && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
-			time.Sleep(some(r, 0, 15*time.Millisecond))
+			time.Sleep(randomDuration(r, 0, 15*time.Millisecond))
 			c.users.Cancel(j)
 			c.users.Look(j.ID, j)
 		}
@@ -166,37 +165,37 @@
 }
 
 // TestCancelAtOnce: users cancel a job in the moment in which it is accepted,
-// through other nodes, and ask and repeat everywhere.
+// through other controllers, and query and repeat the requests everywhere.
 func TestCancelAtOnce(t *testing.T) {
-	eachSeed(t, plan{}, func(c *cluster, r *rand.Rand) {
+	runWithSeeds(t, clusterPlan{}, func(c *cluster, r *rand.Rand) {
 		for k := range 30 {
 			j := fake.NewJob(fmt.Sprintf("job-%06d", k), 2, nil)
 			c.users.Submit(j)
-			time.Sleep(some(r, 0, 12*time.Millisecond))
+			time.Sleep(randomDuration(r, 0, 12*time.Millisecond))
 			for i := range c.nodes {
 				c.users.Go(func() { c.users.Call(i, fake.AskedCancel, j.ID, nil) })
 			}
 			c.users.Look(j.ID, j)
 			c.users.Cancel(j)
-			time.Sleep(some(r, 100*time.Millisecond, 2*time.Second))
+			time.Sleep(randomDuration(r, 100*time.Millisecond, 2*time.Second))
 			if k == 15 {
 				c.kill(c.leader())
 			}
 		}
-		c.revive()
+		c.startAll()
 	})
 }
 
-// TestCancelDuringHandover: jobs are cancelled in the seconds in which one
+// TestCancelDuringLeaderChange: jobs are cancelled in the seconds in which one
 // controller's work changes hands.
-func TestCancelDuringHandover(t *testing.T) {
-	eachSeed(t, plan{run: long(60 * time.Second)}, func(c *cluster, r *rand.Rand) {
-		jobs := c.stream(0, 16, 200*time.Millisecond, nil)
-		c.running(20)
+func TestCancelDuringLeaderChange(t *testing.T) {
+	runWithSeeds(t, clusterPlan{runTime: longRunning(60 * time.Second)}, func(c *cluster, r *rand.Rand) {
+		jobs := c.submitJobs(0, 16, 200*time.Millisecond, nil)
+		c.awaitRunning(20)
 		c.users.Go(func() {
-			for _, j := range half(jobs) {
+			for _, j := range everyOther(jobs) {
 				c.users.Cancel(j)
-				time.Sleep(some(r, 100*time.Millisecond, 900*time.Millisecond))
+				time.Sleep(randomDuration(r, 100*time.Millisecond, 900*time.Millisecond))
 			}
 		})
 		time.Sleep(500 * time.Millisecond)
--- /dev/null
+++ b/internal/controller/cluster_end_test.go
@@ -0,0 +1,48 @@
+package controller
+
+import "time"
+
+// endFaults records that there are no faults from now on.
+func (c *cluster) endFaults() {
+	<-c.faultFreeSince
+	c.faultFreeSince <- time.Now()
+}
+
+// finish ends a test: with the faults over, all that was accepted has to be
+// served, and the ledger to be tidied up.
+func (c *cluster) finish() {
+	c.endFaults()
+	c.awaitAllServed()
+	c.users.Wait()
+	c.await("all tasks gone", time.Minute, func() bool { on, _ := c.checker.On(""); return on == 0 })
+	c.awaitLedgerCleanup()
+	c.reportViolations()
+}
+
+// awaitAllServed waits until all that was accepted is done or cancelled.
+func (c *cluster) awaitAllServed() {
+	c.t.Helper()
+	c.await("all jobs over", 6*time.Minute, func() bool { return len(c.checker.Open()) == 0 })
+	if open := c.checker.Open(); len(open) > 0 {
+		c.t.Errorf("still open: %v", open)
+	}
+}
+
+// awaitLedgerCleanup waits until the ledger holds nothing of jobs that are over but their records.
+func (c *cluster) awaitLedgerCleanup() {
+	c.t.Helper()
+	c.await("the ledger tidied up", time.Minute, func() bool {
+		return c.state.Count("fin/")+c.state.Count("host/")+c.state.Count("cell/away/") == 0
+	})
+}
+
+// reportViolations reports the rules that were broken.
+func (c *cluster) reportViolations() {
+	c.t.Helper()
+	for _, b := range c.checker.Broken() {
+		c.t.Error(b)
+	}
+	if n := c.checker.LateStarts(); n > 0 && !c.commandsDelayed {
+		c.t.Errorf("%d starts after a confirmed cancellation, none of them on its way for long", n)
+	}
+}
--- /dev/null
+++ b/internal/controller/cluster_processes_test.go
@@ -0,0 +1,112 @@
+package controller
+
+import (
+	"context"
+	"encoding/json"
+	"log/slog"
+	"os"
+	"time"
+
+	"leadproxy/internal/election"
+	"leadproxy/internal/fake"
+)
+
+// start starts a controller's process.
+func (c *cluster) start(i int) {
+	n := c.nodes[i]
+	ctx, cancel := context.WithCancel(context.Background())
+	n.host, n.cancel, n.done = c.net.Host(n.platform.Node), cancel, make(chan struct{})
+	handler := slog.Handler(slog.DiscardHandler)
+	if c.operator.Standby.Follow {
+		handler = c.leaderActions
+	}
+	if os.Getenv("CLUSTER_LOG") != "" {
+		handler = slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: slog.LevelDebug})
+	}
+	log := slog.New(alarmHandler{c.t, handler})
+	if os.Getenv("CLUSTER_LOG") != "" {
+		log = log.With("node", n.platform.Node, "test", c.t.Name())
+	}
+	go func(host *fake.Host, level int, done chan struct{}) {
+		defer close(done)
+		if err := runAtLevel(ctx, level, host, n.platform, c.operator, log); err != nil && !host.IsDown() {
+			c.t.Errorf("%s ended: %v", n.platform.Node, err)
+		}
+	}(n.host, n.level, n.done)
+}
+
+// kill ends a controller's process: from that moment on nothing of it is delivered.
+func (c *cluster) kill(i int) {
+	n := c.nodes[i]
+	if n.cancel == nil {
+		return
+	}
+	n.host.Kill()
+	n.cancel()
+	<-n.done
+	n.cancel = nil
+}
+
+// restart kills a process and starts it again after a while.
+func (c *cluster) restart(i int, after time.Duration) {
+	c.kill(i)
+	time.Sleep(after)
+	c.start(i)
+}
+
+// startAll starts all controllers that are down.
+func (c *cluster) startAll() {
+	for i, n := range c.nodes {
+		if n.cancel == nil {
+			c.start(i)
+		}
+	}
+}
+
+// leader is the controller that the key-value store names, or -1.
+func (c *cluster) leader() int {
+	var h struct {
+		Node string `json:"node"`
+	}
+	if value := c.state.Value(election.LeaderKey); value == nil || json.Unmarshal(value, &h) != nil {
+		return -1
+	}
+	for i, n := range c.nodes {
+		if n.platform.Node == h.Node {
+			return i
+		}
+	}
+	return -1
+}
+
+// follower is some controller that does not lead and is up.
+func (c *cluster) follower() int {
+	l := c.leader()
+	for i, n := range c.nodes {
+		if i != l && n.cancel != nil {
+			return i
+		}
+	}
+	return -1
+}
+
+func (c *cluster) name(i int) string { return c.nodes[i].platform.Node }
+
+// isolate cuts a controller from all others. With hold, what they send is delivered when
+// the connection is back, and else it is refused.
+func (c *cluster) isolate(i int, hold bool) {
+	for k := range c.nodes {
+		if k != i {
+			c.net.Cut(c.name(i), c.name(k), hold)
+		}
+	}
+}
+
+// reconnect ends the isolation of a controller.
+func (c *cluster) reconnect(i int) {
+	for k := range c.nodes {
+		if k != i {
+			c.net.Heal(c.name(i), c.name(k))
+		}
+	}
+}
--- a/internal/controller/federation_measure_test.go
+++ b/internal/controller/federation_measure_test.go
@@ -18,16 +18,16 @@
 // The measured load: one cell is asked for more than it has for five minutes, the others
 // for less. docs/operations-spill.md has the command.
 const (
-	measuredFor   = 5 * time.Minute
-	floodedEvery  = 2 * time.Second // jobs of 8 cores for 20 s: 80 cores of the 64 there are
-	easyEvery     = 5 * time.Second // 32 of 96
-	meanRun       = 20 * time.Second
-	measuredDue   = 90.0 // seconds
-	measuredSeeds = 5
+	measuredFor       = 5 * time.Minute
+	overloadInterval  = 2 * time.Second // jobs of 8 cores for 20 s: 80 cores of the 64 there are
+	lightLoadInterval = 5 * time.Second // 32 of 96
+	meanRun           = 20 * time.Second
+	measuredDue       = 90.0 // seconds
+	measuredSeeds     = 5
 )
 
-// runOf is how long a job's tasks run: 10 to 30 s, the same with and without spilling.
-func runOf(seed uint64) func(task string) time.Duration {
+// jobRunTime is how long a job's tasks run: 10 to 30 s, the same with and without forwarding jobs.
+func jobRunTime(seed uint64) func(task string) time.Duration {
 	return func(task string) time.Duration {
 		ref, _, _ := wire.ParseTaskName(task)
 		h := fnv.New64a()
@@ -36,8 +36,8 @@
 	}
 }
 
-// measured is what one cell's users saw.
-type measured struct {
+// cellMeasurements is what one cell's users saw.
+type cellMeasurements struct {
 	waits, ends []float64 // seconds to the start of the last task, and to the end
 	late, jobs  int
 }
@@ -50,12 +50,12 @@
 	return values[min(len(values)-1, int(share*float64(len(values))))]
 }
 
-// measure plays the load and returns what the users of each cell saw, and how many of
+// measureLoad plays the load and returns what the users of each cell saw, and how many of
 // the first's jobs ran elsewhere.
-func measure(t *testing.T, seed uint64, spilling bool) (seen map[string]*measured, spilled int) {
-	seen = map[string]*measured{}
+func measureLoad(t *testing.T, seed uint64, spilling bool) (seen map[string]*cellMeasurements, spilled int) {
+	seen = map[string]*cellMeasurements{}
 	synctest.Test(t, func(t *testing.T) {
-		p := federationPlan{names: []string{"a", "b", "c"}, machines: map[string]int{"a": 8}, run: runOf(seed), seed: seed}
+		p := federationPlan{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 8}, runTime: jobRunTime(seed), seed: seed}
 		f := newFederation(t, p)
 		submitted := make(chan map[string]time.Time, 1)
 		submitted <- map[string]time.Time{}
@@ -67,15 +67,15 @@
 		}
 		time.Sleep(30 * time.Second)
 		for i, name := range p.names {
-			every := easyEvery
+			every := lightLoadInterval
 			if i == 0 {
-				every = floodedEvery
+				every = overloadInterval
 			}
 			random := rand.New(rand.NewPCG(seed, uint64(i)))
 			f.cells["a"].users.Go(func() {
 				for k, end := 0, time.Now().Add(measuredFor); time.Now().Before(end); k++ {
 					due := measuredDue
-					j := fake.NewJob(f.refOf(name, k), 4, func(j *wire.Job) { j.CPUs, j.EstimatedRunS, j.DeadlineS = 2, meanRun.Seconds(), &due })
+					j := fake.NewJob(f.jobID(name, k), 4, func(j *wire.Job) { j.CPUs, j.EstimatedRunS, j.DeadlineS = 2, meanRun.Seconds(), &due })
 					at := <-submitted
 					at[j.ID] = time.Now()
 					submitted <- at
@@ -86,9 +86,9 @@
 		}
 		f.cells["a"].users.Wait()
 		f.finish()
-		spilled = len(f.spilled("a"))
+		spilled = len(f.forwardedJobs("a"))
 		starts, ends := map[string]time.Time{}, map[string]time.Time{}
-		for _, run := range f.check.Runs() {
+		for _, run := range f.checker.Runs() {
 			ref, _, _ := wire.ParseTaskName(run.Task)
 			if run.Began.After(starts[ref]) {
 				starts[ref] = run.Began
@@ -99,11 +99,11 @@
 		}
 		for ref, at := range <-submitted {
 			for _, name := range p.names {
-				if !f.owns(name)(ref) {
+				if !f.ownsJob(name)(ref) {
 					continue
 				}
 				if seen[name] == nil {
-					seen[name] = &measured{}
+					seen[name] = &cellMeasurements{}
 				}
 				m := seen[name]
 				m.jobs++
@@ -118,12 +118,12 @@
 	return seen, spilled
 }
 
-// TestMeasureSpilling plays the same load with and without spilling, several seeds each.
-func TestMeasureSpilling(t *testing.T) {
+// TestMeasureOverflow plays the same load with and without forwarding jobs, several seeds each.
+func TestMeasureOverflow(t *testing.T) {
 	t.Log("| seed | spilling | cell | jobs | elsewhere | wait p50 | p90 | p99 | end p50 | p90 | p99 | late |")
 	for seed := range uint64(measuredSeeds) {
 		for _, spilling := range []bool{false, true} {
-			seen, spilled := measure(t, seed+1, spilling)
+			seen, spilled := measureLoad(t, seed+1, spilling)
 			for _, name := range []string{"a", "b", "c"} {
 				m := seen[name]
 				elsewhere := 0
--- a/internal/controller/federation_test.go
+++ b/internal/controller/federation_test.go
@@ -17,42 +17,42 @@
 	"leadproxy/internal/wire"
 )
 
-// Several cells of one operator, each with its own controllers, state service, cloud and
-// workers, on one network in memory. One checker looks at all of them: a task that is on
+// Several cells of one operator, each with its own controllers, key-value store, cloud and
+// workers, on one network in memory. One checker checks all of them: a task that is on
 // machines of two cells runs twice.
 
 // repeatableClass is the class whose jobs may run again after an uncertain run.
 const repeatableClass = "again"
 
-// testFederation is some cells, the first of which is short of machines.
-type testFederation struct {
-	t     *testing.T
-	net   *fake.Net
-	check *fake.Checker
-	names []string
-	cells map[string]*cluster
-	// spills are the cells some of whose jobs must have run elsewhere in the end.
-	spills []string
+// federatedCells is some cells, the first of which is short of machines.
+type federatedCells struct {
+	t       *testing.T
+	net     *fake.Net
+	checker *fake.Checker
+	names   []string
+	cells   map[string]*cluster
+	// mustForward are the cells some of whose jobs must have run elsewhere in the end.
+	mustForward []string
 }
 
 // federationPlan is what the cells are made of.
 type federationPlan struct {
-	names      []string
-	machines   map[string]int      // by cell; 12 where not named
-	neighbours map[string][]string // by cell; all others where not named
-	limits     map[string]float64
-	old        map[string]int // nodes of a cell that begin with an older version
-	run        func(task string) time.Duration
-	seed       uint64
-	standby    bool // their nodes follow their leaders
-}
-
-// refOf names a job of a cell: its number begins with the cell's place.
-func (f *testFederation) refOf(cell string, k int) string {
+	names       []string
+	maxMachines map[string]int      // by cell; 12 where not named
+	neighbours  map[string][]string // by cell; all others where not named
+	teamLimits  map[string]float64
+	oldVersions map[string]int // controllers of a cell that begin with an older version
+	runTime     func(task string) time.Duration
+	seed        uint64
+	standby     bool // their controllers follow their leaders
+}
+
+// jobID names a job of a cell: its number begins with the cell's place.
+func (f *federatedCells) jobID(cell string, k int) string {
 	return fmt.Sprintf("job-%d%05d", 1+slices.Index(f.names, cell), k)
 }
 
-func (f *testFederation) owns(cell string) func(ref string) bool {
+func (f *federatedCells) ownsJob(cell string) func(ref string) bool {
 	prefix := fmt.Sprintf("job-%d", 1+slices.Index(f.names, cell))
 	return func(ref string) bool { return strings.HasPrefix(ref, prefix) }
 }
@@ -60,7 +60,7 @@
 // operatorOf are the settings of a cell's controllers.
 func (p *federationPlan) operatorOf(cell string) settings.Operator {
 	o := settings.Defaults()
-	o.MaxMachines = p.machinesOf(cell)
+	o.MaxMachines = p.maxMachinesOf(cell)
 	o.Cells.Name, o.Cells.Spill = cell, true
 	o.Cells.ShortageFor, o.Cells.MaxWait = 3*time.Second, 10*time.Second
 	o.Cells.Repeatable = map[string]bool{repeatableClass: true}
@@ -79,25 +79,25 @@
 	return o
 }
 
-func (p *federationPlan) machinesOf(cell string) int {
-	if n, ok := p.machines[cell]; ok {
+func (p *federationPlan) maxMachinesOf(cell string) int {
+	if n, ok := p.maxMachines[cell]; ok {
 		return n
 	}
 	return 12
 }
 
-func newFederation(t *testing.T, p federationPlan) *testFederation {
-	f := &testFederation{t: t, net: fake.NewNet(t), check: newChecker(t, cancelLimit, p.limits), names: p.names, cells: map[string]*cluster{}}
+func newFederation(t *testing.T, p federationPlan) *federatedCells {
+	f := &federatedCells{t: t, net: fake.NewNet(t), checker: newChecker(t, cancelLimit, p.teamLimits), names: p.names, cells: map[string]*cluster{}}
 	for _, name := range p.names {
-		cell := &cellPlan{name: name, net: f.net, check: f.check, operator: p.operatorOf(name), owns: f.owns(name)}
-		f.cells[name] = newCluster(t, plan{machines: p.machinesOf(name), limits: p.limits, old: p.old[name], run: p.run, seed: p.seed, standby: p.standby, cell: cell})
+		cell := &cellPlan{name: name, net: f.net, checker: f.checker, operator: p.operatorOf(name), ownsJob: f.ownsJob(name)}
+		f.cells[name] = newCluster(t, clusterPlan{maxMachines: p.maxMachinesOf(name), teamLimits: p.teamLimits, oldVersions: p.oldVersions[name], runTime: p.runTime, seed: p.seed, standby: p.standby, cell: cell})
 	}
 	return f
 }
 
-// inFederation plays a scenario and then sees to it that all that was accepted is
+// runFederationScenario plays a scenario and then checks that all that was accepted is
 // served, once, and that no transfer is left.
-func inFederation(t *testing.T, p federationPlan, scenario func(f *testFederation)) {
+func runFederationScenario(t *testing.T, p federationPlan, scenario func(f *federatedCells)) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFederation(t, p)
@@ -115,26 +115,26 @@
 	})
 }
 
-func (f *testFederation) finish() {
-	home := f.cells[f.names[0]]
+func (f *federatedCells) finish() {
+	origin := f.cells[f.names[0]]
 	for _, c := range f.cells {
-		c.settled()
+		c.endFaults()
 	}
-	home.allServed()
+	origin.awaitAllServed()
 	for _, c := range f.cells {
 		c.users.Wait()
 	}
-	home.await("all tasks gone", time.Minute, func() bool { on, _ := f.check.On(""); return on == 0 })
+	origin.await("all tasks gone", time.Minute, func() bool { on, _ := f.checker.On(""); return on == 0 })
 	for name, c := range f.cells {
-		c.tidy()
-		c.await("transfers released in "+name, 30*time.Second, func() bool { return len(f.guests(name, federation.ForeignAccepted)) == 0 })
+		c.awaitLedgerCleanup()
+		c.await("transfers released in "+name, 30*time.Second, func() bool { return len(f.foreignJobs(name, federation.ForeignAccepted)) == 0 })
 	}
-	for _, name := range f.spills {
-		if len(f.spilled(name)) == 0 {
+	for _, name := range f.mustForward {
+		if len(f.forwardedJobs(name)) == 0 {
 			f.t.Errorf("no job of %s was accepted elsewhere", name)
 		}
 	}
-	home.rulesKept()
+	origin.reportViolations()
 	for _, c := range f.cells {
 		for i := range c.nodes {
 			c.kill(i)
@@ -143,11 +143,11 @@
 	time.Sleep(5 * time.Second)
 }
 
-// flood has a cell's users submit n jobs of four tasks, half a second apart.
-func (f *testFederation) flood(cell string, n int, change func(k int, j *wire.Job)) []*wire.Job {
+// overload has a cell's users submit n jobs of four tasks, half a second apart.
+func (f *federatedCells) overload(cell string, n int, change func(k int, j *wire.Job)) []*wire.Job {
 	var jobs []*wire.Job
 	for k := range n {
-		j := fake.NewJob(f.refOf(cell, k), 4, func(j *wire.Job) { j.CPUs = 2 })
+		j := fake.NewJob(f.jobID(cell, k), 4, func(j *wire.Job) { j.CPUs = 2 })
 		if change != nil {
 			change(k, j)
 		}
@@ -158,9 +158,9 @@
 	return jobs
 }
 
-// guests lists the transfers of a neighbour that are in a state.
-func (f *testFederation) guests(cell string, state federation.ForeignState) (keys []string) {
-	for key, value := range f.values(cell, "cell/guest/") {
+// foreignJobs lists the transfers of a neighbour that are in a state.
+func (f *federatedCells) foreignJobs(cell string, state federation.ForeignState) (keys []string) {
+	for key, value := range f.entries(cell, "cell/guest/") {
 		var r federation.ForeignRecord
 		if err := json.Unmarshal(value, &r); err != nil {
 			f.t.Errorf("%s: %v", key, err)
@@ -173,8 +173,8 @@
 	return keys
 }
 
-// values are the keys of a cell under a prefix, with what they hold.
-func (f *testFederation) values(cell, prefix string) map[string]json.RawMessage {
+// entries are the keys of a cell under a prefix, with what they hold.
+func (f *federatedCells) entries(cell, prefix string) map[string]json.RawMessage {
 	values := map[string]json.RawMessage{}
 	for _, e := range f.cells[cell].state.Changes() {
 		switch {
@@ -187,12 +187,12 @@
 	return values
 }
 
-// spilled lists the jobs that another cell has accepted from one.
-func (f *testFederation) spilled(home string) []string {
+// forwardedJobs lists the jobs that another cell has accepted from one.
+func (f *federatedCells) forwardedJobs(origin string) []string {
 	refs := map[string]bool{}
 	for _, c := range f.names {
 		for _, e := range f.cells[c].state.Changes() {
-			if ref, ok := strings.CutPrefix(e.Set, "cell/guest/"+home+"/"); ok && strings.Contains(string(e.Value), string(federation.ForeignAccepted)) {
+			if ref, ok := strings.CutPrefix(e.Set, "cell/guest/"+origin+"/"); ok && strings.Contains(string(e.Value), string(federation.ForeignAccepted)) {
 				refs[ref] = true
 			}
 		}
@@ -200,11 +200,11 @@
 	return slices.Sorted(maps.Keys(refs))
 }
 
-// awaitAway waits until home has a transfer in a state, and names its job and cell.
-func (f *testFederation) awaitAway(home string, state federation.DelegatedState) (ref, cell string) {
+// awaitDelegated waits until origin has a transfer in a state, and names its job and cell.
+func (f *federatedCells) awaitDelegated(origin string, state federation.DelegatedState) (ref, cell string) {
 	f.t.Helper()
-	f.awaitSoon("a transfer that is "+string(state), func() bool {
-		for key, value := range f.values(home, "cell/away/") {
+	f.awaitPrecisely("a transfer that is "+string(state), func() bool {
+		for key, value := range f.entries(origin, "cell/away/") {
 			var r federation.DelegatedRecord
 			if json.Unmarshal(value, &r) == nil && r.State == state {
 				ref, cell = strings.TrimPrefix(key, "cell/away/"), r.Cell
@@ -216,8 +216,8 @@
 	return ref, cell
 }
 
-// awaitSoon waits with a fine grain.
-func (f *testFederation) awaitSoon(what string, ok func() bool) {
+// awaitPrecisely waits with a fine grain.
+func (f *federatedCells) awaitPrecisely(what string, ok func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
 		if ok() {
@@ -227,39 +227,46 @@
 	f.t.Errorf("not within a minute: %s", what)
 }
 
-// cut cuts all controllers of two cells from one another, or heals that.
-func (f *testFederation) cut(a, b string, on, hold bool) {
+// partition cuts all controllers of two cells from one another. With hold, what they send
+// is delivered when the connection is back, and else it is refused.
+func (f *federatedCells) partition(a, b string, hold bool) {
+	f.eachLink(a, b, func(x, y string) { f.net.Cut(x, y, hold) })
+}
+
+// heal ends a partition of two cells.
+func (f *federatedCells) heal(a, b string) { f.eachLink(a, b, f.net.Heal) }
+
+// eachLink calls do for each pair of controllers of two cells.
+func (f *federatedCells) eachLink(a, b string, do func(x, y string)) {
 	for _, x := range f.cells[a].nodes {
 		for _, y := range f.cells[b].nodes {
-			if on {
-				f.net.Cut(x.platform.Node, y.platform.Node, hold)
-			} else {
-				f.net.Heal(x.platform.Node, y.platform.Node)
-			}
+			do(x.platform.Node, y.platform.Node)
 		}
 	}
 }
 
 // twoCells is a small cell beside one with room.
 func twoCells() federationPlan {
-	return federationPlan{names: []string{"a", "b"}, machines: map[string]int{"a": 2}, run: func(string) time.Duration { return 12 * time.Second }}
+	return federationPlan{names: []string{"a", "b"}, maxMachines: map[string]int{"a": 2}, runTime: func(string) time.Duration { return 12 * time.Second }}
 }
 
-// wantSpilled has the end of the scenario see to it that it was one of transfers at all.
-func (f *testFederation) wantSpilled(home string) { f.spills = append(f.spills, home) }
+// expectForwarding has the end of the scenario check that jobs were forwarded at all.
+func (f *federatedCells) expectForwarding(origin string) {
+	f.mustForward = append(f.mustForward, origin)
+}
 
-// TestSpill: a flooded cell's jobs run at its neighbours as well, and none twice.
-func TestSpill(t *testing.T) {
-	p := federationPlan{names: []string{"a", "b", "c"}, machines: map[string]int{"a": 2}, run: func(string) time.Duration { return 12 * time.Second }}
-	inFederation(t, p, func(f *testFederation) {
-		f.flood("a", 16, nil)
-		f.wantSpilled("a")
-		f.cells["a"].allServed()
-		for _, ref := range f.spilled("a") {
+// TestOverflow: an overloaded cell's jobs run at its neighbours as well, and none twice.
+func TestOverflow(t *testing.T) {
+	p := federationPlan{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 2}, runTime: func(string) time.Duration { return 12 * time.Second }}
+	runFederationScenario(t, p, func(f *federatedCells) {
+		f.overload("a", 16, nil)
+		f.expectForwarding("a")
+		f.cells["a"].awaitAllServed()
+		for _, ref := range f.forwardedJobs("a") {
 			for _, cell := range []string{"b", "c"} {
 				for _, change := range f.cells[cell].state.Changes() {
 					if change.Set == ledger.DelegatedKey(ref) {
-						t.Errorf("%s travels on from %s", ref, cell)
+						t.Errorf("%s is forwarded again by %s", ref, cell)
 					}
 				}
 			}
@@ -267,20 +274,20 @@
 	})
 }
 
-// troubles befall two cells while jobs of a are away in b.
-var cellTroubles = map[string]func(f *testFederation){
-	"home's leader ends after the offer": func(f *testFederation) {
-		f.awaitAway("a", federation.Offered)
+// federationFaults are faults of two cells while jobs of a are delegated to b.
+var federationFaults = map[string]func(f *federatedCells){
+	"the origin's leader ends after the offer": func(f *federatedCells) {
+		f.awaitDelegated("a", federation.Offered)
 		f.cells["a"].restart(f.cells["a"].leader(), 4*time.Second)
 	},
-	"home's leader ends after the accept": func(f *testFederation) {
-		f.awaitAway("a", federation.Accepted)
+	"the origin's leader ends after the accept": func(f *federatedCells) {
+		f.awaitDelegated("a", federation.Accepted)
 		f.cells["a"].restart(f.cells["a"].leader(), 4*time.Second)
 	},
-	"home's leader ends after the result": func(f *testFederation) {
-		f.awaitAway("a", federation.Accepted)
-		f.awaitSoon("a result at the neighbour", func() bool {
-			for _, value := range f.values("b", ledger.JobPrefix) {
+	"the origin's leader ends after the result": func(f *federatedCells) {
+		f.awaitDelegated("a", federation.Accepted)
+		f.awaitPrecisely("a result at the neighbour", func() bool {
+			for _, value := range f.entries("b", ledger.JobPrefix) {
 				if rec, err := ledger.DecodeJob("", value); err == nil && rec.Origin == "a" && rec.Terminal != "" {
 					return true
 				}
@@ -289,26 +296,26 @@
 		})
 		f.cells["a"].restart(f.cells["a"].leader(), 4*time.Second)
 	},
-	"home loses its state service": func(f *testFederation) {
-		f.awaitAway("a", federation.Accepted)
+	"the origin cell loses its key-value store": func(f *federatedCells) {
+		f.awaitDelegated("a", federation.Accepted)
 		f.cells["a"].state.Outage(true)
 		time.Sleep(25 * time.Second)
 		f.cells["a"].state.Outage(false)
 	},
-	"the neighbour accepts and its answer is lost": func(f *testFederation) {
-		f.awaitSoon("an accept", func() bool { return len(f.guests("b", federation.ForeignAccepted)) > 0 })
-		f.cut("a", "b", true, false)
+	"the neighbour accepts and its answer is lost": func(f *federatedCells) {
+		f.awaitPrecisely("an accept", func() bool { return len(f.foreignJobs("b", federation.ForeignAccepted)) > 0 })
+		f.partition("a", "b", false)
 		time.Sleep(20 * time.Second)
-		f.cut("a", "b", false, false)
+		f.heal("a", "b")
 	},
-	"the offer is held up and arrives after its revocation": func(f *testFederation) {
-		f.awaitAway("a", federation.Offered)
-		f.cut("a", "b", true, true)
+	"the offer is held up and arrives after its revocation": func(f *federatedCells) {
+		f.awaitDelegated("a", federation.Offered)
+		f.partition("a", "b", true)
 		time.Sleep(14 * time.Second)
-		f.cut("a", "b", false, true)
+		f.heal("a", "b")
 	},
-	"the neighbour's leader changes twice": func(f *testFederation) {
-		f.awaitAway("a", federation.Accepted)
+	"the neighbour's leader changes twice": func(f *federatedCells) {
+		f.awaitDelegated("a", federation.Accepted)
 		for range 2 {
 			b := f.cells["b"]
 			was := b.leader()
@@ -317,169 +324,169 @@
 			b.start(was)
 		}
 	},
-	"what home sends is lost": func(f *testFederation) { f.oneWay("a", "b") },
-	"what the neighbour sends is lost": func(f *testFederation) {
-		f.oneWay("b", "a")
+	"what the origin sends is lost": func(f *federatedCells) { f.loseRequests("a", "b") },
+	"what the neighbour sends is lost": func(f *federatedCells) {
+		f.loseRequests("b", "a")
 	},
-	"home is back as a cold set of processes": func(f *testFederation) {
-		f.awaitAway("a", federation.Accepted)
-		home := f.cells["a"]
-		for i := range home.nodes {
-			home.kill(i)
+	"the origin is back as a new set of processes": func(f *federatedCells) {
+		f.awaitDelegated("a", federation.Accepted)
+		origin := f.cells["a"]
+		for i := range origin.nodes {
+			origin.kill(i)
 		}
 		time.Sleep(25 * time.Second)
-		home.revive()
+		origin.startAll()
 	},
-	"the neighbour ends and is back": func(f *testFederation) {
-		f.awaitAway("a", federation.Accepted)
+	"the neighbour ends and is back": func(f *federatedCells) {
+		f.awaitDelegated("a", federation.Accepted)
 		for i := range f.cells["b"].nodes {
 			f.cells["b"].kill(i)
 		}
 		time.Sleep(30 * time.Second)
-		f.cells["b"].revive()
+		f.cells["b"].startAll()
 	},
-	"the neighbour loses machines": func(f *testFederation) {
-		f.awaitAway("a", federation.Accepted)
+	"the neighbour loses machines": func(f *federatedCells) {
+		f.awaitDelegated("a", federation.Accepted)
 		time.Sleep(3 * time.Second)
-		for _, w := range half(f.cells["b"].cloud.Workers()) {
+		for _, w := range everyOther(f.cells["b"].cloud.Workers()) {
 			f.cells["b"].cloud.Take(w.Name())
 		}
 	},
-	"answers of the state services are lost": func(f *testFederation) {
+	"answers of the state services are lost": func(f *federatedCells) {
 		for _, c := range f.cells {
-			c.writes.Store(c.share(0.3, fake.AnswerLost, 0, 0))
+			c.writeFaults.Store(c.randomFaults(0.3, fake.AnswerLost, 0, 0))
 		}
 		time.Sleep(30 * time.Second)
 		for _, c := range f.cells {
-			c.writes.Store(nil)
+			c.writeFaults.Store(nil)
 		}
 	},
 }
 
-// oneWay loses what one cell's controllers send to the other's for a while.
-func (f *testFederation) oneWay(from, to string) {
-	f.awaitAway("a", federation.Accepted)
+// loseRequests loses what one cell's controllers send to the other's for a while.
+func (f *federatedCells) loseRequests(from, to string) {
+	f.awaitDelegated("a", federation.Accepted)
 	for _, x := range f.cells[from].nodes {
 		for _, y := range f.cells[to].nodes {
 			f.net.CutOneWay(x.platform.Node, y.platform.Node)
 		}
 	}
 	time.Sleep(20 * time.Second)
-	f.cut(from, to, false, true)
+	f.heal(from, to)
 }
 
-// TestSpillTroubles: whatever befalls cells and links, each job is served once. Some are
+// TestOverflowFaults: whatever hits cells and links, each job is served once. Some are
 // cancelled meanwhile.
-func TestSpillTroubles(t *testing.T) {
-	for name, trouble := range cellTroubles {
+func TestOverflowFaults(t *testing.T) {
+	for name, trouble := range federationFaults {
 		t.Run(name, func(t *testing.T) {
-			inFederation(t, twoCells(), func(f *testFederation) {
+			runFederationScenario(t, twoCells(), func(f *federatedCells) {
 				f.cells["a"].users.Go(func() { trouble(f) })
-				jobs := f.flood("a", 14, nil)
+				jobs := f.overload("a", 14, nil)
 				for _, j := range jobs[8:11] {
 					f.cells["a"].users.Cancel(j)
 				}
 				f.cells["a"].users.Wait()
-				f.wantSpilled("a")
+				f.expectForwarding("a")
 			})
 		})
 	}
 }
 
-// TestSpillCancelled: jobs are cancelled at each moment of their transfers.
-func TestSpillCancelled(t *testing.T) {
-	moments := map[string]func(f *testFederation) string{
-		"planned or offered": func(f *testFederation) string { ref, _ := f.awaitAway("a", federation.Offered); return ref },
-		"crossing the accept": func(f *testFederation) string {
-			ref, _ := f.awaitAway("a", federation.Offered)
-			f.awaitSoon("its guest", func() bool {
+// TestOverflowCancelled: jobs are cancelled at each moment of their transfers.
+func TestOverflowCancelled(t *testing.T) {
+	moments := map[string]func(f *federatedCells) string{
+		"planned or offered": func(f *federatedCells) string { ref, _ := f.awaitDelegated("a", federation.Offered); return ref },
+		"crossing the accept": func(f *federatedCells) string {
+			ref, _ := f.awaitDelegated("a", federation.Offered)
+			f.awaitPrecisely("its guest", func() bool {
 				return f.cells["b"].state.Value(ledger.ForeignKey(federation.ForeignKey{Origin: "a", JobID: ref})) != nil
 			})
 			return ref
 		},
-		"accepted": func(f *testFederation) string { ref, _ := f.awaitAway("a", federation.Accepted); return ref },
-		"running": func(f *testFederation) string {
-			ref, _ := f.awaitAway("a", federation.Accepted)
+		"accepted": func(f *federatedCells) string { ref, _ := f.awaitDelegated("a", federation.Accepted); return ref },
+		"running": func(f *federatedCells) string {
+			ref, _ := f.awaitDelegated("a", federation.Accepted)
 			time.Sleep(8 * time.Second)
 			return ref
 		},
 	}
 	for name, moment := range moments {
 		t.Run(name, func(t *testing.T) {
-			inFederation(t, twoCells(), func(f *testFederation) {
-				home := f.cells["a"]
-				home.users.Go(func() {
+			runFederationScenario(t, twoCells(), func(f *federatedCells) {
+				origin := f.cells["a"]
+				origin.users.Go(func() {
 					ref := moment(f)
-					home.users.Cancel(f.check.Job(ref))
+					origin.users.Cancel(f.checker.Job(ref))
 				})
-				f.flood("a", 10, nil)
-				f.wantSpilled("a")
+				f.overload("a", 10, nil)
+				f.expectForwarding("a")
 			})
 		})
 	}
 }
 
-// TestSpillCancelUnreachable: while the cell that may run a job can't be reached, its
+// TestOverflowCancelUnreachable: while the cell that may run a job can't be reached, its
 // cancellation gets 503 at once; it is confirmed when it can.
-func TestSpillCancelUnreachable(t *testing.T) {
-	inFederation(t, twoCells(), func(f *testFederation) {
-		home := f.cells["a"]
-		home.users.Go(func() {
-			ref, _ := f.awaitAway("a", federation.Accepted)
-			f.cut("a", "b", true, true)
+func TestOverflowCancelUnreachable(t *testing.T) {
+	runFederationScenario(t, twoCells(), func(f *federatedCells) {
+		origin := f.cells["a"]
+		origin.users.Go(func() {
+			ref, _ := f.awaitDelegated("a", federation.Accepted)
+			f.partition("a", "b", true)
 			time.Sleep(6 * time.Second)
 			asked := time.Now()
-			if code, _ := home.users.Call(home.leader(), fake.AskedCancel, ref, nil); code != 503 {
+			if code, _ := origin.users.Call(origin.leader(), fake.AskedCancel, ref, nil); code != 503 {
 				t.Errorf("the cancellation got %d, want 503", code)
 			}
 			if took := time.Since(asked); took > 500*time.Millisecond {
 				t.Errorf("the refusal took %s", took)
 			}
-			f.cut("a", "b", false, true)
-			home.users.Cancel(f.check.Job(ref))
+			f.heal("a", "b")
+			origin.users.Cancel(f.checker.Job(ref))
 		})
-		f.flood("a", 10, nil)
+		f.overload("a", 10, nil)
 	})
 }
 
-// TestSpillTakenBack: a repeatable job is taken back from a neighbour that is cut off,
-// a strict one waits for the truth.
-func TestSpillTakenBack(t *testing.T) {
-	inFederation(t, twoCells(), func(f *testFederation) {
-		home := f.cells["a"]
-		home.users.Go(func() {
-			f.awaitAway("a", federation.Accepted)
+// TestOverflowReclaimed: a repeatable job is reclaimed from a neighbour that is cut off,
+// a strict one waits until its state is known.
+func TestOverflowReclaimed(t *testing.T) {
+	runFederationScenario(t, twoCells(), func(f *federatedCells) {
+		origin := f.cells["a"]
+		origin.users.Go(func() {
+			f.awaitDelegated("a", federation.Accepted)
 			time.Sleep(5 * time.Second)
-			f.cut("a", "b", true, false)
+			f.partition("a", "b", false)
 			time.Sleep(60 * time.Second)
-			for key, value := range f.values("a", "cell/away/") {
+			for key, value := range f.entries("a", "cell/away/") {
 				var r federation.DelegatedRecord
 				if err := json.Unmarshal(value, &r); err != nil || r.Repeatable != (r.State == federation.Returned) {
 					t.Errorf("%s after a minute without the neighbour: %s", key, value)
 				}
 			}
-			f.cut("a", "b", false, false)
+			f.heal("a", "b")
 		})
-		f.flood("a", 14, func(k int, j *wire.Job) {
+		f.overload("a", 14, func(k int, j *wire.Job) {
 			if k%2 == 0 {
 				j.Class = repeatableClass
 			}
 		})
-		f.wantSpilled("a")
+		f.expectForwarding("a")
 	})
 }
 
-// TestSpillBothFlooded: cells that are both full offer each other nothing that goes back
+// TestOverflowBothOverloaded: cells that are both full offer each other nothing that goes back
 // and forth.
-func TestSpillBothFlooded(t *testing.T) {
+func TestOverflowBothOverloaded(t *testing.T) {
 	p := twoCells()
-	p.machines["b"] = 2
-	inFederation(t, p, func(f *testFederation) {
-		f.cells["b"].users.Go(func() { f.flood("b", 12, nil) })
-		f.flood("a", 12, nil)
+	p.maxMachines["b"] = 2
+	runFederationScenario(t, p, func(f *federatedCells) {
+		f.cells["b"].users.Go(func() { f.overload("b", 12, nil) })
+		f.overload("a", 12, nil)
 		for _, c := range f.names {
-			for key := range f.values(c, "cell/away/") {
-				if !f.owns(c)(strings.TrimPrefix(key, "cell/away/")) {
+			for key := range f.entries(c, "cell/away/") {
+				if !f.ownsJob(c)(strings.TrimPrefix(key, "cell/away/")) {
 					t.Errorf("%s: a guest of %s travels on", key, c)
 				}
 			}
@@ -487,65 +494,65 @@
 	})
 }
 
-// TestSpillRing: three cells, each of which knows the next alone, one flooded and its
+// TestOverflowRing: three cells, each of which knows the next alone, one overloaded and its
 // neighbour full as well.
-func TestSpillRing(t *testing.T) {
-	p := federationPlan{names: []string{"a", "b", "c"}, machines: map[string]int{"a": 2, "b": 4}, run: func(string) time.Duration { return 12 * time.Second },
+func TestOverflowRing(t *testing.T) {
+	p := federationPlan{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 2, "b": 4}, runTime: func(string) time.Duration { return 12 * time.Second },
 		neighbours: map[string][]string{"a": {"b"}, "b": {"c"}, "c": {"a"}}}
-	inFederation(t, p, func(f *testFederation) {
-		f.cells["b"].users.Go(func() { f.flood("b", 10, nil) })
-		f.flood("a", 12, nil)
-		if n := len(f.values("c", "cell/guest/a/")); n > 0 {
+	runFederationScenario(t, p, func(f *federatedCells) {
+		f.cells["b"].users.Go(func() { f.overload("b", 10, nil) })
+		f.overload("a", 12, nil)
+		if n := len(f.entries("c", "cell/guest/a/")); n > 0 {
 			t.Errorf("%d jobs of a have come to c, which it does not know", n)
 		}
 	})
 }
 
-// TestSpillOldVersion: a cell in which an older version may be up takes nothing, and
+// TestOverflowOldVersion: a cell in which an older version may be up accepts nothing, and
 // offers nothing.
-func TestSpillOldVersion(t *testing.T) {
+func TestOverflowOldVersion(t *testing.T) {
 	p := twoCells()
-	p.old = map[string]int{"b": 1}
-	inFederation(t, p, func(f *testFederation) {
-		f.flood("a", 8, nil)
+	p.oldVersions = map[string]int{"b": 1}
+	runFederationScenario(t, p, func(f *federatedCells) {
+		f.overload("a", 8, nil)
 		if n := f.cells["b"].state.Count("cell/"); n > 0 {
-			t.Errorf("%d transfers with an old node up", n)
+			t.Errorf("%d transfers with a controller of the old version up", n)
 		}
 	})
 }
 
-// TestSpillTeamLimit: a team's limit at home holds for its tasks in both cells together.
-func TestSpillTeamLimit(t *testing.T) {
+// TestOverflowTeamLimit: a team's limit in the origin cell holds for its tasks in both cells together.
+func TestOverflowTeamLimit(t *testing.T) {
 	p := twoCells()
-	p.limits = map[string]float64{"tight": 24}
-	inFederation(t, p, func(f *testFederation) {
-		f.flood("a", 14, func(_ int, j *wire.Job) { j.Team = "tight" })
-		f.wantSpilled("a")
+	p.teamLimits = map[string]float64{"tight": 24}
+	runFederationScenario(t, p, func(f *federatedCells) {
+		f.overload("a", 14, func(_ int, j *wire.Job) { j.Team = "tight" })
+		f.expectForwarding("a")
 	})
 }
 
-// TestSpillDrained: a relation is drained and then removed, on both sides and with the
+// TestOverflowDrained: a relation is drained and then removed, on both sides and with the
 // controllers restarted one after the other, as the operators' page has it. What is away
 // comes to its end, and nothing leaves or comes any more.
-func TestSpillDrained(t *testing.T) {
-	inFederation(t, twoCells(), func(f *testFederation) {
-		f.cells["a"].users.Go(func() { f.flood("a", 24, nil) })
-		f.awaitAway("a", federation.Accepted)
-		f.reconfigure(func(o *settings.Operator) { o.Cells.Neighbours[0].Drain = true })
+func TestOverflowDrained(t *testing.T) {
+	runFederationScenario(t, twoCells(), func(f *federatedCells) {
+		f.cells["a"].users.Go(func() { f.overload("a", 24, nil) })
+		f.awaitDelegated("a", federation.Accepted)
+		f.restartWith(func(o *settings.Operator) { o.Cells.Neighbours[0].Drain = true })
 		f.cells["a"].await("no job away", 2*time.Minute, func() bool { return f.cells["a"].state.Count("cell/away/") == 0 })
-		f.cells["b"].await("no guest", time.Minute, func() bool { return len(f.guests("b", federation.ForeignAccepted)) == 0 })
-		drained := len(f.spilled("a"))
-		f.reconfigure(func(o *settings.Operator) { o.Cells = settings.Cells{} })
-		f.cells["a"].users.Go(func() { f.flood("a", 40, func(k int, j *wire.Job) { j.ID = f.refOf("a", 100+k) }) })
+		f.cells["b"].await("no guest", time.Minute, func() bool { return len(f.foreignJobs("b", federation.ForeignAccepted)) == 0 })
+		drained := len(f.forwardedJobs("a"))
+		f.restartWith(func(o *settings.Operator) { o.Cells = settings.Cells{} })
+		f.cells["a"].users.Go(func() { f.overload("a", 40, func(k int, j *wire.Job) { j.ID = f.jobID("a", 100+k) }) })
 		f.cells["a"].users.Wait()
-		if n := len(f.spilled("a")); drained == 0 || n != drained {
+		if n := len(f.forwardedJobs("a")); drained == 0 || n != drained {
 			t.Errorf("%d jobs ran elsewhere before the relation was drained, %d in the end", drained, n)
 		}
 	})
 }
 
-// reconfigure restarts all controllers, one after the other, with other settings.
-func (f *testFederation) reconfigure(change func(o *settings.Operator)) {
+// restartWith restarts all controllers, one after the other, with other settings.
+func (f *federatedCells) restartWith(change func(o *settings.Operator)) {
 	for _, name := range f.names {
 		c := f.cells[name]
 		c.operator.Cells.Neighbours = slices.Clone(c.operator.Cells.Neighbours)
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -37,9 +37,9 @@
 		steps []step
 	}{
 		{"all is well", []step{{true, true, true}}},
-		{"the state service is out for all: others would not do better", []step{{false, true, true}}},
+		{"the key-value store is out for all: others would not do better", []step{{false, true, true}}},
 		{"connections between controllers are refused", []step{{true, false, true}}},
-		{"workers only: neither state service nor controllers", []step{{true, true, true}, {false, false, false}}},
+		{"workers only: neither key-value store nor controllers", []step{{true, true, true}, {false, false, false}}},
 		{"back again", []step{{false, false, false}, {true, false, true}, {false, false, false}, {false, true, true}}},
 	}
 	for _, c := range cases {
--- a/internal/controller/leader_actions_test.go
+++ b/internal/controller/leader_actions_test.go
@@ -9,32 +9,32 @@
 	"leadproxy/internal/dispatch"
 )
 
-// deciders sees to it that no two controllers decide at a time: once orders, commands or
+// leaderActionChecker checks that no two controllers decide at a time: once commands or cloud
 // calls of a term have left its controller, none of an earlier term ever do, whatever its
-// controller has lived through. It reads that from what the controllers log as they leave.
+// controller went through. It reads that from what the controllers log at each action.
 // (Time alone orders them: a search for a linearization would find no other order.)
-type deciders struct {
+type leaderActionChecker struct {
 	t      *testing.T
-	newest chan leaderAct // holds the latest one of the newest term
+	latest chan leaderAction // holds the latest one of the newest term
 }
 
-// leaderAct is that something of a term has left its controller, and when.
-type leaderAct struct {
+// leaderAction is the latest action of a term.
+type leaderAction struct {
 	term uint64
 	at   time.Time
 }
 
-func newDeciders(t *testing.T) *deciders {
-	d := &deciders{t: t, newest: make(chan leaderAct, 1)}
-	d.newest <- leaderAct{}
+func newLeaderActionChecker(t *testing.T) *leaderActionChecker {
+	d := &leaderActionChecker{t: t, latest: make(chan leaderAction, 1)}
+	d.latest <- leaderAction{}
 	return d
 }
 
-// Enabled takes all lines: the acts are told at the debug level.
-func (d *deciders) Enabled(context.Context, slog.Level) bool { return true }
+// Enabled accepts all lines: the actions are logged at the debug level.
+func (d *leaderActionChecker) Enabled(context.Context, slog.Level) bool { return true }
 
-// Handle looks at what leaves.
-func (d *deciders) Handle(_ context.Context, r slog.Record) error {
+// Handle checks the actions of leaders.
+func (d *leaderActionChecker) Handle(_ context.Context, r slog.Record) error {
 	if r.Message != dispatch.MessageLeaderAction {
 		return nil
 	}
@@ -43,20 +43,20 @@
 			return true
 		}
 		term := a.Value.Uint64()
-		newest := <-d.newest
+		newest := <-d.latest
 		if term < newest.term {
 			d.t.Errorf("term %d acts at %s, term %d has done so at %s", term, r.Time, newest.term, newest.at)
 		} else {
-			newest = leaderAct{term, r.Time}
+			newest = leaderAction{term, r.Time}
 		}
-		d.newest <- newest
+		d.latest <- newest
 		return false
 	})
 	return nil
 }
 
 // WithAttrs and WithGroup keep the handler as it is.
-func (d *deciders) WithAttrs([]slog.Attr) slog.Handler { return d }
+func (d *leaderActionChecker) WithAttrs([]slog.Attr) slog.Handler { return d }
 
 // WithGroup keeps the handler as it is.
-func (d *deciders) WithGroup(string) slog.Handler { return d }
+func (d *leaderActionChecker) WithGroup(string) slog.Handler { return d }
--- a/internal/controller/leader_transfer_test.go
+++ b/internal/controller/leader_transfer_test.go
@@ -9,12 +9,12 @@
 	"leadproxy/internal/leadertransfer"
 )
 
-// TestPlannedHandover: the leadership moves to the controller that is named, within a
+// TestLeadershipTransfer: the leadership moves to the controller that is named, within a
 // second, while jobs run, and is refused where no standby is complete.
-func TestPlannedHandover(t *testing.T) {
-	inCluster(t, plan{run: long(20 * time.Second)}, func(c *cluster) {
+func TestLeadershipTransfer(t *testing.T) {
+	runScenario(t, clusterPlan{runTime: longRunning(20 * time.Second)}, func(c *cluster) {
 		operator := c.net.Host("operator")
-		c.stream(0, 4, time.Second, nil)
+		c.submitJobs(0, 4, time.Second, nil)
 		time.Sleep(3 * time.Second)
 		for range 4 {
 			was := c.leader()
@@ -31,34 +31,34 @@
 				return
 			}
 			c.await("the named controller leads", time.Second, func() bool { return c.leader() == to })
-			c.stream(100*to, 2, time.Second, nil)
+			c.submitJobs(100*to, 2, time.Second, nil)
 			time.Sleep(4 * time.Second)
 		}
-		if text := c.standbys(); strings.Count(text, "following") != 2 || strings.Count(text, "leads term") != 1 || strings.Contains(text, "no standby") {
+		if text := c.standbyTable(); strings.Count(text, "following") != 2 || strings.Count(text, "leads term") != 1 || strings.Contains(text, "no standby") {
 			t.Errorf("the table:\n%s", text)
 		}
 	})
 }
 
 // TestStandbyApartFromLeader: standbys that can't reach the leader follow all the same, and
-// one of them takes over on its copy when the leader ends.
+// one of them leads on its copy when the leader ends.
 func TestStandbyApartFromLeader(t *testing.T) {
-	playCluster(t, plan{standby: true}, false, func(c *cluster) {
+	runScenarioOnce(t, clusterPlan{standby: true}, false, func(c *cluster) {
 		was := c.leader()
-		c.alone(was, true, false)
-		c.stream(0, 6, time.Second, nil)
-		c.await("both standbys follow", 5*time.Second, func() bool { return strings.Count(c.standbys(), "following") == 2 })
+		c.isolate(was, false)
+		c.submitJobs(0, 6, time.Second, nil)
+		c.await("both standbys follow", 5*time.Second, func() bool { return strings.Count(c.standbyTable(), "following") == 2 })
 		c.kill(was)
 		c.await("another leader", 10*time.Second, func() bool { return c.leader() >= 0 && c.leader() != was })
-		c.stream(10, 4, time.Second, nil)
-		c.alone(was, false, false)
-		c.revive()
-		c.await("a standby is complete again", 10*time.Second, func() bool { return strings.Count(c.standbys(), "following") == 2 })
+		c.submitJobs(10, 4, time.Second, nil)
+		c.reconnect(was)
+		c.startAll()
+		c.await("a standby is complete again", 10*time.Second, func() bool { return strings.Count(c.standbyTable(), "following") == 2 })
 	})
 }
 
-// standbys is how the controllers stand, as an operator sees it.
-func (c *cluster) standbys() string {
+// standbyTable is the state of the standbys, as an operator sees it.
+func (c *cluster) standbyTable() string {
 	var table bytes.Buffer
 	if err := leadertransfer.WriteStatus(c.t.Context(), &table, c.net.Host("operator"), c.nodes[0].platform); err != nil {
 		c.t.Error(err)
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -12,39 +12,38 @@
 	"leadproxy/internal/wire"
 )
 
-// Leaders end, hand over and come back. docs/failures.md tells which
-// code answers each combination. What must hold is the same for all: the checker looks
-// at it all the time, and inCluster ends a test only when all that was accepted is
-// served.
+// Leaders end, are replaced and come back. docs/failures.md lists the
+// code that handles each combination. The same must hold for all: the checker checks it all
+// the time, and runScenario ends a test only when all that was accepted is served.
 
-// TestLeaderHandover: controllers hand over and back, all end, and one returns,
+// TestLeaderRestarts: leaders end and restart, all controllers end, and one returns,
 // also within a second.
-func TestLeaderHandover(t *testing.T) {
-	eachSeed(t, plan{run: long(40 * time.Second)}, func(c *cluster, r *rand.Rand) {
-		c.stream(0, 10, 300*time.Millisecond, nil)
+func TestLeaderRestarts(t *testing.T) {
+	runWithSeeds(t, clusterPlan{runTime: longRunning(40 * time.Second)}, func(c *cluster, r *rand.Rand) {
+		c.submitJobs(0, 10, 300*time.Millisecond, nil)
 		for range 3 {
-			c.restart(c.leader(), some(r, 50*time.Millisecond, time.Second))
-			time.Sleep(some(r, 100*time.Millisecond, 6*time.Second))
+			c.restart(c.leader(), randomDuration(r, 50*time.Millisecond, time.Second))
+			time.Sleep(randomDuration(r, 100*time.Millisecond, 6*time.Second))
 			c.await("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
 		}
 		for i := range c.nodes {
 			c.kill(i)
 		}
-		time.Sleep(some(r, 100*time.Millisecond, time.Second))
+		time.Sleep(randomDuration(r, 100*time.Millisecond, time.Second))
 		c.start(r.IntN(len(c.nodes)))
-		time.Sleep(some(r, 4*time.Second, 10*time.Second))
-		c.revive()
-		c.stream(100, 4, 300*time.Millisecond, nil)
+		time.Sleep(randomDuration(r, 4*time.Second, 10*time.Second))
+		c.startAll()
+		c.submitJobs(100, 4, 300*time.Millisecond, nil)
 	})
 }
 
 // TestAllControllersDown: all controllers are away for longer than the workers' lease.
 func TestAllControllersDown(t *testing.T) {
-	for _, away := range []time.Duration{workerLease - time.Second, workerLease + time.Second, 2 * workerLease} {
+	for _, away := range []time.Duration{agentLease - time.Second, agentLease + time.Second, 2 * agentLease} {
 		t.Run(fmt.Sprint(away), func(t *testing.T) {
-			inCluster(t, plan{run: long(50 * time.Second)}, func(c *cluster) {
-				jobs := c.stream(0, 10, 300*time.Millisecond, nil)
-				c.running(10)
+			runScenario(t, clusterPlan{runTime: longRunning(50 * time.Second)}, func(c *cluster) {
+				jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
+				c.awaitRunning(10)
 				c.users.Cancel(jobs[0])
 				time.Sleep(100 * time.Millisecond)
 				for i := range c.nodes {
@@ -62,11 +61,11 @@
 // TestTenLeaders: leaders change ten times in two minutes, also inside an
 // outage.
 func TestTenLeaders(t *testing.T) {
-	eachSeed(t, plan{run: long(50 * time.Second)}, func(c *cluster, r *rand.Rand) {
-		jobs := c.stream(0, 10, 200*time.Millisecond, nil)
+	runWithSeeds(t, clusterPlan{runTime: longRunning(50 * time.Second)}, func(c *cluster, r *rand.Rand) {
+		jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
 		for k := range 10 {
 			if l := c.leader(); l >= 0 {
-				c.restart(l, some(r, 100*time.Millisecond, 4*time.Second))
+				c.restart(l, randomDuration(r, 100*time.Millisecond, 4*time.Second))
 			}
 			if k == 4 {
 				c.state.Outage(true)
@@ -77,32 +76,32 @@
 			if k%3 == 0 {
 				c.users.Cancel(jobs[k])
 			}
-			time.Sleep(some(r, 2*time.Second, 12*time.Second))
+			time.Sleep(randomDuration(r, 2*time.Second, 12*time.Second))
 		}
 		c.state.Outage(false)
 	})
 }
 
-// TestIsolatedLeader: a leader is cut from the state service and from the other
+// TestIsolatedLeader: a leader is cut from the key-value store and from the other
 // controllers while workers and users still reach it, and jobs are cancelled
 // through the new one.
 func TestIsolatedLeader(t *testing.T) {
 	for _, hold := range []bool{false, true} {
-		for _, lasts := range []time.Duration{5 * time.Second, workerLease + 3*time.Second, cancelLimit + 15*time.Second} {
+		for _, lasts := range []time.Duration{5 * time.Second, agentLease + 3*time.Second, cancelLimit + 15*time.Second} {
 			t.Run(fmt.Sprint(hold, lasts), func(t *testing.T) {
-				inCluster(t, plan{run: long(80 * time.Second)}, func(c *cluster) {
-					jobs := c.stream(0, 10, 200*time.Millisecond, nil)
-					c.running(20)
+				runScenario(t, clusterPlan{runTime: longRunning(80 * time.Second)}, func(c *cluster) {
+					jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
+					c.awaitRunning(20)
 					lead := c.leader()
 					c.net.Cut(c.name(lead), "state", hold)
-					c.alone(lead, true, hold)
-					c.changed()
-					for _, j := range half(jobs) {
+					c.isolate(lead, hold)
+					c.awaitNewTerm()
+					for _, j := range everyOther(jobs) {
 						c.users.Cancel(j)
 					}
 					time.Sleep(lasts)
 					c.net.Heal(c.name(lead), "state")
-					c.alone(lead, false, hold)
+					c.reconnect(lead)
 				})
 			})
 		}
@@ -112,19 +111,19 @@
 // TestTasksEndFarApart: the tasks of jobs of two or three end far apart, across a
 // change of leader.
 func TestTasksEndFarApart(t *testing.T) {
-	eachSeed(t, plan{machines: 2, run: long(40 * time.Second)}, func(c *cluster, r *rand.Rand) {
+	runWithSeeds(t, clusterPlan{maxMachines: 2, runTime: longRunning(40 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		// Too little room for all of a job at once.
-		c.stream(0, 5, 200*time.Millisecond, func(k int, j *wire.Job) { j.Tasks, j.CPUs = 2+k%2, 5 })
-		time.Sleep(some(r, 10*time.Second, 50*time.Second))
-		c.restart(c.leader(), some(r, 100*time.Millisecond, 6*time.Second))
+		c.submitJobs(0, 5, 200*time.Millisecond, func(k int, j *wire.Job) { j.Tasks, j.CPUs = 2+k%2, 5 })
+		time.Sleep(randomDuration(r, 10*time.Second, 50*time.Second))
+		c.restart(c.leader(), randomDuration(r, 100*time.Millisecond, 6*time.Second))
 	})
 }
 
-// TestTakeoverFromProduction: the version in production has led until now, and left its
-// keys as it writes them. All of it is taken over: an open job goes on where it was,
+// TestFailoverFromProduction: the version in production has led until now, and left its
+// keys as it writes them. All of it is restored: an open job continues where it was,
 // on machines that may still run its tasks, what is over stays so, and new jobs wait
 // for it.
-func TestTakeoverFromProduction(t *testing.T) {
+func TestFailoverFromProduction(t *testing.T) {
 	open := `{"job":{"ref":"job-800001","lane":"c","owner":"open","shape":"batch","urgency":"high","pieces":5,"vcpus":1,"gpus":0,"mem_gb":2,` +
 		`"bundle":"i","size_gb":0.5,"flavors":["m8"],"room":"a","together":false,"spread":false,"loaners":true,"guess_s":8,"snapshot_s":0,"flush_s":0,"due_s":90},"accepted_ms":946684790123}`
 	aborted := strings.Replace(strings.Replace(open, "job-800001", "job-800002", 1), `"accepted_ms":946684790123}`, `"accepted_ms":946684790123,"fate":"aborted","tasks":5,"done":2}`, 1)
@@ -135,35 +134,35 @@
 		"gone/vm-900002": `true`, "silent/7-1": `{"over_ms":946684800500,"machines":["vm-900001"]}`, "silent/7-2": `{"over_ms":0,"machines":[]}`,
 		"hire/h7-1": `{"hire":{"hire":"h7-1","flavor":"m8","room":"a","loaners":true,"number":2}}`,
 	}
-	inCluster(t, plan{ledger: ledger}, func(c *cluster) {
+	runScenario(t, clusterPlan{ledger: ledger}, func(c *cluster) {
 		for _, ref := range []string{"job-800001", "job-800002", "job-800003"} {
-			c.check.Submits(fake.NewJob(ref, 5, nil), true)
+			c.checker.Submits(fake.NewJob(ref, 5, nil), true)
 		}
 		for _, task := range []string{"1/0", "1/1", "1/4", "3/0", "3/1", "3/2", "3/3", "3/4"} {
-			c.check.Ends("job-80000"+task, "vm-900001", true)
+			c.checker.Ends("job-80000"+task, "vm-900001", true)
 		}
-		c.check.Cancels("job-800002")
+		c.checker.Cancels("job-800002")
 		c.users.Call(0, fake.AskedStatus, "job-800001", nil)
 		for ref, want := range map[string]string{"job-800002": wire.JobCancelled, "job-800003": wire.JobDone} {
 			if _, status := c.users.Until(fake.AskedStatus, ref, nil); status != want {
 				t.Errorf("%s is %s, want %s", ref, status, want)
 			}
 		}
-		time.Sleep(5 * time.Second) // all nodes know of one another
+		time.Sleep(5 * time.Second) // all controllers know of one another
 		c.users.Submit(fake.NewJob("job-800004", 1, func(j *wire.Job) { j.DependsOn = []string{"job-800001", "job-800003"} }))
 		c.users.Submit(fake.NewJob("job-800005", 1, func(j *wire.Job) { j.DependsOn = []string{"job-800002"} }))
 		c.await("the open job done", time.Minute, func() bool {
 			_, status := c.users.Call(1, fake.AskedStatus, "job-800001", nil)
 			return status == wire.JobDone
 		})
-		if _, done := c.check.On("job-800001"); done != 5 {
+		if _, done := c.checker.On("job-800001"); done != 5 {
 			t.Errorf("%d tasks done", done)
 		}
 	})
 }
 
 // TestJobsSurviveTheirLeader runs jobs while messages are lost, repeated and held,
-// ends the leader in the middle, then all nodes, and has every task run to its
+// ends the leader in the middle, then all controllers, and has every task run to its
 // end.
 func TestJobsSurviveTheirLeader(t *testing.T) {
 	every := func(pattern ...fake.Fault) *fake.Troubles {
@@ -177,24 +176,24 @@
 		return &f
 	}
 	const ok = fake.NoFault
-	inCluster(t, plan{run: func(task string) time.Duration {
+	runScenario(t, clusterPlan{runTime: func(task string) time.Duration {
 		if strings.HasPrefix(task, "job-000003/") {
 			return time.Hour
 		}
 		return 700 * time.Millisecond
 	}}, func(c *cluster) {
-		c.writes.Store(every(ok, ok, ok, fake.AnswerLost, ok, ok, fake.Duplicated, ok, ok, fake.Delayed, ok, ok, fake.Refused))
-		c.held = true
-		c.orders.Store(every(ok, ok, fake.AnswerLost, ok, fake.RequestLost, ok, ok, fake.Delayed, fake.Duplicated))
-		c.hires.Store(every(ok, ok, fake.AnswerLost, ok, ok, ok, fake.Refused))
-		jobs := c.stream(1, 3, 0, func(_ int, j *wire.Job) { j.Tasks = 30 })
-		c.await("some tasks done", 30*time.Second, func() bool { _, done := c.check.On(""); return done > 10 })
+		c.writeFaults.Store(every(ok, ok, ok, fake.AnswerLost, ok, ok, fake.Duplicated, ok, ok, fake.Delayed, ok, ok, fake.Refused))
+		c.commandsDelayed = true
+		c.commandFaults.Store(every(ok, ok, fake.AnswerLost, ok, fake.RequestLost, ok, ok, fake.Delayed, fake.Duplicated))
+		c.scaleOutFaults.Store(every(ok, ok, fake.AnswerLost, ok, ok, ok, fake.Refused))
+		jobs := c.submitJobs(1, 3, 0, func(_ int, j *wire.Job) { j.Tasks = 30 })
+		c.await("some tasks done", 30*time.Second, func() bool { _, done := c.checker.On(""); return done > 10 })
 		lead := c.leader()
 		c.kill(lead)
 		c.users.Cancel(jobs[2])
 		time.Sleep(5 * time.Second)
 		c.start(lead)
-		c.await("more tasks done", 60*time.Second, func() bool { _, done := c.check.On(""); return done > 30 })
+		c.await("more tasks done", 60*time.Second, func() bool { _, done := c.checker.On(""); return done > 30 })
 		for i := range c.nodes {
 			c.kill(i)
 		}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -10,19 +10,18 @@
 	"leadproxy/internal/wire"
 )
 
-// Much work, little room, and requests that can't be taken. docs/failures.md tells which
-// code answers each combination. What must hold is the same for all: the checker looks
-// at it all the time, and inCluster ends a test only when all that was accepted is
-// served.
+// Much work, little room, and requests that can't be taken. docs/failures.md lists the
+// code that handles each combination. The same must hold for all: the checker checks it all
+// the time, and runScenario ends a test only when all that was accepted is served.
 
-// TestNoFailures: without troubles all is served, and what can't be is refused.
+// TestNoFailures: without faults all is served, and what can't be is refused.
 func TestNoFailures(t *testing.T) {
-	inCluster(t, plan{}, func(c *cluster) {
-		c.stream(0, 6, time.Second, nil)
+	runScenario(t, clusterPlan{}, func(c *cluster) {
+		c.submitJobs(0, 6, time.Second, nil)
 		c.users.SendInvalid()
 		time.Sleep(30 * time.Second)
 		for k := range 6 {
-			if _, done := c.check.On(fmt.Sprintf("job-%06d", k)); done != 3 {
+			if _, done := c.checker.On(fmt.Sprintf("job-%06d", k)); done != 3 {
 				t.Errorf("%d tasks of job %d done", done, k)
 			}
 		}
@@ -30,9 +29,9 @@
 }
 
 // TestManySmallJobs: one-task jobs come four a second for minutes, a quarter of
-// them cancelled, which wants more writes than a small state service takes.
+// them cancelled, which wants more writes than a small key-value store takes.
 func TestManySmallJobs(t *testing.T) {
-	inCluster(t, plan{writes: 30, run: func(string) time.Duration { return 5 * time.Second }}, func(c *cluster) {
+	runScenario(t, clusterPlan{writesPerSecond: 30, runTime: func(string) time.Duration { return 5 * time.Second }}, func(c *cluster) {
 		for k := range 480 {
 			j := fake.NewJob(fmt.Sprintf("job-%06d", k), 1, nil)
 			c.users.Submit(j)
@@ -47,17 +46,17 @@
 				c.kill(c.leader())
 			}
 		}
-		c.revive()
+		c.startAll()
 	})
 }
 
 // TestOverload: there is more work than room, urgent and not, over slow links.
 func TestOverload(t *testing.T) {
-	inCluster(t, plan{machines: 4, run: long(25 * time.Second)}, func(c *cluster) {
+	runScenario(t, clusterPlan{maxMachines: 4, runTime: longRunning(25 * time.Second)}, func(c *cluster) {
 		c.state.Slow(300 * time.Millisecond)
-		c.held = true
-		c.orders.Store(c.share(0.2, fake.AnswerLost, 0, 0))
-		jobs := c.stream(0, 24, 300*time.Millisecond, func(k int, j *wire.Job) {
+		c.commandsDelayed = true
+		c.commandFaults.Store(c.randomFaults(0.2, fake.AnswerLost, 0, 0))
+		jobs := c.submitJobs(0, 24, 300*time.Millisecond, func(k int, j *wire.Job) {
 			j.Tasks, j.CPUs = 8, 2
 			j.Priority = []string{"idle", "standard", "high", "critical"}[k%4]
 		})
@@ -65,24 +64,24 @@
 		time.Sleep(30 * time.Second)
 		c.kill(c.leader())
 		c.state.Slow(0)
-		c.orders.Store(nil)
+		c.commandFaults.Store(nil)
 		time.Sleep(time.Minute)
-		c.revive()
+		c.startAll()
 	})
 }
 
-// TestTeamLimitDuringTakeover: teams are at their limit while jobs are cancelled whose
+// TestTeamLimitDuringFailover: teams are at their limit while jobs are cancelled whose
 // machines are cut off, hang or can't be asked, and the leader changes: what frees
 // room in the limit must surely be gone.
-func TestTeamLimitDuringTakeover(t *testing.T) {
-	for name, away := range away {
+func TestTeamLimitDuringFailover(t *testing.T) {
+	for name, away := range unreachableBy {
 		t.Run(name, func(t *testing.T) {
-			inCluster(t, plan{limits: map[string]float64{"tight": 12, "open": 24}, run: long(60 * time.Second)}, func(c *cluster) {
-				jobs := c.stream(0, 12, 200*time.Millisecond, func(k int, j *wire.Job) {
+			runScenario(t, clusterPlan{teamLimits: map[string]float64{"tight": 12, "open": 24}, runTime: longRunning(60 * time.Second)}, func(c *cluster) {
+				jobs := c.submitJobs(0, 12, 200*time.Millisecond, func(k int, j *wire.Job) {
 					j.Tasks, j.Team = 6, []string{"tight", "open"}[k/2%2]
 				})
-				c.running(30)
-				workers := half(c.cloud.Workers())
+				c.awaitRunning(30)
+				workers := everyOther(c.cloud.Workers())
 				for _, w := range workers {
 					away(w, true)
 				}
@@ -99,7 +98,7 @@
 				for _, w := range workers {
 					away(w, false)
 				}
-				c.revive()
+				c.startAll()
 			})
 		})
 	}
@@ -108,9 +107,9 @@
 // TestZoneBoundJobs: jobs bound to one zone, arrays that have to stay
 // together or be spread too, lose machines.
 func TestZoneBoundJobs(t *testing.T) {
-	eachSeed(t, plan{run: long(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
+	runWithSeeds(t, clusterPlan{runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		zone := "b"
-		c.stream(0, 12, 300*time.Millisecond, func(k int, j *wire.Job) {
+		c.submitJobs(0, 12, 300*time.Millisecond, func(k int, j *wire.Job) {
 			j.Tasks = 5
 			switch k % 4 {
 			case 0:
@@ -121,7 +120,7 @@
 				j.Spread = true
 			}
 		})
-		c.running(20)
+		c.awaitRunning(20)
 		for range 4 {
 			workers := c.cloud.Workers()
 			w := workers[r.IntN(len(workers))]
@@ -131,7 +130,7 @@
 				w.Hang(true)
 				c.users.Go(func() { time.Sleep(25 * time.Second); w.Hang(false) })
 			}
-			time.Sleep(some(r, time.Second, 8*time.Second))
+			time.Sleep(randomDuration(r, time.Second, 8*time.Second))
 		}
 		c.restart(c.leader(), time.Second)
 	})
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -10,24 +10,24 @@
 	"leadproxy/internal/wire"
 )
 
-// shape submits a pipeline of some form whose first job is returned, all of them as
+// pipelineShape submits a pipeline of some form whose first job is returned, all of them as
 // jobs of a few tasks each.
-type shape struct {
-	name  string
-	needs [][]int // by stage, the stages that it needs
+type pipelineShape struct {
+	name      string
+	dependsOn [][]int // by stage, the stages that it needs
 }
 
-var shapes = []shape{
+var pipelineShapes = []pipelineShape{
 	{"chain", [][]int{{}, {0}, {1}, {2}, {3}}},
 	{"diamond", [][]int{{}, {0}, {0}, {1, 2}, {3}}},
 	{"several ancestors", [][]int{{}, {}, {}, {0, 1, 2}, {3, 0}}},
 }
 
 // submitShape submits a pipeline, each job once those that it needs are accepted.
-func (c *cluster) submitShape(s shape, first int) (jobs []*wire.Job) {
+func (c *cluster) submitShape(s pipelineShape, first int) (jobs []*wire.Job) {
 	c.t.Helper()
 	ref := func(stage int) string { return fmt.Sprintf("job-0%04d%d", first, stage) }
-	for stage, needs := range s.needs {
+	for stage, needs := range s.dependsOn {
 		j := fake.NewJob(ref(stage), 2, nil)
 		for _, n := range needs {
 			j.DependsOn = append(j.DependsOn, ref(n))
@@ -44,7 +44,7 @@
 // TestCancelledPipelines cancels the first job of pipelines of several forms, from the
 // moment of its submission to after the end of its last task, with what may meet that.
 // Either all that need it are cancelled with it, and stay so, or the answer is done
-// and they go on.
+// and they continue.
 func TestCancelledPipelines(t *testing.T) {
 	troubles := []struct {
 		name string
@@ -58,7 +58,7 @@
 				c.kill(i)
 			}
 			time.Sleep(3 * time.Second)
-			c.revive()
+			c.startAll()
 		}},
 		{"an outage", func(c *cluster) {
 			c.state.Outage(true)
@@ -66,10 +66,10 @@
 			c.state.Outage(false)
 		}},
 		{"the answers to writes are lost, then an outage", func(c *cluster) {
-			c.writes.Store(c.share(1, fake.AnswerLost, 0, 0))
+			c.writeFaults.Store(c.randomFaults(1, fake.AnswerLost, 0, 0))
 			time.Sleep(2 * time.Second)
 			c.state.Outage(true)
-			c.writes.Store(nil)
+			c.writeFaults.Store(nil)
 			time.Sleep(50 * time.Second)
 			c.state.Outage(false)
 		}},
@@ -83,11 +83,11 @@
 	// A job's tasks run for 8 s, and begin some 6 s after it is submitted, once there are
 	// machines.
 	moments := []time.Duration{0, 3 * time.Second, 12 * time.Second, 13500 * time.Millisecond, 14 * time.Second, 14500 * time.Millisecond, 15 * time.Second, 20 * time.Second}
-	for _, s := range shapes {
+	for _, s := range pipelineShapes {
 		for _, trouble := range troubles {
 			t.Run(s.name+", "+trouble.name, func(t *testing.T) {
-				playCluster(t, plan{machines: 30}, false, func(c *cluster) {
-					time.Sleep(5 * time.Second) // all nodes know of one another
+				runScenarioOnce(t, clusterPlan{maxMachines: 30}, false, func(c *cluster) {
+					time.Sleep(5 * time.Second) // all controllers know of one another
 					var pipelines [][]*wire.Job
 					for n := range moments {
 						pipelines = append(pipelines, c.submitShape(s, n))
@@ -96,7 +96,7 @@
 					for n, moment := range moments {
 						time.Sleep(time.Until(began.Add(moment)))
 						first := pipelines[n][0]
-						// At all nodes within a millisecond, then until it is answered.
+						// At all controllers within a millisecond, then until it is answered.
 						for i := range c.nodes {
 							c.users.Go(func() { c.users.Call(i, fake.AskedCancel, first.ID, nil) })
 						}
@@ -104,10 +104,10 @@
 						if n == len(moments)/2 {
 							c.users.Go(func() { trouble.play(c) })
 						}
-						c.lookAtAll(pipelines[n])
+						c.queryAll(pipelines[n])
 					}
 					time.Sleep(70 * time.Second)
-					ends := c.endsAgree(pipelines)
+					ends := c.checkEndsAgree(pipelines)
 					if trouble.name == "no trouble" && (ends[wire.JobDone] == 0 || ends[wire.JobCancelled] == 0) {
 						t.Errorf("the moments bring about only %v", ends)
 					}
@@ -117,23 +117,23 @@
 	}
 }
 
-// lookAtAll asks about all jobs of a pipeline at all nodes.
-func (c *cluster) lookAtAll(jobs []*wire.Job) {
+// queryAll asks about all jobs of a pipeline at all controllers.
+func (c *cluster) queryAll(jobs []*wire.Job) {
 	for _, j := range jobs {
 		c.users.Go(func() { c.users.Look(j.ID, j) })
 	}
 }
 
-// endsAgree sees to it that pipelines whose first job was cancelled are cancelled
+// checkEndsAgree checks that pipelines whose first job was cancelled are cancelled
 // whole, and the others done whole, and counts both.
-func (c *cluster) endsAgree(pipelines [][]*wire.Job) map[string]int {
+func (c *cluster) checkEndsAgree(pipelines [][]*wire.Job) map[string]int {
 	c.t.Helper()
 	ends := map[string]int{}
 	for _, jobs := range pipelines {
 		_, want := c.users.Until(fake.AskedCancel, jobs[0].ID, nil)
 		ends[want]++
 		for _, j := range jobs {
-			if needs(jobs, j, jobs[0].ID) {
+			if dependsOnJob(jobs, j, jobs[0].ID) {
 				c.await(j.ID+" is "+want, 2*time.Minute, func() bool {
 					_, status := c.users.Call(c.users.AnyNode(), fake.AskedStatus, j.ID, nil)
 					return status == want
@@ -144,14 +144,14 @@
 	return ends
 }
 
-// needs tells whether a job needs another one, directly or through others.
-func needs(jobs []*wire.Job, j *wire.Job, ref string) bool {
+// dependsOnJob reports whether a job depends on another one, directly or through others.
+func dependsOnJob(jobs []*wire.Job, j *wire.Job, ref string) bool {
 	for _, before := range j.DependsOn {
 		if before == ref {
 			return true
 		}
 		for _, p := range jobs {
-			if p.ID == before && needs(jobs, p, ref) {
+			if p.ID == before && dependsOnJob(jobs, p, ref) {
 				return true
 			}
 		}
@@ -160,8 +160,8 @@
 }
 
 // TestMalformedLedger: values that can't be read, whoever has written them, concern
-// their keys alone. The nodes lead and serve, a job whose record can't be read is not
-// told as unknown, and one of which some hosts can't be read still runs.
+// their keys alone. The controllers lead and serve, a job whose record can't be read is not
+// reported as unknown, and one of which some hosts can't be read still runs.
 func TestMalformedLedger(t *testing.T) {
 	open := `{"job":{"ref":"job-800001","lane":"c","owner":"open","shape":"batch","urgency":"high","pieces":2,"vcpus":1,"gpus":0,"mem_gb":2,` +
 		`"bundle":"i","size_gb":0.5,"flavors":null,"room":null,"together":false,"spread":false,"loaners":true,"guess_s":8,"snapshot_s":0,"flush_s":0,"due_s":null},"accepted_ms":946684790123}`
@@ -170,10 +170,10 @@
 		"job/job-800002": `{"job":{"ref":"job-800002","pieces":-7}}`, "job/job-800003": `[]`, "host/job-800002/0": `["vm-900001"]`,
 		"hire/h3-1": `{}`, "silent/3-1": `7`, "node/n1": `"none"`, "fence": `{}`, "gone/vm-900002": `{}`,
 	}
-	inCluster(t, plan{ledger: ledger}, func(c *cluster) {
-		c.check.Submits(fake.NewJob("job-800001", 2, nil), true)
+	runScenario(t, clusterPlan{ledger: ledger}, func(c *cluster) {
+		c.checker.Submits(fake.NewJob("job-800001", 2, nil), true)
 		c.users.Call(0, fake.AskedStatus, "job-800001", nil)
-		c.stream(0, 5, time.Second, nil)
+		c.submitJobs(0, 5, time.Second, nil)
 		for i := range c.nodes {
 			for _, ref := range []string{"job-800002", "job-800003"} {
 				if code, _ := c.users.Call(i, fake.AskedStatus, ref, nil); code < 500 && code != 0 {
@@ -185,7 +185,7 @@
 			_, status := c.users.Call(c.users.AnyNode(), fake.AskedStatus, "job-800001", nil)
 			return status == wire.JobDone
 		})
-		// An operator removes what nobody can read.
+		// An operator removes the keys that can't be read.
 		for key := range ledger {
 			if strings.HasPrefix(key, "host/") || strings.HasPrefix(key, "fin/") {
 				c.state.Remove(key)
--- a/internal/controller/rollout_measure_test.go
+++ b/internal/controller/rollout_measure_test.go
@@ -39,8 +39,8 @@
 func measureDrain(t *testing.T, machines int, seed uint64, way drainWay) (result drainResult) {
 	synctest.Test(t, func(t *testing.T) {
 		p := drainPlan(machines)
-		p.seed, p.writes = seed, 400
-		p.run = func(string) time.Duration { return drainedRun }
+		p.seed, p.writesPerSecond = seed, 400
+		p.runTime = func(string) time.Duration { return drainedRun }
 		p.budgets = &rollout.Budgets{General: rollout.Budget{Share: 0.1, Window: drainWindow}}
 		c := newCluster(t, p)
 		for i := range c.nodes {
@@ -72,7 +72,7 @@
 		began := time.Now()
 		if way.text == "" {
 			c.cloud.Take(old...)
-		} else if err := c.drains("winter", "types = m8\n"+way.text); err != nil {
+		} else if err := c.beginPlan("winter", "types = m8\n"+way.text); err != nil {
 			t.Error(err)
 		}
 		for time.Since(began) < 6*time.Hour && c.anyOf(old) {
@@ -80,11 +80,11 @@
 			time.Sleep(drainedRun / time.Duration(machines))
 		}
 		result.took = time.Since(began)
-		c.settled()
-		c.allServed()
+		c.endFaults()
+		c.awaitAllServed()
 		c.users.Wait()
 		result.count(c, accepted)
-		c.rulesKept()
+		c.reportViolations()
 		for i := range c.nodes {
 			c.kill(i)
 		}
@@ -93,7 +93,7 @@
 	return result
 }
 
-// anyOf tells whether any of some machines is there.
+// anyOf reports whether any of the machines exists.
 func (c *cluster) anyOf(names []string) bool {
 	there := map[string]bool{}
 	for _, name := range c.machineNames() {
@@ -110,7 +110,7 @@
 // count takes what was lost and late from what the machines saw.
 func (r *drainResult) count(c *cluster, accepted map[string]time.Time) {
 	ends := map[string]time.Time{}
-	for _, run := range c.check.Runs() {
+	for _, run := range c.checker.Runs() {
 		ref, _, _ := wire.ParseTaskName(run.Task)
 		if run.Completed && run.Ended.After(ends[ref]) {
 			ends[ref] = run.Ended
@@ -125,11 +125,11 @@
 			r.late++
 		}
 	}
-	for _, s := range c.stops() {
+	for _, s := range c.missedStops() {
 		r.lost += s.Over.Sub(s.Began)
 	}
 	for _, team := range []string{"open", "tight"} {
-		r.most = max(r.most, c.mostStopped(func(j *wire.Job) bool { return j.Team == team }))
+		r.most = max(r.most, c.maxStoppedJobs(func(j *wire.Job) bool { return j.Team == team }))
 	}
 }
 
--- a/internal/controller/rollout_plans_test.go
+++ b/internal/controller/rollout_plans_test.go
@@ -16,7 +16,7 @@
 )
 
 // Machines are drained in steps while users work and controllers fail. What is held to the
-// budgets is what the machines saw: the account is not asked.
+// budgets is what the machines recorded, not what the controllers count.
 
 // drainWindow is the budgets' window in these tests.
 const drainWindow = 5 * time.Second
@@ -27,14 +27,14 @@
 }
 
 // drainPlan is a cluster whose machines can all be replaced.
-func drainPlan(machines int) plan {
-	return plan{machines: 2 * machines, budgets: drainBudgets(), standby: true, run: func(string) time.Duration { return 300 * time.Second }}
+func drainPlan(machines int) clusterPlan {
+	return clusterPlan{maxMachines: 2 * machines, budgets: drainBudgets(), standby: true, runTime: func(string) time.Duration { return 300 * time.Second }}
 }
 
-// fill has jobs run on about so many machines: of two teams, in turn those that save their
+// submitFilling has jobs run on about that many machines: of two teams, in turn those that save their
 // progress, those that don't, and those of a class that has a budget of its own.
-func (c *cluster) fill(machines int) (jobs []*wire.Job) {
-	jobs = c.stream(0, machines, 300*time.Millisecond, func(k int, j *wire.Job) {
+func (c *cluster) submitFilling(machines int) (jobs []*wire.Job) {
+	jobs = c.submitJobs(0, machines, 300*time.Millisecond, func(k int, j *wire.Job) {
 		j.Team = []string{"open", "tight"}[k%2]
 		j.Tasks, j.CPUs, j.EstimatedRunS = 2, 4, 300
 		if k%3 != 0 {
@@ -44,12 +44,12 @@
 			j.Class = "rare"
 		}
 	})
-	c.running(2 * machines)
+	c.awaitRunning(2 * machines)
 	return jobs
 }
 
-// drains begins a plan.
-func (c *cluster) drains(name, text string) error {
+// beginPlan begins a plan.
+func (c *cluster) beginPlan(name, text string) error {
 	_, err := rolloutservice.Create(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform, "[plan]\nname = "+name+"\n"+text)
 	return err
 }
@@ -61,7 +61,7 @@
 	}
 }
 
-// plans is how the plans stand, as an operator sees it.
+// plans is the state of the plans, as an operator sees it.
 func (c *cluster) plans() string {
 	list, err := rolloutservice.List(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform)
 	if err != nil {
@@ -74,7 +74,7 @@
 	return table.String()
 }
 
-// awaitPlan waits until the plans' table says something.
+// awaitPlan waits until the plans' table has a text.
 func (c *cluster) awaitPlan(text string, limit time.Duration) {
 	c.t.Helper()
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(time.Second) {
@@ -85,8 +85,8 @@
 	c.t.Errorf("not %q within %s:\n%s", text, limit, c.plans())
 }
 
-// wantReplaced sees to it that none of some machines is there any more.
-func (c *cluster) wantReplaced(names []string) {
+// checkReplaced checks that none of some machines is there any more.
+func (c *cluster) checkReplaced(names []string) {
 	c.t.Helper()
 	for _, w := range c.cloud.Workers() {
 		if slices.Contains(names, w.Name()) {
@@ -102,32 +102,32 @@
 	return names
 }
 
-// stops lists what tasks missed, by what the machines saw.
-func (c *cluster) stops() []fake.Stop { return fake.Stops(c.check.Runs()) }
+// missedStops lists what tasks missed, by what the machines recorded.
+func (c *cluster) missedStops() []fake.Stop { return fake.Stops(c.checker.Runs()) }
 
-// mostStopped is how many jobs of some were stopped at once at most.
-func (c *cluster) mostStopped(in func(j *wire.Job) bool) int {
-	return fake.MostStopped(c.stops(), func(ref string) bool { return in(c.check.Job(ref)) })
+// maxStoppedJobs is how many jobs of some were stopped at once at most.
+func (c *cluster) maxStoppedJobs(in func(j *wire.Job) bool) int {
+	return fake.MostStopped(c.missedStops(), func(ref string) bool { return in(c.checker.Job(ref)) })
 }
 
-// wantWithinBudgets holds what the machines saw to the budgets; hit jobs may be more, of
+// checkBudgets checks what the machines recorded against the budgets; hit jobs may be more, of
 // each team.
-func (c *cluster) wantWithinBudgets(hit int) {
+func (c *cluster) checkBudgets(hit int) {
 	c.t.Helper()
 	for _, team := range []string{"open", "tight"} {
-		if n := c.mostStopped(func(j *wire.Job) bool { return j.Team == team }); n > 2+hit {
+		if n := c.maxStoppedJobs(func(j *wire.Job) bool { return j.Team == team }); n > 2+hit {
 			c.t.Errorf("%d jobs of team %s were stopped at once", n, team)
 		}
 	}
-	if n := c.mostStopped(func(j *wire.Job) bool { return j.Class == "rare" }); n > 1+hit {
+	if n := c.maxStoppedJobs(func(j *wire.Job) bool { return j.Class == "rare" }); n > 1+hit {
 		c.t.Errorf("%d rare jobs were stopped at once", n)
 	}
 }
 
-// wantMoved sees to it that a scenario has moved anything at all.
-func (c *cluster) wantMoved() {
+// checkSomethingMoved checks that a scenario has moved anything at all.
+func (c *cluster) checkSomethingMoved() {
 	c.t.Helper()
-	if len(c.stops()) == 0 {
+	if len(c.missedStops()) == 0 {
 		c.t.Error("no task was moved")
 	}
 }
@@ -140,15 +140,15 @@
 			p := drainPlan(20)
 			p.seed = seed
 			r := rand.New(rand.NewPCG(seed, 7))
-			playCluster(t, p, false, func(c *cluster) {
-				c.fill(20)
+			runScenarioOnce(t, p, false, func(c *cluster) {
+				c.submitFilling(20)
 				old := c.machineNames()
-				if err := c.drains("winter", "zones = a, b, c\nbatch = 25%\nwait_s = 400\nhealth_s = 400"); err != nil {
+				if err := c.beginPlan("winter", "zones = a, b, c\nbatch = 25%\nwait_s = 400\nhealth_s = 400"); err != nil {
 					c.t.Error(err)
 					return
 				}
 				for k := 0; k < 200 && !strings.Contains(c.plans(), "finished"); k++ {
-					time.Sleep(some(r, 2*time.Second, 30*time.Second))
+					time.Sleep(randomDuration(r, 2*time.Second, 30*time.Second))
 					if k%3 != 0 {
 						continue
 					}
@@ -156,16 +156,16 @@
 					c.kill(was)
 					c.awaitLeader(was)
 					if k%2 == 0 {
-						time.Sleep(some(r, time.Millisecond, time.Second))
+						time.Sleep(randomDuration(r, time.Millisecond, time.Second))
 						c.kill(c.leader())
 					}
-					time.Sleep(some(r, time.Second, 5*time.Second))
-					c.revive()
+					time.Sleep(randomDuration(r, time.Second, 5*time.Second))
+					c.startAll()
 				}
 				c.awaitPlan("finished", 10*time.Minute)
-				c.wantReplaced(old)
-				c.wantMoved()
-				c.wantWithinBudgets(0)
+				c.checkReplaced(old)
+				c.checkSomethingMoved()
+				c.checkBudgets(0)
 			})
 		})
 	}
@@ -173,24 +173,24 @@
 
 // TestDrainsShareABudget: two plans at once, and one that has a machine of theirs.
 func TestDrainsShareABudget(t *testing.T) {
-	playCluster(t, drainPlan(9), false, func(c *cluster) {
-		c.fill(9)
+	runScenarioOnce(t, drainPlan(9), false, func(c *cluster) {
+		c.submitFilling(9)
 		old := c.machineNames()
 		for name, machines := range map[string][]string{"first": old[:4], "second": old[4:]} {
-			if err := c.drains(name, "machines = "+strings.Join(machines, ", ")+"\nbatch = 3\nwait_s = 20\nhealth_s = 400"); err != nil {
+			if err := c.beginPlan(name, "machines = "+strings.Join(machines, ", ")+"\nbatch = 3\nwait_s = 20\nhealth_s = 400"); err != nil {
 				c.t.Error(err)
 				return
 			}
 		}
 		for text, want := range map[string]string{"types = m8": "already", "zones = z": "no machine is selected", "types = m8\nbatch = 200%": "at most 100%"} {
-			if err := c.drains("third", text); err == nil || !strings.Contains(err.Error(), want) {
+			if err := c.beginPlan("third", text); err == nil || !strings.Contains(err.Error(), want) {
 				c.t.Errorf("%q: %v", text, err)
 			}
 		}
 		c.awaitPlan("the budget of", 3*time.Minute)
 		for k := 0; k < 60 && strings.Count(c.plans(), "finished") < 2; k++ {
 			time.Sleep(20 * time.Second)
-			for _, j := range c.check.Open() { // what can't save is let go on at once
+			for _, j := range c.checker.Open() { // what can't save is moved at once
 				for _, name := range []string{"first", "second"} {
 					if strings.Contains(c.plans(), j+"/") && strings.Contains(c.plans(), "allow the job") {
 						rolloutservice.Steer(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform, name, rollout.Allow, j)
@@ -198,9 +198,9 @@
 				}
 			}
 		}
-		c.wantReplaced(old)
-		c.wantMoved()
-		c.wantWithinBudgets(0)
+		c.checkReplaced(old)
+		c.checkSomethingMoved()
+		c.checkBudgets(0)
 	})
 }
 
@@ -208,55 +208,55 @@
 // then the operator is asked; what is skipped is used again.
 func TestDrainAsksBeforeItKills(t *testing.T) {
 	p := drainPlan(3)
-	p.run = func(string) time.Duration { return 300 * time.Second }
-	playCluster(t, p, false, func(c *cluster) {
-		jobs := c.stream(0, 3, time.Second, func(_ int, j *wire.Job) { j.Tasks, j.CPUs, j.EstimatedRunS = 1, 8, 300 })
-		c.running(3)
+	p.runTime = func(string) time.Duration { return 300 * time.Second }
+	runScenarioOnce(t, p, false, func(c *cluster) {
+		jobs := c.submitJobs(0, 3, time.Second, func(_ int, j *wire.Job) { j.Tasks, j.CPUs, j.EstimatedRunS = 1, 8, 300 })
+		c.awaitRunning(3)
 		old := c.machineNames()
-		if err := c.drains("winter", "types = m8\ncanary = 3\nwait_s = 30"); err != nil {
+		if err := c.beginPlan("winter", "types = m8\ncanary = 3\nwait_s = 30"); err != nil {
 			c.t.Error(err)
 			return
 		}
 		c.awaitPlan("left to end", 3*time.Minute)
 		c.awaitPlan("allow the job", 2*time.Minute)
 		time.Sleep(20 * time.Second)
-		if n := len(c.stops()); n > 0 {
+		if n := len(c.missedStops()); n > 0 {
 			c.t.Errorf("%d tasks were stopped before anybody was asked", n)
 		}
 		c.steer("winter", rollout.Allow, jobs[0].ID)
 		c.steer("winter", rollout.Skip, old[1])
 		c.awaitPlan("finished", 20*time.Minute)
-		c.wantWithinBudgets(0)
-		if !slices.Contains(c.machineNames(), old[1]) && len(c.check.Open()) > 0 {
+		c.checkBudgets(0)
+		if !slices.Contains(c.machineNames(), old[1]) && len(c.checker.Open()) > 0 {
 			c.t.Errorf("%s was skipped, and is gone", old[1])
 		}
 	})
 }
 
-// drainTroubles befall a plan that is under way.
-var drainTroubles = map[string]func(c *cluster, old []string){
+// drainFaults are faults while a plan is being carried out.
+var drainFaults = map[string]func(c *cluster, old []string){
 	"a machine crashes": func(c *cluster, old []string) { c.cloud.Take(old[0], old[1]) },
 	"machines fall silent": func(c *cluster, _ []string) {
-		for _, w := range half(c.cloud.Workers()) {
+		for _, w := range everyOther(c.cloud.Workers()) {
 			w.Hang(true)
 		}
-		time.Sleep(workerLease + 5*time.Second)
+		time.Sleep(agentLease + 5*time.Second)
 		for _, w := range c.cloud.Workers() {
 			w.Hang(false)
 		}
 	},
-	"the state service is down": func(c *cluster, _ []string) {
+	"the key-value store is down": func(c *cluster, _ []string) {
 		c.state.Outage(true)
 		time.Sleep(40 * time.Second)
 		c.state.Outage(false)
 	},
-	"the leader pauses and goes on": func(c *cluster, _ []string) {
+	"the leader pauses and resumes": func(c *cluster, _ []string) {
 		lead := c.leader()
 		c.pause(lead)
-		time.Sleep(pausedFor)
+		time.Sleep(pauseTime)
 		c.resume(lead)
 	},
-	"reports come late and doubled": func(c *cluster, _ []string) {
+	"heartbeats come late and twice": func(c *cluster, _ []string) {
 		for _, w := range c.cloud.Workers() {
 			w.DuplicateReports(func() time.Duration { return time.Duration(c.users.Random() * float64(10*time.Second)) })
 		}
@@ -273,22 +273,22 @@
 		}
 	},
 	"jobs are cancelled in the middle of a move": func(c *cluster, _ []string) {
-		for _, ref := range c.check.Open()[:4] {
-			c.users.Cancel(c.check.Job(ref))
+		for _, ref := range c.checker.Open()[:4] {
+			c.users.Cancel(c.checker.Job(ref))
 		}
 	},
 }
 
-// TestDrainTroubles: what happens to machines and controllers while a plan is under way
+// TestDrainFaults: what happens to machines and controllers while a plan is carried out
 // keeps it neither from ending nor within its budgets.
-func TestDrainTroubles(t *testing.T) {
-	for name, trouble := range drainTroubles {
+func TestDrainFaults(t *testing.T) {
+	for name, trouble := range drainFaults {
 		t.Run(name, func(t *testing.T) {
-			playCluster(t, drainPlan(8), false, func(c *cluster) {
-				c.held = true // in some, answers and commands come late
-				c.fill(8)
+			runScenarioOnce(t, drainPlan(8), false, func(c *cluster) {
+				c.commandsDelayed = true // in some, answers and commands come late
+				c.submitFilling(8)
 				old := c.machineNames()
-				if err := c.drains("winter", "types = m8\nbatch = 3\nwait_s = 400\nhealth_s = 400"); err != nil {
+				if err := c.beginPlan("winter", "types = m8\nbatch = 3\nwait_s = 400\nhealth_s = 400"); err != nil {
 					c.t.Error(err)
 					return
 				}
@@ -296,14 +296,14 @@
 				time.Sleep(3 * time.Second)
 				trouble(c, old)
 				c.awaitPlan("finished", 20*time.Minute)
-				c.wantReplaced(old)
+				c.checkReplaced(old)
 				switch name {
 				case "a machine crashes", "machines fall silent", "a zone is lost":
 					// Those that were hit count, and hold back what is moved.
-					c.wantWithinBudgets(8)
+					c.checkBudgets(8)
 				case "jobs are cancelled in the middle of a move":
 				default:
-					c.wantWithinBudgets(0)
+					c.checkBudgets(0)
 				}
 			})
 		})
@@ -314,35 +314,35 @@
 // the machines are used again.
 func TestReplacementsThatNeverComeUp(t *testing.T) {
 	p := drainPlan(4)
-	p.machines = 4
-	playCluster(t, p, false, func(c *cluster) {
-		c.fill(4)
+	p.maxMachines = 4
+	runScenarioOnce(t, p, false, func(c *cluster) {
+		c.submitFilling(4)
 		old := c.machineNames()
-		if err := c.drains("winter", "types = m8\ncanary = 2\nsurge = yes\nhealth_s = 60"); err != nil {
+		if err := c.beginPlan("winter", "types = m8\ncanary = 2\nsurge = yes\nhealth_s = 60"); err != nil {
 			c.t.Error(err)
 			return
 		}
 		c.awaitPlan("replacements: 0 of 2", 3*time.Minute)
 		c.awaitPlan("failed", 3*time.Minute)
-		if n := len(c.stops()); n > 0 || len(c.machineNames()) != len(old) {
+		if n := len(c.missedStops()); n > 0 || len(c.machineNames()) != len(old) {
 			c.t.Errorf("%d tasks were stopped, %d machines are left", n, len(c.machineNames()))
 		}
 	})
 }
 
-// TestSurge: replacements come first, and a new leader does not hire them again.
+// TestSurge: replacements come first, and a new leader does not scale out for them again.
 func TestSurge(t *testing.T) {
-	playCluster(t, drainPlan(6), false, func(c *cluster) {
-		c.fill(6)
+	runScenarioOnce(t, drainPlan(6), false, func(c *cluster) {
+		c.submitFilling(6)
 		old := c.machineNames()
-		if err := c.drains("winter", "types = m8\ncanary = 2\nbatch = 2\nsurge = yes\nwait_s = 400"); err != nil {
+		if err := c.beginPlan("winter", "types = m8\ncanary = 2\nbatch = 2\nsurge = yes\nwait_s = 400"); err != nil {
 			c.t.Error(err)
 			return
 		}
 		c.awaitPlan("hiring", 3*time.Minute)
 		c.restart(c.leader(), time.Second)
 		c.awaitPlan("finished", 20*time.Minute)
-		c.wantReplaced(old)
-		c.wantWithinBudgets(0)
+		c.checkReplaced(old)
+		c.checkBudgets(0)
 	})
 }
--- a/internal/controller/sockets.go
+++ b/internal/controller/sockets.go
@@ -70,7 +70,7 @@
 }
 
 // hangUpIfCrowded asks a worker to hang up where connections are short: it comes back for
-// its next heartbeat, and between two of them somebody else can be served.
+// its next heartbeat, and between two of them other clients can be served.
 func (t *connectionTracker) hangUpIfCrowded(w http.ResponseWriter) {
 	if t.open.Load() > t.hangUpAbove {
 		w.Header().Set("Connection", "close")
--- a/internal/controller/soft_state_measure_test.go
+++ b/internal/controller/soft_state_measure_test.go
@@ -11,28 +11,28 @@
 	"leadproxy/internal/wire"
 )
 
-// TestTakeoverOfLargestFleet: 4,000 machines that all run a task, and a leader that ends,
-// with a standby's copy of the ledger alone and with hints, alternately. The log has each
-// takeover's phases; docs/design-standby.md has the command.
-func TestTakeoverOfLargestFleet(t *testing.T) {
+// TestFailoverOfLargestCluster: 4,000 machines that all run a task, and a leader that ends,
+// with a standby's copy of the ledger alone and with soft state, alternately. The log has each
+// failover's phases; docs/design-standby.md has the command.
+func TestFailoverOfLargestCluster(t *testing.T) {
 	for round := range 2 {
 		for _, hinted := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d/hints=%t", round, hinted), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					c := newCluster(t, plan{machines: largestFleet, writes: 400, run: long(3 * time.Minute), standby: true, seed: uint64(round)})
+					c := newCluster(t, clusterPlan{maxMachines: largestCluster, writesPerSecond: 400, runTime: longRunning(3 * time.Minute), standby: true, seed: uint64(round)})
 					c.operator.Standby.Hints = hinted
 					for i := range c.nodes {
 						c.start(i)
 					}
 					c.await("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
 					for k := range 10 {
-						c.stream(2*k, 1, time.Second, func(_ int, j *wire.Job) { j.Tasks, j.CPUs = largestFleet/10, 8 })
+						c.submitJobs(2*k, 1, time.Second, func(_ int, j *wire.Job) { j.Tasks, j.CPUs = largestCluster/10, 8 })
 					}
-					c.running(largestFleet)
+					c.awaitRunning(largestCluster)
 					time.Sleep(10 * time.Second)
 					c.kill(c.leader())
 					time.Sleep(30 * time.Second)
-					c.revive()
+					c.startAll()
 					c.finish()
 					for i := range c.nodes {
 						c.kill(i)
--- a/internal/controller/standby_test.go
+++ b/internal/controller/standby_test.go
@@ -15,14 +15,13 @@
 	"leadproxy/internal/wire"
 )
 
-// The hard cases of takeovers that other scenarios bring about by chance at most. All are
+// The hard cases of failovers that other scenarios bring about by chance at most. All are
 // played with and without standbys; what must hold is the checker's.
 
-// pausedFor is longer than a leader's lease: another one leads when the first goes on.
-const pausedFor = 10 * time.Second
+// pauseTime is longer than a leader's lease: another one leads when the first resumes.
+const pauseTime = 10 * time.Second
 
-// pause holds up all that a node sends and is sent, until resume: to all others it stands
-// still, and what was on its way arrives when it goes on.
+// pause holds up all that a controller sends and is sent, until resume: to all others it is suspended, and what was in flight arrives when it resumes.
 func (c *cluster) pause(i int)  { c.eachLink(i, func(a, b string) { c.net.Cut(a, b, true) }) }
 func (c *cluster) resume(i int) { c.eachLink(i, c.net.Heal) }
 
@@ -41,7 +40,7 @@
 }
 
 // pauseAt has the leader paused as soon as a message of it with some text arrives, which
-// then has its fate. paused tells that it has.
+// then gets that fault. paused reports that it has happened.
 func (c *cluster) pauseAt(text string, fate fake.Trouble) (trouble *fake.Troubles, paused *atomic.Bool) {
 	paused = &atomic.Bool{}
 	f := fake.Troubles(func(from string, r *http.Request) fake.Trouble {
@@ -59,75 +58,75 @@
 	return &f, paused
 }
 
-// TestLeaderPausedInAStep: the leader stands still in the middle of a decision, at each of
-// its steps, while another one takes over, and then goes on with what it was about to do.
+// TestLeaderPausedInAStep: the leader is suspended in the middle of a decision, at each of
+// its steps, while another one takes over, and then continues with what it was about to do.
 func TestLeaderPausedInAStep(t *testing.T) {
-	late := fake.Trouble{Fault: fake.Delayed, For: pausedFor + time.Second}
+	late := fake.Trouble{Fault: fake.Delayed, For: pauseTime + time.Second}
 	steps := []struct {
 		name, text string
 		fate       fake.Trouble
 		messages   func(c *cluster) *atomic.Pointer[fake.Troubles]
 	}{
-		{"before a write", `"host/`, late, (*cluster).writesOf},
-		{"between a write and its command", `"host/`, fake.Trouble{}, (*cluster).writesOf},
-		{"between a command and its outcome", `"` + wire.VerbStart + `"`, fake.Trouble{}, (*cluster).ordersOf},
-		{"in a command", `"` + wire.VerbStart + `"`, late, (*cluster).ordersOf},
-		{"before a cancellation is written", `"` + wire.JobCancelled + `"`, late, (*cluster).writesOf},
-		{"in the answer to a cancellation", `"` + wire.JobCancelled + `"`, fake.Trouble{}, (*cluster).writesOf},
-		{"before a hire", ``, late, (*cluster).hiresOf},
-		{"in a hire's answer", ``, fake.Trouble{}, (*cluster).hiresOf},
+		{"before a write", `"host/`, late, (*cluster).writeFaultsOf},
+		{"between a write and its command", `"host/`, fake.Trouble{}, (*cluster).writeFaultsOf},
+		{"between a command and its outcome", `"` + wire.VerbStart + `"`, fake.Trouble{}, (*cluster).commandFaultsOf},
+		{"in a command", `"` + wire.VerbStart + `"`, late, (*cluster).commandFaultsOf},
+		{"before a cancellation is written", `"` + wire.JobCancelled + `"`, late, (*cluster).writeFaultsOf},
+		{"in the answer to a cancellation", `"` + wire.JobCancelled + `"`, fake.Trouble{}, (*cluster).writeFaultsOf},
+		{"before a hire", ``, late, (*cluster).scaleOutFaultsOf},
+		{"in a hire's answer", ``, fake.Trouble{}, (*cluster).scaleOutFaultsOf},
 	}
 	for _, step := range steps {
 		t.Run(step.name, func(t *testing.T) {
-			inCluster(t, plan{run: long(40 * time.Second)}, func(c *cluster) {
-				c.held = true // its commands and answers arrive late
+			runScenario(t, clusterPlan{runTime: longRunning(40 * time.Second)}, func(c *cluster) {
+				c.commandsDelayed = true // its commands and answers arrive late
 				lead := c.leader()
 				trouble, paused := c.pauseAt(step.text, step.fate)
-				if step.messages(c) == &c.hires { // what is hired first is enough
-					c.hires.Store(trouble)
-					c.stream(0, 4, 300*time.Millisecond, nil)
+				if step.messages(c) == &c.scaleOutFaults { // what is rented first is enough
+					c.scaleOutFaults.Store(trouble)
+					c.submitJobs(0, 4, 300*time.Millisecond, nil)
 				} else {
-					jobs := c.stream(0, 4, 300*time.Millisecond, nil)
-					c.running(6)
+					jobs := c.submitJobs(0, 4, 300*time.Millisecond, nil)
+					c.awaitRunning(6)
 					lead = c.leader()
 					step.messages(c).Store(trouble)
 					c.users.Cancel(jobs[0])
-					c.stream(20, 12, 200*time.Millisecond, nil)
+					c.submitJobs(20, 12, 200*time.Millisecond, nil)
 				}
 				c.await("the pause", 20*time.Second, paused.Load)
 				step.messages(c).Store(nil)
 				c.await("another leader", 10*time.Second, func() bool { return c.leader() >= 0 && c.leader() != lead })
-				time.Sleep(pausedFor)
+				time.Sleep(pauseTime)
 				c.resume(lead)
-				c.stream(40, 2, 300*time.Millisecond, nil)
+				c.submitJobs(40, 2, 300*time.Millisecond, nil)
 			})
 		})
 	}
 }
 
-func (c *cluster) writesOf() *atomic.Pointer[fake.Troubles] { return &c.writes }
-func (c *cluster) ordersOf() *atomic.Pointer[fake.Troubles] { return &c.orders }
-func (c *cluster) hiresOf() *atomic.Pointer[fake.Troubles]  { return &c.hires }
+func (c *cluster) writeFaultsOf() *atomic.Pointer[fake.Troubles]    { return &c.writeFaults }
+func (c *cluster) commandFaultsOf() *atomic.Pointer[fake.Troubles]  { return &c.commandFaults }
+func (c *cluster) scaleOutFaultsOf() *atomic.Pointer[fake.Troubles] { return &c.scaleOutFaults }
 
 // TestTwoLeadersEnd: the leader ends, and its successor within a second of having won.
 func TestTwoLeadersEnd(t *testing.T) {
-	eachSeed(t, plan{run: long(40 * time.Second)}, func(c *cluster, r *rand.Rand) {
-		jobs := c.stream(0, 10, 200*time.Millisecond, nil)
-		c.running(10)
+	runWithSeeds(t, clusterPlan{runTime: longRunning(40 * time.Second)}, func(c *cluster, r *rand.Rand) {
+		jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
+		c.awaitRunning(10)
 		for range 2 {
 			was := c.leader()
 			c.kill(was)
 			c.users.Cancel(jobs[r.IntN(len(jobs))])
 			c.awaitLeader(was)
-			time.Sleep(some(r, time.Millisecond, time.Second))
+			time.Sleep(randomDuration(r, time.Millisecond, time.Second))
 		}
 		c.kill(c.leader())
-		time.Sleep(some(r, time.Second, 5*time.Second))
-		c.revive()
+		time.Sleep(randomDuration(r, time.Second, 5*time.Second))
+		c.startAll()
 	})
 }
 
-// awaitLeader waits, with a fine grain, until another node leads.
+// awaitLeader waits, with a fine grain, until another controller leads.
 func (c *cluster) awaitLeader(was int) {
 	c.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -141,39 +140,39 @@
 // TestLastMomentOfATerm: jobs are accepted, cancelled and finished within the last
 // milliseconds of a term, whose last writes are carried out and never answered.
 func TestLastMomentOfATerm(t *testing.T) {
-	eachSeed(t, plan{run: long(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
-		jobs := c.stream(0, 8, 300*time.Millisecond, nil)
-		c.running(10)
+	runWithSeeds(t, clusterPlan{runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
+		jobs := c.submitJobs(0, 8, 300*time.Millisecond, nil)
+		c.awaitRunning(10)
 		for k := range 3 {
 			for c.leader() < 0 {
 				time.Sleep(100 * time.Millisecond)
 			}
 			was := c.leader()
-			c.writes.Store(c.share(0.7, fake.AnswerLost, 0, 0))
+			c.writeFaults.Store(c.randomFaults(0.7, fake.AnswerLost, 0, 0))
 			c.users.Cancel(jobs[2*k])
 			c.users.Submit(fake.NewJob(fmt.Sprintf("job-%06d", 50+k), 2, nil))
-			time.Sleep(some(r, time.Millisecond, 30*time.Millisecond))
+			time.Sleep(randomDuration(r, time.Millisecond, 30*time.Millisecond))
 			c.kill(was)
-			c.writes.Store(nil)
+			c.writeFaults.Store(nil)
 			c.awaitLeader(was)
-			time.Sleep(some(r, 2*time.Second, 8*time.Second))
-			c.revive()
+			time.Sleep(randomDuration(r, 2*time.Second, 8*time.Second))
+			c.startAll()
 		}
 	})
 }
 
-// TestStandbyCutFromStateService: a standby hears nothing of the state service for a while,
+// TestStandbyWithoutStore: a standby reaches nothing of the key-value store for a while,
 // in which the leader ends; the other one takes over. Then the one that was cut off is the
 // only one left.
-func TestStandbyCutFromStateService(t *testing.T) {
+func TestStandbyWithoutStore(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		t.Run(fmt.Sprint(hold), func(t *testing.T) {
-			inCluster(t, plan{run: long(30 * time.Second)}, func(c *cluster) {
-				c.stream(0, 6, 300*time.Millisecond, nil)
+			runScenario(t, clusterPlan{runTime: longRunning(30 * time.Second)}, func(c *cluster) {
+				c.submitJobs(0, 6, 300*time.Millisecond, nil)
 				first := c.leader()
 				cutOff := c.follower()
 				c.net.Cut(c.name(cutOff), "state", hold)
-				jobs := c.stream(10, 4, time.Second, nil)
+				jobs := c.submitJobs(10, 4, time.Second, nil)
 				c.kill(first)
 				c.awaitLeader(first)
 				second := c.leader()
@@ -186,22 +185,22 @@
 				c.kill(second)
 				c.awaitLeader(second)
 				time.Sleep(5 * time.Second)
-				c.revive()
+				c.startAll()
 			})
 		})
 	}
 }
 
-// TestClocksFarApart: the state service's clock runs fast and the workers' slow by as much
-// as clocks may, while leaders end and pause and half of the machines are not heard for
+// TestClocksFarApart: the key-value store's clock runs fast and the workers' slow by as much
+// as clocks may, while leaders end and pause and half of the machines can't be reached for
 // longer than their lease.
 func TestClocksFarApart(t *testing.T) {
-	eachSeed(t, plan{run: long(60 * time.Second), drift: settings.Drift}, func(c *cluster, r *rand.Rand) {
-		c.held = true
-		jobs := c.stream(0, 10, 300*time.Millisecond, nil)
-		c.running(10)
+	runWithSeeds(t, clusterPlan{runTime: longRunning(60 * time.Second), clockDrift: settings.Drift}, func(c *cluster, r *rand.Rand) {
+		c.commandsDelayed = true
+		jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
+		c.awaitRunning(10)
 		for k := range 3 {
-			workers := half(c.cloud.Workers())
+			workers := everyOther(c.cloud.Workers())
 			for _, w := range workers {
 				w.CutInbound(true)
 			}
@@ -215,9 +214,9 @@
 				c.pause(lead)
 			}
 			c.users.Cancel(jobs[k])
-			time.Sleep(some(r, workerLease-time.Second, workerLease+4*time.Second))
+			time.Sleep(randomDuration(r, agentLease-time.Second, agentLease+4*time.Second))
 			c.resume(lead)
-			c.revive()
+			c.startAll()
 			for _, w := range workers {
 				w.CutInbound(false)
 			}
@@ -226,23 +225,23 @@
 	})
 }
 
-// TestTakeoversWithJobsAway: the leaders of both cells end, one after the other, while jobs
+// TestFailoversWithDelegatedJobs: the leaders of both cells end, one after the other, while jobs
 // of one run in the other, with standbys in both.
-func TestTakeoversWithJobsAway(t *testing.T) {
+func TestFailoversWithDelegatedJobs(t *testing.T) {
 	p := twoCells()
 	p.standby = true
-	inFederation(t, p, func(f *testFederation) {
-		jobs := f.flood("a", 12, func(_ int, j *wire.Job) { j.Tasks = 3 })
-		f.wantSpilled("a")
-		f.awaitSoon("an accept", func() bool { return len(f.spilled("a")) > 0 })
+	runFederationScenario(t, p, func(f *federatedCells) {
+		jobs := f.overload("a", 12, func(_ int, j *wire.Job) { j.Tasks = 3 })
+		f.expectForwarding("a")
+		f.awaitPrecisely("an accept", func() bool { return len(f.forwardedJobs("a")) > 0 })
 		for _, cell := range []string{"a", "b", "a"} {
 			c := f.cells[cell]
 			was := c.leader()
 			c.kill(was)
-			f.cells["a"].users.Cancel(jobs[len(f.spilled("a"))%len(jobs)])
+			f.cells["a"].users.Cancel(jobs[len(f.forwardedJobs("a"))%len(jobs)])
 			c.awaitLeader(was)
 			time.Sleep(2 * time.Second)
-			c.revive()
+			c.startAll()
 		}
 	})
 }
--- a/internal/controller/store_failures_test.go
+++ b/internal/controller/store_failures_test.go
@@ -11,39 +11,38 @@
 	"leadproxy/internal/wire"
 )
 
-// The state service loses answers, delays transactions, is slow or takes less. docs/failures.md tells which
-// code answers each combination. What must hold is the same for all: the checker looks
-// at it all the time, and inCluster ends a test only when all that was accepted is
-// served.
+// The key-value store loses answers, delays transactions, is slow or takes less. docs/failures.md lists the
+// code that handles each combination. The same must hold for all: the checker checks it all
+// the time, and runScenario ends a test only when all that was accepted is served.
 
 // TestLostTransactionAnswers: a transaction is carried out at once and only its answer
-// is lost, while other nodes read what it wrote.
+// is lost, while other controllers read what it wrote.
 func TestLostTransactionAnswers(t *testing.T) {
-	eachSeed(t, plan{run: long(20 * time.Second)}, func(c *cluster, _ *rand.Rand) {
-		c.writes.Store(c.share(0.3, fake.AnswerLost, 0, 0))
-		jobs := c.stream(0, 20, 400*time.Millisecond, nil)
-		for _, j := range half(jobs) {
+	runWithSeeds(t, clusterPlan{runTime: longRunning(20 * time.Second)}, func(c *cluster, _ *rand.Rand) {
+		c.writeFaults.Store(c.randomFaults(0.3, fake.AnswerLost, 0, 0))
+		jobs := c.submitJobs(0, 20, 400*time.Millisecond, nil)
+		for _, j := range everyOther(jobs) {
 			c.users.Cancel(j)
 			time.Sleep(200 * time.Millisecond)
 		}
 		time.Sleep(10 * time.Second)
 		c.kill(c.leader())
 		time.Sleep(20 * time.Second)
-		c.writes.Store(nil)
+		c.writeFaults.Store(nil)
 	})
 }
 
 // TestDelayedTransactions: a transaction without an answer is carried out 2 to 12 s
-// later, after newer ones of the same controller; a note of silent machines and
+// later, after newer ones of the same controller; a record of unreachable machines and
 // its withdrawal among them.
 func TestDelayedTransactions(t *testing.T) {
-	eachSeed(t, plan{run: long(20 * time.Second)}, func(c *cluster, _ *rand.Rand) {
-		c.writes.Store(c.share(0.25, fake.Delayed, 2*time.Second, 12*time.Second))
-		jobs := c.stream(0, 20, 400*time.Millisecond, nil)
-		for _, w := range half(c.cloud.Workers()) {
+	runWithSeeds(t, clusterPlan{runTime: longRunning(20 * time.Second)}, func(c *cluster, _ *rand.Rand) {
+		c.writeFaults.Store(c.randomFaults(0.25, fake.Delayed, 2*time.Second, 12*time.Second))
+		jobs := c.submitJobs(0, 20, 400*time.Millisecond, nil)
+		for _, w := range everyOther(c.cloud.Workers()) {
 			w.CutOutbound(true)
 		}
-		for _, j := range half(jobs) {
+		for _, j := range everyOther(jobs) {
 			c.users.Cancel(j)
 			time.Sleep(200 * time.Millisecond)
 		}
@@ -52,22 +51,22 @@
 			w.CutOutbound(false)
 		}
 		c.restart(c.leader(), 500*time.Millisecond)
-		c.stream(100, 10, 400*time.Millisecond, nil)
+		c.submitJobs(100, 10, 400*time.Millisecond, nil)
 		time.Sleep(20 * time.Second)
-		c.writes.Store(nil)
+		c.writeFaults.Store(nil)
 	})
 }
 
-// TestSlowState: the state service answers slowly, or refuses the leader
-// alone and then everybody for longer than cancel_s, while users cancel and ask.
+// TestSlowState: the key-value store answers slowly, or refuses the leader
+// alone and then everybody for longer than cancel_s, while users cancel and query.
 func TestSlowState(t *testing.T) {
 	for _, slow := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1600 * time.Millisecond} {
 		t.Run(fmt.Sprint(slow), func(t *testing.T) {
-			inCluster(t, plan{run: long(60 * time.Second)}, func(c *cluster) {
-				jobs := c.stream(0, 10, 300*time.Millisecond, nil)
-				c.running(10)
+			runScenario(t, clusterPlan{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
+				jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
+				c.awaitRunning(10)
 				c.state.Slow(slow)
-				for _, j := range half(jobs) {
+				for _, j := range everyOther(jobs) {
 					c.users.Cancel(j)
 					time.Sleep(time.Second)
 				}
@@ -95,9 +94,9 @@
 	}
 }
 
-// TestStateLimitsFall: the state service takes smaller values, smaller transactions
+// TestStateLimitsFall: the key-value store takes smaller values, smaller transactions
 // and fewer writes from some moment on, without notice: in the middle of work, as a
-// leader ends, at the end of an outage, or before all nodes are known to be upgraded.
+// leader ends, at the end of an outage, or before all controllers are known to be upgraded.
 func TestStateLimitsFall(t *testing.T) {
 	low := settings.StateLimits{RPS: 200, WriteRPS: 40, ValueKB: 1, TxnOps: 5}
 	for name, when := range map[string]func(c *cluster, fall func()){
@@ -116,11 +115,11 @@
 			fall()
 			c.state.Outage(false)
 		},
-		"while a node is missing": func(c *cluster, fall func()) {
+		"while a controller is missing": func(c *cluster, fall func()) {
 			c.kill(c.follower())
 			fall()
 		},
-		"before all nodes are known": func(_ *cluster, fall func()) {
+		"before all controllers are known": func(_ *cluster, fall func()) {
 			time.Sleep(6 * time.Second)
 			fall()
 		},
@@ -133,16 +132,16 @@
 				return []time.Duration{3 * time.Second, 25 * time.Second, 3 * time.Second, 63 * time.Second}[n%4]
 			}
 			absent := 0
-			if name == "before all nodes are known" {
+			if name == "before all controllers are known" {
 				absent = 1
 			}
-			inCluster(t, plan{next: &low, machines: 40, run: run, absent: absent}, func(c *cluster) {
-				jobs := c.stream(0, 3, 500*time.Millisecond, func(_ int, j *wire.Job) { j.Tasks, j.CPUs = 600, 0.25 })
-				c.running(300)
+			runScenario(t, clusterPlan{nextLimits: &low, maxMachines: 40, runTime: run, notStarted: absent}, func(c *cluster) {
+				jobs := c.submitJobs(0, 3, 500*time.Millisecond, func(_ int, j *wire.Job) { j.Tasks, j.CPUs = 600, 0.25 })
+				c.awaitRunning(300)
 				when(c, func() { c.state.Limit(low) })
 				time.Sleep(20 * time.Second)
 				if large := c.state.Largest("fin/"); large > 1024 && absent == 0 {
-					t.Errorf("%d bytes of finished tasks in a value, all nodes being upgraded", large)
+					t.Errorf("%d bytes of finished tasks in a value, all controllers being upgraded", large)
 				} else if large <= 1024 && absent > 0 {
 					t.Error("nothing was written as an older version reads it")
 				}
@@ -150,9 +149,9 @@
 					t.Error("no finished tasks are written in parts")
 				}
 				c.users.Cancel(jobs[2])
-				c.stream(100, 6, 500*time.Millisecond, nil)
+				c.submitJobs(100, 6, 500*time.Millisecond, nil)
 				time.Sleep(20 * time.Second)
-				c.revive()
+				c.startAll()
 			})
 		})
 	}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -12,12 +12,12 @@
 	"leadproxy/internal/wire"
 )
 
-// While a deployment is upgraded, nodes of this version work beside nodes of the one
+// While a deployment is upgraded, controllers of this version work beside controllers of the one
 // before, which neither announces itself nor uses what others announce. Here both are
 // this version at two levels of capabilities, on the fake clock; internal/compat has
 // the same with real processes of production.
 
-// upgrade ends a node and starts it with the current version.
+// upgrade ends a controller and starts it with the current version.
 func (c *cluster) upgrade(i int, after time.Duration) {
 	c.kill(i)
 	time.Sleep(after)
@@ -25,11 +25,11 @@
 	c.start(i)
 }
 
-// upgradeRest upgrades all nodes that are still old, one after the other, after a look
+// upgradeRest upgrades all controllers that are still old, one after the other, after a look
 // at what was written beside them.
 func (c *cluster) upgradeRest() {
 	c.t.Helper()
-	c.writesAreReadable()
+	c.checkWritesReadable()
 	for i, n := range c.nodes {
 		if n.level < capability.Level {
 			c.upgrade(i, 2*time.Second)
@@ -38,9 +38,9 @@
 	}
 }
 
-// upgradedNode is a node of the current version.
-func (c *cluster) upgradedNode() int {
-	return slices.IndexFunc(c.nodes, func(n *controller) bool { return n.level == capability.Level })
+// upgradedController is a controller of the current version.
+func (c *cluster) upgradedController() int {
+	return slices.IndexFunc(c.nodes, func(n *controllerProcess) bool { return n.level == capability.Level })
 }
 
 // leaderAtLevel ends leaders until one of a level leads.
@@ -54,7 +54,7 @@
 		}
 		time.Sleep(time.Second)
 	}
-	c.t.Errorf("no node of level %d leads", level)
+	c.t.Errorf("no controller of level %d leads", level)
 }
 
 // productionRecording is what production was seen to write.
@@ -65,9 +65,9 @@
 // when it does not need them.
 var unknownToProduction = map[string][]string{"job": {".ended_ms:number"}}
 
-// writesAreReadable sees to it that all that was written so far, with old nodes up, has
+// checkWritesReadable checks that all that was written so far, with old controllers up, has
 // the shape of what production writes itself.
-func (c *cluster) writesAreReadable() {
+func (c *cluster) checkWritesReadable() {
 	c.t.Helper()
 	recorded, err := compat.Read(productionRecording)
 	if err != nil {
@@ -102,8 +102,8 @@
 	return fields
 }
 
-// takesPipelines sees to it that a job that waits for another one is taken.
-func (c *cluster) takesPipelines() {
+// checkPipelinesAccepted checks that a job that waits for another one is taken.
+func (c *cluster) checkPipelinesAccepted() {
 	c.t.Helper()
 	c.await("all announced", 30*time.Second, func() bool { return c.state.Count(capability.Prefix) == len(c.nodes) })
 	first := fake.NewJob("job-700000", 2, nil)
@@ -117,9 +117,9 @@
 	}
 }
 
-// refusesPipelines sees to it that an upgraded node takes no job that waits for
-// others, and says when to come again.
-func (c *cluster) refusesPipelines() {
+// checkPipelinesRefused checks that an upgraded controller takes no job that waits for
+// others, and asks users to retry later.
+func (c *cluster) checkPipelinesRefused() {
 	c.t.Helper()
 	first := fake.NewJob("job-700000", 2, nil)
 	if !c.users.Accept(first) {
@@ -127,14 +127,14 @@
 	}
 	c.users.Poll(first)
 	second := fake.NewJob("job-700001", 1, func(j *wire.Job) { j.DependsOn = []string{first.ID} })
-	c.check.Submits(second, true)
-	if code, _ := c.users.Call(c.upgradedNode(), fake.AskedSubmit, second.ID, second); code != 503 {
-		c.t.Errorf("a job that waits for another one, with an old node up: %d, want 503", code)
+	c.checker.Submits(second, true)
+	if code, _ := c.users.Call(c.upgradedController(), fake.AskedSubmit, second.ID, second); code != 503 {
+		c.t.Errorf("a job that waits for another one, with a controller of the old version up: %d, want 503", code)
 	}
 }
 
-// TestVersionsSideBySide upgrades a cluster of old nodes in several ways, with jobs
-// that are submitted, cancelled and polled throughout. What the upgraded nodes write
+// TestVersionsSideBySide upgrades a cluster of old controllers in several ways, with jobs
+// that are submitted, cancelled and polled throughout. What the upgraded controllers write
 // before all are upgraded is what production writes; pipelines are taken afterwards.
 func TestVersionsSideBySide(t *testing.T) {
 	low := settings.StateLimits{RPS: 200, WriteRPS: 40, ValueKB: 1, TxnOps: 5}
@@ -144,7 +144,7 @@
 	}{
 		{"one after the other, the leader last", func(c *cluster) {
 			for range 2 {
-				c.upgrade(c.oldFollower(), 2*time.Second)
+				c.upgrade(c.oldVersionFollower(), 2*time.Second)
 				time.Sleep(8 * time.Second)
 			}
 			c.upgradeRest()
@@ -159,7 +159,7 @@
 			c.upgradeRest()
 		}},
 		{"an upgraded leader with old followers", func(c *cluster) {
-			c.upgrade(c.oldFollower(), 2*time.Second)
+			c.upgrade(c.oldVersionFollower(), 2*time.Second)
 			c.leaderAtLevel(capability.Level)
 			time.Sleep(20 * time.Second)
 			c.leaderAtLevel(0)
@@ -167,7 +167,7 @@
 			c.upgradeRest()
 		}},
 		{"the leader ends in the middle and is back old", func(c *cluster) {
-			c.upgrade(c.oldFollower(), time.Second)
+			c.upgrade(c.oldVersionFollower(), time.Second)
 			for range 3 {
 				c.leaderAtLevel(0)
 				c.restart(c.leader(), 500*time.Millisecond)
@@ -190,22 +190,22 @@
 			c.upgradeRest()
 		}},
 		{"an outage in the middle", func(c *cluster) {
-			c.upgrade(c.oldFollower(), time.Second)
+			c.upgrade(c.oldVersionFollower(), time.Second)
 			c.state.Outage(true)
 			time.Sleep(5 * time.Second)
-			c.upgrade(c.oldFollower(), time.Second)
+			c.upgrade(c.oldVersionFollower(), time.Second)
 			time.Sleep(10 * time.Second)
 			c.state.Outage(false)
 			time.Sleep(5 * time.Second)
 			c.upgradeRest()
 		}},
-		{"the limits fall as the last node is upgraded", func(c *cluster) {
+		{"the limits fall as the last controller is upgraded", func(c *cluster) {
 			for range 2 {
-				c.upgrade(c.oldFollower(), time.Second)
+				c.upgrade(c.oldVersionFollower(), time.Second)
 				time.Sleep(3 * time.Second)
 			}
-			c.writesAreReadable()
-			last := c.oldFollower()
+			c.checkWritesReadable()
+			last := c.oldVersionFollower()
 			c.kill(last)
 			c.state.Limit(low)
 			c.nodes[last].level = capability.Level
@@ -216,33 +216,33 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			inCluster(t, plan{old: 3, next: &low}, func(c *cluster) {
+			runScenario(t, clusterPlan{oldVersions: 3, nextLimits: &low}, func(c *cluster) {
 				stop := c.keepSubmitting()
 				time.Sleep(5 * time.Second)
 				s.play(c)
 				stop()
-				c.takesPipelines()
+				c.checkPipelinesAccepted()
 			})
 		})
 	}
 }
 
-// TestNodeThatIsNeverUpgraded: jobs are served as before, and none is taken that waits
+// TestControllerThatIsNeverUpgraded: jobs are served as before, and none is taken that waits
 // for others.
-func TestNodeThatIsNeverUpgraded(t *testing.T) {
-	playCluster(t, plan{old: 1}, false, func(c *cluster) {
+func TestControllerThatIsNeverUpgraded(t *testing.T) {
+	runScenarioOnce(t, clusterPlan{oldVersions: 1}, false, func(c *cluster) {
 		stop := c.keepSubmitting()
 		time.Sleep(20 * time.Second)
-		c.refusesPipelines()
+		c.checkPipelinesRefused()
 		c.leaderAtLevel(0)
-		c.refusesPipelines()
+		c.checkPipelinesRefused()
 		stop()
-		c.writesAreReadable()
+		c.checkWritesReadable()
 	})
 }
 
-// oldFollower is a node of the old version, one that does not lead if there is one.
-func (c *cluster) oldFollower() int {
+// oldVersionFollower is a controller of the old version, one that does not lead if there is one.
+func (c *cluster) oldVersionFollower() int {
 	lead, found := c.leader(), -1
 	for i, n := range c.nodes {
 		if n.level < capability.Level && (found < 0 || found == lead) {
@@ -258,7 +258,7 @@
 	ended := make(chan struct{})
 	c.users.Go(func() {
 		for k := 0; ; k++ {
-			j := c.stream(k, 1, 700*time.Millisecond, func(_ int, j *wire.Job) {
+			j := c.submitJobs(k, 1, 700*time.Millisecond, func(_ int, j *wire.Job) {
 				if k%2 == 0 {
 					j.Team = "tight"
 				}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -51,7 +51,7 @@
 type Standby interface {
 	// Promote returns the view that a term may decide on, or why there is none.
 	Promote(ctx context.Context, term uint64) (standby.View, error)
-	// Release tells that the term is over.
+	// Release ends the use of the view: the term is over.
 	Release()
 }
 
--- a/internal/dispatch/event_loop.go
+++ b/internal/dispatch/event_loop.go
@@ -60,8 +60,8 @@
 	t.core.Step(event, now, wall)
 }
 
-// updateCapabilities tells the core when the largest size of a value has changed, and when
-// all controllers know transfers between cells.
+// updateCapabilities passes a change of the largest size of a value to the core, and that all
+// controllers know transfers between cells.
 func (t *term) updateCapabilities() {
 	size := t.maxValueBytes()
 	now, wall := t.clocks()
--- a/internal/dispatch/foreign_records.go
+++ b/internal/dispatch/foreign_records.go
@@ -25,7 +25,7 @@
 var (
 	// errTermOver: the leader's key has changed, so this term may write nothing more.
 	errTermOver = errors.New("the term is over")
-	// errForeignChanged: somebody else has written the record's key.
+	// errForeignChanged: the record's key was written by another transaction.
 	errForeignChanged = errors.New("the key of the foreign job's record has changed")
 )
 
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestUserReplies: what the core says of a job becomes a state or a typed error.
+// TestUserReplies: the core's reply about a job becomes a state or a typed error.
 func TestUserReplies(t *testing.T) {
 	cases := []struct {
 		name  string
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -19,14 +19,14 @@
 	cloud   *autoscaler.Client
 	ticker  *time.Ticker
 	timings failoverTimings
-	// valueBytes is the largest size of a value that the core was last told of.
+	// valueBytes is the largest size of a value that the core knows.
 	valueBytes int
-	// transfersEnabled: the core was told that all controllers know transfers.
+	// transfersEnabled: the core knows that all controllers support transfers.
 	transfersEnabled bool
 }
 
 const (
-	// tickInterval is how often the core is told that time passes.
+	// tickInterval is how often the core gets a tick, by which it learns that time passes.
 	tickInterval = 250 * time.Millisecond
 	// maxTransactionBytes keeps a transaction of the ledger below the store's 64 KiB.
 	maxTransactionBytes = 48 << 10
--- a/internal/jobapi/http_test.go
+++ b/internal/jobapi/http_test.go
@@ -42,7 +42,7 @@
 		{name: "an accepted job whose team is gone", method: "POST", path: "/v2/runs", body: body(old, `"job-7"`, `"t"`, `"x"`), status: 200, says: "done"},
 		{name: "an accepted job, broken since", method: "POST", path: "/v2/runs", body: body(old, `"job-7"`, `"high"`, `"soon"`), status: 200, says: "done"},
 		// Under a storm an accepted job's repetitions found no room among the writes,
-		// and its user never heard that it was accepted.
+		// and its user never got the response that it was accepted.
 		{name: "a job that waits for others", method: "POST", path: "/v2/runs", body: body(`"due_s":null`, `"due_s":null,"waits_on":["job-7","job-8"]`), status: 201, says: "queued"},
 		{name: "it waits for a cancelled one", method: "POST", path: "/v2/runs", body: body(`"due_s":null`, `"due_s":null,"waits_on":["job-7","job-6"]`), status: 201, says: "aborted"},
 		{name: "through another one", method: "POST", path: "/v2/runs", body: body(`"due_s":null`, `"due_s":null,"waits_on":["job-5"]`), status: 201, says: "aborted"},
--- a/internal/jobapi/service.go
+++ b/internal/jobapi/service.go
@@ -1,6 +1,6 @@
 // Package jobapi serves the users' HTTP interface: submissions, status queries and
-// cancellations. Every controller serves it. No response may be older than what any controller
-// has told before, so terminal states come from the leader in its term or from a fresh read of
+// cancellations. Every controller serves it. No response may be older than one that any controller
+// has given before, so terminal states come from the leader in its term or from a fresh read of
 // the key-value store. The package owns the batch of submissions that wait for their commit,
 // and no other state.
 package jobapi
--- a/internal/peers/forwarded_heartbeats.go
+++ b/internal/peers/forwarded_heartbeats.go
@@ -13,7 +13,7 @@
 	// ReceiveForwarded responds to a heartbeat through respond, at once or later, or never.
 	// The response is made as it is written to the stream.
 	ReceiveForwarded(ctx context.Context, body []byte, respond func(response func() jobapi.Response))
-	// ForwarderConnected tells that a controller forwards heartbeats here until ctx, which is
+	// ForwarderConnected notes that a controller forwards heartbeats here until ctx, which is
 	// its stream's, ends.
 	ForwarderConnected(ctx context.Context, node string)
 }
--- a/internal/peers/forwarder.go
+++ b/internal/peers/forwarder.go
@@ -163,7 +163,7 @@
 	}
 }
 
-// dropAbandoned drops the heartbeats for whose responses nobody waits any more.
+// dropAbandoned drops the heartbeats whose callers have stopped waiting.
 func (h *inFlightHeartbeats) dropAbandoned() {
 	for id, heartbeat := range h.byID {
 		if time.Since(heartbeat.since) > abandonAfter {
--- a/internal/peers/heartbeat_forwarding.go
+++ b/internal/peers/heartbeat_forwarding.go
@@ -21,7 +21,7 @@
 	// in flight. Beyond it new ones are refused at once, so that their workers try
 	// another controller.
 	silenceLimit = 2 * time.Second
-	// abandonAfter is when nobody waits for a response any more.
+	// abandonAfter is when the caller has surely stopped waiting for a response.
 	abandonAfter = 5 * time.Second
 	// abandonCheckInterval is how often abandoned heartbeats are dropped.
 	abandonCheckInterval = time.Second
--- a/internal/peers/outgoing_stream.go
+++ b/internal/peers/outgoing_stream.go
@@ -17,7 +17,7 @@
 
 // outgoingStream is the stream of a forwarder, which may still be being opened.
 type outgoingStream struct {
-	number  int // tells its events from those of earlier streams
+	number  int // distinguishes its events from those of earlier streams
 	cancel  context.CancelFunc
 	batches chan *peerpb.ReportBatch
 }
