--- a/internal/scheduler/acknowledgements.go
+++ b/internal/scheduler/acknowledgements.go
@@ -9,8 +9,8 @@
 // markUnacknowledged notes a sign that a machine does not hear us: it gets no work until
 // it has echoed a higher token. That its reports come in shows nothing.
 func (c *Core) markUnacknowledged(m *machine) {
-	m.fencingToken++
-	m.tokenRaisedAt, m.unacknowledged = c.now, true
+	m.agent.fencingToken++
+	m.agent.tokenRaisedAt, m.agent.unacknowledged = c.clock.now, true
 	c.indexChanged(m)
 }
 
@@ -18,9 +18,9 @@
 // it if the answer has arrived. Not while a command is on its way there, which
 // would then be refused.
 func (c *Core) raiseFencingToken(m *machine) {
-	if m.trusted(c.term) && m.commandsInFlight == 0 && m.acknowledgedToken >= m.fencingToken && c.now-m.tokenRaisedAt >= c.agentLease/4 {
-		m.fencingToken++
-		m.tokenRaisedAt = c.now
+	if m.trusted(c.term) && m.commands.inFlight == 0 && m.agent.acknowledgedToken >= m.agent.fencingToken && c.clock.now-m.agent.tokenRaisedAt >= c.agents.lease/4 {
+		m.agent.fencingToken++
+		m.agent.tokenRaisedAt = c.clock.now
 	}
 }
 
@@ -36,49 +36,49 @@
 // late copy, but a worker that has truly begun anew counts from 1 again, and
 // must not be taken for a copy for ever.
 func (c *Core) inspectStaleSender(m *machine, r *wire.Heartbeat) {
-	wait := min(inspectEvery<<min(m.staleHeartbeats, 8), c.agentLease)
-	if r.Address == "" || m.inspecting || c.inspectionsInFlight >= maxInspects || c.now-m.lastInspection < wait && m.lastInspection > 0 {
+	wait := min(inspectEvery<<min(m.agent.staleHeartbeats, 8), c.agents.lease)
+	if r.Address == "" || m.agent.inspecting || c.agents.inspectionsInFlight >= maxInspects || c.clock.now-m.agent.lastInspection < wait && m.agent.lastInspection > 0 {
 		return
 	}
-	c.inspectionsInFlight++
-	m.inspecting, m.lastInspection = true, c.now
-	m.inspectedAt = heartbeatPosition{m.agentEpoch, m.heartbeatSequence}
-	c.emit(InspectWorker{Machine: m.name, Address: r.Address})
+	c.agents.inspectionsInFlight++
+	m.agent.inspecting, m.agent.lastInspection = true, c.clock.now
+	m.agent.inspectedAt = heartbeatPosition{m.agent.epoch, m.agent.sequence}
+	c.effects.emit(InspectWorker{Machine: m.name, Address: r.Address})
 }
 
 // inspectResult takes what a worker has said of itself after we had asked. If
 // that is older than what we had from it before we asked, it has begun anew.
 func (c *Core) inspectResult(e InspectResult) {
 	m := c.machineNamed(e.Machine)
-	m.inspecting = false
-	c.inspectionsInFlight--
+	m.agent.inspecting = false
+	c.agents.inspectionsInFlight--
 	r := e.Heartbeat
 	if r == nil || r.Machine != m.name || m.state == machineGone || r.FencingToken>>tokenBits > c.term {
 		return
 	}
-	if anew := (heartbeatPosition{r.AgentEpoch, r.Sequence}).before(m.inspectedAt); !anew {
-		m.staleHeartbeats++
+	if anew := (heartbeatPosition{r.AgentEpoch, r.Sequence}).before(m.agent.inspectedAt); !anew {
+		m.agent.staleHeartbeats++
 	} else {
-		m.staleHeartbeats = 0
-		c.log.Info("worker counts from the beginning again", "machine", m.name, "session", r.AgentEpoch, "bookings", len(m.allocations))
+		m.agent.staleHeartbeats = 0
+		c.log.Info("worker counts from the beginning again", "machine", m.name, "session", r.AgentEpoch, "bookings", len(m.capacity.allocations))
 		there := map[uint64]bool{}
 		for _, t := range r.Tasks {
 			there[t.Attempt] = true
 		}
-		for k := len(m.allocations) - 1; k >= 0; k-- {
+		for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
 			// A command on its way to the worker that was may yet be executed
 			// by the one that is.
-			if b := m.allocations[k]; m.unresolvedStarts[b.attempt] == 0 && !there[b.attempt] {
+			if b := m.capacity.allocations[k]; m.commands.unresolvedStarts[b.attempt] == 0 && !there[b.attempt] {
 				c.release(m, b)
 			}
 		}
-		m.agentEpoch, m.heartbeatSequence, m.expiredEpoch, m.acknowledgedToken, m.epochSeenAt = r.AgentEpoch, 0, 0, 0, c.now
+		m.agent.epoch, m.agent.sequence, m.agent.expiredEpoch, m.agent.acknowledgedToken, m.agent.epochSeenAt = r.AgentEpoch, 0, 0, 0, c.clock.now
 		c.markUnacknowledged(m)
 		// A late report of the life that is over looks newer than all that comes
 		// from now on.
-		m.minAcceptedToken = m.fencingToken
-		for a := range m.unresolvedStarts {
-			m.unresolvedStarts[a] = m.fencingToken
+		m.agent.minAcceptedToken = m.agent.fencingToken
+		for a := range m.commands.unresolvedStarts {
+			m.commands.unresolvedStarts[a] = m.agent.fencingToken
 		}
 	}
 	c.observe(m, r, false)
--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -4,6 +4,7 @@
 	"math"
 	"time"
 
+	"leadproxy/internal/slowfit"
 	"leadproxy/internal/wire"
 )
 
@@ -40,10 +41,24 @@
 	stopRepeated bool
 }
 
-func (c *Core) taskName(b *allocation) string { return wire.TaskName(c.jobs[b.job].id, int(b.task)) }
+// capacity is the room of one machine, what takes it, and the images it holds.
+type capacity struct {
+	total       slowfit.Size
+	free        slowfit.Size
+	load        float64 // of the present phase of the SLOW-FIT goal
+	phase       uint32
+	allocations []*allocation
+	idleSince   time.Duration
+	images      []imageSlot
+	reserved    bool // kept free for one job's first task
+}
+
+func (c *Core) taskName(b *allocation) string {
+	return wire.TaskName(c.jobs.list[b.job].id, int(b.task))
+}
 
 func (m *machine) allocation(attempt uint64) *allocation {
-	for _, b := range m.allocations {
+	for _, b := range m.capacity.allocations {
 		if b.attempt == attempt {
 			return b
 		}
@@ -54,27 +69,27 @@
 // allocate takes room on a machine. charge is false for a task that is only waited
 // for to be gone.
 func (c *Core) allocate(m *machine, j *job, n int32, attempt uint64, charge bool) *allocation {
-	b := &allocation{job: j.index, task: n, zone: m.zone, attempt: attempt, share: j.size.Share(m.total)}
+	b := &allocation{job: j.index, task: n, zone: m.zone, attempt: attempt, share: j.request.size.Share(m.capacity.total)}
 	if charge {
-		j.tasks[n].state = taskBooked
+		j.progress.tasks[n].state = taskBooked
 	} else {
 		b.stopping = true
 	}
 	if math.IsInf(b.share, 1) {
 		b.share = 0
 	}
-	j.booked++
+	j.progress.allocated++
 	j.zoned(b.zone, 1)
-	c.coresByClass[j.class] += j.size.CPUs
-	c.teams[j.team].booked = c.teams[j.team].booked.plus(unitsOf(j.size))
-	m.free = m.free.Minus(j.size)
-	if m.phase != c.goal.Phase {
-		m.phase, m.load = c.goal.Phase, 0
+	c.placement.coresByClass[j.request.class] += j.request.size.CPUs
+	c.placement.teams[j.request.team].booked = c.placement.teams[j.request.team].booked.plus(unitsOf(j.request.size))
+	m.capacity.free = m.capacity.free.Minus(j.request.size)
+	if m.capacity.phase != c.placement.goal.Phase {
+		m.capacity.phase, m.capacity.load = c.placement.goal.Phase, 0
 	}
-	b.phase = m.phase
-	m.load += b.share
-	m.allocations = append(m.allocations, b)
-	m.idleSince = c.now
+	b.phase = m.capacity.phase
+	m.capacity.load += b.share
+	m.capacity.allocations = append(m.capacity.allocations, b)
+	m.capacity.idleSince = c.clock.now
 	c.changed(m)
 	c.indexChanged(m)
 	return b
@@ -82,29 +97,29 @@
 
 // deallocate gives a booking's room back.
 func (c *Core) deallocate(m *machine, b *allocation) {
-	for k, o := range m.allocations {
+	for k, o := range m.capacity.allocations {
 		if o == b {
-			m.allocations = append(m.allocations[:k], m.allocations[k+1:]...)
+			m.capacity.allocations = append(m.capacity.allocations[:k], m.capacity.allocations[k+1:]...)
 			break
 		}
 	}
-	j := c.jobs[b.job]
-	j.booked--
+	j := c.jobs.list[b.job]
+	j.progress.allocated--
 	j.zoned(b.zone, -1)
-	c.coresByClass[j.class] -= j.size.CPUs
-	c.teams[j.team].booked = c.teams[j.team].booked.minus(unitsOf(j.size))
-	if len(m.allocations) == 0 {
-		m.free, m.load = m.total, 0
+	c.placement.coresByClass[j.request.class] -= j.request.size.CPUs
+	c.placement.teams[j.request.team].booked = c.placement.teams[j.request.team].booked.minus(unitsOf(j.request.size))
+	if len(m.capacity.allocations) == 0 {
+		m.capacity.free, m.capacity.load = m.capacity.total, 0
 	} else {
-		m.free = m.free.Plus(j.size)
-		if b.phase == m.phase {
-			m.load = max(0, m.load-b.share)
+		m.capacity.free = m.capacity.free.Plus(j.request.size)
+		if b.phase == m.capacity.phase {
+			m.capacity.load = max(0, m.capacity.load-b.share)
 		}
 	}
-	m.idleSince = c.now
+	m.capacity.idleSince = c.clock.now
 	c.changed(m)
 	c.indexChanged(m)
-	c.needsPlacement = true
+	c.placement.needed = true
 	c.settleJob(j)
 }
 
@@ -113,15 +128,15 @@
 	c.lostWork(m, b)
 	c.displaced(m, b, false, "its machine is lost")
 	c.deallocate(m, b)
-	c.requeue(c.jobs[b.job], b.task)
+	c.requeue(c.jobs.list[b.job], b.task)
 }
 
 // dropAllocations frees all of a machine whose tasks are certainly gone.
 func (c *Core) dropAllocations(m *machine, why string) {
-	for len(m.allocations) > 0 {
-		b := m.allocations[len(m.allocations)-1]
+	for len(m.capacity.allocations) > 0 {
+		b := m.capacity.allocations[len(m.capacity.allocations)-1]
 		c.log.Debug("task lost with its machine", "machine", m.name, "task", c.taskName(b), "why", why)
 		c.release(m, b)
 	}
-	m.pendingCommands = nil
+	m.commands.pending = nil
 }
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -12,23 +12,32 @@
 	attemptReserve = 1 << 20
 )
 
+// attempts numbers the attempts of a term.
+type attempts struct {
+	term      uint64
+	count     uint64
+	exhausted bool // the term is being given up since few attempts are left
+}
+
+func newAttempts(term uint64) attempts { return attempts{term: term} }
+
 // attemptsLeft tells whether another task can be started in this term.
-func (c *Core) attemptsLeft() bool { return c.attempts < maxAttempts }
+func (c *Core) attemptsLeft() bool { return c.attempts.count < maxAttempts }
 
 // nextAttempt numbers a new attempt.
 func (c *Core) nextAttempt() uint64 {
-	c.attempts++
-	return c.term<<tokenBits | c.attempts
+	c.attempts.count++
+	return c.attempts.term<<tokenBits | c.attempts.count
 }
 
 // endExhausted gives the term up when few attempts are left in it.
 func (c *Core) endExhausted() {
-	if c.attempts < maxAttempts-attemptReserve {
+	if c.attempts.count < maxAttempts-attemptReserve {
 		return
 	}
-	if !c.exhausted {
-		c.exhausted = true
-		c.log.Info("giving the term up: its attempts are nearly used up", "term", c.term, "attempts", c.attempts)
+	if !c.attempts.exhausted {
+		c.attempts.exhausted = true
+		c.log.Info("giving the term up: its attempts are nearly used up", "term", c.term, "attempts", c.attempts.count)
 	}
-	c.emit(ResignLeadership{})
+	c.effects.emit(ResignLeadership{})
 }
--- a/internal/scheduler/attempts_test.go
+++ b/internal/scheduler/attempts_test.go
@@ -16,11 +16,11 @@
 	ends := func() bool { return slices.Contains(g.out, Effect(ResignLeadership{})) }
 	g.wait(time.Second)
 	g.want("given up at the start", ends(), false)
-	g.c.attempts = maxAttempts - attemptReserve
+	g.c.attempts.count = maxAttempts - attemptReserve
 	g.wait(time.Second)
 	g.want("given up when few are left", ends(), true)
 
-	g.c.attempts = maxAttempts - 2
+	g.c.attempts.count = maxAttempts - 2
 	g.submit(newTestJob("job-1", 4, 1))
 	orders := g.starts()
 	g.want("started with two left", len(orders), 2)
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -21,21 +21,55 @@
 	maxCalls         = 4 // for one offer at once
 )
 
-// autoscaling is what the leader knows of the cloud and of its own demand.
+// autoscaling is what the leader knows of the cloud, of its own demand, and of what the machines
+// have cost.
 type autoscaling struct {
+	types           []machineType
+	typeIndexByName map[string]int32
+
 	pools         map[autoscaler.CapacityPool]*poolState
 	scaleOuts     map[string]*scaleOut
 	scaleOutCount uint64
-	nextList      time.Duration
-	nextTypes     time.Duration
-	nextPlan      time.Duration
-	listing       bool
-	readingTypes  bool
+	deletes       []string // to be asked for at the end of the step
+
+	nextList     time.Duration
+	nextTypes    time.Duration
+	nextPlan     time.Duration
+	listing      bool
+	readingTypes bool
+
 	demand        []autoscaler.DemandEstimator // by class
 	limitedDemand []autoscaler.DemandEstimator // by team, only of those with a limit
 	runRatios     []float64                    // by class, of run times to estimates; 0: not learned yet
-	deletes       []string                     // to be asked for at the end of the step
 	sizes         []sized                      // of the demand, the one with most core-seconds first
+
+	spending spendingLog
+}
+
+func newAutoscaling(now time.Duration, teams int) autoscaling {
+	return autoscaling{
+		typeIndexByName: map[string]int32{},
+		pools:           map[autoscaler.CapacityPool]*poolState{},
+		scaleOuts:       map[string]*scaleOut{},
+		limitedDemand:   make([]autoscaler.DemandEstimator, teams),
+		spending:        spendingLog{until: now, logged: now},
+	}
+}
+
+// machineType is a machine type of the cloud.
+type machineType struct {
+	wire.MachineType
+	total slowfit.Size
+	zones []int32
+	boot  time.Duration // learned
+}
+
+// price is what a machine of the type costs per hour at present.
+func (t *machineType) price(spot bool) float64 {
+	if spot {
+		return t.SpotPrice
+	}
+	return t.Price
 }
 
 type poolState struct {
@@ -48,11 +82,6 @@
 // worth at first, more once the cloud has filled some.
 func (o *poolState) maxCount() int { return min(1+o.fillsRequests, maxCalls) * autoscaler.MaxScaleOut }
 
-func (f *autoscaling) begin() {
-	f.pools = map[autoscaler.CapacityPool]*poolState{}
-	f.scaleOuts = map[string]*scaleOut{}
-}
-
 func (f *autoscaling) pool(o autoscaler.CapacityPool) *poolState {
 	if f.pools[o] == nil {
 		f.pools[o] = &poolState{}
@@ -63,23 +92,23 @@
 // autoscalingTick runs the routine: reading the cloud, returning, hiring.
 func (c *Core) autoscalingTick() {
 	f := &c.autoscaling
-	if !f.readingTypes && c.now >= f.nextTypes {
+	if !f.readingTypes && c.clock.now >= f.nextTypes {
 		f.readingTypes = true
-		c.emit(CallCloud{autoscaler.Call{Types: true}})
+		c.effects.emit(CallCloud{autoscaler.Call{Types: true}})
 	}
-	if !f.listing && c.now >= f.nextList {
+	if !f.listing && c.clock.now >= f.nextList {
 		f.listing = true
-		c.emit(CallCloud{autoscaler.Call{List: true}})
+		c.effects.emit(CallCloud{autoscaler.Call{List: true}})
 	}
 	for _, h := range f.scaleOuts {
-		if h.open && !h.sent && h.retry > 0 && c.now >= h.retry {
+		if h.open && !h.sent && h.retry > 0 && c.clock.now >= h.retry {
 			c.sendScaleOut(h)
 		}
 	}
-	if c.now < f.nextPlan || len(c.types) == 0 {
+	if c.clock.now < f.nextPlan || len(c.autoscaling.types) == 0 {
 		return
 	}
-	f.nextPlan = c.now + planEvery
+	f.nextPlan = c.clock.now + planEvery
 	c.scaleIn()
 	c.scaleOutMachines()
 }
@@ -96,16 +125,16 @@
 		}
 	case r.Call.Types:
 		c.autoscaling.readingTypes = false
-		c.autoscaling.nextTypes = c.now + typesEvery
+		c.autoscaling.nextTypes = c.clock.now + typesEvery
 		if r.Err != nil {
 			c.log.Debug("machine types not read", "error", r.Err)
-			c.autoscaling.nextTypes = c.now + time.Second
+			c.autoscaling.nextTypes = c.clock.now + time.Second
 			return
 		}
 		c.typesRead(r.Types)
 	case r.Call.List:
 		c.autoscaling.listing = false
-		c.autoscaling.nextList = c.now + listEvery
+		c.autoscaling.nextList = c.clock.now + listEvery
 		if r.Err != nil {
 			c.log.Debug("machines not listed", "error", r.Err)
 			return
@@ -116,38 +145,38 @@
 
 func (c *Core) typesRead(types []wire.MachineType) {
 	for _, t := range types {
-		i, ok := c.typeIndexByName[t.Name]
+		i, ok := c.autoscaling.typeIndexByName[t.Name]
 		if !ok {
-			i = int32(len(c.types))
-			c.typeIndexByName[t.Name] = i
-			c.types = append(c.types, machineType{MachineType: t, boot: settings.Seconds(t.BootS)})
+			i = int32(len(c.autoscaling.types))
+			c.autoscaling.typeIndexByName[t.Name] = i
+			c.autoscaling.types = append(c.autoscaling.types, machineType{MachineType: t, boot: settings.Seconds(t.BootS)})
 			c.inheritType(i)
 		}
-		mt := &c.types[i]
+		mt := &c.autoscaling.types[i]
 		mt.MachineType = t
 		mt.total = slowfit.Size{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
 		mt.zones = mt.zones[:0]
 		for _, z := range t.Zones {
-			mt.zones = append(mt.zones, c.zones.of(z))
+			mt.zones = append(mt.zones, c.machines.zones.of(z))
 		}
 		if !ok {
-			for _, m := range c.liveMachines {
+			for _, m := range c.machines.live {
 				if m.typeName == t.Name {
-					c.describe(m, t.Name, c.zones.list[m.zone], m.spot, "")
+					c.describe(m, t.Name, c.machines.zones.list[m.zone], m.spot, "")
 				}
 			}
-			for _, j := range c.activeJobs {
-				j.types = nil
+			for _, j := range c.jobs.active {
+				j.request.types = nil
 			}
-			c.needsPlacement = true
+			c.placement.needed = true
 		}
 	}
 }
 
 func (c *Core) listRead(list []wire.ListedMachine) {
-	for _, m := range c.liveMachines {
-		if m.listed {
-			m.missedListings++
+	for _, m := range c.machines.live {
+		if m.rental.listed {
+			m.rental.missedListings++
 		}
 	}
 	for i := range list {
@@ -156,16 +185,16 @@
 		if m.state == machineGone {
 			continue
 		}
-		if !m.listed {
-			m.listed = true
-			m.rentedAt = c.now - settings.Seconds(l.AgeS)
+		if !m.rental.listed {
+			m.rental.listed = true
+			m.rental.rentedAt = c.clock.now - settings.Seconds(l.AgeS)
 			c.scaleOutMachineSeen(m)
 		}
 		if m.typeName == "" {
 			c.describe(m, l.Type, l.Zone, l.Spot, l.Address)
 		}
-		m.missedListings = 0
-		if l.Status == wire.MachineRunning && settings.Seconds(l.AgeS) > c.now-c.termStart {
+		m.rental.missedListings = 0
+		if l.Status == wire.MachineRunning && settings.Seconds(l.AgeS) > c.clock.now-c.clock.termStart {
 			c.probe(m)
 		}
 		if l.Status == wire.MachineFailed {
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -192,7 +192,7 @@
 	for _, k := range []string{"reports", "dispatch.Direct", "writes"} {
 		b.ReportMetric(float64(s.counts[k])/float64(b.N), k+"/s")
 	}
-	b.ReportMetric(float64(s.c.attempts), "starts")
+	b.ReportMetric(float64(s.c.attempts.count), "starts")
 }
 
 // BenchmarkDependents is what jobs that wait for others cost by edge: to be seen, raised
--- a/internal/scheduler/cancel_test.go
+++ b/internal/scheduler/cancel_test.go
@@ -24,7 +24,7 @@
 	g.want("orders", verbs(g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskRunning, "")))), "stop ")
 	g.report(g.reportOf("vm-1", ours+1, taskIn(o, wire.TaskEnded, wire.ExitStopped)))
 	g.want("state", g.jobStatus("job-1"), wire.JobCancelled)
-	g.want("bookings left", g.c.jobs[0].booked, 0)
+	g.want("bookings left", g.c.jobs.list[0].progress.allocated, 0)
 }
 
 // TestCancelStopsTasksAtOnce: the write of a cancellation may be carried out and its
@@ -79,7 +79,7 @@
 	g.step(CommandResult{CommandID: start.CommandID, Outcome: CommandExecuted, Heartbeat: g.reportOf("vm-1", ours, taskIn(o, wire.TaskFetching, ""))})
 	g.want("the stop once the start was carried out", len(g.start) == 1 && g.start[0].Request.Commands[0].Verb == wire.VerbStop, true)
 	g.step(CommandResult{CommandID: g.start[0].CommandID, Outcome: CommandExecuted, Heartbeat: g.reportOf("vm-1", ours, taskIn(o, wire.TaskEnded, wire.ExitStopped))})
-	g.want("bookings left", g.c.jobs[0].booked, 0)
+	g.want("bookings left", g.c.jobs.list[0].progress.allocated, 0)
 }
 
 func TestCancelOfADoneJobSaysDone(t *testing.T) {
@@ -111,5 +111,5 @@
 	g.want("state", g.jobStatus("job-1"), wire.JobCancelled)
 	g.up("vm-1")
 	g.want("starts", len(g.starts()), 0)
-	g.want("settled", g.c.jobs[0].settled, true)
+	g.want("settled", g.c.jobs.list[0].end.settled, true)
 }
--- a/internal/scheduler/cancel_watch.go
+++ b/internal/scheduler/cancel_watch.go
@@ -26,10 +26,10 @@
 	Overdue  int // tasks that may have run past their bound
 }
 
-// cancelled is what the watch keeps.
-type cancelled struct {
-	counts cancelledCounts
-	logged time.Duration
+// cancellationWatch counts what is done about the tasks of cancelled jobs.
+type cancellationWatch struct {
+	counts   cancelledCounts
+	loggedAt time.Duration
 }
 
 // cancelBound is how long after the end of a cancelled job its tasks may be there, by two
@@ -42,7 +42,7 @@
 // overdue tells whether a job's tasks must all be gone. Time in which this controller stood
 // still or was suspended does not count: what it has booked is as old as that.
 func (c *Core) overdue(j *job) bool {
-	return j.terminal == wire.JobCancelled && j.terminalDurable && c.now-max(j.endedAt, c.tickingSince) > c.cancelBound()
+	return j.end.state == wire.JobCancelled && j.end.durable && c.clock.now-max(j.end.at, c.clock.tickingSince) > c.cancelBound()
 }
 
 // noteStop notes that an answer stops a task that must not run.
@@ -50,40 +50,40 @@
 	j, _, _ := c.taskOf(m, t)
 	switch {
 	case j == nil:
-		c.cancelWatch.counts.Unknown++
+		c.cancellations.counts.Unknown++
 		c.log.Info("stopping a task whose job is not known", "machine", m.name, "task", t.Task, "attempt", t.Attempt)
-	case j.terminal == wire.JobCancelled:
-		c.cancelWatch.counts.Repeated++
+	case j.end.state == wire.JobCancelled:
+		c.cancellations.counts.Repeated++
 		if c.debug {
 			c.log.Debug("stopping a cancelled task", "machine", m.name, "task", t.Task, "attempt", t.Attempt,
-				"status", t.Status, "since", (c.now - j.endedAt).Seconds(), "echoed", m.trusted(c.term))
+				"status", t.Status, "since", (c.clock.now - j.end.at).Seconds(), "echoed", m.trusted(c.term))
 		}
 	}
 }
 
 // watchCancelled looks for bookings of cancelled jobs past their bound, each job once.
 func (c *Core) watchCancelled() {
-	for _, j := range c.activeJobs {
-		if j.booked > 0 && !j.overdueNoted && c.overdue(j) {
-			j.overdueNoted = true
+	for _, j := range c.jobs.active {
+		if j.progress.allocated > 0 && !j.end.overdueLogged && c.overdue(j) {
+			j.end.overdueLogged = true
 			c.noteOverdue(j)
 		}
 	}
-	if c.now-c.cancelWatch.logged >= cancelledEvery {
+	if c.clock.now-c.cancellations.loggedAt >= cancelledEvery {
 		c.logCancelled()
 	}
 }
 
 // noteOverdue logs where a cancelled job's tasks may still be.
 func (c *Core) noteOverdue(j *job) {
-	for _, m := range c.liveMachines {
-		for _, b := range m.allocations {
+	for _, m := range c.machines.live {
+		for _, b := range m.capacity.allocations {
 			if b.job != j.index {
 				continue
 			}
-			c.cancelWatch.counts.Overdue++
+			c.cancellations.counts.Overdue++
 			c.log.Error(MessageCancelledTaskOverdue, "term", c.term, "machine", m.name, "task", c.taskName(b), "attempt", b.attempt, "status", b.status,
-				"since", (c.now - j.endedAt).Seconds(), "heard", (c.now - m.lastHeartbeat).Seconds(), "echoed", (c.now - m.lastAcknowledged).Seconds(),
+				"since", (c.clock.now - j.end.at).Seconds(), "heard", (c.clock.now - m.agent.lastHeartbeat).Seconds(), "echoed", (c.clock.now - m.agent.lastAcknowledged).Seconds(),
 				"deleting", m.state == machineDeleting, "stop_ordered", b.stopping)
 		}
 	}
@@ -91,8 +91,8 @@
 
 // logCancelled logs what was done about cancelled tasks, if there was anything.
 func (c *Core) logCancelled() {
-	if n := c.cancelWatch.counts; n != (cancelledCounts{}) {
+	if n := c.cancellations.counts; n != (cancelledCounts{}) {
 		c.log.Info("cancelled tasks", "stops_due", n.Due, "stops_repeated", n.Repeated, "unknown_tasks", n.Unknown, "overdue", n.Overdue)
 	}
-	c.cancelWatch = cancelled{logged: c.now}
+	c.cancellations = cancellationWatch{loggedAt: c.clock.now}
 }
--- a/internal/scheduler/cancel_watch_test.go
+++ b/internal/scheduler/cancel_watch_test.go
@@ -58,7 +58,7 @@
 			g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 			g.settle(CommandOutcomeUnknown)
 			q.act(g, task)
-			g.want("noted", g.c.jobs[0].overdueNoted, q.want)
+			g.want("noted", g.c.jobs.list[0].end.overdueLogged, q.want)
 		})
 	}
 }
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -8,9 +8,45 @@
 	"leadproxy/internal/wire"
 )
 
+// commands is what is on its way to agents: the commands of the present step, those whose result
+// is not known yet, and the responses to heartbeats that are still open.
+type commands struct {
+	openAnswers          []heldAnswer // of this step
+	awaitingWrites       []heldAnswer // that wait for starts to be durable
+	heldForUnreachable   []heldAnswer // to machines with an unreachable-agent record
+	machinesWithCommands []*machine   // with commands of this step
+	inFlight             map[uint64]*commandInFlight
+	lastID               uint64
+}
+
+func newCommands() commands { return commands{inFlight: map[uint64]*commandInFlight{}} }
+
+// machineCommands is what is on its way to the agent of one machine.
+type machineCommands struct {
+	pending          []wire.Command
+	inFlight         int
+	unresolvedStarts map[uint64]uint64 // starts that may yet be executed: attempt -> token that rules it out
+	openAnswer       int               // the response that is open for it, from 1; 0: none
+	// heldHeartbeat is the heartbeat whose response waits for starts to be durable.
+	heldHeartbeat *wire.Heartbeat
+	avoidUntil    time.Duration // until then nothing is started on it: commands do not arrive
+}
+
+// commandInFlight is a command whose result is not known yet.
+type commandInFlight struct {
+	machine              *machine
+	agentEpoch           uint64
+	fencingToken         uint64
+	startedAttempts      []uint64
+	stoppedAttempts      []uint64
+	probe                bool
+	sent                 time.Duration // of a probe
+	addressFromSoftState bool          // a probe to an address that only inherited soft state names
+}
+
 // sendPlanned sends the starts that waited for their host to be durable.
 func (c *Core) sendPlanned(j *job, m *machine) {
-	for _, b := range slices.Clone(m.allocations) {
+	for _, b := range slices.Clone(m.capacity.allocations) {
 		switch {
 		case b.job != j.index || b.state != allocationPlanned:
 		case c.accepts(m) && !j.over():
@@ -28,10 +64,10 @@
 
 // queueCommand has a machine told something at the end of the step.
 func (c *Core) queueCommand(m *machine, o wire.Command) {
-	if len(m.pendingCommands) == 0 {
-		c.machinesWithCommands = append(c.machinesWithCommands, m)
+	if len(m.commands.pending) == 0 {
+		c.commands.machinesWithCommands = append(c.commands.machinesWithCommands, m)
 	}
-	m.pendingCommands = append(m.pendingCommands, o)
+	m.commands.pending = append(m.commands.pending, o)
 }
 
 // flush gives the answers that are open and turns the orders that don't travel
@@ -41,25 +77,25 @@
 	c.writeJobs()
 	c.resumeAnswers()
 	c.giveAnswers()
-	for _, m := range c.machinesWithCommands {
-		if m.heldHeartbeat != nil {
+	for _, m := range c.commands.machinesWithCommands {
+		if m.commands.heldHeartbeat != nil {
 			continue // they go with its answer
 		}
-		orders := m.pendingCommands
-		m.pendingCommands = nil
+		orders := m.commands.pending
+		m.commands.pending = nil
 		for len(orders) > 0 {
 			n := min(len(orders), maxCommandsPerResponse)
 			c.command(m, orders[:n])
 			orders = orders[n:]
 		}
 	}
-	clear(c.machinesWithCommands)
-	c.machinesWithCommands = c.machinesWithCommands[:0]
+	clear(c.commands.machinesWithCommands)
+	c.commands.machinesWithCommands = c.commands.machinesWithCommands[:0]
 	c.flushDeletes()
 }
 
 func (c *Core) command(m *machine, orders []wire.Command) {
-	call := &commandInFlight{machine: m, agentEpoch: m.agentEpoch, fencingToken: m.fencingToken}
+	call := &commandInFlight{machine: m, agentEpoch: m.agent.epoch, fencingToken: m.agent.fencingToken}
 	kept := make([]wire.Command, 0, len(orders))
 	for _, o := range orders {
 		switch o.Verb {
@@ -73,7 +109,7 @@
 			b.state = allocationSent
 			// Until the command's outcome is known, or a raised token rules it
 			// out, this start may act at any time.
-			m.unresolvedStarts[o.Attempt] = math.MaxUint64
+			m.commands.unresolvedStarts[o.Attempt] = math.MaxUint64
 			call.startedAttempts = append(call.startedAttempts, o.Attempt)
 		}
 		kept = append(kept, o)
@@ -86,10 +122,10 @@
 // send has a direct command carried out and remembers it until it is back.
 func (c *Core) send(call *commandInFlight, orders []wire.Command) {
 	m := call.machine
-	c.lastCommandID++
-	m.commandsInFlight++
-	c.commandsInFlight[c.lastCommandID] = call
-	c.emit(SendCommands{CommandID: c.lastCommandID, Machine: m.name, Address: m.address,
+	c.commands.lastID++
+	m.commands.inFlight++
+	c.commands.inFlight[c.commands.lastID] = call
+	c.effects.emit(SendCommands{CommandID: c.commands.lastID, Machine: m.name, Address: m.agent.address,
 		Request: wire.CommandRequest{FencingToken: call.fencingToken, AgentEpoch: call.agentEpoch, Commands: orders}})
 }
 
@@ -97,13 +133,13 @@
 const shunFor = 4 * time.Second
 
 func (c *Core) commandResult(e CommandResult) {
-	call := c.commandsInFlight[e.CommandID]
-	delete(c.commandsInFlight, e.CommandID)
+	call := c.commands.inFlight[e.CommandID]
+	delete(c.commands.inFlight, e.CommandID)
 	if call == nil {
 		return
 	}
 	m := call.machine
-	m.commandsInFlight--
+	m.commands.inFlight--
 	if call.probe {
 		defer c.probeResult(call, e.Outcome)
 	}
@@ -117,7 +153,7 @@
 	if e.Outcome == CommandOutcomeUnknown || e.Outcome == CommandNotSent {
 		// Its reports may still come, but starts don't arrive: leave it alone
 		// for a while rather than book the same tasks there again and again.
-		m.avoidUntil = c.now + shunFor
+		m.commands.avoidUntil = c.clock.now + shunFor
 		c.markUnacknowledged(m)
 	}
 	switch e.Outcome {
@@ -145,15 +181,15 @@
 // can't be executed any more, and what is not there then will never be.
 func (c *Core) commandOutcomeUnknown(call *commandInFlight) {
 	m := call.machine
-	if m.agentEpoch != call.agentEpoch {
+	if m.agent.epoch != call.agentEpoch {
 		return // it can only be refused
 	}
 	for _, a := range call.startedAttempts {
-		if _, ok := m.unresolvedStarts[a]; ok {
-			m.unresolvedStarts[a] = call.fencingToken + 1
+		if _, ok := m.commands.unresolvedStarts[a]; ok {
+			m.commands.unresolvedStarts[a] = call.fencingToken + 1
 		}
 	}
-	c.log.Debug("direct command unanswered", "machine", m.name, "starts", len(call.startedAttempts), "token", m.fencingToken)
+	c.log.Debug("direct command unanswered", "machine", m.name, "starts", len(call.startedAttempts), "token", m.agent.fencingToken)
 }
 
 // eachSent settles the starts of a command whose outcome is known, and calls f for the
@@ -161,7 +197,7 @@
 func (c *Core) eachSent(call *commandInFlight, f func(b *allocation)) {
 	m := call.machine
 	for _, a := range call.startedAttempts {
-		delete(m.unresolvedStarts, a)
+		delete(m.commands.unresolvedStarts, a)
 		if b := m.allocation(a); b != nil && b.state == allocationSent {
 			f(b)
 		}
--- a/internal/scheduler/core_test.go
+++ b/internal/scheduler/core_test.go
@@ -191,7 +191,7 @@
 	g.held = true // so that the start waits for the report
 	g.submit(newTestJob("job-2", 1, 1))
 	m := g.c.machineNamed("vm-1")
-	g.c.sendPlanned(g.c.jobs[1], m)
+	g.c.sendPlanned(g.c.jobs.list[1], m)
 	g.want("with a start", verbs(g.report(g.reportOf("vm-1", ours, done, runs))), "start forget ")
 }
 
@@ -291,7 +291,7 @@
 		t.Fatalf("repeated %v, want h6-1 only", g.hires)
 	}
 	g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{ScaleOut: &g.hires[0]}, Machines: []string{"vm-1", "vm-2"}}})
-	g.want("machines known", len(g.c.liveMachines), 3)
+	g.want("machines known", len(g.c.machines.live), 3)
 }
 
 func TestHireIsDurableBeforeItIsSent(t *testing.T) {
@@ -393,7 +393,7 @@
 	}
 	g.release()
 	n := 0
-	for _, k := range g.c.jobs[0].tasks {
+	for _, k := range g.c.jobs.list[0].progress.tasks {
 		if k.state == taskDurable {
 			n++
 		}
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -16,17 +16,17 @@
 // mayLeave tells whether a job can run in another cell: whole, never started anywhere,
 // of this cell, and not bound to a zone of it.
 func (c *Core) mayLeave(j *job) bool {
-	return j.placeable(c.now) && j.origin == "" && !j.startedOnce && j.booked == 0 && len(j.hosts) == 0 && j.done == 0 &&
-		j.reservedMachine == nil && j.zone < 0 && !j.suspect() && c.federation.delegated.MayBegin(j.id)
+	return j.placeable(c.clock.now) && j.transfer.origin == "" && !j.progress.startedOnce && j.progress.allocated == 0 && len(j.record.hosts) == 0 && j.progress.done == 0 &&
+		j.placement.reservedMachine == nil && j.request.zone < 0 && !j.suspect() && c.federation.delegated.MayBegin(j.id)
 }
 
 // expectedLate tells whether a job that begins after a wait misses its deadline or,
 // without one, waits longer than it may.
 func (c *Core) expectedLate(j *job, wait time.Duration) bool {
-	if j.deadline == never {
-		return c.now-j.arrived+wait > c.federation.cells.MaxWait
+	if j.priority.deadline == never {
+		return c.clock.now-j.priority.arrived+wait > c.federation.cells.MaxWait
 	}
-	return c.now+wait+c.expectedRun(j) > j.deadline
+	return c.clock.now+wait+c.expectedRun(j) > j.priority.deadline
 }
 
 // findCellForJobs offers jobs to neighbours that have room for them while this cell is short
@@ -34,7 +34,7 @@
 func (c *Core) findCellForJobs() {
 	t := &c.federation
 	late := c.expectedLateJobs()
-	if !t.shortage.Look(c.now, len(late) > 0 && !c.canScaleOut()) {
+	if !t.shortage.Look(c.clock.now, len(late) > 0 && !c.canScaleOut()) {
 		return
 	}
 	wanted := 0.0
@@ -63,14 +63,14 @@
 	t := &c.federation
 	o := &offering{cells: make([]federation.Cell, len(t.neighbours)), used: c.uncertainUse()}
 	for i := range o.used {
-		o.used[i] = o.used[i].plus(c.teams[i].booked)
+		o.used[i] = o.used[i].plus(c.placement.teams[i].booked)
 	}
 	idle := true
 	for i, n := range t.neighbours {
 		jobs, cores := c.delegatedTo(n)
 		idle = idle && jobs == 0
 		o.cells[i] = federation.Cell{Capacity: n.MaxCores, Used: cores, Jobs: n.MaxJobs - jobs}
-		if c.now < n.until && !n.Drain {
+		if c.clock.now < n.until && !n.Drain {
 			o.cells[i].Credit = n.credit
 		}
 	}
@@ -90,9 +90,9 @@
 // shared by the cores that there are. A job that leaves is ahead of none.
 func (c *Core) expectedLateJobs() []*job {
 	cores, ahead := 0.0, 0.0
-	for _, m := range c.liveMachines {
+	for _, m := range c.machines.live {
 		if c.counts(m) {
-			cores += m.total.CPUs
+			cores += m.capacity.total.CPUs
 			ahead += c.busy(m)
 		}
 	}
@@ -116,7 +116,7 @@
 	if len(c.openScaleOuts()) > 0 {
 		return true
 	}
-	if slices.ContainsFunc(c.liveMachines, func(m *machine) bool { return m.state == machineStarting && m.typ >= 0 }) {
+	if slices.ContainsFunc(c.machines.live, func(m *machine) bool { return m.state == machineStarting && m.typ >= 0 }) {
 		return true
 	}
 	if most := c.cfg.Operator.MaxMachines; most > 0 && c.machineCount() >= most {
@@ -138,11 +138,11 @@
 	for i, n := range c.federation.neighbours {
 		cell := choice.cells[i]
 		free := min(cores, cell.Capacity-cell.Used)
-		if n.Drain || n.capacityRequested || c.now < n.nextCapacityRequest || cell.Jobs <= 0 || free <= 0 || cell.Credit >= free {
+		if n.Drain || n.capacityRequested || c.clock.now < n.nextCapacityRequest || cell.Jobs <= 0 || free <= 0 || cell.Credit >= free {
 			continue
 		}
 		n.capacityRequested = true
-		c.emit(AskCapacity{Cell: n.Name, Cores: free})
+		c.effects.emit(AskCapacity{Cell: n.Name, Cores: free})
 	}
 }
 
@@ -156,12 +156,12 @@
 		return
 	}
 	n.capacityRequested = false
-	n.nextCapacityRequest = c.now + max(askAgain, e.RetryAfter)
+	n.nextCapacityRequest = c.clock.now + max(askAgain, e.RetryAfter)
 	if e.Err != nil {
 		c.log.Debug("neighbour not asked for room", "cell", n.Name, "error", e.Err)
 		return
 	}
-	n.credit, n.until = e.Cores, c.now+e.For
+	n.credit, n.until = e.Cores, c.clock.now+e.For
 	if n.reason != e.Reason {
 		n.reason = e.Reason
 		if e.Reason != "" {
@@ -178,9 +178,9 @@
 // delegatedTo is what is away in a cell: jobs, and their cores.
 func (c *Core) delegatedTo(n *neighbour) (jobs int, cores float64) {
 	for _, ref := range c.federation.delegated.With(n.Name) {
-		if at, ok := c.jobIndexByID[ref]; ok && !c.jobs[at].over() {
+		if at, ok := c.jobs.indexByID[ref]; ok && !c.jobs.list[at].over() {
 			jobs++
-			cores += c.jobs[at].cores()
+			cores += c.jobs.list[at].cores()
 		}
 	}
 	return jobs, cores
@@ -189,7 +189,7 @@
 // offer begins the transfer of a job to the neighbour that the choice names, if its
 // team's limit leaves room for all of it: tasks in other cells count there as well.
 func (c *Core) offer(j *job, o *offering) {
-	if c.roomInLimit(j, o.used[j.team]) < j.total {
+	if c.roomInLimit(j, o.used[j.request.team]) < j.progress.total {
 		return
 	}
 	for i, n := range c.federation.neighbours {
@@ -206,8 +206,8 @@
 	n, cell := c.federation.neighbours[at], &o.cells[at]
 	n.credit -= j.cores()
 	cell.Credit, cell.Used, cell.Jobs = n.credit, cell.Used+j.cores(), cell.Jobs-1
-	o.used[j.team] = o.used[j.team].plus(unitsOf(j.size).times(j.total))
-	j.delegated = true
-	c.federation.delegated.Begin(j.id, n.Name, body, c.now, c.wall)
-	c.log.Info("job is offered to a neighbour", "job", j.id, "cell", n.Name, "cores", j.cores(), "waited_s", (c.now - j.arrived).Seconds(), "share", j.cores()/n.MaxCores)
+	o.used[j.request.team] = o.used[j.request.team].plus(unitsOf(j.request.size).times(j.progress.total))
+	j.transfer.delegated = true
+	c.federation.delegated.Begin(j.id, n.Name, body, c.clock.now, c.clock.wallMS)
+	c.log.Info("job is offered to a neighbour", "job", j.id, "cell", n.Name, "cores", j.cores(), "waited_s", (c.clock.now - j.priority.arrived).Seconds(), "share", j.cores()/n.MaxCores)
 }
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -13,15 +13,15 @@
 // arrived learns from a job that has just come in.
 func (c *Core) arrived(j *job) {
 	f := &c.autoscaling
-	cores := j.size.CPUs * float64(j.total)
-	c.learnArrival(j.class, j.team, j.arrived, cores, c.expectedRun(j).Seconds())
-	f.addSize(j.size, cores*j.spec.EstimatedRunS, c.classObjectives[j.class].wait > 0)
+	cores := j.request.size.CPUs * float64(j.progress.total)
+	c.learnArrival(j.request.class, j.request.team, j.priority.arrived, cores, c.expectedRun(j).Seconds())
+	f.addSize(j.request.size, cores*j.spec.EstimatedRunS, c.placement.classObjectives[j.request.class].wait > 0)
 }
 
 // learnArrival learns the demand from one job.
 func (c *Core) learnArrival(class, team int32, at time.Duration, cores, seconds float64) {
 	c.autoscaling.demand[class].ObserveArrival(at, cores, seconds)
-	if c.teams[team].limit.cpus > 0 {
+	if c.placement.teams[team].limit.cpus > 0 {
 		c.autoscaling.limitedDemand[team].ObserveArrival(at, cores, seconds)
 	}
 }
@@ -85,11 +85,11 @@
 // team asks for beyond its limit is none of it.
 func (c *Core) headroomCores() float64 {
 	spread := c.cfg.Operator.HeadroomSpread
-	mean, deviation := autoscaler.Demand(c.now, c.autoscaling.demand)
+	mean, deviation := autoscaler.Demand(c.clock.now, c.autoscaling.demand)
 	variance, capped := deviation*deviation, 0.0
-	for i, t := range c.teams {
+	for i, t := range c.placement.teams {
 		if t.limit.cpus > 0 {
-			m, d := autoscaler.Demand(c.now, c.autoscaling.limitedDemand[i:i+1])
+			m, d := autoscaler.Demand(c.clock.now, c.autoscaling.limitedDemand[i:i+1])
 			mean, variance = mean-m, variance-d*d
 			capped += min(m+spread*d, float64(t.limit.cpus)/perUnit)
 		}
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -31,65 +31,65 @@
 
 // blocked tells whether a job waits for others, or is away. It takes no part of its
 // team's guarantee, is in no queue, and hires nothing.
-func (j *job) blocked() bool { return j.deps.open > 0 || j.delegated }
+func (j *job) blocked() bool { return j.dependencies.open > 0 || j.transfer.delegated }
 
 // linkDependencies brings a new job into the graph, as a job that needs others and as one that
 // others wait for.
 func (c *Core) linkDependencies(j *job) {
 	if j.spec != nil && !j.over() {
 		for _, ref := range j.spec.DependsOn {
-			if at, ok := c.jobIndexByID[ref]; ok {
-				c.needs(j, c.jobs[at])
+			if at, ok := c.jobs.indexByID[ref]; ok {
+				c.needs(j, c.jobs.list[at])
 				continue
 			}
-			j.deps.open++
-			c.awaitedJobs[ref] = append(c.awaitedJobs[ref], j.index)
+			j.dependencies.open++
+			c.jobs.awaited[ref] = append(c.jobs.awaited[ref], j.index)
 		}
 	}
-	for _, at := range c.awaitedJobs[j.id] {
-		child := c.jobs[at]
-		child.deps.open-- // counted while it was not seen
+	for _, at := range c.jobs.awaited[j.id] {
+		child := c.jobs.list[at]
+		child.dependencies.open-- // counted while it was not seen
 		c.needs(child, j)
 		if !child.blocked() && !child.over() {
-			c.becomesReady(child, c.now)
+			c.becomesReady(child, c.clock.now)
 		}
 	}
-	delete(c.awaitedJobs, j.id)
+	delete(c.jobs.awaited, j.id)
 }
 
 // needs notes that a job waits for another one.
 func (c *Core) needs(j, p *job) {
-	j.deps.dependsOn = append(j.deps.dependsOn, p.index)
-	if p.terminalDurable && p.terminal == wire.JobDone {
+	j.dependencies.dependsOn = append(j.dependencies.dependsOn, p.index)
+	if p.end.durable && p.end.state == wire.JobDone {
 		return
 	}
-	j.deps.open++
-	p.deps.dependents = append(p.deps.dependents, j.index)
+	j.dependencies.open++
+	p.dependencies.dependents = append(p.dependencies.dependents, j.index)
 }
 
 // settleDependencies draws the conclusions for a job that has been linked: it may be
 // cancelled with an ancestor, ready, or raise those that it waits for.
 func (c *Core) settleDependencies(j *job) {
-	for _, at := range j.deps.dependsOn {
-		if p := c.jobs[at]; p.terminalDurable && p.terminal == wire.JobCancelled {
+	for _, at := range j.dependencies.dependsOn {
+		if p := c.jobs.list[at]; p.end.durable && p.end.state == wire.JobCancelled {
 			c.cancelDependent(j, p)
 			return
 		}
 	}
 	c.raisePriority(j)
 	if j.blocked() {
-		c.log.Debug("job waits for others", "job", j.id, "open", j.deps.open, "first", c.firstOpen(j))
+		c.log.Debug("job waits for others", "job", j.id, "open", j.dependencies.open, "first", c.firstOpen(j))
 	}
 }
 
 // firstOpen names a job that another one waits for.
 func (c *Core) firstOpen(j *job) string {
 	for _, ref := range j.spec.DependsOn {
-		at, ok := c.jobIndexByID[ref]
+		at, ok := c.jobs.indexByID[ref]
 		if !ok {
 			return ref + " (not seen yet)"
 		}
-		if p := c.jobs[at]; !p.terminalDurable {
+		if p := c.jobs.list[at]; !p.end.durable {
 			return ref
 		}
 	}
@@ -102,17 +102,17 @@
 	todo := []*job{j}
 	for len(todo) > 0 {
 		j, todo = todo[len(todo)-1], todo[:len(todo)-1]
-		due := j.deadline
+		due := j.priority.deadline
 		if due != never {
 			due -= c.expectedRun(j)
 		}
-		for _, at := range j.deps.dependsOn {
-			p := c.jobs[at]
-			if p.over() || p.spec == nil || p.priorityClass <= j.priorityClass && p.deadline <= due {
+		for _, at := range j.dependencies.dependsOn {
+			p := c.jobs.list[at]
+			if p.over() || p.spec == nil || p.priority.class <= j.priority.class && p.priority.deadline <= due {
 				continue
 			}
-			p.priorityClass, p.deadline = min(p.priorityClass, j.priorityClass), min(p.deadline, due)
-			c.needsPlacement = true
+			p.priority.class, p.priority.deadline = min(p.priority.class, j.priority.class), min(p.priority.deadline, due)
+			c.placement.needed = true
 			todo = append(todo, p)
 		}
 	}
@@ -120,43 +120,43 @@
 
 // raisePriorityBy has a job that was seen late be as urgent as those that wait for it.
 func (c *Core) raisePriorityBy(p *job) {
-	for _, at := range p.deps.dependents {
-		c.raisePriority(c.jobs[at])
+	for _, at := range p.dependencies.dependents {
+		c.raisePriority(c.jobs.list[at])
 	}
 }
 
 // releaseDependents tells a job's dependents that it is durably over.
 func (c *Core) releaseDependents(p *job) {
-	children := p.deps.dependents
-	p.deps.dependents = nil
+	children := p.dependencies.dependents
+	p.dependencies.dependents = nil
 	for _, at := range children {
-		j := c.jobs[at]
-		if p.terminal == wire.JobCancelled {
+		j := c.jobs.list[at]
+		if p.end.state == wire.JobCancelled {
 			c.cancelDependent(j, p)
 			continue
 		}
-		if j.deps.open--; j.deps.open == 0 && !j.over() {
-			c.becomesReady(j, c.now)
+		if j.dependencies.open--; j.dependencies.open == 0 && !j.over() {
+			c.becomesReady(j, c.clock.now)
 		}
 	}
 }
 
 // becomesReady counts a job's waits, and what it asks for, from a moment on.
 func (c *Core) becomesReady(j *job, at time.Duration) {
-	j.arrived = at
+	j.priority.arrived = at
 	c.arrived(j)
-	c.needsPlacement = true
-	c.log.Debug("all that a job waits for is done", "job", j.id, "tasks", j.total)
+	c.placement.needed = true
+	c.log.Debug("all that a job waits for is done", "job", j.id, "tasks", j.progress.total)
 }
 
 // cancelDependent cancels a job since another one that it needs is cancelled.
 func (c *Core) cancelDependent(j, p *job) {
-	if j.terminalDurable {
+	if j.end.durable {
 		return
 	}
 	c.log.Debug("job is cancelled with one that it needs", "job", j.id, "needs", p.id)
 	if !j.over() {
-		j.terminal = wire.JobCancelled
+		j.end.state = wire.JobCancelled
 		c.writeTerminal(j, false)
 	}
 	c.terminalIsDurable(j)
@@ -167,49 +167,49 @@
 // directly or through others. That may have been carried out and its answer lost;
 // another node has then read it and told a user, and "queued" would go back on that.
 func (c *Core) terminalStatePending(j *job) bool {
-	if j.terminalDurable {
+	if j.end.durable {
 		return false
 	}
 	if j.over() {
 		return true
 	}
-	if len(c.cancelling) == 0 {
+	if len(c.jobs.cancelling) == 0 {
 		return false // as nearly always; an ancestor need not be looked for
 	}
 	seen := map[int32]bool{}
-	todo := slices.Clone(j.deps.dependsOn)
+	todo := slices.Clone(j.dependencies.dependsOn)
 	for len(todo) > 0 {
 		at := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		p := c.jobs[at]
-		if p.terminalDurable || seen[at] {
+		p := c.jobs.list[at]
+		if p.end.durable || seen[at] {
 			continue
 		}
-		if c.cancelling[at] {
+		if c.jobs.cancelling[at] {
 			return true
 		}
 		seen[at] = true
-		todo = append(todo, p.deps.dependsOn...)
+		todo = append(todo, p.dependencies.dependsOn...)
 	}
 	return false
 }
 
 // readySince is when the last of a restored job's predecessors was done.
 func (c *Core) readySince(j *job) time.Duration {
-	last := j.arrived
-	for _, at := range j.deps.dependsOn {
-		last = max(last, c.jobs[at].endedAt)
+	last := j.priority.arrived
+	for _, at := range j.dependencies.dependsOn {
+		last = max(last, c.jobs.list[at].end.at)
 	}
-	return min(last, c.now)
+	return min(last, c.clock.now)
 }
 
 // restoreDependencies builds the graph from what the ledger holds, before anything is
 // started.
 func (c *Core) restoreDependencies() {
-	for _, j := range c.jobs {
+	for _, j := range c.jobs.list {
 		c.linkDependencies(j)
 	}
-	for _, j := range slices.Clone(c.jobs) {
+	for _, j := range slices.Clone(c.jobs.list) {
 		if j.spec == nil || len(j.spec.DependsOn) == 0 || j.over() {
 			continue
 		}
--- a/internal/scheduler/dependencies_model_test.go
+++ b/internal/scheduler/dependencies_model_test.go
@@ -132,8 +132,8 @@
 		if got := g.jobStatus(ref); !slices.Contains(want, got) {
 			g.t.Errorf("%s is %s, want %v", ref, got, want)
 		}
-		j := g.c.jobs[g.c.jobIndexByID[ref]]
-		if booked := j.tasks != nil && !j.over() && j.booked > 0; booked != m.ready(ref) {
+		j := g.c.jobs.list[g.c.jobs.indexByID[ref]]
+		if booked := j.progress.tasks != nil && !j.over() && j.progress.allocated > 0; booked != m.ready(ref) {
 			g.t.Errorf("%s has a task on a machine: %v, ready: %v", ref, booked, m.ready(ref))
 		}
 	}
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -23,7 +23,7 @@
 	g.t.Helper()
 	var tasks []wire.TaskStatus
 	there := false
-	for _, b := range g.c.machineNamed(machine).allocations {
+	for _, b := range g.c.machineNamed(machine).capacity.allocations {
 		t := taskIn(wire.Command{Task: g.c.taskName(b), Attempt: b.attempt}, wire.TaskRunning, "")
 		if t.Task == ref+"/0" {
 			t.Status, t.ExitReason, there = wire.TaskEnded, wire.ExitDone, true
@@ -223,27 +223,27 @@
 	first.Priority = "idle"
 	g.submit(first)
 	g.submit(after("job-2", "job-1"))
-	of := func(ref string) *job { return g.c.jobs[g.c.jobIndexByID[ref]] }
-	g.want("without an end", of("job-1").priorityClass > of("job-2").priorityClass, false)
-	g.want("its deadline", of("job-1").deadline, never)
+	of := func(ref string) *job { return g.c.jobs.list[g.c.jobs.indexByID[ref]] }
+	g.want("without an end", of("job-1").priority.class > of("job-2").priority.class, false)
+	g.want("its deadline", of("job-1").priority.deadline, never)
 	last := after("job-3", "job-2")
 	last.Priority = "critical"
 	due := 100.0
 	last.DeadlineS = &due
 	g.submit(last)
 	for _, ref := range []string{"job-1", "job-2", "job-3"} {
-		g.want("rank of "+ref, of(ref).priorityClass, 0)
+		g.want("rank of "+ref, of(ref).priority.class, 0)
 	}
-	g.want("due of the last", of("job-3").deadline, 100*time.Second)
-	g.want("due of the one before", of("job-2").deadline, 90*time.Second)
-	g.want("due of the first", of("job-1").deadline, 80*time.Second)
+	g.want("due of the last", of("job-3").priority.deadline, 100*time.Second)
+	g.want("due of the one before", of("job-2").priority.deadline, 90*time.Second)
+	g.want("due of the first", of("job-1").priority.deadline, 80*time.Second)
 	g.want("first in the queue", g.c.queue()[0].id, "job-1")
-	g.want("rank of another job", of("job-7").priorityClass, 2)
+	g.want("rank of another job", of("job-7").priority.class, 2)
 	g.now += 3 * time.Minute
 	g.up("vm-1")
 	g.settle(CommandExecuted)
 	g.finishTask("vm-1", "job-1")
-	g.want("when the second became ready", of("job-2").arrived, g.now)
+	g.want("when the second became ready", of("job-2").priority.arrived, g.now)
 }
 
 // TestSmallValues: when the state service takes small values only, finished tasks,
@@ -261,16 +261,16 @@
 	g.want("hosts in one key at first", len(hosts.Value.([]string)), machines)
 	g.step(ValueLimitChanged{ValueBytes: limit})
 	// The write was not carried out: everything of it goes in pieces.
-	j := g.c.jobs[0]
-	for i := range j.hosts {
-		j.hosts[i].durable = false
+	j := g.c.jobs.list[0]
+	for i := range j.record.hosts {
+		j.record.hosts[i].durable = false
 	}
 	clear(g.writes)
 	g.step(WritesRejected{Tags: []ledger.Tag{hosts.Tag}})
 	for i := 0; i < machines; i++ {
 		name := fmt.Sprintf("vm-%06d", i)
 		var reports []wire.TaskStatus
-		for _, b := range g.c.machineNamed(name).allocations {
+		for _, b := range g.c.machineNamed(name).capacity.allocations {
 			status, why := wire.TaskRunning, ""
 			if b.task%2 == 0 {
 				status, why = wire.TaskEnded, wire.ExitDone
@@ -306,8 +306,8 @@
 	}
 	g.want("hosts in all pieces", len(found), machines)
 	n := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{saved}})
-	g.want("done for a new leader", n.c.jobs[0].done, tasks/2)
-	g.want("its hosts", len(n.c.jobs[0].hosts), machines)
+	g.want("done for a new leader", n.c.jobs.list[0].progress.done, tasks/2)
+	g.want("its hosts", len(n.c.jobs.list[0].record.hosts), machines)
 	// All of it is deleted with the job.
 	n.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 	n.wait(40 * time.Second)
--- /dev/null
+++ b/internal/scheduler/durable_writes.go
@@ -0,0 +1,49 @@
+package scheduler
+
+import (
+	"time"
+
+	"leadproxy/internal/ledger"
+)
+
+// durableWrites counts the writes to the ledger whose durability something waits for. It alone
+// writes its fields.
+type durableWrites struct {
+	clock   *clock
+	effects *effects
+
+	// pending is how many tagged writes are not durable yet, and lastDurableAt when one
+	// last became so, or none was pending.
+	pending       int
+	lastDurableAt time.Duration
+}
+
+func newDurableWrites(clock *clock, effects *effects) durableWrites {
+	return durableWrites{clock: clock, effects: effects}
+}
+
+// put writes to the ledger. A write with a tag is answered with WritesDurable or
+// WritesRejected.
+func (d *durableWrites) put(w ledger.Write) {
+	if w.Tag != nil {
+		if d.pending == 0 {
+			d.lastDurableAt = d.clock.now
+		}
+		d.pending++
+	}
+	d.effects.emit(WriteLedger{Writes: []ledger.Write{w}})
+}
+
+// durable notes that tagged writes have become durable.
+func (d *durableWrites) durable(count int) {
+	d.pending -= count
+	d.lastDurableAt = d.clock.now
+}
+
+// rejected notes that tagged writes were not carried out.
+func (d *durableWrites) rejected(count int) { d.pending -= count }
+
+// stalled tells whether writes are pending and none has become durable for a time.
+func (d *durableWrites) stalled(since time.Duration) bool {
+	return d.pending > 0 && d.clock.now-d.lastDurableAt > since
+}
--- a/internal/scheduler/eviction_actions.go
+++ b/internal/scheduler/eviction_actions.go
@@ -15,17 +15,17 @@
 // cordon has nothing start on the machines that plans are emptying, and keeps those that
 // they have hired.
 func (c *Core) cordon() {
-	for _, m := range c.liveMachines {
+	for _, m := range c.machines.live {
 		cordoned, kept := false, false
 		for _, p := range c.evictions.plans {
 			cordoned = cordoned || p.rollout.Cordons(m.name)
 			kept = kept || p.rollout.Keeps(m.name)
 		}
-		m.keptForPlan = kept
-		if m.cordoned != cordoned {
-			m.cordoned = cordoned
+		m.eviction.kept = kept
+		if m.eviction.cordoned != cordoned {
+			m.eviction.cordoned = cordoned
 			c.indexChanged(m)
-			c.needsPlacement = true
+			c.placement.needed = true
 		}
 	}
 }
@@ -48,8 +48,8 @@
 
 // moveTask has a task stopped, after it has saved its progress if it can.
 func (c *Core) moveTask(m *machine, ref string, n int32) {
-	for _, b := range slices.Clone(m.allocations) {
-		j := c.jobs[b.job]
+	for _, b := range slices.Clone(m.capacity.allocations) {
+		j := c.jobs.list[b.job]
 		if j.id != ref || b.task != n || b.stopping || j.spec == nil {
 			continue
 		}
@@ -81,7 +81,7 @@
 	for offer, n := range counts {
 		for part := 0; n > 0; part++ {
 			count := min(n, autoscaler.MaxScaleOut)
-			name := fmt.Sprintf("%s-%s-%s-%t-%d", request, c.types[offer.Type].Name, c.zones.list[offer.Zone], offer.Spot, part)
+			name := fmt.Sprintf("%s-%s-%s-%t-%d", request, c.autoscaling.types[offer.Type].Name, c.machines.zones.list[offer.Zone], offer.Spot, part)
 			requests[name] = autoscaler.PlannedScaleOut{Pool: offer, Count: count, Reason: "to replace machines that are drained"}
 			n -= count
 		}
@@ -95,7 +95,7 @@
 	requests := c.requestsFor(a.Request, a.Like)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
 		w := requests[name]
-		if c.autoscaling.scaleOuts[name] != nil || c.evictions.rented[name] != nil || c.now < c.autoscaling.pool(w.Pool).blockedUntil {
+		if c.autoscaling.scaleOuts[name] != nil || c.evictions.rented[name] != nil || c.clock.now < c.autoscaling.pool(w.Pool).blockedUntil {
 			continue
 		}
 		c.startNamedScaleOut(name, w)
--- a/internal/scheduler/evictions.go
+++ b/internal/scheduler/evictions.go
@@ -69,19 +69,19 @@
 	}
 	c.evictions.disruptions, c.evictions.plans = rollout.NewAccount(c.cfg.Operator.Drain.Budgets), map[string]*plan{}
 	for _, r := range records {
-		c.evictions.plans[r.Spec.Name] = &plan{rollout: rollout.NewRollout(r, c.evictions.disruptions, c.taskIsDone, c.now, c.wall)}
+		c.evictions.plans[r.Spec.Name] = &plan{rollout: rollout.NewRollout(r, c.evictions.disruptions, c.taskIsDone, c.clock.now, c.clock.wallMS)}
 	}
 	c.cordon()
 }
 
 // taskIsDone tells whether a task has ended, by the ledger.
 func (c *Core) taskIsDone(ref string, n int) bool {
-	i, ok := c.jobIndexByID[ref]
+	i, ok := c.jobs.indexByID[ref]
 	if !ok {
 		return true
 	}
-	j := c.jobs[i]
-	return j.over() || n >= len(j.tasks) || j.tasks[n].state >= taskDone
+	j := c.jobs.list[i]
+	return j.over() || n >= len(j.progress.tasks) || j.progress.tasks[n].state >= taskDone
 }
 
 // accountOf is a job as the account sees it.
@@ -91,7 +91,7 @@
 
 // displaced charges a task that has lost its place. saved: its progress was saved.
 func (c *Core) displaced(m *machine, b *allocation, saved bool, why string) {
-	j := c.jobs[b.job]
+	j := c.jobs.list[b.job]
 	if c.evictions.disruptions == nil || j.over() || j.spec == nil || b.runningSince == 0 && !b.moving {
 		return
 	}
@@ -99,31 +99,31 @@
 	switch {
 	case b.moving:
 		cause = rollout.Move
-	case m.terminationAt > 0:
+	case m.rental.terminationAt > 0:
 		cause = "the cloud takes its machine back"
 	}
 	lost := time.Duration(0)
 	if !saved && b.runningSince > 0 {
-		lost = c.now - b.runningSince
+		lost = c.clock.now - b.runningSince
 	}
-	c.evictions.disruptions.Lose(accountOf(j), int(b.task), lost, cause, c.now)
+	c.evictions.disruptions.Lose(accountOf(j), int(b.task), lost, cause, c.clock.now)
 }
 
 // taskRuns tells the account that a task runs.
 func (c *Core) taskRuns(b *allocation) {
 	if c.evictions.disruptions != nil {
-		c.evictions.disruptions.Runs(c.jobs[b.job].id, int(b.task), c.now)
+		c.evictions.disruptions.Runs(c.jobs.list[b.job].id, int(b.task), c.clock.now)
 	}
 }
 
 // evictionTick has all plans go on, beginning with another one each time.
 func (c *Core) evictionTick() {
 	d := &c.evictions
-	if d.disruptions == nil || c.now < d.next {
+	if d.disruptions == nil || c.clock.now < d.next {
 		return
 	}
-	d.next = c.now + evictionInterval
-	d.disruptions.Tick(c.now)
+	d.next = c.clock.now + evictionInterval
+	d.disruptions.Tick(c.clock.now)
 	c.logDisruptions()
 	names := c.planNames()
 	for i := range names {
@@ -137,7 +137,7 @@
 // logDisruptions logs the beginning and the end of each job's disruption.
 func (c *Core) logDisruptions() {
 	noted := map[string]rollout.Entry{}
-	for _, e := range c.evictions.disruptions.Entries(c.now) {
+	for _, e := range c.evictions.disruptions.Entries(c.clock.now) {
 		if !e.Open {
 			continue
 		}
@@ -185,7 +185,7 @@
 		return
 	}
 	p.written = generation
-	c.put(ledger.Write{Key: ledger.PlanKey(name), Value: record, Urgent: true, Tag: planTag{name, generation}})
+	c.writes.put(ledger.Write{Key: ledger.PlanKey(name), Value: record, Urgent: true, Tag: planTag{name, generation}})
 }
 
 // planDurable notes that a plan's record is durable. Who waits for that is answered, and
@@ -202,7 +202,7 @@
 			still = append(still, w)
 			continue
 		}
-		c.emit(PlanReply{ReplyTo: w.to})
+		c.effects.emit(PlanReply{ReplyTo: w.to})
 	}
 	p.waiting = still
 	c.evictions.next = 0
@@ -218,7 +218,7 @@
 	}
 	for _, name := range ended[:max(0, len(ended)-keptPlans)] {
 		delete(c.evictions.plans, name)
-		c.put(ledger.Write{Key: ledger.PlanKey(name)})
+		c.writes.put(ledger.Write{Key: ledger.PlanKey(name)})
 	}
 }
 
--- a/internal/scheduler/evictions_test.go
+++ b/internal/scheduler/evictions_test.go
@@ -52,11 +52,11 @@
 func TestMachineOfABatchThatNobodyKnows(t *testing.T) {
 	g := newDrainStage(t, somePlan(rollout.Draining, "vm-9"))
 	g.wait(10 * time.Second)
-	g.want("machines", len(g.c.machines), 0)
+	g.want("machines", len(g.c.machines.list), 0)
 	g.want("written before all can have been heard of", g.puts, 0)
 	g.wait(30 * time.Second)
 	r := g.written()
-	g.want("the plan", []any{r.Phase, r.Drained, len(g.c.machines)}, []any{rollout.Finished, 1, 0})
+	g.want("the plan", []any{r.Phase, r.Drained, len(g.c.machines.list)}, []any{rollout.Finished, 1, 0})
 }
 
 // TestCommandsAreAnsweredWhenDurable: a plan that is begun counts once it is written, and
@@ -138,7 +138,7 @@
 		g.settle(CommandExecuted)
 	}
 	machines := []string{"vm-1", "vm-2"}
-	if g.c.jobs[0].hosts[0].machine != g.c.machineNamed("vm-1").index {
+	if g.c.jobs.list[0].record.hosts[0].machine != g.c.machineNamed("vm-1").index {
 		machines = []string{"vm-2", "vm-1"}
 	}
 	report := func() {
@@ -152,7 +152,7 @@
 		report()
 	}
 	g.start = nil
-	notice := g.reportOf(machines[0], g.c.machineNamed(machines[0]).fencingToken, running[0])
+	notice := g.reportOf(machines[0], g.c.machineNamed(machines[0]).agent.fencingToken, running[0])
 	seconds := 60.0
 	notice.TerminationNoticeS = &seconds
 	g.report(notice)
--- a/internal/scheduler/failure_attribution.go
+++ b/internal/scheduler/failure_attribution.go
@@ -8,11 +8,11 @@
 
 // holdJob lets a job wait a little before its next start, longer each time.
 func (c *Core) holdJob(j *job) {
-	if c.now < j.notBefore {
+	if c.clock.now < j.retry.notBefore {
 		return
 	}
-	j.backoff = min(max(j.backoff*2, 500*time.Millisecond), 15*time.Second)
-	j.notBefore = c.now + j.backoff
+	j.retry.backoff = min(max(j.retry.backoff*2, 500*time.Millisecond), 15*time.Second)
+	j.retry.notBefore = c.clock.now + j.retry.backoff
 }
 
 // blameLimit is how many different jobs must fail on a machine, with no success
@@ -24,25 +24,25 @@
 )
 
 // suspect tells that rather the job than its machines is at fault.
-func (j *job) suspect() bool { return j.done == 0 && len(j.failedOn) >= suspectLimit }
+func (j *job) suspect() bool { return j.progress.done == 0 && len(j.retry.failedOn) >= suspectLimit }
 
 // attemptFailed judges whether the machine or the job is to blame.
 func (c *Core) attemptFailed(m *machine, j *job, n int32, attempt uint64) {
-	if j.failedOn == nil {
-		j.failedOn = map[int32]bool{}
+	if j.retry.failedOn == nil {
+		j.retry.failedOn = map[int32]bool{}
 	}
-	j.failedOn[m.index] = true
-	c.log.Info("task failed", "machine", m.name, "task", wire.TaskName(j.id, int(n)), "attempt", attempt, "machines", len(j.failedOn))
+	j.retry.failedOn[m.index] = true
+	c.log.Info("task failed", "machine", m.name, "task", wire.TaskName(j.id, int(n)), "attempt", attempt, "machines", len(j.retry.failedOn))
 	if j.suspect() {
 		// It is tried again now and then until its user cancels it.
 		c.holdJob(j)
 		return
 	}
-	if m.failedJobs == nil {
-		m.failedJobs = map[int32]bool{}
+	if m.health.failedJobs == nil {
+		m.health.failedJobs = map[int32]bool{}
 	}
-	m.failedJobs[j.index] = true
-	if len(m.failedJobs) >= blameLimit || j.done > 0 {
+	m.health.failedJobs[j.index] = true
+	if len(m.health.failedJobs) >= blameLimit || j.progress.done > 0 {
 		c.quarantine(m)
 	}
 }
@@ -50,19 +50,19 @@
 // clearOfBlame notes a success of a job: what failed before was the machines'
 // fault.
 func (c *Core) clearOfBlame(j *job) {
-	for i := range j.failedOn {
-		if m := c.machines[i]; m.failedJobs[j.index] {
+	for i := range j.retry.failedOn {
+		if m := c.machines.list[i]; m.health.failedJobs[j.index] {
 			c.quarantine(m)
 		}
 	}
-	j.backoff = 0
+	j.retry.backoff = 0
 }
 
 func (c *Core) quarantine(m *machine) {
-	if m.quarantined || m.state == machineGone {
+	if m.health.quarantined || m.state == machineGone {
 		return
 	}
-	m.quarantined = true
+	m.health.quarantined = true
 	c.indexChanged(m)
-	c.log.Info("machine quarantined: tasks fail on it", "machine", m.name, "jobs", len(m.failedJobs), "bookings", len(m.allocations))
+	c.log.Info("machine quarantined: tasks fail on it", "machine", m.name, "jobs", len(m.health.failedJobs), "bookings", len(m.capacity.allocations))
 }
--- a/internal/scheduler/fair_share.go
+++ b/internal/scheduler/fair_share.go
@@ -28,11 +28,11 @@
 	c.placeReserved(uncertain)
 	var aged []*job
 	for _, j := range queue {
-		if !j.startedOnce && j.booked == 0 && j.reservedMachine == nil && c.now-j.arrived >= agedAfter {
+		if !j.progress.startedOnce && j.progress.allocated == 0 && j.placement.reservedMachine == nil && c.clock.now-j.priority.arrived >= agedAfter {
 			aged = append(aged, j)
 		}
 	}
-	slices.SortStableFunc(aged, func(a, b *job) int { return cmp.Compare(a.arrived, b.arrived) })
+	slices.SortStableFunc(aged, func(a, b *job) int { return cmp.Compare(a.priority.arrived, b.priority.arrived) })
 	for _, j := range aged {
 		if c.placeJob(j, uncertain, func(placed int) bool { return placed == 0 }) == 0 && c.withinLimit(j, uncertain) {
 			c.reserve(j)
@@ -43,14 +43,14 @@
 // reserve keeps the machine free for a job's first task on which the least is left
 // to do.
 func (c *Core) reserve(j *job) {
-	if len(c.reservingJobs) > 0 && len(c.reservingJobs) >= len(c.liveMachines)/heldPart || j.reservationSoughtAt > 0 && c.now-j.reservationSoughtAt < time.Second {
+	if len(c.placement.reservingJobs) > 0 && len(c.placement.reservingJobs) >= len(c.machines.live)/heldPart || j.placement.reservationTriedAt > 0 && c.clock.now-j.placement.reservationTriedAt < time.Second {
 		return
 	}
-	j.reservationSoughtAt = c.now
+	j.placement.reservationTriedAt = c.clock.now
 	var best *machine
 	least := 0.0
-	for _, m := range c.liveMachines {
-		if !m.schedulable || m.reserved || !j.allows(m.typ, m.zone, m.spot) || j.failedOn[m.index] || !j.size.Within(m.total) {
+	for _, m := range c.machines.live {
+		if !m.indexed.schedulable || m.capacity.reserved || !j.allows(m.typ, m.zone, m.spot) || j.retry.failedOn[m.index] || !j.request.size.Within(m.capacity.total) {
 			continue
 		}
 		if left := c.busy(m); best == nil || left < least {
@@ -60,23 +60,23 @@
 	if best == nil {
 		return
 	}
-	c.log.Info("machine kept free for a job that has waited long", "machine", best.name, "job", j.id, "waited", (c.now - j.arrived).Seconds(), "core_seconds_left", least)
-	best.reserved, j.reservedMachine = true, best
-	c.reservingJobs = append(c.reservingJobs, j)
+	c.log.Info("machine kept free for a job that has waited long", "machine", best.name, "job", j.id, "waited", (c.clock.now - j.priority.arrived).Seconds(), "core_seconds_left", least)
+	best.capacity.reserved, j.placement.reservedMachine = true, best
+	c.placement.reservingJobs = append(c.placement.reservingJobs, j)
 	c.refresh(best)
 }
 
 // placeReserved starts the jobs whose machine has become free enough, and gives up
 // what is no longer to be kept.
 func (c *Core) placeReserved(uncertain []units) {
-	c.reservingJobs = slices.DeleteFunc(c.reservingJobs, func(j *job) bool {
-		m := j.reservedMachine
-		waits := !j.startedOnce && j.booked == 0 && j.placeable(c.now)
-		if waits && m.schedulable && !j.size.Within(m.free) {
+	c.placement.reservingJobs = slices.DeleteFunc(c.placement.reservingJobs, func(j *job) bool {
+		m := j.placement.reservedMachine
+		waits := !j.progress.startedOnce && j.progress.allocated == 0 && j.placeable(c.clock.now)
+		if waits && m.indexed.schedulable && !j.request.size.Within(m.capacity.free) {
 			return false
 		}
-		m.reserved, j.reservedMachine = false, nil
-		if waits && m.schedulable && c.withinLimit(j, uncertain) {
+		m.capacity.reserved, j.placement.reservedMachine = false, nil
+		if waits && m.indexed.schedulable && c.withinLimit(j, uncertain) {
 			c.startOn(j, m)
 		}
 		c.refresh(m)
@@ -88,19 +88,19 @@
 // of the open cores.
 func (c *Core) placeUnderserved(queue []*job, uncertain []units) {
 	classes, teams := map[int32]bool{}, map[int32]bool{}
-	for _, j := range c.activeJobs {
+	for _, j := range c.jobs.active {
 		if !j.over() && !j.blocked() {
-			classes[j.class], teams[j.team] = true, true
+			classes[j.request.class], teams[j.request.team] = true, true
 		}
 	}
 	if len(classes) < 2 && len(teams) < 2 {
 		return
 	}
-	part := reservedPart * c.openCores
+	part := reservedPart * c.placement.openCores
 	for _, j := range queue {
 		c.placeJob(j, uncertain, func(int) bool {
-			class := c.coresByClass[j.class]+j.size.CPUs <= part/float64(len(classes))
-			team := float64(c.teams[j.team].booked.cpus)/perUnit+j.size.CPUs <= part/float64(len(teams))
+			class := c.placement.coresByClass[j.request.class]+j.request.size.CPUs <= part/float64(len(classes))
+			team := float64(c.placement.teams[j.request.team].booked.cpus)/perUnit+j.request.size.CPUs <= part/float64(len(teams))
 			return class || team
 		})
 	}
@@ -110,10 +110,10 @@
 // every job should, so that each gets its turn, the longer the sooner; then those
 // that can meet their deadline; then those that can't any more.
 func (c *Core) ageBucket(j *job) time.Duration {
-	switch age := c.now - j.arrived; {
+	switch age := c.clock.now - j.priority.arrived; {
 	case age >= beginWithin:
 		return -age
-	case j.deadline != never && j.deadline-c.now < c.expectedRun(j):
+	case j.priority.deadline != never && j.priority.deadline-c.clock.now < c.expectedRun(j):
 		return turnLate
 	}
 	return turnInTime
@@ -130,5 +130,5 @@
 // job makes many small ones late; the least work first leaves fewer late. As long
 // as all that wait can be in time, the time that is left decides.
 func (c *Core) workLeft(j *job) float64 {
-	return float64(len(j.waiting)) * j.size.CPUs * c.expectedRun(j).Seconds()
+	return float64(len(j.progress.waiting)) * j.request.size.CPUs * c.expectedRun(j).Seconds()
 }
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -63,19 +63,21 @@
 	maxExchangeBytes = 1 << 20
 )
 
-// newTransfers makes the state of a term.
-func (c *Core) newTransfers() {
-	t := &c.federation
-	t.cells = c.cfg.Operator.Cells
-	t.delegated = federation.NewDelegatedJobs(c.reclaimAfter)
-	t.foreign = federation.NewForeignJobs(localJobs{c})
-	t.shortage = federation.Shortage{For: t.cells.ShortageFor}
-	t.selector = federation.NewCellSelector(c.cfg.Operator.SlowFitC)
-	t.credits = map[string]*credit{}
-	t.counts = map[TransferCount]int{}
-	for _, n := range t.cells.Neighbours {
+// newFederation begins a term without transfers.
+func newFederation(operator settings.Operator, local federation.LocalJobs) federationState {
+	t := federationState{
+		cells:    operator.Cells,
+		foreign:  federation.NewForeignJobs(local),
+		shortage: federation.Shortage{For: operator.Cells.ShortageFor},
+		selector: federation.NewCellSelector(operator.SlowFitC),
+		credits:  map[string]*credit{},
+		counts:   map[TransferCount]int{},
+	}
+	t.delegated = federation.NewDelegatedJobs(reclaimAfter(operator.Cells))
+	for _, n := range operator.Cells.Neighbours {
 		t.neighbours = append(t.neighbours, &neighbour{Neighbour: n, refused: map[string]bool{}})
 	}
+	return t
 }
 
 // stepTransfers takes the events of transfers.
@@ -98,27 +100,29 @@
 	}
 }
 
-// reclaimAfter is when a repeatable job is taken back from a cell. One that the
-// settings no longer name is treated as the strictest.
-func (c *Core) reclaimAfter(cell string) time.Duration {
-	n, ok := c.federation.cells.Find(cell)
-	if !ok {
-		return 0
+// reclaimAfter tells when a repeatable job is reclaimed from a cell. One that the settings no
+// longer name is treated as the strictest.
+func reclaimAfter(cells settings.Cells) func(cell string) time.Duration {
+	return func(cell string) time.Duration {
+		n, ok := cells.Find(cell)
+		if !ok {
+			return 0
+		}
+		return n.TakeBack
 	}
-	return n.TakeBack
 }
 
 // restoreTransfers takes the transfers over from the ledger, after the jobs.
 func (c *Core) restoreTransfers(s *ledger.Snapshot) {
 	for _, away := range s.Delegated {
-		at, known := c.jobIndexByID[away.JobID]
+		at, known := c.jobs.indexByID[away.JobID]
 		var j *job
 		if known {
-			j = c.jobs[at]
+			j = c.jobs.list[at]
 		}
 		if away.Unknown {
 			if known {
-				j.delegated = true // until an operator has mended the record
+				j.transfer.delegated = true // until an operator has mended the record
 			}
 			continue
 		}
@@ -126,9 +130,9 @@
 		if known && j.spec != nil {
 			body = c.offerBody(j)
 		}
-		c.federation.delegated.Restore(away.JobID, away.Record, body, known && j.terminalDurable, c.now)
+		c.federation.delegated.Restore(away.JobID, away.Record, body, known && j.end.durable, c.clock.now)
 		if known {
-			j.delegated = c.federation.delegated.Delegated(away.JobID)
+			j.transfer.delegated = c.federation.delegated.Delegated(away.JobID)
 		}
 		if _, ok := c.federation.cells.Find(away.Record.Cell); !ok {
 			c.log.Error("a job is away in a cell that the settings do not name", "job", away.JobID, "cell", away.Record.Cell, "epoch", away.Record.Epoch)
@@ -144,9 +148,9 @@
 func (c *Core) offerBody(j *job) *federation.OfferBody {
 	spec := *j.spec
 	spec.DependsOn = nil // they are done, or it could not leave
-	spec.Priority = wire.PriorityName(j.priorityClass)
-	if j.deadline != never {
-		due := (j.deadline - c.ago(j.acceptedMS)).Seconds()
+	spec.Priority = wire.PriorityName(j.priority.class)
+	if j.priority.deadline != never {
+		due := (j.priority.deadline - c.clock.ago(j.record.acceptedMS)).Seconds()
 		spec.DeadlineS = &due
 	}
 	text, err := json.Marshal(&spec)
@@ -154,11 +158,11 @@
 		c.log.Error("a job's description can't be encoded", "job", j.id, "error", err)
 		return nil
 	}
-	return &federation.OfferBody{Job: text, Cores: j.cores(), AcceptedMS: j.acceptedMS, Repeatable: c.federation.cells.Repeatable[j.spec.Class]}
+	return &federation.OfferBody{Job: text, Cores: j.cores(), AcceptedMS: j.record.acceptedMS, Repeatable: c.federation.cells.Repeatable[j.spec.Class]}
 }
 
 // cores is what all of a job's tasks ask for together.
-func (j *job) cores() float64 { return j.size.CPUs * float64(j.total) }
+func (j *job) cores() float64 { return j.request.size.CPUs * float64(j.progress.total) }
 
 // applyOriginEffects does what home's side of the transfers wants done.
 func (c *Core) applyOriginEffects() {
@@ -167,9 +171,9 @@
 			switch e := effect.(type) {
 			case federation.SaveDelegated:
 				urgent := e.Record.State != federation.Accepted
-				c.put(ledger.Write{Key: ledger.DelegatedKey(e.JobID), Value: e.Record, Urgent: urgent, Tag: delegatedTag{e.JobID, e.Record}})
+				c.writes.put(ledger.Write{Key: ledger.DelegatedKey(e.JobID), Value: e.Record, Urgent: urgent, Tag: delegatedTag{e.JobID, e.Record}})
 			case federation.DropDelegated:
-				c.put(ledger.Write{Key: ledger.DelegatedKey(e.JobID)})
+				c.writes.put(ledger.Write{Key: ledger.DelegatedKey(e.JobID)})
 			case federation.Send:
 				c.sendTo(e.Cell, e.Message)
 			case federation.ReturnJob:
@@ -217,7 +221,7 @@
 		}
 		count := n.exchangeable()
 		n.exchanging = true
-		c.emit(SendTransfers{Cell: n.Name, Messages: n.outbox[:count:count]})
+		c.effects.emit(SendTransfers{Cell: n.Name, Messages: n.outbox[:count:count]})
 		n.outbox = n.outbox[count:]
 	}
 }
@@ -225,10 +229,10 @@
 // noteWaiting logs now and then how many jobs wait for neighbours that do not answer.
 func (c *Core) noteWaiting() {
 	for _, n := range c.federation.neighbours {
-		if !n.unreachable || c.now-n.noted < noteWaitingEvery {
+		if !n.unreachable || c.clock.now-n.noted < noteWaitingEvery {
 			continue
 		}
-		n.noted = c.now
+		n.noted = c.clock.now
 		if jobs, cores := c.delegatedTo(n); jobs > 0 {
 			c.log.Info("jobs wait for a neighbour that does not answer", "cell", n.Name, "jobs", jobs, "cores", cores)
 		}
@@ -260,7 +264,7 @@
 	}
 	n.exchanging = false
 	if silent := e.Err != nil; silent != n.unreachable {
-		n.unreachable, n.noted = silent, c.now
+		n.unreachable, n.noted = silent, c.clock.now
 		if silent {
 			c.log.Info("neighbour does not answer", "cell", n.Name, "error", e.Err)
 			c.refuseCancellations(n)
@@ -269,11 +273,11 @@
 		}
 	}
 	for _, a := range e.Answers {
-		c.federation.delegated.Answered(e.Cell, a, c.now)
+		c.federation.delegated.Answered(e.Cell, a, c.clock.now)
 		switch {
 		case a.Outcome != federation.OutcomeRefused:
 		case a.Temporary:
-			n.nextCapacityRequest, n.credit = max(n.nextCapacityRequest, c.now+a.RetryAfter), 0
+			n.nextCapacityRequest, n.credit = max(n.nextCapacityRequest, c.clock.now+a.RetryAfter), 0
 		default:
 			n.refused[a.JobID] = true
 		}
@@ -284,29 +288,29 @@
 
 // jobReturned has a job wait at home again.
 func (c *Core) jobReturned(ref string) {
-	at, ok := c.jobIndexByID[ref]
+	at, ok := c.jobs.indexByID[ref]
 	if !ok {
 		return
 	}
-	j := c.jobs[at]
-	j.delegated = false
-	c.needsPlacement = true
+	j := c.jobs.list[at]
+	j.transfer.delegated = false
+	c.placement.needed = true
 }
 
 // delegatedEnded writes the end of a job that another cell has run, or that was cancelled
 // while it was away.
 func (c *Core) delegatedEnded(e federation.EndJob) {
-	at, ok := c.jobIndexByID[e.JobID]
+	at, ok := c.jobs.indexByID[e.JobID]
 	if !ok {
 		return
 	}
-	j := c.jobs[at]
+	j := c.jobs.list[at]
 	switch {
 	case j.over():
 	case e.Aborted:
 		c.cancel(j)
 	default:
-		j.done = j.total
+		j.progress.done = j.progress.total
 		c.finish(j, wire.JobDone)
 	}
 }
@@ -315,14 +319,14 @@
 // still run. It is confirmed when that cell has it durably. Where the cell does not
 // answer, the user is told at once to come again.
 func (c *Core) cancelDelegated(j *job, to Recipient) {
-	if !j.delegated {
+	if !j.transfer.delegated {
 		c.stopTasks(j) // it was taken back and runs here as well
 	}
 	n := c.neighbourNamed(c.federation.delegated.Cell(j.id))
 	if n == nil || n.unreachable {
-		c.emit(UserReply{ReplyTo: to, Known: true, CellUnreachable: true})
+		c.effects.emit(UserReply{ReplyTo: to, Known: true, CellUnreachable: true})
 	} else {
-		j.replyTo = append(j.replyTo, to)
+		j.end.replyTo = append(j.end.replyTo, to)
 	}
 	c.applyOriginEffects()
 	c.exchange()
@@ -332,15 +336,15 @@
 // again.
 func (c *Core) refuseCancellations(n *neighbour) {
 	for _, ref := range c.federation.delegated.With(n.Name) {
-		at, ok := c.jobIndexByID[ref]
-		if !ok || c.jobs[at].over() {
+		at, ok := c.jobs.indexByID[ref]
+		if !ok || c.jobs.list[at].over() {
 			continue
 		}
-		j := c.jobs[at]
-		for _, to := range j.replyTo {
-			c.emit(UserReply{ReplyTo: to, Known: true, CellUnreachable: true})
+		j := c.jobs.list[at]
+		for _, to := range j.end.replyTo {
+			c.effects.emit(UserReply{ReplyTo: to, Known: true, CellUnreachable: true})
 		}
-		j.replyTo = nil
+		j.end.replyTo = nil
 	}
 }
 
@@ -350,11 +354,11 @@
 	if len(t.neighbours) == 0 && t.delegated.Idle() {
 		return
 	}
-	t.delegated.Tick(c.now)
+	t.delegated.Tick(c.clock.now)
 	c.applyOriginEffects()
 	c.noteWaiting()
-	if t.cells.Spill && t.allowed && c.now >= t.nextLook {
-		t.nextLook = c.now + lookEvery
+	if t.cells.Spill && t.allowed && c.clock.now >= t.nextLook {
+		t.nextLook = c.clock.now + lookEvery
 		c.findCellForJobs()
 	}
 	c.exchange()
@@ -367,5 +371,5 @@
 		count = TransferCount{Cell: n.Origin, Step: n.Step}
 	}
 	c.federation.counts[count]++
-	c.emit(TraceTransfer{n})
+	c.effects.emit(TraceTransfer{n})
 }
--- a/internal/scheduler/federation_status.go
+++ b/internal/scheduler/federation_status.go
@@ -9,7 +9,7 @@
 // transfersListed answers an operator.
 func (c *Core) transfersListed(e TransferListRequest) {
 	t := &c.federation
-	list := TransferListReply{ReplyTo: e.ReplyTo, Delegated: t.delegated.List(c.now), Counts: maps.Clone(t.counts)}
+	list := TransferListReply{ReplyTo: e.ReplyTo, Delegated: t.delegated.List(c.clock.now), Counts: maps.Clone(t.counts)}
 	lent := map[string]float64{}
 	for _, key := range t.foreign.Keys() {
 		record, _ := t.foreign.Record(key)
@@ -18,20 +18,20 @@
 			list.Foreign = append(list.Foreign, ForeignView{Key: key, Record: record, State: state})
 		}
 	}
-	for _, j := range c.activeJobs {
-		if j.origin != "" && !j.over() {
-			lent[j.origin] += j.cores()
+	for _, j := range c.jobs.active {
+		if j.transfer.origin != "" && !j.over() {
+			lent[j.transfer.origin] += j.cores()
 		}
 	}
 	for _, n := range t.neighbours {
 		jobs, cores := c.delegatedTo(n)
 		view := CellView{Name: n.Name, Drain: n.Drain, Unreachable: n.unreachable, Jobs: jobs, Cores: cores, Offered: lent[n.Name]}
-		if c.now < n.until {
+		if c.clock.now < n.until {
 			view.Credit = n.credit
 		}
 		list.Cells = append(list.Cells, view)
 	}
-	c.emit(list)
+	c.effects.emit(list)
 }
 
 // foreignState is the state of a guest.
--- a/internal/scheduler/federation_test.go
+++ b/internal/scheduler/federation_test.go
@@ -268,11 +268,11 @@
 	g.step(StatusRequest{JobID: "job-87", ReplyTo: recipient("u")})
 	told, _ := last[UserReply](g)
 	g.want("its state is told to users here", told.Known, false)
-	guest := g.c.jobs[g.c.jobIndexByID["job-87"]]
+	guest := g.c.jobs.list[g.c.jobs.indexByID["job-87"]]
 	g.want("it may leave", g.c.mayLeave(guest), false)
 	own := newTestJob("job-2", 4, 1)
 	own.Priority = "high"
-	guest.booked, guest.waiting = 0, []int32{0} // as if it waited
+	guest.progress.allocated, guest.progress.waiting = 0, []int32{0} // as if it waited
 	g.submit(own)
 	var order []string
 	for _, j := range g.c.queue() {
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -26,14 +26,14 @@
 func (c *Core) transfersRequested(e TransferRequest) {
 	answers := make([]federation.Answer, 0, len(e.Messages))
 	for _, m := range e.Messages {
-		a := c.federation.foreign.Asked(e.Origin, m, c.wall)
+		a := c.federation.foreign.Asked(e.Origin, m, c.clock.wallMS)
 		if a.Temporary {
 			a.RetryAfter = noRoomFor
 		}
 		answers = append(answers, a)
 	}
 	c.applyForeignEffects()
-	c.emit(TransferReply{ReplyTo: e.ReplyTo, Answers: answers})
+	c.effects.emit(TransferReply{ReplyTo: e.ReplyTo, Answers: answers})
 }
 
 // applyForeignEffects does what the neighbour's side of the transfers wants done.
@@ -43,8 +43,8 @@
 		case federation.WriteForeign:
 			c.writeForeign(e)
 		case federation.CancelForeign:
-			if at, ok := c.jobIndexByID[e.JobID]; ok && !c.jobs[at].over() {
-				c.cancel(c.jobs[at])
+			if at, ok := c.jobs.indexByID[e.JobID]; ok && !c.jobs.list[at].over() {
+				c.cancel(c.jobs.list[at])
 			}
 		case federation.TraceForeign:
 			c.traceTransfer(e.Step)
@@ -63,7 +63,7 @@
 		}
 		put.Job = &ledger.JobRecord{Job: spec, AcceptedMS: e.Body.AcceptedMS, Origin: e.Key.Origin, TransferEpoch: e.Record.Epoch}
 	}
-	c.emit(put)
+	c.effects.emit(put)
 }
 
 // foreignWritten takes what came of such a write.
@@ -71,7 +71,7 @@
 	if e.Job != nil && !e.JobExists {
 		c.jobRecorded(JobRecordEvent{JobID: e.Write.Key.JobID, Record: *e.Job, Version: e.Version})
 	}
-	c.federation.foreign.Written(e.Write.Key, e.Write.Record, e.Version, e.JobExists, c.wall)
+	c.federation.foreign.Written(e.Write.Key, e.Write.Record, e.Version, e.JobExists, c.clock.wallMS)
 	c.applyForeignEffects()
 }
 
@@ -80,13 +80,13 @@
 
 // ForeignJobState is the state of a guest.
 func (c localJobs) ForeignJobState(key federation.ForeignKey) (federation.JobState, bool) {
-	at, ok := c.jobIndexByID[key.JobID]
-	if !ok || c.jobs[at].origin != key.Origin {
+	at, ok := c.jobs.indexByID[key.JobID]
+	if !ok || c.jobs.list[at].transfer.origin != key.Origin {
 		return federation.JobState{}, false
 	}
-	j := c.jobs[at]
+	j := c.jobs.list[at]
 	status := c.status(j)
-	return federation.JobState{Over: j.terminalDurable, Aborted: j.terminal == wire.JobCancelled, Done: status.Done, Running: status.Running}, true
+	return federation.JobState{Over: j.end.durable, Aborted: j.end.state == wire.JobCancelled, Done: status.Done, Running: status.Running}, true
 }
 
 // Admit tells whether an offer is taken now, and else why not.
@@ -109,7 +109,7 @@
 	}
 	credit := c.federation.credits[home]
 	cores := spec.CPUs * float64(spec.Tasks)
-	if credit == nil || c.now >= credit.until || cores > credit.cores {
+	if credit == nil || c.clock.now >= credit.until || cores > credit.cores {
 		return federation.Refusal{Reason: fmt.Sprintf("no room was promised for %v cores", cores), Temporary: true}
 	}
 	credit.cores -= cores
@@ -121,7 +121,7 @@
 	if spec.ID != ref {
 		return "the offer describes another job"
 	}
-	if _, known := c.jobIndexByID[ref]; known {
+	if _, known := c.jobs.indexByID[ref]; known {
 		return "a job of this name is known here"
 	}
 	if len(spec.DependsOn) > 0 {
@@ -134,12 +134,12 @@
 	if spec.Zone != nil {
 		return "it is bound to a zone of its home"
 	}
-	if at, known := c.teamIndexByName[spec.Team]; known {
-		if limit := c.teams[at].limit; !unitsOf(sizeOf(spec)).within(limit) {
+	if at, known := c.placement.teamIndexByName[spec.Team]; known {
+		if limit := c.placement.teams[at].limit; !unitsOf(sizeOf(spec)).within(limit) {
 			return "one of its tasks needs more than its team's limit here"
 		}
 	}
-	if !slices.ContainsFunc(c.types, func(t machineType) bool {
+	if !slices.ContainsFunc(c.autoscaling.types, func(t machineType) bool {
 		return sizeOf(spec).Within(t.total) && (spec.Types == nil || slices.Contains(spec.Types, t.Name))
 	}) {
 		return "none of its tasks fits a machine type here"
@@ -169,9 +169,9 @@
 			break
 		}
 		answer.For, answer.RetryAfter = creditFor, 0
-		c.federation.credits[e.Origin] = &credit{cores: answer.Cores, until: c.now + creditFor}
+		c.federation.credits[e.Origin] = &credit{cores: answer.Cores, until: c.clock.now + creditFor}
 	}
-	c.emit(answer)
+	c.effects.emit(answer)
 }
 
 // offerableCapacity is how many cores may be offered to a cell: what is free or could be hired,
@@ -179,28 +179,28 @@
 // and what is promised or accepted already.
 func (c *Core) offerableCapacity(n settings.Neighbour) float64 {
 	room := c.scalableCores()
-	for _, m := range c.liveMachines {
-		if m.schedulable && !m.reserved {
-			room += m.free.CPUs
+	for _, m := range c.machines.live {
+		if m.indexed.schedulable && !m.capacity.reserved {
+			room += m.capacity.free.CPUs
 		}
 	}
 	fromHome, own := 0.0, 0.0
-	for _, j := range c.activeJobs {
+	for _, j := range c.jobs.active {
 		if j.over() || j.blocked() {
 			continue
 		}
-		room -= j.size.CPUs * float64(len(j.waiting))
-		if j.origin == n.Name {
+		room -= j.request.size.CPUs * float64(len(j.progress.waiting))
+		if j.transfer.origin == n.Name {
 			fromHome += j.cores()
 		}
-		own += j.size.CPUs * float64(j.booked)
+		own += j.request.size.CPUs * float64(j.progress.allocated)
 	}
 	room -= max(0, c.headroomCores()-own)
-	for _, t := range c.teams {
+	for _, t := range c.placement.teams {
 		room -= max(0, float64(t.guarantee.cpus-t.booked.cpus)/perUnit)
 	}
 	for _, credit := range c.federation.credits {
-		if c.now < credit.until {
+		if c.clock.now < credit.until {
 			room -= credit.cores
 		}
 	}
@@ -210,12 +210,12 @@
 // scalableCores is what the cloud may still give.
 func (c *Core) scalableCores() float64 {
 	most := c.cfg.Operator.MaxMachines
-	if len(c.types) == 0 || !c.poolsOpen() {
+	if len(c.autoscaling.types) == 0 || !c.poolsOpen() {
 		return 0
 	}
 	largest := 0.0
-	for i := range c.types {
-		largest = max(largest, c.types[i].total.CPUs)
+	for i := range c.autoscaling.types {
+		largest = max(largest, c.autoscaling.types[i].total.CPUs)
 	}
 	if most == 0 {
 		return largest * autoscaler.MaxScaleOut
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -169,8 +169,8 @@
 // echo has a worker show that it has heard our latest token.
 func (g *stage) echo(name string, tasks ...wire.TaskStatus) *wire.HeartbeatResponse {
 	m := g.c.machineNamed(name)
-	r := g.reportOf(name, m.fencingToken, tasks...)
-	r.AgentEpoch = max(m.agentEpoch, 1)
+	r := g.reportOf(name, m.agent.fencingToken, tasks...)
+	r.AgentEpoch = max(m.agent.epoch, 1)
 	return g.report(r)
 }
 
--- a/internal/scheduler/heartbeat_responses.go
+++ b/internal/scheduler/heartbeat_responses.go
@@ -31,81 +31,81 @@
 	if a.until > 0 || !m.trusted(c.term) || !m.plannable() {
 		return false
 	}
-	a.until = c.now + awaitFor
-	m.openAnswer, m.heldHeartbeat = 0, a.heartbeat
-	c.awaitingWrites = append(c.awaitingWrites, a)
+	a.until = c.clock.now + awaitFor
+	m.commands.openAnswer, m.commands.heldHeartbeat = 0, a.heartbeat
+	c.commands.awaitingWrites = append(c.commands.awaitingWrites, a)
 	return true
 }
 
 // plannable tells whether starts for a machine are being written down.
 func (m *machine) plannable() bool {
-	return slices.ContainsFunc(m.allocations, func(b *allocation) bool { return b.state == allocationPlanned })
+	return slices.ContainsFunc(m.capacity.allocations, func(b *allocation) bool { return b.state == allocationPlanned })
 }
 
 // resumeAnswers has the answers given that need not wait any longer. One whose
 // worker has sent a newer report since goes without orders.
 func (c *Core) resumeAnswers() {
-	keep := c.awaitingWrites[:0]
-	for _, a := range c.awaitingWrites {
+	keep := c.commands.awaitingWrites[:0]
+	for _, a := range c.commands.awaitingWrites {
 		m := a.machine
-		if m.heldHeartbeat == a.heartbeat {
-			if c.now < a.until && m.state != machineGone && m.plannable() {
+		if m.commands.heldHeartbeat == a.heartbeat {
+			if c.clock.now < a.until && m.state != machineGone && m.plannable() {
 				keep = append(keep, a)
 				continue
 			}
-			m.heldHeartbeat = nil
-			m.openAnswer = len(c.openAnswers) + 1
-			if len(m.pendingCommands) > 0 {
-				c.machinesWithCommands = append(c.machinesWithCommands, m) // for what does not go into the answer
+			m.commands.heldHeartbeat = nil
+			m.commands.openAnswer = len(c.commands.openAnswers) + 1
+			if len(m.commands.pending) > 0 {
+				c.commands.machinesWithCommands = append(c.commands.machinesWithCommands, m) // for what does not go into the answer
 			}
 		} else {
 			a.outdated = true
 		}
-		c.openAnswers = append(c.openAnswers, a)
+		c.commands.openAnswers = append(c.commands.openAnswers, a)
 	}
-	clear(c.awaitingWrites[len(keep):])
-	c.awaitingWrites = keep
+	clear(c.commands.awaitingWrites[len(keep):])
+	c.commands.awaitingWrites = keep
 }
 
 // giveAnswers answers the reports of this step. Only the newest report of a
 // machine gets orders.
 func (c *Core) giveAnswers() {
-	for i, a := range c.openAnswers {
+	for i, a := range c.commands.openAnswers {
 		m := a.machine
 		if m.state == machineGone {
-			c.emit(HeartbeatReply{ReplyTo: a.replyTo})
+			c.effects.emit(HeartbeatReply{ReplyTo: a.replyTo})
 			continue
 		}
-		if c.holdAnswerForUnreachable(a) || m.openAnswer == i+1 && c.awaits(a) {
+		if c.holdAnswerForUnreachable(a) || m.commands.openAnswer == i+1 && c.awaits(a) {
 			continue
 		}
 		// An answer renews the worker's lease, whatever it orders and however little its
 		// report is believed. So none goes without the stops of what must not run.
-		believed := !a.outdated && m.openAnswer == i+1 && m.trusted(c.term)
+		believed := !a.outdated && m.commands.openAnswer == i+1 && m.trusted(c.term)
 		orders := c.requiredStops(m, a.heartbeat, believed)
 		if believed {
 			orders = c.commandsFor(m, a.heartbeat, orders)
 		}
-		answer := &wire.HeartbeatResponse{FencingToken: m.fencingToken, Commands: orders}
-		if m.openAnswer == i+1 {
-			m.openAnswer = 0
+		answer := &wire.HeartbeatResponse{FencingToken: m.agent.fencingToken, Commands: orders}
+		if m.commands.openAnswer == i+1 {
+			m.commands.openAnswer = 0
 		}
-		c.emit(HeartbeatReply{ReplyTo: a.replyTo, Response: answer})
+		c.effects.emit(HeartbeatReply{ReplyTo: a.replyTo, Response: answer})
 	}
-	clear(c.openAnswers)
-	c.openAnswers = c.openAnswers[:0]
+	clear(c.commands.openAnswers)
+	c.commands.openAnswers = c.commands.openAnswers[:0]
 }
 
 // withOutbox adds a machine's waiting orders to the answer of its report, as
 // far as they go in. Unlike a direct command, an answer is never executed late:
 // the worker's next report shows what became of it.
 func (c *Core) withOutbox(m *machine, r *wire.Heartbeat, orders []wire.Command) []wire.Command {
-	if r.AgentEpoch != m.agentEpoch {
+	if r.AgentEpoch != m.agent.epoch {
 		return orders
 	}
-	for len(m.pendingCommands) > 0 && len(orders) < maxCommandsPerResponse {
-		o := m.pendingCommands[0]
-		m.pendingCommands = m.pendingCommands[1:]
+	for len(m.commands.pending) > 0 && len(orders) < maxCommandsPerResponse {
+		o := m.commands.pending[0]
+		m.commands.pending = m.commands.pending[1:]
 		if o.Verb == wire.VerbStart {
 			b := m.allocation(o.Attempt)
 			if b == nil {
@@ -154,12 +154,12 @@
 // while a copy of its start may still arrive, since the worker would run it
 // again, and not before its end is in the ledger.
 func (c *Core) mayForget(m *machine, t *wire.TaskStatus) bool {
-	if _, unsettled := m.unresolvedStarts[t.Attempt]; unsettled {
+	if _, unsettled := m.commands.unresolvedStarts[t.Attempt]; unsettled {
 		return false
 	}
 	j, n, _ := c.taskOf(m, t)
-	if j == nil || t.ExitReason != wire.ExitDone || j.terminalDurable {
+	if j == nil || t.ExitReason != wire.ExitDone || j.end.durable {
 		return true
 	}
-	return int(n) < len(j.tasks) && j.tasks[n].state == taskDurable
+	return int(n) < len(j.progress.tasks) && j.progress.tasks[n].state == taskDurable
 }
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -13,51 +13,51 @@
 	if r.FencingToken>>tokenBits > c.term {
 		// A newer leader has spoken to this worker: we must not.
 		c.log.Info("a worker has seen a newer term", "machine", r.Machine, "token", r.FencingToken)
-		c.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
+		c.effects.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
 	}
 	m := c.machineNamed(r.Machine)
 	if m.state == machineGone {
-		c.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
+		c.effects.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
 	}
 	c.heardFrom(m)
 	a := heldAnswer{replyTo: e.ReplyTo, machine: m, heartbeat: r}
 	if c.observe(m, r, true) {
-		if m.heldHeartbeat != nil {
+		if m.commands.heldHeartbeat != nil {
 			// Its worker has given up the answer to an earlier one.
-			m.heldHeartbeat = nil
-			if len(m.pendingCommands) > 0 {
-				c.machinesWithCommands = append(c.machinesWithCommands, m)
+			m.commands.heldHeartbeat = nil
+			if len(m.commands.pending) > 0 {
+				c.commands.machinesWithCommands = append(c.commands.machinesWithCommands, m)
 			}
 		}
-		m.openAnswer = len(c.openAnswers) + 1
+		m.commands.openAnswer = len(c.commands.openAnswers) + 1
 		c.raiseFencingToken(m)
 	} else {
 		a.outdated = true
 		c.inspectStaleSender(m, r)
 	}
-	if r.AgentEpoch <= m.expiredEpoch {
+	if r.AgentEpoch <= m.agent.expiredEpoch {
 		// That session must have ended. An answer could keep it alive if it had
 		// not, with tasks that are booked nowhere any more.
-		c.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
+		c.effects.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
 	}
 	// The worker counts its lease from when it sent the report. That was
 	// before we heard of anything newer from it, so counting from the last
 	// word that we believed is late enough, also for a late copy.
-	m.lastAnswered = max(m.lastAnswered, m.lastHeartbeat)
-	m.leaseExpiry = max(m.leaseExpiry, m.lastHeartbeat+c.agentLease)
-	c.openAnswers = append(c.openAnswers, a)
+	m.agent.lastAnswered = max(m.agent.lastAnswered, m.agent.lastHeartbeat)
+	m.agent.leaseExpiry = max(m.agent.leaseExpiry, m.agent.lastHeartbeat+c.agents.lease)
+	c.commands.openAnswers = append(c.commands.openAnswers, a)
 }
 
 // observe takes in what a worker tells, in a report or in the answer to a
 // direct command. It returns false for something stale.
 func (c *Core) observe(m *machine, r *wire.Heartbeat, reported bool) bool {
-	if r.AgentEpoch <= m.expiredEpoch || !(heartbeatPosition{m.agentEpoch, m.heartbeatSequence}).before(heartbeatPosition{r.AgentEpoch, r.Sequence}) {
+	if r.AgentEpoch <= m.agent.expiredEpoch || !(heartbeatPosition{m.agent.epoch, m.agent.sequence}).before(heartbeatPosition{r.AgentEpoch, r.Sequence}) {
 		return false
 	}
-	if r.FencingToken < max(m.minAcceptedToken, m.acknowledgedToken) {
+	if r.FencingToken < max(m.agent.minAcceptedToken, m.agent.acknowledgedToken) {
 		// A worker never forgets a token while it lives. So this is from an earlier
 		// life, whose counts may be higher than those of the present one, or its worker
 		// has begun anew and not yet heard of us. The answer tells it our token.
@@ -67,84 +67,84 @@
 	// be what waiting tasks wait for.
 	wasOpen := c.accepts(m)
 	if m.state == machineStarting {
-		m.state, m.epochSeenAt = machineUp, c.now
+		m.state, m.agent.epochSeenAt = machineUp, c.clock.now
 		c.machineCameUp(m)
 	}
 	c.describe(m, r.Type, r.Zone, r.Spot, r.Address)
-	m.lastHeartbeat = c.now
+	m.agent.lastHeartbeat = c.clock.now
 	c.heardFrom(m)
-	if r.AgentEpoch != m.agentEpoch {
+	if r.AgentEpoch != m.agent.epoch {
 		c.epochBegan(m, r.AgentEpoch)
 	}
-	m.heartbeatSequence = r.Sequence
+	m.agent.sequence = r.Sequence
 	c.indexChanged(m)
-	m.acknowledgedToken = max(m.acknowledgedToken, r.FencingToken)
-	for attempt, fence := range m.unresolvedStarts {
-		if m.acknowledgedToken >= fence {
-			delete(m.unresolvedStarts, attempt)
+	m.agent.acknowledgedToken = max(m.agent.acknowledgedToken, r.FencingToken)
+	for attempt, fence := range m.commands.unresolvedStarts {
+		if m.agent.acknowledgedToken >= fence {
+			delete(m.commands.unresolvedStarts, attempt)
 		}
 	}
-	if r.TerminationNoticeS != nil && m.terminationAt == 0 {
-		m.terminationAt = c.now + settings.Seconds(*r.TerminationNoticeS)
-		c.log.Info("machine will be taken back", "machine", m.name, "seconds", *r.TerminationNoticeS, "bookings", len(m.allocations))
+	if r.TerminationNoticeS != nil && m.rental.terminationAt == 0 {
+		m.rental.terminationAt = c.clock.now + settings.Seconds(*r.TerminationNoticeS)
+		c.log.Info("machine will be taken back", "machine", m.name, "seconds", *r.TerminationNoticeS, "bookings", len(m.capacity.allocations))
 	}
-	if r.FencingToken >= m.fencingToken {
-		m.lastAcknowledged, m.unacknowledged = c.now, false
+	if r.FencingToken >= m.agent.fencingToken {
+		m.agent.lastAcknowledged, m.agent.unacknowledged = c.clock.now, false
 	}
 	if m.trusted(c.term) {
 		// Without our token this may be a copy from before our term, as late as
 		// can be: what it lists is not believed.
 		c.reconcileTasks(m, r, reported)
 	}
-	if m.trusted(c.term) && len(m.inDoubtJobs) > 0 {
+	if m.trusted(c.term) && len(m.recorded.inDoubtJobs) > 0 {
 		// Only now is it certain that no earlier leader's start is on its way.
 		c.resolveInDoubt(m, "it has echoed our token")
 	}
-	if m.terminationAt > 0 {
+	if m.rental.terminationAt > 0 {
 		c.evictBeforeTermination(m)
 	}
 	if !wasOpen && c.accepts(m) {
-		c.needsPlacement = true
+		c.placement.needed = true
 	}
 	return true
 }
 
 // epochBegan notes that a worker is in another session than before.
 func (c *Core) epochBegan(m *machine, session uint64) {
-	if m.agentEpoch != 0 {
-		c.log.Info("worker began a new session", "machine", m.name, "session", session, "bookings", len(m.allocations))
+	if m.agent.epoch != 0 {
+		c.log.Info("worker began a new session", "machine", m.name, "session", session, "bookings", len(m.capacity.allocations))
 		c.dropAllocations(m, "its session ended")
 		// It has heard no answer for a whole lease.
 		c.markUnacknowledged(m)
 	}
 	// A start sent to the earlier session can't be executed any more.
-	clear(m.unresolvedStarts)
-	m.agentEpoch = session
+	clear(m.commands.unresolvedStarts)
+	m.agent.epoch = session
 	c.changed(m)
 	// A session begins with a lease of its own, though nobody has answered
 	// it, and this one may have begun just now: what was known of the lease
 	// was the session's before.
-	m.leaseExpiry = max(m.leaseExpiry, c.now+c.agentLease)
+	m.agent.leaseExpiry = max(m.agent.leaseExpiry, c.clock.now+c.agents.lease)
 }
 
 // taskOf finds what a line of a report speaks of. The booking is nil when we
 // have none for it.
 func (c *Core) taskOf(m *machine, t *wire.TaskStatus) (j *job, n int32, b *allocation) {
 	if b := m.allocation(t.Attempt); b != nil {
-		return c.jobs[b.job], b.task, b
+		return c.jobs.list[b.job], b.task, b
 	}
 	ref, k, ok := wire.ParseTaskName(t.Task)
-	at, known := c.jobIndexByID[ref]
-	if !ok || !known || c.jobs[at].spec != nil && k >= c.jobs[at].total {
+	at, known := c.jobs.indexByID[ref]
+	if !ok || !known || c.jobs.list[at].spec != nil && k >= c.jobs.list[at].progress.total {
 		return nil, 0, nil
 	}
-	return c.jobs[at], int32(k), nil
+	return c.jobs.list[at], int32(k), nil
 }
 
 // reconcileTasks brings the bookings of a machine in line with a fresh report, or
 // with the answer to a direct command.
 func (c *Core) reconcileTasks(m *machine, r *wire.Heartbeat, reported bool) {
-	c.heartbeatsProcessed++
+	c.agents.heartbeatsProcessed++
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		j, n, b := c.taskOf(m, t)
@@ -163,7 +163,7 @@
 				c.sendStop(m, b) // no answer goes there that could have it
 			}
 		}
-		b.state, b.lastHeartbeatSeen = allocationConfirmed, c.heartbeatsProcessed
+		b.state, b.lastHeartbeatSeen = allocationConfirmed, c.agents.heartbeatsProcessed
 		if t.Status != b.status {
 			c.statusChanged(m, j, b, t.Status)
 		}
@@ -181,21 +181,21 @@
 	b.runningSince, b.runStartUnknown = since, !known
 	c.taskRuns(b)
 	c.changed(m)
-	j.startedOnce = true
-	m.idleSince = c.now
+	j.progress.startedOnce = true
+	m.capacity.idleSince = c.clock.now
 	if j.spec != nil && m.typ >= 0 {
-		m.fetched(j.image, j.spec.ImageGB, c.types[m.typ].CacheGB)
+		m.fetched(j.request.image, j.spec.ImageGB, c.autoscaling.types[m.typ].CacheGB)
 	}
 }
 
 // releaseMissing frees the bookings that a machine no longer has, or never will.
 func (c *Core) releaseMissing(m *machine, r *wire.Heartbeat, reported bool) {
-	for k := len(m.allocations) - 1; k >= 0; k-- {
-		b := m.allocations[k]
-		if b.lastHeartbeatSeen == c.heartbeatsProcessed {
+	for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
+		b := m.capacity.allocations[k]
+		if b.lastHeartbeatSeen == c.agents.heartbeatsProcessed {
 			continue
 		}
-		_, unsettled := m.unresolvedStarts[b.attempt]
+		_, unsettled := m.commands.unresolvedStarts[b.attempt]
 		switch {
 		case b.state <= allocationQueued, unsettled:
 			// Not sent yet, or it may still be executed.
@@ -218,10 +218,10 @@
 // adopt books a task that an earlier leader has started, or returns nil when it
 // must not go on.
 func (c *Core) adopt(m *machine, j *job, n int32, t *wire.TaskStatus) *allocation {
-	if j.spec == nil || j.tasks == nil {
+	if j.spec == nil || j.progress.tasks == nil {
 		return nil // over, and forgotten here
 	}
-	ts := &j.tasks[n]
+	ts := &j.progress.tasks[n]
 	if j.over() {
 		// It counts for its team until it is gone.
 		return c.allocate(m, j, n, t.Attempt, false)
@@ -232,7 +232,7 @@
 	}
 	j.dropWaiting(n)
 	b := c.allocate(m, j, n, t.Attempt, true)
-	if _, ok := j.hostAt[m.index]; !ok {
+	if _, ok := j.record.hostAt[m.index]; !ok {
 		c.addHost(j, m)
 	}
 	return b
@@ -240,7 +240,7 @@
 
 // attemptEnded settles an attempt that its worker reports as ended.
 func (c *Core) attemptEnded(m *machine, j *job, n int32, b *allocation, t *wire.TaskStatus) {
-	if b == nil && (t.ExitReason != wire.ExitDone || j.tasks == nil || j.over() || j.tasks[n].state != taskWaiting) {
+	if b == nil && (t.ExitReason != wire.ExitDone || j.progress.tasks == nil || j.over() || j.progress.tasks[n].state != taskWaiting) {
 		return // settled before
 	}
 	if b != nil {
@@ -255,9 +255,9 @@
 	switch t.ExitReason {
 	case wire.ExitDone:
 		if b != nil && b.runningSince > 0 && !b.runStartUnknown {
-			c.learnRun(j, c.now-b.runningSince)
+			c.learnRun(j, c.clock.now-b.runningSince)
 		}
-		clear(m.failedJobs)
+		clear(m.health.failedJobs)
 		c.taskEnded(j, n)
 	case wire.ExitError:
 		c.attemptFailed(m, j, n, t.Attempt)
--- a/internal/scheduler/ledger_writes.go
+++ b/internal/scheduler/ledger_writes.go
@@ -37,23 +37,23 @@
 
 // finishedKey notes a key of finished tasks.
 func (j *job) finishedKey(key string) {
-	if j.finishedKeys == nil {
-		j.finishedKeys = map[string]bool{}
+	if j.record.finishedKeys == nil {
+		j.record.finishedKeys = map[string]bool{}
 	}
-	j.finishedKeys[key] = true
+	j.record.finishedKeys[key] = true
 }
 
 // dropKeys deletes what the ledger holds of a finished job besides its record.
 func (c *Core) dropKeys(j *job) {
 	var writes []ledger.Write
-	for chunk := range j.hostChunks {
+	for chunk := range j.record.hostChunks {
 		writes = append(writes, ledger.Write{Key: ledger.HostKey(j.id, chunk)})
 	}
-	for _, key := range slices.Sorted(maps.Keys(j.finishedKeys)) {
+	for _, key := range slices.Sorted(maps.Keys(j.record.finishedKeys)) {
 		writes = append(writes, ledger.Write{Key: key})
 	}
 	if len(writes) > 0 {
-		c.emit(WriteLedger{Writes: writes})
+		c.effects.emit(WriteLedger{Writes: writes})
 	}
 }
 
@@ -61,27 +61,27 @@
 func (c *Core) rejected(tag ledger.Tag) {
 	switch t := tag.(type) {
 	case hostTag:
-		j := c.jobs[t.job]
-		if j.hosts == nil {
+		j := c.jobs.list[t.job]
+		if j.record.hosts == nil {
 			return
 		}
 		// What is durable stays where it is; what comes after it begins a new key.
-		first := slices.IndexFunc(j.hosts, func(h host) bool { return !h.durable })
+		first := slices.IndexFunc(j.record.hosts, func(h host) bool { return !h.durable })
 		if first < 0 {
 			return
 		}
-		j.hostChunks = slices.DeleteFunc(j.hostChunks, func(from int) bool { return from >= first })
-		j.hostChunks = append(j.hostChunks, first)
-		j.hostsWritten = first
+		j.record.hostChunks = slices.DeleteFunc(j.record.hostChunks, func(from int) bool { return from >= first })
+		j.record.hostChunks = append(j.record.hostChunks, first)
+		j.record.hostsWritten = first
 		c.unwrittenJob(j)
 	case finishedTag:
-		j := c.jobs[t.job]
-		if j.tasks != nil {
-			j.unwrittenTasks = append(j.unwrittenTasks, t.tasks...)
+		j := c.jobs.list[t.job]
+		if j.progress.tasks != nil {
+			j.record.unwrittenTasks = append(j.record.unwrittenTasks, t.tasks...)
 			c.unwrittenJob(j)
 		}
 	case terminalTag:
-		j := c.jobs[t.job]
+		j := c.jobs.list[t.job]
 		c.log.Error("the end of a job takes more than a value may hold", "job", j.id)
 		c.writeTerminal(j, true)
 	case scaleOutTag:
@@ -96,26 +96,26 @@
 func (c *Core) durable(tag ledger.Tag) {
 	switch t := tag.(type) {
 	case hostTag:
-		j := c.jobs[t.job]
-		if j.hosts == nil {
+		j := c.jobs.list[t.job]
+		if j.record.hosts == nil {
 			return
 		}
 		for i := t.from; i < t.to; i++ {
-			if j.hosts[i].durable {
+			if j.record.hosts[i].durable {
 				continue
 			}
-			j.hosts[i].durable = true
-			c.sendPlanned(j, c.machines[j.hosts[i].machine])
+			j.record.hosts[i].durable = true
+			c.sendPlanned(j, c.machines.list[j.record.hosts[i].machine])
 		}
 	case finishedTag:
-		j := c.jobs[t.job]
+		j := c.jobs.list[t.job]
 		for _, n := range t.tasks {
-			if j.tasks != nil && j.tasks[n].state == taskDone {
-				j.tasks[n].state = taskDurable
+			if j.progress.tasks != nil && j.progress.tasks[n].state == taskDone {
+				j.progress.tasks[n].state = taskDurable
 			}
 		}
 	case terminalTag:
-		c.terminalIsDurable(c.jobs[t.job])
+		c.terminalIsDurable(c.jobs.list[t.job])
 	case scaleOutTag:
 		c.scaleOutDurable(t.name)
 	case unreachableTag:
@@ -123,7 +123,7 @@
 	case planTag:
 		c.planDurable(t)
 	case delegatedTag:
-		c.federation.delegated.Saved(t.ref, t.record, c.now)
+		c.federation.delegated.Saved(t.ref, t.record, c.clock.now)
 		c.applyOriginEffects()
 		c.exchange()
 	}
@@ -132,9 +132,9 @@
 // addHost notes that a job's tasks may be on a machine. That is written at the end
 // of the step, and durable before the first start there.
 func (c *Core) addHost(j *job, m *machine) {
-	j.hostAt[m.index] = len(j.hosts)
-	j.hosts = append(j.hosts, host{machine: m.index})
-	m.namedByJobs++
+	j.record.hostAt[m.index] = len(j.record.hosts)
+	j.record.hosts = append(j.record.hosts, host{machine: m.index})
+	m.recorded.namedByJobs++
 	c.unwrittenJob(j)
 }
 
@@ -142,51 +142,51 @@
 // burst brings dozens of machines and ended tasks of one job in a step, and each
 // by itself would be written with all that came before it.
 func (c *Core) unwrittenJob(j *job) {
-	if !j.queuedForWrite {
-		j.queuedForWrite = true
-		c.unwrittenJobs = append(c.unwrittenJobs, j)
+	if !j.record.queuedForWrite {
+		j.record.queuedForWrite = true
+		c.jobs.unwritten = append(c.jobs.unwritten, j)
 	}
 }
 
 // writeJobs writes what is new about jobs.
 func (c *Core) writeJobs() {
-	for _, j := range c.unwrittenJobs {
-		j.queuedForWrite = false
-		if j.tasks != nil {
+	for _, j := range c.jobs.unwritten {
+		j.record.queuedForWrite = false
+		if j.progress.tasks != nil {
 			c.writeHosts(j)
 			c.writeDone(j)
 		}
 	}
-	clear(c.unwrittenJobs)
-	c.unwrittenJobs = c.unwrittenJobs[:0]
+	clear(c.jobs.unwritten)
+	c.jobs.unwritten = c.jobs.unwritten[:0]
 }
 
 // writeHosts writes the chunks in which a job has new hosts.
 func (c *Core) writeHosts(j *job) {
-	for from := j.hostsWritten; from < len(j.hosts); {
+	for from := j.record.hostsWritten; from < len(j.record.hosts); {
 		first, names := 0, []string(nil)
-		if n := len(j.hostChunks); n > 0 {
-			first = j.hostChunks[n-1]
+		if n := len(j.record.hostChunks); n > 0 {
+			first = j.record.hostChunks[n-1]
 			names = c.chunkFrom(j, first)
 		}
 		if first+len(names) <= from {
 			// There is none, or the last one is full.
-			j.hostChunks = append(j.hostChunks, from)
+			j.record.hostChunks = append(j.record.hostChunks, from)
 			first, names = from, c.chunkFrom(j, from)
 		}
 		to := first + len(names)
-		c.put(ledger.Write{Key: ledger.HostKey(j.id, len(j.hostChunks)-1), Value: names, Urgent: true, Tag: hostTag{j.index, from, to}})
+		c.writes.put(ledger.Write{Key: ledger.HostKey(j.id, len(j.record.hostChunks)-1), Value: names, Urgent: true, Tag: hostTag{j.index, from, to}})
 		from = to
 	}
-	j.hostsWritten = len(j.hosts)
+	j.record.hostsWritten = len(j.record.hosts)
 }
 
 // chunkFrom names the hosts of a job, from one of them on, that go into one key.
 func (c *Core) chunkFrom(j *job, first int) []string {
-	hosts := j.hosts[first:min(first+ledger.HostsPerChunk, len(j.hosts))]
+	hosts := j.record.hosts[first:min(first+ledger.HostsPerChunk, len(j.record.hosts))]
 	names := make([]string, len(hosts))
 	for i, h := range hosts {
-		names[i] = c.machines[h.machine].name
+		names[i] = c.machines.list[h.machine].name
 	}
 	return names[:ledger.NamesThatFit(names, c.cfg.ValueBytes)]
 }
@@ -194,8 +194,8 @@
 // writeDone writes the chunks in which a job has tasks that have ended since they
 // were last written. Of a job that is over, its record tells all.
 func (c *Core) writeDone(j *job) {
-	ended := j.unwrittenTasks
-	j.unwrittenTasks = nil
+	ended := j.record.unwrittenTasks
+	j.record.unwrittenTasks = nil
 	if j.over() {
 		return
 	}
@@ -211,22 +211,22 @@
 // writeChunk writes the finished tasks of one chunk, some of which are new.
 func (c *Core) writeChunk(j *job, chunk int, ended []int32) {
 	first := chunk * ledger.TasksPerChunk
-	size := min(ledger.TasksPerChunk, j.total-first)
-	done := func(i int) bool { return j.tasks[first+i].state >= taskDone }
+	size := min(ledger.TasksPerChunk, j.progress.total-first)
+	done := func(i int) bool { return j.progress.tasks[first+i].state >= taskDone }
 	ranges := ledger.EncodeRanges(done, size)
 	if ranges.Size() <= c.cfg.ValueBytes {
 		key := ledger.FinishedTasksKey(j.id, chunk)
 		j.finishedKey(key)
-		c.put(ledger.Write{Key: key, Value: ranges, Tag: finishedTag{j.index, ended}})
+		c.writes.put(ledger.Write{Key: key, Value: ranges, Tag: finishedTag{j.index, ended}})
 		return
 	}
 	// It has to be written in parts; all of them the first time, since the chunk's
 	// own key may not hold what has ended since it was last written.
-	all := !j.chunksInParts[chunk]
-	if j.chunksInParts == nil {
-		j.chunksInParts = map[int]bool{}
+	all := !j.record.chunksInParts[chunk]
+	if j.record.chunksInParts == nil {
+		j.record.chunksInParts = map[int]bool{}
 	}
-	j.chunksInParts[chunk] = true
+	j.record.chunksInParts[chunk] = true
 	part := ledger.TasksPerPart(c.cfg.ValueBytes)
 	for from := 0; from < size; from += part {
 		to := min(from+part, size)
@@ -239,7 +239,7 @@
 			if n > 0 {
 				w.Tag = finishedTag{j.index, ended[:n]}
 			}
-			c.put(w)
+			c.writes.put(w)
 		}
 		ended = ended[n:]
 	}
--- a/internal/scheduler/machines_test.go
+++ b/internal/scheduler/machines_test.go
@@ -36,8 +36,8 @@
 				c.ends = c.ends[1:]
 			}
 			n := 0
-			for _, m := range g.c.machines {
-				if m.quarantined {
+			for _, m := range g.c.machines.list {
+				if m.health.quarantined {
 					n++
 				}
 			}
@@ -138,11 +138,11 @@
 	g.submit(newTestJob("job-1", 2, 4))
 	g.settle(CommandExecuted)
 	g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
-	g.want("noted", g.c.machines[0].goneRecorded, true)
+	g.want("noted", g.c.machines.list[0].recorded.gone, true)
 	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 	g.report(g.reportOf("vm-2", ours))
 	g.wait(time.Second)
-	g.want("noted after the job is over", g.c.machines[0].goneRecorded, false)
+	g.want("noted after the job is over", g.c.machines.list[0].recorded.gone, false)
 }
 
 func TestUnheardHostAfterATakeoverIsDeleted(t *testing.T) {
@@ -173,19 +173,19 @@
 		}
 	}
 	tell(19 * time.Second) // a quarter of a lease until it is raisedAt, two rounds to wait
-	g.want("deaf machine is closed", g.c.machines[0].schedulable, false)
+	g.want("deaf machine is closed", g.c.machines.list[0].indexed.schedulable, false)
 	g.submit(newTestJob("job-2", 2, 4))
 	for _, d := range g.start {
 		if d.Machine == "vm-1" {
 			t.Error("new work for a machine that does not hear")
 		}
 	}
-	g.want("its task stays booked", g.c.jobs[0].booked, 1)
+	g.want("its task stays booked", g.c.jobs.list[0].progress.allocated, 1)
 	tell(6 * time.Second)
 	g.want("asked to delete", g.deleted, []string{"vm-1"})
-	g.want("its task stays booked until then", g.c.jobs[0].booked, 1)
+	g.want("its task stays booked until then", g.c.jobs.list[0].progress.allocated, 1)
 	g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
-	g.want("and waits again afterwards", len(g.c.jobs[0].waiting), 1)
+	g.want("and waits again afterwards", len(g.c.jobs.list[0].progress.waiting), 1)
 }
 
 // TestLateCopiesOfReports: a copy that comes seconds or more than a lease late
@@ -209,21 +209,21 @@
 			g.report(&old)
 			o := running(g)
 			g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskRunning, "")))
-			over := g.c.machines[0].leaseExpiry
+			over := g.c.machines.list[0].agent.leaseExpiry
 			g.wait(8 * time.Second)
 			g.report(&old)
-			g.want("bookings", g.c.jobs[0].booked, 1)
-			g.want("the end of the lease", g.c.machines[0].leaseExpiry, over)
+			g.want("bookings", g.c.jobs.list[0].progress.allocated, 1)
+			g.want("the end of the lease", g.c.machines.list[0].agent.leaseExpiry, over)
 		}},
 		{"after its lease: what it lists is over", func(g *stage) {
 			o := running(g)
 			held := *g.reportOf("vm-1", ours, taskIn(o, wire.TaskRunning, "")) // not seen before
 			g.wait(31 * time.Second)
-			g.want("bookings once the lease is over", g.c.jobs[0].booked, 0)
+			g.want("bookings once the lease is over", g.c.jobs.list[0].progress.allocated, 0)
 			if a := g.report(&held); a != nil {
 				t.Errorf("a session that is over is kept alive with %v", a)
 			}
-			g.want("bookings after the copy", g.c.jobs[0].booked, 0)
+			g.want("bookings after the copy", g.c.jobs.list[0].progress.allocated, 0)
 			g.up("vm-2")
 			g.want("starts elsewhere", len(g.starts()), 1)
 		}},
@@ -234,8 +234,8 @@
 			if a := g.report(&held); a != nil {
 				t.Errorf("answered with %v", a)
 			}
-			g.want("bookings", g.c.jobs[0].booked, 0)
-			g.want("state", g.c.machines[0].state, machineGone)
+			g.want("bookings", g.c.jobs.list[0].progress.allocated, 0)
+			g.want("state", g.c.machines.list[0].state, machineGone)
 		}},
 		{"from before a takeover: it ends no doubt and books nothing", func(g *stage) {
 			saved := ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}}
@@ -243,7 +243,7 @@
 			g2.up("vm-9")
 			old := wire.Command{Task: "job-1/0", Attempt: 6<<tokenBits | 1}
 			g2.report(g2.reportOf("vm-1", 6<<tokenBits, taskIn(old, wire.TaskRunning, "")))
-			g2.want("bookings", g2.c.jobs[0].booked, 0)
+			g2.want("bookings", g2.c.jobs.list[0].progress.allocated, 0)
 			g2.want("starts", len(g2.starts()), 0)
 			g2.want("orders: it may run there after all", len(g2.answered), 0)
 			g2.report(g2.reportOf("vm-1", ours))
@@ -256,10 +256,10 @@
 			r.AgentEpoch = 2
 			g.report(r)
 			g.echo("vm-1")
-			n := g.c.jobs[0].booked
+			n := g.c.jobs.list[0].progress.allocated
 			g.report(&held)
-			g.want("bookings", g.c.jobs[0].booked, n)
-			g.want("session", g.c.machines[0].agentEpoch, 2)
+			g.want("bookings", g.c.jobs.list[0].progress.allocated, n)
+			g.want("session", g.c.machines.list[0].agent.epoch, 2)
 		}},
 	}
 	for _, c := range cases {
@@ -308,7 +308,7 @@
 				g.echo("vm-1")
 			}
 			g.want("started anew", len(g.starts()), c.starts)
-			g.want("bookings", g.c.jobs[0].booked, 1)
+			g.want("bookings", g.c.jobs.list[0].progress.allocated, 1)
 			if c.starts == 0 {
 				return
 			}
@@ -320,7 +320,7 @@
 			old := *g.reportOf("vm-1", ours, taskIn(o, wire.TaskRunning, ""))
 			old.Sequence = 41
 			g.report(&old)
-			g.want("bookings after an old report", g.c.jobs[0].booked, 1)
+			g.want("bookings after an old report", g.c.jobs.list[0].progress.allocated, 1)
 			g.want("the new attempt", g.c.machineNamed("vm-1").allocation(n.Attempt) != nil, true)
 		})
 	}
@@ -338,11 +338,11 @@
 	old := *g.reportOf("vm-1", (testTerm-1)<<tokenBits)
 	old.Sequence = 90
 	g.report(&old)
-	g.want("bookings after it", g.c.jobs[0].booked, 1)
+	g.want("bookings after it", g.c.jobs.list[0].progress.allocated, 1)
 	g.want("started elsewhere", len(g.starts()), 0)
 	// Its worker may truly have begun anew with higher counts: it says so again with
 	// the token that the answer gave it.
-	again := *g.reportOf("vm-1", g.c.machineNamed("vm-1").fencingToken)
+	again := *g.reportOf("vm-1", g.c.machineNamed("vm-1").agent.fencingToken)
 	again.Sequence = 91
 	g.report(&again)
 	g.want("started anew", len(g.starts()), 1)
@@ -394,7 +394,7 @@
 		}
 		g.submit(newTestJob("job-1", 1, 4))
 		g.settle(outcome)
-		g.want("open before the echo", g.c.accepts(g.c.machines[0]), false)
+		g.want("open before the echo", g.c.accepts(g.c.machines.list[0]), false)
 		g.wait(time.Second)
 		g.want("deleted", len(g.deleted), 0)
 	}
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -6,24 +6,61 @@
 	"time"
 
 	"leadproxy/internal/settings"
+	"leadproxy/internal/slowfit"
 	"leadproxy/internal/wire"
 )
 
+// placement is what decides where tasks run and in which order: the teams with their quotas, the
+// classes with their objectives, the SLOW-FIT goal and index, and the reservations.
+type placement struct {
+	clock  *clock
+	needed bool // something has changed that may let waiting tasks start
+
+	teams           []team
+	teamIndexByName map[string]int32
+	unknownTeam     int32 // for jobs of teams that the settings no longer name
+
+	classes         names
+	classObjectives []classAims // by class
+	coresByClass    []float64   // allocated cores, by class
+	images          names
+
+	goal           slowfit.Goal
+	lowLoadSince   time.Duration
+	index          slowfit.Index
+	pools          []poolKey // by the index's numbers
+	poolIndexByKey map[poolKey]int32
+	stale          []*machine // to be brought up to date in the index
+	openCores      float64    // of the machines in the index
+	reservingJobs  []*job     // jobs for which a machine is kept free
+}
+
+func newPlacement(clock *clock, cfg Config) placement {
+	p := placement{clock: clock, teamIndexByName: map[string]int32{}, poolIndexByKey: map[poolKey]int32{}, goal: slowfit.Goal{C: cfg.Operator.SlowFitC}}
+	for _, t := range cfg.Platform.Facts.Teams {
+		p.teamIndexByName[t.Name] = int32(len(p.teams))
+		p.teams = append(p.teams, team{guarantee: limitUnits(t.CPUs, t.GPUs), limit: limitUnits(t.CPUsMax, t.GPUsMax)})
+	}
+	p.unknownTeam = int32(len(p.teams))
+	p.teams = append(p.teams, team{})
+	return p
+}
+
 // place starts what can be started: first what has waited too long and who has
 // less than their share (fair.go), then all jobs in the order of the queue; each
 // task where SLOW-FIT puts it.
 func (c *Core) place() {
-	for _, m := range c.staleInIndex {
+	for _, m := range c.placement.stale {
 		c.refresh(m)
 	}
-	c.staleInIndex = c.staleInIndex[:0]
+	c.placement.stale = c.placement.stale[:0]
 	queue := c.queue()
 	uncertain := c.uncertainUse()
 	c.placeAged(queue, uncertain)
 	c.placeUnderserved(queue, uncertain)
 	for from := 0; from < len(queue); {
 		to := from + 1
-		for to < len(queue) && queue[to].priorityClass == queue[from].priorityClass {
+		for to < len(queue) && queue[to].priority.class == queue[from].priority.class {
 			to++
 		}
 		c.placeRank(queue[from:to], uncertain)
@@ -39,9 +76,9 @@
 func (c *Core) placeRank(queue []*job, uncertain []units) {
 	if len(queue) > 1 {
 		for _, j := range queue {
-			j.imageOnly = c.mayWaitForImage(j)
+			j.placement.imageOnly = c.mayWaitForImage(j)
 			c.placeJob(j, uncertain, nil)
-			j.imageOnly = false
+			j.placement.imageOnly = false
 		}
 	}
 	for _, j := range queue {
@@ -52,13 +89,13 @@
 // mayWaitForImage tells whether a job has time to let others go first: more than
 // fetching its image would take, or none at all any more.
 func (c *Core) mayWaitForImage(j *job) bool {
-	if j.deadline == never {
+	if j.priority.deadline == never {
 		return true
 	}
-	slack := j.deadline - c.now - c.expectedRun(j)
+	slack := j.priority.deadline - c.clock.now - c.expectedRun(j)
 	slowest := time.Duration(0)
-	for i := range c.types {
-		if t := &c.types[i]; t.FetchGBPerS > 0 {
+	for i := range c.autoscaling.types {
+		if t := &c.autoscaling.types[i]; t.FetchGBPerS > 0 {
 			slowest = max(slowest, settings.Seconds(j.spec.ImageGB/t.FetchGBPerS))
 		}
 	}
@@ -67,7 +104,7 @@
 
 // accepts tells whether a machine takes new tasks at all.
 func (c *Core) accepts(m *machine) bool {
-	return m.state == machineUp && m.trusted(c.term) && m.agentEpoch > m.expiredEpoch && m.typ >= 0 && m.unreachable == nil && !m.cordoned && !m.quarantined && c.now >= m.avoidUntil && m.terminationAt == 0 && !m.unacknowledged && c.now-m.lastAcknowledged < c.unreachableAfter()
+	return m.state == machineUp && m.trusted(c.term) && m.agent.epoch > m.agent.expiredEpoch && m.typ >= 0 && m.agent.unreachable == nil && !m.eviction.cordoned && !m.health.quarantined && c.clock.now >= m.commands.avoidUntil && m.rental.terminationAt == 0 && !m.agent.unacknowledged && c.clock.now-m.agent.lastAcknowledged < c.unreachableAfter()
 }
 
 // queue returns the jobs with tasks to place, in order: teams within their
@@ -75,24 +112,24 @@
 // that is left.
 func (c *Core) queue() []*job {
 	var queue []*job
-	demand := make([]units, len(c.teams))
-	for _, j := range c.activeJobs {
+	demand := make([]units, len(c.placement.teams))
+	for _, j := range c.jobs.active {
 		if !j.over() && !j.blocked() {
-			demand[j.team] = demand[j.team].plus(unitsOf(j.size).times(j.total - j.done))
+			demand[j.request.team] = demand[j.request.team].plus(unitsOf(j.request.size).times(j.progress.total - j.progress.done))
 		}
-		if j.placeable(c.now) {
+		if j.placeable(c.clock.now) {
 			queue = append(queue, j)
 		}
 	}
 	crowded := map[int]bool{} // by rank: somebody is late already
 	for _, j := range queue {
-		crowded[j.priorityClass] = crowded[j.priorityClass] || c.ageBucket(j) == turnLate
+		crowded[j.priority.class] = crowded[j.priority.class] || c.ageBucket(j) == turnLate
 	}
 	// A team whose unfinished jobs all fit within its guarantee need not wait
 	// for other teams.
 	withinGuarantee := func(j *job) bool {
-		g := c.teams[j.team].guarantee
-		d := demand[j.team]
+		g := c.placement.teams[j.request.team].guarantee
+		d := demand[j.request.team]
 		return (g.cpus > 0 || g.gpus > 0) && d.cpus <= g.cpus && d.gpus <= g.gpus
 	}
 	slices.SortStableFunc(queue, func(a, b *job) int {
@@ -102,14 +139,14 @@
 			}
 			return 1
 		}
-		if a.priorityClass != b.priorityClass {
-			return a.priorityClass - b.priorityClass
+		if a.priority.class != b.priority.class {
+			return a.priority.class - b.priority.class
 		}
 		work := 0
-		if crowded[a.priorityClass] {
+		if crowded[a.priority.class] {
 			work = cmp.Compare(c.workLeft(a), c.workLeft(b))
 		}
-		return cmp.Or(cmp.Compare(c.ageBucket(a), c.ageBucket(b)), foreignJobsLast(a, b), work, cmp.Compare(a.slack(c.now), b.slack(c.now)), int(a.index)-int(b.index))
+		return cmp.Or(cmp.Compare(c.ageBucket(a), c.ageBucket(b)), foreignJobsLast(a, b), work, cmp.Compare(a.slack(c.clock.now), b.slack(c.clock.now)), int(a.index)-int(b.index))
 	})
 	return queue
 }
@@ -117,9 +154,9 @@
 // foreignJobsLast has this cell's own jobs go before those of other cells.
 func foreignJobsLast(a, b *job) int {
 	switch {
-	case (a.origin == "") == (b.origin == ""):
+	case (a.transfer.origin == "") == (b.transfer.origin == ""):
 		return 0
-	case a.origin == "":
+	case a.transfer.origin == "":
 		return -1
 	}
 	return 1
@@ -128,18 +165,18 @@
 // uncertainUse is what each team's tasks may use on machines that have not been
 // heard of in this term, and in other cells.
 func (c *Core) uncertainUse() []units {
-	use := make([]units, len(c.teams))
+	use := make([]units, len(c.placement.teams))
 	transfers := !c.federation.delegated.Idle()
-	for _, j := range c.activeJobs {
-		if len(j.inDoubtHosts) > 0 && j.terminal != wire.JobDone {
-			n := j.total - j.done - j.booked
-			use[j.team] = use[j.team].plus(unitsOf(j.size).times(max(n, 0)))
+	for _, j := range c.jobs.active {
+		if len(j.record.inDoubtHosts) > 0 && j.end.state != wire.JobDone {
+			n := j.progress.total - j.progress.done - j.progress.allocated
+			use[j.request.team] = use[j.request.team].plus(unitsOf(j.request.size).times(max(n, 0)))
 		}
-		unreadable := j.delegated && !c.federation.delegated.Delegated(j.id)
+		unreadable := j.transfer.delegated && !c.federation.delegated.Delegated(j.id)
 		if unreadable || transfers && c.federation.delegated.MayRunRemotely(j.id) {
 			// All of its tasks may run there at once, also if its transfer's record can't
 			// be read.
-			use[j.team] = use[j.team].plus(unitsOf(j.size).times(j.total))
+			use[j.request.team] = use[j.request.team].plus(unitsOf(j.request.size).times(j.progress.total))
 		}
 	}
 	return use
@@ -148,13 +185,13 @@
 // allows tells whether a job's rules let its tasks run on a machine, leaving
 // together and spread aside.
 func (j *job) allows(typ, zone int32, spot bool) bool {
-	return (j.types == nil || slices.Contains(j.types, typ)) && (j.zone < 0 || j.zone == zone) && (j.spec.Spot || !spot)
+	return (j.request.types == nil || slices.Contains(j.request.types, typ)) && (j.request.zone < 0 || j.request.zone == zone) && (j.spec.Spot || !spot)
 }
 
 // withinLimit tells whether a job's team may have one more of its tasks.
 func (c *Core) withinLimit(j *job, uncertain []units) bool {
-	t := &c.teams[j.team]
-	return t.booked.plus(uncertain[j.team]).plus(unitsOf(j.size)).within(t.limit)
+	t := &c.placement.teams[j.request.team]
+	return t.booked.plus(uncertain[j.request.team]).plus(unitsOf(j.request.size)).within(t.limit)
 }
 
 // placeJob starts what it can of a job's waiting tasks, as long as more, unless
@@ -162,7 +199,7 @@
 func (c *Core) placeJob(j *job, uncertain []units, more func(placed int) bool) (placed int) {
 	// Most of what waits on a full site, or for its team's limit, has no place:
 	// that must show before anything is looked at machine by machine.
-	if len(j.waiting) == 0 || !c.attemptsLeft() || c.index.Infeasible(j.size) || !c.withinLimit(j, uncertain) {
+	if len(j.progress.waiting) == 0 || !c.attemptsLeft() || c.placement.index.Infeasible(j.request.size) || !c.withinLimit(j, uncertain) {
 		return 0
 	}
 	c.resolveTypes(j)
@@ -170,15 +207,15 @@
 	if j.spec.Gang {
 		only = c.gangZone(j)
 	}
-	for len(j.waiting) > 0 && c.attemptsLeft() && (more == nil || more(placed)) {
-		if j.suspect() && j.booked > 0 || !c.withinLimit(j, uncertain) {
+	for len(j.progress.waiting) > 0 && c.attemptsLeft() && (more == nil || more(placed)) {
+		if j.suspect() && j.progress.allocated > 0 || !c.withinLimit(j, uncertain) {
 			return placed // a suspect job is tried one task at a time
 		}
 		at := c.choose(j, only)
 		if at < 0 {
 			return placed
 		}
-		m := c.machines[at]
+		m := c.machines.list[at]
 		c.startOn(j, m)
 		placed++
 		if only < 0 && j.spec.Gang {
@@ -190,31 +227,31 @@
 
 // startOn books a job's next task on a machine and has it started there.
 func (c *Core) startOn(j *job, m *machine) {
-	n := j.waiting[len(j.waiting)-1]
-	j.waiting = j.waiting[:len(j.waiting)-1]
+	n := j.progress.waiting[len(j.progress.waiting)-1]
+	j.progress.waiting = j.progress.waiting[:len(j.progress.waiting)-1]
 	b := c.allocate(m, j, n, c.nextAttempt(), true)
 	c.refresh(m)
 	if c.debug {
-		c.log.Debug("task placed", "task", c.taskName(b), "attempt", b.attempt, "machine", m.name, "goal", c.goal.L, "share", b.share, "load", m.load, "image", m.has(j.image))
+		c.log.Debug("task placed", "task", c.taskName(b), "attempt", b.attempt, "machine", m.name, "goal", c.placement.goal.L, "share", b.share, "load", m.capacity.load, "image", m.has(j.request.image))
 	}
-	if _, ok := j.hostAt[m.index]; !ok {
+	if _, ok := j.record.hostAt[m.index]; !ok {
 		c.addHost(j, m)
 	}
-	if j.hosts[j.hostAt[m.index]].durable {
+	if j.record.hosts[j.record.hostAt[m.index]].durable {
 		c.sendStart(j, m, b)
 	}
 }
 
 // fetchTime is how long a machine will need for a job's image.
 func (c *Core) fetchTime(j *job, m *machine) time.Duration {
-	rate := c.types[m.typ].FetchGBPerS
-	if m.has(j.image) || rate <= 0 {
+	rate := c.autoscaling.types[m.typ].FetchGBPerS
+	if m.has(j.request.image) || rate <= 0 {
 		return 0
 	}
 	// Images that are fetched at the same time share the rate.
 	fetching := 1
-	for _, b := range m.allocations {
-		if o := c.jobs[b.job]; b.status != wire.TaskRunning && o.image != j.image && !m.has(o.image) {
+	for _, b := range m.capacity.allocations {
+		if o := c.jobs.list[b.job]; b.status != wire.TaskRunning && o.request.image != j.request.image && !m.has(o.request.image) {
 			fetching++
 			break
 		}
@@ -224,8 +261,8 @@
 
 // fetching tells whether a machine is about to fetch an image for some task.
 func (c *Core) fetching(m *machine, image int32) bool {
-	for _, b := range m.allocations {
-		if b.status != wire.TaskRunning && c.jobs[b.job].image == image {
+	for _, b := range m.capacity.allocations {
+		if b.status != wire.TaskRunning && c.jobs.list[b.job].request.image == image {
 			return true
 		}
 	}
@@ -236,25 +273,25 @@
 // else where the most of it fits now. That takes a look at all machines, so it
 // holds for a while.
 func (c *Core) gangZone(j *job) int32 {
-	for z, n := range j.inZone {
+	for z, n := range j.placement.tasksByZone {
 		if n > 0 {
 			return int32(z)
 		}
 	}
-	if j.zoneSought > 0 && c.now-j.zoneSought < time.Second {
-		return j.preferredZone
+	if j.placement.gangZoneChosenAt > 0 && c.clock.now-j.placement.gangZoneChosenAt < time.Second {
+		return j.placement.gangZone
 	}
-	slots := make([]int, len(c.zones.list))
+	slots := make([]int, len(c.machines.zones.list))
 	best := int32(-1)
-	for _, m := range c.liveMachines {
-		if m.schedulable && j.allows(m.typ, m.zone, m.spot) {
-			slots[m.zone] += j.size.Slots(m.free)
+	for _, m := range c.machines.live {
+		if m.indexed.schedulable && j.allows(m.typ, m.zone, m.spot) {
+			slots[m.zone] += j.request.size.Slots(m.capacity.free)
 			if best < 0 || slots[m.zone] > slots[best] {
 				best = m.zone
 			}
 		}
 	}
-	j.zoneSought, j.preferredZone = c.now, best
+	j.placement.gangZoneChosenAt, j.placement.gangZone = c.clock.now, best
 	return best
 }
 
@@ -263,27 +300,27 @@
 	if zone < 0 || j.spec == nil || !j.spec.Gang && !j.spec.Spread {
 		return
 	}
-	for int(zone) >= len(j.inZone) {
-		j.inZone = append(j.inZone, 0)
+	for int(zone) >= len(j.placement.tasksByZone) {
+		j.placement.tasksByZone = append(j.placement.tasksByZone, 0)
 	}
-	j.inZone[zone] += change
+	j.placement.tasksByZone[zone] += change
 }
 
 // crowdedZone tells whether a job that must be spread may have no more tasks in
 // a zone.
 func (j *job) crowdedZone(zone int32) bool {
-	return j.spec.Spread && int(zone) < len(j.inZone) && j.inZone[zone] >= (j.total+1)/2
+	return j.spec.Spread && int(zone) < len(j.placement.tasksByZone) && j.placement.tasksByZone[zone] >= (j.progress.total+1)/2
 }
 
 // resolveTypes maps the type names that a job allows, once types are known.
 func (c *Core) resolveTypes(j *job) {
-	if j.spec.Types == nil || j.types != nil {
+	if j.spec.Types == nil || j.request.types != nil {
 		return
 	}
-	j.types = []int32{}
+	j.request.types = []int32{}
 	for _, name := range j.spec.Types {
-		if t, ok := c.typeIndexByName[name]; ok {
-			j.types = append(j.types, t)
+		if t, ok := c.autoscaling.typeIndexByName[name]; ok {
+			j.request.types = append(j.request.types, t)
 		}
 	}
 }
@@ -293,10 +330,10 @@
 	if j.spec == nil || j.spec.EstimatedRunS <= 0 {
 		return
 	}
-	c.autoscaling.learnRatio(j.class, took.Seconds()/j.spec.EstimatedRunS)
+	c.autoscaling.learnRatio(j.request.class, took.Seconds()/j.spec.EstimatedRunS)
 }
 
 // expectedRun is how long a task of a job is expected to run.
 func (c *Core) expectedRun(j *job) time.Duration {
-	return time.Duration(j.spec.EstimatedRunS * c.autoscaling.ratio(j.class) * float64(time.Second))
+	return time.Duration(j.spec.EstimatedRunS * c.autoscaling.ratio(j.request.class) * float64(time.Second))
 }
--- a/internal/scheduler/placement_index.go
+++ b/internal/scheduler/placement_index.go
@@ -14,51 +14,59 @@
 	spot      bool
 }
 
+// indexEntry is what the index holds of one machine.
+type indexEntry struct {
+	pool        int32 // -1: none yet
+	schedulable bool
+	cores       float64 // of it in the open cores
+	stale       bool    // it is to be brought up to date
+}
+
 // indexChanged notes that the index may no longer show a machine as it is.
 func (c *Core) indexChanged(m *machine) {
-	if !m.indexStale {
-		m.indexStale = true
-		c.staleInIndex = append(c.staleInIndex, m)
+	if !m.indexed.stale {
+		m.indexed.stale = true
+		c.placement.stale = append(c.placement.stale, m)
 	}
 }
 
 // refresh brings the index up to date for a machine.
 func (c *Core) refresh(m *machine) {
-	m.indexStale = false
-	m.schedulable = c.accepts(m)
-	c.openCores -= m.indexedCores
-	m.indexedCores = 0
-	if m.schedulable {
-		m.indexedCores = m.total.CPUs
-		c.openCores += m.indexedCores
+	m.indexed.stale = false
+	m.indexed.schedulable = c.accepts(m)
+	c.placement.openCores -= m.indexed.cores
+	m.indexed.cores = 0
+	if m.indexed.schedulable {
+		m.indexed.cores = m.capacity.total.CPUs
+		c.placement.openCores += m.indexed.cores
 	}
-	if !m.schedulable || m.reserved {
-		c.index.Close(m.index)
+	if !m.indexed.schedulable || m.capacity.reserved {
+		c.placement.index.Close(m.index)
 		return
 	}
 	key := poolKey{m.typ, m.zone, m.spot}
-	pool, ok := c.poolIndexByKey[key]
+	pool, ok := c.placement.poolIndexByKey[key]
 	if !ok {
-		pool = int32(c.index.AddPool(m.total))
-		c.poolIndexByKey[key] = pool
-		c.pools = append(c.pools, key)
+		pool = int32(c.placement.index.AddPool(m.capacity.total))
+		c.placement.poolIndexByKey[key] = pool
+		c.placement.pools = append(c.placement.pools, key)
 	}
-	if m.pool != pool {
-		c.index.Join(m.index, int(pool))
-		m.pool = pool
+	if m.indexed.pool != pool {
+		c.placement.index.Join(m.index, int(pool))
+		m.indexed.pool = pool
 	}
-	load := m.load
-	if m.phase != c.goal.Phase {
+	load := m.capacity.load
+	if m.capacity.phase != c.placement.goal.Phase {
 		load = 0
 	}
 	var tags uint64
-	for _, s := range m.images {
+	for _, s := range m.capacity.images {
 		tags |= imageTag(s.image)
 	}
-	for _, b := range m.allocations {
-		tags |= imageTag(c.jobs[b.job].image)
+	for _, b := range m.capacity.allocations {
+		tags |= imageTag(c.jobs.list[b.job].request.image)
 	}
-	c.index.Open(m.index, m.free, load, tags)
+	c.placement.index.Open(m.index, m.capacity.free, load, tags)
 }
 
 // imageTag is the index's tag of an image. Several images may share one.
@@ -70,32 +78,32 @@
 // the image first would break the aim by that alone.
 func (c *Core) choose(j *job, only int32) int32 {
 	w := c.request(j, only)
-	if j.imageOnly {
+	if j.placement.imageOnly {
 		at := w
 		at.AllowedTag = w.FavouredTag
 		at.Allowed = func(i int32) bool { return w.Favoured(i) && (w.Allowed == nil || w.Allowed(i)) }
-		return c.index.Place(&c.goal, &at)
+		return c.placement.index.Place(&c.placement.goal, &at)
 	}
-	if aim := c.classObjectives[j.class].wait; aim > 0 {
+	if aim := c.placement.classObjectives[j.request.class].wait; aim > 0 {
 		soon := w
 		soon.Allowed = func(i int32) bool {
-			m := c.machines[i]
+			m := c.machines.list[i]
 			return c.fetchTime(j, m) <= aim && (w.Allowed == nil || w.Allowed(i))
 		}
 		if !c.fetchedWithin(j, aim) {
-			soon.AllowedTag = imageTag(j.image)
+			soon.AllowedTag = imageTag(j.request.image)
 		}
-		if at := c.index.Place(&c.goal, &soon); at >= 0 {
+		if at := c.placement.index.Place(&c.placement.goal, &soon); at >= 0 {
 			return at
 		}
 	}
-	return c.index.Place(&c.goal, &w)
+	return c.placement.index.Place(&c.placement.goal, &w)
 }
 
 // fetchedWithin tells whether a job's image can be fetched within a time by
 // some type of machine.
 func (c *Core) fetchedWithin(j *job, within time.Duration) bool {
-	return slices.ContainsFunc(c.types, func(t machineType) bool {
+	return slices.ContainsFunc(c.autoscaling.types, func(t machineType) bool {
 		return t.FetchGBPerS <= 0 || settings.Seconds(j.spec.ImageGB/t.FetchGBPerS) <= within
 	})
 }
@@ -106,12 +114,12 @@
 // that dearer ones run empty and can go back.
 func (c *Core) request(j *job, only int32) slowfit.Request {
 	cheap, image := 2, 1
-	if c.classObjectives[j.class].wait > 0 {
+	if c.placement.classObjectives[j.request.class].wait > 0 {
 		cheap, image = 1, 2
 	}
-	w := slowfit.Request{Task: j.size, Bonus: image, FavouredTag: imageTag(j.image),
+	w := slowfit.Request{Task: j.request.size, Bonus: image, FavouredTag: imageTag(j.request.image),
 		Pool: func(pool int) (bool, int) {
-			k := c.pools[pool]
+			k := c.placement.pools[pool]
 			if !j.allows(k.typ, k.zone, k.spot) || only >= 0 && k.zone != only || j.crowdedZone(k.zone) {
 				return false, 0
 			}
@@ -121,12 +129,12 @@
 			return true, 0
 		},
 		Favoured: func(i int32) bool {
-			m := c.machines[i]
-			return m.has(j.image) || c.fetching(m, j.image)
+			m := c.machines.list[i]
+			return m.has(j.request.image) || c.fetching(m, j.request.image)
 		},
 	}
-	if len(j.failedOn) > 0 && !j.suspect() {
-		w.Allowed = func(i int32) bool { return !j.failedOn[i] }
+	if len(j.retry.failedOn) > 0 && !j.suspect() {
+		w.Allowed = func(i int32) bool { return !j.retry.failedOn[i] }
 	}
 	return w
 }
--- a/internal/scheduler/plan_requests.go
+++ b/internal/scheduler/plan_requests.go
@@ -25,17 +25,17 @@
 	case c.evictions.plans[name] == nil:
 		err = fmt.Errorf("%w: %q", errNoPlan, name)
 	default:
-		err = c.evictions.plans[name].rollout.Steer(e.Command, e.Argument, c.wall)
+		err = c.evictions.plans[name].rollout.Steer(e.Command, e.Argument, c.clock.wallMS)
 	}
 	if err != nil {
-		c.emit(PlanReply{ReplyTo: e.ReplyTo, Err: err})
+		c.effects.emit(PlanReply{ReplyTo: e.ReplyTo, Err: err})
 		return
 	}
 	p := c.evictions.plans[name]
 	p.tooLong = false
 	c.savePlan(name, p)
 	if p.rollout.Durable() {
-		c.emit(PlanReply{ReplyTo: e.ReplyTo})
+		c.effects.emit(PlanReply{ReplyTo: e.ReplyTo})
 		return
 	}
 	p.waiting = append(p.waiting, planWaiter{p.written, e.ReplyTo})
@@ -46,9 +46,9 @@
 	if c.evictions.plans[spec.Name] != nil {
 		return fmt.Errorf("%w: %q", errPlanExists, spec.Name)
 	}
-	record := rollout.Record{Version: rollout.RecordVersion, Spec: spec, CreatedMS: c.wall, Phase: rollout.Choosing, PhaseMS: c.wall}
+	record := rollout.Record{Version: rollout.RecordVersion, Spec: spec, CreatedMS: c.clock.wallMS, Phase: rollout.Choosing, PhaseMS: c.clock.wallMS}
 	selected, names := 0, c.planNames()
-	for _, m := range c.liveMachines {
+	for _, m := range c.machines.live {
 		if !c.selects(&record, m) {
 			continue
 		}
@@ -62,7 +62,7 @@
 	if selected == 0 {
 		return fmt.Errorf("%w: no machine is selected", rollout.ErrPlan)
 	}
-	p := &plan{rollout: rollout.NewRollout(record, c.evictions.disruptions, c.taskIsDone, c.now, c.wall)}
+	p := &plan{rollout: rollout.NewRollout(record, c.evictions.disruptions, c.taskIsDone, c.clock.now, c.clock.wallMS)}
 	p.rollout.Begin()
 	c.evictions.plans[spec.Name] = p
 	c.log.Info("draining", "plan", spec.Name, "phase", record.Phase, "machines", selected)
@@ -82,7 +82,7 @@
 			}
 			list.Plans = append(list.Plans, PlanStatus{r, waits})
 		}
-		list.Disrupted = c.evictions.disruptions.Entries(c.now)
+		list.Disrupted = c.evictions.disruptions.Entries(c.clock.now)
 	}
-	c.emit(list)
+	c.effects.emit(list)
 }
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -36,25 +36,25 @@
 
 // probe has a machine of an earlier term told our token.
 func (c *Core) probe(m *machine) {
-	if m.probes > 0 || m.trusted(c.term) || m.address == "" || c.now-c.termStart > probeFor {
+	if m.agent.probes > 0 || m.trusted(c.term) || m.agent.address == "" || c.clock.now-c.clock.termStart > probeFor {
 		return
 	}
-	m.probes = 1
-	c.probes.waiting = append(c.probes.waiting, m)
+	m.agent.probes = 1
+	c.agents.probes.waiting = append(c.agents.probes.waiting, m)
 	c.sendProbes()
 }
 
 func (c *Core) sendProbes() {
-	for len(c.probes.waiting) > 0 && c.probes.underWay < c.probes.atOnce {
-		m := c.probes.waiting[0]
-		c.probes.waiting = c.probes.waiting[1:]
+	for len(c.agents.probes.waiting) > 0 && c.agents.probes.underWay < c.agents.probes.atOnce {
+		m := c.agents.probes.waiting[0]
+		c.agents.probes.waiting = c.agents.probes.waiting[1:]
 		if m.trusted(c.term) || m.state == machineGone || m.state == machineDeleting {
 			continue
 		}
-		c.probes.underWay++
+		c.agents.probes.underWay++
 		// Its session is not known before its first word, unless by a hint; nearly all
 		// are in their first.
-		c.send(&commandInFlight{machine: m, agentEpoch: max(m.agentEpoch, m.softStateEpoch, 1), fencingToken: m.fencingToken, probe: true, sent: c.now, addressFromSoftState: m.addressFromSoftState}, []wire.Command{})
+		c.send(&commandInFlight{machine: m, agentEpoch: max(m.agent.epoch, m.agent.softStateEpoch, 1), fencingToken: m.agent.fencingToken, probe: true, sent: c.clock.now, addressFromSoftState: m.agent.addressFromSoftState}, []wire.Command{})
 	}
 }
 
@@ -62,18 +62,18 @@
 // once with the right one.
 func (c *Core) probeResult(call *commandInFlight, outcome CommandOutcome) {
 	m := call.machine
-	c.probes.underWay--
-	switch took := c.now - call.sent; {
+	c.agents.probes.underWay--
+	switch took := c.clock.now - call.sent; {
 	case outcome == CommandOutcomeUnknown || outcome == CommandNotSent:
 		// It tells of that machine only.
 	case took <= probeSoon:
-		c.probes.atOnce = min(c.probes.atOnce+1, maxProbes)
+		c.agents.probes.atOnce = min(c.agents.probes.atOnce+1, maxProbes)
 	case took >= probeLate:
-		c.probes.atOnce = max(c.probes.atOnce/2, fewProbes)
+		c.agents.probes.atOnce = max(c.agents.probes.atOnce/2, fewProbes)
 	}
-	if outcome == CommandRejected && m.probes == 1 && !m.trusted(c.term) {
-		m.probes++
-		c.probes.waiting = append(c.probes.waiting, m)
+	if outcome == CommandRejected && m.agent.probes == 1 && !m.trusted(c.term) {
+		m.agent.probes++
+		c.agents.probes.waiting = append(c.agents.probes.waiting, m)
 	}
 	c.sendProbes()
 }
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -32,7 +32,7 @@
 	g.want("order", order(), []string{"job-3", "job-4", "job-2", "job-1", "job-6", "job-5"})
 	g.step(CancelRequest{JobID: "job-5", ReplyTo: recipient("u")})
 	g.want("order once nobody is late", order(), []string{"job-3", "job-6", "job-4", "job-2", "job-1"})
-	g.want("slack without a deadline", g.c.jobs[0].slack(0) == math.MaxInt64, true)
+	g.want("slack without a deadline", g.c.jobs.list[0].slack(0) == math.MaxInt64, true)
 	// Nobody comes last for ever.
 	g.wait(beginWithin - 2*time.Second)
 	g.submit(newTestJob("job-7", 1, 1))
@@ -46,7 +46,7 @@
 	g.submit(newTestJob("job-1", 4, 1))
 	o := g.starts()
 	g.settle(CommandExecuted)
-	g.c.goal.L = 1 // as a burst has left it
+	g.c.placement.goal.L = 1 // as a burst has left it
 	tell := func(tasks ...wire.TaskStatus) {
 		for range 8 {
 			g.wait(time.Second)
@@ -54,10 +54,10 @@
 		}
 	}
 	tell(taskIn(o[0], wire.TaskRunning, ""), taskIn(o[1], wire.TaskRunning, ""), taskIn(o[2], wire.TaskRunning, ""), taskIn(o[3], wire.TaskRunning, ""))
-	g.want("goal while the machine is full", g.c.goal.L, 1.0)
+	g.want("goal while the machine is full", g.c.placement.goal.L, 1.0)
 	g.report(g.reportOf("vm-1", ours, taskIn(o[0], wire.TaskEnded, wire.ExitDone), taskIn(o[1], wire.TaskEnded, wire.ExitDone), taskIn(o[2], wire.TaskEnded, wire.ExitDone), taskIn(o[3], wire.TaskEnded, wire.ExitDone)))
 	tell()
-	g.want("goal once all is quiet", g.c.goal.L < 1, true)
+	g.want("goal once all is quiet", g.c.placement.goal.L < 1, true)
 }
 
 func TestAJobOfMostTasks(t *testing.T) {
@@ -125,7 +125,7 @@
 			}
 			victim := c.victim()
 			for step := 0; g.now < c.within+time.Second && began < 0; step++ {
-				for g.c.jobs == nil || jobs < 2 || len(g.c.queue()) < 3 {
+				for g.c.jobs.list == nil || jobs < 2 || len(g.c.queue()) < 3 {
 					jobs++
 					g.submit(urgent(fmt.Sprintf("job-1%03d", jobs), 8, 1))
 				}
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -7,8 +7,29 @@
 	"leadproxy/internal/wire"
 )
 
-// restore takes a job from the ledger at the start of a term.
-func (c *Core) restore(s *ledger.SavedJob) {
+// restore takes a term's state over from the ledger and from what an earlier leader held in
+// memory. Jobs come after machines that are gone, and all that refers to jobs after those.
+func (c *Core) restore(s *ledger.Snapshot) {
+	c.restoreSoftState(c.cfg.SoftState)
+	for _, name := range s.Gone {
+		m := c.machineNamed(name)
+		m.state, m.recorded.gone = machineGone, true
+	}
+	for i := range s.Jobs {
+		c.restoreJob(&s.Jobs[i])
+	}
+	c.restoreDependencies()
+	for _, h := range s.ScaleOuts {
+		c.restoreScaleOut(h)
+	}
+	c.restoreUnreachable(s.Unreachable)
+	c.restoreTransfers(s)
+	c.restoreEvictions(s.Plans)
+	c.probeInherited()
+}
+
+// restoreJob takes a job from the ledger at the start of a term.
+func (c *Core) restoreJob(s *ledger.SavedJob) {
 	if s.Record.Job == nil && s.Record.Terminal == "" {
 		// Ranges or hosts whose job record is missing: records are never
 		// deleted, so there is nothing that could run.
@@ -17,16 +38,16 @@
 	}
 	j := c.newJob(s.ID, s.Record, s.Version)
 	if s.Record.Class != "" {
-		accepted := c.now - time.Duration(c.wall-s.Record.AcceptedMS)*time.Millisecond
+		accepted := c.clock.now - time.Duration(c.clock.wallMS-s.Record.AcceptedMS)*time.Millisecond
 		c.learnArrival(c.classOf(s.Record.Class), c.teamOf(s.Record.Team), accepted, s.Record.Cores, s.Record.RunS)
 	}
 	if j.spec == nil {
 		// It is done; an earlier leader was stopped while it tidied up.
 		for _, h := range s.Hosts {
-			c.put(ledger.Write{Key: h.Key})
+			c.writes.put(ledger.Write{Key: h.Key})
 		}
 		for _, f := range s.Finished {
-			c.put(ledger.Write{Key: f.Key})
+			c.writes.put(ledger.Write{Key: f.Key})
 		}
 		return
 	}
@@ -34,8 +55,8 @@
 	for _, f := range s.Finished {
 		j.finishedKey(f.Key)
 		f.Ranges.Each(func(i int) {
-			if n := f.Chunk*ledger.TasksPerChunk + i; n < len(j.tasks) && j.tasks[n].state != taskDurable {
-				j.tasks[n].state = taskDurable
+			if n := f.Chunk*ledger.TasksPerChunk + i; n < len(j.progress.tasks) && j.progress.tasks[n].state != taskDurable {
+				j.progress.tasks[n].state = taskDurable
 				finished++
 			}
 		})
@@ -43,25 +64,25 @@
 	// A cancelled job's record has the count as well, and the ranges may be
 	// there still: counted twice they were more than its tasks, and no node
 	// could begin a term.
-	j.done = max(j.done, finished)
+	j.progress.done = max(j.progress.done, finished)
 	j.fillWaiting()
-	j.startedOnce = j.done > 0 || len(s.Hosts) > 0
+	j.progress.startedOnce = j.progress.done > 0 || len(s.Hosts) > 0
 	c.restoreHosts(j, s.Hosts)
 	if s.HostsUnknown {
 		// Its tasks may be on machines that nobody can name. Those that live report
 		// within a lease, and what the others ran is over by then.
-		j.notBefore = c.now + c.agentLease
+		j.retry.notBefore = c.clock.now + c.agents.lease
 	}
-	if !waitsFor(&s.Record) && j.origin == "" {
+	if !waitsFor(&s.Record) && j.transfer.origin == "" {
 		c.arrived(j)
 	}
 	switch {
 	case j.over():
 		c.settleJob(j)
-	case j.done == j.total:
+	case j.progress.done == j.progress.total:
 		c.finish(j, wire.JobDone)
 	}
-	c.needsPlacement = true
+	c.placement.needed = true
 }
 
 // restoreHosts notes the machines that a job's tasks may be on. Until each has
@@ -70,8 +91,8 @@
 func (c *Core) restoreHosts(j *job, chunks []ledger.SavedHosts) {
 	for _, chunk := range chunks {
 		// A key that is missing, as its deletion was under way, keeps its number.
-		for len(j.hostChunks) <= chunk.Chunk {
-			j.hostChunks = append(j.hostChunks, len(j.hosts))
+		for len(j.record.hostChunks) <= chunk.Chunk {
+			j.record.hostChunks = append(j.record.hostChunks, len(j.record.hosts))
 		}
 		c.restoreChunk(j, chunk.Machines)
 	}
@@ -80,29 +101,29 @@
 func (c *Core) restoreChunk(j *job, hosts []string) {
 	for _, name := range hosts {
 		m := c.machineNamed(name)
-		if _, ok := j.hostAt[m.index]; ok {
+		if _, ok := j.record.hostAt[m.index]; ok {
 			continue
 		}
-		j.hostAt[m.index] = len(j.hosts)
-		j.hosts = append(j.hosts, host{machine: m.index, durable: true})
-		j.hostsWritten = len(j.hosts)
-		m.namedByJobs++
+		j.record.hostAt[m.index] = len(j.record.hosts)
+		j.record.hosts = append(j.record.hosts, host{machine: m.index, durable: true})
+		j.record.hostsWritten = len(j.record.hosts)
+		m.recorded.namedByJobs++
 		if m.state == machineGone {
 			continue
 		}
-		if j.inDoubtHosts == nil {
-			j.inDoubtHosts = map[int32]bool{}
+		if j.record.inDoubtHosts == nil {
+			j.record.inDoubtHosts = map[int32]bool{}
 		}
-		j.inDoubtHosts[m.index] = true
-		m.inDoubtJobs = append(m.inDoubtJobs, j.index)
+		j.record.inDoubtHosts[m.index] = true
+		m.recorded.inDoubtJobs = append(m.recorded.inDoubtJobs, j.index)
 	}
 }
 
 // UnresolvedHosts is how many machines may still run what an earlier leader started there.
 func (c *Core) UnresolvedHosts() int {
 	n := 0
-	for _, m := range c.liveMachines {
-		if len(m.inDoubtJobs) > 0 {
+	for _, m := range c.machines.live {
+		if len(m.recorded.inDoubtJobs) > 0 {
 			n++
 		}
 	}
@@ -113,22 +134,22 @@
 func (c *Core) Machines() int { return c.machineCount() }
 
 // Jobs is how many jobs this term knows.
-func (c *Core) Jobs() int { return len(c.jobs) }
+func (c *Core) Jobs() int { return len(c.jobs.list) }
 
 // resolveInDoubt ends the doubt about what an earlier leader started on m.
 func (c *Core) resolveInDoubt(m *machine, why string) {
-	if len(m.inDoubtJobs) > 0 {
-		c.log.Debug("earlier starts on a machine are settled", "machine", m.name, "why", why, "jobs", len(m.inDoubtJobs), "after", (c.now - c.termStart).Seconds())
+	if len(m.recorded.inDoubtJobs) > 0 {
+		c.log.Debug("earlier starts on a machine are settled", "machine", m.name, "why", why, "jobs", len(m.recorded.inDoubtJobs), "after", (c.clock.now - c.clock.termStart).Seconds())
 	}
-	for _, i := range m.inDoubtJobs {
-		j := c.jobs[i]
-		delete(j.inDoubtHosts, m.index)
-		if len(j.inDoubtHosts) == 0 {
-			c.needsPlacement = true
+	for _, i := range m.recorded.inDoubtJobs {
+		j := c.jobs.list[i]
+		delete(j.record.inDoubtHosts, m.index)
+		if len(j.record.inDoubtHosts) == 0 {
+			c.placement.needed = true
 			if j.over() {
 				c.settleJob(j)
 			}
 		}
 	}
-	m.inDoubtJobs = nil
+	m.recorded.inDoubtJobs = nil
 }
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -28,12 +28,12 @@
 // startNamedScaleOut hires under a name. The cloud takes each name once, however often it is
 // sent.
 func (c *Core) startNamedScaleOut(name string, w autoscaler.PlannedScaleOut) {
-	t := c.types[w.Pool.Type]
+	t := c.autoscaling.types[w.Pool.Type]
 	h := &scaleOut{pool: w.Pool, open: true, record: ledger.ScaleOutRecord{Request: wire.ScaleOutRequest{
-		RequestID: name, Type: t.Name, Zone: c.zones.list[w.Pool.Zone], Spot: w.Pool.Spot, Count: min(w.Count, autoscaler.MaxScaleOut)}}}
+		RequestID: name, Type: t.Name, Zone: c.machines.zones.list[w.Pool.Zone], Spot: w.Pool.Spot, Count: min(w.Count, autoscaler.MaxScaleOut)}}}
 	c.autoscaling.scaleOuts[name] = h
 	c.log.Info("hiring", "request", name, "type", t.Name, "zone", h.record.Request.Zone, "spot", w.Pool.Spot, "count", h.record.Request.Count, "why", w.Reason)
-	c.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.record, Urgent: true, Tag: scaleOutTag{name}})
+	c.writes.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.record, Urgent: true, Tag: scaleOutTag{name}})
 }
 
 func (c *Core) scaleOutDurable(name string) {
@@ -45,13 +45,13 @@
 func (c *Core) sendScaleOut(h *scaleOut) {
 	h.sent = true
 	order := h.record.Request
-	c.emit(CallCloud{autoscaler.Call{ScaleOut: &order}})
+	c.effects.emit(CallCloud{autoscaler.Call{ScaleOut: &order}})
 }
 
 // restoreScaleOut takes an earlier leader's hire over. One whose answer is not on
 // record is repeated under its own name, to learn its machines.
 func (c *Core) restoreScaleOut(r ledger.ScaleOutRecord) {
-	h := &scaleOut{record: r, pool: autoscaler.CapacityPool{Type: -1, Zone: c.zones.of(r.Request.Zone), Spot: r.Request.Spot}}
+	h := &scaleOut{record: r, pool: autoscaler.CapacityPool{Type: -1, Zone: c.machines.zones.of(r.Request.Zone), Spot: r.Request.Spot}}
 	c.autoscaling.scaleOuts[r.Request.RequestID] = h
 	if r.Machines == nil {
 		h.open = true
@@ -68,11 +68,11 @@
 	h.unseenMachines = map[string]bool{}
 	for _, name := range machines {
 		m := c.machineNamed(name)
-		m.scaleOutID = h.record.Request.RequestID
+		m.rental.scaleOutID = h.record.Request.RequestID
 		if m.state == machineStarting {
 			c.describe(m, h.record.Request.Type, h.record.Request.Zone, h.record.Request.Spot, "")
 		}
-		if m.state == machineStarting && !m.listed {
+		if m.state == machineStarting && !m.rental.listed {
 			h.unseenMachines[name] = true
 		}
 	}
@@ -82,7 +82,7 @@
 // scaleOutMachineSeen notes that a machine is known from the list or from itself, so that
 // its hire need not be remembered for it.
 func (c *Core) scaleOutMachineSeen(m *machine) {
-	if h := c.autoscaling.scaleOuts[m.scaleOutID]; h != nil && h.unseenMachines != nil {
+	if h := c.autoscaling.scaleOuts[m.rental.scaleOutID]; h != nil && h.unseenMachines != nil {
 		delete(h.unseenMachines, m.name)
 		c.closeScaleOut(h)
 	}
@@ -96,7 +96,7 @@
 
 func (c *Core) dropScaleOut(h *scaleOut) {
 	delete(c.autoscaling.scaleOuts, h.record.Request.RequestID)
-	c.put(ledger.Write{Key: ledger.ScaleOutKey(h.record.Request.RequestID)})
+	c.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.record.Request.RequestID)})
 }
 
 func (c *Core) scaleOutResult(r autoscaler.Result) {
@@ -107,11 +107,11 @@
 	h.sent = false
 	st := c.autoscaling.pool(h.pool)
 	block := func() {
-		if c.now < st.blockedUntil {
+		if c.clock.now < st.blockedUntil {
 			return // several hires of one offer were on their way
 		}
 		st.backoff = min(max(st.backoff*2, refusedFirst), refusedMost)
-		st.blockedUntil = c.now + st.backoff
+		st.blockedUntil = c.clock.now + st.backoff
 		st.fillsRequests = 0
 	}
 	switch {
@@ -128,7 +128,7 @@
 			c.dropScaleOut(h)
 			return
 		}
-		c.put(ledger.Write{Key: ledger.ScaleOutKey(h.record.Request.RequestID), Value: h.record})
+		c.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.record.Request.RequestID), Value: h.record})
 		c.machinesRented(h, r.Machines)
 	case errors.Is(r.Err, autoscaler.ErrNoCapacity):
 		c.log.Info("hire refused: no capacity", "request", h.record.Request.RequestID, "type", h.record.Request.Type, "zone", h.record.Request.Zone, "spot", h.record.Request.Spot)
@@ -138,6 +138,6 @@
 	default:
 		// It may have been carried out. Only the same name is safe to repeat.
 		c.log.Info("hire unanswered", "request", h.record.Request.RequestID, "error", r.Err)
-		h.retry = c.now + time.Second
+		h.retry = c.clock.now + time.Second
 	}
 }
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -35,14 +35,14 @@
 		g.submit(j)
 	}
 	g.want("started without room", len(g.starts()), 0)
-	before := g.c.index.Looks()
+	before := g.c.placement.index.Looks()
 	const reports = 50
 	for i := range reports {
 		name := fmt.Sprintf("vm-%06d", 1+2*i)
 		tasks[name][0].Status, tasks[name][0].ExitReason = wire.TaskEnded, wire.ExitDone
 		g.report(g.reportOf(name, ours, tasks[name]...))
 	}
-	return (g.c.index.Looks() - before) / reports
+	return (g.c.placement.index.Looks() - before) / reports
 }
 
 // TestWorkPerReportDoesNotGrow: on a full site every report of an ended task had
--- a/internal/scheduler/scaling_plan.go
+++ b/internal/scheduler/scaling_plan.go
@@ -13,7 +13,7 @@
 	case machineStarting:
 		return m.typ >= 0
 	case machineUp:
-		return m.typ >= 0 && !m.quarantined && !m.cordoned && m.terminationAt == 0 && c.inactive(m) < c.unreachableAfter()
+		return m.typ >= 0 && !m.health.quarantined && !m.eviction.cordoned && m.rental.terminationAt == 0 && c.inactive(m) < c.unreachableAfter()
 	}
 	return false
 }
@@ -54,22 +54,22 @@
 
 // planPools lists the machine types and the offers that may be asked for.
 func (c *Core) planPools(s *autoscaler.PlanInput) {
-	for i := range c.types {
-		s.Types = append(s.Types, autoscaler.MachineType{Total: c.types[i].total, Boot: c.types[i].boot})
+	for i := range c.autoscaling.types {
+		s.Types = append(s.Types, autoscaler.MachineType{Total: c.autoscaling.types[i].total, Boot: c.autoscaling.types[i].boot})
 	}
 	for o, st := range c.openPools() {
-		s.Pools = append(s.Pools, autoscaler.PricedPool{CapacityPool: o, Price: c.types[o.Type].price(o.Spot), MaxCount: st.maxCount()})
+		s.Pools = append(s.Pools, autoscaler.PricedPool{CapacityPool: o, Price: c.autoscaling.types[o.Type].price(o.Spot), MaxCount: st.maxCount()})
 	}
 }
 
 // openPools are the offers of the cloud that were not refused a moment ago.
 func (c *Core) openPools() iter.Seq2[autoscaler.CapacityPool, *poolState] {
 	return func(yield func(autoscaler.CapacityPool, *poolState) bool) {
-		for i := range c.types {
-			for _, z := range c.types[i].zones {
+		for i := range c.autoscaling.types {
+			for _, z := range c.autoscaling.types[i].zones {
 				for _, spot := range []bool{true, false} {
 					o := autoscaler.CapacityPool{Type: int32(i), Zone: z, Spot: spot}
-					if st := c.autoscaling.pool(o); c.now >= st.blockedUntil && !yield(o, st) {
+					if st := c.autoscaling.pool(o); c.clock.now >= st.blockedUntil && !yield(o, st) {
 						return
 					}
 				}
@@ -80,7 +80,7 @@
 
 // machineCount is how many machines there are, up or coming.
 func (c *Core) machineCount() (n int) {
-	for _, m := range c.liveMachines {
+	for _, m := range c.machines.live {
 		if m.state != machineGone {
 			n++
 		}
@@ -91,16 +91,16 @@
 // planMachines counts the machines that are up or coming.
 func (c *Core) planMachines(s *autoscaler.PlanInput) {
 	s.Machines += c.machineCount()
-	for _, m := range c.liveMachines {
+	for _, m := range c.machines.live {
 		if !c.counts(m) {
 			continue
 		}
-		s.Cores += m.total.CPUs
+		s.Cores += m.capacity.total.CPUs
 		o := autoscaler.CapacityPool{Type: m.typ, Zone: m.zone, Spot: m.spot}
 		if m.trusted(c.term) {
 			s.Running = append(s.Running, autoscaler.RunningMachine{CapacityPool: o, BusyCoreSeconds: c.busy(m)})
 		} else {
-			s.Pending = append(s.Pending, autoscaler.PendingMachine{CapacityPool: o, Free: m.free})
+			s.Pending = append(s.Pending, autoscaler.PendingMachine{CapacityPool: o, Free: m.capacity.free})
 		}
 	}
 }
@@ -111,7 +111,7 @@
 		if h.pool.Type < 0 {
 			continue
 		}
-		total := c.types[h.pool.Type].total
+		total := c.autoscaling.types[h.pool.Type].total
 		for range h.record.Request.Count {
 			s.Pending = append(s.Pending, autoscaler.PendingMachine{CapacityPool: h.pool, Free: total})
 			s.Cores += total.CPUs
@@ -123,19 +123,19 @@
 // planWaiting lists the tasks that wait, in the order of the queue. What a team's limit
 // leaves is shared by all its waiting jobs.
 func (c *Core) planWaiting(s *autoscaler.PlanInput) {
-	used := make([]units, len(c.teams))
+	used := make([]units, len(c.placement.teams))
 	for i := range used {
-		used[i] = c.teams[i].booked
+		used[i] = c.placement.teams[i].booked
 	}
 	for _, j := range c.queue() {
 		c.resolveTypes(j)
-		n := min(len(j.waiting), c.roomInLimit(j, used[j.team]))
-		used[j.team] = used[j.team].plus(unitsOf(j.size).times(n))
+		n := min(len(j.progress.waiting), c.roomInLimit(j, used[j.request.team]))
+		used[j.request.team] = used[j.request.team].plus(unitsOf(j.request.size).times(n))
 		if j.suspect() {
 			n = min(n, 1)
 		}
 		if n > 0 {
-			s.Queued = append(s.Queued, autoscaler.TaskGroup{Size: j.size, Count: n, Run: c.expectedRun(j), Slack: j.slack(c.now),
+			s.Queued = append(s.Queued, autoscaler.TaskGroup{Size: j.request.size, Count: n, Run: c.expectedRun(j), Slack: j.slack(c.clock.now),
 				Allows: func(o autoscaler.CapacityPool) bool { return j.allows(o.Type, o.Zone, o.Spot) }})
 		}
 	}
@@ -144,17 +144,17 @@
 // busy is the core-seconds that are expected to be left of a machine's tasks.
 func (c *Core) busy(m *machine) float64 {
 	sum := 0.0
-	for _, b := range m.allocations {
-		j := c.jobs[b.job]
+	for _, b := range m.capacity.allocations {
+		j := c.jobs.list[b.job]
 		if j.spec == nil {
 			continue
 		}
 		left := c.expectedRun(j)
 		if b.runningSince > 0 {
 			// One that has outrun its estimate goes on for some time more.
-			left = max(left-(c.now-b.runningSince), left/4)
+			left = max(left-(c.clock.now-b.runningSince), left/4)
 		}
-		sum += j.size.CPUs * left.Seconds()
+		sum += j.request.size.CPUs * left.Seconds()
 	}
 	return sum
 }
@@ -162,8 +162,8 @@
 // roomInLimit is how many more tasks of a job its team's limit lets run while
 // the team uses so much.
 func (c *Core) roomInLimit(j *job, used units) int {
-	limit := c.teams[j.team].limit
-	need := unitsOf(j.size)
+	limit := c.placement.teams[j.request.team].limit
+	need := unitsOf(j.request.size)
 	n := math.MaxInt32
 	if limit.cpus > 0 && need.cpus > 0 {
 		n = min(n, int((limit.cpus-used.cpus)/need.cpus))
--- a/internal/scheduler/soft_state.go
+++ b/internal/scheduler/soft_state.go
@@ -10,6 +10,13 @@
 	"leadproxy/internal/softstate"
 )
 
+// softState is what this leader inherits in memory from an earlier one, and the version of what
+// it passes on itself.
+type softState struct {
+	inherited inheritedSoftState
+	version   uint64 // counts the changes of machines that are passed on
+}
+
 // inheritedSoftState is what an earlier leader's hints say. It is looked at where this term knows
 // nothing better, and dropped when its beginning is over.
 type inheritedSoftState struct {
@@ -23,11 +30,11 @@
 	if v == nil || len(v.Machines) == 0 {
 		return
 	}
-	c.inherited = inheritedSoftState{machines: v.Machines, runningFor: map[uint64]time.Duration{}, estimates: v.Estimates}
+	c.softState.inherited = inheritedSoftState{machines: v.Machines, runningFor: map[uint64]time.Duration{}, estimates: v.Estimates}
 	for _, m := range v.Machines {
 		for _, b := range m.Allocations {
 			if b.Running > 0 {
-				c.inherited.runningFor[b.Attempt] = b.Running
+				c.softState.inherited.runningFor[b.Attempt] = b.Running
 			}
 		}
 	}
@@ -36,8 +43,8 @@
 // probeInherited probes the machines that the ledger names where the hints say that they are
 // reached, without waiting for the cloud's list.
 func (c *Core) probeInherited() {
-	for _, m := range c.liveMachines {
-		if m.addressFromSoftState {
+	for _, m := range c.machines.live {
+		if m.agent.addressFromSoftState {
 			c.probe(m)
 		}
 	}
@@ -45,33 +52,33 @@
 
 // dropInherited forgets the hints once the term's beginning is over.
 func (c *Core) dropInherited() {
-	if c.inherited.machines != nil && c.now-c.termStart > probeFor {
-		c.inherited = inheritedSoftState{}
+	if c.softState.inherited.machines != nil && c.clock.now-c.clock.termStart > probeFor {
+		c.softState.inherited = inheritedSoftState{}
 	}
 }
 
 // inheritMachine fills in what the hints say of a machine that is new to this term. The list of
 // the cloud and its reports overwrite that.
 func (c *Core) inheritMachine(m *machine) {
-	h, ok := c.inherited.machines[m.name]
+	h, ok := c.softState.inherited.machines[m.name]
 	if !ok {
 		return
 	}
-	m.addressFromSoftState, m.address, m.softStateEpoch = true, h.Address, h.AgentEpoch
+	m.agent.addressFromSoftState, m.agent.address, m.agent.softStateEpoch = true, h.Address, h.AgentEpoch
 	if len(h.Allocations) == 0 {
-		m.idleSince = c.now - h.Idle
+		m.capacity.idleSince = c.clock.now - h.Idle
 	}
 	for _, i := range h.Images {
-		m.images = append(m.images, imageSlot{c.images.of(i.Name), i.GB})
+		m.capacity.images = append(m.capacity.images, imageSlot{c.placement.images.of(i.Name), i.GB})
 	}
 }
 
 // inheritedAddressFailed takes back what a hint said of where a machine is reached. The cloud's list or
 // its next report tells.
 func (c *Core) inheritedAddressFailed(m *machine) {
-	m.addressFromSoftState, m.softStateEpoch, m.probes = false, 0, 0
-	if m.agentEpoch == 0 {
-		m.address = ""
+	m.agent.addressFromSoftState, m.agent.softStateEpoch, m.agent.probes = false, 0, 0
+	if m.agent.epoch == 0 {
+		m.agent.address = ""
 	}
 }
 
@@ -79,27 +86,27 @@
 // known is false if it began in an earlier term and no hint tells when.
 func (c *Core) runningSince(attempt uint64) (since time.Duration, known bool) {
 	if attempt>>tokenBits == c.term {
-		return c.now, true
+		return c.clock.now, true
 	}
-	ran, ok := c.inherited.runningFor[attempt]
+	ran, ok := c.softState.inherited.runningFor[attempt]
 	if !ok {
-		return c.now, false
+		return c.clock.now, false
 	}
-	return max(c.termStart-ran, 1), true
+	return max(c.clock.termStart-ran, 1), true
 }
 
 // inheritType fills in what the hints say of a machine type that is new to this term.
 func (c *Core) inheritType(index int32) {
-	t := &c.types[index]
-	if s, ok := c.inherited.estimates.BootSeconds[t.Name]; ok {
+	t := &c.autoscaling.types[index]
+	if s, ok := c.softState.inherited.estimates.BootSeconds[t.Name]; ok {
 		t.boot = settings.Seconds(s)
 	}
-	for _, o := range c.inherited.estimates.Pools {
+	for _, o := range c.softState.inherited.estimates.Pools {
 		if o.Type != t.Name {
 			continue
 		}
-		st := c.autoscaling.pool(autoscaler.CapacityPool{Type: index, Zone: c.zones.of(o.Zone), Spot: o.Spot})
-		st.blockedUntil = c.now + min(o.BackoffLeft, refusedMost)
+		st := c.autoscaling.pool(autoscaler.CapacityPool{Type: index, Zone: c.machines.zones.of(o.Zone), Spot: o.Spot})
+		st.blockedUntil = c.clock.now + min(o.BackoffLeft, refusedMost)
 		st.backoff = min(o.Backoff, refusedMost)
 		st.fillsRequests = o.Filled
 	}
@@ -107,42 +114,42 @@
 
 // changed notes that hints of our own have something new to tell of a machine.
 func (c *Core) changed(m *machine) {
-	c.softStateVersion++
-	m.changedAt = c.softStateVersion
+	c.softState.version++
+	m.softStateVersion = c.softState.version
 }
 
 // softStateRequested tells what has changed since an earlier answer, oldest change first.
 func (c *Core) softStateRequested(e SoftStateRequest) {
 	var changed []*machine
-	for _, m := range c.machines {
-		if m.changedAt > e.Since && (m.state != machineGone || e.Since > 0) {
+	for _, m := range c.machines.list {
+		if m.softStateVersion > e.Since && (m.state != machineGone || e.Since > 0) {
 			changed = append(changed, m)
 		}
 	}
-	slices.SortFunc(changed, func(a, b *machine) int { return cmp.Compare(a.changedAt, b.changedAt) })
-	given := SoftStateReply{ReplyTo: e.ReplyTo, Term: c.term, UpTo: c.softStateVersion, Estimates: c.estimates()}
+	slices.SortFunc(changed, func(a, b *machine) int { return cmp.Compare(a.softStateVersion, b.softStateVersion) })
+	given := SoftStateReply{ReplyTo: e.ReplyTo, Term: c.term, UpTo: c.softState.version, Estimates: c.estimates()}
 	if len(changed) > softstate.MaxChanges {
 		changed = changed[:softstate.MaxChanges]
-		given.UpTo = changed[softstate.MaxChanges-1].changedAt
+		given.UpTo = changed[softstate.MaxChanges-1].softStateVersion
 		given.More = true
 	}
 	for _, m := range changed {
 		given.Machines = append(given.Machines, c.machineSoftState(m))
 	}
-	c.emit(given)
+	c.effects.emit(given)
 }
 
 // machineSoftState is what is known of a machine.
 func (c *Core) machineSoftState(m *machine) softstate.Machine {
-	h := softstate.Machine{Name: m.name, Gone: m.state == machineGone, Address: m.address, AgentEpoch: m.agentEpoch, FencingToken: m.fencingToken,
-		SinceHeartbeat: max(0, c.now-m.lastHeartbeat), Idle: max(0, c.now-m.idleSince)}
-	for _, i := range m.images {
-		h.Images = append(h.Images, softstate.Image{Name: c.images.list[i.image], GB: i.gb})
+	h := softstate.Machine{Name: m.name, Gone: m.state == machineGone, Address: m.agent.address, AgentEpoch: m.agent.epoch, FencingToken: m.agent.fencingToken,
+		SinceHeartbeat: max(0, c.clock.now-m.agent.lastHeartbeat), Idle: max(0, c.clock.now-m.capacity.idleSince)}
+	for _, i := range m.capacity.images {
+		h.Images = append(h.Images, softstate.Image{Name: c.placement.images.list[i.image], GB: i.gb})
 	}
-	for _, b := range m.allocations {
+	for _, b := range m.capacity.allocations {
 		k := softstate.Allocation{Task: c.taskName(b), Attempt: b.attempt}
 		if b.runningSince > 0 {
-			k.Running = c.now - b.runningSince
+			k.Running = c.clock.now - b.runningSince
 		}
 		h.Allocations = append(h.Allocations, k)
 	}
@@ -154,20 +161,20 @@
 	l := softstate.Estimates{RunRatios: map[string]float64{}, BootSeconds: map[string]float64{}}
 	for class, ratio := range c.autoscaling.runRatios {
 		if ratio > 0 {
-			l.RunRatios[c.classes.list[class]] = ratio
+			l.RunRatios[c.placement.classes.list[class]] = ratio
 		}
 	}
-	for i := range c.types {
-		if boot := c.types[i].boot.Seconds(); boot > 0 {
-			l.BootSeconds[c.types[i].Name] = boot
+	for i := range c.autoscaling.types {
+		if boot := c.autoscaling.types[i].boot.Seconds(); boot > 0 {
+			l.BootSeconds[c.autoscaling.types[i].Name] = boot
 		}
 	}
 	for o, st := range c.autoscaling.pools {
 		if o.Type < 0 || o.Zone < 0 || *st == (poolState{}) {
 			continue
 		}
-		l.Pools = append(l.Pools, softstate.CapacityPool{Type: c.types[o.Type].Name, Zone: c.zones.list[o.Zone], Spot: o.Spot,
-			BackoffLeft: max(0, st.blockedUntil-c.now), Backoff: st.backoff, Filled: st.fillsRequests})
+		l.Pools = append(l.Pools, softstate.CapacityPool{Type: c.autoscaling.types[o.Type].Name, Zone: c.machines.zones.list[o.Zone], Spot: o.Spot,
+			BackoffLeft: max(0, st.blockedUntil-c.clock.now), Backoff: st.backoff, Filled: st.fillsRequests})
 	}
 	slices.SortFunc(l.Pools, comparePools)
 	return l
--- a/internal/scheduler/soft_state_test.go
+++ b/internal/scheduler/soft_state_test.go
@@ -45,14 +45,14 @@
 // the cloud's list, and the answer settles what an earlier leader has started.
 func TestHintedMachinesAreProbedAtOnce(t *testing.T) {
 	g := newHintedStage(t, hintsOf(hintedMachine, softstate.Machine{Name: "vm-9", Address: "10.1.0.9:9000", AgentEpoch: 1}))
-	g.want("machines", len(g.c.machines), 1) // a hint alone makes none
+	g.want("machines", len(g.c.machines.list), 1) // a hint alone makes none
 	g.want("probes", len(g.start), 1)
 	probe := g.start[0]
 	g.want("the probe", []any{probe.Address, probe.Request.AgentEpoch, probe.Request.FencingToken, len(probe.Request.Commands)}, []any{"10.1.0.1:9000", uint64(2), uint64(ours), 0})
 	g.want("unsettled", g.c.UnresolvedHosts(), 1)
 	g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandExecuted, Heartbeat: hintedReport(g, ours, wire.TaskRunning, "")})
 	g.want("unsettled after its answer", g.c.UnresolvedHosts(), 0)
-	g.want("bookings", g.c.jobs[0].booked, 1)
+	g.want("bookings", g.c.jobs.list[0].progress.allocated, 1)
 }
 
 // TestHintIsNotBelievedAgainstAReport: the task that a hint names is not on its machine, and
@@ -63,14 +63,14 @@
 	g.start = nil
 	g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandNotSent})
 	m := g.c.machineNamed("vm-1")
-	g.want("address, shunned, doubted", []any{m.address, m.avoidUntil, m.unacknowledged}, []any{"", time.Duration(0), false})
-	g.want("bookings by the hint", g.c.jobs[0].booked, 0)
+	g.want("address, shunned, doubted", []any{m.agent.address, m.commands.avoidUntil, m.agent.unacknowledged}, []any{"", time.Duration(0), false})
+	g.want("bookings by the hint", g.c.jobs.list[0].progress.allocated, 0)
 	for _, token := range []uint64{0, ours} {
 		r := g.reportOf("vm-1", token)
 		r.Address = "10.1.0.7:9000"
 		g.report(r)
 	}
-	g.want("address by its report", m.address, "10.1.0.7:9000")
+	g.want("address by its report", m.agent.address, "10.1.0.7:9000")
 	g.want("starts", len(g.starts()), 1)
 }
 
@@ -91,7 +91,7 @@
 		if hinted {
 			want = 3 // 20 s before the term, and 10 s in it
 		}
-		g.want("run time against the estimate", g.c.autoscaling.ratio(g.c.jobs[0].class), want)
+		g.want("run time against the estimate", g.c.autoscaling.ratio(g.c.jobs.list[0].request.class), want)
 	}
 }
 
@@ -103,8 +103,8 @@
 		g.up("vm-" + string(rune('a'+i%26)) + string(rune('a'+i/26)))
 	}
 	g.report(hintedReport(g, 0, wire.TaskRunning, ""))
-	g.c.autoscaling.learnRatio(g.c.jobs[0].class, 2)
-	g.c.types[0].boot = 33 * time.Second
+	g.c.autoscaling.learnRatio(g.c.jobs.list[0].request.class, 2)
+	g.c.autoscaling.types[0].boot = 33 * time.Second
 	ask := func(since uint64) SoftStateReply {
 		g.out = nil
 		g.step(SoftStateRequest{Since: since, ReplyTo: recipient("s")})
--- a/internal/scheduler/spending.go
+++ b/internal/scheduler/spending.go
@@ -45,69 +45,69 @@
 	if m.typ < 0 {
 		return 0
 	}
-	return c.types[m.typ].price(m.spot) / secondsPerHour
+	return c.autoscaling.types[m.typ].price(m.spot) / secondsPerHour
 }
 
 // spend adds what the machines have cost since the last time.
 func (c *Core) spend() {
-	if c.now-c.spendingLog.until < spendEvery {
+	if c.clock.now-c.autoscaling.spending.until < spendEvery {
 		return
 	}
-	elapsed := (c.now - c.spendingLog.until).Seconds()
-	c.spendingLog.until = c.now
-	for _, m := range c.liveMachines {
+	elapsed := (c.clock.now - c.autoscaling.spending.until).Seconds()
+	c.autoscaling.spending.until = c.clock.now
+	for _, m := range c.machines.live {
 		cost := c.pricePerSecond(m) * elapsed
 		switch m.state {
 		case machineStarting:
-			c.spendingLog.spent.booting += cost
+			c.autoscaling.spending.spent.booting += cost
 		case machineUp:
 			c.spendOn(m, cost)
 		case machineDeleting:
-			c.spendingLog.spent.returning += cost
+			c.autoscaling.spending.spent.returning += cost
 		case machineGone:
 		}
 	}
-	if c.now-c.spendingLog.logged >= spendingEvery {
+	if c.clock.now-c.autoscaling.spending.logged >= spendingEvery {
 		c.logSpending()
 	}
 }
 
 // spendOn divides the cost of a machine that is up.
 func (c *Core) spendOn(m *machine, cost float64) {
-	if len(m.allocations) == 0 || m.total.CPUs <= 0 {
-		c.spendingLog.spent.idle += cost
+	if len(m.capacity.allocations) == 0 || m.capacity.total.CPUs <= 0 {
+		c.autoscaling.spending.spent.idle += cost
 		return
 	}
 	free := cost
-	for _, b := range m.allocations {
-		share := cost * c.jobs[b.job].size.CPUs / m.total.CPUs
+	for _, b := range m.capacity.allocations {
+		share := cost * c.jobs.list[b.job].request.size.CPUs / m.capacity.total.CPUs
 		free -= share
 		switch {
 		case b.stopping:
-			c.spendingLog.spent.saving += share
+			c.autoscaling.spending.spent.saving += share
 		case b.status == wire.TaskRunning:
-			c.spendingLog.spent.running += share
+			c.autoscaling.spending.spent.running += share
 		default:
-			c.spendingLog.spent.fetching += share
+			c.autoscaling.spending.spent.fetching += share
 		}
 	}
-	c.spendingLog.spent.partIdle += max(free, 0)
+	c.autoscaling.spending.spent.partIdle += max(free, 0)
 }
 
 // lostWork counts what a task had run that has to run again.
 func (c *Core) lostWork(m *machine, b *allocation) {
-	j := c.jobs[b.job]
-	if b.runningSince == 0 || m.total.CPUs <= 0 || j.over() {
+	j := c.jobs.list[b.job]
+	if b.runningSince == 0 || m.capacity.total.CPUs <= 0 || j.over() {
 		return
 	}
-	c.spendingLog.spent.lost += c.pricePerSecond(m) * j.size.CPUs / m.total.CPUs * (c.now - b.runningSince).Seconds()
+	c.autoscaling.spending.spent.lost += c.pricePerSecond(m) * j.request.size.CPUs / m.capacity.total.CPUs * (c.clock.now - b.runningSince).Seconds()
 }
 
 func (c *Core) logSpending() {
-	s := &c.spendingLog.spent
+	s := &c.autoscaling.spending.spent
 	if s.total() > 0 {
-		c.log.Info("money spent", "seconds", (c.now - c.spendingLog.logged).Seconds(), "total", s.total(), "booting", s.booting, "fetching", s.fetching,
-			"running", s.running, "saving", s.saving, "part_idle", s.partIdle, "idle", s.idle, "returning", s.returning, "lost", s.lost, "machines", len(c.liveMachines))
+		c.log.Info("money spent", "seconds", (c.clock.now - c.autoscaling.spending.logged).Seconds(), "total", s.total(), "booting", s.booting, "fetching", s.fetching,
+			"running", s.running, "saving", s.saving, "part_idle", s.partIdle, "idle", s.idle, "returning", s.returning, "lost", s.lost, "machines", len(c.machines.live))
 	}
-	c.spendingLog.spent, c.spendingLog.logged = spending{}, c.now
+	c.autoscaling.spending.spent, c.autoscaling.spending.logged = spending{}, c.clock.now
 }
--- a/internal/scheduler/spending_test.go
+++ b/internal/scheduler/spending_test.go
@@ -34,23 +34,23 @@
 			g.up("vm-1")
 			g.submit(newTestJob("job-000001", 1, 1))
 			c := g.c
-			m, j := c.machines[c.machineIndexByName["vm-1"]], c.jobs[0]
-			m.state, m.allocations = tc.state, nil
+			m, j := c.machines.list[c.machines.indexByName["vm-1"]], c.jobs.list[0]
+			m.state, m.capacity.allocations = tc.state, nil
 			for _, book := range tc.bookings {
-				m.allocations = append(m.allocations, book(j))
+				m.capacity.allocations = append(m.capacity.allocations, book(j))
 			}
-			c.spendingLog.spent, c.spendingLog.until, c.spendingLog.logged = spending{}, c.now, c.now
-			c.now += 10 * time.Second
+			c.autoscaling.spending.spent, c.autoscaling.spending.until, c.autoscaling.spending.logged = spending{}, c.clock.now, c.clock.now
+			c.clock.now += 10 * time.Second
 			c.spend()
 			unit := c.pricePerSecond(m) * 10 / 100
 			for _, part := range []struct {
 				name      string
 				got, want float64
 			}{
-				{"booting", c.spendingLog.spent.booting, tc.want.booting}, {"fetching", c.spendingLog.spent.fetching, tc.want.fetching},
-				{"running", c.spendingLog.spent.running, tc.want.running}, {"saving", c.spendingLog.spent.saving, tc.want.saving},
-				{"partly idle", c.spendingLog.spent.partIdle, tc.want.partIdle}, {"idle", c.spendingLog.spent.idle, tc.want.idle},
-				{"returning", c.spendingLog.spent.returning, tc.want.returning},
+				{"booting", c.autoscaling.spending.spent.booting, tc.want.booting}, {"fetching", c.autoscaling.spending.spent.fetching, tc.want.fetching},
+				{"running", c.autoscaling.spending.spent.running, tc.want.running}, {"saving", c.autoscaling.spending.spent.saving, tc.want.saving},
+				{"partly idle", c.autoscaling.spending.spent.partIdle, tc.want.partIdle}, {"idle", c.autoscaling.spending.spent.idle, tc.want.idle},
+				{"returning", c.autoscaling.spending.spent.returning, tc.want.returning},
 			} {
 				if unit == 0 || math.Abs(part.got/unit-part.want) > 1e-6 {
 					t.Errorf("%s: %v of the cost, want %v", part.name, part.got/unit, part.want)
--- a/internal/scheduler/stops.go
+++ b/internal/scheduler/stops.go
@@ -63,7 +63,7 @@
 // after its stop, and the task ran until the worker's next report was answered.
 func (c *Core) repeatStops(call *commandInFlight, r *wire.Heartbeat) {
 	m := call.machine
-	if r == nil || r.Machine != m.name || r.AgentEpoch != m.agentEpoch {
+	if r == nil || r.Machine != m.name || r.AgentEpoch != m.agent.epoch {
 		return
 	}
 	for _, attempt := range call.startedAttempts {
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -40,13 +40,13 @@
 func (c *Core) recordUnreachable() {
 	// In an outage a note could not be withdrawn, and a machine that is back
 	// would lose its lease for want of an answer.
-	if c.now < c.unreachable.nextCheck || c.pendingWrites > 0 && c.now-c.lastDurableAt > unreachableCheckInterval {
+	if c.clock.now < c.agents.unreachable.nextCheck || c.writes.stalled(unreachableCheckInterval) {
 		return
 	}
-	c.unreachable.nextCheck = c.now + unreachableCheckInterval
+	c.agents.unreachable.nextCheck = c.clock.now + unreachableCheckInterval
 	var silent []*machine
-	for _, m := range c.liveMachines {
-		if m.unreachable == nil && m.namedByJobs > 0 && m.state != machineGone && c.now-max(m.lastHeartbeat, c.termStart, c.tickingSince) > c.unreachableAfter() {
+	for _, m := range c.machines.live {
+		if m.agent.unreachable == nil && m.recorded.namedByJobs > 0 && m.state != machineGone && c.clock.now-max(m.agent.lastHeartbeat, c.clock.termStart, c.clock.tickingSince) > c.unreachableAfter() {
 			silent = append(silent, m)
 		}
 	}
@@ -66,31 +66,31 @@
 
 func (c *Core) writeUnreachable(machines []*machine) {
 	n := &unreachableRecord{key: c.unreachableKey(), machines: machines}
-	c.unreachable.records = append(c.unreachable.records, n)
+	c.agents.unreachable.records = append(c.agents.unreachable.records, n)
 	record := ledger.UnreachableRecord{}
-	over := c.termStart
+	over := c.clock.termStart
 	for _, m := range machines {
-		m.unreachable = n
+		m.agent.unreachable = n
 		c.indexChanged(m)
-		over = max(over, m.leaseExpiry)
+		over = max(over, m.agent.leaseExpiry)
 		record.Machines = append(record.Machines, m.name)
 	}
-	record.LeaseExpiryMS = c.wall + int64((over-c.now)/time.Millisecond) + 1
-	c.log.Info("noting silent machines", "machines", len(machines), "leases_over_in", (over - c.now).Seconds())
-	c.put(ledger.Write{Key: n.key, Value: record})
+	record.LeaseExpiryMS = c.clock.wallMS + int64((over-c.clock.now)/time.Millisecond) + 1
+	c.log.Info("noting silent machines", "machines", len(machines), "leases_over_in", (over - c.clock.now).Seconds())
+	c.writes.put(ledger.Write{Key: n.key, Value: record})
 }
 
 // unreachableKey returns a key for a note, one that is free if there is. Keys are never
 // deleted: a write of unknown outcome may yet be carried out, and where its key
 // is missing, as it was before, it would bring back a note that is withdrawn.
 func (c *Core) unreachableKey() string {
-	if n := len(c.unreachable.freeKeys); n > 0 {
-		key := c.unreachable.freeKeys[n-1]
-		c.unreachable.freeKeys = c.unreachable.freeKeys[:n-1]
+	if n := len(c.agents.unreachable.freeKeys); n > 0 {
+		key := c.agents.unreachable.freeKeys[n-1]
+		c.agents.unreachable.freeKeys = c.agents.unreachable.freeKeys[:n-1]
 		return key
 	}
-	c.unreachable.keyCount++
-	return ledger.UnreachableKey(fmt.Sprintf("%d-%d", c.term, c.unreachable.keyCount))
+	c.agents.unreachable.keyCount++
+	return ledger.UnreachableKey(fmt.Sprintf("%d-%d", c.term, c.agents.unreachable.keyCount))
 }
 
 // restoreUnreachable takes over what earlier leaders have noted.
@@ -100,16 +100,16 @@
 	for _, key := range slices.Sorted(maps.Keys(records)) {
 		r := records[key]
 		if len(r.Machines) == 0 {
-			c.unreachable.freeKeys = append(c.unreachable.freeKeys, key)
+			c.agents.unreachable.freeKeys = append(c.agents.unreachable.freeKeys, key)
 			continue
 		}
 		n := &unreachableRecord{key: key}
-		c.unreachable.records = append(c.unreachable.records, n)
-		over := c.now + settings.Stretch(time.Duration(r.LeaseExpiryMS-c.wall)*time.Millisecond) + margin
+		c.agents.unreachable.records = append(c.agents.unreachable.records, n)
+		over := c.clock.now + settings.Stretch(time.Duration(r.LeaseExpiryMS-c.clock.wallMS)*time.Millisecond) + margin
 		for _, name := range r.Machines {
 			m := c.machineNamed(name)
-			m.unreachable = n
-			m.leaseExpiry = min(m.leaseExpiry, over)
+			m.agent.unreachable = n
+			m.agent.leaseExpiry = min(m.agent.leaseExpiry, over)
 			n.machines = append(n.machines, m)
 		}
 	}
@@ -118,49 +118,49 @@
 // heardFrom notes a sign of life: what was noted of the machine, and of those noted
 // with it, is withdrawn.
 func (c *Core) heardFrom(m *machine) {
-	if m.unreachable != nil {
-		c.withdrawUnreachable(m.unreachable)
+	if m.agent.unreachable != nil {
+		c.withdrawUnreachable(m.agent.unreachable)
 	}
 }
 
 func (c *Core) withdrawUnreachable(n *unreachableRecord) {
 	if !n.withdrawn {
 		n.withdrawn = true
-		c.put(ledger.Write{Key: n.key, Value: ledger.UnreachableRecord{}, Urgent: true, Tag: unreachableTag{n.key}})
+		c.writes.put(ledger.Write{Key: n.key, Value: ledger.UnreachableRecord{}, Urgent: true, Tag: unreachableTag{n.key}})
 	}
 }
 
 // unreachableWithdrawn is told that a note is withdrawn durably: its machines may be
 // answered again.
 func (c *Core) unreachableWithdrawn(key string) {
-	i := slices.IndexFunc(c.unreachable.records, func(n *unreachableRecord) bool { return n.key == key })
+	i := slices.IndexFunc(c.agents.unreachable.records, func(n *unreachableRecord) bool { return n.key == key })
 	if i < 0 {
 		return
 	}
-	n := c.unreachable.records[i]
-	c.unreachable.records = slices.Delete(c.unreachable.records, i, i+1)
-	c.unreachable.freeKeys = append(c.unreachable.freeKeys, key)
+	n := c.agents.unreachable.records[i]
+	c.agents.unreachable.records = slices.Delete(c.agents.unreachable.records, i, i+1)
+	c.agents.unreachable.freeKeys = append(c.agents.unreachable.freeKeys, key)
 	for _, m := range n.machines {
-		if m.unreachable == n {
-			m.unreachable = nil
+		if m.agent.unreachable == n {
+			m.agent.unreachable = nil
 			c.indexChanged(m)
 		}
 	}
-	c.needsPlacement = true
-	held := c.heldForUnreachable
-	c.heldForUnreachable = nil
+	c.placement.needed = true
+	held := c.commands.heldForUnreachable
+	c.commands.heldForUnreachable = nil
 	for _, a := range held {
 		if !a.outdated {
-			a.machine.openAnswer = len(c.openAnswers) + 1
+			a.machine.commands.openAnswer = len(c.commands.openAnswers) + 1
 		}
-		c.openAnswers = append(c.openAnswers, a)
+		c.commands.openAnswers = append(c.commands.openAnswers, a)
 	}
 }
 
 // dropUnreachable withdraws the notes that are of no use any more.
 func (c *Core) dropUnreachable() {
-	for _, n := range c.unreachable.records {
-		if !slices.ContainsFunc(n.machines, func(m *machine) bool { return m.state != machineGone && m.namedByJobs > 0 }) {
+	for _, n := range c.agents.unreachable.records {
+		if !slices.ContainsFunc(n.machines, func(m *machine) bool { return m.state != machineGone && m.recorded.namedByJobs > 0 }) {
 			c.withdrawUnreachable(n)
 		}
 	}
@@ -169,10 +169,10 @@
 // holdAnswerForUnreachable keeps the answer to a machine that is noted as silent until that is
 // withdrawn.
 func (c *Core) holdAnswerForUnreachable(a heldAnswer) bool {
-	if a.machine.unreachable == nil {
+	if a.machine.agent.unreachable == nil {
 		return false
 	}
-	a.machine.openAnswer = 0
-	c.heldForUnreachable = append(c.heldForUnreachable, a)
+	a.machine.commands.openAnswer = 0
+	c.commands.heldForUnreachable = append(c.commands.heldForUnreachable, a)
 	return true
 }
--- a/internal/scheduler/unreachable_test.go
+++ b/internal/scheduler/unreachable_test.go
@@ -54,7 +54,7 @@
 	}
 	g.held, g.out = true, nil
 	report := func() {
-		r := g.reportOf("vm-1", g.c.machineNamed("vm-1").fencingToken, taskIn(o, wire.TaskRunning, ""))
+		r := g.reportOf("vm-1", g.c.machineNamed("vm-1").agent.fencingToken, taskIn(o, wire.TaskRunning, ""))
 		g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: recipient("w")})
 	}
 	report()
@@ -143,8 +143,8 @@
 			g := newStage(t, c.saved)
 			g.wait(c.heard)
 			m := g.c.machineNamed("vm-1")
-			m.address = "10.1.0.1:9000"
-			g.c.send(&commandInFlight{machine: m, agentEpoch: 2, fencingToken: m.fencingToken}, []wire.Command{})
+			m.agent.address = "10.1.0.1:9000"
+			g.c.send(&commandInFlight{machine: m, agentEpoch: 2, fencingToken: m.agent.fencingToken}, []wire.Command{})
 			g.take(g.c.Settle())
 			probe := g.start[len(g.start)-1]
 			g.start = nil
