--- a/internal/scheduler/acknowledgements.go
+++ b/internal/scheduler/acknowledgements.go
@@ -11,16 +11,16 @@
 func (c *Core) markUnacknowledged(m *machine) {
 	m.agent.fencingToken++
 	m.agent.tokenRaisedAt, m.agent.unacknowledged = c.clock.now, true
-	c.indexChanged(m)
+	c.placement.indexChanged(m)
 }
 
 // raiseFencingToken raises a machine's token now and then: the worker's next report echoes
 // it if the answer has arrived. Not while a command is on its way there, which
 // would then be refused.
-func (c *Core) raiseFencingToken(m *machine) {
-	if m.trusted(c.term) && m.commands.inFlight == 0 && m.agent.acknowledgedToken >= m.agent.fencingToken && c.clock.now-m.agent.tokenRaisedAt >= c.agents.lease/4 {
+func (a *agents) raiseFencingToken(m *machine) {
+	if m.trusted(a.term) && m.commands.inFlight == 0 && m.agent.acknowledgedToken >= m.agent.fencingToken && a.clock.now-m.agent.tokenRaisedAt >= a.lease/4 {
 		m.agent.fencingToken++
-		m.agent.tokenRaisedAt = c.clock.now
+		m.agent.tokenRaisedAt = a.clock.now
 	}
 }
 
@@ -35,15 +35,15 @@
 // inspectStaleSender looks into a report that is older than what we know: mostly a
 // late copy, but a worker that has truly begun anew counts from 1 again, and
 // must not be taken for a copy for ever.
-func (c *Core) inspectStaleSender(m *machine, r *wire.Heartbeat) {
-	wait := min(inspectEvery<<min(m.agent.staleHeartbeats, 8), c.agents.lease)
-	if r.Address == "" || m.agent.inspecting || c.agents.inspectionsInFlight >= maxInspects || c.clock.now-m.agent.lastInspection < wait && m.agent.lastInspection > 0 {
+func (a *agents) inspectStaleSender(m *machine, r *wire.Heartbeat) {
+	wait := min(inspectEvery<<min(m.agent.staleHeartbeats, 8), a.lease)
+	if r.Address == "" || m.agent.inspecting || a.inspectionsInFlight >= maxInspects || a.clock.now-m.agent.lastInspection < wait && m.agent.lastInspection > 0 {
 		return
 	}
-	c.agents.inspectionsInFlight++
-	m.agent.inspecting, m.agent.lastInspection = true, c.clock.now
+	a.inspectionsInFlight++
+	m.agent.inspecting, m.agent.lastInspection = true, a.clock.now
 	m.agent.inspectedAt = heartbeatPosition{m.agent.epoch, m.agent.sequence}
-	c.effects.emit(InspectWorker{Machine: m.name, Address: r.Address})
+	a.effects.emit(InspectWorker{Machine: m.name, Address: r.Address})
 }
 
 // inspectResult takes what a worker has said of itself after we had asked. If
--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -10,7 +10,12 @@
 // agents is what the leader keeps of the agents on the machines beyond what is kept with each
 // machine: leases, probes, inspections, and the records of unreachable agents.
 type agents struct {
-	clock *clock
+	term     uint64
+	clock    *clock
+	effects  *effects
+	writes   *durableWrites
+	machines *machineTable
+	commands *commands
 
 	lease             time.Duration // an agent's lease, stretched by clock drift and a margin
 	heartbeatInterval time.Duration
@@ -26,8 +31,9 @@
 // leaseMargin is added to an agent's lease for the time in which it ends its tasks.
 const leaseMargin = 250 * time.Millisecond
 
-func newAgents(clock *clock, workers settings.Workers) agents {
-	return agents{clock: clock,
+func newAgents(c *Core) agents {
+	workers := c.cfg.Platform.Facts.Workers
+	return agents{term: c.term, clock: &c.clock, effects: &c.effects, writes: &c.writes, machines: &c.machines, commands: &c.commands,
 		lease:             settings.Stretch(settings.Seconds(workers.LeaseS)) + leaseMargin,
 		heartbeatInterval: settings.Seconds(workers.ReportS),
 		probes:            probes{atOnce: fewProbes}}
--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -53,8 +53,8 @@
 	reserved    bool // kept free for one job's first task
 }
 
-func (c *Core) taskName(b *allocation) string {
-	return wire.TaskName(c.jobs.list[b.job].id, int(b.task))
+func (t *jobTable) taskName(b *allocation) string {
+	return wire.TaskName(t.list[b.job].id, int(b.task))
 }
 
 func (m *machine) allocation(attempt uint64) *allocation {
@@ -69,6 +69,20 @@
 // allocate takes room on a machine. charge is false for a task that is only waited
 // for to be gone.
 func (c *Core) allocate(m *machine, j *job, n int32, attempt uint64, charge bool) *allocation {
+	b := c.placement.takeRoom(m, j, n, attempt, charge)
+	c.softState.changed(m)
+	return b
+}
+
+// deallocate gives an allocation's room back. A job that is over may be settled by that.
+func (c *Core) deallocate(m *machine, b *allocation) {
+	c.placement.giveRoomBack(m, b)
+	c.softState.changed(m)
+	c.jobs.settleJob(c.jobs.list[b.job])
+}
+
+// takeRoom notes an allocation on its machine, with its job, its class and its team.
+func (p *placement) takeRoom(m *machine, j *job, n int32, attempt uint64, charge bool) *allocation {
 	b := &allocation{job: j.index, task: n, zone: m.zone, attempt: attempt, share: j.request.size.Share(m.capacity.total)}
 	if charge {
 		j.progress.tasks[n].state = taskBooked
@@ -80,34 +94,33 @@
 	}
 	j.progress.allocated++
 	j.zoned(b.zone, 1)
-	c.placement.coresByClass[j.request.class] += j.request.size.CPUs
-	c.placement.teams[j.request.team].booked = c.placement.teams[j.request.team].booked.plus(unitsOf(j.request.size))
+	p.classes.allocatedCores[j.request.class] += j.request.size.CPUs
+	p.quotas.teams[j.request.team].allocated = p.quotas.teams[j.request.team].allocated.plus(unitsOf(j.request.size))
 	m.capacity.free = m.capacity.free.Minus(j.request.size)
-	if m.capacity.phase != c.placement.goal.Phase {
-		m.capacity.phase, m.capacity.load = c.placement.goal.Phase, 0
+	if m.capacity.phase != p.goal.Phase {
+		m.capacity.phase, m.capacity.load = p.goal.Phase, 0
 	}
 	b.phase = m.capacity.phase
 	m.capacity.load += b.share
 	m.capacity.allocations = append(m.capacity.allocations, b)
-	m.capacity.idleSince = c.clock.now
-	c.changed(m)
-	c.indexChanged(m)
+	m.capacity.idleSince = p.clock.now
+	p.indexChanged(m)
 	return b
 }
 
-// deallocate gives a booking's room back.
-func (c *Core) deallocate(m *machine, b *allocation) {
+// giveRoomBack removes an allocation.
+func (p *placement) giveRoomBack(m *machine, b *allocation) {
 	for k, o := range m.capacity.allocations {
 		if o == b {
 			m.capacity.allocations = append(m.capacity.allocations[:k], m.capacity.allocations[k+1:]...)
 			break
 		}
 	}
-	j := c.jobs.list[b.job]
+	j := p.jobs.list[b.job]
 	j.progress.allocated--
 	j.zoned(b.zone, -1)
-	c.placement.coresByClass[j.request.class] -= j.request.size.CPUs
-	c.placement.teams[j.request.team].booked = c.placement.teams[j.request.team].booked.minus(unitsOf(j.request.size))
+	p.classes.allocatedCores[j.request.class] -= j.request.size.CPUs
+	p.quotas.teams[j.request.team].allocated = p.quotas.teams[j.request.team].allocated.minus(unitsOf(j.request.size))
 	if len(m.capacity.allocations) == 0 {
 		m.capacity.free, m.capacity.load = m.capacity.total, 0
 	} else {
@@ -116,26 +129,24 @@
 			m.capacity.load = max(0, m.capacity.load-b.share)
 		}
 	}
-	m.capacity.idleSince = c.clock.now
-	c.changed(m)
-	c.indexChanged(m)
-	c.placement.needed = true
-	c.settleJob(j)
+	m.capacity.idleSince = p.clock.now
+	p.indexChanged(m)
+	p.needed = true
 }
 
 // release gives a booking's room back and has its task wait again.
 func (c *Core) release(m *machine, b *allocation) {
-	c.lostWork(m, b)
-	c.displaced(m, b, false, "its machine is lost")
+	c.autoscaling.lostWork(m, b)
+	c.evictions.displaced(m, b, false, "its machine is lost")
 	c.deallocate(m, b)
-	c.requeue(c.jobs.list[b.job], b.task)
+	c.placement.requeue(c.jobs.list[b.job], b.task)
 }
 
 // dropAllocations frees all of a machine whose tasks are certainly gone.
 func (c *Core) dropAllocations(m *machine, why string) {
 	for len(m.capacity.allocations) > 0 {
 		b := m.capacity.allocations[len(m.capacity.allocations)-1]
-		c.log.Debug("task lost with its machine", "machine", m.name, "task", c.taskName(b), "why", why)
+		c.log.Debug("task lost with its machine", "machine", m.name, "task", c.jobs.taskName(b), "why", why)
 		c.release(m, b)
 	}
 	m.commands.pending = nil
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -1,5 +1,7 @@
 package scheduler
 
+import "log/slog"
+
 // An attempt's number is the term and a counter within it, and no two attempts may have
 // the same: a worker takes a start with a number that it knows for a repetition, and the
 // counter must not run over into the term. A large fleet uses the counter up in hours, so
@@ -14,30 +16,35 @@
 
 // attempts numbers the attempts of a term.
 type attempts struct {
-	term      uint64
+	term    uint64
+	log     *slog.Logger
+	effects *effects
+
 	count     uint64
 	exhausted bool // the term is being given up since few attempts are left
 }
 
-func newAttempts(term uint64) attempts { return attempts{term: term} }
+func newAttempts(c *Core) attempts {
+	return attempts{term: c.term, log: c.log, effects: &c.effects}
+}
 
 // attemptsLeft tells whether another task can be started in this term.
-func (c *Core) attemptsLeft() bool { return c.attempts.count < maxAttempts }
+func (a *attempts) attemptsLeft() bool { return a.count < maxAttempts }
 
 // nextAttempt numbers a new attempt.
-func (c *Core) nextAttempt() uint64 {
-	c.attempts.count++
-	return c.attempts.term<<tokenBits | c.attempts.count
+func (a *attempts) nextAttempt() uint64 {
+	a.count++
+	return a.term<<tokenBits | a.count
 }
 
 // endExhausted gives the term up when few attempts are left in it.
-func (c *Core) endExhausted() {
-	if c.attempts.count < maxAttempts-attemptReserve {
+func (a *attempts) endExhausted() {
+	if a.count < maxAttempts-attemptReserve {
 		return
 	}
-	if !c.attempts.exhausted {
-		c.attempts.exhausted = true
-		c.log.Info("giving the term up: its attempts are nearly used up", "term", c.term, "attempts", c.attempts.count)
+	if !a.exhausted {
+		a.exhausted = true
+		a.log.Info("giving the term up: its attempts are nearly used up", "term", a.term, "attempts", a.count)
 	}
-	c.effects.emit(ResignLeadership{})
+	a.effects.emit(ResignLeadership{})
 }
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"log/slog"
 	"time"
 
 	"leadproxy/internal/autoscaler"
@@ -24,8 +25,20 @@
 // autoscaling is what the leader knows of the cloud, of its own demand, and of what the machines
 // have cost.
 type autoscaling struct {
-	types           []machineType
-	typeIndexByName map[string]int32
+	cfg       *Config
+	term      uint64
+	clock     *clock
+	log       *slog.Logger
+	effects   *effects
+	writes    *durableWrites
+	types     *machineTypes
+	classes   *classTable
+	estimates *runEstimates
+	quotas    *quotas
+	jobs      *jobTable
+	machines  *machineTable
+	agents    *agents
+	placement *placement
 
 	pools         map[autoscaler.CapacityPool]*poolState
 	scaleOuts     map[string]*scaleOut
@@ -40,38 +53,22 @@
 
 	demand        []autoscaler.DemandEstimator // by class
 	limitedDemand []autoscaler.DemandEstimator // by team, only of those with a limit
-	runRatios     []float64                    // by class, of run times to estimates; 0: not learned yet
 	sizes         []sized                      // of the demand, the one with most core-seconds first
 
 	spending spendingLog
 }
 
-func newAutoscaling(now time.Duration, teams int) autoscaling {
-	return autoscaling{
-		typeIndexByName: map[string]int32{},
-		pools:           map[autoscaler.CapacityPool]*poolState{},
-		scaleOuts:       map[string]*scaleOut{},
-		limitedDemand:   make([]autoscaler.DemandEstimator, teams),
-		spending:        spendingLog{until: now, logged: now},
+func newAutoscaling(c *Core) autoscaling {
+	return autoscaling{cfg: &c.cfg, term: c.term, clock: &c.clock, log: c.log, effects: &c.effects, writes: &c.writes,
+		types: &c.types, classes: &c.classes, estimates: &c.estimates, quotas: &c.quotas,
+		jobs: &c.jobs, machines: &c.machines, agents: &c.agents, placement: &c.placement,
+		pools:         map[autoscaler.CapacityPool]*poolState{},
+		scaleOuts:     map[string]*scaleOut{},
+		limitedDemand: make([]autoscaler.DemandEstimator, len(c.quotas.teams)),
+		spending:      spendingLog{until: c.clock.now, logged: c.clock.now},
 	}
 }
 
-// machineType is a machine type of the cloud.
-type machineType struct {
-	wire.MachineType
-	total slowfit.Size
-	zones []int32
-	boot  time.Duration // learned
-}
-
-// price is what a machine of the type costs per hour at present.
-func (t *machineType) price(spot bool) float64 {
-	if spot {
-		return t.SpotPrice
-	}
-	return t.Price
-}
-
 type poolState struct {
 	blockedUntil  time.Duration
 	backoff       time.Duration
@@ -90,27 +87,26 @@
 }
 
 // autoscalingTick runs the routine: reading the cloud, returning, hiring.
-func (c *Core) autoscalingTick() {
-	f := &c.autoscaling
-	if !f.readingTypes && c.clock.now >= f.nextTypes {
-		f.readingTypes = true
-		c.effects.emit(CallCloud{autoscaler.Call{Types: true}})
+func (a *autoscaling) autoscalingTick() {
+	if !a.readingTypes && a.clock.now >= a.nextTypes {
+		a.readingTypes = true
+		a.effects.emit(CallCloud{autoscaler.Call{Types: true}})
 	}
-	if !f.listing && c.clock.now >= f.nextList {
-		f.listing = true
-		c.effects.emit(CallCloud{autoscaler.Call{List: true}})
+	if !a.listing && a.clock.now >= a.nextList {
+		a.listing = true
+		a.effects.emit(CallCloud{autoscaler.Call{List: true}})
 	}
-	for _, h := range f.scaleOuts {
-		if h.open && !h.sent && h.retry > 0 && c.clock.now >= h.retry {
-			c.sendScaleOut(h)
+	for _, h := range a.scaleOuts {
+		if h.open && !h.sent && h.retry > 0 && a.clock.now >= h.retry {
+			a.sendScaleOut(h)
 		}
 	}
-	if c.clock.now < f.nextPlan || len(c.autoscaling.types) == 0 {
+	if a.clock.now < a.nextPlan || len(a.types.list) == 0 {
 		return
 	}
-	f.nextPlan = c.clock.now + planEvery
-	c.scaleIn()
-	c.scaleOutMachines()
+	a.nextPlan = a.clock.now + planEvery
+	a.scaleIn()
+	a.scaleOutMachines()
 }
 
 func (c *Core) cloudResult(r autoscaler.Result) {
@@ -145,14 +141,14 @@
 
 func (c *Core) typesRead(types []wire.MachineType) {
 	for _, t := range types {
-		i, ok := c.autoscaling.typeIndexByName[t.Name]
+		i, ok := c.types.indexByName[t.Name]
 		if !ok {
-			i = int32(len(c.autoscaling.types))
-			c.autoscaling.typeIndexByName[t.Name] = i
-			c.autoscaling.types = append(c.autoscaling.types, machineType{MachineType: t, boot: settings.Seconds(t.BootS)})
-			c.inheritType(i)
+			i = int32(len(c.types.list))
+			c.types.indexByName[t.Name] = i
+			c.types.list = append(c.types.list, machineType{MachineType: t, boot: settings.Seconds(t.BootS)})
+			c.softState.inheritType(i)
 		}
-		mt := &c.autoscaling.types[i]
+		mt := &c.types.list[i]
 		mt.MachineType = t
 		mt.total = slowfit.Size{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
 		mt.zones = mt.zones[:0]
@@ -188,18 +184,18 @@
 		if !m.rental.listed {
 			m.rental.listed = true
 			m.rental.rentedAt = c.clock.now - settings.Seconds(l.AgeS)
-			c.scaleOutMachineSeen(m)
+			c.autoscaling.scaleOutMachineSeen(m)
 		}
 		if m.typeName == "" {
 			c.describe(m, l.Type, l.Zone, l.Spot, l.Address)
 		}
 		m.rental.missedListings = 0
 		if l.Status == wire.MachineRunning && settings.Seconds(l.AgeS) > c.clock.now-c.clock.termStart {
-			c.probe(m)
+			c.agents.probe(m)
 		}
 		if l.Status == wire.MachineFailed {
 			// It has stopped on its own, and all on it with it.
-			c.askDelete(m, "failed")
+			c.autoscaling.askDelete(m, "failed")
 			c.gone(m, "listed as failed")
 		}
 	}
--- a/internal/scheduler/cancel_watch.go
+++ b/internal/scheduler/cancel_watch.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"log/slog"
 	"time"
 
 	"leadproxy/internal/settings"
@@ -28,71 +29,84 @@
 
 // cancellationWatch counts what is done about the tasks of cancelled jobs.
 type cancellationWatch struct {
+	cfg      *Config
+	term     uint64
+	clock    *clock
+	log      *slog.Logger
+	debug    bool
+	jobs     *jobTable
+	machines *machineTable
+
 	counts   cancelledCounts
 	loggedAt time.Duration
 }
 
+func newCancellationWatch(c *Core) cancellationWatch {
+	return cancellationWatch{cfg: &c.cfg, term: c.term, clock: &c.clock, log: c.log, debug: c.debug, jobs: &c.jobs, machines: &c.machines,
+		loggedAt: c.clock.now}
+}
+
 // cancelBound is how long after the end of a cancelled job its tasks may be there, by two
 // controllers' clocks.
-func (c *Core) cancelBound() time.Duration {
-	facts := &c.cfg.Platform.Facts
+func (w *cancellationWatch) cancelBound() time.Duration {
+	facts := &w.cfg.Platform.Facts
 	return settings.Seconds(facts.Workers.CancelS) + time.Duration(2*facts.ClockErrorMS*float64(time.Millisecond))
 }
 
 // overdue tells whether a job's tasks must all be gone. Time in which this controller stood
 // still or was suspended does not count: what it has booked is as old as that.
-func (c *Core) overdue(j *job) bool {
-	return j.end.state == wire.JobCancelled && j.end.durable && c.clock.now-max(j.end.at, c.clock.tickingSince) > c.cancelBound()
+func (w *cancellationWatch) overdue(j *job) bool {
+	return j.end.state == wire.JobCancelled && j.end.durable && w.clock.now-max(j.end.at, w.clock.tickingSince) > w.cancelBound()
 }
 
 // noteStop notes that an answer stops a task that must not run.
-func (c *Core) noteStop(m *machine, t *wire.TaskStatus) {
-	j, _, _ := c.taskOf(m, t)
+func (w *cancellationWatch) noteStop(m *machine, t *wire.TaskStatus) {
+	j, _, _ := w.jobs.taskOf(m, t)
 	switch {
 	case j == nil:
-		c.cancellations.counts.Unknown++
-		c.log.Info("stopping a task whose job is not known", "machine", m.name, "task", t.Task, "attempt", t.Attempt)
+		w.counts.Unknown++
+		w.log.Info("stopping a task whose job is not known", "machine", m.name, "task", t.Task, "attempt", t.Attempt)
 	case j.end.state == wire.JobCancelled:
-		c.cancellations.counts.Repeated++
-		if c.debug {
-			c.log.Debug("stopping a cancelled task", "machine", m.name, "task", t.Task, "attempt", t.Attempt,
-				"status", t.Status, "since", (c.clock.now - j.end.at).Seconds(), "echoed", m.trusted(c.term))
+		w.counts.Repeated++
+		if w.debug {
+			w.log.Debug("stopping a cancelled task", "machine", m.name, "task", t.Task, "attempt", t.Attempt,
+				"status", t.Status, "since", (w.clock.now - j.end.at).Seconds(), "echoed", m.trusted(w.term))
 		}
 	}
 }
 
 // watchCancelled looks for bookings of cancelled jobs past their bound, each job once.
-func (c *Core) watchCancelled() {
-	for _, j := range c.jobs.active {
-		if j.progress.allocated > 0 && !j.end.overdueLogged && c.overdue(j) {
+func (w *cancellationWatch) watchCancelled() {
+	for _, j := range w.jobs.active {
+		if j.progress.allocated > 0 && !j.end.overdueLogged && w.overdue(j) {
 			j.end.overdueLogged = true
-			c.noteOverdue(j)
+			w.noteOverdue(j)
 		}
 	}
-	if c.clock.now-c.cancellations.loggedAt >= cancelledEvery {
-		c.logCancelled()
+	if w.clock.now-w.loggedAt >= cancelledEvery {
+		w.logCancelled()
 	}
 }
 
 // noteOverdue logs where a cancelled job's tasks may still be.
-func (c *Core) noteOverdue(j *job) {
-	for _, m := range c.machines.live {
+func (w *cancellationWatch) noteOverdue(j *job) {
+	for _, m := range w.machines.live {
 		for _, b := range m.capacity.allocations {
 			if b.job != j.index {
 				continue
 			}
-			c.cancellations.counts.Overdue++
-			c.log.Error(MessageCancelledTaskOverdue, "term", c.term, "machine", m.name, "task", c.taskName(b), "attempt", b.attempt, "status", b.status,
-				"since", (c.clock.now - j.end.at).Seconds(), "heard", (c.clock.now - m.agent.lastHeartbeat).Seconds(), "echoed", (c.clock.now - m.agent.lastAcknowledged).Seconds(),
+			w.counts.Overdue++
+			w.log.Error(MessageCancelledTaskOverdue, "term", w.term, "machine", m.name, "task", w.jobs.taskName(b), "attempt", b.attempt, "status", b.status,
+				"since", (w.clock.now - j.end.at).Seconds(), "heard", (w.clock.now - m.agent.lastHeartbeat).Seconds(), "echoed", (w.clock.now - m.agent.lastAcknowledged).Seconds(),
 				"deleting", m.state == machineDeleting, "stop_ordered", b.stopping)
 		}
 	}
 }
 
 // logCancelled logs what was done about cancelled tasks, if there was anything.
-func (c *Core) logCancelled() {
-	if n := c.cancellations.counts; n != (cancelledCounts{}) {
-		c.log.Info("cancelled tasks", "stops_due", n.Due, "stops_repeated", n.Repeated, "unknown_tasks", n.Unknown, "overdue", n.Overdue)
+func (w *cancellationWatch) logCancelled() {
+	if n := w.counts; n != (cancelledCounts{}) {
+		w.log.Info("cancelled tasks", "stops_due", n.Due, "stops_repeated", n.Repeated, "unknown_tasks", n.Unknown, "overdue", n.Overdue)
 	}
-	c.cancellations = cancellationWatch{loggedAt: c.clock.now}
+	w.counts, w.loggedAt = cancelledCounts{}, w.clock.now
 }
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"log/slog"
 	"math"
 	"slices"
 	"time"
@@ -11,6 +12,14 @@
 // commands is what is on its way to agents: the commands of the present step, those whose result
 // is not known yet, and the responses to heartbeats that are still open.
 type commands struct {
+	term    uint64
+	clock   *clock
+	log     *slog.Logger
+	effects *effects
+	jobs    *jobTable
+	// cancellations counts the stops.
+	cancellations *cancellationWatch
+
 	openAnswers          []heldAnswer // of this step
 	awaitingWrites       []heldAnswer // that wait for starts to be durable
 	heldForUnreachable   []heldAnswer // to machines with an unreachable-agent record
@@ -19,7 +28,10 @@
 	lastID               uint64
 }
 
-func newCommands() commands { return commands{inFlight: map[uint64]*commandInFlight{}} }
+func newCommands(c *Core) commands {
+	return commands{term: c.term, clock: &c.clock, log: c.log, effects: &c.effects, jobs: &c.jobs, cancellations: &c.cancellations,
+		inFlight: map[uint64]*commandInFlight{}}
+}
 
 // machineCommands is what is on its way to the agent of one machine.
 type machineCommands struct {
@@ -49,23 +61,23 @@
 	for _, b := range slices.Clone(m.capacity.allocations) {
 		switch {
 		case b.job != j.index || b.state != allocationPlanned:
-		case c.accepts(m) && !j.over():
-			c.sendStart(j, m, b)
+		case c.agents.accepts(m) && !j.over():
+			c.commands.sendStart(j, m, b)
 		default:
 			c.stopAllocation(m, b, 0)
 		}
 	}
 }
 
-func (c *Core) sendStart(j *job, m *machine, b *allocation) {
+func (q *commands) sendStart(j *job, m *machine, b *allocation) {
 	b.state = allocationQueued
-	c.queueCommand(m, wire.Command{Verb: wire.VerbStart, Task: c.taskName(b), Attempt: b.attempt})
+	q.queueCommand(m, wire.Command{Verb: wire.VerbStart, Task: q.jobs.taskName(b), Attempt: b.attempt})
 }
 
 // queueCommand has a machine told something at the end of the step.
-func (c *Core) queueCommand(m *machine, o wire.Command) {
+func (q *commands) queueCommand(m *machine, o wire.Command) {
 	if len(m.commands.pending) == 0 {
-		c.commands.machinesWithCommands = append(c.commands.machinesWithCommands, m)
+		q.machinesWithCommands = append(q.machinesWithCommands, m)
 	}
 	m.commands.pending = append(m.commands.pending, o)
 }
@@ -74,9 +86,9 @@
 // with one into direct commands, each well below the protocol's bound on a
 // body.
 func (c *Core) flush() {
-	c.writeJobs()
-	c.resumeAnswers()
-	c.giveAnswers()
+	c.jobs.writeJobs()
+	c.commands.resumeAnswers()
+	c.commands.giveAnswers()
 	for _, m := range c.commands.machinesWithCommands {
 		if m.commands.heldHeartbeat != nil {
 			continue // they go with its answer
@@ -85,16 +97,16 @@
 		m.commands.pending = nil
 		for len(orders) > 0 {
 			n := min(len(orders), maxCommandsPerResponse)
-			c.command(m, orders[:n])
+			c.commands.command(m, orders[:n])
 			orders = orders[n:]
 		}
 	}
 	clear(c.commands.machinesWithCommands)
 	c.commands.machinesWithCommands = c.commands.machinesWithCommands[:0]
-	c.flushDeletes()
+	c.autoscaling.flushDeletes()
 }
 
-func (c *Core) command(m *machine, orders []wire.Command) {
+func (q *commands) command(m *machine, orders []wire.Command) {
 	call := &commandInFlight{machine: m, agentEpoch: m.agent.epoch, fencingToken: m.agent.fencingToken}
 	kept := make([]wire.Command, 0, len(orders))
 	for _, o := range orders {
@@ -115,17 +127,17 @@
 		kept = append(kept, o)
 	}
 	if len(kept) > 0 {
-		c.send(call, kept)
+		q.send(call, kept)
 	}
 }
 
 // send has a direct command carried out and remembers it until it is back.
-func (c *Core) send(call *commandInFlight, orders []wire.Command) {
+func (q *commands) send(call *commandInFlight, orders []wire.Command) {
 	m := call.machine
-	c.commands.lastID++
+	q.lastID++
 	m.commands.inFlight++
-	c.commands.inFlight[c.commands.lastID] = call
-	c.effects.emit(SendCommands{CommandID: c.commands.lastID, Machine: m.name, Address: m.agent.address,
+	q.inFlight[q.lastID] = call
+	q.effects.emit(SendCommands{CommandID: q.lastID, Machine: m.name, Address: m.agent.address,
 		Request: wire.CommandRequest{FencingToken: call.fencingToken, AgentEpoch: call.agentEpoch, Commands: orders}})
 }
 
@@ -141,13 +153,13 @@
 	m := call.machine
 	m.commands.inFlight--
 	if call.probe {
-		defer c.probeResult(call, e.Outcome)
+		defer c.agents.probeResult(call, e.Outcome)
 	}
 	if m.state == machineGone {
 		return
 	}
 	if call.addressFromSoftState && (e.Outcome == CommandOutcomeUnknown || e.Outcome == CommandNotSent) {
-		c.inheritedAddressFailed(m) // the hint is wrong, or old: nothing against the machine
+		c.agents.inheritedAddressFailed(m) // the hint is wrong, or old: nothing against the machine
 		return
 	}
 	if e.Outcome == CommandOutcomeUnknown || e.Outcome == CommandNotSent {
@@ -158,28 +170,28 @@
 	}
 	switch e.Outcome {
 	case CommandOutcomeUnknown:
-		c.commandOutcomeUnknown(call)
+		c.commands.commandOutcomeUnknown(call)
 		return
 	case CommandNotSent, CommandRejected:
-		c.eachSent(call, func(b *allocation) { c.release(m, b) })
+		c.commands.eachSent(call, func(b *allocation) { c.release(m, b) })
 		if e.Outcome == CommandRejected && !call.probe {
 			c.log.Info("direct command refused", "machine", m.name, "token", call.fencingToken, "session", call.agentEpoch)
 		}
 	case CommandExecuted:
-		c.eachSent(call, func(b *allocation) { b.state = allocationConfirmed })
+		c.commands.eachSent(call, func(b *allocation) { b.state = allocationConfirmed })
 	}
 	if e.Heartbeat != nil && e.Heartbeat.Machine == m.name && e.Heartbeat.FencingToken>>tokenBits <= c.term {
 		c.observe(m, e.Heartbeat, false)
 	}
 	if e.Outcome == CommandExecuted {
-		c.repeatStops(call, e.Heartbeat)
+		c.commands.repeatStops(call, e.Heartbeat)
 	}
 }
 
 // commandOutcomeUnknown keeps the starts of a command booked of which nobody knows whether it
 // was carried out. The token is higher now: once the worker has echoed it, the command
 // can't be executed any more, and what is not there then will never be.
-func (c *Core) commandOutcomeUnknown(call *commandInFlight) {
+func (q *commands) commandOutcomeUnknown(call *commandInFlight) {
 	m := call.machine
 	if m.agent.epoch != call.agentEpoch {
 		return // it can only be refused
@@ -189,12 +201,12 @@
 			m.commands.unresolvedStarts[a] = call.fencingToken + 1
 		}
 	}
-	c.log.Debug("direct command unanswered", "machine", m.name, "starts", len(call.startedAttempts), "token", m.agent.fencingToken)
+	q.log.Debug("direct command unanswered", "machine", m.name, "starts", len(call.startedAttempts), "token", m.agent.fencingToken)
 }
 
 // eachSent settles the starts of a command whose outcome is known, and calls f for the
 // bookings that still wait for it.
-func (c *Core) eachSent(call *commandInFlight, f func(b *allocation)) {
+func (q *commands) eachSent(call *commandInFlight, f func(b *allocation)) {
 	m := call.machine
 	for _, a := range call.startedAttempts {
 		delete(m.commands.unresolvedStarts, a)
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -39,15 +39,20 @@
 	debug bool
 	term  uint64
 
-	clock    clock
-	effects  effects
-	writes   durableWrites
-	jobs     jobTable
-	machines machineTable
+	clock   clock
+	effects effects
+	writes  durableWrites
 
+	types     machineTypes
+	classes   classTable
+	estimates runEstimates
+	quotas    quotas
+	jobs      jobTable
+	machines  machineTable
+
+	attempts      attempts
 	agents        agents
 	commands      commands
-	attempts      attempts
 	placement     placement
 	autoscaling   autoscaling
 	softState     softState
@@ -61,16 +66,20 @@
 func NewCore(cfg Config, s ledger.Snapshot, now time.Duration, wall int64, log *slog.Logger) *Core {
 	c := &Core{cfg: cfg, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), term: cfg.Term}
 	c.clock = newClock(now, wall)
-	c.writes = newDurableWrites(&c.clock, &c.effects)
-	c.jobs = newJobTable()
+	c.writes = newDurableWrites(c)
+	c.types = newMachineTypes()
+	c.quotas = newQuotas(cfg.Platform.Facts.Teams)
+	c.jobs = newJobTable(c)
 	c.machines = newMachineTable()
-	c.agents = newAgents(&c.clock, cfg.Platform.Facts.Workers)
-	c.commands = newCommands()
-	c.attempts = newAttempts(cfg.Term)
-	c.placement = newPlacement(&c.clock, cfg)
-	c.autoscaling = newAutoscaling(now, len(c.placement.teams))
-	c.federation = newFederation(cfg.Operator, localJobs{c})
-	c.cancellations = cancellationWatch{loggedAt: now}
+	c.attempts = newAttempts(c)
+	c.agents = newAgents(c)
+	c.commands = newCommands(c)
+	c.placement = newPlacement(c)
+	c.autoscaling = newAutoscaling(c)
+	c.softState = newSoftState(c)
+	c.federation = newFederation(c)
+	c.evictions = newEvictions(c)
+	c.cancellations = newCancellationWatch(c)
 	c.restore(&s)
 	c.flush()
 	return c
@@ -110,11 +119,11 @@
 	case Tick:
 		c.tick()
 	case SoftStateRequest:
-		c.softStateRequested(e)
+		c.softState.softStateRequested(e)
 	case PlanRequest:
-		c.planAsked(e)
+		c.evictions.planAsked(e)
 	case PlanListRequest:
-		c.plansListed(e)
+		c.evictions.plansListed(e)
 	default:
 		c.stepTransfers(event)
 	}
@@ -128,7 +137,7 @@
 func (c *Core) Settle() []Effect {
 	if c.placement.needed {
 		c.placement.needed = false
-		c.place()
+		c.placement.place(c.federation.uncertainUse())
 	}
 	c.flush()
 	return c.effects.take()
@@ -142,12 +151,12 @@
 // tick does what time alone brings.
 func (c *Core) tick() {
 	c.clock.tick()
-	c.spend()
+	c.autoscaling.spend()
 	for _, m := range c.machines.live {
 		c.expireLease(m)
-		if m.indexed.schedulable != c.accepts(m) {
+		if m.indexed.schedulable != c.agents.accepts(m) {
 			// It has fallen silent, or is no longer shunned.
-			c.indexChanged(m)
+			c.placement.indexChanged(m)
 			c.placement.needed = true
 		}
 	}
@@ -158,20 +167,20 @@
 		}
 	}
 	c.dropFinished()
-	c.watchCancelled()
+	c.cancellations.watchCancelled()
 	c.recordUnreachable()
-	c.dropUnreachable()
-	c.dropInherited()
-	c.autoscalingTick()
-	c.endExhausted()
+	c.agents.dropUnreachable()
+	c.softState.dropInherited()
+	c.autoscaling.autoscalingTick()
+	c.attempts.endExhausted()
 	c.federationTick()
 	c.evictionTick()
-	c.lowerGoal()
+	c.placement.lowerGoal()
 }
 
 // anyWaiting tells whether some task could be placed if there were room.
-func (c *Core) anyWaiting() bool {
-	return slices.ContainsFunc(c.jobs.active, func(j *job) bool { return j.placeable(c.clock.now) })
+func (t *jobTable) anyWaiting() bool {
+	return slices.ContainsFunc(t.active, func(j *job) bool { return j.placeable(t.clock.now) })
 }
 
 // calmFor is how long nothing must have waited before the goal falls.
@@ -180,18 +189,18 @@
 // lowerGoal lets the goal fall after a burst, since in the paper it never
 // does and would stop limiting anything. The mean load of the machines stands
 // for the optimum: no placement brings the busiest one below that.
-func (c *Core) lowerGoal() {
-	if c.anyWaiting() {
-		c.placement.lowLoadSince = c.clock.now
+func (p *placement) lowerGoal() {
+	if p.jobs.anyWaiting() {
+		p.lowLoadSince = p.clock.now
 		return
 	}
-	if c.clock.now-c.placement.lowLoadSince < calmFor {
+	if p.clock.now-p.lowLoadSince < calmFor {
 		return
 	}
-	c.placement.lowLoadSince = c.clock.now
+	p.lowLoadSince = p.clock.now
 	load, n := 0.0, 0
-	for _, m := range c.machines.live {
-		if c.accepts(m) {
+	for _, m := range p.machines.live {
+		if p.agents.accepts(m) {
 			n++
 			for _, b := range m.capacity.allocations {
 				load += b.share
@@ -199,11 +208,11 @@
 		}
 	}
 	if n > 0 {
-		before := c.placement.goal.L
-		c.placement.goal.Fall(load / float64(n))
-		if c.placement.goal.L != before {
-			c.placement.index.ClearLoads()
-			c.log.Debug("goal lowered", "from", before, "to", c.placement.goal.L, "mean_load", load/float64(n))
+		before := p.goal.L
+		p.goal.Fall(load / float64(n))
+		if p.goal.L != before {
+			p.index.ClearLoads()
+			p.log.Debug("goal lowered", "from", before, "to", p.goal.L, "mean_load", load/float64(n))
 		}
 	}
 }
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -15,39 +15,39 @@
 
 // mayLeave tells whether a job can run in another cell: whole, never started anywhere,
 // of this cell, and not bound to a zone of it.
-func (c *Core) mayLeave(j *job) bool {
-	return j.placeable(c.clock.now) && j.transfer.origin == "" && !j.progress.startedOnce && j.progress.allocated == 0 && len(j.record.hosts) == 0 && j.progress.done == 0 &&
-		j.placement.reservedMachine == nil && j.request.zone < 0 && !j.suspect() && c.federation.delegated.MayBegin(j.id)
+func (f *federationState) mayLeave(j *job) bool {
+	return j.placeable(f.clock.now) && j.transfer.origin == "" && !j.progress.startedOnce && j.progress.allocated == 0 && len(j.record.hosts) == 0 && j.progress.done == 0 &&
+		j.placement.reservedMachine == nil && j.request.zone < 0 && !j.suspect() && f.delegated.MayBegin(j.id)
 }
 
 // expectedLate tells whether a job that begins after a wait misses its deadline or,
 // without one, waits longer than it may.
-func (c *Core) expectedLate(j *job, wait time.Duration) bool {
+func (f *federationState) expectedLate(j *job, wait time.Duration) bool {
 	if j.priority.deadline == never {
-		return c.clock.now-j.priority.arrived+wait > c.federation.cells.MaxWait
+		return f.clock.now-j.priority.arrived+wait > f.cells.MaxWait
 	}
-	return c.clock.now+wait+c.expectedRun(j) > j.priority.deadline
+	return f.clock.now+wait+f.estimates.expectedRun(j) > j.priority.deadline
 }
 
 // findCellForJobs offers jobs to neighbours that have room for them while this cell is short
 // of it.
 func (c *Core) findCellForJobs() {
 	t := &c.federation
-	late := c.expectedLateJobs()
-	if !t.shortage.Look(c.clock.now, len(late) > 0 && !c.canScaleOut()) {
+	late := c.federation.expectedLateJobs()
+	if !t.shortage.Look(c.clock.now, len(late) > 0 && !c.autoscaling.canScaleOut()) {
 		return
 	}
 	wanted := 0.0
 	for _, j := range late {
 		wanted += j.cores()
 	}
-	choice := c.delegationInput()
-	c.askForCapacity(choice, wanted)
+	choice := c.federation.delegationInput()
+	c.federation.askForCapacity(choice, wanted)
 	for _, j := range late {
 		if !choice.credit() {
 			break
 		}
-		c.offer(j, choice)
+		c.federation.offer(j, choice)
 	}
 	c.applyOriginEffects()
 }
@@ -59,23 +59,22 @@
 }
 
 // delegationInput looks at the neighbours and the teams.
-func (c *Core) delegationInput() *offering {
-	t := &c.federation
-	o := &offering{cells: make([]federation.Cell, len(t.neighbours)), used: c.uncertainUse()}
+func (f *federationState) delegationInput() *offering {
+	o := &offering{cells: make([]federation.Cell, len(f.neighbours)), used: f.uncertainUse()}
 	for i := range o.used {
-		o.used[i] = o.used[i].plus(c.placement.teams[i].booked)
+		o.used[i] = o.used[i].plus(f.quotas.teams[i].allocated)
 	}
 	idle := true
-	for i, n := range t.neighbours {
-		jobs, cores := c.delegatedTo(n)
+	for i, n := range f.neighbours {
+		jobs, cores := f.delegatedTo(n)
 		idle = idle && jobs == 0
 		o.cells[i] = federation.Cell{Capacity: n.MaxCores, Used: cores, Jobs: n.MaxJobs - jobs}
-		if c.clock.now < n.until && !n.Drain {
+		if f.clock.now < n.until && !n.Drain {
 			o.cells[i].Credit = n.credit
 		}
 	}
 	if idle {
-		t.selector.Rest()
+		f.selector.Rest()
 	}
 	return o
 }
@@ -88,61 +87,61 @@
 // expectedLateJobs lists, in the order of the queue, the jobs that may leave and whose
 // wait here is expected to be too long: what is ahead of them, and left of what runs,
 // shared by the cores that there are. A job that leaves is ahead of none.
-func (c *Core) expectedLateJobs() []*job {
+func (f *federationState) expectedLateJobs() []*job {
 	cores, ahead := 0.0, 0.0
-	for _, m := range c.machines.live {
-		if c.counts(m) {
+	for _, m := range f.machines.live {
+		if f.autoscaling.counts(m) {
 			cores += m.capacity.total.CPUs
-			ahead += c.busy(m)
+			ahead += f.placement.busy(m)
 		}
 	}
 	var late []*job
-	for _, j := range c.queue() {
-		wait := c.federation.cells.MaxWait + time.Second
+	for _, j := range f.placement.queue() {
+		wait := f.cells.MaxWait + time.Second
 		if cores > 0 {
 			wait = settings.Seconds(ahead / cores)
 		}
-		if c.mayLeave(j) && c.expectedLate(j, wait) {
+		if f.mayLeave(j) && f.expectedLate(j, wait) {
 			late = append(late, j)
 			continue
 		}
-		ahead += c.workLeft(j)
+		ahead += f.placement.workLeft(j)
 	}
 	return late
 }
 
 // canScaleOut tells whether machines are coming or could be asked for.
-func (c *Core) canScaleOut() bool {
-	if len(c.openScaleOuts()) > 0 {
+func (a *autoscaling) canScaleOut() bool {
+	if len(a.openScaleOuts()) > 0 {
 		return true
 	}
-	if slices.ContainsFunc(c.machines.live, func(m *machine) bool { return m.state == machineStarting && m.typ >= 0 }) {
+	if slices.ContainsFunc(a.machines.live, func(m *machine) bool { return m.state == machineStarting && m.typ >= 0 }) {
 		return true
 	}
-	if most := c.cfg.Operator.MaxMachines; most > 0 && c.machineCount() >= most {
+	if most := a.cfg.Operator.MaxMachines; most > 0 && a.machines.machineCount() >= most {
 		return false
 	}
-	return c.poolsOpen()
+	return a.poolsOpen()
 }
 
 // poolsOpen tells whether some offer of the cloud was not refused a moment ago.
-func (c *Core) poolsOpen() bool {
-	for range c.openPools() {
+func (a *autoscaling) poolsOpen() bool {
+	for range a.openPools() {
 		return true
 	}
 	return false
 }
 
 // askForCapacity asks the neighbours what they have for so many cores.
-func (c *Core) askForCapacity(choice *offering, cores float64) {
-	for i, n := range c.federation.neighbours {
+func (f *federationState) askForCapacity(choice *offering, cores float64) {
+	for i, n := range f.neighbours {
 		cell := choice.cells[i]
 		free := min(cores, cell.Capacity-cell.Used)
-		if n.Drain || n.capacityRequested || c.clock.now < n.nextCapacityRequest || cell.Jobs <= 0 || free <= 0 || cell.Credit >= free {
+		if n.Drain || n.capacityRequested || f.clock.now < n.nextCapacityRequest || cell.Jobs <= 0 || free <= 0 || cell.Credit >= free {
 			continue
 		}
 		n.capacityRequested = true
-		c.effects.emit(AskCapacity{Cell: n.Name, Cores: free})
+		f.effects.emit(AskCapacity{Cell: n.Name, Cores: free})
 	}
 }
 
@@ -151,7 +150,7 @@
 
 // capacityResult takes a neighbour's answer to the question for room.
 func (c *Core) capacityResult(e CapacityResult) {
-	n := c.neighbourNamed(e.Cell)
+	n := c.federation.neighbourNamed(e.Cell)
 	if n == nil {
 		return
 	}
@@ -172,15 +171,15 @@
 		return
 	}
 	c.findCellForJobs()
-	c.exchange()
+	c.federation.exchange()
 }
 
 // delegatedTo is what is away in a cell: jobs, and their cores.
-func (c *Core) delegatedTo(n *neighbour) (jobs int, cores float64) {
-	for _, ref := range c.federation.delegated.With(n.Name) {
-		if at, ok := c.jobs.indexByID[ref]; ok && !c.jobs.list[at].over() {
+func (f *federationState) delegatedTo(n *neighbour) (jobs int, cores float64) {
+	for _, ref := range f.delegated.With(n.Name) {
+		if at, ok := f.jobs.indexByID[ref]; ok && !f.jobs.list[at].over() {
 			jobs++
-			cores += c.jobs.list[at].cores()
+			cores += f.jobs.list[at].cores()
 		}
 	}
 	return jobs, cores
@@ -188,26 +187,26 @@
 
 // offer begins the transfer of a job to the neighbour that the choice names, if its
 // team's limit leaves room for all of it: tasks in other cells count there as well.
-func (c *Core) offer(j *job, o *offering) {
-	if c.roomInLimit(j, o.used[j.request.team]) < j.progress.total {
+func (f *federationState) offer(j *job, o *offering) {
+	if f.quotas.roomInLimit(j, o.used[j.request.team]) < j.progress.total {
 		return
 	}
-	for i, n := range c.federation.neighbours {
+	for i, n := range f.neighbours {
 		o.cells[i].Excluded = n.refused[j.id]
 	}
-	at := c.federation.selector.Choose(o.cells, j.cores())
+	at := f.selector.Choose(o.cells, j.cores())
 	if at < 0 {
 		return
 	}
-	body := c.offerBody(j)
+	body := f.offerBody(j)
 	if body == nil {
 		return
 	}
-	n, cell := c.federation.neighbours[at], &o.cells[at]
+	n, cell := f.neighbours[at], &o.cells[at]
 	n.credit -= j.cores()
 	cell.Credit, cell.Used, cell.Jobs = n.credit, cell.Used+j.cores(), cell.Jobs-1
 	o.used[j.request.team] = o.used[j.request.team].plus(unitsOf(j.request.size).times(j.progress.total))
 	j.transfer.delegated = true
-	c.federation.delegated.Begin(j.id, n.Name, body, c.clock.now, c.clock.wallMS)
-	c.log.Info("job is offered to a neighbour", "job", j.id, "cell", n.Name, "cores", j.cores(), "waited_s", (c.clock.now - j.priority.arrived).Seconds(), "share", j.cores()/n.MaxCores)
+	f.delegated.Begin(j.id, n.Name, body, f.clock.now, f.clock.wallMS)
+	f.log.Info("job is offered to a neighbour", "job", j.id, "cell", n.Name, "cores", j.cores(), "waited_s", (f.clock.now - j.priority.arrived).Seconds(), "share", j.cores()/n.MaxCores)
 }
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -11,18 +11,17 @@
 )
 
 // arrived learns from a job that has just come in.
-func (c *Core) arrived(j *job) {
-	f := &c.autoscaling
+func (a *autoscaling) arrived(j *job) {
 	cores := j.request.size.CPUs * float64(j.progress.total)
-	c.learnArrival(j.request.class, j.request.team, j.priority.arrived, cores, c.expectedRun(j).Seconds())
-	f.addSize(j.request.size, cores*j.spec.EstimatedRunS, c.placement.classObjectives[j.request.class].wait > 0)
+	a.learnArrival(j.request.class, j.request.team, j.priority.arrived, cores, a.estimates.expectedRun(j).Seconds())
+	a.addSize(j.request.size, cores*j.spec.EstimatedRunS, a.classes.objectives[j.request.class].wait > 0)
 }
 
 // learnArrival learns the demand from one job.
-func (c *Core) learnArrival(class, team int32, at time.Duration, cores, seconds float64) {
-	c.autoscaling.demand[class].ObserveArrival(at, cores, seconds)
-	if c.placement.teams[team].limit.cpus > 0 {
-		c.autoscaling.limitedDemand[team].ObserveArrival(at, cores, seconds)
+func (a *autoscaling) learnArrival(class, team int32, at time.Duration, cores, seconds float64) {
+	a.demand[class].ObserveArrival(at, cores, seconds)
+	if a.quotas.teams[team].limit.cpus > 0 {
+		a.limitedDemand[team].ObserveArrival(at, cores, seconds)
 	}
 }
 
@@ -56,9 +55,9 @@
 
 // headroomSizes are the sizes that the headroom should hold: the heaviest of the
 // demand, then those of classes that must not wait.
-func (c *Core) headroomSizes() []slowfit.Size {
+func (a *autoscaling) headroomSizes() []slowfit.Size {
 	var out []slowfit.Size
-	for i, s := range c.autoscaling.sizes {
+	for i, s := range a.sizes {
 		if i == 0 || s.wait {
 			out = append(out, s.size)
 		}
@@ -66,30 +65,15 @@
 	return out
 }
 
-func (f *autoscaling) learnRatio(class int32, ratio float64) {
-	ratio = min(max(ratio, 0.1), 10)
-	if old := f.runRatios[class]; old > 0 {
-		ratio = old + (ratio-old)/16
-	}
-	f.runRatios[class] = ratio
-}
-
-func (f *autoscaling) ratio(class int32) float64 {
-	if r := f.runRatios[class]; r > 0 {
-		return r
-	}
-	return 1
-}
-
 // headroomCores are the cores that the learned demand makes worth keeping. What a
 // team asks for beyond its limit is none of it.
-func (c *Core) headroomCores() float64 {
-	spread := c.cfg.Operator.HeadroomSpread
-	mean, deviation := autoscaler.Demand(c.clock.now, c.autoscaling.demand)
+func (a *autoscaling) headroomCores() float64 {
+	spread := a.cfg.Operator.HeadroomSpread
+	mean, deviation := autoscaler.Demand(a.clock.now, a.demand)
 	variance, capped := deviation*deviation, 0.0
-	for i, t := range c.placement.teams {
+	for i, t := range a.quotas.teams {
 		if t.limit.cpus > 0 {
-			m, d := autoscaler.Demand(c.clock.now, c.autoscaling.limitedDemand[i:i+1])
+			m, d := autoscaler.Demand(a.clock.now, a.limitedDemand[i:i+1])
 			mean, variance = mean-m, variance-d*d
 			capped += min(m+spread*d, float64(t.limit.cpus)/perUnit)
 		}
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -33,32 +33,33 @@
 // team's guarantee, is in no queue, and hires nothing.
 func (j *job) blocked() bool { return j.dependencies.open > 0 || j.transfer.delegated }
 
-// linkDependencies brings a new job into the graph, as a job that needs others and as one that
-// others wait for.
-func (c *Core) linkDependencies(j *job) {
+// link brings a new job into the graph, as a job that depends on others and as one that
+// others depend on. It returns the jobs that no longer wait for any.
+func (t *jobTable) link(j *job) (ready []*job) {
 	if j.spec != nil && !j.over() {
 		for _, ref := range j.spec.DependsOn {
-			if at, ok := c.jobs.indexByID[ref]; ok {
-				c.needs(j, c.jobs.list[at])
+			if at, ok := t.indexByID[ref]; ok {
+				t.needs(j, t.list[at])
 				continue
 			}
 			j.dependencies.open++
-			c.jobs.awaited[ref] = append(c.jobs.awaited[ref], j.index)
+			t.awaited[ref] = append(t.awaited[ref], j.index)
 		}
 	}
-	for _, at := range c.jobs.awaited[j.id] {
-		child := c.jobs.list[at]
+	for _, at := range t.awaited[j.id] {
+		child := t.list[at]
 		child.dependencies.open-- // counted while it was not seen
-		c.needs(child, j)
+		t.needs(child, j)
 		if !child.blocked() && !child.over() {
-			c.becomesReady(child, c.clock.now)
+			ready = append(ready, child)
 		}
 	}
-	delete(c.jobs.awaited, j.id)
+	delete(t.awaited, j.id)
+	return ready
 }
 
 // needs notes that a job waits for another one.
-func (c *Core) needs(j, p *job) {
+func (t *jobTable) needs(j, p *job) {
 	j.dependencies.dependsOn = append(j.dependencies.dependsOn, p.index)
 	if p.end.durable && p.end.state == wire.JobDone {
 		return
@@ -76,20 +77,22 @@
 			return
 		}
 	}
-	c.raisePriority(j)
+	if c.jobs.raisePriority(j) {
+		c.placement.needed = true
+	}
 	if j.blocked() {
-		c.log.Debug("job waits for others", "job", j.id, "open", j.dependencies.open, "first", c.firstOpen(j))
+		c.log.Debug("job waits for others", "job", j.id, "open", j.dependencies.open, "first", c.jobs.firstOpen(j))
 	}
 }
 
 // firstOpen names a job that another one waits for.
-func (c *Core) firstOpen(j *job) string {
+func (t *jobTable) firstOpen(j *job) string {
 	for _, ref := range j.spec.DependsOn {
-		at, ok := c.jobs.indexByID[ref]
+		at, ok := t.indexByID[ref]
 		if !ok {
 			return ref + " (not seen yet)"
 		}
-		if p := c.jobs.list[at]; !p.end.durable {
+		if p := t.list[at]; !p.end.durable {
 			return ref
 		}
 	}
@@ -98,31 +101,33 @@
 
 // raisePriority has all that a job needs, directly or through others, be as urgent as the
 // job is: its priority, and in time for its deadline, less what lies between.
-func (c *Core) raisePriority(j *job) {
+func (t *jobTable) raisePriority(j *job) (raised bool) {
 	todo := []*job{j}
 	for len(todo) > 0 {
 		j, todo = todo[len(todo)-1], todo[:len(todo)-1]
 		due := j.priority.deadline
 		if due != never {
-			due -= c.expectedRun(j)
+			due -= t.estimates.expectedRun(j)
 		}
 		for _, at := range j.dependencies.dependsOn {
-			p := c.jobs.list[at]
+			p := t.list[at]
 			if p.over() || p.spec == nil || p.priority.class <= j.priority.class && p.priority.deadline <= due {
 				continue
 			}
 			p.priority.class, p.priority.deadline = min(p.priority.class, j.priority.class), min(p.priority.deadline, due)
-			c.placement.needed = true
+			raised = true
 			todo = append(todo, p)
 		}
 	}
+	return raised
 }
 
 // raisePriorityBy has a job that was seen late be as urgent as those that wait for it.
-func (c *Core) raisePriorityBy(p *job) {
+func (t *jobTable) raisePriorityBy(p *job) (raised bool) {
 	for _, at := range p.dependencies.dependents {
-		c.raisePriority(c.jobs.list[at])
+		raised = t.raisePriority(t.list[at]) || raised
 	}
+	return raised
 }
 
 // releaseDependents tells a job's dependents that it is durably over.
@@ -141,10 +146,17 @@
 	}
 }
 
+// linkDependencies brings a new job into the graph. Jobs that waited only for it may run.
+func (c *Core) linkDependencies(j *job) {
+	for _, ready := range c.jobs.link(j) {
+		c.becomesReady(ready, c.clock.now)
+	}
+}
+
 // becomesReady counts a job's waits, and what it asks for, from a moment on.
 func (c *Core) becomesReady(j *job, at time.Duration) {
 	j.priority.arrived = at
-	c.arrived(j)
+	c.autoscaling.arrived(j)
 	c.placement.needed = true
 	c.log.Debug("all that a job waits for is done", "job", j.id, "tasks", j.progress.total)
 }
@@ -157,7 +169,7 @@
 	c.log.Debug("job is cancelled with one that it needs", "job", j.id, "needs", p.id)
 	if !j.over() {
 		j.end.state = wire.JobCancelled
-		c.writeTerminal(j, false)
+		c.jobs.writeTerminal(j, false)
 	}
 	c.terminalIsDurable(j)
 }
@@ -166,14 +178,14 @@
 // leader does: its own end is being written, or the cancellation of one that it needs,
 // directly or through others. That may have been carried out and its answer lost;
 // another node has then read it and told a user, and "queued" would go back on that.
-func (c *Core) terminalStatePending(j *job) bool {
+func (t *jobTable) terminalStatePending(j *job) bool {
 	if j.end.durable {
 		return false
 	}
 	if j.over() {
 		return true
 	}
-	if len(c.jobs.cancelling) == 0 {
+	if len(t.cancelling) == 0 {
 		return false // as nearly always; an ancestor need not be looked for
 	}
 	seen := map[int32]bool{}
@@ -181,11 +193,11 @@
 	for len(todo) > 0 {
 		at := todo[len(todo)-1]
 		todo = todo[:len(todo)-1]
-		p := c.jobs.list[at]
+		p := t.list[at]
 		if p.end.durable || seen[at] {
 			continue
 		}
-		if c.jobs.cancelling[at] {
+		if t.cancelling[at] {
 			return true
 		}
 		seen[at] = true
@@ -195,12 +207,12 @@
 }
 
 // readySince is when the last of a restored job's predecessors was done.
-func (c *Core) readySince(j *job) time.Duration {
+func (t *jobTable) readySince(j *job) time.Duration {
 	last := j.priority.arrived
 	for _, at := range j.dependencies.dependsOn {
-		last = max(last, c.jobs.list[at].end.at)
+		last = max(last, t.list[at].end.at)
 	}
-	return min(last, c.clock.now)
+	return min(last, t.clock.now)
 }
 
 // restoreDependencies builds the graph from what the ledger holds, before anything is
@@ -215,7 +227,7 @@
 		}
 		c.settleDependencies(j)
 		if !j.over() && !j.blocked() {
-			c.becomesReady(j, c.readySince(j))
+			c.becomesReady(j, c.jobs.readySince(j))
 		}
 	}
 }
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -24,7 +24,7 @@
 	var tasks []wire.TaskStatus
 	there := false
 	for _, b := range g.c.machineNamed(machine).capacity.allocations {
-		t := taskIn(wire.Command{Task: g.c.taskName(b), Attempt: b.attempt}, wire.TaskRunning, "")
+		t := taskIn(wire.Command{Task: g.c.jobs.taskName(b), Attempt: b.attempt}, wire.TaskRunning, "")
 		if t.Task == ref+"/0" {
 			t.Status, t.ExitReason, there = wire.TaskEnded, wire.ExitDone, true
 		}
@@ -57,7 +57,7 @@
 		g.submit(after("job-4", "job-2", "job-3"))
 		g.want("started at first", g.started(), "job-1")
 		g.want("state of what waits", g.jobStatus("job-4"), wire.JobQueued)
-		g.want("demand for it", len(g.c.queue()), 0)
+		g.want("demand for it", len(g.c.placement.queue()), 0)
 		g.held = true
 		g.finishTask("vm-1", "job-1")
 		g.want("started before the end is durable", g.started(), "")
@@ -102,8 +102,8 @@
 		for i := range 10 {
 			g.submit(after(fmt.Sprintf("job-2%d", i), "job-1"))
 		}
-		g.want("first in the queue", g.c.queue()[0].id, "job-1")
-		g.want("in the queue", len(g.c.queue()), 2)
+		g.want("first in the queue", g.c.placement.queue()[0].id, "job-1")
+		g.want("in the queue", len(g.c.placement.queue()), 2)
 	})
 	t.Run("a long chain and a wide fan", func(t *testing.T) {
 		g := newStage(t, ledger.Snapshot{})
@@ -237,7 +237,7 @@
 	g.want("due of the last", of("job-3").priority.deadline, 100*time.Second)
 	g.want("due of the one before", of("job-2").priority.deadline, 90*time.Second)
 	g.want("due of the first", of("job-1").priority.deadline, 80*time.Second)
-	g.want("first in the queue", g.c.queue()[0].id, "job-1")
+	g.want("first in the queue", g.c.placement.queue()[0].id, "job-1")
 	g.want("rank of another job", of("job-7").priority.class, 2)
 	g.now += 3 * time.Minute
 	g.up("vm-1")
@@ -275,7 +275,7 @@
 			if b.task%2 == 0 {
 				status, why = wire.TaskEnded, wire.ExitDone
 			}
-			reports = append(reports, taskIn(wire.Command{Task: g.c.taskName(b), Attempt: b.attempt}, status, why))
+			reports = append(reports, taskIn(wire.Command{Task: g.c.jobs.taskName(b), Attempt: b.attempt}, status, why))
 		}
 		g.echo(name, reports...)
 	}
--- a/internal/scheduler/durable_writes.go
+++ b/internal/scheduler/durable_writes.go
@@ -18,8 +18,8 @@
 	lastDurableAt time.Duration
 }
 
-func newDurableWrites(clock *clock, effects *effects) durableWrites {
-	return durableWrites{clock: clock, effects: effects}
+func newDurableWrites(c *Core) durableWrites {
+	return durableWrites{clock: &c.clock, effects: &c.effects}
 }
 
 // put writes to the ledger. A write with a tag is answered with WritesDurable or
--- a/internal/scheduler/eviction_actions.go
+++ b/internal/scheduler/eviction_actions.go
@@ -14,18 +14,18 @@
 
 // cordon has nothing start on the machines that plans are emptying, and keeps those that
 // they have hired.
-func (c *Core) cordon() {
-	for _, m := range c.machines.live {
+func (v *evictionState) cordon() {
+	for _, m := range v.machines.live {
 		cordoned, kept := false, false
-		for _, p := range c.evictions.plans {
+		for _, p := range v.plans {
 			cordoned = cordoned || p.rollout.Cordons(m.name)
 			kept = kept || p.rollout.Keeps(m.name)
 		}
 		m.eviction.kept = kept
 		if m.eviction.cordoned != cordoned {
 			m.eviction.cordoned = cordoned
-			c.indexChanged(m)
-			c.placement.needed = true
+			v.placement.indexChanged(m)
+			v.placement.needed = true
 		}
 	}
 }
@@ -34,15 +34,15 @@
 func (c *Core) carryOutPlan(act rollout.Act) {
 	switch a := act.(type) {
 	case rollout.MoveTask:
-		if m := c.machineIfKnown(a.Machine); m != nil {
+		if m := c.machines.machineIfKnown(a.Machine); m != nil {
 			c.moveTask(m, a.Ref, int32(a.Task))
 		}
 	case rollout.ReturnMachine:
-		if m := c.machineIfKnown(a.Machine); m != nil && (m.state == machineDeleting || c.isEmpty(m)) {
-			c.askDelete(m, "drained")
+		if m := c.machines.machineIfKnown(a.Machine); m != nil && (m.state == machineDeleting || c.evictions.isEmpty(m)) {
+			c.autoscaling.askDelete(m, "drained")
 		}
 	case rollout.HireAhead:
-		c.scaleOutAhead(a)
+		c.evictions.scaleOutAhead(a)
 	}
 }
 
@@ -58,7 +58,7 @@
 		if j.spec.CheckpointIntervalS > 0 {
 			grace = j.spec.CheckpointDurationS
 		}
-		c.log.Info("task is moved", "task", c.taskName(b), "machine", m.name, "grace_s", grace)
+		c.log.Info("task is moved", "task", c.jobs.taskName(b), "machine", m.name, "grace_s", grace)
 		c.stopAllocation(m, b, grace)
 	}
 }
@@ -66,14 +66,14 @@
 // requestsFor are the hires for a plan's replacements: one for each kind of machine, in
 // parts that the cloud takes. They are none until all of the machines are known: a request
 // that is made once for fewer brings no more later.
-func (c *Core) requestsFor(request string, like []string) map[string]autoscaler.PlannedScaleOut {
+func (v *evictionState) requestsFor(request string, like []string) map[string]autoscaler.PlannedScaleOut {
 	counts := map[autoscaler.CapacityPool]int{}
 	for _, name := range like {
-		m := c.machineIfKnown(name)
+		m := v.machines.machineIfKnown(name)
 		switch {
 		case m != nil && m.typ >= 0 && m.zone >= 0:
 			counts[autoscaler.CapacityPool{Type: m.typ, Zone: m.zone, Spot: m.spot}]++
-		case !c.mayMove():
+		case !v.mayMove():
 			return nil
 		}
 	}
@@ -81,7 +81,7 @@
 	for offer, n := range counts {
 		for part := 0; n > 0; part++ {
 			count := min(n, autoscaler.MaxScaleOut)
-			name := fmt.Sprintf("%s-%s-%s-%t-%d", request, c.autoscaling.types[offer.Type].Name, c.machines.zones.list[offer.Zone], offer.Spot, part)
+			name := fmt.Sprintf("%s-%s-%s-%t-%d", request, v.types.list[offer.Type].Name, v.machines.zones.list[offer.Zone], offer.Spot, part)
 			requests[name] = autoscaler.PlannedScaleOut{Pool: offer, Count: count, Reason: "to replace machines that are drained"}
 			n -= count
 		}
@@ -91,37 +91,37 @@
 
 // scaleOutAhead hires replacements. A request that the cloud has refused is made again under
 // its name when the offer may be asked for again.
-func (c *Core) scaleOutAhead(a rollout.HireAhead) {
-	requests := c.requestsFor(a.Request, a.Like)
+func (v *evictionState) scaleOutAhead(a rollout.HireAhead) {
+	requests := v.requestsFor(a.Request, a.Like)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
 		w := requests[name]
-		if c.autoscaling.scaleOuts[name] != nil || c.evictions.rented[name] != nil || c.clock.now < c.autoscaling.pool(w.Pool).blockedUntil {
+		if v.autoscaling.scaleOuts[name] != nil || v.rented[name] != nil || v.clock.now < v.autoscaling.pool(w.Pool).blockedUntil {
 			continue
 		}
-		c.startNamedScaleOut(name, w)
+		v.autoscaling.startNamedScaleOut(name, w)
 	}
 }
 
 // rentedForPlan is what the requests for a plan's replacements have brought, once all are
 // answered.
-func (c *Core) rentedForPlan(r *rollout.Record) (machines []string) {
-	requests := c.requestsFor(r.Hire, r.Batch)
+func (v *evictionState) rentedForPlan(r *rollout.Record) (machines []string) {
+	requests := v.requestsFor(r.Hire, r.Batch)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
-		if c.evictions.rented[name] == nil {
+		if v.rented[name] == nil {
 			return nil
 		}
-		machines = append(machines, c.evictions.rented[name]...)
+		machines = append(machines, v.rented[name]...)
 	}
 	return machines
 }
 
 // noteRented notes the machines of a hire, if it may be a plan's.
-func (c *Core) noteRented(request string, machines []string) {
+func (v *evictionState) noteRented(request string, machines []string) {
 	if !strings.HasPrefix(request, rollout.HirePrefix) {
 		return
 	}
-	if c.evictions.rented == nil {
-		c.evictions.rented = map[string][]string{}
+	if v.rented == nil {
+		v.rented = map[string][]string{}
 	}
-	c.evictions.rented[request] = machines
+	v.rented[request] = machines
 }
--- a/internal/scheduler/evictions.go
+++ b/internal/scheduler/evictions.go
@@ -3,6 +3,7 @@
 import (
 	"cmp"
 	"errors"
+	"log/slog"
 	"maps"
 	"slices"
 	"time"
@@ -22,6 +23,20 @@
 
 // evictionState are the plans of a term; without an account there are none.
 type evictionState struct {
+	cfg         *Config
+	term        uint64
+	clock       *clock
+	log         *slog.Logger
+	effects     *effects
+	writes      *durableWrites
+	types       *machineTypes
+	estimates   *runEstimates
+	jobs        *jobTable
+	machines    *machineTable
+	agents      *agents
+	placement   *placement
+	autoscaling *autoscaling
+
 	disruptions *rollout.Account
 	plans       map[string]*plan
 	next        time.Duration
@@ -32,6 +47,12 @@
 	noted map[string]rollout.Entry
 }
 
+func newEvictions(c *Core) evictionState {
+	return evictionState{cfg: &c.cfg, term: c.term, clock: &c.clock, log: c.log, effects: &c.effects, writes: &c.writes,
+		types: &c.types, estimates: &c.estimates, autoscaling: &c.autoscaling,
+		jobs: &c.jobs, machines: &c.machines, agents: &c.agents, placement: &c.placement}
+}
+
 // plan is one plan under way.
 type plan struct {
 	rollout *rollout.Rollout
@@ -63,24 +84,24 @@
 )
 
 // restoreEvictions goes on with the plans of the ledger, after the jobs and machines.
-func (c *Core) restoreEvictions(records []rollout.Record) {
-	if !c.cfg.Operator.Drain.Enabled {
+func (v *evictionState) restoreEvictions(records []rollout.Record) {
+	if !v.cfg.Operator.Drain.Enabled {
 		return
 	}
-	c.evictions.disruptions, c.evictions.plans = rollout.NewAccount(c.cfg.Operator.Drain.Budgets), map[string]*plan{}
+	v.disruptions, v.plans = rollout.NewAccount(v.cfg.Operator.Drain.Budgets), map[string]*plan{}
 	for _, r := range records {
-		c.evictions.plans[r.Spec.Name] = &plan{rollout: rollout.NewRollout(r, c.evictions.disruptions, c.taskIsDone, c.clock.now, c.clock.wallMS)}
+		v.plans[r.Spec.Name] = &plan{rollout: rollout.NewRollout(r, v.disruptions, v.jobs.taskIsDone, v.clock.now, v.clock.wallMS)}
 	}
-	c.cordon()
+	v.cordon()
 }
 
 // taskIsDone tells whether a task has ended, by the ledger.
-func (c *Core) taskIsDone(ref string, n int) bool {
-	i, ok := c.jobs.indexByID[ref]
+func (t *jobTable) taskIsDone(ref string, n int) bool {
+	i, ok := t.indexByID[ref]
 	if !ok {
 		return true
 	}
-	j := c.jobs.list[i]
+	j := t.list[i]
 	return j.over() || n >= len(j.progress.tasks) || j.progress.tasks[n].state >= taskDone
 }
 
@@ -90,9 +111,9 @@
 }
 
 // displaced charges a task that has lost its place. saved: its progress was saved.
-func (c *Core) displaced(m *machine, b *allocation, saved bool, why string) {
-	j := c.jobs.list[b.job]
-	if c.evictions.disruptions == nil || j.over() || j.spec == nil || b.runningSince == 0 && !b.moving {
+func (v *evictionState) displaced(m *machine, b *allocation, saved bool, why string) {
+	j := v.jobs.list[b.job]
+	if v.disruptions == nil || j.over() || j.spec == nil || b.runningSince == 0 && !b.moving {
 		return
 	}
 	cause := rollout.Cause(why)
@@ -104,15 +125,15 @@
 	}
 	lost := time.Duration(0)
 	if !saved && b.runningSince > 0 {
-		lost = c.clock.now - b.runningSince
+		lost = v.clock.now - b.runningSince
 	}
-	c.evictions.disruptions.Lose(accountOf(j), int(b.task), lost, cause, c.clock.now)
+	v.disruptions.Lose(accountOf(j), int(b.task), lost, cause, v.clock.now)
 }
 
 // taskRuns tells the account that a task runs.
-func (c *Core) taskRuns(b *allocation) {
-	if c.evictions.disruptions != nil {
-		c.evictions.disruptions.Runs(c.jobs.list[b.job].id, int(b.task), c.clock.now)
+func (v *evictionState) taskRuns(b *allocation) {
+	if v.disruptions != nil {
+		v.disruptions.Runs(v.jobs.list[b.job].id, int(b.task), v.clock.now)
 	}
 }
 
@@ -124,42 +145,42 @@
 	}
 	d.next = c.clock.now + evictionInterval
 	d.disruptions.Tick(c.clock.now)
-	c.logDisruptions()
-	names := c.planNames()
+	c.evictions.logDisruptions()
+	names := c.evictions.planNames()
 	for i := range names {
 		c.advancePlans(names[(i+d.turn)%len(names)])
 	}
 	d.turn++
-	c.cordon()
-	c.dropOldPlans()
+	c.evictions.cordon()
+	c.evictions.dropOldPlans()
 }
 
 // logDisruptions logs the beginning and the end of each job's disruption.
-func (c *Core) logDisruptions() {
+func (v *evictionState) logDisruptions() {
 	noted := map[string]rollout.Entry{}
-	for _, e := range c.evictions.disruptions.Entries(c.clock.now) {
+	for _, e := range v.disruptions.Entries(v.clock.now) {
 		if !e.Open {
 			continue
 		}
 		noted[e.Job.Ref] = e
-		if _, known := c.evictions.noted[e.Job.Ref]; !known {
-			c.log.Info("job is disrupted", "job", e.Job.Ref, "team", e.Job.Team, "class", e.Job.Class, "cause", e.Cause, "seconds", e.For.Seconds())
+		if _, known := v.noted[e.Job.Ref]; !known {
+			v.log.Info("job is disrupted", "job", e.Job.Ref, "team", e.Job.Team, "class", e.Job.Class, "cause", e.Cause, "seconds", e.For.Seconds())
 		}
 	}
-	for ref, e := range c.evictions.noted {
+	for ref, e := range v.noted {
 		if _, open := noted[ref]; !open {
-			c.log.Info("job is whole again", "job", ref, "team", e.Job.Team, "class", e.Job.Class, "cause", e.Cause)
+			v.log.Info("job is whole again", "job", ref, "team", e.Job.Team, "class", e.Job.Class, "cause", e.Cause)
 		}
 	}
-	c.evictions.noted = noted
+	v.noted = noted
 }
 
 // planNames lists the plans in the order of their creation.
-func (c *Core) planNames() []string {
-	names := slices.Collect(maps.Keys(c.evictions.plans))
+func (v *evictionState) planNames() []string {
+	names := slices.Collect(maps.Keys(v.plans))
 	slices.SortFunc(names, func(a, b string) int {
-		x, _ := c.evictions.plans[a].rollout.Record()
-		y, _ := c.evictions.plans[b].rollout.Record()
+		x, _ := v.plans[a].rollout.Record()
+		y, _ := v.plans[b].rollout.Record()
 		return cmp.Or(cmp.Compare(x.CreatedMS, y.CreatedMS), cmp.Compare(a, b))
 	})
 	return names
@@ -169,29 +190,29 @@
 func (c *Core) advancePlans(name string) {
 	p := c.evictions.plans[name]
 	before, _ := p.rollout.Record()
-	for _, act := range p.rollout.Step(c.planView(p)) {
+	for _, act := range p.rollout.Step(c.evictions.planView(p)) {
 		c.carryOutPlan(act)
 	}
-	c.savePlan(name, p)
+	c.evictions.savePlan(name, p)
 	if after, _ := p.rollout.Record(); after.Phase != before.Phase || after.Paused != before.Paused {
 		c.log.Info("draining", "plan", name, "phase", after.Phase, "paused", after.Paused, "step", after.Step, "batch", len(after.Batch), "drained", after.Drained, "why", after.Why)
 	}
 }
 
 // savePlan writes a plan's record if it has changed.
-func (c *Core) savePlan(name string, p *plan) {
+func (v *evictionState) savePlan(name string, p *plan) {
 	record, generation := p.rollout.Record()
 	if generation == p.written || p.tooLong {
 		return
 	}
 	p.written = generation
-	c.writes.put(ledger.Write{Key: ledger.PlanKey(name), Value: record, Urgent: true, Tag: planTag{name, generation}})
+	v.writes.put(ledger.Write{Key: ledger.PlanKey(name), Value: record, Urgent: true, Tag: planTag{name, generation}})
 }
 
 // planDurable notes that a plan's record is durable. Who waits for that is answered, and
 // what it allows comes with the next step.
-func (c *Core) planDurable(t planTag) {
-	p := c.evictions.plans[t.name]
+func (v *evictionState) planDurable(t planTag) {
+	p := v.plans[t.name]
 	if p == nil {
 		return
 	}
@@ -202,31 +223,31 @@
 			still = append(still, w)
 			continue
 		}
-		c.effects.emit(PlanReply{ReplyTo: w.to})
+		v.effects.emit(PlanReply{ReplyTo: w.to})
 	}
 	p.waiting = still
-	c.evictions.next = 0
+	v.next = 0
 }
 
 // dropOldPlans forgets plans that have ended, the oldest ones first.
-func (c *Core) dropOldPlans() {
+func (v *evictionState) dropOldPlans() {
 	var ended []string
-	for _, name := range c.planNames() {
-		if r, _ := c.evictions.plans[name].rollout.Record(); r.Phase.Over() && len(r.Moves) == 0 && c.evictions.plans[name].rollout.Durable() {
+	for _, name := range v.planNames() {
+		if r, _ := v.plans[name].rollout.Record(); r.Phase.Over() && len(r.Moves) == 0 && v.plans[name].rollout.Durable() {
 			ended = append(ended, name)
 		}
 	}
 	for _, name := range ended[:max(0, len(ended)-keptPlans)] {
-		delete(c.evictions.plans, name)
-		c.writes.put(ledger.Write{Key: ledger.PlanKey(name)})
+		delete(v.plans, name)
+		v.writes.put(ledger.Write{Key: ledger.PlanKey(name)})
 	}
 }
 
 // planRejected notes that a plan's record does not fit a value: the plan stands still until
 // it is aborted.
-func (c *Core) planRejected(t planTag) {
-	if p := c.evictions.plans[t.name]; p != nil {
+func (v *evictionState) planRejected(t planTag) {
+	if p := v.plans[t.name]; p != nil {
 		p.tooLong = true
-		c.log.Error("the record of a plan takes more than a value may hold", "plan", t.name)
+		v.log.Error("the record of a plan takes more than a value may hold", "plan", t.name)
 	}
 }
--- a/internal/scheduler/failure_attribution.go
+++ b/internal/scheduler/failure_attribution.go
@@ -7,12 +7,12 @@
 )
 
 // holdJob lets a job wait a little before its next start, longer each time.
-func (c *Core) holdJob(j *job) {
-	if c.clock.now < j.retry.notBefore {
+func (p *placement) holdJob(j *job) {
+	if p.clock.now < j.retry.notBefore {
 		return
 	}
 	j.retry.backoff = min(max(j.retry.backoff*2, 500*time.Millisecond), 15*time.Second)
-	j.retry.notBefore = c.clock.now + j.retry.backoff
+	j.retry.notBefore = p.clock.now + j.retry.backoff
 }
 
 // blameLimit is how many different jobs must fail on a machine, with no success
@@ -27,15 +27,15 @@
 func (j *job) suspect() bool { return j.progress.done == 0 && len(j.retry.failedOn) >= suspectLimit }
 
 // attemptFailed judges whether the machine or the job is to blame.
-func (c *Core) attemptFailed(m *machine, j *job, n int32, attempt uint64) {
+func (p *placement) attemptFailed(m *machine, j *job, n int32, attempt uint64) {
 	if j.retry.failedOn == nil {
 		j.retry.failedOn = map[int32]bool{}
 	}
 	j.retry.failedOn[m.index] = true
-	c.log.Info("task failed", "machine", m.name, "task", wire.TaskName(j.id, int(n)), "attempt", attempt, "machines", len(j.retry.failedOn))
+	p.log.Info("task failed", "machine", m.name, "task", wire.TaskName(j.id, int(n)), "attempt", attempt, "machines", len(j.retry.failedOn))
 	if j.suspect() {
 		// It is tried again now and then until its user cancels it.
-		c.holdJob(j)
+		p.holdJob(j)
 		return
 	}
 	if m.health.failedJobs == nil {
@@ -43,26 +43,26 @@
 	}
 	m.health.failedJobs[j.index] = true
 	if len(m.health.failedJobs) >= blameLimit || j.progress.done > 0 {
-		c.quarantine(m)
+		p.quarantine(m)
 	}
 }
 
 // clearOfBlame notes a success of a job: what failed before was the machines'
 // fault.
-func (c *Core) clearOfBlame(j *job) {
+func (p *placement) clearOfBlame(j *job) {
 	for i := range j.retry.failedOn {
-		if m := c.machines.list[i]; m.health.failedJobs[j.index] {
-			c.quarantine(m)
+		if m := p.machines.list[i]; m.health.failedJobs[j.index] {
+			p.quarantine(m)
 		}
 	}
 	j.retry.backoff = 0
 }
 
-func (c *Core) quarantine(m *machine) {
+func (p *placement) quarantine(m *machine) {
 	if m.health.quarantined || m.state == machineGone {
 		return
 	}
 	m.health.quarantined = true
-	c.indexChanged(m)
-	c.log.Info("machine quarantined: tasks fail on it", "machine", m.name, "jobs", len(m.health.failedJobs), "bookings", len(m.capacity.allocations))
+	p.indexChanged(m)
+	p.log.Info("machine quarantined: tasks fail on it", "machine", m.name, "jobs", len(m.health.failedJobs), "bookings", len(m.capacity.allocations))
 }
--- a/internal/scheduler/fair_share.go
+++ b/internal/scheduler/fair_share.go
@@ -24,71 +24,71 @@
 )
 
 // placeAged starts the first tasks of jobs that have waited too long.
-func (c *Core) placeAged(queue []*job, uncertain []units) {
-	c.placeReserved(uncertain)
+func (p *placement) placeAged(queue []*job, uncertain []units) {
+	p.placeReserved(uncertain)
 	var aged []*job
 	for _, j := range queue {
-		if !j.progress.startedOnce && j.progress.allocated == 0 && j.placement.reservedMachine == nil && c.clock.now-j.priority.arrived >= agedAfter {
+		if !j.progress.startedOnce && j.progress.allocated == 0 && j.placement.reservedMachine == nil && p.clock.now-j.priority.arrived >= agedAfter {
 			aged = append(aged, j)
 		}
 	}
 	slices.SortStableFunc(aged, func(a, b *job) int { return cmp.Compare(a.priority.arrived, b.priority.arrived) })
 	for _, j := range aged {
-		if c.placeJob(j, uncertain, func(placed int) bool { return placed == 0 }) == 0 && c.withinLimit(j, uncertain) {
-			c.reserve(j)
+		if p.placeJob(j, uncertain, func(placed int) bool { return placed == 0 }) == 0 && p.quotas.withinLimit(j, uncertain) {
+			p.reserve(j)
 		}
 	}
 }
 
 // reserve keeps the machine free for a job's first task on which the least is left
 // to do.
-func (c *Core) reserve(j *job) {
-	if len(c.placement.reservingJobs) > 0 && len(c.placement.reservingJobs) >= len(c.machines.live)/heldPart || j.placement.reservationTriedAt > 0 && c.clock.now-j.placement.reservationTriedAt < time.Second {
+func (p *placement) reserve(j *job) {
+	if len(p.reservingJobs) > 0 && len(p.reservingJobs) >= len(p.machines.live)/heldPart || j.placement.reservationTriedAt > 0 && p.clock.now-j.placement.reservationTriedAt < time.Second {
 		return
 	}
-	j.placement.reservationTriedAt = c.clock.now
+	j.placement.reservationTriedAt = p.clock.now
 	var best *machine
 	least := 0.0
-	for _, m := range c.machines.live {
+	for _, m := range p.machines.live {
 		if !m.indexed.schedulable || m.capacity.reserved || !j.allows(m.typ, m.zone, m.spot) || j.retry.failedOn[m.index] || !j.request.size.Within(m.capacity.total) {
 			continue
 		}
-		if left := c.busy(m); best == nil || left < least {
+		if left := p.busy(m); best == nil || left < least {
 			best, least = m, left
 		}
 	}
 	if best == nil {
 		return
 	}
-	c.log.Info("machine kept free for a job that has waited long", "machine", best.name, "job", j.id, "waited", (c.clock.now - j.priority.arrived).Seconds(), "core_seconds_left", least)
+	p.log.Info("machine kept free for a job that has waited long", "machine", best.name, "job", j.id, "waited", (p.clock.now - j.priority.arrived).Seconds(), "core_seconds_left", least)
 	best.capacity.reserved, j.placement.reservedMachine = true, best
-	c.placement.reservingJobs = append(c.placement.reservingJobs, j)
-	c.refresh(best)
+	p.reservingJobs = append(p.reservingJobs, j)
+	p.refresh(best)
 }
 
 // placeReserved starts the jobs whose machine has become free enough, and gives up
 // what is no longer to be kept.
-func (c *Core) placeReserved(uncertain []units) {
-	c.placement.reservingJobs = slices.DeleteFunc(c.placement.reservingJobs, func(j *job) bool {
+func (p *placement) placeReserved(uncertain []units) {
+	p.reservingJobs = slices.DeleteFunc(p.reservingJobs, func(j *job) bool {
 		m := j.placement.reservedMachine
-		waits := !j.progress.startedOnce && j.progress.allocated == 0 && j.placeable(c.clock.now)
+		waits := !j.progress.startedOnce && j.progress.allocated == 0 && j.placeable(p.clock.now)
 		if waits && m.indexed.schedulable && !j.request.size.Within(m.capacity.free) {
 			return false
 		}
 		m.capacity.reserved, j.placement.reservedMachine = false, nil
-		if waits && m.indexed.schedulable && c.withinLimit(j, uncertain) {
-			c.startOn(j, m)
+		if waits && m.indexed.schedulable && p.quotas.withinLimit(j, uncertain) {
+			p.start(j, m)
 		}
-		c.refresh(m)
+		p.refresh(m)
 		return true
 	})
 }
 
 // placeUnderserved starts tasks of classes and teams that have less than their share
 // of the open cores.
-func (c *Core) placeUnderserved(queue []*job, uncertain []units) {
+func (p *placement) placeUnderserved(queue []*job, uncertain []units) {
 	classes, teams := map[int32]bool{}, map[int32]bool{}
-	for _, j := range c.jobs.active {
+	for _, j := range p.jobs.active {
 		if !j.over() && !j.blocked() {
 			classes[j.request.class], teams[j.request.team] = true, true
 		}
@@ -96,11 +96,11 @@
 	if len(classes) < 2 && len(teams) < 2 {
 		return
 	}
-	part := reservedPart * c.placement.openCores
+	part := reservedPart * p.openCores
 	for _, j := range queue {
-		c.placeJob(j, uncertain, func(int) bool {
-			class := c.placement.coresByClass[j.request.class]+j.request.size.CPUs <= part/float64(len(classes))
-			team := float64(c.placement.teams[j.request.team].booked.cpus)/perUnit+j.request.size.CPUs <= part/float64(len(teams))
+		p.placeJob(j, uncertain, func(int) bool {
+			class := p.classes.allocatedCores[j.request.class]+j.request.size.CPUs <= part/float64(len(classes))
+			team := float64(p.quotas.teams[j.request.team].allocated.cpus)/perUnit+j.request.size.CPUs <= part/float64(len(teams))
 			return class || team
 		})
 	}
@@ -109,11 +109,11 @@
 // ageBucket ranks jobs of one priority: first those that have waited longer than
 // every job should, so that each gets its turn, the longer the sooner; then those
 // that can meet their deadline; then those that can't any more.
-func (c *Core) ageBucket(j *job) time.Duration {
-	switch age := c.clock.now - j.priority.arrived; {
+func (p *placement) ageBucket(j *job) time.Duration {
+	switch age := p.clock.now - j.priority.arrived; {
 	case age >= beginWithin:
 		return -age
-	case j.priority.deadline != never && j.priority.deadline-c.clock.now < c.expectedRun(j):
+	case j.priority.deadline != never && j.priority.deadline-p.clock.now < p.estimates.expectedRun(j):
 		return turnLate
 	}
 	return turnInTime
@@ -129,6 +129,6 @@
 // not room for all, as in the first minutes of a day, by slack alone one large
 // job makes many small ones late; the least work first leaves fewer late. As long
 // as all that wait can be in time, the time that is left decides.
-func (c *Core) workLeft(j *job) float64 {
-	return float64(len(j.progress.waiting)) * j.request.size.CPUs * c.expectedRun(j).Seconds()
+func (p *placement) workLeft(j *job) float64 {
+	return float64(len(j.progress.waiting)) * j.request.size.CPUs * p.estimates.expectedRun(j).Seconds()
 }
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"log/slog"
 	"time"
 
 	"github.com/segmentio/encoding/json"
@@ -15,6 +16,19 @@
 // of other cells that run here. The protocol is in package spill; here it meets the jobs,
 // the ledger and the neighbours.
 type federationState struct {
+	cfg         *Config
+	clock       *clock
+	log         *slog.Logger
+	effects     *effects
+	writes      *durableWrites
+	types       *machineTypes
+	estimates   *runEstimates
+	quotas      *quotas
+	jobs        *jobTable
+	machines    *machineTable
+	placement   *placement
+	autoscaling *autoscaling
+
 	cells      settings.Cells
 	delegated  *federation.DelegatedJobs
 	foreign    *federation.ForeignJobs
@@ -64,16 +78,18 @@
 )
 
 // newFederation begins a term without transfers.
-func newFederation(operator settings.Operator, local federation.LocalJobs) federationState {
-	t := federationState{
-		cells:    operator.Cells,
-		foreign:  federation.NewForeignJobs(local),
-		shortage: federation.Shortage{For: operator.Cells.ShortageFor},
-		selector: federation.NewCellSelector(operator.SlowFitC),
-		credits:  map[string]*credit{},
-		counts:   map[TransferCount]int{},
+func newFederation(c *Core) federationState {
+	operator := c.cfg.Operator
+	t := federationState{cfg: &c.cfg, clock: &c.clock, log: c.log, effects: &c.effects, writes: &c.writes, types: &c.types, estimates: &c.estimates, quotas: &c.quotas,
+		jobs: &c.jobs, machines: &c.machines, placement: &c.placement, autoscaling: &c.autoscaling,
+		cells:     operator.Cells,
+		delegated: federation.NewDelegatedJobs(reclaimAfter(operator.Cells)),
+		foreign:   federation.NewForeignJobs(localJobs{c}),
+		shortage:  federation.Shortage{For: operator.Cells.ShortageFor},
+		selector:  federation.NewCellSelector(operator.SlowFitC),
+		credits:   map[string]*credit{},
+		counts:    map[TransferCount]int{},
 	}
-	t.delegated = federation.NewDelegatedJobs(reclaimAfter(operator.Cells))
 	for _, n := range operator.Cells.Neighbours {
 		t.neighbours = append(t.neighbours, &neighbour{Neighbour: n, refused: map[string]bool{}})
 	}
@@ -90,7 +106,7 @@
 	case TransferRequest:
 		c.transfersRequested(e)
 	case CapacityRequest:
-		c.capacityRequested(e)
+		c.federation.capacityRequested(e)
 	case ForeignWriteResult:
 		c.foreignWritten(e)
 	case TransfersEnabled:
@@ -128,7 +144,7 @@
 		}
 		var body *federation.OfferBody
 		if known && j.spec != nil {
-			body = c.offerBody(j)
+			body = c.federation.offerBody(j)
 		}
 		c.federation.delegated.Restore(away.JobID, away.Record, body, known && j.end.durable, c.clock.now)
 		if known {
@@ -145,20 +161,20 @@
 }
 
 // offerBody is what an offer of a job carries; nil if it can't be encoded.
-func (c *Core) offerBody(j *job) *federation.OfferBody {
+func (f *federationState) offerBody(j *job) *federation.OfferBody {
 	spec := *j.spec
 	spec.DependsOn = nil // they are done, or it could not leave
 	spec.Priority = wire.PriorityName(j.priority.class)
 	if j.priority.deadline != never {
-		due := (j.priority.deadline - c.clock.ago(j.record.acceptedMS)).Seconds()
+		due := (j.priority.deadline - f.clock.ago(j.record.acceptedMS)).Seconds()
 		spec.DeadlineS = &due
 	}
 	text, err := json.Marshal(&spec)
 	if err != nil {
-		c.log.Error("a job's description can't be encoded", "job", j.id, "error", err)
+		f.log.Error("a job's description can't be encoded", "job", j.id, "error", err)
 		return nil
 	}
-	return &federation.OfferBody{Job: text, Cores: j.cores(), AcceptedMS: j.record.acceptedMS, Repeatable: c.federation.cells.Repeatable[j.spec.Class]}
+	return &federation.OfferBody{Job: text, Cores: j.cores(), AcceptedMS: j.record.acceptedMS, Repeatable: f.cells.Repeatable[j.spec.Class]}
 }
 
 // cores is what all of a job's tasks ask for together.
@@ -175,13 +191,13 @@
 			case federation.DropDelegated:
 				c.writes.put(ledger.Write{Key: ledger.DelegatedKey(e.JobID)})
 			case federation.Send:
-				c.sendTo(e.Cell, e.Message)
+				c.federation.sendTo(e.Cell, e.Message)
 			case federation.ReturnJob:
 				c.jobReturned(e.JobID)
 			case federation.EndJob:
 				c.delegatedEnded(e)
 			case federation.TraceOrigin:
-				c.traceTransfer(e.Step)
+				c.federation.traceTransfer(e.Step)
 			}
 		}
 	}
@@ -189,8 +205,8 @@
 
 // sendTo has a message leave with the next exchange. A newer one about the same job
 // replaces it.
-func (c *Core) sendTo(cell string, m federation.Message) {
-	n := c.neighbourNamed(cell)
+func (f *federationState) sendTo(cell string, m federation.Message) {
+	n := f.neighbourNamed(cell)
 	if n == nil {
 		return // the settings no longer name it
 	}
@@ -203,8 +219,8 @@
 	n.outbox = append(n.outbox, m)
 }
 
-func (c *Core) neighbourNamed(cell string) *neighbour {
-	for _, n := range c.federation.neighbours {
+func (f *federationState) neighbourNamed(cell string) *neighbour {
+	for _, n := range f.neighbours {
 		if n.Name == cell {
 			return n
 		}
@@ -214,27 +230,27 @@
 
 // exchange has the messages leave. One exchange with each neighbour is under way at a
 // time; what comes meanwhile goes with the next.
-func (c *Core) exchange() {
-	for _, n := range c.federation.neighbours {
+func (f *federationState) exchange() {
+	for _, n := range f.neighbours {
 		if n.exchanging || len(n.outbox) == 0 {
 			continue
 		}
 		count := n.exchangeable()
 		n.exchanging = true
-		c.effects.emit(SendTransfers{Cell: n.Name, Messages: n.outbox[:count:count]})
+		f.effects.emit(SendTransfers{Cell: n.Name, Messages: n.outbox[:count:count]})
 		n.outbox = n.outbox[count:]
 	}
 }
 
 // noteWaiting logs now and then how many jobs wait for neighbours that do not answer.
-func (c *Core) noteWaiting() {
-	for _, n := range c.federation.neighbours {
-		if !n.unreachable || c.clock.now-n.noted < noteWaitingEvery {
+func (f *federationState) noteWaiting() {
+	for _, n := range f.neighbours {
+		if !n.unreachable || f.clock.now-n.noted < noteWaitingEvery {
 			continue
 		}
-		n.noted = c.clock.now
-		if jobs, cores := c.delegatedTo(n); jobs > 0 {
-			c.log.Info("jobs wait for a neighbour that does not answer", "cell", n.Name, "jobs", jobs, "cores", cores)
+		n.noted = f.clock.now
+		if jobs, cores := f.delegatedTo(n); jobs > 0 {
+			f.log.Info("jobs wait for a neighbour that does not answer", "cell", n.Name, "jobs", jobs, "cores", cores)
 		}
 	}
 }
@@ -258,7 +274,7 @@
 
 // transferResult takes the outcome of an exchange.
 func (c *Core) transferResult(e TransferResult) {
-	n := c.neighbourNamed(e.Cell)
+	n := c.federation.neighbourNamed(e.Cell)
 	if n == nil {
 		return
 	}
@@ -267,7 +283,7 @@
 		n.unreachable, n.noted = silent, c.clock.now
 		if silent {
 			c.log.Info("neighbour does not answer", "cell", n.Name, "error", e.Err)
-			c.refuseCancellations(n)
+			c.federation.refuseCancellations(n)
 		} else {
 			c.log.Info("neighbour answers again", "cell", n.Name)
 		}
@@ -283,7 +299,7 @@
 		}
 	}
 	c.applyOriginEffects()
-	c.exchange()
+	c.federation.exchange()
 }
 
 // jobReturned has a job wait at home again.
@@ -322,27 +338,27 @@
 	if !j.transfer.delegated {
 		c.stopTasks(j) // it was taken back and runs here as well
 	}
-	n := c.neighbourNamed(c.federation.delegated.Cell(j.id))
+	n := c.federation.neighbourNamed(c.federation.delegated.Cell(j.id))
 	if n == nil || n.unreachable {
 		c.effects.emit(UserReply{ReplyTo: to, Known: true, CellUnreachable: true})
 	} else {
 		j.end.replyTo = append(j.end.replyTo, to)
 	}
 	c.applyOriginEffects()
-	c.exchange()
+	c.federation.exchange()
 }
 
 // refuseCancellations tells users who wait for a cell that has fallen silent to come
 // again.
-func (c *Core) refuseCancellations(n *neighbour) {
-	for _, ref := range c.federation.delegated.With(n.Name) {
-		at, ok := c.jobs.indexByID[ref]
-		if !ok || c.jobs.list[at].over() {
+func (f *federationState) refuseCancellations(n *neighbour) {
+	for _, ref := range f.delegated.With(n.Name) {
+		at, ok := f.jobs.indexByID[ref]
+		if !ok || f.jobs.list[at].over() {
 			continue
 		}
-		j := c.jobs.list[at]
+		j := f.jobs.list[at]
 		for _, to := range j.end.replyTo {
-			c.effects.emit(UserReply{ReplyTo: to, Known: true, CellUnreachable: true})
+			f.effects.emit(UserReply{ReplyTo: to, Known: true, CellUnreachable: true})
 		}
 		j.end.replyTo = nil
 	}
@@ -356,20 +372,20 @@
 	}
 	t.delegated.Tick(c.clock.now)
 	c.applyOriginEffects()
-	c.noteWaiting()
+	c.federation.noteWaiting()
 	if t.cells.Spill && t.allowed && c.clock.now >= t.nextLook {
 		t.nextLook = c.clock.now + lookEvery
 		c.findCellForJobs()
 	}
-	c.exchange()
+	c.federation.exchange()
 }
 
 // traceTransfer counts a step and has it logged and traced.
-func (c *Core) traceTransfer(n federation.TransferStep) {
+func (f *federationState) traceTransfer(n federation.TransferStep) {
 	count := TransferCount{Cell: n.Cell, Out: true, Step: n.Step}
 	if n.Origin != "" {
 		count = TransferCount{Cell: n.Origin, Step: n.Step}
 	}
-	c.federation.counts[count]++
-	c.effects.emit(TraceTransfer{n})
+	f.counts[count]++
+	f.effects.emit(TraceTransfer{n})
 }
--- a/internal/scheduler/federation_status.go
+++ b/internal/scheduler/federation_status.go
@@ -24,7 +24,7 @@
 		}
 	}
 	for _, n := range t.neighbours {
-		jobs, cores := c.delegatedTo(n)
+		jobs, cores := c.federation.delegatedTo(n)
 		view := CellView{Name: n.Name, Drain: n.Drain, Unreachable: n.unreachable, Jobs: jobs, Cores: cores, Offered: lent[n.Name]}
 		if c.clock.now < n.until {
 			view.Credit = n.credit
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -41,29 +41,29 @@
 	for _, effect := range c.federation.foreign.Take() {
 		switch e := effect.(type) {
 		case federation.WriteForeign:
-			c.writeForeign(e)
+			c.federation.writeForeign(e)
 		case federation.CancelForeign:
 			if at, ok := c.jobs.indexByID[e.JobID]; ok && !c.jobs.list[at].over() {
 				c.cancel(c.jobs.list[at])
 			}
 		case federation.TraceForeign:
-			c.traceTransfer(e.Step)
+			c.federation.traceTransfer(e.Step)
 		}
 	}
 }
 
 // writeForeign has a guest's record written, with the job's if it is accepted.
-func (c *Core) writeForeign(e federation.WriteForeign) {
+func (f *federationState) writeForeign(e federation.WriteForeign) {
 	put := WriteForeign{Write: e}
 	if e.Body != nil {
 		spec, _, err := wire.ParseJob(e.Body.Job)
 		if err != nil {
-			c.log.Error("an admitted job can't be read", "job", e.Key.JobID, "error", err)
+			f.log.Error("an admitted job can't be read", "job", e.Key.JobID, "error", err)
 			return
 		}
 		put.Job = &ledger.JobRecord{Job: spec, AcceptedMS: e.Body.AcceptedMS, Origin: e.Key.Origin, TransferEpoch: e.Record.Epoch}
 	}
-	c.effects.emit(put)
+	f.effects.emit(put)
 }
 
 // foreignWritten takes what came of such a write.
@@ -104,7 +104,7 @@
 	if err != nil {
 		return federation.Refusal{Reason: "the job can't be read: " + err.Error()}
 	}
-	if reason := c.refuseForeign(ref, spec); reason != "" {
+	if reason := c.federation.refuseForeign(ref, spec); reason != "" {
 		return federation.Refusal{Reason: reason}
 	}
 	credit := c.federation.credits[home]
@@ -117,29 +117,29 @@
 }
 
 // refuseForeign tells why a job of another cell can't run here at all.
-func (c *Core) refuseForeign(ref string, spec *wire.Job) (reason string) {
+func (f *federationState) refuseForeign(ref string, spec *wire.Job) (reason string) {
 	if spec.ID != ref {
 		return "the offer describes another job"
 	}
-	if _, known := c.jobs.indexByID[ref]; known {
+	if _, known := f.jobs.indexByID[ref]; known {
 		return "a job of this name is known here"
 	}
 	if len(spec.DependsOn) > 0 {
 		return "it waits for jobs of its home"
 	}
 	// The record with the cell's name must fit, with room for its end.
-	if text, err := json.Marshal(spec); err != nil || len(text)+foreignRecordOverhead > c.cfg.ValueBytes {
+	if text, err := json.Marshal(spec); err != nil || len(text)+foreignRecordOverhead > f.cfg.ValueBytes {
 		return "its description is longer than can be recorded here"
 	}
 	if spec.Zone != nil {
 		return "it is bound to a zone of its home"
 	}
-	if at, known := c.placement.teamIndexByName[spec.Team]; known {
-		if limit := c.placement.teams[at].limit; !unitsOf(sizeOf(spec)).within(limit) {
+	if at, known := f.quotas.indexByName[spec.Team]; known {
+		if limit := f.quotas.teams[at].limit; !unitsOf(sizeOf(spec)).within(limit) {
 			return "one of its tasks needs more than its team's limit here"
 		}
 	}
-	if !slices.ContainsFunc(c.autoscaling.types, func(t machineType) bool {
+	if !slices.ContainsFunc(f.types.list, func(t machineType) bool {
 		return sizeOf(spec).Within(t.total) && (spec.Types == nil || slices.Contains(spec.Types, t.Name))
 	}) {
 		return "none of its tasks fits a machine type here"
@@ -151,41 +151,41 @@
 const foreignRecordOverhead = 320
 
 // capacityRequested offers room to another cell, or says when to ask again.
-func (c *Core) capacityRequested(e CapacityRequest) {
+func (f *federationState) capacityRequested(e CapacityRequest) {
 	answer := CapacityReply{ReplyTo: e.ReplyTo, RetryAfter: noRoomFor}
-	n, ok := c.federation.cells.Find(e.Origin)
+	n, ok := f.cells.Find(e.Origin)
 	switch {
 	case !ok:
 		answer.Reason = "cell " + e.Origin + " is not a neighbour"
 	case n.Drain:
 		answer.Reason = "the relation is being drained"
-	case !c.federation.allowed:
+	case !f.allowed:
 		answer.Reason = "not all controllers here know transfers"
 	default:
-		delete(c.federation.credits, e.Origin) // the new offer takes its place
-		answer.Cores = max(0, min(e.Cores, c.offerableCapacity(n)))
+		delete(f.credits, e.Origin) // the new offer takes its place
+		answer.Cores = max(0, min(e.Cores, f.offerableCapacity(n)))
 		if answer.Cores <= 0 {
 			answer.Reason = "no room beyond this cell's own work"
 			break
 		}
 		answer.For, answer.RetryAfter = creditFor, 0
-		c.federation.credits[e.Origin] = &credit{cores: answer.Cores, until: c.clock.now + creditFor}
+		f.credits[e.Origin] = &credit{cores: answer.Cores, until: f.clock.now + creditFor}
 	}
-	c.effects.emit(answer)
+	f.effects.emit(answer)
 }
 
 // offerableCapacity is how many cores may be offered to a cell: what is free or could be hired,
 // less what this cell's own work waits for, its headroom, what is guaranteed to its teams
 // and what is promised or accepted already.
-func (c *Core) offerableCapacity(n settings.Neighbour) float64 {
-	room := c.scalableCores()
-	for _, m := range c.machines.live {
+func (f *federationState) offerableCapacity(n settings.Neighbour) float64 {
+	room := f.autoscaling.scalableCores()
+	for _, m := range f.machines.live {
 		if m.indexed.schedulable && !m.capacity.reserved {
 			room += m.capacity.free.CPUs
 		}
 	}
 	fromHome, own := 0.0, 0.0
-	for _, j := range c.jobs.active {
+	for _, j := range f.jobs.active {
 		if j.over() || j.blocked() {
 			continue
 		}
@@ -195,12 +195,12 @@
 		}
 		own += j.request.size.CPUs * float64(j.progress.allocated)
 	}
-	room -= max(0, c.headroomCores()-own)
-	for _, t := range c.placement.teams {
-		room -= max(0, float64(t.guarantee.cpus-t.booked.cpus)/perUnit)
+	room -= max(0, f.autoscaling.headroomCores()-own)
+	for _, t := range f.quotas.teams {
+		room -= max(0, float64(t.guarantee.cpus-t.allocated.cpus)/perUnit)
 	}
-	for _, credit := range c.federation.credits {
-		if c.clock.now < credit.until {
+	for _, credit := range f.credits {
+		if f.clock.now < credit.until {
 			room -= credit.cores
 		}
 	}
@@ -208,17 +208,17 @@
 }
 
 // scalableCores is what the cloud may still give.
-func (c *Core) scalableCores() float64 {
-	most := c.cfg.Operator.MaxMachines
-	if len(c.autoscaling.types) == 0 || !c.poolsOpen() {
+func (a *autoscaling) scalableCores() float64 {
+	most := a.cfg.Operator.MaxMachines
+	if len(a.types.list) == 0 || !a.poolsOpen() {
 		return 0
 	}
 	largest := 0.0
-	for i := range c.autoscaling.types {
-		largest = max(largest, c.autoscaling.types[i].total.CPUs)
+	for i := range a.types.list {
+		largest = max(largest, a.types.list[i].total.CPUs)
 	}
 	if most == 0 {
 		return largest * autoscaler.MaxScaleOut
 	}
-	return largest * float64(max(0, most-c.machineCount()))
+	return largest * float64(max(0, most-a.machines.machineCount()))
 }
--- a/internal/scheduler/heartbeat_responses.go
+++ b/internal/scheduler/heartbeat_responses.go
@@ -26,14 +26,14 @@
 const awaitFor = 400 * time.Millisecond
 
 // awaits keeps an answer back while starts for its machine are being written down.
-func (c *Core) awaits(a heldAnswer) bool {
+func (q *commands) awaits(a heldAnswer) bool {
 	m := a.machine
-	if a.until > 0 || !m.trusted(c.term) || !m.plannable() {
+	if a.until > 0 || !m.trusted(q.term) || !m.plannable() {
 		return false
 	}
-	a.until = c.clock.now + awaitFor
+	a.until = q.clock.now + awaitFor
 	m.commands.openAnswer, m.commands.heldHeartbeat = 0, a.heartbeat
-	c.commands.awaitingWrites = append(c.commands.awaitingWrites, a)
+	q.awaitingWrites = append(q.awaitingWrites, a)
 	return true
 }
 
@@ -44,62 +44,62 @@
 
 // resumeAnswers has the answers given that need not wait any longer. One whose
 // worker has sent a newer report since goes without orders.
-func (c *Core) resumeAnswers() {
-	keep := c.commands.awaitingWrites[:0]
-	for _, a := range c.commands.awaitingWrites {
+func (q *commands) resumeAnswers() {
+	keep := q.awaitingWrites[:0]
+	for _, a := range q.awaitingWrites {
 		m := a.machine
 		if m.commands.heldHeartbeat == a.heartbeat {
-			if c.clock.now < a.until && m.state != machineGone && m.plannable() {
+			if q.clock.now < a.until && m.state != machineGone && m.plannable() {
 				keep = append(keep, a)
 				continue
 			}
 			m.commands.heldHeartbeat = nil
-			m.commands.openAnswer = len(c.commands.openAnswers) + 1
+			m.commands.openAnswer = len(q.openAnswers) + 1
 			if len(m.commands.pending) > 0 {
-				c.commands.machinesWithCommands = append(c.commands.machinesWithCommands, m) // for what does not go into the answer
+				q.machinesWithCommands = append(q.machinesWithCommands, m) // for what does not go into the answer
 			}
 		} else {
 			a.outdated = true
 		}
-		c.commands.openAnswers = append(c.commands.openAnswers, a)
+		q.openAnswers = append(q.openAnswers, a)
 	}
-	clear(c.commands.awaitingWrites[len(keep):])
-	c.commands.awaitingWrites = keep
+	clear(q.awaitingWrites[len(keep):])
+	q.awaitingWrites = keep
 }
 
 // giveAnswers answers the reports of this step. Only the newest report of a
 // machine gets orders.
-func (c *Core) giveAnswers() {
-	for i, a := range c.commands.openAnswers {
+func (q *commands) giveAnswers() {
+	for i, a := range q.openAnswers {
 		m := a.machine
 		if m.state == machineGone {
-			c.effects.emit(HeartbeatReply{ReplyTo: a.replyTo})
+			q.effects.emit(HeartbeatReply{ReplyTo: a.replyTo})
 			continue
 		}
-		if c.holdAnswerForUnreachable(a) || m.commands.openAnswer == i+1 && c.awaits(a) {
+		if q.holdAnswerForUnreachable(a) || m.commands.openAnswer == i+1 && q.awaits(a) {
 			continue
 		}
 		// An answer renews the worker's lease, whatever it orders and however little its
 		// report is believed. So none goes without the stops of what must not run.
-		believed := !a.outdated && m.commands.openAnswer == i+1 && m.trusted(c.term)
-		orders := c.requiredStops(m, a.heartbeat, believed)
+		believed := !a.outdated && m.commands.openAnswer == i+1 && m.trusted(q.term)
+		orders := q.requiredStops(m, a.heartbeat, believed)
 		if believed {
-			orders = c.commandsFor(m, a.heartbeat, orders)
+			orders = q.commandsFor(m, a.heartbeat, orders)
 		}
 		answer := &wire.HeartbeatResponse{FencingToken: m.agent.fencingToken, Commands: orders}
 		if m.commands.openAnswer == i+1 {
 			m.commands.openAnswer = 0
 		}
-		c.effects.emit(HeartbeatReply{ReplyTo: a.replyTo, Response: answer})
+		q.effects.emit(HeartbeatReply{ReplyTo: a.replyTo, Response: answer})
 	}
-	clear(c.commands.openAnswers)
-	c.commands.openAnswers = c.commands.openAnswers[:0]
+	clear(q.openAnswers)
+	q.openAnswers = q.openAnswers[:0]
 }
 
 // withOutbox adds a machine's waiting orders to the answer of its report, as
 // far as they go in. Unlike a direct command, an answer is never executed late:
 // the worker's next report shows what became of it.
-func (c *Core) withOutbox(m *machine, r *wire.Heartbeat, orders []wire.Command) []wire.Command {
+func (q *commands) withOutbox(m *machine, r *wire.Heartbeat, orders []wire.Command) []wire.Command {
 	if r.AgentEpoch != m.agent.epoch {
 		return orders
 	}
@@ -126,14 +126,14 @@
 
 // commandsFor adds to the stops of a report that is believed what else its answer orders:
 // which ended tasks the worker may drop, and what waits for its machine.
-func (c *Core) commandsFor(m *machine, r *wire.Heartbeat, orders []wire.Command) []wire.Command {
+func (q *commands) commandsFor(m *machine, r *wire.Heartbeat, orders []wire.Command) []wire.Command {
 	var done []wire.Command
 	for i := range r.Tasks {
 		if len(orders)+len(done) >= maxCommandsPerResponse {
 			break
 		}
 		t := &r.Tasks[i]
-		if t.Status != wire.TaskEnded || !c.mayForget(m, t) {
+		if t.Status != wire.TaskEnded || !q.mayForget(m, t) {
 			continue
 		}
 		forget := wire.Command{Verb: wire.VerbForget, Task: t.Task, Attempt: t.Attempt}
@@ -143,7 +143,7 @@
 			orders = append(orders, forget)
 		}
 	}
-	orders = c.withOutbox(m, r, orders)
+	orders = q.withOutbox(m, r, orders)
 	if len(orders) > 0 || len(done) >= forgetAtOnce {
 		orders = append(orders, done...)
 	}
@@ -153,11 +153,11 @@
 // mayForget tells whether an ended attempt may be dropped by its worker: not
 // while a copy of its start may still arrive, since the worker would run it
 // again, and not before its end is in the ledger.
-func (c *Core) mayForget(m *machine, t *wire.TaskStatus) bool {
+func (q *commands) mayForget(m *machine, t *wire.TaskStatus) bool {
 	if _, unsettled := m.commands.unresolvedStarts[t.Attempt]; unsettled {
 		return false
 	}
-	j, n, _ := c.taskOf(m, t)
+	j, n, _ := q.jobs.taskOf(m, t)
 	if j == nil || t.ExitReason != wire.ExitDone || j.end.durable {
 		return true
 	}
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -21,7 +21,7 @@
 		c.effects.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
 	}
-	c.heardFrom(m)
+	c.agents.heardFrom(m)
 	a := heldAnswer{replyTo: e.ReplyTo, machine: m, heartbeat: r}
 	if c.observe(m, r, true) {
 		if m.commands.heldHeartbeat != nil {
@@ -32,10 +32,10 @@
 			}
 		}
 		m.commands.openAnswer = len(c.commands.openAnswers) + 1
-		c.raiseFencingToken(m)
+		c.agents.raiseFencingToken(m)
 	} else {
 		a.outdated = true
-		c.inspectStaleSender(m, r)
+		c.agents.inspectStaleSender(m, r)
 	}
 	if r.AgentEpoch <= m.agent.expiredEpoch {
 		// That session must have ended. An answer could keep it alive if it had
@@ -65,19 +65,19 @@
 	}
 	// A machine that opens to work, at its first echo or after a silence, may
 	// be what waiting tasks wait for.
-	wasOpen := c.accepts(m)
+	wasOpen := c.agents.accepts(m)
 	if m.state == machineStarting {
 		m.state, m.agent.epochSeenAt = machineUp, c.clock.now
 		c.machineCameUp(m)
 	}
 	c.describe(m, r.Type, r.Zone, r.Spot, r.Address)
 	m.agent.lastHeartbeat = c.clock.now
-	c.heardFrom(m)
+	c.agents.heardFrom(m)
 	if r.AgentEpoch != m.agent.epoch {
 		c.epochBegan(m, r.AgentEpoch)
 	}
 	m.agent.sequence = r.Sequence
-	c.indexChanged(m)
+	c.placement.indexChanged(m)
 	m.agent.acknowledgedToken = max(m.agent.acknowledgedToken, r.FencingToken)
 	for attempt, fence := range m.commands.unresolvedStarts {
 		if m.agent.acknowledgedToken >= fence {
@@ -103,7 +103,7 @@
 	if m.rental.terminationAt > 0 {
 		c.evictBeforeTermination(m)
 	}
-	if !wasOpen && c.accepts(m) {
+	if !wasOpen && c.agents.accepts(m) {
 		c.placement.needed = true
 	}
 	return true
@@ -120,7 +120,7 @@
 	// A start sent to the earlier session can't be executed any more.
 	clear(m.commands.unresolvedStarts)
 	m.agent.epoch = session
-	c.changed(m)
+	c.softState.changed(m)
 	// A session begins with a lease of its own, though nobody has answered
 	// it, and this one may have begun just now: what was known of the lease
 	// was the session's before.
@@ -129,16 +129,16 @@
 
 // taskOf finds what a line of a report speaks of. The booking is nil when we
 // have none for it.
-func (c *Core) taskOf(m *machine, t *wire.TaskStatus) (j *job, n int32, b *allocation) {
-	if b := m.allocation(t.Attempt); b != nil {
-		return c.jobs.list[b.job], b.task, b
+func (t *jobTable) taskOf(m *machine, status *wire.TaskStatus) (j *job, n int32, b *allocation) {
+	if b := m.allocation(status.Attempt); b != nil {
+		return t.list[b.job], b.task, b
 	}
-	ref, k, ok := wire.ParseTaskName(t.Task)
-	at, known := c.jobs.indexByID[ref]
-	if !ok || !known || c.jobs.list[at].spec != nil && k >= c.jobs.list[at].progress.total {
+	ref, k, ok := wire.ParseTaskName(status.Task)
+	at, known := t.indexByID[ref]
+	if !ok || !known || t.list[at].spec != nil && k >= t.list[at].progress.total {
 		return nil, 0, nil
 	}
-	return c.jobs.list[at], int32(k), nil
+	return t.list[at], int32(k), nil
 }
 
 // reconcileTasks brings the bookings of a machine in line with a fresh report, or
@@ -147,7 +147,7 @@
 	c.agents.heartbeatsProcessed++
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		j, n, b := c.taskOf(m, t)
+		j, n, b := c.jobs.taskOf(m, t)
 		if j == nil {
 			continue // its answer stops it, see mustStop
 		}
@@ -160,7 +160,7 @@
 				continue
 			}
 			if b.stopping && !reported {
-				c.sendStop(m, b) // no answer goes there that could have it
+				c.commands.sendStop(m, b) // no answer goes there that could have it
 			}
 		}
 		b.state, b.lastHeartbeatSeen = allocationConfirmed, c.agents.heartbeatsProcessed
@@ -177,14 +177,14 @@
 	if status != wire.TaskRunning {
 		return
 	}
-	since, known := c.runningSince(b.attempt)
+	since, known := c.softState.runningSince(b.attempt)
 	b.runningSince, b.runStartUnknown = since, !known
-	c.taskRuns(b)
-	c.changed(m)
+	c.evictions.taskRuns(b)
+	c.softState.changed(m)
 	j.progress.startedOnce = true
 	m.capacity.idleSince = c.clock.now
 	if j.spec != nil && m.typ >= 0 {
-		m.fetched(j.request.image, j.spec.ImageGB, c.autoscaling.types[m.typ].CacheGB)
+		m.fetched(j.request.image, j.spec.ImageGB, c.types.list[m.typ].CacheGB)
 	}
 }
 
@@ -209,7 +209,7 @@
 			if b.state == allocationSent && b.answeredSequence > 0 {
 				c.markUnacknowledged(m)
 			}
-			c.log.Info("attempt is not on its machine", "machine", m.name, "task", c.taskName(b), "attempt", b.attempt, "confirmed", b.state == allocationConfirmed)
+			c.log.Info("attempt is not on its machine", "machine", m.name, "task", c.jobs.taskName(b), "attempt", b.attempt, "confirmed", b.state == allocationConfirmed)
 			c.release(m, b)
 		}
 	}
@@ -233,7 +233,7 @@
 	j.dropWaiting(n)
 	b := c.allocate(m, j, n, t.Attempt, true)
 	if _, ok := j.record.hostAt[m.index]; !ok {
-		c.addHost(j, m)
+		c.jobs.addHost(j, m)
 	}
 	return b
 }
@@ -245,32 +245,32 @@
 	}
 	if b != nil {
 		if t.ExitReason != wire.ExitDone && !t.CheckpointSaved {
-			c.lostWork(m, b)
+			c.autoscaling.lostWork(m, b)
 		}
 		if t.ExitReason == wire.ExitStopped {
-			c.displaced(m, b, t.CheckpointSaved, "it was stopped")
+			c.evictions.displaced(m, b, t.CheckpointSaved, "it was stopped")
 		}
 		c.deallocate(m, b)
 	}
 	switch t.ExitReason {
 	case wire.ExitDone:
 		if b != nil && b.runningSince > 0 && !b.runStartUnknown {
-			c.learnRun(j, c.clock.now-b.runningSince)
+			c.estimates.learnRun(j, c.clock.now-b.runningSince)
 		}
 		clear(m.health.failedJobs)
 		c.taskEnded(j, n)
 	case wire.ExitError:
-		c.attemptFailed(m, j, n, t.Attempt)
-		c.requeue(j, n)
+		c.placement.attemptFailed(m, j, n, t.Attempt)
+		c.placement.requeue(j, n)
 	case wire.ExitNoSuchTask:
 		// The users' upload of the description is not there yet.
-		c.holdJob(j)
-		c.requeue(j, n)
+		c.placement.holdJob(j)
+		c.placement.requeue(j, n)
 	case wire.ExitNoRoom, wire.ExitInUse:
 		c.log.Info("start refused", "machine", m.name, "task", t.Task, "attempt", t.Attempt, "why", t.ExitReason)
-		c.holdJob(j)
-		c.requeue(j, n)
+		c.placement.holdJob(j)
+		c.placement.requeue(j, n)
 	default:
-		c.requeue(j, n)
+		c.placement.requeue(j, n)
 	}
 }
--- a/internal/scheduler/job_table.go
+++ b/internal/scheduler/job_table.go
@@ -2,6 +2,13 @@
 
 // jobTable holds the jobs of the term and the dependency graph among them.
 type jobTable struct {
+	cfg       *Config
+	clock     *clock
+	effects   *effects
+	writes    *durableWrites
+	estimates *runEstimates
+	machines  *machineTable
+
 	list       []*job
 	indexByID  map[string]int32
 	active     []*job             // jobs that are not settled
@@ -10,6 +17,7 @@
 	unwritten  []*job             // with something new for the ledger
 }
 
-func newJobTable() jobTable {
-	return jobTable{indexByID: map[string]int32{}, awaited: map[string][]int32{}, cancelling: map[int32]bool{}}
+func newJobTable(c *Core) jobTable {
+	return jobTable{cfg: &c.cfg, clock: &c.clock, effects: &c.effects, writes: &c.writes, estimates: &c.estimates, machines: &c.machines,
+		indexByID: map[string]int32{}, awaited: map[string][]int32{}, cancelling: map[int32]bool{}}
 }
--- a/internal/scheduler/jobs.go
+++ b/internal/scheduler/jobs.go
@@ -4,7 +4,6 @@
 	"math"
 	"time"
 
-	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/slowfit"
@@ -179,7 +178,7 @@
 	if s.Zone != nil {
 		j.request.zone = c.machines.zones.of(*s.Zone)
 	}
-	j.request.team = c.teamOf(s.Team)
+	j.request.team = c.quotas.teamOf(s.Team)
 	j.progress.total = s.Tasks
 	j.record.hostAt = map[int32]int{}
 	j.progress.tasks = make([]task, s.Tasks)
@@ -192,36 +191,6 @@
 	return slowfit.Size{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
 }
 
-// classAims is what the settings ask for a class.
-type classAims struct {
-	wait time.Duration // its tasks should have started by then; 0: no aim
-}
-
-// classOf returns a class's index and makes room for what is kept by class.
-func (c *Core) classOf(name string) int32 {
-	i := c.placement.classes.of(name)
-	for int(i) >= len(c.placement.classObjectives) {
-		c.placement.classObjectives = append(c.placement.classObjectives, classAims{})
-		c.placement.coresByClass = append(c.placement.coresByClass, 0)
-		c.autoscaling.demand = append(c.autoscaling.demand, autoscaler.DemandEstimator{})
-		c.autoscaling.runRatios = append(c.autoscaling.runRatios, 0)
-		for _, o := range c.cfg.Platform.Facts.Objectives {
-			if o.Kind == "wait" && o.Class == name {
-				c.placement.classObjectives[i] = classAims{wait: settings.Seconds(o.WithinS)}
-			}
-		}
-	}
-	return i
-}
-
-// teamOf returns a team's index.
-func (c *Core) teamOf(name string) int32 {
-	if i, ok := c.placement.teamIndexByName[name]; ok {
-		return i
-	}
-	return c.placement.unknownTeam
-}
-
 // fillWaiting lists the waiting tasks, the lowest number to go first.
 func (j *job) fillWaiting() {
 	j.progress.waiting = make([]int32, 0, max(0, len(j.progress.tasks)-j.progress.done))
@@ -247,15 +216,15 @@
 	case j.end.settled:
 		return j
 	case j.over():
-		c.settleJob(j)
+		c.jobs.settleJob(j)
 		return j
 	}
 	c.log.Debug("job accepted", "job", j.id, "tasks", j.progress.total, "cpus", j.request.size.CPUs, "class", j.spec.Class)
 	c.settleDependencies(j)
 	if !j.over() && !j.blocked() && j.transfer.origin == "" {
-		c.arrived(j)
+		c.autoscaling.arrived(j)
 	}
-	c.raisePriorityBy(j)
+	c.jobs.raisePriorityBy(j)
 	c.placement.needed = true
 	return j
 }
@@ -270,20 +239,20 @@
 	if terminal == wire.JobCancelled {
 		c.jobs.cancelling[j.index] = true
 	}
-	c.writeTerminal(j, true)
+	c.jobs.writeTerminal(j, true)
 }
 
 // writeTerminal writes a job's terminal state.
-func (c *Core) writeTerminal(j *job, urgent bool) {
-	rec := ledger.JobRecord{AcceptedMS: j.record.acceptedMS, Terminal: j.end.state, Tasks: j.progress.total, Done: j.progress.done, EndedMS: c.clock.wallMS, Origin: j.transfer.origin, TransferEpoch: j.transfer.epoch}
+func (t *jobTable) writeTerminal(j *job, urgent bool) {
+	rec := ledger.JobRecord{AcceptedMS: j.record.acceptedMS, Terminal: j.end.state, Tasks: j.progress.total, Done: j.progress.done, EndedMS: t.clock.wallMS, Origin: j.transfer.origin, TransferEpoch: j.transfer.epoch}
 	if j.end.state == wire.JobCancelled {
 		// What a new leader needs stays: it charges the team for tasks that it has
 		// not yet seen gone. The whole description may be more than fits by now.
 		rec.Job = j.spec.CancelledSummary()
 	} else if j.transfer.origin == "" {
-		rec.Class, rec.Team, rec.Cores, rec.RunS = j.spec.Class, j.spec.Team, j.request.size.CPUs*float64(j.progress.total), c.expectedRun(j).Seconds()
+		rec.Class, rec.Team, rec.Cores, rec.RunS = j.spec.Class, j.spec.Team, j.request.size.CPUs*float64(j.progress.total), t.estimates.expectedRun(j).Seconds()
 	}
-	c.writes.put(ledger.Write{Key: ledger.JobKey(j.id), Value: rec, Urgent: urgent, Version: j.record.version, Tag: terminalTag{j.index}})
+	t.writes.put(ledger.Write{Key: ledger.JobKey(j.id), Value: rec, Urgent: urgent, Version: j.record.version, Tag: terminalTag{j.index}})
 }
 
 func (c *Core) terminalIsDurable(j *job) {
@@ -301,21 +270,21 @@
 	c.stopTasks(j)
 	c.placement.needed = true
 	c.releaseDependents(j)
-	c.settleJob(j)
+	c.jobs.settleJob(j)
 	c.federation.delegated.Over(j.id, c.clock.now)
 	c.applyOriginEffects()
 }
 
 // settleJob drops what is kept for a job that is over, once nothing of it is on
 // any machine any more.
-func (c *Core) settleJob(j *job) {
+func (t *jobTable) settleJob(j *job) {
 	if !j.end.durable || j.end.settled || j.progress.allocated > 0 || len(j.record.inDoubtHosts) > 0 {
 		return
 	}
 	j.end.settled = true
-	c.dropKeys(j)
+	t.dropKeys(j)
 	for _, h := range j.record.hosts {
-		c.machines.list[h.machine].recorded.namedByJobs--
+		t.machines.list[h.machine].recorded.namedByJobs--
 	}
 	j.progress.tasks, j.record.hosts, j.record.hostAt, j.retry.failedOn, j.record.hostChunks, j.record.finishedKeys = nil, nil, nil, nil, nil, nil
 }
@@ -334,13 +303,13 @@
 	if c.evictions.disruptions != nil {
 		c.evictions.disruptions.Ends(j.id, int(n), c.clock.now)
 	}
-	c.clearOfBlame(j)
+	c.placement.clearOfBlame(j)
 	if j.progress.done == j.progress.total {
 		c.finish(j, wire.JobDone)
 		return
 	}
 	j.record.unwrittenTasks = append(j.record.unwrittenTasks, n)
-	c.unwrittenJob(j)
+	c.jobs.unwrittenJob(j)
 }
 
 func (j *job) dropWaiting(n int32) {
@@ -353,11 +322,11 @@
 }
 
 // requeue makes a task wait again.
-func (c *Core) requeue(j *job, n int32) {
+func (p *placement) requeue(j *job, n int32) {
 	if j.over() || j.progress.tasks[n].state != taskBooked {
 		return
 	}
 	j.progress.tasks[n].state = taskWaiting
 	j.progress.waiting = append(j.progress.waiting, n)
-	c.placement.needed = true
+	p.needed = true
 }
--- a/internal/scheduler/ledger_writes.go
+++ b/internal/scheduler/ledger_writes.go
@@ -44,7 +44,7 @@
 }
 
 // dropKeys deletes what the ledger holds of a finished job besides its record.
-func (c *Core) dropKeys(j *job) {
+func (t *jobTable) dropKeys(j *job) {
 	var writes []ledger.Write
 	for chunk := range j.record.hostChunks {
 		writes = append(writes, ledger.Write{Key: ledger.HostKey(j.id, chunk)})
@@ -53,7 +53,7 @@
 		writes = append(writes, ledger.Write{Key: key})
 	}
 	if len(writes) > 0 {
-		c.effects.emit(WriteLedger{Writes: writes})
+		t.effects.emit(WriteLedger{Writes: writes})
 	}
 }
 
@@ -73,21 +73,21 @@
 		j.record.hostChunks = slices.DeleteFunc(j.record.hostChunks, func(from int) bool { return from >= first })
 		j.record.hostChunks = append(j.record.hostChunks, first)
 		j.record.hostsWritten = first
-		c.unwrittenJob(j)
+		c.jobs.unwrittenJob(j)
 	case finishedTag:
 		j := c.jobs.list[t.job]
 		if j.progress.tasks != nil {
 			j.record.unwrittenTasks = append(j.record.unwrittenTasks, t.tasks...)
-			c.unwrittenJob(j)
+			c.jobs.unwrittenJob(j)
 		}
 	case terminalTag:
 		j := c.jobs.list[t.job]
 		c.log.Error("the end of a job takes more than a value may hold", "job", j.id)
-		c.writeTerminal(j, true)
+		c.jobs.writeTerminal(j, true)
 	case scaleOutTag:
 		c.log.Error("a hire takes more than a value may hold", "hire", t.name)
 	case planTag:
-		c.planRejected(t)
+		c.evictions.planRejected(t)
 	case delegatedTag:
 		c.log.Error("the record of a transfer takes more than a value may hold", "job", t.ref)
 	}
@@ -117,83 +117,83 @@
 	case terminalTag:
 		c.terminalIsDurable(c.jobs.list[t.job])
 	case scaleOutTag:
-		c.scaleOutDurable(t.name)
+		c.autoscaling.scaleOutDurable(t.name)
 	case unreachableTag:
 		c.unreachableWithdrawn(t.key)
 	case planTag:
-		c.planDurable(t)
+		c.evictions.planDurable(t)
 	case delegatedTag:
 		c.federation.delegated.Saved(t.ref, t.record, c.clock.now)
 		c.applyOriginEffects()
-		c.exchange()
+		c.federation.exchange()
 	}
 }
 
 // addHost notes that a job's tasks may be on a machine. That is written at the end
 // of the step, and durable before the first start there.
-func (c *Core) addHost(j *job, m *machine) {
+func (t *jobTable) addHost(j *job, m *machine) {
 	j.record.hostAt[m.index] = len(j.record.hosts)
 	j.record.hosts = append(j.record.hosts, host{machine: m.index})
 	m.recorded.namedByJobs++
-	c.unwrittenJob(j)
+	t.unwrittenJob(j)
 }
 
 // unwrittenJob has what is new about a job written at the end of the step: a
 // burst brings dozens of machines and ended tasks of one job in a step, and each
 // by itself would be written with all that came before it.
-func (c *Core) unwrittenJob(j *job) {
+func (t *jobTable) unwrittenJob(j *job) {
 	if !j.record.queuedForWrite {
 		j.record.queuedForWrite = true
-		c.jobs.unwritten = append(c.jobs.unwritten, j)
+		t.unwritten = append(t.unwritten, j)
 	}
 }
 
 // writeJobs writes what is new about jobs.
-func (c *Core) writeJobs() {
-	for _, j := range c.jobs.unwritten {
+func (t *jobTable) writeJobs() {
+	for _, j := range t.unwritten {
 		j.record.queuedForWrite = false
 		if j.progress.tasks != nil {
-			c.writeHosts(j)
-			c.writeDone(j)
+			t.writeHosts(j)
+			t.writeDone(j)
 		}
 	}
-	clear(c.jobs.unwritten)
-	c.jobs.unwritten = c.jobs.unwritten[:0]
+	clear(t.unwritten)
+	t.unwritten = t.unwritten[:0]
 }
 
 // writeHosts writes the chunks in which a job has new hosts.
-func (c *Core) writeHosts(j *job) {
+func (t *jobTable) writeHosts(j *job) {
 	for from := j.record.hostsWritten; from < len(j.record.hosts); {
 		first, names := 0, []string(nil)
 		if n := len(j.record.hostChunks); n > 0 {
 			first = j.record.hostChunks[n-1]
-			names = c.chunkFrom(j, first)
+			names = t.chunkFrom(j, first)
 		}
 		if first+len(names) <= from {
 			// There is none, or the last one is full.
 			j.record.hostChunks = append(j.record.hostChunks, from)
-			first, names = from, c.chunkFrom(j, from)
+			first, names = from, t.chunkFrom(j, from)
 		}
 		to := first + len(names)
-		c.writes.put(ledger.Write{Key: ledger.HostKey(j.id, len(j.record.hostChunks)-1), Value: names, Urgent: true, Tag: hostTag{j.index, from, to}})
+		t.writes.put(ledger.Write{Key: ledger.HostKey(j.id, len(j.record.hostChunks)-1), Value: names, Urgent: true, Tag: hostTag{j.index, from, to}})
 		from = to
 	}
 	j.record.hostsWritten = len(j.record.hosts)
 }
 
 // chunkFrom names the hosts of a job, from one of them on, that go into one key.
-func (c *Core) chunkFrom(j *job, first int) []string {
+func (t *jobTable) chunkFrom(j *job, first int) []string {
 	hosts := j.record.hosts[first:min(first+ledger.HostsPerChunk, len(j.record.hosts))]
 	names := make([]string, len(hosts))
 	for i, h := range hosts {
-		names[i] = c.machines.list[h.machine].name
+		names[i] = t.machines.list[h.machine].name
 	}
-	return names[:ledger.NamesThatFit(names, c.cfg.ValueBytes)]
+	return names[:ledger.NamesThatFit(names, t.cfg.ValueBytes)]
 }
 
 // writeDone writes the chunks in which a job has tasks that have ended since they
 // were last written. Of a job that is over, its record tells all.
-func (c *Core) writeDone(j *job) {
+func (t *jobTable) writeDone(j *job) {
 	ended := j.record.unwrittenTasks
 	j.record.unwrittenTasks = nil
 	if j.over() {
@@ -203,21 +203,21 @@
 	for len(ended) > 0 {
 		chunk := int(ended[0]) / ledger.TasksPerChunk
 		n, _ := slices.BinarySearch(ended, int32((chunk+1)*ledger.TasksPerChunk))
-		c.writeChunk(j, chunk, ended[:n])
+		t.writeChunk(j, chunk, ended[:n])
 		ended = ended[n:]
 	}
 }
 
 // writeChunk writes the finished tasks of one chunk, some of which are new.
-func (c *Core) writeChunk(j *job, chunk int, ended []int32) {
+func (t *jobTable) writeChunk(j *job, chunk int, ended []int32) {
 	first := chunk * ledger.TasksPerChunk
 	size := min(ledger.TasksPerChunk, j.progress.total-first)
 	done := func(i int) bool { return j.progress.tasks[first+i].state >= taskDone }
 	ranges := ledger.EncodeRanges(done, size)
-	if ranges.Size() <= c.cfg.ValueBytes {
+	if ranges.Size() <= t.cfg.ValueBytes {
 		key := ledger.FinishedTasksKey(j.id, chunk)
 		j.finishedKey(key)
-		c.writes.put(ledger.Write{Key: key, Value: ranges, Tag: finishedTag{j.index, ended}})
+		t.writes.put(ledger.Write{Key: key, Value: ranges, Tag: finishedTag{j.index, ended}})
 		return
 	}
 	// It has to be written in parts; all of them the first time, since the chunk's
@@ -227,7 +227,7 @@
 		j.record.chunksInParts = map[int]bool{}
 	}
 	j.record.chunksInParts[chunk] = true
-	part := ledger.TasksPerPart(c.cfg.ValueBytes)
+	part := ledger.TasksPerPart(t.cfg.ValueBytes)
 	for from := 0; from < size; from += part {
 		to := min(from+part, size)
 		n, _ := slices.BinarySearch(ended, int32(first+to))
@@ -239,7 +239,7 @@
 			if n > 0 {
 				w.Tag = finishedTag{j.index, ended[:n]}
 			}
-			c.writes.put(w)
+			t.writes.put(w)
 		}
 		ended = ended[n:]
 	}
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -116,7 +116,7 @@
 // machineNamed returns the machine of a name, making a place for one that we
 // hear of for the first time.
 func (c *Core) machineNamed(name string) *machine {
-	if m := c.machineIfKnown(name); m != nil {
+	if m := c.machines.machineIfKnown(name); m != nil {
 		return m
 	}
 	name = strings.Clone(name) // mostly a part of a report's body
@@ -129,8 +129,8 @@
 	c.machines.indexByName[name] = m.index
 	c.machines.list = append(c.machines.list, m)
 	c.machines.live = append(c.machines.live, m)
-	c.inheritMachine(m)
-	c.changed(m)
+	c.softState.inheritMachine(m)
+	c.softState.changed(m)
 	return m
 }
 
@@ -138,20 +138,20 @@
 func (c *Core) describe(m *machine, typ, zone string, spot bool, address string) {
 	if address != "" && address != m.agent.address {
 		m.agent.address, m.agent.addressFromSoftState = strings.Clone(address), false
-		c.changed(m)
+		c.softState.changed(m)
 	}
 	m.spot = spot
 	m.zone = c.machines.zones.of(zone)
 	if typ != m.typeName {
 		m.typeName = strings.Clone(typ)
 	}
-	if t, ok := c.autoscaling.typeIndexByName[typ]; ok && m.typ != t {
+	if t, ok := c.types.indexByName[typ]; ok && m.typ != t {
 		m.typ = t
 		used := m.capacity.total.Minus(m.capacity.free)
-		m.capacity.total = c.autoscaling.types[t].total
+		m.capacity.total = c.types.list[t].total
 		m.capacity.free = m.capacity.total.Minus(used)
 	}
-	c.indexChanged(m)
+	c.placement.indexChanged(m)
 }
 
 // gone notes that a machine and all on it is no more.
@@ -161,12 +161,12 @@
 	}
 	c.log.Info("machine is gone", "machine", m.name, "why", why, "bookings", len(m.capacity.allocations))
 	m.state = machineGone
-	c.changed(m)
+	c.softState.changed(m)
 	c.dropAllocations(m, why)
 	clear(m.commands.unresolvedStarts)
 	c.resolveInDoubt(m, why)
 	c.placement.index.Leave(m.index)
-	c.scaleOutMachineSeen(m)
+	c.autoscaling.scaleOutMachineSeen(m)
 	if m.recorded.namedByJobs > 0 {
 		m.recorded.gone = true
 		c.writes.put(ledger.Write{Key: ledger.GoneKey(m.name), Value: true})
@@ -175,7 +175,7 @@
 }
 
 // unreachableAfter is when a machine that said nothing gets no more work.
-func (c *Core) unreachableAfter() time.Duration { return c.agents.heartbeatInterval*2 + time.Second }
+func (a *agents) unreachableAfter() time.Duration { return a.heartbeatInterval*2 + time.Second }
 
 // expireLease does what time alone does to a machine.
 func (c *Core) expireLease(m *machine) {
@@ -216,7 +216,7 @@
 			continue
 		}
 		// It can't save. Let it go on only if it may well end in time.
-		if ran := c.clock.now - b.runningSince; b.status == wire.TaskRunning && c.expectedRun(j)-ran < left {
+		if ran := c.clock.now - b.runningSince; b.status == wire.TaskRunning && c.estimates.expectedRun(j)-ran < left {
 			continue
 		}
 		c.stopAllocation(m, b, 0)
@@ -227,9 +227,9 @@
 func (c *Core) machineCameUp(m *machine) {
 	c.log.Info("machine is up", "machine", m.name, "seconds", (c.clock.now - m.rental.rentedAt).Seconds())
 	if m.typ >= 0 && m.rental.scaleOutID != "" {
-		t := &c.autoscaling.types[m.typ]
+		t := &c.types.list[m.typ]
 		t.boot += (c.clock.now - m.rental.rentedAt - t.boot) / 4
 	}
-	c.scaleOutMachineSeen(m)
+	c.autoscaling.scaleOutMachineSeen(m)
 	c.placement.needed = true
 }
--- a/internal/scheduler/machines_test.go
+++ b/internal/scheduler/machines_test.go
@@ -394,7 +394,7 @@
 		}
 		g.submit(newTestJob("job-1", 1, 4))
 		g.settle(outcome)
-		g.want("open before the echo", g.c.accepts(g.c.machines.list[0]), false)
+		g.want("open before the echo", g.c.agents.accepts(g.c.machines.list[0]), false)
 		g.wait(time.Second)
 		g.want("deleted", len(g.deleted), 0)
 	}
--- a/internal/scheduler/mutants_test.go
+++ b/internal/scheduler/mutants_test.go
@@ -16,7 +16,7 @@
 	{Name: "tasks of unknown jobs are passed over", File: "stops.go", From: "		return 0, true\n	case j.over():", To: "		return 0, false\n	case j.over():"},
 	{Name: "a machine that is being returned is told nothing", File: "stops.go", From: "	stops := []wire.Command{}\n", To: "	stops := []wire.Command{}\n	if m.state == machineDeleting {\n		return stops\n	}\n"},
 	{Name: "a cancelled job's waiting tasks are started", File: "jobs.go", From: "return !j.over() && !j.blocked()", To: "return !j.blocked()"},
-	{Name: "an answer names no task", File: "heartbeat_responses.go", From: "orders := c.requiredStops(m, a.heartbeat, believed)", To: "orders := []wire.Command{}"},
+	{Name: "an answer names no task", File: "heartbeat_responses.go", From: "orders := q.requiredStops(m, a.heartbeat, believed)", To: "orders := []wire.Command{}"},
 }
 
 func TestMutantsAreCaught(t *testing.T) {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"log/slog"
 	"slices"
 	"time"
 
@@ -10,20 +11,25 @@
 	"leadproxy/internal/wire"
 )
 
-// placement is what decides where tasks run and in which order: the teams with their quotas, the
-// classes with their objectives, the SLOW-FIT goal and index, and the reservations.
+// placement decides where tasks run and in which order, by the quotas of teams, the objectives of
+// classes, the SLOW-FIT goal and index, and the reservations. It alone writes its fields, the
+// placement of a job, and the index entry of a machine.
 type placement struct {
-	clock  *clock
-	needed bool // something has changed that may let waiting tasks start
-
-	teams           []team
-	teamIndexByName map[string]int32
-	unknownTeam     int32 // for jobs of teams that the settings no longer name
+	clock     *clock
+	log       *slog.Logger
+	types     *machineTypes
+	classes   *classTable
+	estimates *runEstimates
+	quotas    *quotas
+	jobs      *jobTable
+	machines  *machineTable
+	agents    *agents
+	attempts  *attempts
+	// start allocates room for the next task of a job on a machine and has it started.
+	start func(j *job, m *machine)
 
-	classes         names
-	classObjectives []classAims // by class
-	coresByClass    []float64   // allocated cores, by class
-	images          names
+	needed bool // something has changed that may let waiting tasks start
+	images names
 
 	goal           slowfit.Goal
 	lowLoadSince   time.Duration
@@ -35,35 +41,29 @@
 	reservingJobs  []*job     // jobs for which a machine is kept free
 }
 
-func newPlacement(clock *clock, cfg Config) placement {
-	p := placement{clock: clock, teamIndexByName: map[string]int32{}, poolIndexByKey: map[poolKey]int32{}, goal: slowfit.Goal{C: cfg.Operator.SlowFitC}}
-	for _, t := range cfg.Platform.Facts.Teams {
-		p.teamIndexByName[t.Name] = int32(len(p.teams))
-		p.teams = append(p.teams, team{guarantee: limitUnits(t.CPUs, t.GPUs), limit: limitUnits(t.CPUsMax, t.GPUsMax)})
-	}
-	p.unknownTeam = int32(len(p.teams))
-	p.teams = append(p.teams, team{})
-	return p
+func newPlacement(c *Core) placement {
+	return placement{clock: &c.clock, log: c.log, types: &c.types, classes: &c.classes, estimates: &c.estimates, quotas: &c.quotas,
+		jobs: &c.jobs, machines: &c.machines, agents: &c.agents, attempts: &c.attempts, start: c.startOn,
+		poolIndexByKey: map[poolKey]int32{}, goal: slowfit.Goal{C: c.cfg.Operator.SlowFitC}}
 }
 
 // place starts what can be started: first what has waited too long and who has
 // less than their share (fair.go), then all jobs in the order of the queue; each
 // task where SLOW-FIT puts it.
-func (c *Core) place() {
-	for _, m := range c.placement.stale {
-		c.refresh(m)
+func (p *placement) place(uncertain []units) {
+	for _, m := range p.stale {
+		p.refresh(m)
 	}
-	c.placement.stale = c.placement.stale[:0]
-	queue := c.queue()
-	uncertain := c.uncertainUse()
-	c.placeAged(queue, uncertain)
-	c.placeUnderserved(queue, uncertain)
+	p.stale = p.stale[:0]
+	queue := p.queue()
+	p.placeAged(queue, uncertain)
+	p.placeUnderserved(queue, uncertain)
 	for from := 0; from < len(queue); {
 		to := from + 1
 		for to < len(queue) && queue[to].priority.class == queue[from].priority.class {
 			to++
 		}
-		c.placeRank(queue[from:to], uncertain)
+		p.placeRank(queue[from:to], uncertain)
 		from = to
 	}
 }
@@ -73,29 +73,29 @@
 // mostly on a machine without its image, and a tenth of all cores waited for
 // images. So those jobs that can wait are first offered only machines that have
 // their image, and another of the same priority may go before them there.
-func (c *Core) placeRank(queue []*job, uncertain []units) {
+func (p *placement) placeRank(queue []*job, uncertain []units) {
 	if len(queue) > 1 {
 		for _, j := range queue {
-			j.placement.imageOnly = c.mayWaitForImage(j)
-			c.placeJob(j, uncertain, nil)
+			j.placement.imageOnly = p.mayWaitForImage(j)
+			p.placeJob(j, uncertain, nil)
 			j.placement.imageOnly = false
 		}
 	}
 	for _, j := range queue {
-		c.placeJob(j, uncertain, nil)
+		p.placeJob(j, uncertain, nil)
 	}
 }
 
 // mayWaitForImage tells whether a job has time to let others go first: more than
 // fetching its image would take, or none at all any more.
-func (c *Core) mayWaitForImage(j *job) bool {
+func (p *placement) mayWaitForImage(j *job) bool {
 	if j.priority.deadline == never {
 		return true
 	}
-	slack := j.priority.deadline - c.clock.now - c.expectedRun(j)
+	slack := j.priority.deadline - p.clock.now - p.estimates.expectedRun(j)
 	slowest := time.Duration(0)
-	for i := range c.autoscaling.types {
-		if t := &c.autoscaling.types[i]; t.FetchGBPerS > 0 {
+	for i := range p.types.list {
+		if t := &p.types.list[i]; t.FetchGBPerS > 0 {
 			slowest = max(slowest, settings.Seconds(j.spec.ImageGB/t.FetchGBPerS))
 		}
 	}
@@ -103,32 +103,32 @@
 }
 
 // accepts tells whether a machine takes new tasks at all.
-func (c *Core) accepts(m *machine) bool {
-	return m.state == machineUp && m.trusted(c.term) && m.agent.epoch > m.agent.expiredEpoch && m.typ >= 0 && m.agent.unreachable == nil && !m.eviction.cordoned && !m.health.quarantined && c.clock.now >= m.commands.avoidUntil && m.rental.terminationAt == 0 && !m.agent.unacknowledged && c.clock.now-m.agent.lastAcknowledged < c.unreachableAfter()
+func (a *agents) accepts(m *machine) bool {
+	return m.state == machineUp && m.trusted(a.term) && m.agent.epoch > m.agent.expiredEpoch && m.typ >= 0 && m.agent.unreachable == nil && !m.eviction.cordoned && !m.health.quarantined && a.clock.now >= m.commands.avoidUntil && m.rental.terminationAt == 0 && !m.agent.unacknowledged && a.clock.now-m.agent.lastAcknowledged < a.unreachableAfter()
 }
 
 // queue returns the jobs with tasks to place, in order: teams within their
 // guarantee, priority, turn, the work that is left where it is crowded, the time
 // that is left.
-func (c *Core) queue() []*job {
+func (p *placement) queue() []*job {
 	var queue []*job
-	demand := make([]units, len(c.placement.teams))
-	for _, j := range c.jobs.active {
+	demand := make([]units, len(p.quotas.teams))
+	for _, j := range p.jobs.active {
 		if !j.over() && !j.blocked() {
 			demand[j.request.team] = demand[j.request.team].plus(unitsOf(j.request.size).times(j.progress.total - j.progress.done))
 		}
-		if j.placeable(c.clock.now) {
+		if j.placeable(p.clock.now) {
 			queue = append(queue, j)
 		}
 	}
 	crowded := map[int]bool{} // by rank: somebody is late already
 	for _, j := range queue {
-		crowded[j.priority.class] = crowded[j.priority.class] || c.ageBucket(j) == turnLate
+		crowded[j.priority.class] = crowded[j.priority.class] || p.ageBucket(j) == turnLate
 	}
 	// A team whose unfinished jobs all fit within its guarantee need not wait
 	// for other teams.
 	withinGuarantee := func(j *job) bool {
-		g := c.placement.teams[j.request.team].guarantee
+		g := p.quotas.teams[j.request.team].guarantee
 		d := demand[j.request.team]
 		return (g.cpus > 0 || g.gpus > 0) && d.cpus <= g.cpus && d.gpus <= g.gpus
 	}
@@ -144,9 +144,9 @@
 		}
 		work := 0
 		if crowded[a.priority.class] {
-			work = cmp.Compare(c.workLeft(a), c.workLeft(b))
+			work = cmp.Compare(p.workLeft(a), p.workLeft(b))
 		}
-		return cmp.Or(cmp.Compare(c.ageBucket(a), c.ageBucket(b)), foreignJobsLast(a, b), work, cmp.Compare(a.slack(c.clock.now), b.slack(c.clock.now)), int(a.index)-int(b.index))
+		return cmp.Or(cmp.Compare(p.ageBucket(a), p.ageBucket(b)), foreignJobsLast(a, b), work, cmp.Compare(a.slack(p.clock.now), b.slack(p.clock.now)), int(a.index)-int(b.index))
 	})
 	return queue
 }
@@ -164,16 +164,16 @@
 
 // uncertainUse is what each team's tasks may use on machines that have not been
 // heard of in this term, and in other cells.
-func (c *Core) uncertainUse() []units {
-	use := make([]units, len(c.placement.teams))
-	transfers := !c.federation.delegated.Idle()
-	for _, j := range c.jobs.active {
+func (f *federationState) uncertainUse() []units {
+	use := make([]units, len(f.quotas.teams))
+	transfers := !f.delegated.Idle()
+	for _, j := range f.jobs.active {
 		if len(j.record.inDoubtHosts) > 0 && j.end.state != wire.JobDone {
 			n := j.progress.total - j.progress.done - j.progress.allocated
 			use[j.request.team] = use[j.request.team].plus(unitsOf(j.request.size).times(max(n, 0)))
 		}
-		unreadable := j.transfer.delegated && !c.federation.delegated.Delegated(j.id)
-		if unreadable || transfers && c.federation.delegated.MayRunRemotely(j.id) {
+		unreadable := j.transfer.delegated && !f.delegated.Delegated(j.id)
+		if unreadable || transfers && f.delegated.MayRunRemotely(j.id) {
 			// All of its tasks may run there at once, also if its transfer's record can't
 			// be read.
 			use[j.request.team] = use[j.request.team].plus(unitsOf(j.request.size).times(j.progress.total))
@@ -189,34 +189,34 @@
 }
 
 // withinLimit tells whether a job's team may have one more of its tasks.
-func (c *Core) withinLimit(j *job, uncertain []units) bool {
-	t := &c.placement.teams[j.request.team]
-	return t.booked.plus(uncertain[j.request.team]).plus(unitsOf(j.request.size)).within(t.limit)
+func (q *quotas) withinLimit(j *job, uncertain []units) bool {
+	t := &q.teams[j.request.team]
+	return t.allocated.plus(uncertain[j.request.team]).plus(unitsOf(j.request.size)).within(t.limit)
 }
 
 // placeJob starts what it can of a job's waiting tasks, as long as more, unless
 // nil, allows, and tells how many.
-func (c *Core) placeJob(j *job, uncertain []units, more func(placed int) bool) (placed int) {
+func (p *placement) placeJob(j *job, uncertain []units, more func(placed int) bool) (placed int) {
 	// Most of what waits on a full site, or for its team's limit, has no place:
 	// that must show before anything is looked at machine by machine.
-	if len(j.progress.waiting) == 0 || !c.attemptsLeft() || c.placement.index.Infeasible(j.request.size) || !c.withinLimit(j, uncertain) {
+	if len(j.progress.waiting) == 0 || !p.attempts.attemptsLeft() || p.index.Infeasible(j.request.size) || !p.quotas.withinLimit(j, uncertain) {
 		return 0
 	}
-	c.resolveTypes(j)
+	p.resolveTypes(j)
 	only := int32(-1)
 	if j.spec.Gang {
-		only = c.gangZone(j)
+		only = p.gangZone(j)
 	}
-	for len(j.progress.waiting) > 0 && c.attemptsLeft() && (more == nil || more(placed)) {
-		if j.suspect() && j.progress.allocated > 0 || !c.withinLimit(j, uncertain) {
+	for len(j.progress.waiting) > 0 && p.attempts.attemptsLeft() && (more == nil || more(placed)) {
+		if j.suspect() && j.progress.allocated > 0 || !p.quotas.withinLimit(j, uncertain) {
 			return placed // a suspect job is tried one task at a time
 		}
-		at := c.choose(j, only)
+		at := p.choose(j, only)
 		if at < 0 {
 			return placed
 		}
-		m := c.machines.list[at]
-		c.startOn(j, m)
+		m := p.machines.list[at]
+		p.start(j, m)
 		placed++
 		if only < 0 && j.spec.Gang {
 			only = m.zone
@@ -229,29 +229,29 @@
 func (c *Core) startOn(j *job, m *machine) {
 	n := j.progress.waiting[len(j.progress.waiting)-1]
 	j.progress.waiting = j.progress.waiting[:len(j.progress.waiting)-1]
-	b := c.allocate(m, j, n, c.nextAttempt(), true)
-	c.refresh(m)
+	b := c.allocate(m, j, n, c.attempts.nextAttempt(), true)
+	c.placement.refresh(m)
 	if c.debug {
-		c.log.Debug("task placed", "task", c.taskName(b), "attempt", b.attempt, "machine", m.name, "goal", c.placement.goal.L, "share", b.share, "load", m.capacity.load, "image", m.has(j.request.image))
+		c.log.Debug("task placed", "task", c.jobs.taskName(b), "attempt", b.attempt, "machine", m.name, "goal", c.placement.goal.L, "share", b.share, "load", m.capacity.load, "image", m.has(j.request.image))
 	}
 	if _, ok := j.record.hostAt[m.index]; !ok {
-		c.addHost(j, m)
+		c.jobs.addHost(j, m)
 	}
 	if j.record.hosts[j.record.hostAt[m.index]].durable {
-		c.sendStart(j, m, b)
+		c.commands.sendStart(j, m, b)
 	}
 }
 
 // fetchTime is how long a machine will need for a job's image.
-func (c *Core) fetchTime(j *job, m *machine) time.Duration {
-	rate := c.autoscaling.types[m.typ].FetchGBPerS
+func (p *placement) fetchTime(j *job, m *machine) time.Duration {
+	rate := p.types.list[m.typ].FetchGBPerS
 	if m.has(j.request.image) || rate <= 0 {
 		return 0
 	}
 	// Images that are fetched at the same time share the rate.
 	fetching := 1
 	for _, b := range m.capacity.allocations {
-		if o := c.jobs.list[b.job]; b.status != wire.TaskRunning && o.request.image != j.request.image && !m.has(o.request.image) {
+		if o := p.jobs.list[b.job]; b.status != wire.TaskRunning && o.request.image != j.request.image && !m.has(o.request.image) {
 			fetching++
 			break
 		}
@@ -260,9 +260,9 @@
 }
 
 // fetching tells whether a machine is about to fetch an image for some task.
-func (c *Core) fetching(m *machine, image int32) bool {
+func (p *placement) fetching(m *machine, image int32) bool {
 	for _, b := range m.capacity.allocations {
-		if b.status != wire.TaskRunning && c.jobs.list[b.job].request.image == image {
+		if b.status != wire.TaskRunning && p.jobs.list[b.job].request.image == image {
 			return true
 		}
 	}
@@ -272,18 +272,18 @@
 // gangZone chooses the zone for a job that must stay in one: where it is, or
 // else where the most of it fits now. That takes a look at all machines, so it
 // holds for a while.
-func (c *Core) gangZone(j *job) int32 {
+func (p *placement) gangZone(j *job) int32 {
 	for z, n := range j.placement.tasksByZone {
 		if n > 0 {
 			return int32(z)
 		}
 	}
-	if j.placement.gangZoneChosenAt > 0 && c.clock.now-j.placement.gangZoneChosenAt < time.Second {
+	if j.placement.gangZoneChosenAt > 0 && p.clock.now-j.placement.gangZoneChosenAt < time.Second {
 		return j.placement.gangZone
 	}
-	slots := make([]int, len(c.machines.zones.list))
+	slots := make([]int, len(p.machines.zones.list))
 	best := int32(-1)
-	for _, m := range c.machines.live {
+	for _, m := range p.machines.live {
 		if m.indexed.schedulable && j.allows(m.typ, m.zone, m.spot) {
 			slots[m.zone] += j.request.size.Slots(m.capacity.free)
 			if best < 0 || slots[m.zone] > slots[best] {
@@ -291,7 +291,7 @@
 			}
 		}
 	}
-	j.placement.gangZoneChosenAt, j.placement.gangZone = c.clock.now, best
+	j.placement.gangZoneChosenAt, j.placement.gangZone = p.clock.now, best
 	return best
 }
 
@@ -313,27 +313,14 @@
 }
 
 // resolveTypes maps the type names that a job allows, once types are known.
-func (c *Core) resolveTypes(j *job) {
+func (p *placement) resolveTypes(j *job) {
 	if j.spec.Types == nil || j.request.types != nil {
 		return
 	}
 	j.request.types = []int32{}
 	for _, name := range j.spec.Types {
-		if t, ok := c.autoscaling.typeIndexByName[name]; ok {
+		if t, ok := p.types.indexByName[name]; ok {
 			j.request.types = append(j.request.types, t)
 		}
 	}
 }
-
-// learnRun learns how true the owners' estimates of a class are.
-func (c *Core) learnRun(j *job, took time.Duration) {
-	if j.spec == nil || j.spec.EstimatedRunS <= 0 {
-		return
-	}
-	c.autoscaling.learnRatio(j.request.class, took.Seconds()/j.spec.EstimatedRunS)
-}
-
-// expectedRun is how long a task of a job is expected to run.
-func (c *Core) expectedRun(j *job) time.Duration {
-	return time.Duration(j.spec.EstimatedRunS * c.autoscaling.ratio(j.request.class) * float64(time.Second))
-}
--- a/internal/scheduler/placement_index.go
+++ b/internal/scheduler/placement_index.go
@@ -23,40 +23,40 @@
 }
 
 // indexChanged notes that the index may no longer show a machine as it is.
-func (c *Core) indexChanged(m *machine) {
+func (p *placement) indexChanged(m *machine) {
 	if !m.indexed.stale {
 		m.indexed.stale = true
-		c.placement.stale = append(c.placement.stale, m)
+		p.stale = append(p.stale, m)
 	}
 }
 
 // refresh brings the index up to date for a machine.
-func (c *Core) refresh(m *machine) {
+func (p *placement) refresh(m *machine) {
 	m.indexed.stale = false
-	m.indexed.schedulable = c.accepts(m)
-	c.placement.openCores -= m.indexed.cores
+	m.indexed.schedulable = p.agents.accepts(m)
+	p.openCores -= m.indexed.cores
 	m.indexed.cores = 0
 	if m.indexed.schedulable {
 		m.indexed.cores = m.capacity.total.CPUs
-		c.placement.openCores += m.indexed.cores
+		p.openCores += m.indexed.cores
 	}
 	if !m.indexed.schedulable || m.capacity.reserved {
-		c.placement.index.Close(m.index)
+		p.index.Close(m.index)
 		return
 	}
 	key := poolKey{m.typ, m.zone, m.spot}
-	pool, ok := c.placement.poolIndexByKey[key]
+	pool, ok := p.poolIndexByKey[key]
 	if !ok {
-		pool = int32(c.placement.index.AddPool(m.capacity.total))
-		c.placement.poolIndexByKey[key] = pool
-		c.placement.pools = append(c.placement.pools, key)
+		pool = int32(p.index.AddPool(m.capacity.total))
+		p.poolIndexByKey[key] = pool
+		p.pools = append(p.pools, key)
 	}
 	if m.indexed.pool != pool {
-		c.placement.index.Join(m.index, int(pool))
+		p.index.Join(m.index, int(pool))
 		m.indexed.pool = pool
 	}
 	load := m.capacity.load
-	if m.capacity.phase != c.placement.goal.Phase {
+	if m.capacity.phase != p.goal.Phase {
 		load = 0
 	}
 	var tags uint64
@@ -64,9 +64,9 @@
 		tags |= imageTag(s.image)
 	}
 	for _, b := range m.capacity.allocations {
-		tags |= imageTag(c.jobs.list[b.job].request.image)
+		tags |= imageTag(p.jobs.list[b.job].request.image)
 	}
-	c.placement.index.Open(m.index, m.capacity.free, load, tags)
+	p.index.Open(m.index, m.capacity.free, load, tags)
 }
 
 // imageTag is the index's tag of an image. Several images may share one.
@@ -76,34 +76,34 @@
 // aim on waiting is first offered only machines on which its image would be
 // ready in time, if one of those has room: a slower machine that must fetch
 // the image first would break the aim by that alone.
-func (c *Core) choose(j *job, only int32) int32 {
-	w := c.request(j, only)
+func (p *placement) choose(j *job, only int32) int32 {
+	w := p.request(j, only)
 	if j.placement.imageOnly {
 		at := w
 		at.AllowedTag = w.FavouredTag
 		at.Allowed = func(i int32) bool { return w.Favoured(i) && (w.Allowed == nil || w.Allowed(i)) }
-		return c.placement.index.Place(&c.placement.goal, &at)
+		return p.index.Place(&p.goal, &at)
 	}
-	if aim := c.placement.classObjectives[j.request.class].wait; aim > 0 {
+	if aim := p.classes.objectives[j.request.class].wait; aim > 0 {
 		soon := w
 		soon.Allowed = func(i int32) bool {
-			m := c.machines.list[i]
-			return c.fetchTime(j, m) <= aim && (w.Allowed == nil || w.Allowed(i))
+			m := p.machines.list[i]
+			return p.fetchTime(j, m) <= aim && (w.Allowed == nil || w.Allowed(i))
 		}
-		if !c.fetchedWithin(j, aim) {
+		if !p.fetchedWithin(j, aim) {
 			soon.AllowedTag = imageTag(j.request.image)
 		}
-		if at := c.placement.index.Place(&c.placement.goal, &soon); at >= 0 {
+		if at := p.index.Place(&p.goal, &soon); at >= 0 {
 			return at
 		}
 	}
-	return c.placement.index.Place(&c.placement.goal, &w)
+	return p.index.Place(&p.goal, &w)
 }
 
 // fetchedWithin tells whether a job's image can be fetched within a time by
 // some type of machine.
-func (c *Core) fetchedWithin(j *job, within time.Duration) bool {
-	return slices.ContainsFunc(c.autoscaling.types, func(t machineType) bool {
+func (p *placement) fetchedWithin(j *job, within time.Duration) bool {
+	return slices.ContainsFunc(p.types.list, func(t machineType) bool {
 		return t.FetchGBPerS <= 0 || settings.Seconds(j.spec.ImageGB/t.FetchGBPerS) <= within
 	})
 }
@@ -112,14 +112,14 @@
 // machines apart: a class with an aim on waiting goes first where its image is,
 // since a fetch counts as waiting; other work goes first to spot machines, so
 // that dearer ones run empty and can go back.
-func (c *Core) request(j *job, only int32) slowfit.Request {
+func (p *placement) request(j *job, only int32) slowfit.Request {
 	cheap, image := 2, 1
-	if c.placement.classObjectives[j.request.class].wait > 0 {
+	if p.classes.objectives[j.request.class].wait > 0 {
 		cheap, image = 1, 2
 	}
 	w := slowfit.Request{Task: j.request.size, Bonus: image, FavouredTag: imageTag(j.request.image),
 		Pool: func(pool int) (bool, int) {
-			k := c.placement.pools[pool]
+			k := p.pools[pool]
 			if !j.allows(k.typ, k.zone, k.spot) || only >= 0 && k.zone != only || j.crowdedZone(k.zone) {
 				return false, 0
 			}
@@ -129,8 +129,8 @@
 			return true, 0
 		},
 		Favoured: func(i int32) bool {
-			m := c.machines.list[i]
-			return m.has(j.request.image) || c.fetching(m, j.request.image)
+			m := p.machines.list[i]
+			return m.has(j.request.image) || p.fetching(m, j.request.image)
 		},
 	}
 	if len(j.retry.failedOn) > 0 && !j.suspect() {
--- a/internal/scheduler/plan_requests.go
+++ b/internal/scheduler/plan_requests.go
@@ -13,48 +13,48 @@
 }
 
 // planAsked creates or steers a plan. The answer comes when its record is durable.
-func (c *Core) planAsked(e PlanRequest) {
+func (v *evictionState) planAsked(e PlanRequest) {
 	var err error
 	name := e.Name
 	switch {
-	case c.evictions.disruptions == nil:
+	case v.disruptions == nil:
 		err = errEvictionDisabled
 	case e.Spec != nil:
 		name = e.Spec.Name
-		err = c.createPlan(*e.Spec)
-	case c.evictions.plans[name] == nil:
+		err = v.createPlan(*e.Spec)
+	case v.plans[name] == nil:
 		err = fmt.Errorf("%w: %q", errNoPlan, name)
 	default:
-		err = c.evictions.plans[name].rollout.Steer(e.Command, e.Argument, c.clock.wallMS)
+		err = v.plans[name].rollout.Steer(e.Command, e.Argument, v.clock.wallMS)
 	}
 	if err != nil {
-		c.effects.emit(PlanReply{ReplyTo: e.ReplyTo, Err: err})
+		v.effects.emit(PlanReply{ReplyTo: e.ReplyTo, Err: err})
 		return
 	}
-	p := c.evictions.plans[name]
+	p := v.plans[name]
 	p.tooLong = false
-	c.savePlan(name, p)
+	v.savePlan(name, p)
 	if p.rollout.Durable() {
-		c.effects.emit(PlanReply{ReplyTo: e.ReplyTo})
+		v.effects.emit(PlanReply{ReplyTo: e.ReplyTo})
 		return
 	}
 	p.waiting = append(p.waiting, planWaiter{p.written, e.ReplyTo})
 }
 
 // createPlan begins a plan whose machines no other plan has.
-func (c *Core) createPlan(spec rollout.Spec) error {
-	if c.evictions.plans[spec.Name] != nil {
+func (v *evictionState) createPlan(spec rollout.Spec) error {
+	if v.plans[spec.Name] != nil {
 		return fmt.Errorf("%w: %q", errPlanExists, spec.Name)
 	}
-	record := rollout.Record{Version: rollout.RecordVersion, Spec: spec, CreatedMS: c.clock.wallMS, Phase: rollout.Choosing, PhaseMS: c.clock.wallMS}
-	selected, names := 0, c.planNames()
-	for _, m := range c.machines.live {
-		if !c.selects(&record, m) {
+	record := rollout.Record{Version: rollout.RecordVersion, Spec: spec, CreatedMS: v.clock.wallMS, Phase: rollout.Choosing, PhaseMS: v.clock.wallMS}
+	selected, names := 0, v.planNames()
+	for _, m := range v.machines.live {
+		if !v.selects(&record, m) {
 			continue
 		}
 		selected++
 		for _, name := range names {
-			if r, _ := c.evictions.plans[name].rollout.Record(); !r.Phase.Over() && c.selects(&r, m) {
+			if r, _ := v.plans[name].rollout.Record(); !r.Phase.Over() && v.selects(&r, m) {
 				return fmt.Errorf("%w: machine %s is in plan %q already", rollout.ErrPlan, m.name, name)
 			}
 		}
@@ -62,19 +62,19 @@
 	if selected == 0 {
 		return fmt.Errorf("%w: no machine is selected", rollout.ErrPlan)
 	}
-	p := &plan{rollout: rollout.NewRollout(record, c.evictions.disruptions, c.taskIsDone, c.clock.now, c.clock.wallMS)}
+	p := &plan{rollout: rollout.NewRollout(record, v.disruptions, v.jobs.taskIsDone, v.clock.now, v.clock.wallMS)}
 	p.rollout.Begin()
-	c.evictions.plans[spec.Name] = p
-	c.log.Info("draining", "plan", spec.Name, "phase", record.Phase, "machines", selected)
+	v.plans[spec.Name] = p
+	v.log.Info("draining", "plan", spec.Name, "phase", record.Phase, "machines", selected)
 	return nil
 }
 
 // plansListed lists the plans and what counts as disrupted.
-func (c *Core) plansListed(e PlanListRequest) {
-	list := PlanListReply{ReplyTo: e.ReplyTo, Term: c.term}
-	if c.evictions.disruptions != nil {
-		for _, name := range c.planNames() {
-			p := c.evictions.plans[name]
+func (v *evictionState) plansListed(e PlanListRequest) {
+	list := PlanListReply{ReplyTo: e.ReplyTo, Term: v.term}
+	if v.disruptions != nil {
+		for _, name := range v.planNames() {
+			p := v.plans[name]
 			r, _ := p.rollout.Record()
 			waits := p.rollout.Waits()
 			if p.tooLong {
@@ -82,7 +82,7 @@
 			}
 			list.Plans = append(list.Plans, PlanStatus{r, waits})
 		}
-		list.Disrupted = c.evictions.disruptions.Entries(c.clock.now)
+		list.Disrupted = v.disruptions.Entries(v.clock.now)
 	}
-	c.effects.emit(list)
+	v.effects.emit(list)
 }
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -35,45 +35,45 @@
 const probeFor = 20 * time.Second
 
 // probe has a machine of an earlier term told our token.
-func (c *Core) probe(m *machine) {
-	if m.agent.probes > 0 || m.trusted(c.term) || m.agent.address == "" || c.clock.now-c.clock.termStart > probeFor {
+func (a *agents) probe(m *machine) {
+	if m.agent.probes > 0 || m.trusted(a.term) || m.agent.address == "" || a.clock.now-a.clock.termStart > probeFor {
 		return
 	}
 	m.agent.probes = 1
-	c.agents.probes.waiting = append(c.agents.probes.waiting, m)
-	c.sendProbes()
+	a.probes.waiting = append(a.probes.waiting, m)
+	a.sendProbes()
 }
 
-func (c *Core) sendProbes() {
-	for len(c.agents.probes.waiting) > 0 && c.agents.probes.underWay < c.agents.probes.atOnce {
-		m := c.agents.probes.waiting[0]
-		c.agents.probes.waiting = c.agents.probes.waiting[1:]
-		if m.trusted(c.term) || m.state == machineGone || m.state == machineDeleting {
+func (a *agents) sendProbes() {
+	for len(a.probes.waiting) > 0 && a.probes.underWay < a.probes.atOnce {
+		m := a.probes.waiting[0]
+		a.probes.waiting = a.probes.waiting[1:]
+		if m.trusted(a.term) || m.state == machineGone || m.state == machineDeleting {
 			continue
 		}
-		c.agents.probes.underWay++
+		a.probes.underWay++
 		// Its session is not known before its first word, unless by a hint; nearly all
 		// are in their first.
-		c.send(&commandInFlight{machine: m, agentEpoch: max(m.agent.epoch, m.agent.softStateEpoch, 1), fencingToken: m.agent.fencingToken, probe: true, sent: c.clock.now, addressFromSoftState: m.agent.addressFromSoftState}, []wire.Command{})
+		a.commands.send(&commandInFlight{machine: m, agentEpoch: max(m.agent.epoch, m.agent.softStateEpoch, 1), fencingToken: m.agent.fencingToken, probe: true, sent: a.clock.now, addressFromSoftState: m.agent.addressFromSoftState}, []wire.Command{})
 	}
 }
 
 // probeResult follows up on a probe: one that named the wrong session is repeated
 // once with the right one.
-func (c *Core) probeResult(call *commandInFlight, outcome CommandOutcome) {
+func (a *agents) probeResult(call *commandInFlight, outcome CommandOutcome) {
 	m := call.machine
-	c.agents.probes.underWay--
-	switch took := c.clock.now - call.sent; {
+	a.probes.underWay--
+	switch took := a.clock.now - call.sent; {
 	case outcome == CommandOutcomeUnknown || outcome == CommandNotSent:
 		// It tells of that machine only.
 	case took <= probeSoon:
-		c.agents.probes.atOnce = min(c.agents.probes.atOnce+1, maxProbes)
+		a.probes.atOnce = min(a.probes.atOnce+1, maxProbes)
 	case took >= probeLate:
-		c.agents.probes.atOnce = max(c.agents.probes.atOnce/2, fewProbes)
+		a.probes.atOnce = max(a.probes.atOnce/2, fewProbes)
 	}
-	if outcome == CommandRejected && m.agent.probes == 1 && !m.trusted(c.term) {
+	if outcome == CommandRejected && m.agent.probes == 1 && !m.trusted(a.term) {
 		m.agent.probes++
-		c.agents.probes.waiting = append(c.agents.probes.waiting, m)
+		a.probes.waiting = append(a.probes.waiting, m)
 	}
-	c.sendProbes()
+	a.sendProbes()
 }
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -24,7 +24,7 @@
 		g.submit(j)
 	}
 	order := func() (refs []string) {
-		for _, j := range g.c.queue() {
+		for _, j := range g.c.placement.queue() {
 			refs = append(refs, j.id)
 		}
 		return refs
@@ -125,7 +125,7 @@
 			}
 			victim := c.victim()
 			for step := 0; g.now < c.within+time.Second && began < 0; step++ {
-				for g.c.jobs.list == nil || jobs < 2 || len(g.c.queue()) < 3 {
+				for g.c.jobs.list == nil || jobs < 2 || len(g.c.placement.queue()) < 3 {
 					jobs++
 					g.submit(urgent(fmt.Sprintf("job-1%03d", jobs), 8, 1))
 				}
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -10,7 +10,7 @@
 // restore takes a term's state over from the ledger and from what an earlier leader held in
 // memory. Jobs come after machines that are gone, and all that refers to jobs after those.
 func (c *Core) restore(s *ledger.Snapshot) {
-	c.restoreSoftState(c.cfg.SoftState)
+	c.softState.restoreSoftState(c.cfg.SoftState)
 	for _, name := range s.Gone {
 		m := c.machineNamed(name)
 		m.state, m.recorded.gone = machineGone, true
@@ -24,8 +24,8 @@
 	}
 	c.restoreUnreachable(s.Unreachable)
 	c.restoreTransfers(s)
-	c.restoreEvictions(s.Plans)
-	c.probeInherited()
+	c.evictions.restoreEvictions(s.Plans)
+	c.agents.probeInherited()
 }
 
 // restoreJob takes a job from the ledger at the start of a term.
@@ -39,7 +39,7 @@
 	j := c.newJob(s.ID, s.Record, s.Version)
 	if s.Record.Class != "" {
 		accepted := c.clock.now - time.Duration(c.clock.wallMS-s.Record.AcceptedMS)*time.Millisecond
-		c.learnArrival(c.classOf(s.Record.Class), c.teamOf(s.Record.Team), accepted, s.Record.Cores, s.Record.RunS)
+		c.autoscaling.learnArrival(c.classOf(s.Record.Class), c.quotas.teamOf(s.Record.Team), accepted, s.Record.Cores, s.Record.RunS)
 	}
 	if j.spec == nil {
 		// It is done; an earlier leader was stopped while it tidied up.
@@ -74,11 +74,11 @@
 		j.retry.notBefore = c.clock.now + c.agents.lease
 	}
 	if !waitsFor(&s.Record) && j.transfer.origin == "" {
-		c.arrived(j)
+		c.autoscaling.arrived(j)
 	}
 	switch {
 	case j.over():
-		c.settleJob(j)
+		c.jobs.settleJob(j)
 	case j.progress.done == j.progress.total:
 		c.finish(j, wire.JobDone)
 	}
@@ -120,9 +120,12 @@
 }
 
 // UnresolvedHosts is how many machines may still run what an earlier leader started there.
-func (c *Core) UnresolvedHosts() int {
+func (c *Core) UnresolvedHosts() int { return c.machines.unresolvedHosts() }
+
+// unresolvedHosts counts the machines that may still run what an earlier leader started there.
+func (t *machineTable) unresolvedHosts() int {
 	n := 0
-	for _, m := range c.machines.live {
+	for _, m := range t.live {
 		if len(m.recorded.inDoubtJobs) > 0 {
 			n++
 		}
@@ -131,7 +134,7 @@
 }
 
 // Machines is how many machines this term knows, up or coming.
-func (c *Core) Machines() int { return c.machineCount() }
+func (c *Core) Machines() int { return c.machines.machineCount() }
 
 // Jobs is how many jobs this term knows.
 func (c *Core) Jobs() int { return len(c.jobs.list) }
@@ -147,7 +150,7 @@
 		if len(j.record.inDoubtHosts) == 0 {
 			c.placement.needed = true
 			if j.over() {
-				c.settleJob(j)
+				c.jobs.settleJob(j)
 			}
 		}
 	}
--- a/internal/scheduler/scale_in.go
+++ b/internal/scheduler/scale_in.go
@@ -11,36 +11,36 @@
 
 // askDelete has a machine deleted. It is gone only when the cloud says so; until
 // then it is asked for again now and then.
-func (c *Core) askDelete(m *machine, why string) {
-	if m.state == machineDeleting && c.clock.now-m.rental.lastDeleteRequest < 10*time.Second {
+func (a *autoscaling) askDelete(m *machine, why string) {
+	if m.state == machineDeleting && a.clock.now-m.rental.lastDeleteRequest < 10*time.Second {
 		return
 	}
-	c.log.Info("returning machine", "machine", m.name, "why", why, "bookings", len(m.capacity.allocations), "age", (c.clock.now - m.rental.rentedAt).Seconds())
-	m.state, m.rental.lastDeleteRequest = machineDeleting, c.clock.now
-	c.indexChanged(m)
-	c.autoscaling.deletes = append(c.autoscaling.deletes, m.name)
+	a.log.Info("returning machine", "machine", m.name, "why", why, "bookings", len(m.capacity.allocations), "age", (a.clock.now - m.rental.rentedAt).Seconds())
+	m.state, m.rental.lastDeleteRequest = machineDeleting, a.clock.now
+	a.placement.indexChanged(m)
+	a.deletes = append(a.deletes, m.name)
 }
 
 // flushDeletes asks for the deletions of a step together, since the cloud takes
 // few calls.
-func (c *Core) flushDeletes() {
-	for names := c.autoscaling.deletes; len(names) > 0; {
+func (a *autoscaling) flushDeletes() {
+	for names := a.deletes; len(names) > 0; {
 		n := min(len(names), autoscaler.MaxDelete)
-		c.effects.emit(CallCloud{autoscaler.Call{Delete: slices.Clone(names[:n])}})
+		a.effects.emit(CallCloud{autoscaler.Call{Delete: slices.Clone(names[:n])}})
 		names = names[n:]
 	}
-	c.autoscaling.deletes = c.autoscaling.deletes[:0]
+	a.deletes = a.deletes[:0]
 }
 
 // inactive is how long a machine has not shown that it hears this leader. That its
 // reports come in alone shows nothing.
-func (c *Core) inactive(m *machine) time.Duration {
-	return c.clock.now - max(m.agent.lastAcknowledged, m.agent.epochSeenAt, c.clock.tickingSince)
+func (a *agents) inactive(m *machine) time.Duration {
+	return a.clock.now - max(m.agent.lastAcknowledged, m.agent.epochSeenAt, a.clock.tickingSince)
 }
 
 // expected tells whether a machine should be reporting: it has, or an earlier
 // leader has started something on it.
-func (c *Core) expected(m *machine) bool {
+func (a *agents) expected(m *machine) bool {
 	return m.state == machineUp || m.state == machineStarting && len(m.recorded.inDoubtJobs) > 0
 }
 
@@ -48,26 +48,26 @@
 func (c *Core) ExpectedAgents() int { return c.agents.expectedCount }
 
 // scaleIn gives back what is broken, lost, or not needed any more.
-func (c *Core) scaleIn() {
-	cores := c.countFleet()
-	headroom := c.headroomCores()
-	waiting := c.placeableWithinLimit()
-	for _, m := range c.machines.live {
+func (a *autoscaling) scaleIn() {
+	cores := a.countFleet()
+	headroom := a.headroomCores()
+	waiting := a.placement.placeableWithinLimit()
+	for _, m := range a.machines.live {
 		if m.state == machineGone {
 			continue
 		}
-		if why := c.reasonToScaleIn(m); why != "" {
-			c.askDelete(m, why)
+		if why := a.reasonToScaleIn(m); why != "" {
+			a.askDelete(m, why)
 			continue
 		}
 		// Ordinary machines cost a multiple and are not kept for what may come.
-		target, patience := headroom, c.cfg.Operator.IdleReturn
+		target, patience := headroom, a.cfg.Operator.IdleReturn
 		if !m.spot {
 			target, patience = 0, patience/4
 		}
-		if c.mayGoIdle(m, waiting) && c.clock.now-m.capacity.idleSince > patience && cores-m.capacity.total.CPUs >= target {
+		if a.mayGoIdle(m, waiting) && a.clock.now-m.capacity.idleSince > patience && cores-m.capacity.total.CPUs >= target {
 			cores -= m.capacity.total.CPUs
-			c.askDelete(m, "idle")
+			a.askDelete(m, "idle")
 		}
 	}
 }
@@ -78,25 +78,25 @@
 
 // countFleet counts the cores to plan with, and notes how many machines should be
 // reporting and which zones seem to be cut off.
-func (c *Core) countFleet() (cores float64) {
-	zones := make([]zoneCount, len(c.machines.zones.list))
+func (a *autoscaling) countFleet() (cores float64) {
+	zones := make([]zoneCount, len(a.machines.zones.list))
 	var all zoneCount
-	for _, m := range c.machines.live {
-		if c.counts(m) {
+	for _, m := range a.machines.live {
+		if a.counts(m) {
 			cores += m.capacity.total.CPUs
 		}
-		if !c.expected(m) || m.zone < 0 {
+		if !a.agents.expected(m) || m.zone < 0 {
 			continue
 		}
 		zones[m.zone].up++
 		all.up++
-		if c.inactive(m) >= c.unreachableAfter() && m.rental.missedListings < 2 {
+		if a.agents.inactive(m) >= a.agents.unreachableAfter() && m.rental.missedListings < 2 {
 			zones[m.zone].silent++
 			all.silent++
 		}
 	}
-	c.agents.expectedCount = all.up
-	c.noteCuts(zones, all)
+	a.agents.expectedCount = all.up
+	a.agents.noteCuts(zones, all)
 	return cores
 }
 
@@ -104,26 +104,26 @@
 // machines, is rather a cut between us and them: there they work on, and deleting them
 // would lose that. When it ends, or their reports come by another way, they come back
 // one by one.
-func (c *Core) noteCuts(zones []zoneCount, all zoneCount) {
-	for len(c.agents.zoneCutAt) < len(zones) {
-		c.agents.zoneCutAt = append(c.agents.zoneCutAt, math.MinInt64/2)
+func (a *agents) noteCuts(zones []zoneCount, all zoneCount) {
+	for len(a.zoneCutAt) < len(zones) {
+		a.zoneCutAt = append(a.zoneCutAt, math.MinInt64/2)
 	}
 	maxSilent := 2*all.silent > max(all.up, 2)
 	for i, z := range zones {
 		if maxSilent || z.up > 1 && z.silent == z.up {
-			c.agents.zoneCutAt[i] = c.clock.now
+			a.zoneCutAt[i] = a.clock.now
 		}
 	}
 }
 
 // cutOff tells whether a machine's zone seems to be cut off, or was a moment ago.
-func (c *Core) cutOff(m *machine) bool {
-	return m.zone >= 0 && c.clock.now-c.agents.zoneCutAt[m.zone] < 4*c.agents.heartbeatInterval
+func (a *agents) cutOff(m *machine) bool {
+	return m.zone >= 0 && a.clock.now-a.zoneCutAt[m.zone] < 4*a.heartbeatInterval
 }
 
 // placeableWithinLimit lists the jobs with tasks that their teams' limits let run.
-func (c *Core) placeableWithinLimit() []*job {
-	return slices.DeleteFunc(c.queue(), func(j *job) bool { return c.roomInLimit(j, c.placement.teams[j.request.team].booked) == 0 })
+func (p *placement) placeableWithinLimit() []*job {
+	return slices.DeleteFunc(p.queue(), func(j *job) bool { return p.quotas.roomInLimit(j, p.quotas.teams[j.request.team].allocated) == 0 })
 }
 
 // mayGoIdle tells whether an idle machine may be given back at all: its least rental is
@@ -131,8 +131,8 @@
 // whatever keeps that task from it now. One that is too small or not allowed for all of
 // them is not: on a large site there is always something waiting. Nor is one that only
 // tasks beyond their team's limit would use.
-func (c *Core) mayGoIdle(m *machine, waiting []*job) bool {
-	if m.state != machineUp || m.eviction.kept || len(m.capacity.allocations) > 0 || c.clock.now-m.rental.rentedAt < minRental || !m.trusted(c.term) {
+func (a *autoscaling) mayGoIdle(m *machine, waiting []*job) bool {
+	if m.state != machineUp || m.eviction.kept || len(m.capacity.allocations) > 0 || a.clock.now-m.rental.rentedAt < minRental || !m.trusted(a.term) {
 		return false
 	}
 	return !slices.ContainsFunc(waiting, func(j *job) bool {
@@ -142,19 +142,19 @@
 
 // reasonToScaleIn tells why a machine is to be given back whether or not it is wanted;
 // "": there is no reason.
-func (c *Core) reasonToScaleIn(m *machine) string {
-	quiet := c.inactive(m)
+func (a *autoscaling) reasonToScaleIn(m *machine) string {
+	quiet := a.agents.inactive(m)
 	switch {
 	case m.state == machineDeleting:
 		return "not yet known to be gone"
-	case c.expected(m) && quiet > c.unreachableAfter() && m.rental.missedListings >= 2:
+	case a.agents.expected(m) && quiet > a.agents.unreachableAfter() && m.rental.missedListings >= 2:
 		// Absence from the list proves nothing, but its deletion will.
 		return "silent and not listed any more"
-	case c.expected(m) && quiet > 4*c.agents.heartbeatInterval && !c.cutOff(m):
+	case a.agents.expected(m) && quiet > 4*a.agents.heartbeatInterval && !a.agents.cutOff(m):
 		return "silent"
 	case m.state == machineStarting:
-		return c.reasonToStopBoot(m, quiet)
-	case quiet > c.agents.lease+c.agents.heartbeatInterval:
+		return a.reasonToStopBoot(m, quiet)
+	case quiet > a.agents.lease+a.agents.heartbeatInterval:
 		return "lost"
 	case len(m.capacity.allocations) > 0:
 		return ""
@@ -172,15 +172,15 @@
 // reasonToStopBoot tells why a machine that has not reported yet is to be given back.
 // One that an earlier leader had up may be silent for a while: it has a lease's time to
 // show itself.
-func (c *Core) reasonToStopBoot(m *machine, quiet time.Duration) string {
+func (a *autoscaling) reasonToStopBoot(m *machine, quiet time.Duration) string {
 	patience := unknownBootPatience
 	switch {
 	case m.typ >= 0:
-		patience = time.Duration(c.cfg.Operator.BootPatience * float64(settings.Seconds(c.autoscaling.types[m.typ].BootS)))
-	case quiet < c.agents.lease:
+		patience = time.Duration(a.cfg.Operator.BootPatience * float64(settings.Seconds(a.types.list[m.typ].BootS)))
+	case quiet < a.agents.lease:
 		return ""
 	}
-	if c.clock.now-m.rental.rentedAt > patience && c.clock.now-c.clock.termStart > c.agents.lease {
+	if a.clock.now-m.rental.rentedAt > patience && a.clock.now-a.clock.termStart > a.agents.lease {
 		return "did not come up"
 	}
 	return ""
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -19,33 +19,33 @@
 	retry          time.Duration
 }
 
-func (c *Core) startScaleOut(w autoscaler.PlannedScaleOut) {
-	c.autoscaling.scaleOutCount++
+func (a *autoscaling) startScaleOut(w autoscaler.PlannedScaleOut) {
+	a.scaleOutCount++
 	// The name embeds the term, so that no other leader ever uses it.
-	c.startNamedScaleOut(fmt.Sprintf("h%d-%d", c.term, c.autoscaling.scaleOutCount), w)
+	a.startNamedScaleOut(fmt.Sprintf("h%d-%d", a.term, a.scaleOutCount), w)
 }
 
 // startNamedScaleOut hires under a name. The cloud takes each name once, however often it is
 // sent.
-func (c *Core) startNamedScaleOut(name string, w autoscaler.PlannedScaleOut) {
-	t := c.autoscaling.types[w.Pool.Type]
+func (a *autoscaling) startNamedScaleOut(name string, w autoscaler.PlannedScaleOut) {
+	t := a.types.list[w.Pool.Type]
 	h := &scaleOut{pool: w.Pool, open: true, record: ledger.ScaleOutRecord{Request: wire.ScaleOutRequest{
-		RequestID: name, Type: t.Name, Zone: c.machines.zones.list[w.Pool.Zone], Spot: w.Pool.Spot, Count: min(w.Count, autoscaler.MaxScaleOut)}}}
-	c.autoscaling.scaleOuts[name] = h
-	c.log.Info("hiring", "request", name, "type", t.Name, "zone", h.record.Request.Zone, "spot", w.Pool.Spot, "count", h.record.Request.Count, "why", w.Reason)
-	c.writes.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.record, Urgent: true, Tag: scaleOutTag{name}})
+		RequestID: name, Type: t.Name, Zone: a.machines.zones.list[w.Pool.Zone], Spot: w.Pool.Spot, Count: min(w.Count, autoscaler.MaxScaleOut)}}}
+	a.scaleOuts[name] = h
+	a.log.Info("hiring", "request", name, "type", t.Name, "zone", h.record.Request.Zone, "spot", w.Pool.Spot, "count", h.record.Request.Count, "why", w.Reason)
+	a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.record, Urgent: true, Tag: scaleOutTag{name}})
 }
 
-func (c *Core) scaleOutDurable(name string) {
-	if h := c.autoscaling.scaleOuts[name]; h != nil && h.open && !h.sent {
-		c.sendScaleOut(h)
+func (a *autoscaling) scaleOutDurable(name string) {
+	if h := a.scaleOuts[name]; h != nil && h.open && !h.sent {
+		a.sendScaleOut(h)
 	}
 }
 
-func (c *Core) sendScaleOut(h *scaleOut) {
+func (a *autoscaling) sendScaleOut(h *scaleOut) {
 	h.sent = true
 	order := h.record.Request
-	c.effects.emit(CallCloud{autoscaler.Call{ScaleOut: &order}})
+	a.effects.emit(CallCloud{autoscaler.Call{ScaleOut: &order}})
 }
 
 // restoreScaleOut takes an earlier leader's hire over. One whose answer is not on
@@ -55,7 +55,7 @@
 	c.autoscaling.scaleOuts[r.Request.RequestID] = h
 	if r.Machines == nil {
 		h.open = true
-		c.sendScaleOut(h)
+		c.autoscaling.sendScaleOut(h)
 		return
 	}
 	c.machinesRented(h, r.Machines)
@@ -64,7 +64,7 @@
 // machinesRented notes the machines of a hire.
 func (c *Core) machinesRented(h *scaleOut, machines []string) {
 	h.open = false
-	c.noteRented(h.record.Request.RequestID, machines)
+	c.evictions.noteRented(h.record.Request.RequestID, machines)
 	h.unseenMachines = map[string]bool{}
 	for _, name := range machines {
 		m := c.machineNamed(name)
@@ -76,27 +76,27 @@
 			h.unseenMachines[name] = true
 		}
 	}
-	c.closeScaleOut(h)
+	c.autoscaling.closeScaleOut(h)
 }
 
 // scaleOutMachineSeen notes that a machine is known from the list or from itself, so that
 // its hire need not be remembered for it.
-func (c *Core) scaleOutMachineSeen(m *machine) {
-	if h := c.autoscaling.scaleOuts[m.rental.scaleOutID]; h != nil && h.unseenMachines != nil {
+func (a *autoscaling) scaleOutMachineSeen(m *machine) {
+	if h := a.scaleOuts[m.rental.scaleOutID]; h != nil && h.unseenMachines != nil {
 		delete(h.unseenMachines, m.name)
-		c.closeScaleOut(h)
+		a.closeScaleOut(h)
 	}
 }
 
-func (c *Core) closeScaleOut(h *scaleOut) {
+func (a *autoscaling) closeScaleOut(h *scaleOut) {
 	if len(h.unseenMachines) == 0 {
-		c.dropScaleOut(h)
+		a.dropScaleOut(h)
 	}
 }
 
-func (c *Core) dropScaleOut(h *scaleOut) {
-	delete(c.autoscaling.scaleOuts, h.record.Request.RequestID)
-	c.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.record.Request.RequestID)})
+func (a *autoscaling) dropScaleOut(h *scaleOut) {
+	delete(a.scaleOuts, h.record.Request.RequestID)
+	a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.record.Request.RequestID)})
 }
 
 func (c *Core) scaleOutResult(r autoscaler.Result) {
@@ -125,7 +125,7 @@
 		}
 		h.record.Machines = r.Machines
 		if len(r.Machines) == 0 {
-			c.dropScaleOut(h)
+			c.autoscaling.dropScaleOut(h)
 			return
 		}
 		c.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.record.Request.RequestID), Value: h.record})
@@ -134,7 +134,7 @@
 		c.log.Info("hire refused: no capacity", "request", h.record.Request.RequestID, "type", h.record.Request.Type, "zone", h.record.Request.Zone, "spot", h.record.Request.Spot)
 		block()
 		h.open = false
-		c.dropScaleOut(h)
+		c.autoscaling.dropScaleOut(h)
 	default:
 		// It may have been carried out. Only the same name is safe to repeat.
 		c.log.Info("hire unanswered", "request", h.record.Request.RequestID, "error", r.Err)
--- a/internal/scheduler/soft_state.go
+++ b/internal/scheduler/soft_state.go
@@ -13,10 +13,26 @@
 // softState is what this leader inherits in memory from an earlier one, and the version of what
 // it passes on itself.
 type softState struct {
+	term        uint64
+	clock       *clock
+	effects     *effects
+	types       *machineTypes
+	classes     *classTable
+	estimates   *runEstimates
+	jobs        *jobTable
+	machines    *machineTable
+	placement   *placement
+	autoscaling *autoscaling
+
 	inherited inheritedSoftState
 	version   uint64 // counts the changes of machines that are passed on
 }
 
+func newSoftState(c *Core) softState {
+	return softState{term: c.term, clock: &c.clock, effects: &c.effects, types: &c.types, classes: &c.classes, estimates: &c.estimates,
+		jobs: &c.jobs, machines: &c.machines, placement: &c.placement, autoscaling: &c.autoscaling}
+}
+
 // inheritedSoftState is what an earlier leader's hints say. It is looked at where this term knows
 // nothing better, and dropped when its beginning is over.
 type inheritedSoftState struct {
@@ -26,15 +42,15 @@
 }
 
 // restoreSoftState takes the hints of an earlier leader, before anything else is restored.
-func (c *Core) restoreSoftState(v *softstate.View) {
+func (s *softState) restoreSoftState(v *softstate.View) {
 	if v == nil || len(v.Machines) == 0 {
 		return
 	}
-	c.softState.inherited = inheritedSoftState{machines: v.Machines, runningFor: map[uint64]time.Duration{}, estimates: v.Estimates}
+	s.inherited = inheritedSoftState{machines: v.Machines, runningFor: map[uint64]time.Duration{}, estimates: v.Estimates}
 	for _, m := range v.Machines {
 		for _, b := range m.Allocations {
 			if b.Running > 0 {
-				c.softState.inherited.runningFor[b.Attempt] = b.Running
+				s.inherited.runningFor[b.Attempt] = b.Running
 			}
 		}
 	}
@@ -42,40 +58,40 @@
 
 // probeInherited probes the machines that the ledger names where the hints say that they are
 // reached, without waiting for the cloud's list.
-func (c *Core) probeInherited() {
-	for _, m := range c.machines.live {
+func (a *agents) probeInherited() {
+	for _, m := range a.machines.live {
 		if m.agent.addressFromSoftState {
-			c.probe(m)
+			a.probe(m)
 		}
 	}
 }
 
 // dropInherited forgets the hints once the term's beginning is over.
-func (c *Core) dropInherited() {
-	if c.softState.inherited.machines != nil && c.clock.now-c.clock.termStart > probeFor {
-		c.softState.inherited = inheritedSoftState{}
+func (s *softState) dropInherited() {
+	if s.inherited.machines != nil && s.clock.now-s.clock.termStart > probeFor {
+		s.inherited = inheritedSoftState{}
 	}
 }
 
 // inheritMachine fills in what the hints say of a machine that is new to this term. The list of
 // the cloud and its reports overwrite that.
-func (c *Core) inheritMachine(m *machine) {
-	h, ok := c.softState.inherited.machines[m.name]
+func (s *softState) inheritMachine(m *machine) {
+	h, ok := s.inherited.machines[m.name]
 	if !ok {
 		return
 	}
 	m.agent.addressFromSoftState, m.agent.address, m.agent.softStateEpoch = true, h.Address, h.AgentEpoch
 	if len(h.Allocations) == 0 {
-		m.capacity.idleSince = c.clock.now - h.Idle
+		m.capacity.idleSince = s.clock.now - h.Idle
 	}
 	for _, i := range h.Images {
-		m.capacity.images = append(m.capacity.images, imageSlot{c.placement.images.of(i.Name), i.GB})
+		m.capacity.images = append(m.capacity.images, imageSlot{s.placement.images.of(i.Name), i.GB})
 	}
 }
 
 // inheritedAddressFailed takes back what a hint said of where a machine is reached. The cloud's list or
 // its next report tells.
-func (c *Core) inheritedAddressFailed(m *machine) {
+func (a *agents) inheritedAddressFailed(m *machine) {
 	m.agent.addressFromSoftState, m.agent.softStateEpoch, m.agent.probes = false, 0, 0
 	if m.agent.epoch == 0 {
 		m.agent.address = ""
@@ -84,97 +100,97 @@
 
 // runningSince is since when an attempt has run that is seen running for the first time.
 // known is false if it began in an earlier term and no hint tells when.
-func (c *Core) runningSince(attempt uint64) (since time.Duration, known bool) {
-	if attempt>>tokenBits == c.term {
-		return c.clock.now, true
+func (s *softState) runningSince(attempt uint64) (since time.Duration, known bool) {
+	if attempt>>tokenBits == s.term {
+		return s.clock.now, true
 	}
-	ran, ok := c.softState.inherited.runningFor[attempt]
+	ran, ok := s.inherited.runningFor[attempt]
 	if !ok {
-		return c.clock.now, false
+		return s.clock.now, false
 	}
-	return max(c.clock.termStart-ran, 1), true
+	return max(s.clock.termStart-ran, 1), true
 }
 
 // inheritType fills in what the hints say of a machine type that is new to this term.
-func (c *Core) inheritType(index int32) {
-	t := &c.autoscaling.types[index]
-	if s, ok := c.softState.inherited.estimates.BootSeconds[t.Name]; ok {
+func (s *softState) inheritType(index int32) {
+	t := &s.types.list[index]
+	if s, ok := s.inherited.estimates.BootSeconds[t.Name]; ok {
 		t.boot = settings.Seconds(s)
 	}
-	for _, o := range c.softState.inherited.estimates.Pools {
+	for _, o := range s.inherited.estimates.Pools {
 		if o.Type != t.Name {
 			continue
 		}
-		st := c.autoscaling.pool(autoscaler.CapacityPool{Type: index, Zone: c.machines.zones.of(o.Zone), Spot: o.Spot})
-		st.blockedUntil = c.clock.now + min(o.BackoffLeft, refusedMost)
+		st := s.autoscaling.pool(autoscaler.CapacityPool{Type: index, Zone: s.machines.zones.of(o.Zone), Spot: o.Spot})
+		st.blockedUntil = s.clock.now + min(o.BackoffLeft, refusedMost)
 		st.backoff = min(o.Backoff, refusedMost)
 		st.fillsRequests = o.Filled
 	}
 }
 
 // changed notes that hints of our own have something new to tell of a machine.
-func (c *Core) changed(m *machine) {
-	c.softState.version++
-	m.softStateVersion = c.softState.version
+func (s *softState) changed(m *machine) {
+	s.version++
+	m.softStateVersion = s.version
 }
 
 // softStateRequested tells what has changed since an earlier answer, oldest change first.
-func (c *Core) softStateRequested(e SoftStateRequest) {
+func (s *softState) softStateRequested(e SoftStateRequest) {
 	var changed []*machine
-	for _, m := range c.machines.list {
+	for _, m := range s.machines.list {
 		if m.softStateVersion > e.Since && (m.state != machineGone || e.Since > 0) {
 			changed = append(changed, m)
 		}
 	}
 	slices.SortFunc(changed, func(a, b *machine) int { return cmp.Compare(a.softStateVersion, b.softStateVersion) })
-	given := SoftStateReply{ReplyTo: e.ReplyTo, Term: c.term, UpTo: c.softState.version, Estimates: c.estimates()}
+	given := SoftStateReply{ReplyTo: e.ReplyTo, Term: s.term, UpTo: s.version, Estimates: s.learnedEstimates()}
 	if len(changed) > softstate.MaxChanges {
 		changed = changed[:softstate.MaxChanges]
 		given.UpTo = changed[softstate.MaxChanges-1].softStateVersion
 		given.More = true
 	}
 	for _, m := range changed {
-		given.Machines = append(given.Machines, c.machineSoftState(m))
+		given.Machines = append(given.Machines, s.machineSoftState(m))
 	}
-	c.effects.emit(given)
+	s.effects.emit(given)
 }
 
 // machineSoftState is what is known of a machine.
-func (c *Core) machineSoftState(m *machine) softstate.Machine {
+func (s *softState) machineSoftState(m *machine) softstate.Machine {
 	h := softstate.Machine{Name: m.name, Gone: m.state == machineGone, Address: m.agent.address, AgentEpoch: m.agent.epoch, FencingToken: m.agent.fencingToken,
-		SinceHeartbeat: max(0, c.clock.now-m.agent.lastHeartbeat), Idle: max(0, c.clock.now-m.capacity.idleSince)}
+		SinceHeartbeat: max(0, s.clock.now-m.agent.lastHeartbeat), Idle: max(0, s.clock.now-m.capacity.idleSince)}
 	for _, i := range m.capacity.images {
-		h.Images = append(h.Images, softstate.Image{Name: c.placement.images.list[i.image], GB: i.gb})
+		h.Images = append(h.Images, softstate.Image{Name: s.placement.images.list[i.image], GB: i.gb})
 	}
 	for _, b := range m.capacity.allocations {
-		k := softstate.Allocation{Task: c.taskName(b), Attempt: b.attempt}
+		k := softstate.Allocation{Task: s.jobs.taskName(b), Attempt: b.attempt}
 		if b.runningSince > 0 {
-			k.Running = c.clock.now - b.runningSince
+			k.Running = s.clock.now - b.runningSince
 		}
 		h.Allocations = append(h.Allocations, k)
 	}
 	return h
 }
 
-// estimates is what this term has learned.
-func (c *Core) estimates() softstate.Estimates {
+// learnedEstimates is what this term has learned.
+func (s *softState) learnedEstimates() softstate.Estimates {
 	l := softstate.Estimates{RunRatios: map[string]float64{}, BootSeconds: map[string]float64{}}
-	for class, ratio := range c.autoscaling.runRatios {
+	for class, ratio := range s.estimates.runRatios {
 		if ratio > 0 {
-			l.RunRatios[c.placement.classes.list[class]] = ratio
+			l.RunRatios[s.classes.names.list[class]] = ratio
 		}
 	}
-	for i := range c.autoscaling.types {
-		if boot := c.autoscaling.types[i].boot.Seconds(); boot > 0 {
-			l.BootSeconds[c.autoscaling.types[i].Name] = boot
+	for i := range s.types.list {
+		if boot := s.types.list[i].boot.Seconds(); boot > 0 {
+			l.BootSeconds[s.types.list[i].Name] = boot
 		}
 	}
-	for o, st := range c.autoscaling.pools {
+	for o, st := range s.autoscaling.pools {
 		if o.Type < 0 || o.Zone < 0 || *st == (poolState{}) {
 			continue
 		}
-		l.Pools = append(l.Pools, softstate.CapacityPool{Type: c.autoscaling.types[o.Type].Name, Zone: c.machines.zones.list[o.Zone], Spot: o.Spot,
-			BackoffLeft: max(0, st.blockedUntil-c.clock.now), Backoff: st.backoff, Filled: st.fillsRequests})
+		l.Pools = append(l.Pools, softstate.CapacityPool{Type: s.types.list[o.Type].Name, Zone: s.machines.zones.list[o.Zone], Spot: o.Spot,
+			BackoffLeft: max(0, st.blockedUntil-s.clock.now), Backoff: st.backoff, Filled: st.fillsRequests})
 	}
 	slices.SortFunc(l.Pools, comparePools)
 	return l
--- a/internal/scheduler/soft_state_test.go
+++ b/internal/scheduler/soft_state_test.go
@@ -91,7 +91,7 @@
 		if hinted {
 			want = 3 // 20 s before the term, and 10 s in it
 		}
-		g.want("run time against the estimate", g.c.autoscaling.ratio(g.c.jobs.list[0].request.class), want)
+		g.want("run time against the estimate", g.c.estimates.ratio(g.c.jobs.list[0].request.class), want)
 	}
 }
 
@@ -103,8 +103,8 @@
 		g.up("vm-" + string(rune('a'+i%26)) + string(rune('a'+i/26)))
 	}
 	g.report(hintedReport(g, 0, wire.TaskRunning, ""))
-	g.c.autoscaling.learnRatio(g.c.jobs.list[0].request.class, 2)
-	g.c.autoscaling.types[0].boot = 33 * time.Second
+	g.c.estimates.learn(g.c.jobs.list[0].request.class, 2)
+	g.c.types.list[0].boot = 33 * time.Second
 	ask := func(since uint64) SoftStateReply {
 		g.out = nil
 		g.step(SoftStateRequest{Since: since, ReplyTo: recipient("s")})
@@ -114,7 +114,7 @@
 	second := ask(first.UpTo)
 	g.want("parts", []any{len(first.Machines), first.More, len(second.Machines), second.More}, []any{softstate.MaxChanges, true, 1, false})
 	g.want("what has changed since", len(ask(second.UpTo).Machines), 0)
-	g.c.changed(g.c.machineNamed("vm-1"))
+	g.c.softState.changed(g.c.machineNamed("vm-1"))
 	g.want("after a change", ask(second.UpTo).Machines[0].Name, "vm-1")
 	next := newHintedStage(t, &softstate.View{Term: 5, Machines: map[string]softstate.Machine{"vm-1": {Name: "vm-1"}}, Estimates: first.Estimates})
 	next.step(SoftStateRequest{ReplyTo: recipient("s")})
--- a/internal/scheduler/spending.go
+++ b/internal/scheduler/spending.go
@@ -41,73 +41,73 @@
 }
 
 // pricePerSecond is what a machine costs at present.
-func (c *Core) pricePerSecond(m *machine) float64 {
+func (a *autoscaling) pricePerSecond(m *machine) float64 {
 	if m.typ < 0 {
 		return 0
 	}
-	return c.autoscaling.types[m.typ].price(m.spot) / secondsPerHour
+	return a.types.list[m.typ].price(m.spot) / secondsPerHour
 }
 
 // spend adds what the machines have cost since the last time.
-func (c *Core) spend() {
-	if c.clock.now-c.autoscaling.spending.until < spendEvery {
+func (a *autoscaling) spend() {
+	if a.clock.now-a.spending.until < spendEvery {
 		return
 	}
-	elapsed := (c.clock.now - c.autoscaling.spending.until).Seconds()
-	c.autoscaling.spending.until = c.clock.now
-	for _, m := range c.machines.live {
-		cost := c.pricePerSecond(m) * elapsed
+	elapsed := (a.clock.now - a.spending.until).Seconds()
+	a.spending.until = a.clock.now
+	for _, m := range a.machines.live {
+		cost := a.pricePerSecond(m) * elapsed
 		switch m.state {
 		case machineStarting:
-			c.autoscaling.spending.spent.booting += cost
+			a.spending.spent.booting += cost
 		case machineUp:
-			c.spendOn(m, cost)
+			a.spendOn(m, cost)
 		case machineDeleting:
-			c.autoscaling.spending.spent.returning += cost
+			a.spending.spent.returning += cost
 		case machineGone:
 		}
 	}
-	if c.clock.now-c.autoscaling.spending.logged >= spendingEvery {
-		c.logSpending()
+	if a.clock.now-a.spending.logged >= spendingEvery {
+		a.logSpending()
 	}
 }
 
 // spendOn divides the cost of a machine that is up.
-func (c *Core) spendOn(m *machine, cost float64) {
+func (a *autoscaling) spendOn(m *machine, cost float64) {
 	if len(m.capacity.allocations) == 0 || m.capacity.total.CPUs <= 0 {
-		c.autoscaling.spending.spent.idle += cost
+		a.spending.spent.idle += cost
 		return
 	}
 	free := cost
 	for _, b := range m.capacity.allocations {
-		share := cost * c.jobs.list[b.job].request.size.CPUs / m.capacity.total.CPUs
+		share := cost * a.jobs.list[b.job].request.size.CPUs / m.capacity.total.CPUs
 		free -= share
 		switch {
 		case b.stopping:
-			c.autoscaling.spending.spent.saving += share
+			a.spending.spent.saving += share
 		case b.status == wire.TaskRunning:
-			c.autoscaling.spending.spent.running += share
+			a.spending.spent.running += share
 		default:
-			c.autoscaling.spending.spent.fetching += share
+			a.spending.spent.fetching += share
 		}
 	}
-	c.autoscaling.spending.spent.partIdle += max(free, 0)
+	a.spending.spent.partIdle += max(free, 0)
 }
 
 // lostWork counts what a task had run that has to run again.
-func (c *Core) lostWork(m *machine, b *allocation) {
-	j := c.jobs.list[b.job]
+func (a *autoscaling) lostWork(m *machine, b *allocation) {
+	j := a.jobs.list[b.job]
 	if b.runningSince == 0 || m.capacity.total.CPUs <= 0 || j.over() {
 		return
 	}
-	c.autoscaling.spending.spent.lost += c.pricePerSecond(m) * j.request.size.CPUs / m.capacity.total.CPUs * (c.clock.now - b.runningSince).Seconds()
+	a.spending.spent.lost += a.pricePerSecond(m) * j.request.size.CPUs / m.capacity.total.CPUs * (a.clock.now - b.runningSince).Seconds()
 }
 
-func (c *Core) logSpending() {
-	s := &c.autoscaling.spending.spent
+func (a *autoscaling) logSpending() {
+	s := &a.spending.spent
 	if s.total() > 0 {
-		c.log.Info("money spent", "seconds", (c.clock.now - c.autoscaling.spending.logged).Seconds(), "total", s.total(), "booting", s.booting, "fetching", s.fetching,
-			"running", s.running, "saving", s.saving, "part_idle", s.partIdle, "idle", s.idle, "returning", s.returning, "lost", s.lost, "machines", len(c.machines.live))
+		a.log.Info("money spent", "seconds", (a.clock.now - a.spending.logged).Seconds(), "total", s.total(), "booting", s.booting, "fetching", s.fetching,
+			"running", s.running, "saving", s.saving, "part_idle", s.partIdle, "idle", s.idle, "returning", s.returning, "lost", s.lost, "machines", len(a.machines.live))
 	}
-	c.autoscaling.spending.spent, c.autoscaling.spending.logged = spending{}, c.clock.now
+	a.spending.spent, a.spending.logged = spending{}, a.clock.now
 }
--- a/internal/scheduler/spending_test.go
+++ b/internal/scheduler/spending_test.go
@@ -41,8 +41,8 @@
 			}
 			c.autoscaling.spending.spent, c.autoscaling.spending.until, c.autoscaling.spending.logged = spending{}, c.clock.now, c.clock.now
 			c.clock.now += 10 * time.Second
-			c.spend()
-			unit := c.pricePerSecond(m) * 10 / 100
+			c.autoscaling.spend()
+			unit := c.autoscaling.pricePerSecond(m) * 10 / 100
 			for _, part := range []struct {
 				name      string
 				got, want float64
--- a/internal/scheduler/stops.go
+++ b/internal/scheduler/stops.go
@@ -13,22 +13,22 @@
 		return
 	}
 	b.stopping, b.gracePeriod = true, grace
-	c.sendStop(m, b)
+	c.commands.sendStop(m, b)
 }
 
 // requiredStops lists the stops that the answer to a report owes: those of the tasks in it that
 // must not run. It decides that for every answer, since each renews the worker's lease. That
 // a report may be an old copy is no reason to leave one out: stopping an attempt that is no
 // longer there does nothing.
-func (c *Core) requiredStops(m *machine, r *wire.Heartbeat, believed bool) []wire.Command {
+func (q *commands) requiredStops(m *machine, r *wire.Heartbeat, believed bool) []wire.Command {
 	stops := []wire.Command{}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		if t.Status == wire.TaskEnded || len(stops) >= maxCommandsPerResponse {
 			continue // what is left is stopped in the answers to the next reports
 		}
-		if grace, must := c.mustStop(m, t, believed); must {
-			c.noteStop(m, t)
+		if grace, must := q.mustStop(m, t, believed); must {
+			q.cancellations.noteStop(m, t)
 			stops = append(stops, stopCommand(t.Task, t.Attempt, grace))
 		}
 	}
@@ -37,8 +37,8 @@
 
 // mustStop tells whether a task that a machine reports as alive must not run, and how long
 // it may take to save its progress.
-func (c *Core) mustStop(m *machine, t *wire.TaskStatus, believed bool) (grace float64, must bool) {
-	j, _, b := c.taskOf(m, t)
+func (q *commands) mustStop(m *machine, t *wire.TaskStatus, believed bool) (grace float64, must bool) {
+	j, _, b := q.jobs.taskOf(m, t)
 	switch {
 	case j == nil:
 		// Whatever an earlier leader started has its job's record in the ledger. So this one
@@ -61,28 +61,28 @@
 // are sent one after the other, in two commands or in an answer and a command, arrive in
 // any order, and a worker ignores the stop of what it does not know yet: the start acted
 // after its stop, and the task ran until the worker's next report was answered.
-func (c *Core) repeatStops(call *commandInFlight, r *wire.Heartbeat) {
+func (q *commands) repeatStops(call *commandInFlight, r *wire.Heartbeat) {
 	m := call.machine
 	if r == nil || r.Machine != m.name || r.AgentEpoch != m.agent.epoch {
 		return
 	}
 	for _, attempt := range call.startedAttempts {
 		if b := m.allocation(attempt); b != nil && b.stopping && isAlive(r, attempt) {
-			c.sendStop(m, b)
+			q.sendStop(m, b)
 		}
 	}
 	for _, attempt := range call.stoppedAttempts {
 		b := m.allocation(attempt)
 		if b != nil && b.stopping && b.state == allocationSent && !b.stopRepeated && !isAlive(r, attempt) {
 			b.stopRepeated = true
-			c.sendStop(m, b)
+			q.sendStop(m, b)
 		}
 	}
 }
 
 // sendStop has a machine told to stop a booked attempt.
-func (c *Core) sendStop(m *machine, b *allocation) {
-	c.queueCommand(m, stopCommand(c.taskName(b), b.attempt, b.gracePeriod))
+func (q *commands) sendStop(m *machine, b *allocation) {
+	q.queueCommand(m, stopCommand(q.jobs.taskName(b), b.attempt, b.gracePeriod))
 }
 
 // isAlive tells whether a report lists an attempt that has not ended.
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -46,7 +46,7 @@
 	c.agents.unreachable.nextCheck = c.clock.now + unreachableCheckInterval
 	var silent []*machine
 	for _, m := range c.machines.live {
-		if m.agent.unreachable == nil && m.recorded.namedByJobs > 0 && m.state != machineGone && c.clock.now-max(m.agent.lastHeartbeat, c.clock.termStart, c.clock.tickingSince) > c.unreachableAfter() {
+		if m.agent.unreachable == nil && m.recorded.namedByJobs > 0 && m.state != machineGone && c.clock.now-max(m.agent.lastHeartbeat, c.clock.termStart, c.clock.tickingSince) > c.agents.unreachableAfter() {
 			silent = append(silent, m)
 		}
 	}
@@ -65,13 +65,13 @@
 const unreachableRecordOverhead = 64
 
 func (c *Core) writeUnreachable(machines []*machine) {
-	n := &unreachableRecord{key: c.unreachableKey(), machines: machines}
+	n := &unreachableRecord{key: c.agents.unreachableKey(), machines: machines}
 	c.agents.unreachable.records = append(c.agents.unreachable.records, n)
 	record := ledger.UnreachableRecord{}
 	over := c.clock.termStart
 	for _, m := range machines {
 		m.agent.unreachable = n
-		c.indexChanged(m)
+		c.placement.indexChanged(m)
 		over = max(over, m.agent.leaseExpiry)
 		record.Machines = append(record.Machines, m.name)
 	}
@@ -83,14 +83,14 @@
 // unreachableKey returns a key for a note, one that is free if there is. Keys are never
 // deleted: a write of unknown outcome may yet be carried out, and where its key
 // is missing, as it was before, it would bring back a note that is withdrawn.
-func (c *Core) unreachableKey() string {
-	if n := len(c.agents.unreachable.freeKeys); n > 0 {
-		key := c.agents.unreachable.freeKeys[n-1]
-		c.agents.unreachable.freeKeys = c.agents.unreachable.freeKeys[:n-1]
+func (a *agents) unreachableKey() string {
+	if n := len(a.unreachable.freeKeys); n > 0 {
+		key := a.unreachable.freeKeys[n-1]
+		a.unreachable.freeKeys = a.unreachable.freeKeys[:n-1]
 		return key
 	}
-	c.agents.unreachable.keyCount++
-	return ledger.UnreachableKey(fmt.Sprintf("%d-%d", c.term, c.agents.unreachable.keyCount))
+	a.unreachable.keyCount++
+	return ledger.UnreachableKey(fmt.Sprintf("%d-%d", a.term, a.unreachable.keyCount))
 }
 
 // restoreUnreachable takes over what earlier leaders have noted.
@@ -117,16 +117,16 @@
 
 // heardFrom notes a sign of life: what was noted of the machine, and of those noted
 // with it, is withdrawn.
-func (c *Core) heardFrom(m *machine) {
+func (a *agents) heardFrom(m *machine) {
 	if m.agent.unreachable != nil {
-		c.withdrawUnreachable(m.agent.unreachable)
+		a.withdrawUnreachable(m.agent.unreachable)
 	}
 }
 
-func (c *Core) withdrawUnreachable(n *unreachableRecord) {
+func (a *agents) withdrawUnreachable(n *unreachableRecord) {
 	if !n.withdrawn {
 		n.withdrawn = true
-		c.writes.put(ledger.Write{Key: n.key, Value: ledger.UnreachableRecord{}, Urgent: true, Tag: unreachableTag{n.key}})
+		a.writes.put(ledger.Write{Key: n.key, Value: ledger.UnreachableRecord{}, Urgent: true, Tag: unreachableTag{n.key}})
 	}
 }
 
@@ -143,7 +143,7 @@
 	for _, m := range n.machines {
 		if m.agent.unreachable == n {
 			m.agent.unreachable = nil
-			c.indexChanged(m)
+			c.placement.indexChanged(m)
 		}
 	}
 	c.placement.needed = true
@@ -158,21 +158,21 @@
 }
 
 // dropUnreachable withdraws the notes that are of no use any more.
-func (c *Core) dropUnreachable() {
-	for _, n := range c.agents.unreachable.records {
+func (a *agents) dropUnreachable() {
+	for _, n := range a.unreachable.records {
 		if !slices.ContainsFunc(n.machines, func(m *machine) bool { return m.state != machineGone && m.recorded.namedByJobs > 0 }) {
-			c.withdrawUnreachable(n)
+			a.withdrawUnreachable(n)
 		}
 	}
 }
 
 // holdAnswerForUnreachable keeps the answer to a machine that is noted as silent until that is
 // withdrawn.
-func (c *Core) holdAnswerForUnreachable(a heldAnswer) bool {
+func (q *commands) holdAnswerForUnreachable(a heldAnswer) bool {
 	if a.machine.agent.unreachable == nil {
 		return false
 	}
 	a.machine.commands.openAnswer = 0
-	c.commands.heldForUnreachable = append(c.commands.heldForUnreachable, a)
+	q.heldForUnreachable = append(q.heldForUnreachable, a)
 	return true
 }
--- a/internal/scheduler/user_requests.go
+++ b/internal/scheduler/user_requests.go
@@ -11,7 +11,7 @@
 		return
 	}
 	j := c.jobs.list[i]
-	c.effects.emit(UserReply{ReplyTo: e.ReplyTo, Known: true, Status: c.status(j), TerminalStatePending: c.terminalStatePending(j)})
+	c.effects.emit(UserReply{ReplyTo: e.ReplyTo, Known: true, Status: c.status(j), TerminalStatePending: c.jobs.terminalStatePending(j)})
 }
 
 // status is what may be told about a job: a terminal state only once it is
