--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -36,7 +36,7 @@
 	return agents{term: c.term, clock: &c.clock, effects: &c.effects, writes: &c.writes, machines: &c.machines, commands: &c.commands,
 		lease:             settings.Stretch(settings.Seconds(workers.LeaseS)) + leaseMargin,
 		heartbeatInterval: settings.Seconds(workers.ReportS),
-		probes:            probes{atOnce: fewProbes}}
+		probes:            probes{atOnce: minProbes}}
 }
 
 // agentState is what is known of the agent on one machine.
@@ -58,7 +58,7 @@
 
 	lastHeartbeat    time.Duration
 	lastAcknowledged time.Duration // when it last showed that it receives our responses
-	lastAnswered     time.Duration // the last heartbeat that was answered in this term
+	lastResponse     time.Duration // the last heartbeat that was answered in this term
 	epochSeenAt      time.Duration // when this leader first received a heartbeat of its present incarnation
 	tokenRaisedAt    time.Duration
 	leaseExpiry      time.Duration // when an unseen task on its machine must have ended
@@ -86,3 +86,48 @@
 func (s heartbeatPosition) before(o heartbeatPosition) bool {
 	return s.epoch < o.epoch || s.epoch == o.epoch && s.sequence < o.sequence
 }
+
+// schedulable tells whether a machine takes new tasks at all.
+func (a *agents) schedulable(m *machine) bool {
+	return m.state == machineUp && m.trusted(a.term) && m.agent.epoch > m.agent.expiredEpoch && m.typ >= 0 && m.agent.unreachable == nil && !m.eviction.cordoned && !m.health.quarantined && a.clock.now >= m.commands.avoidUntil && m.rental.terminationAt == 0 && !m.agent.unacknowledged && a.clock.now-m.agent.lastAcknowledged < a.unreachableAfter()
+}
+
+// trusted tells whether what a machine reports is believed: it has echoed the term's token.
+// One whose deletion is asked for counts as well. The cloud may be out of order for longer
+// than cancel_s, and a machine that goes on meanwhile must be told what to stop.
+func (m *machine) trusted(term uint64) bool {
+	return (m.state == machineUp || m.state == machineDeleting) && m.agent.acknowledgedToken>>tokenBits == term
+}
+
+// unreachableAfter is when a machine that said nothing gets no more work.
+func (a *agents) unreachableAfter() time.Duration { return a.heartbeatInterval*2 + time.Second }
+
+// unacknowledgedFor is how long a machine has not shown that it hears this leader. That its
+// reports come in alone shows nothing.
+func (a *agents) unacknowledgedFor(m *machine) time.Duration {
+	return a.clock.now - max(m.agent.lastAcknowledged, m.agent.epochSeenAt, a.clock.tickingSince)
+}
+
+// heartbeatExpected tells whether a machine should be reporting: it has, or an earlier
+// leader has started something on it.
+func (a *agents) heartbeatExpected(m *machine) bool {
+	return m.state == machineUp || m.state == machineStarting && len(m.recorded.inDoubtJobs) > 0
+}
+
+// markUnacknowledged notes a sign that a machine does not hear us: it gets no work until
+// it has echoed a higher token. That its reports come in shows nothing.
+func (c *Core) markUnacknowledged(m *machine) {
+	m.agent.fencingToken++
+	m.agent.tokenRaisedAt, m.agent.unacknowledged = c.clock.now, true
+	c.placement.indexChanged(m)
+}
+
+// raiseFencingToken raises a machine's token now and then: the worker's next report echoes
+// it if the answer has arrived. Not while a command is on its way there, which
+// would then be refused.
+func (a *agents) raiseFencingToken(m *machine) {
+	if m.trusted(a.term) && m.commands.inFlight == 0 && m.agent.acknowledgedToken >= m.agent.fencingToken && a.clock.now-m.agent.tokenRaisedAt >= a.lease/4 {
+		m.agent.fencingToken++
+		m.agent.tokenRaisedAt = a.clock.now
+	}
+}
--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"leadproxy/internal/slowfit"
-	"leadproxy/internal/wire"
 )
 
 // The states of a booking.
@@ -24,9 +23,9 @@
 	zone      int32
 	attempt   uint64
 	state     allocationState
-	// answeredSequence is the seq of the report whose answer carried the start; 0: a
+	// responseSequence is the seq of the report whose answer carried the start; 0: a
 	// direct command did. Only a later report tells that it was not executed.
-	answeredSequence  uint64
+	responseSequence  uint64
 	lastHeartbeatSeen uint64 // the last look at a report that listed it
 	status            string // as last reported
 	share             float64
@@ -53,10 +52,6 @@
 	reserved    bool // kept free for one job's first task
 }
 
-func (t *jobTable) taskName(b *allocation) string {
-	return wire.TaskName(t.list[b.job].id, int(b.task))
-}
-
 func (m *machine) allocation(attempt uint64) *allocation {
 	for _, b := range m.capacity.allocations {
 		if b.attempt == attempt {
@@ -70,22 +65,22 @@
 // for to be gone.
 func (c *Core) allocate(m *machine, j *job, n int32, attempt uint64, charge bool) *allocation {
 	b := c.placement.takeRoom(m, j, n, attempt, charge)
-	c.softState.changed(m)
+	c.softState.machineChanged(m)
 	return b
 }
 
 // deallocate gives an allocation's room back. A job that is over may be settled by that.
 func (c *Core) deallocate(m *machine, b *allocation) {
 	c.placement.giveRoomBack(m, b)
-	c.softState.changed(m)
-	c.jobs.settleJob(c.jobs.list[b.job])
+	c.softState.machineChanged(m)
+	c.jobs.cleanUp(c.jobs.list[b.job])
 }
 
 // takeRoom notes an allocation on its machine, with its job, its class and its team.
 func (p *placement) takeRoom(m *machine, j *job, n int32, attempt uint64, charge bool) *allocation {
 	b := &allocation{job: j.index, task: n, zone: m.zone, attempt: attempt, share: j.request.size.Share(m.capacity.total)}
 	if charge {
-		j.progress.tasks[n].state = taskBooked
+		j.progress.tasks[n].state = taskAllocated
 	} else {
 		b.stopping = true
 	}
@@ -93,7 +88,7 @@
 		b.share = 0
 	}
 	j.progress.allocated++
-	j.zoned(b.zone, 1)
+	j.countInZone(b.zone, 1)
 	p.classes.allocatedCores[j.request.class] += j.request.size.CPUs
 	p.quotas.teams[j.request.team].allocated = p.quotas.teams[j.request.team].allocated.plus(unitsOf(j.request.size))
 	m.capacity.free = m.capacity.free.Minus(j.request.size)
@@ -118,7 +113,7 @@
 	}
 	j := p.jobs.list[b.job]
 	j.progress.allocated--
-	j.zoned(b.zone, -1)
+	j.countInZone(b.zone, -1)
 	p.classes.allocatedCores[j.request.class] -= j.request.size.CPUs
 	p.quotas.teams[j.request.team].allocated = p.quotas.teams[j.request.team].allocated.minus(unitsOf(j.request.size))
 	if len(m.capacity.allocations) == 0 {
@@ -136,7 +131,7 @@
 
 // release gives a booking's room back and has its task wait again.
 func (c *Core) release(m *machine, b *allocation) {
-	c.autoscaling.lostWork(m, b)
+	c.autoscaling.addLostWork(m, b)
 	c.evictions.displaced(m, b, false, "its machine is lost")
 	c.deallocate(m, b)
 	c.placement.requeue(c.jobs.list[b.job], b.task)
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -5,18 +5,15 @@
 	"time"
 
 	"leadproxy/internal/autoscaler"
-	"leadproxy/internal/settings"
-	"leadproxy/internal/slowfit"
-	"leadproxy/internal/wire"
 )
 
 // The times of the fleet's routine.
 const (
-	typesEvery       = 30 * time.Second
-	listEvery        = 4 * time.Second
-	planEvery        = 500 * time.Millisecond
-	refusedFirst     = 8 * time.Second
-	refusedMost      = 30 * time.Second
+	typesInterval    = 30 * time.Second
+	listInterval     = 4 * time.Second
+	planInterval     = 500 * time.Millisecond
+	minPoolBackoff   = 8 * time.Second
+	maxPoolBackoff   = 30 * time.Second
 	minRental        = 60 * time.Second // a machine is charged for this long at least
 	maxOpenScaleOuts = 8
 	maxCalls         = 4 // for one offer at once
@@ -53,7 +50,7 @@
 
 	demand        []autoscaler.DemandEstimator // by class
 	limitedDemand []autoscaler.DemandEstimator // by team, only of those with a limit
-	sizes         []sized                      // of the demand, the one with most core-seconds first
+	sizes         []weightedSize               // of the demand, the one with most core-seconds first
 
 	spending spendingLog
 }
@@ -65,7 +62,7 @@
 		pools:         map[autoscaler.CapacityPool]*poolState{},
 		scaleOuts:     map[string]*scaleOut{},
 		limitedDemand: make([]autoscaler.DemandEstimator, len(c.quotas.teams)),
-		spending:      spendingLog{until: c.clock.now, logged: c.clock.now},
+		spending:      spendingLog{accruedUntil: c.clock.now, loggedAt: c.clock.now},
 	}
 }
 
@@ -86,8 +83,8 @@
 	return f.pools[o]
 }
 
-// autoscalingTick runs the routine: reading the cloud, returning, hiring.
-func (a *autoscaling) autoscalingTick() {
+// tick runs the routine: reading the cloud, returning, hiring.
+func (a *autoscaling) tick() {
 	if !a.readingTypes && a.clock.now >= a.nextTypes {
 		a.readingTypes = true
 		a.effects.emit(CallCloud{autoscaler.Call{Types: true}})
@@ -104,99 +101,7 @@
 	if a.clock.now < a.nextPlan || len(a.types.list) == 0 {
 		return
 	}
-	a.nextPlan = a.clock.now + planEvery
+	a.nextPlan = a.clock.now + planInterval
 	a.scaleIn()
 	a.scaleOutMachines()
 }
-
-func (c *Core) cloudResult(r autoscaler.Result) {
-	switch {
-	case r.Call.ScaleOut != nil:
-		c.scaleOutResult(r)
-	case r.Call.Delete != nil:
-		for _, name := range r.Call.Delete {
-			if m := c.machineNamed(name); r.Err == nil {
-				c.gone(m, "deleted")
-			}
-		}
-	case r.Call.Types:
-		c.autoscaling.readingTypes = false
-		c.autoscaling.nextTypes = c.clock.now + typesEvery
-		if r.Err != nil {
-			c.log.Debug("machine types not read", "error", r.Err)
-			c.autoscaling.nextTypes = c.clock.now + time.Second
-			return
-		}
-		c.typesRead(r.Types)
-	case r.Call.List:
-		c.autoscaling.listing = false
-		c.autoscaling.nextList = c.clock.now + listEvery
-		if r.Err != nil {
-			c.log.Debug("machines not listed", "error", r.Err)
-			return
-		}
-		c.listRead(r.List)
-	}
-}
-
-func (c *Core) typesRead(types []wire.MachineType) {
-	for _, t := range types {
-		i, ok := c.types.indexByName[t.Name]
-		if !ok {
-			i = int32(len(c.types.list))
-			c.types.indexByName[t.Name] = i
-			c.types.list = append(c.types.list, machineType{MachineType: t, boot: settings.Seconds(t.BootS)})
-			c.softState.inheritType(i)
-		}
-		mt := &c.types.list[i]
-		mt.MachineType = t
-		mt.total = slowfit.Size{CPUs: t.CPUs, GPUs: t.GPUs, MemGB: t.MemGB}
-		mt.zones = mt.zones[:0]
-		for _, z := range t.Zones {
-			mt.zones = append(mt.zones, c.machines.zones.of(z))
-		}
-		if !ok {
-			for _, m := range c.machines.live {
-				if m.typeName == t.Name {
-					c.describe(m, t.Name, c.machines.zones.list[m.zone], m.spot, "")
-				}
-			}
-			for _, j := range c.jobs.active {
-				j.request.types = nil
-			}
-			c.placement.needed = true
-		}
-	}
-}
-
-func (c *Core) listRead(list []wire.ListedMachine) {
-	for _, m := range c.machines.live {
-		if m.rental.listed {
-			m.rental.missedListings++
-		}
-	}
-	for i := range list {
-		l := &list[i]
-		m := c.machineNamed(l.Name)
-		if m.state == machineGone {
-			continue
-		}
-		if !m.rental.listed {
-			m.rental.listed = true
-			m.rental.rentedAt = c.clock.now - settings.Seconds(l.AgeS)
-			c.autoscaling.scaleOutMachineSeen(m)
-		}
-		if m.typeName == "" {
-			c.describe(m, l.Type, l.Zone, l.Spot, l.Address)
-		}
-		m.rental.missedListings = 0
-		if l.Status == wire.MachineRunning && settings.Seconds(l.AgeS) > c.clock.now-c.clock.termStart {
-			c.agents.probe(m)
-		}
-		if l.Status == wire.MachineFailed {
-			// It has stopped on its own, and all on it with it.
-			c.autoscaling.askDelete(m, "failed")
-			c.gone(m, "listed as failed")
-		}
-	}
-}
--- a/internal/scheduler/cancel_test.go
+++ b/internal/scheduler/cancel_test.go
@@ -111,5 +111,5 @@
 	g.want("state", g.jobStatus("job-1"), wire.JobCancelled)
 	g.up("vm-1")
 	g.want("starts", len(g.starts()), 0)
-	g.want("settled", g.c.jobs.list[0].end.settled, true)
+	g.want("settled", g.c.jobs.list[0].end.cleanedUp, true)
 }
--- a/internal/scheduler/cancel_watch.go
+++ b/internal/scheduler/cancellations.go
@@ -16,11 +16,11 @@
 // run past its bound.
 const MessageCancelledTaskOverdue = "a cancelled task may run past its bound"
 
-// cancelledEvery is how often what was done about cancelled tasks is logged.
-const cancelledEvery = time.Minute
+// cancellationLogInterval is how often what was done about cancelled tasks is logged.
+const cancellationLogInterval = time.Minute
 
-// cancelledCounts counts what was done about cancelled tasks since it was last logged.
-type cancelledCounts struct {
+// stopCounts counts what was done about cancelled tasks since it was last logged.
+type stopCounts struct {
 	Due      int // stops decided as jobs were cancelled
 	Repeated int // stops in answers to reports that still list the task
 	Unknown  int // stops of tasks whose job nobody knows
@@ -37,7 +37,7 @@
 	jobs     *jobTable
 	machines *machineTable
 
-	counts   cancelledCounts
+	counts   stopCounts
 	loggedAt time.Duration
 }
 
@@ -59,9 +59,9 @@
 	return j.end.state == wire.JobCancelled && j.end.durable && w.clock.now-max(j.end.at, w.clock.tickingSince) > w.cancelBound()
 }
 
-// noteStop notes that an answer stops a task that must not run.
-func (w *cancellationWatch) noteStop(m *machine, t *wire.TaskStatus) {
-	j, _, _ := w.jobs.taskOf(m, t)
+// countStop notes that an answer stops a task that must not run.
+func (w *cancellationWatch) countStop(m *machine, t *wire.TaskStatus) {
+	j, _, _ := w.jobs.findTask(m, t)
 	switch {
 	case j == nil:
 		w.counts.Unknown++
@@ -75,21 +75,21 @@
 	}
 }
 
-// watchCancelled looks for bookings of cancelled jobs past their bound, each job once.
-func (w *cancellationWatch) watchCancelled() {
+// check looks for bookings of cancelled jobs past their bound, each job once.
+func (w *cancellationWatch) check() {
 	for _, j := range w.jobs.active {
 		if j.progress.allocated > 0 && !j.end.overdueLogged && w.overdue(j) {
 			j.end.overdueLogged = true
-			w.noteOverdue(j)
+			w.logOverdue(j)
 		}
 	}
-	if w.clock.now-w.loggedAt >= cancelledEvery {
+	if w.clock.now-w.loggedAt >= cancellationLogInterval {
 		w.logCancelled()
 	}
 }
 
-// noteOverdue logs where a cancelled job's tasks may still be.
-func (w *cancellationWatch) noteOverdue(j *job) {
+// logOverdue logs where a cancelled job's tasks may still be.
+func (w *cancellationWatch) logOverdue(j *job) {
 	for _, m := range w.machines.live {
 		for _, b := range m.capacity.allocations {
 			if b.job != j.index {
@@ -105,8 +105,8 @@
 
 // logCancelled logs what was done about cancelled tasks, if there was anything.
 func (w *cancellationWatch) logCancelled() {
-	if n := w.counts; n != (cancelledCounts{}) {
+	if n := w.counts; n != (stopCounts{}) {
 		w.log.Info("cancelled tasks", "stops_due", n.Due, "stops_repeated", n.Repeated, "unknown_tasks", n.Unknown, "overdue", n.Overdue)
 	}
-	w.counts, w.loggedAt = cancelledCounts{}, w.clock.now
+	w.counts, w.loggedAt = stopCounts{}, w.clock.now
 }
--- a/internal/scheduler/classes.go
+++ b/internal/scheduler/classes.go
@@ -1,9 +1,10 @@
 package scheduler
 
 import (
+	"time"
+
 	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/settings"
-	"time"
 )
 
 // classTable holds what is kept by class of jobs.
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -6,7 +6,6 @@
 import (
 	"context"
 	"log/slog"
-	"slices"
 	"time"
 
 	"leadproxy/internal/ledger"
@@ -81,7 +80,7 @@
 	c.evictions = newEvictions(c)
 	c.cancellations = newCancellationWatch(c)
 	c.restore(&s)
-	c.flush()
+	c.sendDeferred()
 	return c
 }
 
@@ -91,7 +90,7 @@
 	c.clock.set(now, wall)
 	switch e := event.(type) {
 	case JobRecordEvent:
-		c.jobRecorded(e)
+		c.recordJob(e)
 	case HeartbeatEvent:
 		c.heartbeatReceived(e)
 	case CommandResult:
@@ -105,7 +104,7 @@
 	case WritesDurable:
 		c.writes.durable(len(e.Tags))
 		for _, tag := range e.Tags {
-			c.durable(tag)
+			c.writeDurable(tag)
 		}
 	case CloudResult:
 		c.cloudResult(e.Result)
@@ -114,18 +113,18 @@
 	case WritesRejected:
 		c.writes.rejected(len(e.Tags))
 		for _, tag := range e.Tags {
-			c.rejected(tag)
+			c.writeRejected(tag)
 		}
 	case Tick:
 		c.tick()
 	case SoftStateRequest:
 		c.softState.softStateRequested(e)
 	case PlanRequest:
-		c.evictions.planAsked(e)
+		c.evictions.planRequested(e)
 	case PlanListRequest:
-		c.evictions.plansListed(e)
+		c.evictions.planListRequested(e)
 	default:
-		c.stepTransfers(event)
+		c.federationEvent(event)
 	}
 }
 
@@ -139,7 +138,7 @@
 		c.placement.needed = false
 		c.placement.place(c.federation.uncertainUse())
 	}
-	c.flush()
+	c.sendDeferred()
 	return c.effects.take()
 }
 
@@ -151,10 +150,10 @@
 // tick does what time alone brings.
 func (c *Core) tick() {
 	c.clock.tick()
-	c.autoscaling.spend()
+	c.autoscaling.accrueSpending()
 	for _, m := range c.machines.live {
 		c.expireLease(m)
-		if m.indexed.schedulable != c.agents.accepts(m) {
+		if m.indexed.schedulable != c.agents.schedulable(m) {
 			// It has fallen silent, or is no longer shunned.
 			c.placement.indexChanged(m)
 			c.placement.needed = true
@@ -167,61 +166,22 @@
 		}
 	}
 	c.dropFinished()
-	c.cancellations.watchCancelled()
+	c.cancellations.check()
 	c.recordUnreachable()
-	c.agents.dropUnreachable()
+	c.agents.withdrawUseless()
 	c.softState.dropInherited()
-	c.autoscaling.autoscalingTick()
+	c.autoscaling.tick()
 	c.attempts.endExhausted()
 	c.federationTick()
 	c.evictionTick()
 	c.placement.lowerGoal()
 }
 
-// anyWaiting tells whether some task could be placed if there were room.
-func (t *jobTable) anyWaiting() bool {
-	return slices.ContainsFunc(t.active, func(j *job) bool { return j.placeable(t.clock.now) })
-}
-
-// calmFor is how long nothing must have waited before the goal falls.
-const calmFor = 5 * time.Second
-
-// lowerGoal lets the goal fall after a burst, since in the paper it never
-// does and would stop limiting anything. The mean load of the machines stands
-// for the optimum: no placement brings the busiest one below that.
-func (p *placement) lowerGoal() {
-	if p.jobs.anyWaiting() {
-		p.lowLoadSince = p.clock.now
-		return
-	}
-	if p.clock.now-p.lowLoadSince < calmFor {
-		return
-	}
-	p.lowLoadSince = p.clock.now
-	load, n := 0.0, 0
-	for _, m := range p.machines.live {
-		if p.agents.accepts(m) {
-			n++
-			for _, b := range m.capacity.allocations {
-				load += b.share
-			}
-		}
-	}
-	if n > 0 {
-		before := p.goal.L
-		p.goal.Fall(load / float64(n))
-		if p.goal.L != before {
-			p.index.ClearLoads()
-			p.log.Debug("goal lowered", "from", before, "to", p.goal.L, "mean_load", load/float64(n))
-		}
-	}
-}
-
 // dropFinished forgets jobs and machines that need no more attention.
 func (c *Core) dropFinished() {
 	keep := c.jobs.active[:0]
 	for _, j := range c.jobs.active {
-		if !j.end.settled {
+		if !j.end.cleanedUp {
 			keep = append(keep, j)
 		}
 	}
--- a/internal/scheduler/core_test.go
+++ b/internal/scheduler/core_test.go
@@ -88,7 +88,7 @@
 			g.settle(CommandOutcomeUnknown)
 			g.want("token", g.report(g.reportOf("vm-1", ours)).FencingToken, uint64(ours+1))
 			c.act(g, first)
-			g.wait(shunFor + time.Second/2)
+			g.wait(avoidFor + time.Second/2)
 			again := g.starts()
 			g.want("further starts", len(again), c.again)
 			if len(again) > 0 && again[0].Attempt == first.Attempt {
@@ -152,20 +152,20 @@
 		durable bool
 		want    int
 	}{
-		{"ends in the ledger", CommandExecuted, ours, wire.ExitDone, true, forgetAtOnce},
+		{"ends in the ledger", CommandExecuted, ours, wire.ExitDone, true, minForgets},
 		{"ends not yet in the ledger", CommandExecuted, ours, wire.ExitDone, false, 0},
 		{"while the starts may still be repeated", CommandOutcomeUnknown, ours, wire.ExitDone, true, 0},
-		{"once the raised token is echoed", CommandOutcomeUnknown, ours + 1, wire.ExitDone, true, forgetAtOnce},
-		{"failures", CommandExecuted, ours, wire.ExitError, true, forgetAtOnce},
+		{"once the raised token is echoed", CommandOutcomeUnknown, ours + 1, wire.ExitDone, true, minForgets},
+		{"failures", CommandExecuted, ours, wire.ExitError, true, minForgets},
 		{"failures whose starts may still be repeated", CommandOutcomeUnknown, ours, wire.ExitError, true, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := newStage(t, ledger.Snapshot{})
 			g.up("vm-1")
-			g.submit(newTestJob("job-1", forgetAtOnce+1, 0.25))
+			g.submit(newTestJob("job-1", minForgets+1, 0.25))
 			var ended []wire.TaskStatus
-			for _, o := range g.starts()[:forgetAtOnce] {
+			for _, o := range g.starts()[:minForgets] {
 				ended = append(ended, taskIn(o, wire.TaskEnded, c.why))
 			}
 			g.settle(c.outcome)
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -6,16 +6,17 @@
 
 	"leadproxy/internal/federation"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/wire"
 )
 
 // Which jobs are offered to other cells, when, and to whom.
 
-// lookEvery is how often the queue is looked through for jobs to be offered.
-const lookEvery = time.Second
+// forwardingInterval is how often the queue is looked through for jobs to be offered.
+const forwardingInterval = time.Second
 
-// mayLeave tells whether a job can run in another cell: whole, never started anywhere,
+// mayDelegate tells whether a job can run in another cell: whole, never started anywhere,
 // of this cell, and not bound to a zone of it.
-func (f *federationState) mayLeave(j *job) bool {
+func (f *federationState) mayDelegate(j *job) bool {
 	return j.placeable(f.clock.now) && j.transfer.origin == "" && !j.progress.startedOnce && j.progress.allocated == 0 && len(j.record.hosts) == 0 && j.progress.done == 0 &&
 		j.placement.reservedMachine == nil && j.request.zone < 0 && !j.suspect() && f.delegated.MayBegin(j.id)
 }
@@ -29,9 +30,9 @@
 	return f.clock.now+wait+f.estimates.expectedRun(j) > j.priority.deadline
 }
 
-// findCellForJobs offers jobs to neighbours that have room for them while this cell is short
+// forwardJobs offers jobs to neighbours that have room for them while this cell is short
 // of it.
-func (c *Core) findCellForJobs() {
+func (c *Core) forwardJobs() {
 	t := &c.federation
 	late := c.federation.expectedLateJobs()
 	if !t.shortage.Look(c.clock.now, len(late) > 0 && !c.autoscaling.canScaleOut()) {
@@ -42,25 +43,25 @@
 		wanted += j.cores()
 	}
 	choice := c.federation.delegationInput()
-	c.federation.askForCapacity(choice, wanted)
+	c.federation.requestCapacity(choice, wanted)
 	for _, j := range late {
-		if !choice.credit() {
+		if !choice.hasCredit() {
 			break
 		}
-		c.federation.offer(j, choice)
+		c.federation.delegate(j, choice)
 	}
 	c.applyOriginEffects()
 }
 
-// offering is what offers are decided by at one moment.
-type offering struct {
+// delegationInput is what offers are decided by at one moment.
+type delegationInput struct {
 	cells []federation.Cell // the neighbours, in order
 	used  []units           // by team, in all cells
 }
 
 // delegationInput looks at the neighbours and the teams.
-func (f *federationState) delegationInput() *offering {
-	o := &offering{cells: make([]federation.Cell, len(f.neighbours)), used: f.uncertainUse()}
+func (f *federationState) delegationInput() *delegationInput {
+	o := &delegationInput{cells: make([]federation.Cell, len(f.neighbours)), used: f.uncertainUse()}
 	for i := range o.used {
 		o.used[i] = o.used[i].plus(f.quotas.teams[i].allocated)
 	}
@@ -79,8 +80,8 @@
 	return o
 }
 
-// credit tells whether some neighbour has offered room.
-func (o *offering) credit() bool {
+// hasCredit tells whether some neighbour has offered room.
+func (o *delegationInput) hasCredit() bool {
 	return slices.ContainsFunc(o.cells, func(cell federation.Cell) bool { return cell.Credit > 0 })
 }
 
@@ -90,9 +91,9 @@
 func (f *federationState) expectedLateJobs() []*job {
 	cores, ahead := 0.0, 0.0
 	for _, m := range f.machines.live {
-		if f.autoscaling.counts(m) {
+		if f.autoscaling.countsAsCapacity(m) {
 			cores += m.capacity.total.CPUs
-			ahead += f.placement.busy(m)
+			ahead += f.placement.remainingWork(m)
 		}
 	}
 	var late []*job
@@ -101,39 +102,17 @@
 		if cores > 0 {
 			wait = settings.Seconds(ahead / cores)
 		}
-		if f.mayLeave(j) && f.expectedLate(j, wait) {
+		if f.mayDelegate(j) && f.expectedLate(j, wait) {
 			late = append(late, j)
 			continue
 		}
-		ahead += f.placement.workLeft(j)
+		ahead += f.placement.queuedWork(j)
 	}
 	return late
 }
 
-// canScaleOut tells whether machines are coming or could be asked for.
-func (a *autoscaling) canScaleOut() bool {
-	if len(a.openScaleOuts()) > 0 {
-		return true
-	}
-	if slices.ContainsFunc(a.machines.live, func(m *machine) bool { return m.state == machineStarting && m.typ >= 0 }) {
-		return true
-	}
-	if most := a.cfg.Operator.MaxMachines; most > 0 && a.machines.machineCount() >= most {
-		return false
-	}
-	return a.poolsOpen()
-}
-
-// poolsOpen tells whether some offer of the cloud was not refused a moment ago.
-func (a *autoscaling) poolsOpen() bool {
-	for range a.openPools() {
-		return true
-	}
-	return false
-}
-
-// askForCapacity asks the neighbours what they have for so many cores.
-func (f *federationState) askForCapacity(choice *offering, cores float64) {
+// requestCapacity asks the neighbours what they have for so many cores.
+func (f *federationState) requestCapacity(choice *delegationInput, cores float64) {
 	for i, n := range f.neighbours {
 		cell := choice.cells[i]
 		free := min(cores, cell.Capacity-cell.Used)
@@ -145,8 +124,8 @@
 	}
 }
 
-// askAgain is how long a neighbour rests that was asked for room.
-const askAgain = 2 * time.Second
+// capacityRequestInterval is how long a neighbour rests that was asked for room.
+const capacityRequestInterval = 2 * time.Second
 
 // capacityResult takes a neighbour's answer to the question for room.
 func (c *Core) capacityResult(e CapacityResult) {
@@ -155,7 +134,7 @@
 		return
 	}
 	n.capacityRequested = false
-	n.nextCapacityRequest = c.clock.now + max(askAgain, e.RetryAfter)
+	n.nextCapacityRequest = c.clock.now + max(capacityRequestInterval, e.RetryAfter)
 	if e.Err != nil {
 		c.log.Debug("neighbour not asked for room", "cell", n.Name, "error", e.Err)
 		return
@@ -170,14 +149,14 @@
 	if e.Cores <= 0 {
 		return
 	}
-	c.findCellForJobs()
-	c.federation.exchange()
+	c.forwardJobs()
+	c.federation.sendTransfers()
 }
 
 // delegatedTo is what is away in a cell: jobs, and their cores.
 func (f *federationState) delegatedTo(n *neighbour) (jobs int, cores float64) {
 	for _, ref := range f.delegated.With(n.Name) {
-		if at, ok := f.jobs.indexByID[ref]; ok && !f.jobs.list[at].over() {
+		if at, ok := f.jobs.indexByID[ref]; ok && !f.jobs.list[at].ended() {
 			jobs++
 			cores += f.jobs.list[at].cores()
 		}
@@ -185,9 +164,9 @@
 	return jobs, cores
 }
 
-// offer begins the transfer of a job to the neighbour that the choice names, if its
+// delegate begins the transfer of a job to the neighbour that the choice names, if its
 // team's limit leaves room for all of it: tasks in other cells count there as well.
-func (f *federationState) offer(j *job, o *offering) {
+func (f *federationState) delegate(j *job, o *delegationInput) {
 	if f.quotas.roomInLimit(j, o.used[j.request.team]) < j.progress.total {
 		return
 	}
@@ -210,3 +189,23 @@
 	f.delegated.Begin(j.id, n.Name, body, f.clock.now, f.clock.wallMS)
 	f.log.Info("job is offered to a neighbour", "job", j.id, "cell", n.Name, "cores", j.cores(), "waited_s", (f.clock.now - j.priority.arrived).Seconds(), "share", j.cores()/n.MaxCores)
 }
+
+// uncertainUse is what each team's tasks may use on machines that have not been
+// heard of in this term, and in other cells.
+func (f *federationState) uncertainUse() []units {
+	use := make([]units, len(f.quotas.teams))
+	transfers := !f.delegated.Idle()
+	for _, j := range f.jobs.active {
+		if len(j.record.inDoubtHosts) > 0 && j.end.state != wire.JobDone {
+			n := j.progress.total - j.progress.done - j.progress.allocated
+			use[j.request.team] = use[j.request.team].plus(unitsOf(j.request.size).times(max(n, 0)))
+		}
+		unreadable := j.transfer.delegated && !f.delegated.Delegated(j.id)
+		if unreadable || transfers && f.delegated.MayRunRemotely(j.id) {
+			// All of its tasks may run there at once, also if its transfer's record can't
+			// be read.
+			use[j.request.team] = use[j.request.team].plus(unitsOf(j.request.size).times(j.progress.total))
+		}
+	}
+	return use
+}
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -10,8 +10,8 @@
 	"leadproxy/internal/slowfit"
 )
 
-// arrived learns from a job that has just come in.
-func (a *autoscaling) arrived(j *job) {
+// observeArrival learns from a job that has just come in.
+func (a *autoscaling) observeArrival(j *job) {
 	cores := j.request.size.CPUs * float64(j.progress.total)
 	a.learnArrival(j.request.class, j.request.team, j.priority.arrived, cores, a.estimates.expectedRun(j).Seconds())
 	a.addSize(j.request.size, cores*j.spec.EstimatedRunS, a.classes.objectives[j.request.class].wait > 0)
@@ -25,8 +25,8 @@
 	}
 }
 
-// sized is a task size with its share of the recent demand.
-type sized struct {
+// weightedSize is a task size with its share of the recent demand.
+type weightedSize struct {
 	size   slowfit.Size
 	weight float64
 	wait   bool // some class of that size has an aim on waiting
@@ -45,11 +45,11 @@
 	}
 	if at < 0 {
 		at = len(f.sizes)
-		f.sizes = append(f.sizes, sized{size: size})
+		f.sizes = append(f.sizes, weightedSize{size: size})
 	}
 	f.sizes[at].weight += weight
 	f.sizes[at].wait = f.sizes[at].wait || wait
-	slices.SortStableFunc(f.sizes, func(a, b sized) int { return cmp.Compare(b.weight, a.weight) })
+	slices.SortStableFunc(f.sizes, func(a, b weightedSize) int { return cmp.Compare(b.weight, a.weight) })
 	f.sizes = f.sizes[:min(len(f.sizes), maxSizes)]
 }
 
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -33,13 +33,13 @@
 // team's guarantee, is in no queue, and hires nothing.
 func (j *job) blocked() bool { return j.dependencies.open > 0 || j.transfer.delegated }
 
-// link brings a new job into the graph, as a job that depends on others and as one that
+// linkJob brings a new job into the graph, as a job that depends on others and as one that
 // others depend on. It returns the jobs that no longer wait for any.
-func (t *jobTable) link(j *job) (ready []*job) {
-	if j.spec != nil && !j.over() {
+func (t *jobTable) linkJob(j *job) (ready []*job) {
+	if j.spec != nil && !j.ended() {
 		for _, ref := range j.spec.DependsOn {
 			if at, ok := t.indexByID[ref]; ok {
-				t.needs(j, t.list[at])
+				t.addDependency(j, t.list[at])
 				continue
 			}
 			j.dependencies.open++
@@ -49,8 +49,8 @@
 	for _, at := range t.awaited[j.id] {
 		child := t.list[at]
 		child.dependencies.open-- // counted while it was not seen
-		t.needs(child, j)
-		if !child.blocked() && !child.over() {
+		t.addDependency(child, j)
+		if !child.blocked() && !child.ended() {
 			ready = append(ready, child)
 		}
 	}
@@ -58,8 +58,8 @@
 	return ready
 }
 
-// needs notes that a job waits for another one.
-func (t *jobTable) needs(j, p *job) {
+// addDependency notes that a job waits for another one.
+func (t *jobTable) addDependency(j, p *job) {
 	j.dependencies.dependsOn = append(j.dependencies.dependsOn, p.index)
 	if p.end.durable && p.end.state == wire.JobDone {
 		return
@@ -68,9 +68,9 @@
 	p.dependencies.dependents = append(p.dependencies.dependents, j.index)
 }
 
-// settleDependencies draws the conclusions for a job that has been linked: it may be
+// checkDependencies draws the conclusions for a job that has been linked: it may be
 // cancelled with an ancestor, ready, or raise those that it waits for.
-func (c *Core) settleDependencies(j *job) {
+func (c *Core) checkDependencies(j *job) {
 	for _, at := range j.dependencies.dependsOn {
 		if p := c.jobs.list[at]; p.end.durable && p.end.state == wire.JobCancelled {
 			c.cancelDependent(j, p)
@@ -111,7 +111,7 @@
 		}
 		for _, at := range j.dependencies.dependsOn {
 			p := t.list[at]
-			if p.over() || p.spec == nil || p.priority.class <= j.priority.class && p.priority.deadline <= due {
+			if p.ended() || p.spec == nil || p.priority.class <= j.priority.class && p.priority.deadline <= due {
 				continue
 			}
 			p.priority.class, p.priority.deadline = min(p.priority.class, j.priority.class), min(p.priority.deadline, due)
@@ -140,7 +140,7 @@
 			c.cancelDependent(j, p)
 			continue
 		}
-		if j.dependencies.open--; j.dependencies.open == 0 && !j.over() {
+		if j.dependencies.open--; j.dependencies.open == 0 && !j.ended() {
 			c.becomesReady(j, c.clock.now)
 		}
 	}
@@ -148,7 +148,7 @@
 
 // linkDependencies brings a new job into the graph. Jobs that waited only for it may run.
 func (c *Core) linkDependencies(j *job) {
-	for _, ready := range c.jobs.link(j) {
+	for _, ready := range c.jobs.linkJob(j) {
 		c.becomesReady(ready, c.clock.now)
 	}
 }
@@ -156,7 +156,7 @@
 // becomesReady counts a job's waits, and what it asks for, from a moment on.
 func (c *Core) becomesReady(j *job, at time.Duration) {
 	j.priority.arrived = at
-	c.autoscaling.arrived(j)
+	c.autoscaling.observeArrival(j)
 	c.placement.needed = true
 	c.log.Debug("all that a job waits for is done", "job", j.id, "tasks", j.progress.total)
 }
@@ -167,7 +167,7 @@
 		return
 	}
 	c.log.Debug("job is cancelled with one that it needs", "job", j.id, "needs", p.id)
-	if !j.over() {
+	if !j.ended() {
 		j.end.state = wire.JobCancelled
 		c.jobs.writeTerminal(j, false)
 	}
@@ -182,7 +182,7 @@
 	if j.end.durable {
 		return false
 	}
-	if j.over() {
+	if j.ended() {
 		return true
 	}
 	if len(t.cancelling) == 0 {
@@ -222,11 +222,11 @@
 		c.linkDependencies(j)
 	}
 	for _, j := range slices.Clone(c.jobs.list) {
-		if j.spec == nil || len(j.spec.DependsOn) == 0 || j.over() {
+		if j.spec == nil || len(j.spec.DependsOn) == 0 || j.ended() {
 			continue
 		}
-		c.settleDependencies(j)
-		if !j.over() && !j.blocked() {
+		c.checkDependencies(j)
+		if !j.ended() && !j.blocked() {
 			c.becomesReady(j, c.jobs.readySince(j))
 		}
 	}
--- a/internal/scheduler/dependencies_model_test.go
+++ b/internal/scheduler/dependencies_model_test.go
@@ -133,7 +133,7 @@
 			g.t.Errorf("%s is %s, want %v", ref, got, want)
 		}
 		j := g.c.jobs.list[g.c.jobs.indexByID[ref]]
-		if booked := j.progress.tasks != nil && !j.over() && j.progress.allocated > 0; booked != m.ready(ref) {
+		if booked := j.progress.tasks != nil && !j.ended() && j.progress.allocated > 0; booked != m.ready(ref) {
 			g.t.Errorf("%s has a task on a machine: %v, ready: %v", ref, booked, m.ready(ref))
 		}
 	}
--- a/internal/scheduler/eviction_actions.go
+++ b/internal/scheduler/eviction_actions.go
@@ -34,12 +34,12 @@
 func (c *Core) carryOutPlan(act rollout.Act) {
 	switch a := act.(type) {
 	case rollout.MoveTask:
-		if m := c.machines.machineIfKnown(a.Machine); m != nil {
+		if m := c.machines.find(a.Machine); m != nil {
 			c.moveTask(m, a.Ref, int32(a.Task))
 		}
 	case rollout.ReturnMachine:
-		if m := c.machines.machineIfKnown(a.Machine); m != nil && (m.state == machineDeleting || c.evictions.isEmpty(m)) {
-			c.autoscaling.askDelete(m, "drained")
+		if m := c.machines.find(a.Machine); m != nil && (m.state == machineDeleting || c.evictions.isEmpty(m)) {
+			c.autoscaling.requestDelete(m, "drained")
 		}
 	case rollout.HireAhead:
 		c.evictions.scaleOutAhead(a)
@@ -69,11 +69,11 @@
 func (v *evictionState) requestsFor(request string, like []string) map[string]autoscaler.PlannedScaleOut {
 	counts := map[autoscaler.CapacityPool]int{}
 	for _, name := range like {
-		m := v.machines.machineIfKnown(name)
+		m := v.machines.find(name)
 		switch {
 		case m != nil && m.typ >= 0 && m.zone >= 0:
 			counts[autoscaler.CapacityPool{Type: m.typ, Zone: m.zone, Spot: m.spot}]++
-		case !v.mayMove():
+		case !v.mayDisrupt():
 			return nil
 		}
 	}
@@ -115,8 +115,8 @@
 	return machines
 }
 
-// noteRented notes the machines of a hire, if it may be a plan's.
-func (v *evictionState) noteRented(request string, machines []string) {
+// recordRented notes the machines of a hire, if it may be a plan's.
+func (v *evictionState) recordRented(request string, machines []string) {
 	if !strings.HasPrefix(request, rollout.HirePrefix) {
 		return
 	}
--- a/internal/scheduler/eviction_view.go
+++ b/internal/scheduler/eviction_view.go
@@ -16,7 +16,7 @@
 func (v *evictionState) planView(p *plan) *rollout.View {
 	r, _ := p.rollout.Record()
 	room := map[roomKey]bool{}
-	view := &rollout.View{Now: v.clock.now, WallMS: v.clock.wallMS, MayMove: v.mayMove(), Running: v.jobs.runningJobs()}
+	view := &rollout.View{Now: v.clock.now, WallMS: v.clock.wallMS, MayMove: v.mayDisrupt(), Running: v.jobs.runningJobs()}
 	if r.Phase == rollout.Choosing {
 		for _, m := range v.machines.live {
 			if v.selects(&r, m) {
@@ -25,7 +25,7 @@
 		}
 	}
 	for _, name := range r.Batch {
-		if m := v.machines.machineIfKnown(name); m != nil {
+		if m := v.machines.find(name); m != nil {
 			view.Batch = append(view.Batch, v.planMachine(m, room))
 		} else {
 			view.Batch = append(view.Batch, rollout.Machine{Name: name, Gone: view.MayMove})
@@ -35,7 +35,7 @@
 		view.Hired = v.rentedForPlan(&r)
 	}
 	for _, name := range r.Replacements {
-		if m := v.machines.machineIfKnown(name); m != nil {
+		if m := v.machines.find(name); m != nil {
 			view.Replacements = append(view.Replacements, v.replacement(m))
 		} else {
 			view.Replacements = append(view.Replacements, rollout.Replacement{Name: name, Failed: view.MayMove})
@@ -44,39 +44,12 @@
 	return view
 }
 
-// machineIfKnown returns a machine that this term has heard of, or nil. One of an earlier
-// leader's that nobody has heard of once jobs may be moved is gone: the cloud's list has been
-// read since, and a lease has passed.
-func (t *machineTable) machineIfKnown(name string) *machine {
-	if i, ok := t.indexByName[name]; ok {
-		return t.list[i]
-	}
-	return nil
-}
-
-// mayMove tells whether jobs may be disrupted on purpose: what an earlier leader has started
+// mayDisrupt tells whether jobs may be disrupted on purpose: what an earlier leader has started
 // is known, and what it has disrupted counts no more.
-func (v *evictionState) mayMove() bool {
+func (v *evictionState) mayDisrupt() bool {
 	return v.machines.unresolvedHosts() == 0 && v.clock.now-v.clock.termStart >= max(v.cfg.Operator.Drain.Budgets.Longest(), v.agents.lease)
 }
 
-// runningJobs counts the running jobs of a group, once for all who ask in a step.
-func (t *jobTable) runningJobs() func(rollout.Group) int {
-	var counts map[rollout.Group]int
-	return func(g rollout.Group) int {
-		if counts == nil {
-			counts = map[rollout.Group]int{}
-			for _, j := range t.active {
-				if j.spec != nil && j.progress.allocated > 0 && !j.over() {
-					counts[rollout.TeamGroup(j.spec.Team)]++
-					counts[rollout.ClassGroup(j.spec.Class)]++
-				}
-			}
-		}
-		return counts[g]
-	}
-}
-
 // selects tells whether a machine is one of a plan's: it matches, and was hired before the
 // plan was made.
 func (v *evictionState) selects(r *rollout.Record, m *machine) bool {
@@ -100,7 +73,7 @@
 		out.Empty = true
 	}
 	for _, b := range m.capacity.allocations {
-		if j := v.jobs.list[b.job]; j.spec != nil && !j.over() {
+		if j := v.jobs.list[b.job]; j.spec != nil && !j.ended() {
 			out.Tasks = append(out.Tasks, v.planTask(m, j, b, room))
 		}
 	}
@@ -127,14 +100,14 @@
 // of a job that stays together, in its zone.
 func (v *evictionState) roomElsewhere(from *machine, j *job) bool {
 	return slices.ContainsFunc(v.machines.live, func(m *machine) bool {
-		return m != from && v.agents.accepts(m) && j.allows(m.typ, m.zone, m.spot) && j.request.size.Within(m.capacity.free) && (!j.spec.Gang || m.zone == from.zone)
+		return m != from && v.agents.schedulable(m) && j.allows(m.typ, m.zone, m.spot) && j.request.size.Within(m.capacity.free) && (!j.spec.Gang || m.zone == from.zone)
 	})
 }
 
 // replacement is a machine that was hired ahead, as a plan sees it.
 func (v *evictionState) replacement(m *machine) rollout.Replacement {
 	r := rollout.Replacement{Name: m.name, Failed: m.state == machineGone || m.state == machineDeleting || m.health.quarantined}
-	if v.agents.accepts(m) && m.agent.epochSeenAt > 0 {
+	if v.agents.schedulable(m) && m.agent.epochSeenAt > 0 {
 		r.Healthy = max(1, v.clock.now-m.agent.epochSeenAt)
 	}
 	return r
--- a/internal/scheduler/evictions.go
+++ b/internal/scheduler/evictions.go
@@ -40,11 +40,11 @@
 	disruptions *rollout.Account
 	plans       map[string]*plan
 	next        time.Duration
-	turn        int // which plan goes on first
+	firstPlan   int // which plan goes on first
 	// rented is what requests for replacements have brought.
 	rented map[string][]string
-	// noted are the disrupted jobs that the log tells of.
-	noted map[string]rollout.Entry
+	// logged are the disrupted jobs that the log tells of.
+	logged map[string]rollout.Entry
 }
 
 func newEvictions(c *Core) evictionState {
@@ -95,16 +95,6 @@
 	v.cordon()
 }
 
-// taskIsDone tells whether a task has ended, by the ledger.
-func (t *jobTable) taskIsDone(ref string, n int) bool {
-	i, ok := t.indexByID[ref]
-	if !ok {
-		return true
-	}
-	j := t.list[i]
-	return j.over() || n >= len(j.progress.tasks) || j.progress.tasks[n].state >= taskDone
-}
-
 // accountOf is a job as the account sees it.
 func accountOf(j *job) rollout.Job {
 	return rollout.Job{Ref: j.id, Team: j.spec.Team, Class: j.spec.Class}
@@ -113,7 +103,7 @@
 // displaced charges a task that has lost its place. saved: its progress was saved.
 func (v *evictionState) displaced(m *machine, b *allocation, saved bool, why string) {
 	j := v.jobs.list[b.job]
-	if v.disruptions == nil || j.over() || j.spec == nil || b.runningSince == 0 && !b.moving {
+	if v.disruptions == nil || j.ended() || j.spec == nil || b.runningSince == 0 && !b.moving {
 		return
 	}
 	cause := rollout.Cause(why)
@@ -130,8 +120,8 @@
 	v.disruptions.Lose(accountOf(j), int(b.task), lost, cause, v.clock.now)
 }
 
-// taskRuns tells the account that a task runs.
-func (v *evictionState) taskRuns(b *allocation) {
+// taskRunning tells the account that a task runs.
+func (v *evictionState) taskRunning(b *allocation) {
 	if v.disruptions != nil {
 		v.disruptions.Runs(v.jobs.list[b.job].id, int(b.task), v.clock.now)
 	}
@@ -148,9 +138,9 @@
 	c.evictions.logDisruptions()
 	names := c.evictions.planNames()
 	for i := range names {
-		c.advancePlans(names[(i+d.turn)%len(names)])
+		c.advancePlans(names[(i+d.firstPlan)%len(names)])
 	}
-	d.turn++
+	d.firstPlan++
 	c.evictions.cordon()
 	c.evictions.dropOldPlans()
 }
@@ -163,16 +153,16 @@
 			continue
 		}
 		noted[e.Job.Ref] = e
-		if _, known := v.noted[e.Job.Ref]; !known {
+		if _, known := v.logged[e.Job.Ref]; !known {
 			v.log.Info("job is disrupted", "job", e.Job.Ref, "team", e.Job.Team, "class", e.Job.Class, "cause", e.Cause, "seconds", e.For.Seconds())
 		}
 	}
-	for ref, e := range v.noted {
+	for ref, e := range v.logged {
 		if _, open := noted[ref]; !open {
 			v.log.Info("job is whole again", "job", ref, "team", e.Job.Team, "class", e.Job.Class, "cause", e.Cause)
 		}
 	}
-	v.noted = noted
+	v.logged = noted
 }
 
 // planNames lists the plans in the order of their creation.
--- a/internal/scheduler/failure_attribution.go
+++ b/internal/scheduler/failure_attribution.go
@@ -6,8 +6,8 @@
 	"leadproxy/internal/wire"
 )
 
-// holdJob lets a job wait a little before its next start, longer each time.
-func (p *placement) holdJob(j *job) {
+// backOff lets a job wait a little before its next start, longer each time.
+func (p *placement) backOff(j *job) {
 	if p.clock.now < j.retry.notBefore {
 		return
 	}
@@ -19,12 +19,14 @@
 // between, before it counts as faulty; suspectLimit on how many machines a job
 // that never succeeded must fail before it is taken for the faulty one.
 const (
-	blameLimit   = 2
-	suspectLimit = 3
+	quarantineThreshold = 2
+	suspectThreshold    = 3
 )
 
 // suspect tells that rather the job than its machines is at fault.
-func (j *job) suspect() bool { return j.progress.done == 0 && len(j.retry.failedOn) >= suspectLimit }
+func (j *job) suspect() bool {
+	return j.progress.done == 0 && len(j.retry.failedOn) >= suspectThreshold
+}
 
 // attemptFailed judges whether the machine or the job is to blame.
 func (p *placement) attemptFailed(m *machine, j *job, n int32, attempt uint64) {
@@ -35,21 +37,21 @@
 	p.log.Info("task failed", "machine", m.name, "task", wire.TaskName(j.id, int(n)), "attempt", attempt, "machines", len(j.retry.failedOn))
 	if j.suspect() {
 		// It is tried again now and then until its user cancels it.
-		p.holdJob(j)
+		p.backOff(j)
 		return
 	}
 	if m.health.failedJobs == nil {
 		m.health.failedJobs = map[int32]bool{}
 	}
 	m.health.failedJobs[j.index] = true
-	if len(m.health.failedJobs) >= blameLimit || j.progress.done > 0 {
+	if len(m.health.failedJobs) >= quarantineThreshold || j.progress.done > 0 {
 		p.quarantine(m)
 	}
 }
 
-// clearOfBlame notes a success of a job: what failed before was the machines'
+// jobSucceeded notes a success of a job: what failed before was the machines'
 // fault.
-func (p *placement) clearOfBlame(j *job) {
+func (p *placement) jobSucceeded(j *job) {
 	for i := range j.retry.failedOn {
 		if m := p.machines.list[i]; m.health.failedJobs[j.index] {
 			p.quarantine(m)
--- a/internal/scheduler/fair_share.go
+++ b/internal/scheduler/fair_share.go
@@ -17,10 +17,10 @@
 //   - Shares: a class, and a team, with tasks that wait is entitled to a part of the
 //     open cores. All classes together are entitled to a reservedPart, and all teams.
 const (
-	beginWithin  = 4 * time.Minute // when every job should have begun
-	agedAfter    = beginWithin / 4
-	heldPart     = 16
-	reservedPart = 0.25
+	maxStartDelay           = 4 * time.Minute // when every job should have begun
+	agedAfter               = maxStartDelay / 4
+	reservedMachinesDivisor = 16
+	guaranteedShare         = 0.25
 )
 
 // placeAged starts the first tasks of jobs that have waited too long.
@@ -43,7 +43,7 @@
 // reserve keeps the machine free for a job's first task on which the least is left
 // to do.
 func (p *placement) reserve(j *job) {
-	if len(p.reservingJobs) > 0 && len(p.reservingJobs) >= len(p.machines.live)/heldPart || j.placement.reservationTriedAt > 0 && p.clock.now-j.placement.reservationTriedAt < time.Second {
+	if len(p.reservingJobs) > 0 && len(p.reservingJobs) >= len(p.machines.live)/reservedMachinesDivisor || j.placement.reservationTriedAt > 0 && p.clock.now-j.placement.reservationTriedAt < time.Second {
 		return
 	}
 	j.placement.reservationTriedAt = p.clock.now
@@ -53,7 +53,7 @@
 		if !m.indexed.schedulable || m.capacity.reserved || !j.allows(m.typ, m.zone, m.spot) || j.retry.failedOn[m.index] || !j.request.size.Within(m.capacity.total) {
 			continue
 		}
-		if left := p.busy(m); best == nil || left < least {
+		if left := p.remainingWork(m); best == nil || left < least {
 			best, least = m, left
 		}
 	}
@@ -89,14 +89,14 @@
 func (p *placement) placeUnderserved(queue []*job, uncertain []units) {
 	classes, teams := map[int32]bool{}, map[int32]bool{}
 	for _, j := range p.jobs.active {
-		if !j.over() && !j.blocked() {
+		if !j.ended() && !j.blocked() {
 			classes[j.request.class], teams[j.request.team] = true, true
 		}
 	}
 	if len(classes) < 2 && len(teams) < 2 {
 		return
 	}
-	part := reservedPart * p.openCores
+	part := guaranteedShare * p.openCores
 	for _, j := range queue {
 		p.placeJob(j, uncertain, func(int) bool {
 			class := p.classes.allocatedCores[j.request.class]+j.request.size.CPUs <= part/float64(len(classes))
@@ -106,29 +106,8 @@
 	}
 }
 
-// ageBucket ranks jobs of one priority: first those that have waited longer than
-// every job should, so that each gets its turn, the longer the sooner; then those
-// that can meet their deadline; then those that can't any more.
-func (p *placement) ageBucket(j *job) time.Duration {
-	switch age := p.clock.now - j.priority.arrived; {
-	case age >= beginWithin:
-		return -age
-	case j.priority.deadline != never && j.priority.deadline-p.clock.now < p.estimates.expectedRun(j):
-		return turnLate
-	}
-	return turnInTime
-}
-
 // The turns of jobs that have not waited long.
 const (
-	turnInTime = 1
-	turnLate   = 2
+	ageInTime = 1
+	ageLate   = 2
 )
-
-// workLeft is what a job's waiting tasks ask for, in core-seconds. Where there is
-// not room for all, as in the first minutes of a day, by slack alone one large
-// job makes many small ones late; the least work first leaves fewer late. As long
-// as all that wait can be in time, the time that is left decides.
-func (p *placement) workLeft(j *job) float64 {
-	return float64(len(j.progress.waiting)) * j.request.size.CPUs * p.estimates.expectedRun(j).Seconds()
-}
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -29,17 +29,17 @@
 	placement   *placement
 	autoscaling *autoscaling
 
-	cells      settings.Cells
-	delegated  *federation.DelegatedJobs
-	foreign    *federation.ForeignJobs
-	shortage   federation.Shortage
-	selector   *federation.CellSelector
-	neighbours []*neighbour // in order of preference
-	credits    map[string]*credit
-	counts     map[TransferCount]int
-	nextLook   time.Duration
-	// allowed tells whether every controller of this cell knows transfers.
-	allowed bool
+	cells          settings.Cells
+	delegated      *federation.DelegatedJobs
+	foreign        *federation.ForeignJobs
+	shortage       federation.Shortage
+	selector       *federation.CellSelector
+	neighbours     []*neighbour // in order of preference
+	credits        map[string]*credit
+	counts         map[TransferCount]int
+	nextForwarding time.Duration
+	// transfersEnabled tells whether every controller of this cell knows transfers.
+	transfersEnabled bool
 }
 
 // neighbour is what home knows of another cell.
@@ -53,7 +53,7 @@
 	credit              float64              // cores that it has offered and that are not used yet
 	until               time.Duration        // when the offer ends
 	refused             map[string]bool      // jobs that it can't run, as it has said in this term
-	noted               time.Duration        // when it was last logged that jobs wait for it
+	waitingLoggedAt     time.Duration        // when it was last logged that jobs wait for it
 	reason              string               // why it had no room when it was last asked
 }
 
@@ -96,8 +96,8 @@
 	return t
 }
 
-// stepTransfers takes the events of transfers.
-func (c *Core) stepTransfers(event Event) {
+// federationEvent takes the events of transfers.
+func (c *Core) federationEvent(event Event) {
 	switch e := event.(type) {
 	case TransferResult:
 		c.transferResult(e)
@@ -110,9 +110,9 @@
 	case ForeignWriteResult:
 		c.foreignWritten(e)
 	case TransfersEnabled:
-		c.federation.allowed = true
+		c.federation.transfersEnabled = true
 	case TransferListRequest:
-		c.transfersListed(e)
+		c.transferListRequested(e)
 	}
 }
 
@@ -191,7 +191,7 @@
 			case federation.DropDelegated:
 				c.writes.put(ledger.Write{Key: ledger.DelegatedKey(e.JobID)})
 			case federation.Send:
-				c.federation.sendTo(e.Cell, e.Message)
+				c.federation.queueTransfer(e.Cell, e.Message)
 			case federation.ReturnJob:
 				c.jobReturned(e.JobID)
 			case federation.EndJob:
@@ -203,9 +203,9 @@
 	}
 }
 
-// sendTo has a message leave with the next exchange. A newer one about the same job
+// queueTransfer has a message leave with the next exchange. A newer one about the same job
 // replaces it.
-func (f *federationState) sendTo(cell string, m federation.Message) {
+func (f *federationState) queueTransfer(cell string, m federation.Message) {
 	n := f.neighbourNamed(cell)
 	if n == nil {
 		return // the settings no longer name it
@@ -228,38 +228,38 @@
 	return nil
 }
 
-// exchange has the messages leave. One exchange with each neighbour is under way at a
+// sendTransfers has the messages leave. One exchange with each neighbour is under way at a
 // time; what comes meanwhile goes with the next.
-func (f *federationState) exchange() {
+func (f *federationState) sendTransfers() {
 	for _, n := range f.neighbours {
 		if n.exchanging || len(n.outbox) == 0 {
 			continue
 		}
-		count := n.exchangeable()
+		count := n.batchSize()
 		n.exchanging = true
 		f.effects.emit(SendTransfers{Cell: n.Name, Messages: n.outbox[:count:count]})
 		n.outbox = n.outbox[count:]
 	}
 }
 
-// noteWaiting logs now and then how many jobs wait for neighbours that do not answer.
-func (f *federationState) noteWaiting() {
+// logWaiting logs now and then how many jobs wait for neighbours that do not answer.
+func (f *federationState) logWaiting() {
 	for _, n := range f.neighbours {
-		if !n.unreachable || f.clock.now-n.noted < noteWaitingEvery {
+		if !n.unreachable || f.clock.now-n.waitingLoggedAt < waitingLogInterval {
 			continue
 		}
-		n.noted = f.clock.now
+		n.waitingLoggedAt = f.clock.now
 		if jobs, cores := f.delegatedTo(n); jobs > 0 {
 			f.log.Info("jobs wait for a neighbour that does not answer", "cell", n.Name, "jobs", jobs, "cores", cores)
 		}
 	}
 }
 
-// noteWaitingEvery is how often that is logged.
-const noteWaitingEvery = 30 * time.Second
+// waitingLogInterval is how often that is logged.
+const waitingLogInterval = 30 * time.Second
 
-// exchangeable is how many of the waiting messages go into one exchange.
-func (n *neighbour) exchangeable() int {
+// batchSize is how many of the waiting messages go into one exchange.
+func (n *neighbour) batchSize() int {
 	bytes := 0
 	for i, m := range n.outbox {
 		if m.Body != nil {
@@ -280,7 +280,7 @@
 	}
 	n.exchanging = false
 	if silent := e.Err != nil; silent != n.unreachable {
-		n.unreachable, n.noted = silent, c.clock.now
+		n.unreachable, n.waitingLoggedAt = silent, c.clock.now
 		if silent {
 			c.log.Info("neighbour does not answer", "cell", n.Name, "error", e.Err)
 			c.federation.refuseCancellations(n)
@@ -299,7 +299,7 @@
 		}
 	}
 	c.applyOriginEffects()
-	c.federation.exchange()
+	c.federation.sendTransfers()
 }
 
 // jobReturned has a job wait at home again.
@@ -322,7 +322,7 @@
 	}
 	j := c.jobs.list[at]
 	switch {
-	case j.over():
+	case j.ended():
 	case e.Aborted:
 		c.cancel(j)
 	default:
@@ -345,7 +345,7 @@
 		j.end.replyTo = append(j.end.replyTo, to)
 	}
 	c.applyOriginEffects()
-	c.federation.exchange()
+	c.federation.sendTransfers()
 }
 
 // refuseCancellations tells users who wait for a cell that has fallen silent to come
@@ -353,7 +353,7 @@
 func (f *federationState) refuseCancellations(n *neighbour) {
 	for _, ref := range f.delegated.With(n.Name) {
 		at, ok := f.jobs.indexByID[ref]
-		if !ok || f.jobs.list[at].over() {
+		if !ok || f.jobs.list[at].ended() {
 			continue
 		}
 		j := f.jobs.list[at]
@@ -372,12 +372,12 @@
 	}
 	t.delegated.Tick(c.clock.now)
 	c.applyOriginEffects()
-	c.federation.noteWaiting()
-	if t.cells.Spill && t.allowed && c.clock.now >= t.nextLook {
-		t.nextLook = c.clock.now + lookEvery
-		c.findCellForJobs()
+	c.federation.logWaiting()
+	if t.cells.Spill && t.transfersEnabled && c.clock.now >= t.nextForwarding {
+		t.nextForwarding = c.clock.now + forwardingInterval
+		c.forwardJobs()
 	}
-	c.federation.exchange()
+	c.federation.sendTransfers()
 }
 
 // traceTransfer counts a step and has it logged and traced.
--- a/internal/scheduler/federation_status.go
+++ b/internal/scheduler/federation_status.go
@@ -6,8 +6,8 @@
 	"leadproxy/internal/federation"
 )
 
-// transfersListed answers an operator.
-func (c *Core) transfersListed(e TransferListRequest) {
+// transferListRequested answers an operator.
+func (c *Core) transferListRequested(e TransferListRequest) {
 	t := &c.federation
 	list := TransferListReply{ReplyTo: e.ReplyTo, Delegated: t.delegated.List(c.clock.now), Counts: maps.Clone(t.counts)}
 	lent := map[string]float64{}
@@ -19,7 +19,7 @@
 		}
 	}
 	for _, j := range c.jobs.active {
-		if j.transfer.origin != "" && !j.over() {
+		if j.transfer.origin != "" && !j.ended() {
 			lent[j.transfer.origin] += j.cores()
 		}
 	}
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -7,7 +7,6 @@
 
 	"github.com/segmentio/encoding/json"
 
-	"leadproxy/internal/autoscaler"
 	"leadproxy/internal/federation"
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/settings"
@@ -43,7 +42,7 @@
 		case federation.WriteForeign:
 			c.federation.writeForeign(e)
 		case federation.CancelForeign:
-			if at, ok := c.jobs.indexByID[e.JobID]; ok && !c.jobs.list[at].over() {
+			if at, ok := c.jobs.indexByID[e.JobID]; ok && !c.jobs.list[at].ended() {
 				c.cancel(c.jobs.list[at])
 			}
 		case federation.TraceForeign:
@@ -69,7 +68,7 @@
 // foreignWritten takes what came of such a write.
 func (c *Core) foreignWritten(e ForeignWriteResult) {
 	if e.Job != nil && !e.JobExists {
-		c.jobRecorded(JobRecordEvent{JobID: e.Write.Key.JobID, Record: *e.Job, Version: e.Version})
+		c.recordJob(JobRecordEvent{JobID: e.Write.Key.JobID, Record: *e.Job, Version: e.Version})
 	}
 	c.federation.foreign.Written(e.Write.Key, e.Write.Record, e.Version, e.JobExists, c.clock.wallMS)
 	c.applyForeignEffects()
@@ -97,7 +96,7 @@
 		return federation.Refusal{Reason: "nothing is lent to cell " + home}
 	case n.Drain:
 		return federation.Refusal{Reason: "the relation is being drained"}
-	case !c.federation.allowed:
+	case !c.federation.transfersEnabled:
 		return federation.Refusal{Reason: "not all controllers here know transfers", Temporary: true}
 	}
 	spec, _, err := wire.ParseJob(body.Job)
@@ -159,7 +158,7 @@
 		answer.Reason = "cell " + e.Origin + " is not a neighbour"
 	case n.Drain:
 		answer.Reason = "the relation is being drained"
-	case !f.allowed:
+	case !f.transfersEnabled:
 		answer.Reason = "not all controllers here know transfers"
 	default:
 		delete(f.credits, e.Origin) // the new offer takes its place
@@ -186,7 +185,7 @@
 	}
 	fromHome, own := 0.0, 0.0
 	for _, j := range f.jobs.active {
-		if j.over() || j.blocked() {
+		if j.ended() || j.blocked() {
 			continue
 		}
 		room -= j.request.size.CPUs * float64(len(j.progress.waiting))
@@ -206,19 +205,3 @@
 	}
 	return min(room, n.LendCores-fromHome)
 }
-
-// scalableCores is what the cloud may still give.
-func (a *autoscaling) scalableCores() float64 {
-	most := a.cfg.Operator.MaxMachines
-	if len(a.types.list) == 0 || !a.poolsOpen() {
-		return 0
-	}
-	largest := 0.0
-	for i := range a.types.list {
-		largest = max(largest, a.types.list[i].total.CPUs)
-	}
-	if most == 0 {
-		return largest * autoscaler.MaxScaleOut
-	}
-	return largest * float64(max(0, most-a.machines.machineCount()))
-}
--- a/internal/scheduler/heartbeat_responses.go
+++ b/internal/scheduler/heartbeat_responses.go
@@ -7,9 +7,9 @@
 	"leadproxy/internal/wire"
 )
 
-// heldAnswer is a report's answer, which is given at the end of the step so
+// heldResponse is a report's answer, which is given at the end of the step so
 // that starts decided in it travel along.
-type heldAnswer struct {
+type heldResponse struct {
 	replyTo   Recipient
 	machine   *machine
 	heartbeat *wire.Heartbeat
@@ -20,86 +20,86 @@
 	until time.Duration
 }
 
-// awaitFor is how long an answer waits for starts whose machine is being written
+// maxHold is how long an answer waits for starts whose machine is being written
 // down. That mostly takes a tenth of it; the starts would else follow in a direct
 // command, which costs as much as several reports.
-const awaitFor = 400 * time.Millisecond
+const maxHold = 400 * time.Millisecond
 
-// awaits keeps an answer back while starts for its machine are being written down.
-func (q *commands) awaits(a heldAnswer) bool {
+// holdForWrites keeps an answer back while starts for its machine are being written down.
+func (q *commands) holdForWrites(a heldResponse) bool {
 	m := a.machine
-	if a.until > 0 || !m.trusted(q.term) || !m.plannable() {
+	if a.until > 0 || !m.trusted(q.term) || !m.hasPlannedStarts() {
 		return false
 	}
-	a.until = q.clock.now + awaitFor
-	m.commands.openAnswer, m.commands.heldHeartbeat = 0, a.heartbeat
+	a.until = q.clock.now + maxHold
+	m.commands.openResponse, m.commands.heldHeartbeat = 0, a.heartbeat
 	q.awaitingWrites = append(q.awaitingWrites, a)
 	return true
 }
 
-// plannable tells whether starts for a machine are being written down.
-func (m *machine) plannable() bool {
+// hasPlannedStarts tells whether starts for a machine are being written down.
+func (m *machine) hasPlannedStarts() bool {
 	return slices.ContainsFunc(m.capacity.allocations, func(b *allocation) bool { return b.state == allocationPlanned })
 }
 
-// resumeAnswers has the answers given that need not wait any longer. One whose
+// resumeResponses has the answers given that need not wait any longer. One whose
 // worker has sent a newer report since goes without orders.
-func (q *commands) resumeAnswers() {
+func (q *commands) resumeResponses() {
 	keep := q.awaitingWrites[:0]
 	for _, a := range q.awaitingWrites {
 		m := a.machine
 		if m.commands.heldHeartbeat == a.heartbeat {
-			if q.clock.now < a.until && m.state != machineGone && m.plannable() {
+			if q.clock.now < a.until && m.state != machineGone && m.hasPlannedStarts() {
 				keep = append(keep, a)
 				continue
 			}
 			m.commands.heldHeartbeat = nil
-			m.commands.openAnswer = len(q.openAnswers) + 1
+			m.commands.openResponse = len(q.openResponses) + 1
 			if len(m.commands.pending) > 0 {
 				q.machinesWithCommands = append(q.machinesWithCommands, m) // for what does not go into the answer
 			}
 		} else {
 			a.outdated = true
 		}
-		q.openAnswers = append(q.openAnswers, a)
+		q.openResponses = append(q.openResponses, a)
 	}
 	clear(q.awaitingWrites[len(keep):])
 	q.awaitingWrites = keep
 }
 
-// giveAnswers answers the reports of this step. Only the newest report of a
+// sendResponses answers the reports of this step. Only the newest report of a
 // machine gets orders.
-func (q *commands) giveAnswers() {
-	for i, a := range q.openAnswers {
+func (q *commands) sendResponses() {
+	for i, a := range q.openResponses {
 		m := a.machine
 		if m.state == machineGone {
 			q.effects.emit(HeartbeatReply{ReplyTo: a.replyTo})
 			continue
 		}
-		if q.holdAnswerForUnreachable(a) || m.commands.openAnswer == i+1 && q.awaits(a) {
+		if q.holdForUnreachable(a) || m.commands.openResponse == i+1 && q.holdForWrites(a) {
 			continue
 		}
 		// An answer renews the worker's lease, whatever it orders and however little its
 		// report is believed. So none goes without the stops of what must not run.
-		believed := !a.outdated && m.commands.openAnswer == i+1 && m.trusted(q.term)
+		believed := !a.outdated && m.commands.openResponse == i+1 && m.trusted(q.term)
 		orders := q.requiredStops(m, a.heartbeat, believed)
 		if believed {
 			orders = q.commandsFor(m, a.heartbeat, orders)
 		}
 		answer := &wire.HeartbeatResponse{FencingToken: m.agent.fencingToken, Commands: orders}
-		if m.commands.openAnswer == i+1 {
-			m.commands.openAnswer = 0
+		if m.commands.openResponse == i+1 {
+			m.commands.openResponse = 0
 		}
 		q.effects.emit(HeartbeatReply{ReplyTo: a.replyTo, Response: answer})
 	}
-	clear(q.openAnswers)
-	q.openAnswers = q.openAnswers[:0]
+	clear(q.openResponses)
+	q.openResponses = q.openResponses[:0]
 }
 
-// withOutbox adds a machine's waiting orders to the answer of its report, as
+// appendPending adds a machine's waiting orders to the answer of its report, as
 // far as they go in. Unlike a direct command, an answer is never executed late:
 // the worker's next report shows what became of it.
-func (q *commands) withOutbox(m *machine, r *wire.Heartbeat, orders []wire.Command) []wire.Command {
+func (q *commands) appendPending(m *machine, r *wire.Heartbeat, orders []wire.Command) []wire.Command {
 	if r.AgentEpoch != m.agent.epoch {
 		return orders
 	}
@@ -111,18 +111,18 @@
 			if b == nil {
 				continue // released since
 			}
-			b.state, b.answeredSequence = allocationSent, r.Sequence
+			b.state, b.responseSequence = allocationSent, r.Sequence
 		}
 		orders = append(orders, o)
 	}
 	return orders
 }
 
-// forgetAtOnce is how many done tasks are forgotten together. A worker reports
+// minForgets is how many done tasks are forgotten together. A worker reports
 // again at once when its tasks change, so each forget by itself costs another
 // report, a third of all on a large fleet. It waits for an order that changes
 // the tasks anyway, or for others like it.
-const forgetAtOnce = 8
+const minForgets = 8
 
 // commandsFor adds to the stops of a report that is believed what else its answer orders:
 // which ended tasks the worker may drop, and what waits for its machine.
@@ -143,8 +143,8 @@
 			orders = append(orders, forget)
 		}
 	}
-	orders = q.withOutbox(m, r, orders)
-	if len(orders) > 0 || len(done) >= forgetAtOnce {
+	orders = q.appendPending(m, r, orders)
+	if len(orders) > 0 || len(done) >= minForgets {
 		orders = append(orders, done...)
 	}
 	return orders
@@ -157,9 +157,20 @@
 	if _, unsettled := m.commands.unresolvedStarts[t.Attempt]; unsettled {
 		return false
 	}
-	j, n, _ := q.jobs.taskOf(m, t)
+	j, n, _ := q.jobs.findTask(m, t)
 	if j == nil || t.ExitReason != wire.ExitDone || j.end.durable {
 		return true
 	}
 	return int(n) < len(j.progress.tasks) && j.progress.tasks[n].state == taskDurable
 }
+
+// holdForUnreachable keeps the answer to a machine that is noted as silent until that is
+// withdrawn.
+func (q *commands) holdForUnreachable(a heldResponse) bool {
+	if a.machine.agent.unreachable == nil {
+		return false
+	}
+	a.machine.commands.openResponse = 0
+	q.heldForUnreachable = append(q.heldForUnreachable, a)
+	return true
+}
--- a/internal/scheduler/heartbeat_responses_test.go
+++ b/internal/scheduler/heartbeat_responses_test.go
@@ -19,7 +19,7 @@
 	}{
 		{"durable soon", func(g *stage, _ func()) { g.release() }, "answer with start start start start forget forget forget forget "},
 		{"durable late", func(g *stage, _ func()) {
-			g.now += awaitFor
+			g.now += maxHold
 			g.step(Tick{})
 			g.release()
 		}, "answer with nothing, command with start start start start "},
@@ -29,7 +29,7 @@
 		}, "answer with nothing, answer with start start start start forget forget forget forget "},
 		{"given up and late", func(g *stage, report func()) {
 			report()
-			g.now += awaitFor
+			g.now += maxHold
 			g.step(Tick{})
 			g.release()
 		}, "answer with nothing, answer with nothing, command with start start start start "},
@@ -40,7 +40,7 @@
 			g.release()
 		}, "answer with nothing, answer with nothing"},
 		{"the machine is gone", func(g *stage, _ func()) {
-			g.c.gone(g.c.machineNamed("vm-1"), "deleted")
+			g.c.removeMachine(g.c.machineNamed("vm-1"), "deleted")
 			g.release()
 		}, "no answer"},
 	}
--- a/internal/scheduler/acknowledgements.go
+++ b/internal/scheduler/inspections.go
@@ -1,43 +1,24 @@
 package scheduler
 
 import (
-	"time"
-
 	"leadproxy/internal/wire"
+	"time"
 )
 
-// markUnacknowledged notes a sign that a machine does not hear us: it gets no work until
-// it has echoed a higher token. That its reports come in shows nothing.
-func (c *Core) markUnacknowledged(m *machine) {
-	m.agent.fencingToken++
-	m.agent.tokenRaisedAt, m.agent.unacknowledged = c.clock.now, true
-	c.placement.indexChanged(m)
-}
-
-// raiseFencingToken raises a machine's token now and then: the worker's next report echoes
-// it if the answer has arrived. Not while a command is on its way there, which
-// would then be refused.
-func (a *agents) raiseFencingToken(m *machine) {
-	if m.trusted(a.term) && m.commands.inFlight == 0 && m.agent.acknowledgedToken >= m.agent.fencingToken && a.clock.now-m.agent.tokenRaisedAt >= a.lease/4 {
-		m.agent.fencingToken++
-		m.agent.tokenRaisedAt = a.clock.now
-	}
-}
-
-// inspectEvery is how often a worker whose reports look old is asked at first;
-// each late copy doubles that, up to a lease. maxInspects bounds how many are
-// asked at once: copies may come from all machines for minutes.
+// inspectionInterval is the least time between two inspections of an agent that sends stale
+// heartbeats; each late copy doubles it, up to a lease. maxInspections bounds how many run at
+// once: copies may come from all machines for minutes.
 const (
-	inspectEvery = 2 * time.Second
-	maxInspects  = 32
+	inspectionInterval = 2 * time.Second
+	maxInspections     = 32
 )
 
 // inspectStaleSender looks into a report that is older than what we know: mostly a
 // late copy, but a worker that has truly begun anew counts from 1 again, and
 // must not be taken for a copy for ever.
 func (a *agents) inspectStaleSender(m *machine, r *wire.Heartbeat) {
-	wait := min(inspectEvery<<min(m.agent.staleHeartbeats, 8), a.lease)
-	if r.Address == "" || m.agent.inspecting || a.inspectionsInFlight >= maxInspects || a.clock.now-m.agent.lastInspection < wait && m.agent.lastInspection > 0 {
+	wait := min(inspectionInterval<<min(m.agent.staleHeartbeats, 8), a.lease)
+	if r.Address == "" || m.agent.inspecting || a.inspectionsInFlight >= maxInspections || a.clock.now-m.agent.lastInspection < wait && m.agent.lastInspection > 0 {
 		return
 	}
 	a.inspectionsInFlight++
@@ -81,5 +62,5 @@
 			m.commands.unresolvedStarts[a] = m.agent.fencingToken
 		}
 	}
-	c.observe(m, r, false)
+	c.applyHeartbeat(m, r, false)
 }
--- /dev/null
+++ b/internal/scheduler/job.go
@@ -0,0 +1,173 @@
+package scheduler
+
+import (
+	"math"
+	"time"
+
+	"leadproxy/internal/settings"
+	"leadproxy/internal/slowfit"
+	"leadproxy/internal/wire"
+)
+
+// The states of a task.
+type taskState uint8
+
+const (
+	taskWaiting taskState = iota
+	taskAllocated
+	taskDone    // its end is known here
+	taskDurable // its end is in the ledger
+)
+
+type task struct{ state taskState }
+
+type host struct {
+	machine int32
+	durable bool
+}
+
+// job is a job in the leader's memory, kept in parts. Once it is over and settled, the tasks and
+// hosts are nil.
+type job struct {
+	index int32
+	id    string
+	spec  *wire.Job // nil: done, and only its record is left
+
+	request      request
+	priority     priority
+	dependencies dependencies
+	progress     progress
+	end          jobEnd
+	placement    jobPlacement
+	retry        retry
+	record       jobRecord
+	transfer     transfer
+}
+
+// request is what a job's description asks for, by the indices of the names in it.
+type request struct {
+	size  slowfit.Size // of one task
+	team  int32
+	class int32
+	image int32
+	zone  int32   // -1: any
+	types []int32 // nil: not resolved yet, or any
+}
+
+// priority is what orders a job among others. Class and deadline are its own, or those of a job
+// that depends on it where that is more urgent.
+type priority struct {
+	class    int
+	deadline time.Duration // never without a deadline
+	arrived  time.Duration
+}
+
+// progress is the state of a job's tasks.
+type progress struct {
+	tasks       []task
+	waiting     []int32 // indices of waiting tasks, the last one is placed first
+	total       int
+	done        int
+	allocated   int
+	startedOnce bool // some task of it has been seen running, or is done
+}
+
+// jobEnd is the terminal state of a job, and what remains to be done about it.
+type jobEnd struct {
+	state   string // decided, being written or durable
+	durable bool
+	// at is when it became durable, or was decided if that was before this term.
+	at            time.Duration
+	cleanedUp     bool        // all that a terminal state requires is done
+	overdueLogged bool        // its tasks may have run past the bound of a cancellation
+	replyTo       []Recipient // who waits for it to be durable
+}
+
+// jobPlacement is what placement keeps of a job.
+type jobPlacement struct {
+	// For a job that must stay in one zone or be spread: its tasks by zone, and which zone
+	// was last found best.
+	tasksByZone      []int
+	gangZoneChosenAt time.Duration
+	gangZone         int32
+
+	reservedMachine    *machine      // kept free for its first task
+	reservationTriedAt time.Duration // when such a machine was last searched for
+
+	imageOnly bool // at present it is offered only machines with its image
+}
+
+// retry is what delays the next start of a job, and where its tasks have failed.
+type retry struct {
+	notBefore time.Duration
+	backoff   time.Duration
+	failedOn  map[int32]bool
+}
+
+// jobRecord is what the ledger holds of a job, and what is still to be written.
+type jobRecord struct {
+	version    uint64
+	acceptedMS int64
+
+	hosts        []host
+	hostAt       map[int32]int // by machine: its place in hosts
+	hostsWritten int           // how many of them have been written, or are being
+	hostChunks   []int         // the first hosts of the keys that hold them
+	inDoubtHosts map[int32]bool
+
+	finishedKeys   map[string]bool // the keys of finished tasks
+	chunksInParts  map[int]bool    // the chunks of finished tasks that are written in parts
+	unwrittenTasks []int32         // tasks that have ended and are not written yet
+	queuedForWrite bool
+}
+
+// transfer is a job's place in the federation of cells.
+type transfer struct {
+	// origin is the cell that forwarded the job to this one, "" for a job of this cell, and
+	// epoch the number of its transfer.
+	origin    string
+	epoch     uint64
+	delegated bool // another cell may run this job of ours
+}
+
+func (j *job) ended() bool { return j.end.state != "" }
+
+// placeable tells whether waiting tasks may be started now.
+func (j *job) placeable(now time.Duration) bool {
+	return !j.ended() && !j.blocked() && len(j.progress.waiting) > 0 && len(j.record.inDoubtHosts) == 0 && now >= j.retry.notBefore
+}
+
+// never is the deadline of a job without one.
+const never = time.Duration(math.MaxInt64)
+
+// slack is the time left until the deadline beyond the estimated run.
+func (j *job) slack(now time.Duration) time.Duration {
+	if j.priority.deadline == never {
+		return never
+	}
+	return j.priority.deadline - now - settings.Seconds(j.spec.EstimatedRunS)
+}
+
+// sizeOf is what one task of a job takes of its machine.
+func sizeOf(s *wire.Job) slowfit.Size {
+	return slowfit.Size{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
+}
+
+// fillWaiting lists the waiting tasks, the lowest number to go first.
+func (j *job) fillWaiting() {
+	j.progress.waiting = make([]int32, 0, max(0, len(j.progress.tasks)-j.progress.done))
+	for i := len(j.progress.tasks) - 1; i >= 0; i-- {
+		if j.progress.tasks[i].state == taskWaiting {
+			j.progress.waiting = append(j.progress.waiting, int32(i))
+		}
+	}
+}
+
+func (j *job) dropWaiting(n int32) {
+	for k, w := range j.progress.waiting {
+		if w == n {
+			j.progress.waiting = append(j.progress.waiting[:k], j.progress.waiting[k+1:]...)
+			return
+		}
+	}
+}
--- /dev/null
+++ b/internal/scheduler/job_events.go
@@ -0,0 +1,170 @@
+package scheduler
+
+import (
+	"leadproxy/internal/ledger"
+	"leadproxy/internal/settings"
+	"leadproxy/internal/wire"
+)
+
+func (c *Core) newJob(ref string, rec ledger.JobRecord, version uint64) *job {
+	j := &job{index: int32(len(c.jobs.list)), id: ref, spec: rec.Job,
+		request:  request{zone: -1},
+		priority: priority{deadline: never},
+		progress: progress{total: rec.Tasks, done: rec.Done},
+		end:      jobEnd{state: rec.Terminal, durable: rec.Terminal != ""},
+		record:   jobRecord{version: version, acceptedMS: rec.AcceptedMS},
+		transfer: transfer{origin: rec.Origin, epoch: rec.TransferEpoch}}
+	if rec.EndedMS > 0 {
+		j.end.at = c.clock.ago(rec.EndedMS)
+	}
+	c.jobs.indexByID[ref] = j.index
+	c.jobs.list = append(c.jobs.list, j)
+	s := rec.Job
+	if s == nil {
+		j.end.cleanedUp = true
+		return j
+	}
+	j.priority.arrived = c.clock.ago(rec.AcceptedMS)
+	if s.DeadlineS != nil {
+		j.priority.deadline = j.priority.arrived + settings.Seconds(*s.DeadlineS)
+	}
+	j.priority.class = s.PriorityClass()
+	j.request.size = sizeOf(s)
+	j.request.class = c.classOf(s.Class)
+	j.request.image = c.placement.images.of(s.Image)
+	if s.Zone != nil {
+		j.request.zone = c.machines.zones.of(*s.Zone)
+	}
+	j.request.team = c.quotas.teamOf(s.Team)
+	j.progress.total = s.Tasks
+	j.record.hostAt = map[int32]int{}
+	j.progress.tasks = make([]task, s.Tasks)
+	c.jobs.active = append(c.jobs.active, j)
+	return j
+}
+
+func (c *Core) recordJob(e JobRecordEvent) *job {
+	if i, ok := c.jobs.indexByID[e.JobID]; ok {
+		return c.jobs.list[i]
+	}
+	j := c.newJob(e.JobID, e.Record, e.Version)
+	j.fillWaiting()
+	c.linkDependencies(j)
+	if j.end.durable {
+		// Its end was written while this leader had not seen it yet.
+		c.releaseDependents(j)
+	}
+	switch {
+	case j.end.cleanedUp:
+		return j
+	case j.ended():
+		c.jobs.cleanUp(j)
+		return j
+	}
+	c.log.Debug("job accepted", "job", j.id, "tasks", j.progress.total, "cpus", j.request.size.CPUs, "class", j.spec.Class)
+	c.checkDependencies(j)
+	if !j.ended() && !j.blocked() && j.transfer.origin == "" {
+		c.autoscaling.observeArrival(j)
+	}
+	c.jobs.raisePriorityBy(j)
+	c.placement.needed = true
+	return j
+}
+
+// finish decides a job's terminal state and writes it. It is told when it
+// is durable.
+func (c *Core) finish(j *job, terminal string) {
+	j.end.state = terminal
+	if c.evictions.disruptions != nil {
+		c.evictions.disruptions.Over(j.id, c.clock.now)
+	}
+	if terminal == wire.JobCancelled {
+		c.jobs.cancelling[j.index] = true
+	}
+	c.jobs.writeTerminal(j, true)
+}
+
+func (c *Core) terminalIsDurable(j *job) {
+	if j.end.durable {
+		return // it followed from another job's end before its own record was written
+	}
+	j.end.durable, j.end.at = true, c.clock.now
+	delete(c.jobs.cancelling, j.index)
+	j.progress.waiting = nil
+	c.log.Debug("job is over", "job", j.id, "state", j.end.state, "seconds", (c.clock.now - j.priority.arrived).Seconds(), "late", c.clock.now > j.priority.deadline)
+	for _, to := range j.end.replyTo {
+		c.effects.emit(UserReply{ReplyTo: to, Known: true, Status: c.status(j)})
+	}
+	j.end.replyTo = nil
+	c.stopTasks(j)
+	c.placement.needed = true
+	c.releaseDependents(j)
+	c.jobs.cleanUp(j)
+	c.federation.delegated.Over(j.id, c.clock.now)
+	c.applyOriginEffects()
+}
+
+// taskEnded notes that a task has completed.
+func (c *Core) taskEnded(j *job, n int32) {
+	if j.ended() || j.progress.tasks[n].state >= taskDone {
+		return
+	}
+	if j.progress.tasks[n].state == taskWaiting {
+		j.dropWaiting(n)
+	}
+	j.progress.tasks[n].state = taskDone
+	j.progress.done++
+	j.progress.startedOnce = true
+	if c.evictions.disruptions != nil {
+		c.evictions.disruptions.Ends(j.id, int(n), c.clock.now)
+	}
+	c.placement.jobSucceeded(j)
+	if j.progress.done == j.progress.total {
+		c.finish(j, wire.JobDone)
+		return
+	}
+	j.record.unwrittenTasks = append(j.record.unwrittenTasks, n)
+	c.jobs.queueWrite(j)
+}
+
+// requeue makes a task wait again.
+func (p *placement) requeue(j *job, n int32) {
+	if j.ended() || j.progress.tasks[n].state != taskAllocated {
+		return
+	}
+	j.progress.tasks[n].state = taskWaiting
+	j.progress.waiting = append(j.progress.waiting, n)
+	p.needed = true
+}
+
+func (c *Core) cancelRequested(e CancelRequest) {
+	i, ok := c.jobs.indexByID[e.JobID]
+	if !ok || c.jobs.list[i].transfer.origin != "" {
+		c.effects.emit(UserReply{ReplyTo: e.ReplyTo})
+		return
+	}
+	j := c.jobs.list[i]
+	if j.end.durable {
+		c.effects.emit(UserReply{ReplyTo: e.ReplyTo, Known: true, Status: c.status(j)})
+		return
+	}
+	// A job whose transfer's record can't be read is away as well, in a cell that nobody can
+	// name.
+	if !j.ended() && (!c.federation.delegated.Cancel(j.id, c.clock.now) || j.transfer.delegated) {
+		c.cancelDelegated(j, e.ReplyTo)
+		return
+	}
+	j.end.replyTo = append(j.end.replyTo, e.ReplyTo)
+	if !j.ended() {
+		c.log.Debug("job is being cancelled", "job", j.id)
+		c.cancel(j)
+	}
+}
+
+// cancel cancels a job. Its tasks are stopped now, not when that is durable: the write may
+// be carried out and its answer lost, other nodes read it and tell the user, and we learn
+// of it only after an outage. What its tasks do from here on is of no use to anybody.
+func (c *Core) cancel(j *job) {
+	c.finish(j, wire.JobCancelled)
+	c.stopTasks(j)
+}
--- /dev/null
+++ b/internal/scheduler/job_records.go
@@ -0,0 +1,160 @@
+package scheduler
+
+import (
+	"maps"
+	"slices"
+
+	"leadproxy/internal/ledger"
+	"leadproxy/internal/wire"
+)
+
+// addFinishedKey notes a key of finished tasks.
+func (j *job) addFinishedKey(key string) {
+	if j.record.finishedKeys == nil {
+		j.record.finishedKeys = map[string]bool{}
+	}
+	j.record.finishedKeys[key] = true
+}
+
+// dropKeys deletes what the ledger holds of a finished job besides its record.
+func (t *jobTable) dropKeys(j *job) {
+	var writes []ledger.Write
+	for chunk := range j.record.hostChunks {
+		writes = append(writes, ledger.Write{Key: ledger.HostKey(j.id, chunk)})
+	}
+	for _, key := range slices.Sorted(maps.Keys(j.record.finishedKeys)) {
+		writes = append(writes, ledger.Write{Key: key})
+	}
+	if len(writes) > 0 {
+		t.effects.emit(WriteLedger{Writes: writes})
+	}
+}
+
+// addHost notes that a job's tasks may be on a machine. That is written at the end
+// of the step, and durable before the first start there.
+func (t *jobTable) addHost(j *job, m *machine) {
+	j.record.hostAt[m.index] = len(j.record.hosts)
+	j.record.hosts = append(j.record.hosts, host{machine: m.index})
+	m.recorded.namedByJobs++
+	t.queueWrite(j)
+}
+
+// queueWrite has what is new about a job written at the end of the step: a
+// burst brings dozens of machines and ended tasks of one job in a step, and each
+// by itself would be written with all that came before it.
+func (t *jobTable) queueWrite(j *job) {
+	if !j.record.queuedForWrite {
+		j.record.queuedForWrite = true
+		t.unwritten = append(t.unwritten, j)
+	}
+}
+
+// writeJobs writes what is new about jobs.
+func (t *jobTable) writeJobs() {
+	for _, j := range t.unwritten {
+		j.record.queuedForWrite = false
+		if j.progress.tasks != nil {
+			t.writeHosts(j)
+			t.writeFinished(j)
+		}
+	}
+	clear(t.unwritten)
+	t.unwritten = t.unwritten[:0]
+}
+
+// writeHosts writes the chunks in which a job has new hosts.
+func (t *jobTable) writeHosts(j *job) {
+	for from := j.record.hostsWritten; from < len(j.record.hosts); {
+		first, names := 0, []string(nil)
+		if n := len(j.record.hostChunks); n > 0 {
+			first = j.record.hostChunks[n-1]
+			names = t.chunkFrom(j, first)
+		}
+		if first+len(names) <= from {
+			// There is none, or the last one is full.
+			j.record.hostChunks = append(j.record.hostChunks, from)
+			first, names = from, t.chunkFrom(j, from)
+		}
+		to := first + len(names)
+		t.writes.put(ledger.Write{Key: ledger.HostKey(j.id, len(j.record.hostChunks)-1), Value: names, Urgent: true, Tag: hostTag{j.index, from, to}})
+		from = to
+	}
+	j.record.hostsWritten = len(j.record.hosts)
+}
+
+// chunkFrom names the hosts of a job, from one of them on, that go into one key.
+func (t *jobTable) chunkFrom(j *job, first int) []string {
+	hosts := j.record.hosts[first:min(first+ledger.HostsPerChunk, len(j.record.hosts))]
+	names := make([]string, len(hosts))
+	for i, h := range hosts {
+		names[i] = t.machines.list[h.machine].name
+	}
+	return names[:ledger.NamesThatFit(names, t.cfg.ValueBytes)]
+}
+
+// writeFinished writes the chunks in which a job has tasks that have ended since they
+// were last written. Of a job that is over, its record tells all.
+func (t *jobTable) writeFinished(j *job) {
+	ended := j.record.unwrittenTasks
+	j.record.unwrittenTasks = nil
+	if j.ended() {
+		return
+	}
+	slices.Sort(ended)
+	for len(ended) > 0 {
+		chunk := int(ended[0]) / ledger.TasksPerChunk
+		n, _ := slices.BinarySearch(ended, int32((chunk+1)*ledger.TasksPerChunk))
+		t.writeChunk(j, chunk, ended[:n])
+		ended = ended[n:]
+	}
+}
+
+// writeChunk writes the finished tasks of one chunk, some of which are new.
+func (t *jobTable) writeChunk(j *job, chunk int, ended []int32) {
+	first := chunk * ledger.TasksPerChunk
+	size := min(ledger.TasksPerChunk, j.progress.total-first)
+	done := func(i int) bool { return j.progress.tasks[first+i].state >= taskDone }
+	ranges := ledger.EncodeRanges(done, size)
+	if ranges.Size() <= t.cfg.ValueBytes {
+		key := ledger.FinishedTasksKey(j.id, chunk)
+		j.addFinishedKey(key)
+		t.writes.put(ledger.Write{Key: key, Value: ranges, Tag: finishedTag{j.index, ended}})
+		return
+	}
+	// It has to be written in parts; all of them the first time, since the chunk's
+	// own key may not hold what has ended since it was last written.
+	all := !j.record.chunksInParts[chunk]
+	if j.record.chunksInParts == nil {
+		j.record.chunksInParts = map[int]bool{}
+	}
+	j.record.chunksInParts[chunk] = true
+	part := ledger.TasksPerPart(t.cfg.ValueBytes)
+	for from := 0; from < size; from += part {
+		to := min(from+part, size)
+		n, _ := slices.BinarySearch(ended, int32(first+to))
+		ranges := ledger.EncodeRanges(func(i int) bool { return i >= from && done(i) }, to)
+		if len(ranges) > 0 && (all || n > 0) {
+			key := ledger.FinishedTasksPartKey(j.id, chunk, from)
+			j.addFinishedKey(key)
+			w := ledger.Write{Key: key, Value: ranges}
+			if n > 0 {
+				w.Tag = finishedTag{j.index, ended[:n]}
+			}
+			t.writes.put(w)
+		}
+		ended = ended[n:]
+	}
+}
+
+// writeTerminal writes a job's terminal state.
+func (t *jobTable) writeTerminal(j *job, urgent bool) {
+	rec := ledger.JobRecord{AcceptedMS: j.record.acceptedMS, Terminal: j.end.state, Tasks: j.progress.total, Done: j.progress.done, EndedMS: t.clock.wallMS, Origin: j.transfer.origin, TransferEpoch: j.transfer.epoch}
+	if j.end.state == wire.JobCancelled {
+		// What a new leader needs stays: it charges the team for tasks that it has
+		// not yet seen gone. The whole description may be more than fits by now.
+		rec.Job = j.spec.CancelledSummary()
+	} else if j.transfer.origin == "" {
+		rec.Class, rec.Team, rec.Cores, rec.RunS = j.spec.Class, j.spec.Team, j.request.size.CPUs*float64(j.progress.total), t.estimates.expectedRun(j).Seconds()
+	}
+	t.writes.put(ledger.Write{Key: ledger.JobKey(j.id), Value: rec, Urgent: urgent, Version: j.record.version, Tag: terminalTag{j.index}})
+}
--- a/internal/scheduler/job_table.go
+++ b/internal/scheduler/job_table.go
@@ -1,5 +1,12 @@
 package scheduler
 
+import (
+	"slices"
+
+	"leadproxy/internal/rollout"
+	"leadproxy/internal/wire"
+)
+
 // jobTable holds the jobs of the term and the dependency graph among them.
 type jobTable struct {
 	cfg       *Config
@@ -21,3 +28,67 @@
 	return jobTable{cfg: &c.cfg, clock: &c.clock, effects: &c.effects, writes: &c.writes, estimates: &c.estimates, machines: &c.machines,
 		indexByID: map[string]int32{}, awaited: map[string][]int32{}, cancelling: map[int32]bool{}}
 }
+
+// anyWaiting tells whether some task could be placed if there were room.
+func (t *jobTable) anyWaiting() bool {
+	return slices.ContainsFunc(t.active, func(j *job) bool { return j.placeable(t.clock.now) })
+}
+
+func (t *jobTable) taskName(b *allocation) string {
+	return wire.TaskName(t.list[b.job].id, int(b.task))
+}
+
+// findTask finds what a line of a report speaks of. The booking is nil when we
+// have none for it.
+func (t *jobTable) findTask(m *machine, status *wire.TaskStatus) (j *job, n int32, b *allocation) {
+	if b := m.allocation(status.Attempt); b != nil {
+		return t.list[b.job], b.task, b
+	}
+	ref, k, ok := wire.ParseTaskName(status.Task)
+	at, known := t.indexByID[ref]
+	if !ok || !known || t.list[at].spec != nil && k >= t.list[at].progress.total {
+		return nil, 0, nil
+	}
+	return t.list[at], int32(k), nil
+}
+
+// taskIsDone tells whether a task has ended, by the ledger.
+func (t *jobTable) taskIsDone(ref string, n int) bool {
+	i, ok := t.indexByID[ref]
+	if !ok {
+		return true
+	}
+	j := t.list[i]
+	return j.ended() || n >= len(j.progress.tasks) || j.progress.tasks[n].state >= taskDone
+}
+
+// runningJobs counts the running jobs of a group, once for all who ask in a step.
+func (t *jobTable) runningJobs() func(rollout.Group) int {
+	var counts map[rollout.Group]int
+	return func(g rollout.Group) int {
+		if counts == nil {
+			counts = map[rollout.Group]int{}
+			for _, j := range t.active {
+				if j.spec != nil && j.progress.allocated > 0 && !j.ended() {
+					counts[rollout.TeamGroup(j.spec.Team)]++
+					counts[rollout.ClassGroup(j.spec.Class)]++
+				}
+			}
+		}
+		return counts[g]
+	}
+}
+
+// cleanUp drops what is kept for a job that is over, once nothing of it is on
+// any machine any more.
+func (t *jobTable) cleanUp(j *job) {
+	if !j.end.durable || j.end.cleanedUp || j.progress.allocated > 0 || len(j.record.inDoubtHosts) > 0 {
+		return
+	}
+	j.end.cleanedUp = true
+	t.dropKeys(j)
+	for _, h := range j.record.hosts {
+		t.machines.list[h.machine].recorded.namedByJobs--
+	}
+	j.progress.tasks, j.record.hosts, j.record.hostAt, j.retry.failedOn, j.record.hostChunks, j.record.finishedKeys = nil, nil, nil, nil, nil, nil
+}
--- a/internal/scheduler/machine_table.go
+++ b/internal/scheduler/machine_table.go
@@ -11,3 +11,34 @@
 func newMachineTable() machineTable {
 	return machineTable{indexByName: map[string]int32{}}
 }
+
+// find returns a machine that this term has heard of, or nil. One of an earlier
+// leader's that nobody has heard of once jobs may be moved is gone: the cloud's list has been
+// read since, and a lease has passed.
+func (t *machineTable) find(name string) *machine {
+	if i, ok := t.indexByName[name]; ok {
+		return t.list[i]
+	}
+	return nil
+}
+
+// count is how many machines there are, up or coming.
+func (t *machineTable) count() (n int) {
+	for _, m := range t.live {
+		if m.state != machineGone {
+			n++
+		}
+	}
+	return n
+}
+
+// unresolvedHosts counts the machines that may still run what an earlier leader started there.
+func (t *machineTable) unresolvedHosts() int {
+	n := 0
+	for _, m := range t.live {
+		if len(m.recorded.inDoubtJobs) > 0 {
+			n++
+		}
+	}
+	return n
+}
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -1,9 +1,10 @@
 package scheduler
 
 import (
+	"time"
+
 	"leadproxy/internal/slowfit"
 	"leadproxy/internal/wire"
-	"time"
 )
 
 // machineTypes are the machine types of the cloud, in the order in which they became known.
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -5,8 +5,6 @@
 	"time"
 
 	"leadproxy/internal/ledger"
-	"leadproxy/internal/settings"
-	"leadproxy/internal/wire"
 )
 
 // The states of a machine.
@@ -76,14 +74,7 @@
 	gb    float64
 }
 
-// trusted tells whether what a machine reports is believed: it has echoed the term's token.
-// One whose deletion is asked for counts as well. The cloud may be out of order for longer
-// than cancel_s, and a machine that goes on meanwhile must be told what to stop.
-func (m *machine) trusted(term uint64) bool {
-	return (m.state == machineUp || m.state == machineDeleting) && m.agent.acknowledgedToken>>tokenBits == term
-}
-
-func (m *machine) has(image int32) bool {
+func (m *machine) hasImage(image int32) bool {
 	for _, s := range m.capacity.images {
 		if s.image == image {
 			return true
@@ -92,9 +83,9 @@
 	return false
 }
 
-// fetched notes that the machine holds an image, dropping the least recently
+// addImage notes that the machine holds an image, dropping the least recently
 // used ones beyond its cache.
-func (m *machine) fetched(image int32, gb, cache float64) {
+func (m *machine) addImage(image int32, gb, cache float64) {
 	for i, s := range m.capacity.images {
 		if s.image == image {
 			copy(m.capacity.images[i:], m.capacity.images[i+1:])
@@ -116,7 +107,7 @@
 // machineNamed returns the machine of a name, making a place for one that we
 // hear of for the first time.
 func (c *Core) machineNamed(name string) *machine {
-	if m := c.machines.machineIfKnown(name); m != nil {
+	if m := c.machines.find(name); m != nil {
 		return m
 	}
 	name = strings.Clone(name) // mostly a part of a report's body
@@ -130,15 +121,15 @@
 	c.machines.list = append(c.machines.list, m)
 	c.machines.live = append(c.machines.live, m)
 	c.softState.inheritMachine(m)
-	c.softState.changed(m)
+	c.softState.machineChanged(m)
 	return m
 }
 
-// describe fills in what a report or the list tells of a machine.
-func (c *Core) describe(m *machine, typ, zone string, spot bool, address string) {
+// updateDescription fills in what a report or the list tells of a machine.
+func (c *Core) updateDescription(m *machine, typ, zone string, spot bool, address string) {
 	if address != "" && address != m.agent.address {
 		m.agent.address, m.agent.addressFromSoftState = strings.Clone(address), false
-		c.softState.changed(m)
+		c.softState.machineChanged(m)
 	}
 	m.spot = spot
 	m.zone = c.machines.zones.of(zone)
@@ -154,14 +145,14 @@
 	c.placement.indexChanged(m)
 }
 
-// gone notes that a machine and all on it is no more.
-func (c *Core) gone(m *machine, why string) {
+// removeMachine notes that a machine and all on it is no more.
+func (c *Core) removeMachine(m *machine, why string) {
 	if m.state == machineGone {
 		return
 	}
 	c.log.Info("machine is gone", "machine", m.name, "why", why, "bookings", len(m.capacity.allocations))
 	m.state = machineGone
-	c.softState.changed(m)
+	c.softState.machineChanged(m)
 	c.dropAllocations(m, why)
 	clear(m.commands.unresolvedStarts)
 	c.resolveInDoubt(m, why)
@@ -174,55 +165,6 @@
 	c.placement.needed = true
 }
 
-// unreachableAfter is when a machine that said nothing gets no more work.
-func (a *agents) unreachableAfter() time.Duration { return a.heartbeatInterval*2 + time.Second }
-
-// expireLease does what time alone does to a machine.
-func (c *Core) expireLease(m *machine) {
-	if m.state == machineGone || c.clock.now < m.agent.leaseExpiry || m.agent.lastAnswered > 0 && c.clock.now < m.agent.lastAnswered+c.agents.lease {
-		return
-	}
-	// Its worker has had no answer for a whole lease: whatever it ran is over.
-	if len(m.recorded.inDoubtJobs) > 0 {
-		c.resolveInDoubt(m, "its lease is over")
-	}
-	// This holds as well while a deletion is asked for and not answered.
-	if len(m.capacity.allocations) > 0 {
-		c.log.Info("machine lost: its lease is over", "machine", m.name, "bookings", len(m.capacity.allocations))
-		c.dropAllocations(m, "its lease is over")
-	}
-	// Starts of that session are refused from now on, and whatever a late copy
-	// of its reports says is over as well.
-	clear(m.commands.unresolvedStarts)
-	m.agent.expiredEpoch = m.agent.epoch
-}
-
-// evictBeforeTermination stops what can save its progress on a machine that is to be taken.
-func (c *Core) evictBeforeTermination(m *machine) {
-	left := m.rental.terminationAt - c.clock.now
-	for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
-		b := m.capacity.allocations[k]
-		j := c.jobs.list[b.job]
-		if b.stopping || j.spec == nil {
-			continue
-		}
-		if b.state <= allocationQueued {
-			c.stopAllocation(m, b, 0)
-			continue
-		}
-		save := settings.Seconds(j.spec.CheckpointDurationS)
-		if j.spec.CheckpointIntervalS > 0 && save < left {
-			c.stopAllocation(m, b, max(left.Seconds(), j.spec.CheckpointDurationS))
-			continue
-		}
-		// It can't save. Let it go on only if it may well end in time.
-		if ran := c.clock.now - b.runningSince; b.status == wire.TaskRunning && c.estimates.expectedRun(j)-ran < left {
-			continue
-		}
-		c.stopAllocation(m, b, 0)
-	}
-}
-
 // machineCameUp learns from a machine's first word.
 func (c *Core) machineCameUp(m *machine) {
 	c.log.Info("machine is up", "machine", m.name, "seconds", (c.clock.now - m.rental.rentedAt).Seconds())
--- a/internal/scheduler/machines_test.go
+++ b/internal/scheduler/machines_test.go
@@ -394,7 +394,7 @@
 		}
 		g.submit(newTestJob("job-1", 1, 4))
 		g.settle(outcome)
-		g.want("open before the echo", g.c.agents.accepts(g.c.machines.list[0]), false)
+		g.want("open before the echo", g.c.agents.schedulable(g.c.machines.list[0]), false)
 		g.wait(time.Second)
 		g.want("deleted", len(g.deleted), 0)
 	}
@@ -467,7 +467,7 @@
 		g.step(HeartbeatEvent{Heartbeat: copies[name(i)], ReplyTo: recipient("w")})
 	}
 	at := asked()
-	g.want("asked at once", len(at), maxInspects)
+	g.want("asked at once", len(at), maxInspections)
 	for _, n := range at {
 		g.step(InspectResult{Machine: n, Heartbeat: g.reportOf(n, ours)})
 	}
@@ -496,8 +496,8 @@
 		most  int // on their way at once, at the end
 	}{
 		{"at once", 50 * time.Millisecond, maxProbes},
-		{"neither soon nor late", 300 * time.Millisecond, fewProbes},
-		{"late", time.Second, fewProbes},
+		{"neither soon nor late", 300 * time.Millisecond, minProbes},
+		{"late", time.Second, minProbes},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -508,7 +508,7 @@
 			}
 			g.now += time.Second
 			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}, List: list}})
-			g.want("at first", len(g.start), fewProbes)
+			g.want("at first", len(g.start), minProbes)
 			most := 0
 			for len(g.start) > 0 && g.now < 8*time.Second {
 				most = max(most, len(g.start))
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"cmp"
 	"log/slog"
 	"slices"
 	"time"
@@ -63,17 +62,17 @@
 		for to < len(queue) && queue[to].priority.class == queue[from].priority.class {
 			to++
 		}
-		p.placeRank(queue[from:to], uncertain)
+		p.placePriorityClass(queue[from:to], uncertain)
 		from = to
 	}
 }
 
-// placeRank starts what it can of the jobs of one priority. On a full site each
+// placePriorityClass starts what it can of the jobs of one priority. On a full site each
 // piece of room that comes free would go to the job that is first in the queue,
 // mostly on a machine without its image, and a tenth of all cores waited for
 // images. So those jobs that can wait are first offered only machines that have
 // their image, and another of the same priority may go before them there.
-func (p *placement) placeRank(queue []*job, uncertain []units) {
+func (p *placement) placePriorityClass(queue []*job, uncertain []units) {
 	if len(queue) > 1 {
 		for _, j := range queue {
 			j.placement.imageOnly = p.mayWaitForImage(j)
@@ -86,114 +85,12 @@
 	}
 }
 
-// mayWaitForImage tells whether a job has time to let others go first: more than
-// fetching its image would take, or none at all any more.
-func (p *placement) mayWaitForImage(j *job) bool {
-	if j.priority.deadline == never {
-		return true
-	}
-	slack := j.priority.deadline - p.clock.now - p.estimates.expectedRun(j)
-	slowest := time.Duration(0)
-	for i := range p.types.list {
-		if t := &p.types.list[i]; t.FetchGBPerS > 0 {
-			slowest = max(slowest, settings.Seconds(j.spec.ImageGB/t.FetchGBPerS))
-		}
-	}
-	return slack < 0 || slack > 2*slowest
-}
-
-// accepts tells whether a machine takes new tasks at all.
-func (a *agents) accepts(m *machine) bool {
-	return m.state == machineUp && m.trusted(a.term) && m.agent.epoch > m.agent.expiredEpoch && m.typ >= 0 && m.agent.unreachable == nil && !m.eviction.cordoned && !m.health.quarantined && a.clock.now >= m.commands.avoidUntil && m.rental.terminationAt == 0 && !m.agent.unacknowledged && a.clock.now-m.agent.lastAcknowledged < a.unreachableAfter()
-}
-
-// queue returns the jobs with tasks to place, in order: teams within their
-// guarantee, priority, turn, the work that is left where it is crowded, the time
-// that is left.
-func (p *placement) queue() []*job {
-	var queue []*job
-	demand := make([]units, len(p.quotas.teams))
-	for _, j := range p.jobs.active {
-		if !j.over() && !j.blocked() {
-			demand[j.request.team] = demand[j.request.team].plus(unitsOf(j.request.size).times(j.progress.total - j.progress.done))
-		}
-		if j.placeable(p.clock.now) {
-			queue = append(queue, j)
-		}
-	}
-	crowded := map[int]bool{} // by rank: somebody is late already
-	for _, j := range queue {
-		crowded[j.priority.class] = crowded[j.priority.class] || p.ageBucket(j) == turnLate
-	}
-	// A team whose unfinished jobs all fit within its guarantee need not wait
-	// for other teams.
-	withinGuarantee := func(j *job) bool {
-		g := p.quotas.teams[j.request.team].guarantee
-		d := demand[j.request.team]
-		return (g.cpus > 0 || g.gpus > 0) && d.cpus <= g.cpus && d.gpus <= g.gpus
-	}
-	slices.SortStableFunc(queue, func(a, b *job) int {
-		if sa, sb := withinGuarantee(a), withinGuarantee(b); sa != sb {
-			if sa {
-				return -1
-			}
-			return 1
-		}
-		if a.priority.class != b.priority.class {
-			return a.priority.class - b.priority.class
-		}
-		work := 0
-		if crowded[a.priority.class] {
-			work = cmp.Compare(p.workLeft(a), p.workLeft(b))
-		}
-		return cmp.Or(cmp.Compare(p.ageBucket(a), p.ageBucket(b)), foreignJobsLast(a, b), work, cmp.Compare(a.slack(p.clock.now), b.slack(p.clock.now)), int(a.index)-int(b.index))
-	})
-	return queue
-}
-
-// foreignJobsLast has this cell's own jobs go before those of other cells.
-func foreignJobsLast(a, b *job) int {
-	switch {
-	case (a.transfer.origin == "") == (b.transfer.origin == ""):
-		return 0
-	case a.transfer.origin == "":
-		return -1
-	}
-	return 1
-}
-
-// uncertainUse is what each team's tasks may use on machines that have not been
-// heard of in this term, and in other cells.
-func (f *federationState) uncertainUse() []units {
-	use := make([]units, len(f.quotas.teams))
-	transfers := !f.delegated.Idle()
-	for _, j := range f.jobs.active {
-		if len(j.record.inDoubtHosts) > 0 && j.end.state != wire.JobDone {
-			n := j.progress.total - j.progress.done - j.progress.allocated
-			use[j.request.team] = use[j.request.team].plus(unitsOf(j.request.size).times(max(n, 0)))
-		}
-		unreadable := j.transfer.delegated && !f.delegated.Delegated(j.id)
-		if unreadable || transfers && f.delegated.MayRunRemotely(j.id) {
-			// All of its tasks may run there at once, also if its transfer's record can't
-			// be read.
-			use[j.request.team] = use[j.request.team].plus(unitsOf(j.request.size).times(j.progress.total))
-		}
-	}
-	return use
-}
-
 // allows tells whether a job's rules let its tasks run on a machine, leaving
 // together and spread aside.
 func (j *job) allows(typ, zone int32, spot bool) bool {
 	return (j.request.types == nil || slices.Contains(j.request.types, typ)) && (j.request.zone < 0 || j.request.zone == zone) && (j.spec.Spot || !spot)
 }
 
-// withinLimit tells whether a job's team may have one more of its tasks.
-func (q *quotas) withinLimit(j *job, uncertain []units) bool {
-	t := &q.teams[j.request.team]
-	return t.allocated.plus(uncertain[j.request.team]).plus(unitsOf(j.request.size)).within(t.limit)
-}
-
 // placeJob starts what it can of a job's waiting tasks, as long as more, unless
 // nil, allows, and tells how many.
 func (p *placement) placeJob(j *job, uncertain []units, more func(placed int) bool) (placed int) {
@@ -232,7 +129,7 @@
 	b := c.allocate(m, j, n, c.attempts.nextAttempt(), true)
 	c.placement.refresh(m)
 	if c.debug {
-		c.log.Debug("task placed", "task", c.jobs.taskName(b), "attempt", b.attempt, "machine", m.name, "goal", c.placement.goal.L, "share", b.share, "load", m.capacity.load, "image", m.has(j.request.image))
+		c.log.Debug("task placed", "task", c.jobs.taskName(b), "attempt", b.attempt, "machine", m.name, "goal", c.placement.goal.L, "share", b.share, "load", m.capacity.load, "image", m.hasImage(j.request.image))
 	}
 	if _, ok := j.record.hostAt[m.index]; !ok {
 		c.jobs.addHost(j, m)
@@ -245,13 +142,13 @@
 // fetchTime is how long a machine will need for a job's image.
 func (p *placement) fetchTime(j *job, m *machine) time.Duration {
 	rate := p.types.list[m.typ].FetchGBPerS
-	if m.has(j.request.image) || rate <= 0 {
+	if m.hasImage(j.request.image) || rate <= 0 {
 		return 0
 	}
 	// Images that are fetched at the same time share the rate.
 	fetching := 1
 	for _, b := range m.capacity.allocations {
-		if o := p.jobs.list[b.job]; b.status != wire.TaskRunning && o.request.image != j.request.image && !m.has(o.request.image) {
+		if o := p.jobs.list[b.job]; b.status != wire.TaskRunning && o.request.image != j.request.image && !m.hasImage(o.request.image) {
 			fetching++
 			break
 		}
@@ -295,8 +192,8 @@
 	return best
 }
 
-// zoned counts a job's tasks by zone as they come and go.
-func (j *job) zoned(zone int32, change int) {
+// countInZone counts a job's tasks by zone as they come and go.
+func (j *job) countInZone(zone int32, change int) {
 	if zone < 0 || j.spec == nil || !j.spec.Gang && !j.spec.Spread {
 		return
 	}
@@ -306,21 +203,8 @@
 	j.placement.tasksByZone[zone] += change
 }
 
-// crowdedZone tells whether a job that must be spread may have no more tasks in
+// zoneFull tells whether a job that must be spread may have no more tasks in
 // a zone.
-func (j *job) crowdedZone(zone int32) bool {
+func (j *job) zoneFull(zone int32) bool {
 	return j.spec.Spread && int(zone) < len(j.placement.tasksByZone) && j.placement.tasksByZone[zone] >= (j.progress.total+1)/2
 }
-
-// resolveTypes maps the type names that a job allows, once types are known.
-func (p *placement) resolveTypes(j *job) {
-	if j.spec.Types == nil || j.request.types != nil {
-		return
-	}
-	j.request.types = []int32{}
-	for _, name := range j.spec.Types {
-		if t, ok := p.types.indexByName[name]; ok {
-			j.request.types = append(j.request.types, t)
-		}
-	}
-}
--- a/internal/scheduler/placement_index.go
+++ b/internal/scheduler/placement_index.go
@@ -33,7 +33,7 @@
 // refresh brings the index up to date for a machine.
 func (p *placement) refresh(m *machine) {
 	m.indexed.stale = false
-	m.indexed.schedulable = p.agents.accepts(m)
+	m.indexed.schedulable = p.agents.schedulable(m)
 	p.openCores -= m.indexed.cores
 	m.indexed.cores = 0
 	if m.indexed.schedulable {
@@ -120,7 +120,7 @@
 	w := slowfit.Request{Task: j.request.size, Bonus: image, FavouredTag: imageTag(j.request.image),
 		Pool: func(pool int) (bool, int) {
 			k := p.pools[pool]
-			if !j.allows(k.typ, k.zone, k.spot) || only >= 0 && k.zone != only || j.crowdedZone(k.zone) {
+			if !j.allows(k.typ, k.zone, k.spot) || only >= 0 && k.zone != only || j.zoneFull(k.zone) {
 				return false, 0
 			}
 			if k.spot {
@@ -130,7 +130,7 @@
 		},
 		Favoured: func(i int32) bool {
 			m := p.machines.list[i]
-			return m.has(j.request.image) || p.fetching(m, j.request.image)
+			return m.hasImage(j.request.image) || p.fetching(m, j.request.image)
 		},
 	}
 	if len(j.retry.failedOn) > 0 && !j.suspect() {
--- a/internal/scheduler/plan_requests.go
+++ b/internal/scheduler/plan_requests.go
@@ -12,8 +12,8 @@
 	Waits  []string
 }
 
-// planAsked creates or steers a plan. The answer comes when its record is durable.
-func (v *evictionState) planAsked(e PlanRequest) {
+// planRequested creates or steers a plan. The answer comes when its record is durable.
+func (v *evictionState) planRequested(e PlanRequest) {
 	var err error
 	name := e.Name
 	switch {
@@ -69,8 +69,8 @@
 	return nil
 }
 
-// plansListed lists the plans and what counts as disrupted.
-func (v *evictionState) plansListed(e PlanListRequest) {
+// planListRequested lists the plans and what counts as disrupted.
+func (v *evictionState) planListRequested(e PlanListRequest) {
 	list := PlanListReply{ReplyTo: e.ReplyTo, Term: v.term}
 	if v.disruptions != nil {
 		for _, name := range v.planNames() {
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -17,10 +17,10 @@
 // reports that would have brought the same. So there are few at first, one more
 // for each that is back soon, and fewer again when they come back late.
 const (
-	fewProbes = 4
+	minProbes = 4
 	maxProbes = 64
-	probeSoon = 150 * time.Millisecond
-	probeLate = 500 * time.Millisecond
+	fastProbe = 150 * time.Millisecond
+	slowProbe = 500 * time.Millisecond
 )
 
 // probes are the machines that are to be probed, and how many of them may be at once.
@@ -30,13 +30,13 @@
 	atOnce   int
 }
 
-// probeFor is how long after the beginning of a term machines are probed. What
+// probePeriod is how long after the beginning of a term machines are probed. What
 // is silent then is treated as silent.
-const probeFor = 20 * time.Second
+const probePeriod = 20 * time.Second
 
 // probe has a machine of an earlier term told our token.
 func (a *agents) probe(m *machine) {
-	if m.agent.probes > 0 || m.trusted(a.term) || m.agent.address == "" || a.clock.now-a.clock.termStart > probeFor {
+	if m.agent.probes > 0 || m.trusted(a.term) || m.agent.address == "" || a.clock.now-a.clock.termStart > probePeriod {
 		return
 	}
 	m.agent.probes = 1
@@ -54,7 +54,7 @@
 		a.probes.underWay++
 		// Its session is not known before its first word, unless by a hint; nearly all
 		// are in their first.
-		a.commands.send(&commandInFlight{machine: m, agentEpoch: max(m.agent.epoch, m.agent.softStateEpoch, 1), fencingToken: m.agent.fencingToken, probe: true, sent: a.clock.now, addressFromSoftState: m.agent.addressFromSoftState}, []wire.Command{})
+		a.commands.sendCommand(&commandInFlight{machine: m, agentEpoch: max(m.agent.epoch, m.agent.softStateEpoch, 1), fencingToken: m.agent.fencingToken, probe: true, sent: a.clock.now, addressFromSoftState: m.agent.addressFromSoftState}, []wire.Command{})
 	}
 }
 
@@ -66,10 +66,10 @@
 	switch took := a.clock.now - call.sent; {
 	case outcome == CommandOutcomeUnknown || outcome == CommandNotSent:
 		// It tells of that machine only.
-	case took <= probeSoon:
+	case took <= fastProbe:
 		a.probes.atOnce = min(a.probes.atOnce+1, maxProbes)
-	case took >= probeLate:
-		a.probes.atOnce = max(a.probes.atOnce/2, fewProbes)
+	case took >= slowProbe:
+		a.probes.atOnce = max(a.probes.atOnce/2, minProbes)
 	}
 	if outcome == CommandRejected && m.agent.probes == 1 && !m.trusted(a.term) {
 		m.agent.probes++
@@ -77,3 +77,22 @@
 	}
 	a.sendProbes()
 }
+
+// probeInherited probes the machines that the ledger names where the hints say that they are
+// reached, without waiting for the cloud's list.
+func (a *agents) probeInherited() {
+	for _, m := range a.machines.live {
+		if m.agent.addressFromSoftState {
+			a.probe(m)
+		}
+	}
+}
+
+// inheritedAddressFailed takes back what a hint said of where a machine is reached. The cloud's list or
+// its next report tells.
+func (a *agents) inheritedAddressFailed(m *machine) {
+	m.agent.addressFromSoftState, m.agent.softStateEpoch, m.agent.probes = false, 0, 0
+	if m.agent.epoch == 0 {
+		m.agent.address = ""
+	}
+}
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -34,7 +34,7 @@
 	g.want("order once nobody is late", order(), []string{"job-3", "job-6", "job-4", "job-2", "job-1"})
 	g.want("slack without a deadline", g.c.jobs.list[0].slack(0) == math.MaxInt64, true)
 	// Nobody comes last for ever.
-	g.wait(beginWithin - 2*time.Second)
+	g.wait(maxStartDelay - 2*time.Second)
 	g.submit(newTestJob("job-7", 1, 1))
 	g.wait(3 * time.Second)
 	g.want("order after four minutes", order(), []string{"job-3", "job-6", "job-4", "job-2", "job-1", "job-7"})
@@ -97,7 +97,7 @@
 		within   time.Duration
 	}{
 		{"another class has its share", 8, func() *wire.Job { return newTestJob("job-9", 1, 1) }, 20 * time.Second},
-		{"a large task begins though small ones fill every gap", 2, func() *wire.Job { return newTestJob("job-9", 1, 4) }, beginWithin},
+		{"a large task begins though small ones fill every gap", 2, func() *wire.Job { return newTestJob("job-9", 1, 4) }, maxStartDelay},
 		{"another team has its share", 8, func() *wire.Job {
 			j := urgent("job-9", 1, 1)
 			j.Team, j.Priority = "t2", "idle"
--- a/internal/scheduler/quotas.go
+++ b/internal/scheduler/quotas.go
@@ -1,9 +1,10 @@
 package scheduler
 
 import (
+	"math"
+
 	"leadproxy/internal/settings"
 	"leadproxy/internal/slowfit"
-	"math"
 )
 
 // units counts a team's resources exactly.
@@ -56,3 +57,24 @@
 	}
 	return q.unknown
 }
+
+// roomInLimit is how many more tasks of a job its team's limit lets run while
+// the team uses so much.
+func (q *quotas) roomInLimit(j *job, used units) int {
+	limit := q.teams[j.request.team].limit
+	need := unitsOf(j.request.size)
+	n := math.MaxInt32
+	if limit.cpus > 0 && need.cpus > 0 {
+		n = min(n, int((limit.cpus-used.cpus)/need.cpus))
+	}
+	if limit.gpus > 0 && need.gpus > 0 {
+		n = min(n, int((limit.gpus-used.gpus)/need.gpus))
+	}
+	return max(n, 0)
+}
+
+// withinLimit tells whether a job's team may have one more of its tasks.
+func (q *quotas) withinLimit(j *job, uncertain []units) bool {
+	t := &q.teams[j.request.team]
+	return t.allocated.plus(uncertain[j.request.team]).plus(unitsOf(j.request.size)).within(t.limit)
+}
--- a/internal/scheduler/stops.go
+++ b/internal/scheduler/required_stops.go
@@ -6,16 +6,6 @@
 	"leadproxy/internal/wire"
 )
 
-// stopAllocation has an attempt stopped. What was never sent is simply freed.
-func (c *Core) stopAllocation(m *machine, b *allocation, grace float64) {
-	if b.state <= allocationQueued {
-		c.release(m, b)
-		return
-	}
-	b.stopping, b.gracePeriod = true, grace
-	c.commands.sendStop(m, b)
-}
-
 // requiredStops lists the stops that the answer to a report owes: those of the tasks in it that
 // must not run. It decides that for every answer, since each renews the worker's lease. That
 // a report may be an old copy is no reason to leave one out: stopping an attempt that is no
@@ -28,7 +18,7 @@
 			continue // what is left is stopped in the answers to the next reports
 		}
 		if grace, must := q.mustStop(m, t, believed); must {
-			q.cancellations.noteStop(m, t)
+			q.cancellations.countStop(m, t)
 			stops = append(stops, stopCommand(t.Task, t.Attempt, grace))
 		}
 	}
@@ -38,13 +28,13 @@
 // mustStop tells whether a task that a machine reports as alive must not run, and how long
 // it may take to save its progress.
 func (q *commands) mustStop(m *machine, t *wire.TaskStatus, believed bool) (grace float64, must bool) {
-	j, _, b := q.jobs.taskOf(m, t)
+	j, _, b := q.jobs.findTask(m, t)
 	switch {
 	case j == nil:
 		// Whatever an earlier leader started has its job's record in the ledger. So this one
 		// can't be read, and may say that the job is cancelled.
 		return 0, true
-	case j.over():
+	case j.ended():
 		return 0, true // nobody wants its progress
 	case b == nil:
 		// What is not booked from a report that may be an old copy is not looked at yet.
--- a/internal/scheduler/required_stops_test.go
+++ b/internal/scheduler/required_stops_test.go
@@ -66,7 +66,7 @@
 		{"a job that is over and forgotten here", func(t *testing.T) *wire.HeartbeatResponse {
 			g, task := running(t)
 			g.echo("vm-1")
-			g.want("settled", g.c.jobs.list[0].end.settled, true)
+			g.want("settled", g.c.jobs.list[0].end.cleanedUp, true)
 			return g.echo("vm-1", task)
 		}},
 		{"a job that nobody knows, as its record can't be read", func(t *testing.T) *wire.HeartbeatResponse {
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -53,7 +53,7 @@
 	}
 	finished := 0
 	for _, f := range s.Finished {
-		j.finishedKey(f.Key)
+		j.addFinishedKey(f.Key)
 		f.Ranges.Each(func(i int) {
 			if n := f.Chunk*ledger.TasksPerChunk + i; n < len(j.progress.tasks) && j.progress.tasks[n].state != taskDurable {
 				j.progress.tasks[n].state = taskDurable
@@ -74,11 +74,11 @@
 		j.retry.notBefore = c.clock.now + c.agents.lease
 	}
 	if !waitsFor(&s.Record) && j.transfer.origin == "" {
-		c.autoscaling.arrived(j)
+		c.autoscaling.observeArrival(j)
 	}
 	switch {
-	case j.over():
-		c.jobs.settleJob(j)
+	case j.ended():
+		c.jobs.cleanUp(j)
 	case j.progress.done == j.progress.total:
 		c.finish(j, wire.JobDone)
 	}
@@ -122,19 +122,8 @@
 // UnresolvedHosts is how many machines may still run what an earlier leader started there.
 func (c *Core) UnresolvedHosts() int { return c.machines.unresolvedHosts() }
 
-// unresolvedHosts counts the machines that may still run what an earlier leader started there.
-func (t *machineTable) unresolvedHosts() int {
-	n := 0
-	for _, m := range t.live {
-		if len(m.recorded.inDoubtJobs) > 0 {
-			n++
-		}
-	}
-	return n
-}
-
 // Machines is how many machines this term knows, up or coming.
-func (c *Core) Machines() int { return c.machines.machineCount() }
+func (c *Core) Machines() int { return c.machines.count() }
 
 // Jobs is how many jobs this term knows.
 func (c *Core) Jobs() int { return len(c.jobs.list) }
@@ -149,8 +138,8 @@
 		delete(j.record.inDoubtHosts, m.index)
 		if len(j.record.inDoubtHosts) == 0 {
 			c.placement.needed = true
-			if j.over() {
-				c.jobs.settleJob(j)
+			if j.ended() {
+				c.jobs.cleanUp(j)
 			}
 		}
 	}
--- a/internal/scheduler/scale_in.go
+++ b/internal/scheduler/scale_in.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"math"
 	"slices"
 	"time"
 
@@ -9,9 +8,9 @@
 	"leadproxy/internal/settings"
 )
 
-// askDelete has a machine deleted. It is gone only when the cloud says so; until
+// requestDelete has a machine deleted. It is gone only when the cloud says so; until
 // then it is asked for again now and then.
-func (a *autoscaling) askDelete(m *machine, why string) {
+func (a *autoscaling) requestDelete(m *machine, why string) {
 	if m.state == machineDeleting && a.clock.now-m.rental.lastDeleteRequest < 10*time.Second {
 		return
 	}
@@ -32,24 +31,12 @@
 	a.deletes = a.deletes[:0]
 }
 
-// inactive is how long a machine has not shown that it hears this leader. That its
-// reports come in alone shows nothing.
-func (a *agents) inactive(m *machine) time.Duration {
-	return a.clock.now - max(m.agent.lastAcknowledged, m.agent.epochSeenAt, a.clock.tickingSince)
-}
-
-// expected tells whether a machine should be reporting: it has, or an earlier
-// leader has started something on it.
-func (a *agents) expected(m *machine) bool {
-	return m.state == machineUp || m.state == machineStarting && len(m.recorded.inDoubtJobs) > 0
-}
-
 // ExpectedAgents is how many machines should be reporting.
 func (c *Core) ExpectedAgents() int { return c.agents.expectedCount }
 
 // scaleIn gives back what is broken, lost, or not needed any more.
 func (a *autoscaling) scaleIn() {
-	cores := a.countFleet()
+	cores := a.countCapacity()
 	headroom := a.headroomCores()
 	waiting := a.placement.placeableWithinLimit()
 	for _, m := range a.machines.live {
@@ -57,7 +44,7 @@
 			continue
 		}
 		if why := a.reasonToScaleIn(m); why != "" {
-			a.askDelete(m, why)
+			a.requestDelete(m, why)
 			continue
 		}
 		// Ordinary machines cost a multiple and are not kept for what may come.
@@ -65,73 +52,43 @@
 		if !m.spot {
 			target, patience = 0, patience/4
 		}
-		if a.mayGoIdle(m, waiting) && a.clock.now-m.capacity.idleSince > patience && cores-m.capacity.total.CPUs >= target {
+		if a.mayScaleIn(m, waiting) && a.clock.now-m.capacity.idleSince > patience && cores-m.capacity.total.CPUs >= target {
 			cores -= m.capacity.total.CPUs
-			a.askDelete(m, "idle")
+			a.requestDelete(m, "idle")
 		}
 	}
 }
 
-// zoneCount is how many machines of a zone should be reporting, and how many of them
-// are silent.
-type zoneCount struct{ up, silent int }
-
-// countFleet counts the cores to plan with, and notes how many machines should be
+// countCapacity counts the cores to plan with, and notes how many machines should be
 // reporting and which zones seem to be cut off.
-func (a *autoscaling) countFleet() (cores float64) {
+func (a *autoscaling) countCapacity() (cores float64) {
 	zones := make([]zoneCount, len(a.machines.zones.list))
 	var all zoneCount
 	for _, m := range a.machines.live {
-		if a.counts(m) {
+		if a.countsAsCapacity(m) {
 			cores += m.capacity.total.CPUs
 		}
-		if !a.agents.expected(m) || m.zone < 0 {
+		if !a.agents.heartbeatExpected(m) || m.zone < 0 {
 			continue
 		}
 		zones[m.zone].up++
 		all.up++
-		if a.agents.inactive(m) >= a.agents.unreachableAfter() && m.rental.missedListings < 2 {
-			zones[m.zone].silent++
-			all.silent++
+		if a.agents.unacknowledgedFor(m) >= a.agents.unreachableAfter() && m.rental.missedListings < 2 {
+			zones[m.zone].unreachable++
+			all.unreachable++
 		}
 	}
 	a.agents.expectedCount = all.up
-	a.agents.noteCuts(zones, all)
+	a.agents.detectZoneCuts(zones, all)
 	return cores
 }
 
-// noteCuts notes which zones seem to be cut off. A whole zone silent at once, or most
-// machines, is rather a cut between us and them: there they work on, and deleting them
-// would lose that. When it ends, or their reports come by another way, they come back
-// one by one.
-func (a *agents) noteCuts(zones []zoneCount, all zoneCount) {
-	for len(a.zoneCutAt) < len(zones) {
-		a.zoneCutAt = append(a.zoneCutAt, math.MinInt64/2)
-	}
-	maxSilent := 2*all.silent > max(all.up, 2)
-	for i, z := range zones {
-		if maxSilent || z.up > 1 && z.silent == z.up {
-			a.zoneCutAt[i] = a.clock.now
-		}
-	}
-}
-
-// cutOff tells whether a machine's zone seems to be cut off, or was a moment ago.
-func (a *agents) cutOff(m *machine) bool {
-	return m.zone >= 0 && a.clock.now-a.zoneCutAt[m.zone] < 4*a.heartbeatInterval
-}
-
-// placeableWithinLimit lists the jobs with tasks that their teams' limits let run.
-func (p *placement) placeableWithinLimit() []*job {
-	return slices.DeleteFunc(p.queue(), func(j *job) bool { return p.quotas.roomInLimit(j, p.quotas.teams[j.request.team].allocated) == 0 })
-}
-
-// mayGoIdle tells whether an idle machine may be given back at all: its least rental is
+// mayScaleIn tells whether an idle machine may be given back at all: its least rental is
 // over and no waiting task could use it. One that some waiting task could use is kept,
 // whatever keeps that task from it now. One that is too small or not allowed for all of
 // them is not: on a large site there is always something waiting. Nor is one that only
 // tasks beyond their team's limit would use.
-func (a *autoscaling) mayGoIdle(m *machine, waiting []*job) bool {
+func (a *autoscaling) mayScaleIn(m *machine, waiting []*job) bool {
 	if m.state != machineUp || m.eviction.kept || len(m.capacity.allocations) > 0 || a.clock.now-m.rental.rentedAt < minRental || !m.trusted(a.term) {
 		return false
 	}
@@ -143,14 +100,14 @@
 // reasonToScaleIn tells why a machine is to be given back whether or not it is wanted;
 // "": there is no reason.
 func (a *autoscaling) reasonToScaleIn(m *machine) string {
-	quiet := a.agents.inactive(m)
+	quiet := a.agents.unacknowledgedFor(m)
 	switch {
 	case m.state == machineDeleting:
 		return "not yet known to be gone"
-	case a.agents.expected(m) && quiet > a.agents.unreachableAfter() && m.rental.missedListings >= 2:
+	case a.agents.heartbeatExpected(m) && quiet > a.agents.unreachableAfter() && m.rental.missedListings >= 2:
 		// Absence from the list proves nothing, but its deletion will.
 		return "silent and not listed any more"
-	case a.agents.expected(m) && quiet > 4*a.agents.heartbeatInterval && !a.agents.cutOff(m):
+	case a.agents.heartbeatExpected(m) && quiet > 4*a.agents.heartbeatInterval && !a.agents.zoneCutOff(m):
 		return "silent"
 	case m.state == machineStarting:
 		return a.reasonToStopBoot(m, quiet)
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"errors"
 	"fmt"
 	"time"
 
@@ -61,24 +60,6 @@
 	c.machinesRented(h, r.Machines)
 }
 
-// machinesRented notes the machines of a hire.
-func (c *Core) machinesRented(h *scaleOut, machines []string) {
-	h.open = false
-	c.evictions.noteRented(h.record.Request.RequestID, machines)
-	h.unseenMachines = map[string]bool{}
-	for _, name := range machines {
-		m := c.machineNamed(name)
-		m.rental.scaleOutID = h.record.Request.RequestID
-		if m.state == machineStarting {
-			c.describe(m, h.record.Request.Type, h.record.Request.Zone, h.record.Request.Spot, "")
-		}
-		if m.state == machineStarting && !m.rental.listed {
-			h.unseenMachines[name] = true
-		}
-	}
-	c.autoscaling.closeScaleOut(h)
-}
-
 // scaleOutMachineSeen notes that a machine is known from the list or from itself, so that
 // its hire need not be remembered for it.
 func (a *autoscaling) scaleOutMachineSeen(m *machine) {
@@ -98,46 +79,3 @@
 	delete(a.scaleOuts, h.record.Request.RequestID)
 	a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.record.Request.RequestID)})
 }
-
-func (c *Core) scaleOutResult(r autoscaler.Result) {
-	h := c.autoscaling.scaleOuts[r.Call.ScaleOut.RequestID]
-	if h == nil || !h.open {
-		return
-	}
-	h.sent = false
-	st := c.autoscaling.pool(h.pool)
-	block := func() {
-		if c.clock.now < st.blockedUntil {
-			return // several hires of one offer were on their way
-		}
-		st.backoff = min(max(st.backoff*2, refusedFirst), refusedMost)
-		st.blockedUntil = c.clock.now + st.backoff
-		st.fillsRequests = 0
-	}
-	switch {
-	case r.Err == nil:
-		c.log.Info("hired", "request", h.record.Request.RequestID, "machines", r.Machines, "wanted", h.record.Request.Count)
-		if len(r.Machines) < h.record.Request.Count {
-			block()
-		} else {
-			st.backoff = 0
-			st.fillsRequests++
-		}
-		h.record.Machines = r.Machines
-		if len(r.Machines) == 0 {
-			c.autoscaling.dropScaleOut(h)
-			return
-		}
-		c.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.record.Request.RequestID), Value: h.record})
-		c.machinesRented(h, r.Machines)
-	case errors.Is(r.Err, autoscaler.ErrNoCapacity):
-		c.log.Info("hire refused: no capacity", "request", h.record.Request.RequestID, "type", h.record.Request.Type, "zone", h.record.Request.Zone, "spot", h.record.Request.Spot)
-		block()
-		h.open = false
-		c.autoscaling.dropScaleOut(h)
-	default:
-		// It may have been carried out. Only the same name is safe to repeat.
-		c.log.Info("hire unanswered", "request", h.record.Request.RequestID, "error", r.Err)
-		h.retry = c.clock.now + time.Second
-	}
-}
--- a/internal/scheduler/scaling_plan.go
+++ b/internal/scheduler/scaling_plan.go
@@ -2,18 +2,18 @@
 
 import (
 	"iter"
-	"math"
+	"slices"
 
 	"leadproxy/internal/autoscaler"
 )
 
-// counts tells whether a machine is part of the capacity to plan with.
-func (a *autoscaling) counts(m *machine) bool {
+// countsAsCapacity tells whether a machine is part of the capacity to plan with.
+func (a *autoscaling) countsAsCapacity(m *machine) bool {
 	switch m.state {
 	case machineStarting:
 		return m.typ >= 0
 	case machineUp:
-		return m.typ >= 0 && !m.health.quarantined && !m.eviction.cordoned && m.rental.terminationAt == 0 && a.agents.inactive(m) < a.agents.unreachableAfter()
+		return m.typ >= 0 && !m.health.quarantined && !m.eviction.cordoned && m.rental.terminationAt == 0 && a.agents.unacknowledgedFor(m) < a.agents.unreachableAfter()
 	}
 	return false
 }
@@ -78,27 +78,17 @@
 	}
 }
 
-// machineCount is how many machines there are, up or coming.
-func (t *machineTable) machineCount() (n int) {
-	for _, m := range t.live {
-		if m.state != machineGone {
-			n++
-		}
-	}
-	return n
-}
-
 // planMachines counts the machines that are up or coming.
 func (a *autoscaling) planMachines(s *autoscaler.PlanInput) {
-	s.Machines += a.machines.machineCount()
+	s.Machines += a.machines.count()
 	for _, m := range a.machines.live {
-		if !a.counts(m) {
+		if !a.countsAsCapacity(m) {
 			continue
 		}
 		s.Cores += m.capacity.total.CPUs
 		o := autoscaler.CapacityPool{Type: m.typ, Zone: m.zone, Spot: m.spot}
 		if m.trusted(a.term) {
-			s.Running = append(s.Running, autoscaler.RunningMachine{CapacityPool: o, BusyCoreSeconds: a.placement.busy(m)})
+			s.Running = append(s.Running, autoscaler.RunningMachine{CapacityPool: o, BusyCoreSeconds: a.placement.remainingWork(m)})
 		} else {
 			s.Pending = append(s.Pending, autoscaler.PendingMachine{CapacityPool: o, Free: m.capacity.free})
 		}
@@ -141,35 +131,40 @@
 	}
 }
 
-// busy is the core-seconds that are expected to be left of a machine's tasks.
-func (p *placement) busy(m *machine) float64 {
-	sum := 0.0
-	for _, b := range m.capacity.allocations {
-		j := p.jobs.list[b.job]
-		if j.spec == nil {
-			continue
-		}
-		left := p.estimates.expectedRun(j)
-		if b.runningSince > 0 {
-			// One that has outrun its estimate goes on for some time more.
-			left = max(left-(p.clock.now-b.runningSince), left/4)
-		}
-		sum += j.request.size.CPUs * left.Seconds()
+// canScaleOut tells whether machines are coming or could be asked for.
+func (a *autoscaling) canScaleOut() bool {
+	if len(a.openScaleOuts()) > 0 {
+		return true
+	}
+	if slices.ContainsFunc(a.machines.live, func(m *machine) bool { return m.state == machineStarting && m.typ >= 0 }) {
+		return true
+	}
+	if most := a.cfg.Operator.MaxMachines; most > 0 && a.machines.count() >= most {
+		return false
 	}
-	return sum
+	return a.poolsOpen()
 }
 
-// roomInLimit is how many more tasks of a job its team's limit lets run while
-// the team uses so much.
-func (q *quotas) roomInLimit(j *job, used units) int {
-	limit := q.teams[j.request.team].limit
-	need := unitsOf(j.request.size)
-	n := math.MaxInt32
-	if limit.cpus > 0 && need.cpus > 0 {
-		n = min(n, int((limit.cpus-used.cpus)/need.cpus))
-	}
-	if limit.gpus > 0 && need.gpus > 0 {
-		n = min(n, int((limit.gpus-used.gpus)/need.gpus))
-	}
-	return max(n, 0)
+// poolsOpen tells whether some offer of the cloud was not refused a moment ago.
+func (a *autoscaling) poolsOpen() bool {
+	for range a.openPools() {
+		return true
+	}
+	return false
+}
+
+// scalableCores is what the cloud may still give.
+func (a *autoscaling) scalableCores() float64 {
+	most := a.cfg.Operator.MaxMachines
+	if len(a.types.list) == 0 || !a.poolsOpen() {
+		return 0
+	}
+	largest := 0.0
+	for i := range a.types.list {
+		largest = max(largest, a.types.list[i].total.CPUs)
+	}
+	if most == 0 {
+		return largest * autoscaler.MaxScaleOut
+	}
+	return largest * float64(max(0, most-a.machines.count()))
 }
--- a/internal/scheduler/soft_state.go
+++ b/internal/scheduler/soft_state.go
@@ -56,19 +56,9 @@
 	}
 }
 
-// probeInherited probes the machines that the ledger names where the hints say that they are
-// reached, without waiting for the cloud's list.
-func (a *agents) probeInherited() {
-	for _, m := range a.machines.live {
-		if m.agent.addressFromSoftState {
-			a.probe(m)
-		}
-	}
-}
-
 // dropInherited forgets the hints once the term's beginning is over.
 func (s *softState) dropInherited() {
-	if s.inherited.machines != nil && s.clock.now-s.clock.termStart > probeFor {
+	if s.inherited.machines != nil && s.clock.now-s.clock.termStart > probePeriod {
 		s.inherited = inheritedSoftState{}
 	}
 }
@@ -89,15 +79,6 @@
 	}
 }
 
-// inheritedAddressFailed takes back what a hint said of where a machine is reached. The cloud's list or
-// its next report tells.
-func (a *agents) inheritedAddressFailed(m *machine) {
-	m.agent.addressFromSoftState, m.agent.softStateEpoch, m.agent.probes = false, 0, 0
-	if m.agent.epoch == 0 {
-		m.agent.address = ""
-	}
-}
-
 // runningSince is since when an attempt has run that is seen running for the first time.
 // known is false if it began in an earlier term and no hint tells when.
 func (s *softState) runningSince(attempt uint64) (since time.Duration, known bool) {
@@ -122,14 +103,14 @@
 			continue
 		}
 		st := s.autoscaling.pool(autoscaler.CapacityPool{Type: index, Zone: s.machines.zones.of(o.Zone), Spot: o.Spot})
-		st.blockedUntil = s.clock.now + min(o.BackoffLeft, refusedMost)
-		st.backoff = min(o.Backoff, refusedMost)
+		st.blockedUntil = s.clock.now + min(o.BackoffLeft, maxPoolBackoff)
+		st.backoff = min(o.Backoff, maxPoolBackoff)
 		st.fillsRequests = o.Filled
 	}
 }
 
-// changed notes that hints of our own have something new to tell of a machine.
-func (s *softState) changed(m *machine) {
+// machineChanged notes that hints of our own have something new to tell of a machine.
+func (s *softState) machineChanged(m *machine) {
 	s.version++
 	m.softStateVersion = s.version
 }
--- a/internal/scheduler/soft_state_test.go
+++ b/internal/scheduler/soft_state_test.go
@@ -114,7 +114,7 @@
 	second := ask(first.UpTo)
 	g.want("parts", []any{len(first.Machines), first.More, len(second.Machines), second.More}, []any{softstate.MaxChanges, true, 1, false})
 	g.want("what has changed since", len(ask(second.UpTo).Machines), 0)
-	g.c.softState.changed(g.c.machineNamed("vm-1"))
+	g.c.softState.machineChanged(g.c.machineNamed("vm-1"))
 	g.want("after a change", ask(second.UpTo).Machines[0].Name, "vm-1")
 	next := newHintedStage(t, &softstate.View{Term: 5, Machines: map[string]softstate.Machine{"vm-1": {Name: "vm-1"}}, Estimates: first.Estimates})
 	next.step(SoftStateRequest{ReplyTo: recipient("s")})
--- a/internal/scheduler/spending.go
+++ b/internal/scheduler/spending.go
@@ -21,16 +21,16 @@
 
 // spendingLog is what the machines have cost since it was last logged.
 type spendingLog struct {
-	spent  spending
-	until  time.Duration // as far as that is reckoned
-	logged time.Duration
+	spent        spending
+	accruedUntil time.Duration // as far as that is reckoned
+	loggedAt     time.Duration
 }
 
 // The times of the reckoning: how often all machines are looked at for it, and how often
 // it is logged.
 const (
-	spendEvery    = time.Second
-	spendingEvery = 30 * time.Second
+	spendingInterval    = time.Second
+	spendingLogInterval = 30 * time.Second
 )
 
 const secondsPerHour = 3600
@@ -48,32 +48,32 @@
 	return a.types.list[m.typ].price(m.spot) / secondsPerHour
 }
 
-// spend adds what the machines have cost since the last time.
-func (a *autoscaling) spend() {
-	if a.clock.now-a.spending.until < spendEvery {
+// accrueSpending adds what the machines have cost since the last time.
+func (a *autoscaling) accrueSpending() {
+	if a.clock.now-a.spending.accruedUntil < spendingInterval {
 		return
 	}
-	elapsed := (a.clock.now - a.spending.until).Seconds()
-	a.spending.until = a.clock.now
+	elapsed := (a.clock.now - a.spending.accruedUntil).Seconds()
+	a.spending.accruedUntil = a.clock.now
 	for _, m := range a.machines.live {
 		cost := a.pricePerSecond(m) * elapsed
 		switch m.state {
 		case machineStarting:
 			a.spending.spent.booting += cost
 		case machineUp:
-			a.spendOn(m, cost)
+			a.divideCost(m, cost)
 		case machineDeleting:
 			a.spending.spent.returning += cost
 		case machineGone:
 		}
 	}
-	if a.clock.now-a.spending.logged >= spendingEvery {
+	if a.clock.now-a.spending.loggedAt >= spendingLogInterval {
 		a.logSpending()
 	}
 }
 
-// spendOn divides the cost of a machine that is up.
-func (a *autoscaling) spendOn(m *machine, cost float64) {
+// divideCost divides the cost of a machine that is up.
+func (a *autoscaling) divideCost(m *machine, cost float64) {
 	if len(m.capacity.allocations) == 0 || m.capacity.total.CPUs <= 0 {
 		a.spending.spent.idle += cost
 		return
@@ -94,10 +94,10 @@
 	a.spending.spent.partIdle += max(free, 0)
 }
 
-// lostWork counts what a task had run that has to run again.
-func (a *autoscaling) lostWork(m *machine, b *allocation) {
+// addLostWork counts what a task had run that has to run again.
+func (a *autoscaling) addLostWork(m *machine, b *allocation) {
 	j := a.jobs.list[b.job]
-	if b.runningSince == 0 || m.capacity.total.CPUs <= 0 || j.over() {
+	if b.runningSince == 0 || m.capacity.total.CPUs <= 0 || j.ended() {
 		return
 	}
 	a.spending.spent.lost += a.pricePerSecond(m) * j.request.size.CPUs / m.capacity.total.CPUs * (a.clock.now - b.runningSince).Seconds()
@@ -106,8 +106,8 @@
 func (a *autoscaling) logSpending() {
 	s := &a.spending.spent
 	if s.total() > 0 {
-		a.log.Info("money spent", "seconds", (a.clock.now - a.spending.logged).Seconds(), "total", s.total(), "booting", s.booting, "fetching", s.fetching,
+		a.log.Info("money spent", "seconds", (a.clock.now - a.spending.loggedAt).Seconds(), "total", s.total(), "booting", s.booting, "fetching", s.fetching,
 			"running", s.running, "saving", s.saving, "part_idle", s.partIdle, "idle", s.idle, "returning", s.returning, "lost", s.lost, "machines", len(a.machines.live))
 	}
-	a.spending.spent, a.spending.logged = spending{}, a.clock.now
+	a.spending.spent, a.spending.loggedAt = spending{}, a.clock.now
 }
--- a/internal/scheduler/spending_test.go
+++ b/internal/scheduler/spending_test.go
@@ -39,9 +39,9 @@
 			for _, book := range tc.bookings {
 				m.capacity.allocations = append(m.capacity.allocations, book(j))
 			}
-			c.autoscaling.spending.spent, c.autoscaling.spending.until, c.autoscaling.spending.logged = spending{}, c.clock.now, c.clock.now
+			c.autoscaling.spending.spent, c.autoscaling.spending.accruedUntil, c.autoscaling.spending.loggedAt = spending{}, c.clock.now, c.clock.now
 			c.clock.now += 10 * time.Second
-			c.autoscaling.spend()
+			c.autoscaling.accrueSpending()
 			unit := c.autoscaling.pricePerSecond(m) * 10 / 100
 			for _, part := range []struct {
 				name      string
--- /dev/null
+++ b/internal/scheduler/task_reports.go
@@ -0,0 +1,137 @@
+package scheduler
+
+import "leadproxy/internal/wire"
+
+// reconcileTasks brings the bookings of a machine in line with a fresh report, or
+// with the answer to a direct command.
+func (c *Core) reconcileTasks(m *machine, r *wire.Heartbeat, reported bool) {
+	c.agents.heartbeatsProcessed++
+	for i := range r.Tasks {
+		t := &r.Tasks[i]
+		j, n, b := c.jobs.findTask(m, t)
+		if j == nil {
+			continue // its answer stops it, see mustStop
+		}
+		if t.Status == wire.TaskEnded {
+			c.attemptEnded(m, j, n, b, t)
+			continue
+		}
+		if b == nil {
+			if b = c.adopt(m, j, n, t); b == nil {
+				continue
+			}
+			if b.stopping && !reported {
+				c.commands.sendStop(m, b) // no answer goes there that could have it
+			}
+		}
+		b.state, b.lastHeartbeatSeen = allocationConfirmed, c.agents.heartbeatsProcessed
+		if t.Status != b.status {
+			c.statusChanged(m, j, b, t.Status)
+		}
+	}
+	c.releaseMissing(m, r, reported)
+}
+
+// statusChanged notes another state of a task than was last reported.
+func (c *Core) statusChanged(m *machine, j *job, b *allocation, status string) {
+	b.status = status
+	if status != wire.TaskRunning {
+		return
+	}
+	since, known := c.softState.runningSince(b.attempt)
+	b.runningSince, b.runStartUnknown = since, !known
+	c.evictions.taskRunning(b)
+	c.softState.machineChanged(m)
+	j.progress.startedOnce = true
+	m.capacity.idleSince = c.clock.now
+	if j.spec != nil && m.typ >= 0 {
+		m.addImage(j.request.image, j.spec.ImageGB, c.types.list[m.typ].CacheGB)
+	}
+}
+
+// releaseMissing frees the bookings that a machine no longer has, or never will.
+func (c *Core) releaseMissing(m *machine, r *wire.Heartbeat, reported bool) {
+	for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
+		b := m.capacity.allocations[k]
+		if b.lastHeartbeatSeen == c.agents.heartbeatsProcessed {
+			continue
+		}
+		_, unsettled := m.commands.unresolvedStarts[b.attempt]
+		switch {
+		case b.state <= allocationQueued, unsettled:
+			// Not sent yet, or it may still be executed.
+		case b.state == allocationSent && b.responseSequence > 0 && (!reported || r.Sequence <= b.responseSequence):
+			// The answer that carries its start may still be on its way: the
+			// worker's next report is sent only after it, or after it is given
+			// up.
+		default:
+			// Either a start whose outcome was unknown and which a raised token
+			// has ruled out, or an attempt that the worker no longer knows.
+			if b.state == allocationSent && b.responseSequence > 0 {
+				c.markUnacknowledged(m)
+			}
+			c.log.Info("attempt is not on its machine", "machine", m.name, "task", c.jobs.taskName(b), "attempt", b.attempt, "confirmed", b.state == allocationConfirmed)
+			c.release(m, b)
+		}
+	}
+}
+
+// adopt books a task that an earlier leader has started, or returns nil when it
+// must not go on.
+func (c *Core) adopt(m *machine, j *job, n int32, t *wire.TaskStatus) *allocation {
+	if j.spec == nil || j.progress.tasks == nil {
+		return nil // over, and forgotten here
+	}
+	ts := &j.progress.tasks[n]
+	if j.ended() {
+		// It counts for its team until it is gone.
+		return c.allocate(m, j, n, t.Attempt, false)
+	}
+	if ts.state != taskWaiting {
+		c.log.Error("task reported where it should not be", "machine", m.name, "task", t.Task, "attempt", t.Attempt, "state", ts.state)
+		return nil
+	}
+	j.dropWaiting(n)
+	b := c.allocate(m, j, n, t.Attempt, true)
+	if _, ok := j.record.hostAt[m.index]; !ok {
+		c.jobs.addHost(j, m)
+	}
+	return b
+}
+
+// attemptEnded settles an attempt that its worker reports as ended.
+func (c *Core) attemptEnded(m *machine, j *job, n int32, b *allocation, t *wire.TaskStatus) {
+	if b == nil && (t.ExitReason != wire.ExitDone || j.progress.tasks == nil || j.ended() || j.progress.tasks[n].state != taskWaiting) {
+		return // settled before
+	}
+	if b != nil {
+		if t.ExitReason != wire.ExitDone && !t.CheckpointSaved {
+			c.autoscaling.addLostWork(m, b)
+		}
+		if t.ExitReason == wire.ExitStopped {
+			c.evictions.displaced(m, b, t.CheckpointSaved, "it was stopped")
+		}
+		c.deallocate(m, b)
+	}
+	switch t.ExitReason {
+	case wire.ExitDone:
+		if b != nil && b.runningSince > 0 && !b.runStartUnknown {
+			c.estimates.learnRun(j, c.clock.now-b.runningSince)
+		}
+		clear(m.health.failedJobs)
+		c.taskEnded(j, n)
+	case wire.ExitError:
+		c.placement.attemptFailed(m, j, n, t.Attempt)
+		c.placement.requeue(j, n)
+	case wire.ExitNoSuchTask:
+		// The users' upload of the description is not there yet.
+		c.placement.backOff(j)
+		c.placement.requeue(j, n)
+	case wire.ExitNoRoom, wire.ExitInUse:
+		c.log.Info("start refused", "machine", m.name, "task", t.Task, "attempt", t.Attempt, "why", t.ExitReason)
+		c.placement.backOff(j)
+		c.placement.requeue(j, n)
+	default:
+		c.placement.requeue(j, n)
+	}
+}
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -65,7 +65,7 @@
 const unreachableRecordOverhead = 64
 
 func (c *Core) writeUnreachable(machines []*machine) {
-	n := &unreachableRecord{key: c.agents.unreachableKey(), machines: machines}
+	n := &unreachableRecord{key: c.agents.newRecordKey(), machines: machines}
 	c.agents.unreachable.records = append(c.agents.unreachable.records, n)
 	record := ledger.UnreachableRecord{}
 	over := c.clock.termStart
@@ -80,10 +80,10 @@
 	c.writes.put(ledger.Write{Key: n.key, Value: record})
 }
 
-// unreachableKey returns a key for a note, one that is free if there is. Keys are never
+// newRecordKey returns a key for a note, one that is free if there is. Keys are never
 // deleted: a write of unknown outcome may yet be carried out, and where its key
 // is missing, as it was before, it would bring back a note that is withdrawn.
-func (a *agents) unreachableKey() string {
+func (a *agents) newRecordKey() string {
 	if n := len(a.unreachable.freeKeys); n > 0 {
 		key := a.unreachable.freeKeys[n-1]
 		a.unreachable.freeKeys = a.unreachable.freeKeys[:n-1]
@@ -115,15 +115,15 @@
 	}
 }
 
-// heardFrom notes a sign of life: what was noted of the machine, and of those noted
+// withdrawRecordOf notes a sign of life: what was noted of the machine, and of those noted
 // with it, is withdrawn.
-func (a *agents) heardFrom(m *machine) {
+func (a *agents) withdrawRecordOf(m *machine) {
 	if m.agent.unreachable != nil {
-		a.withdrawUnreachable(m.agent.unreachable)
+		a.withdrawRecord(m.agent.unreachable)
 	}
 }
 
-func (a *agents) withdrawUnreachable(n *unreachableRecord) {
+func (a *agents) withdrawRecord(n *unreachableRecord) {
 	if !n.withdrawn {
 		n.withdrawn = true
 		a.writes.put(ledger.Write{Key: n.key, Value: ledger.UnreachableRecord{}, Urgent: true, Tag: unreachableTag{n.key}})
@@ -151,28 +151,17 @@
 	c.commands.heldForUnreachable = nil
 	for _, a := range held {
 		if !a.outdated {
-			a.machine.commands.openAnswer = len(c.commands.openAnswers) + 1
+			a.machine.commands.openResponse = len(c.commands.openResponses) + 1
 		}
-		c.commands.openAnswers = append(c.commands.openAnswers, a)
+		c.commands.openResponses = append(c.commands.openResponses, a)
 	}
 }
 
-// dropUnreachable withdraws the notes that are of no use any more.
-func (a *agents) dropUnreachable() {
+// withdrawUseless withdraws the notes that are of no use any more.
+func (a *agents) withdrawUseless() {
 	for _, n := range a.unreachable.records {
 		if !slices.ContainsFunc(n.machines, func(m *machine) bool { return m.state != machineGone && m.recorded.namedByJobs > 0 }) {
-			a.withdrawUnreachable(n)
+			a.withdrawRecord(n)
 		}
 	}
 }
-
-// holdAnswerForUnreachable keeps the answer to a machine that is noted as silent until that is
-// withdrawn.
-func (q *commands) holdAnswerForUnreachable(a heldAnswer) bool {
-	if a.machine.agent.unreachable == nil {
-		return false
-	}
-	a.machine.commands.openAnswer = 0
-	q.heldForUnreachable = append(q.heldForUnreachable, a)
-	return true
-}
--- a/internal/scheduler/unreachable_test.go
+++ b/internal/scheduler/unreachable_test.go
@@ -144,7 +144,7 @@
 			g.wait(c.heard)
 			m := g.c.machineNamed("vm-1")
 			m.agent.address = "10.1.0.1:9000"
-			g.c.commands.send(&commandInFlight{machine: m, agentEpoch: 2, fencingToken: m.agent.fencingToken}, []wire.Command{})
+			g.c.commands.sendCommand(&commandInFlight{machine: m, agentEpoch: 2, fencingToken: m.agent.fencingToken}, []wire.Command{})
 			g.take(g.c.Settle())
 			probe := g.start[len(g.start)-1]
 			g.start = nil
--- /dev/null
+++ b/internal/scheduler/zone_cuts.go
@@ -0,0 +1,28 @@
+package scheduler
+
+import "math"
+
+// zoneCount is how many machines of a zone should be reporting, and how many of them
+// are silent.
+type zoneCount struct{ up, unreachable int }
+
+// detectZoneCuts notes which zones seem to be cut off. A whole zone silent at once, or most
+// machines, is rather a cut between us and them: there they work on, and deleting them
+// would lose that. When it ends, or their reports come by another way, they come back
+// one by one.
+func (a *agents) detectZoneCuts(zones []zoneCount, all zoneCount) {
+	for len(a.zoneCutAt) < len(zones) {
+		a.zoneCutAt = append(a.zoneCutAt, math.MinInt64/2)
+	}
+	maxSilent := 2*all.unreachable > max(all.up, 2)
+	for i, z := range zones {
+		if maxSilent || z.up > 1 && z.unreachable == z.up {
+			a.zoneCutAt[i] = a.clock.now
+		}
+	}
+}
+
+// zoneCutOff tells whether a machine's zone seems to be cut off, or was a moment ago.
+func (a *agents) zoneCutOff(m *machine) bool {
+	return m.zone >= 0 && a.clock.now-a.zoneCutAt[m.zone] < 4*a.heartbeatInterval
+}
