--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -84,45 +84,50 @@
 	return c
 }
 
-// Step takes one event. What follows from it, and from others that came with
-// it, is told by Settle.
-func (c *Core) Step(event Event, now time.Duration, wall int64) {
-	c.clock.set(now, wall)
+// Step takes one event. Its effects, and those of others that came with it, are returned by
+// Settle.
+func (c *Core) Step(event Event, now time.Duration, wallMS int64) {
+	c.clock.set(now, wallMS)
 	switch e := event.(type) {
+	// Users and their jobs.
 	case JobRecordEvent:
 		c.recordJob(e)
+	case CancelRequest:
+		c.cancelRequested(e)
+	case StatusRequest:
+		c.statusRequested(e)
+
+	// Agents.
 	case HeartbeatEvent:
 		c.heartbeatReceived(e)
 	case CommandResult:
 		c.commandResult(e)
 	case InspectResult:
 		c.inspectResult(e)
-	case CancelRequest:
-		c.cancelRequested(e)
-	case StatusRequest:
-		c.statusRequested(e)
-	case WritesDurable:
-		c.writes.durable(len(e.Tags))
-		for _, tag := range e.Tags {
-			c.writeDurable(tag)
-		}
+
+	// The cloud.
 	case CloudResult:
 		c.cloudResult(e.Result)
+
+	// The ledger.
+	case WritesDurable:
+		c.writesDurable(e)
+	case WritesRejected:
+		c.writesRejected(e)
 	case ValueLimitChanged:
 		c.cfg.ValueBytes = e.ValueBytes
-	case WritesRejected:
-		c.writes.rejected(len(e.Tags))
-		for _, tag := range e.Tags {
-			c.writeRejected(tag)
-		}
-	case Tick:
-		c.tick()
-	case SoftStateRequest:
-		c.softState.softStateRequested(e)
+
+	// Operators with plans that drain machines, and standbys.
 	case PlanRequest:
 		c.evictions.planRequested(e)
 	case PlanListRequest:
 		c.evictions.planListRequested(e)
+	case SoftStateRequest:
+		c.softState.softStateRequested(e)
+
+	case Tick:
+		c.tick()
+
 	default:
 		c.federationEvent(event)
 	}
@@ -147,25 +152,21 @@
 	return c.effects.take()
 }
 
-// tick does what time alone brings.
+// tick does what follows from the passing of time alone.
 func (c *Core) tick() {
 	c.clock.tick()
 	c.autoscaling.accrueSpending()
 	for _, m := range c.machines.live {
 		c.expireLease(m)
 		if m.indexed.schedulable != c.agents.schedulable(m) {
-			// It has fallen silent, or is no longer shunned.
+			// Its agent has become unreachable, or it is no longer avoided.
 			c.placement.indexChanged(m)
 			c.placement.needed = true
 		}
 	}
-	for _, j := range c.jobs.active {
-		if j.retry.notBefore > 0 && c.clock.now >= j.retry.notBefore {
-			j.retry.notBefore = 0
-			c.placement.needed = true
-		}
-	}
-	c.dropFinished()
+	c.placement.endBackOffs()
+	c.jobs.dropCleanedUp()
+	c.machines.dropGone(&c.writes)
 	c.cancellations.check()
 	c.recordUnreachable()
 	c.agents.withdrawUseless()
@@ -176,26 +177,3 @@
 	c.evictionTick()
 	c.placement.lowerGoal()
 }
-
-// dropFinished forgets jobs and machines that need no more attention.
-func (c *Core) dropFinished() {
-	keep := c.jobs.active[:0]
-	for _, j := range c.jobs.active {
-		if !j.end.cleanedUp {
-			keep = append(keep, j)
-		}
-	}
-	clear(c.jobs.active[len(keep):])
-	c.jobs.active = keep
-	live := c.machines.live[:0]
-	for _, m := range c.machines.live {
-		if m.state != machineGone || m.recorded.gone && m.recorded.namedByJobs > 0 {
-			live = append(live, m)
-		} else if m.recorded.gone {
-			m.recorded.gone = false
-			c.writes.put(ledger.Write{Key: ledger.GoneKey(m.name)})
-		}
-	}
-	clear(c.machines.live[len(live):])
-	c.machines.live = live
-}
--- a/internal/scheduler/failure_attribution.go
+++ b/internal/scheduler/failure_attribution.go
@@ -68,3 +68,13 @@
 	p.indexChanged(m)
 	p.log.Info("machine quarantined: tasks fail on it", "machine", m.name, "jobs", len(m.health.failedJobs), "bookings", len(m.capacity.allocations))
 }
+
+// endBackOffs has jobs placed whose delay is over.
+func (p *placement) endBackOffs() {
+	for _, j := range p.jobs.active {
+		if j.retry.notBefore > 0 && p.clock.now >= j.retry.notBefore {
+			j.retry.notBefore = 0
+			p.needed = true
+		}
+	}
+}
--- a/internal/scheduler/job_table.go
+++ b/internal/scheduler/job_table.go
@@ -92,3 +92,8 @@
 	}
 	j.progress.tasks, j.record.hosts, j.record.hostAt, j.retry.failedOn, j.record.hostChunks, j.record.finishedKeys = nil, nil, nil, nil, nil, nil
 }
+
+// dropCleanedUp removes jobs that need no more attention from the active ones.
+func (t *jobTable) dropCleanedUp() {
+	t.active = slices.DeleteFunc(t.active, func(j *job) bool { return j.end.cleanedUp })
+}
--- a/internal/scheduler/ledger_writes.go
+++ b/internal/scheduler/ledger_writes.go
@@ -105,3 +105,19 @@
 		c.federation.sendTransfers()
 	}
 }
+
+// writesDurable notes that writes are durable, and does what waits for each.
+func (c *Core) writesDurable(e WritesDurable) {
+	c.writes.durable(len(e.Tags))
+	for _, tag := range e.Tags {
+		c.writeDurable(tag)
+	}
+}
+
+// writesRejected notes that writes were not carried out, and replaces each.
+func (c *Core) writesRejected(e WritesRejected) {
+	c.writes.rejected(len(e.Tags))
+	for _, tag := range e.Tags {
+		c.writeRejected(tag)
+	}
+}
--- a/internal/scheduler/machine_table.go
+++ b/internal/scheduler/machine_table.go
@@ -1,5 +1,10 @@
 package scheduler
 
+import (
+	"leadproxy/internal/ledger"
+	"slices"
+)
+
 // machineTable holds all machines of the term, the live ones, and the names of their zones.
 type machineTable struct {
 	list        []*machine
@@ -42,3 +47,18 @@
 	}
 	return n
 }
+
+// dropGone removes machines that are gone from the live ones. The record that one is gone is
+// deleted once no job names it as a host.
+func (t *machineTable) dropGone(writes *durableWrites) {
+	t.live = slices.DeleteFunc(t.live, func(m *machine) bool {
+		switch {
+		case m.state != machineGone || m.recorded.gone && m.recorded.namedByJobs > 0:
+			return false
+		case m.recorded.gone:
+			m.recorded.gone = false
+			writes.put(ledger.Write{Key: ledger.GoneKey(m.name)})
+		}
+		return true
+	})
+}
