--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -76,11 +76,11 @@
 // worth at first, more once the cloud has filled some.
 func (o *poolState) maxCount() int { return min(1+o.fillsRequests, maxCalls) * autoscaler.MaxScaleOut }
 
-func (f *autoscaling) pool(o autoscaler.CapacityPool) *poolState {
-	if f.pools[o] == nil {
-		f.pools[o] = &poolState{}
+func (a *autoscaling) pool(o autoscaler.CapacityPool) *poolState {
+	if a.pools[o] == nil {
+		a.pools[o] = &poolState{}
 	}
-	return f.pools[o]
+	return a.pools[o]
 }
 
 // tick runs the routine: reading the cloud, returning, hiring.
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -35,22 +35,22 @@
 // maxSizes bounds the sizes that are remembered.
 const maxSizes = 16
 
-func (f *autoscaling) addSize(size slowfit.Size, weight float64, wait bool) {
+func (a *autoscaling) addSize(size slowfit.Size, weight float64, wait bool) {
 	at := -1
-	for i := range f.sizes {
-		f.sizes[i].weight *= 0.98
-		if f.sizes[i].size == size {
+	for i := range a.sizes {
+		a.sizes[i].weight *= 0.98
+		if a.sizes[i].size == size {
 			at = i
 		}
 	}
 	if at < 0 {
-		at = len(f.sizes)
-		f.sizes = append(f.sizes, weightedSize{size: size})
+		at = len(a.sizes)
+		a.sizes = append(a.sizes, weightedSize{size: size})
 	}
-	f.sizes[at].weight += weight
-	f.sizes[at].wait = f.sizes[at].wait || wait
-	slices.SortStableFunc(f.sizes, func(a, b weightedSize) int { return cmp.Compare(b.weight, a.weight) })
-	f.sizes = f.sizes[:min(len(f.sizes), maxSizes)]
+	a.sizes[at].weight += weight
+	a.sizes[at].wait = a.sizes[at].wait || wait
+	slices.SortStableFunc(a.sizes, func(x, y weightedSize) int { return cmp.Compare(y.weight, x.weight) })
+	a.sizes = a.sizes[:min(len(a.sizes), maxSizes)]
 }
 
 // headroomSizes are the sizes that the headroom should hold: the heaviest of the
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -5,74 +5,59 @@
 	"time"
 
 	"leadproxy/internal/ledger"
+	"leadproxy/internal/scheduler/depgraph"
 	"leadproxy/internal/wire"
 )
 
-// A job may name others that have to be done before any of its tasks starts. This
-// is the one place that knows the dependency graph: each job's predecessors and
-// dependents by index, and how many predecessors are open.
+// A job may name others that have to be done before any of its tasks starts. Package depgraph
+// holds who depends on whom; here it meets the jobs and their records.
 //
-// A predecessor is done only once its record says so durably: until then a new
+// A predecessor counts as done only once its record says so durably: until then a new
 // leader may run its last task again. One that this leader has not seen yet, since
-// another node has just accepted it, is open.
+// another controller has just accepted it, counts as unfinished.
 //
-// An open job with a cancelled ancestor is cancelled. That follows from durable
-// facts alone: a record says aborted or done, never first one and then the other,
+// An unfinished job with a cancelled ancestor is cancelled. That follows from durable
+// facts alone: a record says cancelled or done, never first one and then the other,
 // and a job whose ancestor never ends never starts. So it holds from the moment in
-// which the ancestor's record is durable, whoever leads and whichever node is asked;
+// which the ancestor's record is durable, whoever leads and whichever controller is asked;
 // the dependents' own records follow when there are writes for them.
 
-// dependencies is what a job has in the graph.
-type dependencies struct {
-	dependsOn  []int32 // predecessors that have been seen
-	dependents []int32 // jobs that wait for this one
-	open       int     // predecessors that are not done, seen or not
-}
+// blocked tells whether a job waits for others, or is delegated to another cell. It takes no
+// part of its team's guarantee, is in no queue, and has no machines rented for it.
+func (j *job) blocked() bool { return j.dependencies.Open() > 0 || j.transfer.delegated }
+
+// isDone tells whether a job is done, by its durable record.
+func (j *job) isDone() bool { return j.end.durable && j.end.state == wire.JobDone }
 
-// blocked tells whether a job waits for others, or is away. It takes no part of its
-// team's guarantee, is in no queue, and hires nothing.
-func (j *job) blocked() bool { return j.dependencies.open > 0 || j.transfer.delegated }
+// isCancelled tells whether a job is cancelled, by its durable record.
+func (j *job) isCancelled() bool { return j.end.durable && j.end.state == wire.JobCancelled }
 
 // linkJob brings a new job into the graph, as a job that depends on others and as one that
 // others depend on. It returns the jobs that no longer wait for any.
 func (t *jobTable) linkJob(j *job) (ready []*job) {
 	if j.spec != nil && !j.ended() {
-		for _, ref := range j.spec.DependsOn {
-			if at, ok := t.indexByID[ref]; ok {
-				t.addDependency(j, t.list[at])
-				continue
+		for _, id := range j.spec.DependsOn {
+			if at, ok := t.indexByID[id]; ok {
+				p := t.list[at]
+				t.graph.Depend(j.dependencies, p.dependencies, p.isDone())
+			} else {
+				t.graph.Await(j.dependencies, id)
 			}
-			j.dependencies.open++
-			t.awaited[ref] = append(t.awaited[ref], j.index)
 		}
 	}
-	for _, at := range t.awaited[j.id] {
-		child := t.list[at]
-		child.dependencies.open-- // counted while it was not seen
-		t.addDependency(child, j)
-		if !child.blocked() && !child.ended() {
-			ready = append(ready, child)
+	for _, at := range t.graph.Resolve(j.id, j.dependencies, j.isDone()) {
+		if dependent := t.list[at]; !dependent.blocked() && !dependent.ended() {
+			ready = append(ready, dependent)
 		}
 	}
-	delete(t.awaited, j.id)
 	return ready
 }
 
-// addDependency notes that a job waits for another one.
-func (t *jobTable) addDependency(j, p *job) {
-	j.dependencies.dependsOn = append(j.dependencies.dependsOn, p.index)
-	if p.end.durable && p.end.state == wire.JobDone {
-		return
-	}
-	j.dependencies.open++
-	p.dependencies.dependents = append(p.dependencies.dependents, j.index)
-}
-
-// checkDependencies draws the conclusions for a job that has been linked: it may be
-// cancelled with an ancestor, ready, or raise those that it waits for.
+// checkDependencies does what follows for a job that has been linked: it may be cancelled with
+// an ancestor, or raise the priority of those that it waits for.
 func (c *Core) checkDependencies(j *job) {
-	for _, at := range j.dependencies.dependsOn {
-		if p := c.jobs.list[at]; p.end.durable && p.end.state == wire.JobCancelled {
+	for _, at := range j.dependencies.Predecessors() {
+		if p := c.jobs.list[at]; p.isCancelled() {
 			c.cancelDependent(j, p)
 			return
 		}
@@ -81,11 +66,11 @@
 		c.placement.needed = true
 	}
 	if j.blocked() {
-		c.log.Debug("job waits for others", "job", j.id, "open", j.dependencies.open, "first", c.jobs.firstOpen(j))
+		c.log.Debug("job waits for others", "job", j.id, "open", j.dependencies.Open(), "first", c.jobs.firstOpen(j))
 	}
 }
 
-// firstOpen names a job that another one waits for.
+// firstOpen names the first job that another one waits for, for the log.
 func (t *jobTable) firstOpen(j *job) string {
 	for _, ref := range j.spec.DependsOn {
 		at, ok := t.indexByID[ref]
@@ -99,8 +84,8 @@
 	return ""
 }
 
-// raisePriority has all that a job needs, directly or through others, be as urgent as the
-// job is: its priority, and in time for its deadline, less what lies between.
+// raisePriority gives the jobs that a job depends on, directly or through others, at least its
+// priority, and a deadline that leaves it time to meet its own. It tells whether any was raised.
 func (t *jobTable) raisePriority(j *job) (raised bool) {
 	todo := []*job{j}
 	for len(todo) > 0 {
@@ -109,7 +94,7 @@
 		if due != never {
 			due -= t.estimates.expectedRun(j)
 		}
-		for _, at := range j.dependencies.dependsOn {
+		for _, at := range j.dependencies.Predecessors() {
 			p := t.list[at]
 			if p.ended() || p.spec == nil || p.priority.class <= j.priority.class && p.priority.deadline <= due {
 				continue
@@ -122,25 +107,24 @@
 	return raised
 }
 
-// raisePriorityBy has a job that was seen late be as urgent as those that wait for it.
+// raisePriorityBy raises a job that became known late, as those that depend on it require.
 func (t *jobTable) raisePriorityBy(p *job) (raised bool) {
-	for _, at := range p.dependencies.dependents {
+	for _, at := range p.dependencies.Dependents() {
 		raised = t.raisePriority(t.list[at]) || raised
 	}
 	return raised
 }
 
-// releaseDependents tells a job's dependents that it is durably over.
+// releaseDependents has a job's dependents wait for one less, or cancels them with it, once its
+// end is durable.
 func (c *Core) releaseDependents(p *job) {
-	children := p.dependencies.dependents
-	p.dependencies.dependents = nil
-	for _, at := range children {
+	for _, at := range c.jobs.graph.TakeDependents(p.dependencies) {
 		j := c.jobs.list[at]
 		if p.end.state == wire.JobCancelled {
 			c.cancelDependent(j, p)
 			continue
 		}
-		if j.dependencies.open--; j.dependencies.open == 0 && !j.ended() {
+		if c.jobs.graph.PredecessorFinished(j.dependencies) && !j.ended() {
 			c.becomesReady(j, c.clock.now)
 		}
 	}
@@ -153,7 +137,7 @@
 	}
 }
 
-// becomesReady counts a job's waits, and what it asks for, from a moment on.
+// becomesReady has a job's wait, and the demand for it, count from a moment on.
 func (c *Core) becomesReady(j *job, at time.Duration) {
 	j.priority.arrived = at
 	c.autoscaling.observeArrival(j)
@@ -161,7 +145,7 @@
 	c.log.Debug("all that a job waits for is done", "job", j.id, "tasks", j.progress.total)
 }
 
-// cancelDependent cancels a job since another one that it needs is cancelled.
+// cancelDependent cancels a job since one that it depends on is cancelled.
 func (c *Core) cancelDependent(j, p *job) {
 	if j.end.durable {
 		return
@@ -174,10 +158,10 @@
 	c.terminalIsDurable(j)
 }
 
-// terminalStatePending tells whether the state service may know more of a job's end than this
-// leader does: its own end is being written, or the cancellation of one that it needs,
-// directly or through others. That may have been carried out and its answer lost;
-// another node has then read it and told a user, and "queued" would go back on that.
+// terminalStatePending tells whether the key-value store may know more of a job's end than this
+// leader does: its own end is being written, or the cancellation of one that it depends on,
+// directly or through others. That write may have been carried out and its answer lost;
+// another controller may then have read it and told a user, and "queued" would contradict that.
 func (t *jobTable) terminalStatePending(j *job) bool {
 	if j.end.durable {
 		return false
@@ -186,30 +170,23 @@
 		return true
 	}
 	if len(t.cancelling) == 0 {
-		return false // as nearly always; an ancestor need not be looked for
-	}
-	seen := map[int32]bool{}
-	todo := slices.Clone(j.dependencies.dependsOn)
-	for len(todo) > 0 {
-		at := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		p := t.list[at]
-		if p.end.durable || seen[at] {
-			continue
-		}
-		if t.cancelling[at] {
-			return true
+		return false // as nearly always: no walk through the ancestors is needed
+	}
+	return t.graph.AnyAncestor(j.dependencies, func(at int32) depgraph.Visit {
+		switch {
+		case t.list[at].end.durable:
+			return depgraph.Skip
+		case t.cancelling[at]:
+			return depgraph.Found
 		}
-		seen[at] = true
-		todo = append(todo, p.dependencies.dependsOn...)
-	}
-	return false
+		return depgraph.Continue
+	})
 }
 
 // readySince is when the last of a restored job's predecessors was done.
 func (t *jobTable) readySince(j *job) time.Duration {
 	last := j.priority.arrived
-	for _, at := range j.dependencies.dependsOn {
+	for _, at := range j.dependencies.Predecessors() {
 		last = max(last, t.list[at].end.at)
 	}
 	return min(last, t.clock.now)
@@ -232,5 +209,5 @@
 	}
 }
 
-// waitsFor tells whether a restored or new job has others to wait for.
-func waitsFor(rec *ledger.JobRecord) bool { return rec.Job != nil && len(rec.Job.DependsOn) > 0 }
+// hasDependencies tells whether the record of a job names others that it depends on.
+func hasDependencies(rec *ledger.JobRecord) bool { return rec.Job != nil && len(rec.Job.DependsOn) > 0 }
--- /dev/null
+++ b/internal/scheduler/depgraph/graph_test.go
@@ -0,0 +1,183 @@
+package depgraph
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"slices"
+	"testing"
+)
+
+func wantEqual(t *testing.T, what string, got, want any) {
+	t.Helper()
+	if fmt.Sprint(got) != fmt.Sprint(want) {
+		t.Errorf("%s: got %v, want %v", what, got, want)
+	}
+}
+
+func TestDependOnAnUnfinishedJob(t *testing.T) {
+	var g Graph
+	first, second := g.Add(), g.Add()
+	g.Depend(second, first, false)
+	wantEqual(t, "open", second.Open(), 1)
+	wantEqual(t, "predecessors", second.Predecessors(), []int32{0})
+	wantEqual(t, "dependents", first.Dependents(), []int32{1})
+}
+
+func TestDependOnAFinishedJob(t *testing.T) {
+	var g Graph
+	first, second := g.Add(), g.Add()
+	g.Depend(second, first, true)
+	wantEqual(t, "open", second.Open(), 0)
+	wantEqual(t, "predecessors", second.Predecessors(), []int32{0})
+	wantEqual(t, "dependents", len(first.Dependents()), 0)
+}
+
+func TestResolveLinksAllThatAwaitAJob(t *testing.T) {
+	for _, finished := range []bool{false, true} {
+		t.Run(fmt.Sprintf("finished=%t", finished), func(t *testing.T) {
+			var g Graph
+			a, b := g.Add(), g.Add()
+			g.Await(a, "late")
+			g.Await(b, "late")
+			g.Await(b, "other")
+			late := g.Add()
+			wantEqual(t, "resolved", g.Resolve("late", late, finished), []int32{0, 1})
+			stillOpen := 1
+			if finished {
+				stillOpen = 0
+			}
+			wantEqual(t, "open of the first", a.Open(), stillOpen)
+			wantEqual(t, "open of the second", b.Open(), 1+stillOpen)
+			wantEqual(t, "dependents", len(late.Dependents()), 2*stillOpen)
+			wantEqual(t, "resolved again", len(g.Resolve("late", late, finished)), 0)
+		})
+	}
+}
+
+func TestLastPredecessorReleasesAJob(t *testing.T) {
+	var g Graph
+	a, b, c := g.Add(), g.Add(), g.Add()
+	g.Depend(c, a, false)
+	g.Depend(c, b, false)
+	wantEqual(t, "dependents taken", g.TakeDependents(a), []int32{2})
+	wantEqual(t, "dependents left", len(a.Dependents()), 0)
+	wantEqual(t, "last after one", g.PredecessorFinished(c), false)
+	wantEqual(t, "last after both", g.PredecessorFinished(c), true)
+}
+
+func TestAnyAncestor(t *testing.T) {
+	// 3 depends on 1 and 2, both on 0.
+	var g Graph
+	n := []*Node{g.Add(), g.Add(), g.Add(), g.Add()}
+	g.Depend(n[1], n[0], false)
+	g.Depend(n[2], n[0], false)
+	g.Depend(n[3], n[1], false)
+	g.Depend(n[3], n[2], false)
+	visited := map[int32]int{}
+	found := g.AnyAncestor(n[3], func(i int32) Visit { visited[i]++; return Continue })
+	wantEqual(t, "found", found, false)
+	wantEqual(t, "visited", visited, map[int32]int{0: 1, 1: 1, 2: 1})
+	wantEqual(t, "found the common ancestor", g.AnyAncestor(n[3], func(i int32) Visit {
+		if i == 0 {
+			return Found
+		}
+		return Continue
+	}), true)
+	wantEqual(t, "found behind skipped ones", g.AnyAncestor(n[3], func(i int32) Visit {
+		if i == 0 {
+			return Found
+		}
+		return Skip
+	}), false)
+}
+
+// TestGraphMatchesAnExhaustiveCount has jobs become known and finish in any order, and compares
+// what each waits for with a count over all jobs.
+func TestGraphMatchesAnExhaustiveCount(t *testing.T) {
+	const jobs = 12
+	for seed := range uint64(300) {
+		r := rand.New(rand.NewPCG(seed, 1))
+		dependsOn := make([][]int, jobs) // a job depends only on those with a lower number
+		for i := range dependsOn {
+			for p := range i {
+				if r.IntN(3) == 0 {
+					dependsOn[i] = append(dependsOn[i], p)
+				}
+			}
+		}
+		m := &model{t: t, dependsOn: dependsOn, nodes: map[int]*Node{}, finished: map[int]bool{}}
+		for _, i := range r.Perm(jobs) {
+			m.learn(i)
+			if r.IntN(2) == 0 {
+				m.finishOne(r)
+			}
+			m.check(seed)
+		}
+		for m.finishOne(r) {
+			m.check(seed)
+		}
+		wantEqual(t, "finished jobs", len(m.finished), jobs)
+	}
+}
+
+type model struct {
+	t         *testing.T
+	g         Graph
+	dependsOn [][]int
+	nodes     map[int]*Node
+	jobOf     []int // by index of the graph
+	finished  map[int]bool
+}
+
+// learn makes a job known.
+func (m *model) learn(i int) {
+	n := m.g.Add()
+	m.nodes[i], m.jobOf = n, append(m.jobOf, i)
+	for _, p := range m.dependsOn[i] {
+		if known := m.nodes[p]; known != nil {
+			m.g.Depend(n, known, m.finished[p])
+		} else {
+			m.g.Await(n, fmt.Sprint(p))
+		}
+	}
+	m.g.Resolve(fmt.Sprint(i), n, false)
+}
+
+// finishOne finishes some known job that waits for none.
+func (m *model) finishOne(r *rand.Rand) bool {
+	var ready []int
+	for i, n := range m.nodes {
+		if n.Open() == 0 && !m.finished[i] {
+			ready = append(ready, i)
+		}
+	}
+	if len(ready) == 0 {
+		return false
+	}
+	slices.Sort(ready)
+	i := ready[r.IntN(len(ready))]
+	m.finished[i] = true
+	for _, at := range m.g.TakeDependents(m.nodes[i]) {
+		dependent := m.nodes[m.jobOf[at]]
+		if last := m.g.PredecessorFinished(dependent); last != (dependent.Open() == 0) {
+			m.t.Errorf("job %d: last is %t with %d open", m.jobOf[at], last, dependent.Open())
+		}
+	}
+	return true
+}
+
+// check compares what each known job waits for with a count.
+func (m *model) check(seed uint64) {
+	m.t.Helper()
+	for i, n := range m.nodes {
+		want := 0
+		for _, p := range m.dependsOn[i] {
+			if !m.finished[p] {
+				want++
+			}
+		}
+		if n.Open() != want {
+			m.t.Fatalf("seed %d: job %d waits for %d, want %d", seed, i, n.Open(), want)
+		}
+	}
+}
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -54,7 +54,7 @@
 // applyHeartbeat takes in what a worker tells, in a report or in the answer to a
 // direct command. It returns false for something stale.
 func (c *Core) applyHeartbeat(m *machine, r *wire.Heartbeat, reported bool) bool {
-	if r.AgentEpoch <= m.agent.expiredEpoch || !(heartbeatPosition{m.agent.epoch, m.agent.sequence}).before(heartbeatPosition{r.AgentEpoch, r.Sequence}) {
+	if r.AgentEpoch <= m.agent.expiredEpoch || !m.agent.position().before(positionOf(r)) {
 		return false
 	}
 	if r.FencingToken < max(m.agent.minAcceptedToken, m.agent.acknowledgedToken) {
--- a/internal/scheduler/inspections.go
+++ b/internal/scheduler/inspections.go
@@ -23,7 +23,7 @@
 	}
 	a.inspectionsInFlight++
 	m.agent.inspecting, m.agent.lastInspection = true, a.clock.now
-	m.agent.inspectedAt = heartbeatPosition{m.agent.epoch, m.agent.sequence}
+	m.agent.inspectedAt = m.agent.position()
 	a.effects.emit(InspectWorker{Machine: m.name, Address: r.Address})
 }
 
@@ -37,7 +37,7 @@
 	if r == nil || r.Machine != m.name || m.state == machineGone || r.FencingToken>>tokenBits > c.term {
 		return
 	}
-	if anew := (heartbeatPosition{r.AgentEpoch, r.Sequence}).before(m.agent.inspectedAt); !anew {
+	if anew := positionOf(r).before(m.agent.inspectedAt); !anew {
 		m.agent.staleHeartbeats++
 	} else {
 		m.agent.staleHeartbeats = 0
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -4,6 +4,7 @@
 	"math"
 	"time"
 
+	"leadproxy/internal/scheduler/depgraph"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/slowfit"
 	"leadproxy/internal/wire"
@@ -35,7 +36,7 @@
 
 	request      request
 	priority     priority
-	dependencies dependencies
+	dependencies *depgraph.Node
 	progress     progress
 	end          jobEnd
 	placement    jobPlacement
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -7,7 +7,7 @@
 )
 
 func (c *Core) newJob(ref string, rec ledger.JobRecord, version uint64) *job {
-	j := &job{index: int32(len(c.jobs.list)), id: ref, spec: rec.Job,
+	j := &job{index: int32(len(c.jobs.list)), id: ref, spec: rec.Job, dependencies: c.jobs.graph.Add(),
 		request:  request{zone: -1},
 		priority: priority{deadline: never},
 		progress: progress{total: rec.Tasks, done: rec.Done},
--- a/internal/scheduler/job_table.go
+++ b/internal/scheduler/job_table.go
@@ -4,6 +4,7 @@
 	"slices"
 
 	"leadproxy/internal/rollout"
+	"leadproxy/internal/scheduler/depgraph"
 	"leadproxy/internal/wire"
 )
 
@@ -18,15 +19,15 @@
 
 	list       []*job
 	indexByID  map[string]int32
-	active     []*job             // jobs that are not settled
-	awaited    map[string][]int32 // by id: the jobs that depend on a job which this leader has not seen
-	cancelling map[int32]bool     // jobs whose cancellation is being written
-	unwritten  []*job             // with something new for the ledger
+	active     []*job // jobs that are not settled
+	graph      depgraph.Graph
+	cancelling map[int32]bool // jobs whose cancellation is being written
+	unwritten  []*job         // with something new for the ledger
 }
 
 func newJobTable(c *Core) jobTable {
 	return jobTable{cfg: &c.cfg, clock: &c.clock, effects: &c.effects, writes: &c.writes, estimates: &c.estimates, machines: &c.machines,
-		indexByID: map[string]int32{}, awaited: map[string][]int32{}, cancelling: map[int32]bool{}}
+		indexByID: map[string]int32{}, cancelling: map[int32]bool{}}
 }
 
 // anyWaiting tells whether some task could be placed if there were room.
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -73,7 +73,7 @@
 		// within a lease, and what the others ran is over by then.
 		j.retry.notBefore = c.clock.now + c.agents.lease
 	}
-	if !waitsFor(&s.Record) && j.transfer.origin == "" {
+	if !hasDependencies(&s.Record) && j.transfer.origin == "" {
 		c.autoscaling.observeArrival(j)
 	}
 	switch {
