--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -90,7 +90,7 @@
 	j.progress.allocated++
 	j.countInZone(b.zone, 1)
 	p.classes.allocatedCores[j.request.class] += j.request.size.CPUs
-	p.quotas.teams[j.request.team].allocated = p.quotas.teams[j.request.team].allocated.plus(unitsOf(j.request.size))
+	p.teams.At(j.request.team).Allocate(j.request.size)
 	m.capacity.free = m.capacity.free.Minus(j.request.size)
 	if m.capacity.phase != p.goal.Phase {
 		m.capacity.phase, m.capacity.load = p.goal.Phase, 0
@@ -115,7 +115,7 @@
 	j.progress.allocated--
 	j.countInZone(b.zone, -1)
 	p.classes.allocatedCores[j.request.class] -= j.request.size.CPUs
-	p.quotas.teams[j.request.team].allocated = p.quotas.teams[j.request.team].allocated.minus(unitsOf(j.request.size))
+	p.teams.At(j.request.team).Deallocate(j.request.size)
 	if len(m.capacity.allocations) == 0 {
 		m.capacity.free, m.capacity.load = m.capacity.total, 0
 	} else {
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"leadproxy/internal/autoscaler"
+	"leadproxy/internal/scheduler/quota"
 )
 
 // The times of the fleet's routine.
@@ -31,7 +32,7 @@
 	types     *machineTypes
 	classes   *classTable
 	estimates *runEstimates
-	quotas    *quotas
+	teams     *quota.Teams
 	jobs      *jobTable
 	machines  *machineTable
 	agents    *agents
@@ -57,11 +58,11 @@
 
 func newAutoscaling(c *Core) autoscaling {
 	return autoscaling{cfg: &c.cfg, term: c.term, clock: &c.clock, log: c.log, effects: &c.effects, writes: &c.writes,
-		types: &c.types, classes: &c.classes, estimates: &c.estimates, quotas: &c.quotas,
+		types: &c.types, classes: &c.classes, estimates: &c.estimates, teams: &c.teams,
 		jobs: &c.jobs, machines: &c.machines, agents: &c.agents, placement: &c.placement,
 		pools:         map[autoscaler.CapacityPool]*poolState{},
 		scaleOuts:     map[string]*scaleOut{},
-		limitedDemand: make([]autoscaler.DemandEstimator, len(c.quotas.teams)),
+		limitedDemand: make([]autoscaler.DemandEstimator, c.teams.Len()),
 		spending:      spendingLog{accruedUntil: c.clock.now, loggedAt: c.clock.now},
 	}
 }
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -9,6 +9,7 @@
 	"time"
 
 	"leadproxy/internal/ledger"
+	"leadproxy/internal/scheduler/quota"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/softstate"
 )
@@ -45,7 +46,7 @@
 	types     machineTypes
 	classes   classTable
 	estimates runEstimates
-	quotas    quotas
+	teams     quota.Teams
 	jobs      jobTable
 	machines  machineTable
 
@@ -67,7 +68,7 @@
 	c.clock = newClock(now, wall)
 	c.writes = newDurableWrites(c)
 	c.types = newMachineTypes()
-	c.quotas = newQuotas(cfg.Platform.Facts.Teams)
+	c.teams = quota.NewTeams(cfg.Platform.Facts.Teams)
 	c.jobs = newJobTable(c)
 	c.machines = newMachineTable()
 	c.attempts = newAttempts(c)
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"leadproxy/internal/federation"
+	"leadproxy/internal/scheduler/quota"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/wire"
 )
@@ -56,14 +57,14 @@
 // delegationInput is what offers are decided by at one moment.
 type delegationInput struct {
 	cells []federation.Cell // the neighbours, in order
-	used  []units           // by team, in all cells
+	used  []quota.Units     // by team, in all cells
 }
 
 // delegationInput looks at the neighbours and the teams.
 func (f *federationState) delegationInput() *delegationInput {
 	o := &delegationInput{cells: make([]federation.Cell, len(f.neighbours)), used: f.uncertainUse()}
 	for i := range o.used {
-		o.used[i] = o.used[i].plus(f.quotas.teams[i].allocated)
+		o.used[i] = o.used[i].Plus(f.teams.At(int32(i)).Allocated())
 	}
 	idle := true
 	for i, n := range f.neighbours {
@@ -167,7 +168,7 @@
 // delegate begins the transfer of a job to the neighbour that the choice names, if its
 // team's limit leaves room for all of it: tasks in other cells count there as well.
 func (f *federationState) delegate(j *job, o *delegationInput) {
-	if f.quotas.roomInLimit(j, o.used[j.request.team]) < j.progress.total {
+	if f.teams.At(j.request.team).Room(j.request.size, o.used[j.request.team]) < j.progress.total {
 		return
 	}
 	for i, n := range f.neighbours {
@@ -184,7 +185,7 @@
 	n, cell := f.neighbours[at], &o.cells[at]
 	n.credit -= j.cores()
 	cell.Credit, cell.Used, cell.Jobs = n.credit, cell.Used+j.cores(), cell.Jobs-1
-	o.used[j.request.team] = o.used[j.request.team].plus(unitsOf(j.request.size).times(j.progress.total))
+	o.used[j.request.team] = o.used[j.request.team].Plus(quota.Of(j.request.size).Times(j.progress.total))
 	j.transfer.delegated = true
 	f.delegated.Begin(j.id, n.Name, body, f.clock.now, f.clock.wallMS)
 	f.log.Info("job is offered to a neighbour", "job", j.id, "cell", n.Name, "cores", j.cores(), "waited_s", (f.clock.now - j.priority.arrived).Seconds(), "share", j.cores()/n.MaxCores)
@@ -192,19 +193,19 @@
 
 // uncertainUse is what each team's tasks may use on machines that have not been
 // heard of in this term, and in other cells.
-func (f *federationState) uncertainUse() []units {
-	use := make([]units, len(f.quotas.teams))
+func (f *federationState) uncertainUse() []quota.Units {
+	use := make([]quota.Units, f.teams.Len())
 	transfers := !f.delegated.Idle()
 	for _, j := range f.jobs.active {
 		if len(j.record.inDoubtHosts) > 0 && j.end.state != wire.JobDone {
 			n := j.progress.total - j.progress.done - j.progress.allocated
-			use[j.request.team] = use[j.request.team].plus(unitsOf(j.request.size).times(max(n, 0)))
+			use[j.request.team] = use[j.request.team].Plus(quota.Of(j.request.size).Times(max(n, 0)))
 		}
 		unreadable := j.transfer.delegated && !f.delegated.Delegated(j.id)
 		if unreadable || transfers && f.delegated.MayRunRemotely(j.id) {
 			// All of its tasks may run there at once, also if its transfer's record can't
 			// be read.
-			use[j.request.team] = use[j.request.team].plus(unitsOf(j.request.size).times(j.progress.total))
+			use[j.request.team] = use[j.request.team].Plus(quota.Of(j.request.size).Times(j.progress.total))
 		}
 	}
 	return use
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -20,7 +20,7 @@
 // learnArrival learns the demand from one job.
 func (a *autoscaling) learnArrival(class, team int32, at time.Duration, cores, seconds float64) {
 	a.demand[class].ObserveArrival(at, cores, seconds)
-	if a.quotas.teams[team].limit.cpus > 0 {
+	if _, limited := a.teams.At(team).CPULimit(); limited {
 		a.limitedDemand[team].ObserveArrival(at, cores, seconds)
 	}
 }
@@ -71,11 +71,11 @@
 	spread := a.cfg.Operator.HeadroomSpread
 	mean, deviation := autoscaler.Demand(a.clock.now, a.demand)
 	variance, capped := deviation*deviation, 0.0
-	for i, t := range a.quotas.teams {
-		if t.limit.cpus > 0 {
+	for i := range a.teams.Len() {
+		if limit, limited := a.teams.At(int32(i)).CPULimit(); limited {
 			m, d := autoscaler.Demand(a.clock.now, a.limitedDemand[i:i+1])
 			mean, variance = mean-m, variance-d*d
-			capped += min(m+spread*d, float64(t.limit.cpus)/perUnit)
+			capped += min(m+spread*d, limit)
 		}
 	}
 	return max(mean, 0) + spread*math.Sqrt(max(variance, 0)) + capped
--- a/internal/scheduler/fair_share.go
+++ b/internal/scheduler/fair_share.go
@@ -4,6 +4,8 @@
 	"cmp"
 	"slices"
 	"time"
+
+	"leadproxy/internal/scheduler/quota"
 )
 
 // Priority and slack alone would let a lasting overload of urgent work starve
@@ -24,7 +26,7 @@
 )
 
 // placeAged starts the first tasks of jobs that have waited too long.
-func (p *placement) placeAged(queue []*job, uncertain []units) {
+func (p *placement) placeAged(queue []*job, uncertain []quota.Units) {
 	p.placeReserved(uncertain)
 	var aged []*job
 	for _, j := range queue {
@@ -34,7 +36,7 @@
 	}
 	slices.SortStableFunc(aged, func(a, b *job) int { return cmp.Compare(a.priority.arrived, b.priority.arrived) })
 	for _, j := range aged {
-		if p.placeJob(j, uncertain, func(placed int) bool { return placed == 0 }) == 0 && p.quotas.withinLimit(j, uncertain) {
+		if p.placeJob(j, uncertain, func(placed int) bool { return placed == 0 }) == 0 && p.withinLimit(j, uncertain) {
 			p.reserve(j)
 		}
 	}
@@ -68,7 +70,7 @@
 
 // placeReserved starts the jobs whose machine has become free enough, and gives up
 // what is no longer to be kept.
-func (p *placement) placeReserved(uncertain []units) {
+func (p *placement) placeReserved(uncertain []quota.Units) {
 	p.reservingJobs = slices.DeleteFunc(p.reservingJobs, func(j *job) bool {
 		m := j.placement.reservedMachine
 		waits := !j.progress.startedOnce && j.progress.allocated == 0 && j.placeable(p.clock.now)
@@ -76,7 +78,7 @@
 			return false
 		}
 		m.capacity.reserved, j.placement.reservedMachine = false, nil
-		if waits && m.indexed.schedulable && p.quotas.withinLimit(j, uncertain) {
+		if waits && m.indexed.schedulable && p.withinLimit(j, uncertain) {
 			p.start(j, m)
 		}
 		p.refresh(m)
@@ -86,7 +88,7 @@
 
 // placeUnderserved starts tasks of classes and teams that have less than their share
 // of the open cores.
-func (p *placement) placeUnderserved(queue []*job, uncertain []units) {
+func (p *placement) placeUnderserved(queue []*job, uncertain []quota.Units) {
 	classes, teams := map[int32]bool{}, map[int32]bool{}
 	for _, j := range p.jobs.active {
 		if !j.ended() && !j.blocked() {
@@ -100,7 +102,7 @@
 	for _, j := range queue {
 		p.placeJob(j, uncertain, func(int) bool {
 			class := p.classes.allocatedCores[j.request.class]+j.request.size.CPUs <= part/float64(len(classes))
-			team := float64(p.quotas.teams[j.request.team].allocated.cpus)/perUnit+j.request.size.CPUs <= part/float64(len(teams))
+			team := p.teams.At(j.request.team).Allocated().Cores()+j.request.size.CPUs <= part/float64(len(teams))
 			return class || team
 		})
 	}
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -8,6 +8,7 @@
 
 	"leadproxy/internal/federation"
 	"leadproxy/internal/ledger"
+	"leadproxy/internal/scheduler/quota"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/wire"
 )
@@ -23,7 +24,7 @@
 	writes      *durableWrites
 	types       *machineTypes
 	estimates   *runEstimates
-	quotas      *quotas
+	teams       *quota.Teams
 	jobs        *jobTable
 	machines    *machineTable
 	placement   *placement
@@ -80,7 +81,7 @@
 // newFederation begins a term without transfers.
 func newFederation(c *Core) federationState {
 	operator := c.cfg.Operator
-	t := federationState{cfg: &c.cfg, clock: &c.clock, log: c.log, effects: &c.effects, writes: &c.writes, types: &c.types, estimates: &c.estimates, quotas: &c.quotas,
+	t := federationState{cfg: &c.cfg, clock: &c.clock, log: c.log, effects: &c.effects, writes: &c.writes, types: &c.types, estimates: &c.estimates, teams: &c.teams,
 		jobs: &c.jobs, machines: &c.machines, placement: &c.placement, autoscaling: &c.autoscaling,
 		cells:     operator.Cells,
 		delegated: federation.NewDelegatedJobs(reclaimAfter(operator.Cells)),
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -9,6 +9,7 @@
 
 	"leadproxy/internal/federation"
 	"leadproxy/internal/ledger"
+	"leadproxy/internal/scheduler/quota"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/wire"
 )
@@ -133,10 +134,8 @@
 	if spec.Zone != nil {
 		return "it is bound to a zone of its home"
 	}
-	if at, known := f.quotas.indexByName[spec.Team]; known {
-		if limit := f.quotas.teams[at].limit; !unitsOf(sizeOf(spec)).within(limit) {
-			return "one of its tasks needs more than its team's limit here"
-		}
+	if !f.teams.At(f.teams.Index(spec.Team)).Allows(quota.Of(sizeOf(spec))) {
+		return "one of its tasks needs more than its team's limit here"
 	}
 	if !slices.ContainsFunc(f.types.list, func(t machineType) bool {
 		return sizeOf(spec).Within(t.total) && (spec.Types == nil || slices.Contains(spec.Types, t.Name))
@@ -195,8 +194,8 @@
 		own += j.request.size.CPUs * float64(j.progress.allocated)
 	}
 	room -= max(0, f.autoscaling.headroomCores()-own)
-	for _, t := range f.quotas.teams {
-		room -= max(0, float64(t.guarantee.cpus-t.allocated.cpus)/perUnit)
+	for i := range f.teams.Len() {
+		room -= f.teams.At(int32(i)).UnusedGuarantee()
 	}
 	for _, credit := range f.credits {
 		if f.clock.now < credit.until {
--- a/internal/scheduler/inspections.go
+++ b/internal/scheduler/inspections.go
@@ -1,8 +1,9 @@
 package scheduler
 
 import (
-	"leadproxy/internal/wire"
 	"time"
+
+	"leadproxy/internal/wire"
 )
 
 // inspectionInterval is the least time between two inspections of an agent that sends stale
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -35,7 +35,7 @@
 	if s.Zone != nil {
 		j.request.zone = c.machines.zones.of(*s.Zone)
 	}
-	j.request.team = c.quotas.teamOf(s.Team)
+	j.request.team = c.teams.Index(s.Team)
 	j.progress.total = s.Tasks
 	j.record.hostAt = map[int32]int{}
 	j.progress.tasks = make([]task, s.Tasks)
--- a/internal/scheduler/machine_table.go
+++ b/internal/scheduler/machine_table.go
@@ -1,8 +1,9 @@
 package scheduler
 
 import (
-	"leadproxy/internal/ledger"
 	"slices"
+
+	"leadproxy/internal/ledger"
 )
 
 // machineTable holds all machines of the term, the live ones, and the names of their zones.
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"leadproxy/internal/scheduler/quota"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/slowfit"
 	"leadproxy/internal/wire"
@@ -19,7 +20,7 @@
 	types     *machineTypes
 	classes   *classTable
 	estimates *runEstimates
-	quotas    *quotas
+	teams     *quota.Teams
 	jobs      *jobTable
 	machines  *machineTable
 	agents    *agents
@@ -41,7 +42,7 @@
 }
 
 func newPlacement(c *Core) placement {
-	return placement{clock: &c.clock, log: c.log, types: &c.types, classes: &c.classes, estimates: &c.estimates, quotas: &c.quotas,
+	return placement{clock: &c.clock, log: c.log, types: &c.types, classes: &c.classes, estimates: &c.estimates, teams: &c.teams,
 		jobs: &c.jobs, machines: &c.machines, agents: &c.agents, attempts: &c.attempts, start: c.startOn,
 		poolIndexByKey: map[poolKey]int32{}, goal: slowfit.Goal{C: c.cfg.Operator.SlowFitC}}
 }
@@ -49,7 +50,7 @@
 // place starts what can be started: first what has waited too long and who has
 // less than their share (fair.go), then all jobs in the order of the queue; each
 // task where SLOW-FIT puts it.
-func (p *placement) place(uncertain []units) {
+func (p *placement) place(uncertain []quota.Units) {
 	for _, m := range p.stale {
 		p.refresh(m)
 	}
@@ -72,7 +73,7 @@
 // mostly on a machine without its image, and a tenth of all cores waited for
 // images. So those jobs that can wait are first offered only machines that have
 // their image, and another of the same priority may go before them there.
-func (p *placement) placePriorityClass(queue []*job, uncertain []units) {
+func (p *placement) placePriorityClass(queue []*job, uncertain []quota.Units) {
 	if len(queue) > 1 {
 		for _, j := range queue {
 			j.placement.imageOnly = p.mayWaitForImage(j)
@@ -91,12 +92,17 @@
 	return (j.request.types == nil || slices.Contains(j.request.types, typ)) && (j.request.zone < 0 || j.request.zone == zone) && (j.spec.Spot || !spot)
 }
 
+// withinLimit tells whether a job's team may have one more of its tasks.
+func (p *placement) withinLimit(j *job, uncertain []quota.Units) bool {
+	return p.teams.At(j.request.team).AllowsAnother(j.request.size, uncertain[j.request.team])
+}
+
 // placeJob starts what it can of a job's waiting tasks, as long as more, unless
 // nil, allows, and tells how many.
-func (p *placement) placeJob(j *job, uncertain []units, more func(placed int) bool) (placed int) {
+func (p *placement) placeJob(j *job, uncertain []quota.Units, more func(placed int) bool) (placed int) {
 	// Most of what waits on a full site, or for its team's limit, has no place:
 	// that must show before anything is looked at machine by machine.
-	if len(j.progress.waiting) == 0 || !p.attempts.attemptsLeft() || p.index.Infeasible(j.request.size) || !p.quotas.withinLimit(j, uncertain) {
+	if len(j.progress.waiting) == 0 || !p.attempts.attemptsLeft() || p.index.Infeasible(j.request.size) || !p.withinLimit(j, uncertain) {
 		return 0
 	}
 	p.resolveTypes(j)
@@ -105,7 +111,7 @@
 		only = p.gangZone(j)
 	}
 	for len(j.progress.waiting) > 0 && p.attempts.attemptsLeft() && (more == nil || more(placed)) {
-		if j.suspect() && j.progress.allocated > 0 || !p.quotas.withinLimit(j, uncertain) {
+		if j.suspect() && j.progress.allocated > 0 || !p.withinLimit(j, uncertain) {
 			return placed // a suspect job is tried one task at a time
 		}
 		at := p.choose(j, only)
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -5,6 +5,7 @@
 	"slices"
 	"time"
 
+	"leadproxy/internal/scheduler/quota"
 	"leadproxy/internal/settings"
 )
 
@@ -29,10 +30,10 @@
 // that is left.
 func (p *placement) queue() []*job {
 	var queue []*job
-	demand := make([]units, len(p.quotas.teams))
+	demand := make([]quota.Units, p.teams.Len())
 	for _, j := range p.jobs.active {
 		if !j.ended() && !j.blocked() {
-			demand[j.request.team] = demand[j.request.team].plus(unitsOf(j.request.size).times(j.progress.total - j.progress.done))
+			demand[j.request.team] = demand[j.request.team].Plus(quota.Of(j.request.size).Times(j.progress.total - j.progress.done))
 		}
 		if j.placeable(p.clock.now) {
 			queue = append(queue, j)
@@ -45,9 +46,7 @@
 	// A team whose unfinished jobs all fit within its guarantee need not wait
 	// for other teams.
 	withinGuarantee := func(j *job) bool {
-		g := p.quotas.teams[j.request.team].guarantee
-		d := demand[j.request.team]
-		return (g.cpus > 0 || g.gpus > 0) && d.cpus <= g.cpus && d.gpus <= g.gpus
+		return p.teams.At(j.request.team).WithinGuarantee(demand[j.request.team])
 	}
 	slices.SortStableFunc(queue, func(a, b *job) int {
 		if sa, sb := withinGuarantee(a), withinGuarantee(b); sa != sb {
@@ -115,7 +114,10 @@
 
 // placeableWithinLimit lists the jobs with tasks that their teams' limits let run.
 func (p *placement) placeableWithinLimit() []*job {
-	return slices.DeleteFunc(p.queue(), func(j *job) bool { return p.quotas.roomInLimit(j, p.quotas.teams[j.request.team].allocated) == 0 })
+	return slices.DeleteFunc(p.queue(), func(j *job) bool {
+		team := p.teams.At(j.request.team)
+		return team.Room(j.request.size, team.Allocated()) == 0
+	})
 }
 
 // remainingWork is the core-seconds that are expected to be left of a machine's tasks.
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -39,7 +39,7 @@
 	j := c.newJob(s.ID, s.Record, s.Version)
 	if s.Record.Class != "" {
 		accepted := c.clock.now - time.Duration(c.clock.wallMS-s.Record.AcceptedMS)*time.Millisecond
-		c.autoscaling.learnArrival(c.classOf(s.Record.Class), c.quotas.teamOf(s.Record.Team), accepted, s.Record.Cores, s.Record.RunS)
+		c.autoscaling.learnArrival(c.classOf(s.Record.Class), c.teams.Index(s.Record.Team), accepted, s.Record.Cores, s.Record.RunS)
 	}
 	if j.spec == nil {
 		// It is done; an earlier leader was stopped while it tidied up.
--- a/internal/scheduler/scaling_plan.go
+++ b/internal/scheduler/scaling_plan.go
@@ -5,6 +5,7 @@
 	"slices"
 
 	"leadproxy/internal/autoscaler"
+	"leadproxy/internal/scheduler/quota"
 )
 
 // countsAsCapacity tells whether a machine is part of the capacity to plan with.
@@ -113,14 +114,14 @@
 // planWaiting lists the tasks that wait, in the order of the queue. What a team's limit
 // leaves is shared by all its waiting jobs.
 func (a *autoscaling) planWaiting(s *autoscaler.PlanInput) {
-	used := make([]units, len(a.quotas.teams))
+	used := make([]quota.Units, a.teams.Len())
 	for i := range used {
-		used[i] = a.quotas.teams[i].allocated
+		used[i] = a.teams.At(int32(i)).Allocated()
 	}
 	for _, j := range a.placement.queue() {
 		a.placement.resolveTypes(j)
-		n := min(len(j.progress.waiting), a.quotas.roomInLimit(j, used[j.request.team]))
-		used[j.request.team] = used[j.request.team].plus(unitsOf(j.request.size).times(n))
+		n := min(len(j.progress.waiting), a.teams.At(j.request.team).Room(j.request.size, used[j.request.team]))
+		used[j.request.team] = used[j.request.team].Plus(quota.Of(j.request.size).Times(n))
 		if j.suspect() {
 			n = min(n, 1)
 		}
