--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -87,14 +87,15 @@
 	return s.epoch < o.epoch || s.epoch == o.epoch && s.sequence < o.sequence
 }
 
-// schedulable tells whether a machine takes new tasks at all.
+// schedulable tells whether new tasks may start on a machine at all.
 func (a *agents) schedulable(m *machine) bool {
 	return m.state == machineUp && m.trusted(a.term) && m.agent.epoch > m.agent.expiredEpoch && m.typ >= 0 && m.agent.unreachable == nil && !m.eviction.cordoned && !m.health.quarantined && a.clock.now >= m.commands.avoidUntil && m.rental.terminationAt == 0 && !m.agent.unacknowledged && a.clock.now-m.agent.lastAcknowledged < a.unreachableAfter()
 }
 
-// trusted tells whether what a machine reports is believed: it has echoed the term's token.
-// One whose deletion is asked for counts as well. The cloud may be out of order for longer
-// than cancel_s, and a machine that goes on meanwhile must be told what to stop.
+// trusted tells whether the content of an agent's heartbeats is believed: it has acknowledged
+// the term's token. A machine whose deletion is requested counts as well: the cloud's API may be
+// out of order for longer than cancel_s, and an agent that keeps running meanwhile must be sent
+// the stops of its tasks.
 func (m *machine) trusted(term uint64) bool {
 	return (m.state == machineUp || m.state == machineDeleting) && m.agent.acknowledgedToken>>tokenBits == term
 }
@@ -102,29 +103,30 @@
 // unreachableAfter is when a machine that said nothing gets no more work.
 func (a *agents) unreachableAfter() time.Duration { return a.heartbeatInterval*2 + time.Second }
 
-// unacknowledgedFor is how long a machine has not shown that it hears this leader. That its
-// reports come in alone shows nothing.
+// unacknowledgedFor is how long an agent has not shown that it receives this leader's responses.
+// That its heartbeats arrive shows nothing.
 func (a *agents) unacknowledgedFor(m *machine) time.Duration {
 	return a.clock.now - max(m.agent.lastAcknowledged, m.agent.epochSeenAt, a.clock.tickingSince)
 }
 
-// heartbeatExpected tells whether a machine should be reporting: it has, or an earlier
+// heartbeatExpected tells whether a machine should be sending heartbeats: it has, or an earlier
 // leader has started something on it.
 func (a *agents) heartbeatExpected(m *machine) bool {
 	return m.state == machineUp || m.state == machineStarting && len(m.recorded.inDoubtJobs) > 0
 }
 
-// markUnacknowledged notes a sign that a machine does not hear us: it gets no work until
-// it has echoed a higher token. That its reports come in shows nothing.
+// markUnacknowledged notes a sign that an agent does not receive our responses: nothing starts
+// on its machine until it has acknowledged a higher token. That its heartbeats arrive shows
+// nothing.
 func (c *Core) markUnacknowledged(m *machine) {
 	m.agent.fencingToken++
 	m.agent.tokenRaisedAt, m.agent.unacknowledged = c.clock.now, true
 	c.placement.indexChanged(m)
 }
 
-// raiseFencingToken raises a machine's token now and then: the worker's next report echoes
-// it if the answer has arrived. Not while a command is on its way there, which
-// would then be refused.
+// raiseFencingToken raises an agent's token now and then: its next heartbeat acknowledges it if
+// the response has arrived. It does not while a command is on its way there, which would then be
+// refused.
 func (a *agents) raiseFencingToken(m *machine) {
 	if m.trusted(a.term) && m.commands.inFlight == 0 && m.agent.acknowledgedToken >= m.agent.fencingToken && a.clock.now-m.agent.tokenRaisedAt >= a.lease/4 {
 		m.agent.fencingToken++
--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -7,14 +7,14 @@
 	"leadproxy/internal/slowfit"
 )
 
-// The states of a booking.
+// The states of an allocation.
 type allocationState uint8
 
 const (
 	allocationPlanned   allocationState = iota // waits for its host to be durable
 	allocationQueued                           // its start leaves with the end of this step
 	allocationSent                             // a start is on its way, or its outcome is unknown
-	allocationConfirmed                        // the worker has executed the start, or reported the task
+	allocationConfirmed                        // the agent has executed the start, or reported the task
 )
 
 // allocation is room taken on a machine for one attempt of a task.
@@ -23,15 +23,16 @@
 	zone      int32
 	attempt   uint64
 	state     allocationState
-	// responseSequence is the seq of the report whose answer carried the start; 0: a
-	// direct command did. Only a later report tells that it was not executed.
+	// responseSequence is the sequence number of the heartbeat whose response carried the start;
+	// 0: a direct command did. Only a later heartbeat shows that it was not executed.
 	responseSequence  uint64
-	lastHeartbeatSeen uint64 // the last look at a report that listed it
-	status            string // as last reported
+	lastHeartbeatSeen uint64 // number of the last processed heartbeat that listed it
+	status            string // as in the last heartbeat
 	share             float64
 	phase             uint32
 	runningSince      time.Duration // when it began to run, or was first seen running
-	// runStartUnknown: it was running before it was first seen, for nobody knows how long.
+	// runStartUnknown: it was running before it was first seen, and it is not known for how
+	// long.
 	runStartUnknown bool
 	stopping        bool
 	gracePeriod     float64
@@ -69,14 +70,14 @@
 	return b
 }
 
-// deallocate gives an allocation's room back. A job that is over may be settled by that.
+// deallocate frees an allocation's room. A job that has ended may be cleaned up then.
 func (c *Core) deallocate(m *machine, b *allocation) {
 	c.placement.giveRoomBack(m, b)
 	c.softState.machineChanged(m)
 	c.jobs.cleanUp(c.jobs.list[b.job])
 }
 
-// takeRoom notes an allocation on its machine, with its job, its class and its team.
+// takeRoom adds an allocation to its machine, its job, its class and its team.
 func (p *placement) takeRoom(m *machine, j *job, n int32, attempt uint64, charge bool) *allocation {
 	b := &allocation{job: j.index, task: n, zone: m.zone, attempt: attempt, share: j.request.size.Share(m.capacity.total)}
 	if charge {
@@ -129,7 +130,7 @@
 	p.needed = true
 }
 
-// release gives a booking's room back and has its task wait again.
+// release frees an allocation's room and has its task wait again.
 func (c *Core) release(m *machine, b *allocation) {
 	c.autoscaling.addLostWork(m, b)
 	c.evictions.displaced(m, b, false, "its machine is lost")
@@ -141,7 +142,7 @@
 func (c *Core) dropAllocations(m *machine, why string) {
 	for len(m.capacity.allocations) > 0 {
 		b := m.capacity.allocations[len(m.capacity.allocations)-1]
-		c.log.Debug("task lost with its machine", "machine", m.name, "task", c.jobs.taskName(b), "why", why)
+		c.log.Debug("task lost with its machine", "machine", m.name, "task", c.jobs.taskName(b), "reason", why)
 		c.release(m, b)
 	}
 	m.commands.pending = nil
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -2,10 +2,10 @@
 
 import "log/slog"
 
-// An attempt's number is the term and a counter within it, and no two attempts may have
-// the same: a worker takes a start with a number that it knows for a repetition, and the
-// counter must not run over into the term. A large fleet uses the counter up in hours, so
-// the leader hands over well before that, and the next term counts from the beginning.
+// An attempt's number is the term and a counter within it, and no two attempts may have the
+// same: an agent takes a start with a known number for a repetition, and the counter must not
+// overflow into the term. A large cell uses the counter up in hours, so the leader resigns well
+// before that, and the next term counts from the beginning.
 
 const (
 	// maxAttempts is the highest counter of one term.
@@ -37,14 +37,14 @@
 	return a.term<<tokenBits | a.count
 }
 
-// endExhausted gives the term up when few attempts are left in it.
+// endExhausted resigns the leadership when few attempts are left in the term.
 func (a *attempts) endExhausted() {
 	if a.count < maxAttempts-attemptReserve {
 		return
 	}
 	if !a.exhausted {
 		a.exhausted = true
-		a.log.Info("giving the term up: its attempts are nearly used up", "term", a.term, "attempts", a.count)
+		a.log.Info("resigning: the attempt numbers of the term are nearly used up", "leader_term", a.term, "attempts", a.count)
 	}
 	a.effects.emit(ResignLeadership{})
 }
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -8,7 +8,7 @@
 	"leadproxy/internal/scheduler/quota"
 )
 
-// The times of the fleet's routine.
+// The intervals and limits of the autoscaling loop.
 const (
 	typesInterval    = 30 * time.Second
 	listInterval     = 4 * time.Second
@@ -17,7 +17,7 @@
 	maxPoolBackoff   = 30 * time.Second
 	minRental        = 60 * time.Second // a machine is charged for this long at least
 	maxOpenScaleOuts = 8
-	maxCalls         = 4 // for one offer at once
+	maxCalls         = 4 // for one capacity pool at once
 )
 
 // autoscaling is what the leader knows of the cloud, of its own demand, and of what the machines
@@ -41,7 +41,7 @@
 	pools         map[autoscaler.CapacityPool]*poolState
 	scaleOuts     map[string]*scaleOut
 	scaleOutCount uint64
-	deletes       []string // to be asked for at the end of the step
+	deletes       []string // to be requested at the end of the step
 
 	nextList     time.Duration
 	nextTypes    time.Duration
@@ -70,11 +70,11 @@
 type poolState struct {
 	blockedUntil  time.Duration
 	backoff       time.Duration
-	fillsRequests int // hires in a row that were filled
+	fillsRequests int // scale-outs in a row that were filled
 }
 
-// maxCount is how many machines of an offer may be asked for at once: one call's
-// worth at first, more once the cloud has filled some.
+// maxCount is how many machines of a pool may be requested at once: one call's worth at first,
+// more once the cloud has filled some.
 func (o *poolState) maxCount() int { return min(1+o.fillsRequests, maxCalls) * autoscaler.MaxScaleOut }
 
 func (a *autoscaling) pool(o autoscaler.CapacityPool) *poolState {
@@ -84,7 +84,7 @@
 	return a.pools[o]
 }
 
-// tick runs the routine: reading the cloud, returning, hiring.
+// tick reads the cloud, scales in and scales out, each at its interval.
 func (a *autoscaling) tick() {
 	if !a.readingTypes && a.clock.now >= a.nextTypes {
 		a.readingTypes = true
--- a/internal/scheduler/classes.go
+++ b/internal/scheduler/classes.go
@@ -14,9 +14,9 @@
 	allocatedCores []float64
 }
 
-// classObjective is what the settings ask for a class.
+// classObjective is the service-level objective of a class.
 type classObjective struct {
-	wait time.Duration // its tasks should have started by then; 0: no aim
+	wait time.Duration // its tasks should have started by then; 0: no objective
 }
 
 // classOf returns a class's index and makes room for what is kept by class.
--- a/internal/scheduler/cloud_results.go
+++ b/internal/scheduler/cloud_results.go
@@ -25,7 +25,7 @@
 		c.autoscaling.readingTypes = false
 		c.autoscaling.nextTypes = c.clock.now + typesInterval
 		if r.Err != nil {
-			c.log.Debug("machine types not read", "error", r.Err)
+			c.log.Debug("reading the machine types failed", "error", r.Err)
 			c.autoscaling.nextTypes = c.clock.now + time.Second
 			return
 		}
@@ -34,7 +34,7 @@
 		c.autoscaling.listing = false
 		c.autoscaling.nextList = c.clock.now + listInterval
 		if r.Err != nil {
-			c.log.Debug("machines not listed", "error", r.Err)
+			c.log.Debug("listing the machines failed", "error", r.Err)
 			return
 		}
 		c.listRead(r.List)
@@ -103,7 +103,7 @@
 	}
 }
 
-// machinesRented notes the machines of a hire.
+// machinesRented records the machines of a scale-out.
 func (c *Core) machinesRented(h *scaleOut, machines []string) {
 	h.open = false
 	c.evictions.recordRented(h.record.Request.RequestID, machines)
@@ -130,7 +130,7 @@
 	st := c.autoscaling.pool(h.pool)
 	block := func() {
 		if c.clock.now < st.blockedUntil {
-			return // several hires of one offer were on their way
+			return // several scale-outs in one pool were on their way
 		}
 		st.backoff = min(max(st.backoff*2, minPoolBackoff), maxPoolBackoff)
 		st.blockedUntil = c.clock.now + st.backoff
@@ -138,7 +138,7 @@
 	}
 	switch {
 	case r.Err == nil:
-		c.log.Info("hired", "request", h.record.Request.RequestID, "machines", r.Machines, "wanted", h.record.Request.Count)
+		c.log.Info("scale-out result", "request", h.record.Request.RequestID, "machines", r.Machines, "wanted", h.record.Request.Count)
 		if len(r.Machines) < h.record.Request.Count {
 			block()
 		} else {
@@ -153,13 +153,13 @@
 		c.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.record.Request.RequestID), Value: h.record})
 		c.machinesRented(h, r.Machines)
 	case errors.Is(r.Err, autoscaler.ErrNoCapacity):
-		c.log.Info("hire refused: no capacity", "request", h.record.Request.RequestID, "type", h.record.Request.Type, "zone", h.record.Request.Zone, "spot", h.record.Request.Spot)
+		c.log.Info("scale-out refused: no capacity", "request", h.record.Request.RequestID, "type", h.record.Request.Type, "zone", h.record.Request.Zone, "spot", h.record.Request.Spot)
 		block()
 		h.open = false
 		c.autoscaling.dropScaleOut(h)
 	default:
 		// It may have been carried out. Only the same name is safe to repeat.
-		c.log.Info("hire unanswered", "request", h.record.Request.RequestID, "error", r.Err)
+		c.log.Info("scale-out result unknown, will retry", "request", h.record.Request.RequestID, "error", r.Err)
 		h.retry = c.clock.now + time.Second
 	}
 }
--- a/internal/scheduler/command_results.go
+++ b/internal/scheduler/command_results.go
@@ -20,12 +20,12 @@
 		return
 	}
 	if call.addressFromSoftState && (e.Outcome == CommandOutcomeUnknown || e.Outcome == CommandNotSent) {
-		c.agents.inheritedAddressFailed(m) // the hint is wrong, or old: nothing against the machine
+		c.agents.inheritedAddressFailed(m) // the inherited address is wrong, or old: that says nothing about the machine
 		return
 	}
 	if e.Outcome == CommandOutcomeUnknown || e.Outcome == CommandNotSent {
-		// Its reports may still come, but starts don't arrive: leave it alone
-		// for a while rather than book the same tasks there again and again.
+		// Its heartbeats may still arrive, but starts don't: it is avoided for a while, or the
+		// same tasks would be placed there again and again.
 		m.commands.avoidUntil = c.clock.now + avoidFor
 		c.markUnacknowledged(m)
 	}
@@ -36,7 +36,7 @@
 	case CommandNotSent, CommandRejected:
 		c.commands.eachSent(call, func(b *allocation) { c.release(m, b) })
 		if e.Outcome == CommandRejected && !call.probe {
-			c.log.Info("direct command refused", "machine", m.name, "token", call.fencingToken, "session", call.agentEpoch)
+			c.log.Info("direct command refused", "machine", m.name, "fencing_token", call.fencingToken, "agent_epoch", call.agentEpoch)
 		}
 	case CommandExecuted:
 		c.commands.eachSent(call, func(b *allocation) { b.state = allocationConfirmed })
@@ -49,9 +49,9 @@
 	}
 }
 
-// commandOutcomeUnknown keeps the starts of a command booked of which nobody knows whether it
-// was carried out. The token is higher now: once the worker has echoed it, the command
-// can't be executed any more, and what is not there then will never be.
+// commandOutcomeUnknown keeps the allocations of a command for which it is not known whether it
+// was executed. The token is higher now: once the agent has acknowledged it, the command can't
+// be executed any more, and an attempt that is missing then will never run.
 func (q *commands) commandOutcomeUnknown(call *commandInFlight) {
 	m := call.machine
 	if m.agent.epoch != call.agentEpoch {
@@ -62,11 +62,11 @@
 			m.commands.unresolvedStarts[a] = call.fencingToken + 1
 		}
 	}
-	q.log.Debug("direct command unanswered", "machine", m.name, "starts", len(call.startedAttempts), "token", m.agent.fencingToken)
+	q.log.Debug("direct command result unknown", "machine", m.name, "starts", len(call.startedAttempts), "fencing_token", m.agent.fencingToken)
 }
 
-// eachSent settles the starts of a command whose outcome is known, and calls f for the
-// bookings that still wait for it.
+// eachSent resolves the starts of a command whose outcome is known, and calls f for the
+// allocations that still wait for it.
 func (q *commands) eachSent(call *commandInFlight, f func(b *allocation)) {
 	m := call.machine
 	for _, a := range call.startedAttempts {
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -60,7 +60,7 @@
 	q.queueCommand(m, wire.Command{Verb: wire.VerbStart, Task: q.jobs.taskName(b), Attempt: b.attempt})
 }
 
-// queueCommand has a machine told something at the end of the step.
+// queueCommand has a command sent to a machine at the end of the step.
 func (q *commands) queueCommand(m *machine, o wire.Command) {
 	if len(m.commands.pending) == 0 {
 		q.machinesWithCommands = append(q.machinesWithCommands, m)
@@ -68,16 +68,16 @@
 	m.commands.pending = append(m.commands.pending, o)
 }
 
-// sendDeferred gives the answers that are open and turns the orders that don't travel
-// with one into direct commands, each well below the protocol's bound on a
-// body.
+// sendDeferred ends a step: it writes what is new about jobs, sends the open responses, and
+// turns the commands that don't travel with one into direct commands, each well below the
+// protocol's bound on a body.
 func (c *Core) sendDeferred() {
 	c.jobs.writeJobs()
 	c.commands.resumeResponses()
 	c.commands.sendResponses()
 	for _, m := range c.commands.machinesWithCommands {
 		if m.commands.heldHeartbeat != nil {
-			continue // they go with its answer
+			continue // they are sent with its response
 		}
 		orders := m.commands.pending
 		m.commands.pending = nil
@@ -105,8 +105,8 @@
 				continue // released since
 			}
 			b.state = allocationSent
-			// Until the command's outcome is known, or a raised token rules it
-			// out, this start may act at any time.
+			// Until the command's outcome is known, or a raised token rules it out, this start
+			// may be executed at any time.
 			m.commands.unresolvedStarts[o.Attempt] = math.MaxUint64
 			call.startedAttempts = append(call.startedAttempts, o.Attempt)
 		}
@@ -117,7 +117,7 @@
 	}
 }
 
-// sendCommand has a direct command carried out and remembers it until it is back.
+// sendCommand sends a direct command and keeps it until its result arrives.
 func (q *commands) sendCommand(call *commandInFlight, orders []wire.Command) {
 	m := call.machine
 	q.lastID++
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -1,6 +1,8 @@
 // Package scheduler decides what the leader does: which machines exist, what runs on them, what
 // waits, and which commands follow. Its core is a deterministic step from a state, an event and
 // a time to effects, without I/O. Package dispatch carries the effects out.
+//
+// A newcomer begins with Core and its parts, and with Step, which shows the events of each part.
 package scheduler
 
 import (
@@ -14,19 +16,19 @@
 	"leadproxy/internal/softstate"
 )
 
-// Config is what the core is told at its start.
+// Config is the configuration of one term.
 type Config struct {
 	Term     uint64
 	Platform *settings.Platform
 	Operator settings.Operator
 	// ValueBytes is how many bytes a value may have.
 	ValueBytes int
-	// SoftState is what an earlier leader held in memory; nil: not known.
+	// SoftState is what an earlier leader held in memory; nil: none is known.
 	SoftState *softstate.View
 }
 
-// tokenBits is the room that a token and an attempt leave for the counter
-// within one term.
+// tokenBits is the room that a fencing token and an attempt leave for the counter within one
+// term.
 const tokenBits = 24
 
 // Core is the leader's state for one term. Step is its only entry. Its state lies in parts: each
@@ -137,8 +139,8 @@
 // NeedsPlacement tells whether Settle would place tasks.
 func (c *Core) NeedsPlacement() bool { return c.placement.needed }
 
-// Settle places what can be placed after one or more steps and returns all that
-// must be done. Under load many events share one placement.
+// Settle places what can be placed after one or more steps and returns all effects. Under load
+// many events share one placement.
 func (c *Core) Settle() []Effect {
 	if c.placement.needed {
 		c.placement.needed = false
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -10,9 +10,9 @@
 	"leadproxy/internal/wire"
 )
 
-// Which jobs are offered to other cells, when, and to whom.
+// This file decides which jobs are delegated to other cells, when, and to which.
 
-// forwardingInterval is how often the queue is looked through for jobs to be offered.
+// forwardingInterval is how often the queue is searched for jobs to be delegated.
 const forwardingInterval = time.Second
 
 // mayDelegate tells whether a job can run in another cell: whole, never started anywhere,
@@ -31,8 +31,8 @@
 	return f.clock.now+wait+f.estimates.expectedRun(j) > j.priority.deadline
 }
 
-// forwardJobs offers jobs to neighbours that have room for them while this cell is short
-// of it.
+// forwardJobs delegates jobs to neighbours that have room for them while this cell is short of
+// it.
 func (c *Core) forwardJobs() {
 	t := &c.federation
 	late := c.federation.expectedLateJobs()
@@ -54,13 +54,13 @@
 	c.applyOriginEffects()
 }
 
-// delegationInput is what offers are decided by at one moment.
+// delegationInput is the situation by which jobs are delegated.
 type delegationInput struct {
-	cells []federation.Cell // the neighbours, in order
+	cells []federation.Cell // the neighbours, in order of preference
 	used  []quota.Units     // by team, in all cells
 }
 
-// delegationInput looks at the neighbours and the teams.
+// delegationInput describes the neighbours and what the teams use at present.
 func (f *federationState) delegationInput() *delegationInput {
 	o := &delegationInput{cells: make([]federation.Cell, len(f.neighbours)), used: f.uncertainUse()}
 	for i := range o.used {
@@ -81,14 +81,14 @@
 	return o
 }
 
-// hasCredit tells whether some neighbour has offered room.
+// hasCredit tells whether some neighbour has offered capacity.
 func (o *delegationInput) hasCredit() bool {
 	return slices.ContainsFunc(o.cells, func(cell federation.Cell) bool { return cell.Credit > 0 })
 }
 
-// expectedLateJobs lists, in the order of the queue, the jobs that may leave and whose
-// wait here is expected to be too long: what is ahead of them, and left of what runs,
-// shared by the cores that there are. A job that leaves is ahead of none.
+// expectedLateJobs lists, in the order of the queue, the jobs that may be delegated and whose
+// wait here is expected to be too long: what is ahead of them, and left of what runs, shared by
+// all cores. A job that is delegated is ahead of none.
 func (f *federationState) expectedLateJobs() []*job {
 	cores, ahead := 0.0, 0.0
 	for _, m := range f.machines.live {
@@ -112,7 +112,7 @@
 	return late
 }
 
-// requestCapacity asks the neighbours what they have for so many cores.
+// requestCapacity requests an offer of capacity from the neighbours.
 func (f *federationState) requestCapacity(choice *delegationInput, cores float64) {
 	for i, n := range f.neighbours {
 		cell := choice.cells[i]
@@ -125,10 +125,10 @@
 	}
 }
 
-// capacityRequestInterval is how long a neighbour rests that was asked for room.
+// capacityRequestInterval is the least time between two capacity requests to a neighbour.
 const capacityRequestInterval = 2 * time.Second
 
-// capacityResult takes a neighbour's answer to the question for room.
+// capacityResult takes a neighbour's reply to a capacity request.
 func (c *Core) capacityResult(e CapacityResult) {
 	n := c.federation.neighbourNamed(e.Cell)
 	if n == nil {
@@ -137,14 +137,14 @@
 	n.capacityRequested = false
 	n.nextCapacityRequest = c.clock.now + max(capacityRequestInterval, e.RetryAfter)
 	if e.Err != nil {
-		c.log.Debug("neighbour not asked for room", "cell", n.Name, "error", e.Err)
+		c.log.Debug("capacity request failed", "cell", n.Name, "error", e.Err)
 		return
 	}
 	n.credit, n.until = e.Cores, c.clock.now+e.For
 	if n.reason != e.Reason {
 		n.reason = e.Reason
 		if e.Reason != "" {
-			c.log.Info("neighbour has no room", "cell", n.Name, "why", e.Reason, "again_s", e.RetryAfter.Seconds())
+			c.log.Info("neighbour offers no capacity", "cell", n.Name, "reason", e.Reason, "retry_after_s", e.RetryAfter.Seconds())
 		}
 	}
 	if e.Cores <= 0 {
@@ -154,7 +154,7 @@
 	c.federation.sendTransfers()
 }
 
-// delegatedTo is what is away in a cell: jobs, and their cores.
+// delegatedTo is what is delegated to a cell: jobs, and their cores.
 func (f *federationState) delegatedTo(n *neighbour) (jobs int, cores float64) {
 	for _, ref := range f.delegated.With(n.Name) {
 		if at, ok := f.jobs.indexByID[ref]; ok && !f.jobs.list[at].ended() {
@@ -188,11 +188,11 @@
 	o.used[j.request.team] = o.used[j.request.team].Plus(quota.Of(j.request.size).Times(j.progress.total))
 	j.transfer.delegated = true
 	f.delegated.Begin(j.id, n.Name, body, f.clock.now, f.clock.wallMS)
-	f.log.Info("job is offered to a neighbour", "job", j.id, "cell", n.Name, "cores", j.cores(), "waited_s", (f.clock.now - j.priority.arrived).Seconds(), "share", j.cores()/n.MaxCores)
+	f.log.Info("job delegated to a neighbour", "job", j.id, "cell", n.Name, "cores", j.cores(), "waited_s", (f.clock.now - j.priority.arrived).Seconds(), "share", j.cores()/n.MaxCores)
 }
 
-// uncertainUse is what each team's tasks may use on machines that have not been
-// heard of in this term, and in other cells.
+// uncertainUse is what each team's tasks may use on machines that have sent no heartbeat in this
+// term, and in other cells.
 func (f *federationState) uncertainUse() []quota.Units {
 	use := make([]quota.Units, f.teams.Len())
 	transfers := !f.delegated.Idle()
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -29,7 +29,7 @@
 type weightedSize struct {
 	size   slowfit.Size
 	weight float64
-	wait   bool // some class of that size has an aim on waiting
+	wait   bool // some class of that size has an objective on waiting
 }
 
 // maxSizes bounds the sizes that are remembered.
@@ -65,8 +65,8 @@
 	return out
 }
 
-// headroomCores are the cores that the learned demand makes worth keeping. What a
-// team asks for beyond its limit is none of it.
+// headroomCores are the cores that the learned demand makes worth keeping. A team's demand
+// beyond its limit does not count.
 func (a *autoscaling) headroomCores() float64 {
 	spread := a.cfg.Operator.HeadroomSpread
 	mean, deviation := autoscaler.Demand(a.clock.now, a.demand)
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -10,17 +10,17 @@
 )
 
 // A job may name others that have to be done before any of its tasks starts. Package depgraph
-// holds who depends on whom; here it meets the jobs and their records.
+// holds the graph; this file connects it with the jobs and their records.
 //
-// A predecessor counts as done only once its record says so durably: until then a new
-// leader may run its last task again. One that this leader has not seen yet, since
-// another controller has just accepted it, counts as unfinished.
+// A predecessor counts as done only once its record says so durably: until then a new leader may
+// run its last task again. One that this leader has not seen yet, since another controller has
+// just accepted it, counts as unfinished.
 //
-// An unfinished job with a cancelled ancestor is cancelled. That follows from durable
-// facts alone: a record says cancelled or done, never first one and then the other,
-// and a job whose ancestor never ends never starts. So it holds from the moment in
-// which the ancestor's record is durable, whoever leads and whichever controller is asked;
-// the dependents' own records follow when there are writes for them.
+// An unfinished job with a cancelled ancestor is cancelled. That follows from durable facts
+// alone: a record says cancelled or done, never first one and then the other, and a job whose
+// ancestor never ends never starts. So it holds from the moment in which the ancestor's record
+// is durable, whoever leads and whichever controller is asked; the dependents' own records
+// follow when there are writes for them.
 
 // blocked tells whether a job waits for others, or is delegated to another cell. It takes no
 // part of its team's guarantee, is in no queue, and has no machines rented for it.
@@ -66,7 +66,7 @@
 		c.placement.needed = true
 	}
 	if j.blocked() {
-		c.log.Debug("job waits for others", "job", j.id, "open", j.dependencies.Open(), "first", c.jobs.firstOpen(j))
+		c.log.Debug("job waits for its dependencies", "job", j.id, "open", j.dependencies.Open(), "first", c.jobs.firstOpen(j))
 	}
 }
 
@@ -142,7 +142,7 @@
 	j.priority.arrived = at
 	c.autoscaling.observeArrival(j)
 	c.placement.needed = true
-	c.log.Debug("all that a job waits for is done", "job", j.id, "tasks", j.progress.total)
+	c.log.Debug("job dependencies are done", "job", j.id, "tasks", j.progress.total)
 }
 
 // cancelDependent cancels a job since one that it depends on is cancelled.
@@ -150,7 +150,7 @@
 	if j.end.durable {
 		return
 	}
-	c.log.Debug("job is cancelled with one that it needs", "job", j.id, "needs", p.id)
+	c.log.Debug("job cancelled with a dependency", "job", j.id, "dependency", p.id)
 	if !j.ended() {
 		j.end.state = wire.JobCancelled
 		c.jobs.writeTerminal(j, false)
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -8,7 +8,7 @@
 	"leadproxy/internal/wire"
 )
 
-// Event is what the core is stepped with.
+// Event is what happened outside the core.
 type Event interface{ isEvent() }
 
 func (JobRecordEvent) isEvent()    {}
@@ -34,22 +34,21 @@
 func (PlanRequest) isEvent()         {}
 func (PlanListRequest) isEvent()     {}
 
-// Recipient is who gets the answer to a report, a question or a cancellation.
+// Recipient is who gets the reply to a heartbeat, a status request or a cancellation.
 type Recipient interface {
-	// Deliver takes the answer. It does not wait.
+	// Deliver takes the reply. It does not block.
 	Deliver(answer Effect)
 }
 
 // The events.
 type (
-	// JobRecordEvent tells of a job record, from a node that accepted it or from the
-	// watch.
+	// JobRecordEvent carries a job record, from a controller that accepted it or from the watch.
 	JobRecordEvent struct {
 		JobID   string
 		Record  ledger.JobRecord
 		Version uint64
 	}
-	// HeartbeatEvent is a worker's report that wants an answer.
+	// HeartbeatEvent is an agent's heartbeat, which needs a response.
 	HeartbeatEvent struct {
 		Heartbeat *wire.Heartbeat
 		ReplyTo   Recipient
@@ -60,7 +59,7 @@
 		Outcome   CommandOutcome
 		Heartbeat *wire.Heartbeat // with DirectDone and DirectRefused
 	}
-	// CancelRequest is a user asking to cancel a job.
+	// CancelRequest is a user's request to cancel a job.
 	CancelRequest struct {
 		JobID   string
 		ReplyTo Recipient
@@ -70,27 +69,27 @@
 		JobID   string
 		ReplyTo Recipient
 	}
-	// WritesDurable tells tags of writes that are durable.
+	// WritesDurable carries the tags of writes that have become durable.
 	WritesDurable struct{ Tags []ledger.Tag }
 	// CloudResult is the outcome of a cloud call.
 	CloudResult struct{ Result autoscaler.Result }
-	// InspectResult is what a worker says when asked what it is now.
+	// InspectResult is an agent's present status, requested by an inspection.
 	InspectResult struct {
 		Machine   string
-		Heartbeat *wire.Heartbeat // nil: no answer
+		Heartbeat *wire.Heartbeat // nil: no response
 	}
-	// ValueLimitChanged tells how many bytes a value may have from now on.
+	// ValueLimitChanged carries how many bytes a value may have from now on.
 	ValueLimitChanged struct{ ValueBytes int }
-	// WritesRejected tells tags of writes that were not carried out, since their values
-	// are larger than the state service takes any more.
+	// WritesRejected carries the tags of writes that were not carried out, since their values
+	// are larger than the key-value store allows by now.
 	WritesRejected struct{ Tags []ledger.Tag }
-	// SoftStateRequest is a standby asking for what has changed in memory since an earlier
-	// answer; 0: all.
+	// SoftStateRequest is a standby's request for what has changed in memory since an earlier
+	// reply; 0: all.
 	SoftStateRequest struct {
 		Since   uint64
 		ReplyTo Recipient
 	}
-	// PlanRequest has a plan begin, with Spec, or tells the plan of a name something.
+	// PlanRequest creates a plan, with Spec, or sends a command to the plan of a name.
 	PlanRequest struct {
 		Spec     *rollout.Spec
 		Name     string
@@ -98,13 +97,13 @@
 		Argument string
 		ReplyTo  Recipient
 	}
-	// PlanListRequest is an operator asking for the plans.
+	// PlanListRequest is an operator's request for the plans.
 	PlanListRequest struct{ ReplyTo Recipient }
 	// Tick comes a few times a second.
 	Tick struct{}
 )
 
-// CommandOutcome is what became of a direct command.
+// CommandOutcome is the outcome of a direct command.
 type CommandOutcome int
 
 // The outcomes of a direct command.
@@ -115,7 +114,7 @@
 	CommandNotSent                              // never left this process
 )
 
-// Effect is what follows from steps and is to be carried out.
+// Effect is what the caller has to carry out after steps.
 type Effect interface{ isEffect() }
 
 func (HeartbeatReply) isEffect()   {}
@@ -139,40 +138,40 @@
 
 // The effects.
 type (
-	// HeartbeatReply answers a worker.
+	// HeartbeatReply is the response to an agent's heartbeat.
 	HeartbeatReply struct {
 		ReplyTo  Recipient
-		Response *wire.HeartbeatResponse // nil: this node can't answer for the controllers
+		Response *wire.HeartbeatResponse // nil: this controller can't respond as the leader
 	}
-	// SendCommands is a command to be sent straight to a worker.
+	// SendCommands is a command to be sent directly to an agent.
 	SendCommands struct {
 		CommandID uint64
 		Machine   string
 		Address   string
 		Request   wire.CommandRequest
 	}
-	// InspectWorker asks a worker what it is now.
+	// InspectWorker requests an agent's present status.
 	InspectWorker struct {
 		Machine string
 		Address string
 	}
 	// WriteLedger writes to the ledger.
 	WriteLedger struct{ Writes []ledger.Write }
-	// UserReply answers a question or a cancellation.
+	// UserReply is the reply to a status request or a cancellation.
 	UserReply struct {
 		ReplyTo Recipient
 		Known   bool
 		Status  wire.JobStatus
-		// TerminalStatePending: the job's end is being written. The state service may have
-		// it already, and another node may have told a user: only a fresh read
-		// is as new as that.
+		// TerminalStatePending: the job's end is being written. The key-value store may have it
+		// already, and another controller may have told a user: only a fresh read is as new as
+		// that.
 		TerminalStatePending bool
-		// CellUnreachable: another cell may run the job and does not answer.
+		// CellUnreachable: another cell may run the job and does not respond.
 		CellUnreachable bool
 	}
 	// CallCloud makes a call to the cloud.
 	CallCloud struct{ Call autoscaler.Call }
-	// SoftStateReply answers a standby. With More there is more than it holds.
+	// SoftStateReply is the reply to a standby. With More there is more to be requested.
 	SoftStateReply struct {
 		ReplyTo   Recipient
 		Term      uint64
@@ -181,18 +180,18 @@
 		UpTo      uint64
 		More      bool
 	}
-	// PlanReply answers a command about a plan, once it is durable or refused.
+	// PlanReply is the reply to a command about a plan, once it is durable or refused.
 	PlanReply struct {
 		ReplyTo Recipient
 		Err     error
 	}
-	// PlanListReply answers an operator with the plans and the jobs that count as disrupted.
+	// PlanListReply lists the plans and the jobs that count as disrupted.
 	PlanListReply struct {
 		ReplyTo   Recipient
 		Term      uint64
 		Plans     []PlanStatus
 		Disrupted []rollout.Entry
 	}
-	// ResignLeadership has this node give its term up, so that another one begins.
+	// ResignLeadership has this controller resign, so that another term begins.
 	ResignLeadership struct{}
 )
--- a/internal/scheduler/eviction_actions.go
+++ b/internal/scheduler/eviction_actions.go
@@ -10,10 +10,10 @@
 	"leadproxy/internal/rollout"
 )
 
-// What plans that drain machines have done.
+// This file carries out the actions of plans that drain machines.
 
-// cordon has nothing start on the machines that plans are emptying, and keeps those that
-// they have hired.
+// cordon has nothing start on the machines that plans empty, and keeps those that they have
+// rented.
 func (v *evictionState) cordon() {
 	for _, m := range v.machines.live {
 		cordoned, kept := false, false
@@ -30,7 +30,7 @@
 	}
 }
 
-// carryOutPlan does what a plan wants.
+// carryOutPlan carries out an action of a plan.
 func (c *Core) carryOutPlan(act rollout.Act) {
 	switch a := act.(type) {
 	case rollout.MoveTask:
@@ -58,14 +58,14 @@
 		if j.spec.CheckpointIntervalS > 0 {
 			grace = j.spec.CheckpointDurationS
 		}
-		c.log.Info("task is moved", "task", c.jobs.taskName(b), "machine", m.name, "grace_s", grace)
+		c.log.Info("task evicted by a plan", "task", c.jobs.taskName(b), "machine", m.name, "grace_s", grace)
 		c.stopAllocation(m, b, grace)
 	}
 }
 
-// requestsFor are the hires for a plan's replacements: one for each kind of machine, in
-// parts that the cloud takes. They are none until all of the machines are known: a request
-// that is made once for fewer brings no more later.
+// requestsFor are the scale-outs for a plan's replacements: one for each kind of machine, in
+// parts of the size that the cloud accepts. They are none until all of the machines are known: a
+// request that is made once for fewer machines can't be extended later.
 func (v *evictionState) requestsFor(request string, like []string) map[string]autoscaler.PlannedScaleOut {
 	counts := map[autoscaler.CapacityPool]int{}
 	for _, name := range like {
@@ -89,8 +89,8 @@
 	return requests
 }
 
-// scaleOutAhead hires replacements. A request that the cloud has refused is made again under
-// its name when the offer may be asked for again.
+// scaleOutAhead rents replacements. A request that the cloud has refused is repeated under its
+// name when the pool may be used again.
 func (v *evictionState) scaleOutAhead(a rollout.HireAhead) {
 	requests := v.requestsFor(a.Request, a.Like)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
@@ -102,8 +102,7 @@
 	}
 }
 
-// rentedForPlan is what the requests for a plan's replacements have brought, once all are
-// answered.
+// rentedForPlan lists the machines of a plan's scale-outs, once all have a result.
 func (v *evictionState) rentedForPlan(r *rollout.Record) (machines []string) {
 	requests := v.requestsFor(r.Hire, r.Batch)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
@@ -115,7 +114,7 @@
 	return machines
 }
 
-// recordRented notes the machines of a hire, if it may be a plan's.
+// recordRented records the machines of a scale-out, if it may be a plan's.
 func (v *evictionState) recordRented(request string, machines []string) {
 	if !strings.HasPrefix(request, rollout.HirePrefix) {
 		return
--- a/internal/scheduler/eviction_view.go
+++ b/internal/scheduler/eviction_view.go
@@ -6,13 +6,13 @@
 	"leadproxy/internal/rollout"
 )
 
-// What plans that drain machines are told of the world.
+// This file describes the present state to plans that drain machines.
 
-// roomKey is a job whose tasks are to leave a zone: whether there is room for one is looked
-// for once a step.
+// roomKey is a job whose tasks are to leave a zone: whether there is room for one is determined
+// once a step.
 type roomKey struct{ job, zone int32 }
 
-// planView tells a plan how the world is.
+// planView describes the present state to a plan.
 func (v *evictionState) planView(p *plan) *rollout.View {
 	r, _ := p.rollout.Record()
 	room := map[roomKey]bool{}
@@ -50,8 +50,8 @@
 	return v.machines.unresolvedHosts() == 0 && v.clock.now-v.clock.termStart >= max(v.cfg.Operator.Drain.Budgets.Longest(), v.agents.lease)
 }
 
-// selects tells whether a machine is one of a plan's: it matches, and was hired before the
-// plan was made.
+// selects tells whether a machine is one of a plan's: it matches, and was rented before the plan
+// was made.
 func (v *evictionState) selects(r *rollout.Record, m *machine) bool {
 	if m.state == machineGone || m.state == machineDeleting || m.zone < 0 {
 		return false
@@ -96,15 +96,15 @@
 	return t
 }
 
-// roomElsewhere tells whether a job's task would find room on another machine now; the tasks
-// of a job that stays together, in its zone.
+// roomElsewhere tells whether there is room for a job's task on another machine now; for a job
+// with gang scheduling, in its zone.
 func (v *evictionState) roomElsewhere(from *machine, j *job) bool {
 	return slices.ContainsFunc(v.machines.live, func(m *machine) bool {
 		return m != from && v.agents.schedulable(m) && j.allows(m.typ, m.zone, m.spot) && j.request.size.Within(m.capacity.free) && (!j.spec.Gang || m.zone == from.zone)
 	})
 }
 
-// replacement is a machine that was hired ahead, as a plan sees it.
+// replacement is a machine that was rented for a plan, as the plan sees it.
 func (v *evictionState) replacement(m *machine) rollout.Replacement {
 	r := rollout.Replacement{Name: m.name, Failed: m.state == machineGone || m.state == machineDeleting || m.health.quarantined}
 	if v.agents.schedulable(m) && m.agent.epochSeenAt > 0 {
--- a/internal/scheduler/evictions.go
+++ b/internal/scheduler/evictions.go
@@ -12,13 +12,13 @@
 	"leadproxy/internal/rollout"
 )
 
-// Plans that drain machines. What they decide is in package drain; here it is told what
-// happens, and what it wants is carried out.
+// evictionState holds the plans that drain machines. What they decide is in package rollout;
+// here they get the present state, and their actions are carried out.
 
-// evictionInterval is how often plans go on.
+// evictionInterval is how often plans advance.
 const evictionInterval = time.Second
 
-// keptPlans is how many plans that have ended are kept to be looked at.
+// keptPlans is how many plans that have ended are kept for operators.
 const keptPlans = 20
 
 // evictionState are the plans of a term; without an account there are none.
@@ -40,10 +40,10 @@
 	disruptions *rollout.Account
 	plans       map[string]*plan
 	next        time.Duration
-	firstPlan   int // which plan goes on first
-	// rented is what requests for replacements have brought.
+	firstPlan   int // which plan advances first
+	// rented are the machines of scale-outs for replacements, by request.
 	rented map[string][]string
-	// logged are the disrupted jobs that the log tells of.
+	// logged are the disrupted jobs whose disruption was logged.
 	logged map[string]rollout.Entry
 }
 
@@ -83,7 +83,7 @@
 	errPlanExists       = errors.New("there is a plan of that name")
 )
 
-// restoreEvictions goes on with the plans of the ledger, after the jobs and machines.
+// restoreEvictions continues the plans of the ledger, after the jobs and machines.
 func (v *evictionState) restoreEvictions(records []rollout.Record) {
 	if !v.cfg.Operator.Drain.Enabled {
 		return
@@ -120,14 +120,14 @@
 	v.disruptions.Lose(accountOf(j), int(b.task), lost, cause, v.clock.now)
 }
 
-// taskRunning tells the account that a task runs.
+// taskRunning notes with the account of disruptions that a task runs.
 func (v *evictionState) taskRunning(b *allocation) {
 	if v.disruptions != nil {
 		v.disruptions.Runs(v.jobs.list[b.job].id, int(b.task), v.clock.now)
 	}
 }
 
-// evictionTick has all plans go on, beginning with another one each time.
+// evictionTick advances all plans, beginning with another one each time.
 func (c *Core) evictionTick() {
 	d := &c.evictions
 	if d.disruptions == nil || c.clock.now < d.next {
@@ -176,7 +176,7 @@
 	return names
 }
 
-// advancePlans has one plan go on: what it wants is done, or its record is written first.
+// advancePlans advances one plan: its actions are carried out, or its record is written first.
 func (c *Core) advancePlans(name string) {
 	p := c.evictions.plans[name]
 	before, _ := p.rollout.Record()
@@ -199,8 +199,8 @@
 	v.writes.put(ledger.Write{Key: ledger.PlanKey(name), Value: record, Urgent: true, Tag: planTag{name, generation}})
 }
 
-// planDurable notes that a plan's record is durable. Who waits for that is answered, and
-// what it allows comes with the next step.
+// planDurable notes that a plan's record is durable. Who waits for that gets the reply, and the
+// actions that it allows come with the next step.
 func (v *evictionState) planDurable(t planTag) {
 	p := v.plans[t.name]
 	if p == nil {
@@ -233,11 +233,11 @@
 	}
 }
 
-// planRejected notes that a plan's record does not fit a value: the plan stands still until
+// planRejected notes that a plan's record does not fit a value: the plan does not advance until
 // it is aborted.
 func (v *evictionState) planRejected(t planTag) {
 	if p := v.plans[t.name]; p != nil {
 		p.tooLong = true
-		v.log.Error("the record of a plan takes more than a value may hold", "plan", t.name)
+		v.log.Error("plan record exceeds the value limit", "plan", t.name)
 	}
 }
--- a/internal/scheduler/failure_attribution.go
+++ b/internal/scheduler/failure_attribution.go
@@ -23,7 +23,7 @@
 	suspectThreshold    = 3
 )
 
-// suspect tells that rather the job than its machines is at fault.
+// suspect tells whether the job rather than its machines is at fault.
 func (j *job) suspect() bool {
 	return j.progress.done == 0 && len(j.retry.failedOn) >= suspectThreshold
 }
@@ -49,8 +49,7 @@
 	}
 }
 
-// jobSucceeded notes a success of a job: what failed before was the machines'
-// fault.
+// jobSucceeded notes a success of a job: its earlier failures were the machines' fault.
 func (p *placement) jobSucceeded(j *job) {
 	for i := range j.retry.failedOn {
 		if m := p.machines.list[i]; m.health.failedJobs[j.index] {
@@ -66,10 +65,10 @@
 	}
 	m.health.quarantined = true
 	p.indexChanged(m)
-	p.log.Info("machine quarantined: tasks fail on it", "machine", m.name, "jobs", len(m.health.failedJobs), "bookings", len(m.capacity.allocations))
+	p.log.Info("machine quarantined: tasks fail on it", "machine", m.name, "jobs", len(m.health.failedJobs), "allocations", len(m.capacity.allocations))
 }
 
-// endBackOffs has jobs placed whose delay is over.
+// endBackOffs has the jobs placed whose delay has passed.
 func (p *placement) endBackOffs() {
 	for _, j := range p.jobs.active {
 		if j.retry.notBefore > 0 && p.clock.now >= j.retry.notBefore {
--- a/internal/scheduler/fair_share.go
+++ b/internal/scheduler/fair_share.go
@@ -10,14 +10,14 @@
 
 // Priority and slack alone would let a lasting overload of urgent work starve
 // the rest, and a job whose tasks are large wait for ever while small ones fill
-// every gap. Two bounded exceptions go before the order of the queue:
+// every gap. Two bounded exceptions precede the order of the queue:
 //
-//   - Ageing: the first task of a job that has waited agedAfter goes first, the
+//   - Ageing: the first task of a job that has waited agedAfter is placed first, that of the
 //     oldest job before others. Where it fits nowhere, the machine that will be
-//     free soonest is kept free for it. This costs one task for each such job,
-//     and never more than a heldPart of the machines.
+//     free soonest is reserved for it. This costs one task for each such job,
+//     and never more than one of reservedMachinesDivisor machines.
 //   - Shares: a class, and a team, with tasks that wait is entitled to a part of the
-//     open cores. All classes together are entitled to a reservedPart, and all teams.
+//     open cores. All classes together are entitled to a guaranteedShare, and all teams.
 const (
 	maxStartDelay           = 4 * time.Minute // when every job should have begun
 	agedAfter               = maxStartDelay / 4
@@ -62,14 +62,14 @@
 	if best == nil {
 		return
 	}
-	p.log.Info("machine kept free for a job that has waited long", "machine", best.name, "job", j.id, "waited", (p.clock.now - j.priority.arrived).Seconds(), "core_seconds_left", least)
+	p.log.Info("machine reserved for a job that has waited long", "machine", best.name, "job", j.id, "waited_s", (p.clock.now - j.priority.arrived).Seconds(), "core_seconds_left", least)
 	best.capacity.reserved, j.placement.reservedMachine = true, best
 	p.reservingJobs = append(p.reservingJobs, j)
 	p.refresh(best)
 }
 
-// placeReserved starts the jobs whose machine has become free enough, and gives up
-// what is no longer to be kept.
+// placeReserved starts the jobs whose reserved machine has become free enough, and ends
+// reservations without a purpose.
 func (p *placement) placeReserved(uncertain []quota.Units) {
 	p.reservingJobs = slices.DeleteFunc(p.reservingJobs, func(j *job) bool {
 		m := j.placement.reservedMachine
@@ -108,7 +108,7 @@
 	}
 }
 
-// The turns of jobs that have not waited long.
+// The age buckets of jobs that have not waited long.
 const (
 	ageInTime = 1
 	ageLate   = 2
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -13,9 +13,9 @@
 	"leadproxy/internal/wire"
 )
 
-// federationState is what the leader knows of jobs that are away in other cells, and of those
-// of other cells that run here. The protocol is in package spill; here it meets the jobs,
-// the ledger and the neighbours.
+// federationState is what the leader knows of jobs that are delegated to other cells, and of
+// foreign jobs that run here. The protocol is in package federation; here it is connected with
+// the jobs, the ledger and the neighbours.
 type federationState struct {
 	cfg         *Config
 	clock       *clock
@@ -43,22 +43,22 @@
 	transfersEnabled bool
 }
 
-// neighbour is what home knows of another cell.
+// neighbour is what the origin cell knows of another cell.
 type neighbour struct {
 	settings.Neighbour
 	outbox              []federation.Message // the newest for each job
 	exchanging          bool                 // an exchange is under way
 	unreachable         bool                 // the last exchange was not answered
-	capacityRequested   bool                 // it is being asked for room
-	nextCapacityRequest time.Duration        // when it may be asked again
+	capacityRequested   bool                 // a capacity request is under way
+	nextCapacityRequest time.Duration        // when the next one may be sent
 	credit              float64              // cores that it has offered and that are not used yet
-	until               time.Duration        // when the offer ends
+	until               time.Duration        // when its offer expires
 	refused             map[string]bool      // jobs that it can't run, as it has said in this term
 	waitingLoggedAt     time.Duration        // when it was last logged that jobs wait for it
-	reason              string               // why it had no room when it was last asked
+	reason              string               // why it last had no capacity
 }
 
-// credit is room that was offered to another cell.
+// credit is capacity that was offered to another cell.
 type credit struct {
 	cores float64
 	until time.Duration
@@ -152,7 +152,7 @@
 			j.transfer.delegated = c.federation.delegated.Delegated(away.JobID)
 		}
 		if _, ok := c.federation.cells.Find(away.Record.Cell); !ok {
-			c.log.Error("a job is away in a cell that the settings do not name", "job", away.JobID, "cell", away.Record.Cell, "epoch", away.Record.Epoch)
+			c.log.Error("job delegated to a cell that the settings do not name", "job", away.JobID, "cell", away.Record.Cell, "transfer_epoch", away.Record.Epoch)
 		}
 	}
 	for _, g := range s.Foreign {
@@ -161,7 +161,7 @@
 	c.applyOriginEffects()
 }
 
-// offerBody is what an offer of a job carries; nil if it can't be encoded.
+// offerBody is the body of a job's offer; nil if it can't be encoded.
 func (f *federationState) offerBody(j *job) *federation.OfferBody {
 	spec := *j.spec
 	spec.DependsOn = nil // they are done, or it could not leave
@@ -172,16 +172,16 @@
 	}
 	text, err := json.Marshal(&spec)
 	if err != nil {
-		f.log.Error("a job's description can't be encoded", "job", j.id, "error", err)
+		f.log.Error("job description encoding failed", "job", j.id, "error", err)
 		return nil
 	}
 	return &federation.OfferBody{Job: text, Cores: j.cores(), AcceptedMS: j.record.acceptedMS, Repeatable: f.cells.Repeatable[j.spec.Class]}
 }
 
-// cores is what all of a job's tasks ask for together.
+// cores is what all tasks of a job take together.
 func (j *job) cores() float64 { return j.request.size.CPUs * float64(j.progress.total) }
 
-// applyOriginEffects does what home's side of the transfers wants done.
+// applyOriginEffects carries out the effects of the origin side of the transfers.
 func (c *Core) applyOriginEffects() {
 	for effects := c.federation.delegated.Take(); len(effects) > 0; effects = c.federation.delegated.Take() {
 		for _, effect := range effects {
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// sendTransfers has the messages leave. One exchange with each neighbour is under way at a
-// time; what comes meanwhile goes with the next.
+// sendTransfers sends the queued messages. One exchange with each neighbour is under way at a
+// time; what is queued meanwhile is sent with the next.
 func (f *federationState) sendTransfers() {
 	for _, n := range f.neighbours {
 		if n.exchanging || len(n.outbox) == 0 {
@@ -243,7 +243,7 @@
 	}
 }
 
-// logWaiting logs now and then how many jobs wait for neighbours that do not answer.
+// logWaiting logs now and then how many jobs wait for neighbours that do not respond.
 func (f *federationState) logWaiting() {
 	for _, n := range f.neighbours {
 		if !n.unreachable || f.clock.now-n.waitingLoggedAt < waitingLogInterval {
@@ -251,7 +251,7 @@
 		}
 		n.waitingLoggedAt = f.clock.now
 		if jobs, cores := f.delegatedTo(n); jobs > 0 {
-			f.log.Info("jobs wait for a neighbour that does not answer", "cell", n.Name, "jobs", jobs, "cores", cores)
+			f.log.Info("jobs wait for an unreachable neighbour", "cell", n.Name, "jobs", jobs, "cores", cores)
 		}
 	}
 }
@@ -259,7 +259,7 @@
 // waitingLogInterval is how often that is logged.
 const waitingLogInterval = 30 * time.Second
 
-// batchSize is how many of the waiting messages go into one exchange.
+// batchSize is how many of the queued messages are sent in one exchange.
 func (n *neighbour) batchSize() int {
 	bytes := 0
 	for i, m := range n.outbox {
@@ -283,10 +283,10 @@
 	if silent := e.Err != nil; silent != n.unreachable {
 		n.unreachable, n.waitingLoggedAt = silent, c.clock.now
 		if silent {
-			c.log.Info("neighbour does not answer", "cell", n.Name, "error", e.Err)
+			c.log.Info("neighbour unreachable", "cell", n.Name, "error", e.Err)
 			c.federation.refuseCancellations(n)
 		} else {
-			c.log.Info("neighbour answers again", "cell", n.Name)
+			c.log.Info("neighbour reachable again", "cell", n.Name)
 		}
 	}
 	for _, a := range e.Answers {
@@ -303,7 +303,7 @@
 	c.federation.sendTransfers()
 }
 
-// jobReturned has a job wait at home again.
+// jobReturned has a job wait in its origin cell again.
 func (c *Core) jobReturned(ref string) {
 	at, ok := c.jobs.indexByID[ref]
 	if !ok {
@@ -314,8 +314,8 @@
 	c.placement.needed = true
 }
 
-// delegatedEnded writes the end of a job that another cell has run, or that was cancelled
-// while it was away.
+// delegatedEnded writes the end of a job that another cell has run, or that was cancelled while
+// it was delegated.
 func (c *Core) delegatedEnded(e federation.EndJob) {
 	at, ok := c.jobs.indexByID[e.JobID]
 	if !ok {
@@ -332,12 +332,12 @@
 	}
 }
 
-// cancelDelegated begins the cancellation of a job that is away, or that another cell may
-// still run. It is confirmed when that cell has it durably. Where the cell does not
-// answer, the user is told at once to come again.
+// cancelDelegated begins the cancellation of a job that is delegated, or that another cell may
+// still run. It is confirmed when that cell has it durably. Where the cell does not respond, the
+// user is told at once to try again.
 func (c *Core) cancelDelegated(j *job, to Recipient) {
 	if !j.transfer.delegated {
-		c.stopTasks(j) // it was taken back and runs here as well
+		c.stopTasks(j) // it was reclaimed and runs here as well
 	}
 	n := c.federation.neighbourNamed(c.federation.delegated.Cell(j.id))
 	if n == nil || n.unreachable {
@@ -349,8 +349,7 @@
 	c.federation.sendTransfers()
 }
 
-// refuseCancellations tells users who wait for a cell that has fallen silent to come
-// again.
+// refuseCancellations has users who wait for a cell that no longer responds try again.
 func (f *federationState) refuseCancellations(n *neighbour) {
 	for _, ref := range f.delegated.With(n.Name) {
 		at, ok := f.jobs.indexByID[ref]
@@ -365,7 +364,7 @@
 	}
 }
 
-// federationTick does what time brings to transfers.
+// federationTick does what follows for transfers from the passing of time.
 func (c *Core) federationTick() {
 	t := &c.federation
 	if len(t.neighbours) == 0 && t.delegated.Idle() {
--- a/internal/scheduler/federation_events.go
+++ b/internal/scheduler/federation_events.go
@@ -15,7 +15,7 @@
 		Answers []federation.Answer
 		Err     error
 	}
-	// CapacityResult is a neighbour's answer to the question for room.
+	// CapacityResult is a neighbour's reply to a capacity request.
 	CapacityResult struct {
 		Cell       string
 		Cores      float64
@@ -36,7 +36,7 @@
 		Cores   float64
 		ReplyTo Recipient
 	}
-	// ForeignWriteResult tells what came of a PutGuest.
+	// ForeignWriteResult is the result of a WriteForeign.
 	ForeignWriteResult struct {
 		Write   federation.WriteForeign
 		Job     *ledger.JobRecord
@@ -44,7 +44,7 @@
 		// JobExists: nothing was written, since there is a job of that name.
 		JobExists bool
 	}
-	// TransfersEnabled tells that every controller of this cell knows transfers.
+	// TransfersEnabled: every controller of this cell knows transfers.
 	TransfersEnabled struct{}
 	// TransferListRequest is an operator's question.
 	TransferListRequest struct{ ReplyTo Recipient }
@@ -57,17 +57,17 @@
 		Cell     string
 		Messages []federation.Message
 	}
-	// AskCapacity asks a neighbour for room. RoomAnswered follows.
+	// AskCapacity requests an offer of capacity from a neighbour. A CapacityResult follows.
 	AskCapacity struct {
 		Cell  string
 		Cores float64
 	}
-	// TransferReply answers another cell's messages.
+	// TransferReply is the reply to another cell's messages.
 	TransferReply struct {
 		ReplyTo Recipient
 		Answers []federation.Answer
 	}
-	// CapacityReply answers another cell's question for room.
+	// CapacityReply is the reply to another cell's capacity request.
 	CapacityReply struct {
 		ReplyTo    Recipient
 		Cores      float64
@@ -75,15 +75,16 @@
 		RetryAfter time.Duration
 		Reason     string
 	}
-	// WriteForeign writes a guest's record, and with Job that as well, if neither key has
-	// changed. GuestWritten follows once the outcome is certain.
+	// WriteForeign writes a foreign job's transfer record, and with Job the job's record as
+	// well, if neither key has changed. A ForeignWriteResult follows once the outcome is
+	// certain.
 	WriteForeign struct {
 		Write federation.WriteForeign
 		Job   *ledger.JobRecord
 	}
-	// TraceTransfer tells of a step of a transfer.
+	// TraceTransfer logs and traces a step of a transfer.
 	TraceTransfer struct{ Step federation.TransferStep }
-	// TransferListReply answers an operator.
+	// TransferListReply lists the transfers for an operator.
 	TransferListReply struct {
 		ReplyTo   Recipient
 		Delegated []federation.DelegatedView
--- a/internal/scheduler/federation_status.go
+++ b/internal/scheduler/federation_status.go
@@ -6,7 +6,7 @@
 	"leadproxy/internal/federation"
 )
 
-// transferListRequested answers an operator.
+// transferListRequested lists the transfers for an operator.
 func (c *Core) transferListRequested(e TransferListRequest) {
 	t := &c.federation
 	list := TransferListReply{ReplyTo: e.ReplyTo, Delegated: t.delegated.List(c.clock.now), Counts: maps.Clone(t.counts)}
@@ -34,7 +34,7 @@
 	c.effects.emit(list)
 }
 
-// foreignState is the state of a guest.
+// foreignState is the state of a foreign job.
 func (c *Core) foreignState(key federation.ForeignKey) (federation.JobState, bool) {
 	return localJobs{c}.ForeignJobState(key)
 }
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -14,15 +14,15 @@
 	"leadproxy/internal/wire"
 )
 
-// The times of lending room.
+// The lifetimes of capacity offers and refusals.
 const (
-	// creditFor is how long an offer of room stands.
+	// creditFor is how long an offer of capacity stands.
 	creditFor = 5 * time.Second
 	// noRoomFor is after how long a cell that was refused room may ask again.
 	noRoomFor = 5 * time.Second
 )
 
-// transfersRequested answers another cell's messages.
+// transfersRequested replies to another cell's messages.
 func (c *Core) transfersRequested(e TransferRequest) {
 	answers := make([]federation.Answer, 0, len(e.Messages))
 	for _, m := range e.Messages {
@@ -36,7 +36,7 @@
 	c.effects.emit(TransferReply{ReplyTo: e.ReplyTo, Answers: answers})
 }
 
-// applyForeignEffects does what the neighbour's side of the transfers wants done.
+// applyForeignEffects carries out the effects of the executing side of the transfers.
 func (c *Core) applyForeignEffects() {
 	for _, effect := range c.federation.foreign.Take() {
 		switch e := effect.(type) {
@@ -52,13 +52,13 @@
 	}
 }
 
-// writeForeign has a guest's record written, with the job's if it is accepted.
+// writeForeign writes a foreign job's transfer record, with the job's own if it is accepted.
 func (f *federationState) writeForeign(e federation.WriteForeign) {
 	put := WriteForeign{Write: e}
 	if e.Body != nil {
 		spec, _, err := wire.ParseJob(e.Body.Job)
 		if err != nil {
-			f.log.Error("an admitted job can't be read", "job", e.Key.JobID, "error", err)
+			f.log.Error("accepted foreign job malformed", "job", e.Key.JobID, "error", err)
 			return
 		}
 		put.Job = &ledger.JobRecord{Job: spec, AcceptedMS: e.Body.AcceptedMS, Origin: e.Key.Origin, TransferEpoch: e.Record.Epoch}
@@ -66,7 +66,7 @@
 	f.effects.emit(put)
 }
 
-// foreignWritten takes what came of such a write.
+// foreignWritten takes the result of such a write.
 func (c *Core) foreignWritten(e ForeignWriteResult) {
 	if e.Job != nil && !e.JobExists {
 		c.recordJob(JobRecordEvent{JobID: e.Write.Key.JobID, Record: *e.Job, Version: e.Version})
@@ -75,10 +75,10 @@
 	c.applyForeignEffects()
 }
 
-// localJobs is what the neighbour's side of the transfers asks of the core.
+// localJobs is what the executing side of the transfers needs from the core.
 type localJobs struct{ *Core }
 
-// ForeignJobState is the state of a guest.
+// ForeignJobState is the state of a foreign job.
 func (c localJobs) ForeignJobState(key federation.ForeignKey) (federation.JobState, bool) {
 	at, ok := c.jobs.indexByID[key.JobID]
 	if !ok || c.jobs.list[at].transfer.origin != key.Origin {
@@ -89,7 +89,7 @@
 	return federation.JobState{Over: j.end.durable, Aborted: j.end.state == wire.JobCancelled, Done: status.Done, Running: status.Running}, true
 }
 
-// Admit tells whether an offer is taken now, and else why not.
+// Admit tells whether an offered job is accepted now, and else why not.
 func (c localJobs) Admit(home, ref string, body *federation.OfferBody) federation.Refusal {
 	n, ok := c.federation.cells.Find(home)
 	switch {
@@ -116,7 +116,7 @@
 	return federation.Refusal{}
 }
 
-// refuseForeign tells why a job of another cell can't run here at all.
+// refuseForeign tells why a job of another cell can't run here at all; "": it can.
 func (f *federationState) refuseForeign(ref string, spec *wire.Job) (reason string) {
 	if spec.ID != ref {
 		return "the offer describes another job"
@@ -145,10 +145,10 @@
 	return ""
 }
 
-// foreignRecordOverhead is what a record holds besides the description, its end included.
+// foreignRecordOverhead is the size of a record besides the description, its end included.
 const foreignRecordOverhead = 320
 
-// capacityRequested offers room to another cell, or says when to ask again.
+// capacityRequested offers capacity to another cell, or says when to request it again.
 func (f *federationState) capacityRequested(e CapacityRequest) {
 	answer := CapacityReply{ReplyTo: e.ReplyTo, RetryAfter: noRoomFor}
 	n, ok := f.cells.Find(e.Origin)
@@ -160,7 +160,7 @@
 	case !f.transfersEnabled:
 		answer.Reason = "not all controllers here know transfers"
 	default:
-		delete(f.credits, e.Origin) // the new offer takes its place
+		delete(f.credits, e.Origin) // the new offer replaces it
 		answer.Cores = max(0, min(e.Cores, f.offerableCapacity(n)))
 		if answer.Cores <= 0 {
 			answer.Reason = "no room beyond this cell's own work"
@@ -172,9 +172,9 @@
 	f.effects.emit(answer)
 }
 
-// offerableCapacity is how many cores may be offered to a cell: what is free or could be hired,
-// less what this cell's own work waits for, its headroom, what is guaranteed to its teams
-// and what is promised or accepted already.
+// offerableCapacity is how many cores may be offered to a cell: those that are free or could be
+// rented, less what this cell's own waiting work takes, its headroom, what is guaranteed to its
+// teams and what is offered or accepted already.
 func (f *federationState) offerableCapacity(n settings.Neighbour) float64 {
 	room := f.autoscaling.scalableCores()
 	for _, m := range f.machines.live {
--- a/internal/scheduler/goal.go
+++ b/internal/scheduler/goal.go
@@ -5,9 +5,9 @@
 // goalFallDelay is how long nothing must have waited before the goal falls.
 const goalFallDelay = 5 * time.Second
 
-// lowerGoal lets the goal fall after a burst, since in the paper it never
-// does and would stop limiting anything. The mean load of the machines stands
-// for the optimum: no placement brings the busiest one below that.
+// lowerGoal lets the goal fall after a burst, since in the paper it never does and would stop
+// limiting anything. The mean load of the machines stands for the optimum: no placement brings
+// the busiest one below that.
 func (p *placement) lowerGoal() {
 	if p.jobs.anyWaiting() {
 		p.lowLoadSince = p.clock.now
@@ -31,7 +31,7 @@
 		p.goal.Fall(load / float64(n))
 		if p.goal.L != before {
 			p.index.ClearLoads()
-			p.log.Debug("goal lowered", "from", before, "to", p.goal.L, "mean_load", load/float64(n))
+			p.log.Debug("placement goal lowered", "from", before, "to", p.goal.L, "mean_load", load/float64(n))
 		}
 	}
 }
--- a/internal/scheduler/heartbeat_responses.go
+++ b/internal/scheduler/heartbeat_responses.go
@@ -7,25 +7,25 @@
 	"leadproxy/internal/wire"
 )
 
-// heldResponse is a report's answer, which is given at the end of the step so
-// that starts decided in it travel along.
+// heldResponse is the response to a heartbeat. It is sent at the end of the step so that starts
+// decided in it travel along.
 type heldResponse struct {
 	replyTo   Recipient
 	machine   *machine
 	heartbeat *wire.Heartbeat
-	// outdated: the report is older than what is known of its worker.
+	// outdated: the heartbeat is older than what is known of its agent.
 	outdated bool
-	// until is when an answer that waits for starts to become durable is given
-	// without them; 0: it has not waited.
+	// until is when a response that waits for starts to become durable is sent without them; 0:
+	// it has not waited.
 	until time.Duration
 }
 
-// maxHold is how long an answer waits for starts whose machine is being written
-// down. That mostly takes a tenth of it; the starts would else follow in a direct
-// command, which costs as much as several reports.
+// maxHold is how long a response waits for starts whose host is being written. That mostly takes
+// a tenth of it; otherwise the starts would follow in a direct command, which costs as much as
+// several heartbeats.
 const maxHold = 400 * time.Millisecond
 
-// holdForWrites keeps an answer back while starts for its machine are being written down.
+// holdForWrites holds a response while starts for its machine wait for a write.
 func (q *commands) holdForWrites(a heldResponse) bool {
 	m := a.machine
 	if a.until > 0 || !m.trusted(q.term) || !m.hasPlannedStarts() {
@@ -37,13 +37,13 @@
 	return true
 }
 
-// hasPlannedStarts tells whether starts for a machine are being written down.
+// hasPlannedStarts tells whether starts for a machine wait for a write.
 func (m *machine) hasPlannedStarts() bool {
 	return slices.ContainsFunc(m.capacity.allocations, func(b *allocation) bool { return b.state == allocationPlanned })
 }
 
-// resumeResponses has the answers given that need not wait any longer. One whose
-// worker has sent a newer report since goes without orders.
+// resumeResponses opens the held responses that need not wait any longer. One whose agent has
+// sent a newer heartbeat since is sent without commands.
 func (q *commands) resumeResponses() {
 	keep := q.awaitingWrites[:0]
 	for _, a := range q.awaitingWrites {
@@ -56,7 +56,7 @@
 			m.commands.heldHeartbeat = nil
 			m.commands.openResponse = len(q.openResponses) + 1
 			if len(m.commands.pending) > 0 {
-				q.machinesWithCommands = append(q.machinesWithCommands, m) // for what does not go into the answer
+				q.machinesWithCommands = append(q.machinesWithCommands, m) // for what does not fit the response
 			}
 		} else {
 			a.outdated = true
@@ -67,8 +67,8 @@
 	q.awaitingWrites = keep
 }
 
-// sendResponses answers the reports of this step. Only the newest report of a
-// machine gets orders.
+// sendResponses responds to the heartbeats of this step. Only the newest heartbeat of a machine
+// gets commands.
 func (q *commands) sendResponses() {
 	for i, a := range q.openResponses {
 		m := a.machine
@@ -79,8 +79,8 @@
 		if q.holdForUnreachable(a) || m.commands.openResponse == i+1 && q.holdForWrites(a) {
 			continue
 		}
-		// An answer renews the worker's lease, whatever it orders and however little its
-		// report is believed. So none goes without the stops of what must not run.
+		// A response renews the agent's lease, whatever it commands and however little its
+		// heartbeat is believed. So none is sent without the stops of what must not run.
 		believed := !a.outdated && m.commands.openResponse == i+1 && m.trusted(q.term)
 		orders := q.requiredStops(m, a.heartbeat, believed)
 		if believed {
@@ -96,9 +96,9 @@
 	q.openResponses = q.openResponses[:0]
 }
 
-// appendPending adds a machine's waiting orders to the answer of its report, as
-// far as they go in. Unlike a direct command, an answer is never executed late:
-// the worker's next report shows what became of it.
+// appendPending adds a machine's pending commands to the response to its heartbeat, as far as
+// they fit. Unlike a direct command, a response is never executed late: the agent's next
+// heartbeat shows what became of it.
 func (q *commands) appendPending(m *machine, r *wire.Heartbeat, orders []wire.Command) []wire.Command {
 	if r.AgentEpoch != m.agent.epoch {
 		return orders
@@ -118,14 +118,13 @@
 	return orders
 }
 
-// minForgets is how many done tasks are forgotten together. A worker reports
-// again at once when its tasks change, so each forget by itself costs another
-// report, a third of all on a large fleet. It waits for an order that changes
-// the tasks anyway, or for others like it.
+// minForgets is how many finished tasks are forgotten together. An agent sends a heartbeat at
+// once when its tasks change, so each forget by itself costs another heartbeat, a third of all
+// in a large cell. It waits for a command that changes the tasks anyway, or for others like it.
 const minForgets = 8
 
-// commandsFor adds to the stops of a report that is believed what else its answer orders:
-// which ended tasks the worker may drop, and what waits for its machine.
+// commandsFor adds to the stops of a believed heartbeat the other commands of its response:
+// which ended tasks the agent may drop, and the machine's pending commands.
 func (q *commands) commandsFor(m *machine, r *wire.Heartbeat, orders []wire.Command) []wire.Command {
 	var done []wire.Command
 	for i := range r.Tasks {
@@ -150,9 +149,8 @@
 	return orders
 }
 
-// mayForget tells whether an ended attempt may be dropped by its worker: not
-// while a copy of its start may still arrive, since the worker would run it
-// again, and not before its end is in the ledger.
+// mayForget tells whether an agent may drop an ended attempt: not while a copy of its start may
+// still arrive, since the agent would run it again, and not before its end is in the ledger.
 func (q *commands) mayForget(m *machine, t *wire.TaskStatus) bool {
 	if _, unsettled := m.commands.unresolvedStarts[t.Attempt]; unsettled {
 		return false
@@ -164,8 +162,8 @@
 	return int(n) < len(j.progress.tasks) && j.progress.tasks[n].state == taskDurable
 }
 
-// holdForUnreachable keeps the answer to a machine that is noted as silent until that is
-// withdrawn.
+// holdForUnreachable holds the response to a machine with an unreachable-agent record until that
+// is withdrawn.
 func (q *commands) holdForUnreachable(a heldResponse) bool {
 	if a.machine.agent.unreachable == nil {
 		return false
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -5,14 +5,14 @@
 	"leadproxy/internal/wire"
 )
 
-// maxCommandsPerResponse keeps a report's answer well below 64 KiB.
+// maxCommandsPerResponse keeps the response to a heartbeat well below 64 KiB.
 const maxCommandsPerResponse = 300
 
 func (c *Core) heartbeatReceived(e HeartbeatEvent) {
 	r := e.Heartbeat
 	if r.FencingToken>>tokenBits > c.term {
-		// A newer leader has spoken to this worker: we must not.
-		c.log.Info("a worker has seen a newer term", "machine", r.Machine, "token", r.FencingToken)
+		// A newer leader has sent this agent a token: we must not respond.
+		c.log.Info("agent has a token of a newer term", "machine", r.Machine, "fencing_token", r.FencingToken)
 		c.effects.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
 	}
@@ -25,7 +25,7 @@
 	a := heldResponse{replyTo: e.ReplyTo, machine: m, heartbeat: r}
 	if c.applyHeartbeat(m, r, true) {
 		if m.commands.heldHeartbeat != nil {
-			// Its worker has given up the answer to an earlier one.
+			// Its agent has given up the response to an earlier one.
 			m.commands.heldHeartbeat = nil
 			if len(m.commands.pending) > 0 {
 				c.commands.machinesWithCommands = append(c.commands.machinesWithCommands, m)
@@ -38,33 +38,33 @@
 		c.agents.inspectStaleSender(m, r)
 	}
 	if r.AgentEpoch <= m.agent.expiredEpoch {
-		// That session must have ended. An answer could keep it alive if it had
-		// not, with tasks that are booked nowhere any more.
+		// That epoch must have ended. A response could keep it alive if it had not, with tasks
+		// that have no allocation any more.
 		c.effects.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
 	}
-	// The worker counts its lease from when it sent the report. That was
-	// before we heard of anything newer from it, so counting from the last
-	// word that we believed is late enough, also for a late copy.
+	// The agent's lease counts from when it sent the heartbeat. That was before we received
+	// anything newer from it, so counting from the last heartbeat that was accepted is late
+	// enough, also for a late copy.
 	m.agent.lastResponse = max(m.agent.lastResponse, m.agent.lastHeartbeat)
 	m.agent.leaseExpiry = max(m.agent.leaseExpiry, m.agent.lastHeartbeat+c.agents.lease)
 	c.commands.openResponses = append(c.commands.openResponses, a)
 }
 
-// applyHeartbeat takes in what a worker tells, in a report or in the answer to a
-// direct command. It returns false for something stale.
+// applyHeartbeat takes in an agent's status, from a heartbeat or from the response to a direct
+// command. It returns false for a stale one.
 func (c *Core) applyHeartbeat(m *machine, r *wire.Heartbeat, reported bool) bool {
 	if r.AgentEpoch <= m.agent.expiredEpoch || !m.agent.position().before(positionOf(r)) {
 		return false
 	}
 	if r.FencingToken < max(m.agent.minAcceptedToken, m.agent.acknowledgedToken) {
-		// A worker never forgets a token while it lives. So this is from an earlier
-		// life, whose counts may be higher than those of the present one, or its worker
-		// has begun anew and not yet heard of us. The answer tells it our token.
+		// An agent never forgets a token while it runs. So this is from an earlier incarnation,
+		// whose numbers may be higher than those of the present one, or it has restarted and not
+		// received our token yet. The response carries it.
 		return false
 	}
-	// A machine that opens to work, at its first echo or after a silence, may
-	// be what waiting tasks wait for.
+	// A machine that becomes schedulable, at its first acknowledgement or after it was
+	// unreachable, may be what waiting tasks need.
 	wasOpen := c.agents.schedulable(m)
 	if m.state == machineStarting {
 		m.state, m.agent.epochSeenAt = machineUp, c.clock.now
@@ -86,19 +86,19 @@
 	}
 	if r.TerminationNoticeS != nil && m.rental.terminationAt == 0 {
 		m.rental.terminationAt = c.clock.now + settings.Seconds(*r.TerminationNoticeS)
-		c.log.Info("machine will be taken back", "machine", m.name, "seconds", *r.TerminationNoticeS, "bookings", len(m.capacity.allocations))
+		c.log.Info("machine has a termination notice", "machine", m.name, "seconds", *r.TerminationNoticeS, "allocations", len(m.capacity.allocations))
 	}
 	if r.FencingToken >= m.agent.fencingToken {
 		m.agent.lastAcknowledged, m.agent.unacknowledged = c.clock.now, false
 	}
 	if m.trusted(c.term) {
-		// Without our token this may be a copy from before our term, as late as
-		// can be: what it lists is not believed.
+		// Without our token this may be a copy from before our term, of any age: its list of
+		// tasks is not believed.
 		c.reconcileTasks(m, r, reported)
 	}
 	if m.trusted(c.term) && len(m.recorded.inDoubtJobs) > 0 {
 		// Only now is it certain that no earlier leader's start is on its way.
-		c.resolveInDoubt(m, "it has echoed our token")
+		c.resolveInDoubt(m, "its agent has acknowledged our token")
 	}
 	if m.rental.terminationAt > 0 {
 		c.evictBeforeTermination(m)
@@ -109,20 +109,19 @@
 	return true
 }
 
-// epochBegan notes that a worker is in another session than before.
+// epochBegan notes that an agent is in another epoch than before.
 func (c *Core) epochBegan(m *machine, session uint64) {
 	if m.agent.epoch != 0 {
-		c.log.Info("worker began a new session", "machine", m.name, "session", session, "bookings", len(m.capacity.allocations))
-		c.dropAllocations(m, "its session ended")
-		// It has heard no answer for a whole lease.
+		c.log.Info("agent began a new epoch", "machine", m.name, "agent_epoch", session, "allocations", len(m.capacity.allocations))
+		c.dropAllocations(m, "its agent began a new epoch")
+		// It has received no response for a whole lease.
 		c.markUnacknowledged(m)
 	}
-	// A start sent to the earlier session can't be executed any more.
+	// A start sent to the earlier epoch can't be executed any more.
 	clear(m.commands.unresolvedStarts)
 	m.agent.epoch = session
 	c.softState.machineChanged(m)
-	// A session begins with a lease of its own, though nobody has answered
-	// it, and this one may have begun just now: what was known of the lease
-	// was the session's before.
+	// An epoch begins with a lease of its own, without any response, and this one may have begun
+	// just now: what was known of the lease was about the epoch before.
 	m.agent.leaseExpiry = max(m.agent.leaseExpiry, c.clock.now+c.agents.lease)
 }
--- a/internal/scheduler/inspections.go
+++ b/internal/scheduler/inspections.go
@@ -14,9 +14,9 @@
 	maxInspections     = 32
 )
 
-// inspectStaleSender looks into a report that is older than what we know: mostly a
-// late copy, but a worker that has truly begun anew counts from 1 again, and
-// must not be taken for a copy for ever.
+// inspectStaleSender inspects the sender of a heartbeat that is older than what we know: mostly
+// it is a late copy, but an agent that has truly restarted counts from 1 again, and must not be
+// taken for a copy for ever.
 func (a *agents) inspectStaleSender(m *machine, r *wire.Heartbeat) {
 	wait := min(inspectionInterval<<min(m.agent.staleHeartbeats, 8), a.lease)
 	if r.Address == "" || m.agent.inspecting || a.inspectionsInFlight >= maxInspections || a.clock.now-m.agent.lastInspection < wait && m.agent.lastInspection > 0 {
@@ -28,8 +28,8 @@
 	a.effects.emit(InspectWorker{Machine: m.name, Address: r.Address})
 }
 
-// inspectResult takes what a worker has said of itself after we had asked. If
-// that is older than what we had from it before we asked, it has begun anew.
+// inspectResult takes the status of an agent that was inspected. If that is older than the
+// newest heartbeat before the inspection, the agent has restarted.
 func (c *Core) inspectResult(e InspectResult) {
 	m := c.machineNamed(e.Machine)
 	m.agent.inspecting = false
@@ -42,22 +42,22 @@
 		m.agent.staleHeartbeats++
 	} else {
 		m.agent.staleHeartbeats = 0
-		c.log.Info("worker counts from the beginning again", "machine", m.name, "session", r.AgentEpoch, "bookings", len(m.capacity.allocations))
+		c.log.Info("agent restarted: its epochs count from the beginning", "machine", m.name, "agent_epoch", r.AgentEpoch, "allocations", len(m.capacity.allocations))
 		there := map[uint64]bool{}
 		for _, t := range r.Tasks {
 			there[t.Attempt] = true
 		}
 		for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
-			// A command on its way to the worker that was may yet be executed
-			// by the one that is.
+			// A command on its way to the earlier incarnation may yet be executed by the present
+			// one.
 			if b := m.capacity.allocations[k]; m.commands.unresolvedStarts[b.attempt] == 0 && !there[b.attempt] {
 				c.release(m, b)
 			}
 		}
 		m.agent.epoch, m.agent.sequence, m.agent.expiredEpoch, m.agent.acknowledgedToken, m.agent.epochSeenAt = r.AgentEpoch, 0, 0, 0, c.clock.now
 		c.markUnacknowledged(m)
-		// A late report of the life that is over looks newer than all that comes
-		// from now on.
+		// A late heartbeat of the earlier incarnation has a higher position than all from now
+		// on.
 		m.agent.minAcceptedToken = m.agent.fencingToken
 		for a := range m.commands.unresolvedStarts {
 			m.commands.unresolvedStarts[a] = m.agent.fencingToken
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -16,7 +16,7 @@
 const (
 	taskWaiting taskState = iota
 	taskAllocated
-	taskDone    // its end is known here
+	taskDone    // its end is decided here
 	taskDurable // its end is in the ledger
 )
 
@@ -27,8 +27,8 @@
 	durable bool
 }
 
-// job is a job in the leader's memory, kept in parts. Once it is over and settled, the tasks and
-// hosts are nil.
+// job is a job in the leader's memory, kept in parts. Once it has ended and is cleaned up, the
+// tasks and hosts are nil.
 type job struct {
 	index int32
 	id    string
@@ -95,7 +95,7 @@
 	reservedMachine    *machine      // kept free for its first task
 	reservationTriedAt time.Duration // when such a machine was last searched for
 
-	imageOnly bool // at present it is offered only machines with its image
+	imageOnly bool // for now it is placed only on machines with its image
 }
 
 // retry is what delays the next start of a job, and where its tasks have failed.
@@ -154,7 +154,7 @@
 	return slowfit.Size{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
 }
 
-// fillWaiting lists the waiting tasks, the lowest number to go first.
+// fillWaiting lists the waiting tasks, the lowest number to be placed first.
 func (j *job) fillWaiting() {
 	j.progress.waiting = make([]int32, 0, max(0, len(j.progress.tasks)-j.progress.done))
 	for i := len(j.progress.tasks) - 1; i >= 0; i-- {
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -71,8 +71,7 @@
 	return j
 }
 
-// finish decides a job's terminal state and writes it. It is told when it
-// is durable.
+// finish decides a job's terminal state and writes it. Users are told when it is durable.
 func (c *Core) finish(j *job, terminal string) {
 	j.end.state = terminal
 	if c.evictions.disruptions != nil {
@@ -91,7 +90,7 @@
 	j.end.durable, j.end.at = true, c.clock.now
 	delete(c.jobs.cancelling, j.index)
 	j.progress.waiting = nil
-	c.log.Debug("job is over", "job", j.id, "state", j.end.state, "seconds", (c.clock.now - j.priority.arrived).Seconds(), "late", c.clock.now > j.priority.deadline)
+	c.log.Debug("job ended", "job", j.id, "state", j.end.state, "seconds", (c.clock.now - j.priority.arrived).Seconds(), "late", c.clock.now > j.priority.deadline)
 	for _, to := range j.end.replyTo {
 		c.effects.emit(UserReply{ReplyTo: to, Known: true, Status: c.status(j)})
 	}
@@ -148,22 +147,21 @@
 		c.effects.emit(UserReply{ReplyTo: e.ReplyTo, Known: true, Status: c.status(j)})
 		return
 	}
-	// A job whose transfer's record can't be read is away as well, in a cell that nobody can
-	// name.
+	// A job whose transfer's record can't be read is delegated as well, to an unknown cell.
 	if !j.ended() && (!c.federation.delegated.Cancel(j.id, c.clock.now) || j.transfer.delegated) {
 		c.cancelDelegated(j, e.ReplyTo)
 		return
 	}
 	j.end.replyTo = append(j.end.replyTo, e.ReplyTo)
 	if !j.ended() {
-		c.log.Debug("job is being cancelled", "job", j.id)
+		c.log.Debug("cancelling job", "job", j.id)
 		c.cancel(j)
 	}
 }
 
-// cancel cancels a job. Its tasks are stopped now, not when that is durable: the write may
-// be carried out and its answer lost, other nodes read it and tell the user, and we learn
-// of it only after an outage. What its tasks do from here on is of no use to anybody.
+// cancel cancels a job. Its tasks are stopped now, not when that is durable: the write may be
+// carried out and its answer lost, other controllers read it and tell the user, and we learn of
+// it only after an outage. What its tasks do from here on is of no use.
 func (c *Core) cancel(j *job) {
 	c.finish(j, wire.JobCancelled)
 	c.stopTasks(j)
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -30,8 +30,8 @@
 	}
 }
 
-// addHost notes that a job's tasks may be on a machine. That is written at the end
-// of the step, and durable before the first start there.
+// addHost notes that a job's tasks may be on a machine. That is written at the end of the step,
+// and durable before the first start there.
 func (t *jobTable) addHost(j *job, m *machine) {
 	j.record.hostAt[m.index] = len(j.record.hosts)
 	j.record.hosts = append(j.record.hosts, host{machine: m.index})
@@ -39,9 +39,9 @@
 	t.queueWrite(j)
 }
 
-// queueWrite has what is new about a job written at the end of the step: a
-// burst brings dozens of machines and ended tasks of one job in a step, and each
-// by itself would be written with all that came before it.
+// queueWrite has what is new about a job written at the end of the step: a burst adds dozens of
+// machines and ended tasks to one job in a step, and each by itself would be written with all
+// that came before it.
 func (t *jobTable) queueWrite(j *job) {
 	if !j.record.queuedForWrite {
 		j.record.queuedForWrite = true
@@ -92,8 +92,8 @@
 	return names[:ledger.NamesThatFit(names, t.cfg.ValueBytes)]
 }
 
-// writeFinished writes the chunks in which a job has tasks that have ended since they
-// were last written. Of a job that is over, its record tells all.
+// writeFinished writes the chunks in which a job has tasks that have ended since they were last
+// written. The record of a job that has ended replaces them.
 func (t *jobTable) writeFinished(j *job) {
 	ended := j.record.unwrittenTasks
 	j.record.unwrittenTasks = nil
@@ -150,8 +150,8 @@
 func (t *jobTable) writeTerminal(j *job, urgent bool) {
 	rec := ledger.JobRecord{AcceptedMS: j.record.acceptedMS, Terminal: j.end.state, Tasks: j.progress.total, Done: j.progress.done, EndedMS: t.clock.wallMS, Origin: j.transfer.origin, TransferEpoch: j.transfer.epoch}
 	if j.end.state == wire.JobCancelled {
-		// What a new leader needs stays: it charges the team for tasks that it has
-		// not yet seen gone. The whole description may be more than fits by now.
+		// What a new leader needs stays: the use of tasks that it has not yet seen end counts
+		// for the team. The whole description may be more than fits by now.
 		rec.Job = j.spec.CancelledSummary()
 	} else if j.transfer.origin == "" {
 		rec.Class, rec.Team, rec.Cores, rec.RunS = j.spec.Class, j.spec.Team, j.request.size.CPUs*float64(j.progress.total), t.estimates.expectedRun(j).Seconds()
--- a/internal/scheduler/job_table.go
+++ b/internal/scheduler/job_table.go
@@ -19,7 +19,7 @@
 
 	list       []*job
 	indexByID  map[string]int32
-	active     []*job // jobs that are not settled
+	active     []*job // jobs that are not cleaned up
 	graph      depgraph.Graph
 	cancelling map[int32]bool // jobs whose cancellation is being written
 	unwritten  []*job         // with something new for the ledger
@@ -39,8 +39,8 @@
 	return wire.TaskName(t.list[b.job].id, int(b.task))
 }
 
-// findTask finds what a line of a report speaks of. The booking is nil when we
-// have none for it.
+// findTask finds the task of an entry in a heartbeat. The allocation is nil when there is none
+// for it.
 func (t *jobTable) findTask(m *machine, status *wire.TaskStatus) (j *job, n int32, b *allocation) {
 	if b := m.allocation(status.Attempt); b != nil {
 		return t.list[b.job], b.task, b
@@ -53,7 +53,7 @@
 	return t.list[at], int32(k), nil
 }
 
-// taskIsDone tells whether a task has ended, by the ledger.
+// taskIsDone tells whether a task has ended.
 func (t *jobTable) taskIsDone(ref string, n int) bool {
 	i, ok := t.indexByID[ref]
 	if !ok {
@@ -80,8 +80,8 @@
 	}
 }
 
-// cleanUp drops what is kept for a job that is over, once nothing of it is on
-// any machine any more.
+// cleanUp drops what is kept for a job that has ended, once it has nothing on any machine any
+// more.
 func (t *jobTable) cleanUp(j *job) {
 	if !j.end.durable || j.end.cleanedUp || j.progress.allocated > 0 || len(j.record.inDoubtHosts) > 0 {
 		return
--- a/internal/scheduler/ledger_writes.go
+++ b/internal/scheduler/ledger_writes.go
@@ -42,7 +42,7 @@
 		if j.record.hosts == nil {
 			return
 		}
-		// What is durable stays where it is; what comes after it begins a new key.
+		// What is durable keeps its key; what comes after it begins a new one.
 		first := slices.IndexFunc(j.record.hosts, func(h host) bool { return !h.durable })
 		if first < 0 {
 			return
@@ -59,14 +59,14 @@
 		}
 	case terminalTag:
 		j := c.jobs.list[t.job]
-		c.log.Error("the end of a job takes more than a value may hold", "job", j.id)
+		c.log.Error("terminal job record exceeds the value limit", "job", j.id)
 		c.jobs.writeTerminal(j, true)
 	case scaleOutTag:
-		c.log.Error("a hire takes more than a value may hold", "hire", t.name)
+		c.log.Error("scale-out record exceeds the value limit", "request", t.name)
 	case planTag:
 		c.evictions.planRejected(t)
 	case delegatedTag:
-		c.log.Error("the record of a transfer takes more than a value may hold", "job", t.ref)
+		c.log.Error("transfer record exceeds the value limit", "job", t.ref)
 	}
 }
 
--- a/internal/scheduler/machine_table.go
+++ b/internal/scheduler/machine_table.go
@@ -18,9 +18,9 @@
 	return machineTable{indexByName: map[string]int32{}}
 }
 
-// find returns a machine that this term has heard of, or nil. One of an earlier
-// leader's that nobody has heard of once jobs may be moved is gone: the cloud's list has been
-// read since, and a lease has passed.
+// find returns a machine that this term knows, or nil. One of an earlier leader's that is not
+// known once jobs may be disrupted is gone: the cloud's list has been read since, and a lease
+// has passed.
 func (t *machineTable) find(name string) *machine {
 	if i, ok := t.indexByName[name]; ok {
 		return t.list[i]
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -11,9 +11,9 @@
 type machineState uint8
 
 const (
-	machineStarting machineState = iota // hired or listed, not heard of
-	machineUp                           // reports
-	machineDeleting                     // a deletion is asked for
+	machineStarting machineState = iota // rented or listed, without a heartbeat yet
+	machineUp                           // sends heartbeats
+	machineDeleting                     // its deletion is requested
 	machineGone
 )
 
@@ -83,8 +83,8 @@
 	return false
 }
 
-// addImage notes that the machine holds an image, dropping the least recently
-// used ones beyond its cache.
+// addImage notes that the machine holds an image, and drops the least recently used ones beyond
+// its cache.
 func (m *machine) addImage(image int32, gb, cache float64) {
 	for i, s := range m.capacity.images {
 		if s.image == image {
@@ -104,13 +104,12 @@
 	}
 }
 
-// machineNamed returns the machine of a name, making a place for one that we
-// hear of for the first time.
+// machineNamed returns the machine of a name, and adds one that is new to this term.
 func (c *Core) machineNamed(name string) *machine {
 	if m := c.machines.find(name); m != nil {
 		return m
 	}
-	name = strings.Clone(name) // mostly a part of a report's body
+	name = strings.Clone(name) // mostly a part of a heartbeat's body
 	m := &machine{index: int32(len(c.machines.list)), name: name, typ: -1, zone: -1,
 		agent:    agentState{fencingToken: c.term << tokenBits, leaseExpiry: c.clock.termStart + c.agents.lease},
 		commands: machineCommands{unresolvedStarts: map[uint64]uint64{}},
@@ -125,7 +124,7 @@
 	return m
 }
 
-// updateDescription fills in what a report or the list tells of a machine.
+// updateDescription takes in what a heartbeat or the cloud's list says of a machine.
 func (c *Core) updateDescription(m *machine, typ, zone string, spot bool, address string) {
 	if address != "" && address != m.agent.address {
 		m.agent.address, m.agent.addressFromSoftState = strings.Clone(address), false
@@ -145,12 +144,12 @@
 	c.placement.indexChanged(m)
 }
 
-// removeMachine notes that a machine and all on it is no more.
+// removeMachine notes that a machine, with all on it, no longer exists.
 func (c *Core) removeMachine(m *machine, why string) {
 	if m.state == machineGone {
 		return
 	}
-	c.log.Info("machine is gone", "machine", m.name, "why", why, "bookings", len(m.capacity.allocations))
+	c.log.Info("machine is gone", "machine", m.name, "reason", why, "allocations", len(m.capacity.allocations))
 	m.state = machineGone
 	c.softState.machineChanged(m)
 	c.dropAllocations(m, why)
@@ -165,7 +164,7 @@
 	c.placement.needed = true
 }
 
-// machineCameUp learns from a machine's first word.
+// machineCameUp learns from a machine's first heartbeat.
 func (c *Core) machineCameUp(m *machine) {
 	c.log.Info("machine is up", "machine", m.name, "seconds", (c.clock.now - m.rental.rentedAt).Seconds())
 	if m.typ >= 0 && m.rental.scaleOutID != "" {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -47,9 +47,9 @@
 		poolIndexByKey: map[poolKey]int32{}, goal: slowfit.Goal{C: c.cfg.Operator.SlowFitC}}
 }
 
-// place starts what can be started: first what has waited too long and who has
-// less than their share (fair.go), then all jobs in the order of the queue; each
-// task where SLOW-FIT puts it.
+// place starts what can be started: first the jobs that have waited too long and those with less
+// than their share (fair_share.go), then all jobs in the order of the queue; each task where
+// SLOW-FIT puts it.
 func (p *placement) place(uncertain []quota.Units) {
 	for _, m := range p.stale {
 		p.refresh(m)
@@ -68,11 +68,11 @@
 	}
 }
 
-// placePriorityClass starts what it can of the jobs of one priority. On a full site each
-// piece of room that comes free would go to the job that is first in the queue,
-// mostly on a machine without its image, and a tenth of all cores waited for
-// images. So those jobs that can wait are first offered only machines that have
-// their image, and another of the same priority may go before them there.
+// placePriorityClass starts what it can of the jobs of one priority. In a full cell each piece
+// of room that becomes free would be taken by the job that is first in the queue, mostly on a
+// machine without its image, and a tenth of all cores waited for images. So those jobs that can
+// wait are first placed only on machines that have their image, and another of the same priority
+// may precede them there.
 func (p *placement) placePriorityClass(queue []*job, uncertain []quota.Units) {
 	if len(queue) > 1 {
 		for _, j := range queue {
@@ -86,8 +86,8 @@
 	}
 }
 
-// allows tells whether a job's rules let its tasks run on a machine, leaving
-// together and spread aside.
+// allows tells whether a job's rules let its tasks run on a machine, apart from gang scheduling
+// and spreading.
 func (j *job) allows(typ, zone int32, spot bool) bool {
 	return (j.request.types == nil || slices.Contains(j.request.types, typ)) && (j.request.zone < 0 || j.request.zone == zone) && (j.spec.Spot || !spot)
 }
@@ -97,11 +97,11 @@
 	return p.teams.At(j.request.team).AllowsAnother(j.request.size, uncertain[j.request.team])
 }
 
-// placeJob starts what it can of a job's waiting tasks, as long as more, unless
-// nil, allows, and tells how many.
+// placeJob starts what it can of a job's waiting tasks, as long as more, unless nil, allows, and
+// returns how many.
 func (p *placement) placeJob(j *job, uncertain []quota.Units, more func(placed int) bool) (placed int) {
-	// Most of what waits on a full site, or for its team's limit, has no place:
-	// that must show before anything is looked at machine by machine.
+	// Most of what waits in a full cell, or for its team's limit, can't be placed: that must
+	// show before any machine is examined.
 	if len(j.progress.waiting) == 0 || !p.attempts.attemptsLeft() || p.index.Infeasible(j.request.size) || !p.withinLimit(j, uncertain) {
 		return 0
 	}
@@ -128,7 +128,7 @@
 	return placed
 }
 
-// startOn books a job's next task on a machine and has it started there.
+// startOn allocates room for a job's next task on a machine and has it started there.
 func (c *Core) startOn(j *job, m *machine) {
 	n := j.progress.waiting[len(j.progress.waiting)-1]
 	j.progress.waiting = j.progress.waiting[:len(j.progress.waiting)-1]
@@ -172,9 +172,8 @@
 	return false
 }
 
-// gangZone chooses the zone for a job that must stay in one: where it is, or
-// else where the most of it fits now. That takes a look at all machines, so it
-// holds for a while.
+// gangZone chooses the zone for a job that must stay in one: where it is, or else where the most
+// of it fits now. That examines all machines, so it holds for a while.
 func (p *placement) gangZone(j *job) int32 {
 	for z, n := range j.placement.tasksByZone {
 		if n > 0 {
--- a/internal/scheduler/placement_index.go
+++ b/internal/scheduler/placement_index.go
@@ -72,10 +72,10 @@
 // imageTag is the index's tag of an image. Several images may share one.
 func imageTag(image int32) uint64 { return 1 << (image % 64) }
 
-// choose has SLOW-FIT choose the machine for a job's next task. A class with an
-// aim on waiting is first offered only machines on which its image would be
-// ready in time, if one of those has room: a slower machine that must fetch
-// the image first would break the aim by that alone.
+// choose has SLOW-FIT choose the machine for a job's next task. A class with an objective on
+// waiting is first placed only on machines on which its image would be ready in time, if one of
+// those has room: a slower machine that must fetch the image first would miss the objective by
+// that alone.
 func (p *placement) choose(j *job, only int32) int32 {
 	w := p.request(j, only)
 	if j.placement.imageOnly {
@@ -108,10 +108,10 @@
 	})
 }
 
-// request is a job's next task as SLOW-FIT sees it. Merit tells equally slow
-// machines apart: a class with an aim on waiting goes first where its image is,
-// since a fetch counts as waiting; other work goes first to spot machines, so
-// that dearer ones run empty and can go back.
+// request is a job's next task as SLOW-FIT sees it. Merit tells equally slow machines apart: a
+// class with an objective on waiting prefers machines with its image, since a fetch counts as
+// waiting; other work prefers spot machines, so that dearer ones become empty and can be
+// returned.
 func (p *placement) request(j *job, only int32) slowfit.Request {
 	cheap, image := 2, 1
 	if p.classes.objectives[j.request.class].wait > 0 {
--- a/internal/scheduler/plan_requests.go
+++ b/internal/scheduler/plan_requests.go
@@ -12,7 +12,7 @@
 	Waits  []string
 }
 
-// planRequested creates or steers a plan. The answer comes when its record is durable.
+// planRequested creates or steers a plan. The reply follows when its record is durable.
 func (v *evictionState) planRequested(e PlanRequest) {
 	var err error
 	name := e.Name
@@ -69,7 +69,7 @@
 	return nil
 }
 
-// planListRequested lists the plans and what counts as disrupted.
+// planListRequested lists the plans and the jobs that count as disrupted.
 func (v *evictionState) planListRequested(e PlanListRequest) {
 	list := PlanListReply{ReplyTo: e.ReplyTo, Term: v.term}
 	if v.disruptions != nil {
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -6,16 +6,16 @@
 	"leadproxy/internal/wire"
 )
 
-// A new leader can use a machine, and settle what an earlier leader started
-// there, only once the machine has echoed its token. Waiting for reports takes
-// as long as the workers take to find the new leader, up to a report's interval
-// and more. So machines that the cloud lists as running are probed: a direct
-// command without orders carries the token there, and its answer is the echo.
+// A new leader can use a machine, and resolve what an earlier leader started there, only once
+// its agent has acknowledged the new token. Waiting for heartbeats takes as long as the agents
+// take to find the new leader, up to a heartbeat interval and more. So machines that the cloud
+// lists as running are probed: a direct command without content carries the token there, and its
+// result is the acknowledgement.
 
-// The bounds of the probes on their way. A probe costs as much as several reports,
-// and probing all machines at once held up a small controller for seconds, with
-// reports that would have brought the same. So there are few at first, one more
-// for each that is back soon, and fewer again when they come back late.
+// The bounds of the probes in flight. A probe costs as much as several heartbeats, and probing
+// all machines at once held up a small controller for seconds, with heartbeats that would have
+// had the same result. So there are few at first, one more for each whose result comes soon, and
+// fewer again when results come late.
 const (
 	minProbes = 4
 	maxProbes = 64
@@ -30,11 +30,11 @@
 	atOnce   int
 }
 
-// probePeriod is how long after the beginning of a term machines are probed. What
-// is silent then is treated as silent.
+// probePeriod is how long after the beginning of a term machines are probed. What is unreachable
+// then is treated as unreachable.
 const probePeriod = 20 * time.Second
 
-// probe has a machine of an earlier term told our token.
+// probe sends the agent of a machine of an earlier term our token.
 func (a *agents) probe(m *machine) {
 	if m.agent.probes > 0 || m.trusted(a.term) || m.agent.address == "" || a.clock.now-a.clock.termStart > probePeriod {
 		return
@@ -52,20 +52,20 @@
 			continue
 		}
 		a.probes.underWay++
-		// Its session is not known before its first word, unless by a hint; nearly all
-		// are in their first.
+		// Its epoch is not known before its first heartbeat, unless by inherited soft state;
+		// nearly all agents are in their first.
 		a.commands.sendCommand(&commandInFlight{machine: m, agentEpoch: max(m.agent.epoch, m.agent.softStateEpoch, 1), fencingToken: m.agent.fencingToken, probe: true, sent: a.clock.now, addressFromSoftState: m.agent.addressFromSoftState}, []wire.Command{})
 	}
 }
 
-// probeResult follows up on a probe: one that named the wrong session is repeated
-// once with the right one.
+// probeResult follows up on a probe: one that named the wrong epoch is repeated once with the
+// right one.
 func (a *agents) probeResult(call *commandInFlight, outcome CommandOutcome) {
 	m := call.machine
 	a.probes.underWay--
 	switch took := a.clock.now - call.sent; {
 	case outcome == CommandOutcomeUnknown || outcome == CommandNotSent:
-		// It tells of that machine only.
+		// It says something about that machine only.
 	case took <= fastProbe:
 		a.probes.atOnce = min(a.probes.atOnce+1, maxProbes)
 	case took >= slowProbe:
@@ -78,8 +78,8 @@
 	a.sendProbes()
 }
 
-// probeInherited probes the machines that the ledger names where the hints say that they are
-// reached, without waiting for the cloud's list.
+// probeInherited probes the machines that the ledger names at their inherited addresses, without
+// waiting for the cloud's list.
 func (a *agents) probeInherited() {
 	for _, m := range a.machines.live {
 		if m.agent.addressFromSoftState {
@@ -88,8 +88,8 @@
 	}
 }
 
-// inheritedAddressFailed takes back what a hint said of where a machine is reached. The cloud's list or
-// its next report tells.
+// inheritedAddressFailed drops the inherited address of a machine. The cloud's list or its next
+// heartbeat has the present one.
 func (a *agents) inheritedAddressFailed(m *machine) {
 	m.agent.addressFromSoftState, m.agent.softStateEpoch, m.agent.probes = false, 0, 0
 	if m.agent.epoch == 0 {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -9,8 +9,8 @@
 	"leadproxy/internal/settings"
 )
 
-// mayWaitForImage tells whether a job has time to let others go first: more than
-// fetching its image would take, or none at all any more.
+// mayWaitForImage tells whether a job has time to let others precede it: more than fetching its
+// image would take, or none at all any more.
 func (p *placement) mayWaitForImage(j *job) bool {
 	if j.priority.deadline == never {
 		return true
@@ -25,9 +25,8 @@
 	return slack < 0 || slack > 2*slowest
 }
 
-// queue returns the jobs with tasks to place, in order: teams within their
-// guarantee, priority, turn, the work that is left where it is crowded, the time
-// that is left.
+// queue returns the jobs with tasks to place, in order: teams within their guarantee, priority,
+// age, the least work where some are late already, the time that is left.
 func (p *placement) queue() []*job {
 	var queue []*job
 	demand := make([]quota.Units, p.teams.Len())
@@ -39,7 +38,7 @@
 			queue = append(queue, j)
 		}
 	}
-	crowded := map[int]bool{} // by rank: somebody is late already
+	crowded := map[int]bool{} // by priority class: some job is late already
 	for _, j := range queue {
 		crowded[j.priority.class] = crowded[j.priority.class] || p.ageBucket(j) == ageLate
 	}
@@ -67,7 +66,7 @@
 	return queue
 }
 
-// foreignJobsLast has this cell's own jobs go before those of other cells.
+// foreignJobsLast has this cell's own jobs precede those of other cells.
 func foreignJobsLast(a, b *job) int {
 	switch {
 	case (a.transfer.origin == "") == (b.transfer.origin == ""):
@@ -91,9 +90,9 @@
 	}
 }
 
-// ageBucket ranks jobs of one priority: first those that have waited longer than
-// every job should, so that each gets its turn, the longer the sooner; then those
-// that can meet their deadline; then those that can't any more.
+// ageBucket orders jobs of one priority: first those that have waited longer than any job
+// should, the longest first, so that each is placed in the end; then those that can meet their
+// deadline; then those that can't any more.
 func (p *placement) ageBucket(j *job) time.Duration {
 	switch age := p.clock.now - j.priority.arrived; {
 	case age >= maxStartDelay:
@@ -104,10 +103,10 @@
 	return ageInTime
 }
 
-// queuedWork is what a job's waiting tasks ask for, in core-seconds. Where there is
-// not room for all, as in the first minutes of a day, by slack alone one large
-// job makes many small ones late; the least work first leaves fewer late. As long
-// as all that wait can be in time, the time that is left decides.
+// queuedWork is what a job's waiting tasks need, in core-seconds. Where there is not room for
+// all, as in the first minutes of a day, by slack alone one large job makes many small ones
+// late; the least work first leaves fewer late. As long as all that wait can be in time, the
+// time that is left decides.
 func (p *placement) queuedWork(j *job) float64 {
 	return float64(len(j.progress.waiting)) * j.request.size.CPUs * p.estimates.expectedRun(j).Seconds()
 }
@@ -130,7 +129,7 @@
 		}
 		left := p.estimates.expectedRun(j)
 		if b.runningSince > 0 {
-			// One that has outrun its estimate goes on for some time more.
+			// One that has outrun its estimate is expected to run for some time more.
 			left = max(left-(p.clock.now-b.runningSince), left/4)
 		}
 		sum += j.request.size.CPUs * left.Seconds()
--- a/internal/scheduler/required_stops.go
+++ b/internal/scheduler/required_stops.go
@@ -6,16 +6,16 @@
 	"leadproxy/internal/wire"
 )
 
-// requiredStops lists the stops that the answer to a report owes: those of the tasks in it that
-// must not run. It decides that for every answer, since each renews the worker's lease. That
-// a report may be an old copy is no reason to leave one out: stopping an attempt that is no
-// longer there does nothing.
+// requiredStops lists the stops that the response to a heartbeat must contain: those of the
+// tasks in it that must not run. It decides that for every response, since each renews the
+// agent's lease. That a heartbeat may be an old copy is no reason to leave one out: stopping an
+// attempt that is no longer there does nothing.
 func (q *commands) requiredStops(m *machine, r *wire.Heartbeat, believed bool) []wire.Command {
 	stops := []wire.Command{}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		if t.Status == wire.TaskEnded || len(stops) >= maxCommandsPerResponse {
-			continue // what is left is stopped in the answers to the next reports
+			continue // what is left is stopped in the responses to the next heartbeats
 		}
 		if grace, must := q.mustStop(m, t, believed); must {
 			q.cancellations.countStop(m, t)
@@ -25,8 +25,8 @@
 	return stops
 }
 
-// mustStop tells whether a task that a machine reports as alive must not run, and how long
-// it may take to save its progress.
+// mustStop tells whether a task that an agent reports as alive must not run, and how long it may
+// take to save its progress.
 func (q *commands) mustStop(m *machine, t *wire.TaskStatus, believed bool) (grace float64, must bool) {
 	j, _, b := q.jobs.findTask(m, t)
 	switch {
@@ -35,9 +35,9 @@
 		// can't be read, and may say that the job is cancelled.
 		return 0, true
 	case j.ended():
-		return 0, true // nobody wants its progress
+		return 0, true // its progress is of no use
 	case b == nil:
-		// What is not booked from a report that may be an old copy is not looked at yet.
+		// What has no allocation, in a heartbeat that may be an old copy, is not judged yet.
 		return 0, believed
 	}
 	return b.gracePeriod, b.stopping
@@ -47,10 +47,10 @@
 	return wire.Command{Verb: wire.VerbStop, Task: task, Attempt: attempt, GracePeriodS: &grace}
 }
 
-// repeatStops sends stops again that a worker may have ignored. A start and its stop that
-// are sent one after the other, in two commands or in an answer and a command, arrive in
-// any order, and a worker ignores the stop of what it does not know yet: the start acted
-// after its stop, and the task ran until the worker's next report was answered.
+// repeatStops sends stops again that an agent may have ignored. A start and its stop that are
+// sent one after the other, in two commands or in a response and a command, arrive in any order,
+// and an agent ignores the stop of an attempt that it does not know yet: the start was executed
+// after its stop, and the task ran until the agent's next heartbeat was answered.
 func (q *commands) repeatStops(call *commandInFlight, r *wire.Heartbeat) {
 	m := call.machine
 	if r == nil || r.Machine != m.name || r.AgentEpoch != m.agent.epoch {
@@ -70,12 +70,12 @@
 	}
 }
 
-// sendStop has a machine told to stop a booked attempt.
+// sendStop queues the stop of an allocated attempt.
 func (q *commands) sendStop(m *machine, b *allocation) {
 	q.queueCommand(m, stopCommand(q.jobs.taskName(b), b.attempt, b.gracePeriod))
 }
 
-// isAlive tells whether a report lists an attempt that has not ended.
+// isAlive tells whether a heartbeat lists an attempt that has not ended.
 func isAlive(r *wire.Heartbeat, attempt uint64) bool {
 	return slices.ContainsFunc(r.Tasks, func(t wire.TaskStatus) bool {
 		return t.Attempt == attempt && t.Status != wire.TaskEnded
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -33,7 +33,7 @@
 	if s.Record.Job == nil && s.Record.Terminal == "" {
 		// Ranges or hosts whose job record is missing: records are never
 		// deleted, so there is nothing that could run.
-		c.log.Error("ledger has traces of a job without a record", "job", s.ID)
+		c.log.Error("ledger has keys of a job without a record", "job", s.ID)
 		return
 	}
 	j := c.newJob(s.ID, s.Record, s.Version)
@@ -61,16 +61,15 @@
 			}
 		})
 	}
-	// A cancelled job's record has the count as well, and the ranges may be
-	// there still: counted twice they were more than its tasks, and no node
-	// could begin a term.
+	// A cancelled job's record has the count as well, and the ranges may be there still: counted
+	// twice they were more than its tasks, and no controller could begin a term.
 	j.progress.done = max(j.progress.done, finished)
 	j.fillWaiting()
 	j.progress.startedOnce = j.progress.done > 0 || len(s.Hosts) > 0
 	c.restoreHosts(j, s.Hosts)
 	if s.HostsUnknown {
-		// Its tasks may be on machines that nobody can name. Those that live report
-		// within a lease, and what the others ran is over by then.
+		// Its tasks may be on unknown machines. Agents that live send heartbeats within a lease,
+		// and what the others ran has ended by then.
 		j.retry.notBefore = c.clock.now + c.agents.lease
 	}
 	if !hasDependencies(&s.Record) && j.transfer.origin == "" {
@@ -85,9 +84,8 @@
 	c.placement.needed = true
 }
 
-// restoreHosts notes the machines that a job's tasks may be on. Until each has
-// been heard of, or must have ended them, unseen tasks are neither placed
-// again nor taken for free.
+// restoreHosts notes the machines that a job's tasks may be on. Until each has sent a heartbeat,
+// or must have ended them, unseen tasks are neither placed again nor counted as free.
 func (c *Core) restoreHosts(j *job, chunks []ledger.SavedHosts) {
 	for _, chunk := range chunks {
 		// A key that is missing, as its deletion was under way, keeps its number.
@@ -128,10 +126,11 @@
 // Jobs is how many jobs this term knows.
 func (c *Core) Jobs() int { return len(c.jobs.list) }
 
-// resolveInDoubt ends the doubt about what an earlier leader started on m.
+// resolveInDoubt resolves what an earlier leader started on a machine: its agent has listed all
+// that runs, or all of it has ended.
 func (c *Core) resolveInDoubt(m *machine, why string) {
 	if len(m.recorded.inDoubtJobs) > 0 {
-		c.log.Debug("earlier starts on a machine are settled", "machine", m.name, "why", why, "jobs", len(m.recorded.inDoubtJobs), "after", (c.clock.now - c.clock.termStart).Seconds())
+		c.log.Debug("earlier starts on a machine are resolved", "machine", m.name, "reason", why, "jobs", len(m.recorded.inDoubtJobs), "after", (c.clock.now - c.clock.termStart).Seconds())
 	}
 	for _, i := range m.recorded.inDoubtJobs {
 		j := c.jobs.list[i]
--- a/internal/scheduler/scale_in.go
+++ b/internal/scheduler/scale_in.go
@@ -8,20 +8,20 @@
 	"leadproxy/internal/settings"
 )
 
-// requestDelete has a machine deleted. It is gone only when the cloud says so; until
-// then it is asked for again now and then.
+// requestDelete requests the deletion of a machine. It is gone only when the cloud says so;
+// until then the request is repeated now and then.
 func (a *autoscaling) requestDelete(m *machine, why string) {
 	if m.state == machineDeleting && a.clock.now-m.rental.lastDeleteRequest < 10*time.Second {
 		return
 	}
-	a.log.Info("returning machine", "machine", m.name, "why", why, "bookings", len(m.capacity.allocations), "age", (a.clock.now - m.rental.rentedAt).Seconds())
+	a.log.Info("returning machine", "machine", m.name, "why", why, "allocations", len(m.capacity.allocations), "age", (a.clock.now - m.rental.rentedAt).Seconds())
 	m.state, m.rental.lastDeleteRequest = machineDeleting, a.clock.now
 	a.placement.indexChanged(m)
 	a.deletes = append(a.deletes, m.name)
 }
 
-// flushDeletes asks for the deletions of a step together, since the cloud takes
-// few calls.
+// flushDeletes requests the deletions of a step together, since the cloud's API allows few
+// calls.
 func (a *autoscaling) flushDeletes() {
 	for names := a.deletes; len(names) > 0; {
 		n := min(len(names), autoscaler.MaxDelete)
@@ -34,7 +34,7 @@
 // ExpectedAgents is how many machines should be reporting.
 func (c *Core) ExpectedAgents() int { return c.agents.expectedCount }
 
-// scaleIn gives back what is broken, lost, or not needed any more.
+// scaleIn returns the machines that are broken, lost, or not needed any more.
 func (a *autoscaling) scaleIn() {
 	cores := a.countCapacity()
 	headroom := a.headroomCores()
@@ -47,7 +47,7 @@
 			a.requestDelete(m, why)
 			continue
 		}
-		// Ordinary machines cost a multiple and are not kept for what may come.
+		// On-demand machines cost a multiple and are not kept for future demand.
 		target, patience := headroom, a.cfg.Operator.IdleReturn
 		if !m.spot {
 			target, patience = 0, patience/4
@@ -59,8 +59,8 @@
 	}
 }
 
-// countCapacity counts the cores to plan with, and notes how many machines should be
-// reporting and which zones seem to be cut off.
+// countCapacity counts the cores to plan with, and notes how many machines should be sending
+// heartbeats and which zones seem to be cut off.
 func (a *autoscaling) countCapacity() (cores float64) {
 	zones := make([]zoneCount, len(a.machines.zones.list))
 	var all zoneCount
@@ -83,11 +83,11 @@
 	return cores
 }
 
-// mayScaleIn tells whether an idle machine may be given back at all: its least rental is
-// over and no waiting task could use it. One that some waiting task could use is kept,
-// whatever keeps that task from it now. One that is too small or not allowed for all of
-// them is not: on a large site there is always something waiting. Nor is one that only
-// tasks beyond their team's limit would use.
+// mayScaleIn tells whether an idle machine may be returned at all: its least rental has passed
+// and no waiting task could use it. One that some waiting task could use is kept, whatever keeps
+// that task from it now. One that is too small or not allowed for all of them is not: in a large
+// cell there is always something waiting. Nor is one that only tasks beyond their team's limit
+// would use.
 func (a *autoscaling) mayScaleIn(m *machine, waiting []*job) bool {
 	if m.state != machineUp || m.eviction.kept || len(m.capacity.allocations) > 0 || a.clock.now-m.rental.rentedAt < minRental || !m.trusted(a.term) {
 		return false
@@ -97,8 +97,8 @@
 	})
 }
 
-// reasonToScaleIn tells why a machine is to be given back whether or not it is wanted;
-// "": there is no reason.
+// reasonToScaleIn tells why a machine is to be returned whether or not it is needed; "": there
+// is no reason.
 func (a *autoscaling) reasonToScaleIn(m *machine) string {
 	quiet := a.agents.unacknowledgedFor(m)
 	switch {
@@ -126,9 +126,9 @@
 // unknownBootPatience is how long a machine of an unknown type may boot.
 const unknownBootPatience = 90 * time.Second
 
-// reasonToStopBoot tells why a machine that has not reported yet is to be given back.
-// One that an earlier leader had up may be silent for a while: it has a lease's time to
-// show itself.
+// reasonToStopBoot tells why a machine without a heartbeat so far is to be returned. One that an
+// earlier leader had up may be unreachable for a while: it has a lease's time for its first
+// heartbeat.
 func (a *autoscaling) reasonToStopBoot(m *machine, quiet time.Duration) string {
 	patience := unknownBootPatience
 	switch {
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -13,7 +13,7 @@
 	record         ledger.ScaleOutRecord
 	pool           autoscaler.CapacityPool
 	unseenMachines map[string]bool
-	open           bool // the cloud's answer is still wanted
+	open           bool // the cloud's result is still needed
 	sent           bool
 	retry          time.Duration
 }
@@ -24,14 +24,14 @@
 	a.startNamedScaleOut(fmt.Sprintf("h%d-%d", a.term, a.scaleOutCount), w)
 }
 
-// startNamedScaleOut hires under a name. The cloud takes each name once, however often it is
-// sent.
+// startNamedScaleOut rents machines under a name. The cloud accepts each name once, however
+// often it is sent.
 func (a *autoscaling) startNamedScaleOut(name string, w autoscaler.PlannedScaleOut) {
 	t := a.types.list[w.Pool.Type]
 	h := &scaleOut{pool: w.Pool, open: true, record: ledger.ScaleOutRecord{Request: wire.ScaleOutRequest{
 		RequestID: name, Type: t.Name, Zone: a.machines.zones.list[w.Pool.Zone], Spot: w.Pool.Spot, Count: min(w.Count, autoscaler.MaxScaleOut)}}}
 	a.scaleOuts[name] = h
-	a.log.Info("hiring", "request", name, "type", t.Name, "zone", h.record.Request.Zone, "spot", w.Pool.Spot, "count", h.record.Request.Count, "why", w.Reason)
+	a.log.Info("scaling out", "request", name, "type", t.Name, "zone", h.record.Request.Zone, "spot", w.Pool.Spot, "count", h.record.Request.Count, "reason", w.Reason)
 	a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.record, Urgent: true, Tag: scaleOutTag{name}})
 }
 
@@ -47,8 +47,8 @@
 	a.effects.emit(CallCloud{autoscaler.Call{ScaleOut: &order}})
 }
 
-// restoreScaleOut takes an earlier leader's hire over. One whose answer is not on
-// record is repeated under its own name, to learn its machines.
+// restoreScaleOut continues an earlier leader's scale-out. One whose result is not in its record
+// is repeated under its own name, to learn its machines.
 func (c *Core) restoreScaleOut(r ledger.ScaleOutRecord) {
 	h := &scaleOut{record: r, pool: autoscaler.CapacityPool{Type: -1, Zone: c.machines.zones.of(r.Request.Zone), Spot: r.Request.Spot}}
 	c.autoscaling.scaleOuts[r.Request.RequestID] = h
@@ -60,8 +60,8 @@
 	c.machinesRented(h, r.Machines)
 }
 
-// scaleOutMachineSeen notes that a machine is known from the list or from itself, so that
-// its hire need not be remembered for it.
+// scaleOutMachineSeen notes that a machine is known from the list or from its agent, so that its
+// scale-out need not be kept for it.
 func (a *autoscaling) scaleOutMachineSeen(m *machine) {
 	if h := a.scaleOuts[m.rental.scaleOutID]; h != nil && h.unseenMachines != nil {
 		delete(h.unseenMachines, m.name)
--- a/internal/scheduler/scaling_plan.go
+++ b/internal/scheduler/scaling_plan.go
@@ -19,7 +19,7 @@
 	return false
 }
 
-// scaleOutMachines asks for what waiting tasks need and what is to be kept warm.
+// scaleOutMachines requests what waiting tasks need and what is to be kept as headroom.
 func (a *autoscaling) scaleOutMachines() {
 	open := len(a.openScaleOuts())
 	for _, w := range autoscaler.Plan(a.plan()) {
@@ -43,7 +43,7 @@
 	return out
 }
 
-// plan describes the situation to plan hires from.
+// plan describes the situation for which scale-outs are planned.
 func (a *autoscaling) plan() autoscaler.PlanInput {
 	s := autoscaler.PlanInput{MaxMachines: a.cfg.Operator.MaxMachines, Sizes: a.headroomSizes(), Headroom: a.headroomCores()}
 	a.planPools(&s)
@@ -53,7 +53,7 @@
 	return s
 }
 
-// planPools lists the machine types and the offers that may be asked for.
+// planPools lists the machine types and the capacity pools that may be used.
 func (a *autoscaling) planPools(s *autoscaler.PlanInput) {
 	for i := range a.types.list {
 		s.Types = append(s.Types, autoscaler.MachineType{Total: a.types.list[i].total, Boot: a.types.list[i].boot})
@@ -63,7 +63,7 @@
 	}
 }
 
-// openPools are the offers of the cloud that were not refused a moment ago.
+// openPools are the capacity pools of the cloud without a recent refusal.
 func (a *autoscaling) openPools() iter.Seq2[autoscaler.CapacityPool, *poolState] {
 	return func(yield func(autoscaler.CapacityPool, *poolState) bool) {
 		for i := range a.types.list {
@@ -96,7 +96,7 @@
 	}
 }
 
-// planScaleOuts counts the machines of hires that the cloud has not answered yet.
+// planScaleOuts counts the machines of scale-outs without a result.
 func (a *autoscaling) planScaleOuts(s *autoscaler.PlanInput) {
 	for _, h := range a.openScaleOuts() {
 		if h.pool.Type < 0 {
@@ -111,8 +111,8 @@
 	}
 }
 
-// planWaiting lists the tasks that wait, in the order of the queue. What a team's limit
-// leaves is shared by all its waiting jobs.
+// planWaiting lists the tasks that wait, in the order of the queue. What a team's limit leaves
+// is shared by all its waiting jobs.
 func (a *autoscaling) planWaiting(s *autoscaler.PlanInput) {
 	used := make([]quota.Units, a.teams.Len())
 	for i := range used {
@@ -132,7 +132,7 @@
 	}
 }
 
-// canScaleOut tells whether machines are coming or could be asked for.
+// canScaleOut tells whether machines are coming or could be requested.
 func (a *autoscaling) canScaleOut() bool {
 	if len(a.openScaleOuts()) > 0 {
 		return true
@@ -146,7 +146,7 @@
 	return a.poolsOpen()
 }
 
-// poolsOpen tells whether some offer of the cloud was not refused a moment ago.
+// poolsOpen tells whether there is a capacity pool without a recent refusal.
 func (a *autoscaling) poolsOpen() bool {
 	for range a.openPools() {
 		return true
--- a/internal/scheduler/soft_state.go
+++ b/internal/scheduler/soft_state.go
@@ -33,15 +33,15 @@
 		jobs: &c.jobs, machines: &c.machines, placement: &c.placement, autoscaling: &c.autoscaling}
 }
 
-// inheritedSoftState is what an earlier leader's hints say. It is looked at where this term knows
-// nothing better, and dropped when its beginning is over.
+// inheritedSoftState is the soft state of an earlier leader. It is used where this term knows
+// nothing better, and dropped when the term's beginning has passed.
 type inheritedSoftState struct {
 	machines   map[string]softstate.Machine
 	runningFor map[uint64]time.Duration // by attempt: how long before the term it began to run
 	estimates  softstate.Estimates
 }
 
-// restoreSoftState takes the hints of an earlier leader, before anything else is restored.
+// restoreSoftState takes the soft state of an earlier leader, before anything else is restored.
 func (s *softState) restoreSoftState(v *softstate.View) {
 	if v == nil || len(v.Machines) == 0 {
 		return
@@ -56,15 +56,15 @@
 	}
 }
 
-// dropInherited forgets the hints once the term's beginning is over.
+// dropInherited drops the inherited soft state once the term's beginning has passed.
 func (s *softState) dropInherited() {
 	if s.inherited.machines != nil && s.clock.now-s.clock.termStart > probePeriod {
 		s.inherited = inheritedSoftState{}
 	}
 }
 
-// inheritMachine fills in what the hints say of a machine that is new to this term. The list of
-// the cloud and its reports overwrite that.
+// inheritMachine fills in what the inherited soft state says of a machine that is new to this
+// term. The cloud's list and its heartbeats overwrite that.
 func (s *softState) inheritMachine(m *machine) {
 	h, ok := s.inherited.machines[m.name]
 	if !ok {
@@ -79,8 +79,8 @@
 	}
 }
 
-// runningSince is since when an attempt has run that is seen running for the first time.
-// known is false if it began in an earlier term and no hint tells when.
+// runningSince is since when an attempt has run that is seen running for the first time. known
+// is false if it began in an earlier term and no inherited soft state has it.
 func (s *softState) runningSince(attempt uint64) (since time.Duration, known bool) {
 	if attempt>>tokenBits == s.term {
 		return s.clock.now, true
@@ -92,7 +92,8 @@
 	return max(s.clock.termStart-ran, 1), true
 }
 
-// inheritType fills in what the hints say of a machine type that is new to this term.
+// inheritType fills in what the inherited soft state says of a machine type that is new to this
+// term.
 func (s *softState) inheritType(index int32) {
 	t := &s.types.list[index]
 	if s, ok := s.inherited.estimates.BootSeconds[t.Name]; ok {
@@ -109,13 +110,14 @@
 	}
 }
 
-// machineChanged notes that hints of our own have something new to tell of a machine.
+// machineChanged notes that the soft state of a machine has changed.
 func (s *softState) machineChanged(m *machine) {
 	s.version++
 	m.softStateVersion = s.version
 }
 
-// softStateRequested tells what has changed since an earlier answer, oldest change first.
+// softStateRequested replies with what has changed since an earlier reply, the oldest change
+// first.
 func (s *softState) softStateRequested(e SoftStateRequest) {
 	var changed []*machine
 	for _, m := range s.machines.list {
@@ -136,7 +138,7 @@
 	s.effects.emit(given)
 }
 
-// machineSoftState is what is known of a machine.
+// machineSoftState is the soft state of a machine.
 func (s *softState) machineSoftState(m *machine) softstate.Machine {
 	h := softstate.Machine{Name: m.name, Gone: m.state == machineGone, Address: m.agent.address, AgentEpoch: m.agent.epoch, FencingToken: m.agent.fencingToken,
 		SinceHeartbeat: max(0, s.clock.now-m.agent.lastHeartbeat), Idle: max(0, s.clock.now-m.capacity.idleSince)}
--- a/internal/scheduler/spending.go
+++ b/internal/scheduler/spending.go
@@ -9,13 +9,13 @@
 // spending is what the machines cost over an interval, divided by what they were doing,
 // in the cloud's currency. What a machine costs goes by cores to what uses them.
 type spending struct {
-	booting   float64 // machines that have not reported yet
-	fetching  float64 // cores of tasks that wait for their image, or for word of their start
+	booting   float64 // machines without a heartbeat so far
+	fetching  float64 // cores of tasks that wait for their image, or for the result of their start
 	running   float64 // cores of tasks that run
 	saving    float64 // cores of tasks that are being stopped
 	partIdle  float64 // free cores of machines with tasks
 	idle      float64 // machines without tasks
-	returning float64 // machines whose deletion is asked for
+	returning float64 // machines whose deletion is requested
 	lost      float64 // of running: what tasks had run that have to run again
 }
 
@@ -26,8 +26,8 @@
 	loggedAt     time.Duration
 }
 
-// The times of the reckoning: how often all machines are looked at for it, and how often
-// it is logged.
+// The intervals of the accounting: how often the cost of all machines is added, and how often it
+// is logged.
 const (
 	spendingInterval    = time.Second
 	spendingLogInterval = 30 * time.Second
@@ -106,7 +106,7 @@
 func (a *autoscaling) logSpending() {
 	s := &a.spending.spent
 	if s.total() > 0 {
-		a.log.Info("money spent", "seconds", (a.clock.now - a.spending.loggedAt).Seconds(), "total", s.total(), "booting", s.booting, "fetching", s.fetching,
+		a.log.Info("spending", "seconds", (a.clock.now - a.spending.loggedAt).Seconds(), "total", s.total(), "booting", s.booting, "fetching", s.fetching,
 			"running", s.running, "saving", s.saving, "part_idle", s.partIdle, "idle", s.idle, "returning", s.returning, "lost", s.lost, "machines", len(a.machines.live))
 	}
 	a.spending.spent, a.spending.loggedAt = spending{}, a.clock.now
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -2,15 +2,15 @@
 
 import "leadproxy/internal/wire"
 
-// reconcileTasks brings the bookings of a machine in line with a fresh report, or
-// with the answer to a direct command.
+// reconcileTasks brings the allocations of a machine in line with a fresh heartbeat, or with the
+// result of a direct command.
 func (c *Core) reconcileTasks(m *machine, r *wire.Heartbeat, reported bool) {
 	c.agents.heartbeatsProcessed++
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		j, n, b := c.jobs.findTask(m, t)
 		if j == nil {
-			continue // its answer stops it, see mustStop
+			continue // the response stops it, see mustStop
 		}
 		if t.Status == wire.TaskEnded {
 			c.attemptEnded(m, j, n, b, t)
@@ -21,7 +21,7 @@
 				continue
 			}
 			if b.stopping && !reported {
-				c.commands.sendStop(m, b) // no answer goes there that could have it
+				c.commands.sendStop(m, b) // no response that could carry it is sent there
 			}
 		}
 		b.state, b.lastHeartbeatSeen = allocationConfirmed, c.agents.heartbeatsProcessed
@@ -32,7 +32,7 @@
 	c.releaseMissing(m, r, reported)
 }
 
-// statusChanged notes another state of a task than was last reported.
+// statusChanged notes that a task's status differs from that in the last heartbeat.
 func (c *Core) statusChanged(m *machine, j *job, b *allocation, status string) {
 	b.status = status
 	if status != wire.TaskRunning {
@@ -49,7 +49,7 @@
 	}
 }
 
-// releaseMissing frees the bookings that a machine no longer has, or never will.
+// releaseMissing frees the allocations whose attempts a machine no longer has, or never will.
 func (c *Core) releaseMissing(m *machine, r *wire.Heartbeat, reported bool) {
 	for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
 		b := m.capacity.allocations[k]
@@ -61,26 +61,25 @@
 		case b.state <= allocationQueued, unsettled:
 			// Not sent yet, or it may still be executed.
 		case b.state == allocationSent && b.responseSequence > 0 && (!reported || r.Sequence <= b.responseSequence):
-			// The answer that carries its start may still be on its way: the
-			// worker's next report is sent only after it, or after it is given
-			// up.
+			// The response that carries its start may still be on its way: the agent's next
+			// heartbeat is sent only after it, or after it is given up.
 		default:
-			// Either a start whose outcome was unknown and which a raised token
-			// has ruled out, or an attempt that the worker no longer knows.
+			// Either a start whose outcome was unknown and which a raised token has ruled out,
+			// or an attempt that the agent no longer knows.
 			if b.state == allocationSent && b.responseSequence > 0 {
 				c.markUnacknowledged(m)
 			}
-			c.log.Info("attempt is not on its machine", "machine", m.name, "task", c.jobs.taskName(b), "attempt", b.attempt, "confirmed", b.state == allocationConfirmed)
+			c.log.Info("attempt is missing on its machine", "machine", m.name, "task", c.jobs.taskName(b), "attempt", b.attempt, "confirmed", b.state == allocationConfirmed)
 			c.release(m, b)
 		}
 	}
 }
 
-// adopt books a task that an earlier leader has started, or returns nil when it
-// must not go on.
+// adopt allocates room for a task that an earlier leader has started, or returns nil when it
+// must not run.
 func (c *Core) adopt(m *machine, j *job, n int32, t *wire.TaskStatus) *allocation {
 	if j.spec == nil || j.progress.tasks == nil {
-		return nil // over, and forgotten here
+		return nil // ended, and cleaned up here
 	}
 	ts := &j.progress.tasks[n]
 	if j.ended() {
@@ -88,7 +87,7 @@
 		return c.allocate(m, j, n, t.Attempt, false)
 	}
 	if ts.state != taskWaiting {
-		c.log.Error("task reported where it should not be", "machine", m.name, "task", t.Task, "attempt", t.Attempt, "state", ts.state)
+		c.log.Error("task running where it is not allocated", "machine", m.name, "task", t.Task, "attempt", t.Attempt, "state", ts.state)
 		return nil
 	}
 	j.dropWaiting(n)
@@ -99,10 +98,10 @@
 	return b
 }
 
-// attemptEnded settles an attempt that its worker reports as ended.
+// attemptEnded resolves an attempt that its agent reports as ended.
 func (c *Core) attemptEnded(m *machine, j *job, n int32, b *allocation, t *wire.TaskStatus) {
 	if b == nil && (t.ExitReason != wire.ExitDone || j.progress.tasks == nil || j.ended() || j.progress.tasks[n].state != taskWaiting) {
-		return // settled before
+		return // resolved before
 	}
 	if b != nil {
 		if t.ExitReason != wire.ExitDone && !t.CheckpointSaved {
@@ -128,7 +127,7 @@
 		c.placement.backOff(j)
 		c.placement.requeue(j, n)
 	case wire.ExitNoRoom, wire.ExitInUse:
-		c.log.Info("start refused", "machine", m.name, "task", t.Task, "attempt", t.Attempt, "why", t.ExitReason)
+		c.log.Info("start refused", "machine", m.name, "task", t.Task, "attempt", t.Attempt, "reason", t.ExitReason)
 		c.placement.backOff(j)
 		c.placement.requeue(j, n)
 	default:
--- a/internal/scheduler/task_stops.go
+++ b/internal/scheduler/task_stops.go
@@ -7,7 +7,7 @@
 	"leadproxy/internal/wire"
 )
 
-// stopAllocation has an attempt stopped. What was never sent is simply freed.
+// stopAllocation stops an attempt. One whose start was never sent is simply released.
 func (c *Core) stopAllocation(m *machine, b *allocation, grace float64) {
 	if b.state <= allocationQueued {
 		c.release(m, b)
@@ -46,7 +46,8 @@
 	}
 }
 
-// evictBeforeTermination stops what can save its progress on a machine that is to be taken.
+// evictBeforeTermination stops what can save its progress on a machine that the cloud will take
+// away.
 func (c *Core) evictBeforeTermination(m *machine) {
 	left := m.rental.terminationAt - c.clock.now
 	for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
@@ -64,7 +65,7 @@
 			c.stopAllocation(m, b, max(left.Seconds(), j.spec.CheckpointDurationS))
 			continue
 		}
-		// It can't save. Let it go on only if it may well end in time.
+		// It can't save. It is left running only if it may well end in time.
 		if ran := c.clock.now - b.runningSince; b.status == wire.TaskRunning && c.estimates.expectedRun(j)-ran < left {
 			continue
 		}
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -10,36 +10,36 @@
 	"leadproxy/internal/settings"
 )
 
-// A new leader must take it that its predecessor has answered every worker up
-// to the end of its term, and waits a whole lease for those it can't hear. When
-// a zone is cut off and then the leader ends, that leaves all jobs with tasks in
-// that zone waiting again from the start. So a leader notes durably which
-// machines are silent and when their leases must be over. From then on it does
-// not answer such a machine until the note is withdrawn, as durably.
+// A new leader must assume that its predecessor has responded to every agent up to the end of
+// its term, and waits a whole lease for those that it can't reach. When a zone is cut off and
+// then the leader fails, that leaves all jobs with tasks in that zone waiting again from the
+// start. So a leader records durably which agents are unreachable and when their leases must
+// have expired. From then on it does not respond to such an agent until the record is withdrawn,
+// as durably.
 
-// unreachableAgents is what is noted of silent machines.
+// unreachableAgents are the unreachable-agent records.
 type unreachableAgents struct {
 	records   []*unreachableRecord
-	freeKeys  []string // keys that hold no note any more
+	freeKeys  []string // keys that hold no record any more
 	keyCount  int      // keys of this term so far
 	nextCheck time.Duration
 }
 
-// unreachableRecord is one key of silent machines.
+// unreachableRecord is one record, of several agents, under one key.
 type unreachableRecord struct {
 	key       string
 	machines  []*machine
 	withdrawn bool
 }
 
-// unreachableCheckInterval is how often silent machines are looked for.
+// unreachableCheckInterval is how often unreachable agents are searched for.
 const unreachableCheckInterval = 2 * time.Second
 
-// recordUnreachable notes the machines that have fallen silent and that some job's
-// tasks may be on.
+// recordUnreachable records the agents that have become unreachable and whose machines some
+// job's tasks may be on.
 func (c *Core) recordUnreachable() {
-	// In an outage a note could not be withdrawn, and a machine that is back
-	// would lose its lease for want of an answer.
+	// In an outage a record could not be withdrawn, and an agent that is reachable again would
+	// lose its lease for want of a response.
 	if c.clock.now < c.agents.unreachable.nextCheck || c.writes.stalled(unreachableCheckInterval) {
 		return
 	}
@@ -61,7 +61,7 @@
 	}
 }
 
-// unreachableRecordOverhead is what a note takes besides the machines' names.
+// unreachableRecordOverhead is the size of a record besides the machines' names.
 const unreachableRecordOverhead = 64
 
 func (c *Core) writeUnreachable(machines []*machine) {
@@ -76,13 +76,13 @@
 		record.Machines = append(record.Machines, m.name)
 	}
 	record.LeaseExpiryMS = c.clock.wallMS + int64((over-c.clock.now)/time.Millisecond) + 1
-	c.log.Info("noting silent machines", "machines", len(machines), "leases_over_in", (over - c.clock.now).Seconds())
+	c.log.Info("recording unreachable machines", "machines", len(machines), "lease_expiry_s", (over - c.clock.now).Seconds())
 	c.writes.put(ledger.Write{Key: n.key, Value: record})
 }
 
-// newRecordKey returns a key for a note, one that is free if there is. Keys are never
-// deleted: a write of unknown outcome may yet be carried out, and where its key
-// is missing, as it was before, it would bring back a note that is withdrawn.
+// newRecordKey returns a key for a record, a free one if there is one. Keys are never deleted: a
+// write of unknown outcome may yet be carried out, and where its key is missing, as it was
+// before, it would restore a record that is withdrawn.
 func (a *agents) newRecordKey() string {
 	if n := len(a.unreachable.freeKeys); n > 0 {
 		key := a.unreachable.freeKeys[n-1]
@@ -93,7 +93,7 @@
 	return ledger.UnreachableKey(fmt.Sprintf("%d-%d", a.term, a.unreachable.keyCount))
 }
 
-// restoreUnreachable takes over what earlier leaders have noted.
+// restoreUnreachable takes over the records of earlier leaders.
 func (c *Core) restoreUnreachable(records map[string]ledger.UnreachableRecord) {
 	// Both leaders' time of day may be off, in opposite directions.
 	margin := time.Duration(2 * c.cfg.Platform.Facts.ClockErrorMS * float64(time.Millisecond))
@@ -115,8 +115,8 @@
 	}
 }
 
-// withdrawRecordOf notes a sign of life: what was noted of the machine, and of those noted
-// with it, is withdrawn.
+// withdrawRecordOf withdraws the record with a machine whose agent has sent something, and with
+// it that of the others in it.
 func (a *agents) withdrawRecordOf(m *machine) {
 	if m.agent.unreachable != nil {
 		a.withdrawRecord(m.agent.unreachable)
@@ -130,8 +130,8 @@
 	}
 }
 
-// unreachableWithdrawn is told that a note is withdrawn durably: its machines may be
-// answered again.
+// unreachableWithdrawn notes that the withdrawal of a record is durable: its machines may get
+// responses again.
 func (c *Core) unreachableWithdrawn(key string) {
 	i := slices.IndexFunc(c.agents.unreachable.records, func(n *unreachableRecord) bool { return n.key == key })
 	if i < 0 {
@@ -157,7 +157,7 @@
 	}
 }
 
-// withdrawUseless withdraws the notes that are of no use any more.
+// withdrawUseless withdraws the records that serve no job any more.
 func (a *agents) withdrawUseless() {
 	for _, n := range a.unreachable.records {
 		if !slices.ContainsFunc(n.machines, func(m *machine) bool { return m.state != machineGone && m.recorded.namedByJobs > 0 }) {
--- a/internal/scheduler/user_requests.go
+++ b/internal/scheduler/user_requests.go
@@ -7,15 +7,14 @@
 func (c *Core) statusRequested(e StatusRequest) {
 	i, ok := c.jobs.indexByID[e.JobID]
 	if !ok || c.jobs.list[i].transfer.origin != "" {
-		c.effects.emit(UserReply{ReplyTo: e.ReplyTo}) // users speak to a job's home alone
+		c.effects.emit(UserReply{ReplyTo: e.ReplyTo}) // users have access to a job in its origin cell alone
 		return
 	}
 	j := c.jobs.list[i]
 	c.effects.emit(UserReply{ReplyTo: e.ReplyTo, Known: true, Status: c.status(j), TerminalStatePending: c.jobs.terminalStatePending(j)})
 }
 
-// status is what may be told about a job: a terminal state only once it is
-// durable.
+// status is what users may know of a job: a terminal state only once it is durable.
 func (c *Core) status(j *job) wire.JobStatus {
 	s := wire.JobStatus{ID: j.id, Status: wire.JobQueued, Done: j.progress.done}
 	switch {
--- a/internal/scheduler/zone_cuts.go
+++ b/internal/scheduler/zone_cuts.go
@@ -2,14 +2,14 @@
 
 import "math"
 
-// zoneCount is how many machines of a zone should be reporting, and how many of them
-// are silent.
+// zoneCount is how many machines of a zone should be sending heartbeats, and how many of them
+// are unreachable.
 type zoneCount struct{ up, unreachable int }
 
-// detectZoneCuts notes which zones seem to be cut off. A whole zone silent at once, or most
-// machines, is rather a cut between us and them: there they work on, and deleting them
-// would lose that. When it ends, or their reports come by another way, they come back
-// one by one.
+// detectZoneCuts notes which zones seem to be cut off. When a whole zone is unreachable at once,
+// or most machines, the network between us and them has rather failed: they keep running, and
+// deleting them would lose their work. When the network is restored, or their heartbeats come by
+// another way, they return one by one.
 func (a *agents) detectZoneCuts(zones []zoneCount, all zoneCount) {
 	for len(a.zoneCutAt) < len(zones) {
 		a.zoneCutAt = append(a.zoneCutAt, math.MinInt64/2)
