--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"log/slog"
 	"time"
 
 	"leadproxy/internal/settings"
@@ -16,6 +17,8 @@
 	writes   *durableWrites
 	machines *machineTable
 	commands *commands
+	cfg      *Config
+	log      *slog.Logger
 
 	lease             time.Duration // an agent's lease, stretched by clock drift and a margin
 	heartbeatInterval time.Duration
@@ -33,7 +36,7 @@
 
 func newAgents(c *Core) agents {
 	workers := c.cfg.Platform.Facts.Workers
-	return agents{term: c.term, clock: &c.clock, effects: &c.effects, writes: &c.writes, machines: &c.machines, commands: &c.commands,
+	return agents{cfg: &c.cfg, log: c.log, term: c.term, clock: &c.clock, effects: &c.effects, writes: &c.writes, machines: &c.machines, commands: &c.commands,
 		lease:             settings.Stretch(settings.Seconds(workers.LeaseS)) + leaseMargin,
 		heartbeatInterval: settings.Seconds(workers.ReportS),
 		probes:            probes{atOnce: minProbes}}
@@ -87,6 +90,9 @@
 	return s.epoch < o.epoch || s.epoch == o.epoch && s.sequence < o.sequence
 }
 
+// countHeartbeat numbers the heartbeat whose list of tasks is being reconciled.
+func (a *agents) countHeartbeat() { a.heartbeatsProcessed++ }
+
 // schedulable tells whether new tasks may start on a machine at all.
 func (a *agents) schedulable(m *machine) bool {
 	return m.state == machineUp && m.trusted(a.term) && m.agent.epoch > m.agent.expiredEpoch && m.typ >= 0 && m.agent.unreachable == nil && !m.eviction.cordoned && !m.health.quarantined && a.clock.now >= m.commands.avoidUntil && m.rental.terminationAt == 0 && !m.agent.unacknowledged && a.clock.now-m.agent.lastAcknowledged < a.unreachableAfter()
--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -90,7 +90,7 @@
 	}
 	j.progress.allocated++
 	j.countInZone(b.zone, 1)
-	p.classes.allocatedCores[j.request.class] += j.request.size.CPUs
+	p.classes.allocate(j.request.class, j.request.size.CPUs)
 	p.teams.At(j.request.team).Allocate(j.request.size)
 	m.capacity.free = m.capacity.free.Minus(j.request.size)
 	if m.capacity.phase != p.goal.Phase {
@@ -115,7 +115,7 @@
 	j := p.jobs.list[b.job]
 	j.progress.allocated--
 	j.countInZone(b.zone, -1)
-	p.classes.allocatedCores[j.request.class] -= j.request.size.CPUs
+	p.classes.deallocate(j.request.class, j.request.size.CPUs)
 	p.teams.At(j.request.team).Deallocate(j.request.size)
 	if len(m.capacity.allocations) == 0 {
 		m.capacity.free, m.capacity.load = m.capacity.total, 0
--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -77,6 +77,49 @@
 // more once the cloud has filled some.
 func (o *poolState) maxCount() int { return min(1+o.fillsRequests, maxCalls) * autoscaler.MaxScaleOut }
 
+// block stops the use of a pool for a while, longer each time, after the cloud has refused it or
+// filled a request in part.
+func (o *poolState) block(now time.Duration) {
+	if now < o.blockedUntil {
+		return // several scale-outs in one pool were on their way
+	}
+	o.backoff = min(max(o.backoff*2, minPoolBackoff), maxPoolBackoff)
+	o.blockedUntil = now + o.backoff
+	o.fillsRequests = 0
+}
+
+// filled notes that a request was filled.
+func (o *poolState) filled() {
+	o.backoff = 0
+	o.fillsRequests++
+}
+
+// typesRequestEnded notes that a request for the machine types has ended, and tells whether it
+// has succeeded.
+func (a *autoscaling) typesRequestEnded(err error) (succeeded bool) {
+	a.readingTypes = false
+	a.nextTypes = a.clock.now + typesInterval
+	if err != nil {
+		a.log.Debug("reading the machine types failed", "error", err)
+		a.nextTypes = a.clock.now + time.Second
+	}
+	return err == nil
+}
+
+// listRequestEnded notes that a request for the list of machines has ended, and tells whether it
+// has succeeded.
+func (a *autoscaling) listRequestEnded(err error) (succeeded bool) {
+	a.listing = false
+	a.nextList = a.clock.now + listInterval
+	if err != nil {
+		a.log.Debug("listing the machines failed", "error", err)
+	}
+	return err == nil
+}
+
+// addClass makes room for the demand of a class.
+func (a *autoscaling) addClass() { a.demand = append(a.demand, autoscaler.DemandEstimator{}) }
+
 func (a *autoscaling) pool(o autoscaler.CapacityPool) *poolState {
 	if a.pools[o] == nil {
 		a.pools[o] = &poolState{}
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -59,6 +59,9 @@
 	return j.end.state == wire.JobCancelled && j.end.durable && w.clock.now-max(j.end.at, w.clock.tickingSince) > w.cancelBound()
 }
 
+// countDue counts a stop that was decided as a job was cancelled.
+func (w *cancellationWatch) countDue() { w.counts.Due++ }
+
 // countStop counts a stop in a response to a heartbeat.
 func (w *cancellationWatch) countStop(m *machine, t *wire.TaskStatus) {
 	j, _, _ := w.jobs.findTask(m, t)
--- a/internal/scheduler/command_results.go
+++ b/internal/scheduler/command_results.go
@@ -5,14 +5,23 @@
 // avoidFor is how long a machine that commands don't reach gets no new tasks.
 const avoidFor = 4 * time.Second
 
+// takeInFlight returns a command whose result has arrived, or nil when it is not known.
+func (q *commands) takeInFlight(id uint64) *commandInFlight {
+	call := q.inFlight[id]
+	if call != nil {
+		delete(q.inFlight, id)
+		call.machine.commands.inFlight--
+	}
+	return call
+}
+
+// commandResult takes the result of a direct command.
 func (c *Core) commandResult(e CommandResult) {
-	call := c.commands.inFlight[e.CommandID]
-	delete(c.commands.inFlight, e.CommandID)
+	call := c.commands.takeInFlight(e.CommandID)
 	if call == nil {
 		return
 	}
 	m := call.machine
-	m.commands.inFlight--
 	if call.probe {
 		defer c.agents.probeResult(call, e.Outcome)
 	}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -75,23 +75,29 @@
 	c.jobs.writeJobs()
 	c.commands.resumeResponses()
 	c.commands.sendResponses()
-	for _, m := range c.commands.machinesWithCommands {
+	c.commands.sendPending()
+	c.autoscaling.flushDeletes()
+}
+
+// sendPending sends the commands that don't travel with a response.
+func (q *commands) sendPending() {
+	for _, m := range q.machinesWithCommands {
 		if m.commands.heldHeartbeat != nil {
 			continue // they are sent with its response
 		}
-		orders := m.commands.pending
+		batch := m.commands.pending
 		m.commands.pending = nil
-		for len(orders) > 0 {
-			n := min(len(orders), maxCommandsPerResponse)
-			c.commands.sendBatch(m, orders[:n])
-			orders = orders[n:]
+		for len(batch) > 0 {
+			n := min(len(batch), maxCommandsPerResponse)
+			q.sendBatch(m, batch[:n])
+			batch = batch[n:]
 		}
 	}
-	clear(c.commands.machinesWithCommands)
-	c.commands.machinesWithCommands = c.commands.machinesWithCommands[:0]
-	c.autoscaling.flushDeletes()
+	clear(q.machinesWithCommands)
+	q.machinesWithCommands = q.machinesWithCommands[:0]
 }
 
+// sendBatch sends the commands of a machine that fit one direct command.
 func (q *commands) sendBatch(m *machine, orders []wire.Command) {
 	call := &commandInFlight{machine: m, agentEpoch: m.agent.epoch, fencingToken: m.agent.fencingToken}
 	kept := make([]wire.Command, 0, len(orders))
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -143,7 +143,6 @@
 // many events share one placement.
 func (c *Core) Settle() []Effect {
 	if c.placement.needed {
-		c.placement.needed = false
 		c.placement.place(c.federation.uncertainUse())
 	}
 	c.sendDeferred()
@@ -164,7 +163,7 @@
 		if m.indexed.schedulable != c.agents.schedulable(m) {
 			// Its agent has become unreachable, or it is no longer avoided.
 			c.placement.indexChanged(m)
-			c.placement.needed = true
+			c.placement.markNeeded()
 		}
 	}
 	c.placement.endBackOffs()
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -63,7 +63,7 @@
 		}
 	}
 	if c.jobs.raisePriority(j) {
-		c.placement.needed = true
+		c.placement.markNeeded()
 	}
 	if j.blocked() {
 		c.log.Debug("job waits for its dependencies", "job", j.id, "open", j.dependencies.Open(), "first", c.jobs.firstOpen(j))
@@ -141,7 +141,7 @@
 func (c *Core) becomesReady(j *job, at time.Duration) {
 	j.priority.arrived = at
 	c.autoscaling.observeArrival(j)
-	c.placement.needed = true
+	c.placement.markNeeded()
 	c.log.Debug("job dependencies are done", "job", j.id, "tasks", j.progress.total)
 }
 
--- a/internal/scheduler/estimates.go
+++ b/internal/scheduler/estimates.go
@@ -8,6 +8,9 @@
 	runRatios []float64 // by class, of run times to estimates; 0: not learned yet
 }
 
+// addClass makes room for a class.
+func (e *runEstimates) addClass() { e.runRatios = append(e.runRatios, 0) }
+
 // learn takes the ratio of one run.
 func (e *runEstimates) learn(class int32, ratio float64) {
 	ratio = min(max(ratio, 0.1), 10)
--- a/internal/scheduler/eviction_actions.go
+++ b/internal/scheduler/eviction_actions.go
@@ -25,7 +25,7 @@
 		if m.eviction.cordoned != cordoned {
 			m.eviction.cordoned = cordoned
 			v.placement.indexChanged(m)
-			v.placement.needed = true
+			v.placement.markNeeded()
 		}
 	}
 }
--- a/internal/scheduler/evictions.go
+++ b/internal/scheduler/evictions.go
@@ -129,22 +129,33 @@
 
 // evictionTick advances all plans, beginning with another one each time.
 func (c *Core) evictionTick() {
-	d := &c.evictions
-	if d.disruptions == nil || c.clock.now < d.next {
+	names, due := c.evictions.plansDue()
+	if !due {
 		return
 	}
-	d.next = c.clock.now + evictionInterval
-	d.disruptions.Tick(c.clock.now)
-	c.evictions.logDisruptions()
-	names := c.evictions.planNames()
-	for i := range names {
-		c.advancePlans(names[(i+d.firstPlan)%len(names)])
+	for _, name := range names {
+		c.advancePlan(name)
 	}
-	d.firstPlan++
 	c.evictions.cordon()
 	c.evictions.dropOldPlans()
 }
 
+// plansDue tells whether the plans are to be advanced now, and in which order.
+func (v *evictionState) plansDue() (names []string, due bool) {
+	if v.disruptions == nil || v.clock.now < v.next {
+		return nil, false
+	}
+	v.next = v.clock.now + evictionInterval
+	v.disruptions.Tick(v.clock.now)
+	v.logDisruptions()
+	inOrder := v.planNames()
+	for i := range inOrder {
+		names = append(names, inOrder[(i+v.firstPlan)%len(inOrder)])
+	}
+	v.firstPlan++
+	return names, true
+}
+
 // logDisruptions logs the beginning and the end of each job's disruption.
 func (v *evictionState) logDisruptions() {
 	noted := map[string]rollout.Entry{}
@@ -176,8 +187,8 @@
 	return names
 }
 
-// advancePlans advances one plan: its actions are carried out, or its record is written first.
-func (c *Core) advancePlans(name string) {
+// advancePlan advances one plan: its actions are carried out, or its record is written first.
+func (c *Core) advancePlan(name string) {
 	p := c.evictions.plans[name]
 	before, _ := p.rollout.Record()
 	for _, act := range p.rollout.Step(c.evictions.planView(p)) {
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -111,7 +111,7 @@
 	case ForeignWriteResult:
 		c.foreignWritten(e)
 	case TransfersEnabled:
-		c.federation.transfersEnabled = true
+		c.federation.enableTransfers()
 	case TransferListRequest:
 		c.transferListRequested(e)
 	}
@@ -311,7 +311,7 @@
 	}
 	j := c.jobs.list[at]
 	j.transfer.delegated = false
-	c.placement.needed = true
+	c.placement.markNeeded()
 }
 
 // delegatedEnded writes the end of a job that another cell has run, or that was cancelled while
@@ -364,6 +364,18 @@
 	}
 }
 
+// enableTransfers notes that every controller of this cell knows transfers.
+func (f *federationState) enableTransfers() { f.transfersEnabled = true }
+
+// forwardingDue tells whether the queue is to be searched for jobs to be delegated.
+func (f *federationState) forwardingDue() bool {
+	if !f.cells.Spill || !f.transfersEnabled || f.clock.now < f.nextForwarding {
+		return false
+	}
+	f.nextForwarding = f.clock.now + forwardingInterval
+	return true
+}
+
 // federationTick does what follows for transfers from the passing of time.
 func (c *Core) federationTick() {
 	t := &c.federation
@@ -373,8 +385,7 @@
 	t.delegated.Tick(c.clock.now)
 	c.applyOriginEffects()
 	c.federation.logWaiting()
-	if t.cells.Spill && t.transfersEnabled && c.clock.now >= t.nextForwarding {
-		t.nextForwarding = c.clock.now + forwardingInterval
+	if c.federation.forwardingDue() {
 		c.forwardJobs()
 	}
 	c.federation.sendTransfers()
--- a/internal/scheduler/federation_events.go
+++ b/internal/scheduler/federation_events.go
@@ -44,7 +44,7 @@
 		// JobExists: nothing was written, since there is a job of that name.
 		JobExists bool
 	}
-	// TransfersEnabled: every controller of this cell knows transfers.
+	// TransfersEnabled is the event that every controller of this cell knows transfers.
 	TransfersEnabled struct{}
 	// TransferListRequest is an operator's question.
 	TransferListRequest struct{ ReplyTo Recipient }
--- a/internal/scheduler/heartbeat_responses.go
+++ b/internal/scheduler/heartbeat_responses.go
@@ -20,6 +20,33 @@
 	until time.Duration
 }
 
+// newestHeartbeat has the next response that is opened carry the commands for a machine.
+func (q *commands) newestHeartbeat(m *machine) {
+	if m.commands.heldHeartbeat != nil {
+		// Its agent has given up the response to an earlier one.
+		m.commands.heldHeartbeat = nil
+		if len(m.commands.pending) > 0 {
+			q.machinesWithCommands = append(q.machinesWithCommands, m)
+		}
+	}
+	m.commands.openResponse = len(q.openResponses) + 1
+}
+
+// open opens a response, which is sent at the end of the step.
+func (q *commands) open(a heldResponse) { q.openResponses = append(q.openResponses, a) }
+
+// openHeldForUnreachable opens the responses to machines that had unreachable-agent records.
+func (q *commands) openHeldForUnreachable() {
+	held := q.heldForUnreachable
+	q.heldForUnreachable = nil
+	for _, a := range held {
+		if !a.outdated {
+			a.machine.commands.openResponse = len(q.openResponses) + 1
+		}
+		q.open(a)
+	}
+}
+
 // maxHold is how long a response waits for starts whose host is being written. That mostly takes
 // a tenth of it; otherwise the starts would follow in a direct command, which costs as much as
 // several heartbeats.
@@ -61,7 +88,7 @@
 		} else {
 			a.outdated = true
 		}
-		q.openResponses = append(q.openResponses, a)
+		q.open(a)
 	}
 	clear(q.awaitingWrites[len(keep):])
 	q.awaitingWrites = keep
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -24,14 +24,7 @@
 	c.agents.withdrawRecordOf(m)
 	a := heldResponse{replyTo: e.ReplyTo, machine: m, heartbeat: r}
 	if c.applyHeartbeat(m, r, true) {
-		if m.commands.heldHeartbeat != nil {
-			// Its agent has given up the response to an earlier one.
-			m.commands.heldHeartbeat = nil
-			if len(m.commands.pending) > 0 {
-				c.commands.machinesWithCommands = append(c.commands.machinesWithCommands, m)
-			}
-		}
-		m.commands.openResponse = len(c.commands.openResponses) + 1
+		c.commands.newestHeartbeat(m)
 		c.agents.raiseFencingToken(m)
 	} else {
 		a.outdated = true
@@ -48,7 +41,7 @@
 	// enough, also for a late copy.
 	m.agent.lastResponse = max(m.agent.lastResponse, m.agent.lastHeartbeat)
 	m.agent.leaseExpiry = max(m.agent.leaseExpiry, m.agent.lastHeartbeat+c.agents.lease)
-	c.commands.openResponses = append(c.commands.openResponses, a)
+	c.commands.open(a)
 }
 
 // applyHeartbeat takes in an agent's status, from a heartbeat or from the response to a direct
@@ -104,7 +97,7 @@
 		c.evictBeforeTermination(m)
 	}
 	if !wasOpen && c.agents.schedulable(m) {
-		c.placement.needed = true
+		c.placement.markNeeded()
 	}
 	return true
 }
--- a/internal/scheduler/inspections.go
+++ b/internal/scheduler/inspections.go
@@ -28,12 +28,17 @@
 	a.effects.emit(InspectWorker{Machine: m.name, Address: r.Address})
 }
 
+// inspectionEnded notes that an inspection has ended, with or without a result.
+func (a *agents) inspectionEnded(m *machine) {
+	m.agent.inspecting = false
+	a.inspectionsInFlight--
+}
+
 // inspectResult takes the status of an agent that was inspected. If that is older than the
 // newest heartbeat before the inspection, the agent has restarted.
 func (c *Core) inspectResult(e InspectResult) {
 	m := c.machineNamed(e.Machine)
-	m.agent.inspecting = false
-	c.agents.inspectionsInFlight--
+	c.agents.inspectionEnded(m)
 	r := e.Heartbeat
 	if r == nil || r.Machine != m.name || m.state == machineGone || r.FencingToken>>tokenBits > c.term {
 		return
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -17,8 +17,7 @@
 	if rec.EndedMS > 0 {
 		j.end.at = c.clock.ago(rec.EndedMS)
 	}
-	c.jobs.indexByID[ref] = j.index
-	c.jobs.list = append(c.jobs.list, j)
+	c.jobs.add(j)
 	s := rec.Job
 	if s == nil {
 		j.end.cleanedUp = true
@@ -39,7 +38,7 @@
 	j.progress.total = s.Tasks
 	j.record.hostAt = map[int32]int{}
 	j.progress.tasks = make([]task, s.Tasks)
-	c.jobs.active = append(c.jobs.active, j)
+	c.jobs.activate(j)
 	return j
 }
 
@@ -67,7 +66,7 @@
 		c.autoscaling.observeArrival(j)
 	}
 	c.jobs.raisePriorityBy(j)
-	c.placement.needed = true
+	c.placement.markNeeded()
 	return j
 }
 
@@ -78,7 +77,7 @@
 		c.evictions.disruptions.Over(j.id, c.clock.now)
 	}
 	if terminal == wire.JobCancelled {
-		c.jobs.cancelling[j.index] = true
+		c.jobs.cancellationBegan(j)
 	}
 	c.jobs.writeTerminal(j, true)
 }
@@ -88,7 +87,7 @@
 		return // it followed from another job's end before its own record was written
 	}
 	j.end.durable, j.end.at = true, c.clock.now
-	delete(c.jobs.cancelling, j.index)
+	c.jobs.cancellationEnded(j)
 	j.progress.waiting = nil
 	c.log.Debug("job ended", "job", j.id, "state", j.end.state, "seconds", (c.clock.now - j.priority.arrived).Seconds(), "late", c.clock.now > j.priority.deadline)
 	for _, to := range j.end.replyTo {
@@ -96,7 +95,7 @@
 	}
 	j.end.replyTo = nil
 	c.stopTasks(j)
-	c.placement.needed = true
+	c.placement.markNeeded()
 	c.releaseDependents(j)
 	c.jobs.cleanUp(j)
 	c.federation.delegated.Over(j.id, c.clock.now)
--- a/internal/scheduler/job_table.go
+++ b/internal/scheduler/job_table.go
@@ -30,6 +30,21 @@
 		indexByID: map[string]int32{}, cancelling: map[int32]bool{}}
 }
 
+// add adds a new job, whose index follows the last one.
+func (t *jobTable) add(j *job) {
+	t.indexByID[j.id] = j.index
+	t.list = append(t.list, j)
+}
+
+// activate counts a job among those that need attention.
+func (t *jobTable) activate(j *job) { t.active = append(t.active, j) }
+
+// cancellationBegan notes that a job's cancellation is being written.
+func (t *jobTable) cancellationBegan(j *job) { t.cancelling[j.index] = true }
+
+// cancellationEnded notes that it is durable.
+func (t *jobTable) cancellationEnded(j *job) { delete(t.cancelling, j.index) }
+
 // anyWaiting tells whether some task could be placed if there were room.
 func (t *jobTable) anyWaiting() bool {
 	return slices.ContainsFunc(t.active, func(j *job) bool { return j.placeable(t.clock.now) })
@@ -89,7 +104,8 @@
 	j.end.cleanedUp = true
 	t.dropKeys(j)
 	for _, h := range j.record.hosts {
-		t.machines.list[h.machine].recorded.namedByJobs--
+		m := t.machines.list[h.machine]
+		m.recorded.namedByJobs--
 	}
 	j.progress.tasks, j.record.hosts, j.record.hostAt, j.retry.failedOn, j.record.hostChunks, j.record.finishedKeys = nil, nil, nil, nil, nil, nil
 }
--- a/internal/scheduler/machine_table.go
+++ b/internal/scheduler/machine_table.go
@@ -18,6 +18,13 @@
 	return machineTable{indexByName: map[string]int32{}}
 }
 
+// add adds a new machine, whose index follows the last one.
+func (t *machineTable) add(m *machine) {
+	t.indexByName[m.name] = m.index
+	t.list = append(t.list, m)
+	t.live = append(t.live, m)
+}
+
 // find returns a machine that this term knows, or nil. One of an earlier leader's that is not
 // known once jobs may be disrupted is gone: the cloud's list has been read since, and a lease
 // has passed.
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"leadproxy/internal/settings"
 	"leadproxy/internal/slowfit"
 	"leadproxy/internal/wire"
 )
@@ -15,6 +16,17 @@
 
 func newMachineTypes() machineTypes { return machineTypes{indexByName: map[string]int32{}} }
 
+// add returns the index of a type, which may be new.
+func (t *machineTypes) add(typ wire.MachineType) (index int32, isNew bool) {
+	if i, known := t.indexByName[typ.Name]; known {
+		return i, false
+	}
+	index = int32(len(t.list))
+	t.indexByName[typ.Name] = index
+	t.list = append(t.list, machineType{MachineType: typ, boot: settings.Seconds(typ.BootS)})
+	return index, true
+}
+
 // machineType is a machine type of the cloud.
 type machineType struct {
 	wire.MachineType
@@ -23,6 +35,16 @@
 	boot  time.Duration // learned
 }
 
+// update takes what the cloud says of the type at present.
+func (t *machineType) update(typ wire.MachineType, zones *names) {
+	t.MachineType = typ
+	t.total = slowfit.Size{CPUs: typ.CPUs, GPUs: typ.GPUs, MemGB: typ.MemGB}
+	t.zones = t.zones[:0]
+	for _, zone := range typ.Zones {
+		t.zones = append(t.zones, zones.of(zone))
+	}
+}
+
 // price is what a machine of the type costs per hour at present.
 func (t *machineType) price(spot bool) float64 {
 	if spot {
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -116,9 +116,7 @@
 		capacity: capacity{idleSince: c.clock.now},
 		indexed:  indexEntry{pool: -1},
 		rental:   rental{rentedAt: c.clock.now}}
-	c.machines.indexByName[name] = m.index
-	c.machines.list = append(c.machines.list, m)
-	c.machines.live = append(c.machines.live, m)
+	c.machines.add(m)
 	c.softState.inheritMachine(m)
 	c.softState.machineChanged(m)
 	return m
@@ -161,7 +159,7 @@
 		m.recorded.gone = true
 		c.writes.put(ledger.Write{Key: ledger.GoneKey(m.name), Value: true})
 	}
-	c.placement.needed = true
+	c.placement.markNeeded()
 }
 
 // machineCameUp learns from a machine's first heartbeat.
@@ -172,5 +170,5 @@
 		t.boot += (c.clock.now - m.rental.rentedAt - t.boot) / 4
 	}
 	c.autoscaling.scaleOutMachineSeen(m)
-	c.placement.needed = true
+	c.placement.markNeeded()
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -47,10 +47,15 @@
 		poolIndexByKey: map[poolKey]int32{}, goal: slowfit.Goal{C: c.cfg.Operator.SlowFitC}}
 }
 
+// markNeeded has tasks placed at the end of the step, since something has changed that may let
+// waiting ones start.
+func (p *placement) markNeeded() { p.needed = true }
+
 // place starts what can be started: first the jobs that have waited too long and those with less
 // than their share (fair_share.go), then all jobs in the order of the queue; each task where
 // SLOW-FIT puts it.
 func (p *placement) place(uncertain []quota.Units) {
+	p.needed = false
 	for _, m := range p.stale {
 		p.refresh(m)
 	}
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -81,7 +81,7 @@
 	case j.progress.done == j.progress.total:
 		c.finish(j, wire.JobDone)
 	}
-	c.placement.needed = true
+	c.placement.markNeeded()
 }
 
 // restoreHosts notes the machines that a job's tasks may be on. Until each has sent a heartbeat,
@@ -136,7 +136,7 @@
 		j := c.jobs.list[i]
 		delete(j.record.inDoubtHosts, m.index)
 		if len(j.record.inDoubtHosts) == 0 {
-			c.placement.needed = true
+			c.placement.markNeeded()
 			if j.ended() {
 				c.jobs.cleanUp(j)
 			}
--- a/internal/scheduler/scale_in.go
+++ b/internal/scheduler/scale_in.go
@@ -78,8 +78,7 @@
 			all.unreachable++
 		}
 	}
-	a.agents.expectedCount = all.up
-	a.agents.detectZoneCuts(zones, all)
+	a.agents.zonesCounted(zones, all)
 	return cores
 }
 
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"errors"
 	"fmt"
 	"time"
 
@@ -30,11 +31,14 @@
 	t := a.types.list[w.Pool.Type]
 	h := &scaleOut{pool: w.Pool, open: true, record: ledger.ScaleOutRecord{Request: wire.ScaleOutRequest{
 		RequestID: name, Type: t.Name, Zone: a.machines.zones.list[w.Pool.Zone], Spot: w.Pool.Spot, Count: min(w.Count, autoscaler.MaxScaleOut)}}}
-	a.scaleOuts[name] = h
+	a.addScaleOut(h)
 	a.log.Info("scaling out", "request", name, "type", t.Name, "zone", h.record.Request.Zone, "spot", w.Pool.Spot, "count", h.record.Request.Count, "reason", w.Reason)
 	a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.record, Urgent: true, Tag: scaleOutTag{name}})
 }
 
+func (a *autoscaling) addScaleOut(h *scaleOut) { a.scaleOuts[h.record.Request.RequestID] = h }
+
+// scaleOutDurable sends a scale-out once its record is durable.
 func (a *autoscaling) scaleOutDurable(name string) {
 	if h := a.scaleOuts[name]; h != nil && h.open && !h.sent {
 		a.sendScaleOut(h)
@@ -51,7 +55,7 @@
 // is repeated under its own name, to learn its machines.
 func (c *Core) restoreScaleOut(r ledger.ScaleOutRecord) {
 	h := &scaleOut{record: r, pool: autoscaler.CapacityPool{Type: -1, Zone: c.machines.zones.of(r.Request.Zone), Spot: r.Request.Spot}}
-	c.autoscaling.scaleOuts[r.Request.RequestID] = h
+	c.autoscaling.addScaleOut(h)
 	if r.Machines == nil {
 		h.open = true
 		c.autoscaling.sendScaleOut(h)
@@ -79,3 +83,40 @@
 	delete(a.scaleOuts, h.record.Request.RequestID)
 	a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.record.Request.RequestID)})
 }
+
+// scaleOutEnded takes the result of a scale-out, and tells whether it has rented machines.
+func (a *autoscaling) scaleOutEnded(r autoscaler.Result) (h *scaleOut, rented bool) {
+	h = a.scaleOuts[r.Call.ScaleOut.RequestID]
+	if h == nil || !h.open {
+		return nil, false
+	}
+	h.sent = false
+	pool := a.pool(h.pool)
+	request := &h.record.Request
+	switch {
+	case r.Err == nil:
+		a.log.Info("scale-out result", "request", request.RequestID, "machines", r.Machines, "wanted", request.Count)
+		if len(r.Machines) < request.Count {
+			pool.block(a.clock.now)
+		} else {
+			pool.filled()
+		}
+		h.record.Machines = r.Machines
+		if len(r.Machines) == 0 {
+			a.dropScaleOut(h)
+			return nil, false
+		}
+		a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(request.RequestID), Value: h.record})
+		return h, true
+	case errors.Is(r.Err, autoscaler.ErrNoCapacity):
+		a.log.Info("scale-out refused: no capacity", "request", request.RequestID, "type", request.Type, "zone", request.Zone, "spot", request.Spot)
+		pool.block(a.clock.now)
+		h.open = false
+		a.dropScaleOut(h)
+	default:
+		// It may have been carried out. Only the same name is safe to repeat.
+		a.log.Info("scale-out result unknown, will retry", "request", request.RequestID, "error", r.Err)
+		h.retry = a.clock.now + time.Second
+	}
+	return nil, false
+}
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -5,7 +5,7 @@
 // reconcileTasks brings the allocations of a machine in line with a fresh heartbeat, or with the
 // result of a direct command.
 func (c *Core) reconcileTasks(m *machine, r *wire.Heartbeat, reported bool) {
-	c.agents.heartbeatsProcessed++
+	c.agents.countHeartbeat()
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		j, n, b := c.jobs.findTask(m, t)
--- a/internal/scheduler/task_stops.go
+++ b/internal/scheduler/task_stops.go
@@ -26,7 +26,7 @@
 	for _, m := range c.machines.live {
 		for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
 			if b := m.capacity.allocations[k]; b.job == j.index && (!b.stopping || b.gracePeriod > 0) {
-				c.cancellations.counts.Due++
+				c.cancellations.countDue()
 				c.stopAllocation(m, b, 0)
 			}
 		}
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -35,49 +35,64 @@
 // unreachableCheckInterval is how often unreachable agents are searched for.
 const unreachableCheckInterval = 2 * time.Second
 
-// recordUnreachable records the agents that have become unreachable and whose machines some
-// job's tasks may be on.
+// recordUnreachable records the agents that have become unreachable, and keeps new tasks from
+// their machines.
 func (c *Core) recordUnreachable() {
+	for _, m := range c.agents.recordUnreachable() {
+		c.placement.indexChanged(m)
+	}
+}
+
+// recordUnreachable records the agents that have become unreachable and whose machines some
+// job's tasks may be on. It returns those machines.
+func (a *agents) recordUnreachable() []*machine {
 	// In an outage a record could not be withdrawn, and an agent that is reachable again would
 	// lose its lease for want of a response.
-	if c.clock.now < c.agents.unreachable.nextCheck || c.writes.stalled(unreachableCheckInterval) {
-		return
+	if a.clock.now < a.unreachable.nextCheck || a.writes.stalled(unreachableCheckInterval) {
+		return nil
 	}
-	c.agents.unreachable.nextCheck = c.clock.now + unreachableCheckInterval
-	var silent []*machine
-	for _, m := range c.machines.live {
-		if m.agent.unreachable == nil && m.recorded.namedByJobs > 0 && m.state != machineGone && c.clock.now-max(m.agent.lastHeartbeat, c.clock.termStart, c.clock.tickingSince) > c.agents.unreachableAfter() {
-			silent = append(silent, m)
+	a.unreachable.nextCheck = a.clock.now + unreachableCheckInterval
+	var unreachable []*machine
+	for _, m := range a.machines.live {
+		if m.agent.unreachable == nil && m.recorded.namedByJobs > 0 && m.state != machineGone && a.isUnreachable(m) {
+			unreachable = append(unreachable, m)
 		}
 	}
-	for len(silent) > 0 {
-		names := make([]string, min(len(silent), ledger.HostsPerChunk))
+	for rest := unreachable; len(rest) > 0; {
+		names := make([]string, min(len(rest), ledger.HostsPerChunk))
 		for i := range names {
-			names[i] = silent[i].name
+			names[i] = rest[i].name
 		}
-		n := ledger.NamesThatFit(names, c.cfg.ValueBytes-unreachableRecordOverhead)
-		c.writeUnreachable(silent[:n])
-		silent = silent[n:]
+		n := ledger.NamesThatFit(names, a.cfg.ValueBytes-unreachableRecordOverhead)
+		a.writeUnreachable(rest[:n])
+		rest = rest[n:]
 	}
+	return unreachable
+}
+
+// isUnreachable tells whether an agent has sent no heartbeat for too long. Time in which this
+// controller was suspended does not count.
+func (a *agents) isUnreachable(m *machine) bool {
+	return a.clock.now-max(m.agent.lastHeartbeat, a.clock.termStart, a.clock.tickingSince) > a.unreachableAfter()
 }
 
 // unreachableRecordOverhead is the size of a record besides the machines' names.
 const unreachableRecordOverhead = 64
 
-func (c *Core) writeUnreachable(machines []*machine) {
-	n := &unreachableRecord{key: c.agents.newRecordKey(), machines: machines}
-	c.agents.unreachable.records = append(c.agents.unreachable.records, n)
+// writeUnreachable writes one record.
+func (a *agents) writeUnreachable(machines []*machine) {
+	n := &unreachableRecord{key: a.newRecordKey(), machines: machines}
+	a.unreachable.records = append(a.unreachable.records, n)
 	record := ledger.UnreachableRecord{}
-	over := c.clock.termStart
+	expiry := a.clock.termStart
 	for _, m := range machines {
 		m.agent.unreachable = n
-		c.placement.indexChanged(m)
-		over = max(over, m.agent.leaseExpiry)
+		expiry = max(expiry, m.agent.leaseExpiry)
 		record.Machines = append(record.Machines, m.name)
 	}
-	record.LeaseExpiryMS = c.clock.wallMS + int64((over-c.clock.now)/time.Millisecond) + 1
-	c.log.Info("recording unreachable machines", "machines", len(machines), "lease_expiry_s", (over - c.clock.now).Seconds())
-	c.writes.put(ledger.Write{Key: n.key, Value: record})
+	record.LeaseExpiryMS = a.clock.wallMS + int64((expiry-a.clock.now)/time.Millisecond) + 1
+	a.log.Info("recording unreachable machines", "machines", len(machines), "lease_expiry_s", (expiry - a.clock.now).Seconds())
+	a.writes.put(ledger.Write{Key: n.key, Value: record})
 }
 
 // newRecordKey returns a key for a record, a free one if there is one. Keys are never deleted: a
@@ -95,23 +110,30 @@
 
 // restoreUnreachable takes over the records of earlier leaders.
 func (c *Core) restoreUnreachable(records map[string]ledger.UnreachableRecord) {
-	// Both leaders' time of day may be off, in opposite directions.
-	margin := time.Duration(2 * c.cfg.Platform.Facts.ClockErrorMS * float64(time.Millisecond))
 	for _, key := range slices.Sorted(maps.Keys(records)) {
-		r := records[key]
-		if len(r.Machines) == 0 {
-			c.agents.unreachable.freeKeys = append(c.agents.unreachable.freeKeys, key)
-			continue
-		}
-		n := &unreachableRecord{key: key}
-		c.agents.unreachable.records = append(c.agents.unreachable.records, n)
-		over := c.clock.now + settings.Stretch(time.Duration(r.LeaseExpiryMS-c.clock.wallMS)*time.Millisecond) + margin
-		for _, name := range r.Machines {
-			m := c.machineNamed(name)
-			m.agent.unreachable = n
-			m.agent.leaseExpiry = min(m.agent.leaseExpiry, over)
-			n.machines = append(n.machines, m)
+		var machines []*machine
+		for _, name := range records[key].Machines {
+			machines = append(machines, c.machineNamed(name))
 		}
+		c.agents.restoreRecord(key, machines, records[key].LeaseExpiryMS)
+	}
+}
+
+// restoreRecord takes over a record of an earlier leader; without machines it is withdrawn, and
+// its key free.
+func (a *agents) restoreRecord(key string, machines []*machine, leaseExpiryMS int64) {
+	if len(machines) == 0 {
+		a.unreachable.freeKeys = append(a.unreachable.freeKeys, key)
+		return
+	}
+	n := &unreachableRecord{key: key, machines: machines}
+	a.unreachable.records = append(a.unreachable.records, n)
+	// Both leaders' time of day may be off, in opposite directions.
+	margin := time.Duration(2 * a.cfg.Platform.Facts.ClockErrorMS * float64(time.Millisecond))
+	expiry := a.clock.now + settings.Stretch(time.Duration(leaseExpiryMS-a.clock.wallMS)*time.Millisecond) + margin
+	for _, m := range machines {
+		m.agent.unreachable = n
+		m.agent.leaseExpiry = min(m.agent.leaseExpiry, expiry)
 	}
 }
 
@@ -131,30 +153,36 @@
 }
 
 // unreachableWithdrawn notes that the withdrawal of a record is durable: its machines may get
-// responses again.
+// responses and tasks again.
 func (c *Core) unreachableWithdrawn(key string) {
-	i := slices.IndexFunc(c.agents.unreachable.records, func(n *unreachableRecord) bool { return n.key == key })
-	if i < 0 {
+	machines, known := c.agents.recordWithdrawn(key)
+	if !known {
 		return
 	}
-	n := c.agents.unreachable.records[i]
-	c.agents.unreachable.records = slices.Delete(c.agents.unreachable.records, i, i+1)
-	c.agents.unreachable.freeKeys = append(c.agents.unreachable.freeKeys, key)
+	for _, m := range machines {
+		c.placement.indexChanged(m)
+	}
+	c.placement.markNeeded()
+	c.commands.openHeldForUnreachable()
+}
+
+// recordWithdrawn removes a record whose withdrawal is durable, and returns the machines that it
+// was about.
+func (a *agents) recordWithdrawn(key string) (machines []*machine, known bool) {
+	i := slices.IndexFunc(a.unreachable.records, func(n *unreachableRecord) bool { return n.key == key })
+	if i < 0 {
+		return nil, false
+	}
+	n := a.unreachable.records[i]
+	a.unreachable.records = slices.Delete(a.unreachable.records, i, i+1)
+	a.unreachable.freeKeys = append(a.unreachable.freeKeys, key)
 	for _, m := range n.machines {
 		if m.agent.unreachable == n {
 			m.agent.unreachable = nil
-			c.placement.indexChanged(m)
-		}
-	}
-	c.placement.needed = true
-	held := c.commands.heldForUnreachable
-	c.commands.heldForUnreachable = nil
-	for _, a := range held {
-		if !a.outdated {
-			a.machine.commands.openResponse = len(c.commands.openResponses) + 1
+			machines = append(machines, m)
 		}
-		c.commands.openResponses = append(c.commands.openResponses, a)
 	}
+	return machines, true
 }
 
 // withdrawUseless withdraws the records that serve no job any more.
--- a/internal/scheduler/zone_cuts.go
+++ b/internal/scheduler/zone_cuts.go
@@ -6,6 +6,12 @@
 // are unreachable.
 type zoneCount struct{ up, unreachable int }
 
+// zonesCounted takes the counts of the zones and of all machines.
+func (a *agents) zonesCounted(zones []zoneCount, all zoneCount) {
+	a.expectedCount = all.up
+	a.detectZoneCuts(zones, all)
+}
+
 // detectZoneCuts notes which zones seem to be cut off. When a whole zone is unreachable at once,
 // or most machines, the network between us and them has rather failed: they keep running, and
 // deleting them would lose their work. When the network is restored, or their heartbeats come by
