--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -5,7 +5,6 @@
 	"time"
 
 	"leadproxy/internal/settings"
-	"leadproxy/internal/wire"
 )
 
 // agents is what the leader keeps of the agents on the machines beyond what is kept with each
@@ -42,54 +41,6 @@
 		probes:            probes{atOnce: minProbes}}
 }
 
-// agentState is what is known of the agent on one machine.
-type agentState struct {
-	address string
-	// addressFromSoftState: the address is known only from the soft state of an earlier
-	// leader, and softStateEpoch is the agent's epoch by that.
-	addressFromSoftState bool
-	softStateEpoch       uint64
-
-	epoch, sequence   uint64 // of its newest heartbeat
-	expiredEpoch      uint64 // epochs up to this one have certainly ended
-	fencingToken      uint64 // the token of the commands to it
-	acknowledgedToken uint64 // the highest token that it has sent back
-	// minAcceptedToken: a heartbeat with a lower token comes from an incarnation of the
-	// agent that has ended.
-	minAcceptedToken uint64
-	unacknowledged   bool // it has not acknowledged a token since a sign that it does not receive our responses
-
-	lastHeartbeat    time.Duration
-	lastAcknowledged time.Duration // when it last showed that it receives our responses
-	lastResponse     time.Duration // the last heartbeat that was answered in this term
-	epochSeenAt      time.Duration // when this leader first received a heartbeat of its present incarnation
-	tokenRaisedAt    time.Duration
-	leaseExpiry      time.Duration // when an unseen task on its machine must have ended
-
-	probes          int // probes sent to it
-	inspecting      bool
-	lastInspection  time.Duration
-	inspectedAt     heartbeatPosition // the newest heartbeat when the inspection began
-	staleHeartbeats int               // stale heartbeats in a row that an inspection has shown to be late copies
-
-	unreachable *unreachableRecord
-}
-
-// position is the place of the newest heartbeat in the agent's order.
-func (a *agentState) position() heartbeatPosition { return heartbeatPosition{a.epoch, a.sequence} }
-
-// heartbeatPosition orders the heartbeats of one agent.
-type heartbeatPosition struct{ epoch, sequence uint64 }
-
-// positionOf is the place of a heartbeat in its agent's order.
-func positionOf(r *wire.Heartbeat) heartbeatPosition {
-	return heartbeatPosition{r.AgentEpoch, r.Sequence}
-}
-
-func (s heartbeatPosition) before(o heartbeatPosition) bool {
-	return s.epoch < o.epoch || s.epoch == o.epoch && s.sequence < o.sequence
-}
-
 // countHeartbeat numbers the heartbeat whose list of tasks is being reconciled.
 func (a *agents) countHeartbeat() { a.heartbeatsProcessed++ }
 
@@ -125,8 +76,7 @@
 // on its machine until it has acknowledged a higher token. That its heartbeats arrive shows
 // nothing.
 func (c *Core) markUnacknowledged(m *machine) {
-	m.agent.fencingToken++
-	m.agent.tokenRaisedAt, m.agent.unacknowledged = c.clock.now, true
+	m.agent.markUnacknowledged(c.clock.now)
 	c.placement.indexChanged(m)
 }
 
@@ -135,7 +85,6 @@
 // refused.
 func (a *agents) raiseFencingToken(m *machine) {
 	if m.trusted(a.term) && m.commands.inFlight == 0 && m.agent.acknowledgedToken >= m.agent.fencingToken && a.clock.now-m.agent.tokenRaisedAt >= a.lease/4 {
-		m.agent.fencingToken++
-		m.agent.tokenRaisedAt = a.clock.now
+		m.agent.raiseToken(a.clock.now)
 	}
 }
--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -49,8 +49,8 @@
 	phase       uint32
 	allocations []*allocation
 	idleSince   time.Duration
-	images      []imageSlot
-	reserved    bool // kept free for one job's first task
+	images      []imageSlot // the least recently used one first
+	reserved    bool        // kept free for one job's first task
 }
 
 func (m *machine) allocation(attempt uint64) *allocation {
@@ -62,6 +62,42 @@
 	return nil
 }
 
+// addImage notes that the machine holds an image, and drops the least recently used ones beyond
+// its cache.
+func (m *capacity) addImage(image int32, gb, cache float64) {
+	for i, s := range m.images {
+		if s.image == image {
+			copy(m.images[i:], m.images[i+1:])
+			m.images[len(m.images)-1] = s
+			return
+		}
+	}
+	m.images = append(m.images, imageSlot{image, gb})
+	sum := 0.0
+	for _, s := range m.images {
+		sum += s.gb
+	}
+	for len(m.images) > 1 && sum > cache {
+		sum -= m.images[0].gb
+		m.images = m.images[1:]
+	}
+}
+
+// inheritImage adds an image that the soft state of an earlier leader names.
+func (m *capacity) inheritImage(image int32, gb float64) {
+	m.images = append(m.images, imageSlot{image, gb})
+}
+
+// setTotal takes the room of the machine's type, once that is known or has changed.
+func (m *capacity) setTotal(total slowfit.Size) {
+	used := m.total.Minus(m.free)
+	m.total = total
+	m.free = total.Minus(used)
+}
+
+// used notes when the machine was last used.
+func (m *capacity) used(at time.Duration) { m.idleSince = at }
+
 // allocate takes room on a machine. charge is false for a task that is only waited
 // for to be gone.
 func (c *Core) allocate(m *machine, j *job, n int32, attempt uint64, charge bool) *allocation {
@@ -80,16 +116,12 @@
 // takeRoom adds an allocation to its machine, its job, its class and its team.
 func (p *placement) takeRoom(m *machine, j *job, n int32, attempt uint64, charge bool) *allocation {
 	b := &allocation{job: j.index, task: n, zone: m.zone, attempt: attempt, share: j.request.size.Share(m.capacity.total)}
-	if charge {
-		j.progress.tasks[n].state = taskAllocated
-	} else {
-		b.stopping = true
-	}
+	b.stopping = !charge
 	if math.IsInf(b.share, 1) {
 		b.share = 0
 	}
-	j.progress.allocated++
-	j.countInZone(b.zone, 1)
+	j.progress.addAllocation(n, charge)
+	p.countInZone(j, b.zone, 1)
 	p.classes.allocate(j.request.class, j.request.size.CPUs)
 	p.teams.At(j.request.team).Allocate(j.request.size)
 	m.capacity.free = m.capacity.free.Minus(j.request.size)
@@ -113,8 +145,8 @@
 		}
 	}
 	j := p.jobs.list[b.job]
-	j.progress.allocated--
-	j.countInZone(b.zone, -1)
+	j.progress.removeAllocation()
+	p.countInZone(j, b.zone, -1)
 	p.classes.deallocate(j.request.class, j.request.size.CPUs)
 	p.teams.At(j.request.team).Deallocate(j.request.size)
 	if len(m.capacity.allocations) == 0 {
@@ -145,5 +177,5 @@
 		c.log.Debug("task lost with its machine", "machine", m.name, "task", c.jobs.taskName(b), "reason", why)
 		c.release(m, b)
 	}
-	m.commands.pending = nil
+	m.commands.dropPending()
 }
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -82,7 +82,7 @@
 func (w *cancellationWatch) check() {
 	for _, j := range w.jobs.active {
 		if j.progress.allocated > 0 && !j.end.overdueLogged && w.overdue(j) {
-			j.end.overdueLogged = true
+			j.end.markOverdueLogged()
 			w.logOverdue(j)
 		}
 	}
--- a/internal/scheduler/cloud_results.go
+++ b/internal/scheduler/cloud_results.go
@@ -43,7 +43,7 @@
 				}
 			}
 			for _, j := range c.jobs.active {
-				j.request.types = nil
+				j.request.forgetTypes()
 			}
 			c.placement.markNeeded()
 		}
@@ -53,9 +53,7 @@
 // listRead takes the cloud's list of machines.
 func (c *Core) listRead(list []wire.ListedMachine) {
 	for _, m := range c.machines.live {
-		if m.rental.listed {
-			m.rental.missedListings++
-		}
+		m.rental.inList(false)
 	}
 	for i := range list {
 		l := &list[i]
@@ -63,15 +61,13 @@
 		if m.state == machineGone {
 			continue
 		}
-		if !m.rental.listed {
-			m.rental.listed = true
-			m.rental.rentedAt = c.clock.now - settings.Seconds(l.AgeS)
+		if m.rental.wasListed(c.clock.now - settings.Seconds(l.AgeS)) {
 			c.autoscaling.scaleOutMachineSeen(m)
 		}
 		if m.typeName == "" {
 			c.updateDescription(m, l.Type, l.Zone, l.Spot, l.Address)
 		}
-		m.rental.missedListings = 0
+		m.rental.inList(true)
 		if l.Status == wire.MachineRunning && settings.Seconds(l.AgeS) > c.clock.now-c.clock.termStart {
 			c.agents.probe(m)
 		}
@@ -86,13 +82,13 @@
 // machinesRented records the machines of a scale-out.
 func (c *Core) machinesRented(h *scaleOut, machines []string) {
 	h.open = false
-	c.evictions.recordRented(h.record.Request.RequestID, machines)
+	c.evictions.recordRented(h.saved.Request.RequestID, machines)
 	h.unseenMachines = map[string]bool{}
 	for _, name := range machines {
 		m := c.machineNamed(name)
-		m.rental.scaleOutID = h.record.Request.RequestID
+		m.rental.rentedBy(h.saved.Request.RequestID)
 		if m.state == machineStarting {
-			c.updateDescription(m, h.record.Request.Type, h.record.Request.Zone, h.record.Request.Spot, "")
+			c.updateDescription(m, h.saved.Request.Type, h.saved.Request.Zone, h.saved.Request.Spot, "")
 		}
 		if m.state == machineStarting && !m.rental.listed {
 			h.unseenMachines[name] = true
--- a/internal/scheduler/command_results.go
+++ b/internal/scheduler/command_results.go
@@ -35,7 +35,7 @@
 	if e.Outcome == CommandOutcomeUnknown || e.Outcome == CommandNotSent {
 		// Its heartbeats may still arrive, but starts don't: it is avoided for a while, or the
 		// same tasks would be placed there again and again.
-		m.commands.avoidUntil = c.clock.now + avoidFor
+		m.commands.avoid(c.clock.now + avoidFor)
 		c.markUnacknowledged(m)
 	}
 	switch e.Outcome {
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -43,6 +43,32 @@
 	avoidUntil    time.Duration // until then nothing is started on it: commands do not arrive
 }
 
+// ruleOut resolves the starts that can't be executed any more by an agent that has acknowledged a
+// token.
+func (m *machineCommands) ruleOut(acknowledged uint64) {
+	for attempt, token := range m.unresolvedStarts {
+		if acknowledged >= token {
+			delete(m.unresolvedStarts, attempt)
+		}
+	}
+}
+
+// ruleOutAll resolves all starts: none can be executed any more.
+func (m *machineCommands) ruleOutAll() { clear(m.unresolvedStarts) }
+
+// ruleOutAt has all starts resolved by a token, once that is acknowledged.
+func (m *machineCommands) ruleOutAt(token uint64) {
+	for attempt := range m.unresolvedStarts {
+		m.unresolvedStarts[attempt] = token
+	}
+}
+
+// avoid keeps new tasks from the machine for a time.
+func (m *machineCommands) avoid(until time.Duration) { m.avoidUntil = until }
+
+// dropPending drops the commands that were not sent yet.
+func (m *machineCommands) dropPending() { m.pending = nil }
+
 // commandInFlight is a command whose result is not known yet.
 type commandInFlight struct {
 	machine              *machine
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -139,7 +139,7 @@
 
 // becomesReady has a job's wait, and the demand for it, count from a moment on.
 func (c *Core) becomesReady(j *job, at time.Duration) {
-	j.priority.arrived = at
+	j.priority.arriveAt(at)
 	c.autoscaling.observeArrival(j)
 	c.placement.markNeeded()
 	c.log.Debug("job dependencies are done", "job", j.id, "tasks", j.progress.total)
@@ -152,7 +152,7 @@
 	}
 	c.log.Debug("job cancelled with a dependency", "job", j.id, "dependency", p.id)
 	if !j.ended() {
-		j.end.state = wire.JobCancelled
+		j.end.decide(wire.JobCancelled)
 		c.jobs.writeTerminal(j, false)
 	}
 	c.terminalIsDurable(j)
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -139,7 +139,7 @@
 		}
 		if away.Unknown {
 			if known {
-				j.transfer.delegated = true // until an operator has mended the record
+				j.transfer.setDelegated(true) // until an operator has mended the record
 			}
 			continue
 		}
@@ -149,7 +149,7 @@
 		}
 		c.federation.delegated.Restore(away.JobID, away.Record, body, known && j.end.durable, c.clock.now)
 		if known {
-			j.transfer.delegated = c.federation.delegated.Delegated(away.JobID)
+			j.transfer.setDelegated(c.federation.delegated.Delegated(away.JobID))
 		}
 		if _, ok := c.federation.cells.Find(away.Record.Cell); !ok {
 			c.log.Error("job delegated to a cell that the settings do not name", "job", away.JobID, "cell", away.Record.Cell, "transfer_epoch", away.Record.Epoch)
@@ -310,7 +310,7 @@
 		return
 	}
 	j := c.jobs.list[at]
-	j.transfer.delegated = false
+	j.transfer.setDelegated(false)
 	c.placement.markNeeded()
 }
 
@@ -327,7 +327,7 @@
 	case e.Aborted:
 		c.cancel(j)
 	default:
-		j.progress.done = j.progress.total
+		j.progress.allDone()
 		c.finish(j, wire.JobDone)
 	}
 }
@@ -343,7 +343,7 @@
 	if n == nil || n.unreachable {
 		c.effects.emit(UserReply{ReplyTo: to, Known: true, CellUnreachable: true})
 	} else {
-		j.end.replyTo = append(j.end.replyTo, to)
+		j.end.await(to)
 	}
 	c.applyOriginEffects()
 	c.federation.sendTransfers()
@@ -357,10 +357,9 @@
 			continue
 		}
 		j := f.jobs.list[at]
-		for _, to := range j.end.replyTo {
+		for _, to := range j.end.takeRecipients() {
 			f.effects.emit(UserReply{ReplyTo: to, Known: true, CellUnreachable: true})
 		}
-		j.end.replyTo = nil
 	}
 }
 
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -36,54 +36,37 @@
 		c.effects.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
 	}
-	// The agent's lease counts from when it sent the heartbeat. That was before we received
-	// anything newer from it, so counting from the last heartbeat that was accepted is late
-	// enough, also for a late copy.
-	m.agent.lastResponse = max(m.agent.lastResponse, m.agent.lastHeartbeat)
-	m.agent.leaseExpiry = max(m.agent.leaseExpiry, m.agent.lastHeartbeat+c.agents.lease)
+	m.agent.responded(c.agents.lease)
 	c.commands.open(a)
 }
 
 // applyHeartbeat takes in an agent's status, from a heartbeat or from the response to a direct
 // command. It returns false for a stale one.
 func (c *Core) applyHeartbeat(m *machine, r *wire.Heartbeat, reported bool) bool {
-	if r.AgentEpoch <= m.agent.expiredEpoch || !m.agent.position().before(positionOf(r)) {
-		return false
-	}
-	if r.FencingToken < max(m.agent.minAcceptedToken, m.agent.acknowledgedToken) {
-		// An agent never forgets a token while it runs. So this is from an earlier incarnation,
-		// whose numbers may be higher than those of the present one, or it has restarted and not
-		// received our token yet. The response carries it.
+	if m.agent.isStale(r) {
 		return false
 	}
 	// A machine that becomes schedulable, at its first acknowledgement or after it was
 	// unreachable, may be what waiting tasks need.
 	wasOpen := c.agents.schedulable(m)
 	if m.state == machineStarting {
-		m.state, m.agent.epochSeenAt = machineUp, c.clock.now
+		m.state = machineUp
+		m.agent.firstSeen(c.clock.now)
 		c.machineCameUp(m)
 	}
 	c.updateDescription(m, r.Type, r.Zone, r.Spot, r.Address)
-	m.agent.lastHeartbeat = c.clock.now
+	m.agent.received(c.clock.now)
 	c.agents.withdrawRecordOf(m)
 	if r.AgentEpoch != m.agent.epoch {
 		c.epochBegan(m, r.AgentEpoch)
 	}
-	m.agent.sequence = r.Sequence
 	c.placement.indexChanged(m)
-	m.agent.acknowledgedToken = max(m.agent.acknowledgedToken, r.FencingToken)
-	for attempt, fence := range m.commands.unresolvedStarts {
-		if m.agent.acknowledgedToken >= fence {
-			delete(m.commands.unresolvedStarts, attempt)
-		}
-	}
+	m.agent.acknowledge(r, c.clock.now)
+	m.commands.ruleOut(m.agent.acknowledgedToken)
 	if r.TerminationNoticeS != nil && m.rental.terminationAt == 0 {
-		m.rental.terminationAt = c.clock.now + settings.Seconds(*r.TerminationNoticeS)
+		m.rental.noticeTermination(c.clock.now + settings.Seconds(*r.TerminationNoticeS))
 		c.log.Info("machine has a termination notice", "machine", m.name, "seconds", *r.TerminationNoticeS, "allocations", len(m.capacity.allocations))
 	}
-	if r.FencingToken >= m.agent.fencingToken {
-		m.agent.lastAcknowledged, m.agent.unacknowledged = c.clock.now, false
-	}
 	if m.trusted(c.term) {
 		// Without our token this may be a copy from before our term, of any age: its list of
 		// tasks is not believed.
@@ -103,18 +86,15 @@
 }
 
 // epochBegan notes that an agent is in another epoch than before.
-func (c *Core) epochBegan(m *machine, session uint64) {
+func (c *Core) epochBegan(m *machine, epoch uint64) {
 	if m.agent.epoch != 0 {
-		c.log.Info("agent began a new epoch", "machine", m.name, "agent_epoch", session, "allocations", len(m.capacity.allocations))
+		c.log.Info("agent began a new epoch", "machine", m.name, "agent_epoch", epoch, "allocations", len(m.capacity.allocations))
 		c.dropAllocations(m, "its agent began a new epoch")
 		// It has received no response for a whole lease.
 		c.markUnacknowledged(m)
 	}
 	// A start sent to the earlier epoch can't be executed any more.
-	clear(m.commands.unresolvedStarts)
-	m.agent.epoch = session
+	m.commands.ruleOutAll()
+	m.agent.beginEpoch(epoch, c.clock.now+c.agents.lease)
 	c.softState.machineChanged(m)
-	// An epoch begins with a lease of its own, without any response, and this one may have begun
-	// just now: what was known of the lease was about the epoch before.
-	m.agent.leaseExpiry = max(m.agent.leaseExpiry, c.clock.now+c.agents.lease)
 }
--- a/internal/scheduler/inspections.go
+++ b/internal/scheduler/inspections.go
@@ -43,30 +43,30 @@
 	if r == nil || r.Machine != m.name || m.state == machineGone || r.FencingToken>>tokenBits > c.term {
 		return
 	}
-	if anew := positionOf(r).before(m.agent.inspectedAt); !anew {
-		m.agent.staleHeartbeats++
+	if positionOf(r).before(m.agent.inspectedAt) {
+		c.agentRestarted(m, r)
 	} else {
-		m.agent.staleHeartbeats = 0
-		c.log.Info("agent restarted: its epochs count from the beginning", "machine", m.name, "agent_epoch", r.AgentEpoch, "allocations", len(m.capacity.allocations))
-		there := map[uint64]bool{}
-		for _, t := range r.Tasks {
-			there[t.Attempt] = true
-		}
-		for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
-			// A command on its way to the earlier incarnation may yet be executed by the present
-			// one.
-			if b := m.capacity.allocations[k]; m.commands.unresolvedStarts[b.attempt] == 0 && !there[b.attempt] {
-				c.release(m, b)
-			}
-		}
-		m.agent.epoch, m.agent.sequence, m.agent.expiredEpoch, m.agent.acknowledgedToken, m.agent.epochSeenAt = r.AgentEpoch, 0, 0, 0, c.clock.now
-		c.markUnacknowledged(m)
-		// A late heartbeat of the earlier incarnation has a higher position than all from now
-		// on.
-		m.agent.minAcceptedToken = m.agent.fencingToken
-		for a := range m.commands.unresolvedStarts {
-			m.commands.unresolvedStarts[a] = m.agent.fencingToken
-		}
+		m.agent.lateCopy()
 	}
 	c.applyHeartbeat(m, r, false)
 }
+
+// agentRestarted takes in that an agent has restarted: what it does not list is gone.
+func (c *Core) agentRestarted(m *machine, r *wire.Heartbeat) {
+	c.log.Info("agent restarted: its epochs count from the beginning", "machine", m.name, "agent_epoch", r.AgentEpoch, "allocations", len(m.capacity.allocations))
+	listed := map[uint64]bool{}
+	for _, t := range r.Tasks {
+		listed[t.Attempt] = true
+	}
+	for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
+		// A command on its way to the earlier incarnation may yet be executed by the present
+		// one.
+		if b := m.capacity.allocations[k]; m.commands.unresolvedStarts[b.attempt] == 0 && !listed[b.attempt] {
+			c.release(m, b)
+		}
+	}
+	m.agent.restart(r.AgentEpoch, c.clock.now)
+	c.markUnacknowledged(m)
+	m.agent.requireLatestToken()
+	m.commands.ruleOutAt(m.agent.fencingToken)
+}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -155,20 +155,127 @@
 }
 
 // fillWaiting lists the waiting tasks, the lowest number to be placed first.
-func (j *job) fillWaiting() {
-	j.progress.waiting = make([]int32, 0, max(0, len(j.progress.tasks)-j.progress.done))
-	for i := len(j.progress.tasks) - 1; i >= 0; i-- {
-		if j.progress.tasks[i].state == taskWaiting {
-			j.progress.waiting = append(j.progress.waiting, int32(i))
+func (p *progress) fillWaiting() {
+	p.waiting = make([]int32, 0, max(0, len(p.tasks)-p.done))
+	for i := len(p.tasks) - 1; i >= 0; i-- {
+		if p.tasks[i].state == taskWaiting {
+			p.waiting = append(p.waiting, int32(i))
 		}
 	}
 }
 
-func (j *job) dropWaiting(n int32) {
-	for k, w := range j.progress.waiting {
+// takeWaiting removes and returns the waiting task that is placed next.
+func (p *progress) takeWaiting() int32 {
+	last := len(p.waiting) - 1
+	n := p.waiting[last]
+	p.waiting = p.waiting[:last]
+	return n
+}
+
+// dropWaiting removes a task from the waiting ones.
+func (p *progress) dropWaiting(n int32) {
+	for k, w := range p.waiting {
 		if w == n {
-			j.progress.waiting = append(j.progress.waiting[:k], j.progress.waiting[k+1:]...)
+			p.waiting = append(p.waiting[:k], p.waiting[k+1:]...)
 			return
 		}
 	}
 }
+
+// dropAllWaiting has none wait any more.
+func (p *progress) dropAllWaiting() { p.waiting = nil }
+
+// requeue has an allocated task wait again, and tells whether it was allocated.
+func (p *progress) requeue(n int32) bool {
+	if p.tasks[n].state != taskAllocated {
+		return false
+	}
+	p.tasks[n].state = taskWaiting
+	p.waiting = append(p.waiting, n)
+	return true
+}
+
+// addAllocation counts an allocation. Without a charge it is one of a job that has ended, and the
+// task's state stays.
+func (p *progress) addAllocation(n int32, charge bool) {
+	if charge {
+		p.tasks[n].state = taskAllocated
+	}
+	p.allocated++
+}
+
+// removeAllocation counts the end of an allocation.
+func (p *progress) removeAllocation() { p.allocated-- }
+
+// markStarted notes that some task has been seen running.
+func (p *progress) markStarted() { p.startedOnce = true }
+
+// taskEnded notes that a task has completed.
+func (p *progress) taskEnded(n int32) {
+	if p.tasks[n].state == taskWaiting {
+		p.dropWaiting(n)
+	}
+	p.tasks[n].state = taskDone
+	p.done++
+	p.startedOnce = true
+}
+
+// taskDurable notes that the end of a task is in the ledger.
+func (p *progress) taskDurable(n int32) {
+	if p.tasks != nil && p.tasks[n].state == taskDone {
+		p.tasks[n].state = taskDurable
+	}
+}
+
+// allDone counts all tasks as done.
+func (p *progress) allDone() { p.done = p.total }
+
+// restoreFinished notes that a task's end is in the ledger, and tells whether that is new.
+func (p *progress) restoreFinished(n int) bool {
+	if n >= len(p.tasks) || p.tasks[n].state == taskDurable {
+		return false
+	}
+	p.tasks[n].state = taskDurable
+	return true
+}
+
+// restore completes what is known of the tasks by the ledger.
+func (p *progress) restore(finished int, hasHosts bool) {
+	p.done = max(p.done, finished)
+	p.fillWaiting()
+	p.startedOnce = p.done > 0 || hasHosts
+}
+
+// decide sets the terminal state.
+func (e *jobEnd) decide(state string) { e.state = state }
+
+// becameDurable notes when the terminal state became durable.
+func (e *jobEnd) becameDurable(at time.Duration) { e.durable, e.at = true, at }
+
+// await has someone told when the terminal state is durable.
+func (e *jobEnd) await(to Recipient) { e.replyTo = append(e.replyTo, to) }
+
+// takeRecipients removes and returns those who wait for the terminal state.
+func (e *jobEnd) takeRecipients() []Recipient {
+	recipients := e.replyTo
+	e.replyTo = nil
+	return recipients
+}
+
+// markOverdueLogged notes that the job's overdue tasks are logged.
+func (e *jobEnd) markOverdueLogged() { e.overdueLogged = true }
+
+// arriveAt has the wait of the job count from a time on.
+func (p *priority) arriveAt(at time.Duration) { p.arrived = at }
+
+// forgetTypes has the types resolved again, since there are new ones.
+func (r *request) forgetTypes() { r.types = nil }
+
+// delayUntil keeps the job's tasks from starting until a time.
+func (r *retry) delayUntil(at time.Duration) { r.notBefore = at }
+
+// forgetFailures drops where tasks have failed.
+func (r *retry) forgetFailures() { r.failedOn = nil }
+
+// setDelegated notes whether another cell may run the job.
+func (t *transfer) setDelegated(delegated bool) { t.delegated = delegated }
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -4,50 +4,58 @@
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/wire"
+	"time"
 )
 
-func (c *Core) newJob(ref string, rec ledger.JobRecord, version uint64) *job {
-	j := &job{index: int32(len(c.jobs.list)), id: ref, spec: rec.Job, dependencies: c.jobs.graph.Add(),
+// newJob adds a job of a record to the job table.
+func (c *Core) newJob(id string, rec ledger.JobRecord, version uint64) *job {
+	j := &job{index: int32(len(c.jobs.list)), id: id, spec: rec.Job, dependencies: c.jobs.graph.Add(),
 		request:  request{zone: -1},
 		priority: priority{deadline: never},
 		progress: progress{total: rec.Tasks, done: rec.Done},
-		end:      jobEnd{state: rec.Terminal, durable: rec.Terminal != ""},
+		end:      jobEnd{state: rec.Terminal, durable: rec.Terminal != "", cleanedUp: rec.Job == nil},
 		record:   jobRecord{version: version, acceptedMS: rec.AcceptedMS},
 		transfer: transfer{origin: rec.Origin, epoch: rec.TransferEpoch}}
 	if rec.EndedMS > 0 {
-		j.end.at = c.clock.ago(rec.EndedMS)
+		j.end.becameDurable(c.clock.ago(rec.EndedMS))
 	}
 	c.jobs.add(j)
-	s := rec.Job
-	if s == nil {
-		j.end.cleanedUp = true
+	if rec.Job == nil {
 		return j
 	}
-	j.priority.arrived = c.clock.ago(rec.AcceptedMS)
-	if s.DeadlineS != nil {
-		j.priority.deadline = j.priority.arrived + settings.Seconds(*s.DeadlineS)
-	}
-	j.priority.class = s.PriorityClass()
-	j.request.size = sizeOf(s)
-	j.request.class = c.classOf(s.Class)
-	j.request.image = c.placement.images.of(s.Image)
-	if s.Zone != nil {
-		j.request.zone = c.machines.zones.of(*s.Zone)
-	}
-	j.request.team = c.teams.Index(s.Team)
-	j.progress.total = s.Tasks
-	j.record.hostAt = map[int32]int{}
-	j.progress.tasks = make([]task, s.Tasks)
+	j.priority = priorityOf(rec.Job, c.clock.ago(rec.AcceptedMS))
+	j.request = c.requestOf(rec.Job)
+	j.progress = progress{total: rec.Job.Tasks, done: rec.Done, tasks: make([]task, rec.Job.Tasks)}
+	j.record = jobRecord{version: version, acceptedMS: rec.AcceptedMS, hostAt: map[int32]int{}}
 	c.jobs.activate(j)
 	return j
 }
 
+// requestOf resolves the names in a job's description.
+func (c *Core) requestOf(spec *wire.Job) request {
+	r := request{size: sizeOf(spec), class: c.classOf(spec.Class), image: c.placement.images.of(spec.Image), zone: -1, team: c.teams.Index(spec.Team)}
+	if spec.Zone != nil {
+		r.zone = c.machines.zones.of(*spec.Zone)
+	}
+	return r
+}
+
+// priorityOf is the priority of a job by its own description.
+func priorityOf(spec *wire.Job, arrived time.Duration) priority {
+	p := priority{class: spec.PriorityClass(), deadline: never, arrived: arrived}
+	if spec.DeadlineS != nil {
+		p.deadline = arrived + settings.Seconds(*spec.DeadlineS)
+	}
+	return p
+}
+
+// recordJob takes a job's record, which may be known already.
 func (c *Core) recordJob(e JobRecordEvent) *job {
 	if i, ok := c.jobs.indexByID[e.JobID]; ok {
 		return c.jobs.list[i]
 	}
 	j := c.newJob(e.JobID, e.Record, e.Version)
-	j.fillWaiting()
+	j.progress.fillWaiting()
 	c.linkDependencies(j)
 	if j.end.durable {
 		// Its end was written while this leader had not seen it yet.
@@ -72,7 +80,7 @@
 
 // finish decides a job's terminal state and writes it. Users are told when it is durable.
 func (c *Core) finish(j *job, terminal string) {
-	j.end.state = terminal
+	j.end.decide(terminal)
 	if c.evictions.disruptions != nil {
 		c.evictions.disruptions.Over(j.id, c.clock.now)
 	}
@@ -82,18 +90,18 @@
 	c.jobs.writeTerminal(j, true)
 }
 
+// terminalIsDurable does what follows once a job's terminal state is durable.
 func (c *Core) terminalIsDurable(j *job) {
 	if j.end.durable {
 		return // it followed from another job's end before its own record was written
 	}
-	j.end.durable, j.end.at = true, c.clock.now
+	j.end.becameDurable(c.clock.now)
 	c.jobs.cancellationEnded(j)
-	j.progress.waiting = nil
+	j.progress.dropAllWaiting()
 	c.log.Debug("job ended", "job", j.id, "state", j.end.state, "seconds", (c.clock.now - j.priority.arrived).Seconds(), "late", c.clock.now > j.priority.deadline)
-	for _, to := range j.end.replyTo {
+	for _, to := range j.end.takeRecipients() {
 		c.effects.emit(UserReply{ReplyTo: to, Known: true, Status: c.status(j)})
 	}
-	j.end.replyTo = nil
 	c.stopTasks(j)
 	c.placement.markNeeded()
 	c.releaseDependents(j)
@@ -107,12 +115,7 @@
 	if j.ended() || j.progress.tasks[n].state >= taskDone {
 		return
 	}
-	if j.progress.tasks[n].state == taskWaiting {
-		j.dropWaiting(n)
-	}
-	j.progress.tasks[n].state = taskDone
-	j.progress.done++
-	j.progress.startedOnce = true
+	j.progress.taskEnded(n)
 	if c.evictions.disruptions != nil {
 		c.evictions.disruptions.Ends(j.id, int(n), c.clock.now)
 	}
@@ -121,20 +124,17 @@
 		c.finish(j, wire.JobDone)
 		return
 	}
-	j.record.unwrittenTasks = append(j.record.unwrittenTasks, n)
-	c.jobs.queueWrite(j)
+	c.jobs.writeEnded(j, n)
 }
 
 // requeue makes a task wait again.
 func (p *placement) requeue(j *job, n int32) {
-	if j.ended() || j.progress.tasks[n].state != taskAllocated {
-		return
+	if !j.ended() && j.progress.requeue(n) {
+		p.needed = true
 	}
-	j.progress.tasks[n].state = taskWaiting
-	j.progress.waiting = append(j.progress.waiting, n)
-	p.needed = true
 }
 
+// cancelRequested begins the cancellation of a job.
 func (c *Core) cancelRequested(e CancelRequest) {
 	i, ok := c.jobs.indexByID[e.JobID]
 	if !ok || c.jobs.list[i].transfer.origin != "" {
@@ -151,7 +151,7 @@
 		c.cancelDelegated(j, e.ReplyTo)
 		return
 	}
-	j.end.replyTo = append(j.end.replyTo, e.ReplyTo)
+	j.end.await(e.ReplyTo)
 	if !j.ended() {
 		c.log.Debug("cancelling job", "job", j.id)
 		c.cancel(j)
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -9,11 +9,11 @@
 )
 
 // addFinishedKey notes a key of finished tasks.
-func (j *job) addFinishedKey(key string) {
-	if j.record.finishedKeys == nil {
-		j.record.finishedKeys = map[string]bool{}
+func (r *jobRecord) addFinishedKey(key string) {
+	if r.finishedKeys == nil {
+		r.finishedKeys = map[string]bool{}
 	}
-	j.record.finishedKeys[key] = true
+	r.finishedKeys[key] = true
 }
 
 // dropKeys deletes what the ledger holds of a finished job besides its record.
@@ -39,6 +39,77 @@
 	t.queueWrite(j)
 }
 
+// hostsDurable notes that the hosts of a write are durable, and returns those that were not before.
+func (t *jobTable) hostsDurable(j *job, written hostTag) (machines []int32) {
+	if j.record.hosts == nil {
+		return nil
+	}
+	for i := written.from; i < written.to; i++ {
+		if h := &j.record.hosts[i]; !h.durable {
+			h.durable = true
+			machines = append(machines, h.machine)
+		}
+	}
+	return machines
+}
+
+// hostsRejected has a job's hosts written again, since they were too many for a value. What is
+// durable keeps its key; what comes after it begins a new one.
+func (t *jobTable) hostsRejected(j *job) {
+	first := slices.IndexFunc(j.record.hosts, func(h host) bool { return !h.durable })
+	if first < 0 {
+		return
+	}
+	j.record.hostChunks = slices.DeleteFunc(j.record.hostChunks, func(from int) bool { return from >= first })
+	j.record.hostChunks = append(j.record.hostChunks, first)
+	j.record.hostsWritten = first
+	t.queueWrite(j)
+}
+
+// writeEnded has the end of tasks written at the end of the step.
+func (t *jobTable) writeEnded(j *job, tasks ...int32) {
+	if j.progress.tasks != nil {
+		j.record.unwrittenTasks = append(j.record.unwrittenTasks, tasks...)
+		t.queueWrite(j)
+	}
+}
+
+// restoreHosts takes the hosts of one key from the ledger.
+func (t *jobTable) restoreHosts(j *job, chunk int, machines []*machine) {
+	// A key that is missing, as its deletion was under way, keeps its number.
+	for len(j.record.hostChunks) <= chunk {
+		j.record.hostChunks = append(j.record.hostChunks, len(j.record.hosts))
+	}
+	for _, m := range machines {
+		if _, known := j.record.hostAt[m.index]; known {
+			continue
+		}
+		j.record.hostAt[m.index] = len(j.record.hosts)
+		j.record.hosts = append(j.record.hosts, host{machine: m.index, durable: true})
+		j.record.hostsWritten = len(j.record.hosts)
+		m.recorded.namedByJobs++
+		if m.state != machineGone {
+			j.record.addInDoubt(m.index)
+			m.recorded.addInDoubt(j.index)
+		}
+	}
+}
+
+// addInDoubt notes that the job may have unseen tasks on a machine.
+func (r *jobRecord) addInDoubt(machine int32) {
+	if r.inDoubtHosts == nil {
+		r.inDoubtHosts = map[int32]bool{}
+	}
+	r.inDoubtHosts[machine] = true
+}
+
+// resolveInDoubt notes that the job's tasks on a machine are known, and tells whether it was the
+// last one in doubt.
+func (r *jobRecord) resolveInDoubt(machine int32) (last bool) {
+	delete(r.inDoubtHosts, machine)
+	return len(r.inDoubtHosts) == 0
+}
+
 // queueWrite has what is new about a job written at the end of the step: a burst adds dozens of
 // machines and ended tasks to one job in a step, and each by itself would be written with all
 // that came before it.
@@ -117,7 +188,7 @@
 	ranges := ledger.EncodeRanges(done, size)
 	if ranges.Size() <= t.cfg.ValueBytes {
 		key := ledger.FinishedTasksKey(j.id, chunk)
-		j.addFinishedKey(key)
+		j.record.addFinishedKey(key)
 		t.writes.put(ledger.Write{Key: key, Value: ranges, Tag: finishedTag{j.index, ended}})
 		return
 	}
@@ -135,7 +206,7 @@
 		ranges := ledger.EncodeRanges(func(i int) bool { return i >= from && done(i) }, to)
 		if len(ranges) > 0 && (all || n > 0) {
 			key := ledger.FinishedTasksPartKey(j.id, chunk, from)
-			j.addFinishedKey(key)
+			j.record.addFinishedKey(key)
 			w := ledger.Write{Key: key, Value: ranges}
 			if n > 0 {
 				w.Tag = finishedTag{j.index, ended[:n]}
--- a/internal/scheduler/job_table.go
+++ b/internal/scheduler/job_table.go
@@ -107,7 +107,8 @@
 		m := t.machines.list[h.machine]
 		m.recorded.namedByJobs--
 	}
-	j.progress.tasks, j.record.hosts, j.record.hostAt, j.retry.failedOn, j.record.hostChunks, j.record.finishedKeys = nil, nil, nil, nil, nil, nil
+	j.progress.tasks, j.record.hosts, j.record.hostAt, j.record.hostChunks, j.record.finishedKeys = nil, nil, nil, nil, nil
+	j.retry.forgetFailures()
 }
 
 // dropCleanedUp removes jobs that need no more attention from the active ones.
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -2,7 +2,7 @@
 
 // expireLease does what follows for a machine from the passing of time.
 func (c *Core) expireLease(m *machine) {
-	if m.state == machineGone || c.clock.now < m.agent.leaseExpiry || m.agent.lastResponse > 0 && c.clock.now < m.agent.lastResponse+c.agents.lease {
+	if m.state == machineGone || !m.agent.leaseExpired(c.clock.now, c.agents.lease) {
 		return
 	}
 	// Its agent has had no response for a whole lease: whatever it ran has ended.
@@ -16,6 +16,6 @@
 	}
 	// Starts for that epoch are refused from now on, and whatever a late copy of its heartbeats
 	// lists has ended as well.
-	clear(m.commands.unresolvedStarts)
-	m.agent.expiredEpoch = m.agent.epoch
+	m.commands.ruleOutAll()
+	m.agent.endEpoch()
 }
--- a/internal/scheduler/ledger_writes.go
+++ b/internal/scheduler/ledger_writes.go
@@ -1,8 +1,6 @@
 package scheduler
 
 import (
-	"slices"
-
 	"leadproxy/internal/federation"
 	"leadproxy/internal/ledger"
 )
@@ -38,25 +36,9 @@
 func (c *Core) writeRejected(tag ledger.Tag) {
 	switch t := tag.(type) {
 	case hostTag:
-		j := c.jobs.list[t.job]
-		if j.record.hosts == nil {
-			return
-		}
-		// What is durable keeps its key; what comes after it begins a new one.
-		first := slices.IndexFunc(j.record.hosts, func(h host) bool { return !h.durable })
-		if first < 0 {
-			return
-		}
-		j.record.hostChunks = slices.DeleteFunc(j.record.hostChunks, func(from int) bool { return from >= first })
-		j.record.hostChunks = append(j.record.hostChunks, first)
-		j.record.hostsWritten = first
-		c.jobs.queueWrite(j)
+		c.jobs.hostsRejected(c.jobs.list[t.job])
 	case finishedTag:
-		j := c.jobs.list[t.job]
-		if j.progress.tasks != nil {
-			j.record.unwrittenTasks = append(j.record.unwrittenTasks, t.tasks...)
-			c.jobs.queueWrite(j)
-		}
+		c.jobs.writeEnded(c.jobs.list[t.job], t.tasks...)
 	case terminalTag:
 		j := c.jobs.list[t.job]
 		c.log.Error("terminal job record exceeds the value limit", "job", j.id)
@@ -70,26 +52,17 @@
 	}
 }
 
+// writeDurable does what waits for a write to be durable.
 func (c *Core) writeDurable(tag ledger.Tag) {
 	switch t := tag.(type) {
 	case hostTag:
 		j := c.jobs.list[t.job]
-		if j.record.hosts == nil {
-			return
-		}
-		for i := t.from; i < t.to; i++ {
-			if j.record.hosts[i].durable {
-				continue
-			}
-			j.record.hosts[i].durable = true
-			c.sendPlanned(j, c.machines.list[j.record.hosts[i].machine])
+		for _, host := range c.jobs.hostsDurable(j, t) {
+			c.sendPlanned(j, c.machines.list[host])
 		}
 	case finishedTag:
-		j := c.jobs.list[t.job]
 		for _, n := range t.tasks {
-			if j.progress.tasks != nil && j.progress.tasks[n].state == taskDone {
-				j.progress.tasks[n].state = taskDurable
-			}
+			c.jobs.list[t.job].progress.taskDurable(n)
 		}
 	case terminalTag:
 		c.terminalIsDurable(c.jobs.list[t.job])
--- a/internal/scheduler/machine_table.go
+++ b/internal/scheduler/machine_table.go
@@ -64,7 +64,7 @@
 		case m.state != machineGone || m.recorded.gone && m.recorded.namedByJobs > 0:
 			return false
 		case m.recorded.gone:
-			m.recorded.gone = false
+			m.recorded.setGone(false)
 			writes.put(ledger.Write{Key: ledger.GoneKey(m.name)})
 		}
 		return true
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -50,6 +50,32 @@
 	lastDeleteRequest time.Duration
 }
 
+// noticeTermination notes when the cloud takes the machine away.
+func (r *rental) noticeTermination(at time.Duration) { r.terminationAt = at }
+
+// rentedBy notes the scale-out that has rented the machine.
+func (r *rental) rentedBy(scaleOutID string) { r.scaleOutID = scaleOutID }
+
+// wasListed notes that the cloud has listed the machine, and tells whether that was the first
+// time.
+func (r *rental) wasListed(rentedAt time.Duration) (first bool) {
+	first = !r.listed
+	if first {
+		r.listed, r.rentedAt = true, rentedAt
+	}
+	return first
+}
+
+// inList notes whether the cloud's newest list has the machine.
+func (r *rental) inList(present bool) {
+	switch {
+	case present:
+		r.missedListings = 0
+	case r.listed:
+		r.missedListings++
+	}
+}
+
 // machineRecord is what the ledger's records say of a machine.
 type machineRecord struct {
 	gone        bool    // the ledger has a record that it is gone
@@ -57,12 +83,28 @@
 	inDoubtJobs []int32 // jobs that may have unseen tasks on it, started by an earlier leader
 }
 
+// setGone notes whether the ledger has a record that the machine is gone.
+func (r *machineRecord) setGone(gone bool) { r.gone = gone }
+
+// addInDoubt notes that a job may have unseen tasks on the machine.
+func (r *machineRecord) addInDoubt(job int32) { r.inDoubtJobs = append(r.inDoubtJobs, job) }
+
+// takeInDoubt removes and returns the jobs that may have unseen tasks on the machine.
+func (r *machineRecord) takeInDoubt() []int32 {
+	jobs := r.inDoubtJobs
+	r.inDoubtJobs = nil
+	return jobs
+}
+
 // machineHealth is what failures say of a machine.
 type machineHealth struct {
 	quarantined bool
 	failedJobs  map[int32]bool // jobs with a task that failed on it, since a task last succeeded
 }
 
+// taskSucceeded forgets the failures: the machine can run tasks.
+func (h *machineHealth) taskSucceeded() { clear(h.failedJobs) }
+
 // machineEviction is what plans that drain machines want of one.
 type machineEviction struct {
 	cordoned bool // a plan empties it: nothing starts on it
@@ -83,27 +125,6 @@
 	return false
 }
 
-// addImage notes that the machine holds an image, and drops the least recently used ones beyond
-// its cache.
-func (m *machine) addImage(image int32, gb, cache float64) {
-	for i, s := range m.capacity.images {
-		if s.image == image {
-			copy(m.capacity.images[i:], m.capacity.images[i+1:])
-			m.capacity.images[len(m.capacity.images)-1] = s
-			return
-		}
-	}
-	m.capacity.images = append(m.capacity.images, imageSlot{image, gb})
-	sum := 0.0
-	for _, s := range m.capacity.images {
-		sum += s.gb
-	}
-	for len(m.capacity.images) > 1 && sum > cache {
-		sum -= m.capacity.images[0].gb
-		m.capacity.images = m.capacity.images[1:]
-	}
-}
-
 // machineNamed returns the machine of a name, and adds one that is new to this term.
 func (c *Core) machineNamed(name string) *machine {
 	if m := c.machines.find(name); m != nil {
@@ -124,8 +145,7 @@
 
 // updateDescription takes in what a heartbeat or the cloud's list says of a machine.
 func (c *Core) updateDescription(m *machine, typ, zone string, spot bool, address string) {
-	if address != "" && address != m.agent.address {
-		m.agent.address, m.agent.addressFromSoftState = strings.Clone(address), false
+	if m.agent.setAddress(address) {
 		c.softState.machineChanged(m)
 	}
 	m.spot = spot
@@ -135,9 +155,7 @@
 	}
 	if t, ok := c.types.indexByName[typ]; ok && m.typ != t {
 		m.typ = t
-		used := m.capacity.total.Minus(m.capacity.free)
-		m.capacity.total = c.types.list[t].total
-		m.capacity.free = m.capacity.total.Minus(used)
+		m.capacity.setTotal(c.types.list[t].total)
 	}
 	c.placement.indexChanged(m)
 }
@@ -151,12 +169,12 @@
 	m.state = machineGone
 	c.softState.machineChanged(m)
 	c.dropAllocations(m, why)
-	clear(m.commands.unresolvedStarts)
+	m.commands.ruleOutAll()
 	c.resolveInDoubt(m, why)
 	c.placement.index.Leave(m.index)
 	c.autoscaling.scaleOutMachineSeen(m)
 	if m.recorded.namedByJobs > 0 {
-		m.recorded.gone = true
+		m.recorded.setGone(true)
 		c.writes.put(ledger.Write{Key: ledger.GoneKey(m.name), Value: true})
 	}
 	c.placement.markNeeded()
--- a/internal/scheduler/parts_test.go
+++ b/internal/scheduler/parts_test.go
@@ -6,12 +6,14 @@
 	"go/token"
 	"go/types"
 	"path/filepath"
+	"slices"
 	"strings"
 	"testing"
 )
 
 // TestPartsWriteOnlyTheirOwnFields: a field of a part of the core is written by the methods of
-// that part alone, so that its type shows all that can change it.
+// that part alone, so that its type shows all that can change it. Writes through a pointer that was
+// kept in a variable are not found.
 func TestPartsWriteOnlyTheirOwnFields(t *testing.T) {
 	fset := token.NewFileSet()
 	files := parseProduct(t, fset)
@@ -20,21 +22,80 @@
 	for _, typ := range parts {
 		owners[typ] = true
 	}
+	eachWrite(files, func(method *ast.FuncDecl, path []string, at token.Pos) {
+		if !owners[receiverType(method)] || len(path) < 3 || path[0] != receiverName(method) || parts[path[1]] == "" {
+			return
+		}
+		t.Errorf("%s: %s writes the field %s of part %s", fset.Position(at), method.Name.Name, path[2], path[1])
+	})
+}
+
+// ownersOfRecords are the parts of the core that may write the parts of a job or machine besides
+// the methods of these themselves.
+var ownersOfRecords = map[string]string{
+	"agentState":      "agents",
+	"machineCommands": "commands",
+	"capacity":        "placement",
+	"indexEntry":      "placement",
+	"rental":          "autoscaling",
+	"machineRecord":   "jobTable",
+	"machineHealth":   "placement",
+	"machineEviction": "evictionState",
+	"request":         "placement",
+	"priority":        "jobTable",
+	"progress":        "jobTable",
+	"jobEnd":          "jobTable",
+	"jobPlacement":    "placement",
+	"retry":           "placement",
+	"jobRecord":       "jobTable",
+	"transfer":        "federationState",
+}
+
+// TestRecordsAreWrittenByTheirOwners: the parts of a job and of a machine are written by their own
+// methods and by those of the part of the core that owns them.
+func TestRecordsAreWrittenByTheirOwners(t *testing.T) {
+	fset := token.NewFileSet()
+	files := parseProduct(t, fset)
+	records := fieldsOf(files, "job")
+	for name, typ := range fieldsOf(files, "machine") {
+		records[name] = typ
+	}
+	mediators := map[string]bool{"Core": true}
+	for _, typ := range partsOfCore(t, files) {
+		mediators[typ] = true
+	}
+	found := 0
+	eachWrite(files, func(method *ast.FuncDecl, path []string, at token.Pos) {
+		for i := 1; i < len(path)-1; i++ {
+			typ := records[path[i]]
+			owner := ownersOfRecords[typ]
+			receiver := receiverType(method)
+			if owner == "" || i == 1 && path[0] == receiverName(method) && mediators[receiver] {
+				continue // not a part of a job or machine
+			}
+			found++
+			if receiver != typ && receiver != owner {
+				t.Errorf("%s: %s writes the field %s of %s", fset.Position(at), method.Name.Name, path[i+1], typ)
+			}
+		}
+	})
+	if found < 20 {
+		t.Errorf("only %d writes found", found)
+	}
+}
+
+// eachWrite calls f for each write in a method of this package, with the names on the way to what
+// is written.
+func eachWrite(files []*ast.File, f func(method *ast.FuncDecl, path []string, at token.Pos)) {
 	for _, file := range files {
 		for _, decl := range file.Decls {
 			method, ok := decl.(*ast.FuncDecl)
-			if !ok || method.Recv == nil || !owners[receiverType(method)] {
-				continue
-			}
-			if len(method.Recv.List[0].Names) == 0 {
+			if !ok || method.Recv == nil {
 				continue
 			}
-			receiver := method.Recv.List[0].Names[0].Name
 			ast.Inspect(method.Body, func(n ast.Node) bool {
 				for _, written := range writtenBy(n) {
-					if part, field := fieldOfPart(written, receiver, parts); part != "" {
-						t.Errorf("%s: %s writes the field %s of part %s", fset.Position(n.Pos()), method.Name.Name, field, part)
-					}
+					f(method, pathOf(written), n.Pos())
 				}
 				return true
 			})
@@ -74,29 +135,43 @@
 	return ""
 }
 
+// receiverName names a method's receiver.
+func receiverName(method *ast.FuncDecl) string {
+	if names := method.Recv.List[0].Names; len(names) > 0 {
+		return names[0].Name
+	}
+	return ""
+}
+
 // partsOfCore lists the parts of the core, which are its fields of types of this package, with
 // their types.
 func partsOfCore(t *testing.T, files []*ast.File) map[string]string {
 	t.Helper()
-	parts := map[string]string{}
+	parts := fieldsOf(files, "Core")
+	delete(parts, "cfg")
+	if len(parts) < 10 {
+		t.Fatalf("only %d parts found: %v", len(parts), parts)
+	}
+	return parts
+}
+
+// fieldsOf lists the fields of a struct that have types of this package, with these.
+func fieldsOf(files []*ast.File, structName string) map[string]string {
+	fields := map[string]string{}
 	for _, file := range files {
-		core := file.Scope.Lookup("Core")
-		if core == nil {
+		declared := file.Scope.Lookup(structName)
+		if declared == nil {
 			continue
 		}
-		for _, field := range core.Decl.(*ast.TypeSpec).Type.(*ast.StructType).Fields.List {
+		for _, field := range declared.Decl.(*ast.TypeSpec).Type.(*ast.StructType).Fields.List {
 			if typ, local := field.Type.(*ast.Ident); local && types.Universe.Lookup(typ.Name) == nil {
 				for _, name := range field.Names {
-					parts[name.Name] = typ.Name
+					fields[name.Name] = typ.Name
 				}
 			}
 		}
 	}
-	delete(parts, "cfg")
-	if len(parts) < 10 {
-		t.Fatalf("only %d parts found: %v", len(parts), parts)
-	}
-	return parts
+	return fields
 }
 
 // writtenBy lists the expressions that a statement assigns to.
@@ -116,8 +191,8 @@
 	return nil
 }
 
-// fieldOfPart tells which part, and which field of it, an expression RECEIVER.PART.FIELD... is in.
-func fieldOfPart(e ast.Expr, receiver string, parts map[string]string) (part, field string) {
+// pathOf lists the names in an expression A.B[...].C, nil for any other.
+func pathOf(e ast.Expr) []string {
 	var path []string
 	for {
 		switch x := e.(type) {
@@ -129,12 +204,11 @@
 		case *ast.ParenExpr:
 			e = x.X
 		case *ast.Ident:
-			if x.Name != receiver || len(path) < 2 || parts[path[len(path)-1]] == "" {
-				return "", ""
-			}
-			return path[len(path)-1], path[len(path)-2]
+			path = append(path, x.Name)
+			slices.Reverse(path)
+			return path
 		default:
-			return "", ""
+			return nil
 		}
 	}
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -135,8 +135,7 @@
 
 // startOn allocates room for a job's next task on a machine and has it started there.
 func (c *Core) startOn(j *job, m *machine) {
-	n := j.progress.waiting[len(j.progress.waiting)-1]
-	j.progress.waiting = j.progress.waiting[:len(j.progress.waiting)-1]
+	n := j.progress.takeWaiting()
 	b := c.allocate(m, j, n, c.attempts.nextAttempt(), true)
 	c.placement.refresh(m)
 	if c.debug {
@@ -203,7 +202,7 @@
 }
 
 // countInZone counts a job's tasks by zone as they come and go.
-func (j *job) countInZone(zone int32, change int) {
+func (p *placement) countInZone(j *job, zone int32, change int) {
 	if zone < 0 || j.spec == nil || !j.spec.Gang && !j.spec.Spread {
 		return
 	}
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -13,7 +13,8 @@
 	c.softState.restoreSoftState(c.cfg.SoftState)
 	for _, name := range s.Gone {
 		m := c.machineNamed(name)
-		m.state, m.recorded.gone = machineGone, true
+		m.state = machineGone
+		m.recorded.setGone(true)
 	}
 	for i := range s.Jobs {
 		c.restoreJob(&s.Jobs[i])
@@ -53,24 +54,21 @@
 	}
 	finished := 0
 	for _, f := range s.Finished {
-		j.addFinishedKey(f.Key)
+		j.record.addFinishedKey(f.Key)
 		f.Ranges.Each(func(i int) {
-			if n := f.Chunk*ledger.TasksPerChunk + i; n < len(j.progress.tasks) && j.progress.tasks[n].state != taskDurable {
-				j.progress.tasks[n].state = taskDurable
+			if j.progress.restoreFinished(f.Chunk*ledger.TasksPerChunk + i) {
 				finished++
 			}
 		})
 	}
 	// A cancelled job's record has the count as well, and the ranges may be there still: counted
 	// twice they were more than its tasks, and no controller could begin a term.
-	j.progress.done = max(j.progress.done, finished)
-	j.fillWaiting()
-	j.progress.startedOnce = j.progress.done > 0 || len(s.Hosts) > 0
+	j.progress.restore(finished, len(s.Hosts) > 0)
 	c.restoreHosts(j, s.Hosts)
 	if s.HostsUnknown {
 		// Its tasks may be on unknown machines. Agents that live send heartbeats within a lease,
 		// and what the others ran has ended by then.
-		j.retry.notBefore = c.clock.now + c.agents.lease
+		j.retry.delayUntil(c.clock.now + c.agents.lease)
 	}
 	if !hasDependencies(&s.Record) && j.transfer.origin == "" {
 		c.autoscaling.observeArrival(j)
@@ -88,32 +86,11 @@
 // or must have ended them, unseen tasks are neither placed again nor counted as free.
 func (c *Core) restoreHosts(j *job, chunks []ledger.SavedHosts) {
 	for _, chunk := range chunks {
-		// A key that is missing, as its deletion was under way, keeps its number.
-		for len(j.record.hostChunks) <= chunk.Chunk {
-			j.record.hostChunks = append(j.record.hostChunks, len(j.record.hosts))
+		var machines []*machine
+		for _, name := range chunk.Machines {
+			machines = append(machines, c.machineNamed(name))
 		}
-		c.restoreChunk(j, chunk.Machines)
-	}
-}
-
-func (c *Core) restoreChunk(j *job, hosts []string) {
-	for _, name := range hosts {
-		m := c.machineNamed(name)
-		if _, ok := j.record.hostAt[m.index]; ok {
-			continue
-		}
-		j.record.hostAt[m.index] = len(j.record.hosts)
-		j.record.hosts = append(j.record.hosts, host{machine: m.index, durable: true})
-		j.record.hostsWritten = len(j.record.hosts)
-		m.recorded.namedByJobs++
-		if m.state == machineGone {
-			continue
-		}
-		if j.record.inDoubtHosts == nil {
-			j.record.inDoubtHosts = map[int32]bool{}
-		}
-		j.record.inDoubtHosts[m.index] = true
-		m.recorded.inDoubtJobs = append(m.recorded.inDoubtJobs, j.index)
+		c.jobs.restoreHosts(j, chunk.Chunk, machines)
 	}
 }
 
@@ -132,15 +109,14 @@
 	if len(m.recorded.inDoubtJobs) > 0 {
 		c.log.Debug("earlier starts on a machine are resolved", "machine", m.name, "reason", why, "jobs", len(m.recorded.inDoubtJobs), "after", (c.clock.now - c.clock.termStart).Seconds())
 	}
-	for _, i := range m.recorded.inDoubtJobs {
+	for _, i := range m.recorded.takeInDoubt() {
 		j := c.jobs.list[i]
-		delete(j.record.inDoubtHosts, m.index)
-		if len(j.record.inDoubtHosts) == 0 {
-			c.placement.markNeeded()
-			if j.ended() {
-				c.jobs.cleanUp(j)
-			}
+		if !j.record.resolveInDoubt(m.index) {
+			continue
+		}
+		c.placement.markNeeded()
+		if j.ended() {
+			c.jobs.cleanUp(j)
 		}
 	}
-	m.recorded.inDoubtJobs = nil
 }
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -11,7 +11,7 @@
 )
 
 type scaleOut struct {
-	record         ledger.ScaleOutRecord
+	saved          ledger.ScaleOutRecord // its record in the ledger
 	pool           autoscaler.CapacityPool
 	unseenMachines map[string]bool
 	open           bool // the cloud's result is still needed
@@ -29,14 +29,14 @@
 // often it is sent.
 func (a *autoscaling) startNamedScaleOut(name string, w autoscaler.PlannedScaleOut) {
 	t := a.types.list[w.Pool.Type]
-	h := &scaleOut{pool: w.Pool, open: true, record: ledger.ScaleOutRecord{Request: wire.ScaleOutRequest{
+	h := &scaleOut{pool: w.Pool, open: true, saved: ledger.ScaleOutRecord{Request: wire.ScaleOutRequest{
 		RequestID: name, Type: t.Name, Zone: a.machines.zones.list[w.Pool.Zone], Spot: w.Pool.Spot, Count: min(w.Count, autoscaler.MaxScaleOut)}}}
 	a.addScaleOut(h)
-	a.log.Info("scaling out", "request", name, "type", t.Name, "zone", h.record.Request.Zone, "spot", w.Pool.Spot, "count", h.record.Request.Count, "reason", w.Reason)
-	a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.record, Urgent: true, Tag: scaleOutTag{name}})
+	a.log.Info("scaling out", "request", name, "type", t.Name, "zone", h.saved.Request.Zone, "spot", w.Pool.Spot, "count", h.saved.Request.Count, "reason", w.Reason)
+	a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.saved, Urgent: true, Tag: scaleOutTag{name}})
 }
 
-func (a *autoscaling) addScaleOut(h *scaleOut) { a.scaleOuts[h.record.Request.RequestID] = h }
+func (a *autoscaling) addScaleOut(h *scaleOut) { a.scaleOuts[h.saved.Request.RequestID] = h }
 
 // scaleOutDurable sends a scale-out once its record is durable.
 func (a *autoscaling) scaleOutDurable(name string) {
@@ -47,14 +47,14 @@
 
 func (a *autoscaling) sendScaleOut(h *scaleOut) {
 	h.sent = true
-	order := h.record.Request
+	order := h.saved.Request
 	a.effects.emit(CallCloud{autoscaler.Call{ScaleOut: &order}})
 }
 
 // restoreScaleOut continues an earlier leader's scale-out. One whose result is not in its record
 // is repeated under its own name, to learn its machines.
 func (c *Core) restoreScaleOut(r ledger.ScaleOutRecord) {
-	h := &scaleOut{record: r, pool: autoscaler.CapacityPool{Type: -1, Zone: c.machines.zones.of(r.Request.Zone), Spot: r.Request.Spot}}
+	h := &scaleOut{saved: r, pool: autoscaler.CapacityPool{Type: -1, Zone: c.machines.zones.of(r.Request.Zone), Spot: r.Request.Spot}}
 	c.autoscaling.addScaleOut(h)
 	if r.Machines == nil {
 		h.open = true
@@ -80,8 +80,8 @@
 }
 
 func (a *autoscaling) dropScaleOut(h *scaleOut) {
-	delete(a.scaleOuts, h.record.Request.RequestID)
-	a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.record.Request.RequestID)})
+	delete(a.scaleOuts, h.saved.Request.RequestID)
+	a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.saved.Request.RequestID)})
 }
 
 // scaleOutEnded takes the result of a scale-out, and tells whether it has rented machines.
@@ -92,7 +92,7 @@
 	}
 	h.sent = false
 	pool := a.pool(h.pool)
-	request := &h.record.Request
+	request := &h.saved.Request
 	switch {
 	case r.Err == nil:
 		a.log.Info("scale-out result", "request", request.RequestID, "machines", r.Machines, "wanted", request.Count)
@@ -101,12 +101,12 @@
 		} else {
 			pool.filled()
 		}
-		h.record.Machines = r.Machines
+		h.saved.Machines = r.Machines
 		if len(r.Machines) == 0 {
 			a.dropScaleOut(h)
 			return nil, false
 		}
-		a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(request.RequestID), Value: h.record})
+		a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(request.RequestID), Value: h.saved})
 		return h, true
 	case errors.Is(r.Err, autoscaler.ErrNoCapacity):
 		a.log.Info("scale-out refused: no capacity", "request", request.RequestID, "type", request.Type, "zone", request.Zone, "spot", request.Spot)
--- a/internal/scheduler/scaling_plan.go
+++ b/internal/scheduler/scaling_plan.go
@@ -103,7 +103,7 @@
 			continue
 		}
 		total := a.types.list[h.pool.Type].total
-		for range h.record.Request.Count {
+		for range h.saved.Request.Count {
 			s.Pending = append(s.Pending, autoscaler.PendingMachine{CapacityPool: h.pool, Free: total})
 			s.Cores += total.CPUs
 			s.Machines++
--- a/internal/scheduler/soft_state.go
+++ b/internal/scheduler/soft_state.go
@@ -70,12 +70,12 @@
 	if !ok {
 		return
 	}
-	m.agent.addressFromSoftState, m.agent.address, m.agent.softStateEpoch = true, h.Address, h.AgentEpoch
+	m.agent.inherit(h.Address, h.AgentEpoch)
 	if len(h.Allocations) == 0 {
-		m.capacity.idleSince = s.clock.now - h.Idle
+		m.capacity.used(s.clock.now - h.Idle)
 	}
 	for _, i := range h.Images {
-		m.capacity.images = append(m.capacity.images, imageSlot{s.placement.images.of(i.Name), i.GB})
+		m.capacity.inheritImage(s.placement.images.of(i.Name), i.GB)
 	}
 }
 
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -42,10 +42,10 @@
 	b.runningSince, b.runStartUnknown = since, !known
 	c.evictions.taskRunning(b)
 	c.softState.machineChanged(m)
-	j.progress.startedOnce = true
-	m.capacity.idleSince = c.clock.now
+	j.progress.markStarted()
+	m.capacity.used(c.clock.now)
 	if j.spec != nil && m.typ >= 0 {
-		m.addImage(j.request.image, j.spec.ImageGB, c.types.list[m.typ].CacheGB)
+		m.capacity.addImage(j.request.image, j.spec.ImageGB, c.types.list[m.typ].CacheGB)
 	}
 }
 
@@ -90,7 +90,7 @@
 		c.log.Error("task running where it is not allocated", "machine", m.name, "task", t.Task, "attempt", t.Attempt, "state", ts.state)
 		return nil
 	}
-	j.dropWaiting(n)
+	j.progress.dropWaiting(n)
 	b := c.allocate(m, j, n, t.Attempt, true)
 	if _, ok := j.record.hostAt[m.index]; !ok {
 		c.jobs.addHost(j, m)
@@ -117,7 +117,7 @@
 		if b != nil && b.runningSince > 0 && !b.runStartUnknown {
 			c.estimates.learnRun(j, c.clock.now-b.runningSince)
 		}
-		clear(m.health.failedJobs)
+		m.health.taskSucceeded()
 		c.taskEnded(j, n)
 	case wire.ExitError:
 		c.placement.attemptFailed(m, j, n, t.Attempt)
