--- a/internal/scheduler/command_results.go
+++ b/internal/scheduler/command_results.go
@@ -7,28 +7,28 @@
 
 // takeInFlight returns a command whose result has arrived, or nil when it is not known.
 func (q *commands) takeInFlight(id uint64) *commandInFlight {
-	call := q.inFlight[id]
-	if call != nil {
+	command := q.inFlight[id]
+	if command != nil {
 		delete(q.inFlight, id)
-		call.machine.commands.inFlight--
+		command.machine.commands.inFlight--
 	}
-	return call
+	return command
 }
 
 // commandResult takes the result of a direct command.
 func (c *Core) commandResult(e CommandResult) {
-	call := c.commands.takeInFlight(e.CommandID)
-	if call == nil {
+	command := c.commands.takeInFlight(e.CommandID)
+	if command == nil {
 		return
 	}
-	m := call.machine
-	if call.probe {
-		defer c.agents.probeResult(call, e.Outcome)
+	m := command.machine
+	if command.probe {
+		defer c.agents.probeResult(command, e.Outcome)
 	}
 	if m.state == machineGone {
 		return
 	}
-	if call.addressFromSoftState && (e.Outcome == CommandOutcomeUnknown || e.Outcome == CommandNotSent) {
+	if command.addressFromSoftState && (e.Outcome == CommandOutcomeUnknown || e.Outcome == CommandNotSent) {
 		c.agents.inheritedAddressFailed(m) // the inherited address is wrong, or old: that says nothing about the machine
 		return
 	}
@@ -40,45 +40,45 @@
 	}
 	switch e.Outcome {
 	case CommandOutcomeUnknown:
-		c.commands.commandOutcomeUnknown(call)
+		c.commands.commandOutcomeUnknown(command)
 		return
 	case CommandNotSent, CommandRejected:
-		c.commands.eachSent(call, func(b *allocation) { c.release(m, b) })
-		if e.Outcome == CommandRejected && !call.probe {
-			c.log.Info("direct command refused", "machine", m.name, "fencing_token", call.fencingToken, "agent_epoch", call.agentEpoch)
+		c.commands.eachSent(command, func(b *allocation) { c.release(m, b) })
+		if e.Outcome == CommandRejected && !command.probe {
+			c.log.Info("direct command refused", "machine", m.name, "fencing_token", command.fencingToken, "agent_epoch", command.agentEpoch)
 		}
 	case CommandExecuted:
-		c.commands.eachSent(call, func(b *allocation) { b.state = allocationConfirmed })
+		c.commands.eachSent(command, func(b *allocation) { b.state = allocationConfirmed })
 	}
 	if e.Heartbeat != nil && e.Heartbeat.Machine == m.name && e.Heartbeat.FencingToken>>tokenBits <= c.term {
 		c.applyHeartbeat(m, e.Heartbeat, false)
 	}
 	if e.Outcome == CommandExecuted {
-		c.commands.repeatStops(call, e.Heartbeat)
+		c.commands.repeatStops(command, e.Heartbeat)
 	}
 }
 
 // commandOutcomeUnknown keeps the allocations of a command for which it is not known whether it
 // was executed. The token is higher now: once the agent has acknowledged it, the command can't
 // be executed any more, and an attempt that is missing then will never run.
-func (q *commands) commandOutcomeUnknown(call *commandInFlight) {
-	m := call.machine
-	if m.agent.epoch != call.agentEpoch {
+func (q *commands) commandOutcomeUnknown(command *commandInFlight) {
+	m := command.machine
+	if m.agent.epoch != command.agentEpoch {
 		return // it can only be refused
 	}
-	for _, a := range call.startedAttempts {
+	for _, a := range command.startedAttempts {
 		if _, ok := m.commands.unresolvedStarts[a]; ok {
-			m.commands.unresolvedStarts[a] = call.fencingToken + 1
+			m.commands.unresolvedStarts[a] = command.fencingToken + 1
 		}
 	}
-	q.log.Debug("direct command result unknown", "machine", m.name, "starts", len(call.startedAttempts), "fencing_token", m.agent.fencingToken)
+	q.log.Debug("direct command result unknown", "machine", m.name, "starts", len(command.startedAttempts), "fencing_token", m.agent.fencingToken)
 }
 
 // eachSent resolves the starts of a command whose outcome is known, and calls f for the
 // allocations that still wait for it.
-func (q *commands) eachSent(call *commandInFlight, f func(b *allocation)) {
-	m := call.machine
-	for _, a := range call.startedAttempts {
+func (q *commands) eachSent(command *commandInFlight, f func(b *allocation)) {
+	m := command.machine
+	for _, a := range command.startedAttempts {
 		delete(m.commands.unresolvedStarts, a)
 		if b := m.allocation(a); b != nil && b.state == allocationSent {
 			f(b)
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -124,13 +124,13 @@
 }
 
 // sendBatch sends the commands of a machine that fit one direct command.
-func (q *commands) sendBatch(m *machine, orders []wire.Command) {
-	call := &commandInFlight{machine: m, agentEpoch: m.agent.epoch, fencingToken: m.agent.fencingToken}
-	kept := make([]wire.Command, 0, len(orders))
-	for _, o := range orders {
+func (q *commands) sendBatch(m *machine, batch []wire.Command) {
+	command := &commandInFlight{machine: m, agentEpoch: m.agent.epoch, fencingToken: m.agent.fencingToken}
+	kept := make([]wire.Command, 0, len(batch))
+	for _, o := range batch {
 		switch o.Verb {
 		case wire.VerbStop:
-			call.stoppedAttempts = append(call.stoppedAttempts, o.Attempt)
+			command.stoppedAttempts = append(command.stoppedAttempts, o.Attempt)
 		case wire.VerbStart:
 			b := m.allocation(o.Attempt)
 			if b == nil {
@@ -140,21 +140,21 @@
 			// Until the command's outcome is known, or a raised token rules it out, this start
 			// may be executed at any time.
 			m.commands.unresolvedStarts[o.Attempt] = math.MaxUint64
-			call.startedAttempts = append(call.startedAttempts, o.Attempt)
+			command.startedAttempts = append(command.startedAttempts, o.Attempt)
 		}
 		kept = append(kept, o)
 	}
 	if len(kept) > 0 {
-		q.sendCommand(call, kept)
+		q.sendCommand(command, kept)
 	}
 }
 
 // sendCommand sends a direct command and keeps it until its result arrives.
-func (q *commands) sendCommand(call *commandInFlight, orders []wire.Command) {
-	m := call.machine
+func (q *commands) sendCommand(command *commandInFlight, batch []wire.Command) {
+	m := command.machine
 	q.lastID++
 	m.commands.inFlight++
-	q.inFlight[q.lastID] = call
+	q.inFlight[q.lastID] = command
 	q.effects.emit(SendCommands{CommandID: q.lastID, Machine: m.name, Address: m.agent.address,
-		Request: wire.CommandRequest{FencingToken: call.fencingToken, AgentEpoch: call.agentEpoch, Commands: orders}})
+		Request: wire.CommandRequest{FencingToken: command.fencingToken, AgentEpoch: command.agentEpoch, Commands: batch}})
 }
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -156,8 +156,8 @@
 
 // delegatedTo is what is delegated to a cell: jobs, and their cores.
 func (f *federationState) delegatedTo(n *neighbour) (jobs int, cores float64) {
-	for _, ref := range f.delegated.With(n.Name) {
-		if at, ok := f.jobs.indexByID[ref]; ok && !f.jobs.list[at].ended() {
+	for _, id := range f.delegated.With(n.Name) {
+		if at, ok := f.jobs.indexByID[id]; ok && !f.jobs.list[at].ended() {
 			jobs++
 			cores += f.jobs.list[at].cores()
 		}
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -72,13 +72,13 @@
 
 // firstOpen names the first job that another one waits for, for the log.
 func (t *jobTable) firstOpen(j *job) string {
-	for _, ref := range j.spec.DependsOn {
-		at, ok := t.indexByID[ref]
+	for _, id := range j.spec.DependsOn {
+		at, ok := t.indexByID[id]
 		if !ok {
-			return ref + " (not seen yet)"
+			return id + " (not seen yet)"
 		}
 		if p := t.list[at]; !p.end.durable {
-			return ref
+			return id
 		}
 	}
 	return ""
--- a/internal/scheduler/eviction_actions.go
+++ b/internal/scheduler/eviction_actions.go
@@ -47,10 +47,10 @@
 }
 
 // moveTask has a task stopped, after it has saved its progress if it can.
-func (c *Core) moveTask(m *machine, ref string, n int32) {
+func (c *Core) moveTask(m *machine, id string, n int32) {
 	for _, b := range slices.Clone(m.capacity.allocations) {
 		j := c.jobs.list[b.job]
-		if j.id != ref || b.task != n || b.stopping || j.spec == nil {
+		if j.id != id || b.task != n || b.stopping || j.spec == nil {
 			continue
 		}
 		b.moving = true
--- a/internal/scheduler/eviction_view.go
+++ b/internal/scheduler/eviction_view.go
@@ -56,8 +56,8 @@
 	if m.state == machineGone || m.state == machineDeleting || m.zone < 0 {
 		return false
 	}
-	hiredMS := v.clock.wallMS - (v.clock.now - m.rental.rentedAt).Milliseconds()
-	return hiredMS <= r.CreatedMS && r.Spec.Selects(m.name, m.typeName, v.machines.zones.list[m.zone])
+	rentedMS := v.clock.wallMS - (v.clock.now - m.rental.rentedAt).Milliseconds()
+	return rentedMS <= r.CreatedMS && r.Spec.Selects(m.name, m.typeName, v.machines.zones.list[m.zone])
 }
 
 // isEmpty tells whether a machine is proved to run nothing, and nothing that was sent there
--- a/internal/scheduler/evictions.go
+++ b/internal/scheduler/evictions.go
@@ -158,22 +158,22 @@
 
 // logDisruptions logs the beginning and the end of each job's disruption.
 func (v *evictionState) logDisruptions() {
-	noted := map[string]rollout.Entry{}
+	disrupted := map[string]rollout.Entry{}
 	for _, e := range v.disruptions.Entries(v.clock.now) {
 		if !e.Open {
 			continue
 		}
-		noted[e.Job.Ref] = e
+		disrupted[e.Job.Ref] = e
 		if _, known := v.logged[e.Job.Ref]; !known {
 			v.log.Info("job is disrupted", "job", e.Job.Ref, "team", e.Job.Team, "class", e.Job.Class, "cause", e.Cause, "seconds", e.For.Seconds())
 		}
 	}
-	for ref, e := range v.logged {
-		if _, open := noted[ref]; !open {
-			v.log.Info("job is whole again", "job", ref, "team", e.Job.Team, "class", e.Job.Class, "cause", e.Cause)
+	for id, e := range v.logged {
+		if _, open := disrupted[id]; !open {
+			v.log.Info("job is whole again", "job", id, "team", e.Job.Team, "class", e.Job.Class, "cause", e.Cause)
 		}
 	}
-	v.logged = noted
+	v.logged = disrupted
 }
 
 // planNames lists the plans in the order of their creation.
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -131,13 +131,13 @@
 
 // restoreTransfers takes the transfers over from the ledger, after the jobs.
 func (c *Core) restoreTransfers(s *ledger.Snapshot) {
-	for _, away := range s.Delegated {
-		at, known := c.jobs.indexByID[away.JobID]
+	for _, saved := range s.Delegated {
+		at, known := c.jobs.indexByID[saved.JobID]
 		var j *job
 		if known {
 			j = c.jobs.list[at]
 		}
-		if away.Unknown {
+		if saved.Unknown {
 			if known {
 				j.transfer.setDelegated(true) // until an operator has mended the record
 			}
@@ -147,12 +147,12 @@
 		if known && j.spec != nil {
 			body = c.federation.offerBody(j)
 		}
-		c.federation.delegated.Restore(away.JobID, away.Record, body, known && j.end.durable, c.clock.now)
+		c.federation.delegated.Restore(saved.JobID, saved.Record, body, known && j.end.durable, c.clock.now)
 		if known {
-			j.transfer.setDelegated(c.federation.delegated.Delegated(away.JobID))
+			j.transfer.setDelegated(c.federation.delegated.Delegated(saved.JobID))
 		}
-		if _, ok := c.federation.cells.Find(away.Record.Cell); !ok {
-			c.log.Error("job delegated to a cell that the settings do not name", "job", away.JobID, "cell", away.Record.Cell, "transfer_epoch", away.Record.Epoch)
+		if _, ok := c.federation.cells.Find(saved.Record.Cell); !ok {
+			c.log.Error("job delegated to a cell that the settings do not name", "job", saved.JobID, "cell", saved.Record.Cell, "transfer_epoch", saved.Record.Epoch)
 		}
 	}
 	for _, g := range s.Foreign {
@@ -280,9 +280,9 @@
 		return
 	}
 	n.exchanging = false
-	if silent := e.Err != nil; silent != n.unreachable {
-		n.unreachable, n.waitingLoggedAt = silent, c.clock.now
-		if silent {
+	if unreachable := e.Err != nil; unreachable != n.unreachable {
+		n.unreachable, n.waitingLoggedAt = unreachable, c.clock.now
+		if unreachable {
 			c.log.Info("neighbour unreachable", "cell", n.Name, "error", e.Err)
 			c.federation.refuseCancellations(n)
 		} else {
@@ -304,8 +304,8 @@
 }
 
 // jobReturned has a job wait in its origin cell again.
-func (c *Core) jobReturned(ref string) {
-	at, ok := c.jobs.indexByID[ref]
+func (c *Core) jobReturned(id string) {
+	at, ok := c.jobs.indexByID[id]
 	if !ok {
 		return
 	}
@@ -351,8 +351,8 @@
 
 // refuseCancellations has users who wait for a cell that no longer responds try again.
 func (f *federationState) refuseCancellations(n *neighbour) {
-	for _, ref := range f.delegated.With(n.Name) {
-		at, ok := f.jobs.indexByID[ref]
+	for _, id := range f.delegated.With(n.Name) {
+		at, ok := f.jobs.indexByID[id]
 		if !ok || f.jobs.list[at].ended() {
 			continue
 		}
--- a/internal/scheduler/federation_status.go
+++ b/internal/scheduler/federation_status.go
@@ -10,7 +10,7 @@
 func (c *Core) transferListRequested(e TransferListRequest) {
 	t := &c.federation
 	list := TransferListReply{ReplyTo: e.ReplyTo, Delegated: t.delegated.List(c.clock.now), Counts: maps.Clone(t.counts)}
-	lent := map[string]float64{}
+	offered := map[string]float64{}
 	for _, key := range t.foreign.Keys() {
 		record, _ := t.foreign.Record(key)
 		state, _ := c.foreignState(key)
@@ -20,12 +20,12 @@
 	}
 	for _, j := range c.jobs.active {
 		if j.transfer.origin != "" && !j.ended() {
-			lent[j.transfer.origin] += j.cores()
+			offered[j.transfer.origin] += j.cores()
 		}
 	}
 	for _, n := range t.neighbours {
 		jobs, cores := c.federation.delegatedTo(n)
-		view := CellView{Name: n.Name, Drain: n.Drain, Unreachable: n.unreachable, Jobs: jobs, Cores: cores, Offered: lent[n.Name]}
+		view := CellView{Name: n.Name, Drain: n.Drain, Unreachable: n.unreachable, Jobs: jobs, Cores: cores, Offered: offered[n.Name]}
 		if c.clock.now < n.until {
 			view.Credit = n.credit
 		}
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -90,11 +90,11 @@
 }
 
 // Admit tells whether an offered job is accepted now, and else why not.
-func (c localJobs) Admit(home, ref string, body *federation.OfferBody) federation.Refusal {
-	n, ok := c.federation.cells.Find(home)
+func (c localJobs) Admit(origin, id string, body *federation.OfferBody) federation.Refusal {
+	n, ok := c.federation.cells.Find(origin)
 	switch {
 	case !ok || n.LendCores <= 0:
-		return federation.Refusal{Reason: "nothing is lent to cell " + home}
+		return federation.Refusal{Reason: "nothing is lent to cell " + origin}
 	case n.Drain:
 		return federation.Refusal{Reason: "the relation is being drained"}
 	case !c.federation.transfersEnabled:
@@ -104,10 +104,10 @@
 	if err != nil {
 		return federation.Refusal{Reason: "the job can't be read: " + err.Error()}
 	}
-	if reason := c.federation.refuseForeign(ref, spec); reason != "" {
+	if reason := c.federation.refuseForeign(id, spec); reason != "" {
 		return federation.Refusal{Reason: reason}
 	}
-	credit := c.federation.credits[home]
+	credit := c.federation.credits[origin]
 	cores := spec.CPUs * float64(spec.Tasks)
 	if credit == nil || c.clock.now >= credit.until || cores > credit.cores {
 		return federation.Refusal{Reason: fmt.Sprintf("no room was promised for %v cores", cores), Temporary: true}
@@ -117,11 +117,11 @@
 }
 
 // refuseForeign tells why a job of another cell can't run here at all; "": it can.
-func (f *federationState) refuseForeign(ref string, spec *wire.Job) (reason string) {
-	if spec.ID != ref {
+func (f *federationState) refuseForeign(id string, spec *wire.Job) (reason string) {
+	if spec.ID != id {
 		return "the offer describes another job"
 	}
-	if _, known := f.jobs.indexByID[ref]; known {
+	if _, known := f.jobs.indexByID[id]; known {
 		return "a job of this name is known here"
 	}
 	if len(spec.DependsOn) > 0 {
@@ -182,18 +182,18 @@
 			room += m.capacity.free.CPUs
 		}
 	}
-	fromHome, own := 0.0, 0.0
+	fromOrigin, inUse := 0.0, 0.0
 	for _, j := range f.jobs.active {
 		if j.ended() || j.blocked() {
 			continue
 		}
 		room -= j.request.size.CPUs * float64(len(j.progress.waiting))
 		if j.transfer.origin == n.Name {
-			fromHome += j.cores()
+			fromOrigin += j.cores()
 		}
-		own += j.request.size.CPUs * float64(j.progress.allocated)
+		inUse += j.request.size.CPUs * float64(j.progress.allocated)
 	}
-	room -= max(0, f.autoscaling.headroomCores()-own)
+	room -= max(0, f.autoscaling.headroomCores()-inUse)
 	for i := range f.teams.Len() {
 		room -= f.teams.At(int32(i)).UnusedGuarantee()
 	}
@@ -202,5 +202,5 @@
 			room -= credit.cores
 		}
 	}
-	return min(room, n.LendCores-fromHome)
+	return min(room, n.LendCores-fromOrigin)
 }
--- a/internal/scheduler/heartbeat_responses.go
+++ b/internal/scheduler/heartbeat_responses.go
@@ -109,11 +109,11 @@
 		// A response renews the agent's lease, whatever it commands and however little its
 		// heartbeat is believed. So none is sent without the stops of what must not run.
 		believed := !a.outdated && m.commands.openResponse == i+1 && m.trusted(q.term)
-		orders := q.requiredStops(m, a.heartbeat, believed)
+		list := q.requiredStops(m, a.heartbeat, believed)
 		if believed {
-			orders = q.commandsFor(m, a.heartbeat, orders)
+			list = q.commandsFor(m, a.heartbeat, list)
 		}
-		answer := &wire.HeartbeatResponse{FencingToken: m.agent.fencingToken, Commands: orders}
+		answer := &wire.HeartbeatResponse{FencingToken: m.agent.fencingToken, Commands: list}
 		if m.commands.openResponse == i+1 {
 			m.commands.openResponse = 0
 		}
@@ -126,11 +126,11 @@
 // appendPending adds a machine's pending commands to the response to its heartbeat, as far as
 // they fit. Unlike a direct command, a response is never executed late: the agent's next
 // heartbeat shows what became of it.
-func (q *commands) appendPending(m *machine, r *wire.Heartbeat, orders []wire.Command) []wire.Command {
+func (q *commands) appendPending(m *machine, r *wire.Heartbeat, list []wire.Command) []wire.Command {
 	if r.AgentEpoch != m.agent.epoch {
-		return orders
+		return list
 	}
-	for len(m.commands.pending) > 0 && len(orders) < maxCommandsPerResponse {
+	for len(m.commands.pending) > 0 && len(list) < maxCommandsPerResponse {
 		o := m.commands.pending[0]
 		m.commands.pending = m.commands.pending[1:]
 		if o.Verb == wire.VerbStart {
@@ -140,9 +140,9 @@
 			}
 			b.state, b.responseSequence = allocationSent, r.Sequence
 		}
-		orders = append(orders, o)
+		list = append(list, o)
 	}
-	return orders
+	return list
 }
 
 // minForgets is how many finished tasks are forgotten together. An agent sends a heartbeat at
@@ -152,10 +152,10 @@
 
 // commandsFor adds to the stops of a believed heartbeat the other commands of its response:
 // which ended tasks the agent may drop, and the machine's pending commands.
-func (q *commands) commandsFor(m *machine, r *wire.Heartbeat, orders []wire.Command) []wire.Command {
+func (q *commands) commandsFor(m *machine, r *wire.Heartbeat, list []wire.Command) []wire.Command {
 	var done []wire.Command
 	for i := range r.Tasks {
-		if len(orders)+len(done) >= maxCommandsPerResponse {
+		if len(list)+len(done) >= maxCommandsPerResponse {
 			break
 		}
 		t := &r.Tasks[i]
@@ -166,20 +166,20 @@
 		if t.ExitReason == wire.ExitDone {
 			done = append(done, forget)
 		} else {
-			orders = append(orders, forget)
+			list = append(list, forget)
 		}
 	}
-	orders = q.appendPending(m, r, orders)
-	if len(orders) > 0 || len(done) >= minForgets {
-		orders = append(orders, done...)
+	list = q.appendPending(m, r, list)
+	if len(list) > 0 || len(done) >= minForgets {
+		list = append(list, done...)
 	}
-	return orders
+	return list
 }
 
 // mayForget tells whether an agent may drop an ended attempt: not while a copy of its start may
 // still arrive, since the agent would run it again, and not before its end is in the ledger.
 func (q *commands) mayForget(m *machine, t *wire.TaskStatus) bool {
-	if _, unsettled := m.commands.unresolvedStarts[t.Attempt]; unsettled {
+	if _, unresolved := m.commands.unresolvedStarts[t.Attempt]; unresolved {
 		return false
 	}
 	j, n, _ := q.jobs.findTask(m, t)
--- a/internal/scheduler/job_table.go
+++ b/internal/scheduler/job_table.go
@@ -60,8 +60,8 @@
 	if b := m.allocation(status.Attempt); b != nil {
 		return t.list[b.job], b.task, b
 	}
-	ref, k, ok := wire.ParseTaskName(status.Task)
-	at, known := t.indexByID[ref]
+	id, k, ok := wire.ParseTaskName(status.Task)
+	at, known := t.indexByID[id]
 	if !ok || !known || t.list[at].spec != nil && k >= t.list[at].progress.total {
 		return nil, 0, nil
 	}
@@ -69,8 +69,8 @@
 }
 
 // taskIsDone tells whether a task has ended.
-func (t *jobTable) taskIsDone(ref string, n int) bool {
-	i, ok := t.indexByID[ref]
+func (t *jobTable) taskIsDone(id string, n int) bool {
+	i, ok := t.indexByID[id]
 	if !ok {
 		return true
 	}
--- a/internal/scheduler/ledger_writes.go
+++ b/internal/scheduler/ledger_writes.go
@@ -19,7 +19,7 @@
 	scaleOutTag    struct{ name string }
 	unreachableTag struct{ key string }
 	delegatedTag   struct {
-		ref    string
+		jobID  string
 		record federation.DelegatedRecord
 	}
 )
@@ -48,7 +48,7 @@
 	case planTag:
 		c.evictions.planRejected(t)
 	case delegatedTag:
-		c.log.Error("transfer record exceeds the value limit", "job", t.ref)
+		c.log.Error("transfer record exceeds the value limit", "job", t.jobID)
 	}
 }
 
@@ -73,7 +73,7 @@
 	case planTag:
 		c.evictions.planDurable(t)
 	case delegatedTag:
-		c.federation.delegated.Saved(t.ref, t.record, c.clock.now)
+		c.federation.delegated.Saved(t.jobID, t.record, c.clock.now)
 		c.applyOriginEffects()
 		c.federation.sendTransfers()
 	}
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -60,10 +60,10 @@
 
 // probeResult follows up on a probe: one that named the wrong epoch is repeated once with the
 // right one.
-func (a *agents) probeResult(call *commandInFlight, outcome CommandOutcome) {
-	m := call.machine
+func (a *agents) probeResult(command *commandInFlight, outcome CommandOutcome) {
+	m := command.machine
 	a.probes.underWay--
-	switch took := a.clock.now - call.sent; {
+	switch took := a.clock.now - command.sent; {
 	case outcome == CommandOutcomeUnknown || outcome == CommandNotSent:
 		// It says something about that machine only.
 	case took <= fastProbe:
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -38,9 +38,9 @@
 			queue = append(queue, j)
 		}
 	}
-	crowded := map[int]bool{} // by priority class: some job is late already
+	contended := map[int]bool{} // by priority class: some job is late already
 	for _, j := range queue {
-		crowded[j.priority.class] = crowded[j.priority.class] || p.ageBucket(j) == ageLate
+		contended[j.priority.class] = contended[j.priority.class] || p.ageBucket(j) == ageLate
 	}
 	// A team whose unfinished jobs all fit within its guarantee need not wait
 	// for other teams.
@@ -58,7 +58,7 @@
 			return a.priority.class - b.priority.class
 		}
 		work := 0
-		if crowded[a.priority.class] {
+		if contended[a.priority.class] {
 			work = cmp.Compare(p.queuedWork(a), p.queuedWork(b))
 		}
 		return cmp.Or(cmp.Compare(p.ageBucket(a), p.ageBucket(b)), foreignJobsLast(a, b), work, cmp.Compare(a.slack(p.clock.now), b.slack(p.clock.now)), int(a.index)-int(b.index))
--- a/internal/scheduler/required_stops.go
+++ b/internal/scheduler/required_stops.go
@@ -51,17 +51,17 @@
 // sent one after the other, in two commands or in a response and a command, arrive in any order,
 // and an agent ignores the stop of an attempt that it does not know yet: the start was executed
 // after its stop, and the task ran until the agent's next heartbeat was answered.
-func (q *commands) repeatStops(call *commandInFlight, r *wire.Heartbeat) {
-	m := call.machine
+func (q *commands) repeatStops(command *commandInFlight, r *wire.Heartbeat) {
+	m := command.machine
 	if r == nil || r.Machine != m.name || r.AgentEpoch != m.agent.epoch {
 		return
 	}
-	for _, attempt := range call.startedAttempts {
+	for _, attempt := range command.startedAttempts {
 		if b := m.allocation(attempt); b != nil && b.stopping && isAlive(r, attempt) {
 			q.sendStop(m, b)
 		}
 	}
-	for _, attempt := range call.stoppedAttempts {
+	for _, attempt := range command.stoppedAttempts {
 		b := m.allocation(attempt)
 		if b != nil && b.stopping && b.state == allocationSent && !b.stopRepeated && !isAlive(r, attempt) {
 			b.stopRepeated = true
--- a/internal/scheduler/scale_in.go
+++ b/internal/scheduler/scale_in.go
@@ -99,23 +99,23 @@
 // reasonToScaleIn tells why a machine is to be returned whether or not it is needed; "": there
 // is no reason.
 func (a *autoscaling) reasonToScaleIn(m *machine) string {
-	quiet := a.agents.unacknowledgedFor(m)
+	unacknowledged := a.agents.unacknowledgedFor(m)
 	switch {
 	case m.state == machineDeleting:
 		return "not yet known to be gone"
-	case a.agents.heartbeatExpected(m) && quiet > a.agents.unreachableAfter() && m.rental.missedListings >= 2:
+	case a.agents.heartbeatExpected(m) && unacknowledged > a.agents.unreachableAfter() && m.rental.missedListings >= 2:
 		// Absence from the list proves nothing, but its deletion will.
-		return "silent and not listed any more"
-	case a.agents.heartbeatExpected(m) && quiet > 4*a.agents.heartbeatInterval && !a.agents.zoneCutOff(m):
-		return "silent"
+		return "unreachable and not listed any more"
+	case a.agents.heartbeatExpected(m) && unacknowledged > 4*a.agents.heartbeatInterval && !a.agents.zoneCutOff(m):
+		return "unreachable"
 	case m.state == machineStarting:
-		return a.reasonToStopBoot(m, quiet)
-	case quiet > a.agents.lease+a.agents.heartbeatInterval:
+		return a.reasonToStopBoot(m, unacknowledged)
+	case unacknowledged > a.agents.lease+a.agents.heartbeatInterval:
 		return "lost"
 	case len(m.capacity.allocations) > 0:
 		return ""
 	case m.rental.terminationAt > 0:
-		return "will be taken back"
+		return "termination notice"
 	case m.health.quarantined:
 		return "faulty"
 	}
@@ -128,12 +128,12 @@
 // reasonToStopBoot tells why a machine without a heartbeat so far is to be returned. One that an
 // earlier leader had up may be unreachable for a while: it has a lease's time for its first
 // heartbeat.
-func (a *autoscaling) reasonToStopBoot(m *machine, quiet time.Duration) string {
+func (a *autoscaling) reasonToStopBoot(m *machine, unacknowledged time.Duration) string {
 	patience := unknownBootPatience
 	switch {
 	case m.typ >= 0:
 		patience = time.Duration(a.cfg.Operator.BootPatience * float64(settings.Seconds(a.types.list[m.typ].BootS)))
-	case quiet < a.agents.lease:
+	case unacknowledged < a.agents.lease:
 		return ""
 	}
 	if a.clock.now-m.rental.rentedAt > patience && a.clock.now-a.clock.termStart > a.agents.lease {
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -47,8 +47,8 @@
 
 func (a *autoscaling) sendScaleOut(h *scaleOut) {
 	h.sent = true
-	order := h.saved.Request
-	a.effects.emit(CallCloud{autoscaler.Call{ScaleOut: &order}})
+	request := h.saved.Request
+	a.effects.emit(CallCloud{autoscaler.Call{ScaleOut: &request}})
 }
 
 // restoreScaleOut continues an earlier leader's scale-out. One whose result is not in its record
--- a/internal/scheduler/soft_state.go
+++ b/internal/scheduler/soft_state.go
@@ -126,16 +126,16 @@
 		}
 	}
 	slices.SortFunc(changed, func(a, b *machine) int { return cmp.Compare(a.softStateVersion, b.softStateVersion) })
-	given := SoftStateReply{ReplyTo: e.ReplyTo, Term: s.term, UpTo: s.version, Estimates: s.learnedEstimates()}
+	reply := SoftStateReply{ReplyTo: e.ReplyTo, Term: s.term, UpTo: s.version, Estimates: s.learnedEstimates()}
 	if len(changed) > softstate.MaxChanges {
 		changed = changed[:softstate.MaxChanges]
-		given.UpTo = changed[softstate.MaxChanges-1].softStateVersion
-		given.More = true
+		reply.UpTo = changed[softstate.MaxChanges-1].softStateVersion
+		reply.More = true
 	}
 	for _, m := range changed {
-		given.Machines = append(given.Machines, s.machineSoftState(m))
+		reply.Machines = append(reply.Machines, s.machineSoftState(m))
 	}
-	s.effects.emit(given)
+	s.effects.emit(reply)
 }
 
 // machineSoftState is the soft state of a machine.
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -56,9 +56,9 @@
 		if b.lastHeartbeatSeen == c.agents.heartbeatsProcessed {
 			continue
 		}
-		_, unsettled := m.commands.unresolvedStarts[b.attempt]
+		_, unresolved := m.commands.unresolvedStarts[b.attempt]
 		switch {
-		case b.state <= allocationQueued, unsettled:
+		case b.state <= allocationQueued, unresolved:
 			// Not sent yet, or it may still be executed.
 		case b.state == allocationSent && b.responseSequence > 0 && (!reported || r.Sequence <= b.responseSequence):
 			// The response that carries its start may still be on its way: the agent's next
--- a/internal/scheduler/zone_cuts.go
+++ b/internal/scheduler/zone_cuts.go
@@ -20,9 +20,9 @@
 	for len(a.zoneCutAt) < len(zones) {
 		a.zoneCutAt = append(a.zoneCutAt, math.MinInt64/2)
 	}
-	maxSilent := 2*all.unreachable > max(all.up, 2)
+	mostUnreachable := 2*all.unreachable > max(all.up, 2)
 	for i, z := range zones {
-		if maxSilent || z.up > 1 && z.unreachable == z.up {
+		if mostUnreachable || z.up > 1 && z.unreachable == z.up {
 			a.zoneCutAt[i] = a.clock.now
 		}
 	}
