--- a/internal/scheduler/attempts_test.go
+++ b/internal/scheduler/attempts_test.go
@@ -11,8 +11,8 @@
 // TestAttemptsOfATermAreBounded: the counter of attempts ran over into the term, and
 // numbers came twice. The term is given up in time, and nothing is started beyond it.
 func TestAttemptsOfATermAreBounded(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{})
-	g.up("vm-1")
+	g := newHarness(t, ledger.Snapshot{})
+	g.bringUp("vm-1")
 	ends := func() bool { return slices.Contains(g.out, Effect(ResignLeadership{})) }
 	g.wait(time.Second)
 	g.want("given up at the start", ends(), false)
@@ -27,7 +27,7 @@
 	for _, o := range orders {
 		g.want("the term of an attempt", o.Attempt>>tokenBits, uint64(testTerm))
 	}
-	g.settle(CommandExecuted)
+	g.endCommands(CommandExecuted)
 	g.submit(newTestJob("job-2", 1, 1))
 	g.want("started with none left", len(g.starts()), 0)
 }
--- a/internal/scheduler/bench_test.go
+++ b/internal/scheduler/bench_test.go
@@ -15,31 +15,31 @@
 	"leadproxy/internal/wire"
 )
 
-// site is a whole deployment on a fake clock, around a core: machines that run
+// simulation is a whole deployment on a fake clock, around a core: machines that run
 // what they are told and report, and users whose jobs keep them busy.
-type site struct {
+type simulation struct {
 	c        *Core
 	now      time.Duration
-	machines []*siteMachine
-	at       map[string]*siteMachine
+	machines []*simulatedMachine
+	at       map[string]*simulatedMachine
 	jobs     int
 	backlog  []Event // events that follow at once
 	counts   map[string]int
 }
 
-type siteMachine struct {
+type simulatedMachine struct {
 	report wire.Heartbeat
 	ends   map[uint64]time.Duration
 	next   time.Duration // its next report
 }
 
 // Deliver is not called: the site looks at the effects.
-func (m *siteMachine) Deliver(Effect) {}
+func (m *simulatedMachine) Deliver(Effect) {}
 
-func newSite(machines int) *site {
+func newSimulation(machines int) *simulation {
 	p := &settings.Platform{Facts: settings.Facts{Nodes: 3, Teams: []settings.Team{{Name: "t"}},
 		Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 56}, Objectives: []settings.Objective{{Kind: "wait", Class: "small", WithinS: 4}}}}
-	s := &site{at: map[string]*siteMachine{}, counts: map[string]int{}}
+	s := &simulation{at: map[string]*simulatedMachine{}, counts: map[string]int{}}
 	s.c = NewCore(Config{Term: testTerm, Platform: p, Operator: settings.Defaults()}, ledger.Snapshot{}, 0, 0, slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})))
 	s.take(s.c.InitialEffects())
 	var types []wire.MachineType
@@ -52,7 +52,7 @@
 		if i%20 >= 11 {
 			typ = 1 + i%20/19
 		}
-		m := &siteMachine{ends: map[uint64]time.Duration{}, next: time.Duration(i) * 8 * time.Second / time.Duration(machines)}
+		m := &simulatedMachine{ends: map[uint64]time.Duration{}, next: time.Duration(i) * 8 * time.Second / time.Duration(machines)}
 		m.report = wire.Heartbeat{Machine: fmt.Sprintf("vm-%06d", i), Address: "10.1.0.1:9000", Type: types[typ].Name, Zone: types[typ].Zones[i%3], Spot: i%4 > 0, AgentEpoch: 1}
 		s.machines = append(s.machines, m)
 		s.at[m.report.Machine] = m
@@ -60,14 +60,14 @@
 	return s
 }
 
-func (s *site) step(e Event) {
+func (s *simulation) step(e Event) {
 	s.c.Step(e, s.now, s.now.Milliseconds())
 	s.settle()
 }
 
-func (s *site) settle() { s.take(s.c.Settle()) }
+func (s *simulation) settle() { s.take(s.c.Settle()) }
 
-func (s *site) take(effects []Effect) {
+func (s *simulation) take(effects []Effect) {
 	var tags []ledger.Tag
 	for _, e := range effects {
 		s.counts[fmt.Sprintf("%T", e)]++
@@ -91,7 +91,7 @@
 			s.backlog = append(s.backlog, CommandResult{CommandID: e.CommandID, Outcome: CommandExecuted, Heartbeat: &r})
 		case HeartbeatReply:
 			if e.Response != nil {
-				e.ReplyTo.(*siteMachine).obey(s.now, e.Response.FencingToken, e.Response.Commands)
+				e.ReplyTo.(*simulatedMachine).obey(s.now, e.Response.FencingToken, e.Response.Commands)
 			}
 		case CallCloud:
 			if e.Call.List {
@@ -104,14 +104,14 @@
 	}
 }
 
-func (m *siteMachine) say() wire.Heartbeat {
+func (m *simulatedMachine) say() wire.Heartbeat {
 	m.report.Sequence++
 	r := m.report
 	r.Tasks = append([]wire.TaskStatus(nil), r.Tasks...)
 	return r
 }
 
-func (m *siteMachine) obey(now time.Duration, token uint64, orders []wire.Command) {
+func (m *simulatedMachine) obey(now time.Duration, token uint64, orders []wire.Command) {
 	if token > m.report.FencingToken {
 		m.report.FencingToken = token
 		m.next = min(m.next, now+500*time.Millisecond)
@@ -134,7 +134,7 @@
 }
 
 // run plays a time in steps of 50 ms, with so many tasks submitted a second.
-func (s *site) run(d time.Duration, tasks int) {
+func (s *simulation) run(d time.Duration, tasks int) {
 	const step = 50 * time.Millisecond
 	for end := s.now + d; s.now < end; s.now += step {
 		for s.jobs*120 < int(s.now.Seconds()*float64(tasks)) {
@@ -180,7 +180,7 @@
 // BenchmarkBusySecond is what the core does in a second of a large deployment in
 // a burst: 1,400 machines, a few hundred tasks begun and ended.
 func BenchmarkBusySecond(b *testing.B) {
-	s := newSite(1400)
+	s := newSimulation(1400)
 	s.run(40*time.Second, 300)
 	clear(s.counts)
 	b.ReportAllocs()
@@ -208,7 +208,7 @@
 			b.Run(fmt.Sprintf("%s/%d", shape, jobs), func(b *testing.B) {
 				for range b.N {
 					b.StopTimer()
-					s := newSite(1)
+					s := newSimulation(1)
 					b.StartTimer()
 					due := 1e6
 					for i := range jobs {
--- a/internal/scheduler/cancel_test.go
+++ b/internal/scheduler/cancel_test.go
@@ -8,21 +8,21 @@
 )
 
 func TestCancelIsToldOnlyWhenDurableAndLateStartsAreStopped(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{})
-	g.up("vm-1")
+	g := newHarness(t, ledger.Snapshot{})
+	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
 	o := g.starts()[0]
-	g.settle(CommandOutcomeUnknown)
-	g.held, g.out = true, nil
+	g.endCommands(CommandOutcomeUnknown)
+	g.holdWrites, g.out = true, nil
 	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 	g.want("answers before it is durable", len(g.out), 0)
 	g.want("state before it is durable", g.jobStatus("job-1") == wire.JobCancelled, false)
 	g.out = nil
-	g.release()
+	g.releaseWrites()
 	g.want("the answer", g.out[0].(UserReply).Status.Status, wire.JobCancelled)
 	// The start command arrives late, after the cancellation.
-	g.want("orders", verbs(g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskRunning, "")))), "stop ")
-	g.report(g.reportOf("vm-1", ours+1, taskIn(o, wire.TaskEnded, wire.ExitStopped)))
+	g.want("orders", verbs(g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskRunning, "")))), "stop ")
+	g.sendHeartbeat(g.heartbeatOf("vm-1", termToken+1, taskIn(o, wire.TaskEnded, wire.ExitStopped)))
 	g.want("state", g.jobStatus("job-1"), wire.JobCancelled)
 	g.want("bookings left", g.c.jobs.list[0].progress.allocated, 0)
 }
@@ -32,15 +32,15 @@
 // begins at that moment, goes on answering workers and learns of it only minutes
 // later. So the tasks are stopped when the cancellation is asked for.
 func TestCancelStopsTasksAtOnce(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{})
-	g.up("vm-1")
+	g := newHarness(t, ledger.Snapshot{})
+	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 2, 1))
 	orders := g.starts()
-	g.settle(CommandExecuted)
-	g.held, g.out = true, nil
+	g.endCommands(CommandExecuted)
+	g.holdWrites, g.out = true, nil
 	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 	stops := ""
-	for _, d := range g.start {
+	for _, d := range g.sentCommands {
 		for _, o := range d.Request.Commands {
 			stops += o.Verb + " "
 		}
@@ -52,51 +52,51 @@
 		}
 	}
 	// A task that is found only now is not taken up either.
-	g.up("vm-2")
+	g.bringUp("vm-2")
 	o := orders[0]
 	o.Attempt++
-	g.want("orders to another machine", verbs(g.report(g.reportOf("vm-2", ours, taskIn(o, wire.TaskRunning, "")))), "stop ")
+	g.want("orders to another machine", verbs(g.sendHeartbeat(g.heartbeatOf("vm-2", termToken, taskIn(o, wire.TaskRunning, "")))), "stop ")
 }
 
 // TestStopThatOvertakesItsStartIsRepeated: a cancellation comes while the start is on its
 // way in another command, and the stop is carried out first, which the worker ignores. The
 // task began after the cancellation was confirmed, and ran until the next report.
 func TestStopThatOvertakesItsStartIsRepeated(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{})
-	g.up("vm-1")
+	g := newHarness(t, ledger.Snapshot{})
+	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
-	start, o := g.start[0], g.starts()[0]
-	g.start = nil
+	start, o := g.sentCommands[0], g.starts()[0]
+	g.sentCommands = nil
 	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
-	stop := g.start[0]
-	g.start = nil
-	g.step(CommandResult{CommandID: stop.CommandID, Outcome: CommandExecuted, Heartbeat: g.reportOf("vm-1", ours)})
-	g.want("the stop again, as the start may have come since", len(g.start), 1)
-	again := g.start[0]
-	g.start = nil
-	g.step(CommandResult{CommandID: again.CommandID, Outcome: CommandExecuted, Heartbeat: g.reportOf("vm-1", ours)})
-	g.want("commands while the start is on its way for longer", len(g.start), 0)
-	g.step(CommandResult{CommandID: start.CommandID, Outcome: CommandExecuted, Heartbeat: g.reportOf("vm-1", ours, taskIn(o, wire.TaskFetching, ""))})
-	g.want("the stop once the start was carried out", len(g.start) == 1 && g.start[0].Request.Commands[0].Verb == wire.VerbStop, true)
-	g.step(CommandResult{CommandID: g.start[0].CommandID, Outcome: CommandExecuted, Heartbeat: g.reportOf("vm-1", ours, taskIn(o, wire.TaskEnded, wire.ExitStopped))})
+	stop := g.sentCommands[0]
+	g.sentCommands = nil
+	g.step(CommandResult{CommandID: stop.CommandID, Outcome: CommandExecuted, Heartbeat: g.heartbeatOf("vm-1", termToken)})
+	g.want("the stop again, as the start may have come since", len(g.sentCommands), 1)
+	again := g.sentCommands[0]
+	g.sentCommands = nil
+	g.step(CommandResult{CommandID: again.CommandID, Outcome: CommandExecuted, Heartbeat: g.heartbeatOf("vm-1", termToken)})
+	g.want("commands while the start is on its way for longer", len(g.sentCommands), 0)
+	g.step(CommandResult{CommandID: start.CommandID, Outcome: CommandExecuted, Heartbeat: g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskFetching, ""))})
+	g.want("the stop once the start was carried out", len(g.sentCommands) == 1 && g.sentCommands[0].Request.Commands[0].Verb == wire.VerbStop, true)
+	g.step(CommandResult{CommandID: g.sentCommands[0].CommandID, Outcome: CommandExecuted, Heartbeat: g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskEnded, wire.ExitStopped))})
 	g.want("bookings left", g.c.jobs.list[0].progress.allocated, 0)
 }
 
 func TestCancelOfADoneJobSaysDone(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{})
-	g.up("vm-1")
+	g := newHarness(t, ledger.Snapshot{})
+	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
 	o := g.starts()[0]
-	g.settle(CommandExecuted)
-	g.held = true
-	g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskEnded, wire.ExitDone)))
+	g.endCommands(CommandExecuted)
+	g.holdWrites = true
+	g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskEnded, wire.ExitDone)))
 	g.want("told before it is durable", g.jobStatus("job-1") == wire.JobDone, false)
 	// The state service may have the write while its answer is on its way, and
 	// another node may have told a user: "queued" would go back on that.
 	g.want("sent to the record while it is being written", g.out[0].(UserReply).TerminalStatePending, true)
 	g.out = nil
 	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
-	g.release()
+	g.releaseWrites()
 	g.want("the answer", g.out[0].(UserReply).Status.Status, wire.JobDone)
 	g.want("told once it is durable", g.jobStatus("job-1"), wire.JobDone)
 	g.want("without a look at the record", g.out[0].(UserReply).TerminalStatePending, false)
@@ -107,9 +107,9 @@
 // tasks twice and ended on that, as did every one after it.
 func TestCancelledJobWhoseRangesAreStillThere(t *testing.T) {
 	rec := ledger.JobRecord{Job: newTestJob("job-1", 3, 1), Terminal: wire.JobCancelled, Tasks: 3, Done: 2}
-	g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec, Hosts: savedHosts("vm-1"), Finished: savedRanges(0, 1)}}})
+	g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec, Hosts: savedHosts("vm-1"), Finished: savedRanges(0, 1)}}})
 	g.want("state", g.jobStatus("job-1"), wire.JobCancelled)
-	g.up("vm-1")
+	g.bringUp("vm-1")
 	g.want("starts", len(g.starts()), 0)
 	g.want("settled", g.c.jobs.list[0].end.cleanedUp, true)
 }
--- a/internal/scheduler/cancellations_test.go
+++ b/internal/scheduler/cancellations_test.go
@@ -9,54 +9,54 @@
 	"leadproxy/internal/wire"
 )
 
-// TestOverdueCancelledTasksAreNoted: a task of a cancelled job ran on and nothing said so: it
+// TestOverdueCancelledTasksAreLogged: a task of a cancelled job ran on and nothing said so: it
 // was found from outside, a minute later, and no log told why. The leader notes it as an error.
-func TestOverdueCancelledTasksAreNoted(t *testing.T) {
+func TestOverdueCancelledTasksAreLogged(t *testing.T) {
 	for _, q := range []struct {
 		name string
-		act  func(g *stage, task wire.TaskStatus)
+		act  func(g *harness, task wire.TaskStatus)
 		want bool
 	}{
-		{"a worker that goes on after each stop", func(g *stage, task wire.TaskStatus) {
+		{"a worker that goes on after each stop", func(g *harness, task wire.TaskStatus) {
 			for range 22 {
 				g.wait(3 * time.Second)
-				g.echo("vm-1", task)
+				g.acknowledge("vm-1", task)
 			}
 		}, true},
-		{"a worker that stops it", func(g *stage, task wire.TaskStatus) {
+		{"a worker that stops it", func(g *harness, task wire.TaskStatus) {
 			task.Status, task.ExitReason = wire.TaskEnded, wire.ExitStopped
 			for range 22 {
 				g.wait(3 * time.Second)
-				g.echo("vm-1", task)
+				g.acknowledge("vm-1", task)
 			}
 		}, false},
-		{"a worker that is not heard: its lease is over before", func(g *stage, _ wire.TaskStatus) {
+		{"a worker that is not heard: its lease is over before", func(g *harness, _ wire.TaskStatus) {
 			g.wait(66 * time.Second)
 		}, false},
-		{"a controller that stood still", func(g *stage, task wire.TaskStatus) {
+		{"a controller that stood still", func(g *harness, task wire.TaskStatus) {
 			g.now += 66 * time.Second
 			g.step(Tick{})
-			g.echo("vm-1", task)
+			g.acknowledge("vm-1", task)
 			g.wait(3 * time.Second)
 		}, false},
-		{"a new leader that finds it", func(g *stage, task wire.TaskStatus) {
-			next := newStageAt(g.t, g.now, testConfig(g.c.cfg.Operator, g.c.cfg.Platform.Facts.Teams...), ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
+		{"a new leader that finds it", func(g *harness, task wire.TaskStatus) {
+			next := newHarnessAt(g.t, g.now, testConfig(g.c.cfg.Operator, g.c.cfg.Platform.Facts.Teams...), ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
 				Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), Terminal: wire.JobCancelled, Tasks: 1, EndedMS: 1}, Hosts: savedHosts("vm-1")}}})
 			for range 22 {
 				next.wait(3 * time.Second)
-				next.echo("vm-1", task)
+				next.acknowledge("vm-1", task)
 			}
 			g.c = next.c
 		}, true},
 	} {
 		t.Run(q.name, func(t *testing.T) {
-			g := newStage(t, ledger.Snapshot{})
-			g.up("vm-1")
+			g := newHarness(t, ledger.Snapshot{})
+			g.bringUp("vm-1")
 			g.submit(newTestJob("job-1", 1, 1))
 			task := taskIn(g.starts()[0], wire.TaskRunning, "")
-			g.settle(CommandExecuted)
+			g.endCommands(CommandExecuted)
 			g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
-			g.settle(CommandOutcomeUnknown)
+			g.endCommands(CommandOutcomeUnknown)
 			q.act(g, task)
 			g.want("noted", g.c.jobs.list[0].end.overdueLogged, q.want)
 		})
@@ -66,15 +66,15 @@
 // TestProbeThatFindsACancelledTask: a new leader's probe is back before the worker's next
 // report, which may be many seconds later. The stop goes at once, not with its answer.
 func TestProbeThatFindsACancelledTask(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
+	g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
 		Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), Terminal: wire.JobCancelled, Tasks: 1}, Hosts: savedHosts("vm-1")}}})
 	g.now += time.Second
 	g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}, List: []wire.ListedMachine{
 		{Name: "vm-1", Address: "10.1.0.1:9000", Type: "m4", Zone: "a", Spot: true, Status: wire.MachineRunning, AgeS: 90}}}})
-	g.want("probes", len(g.start), 1)
-	probe := g.start[0]
-	g.start = nil
+	g.want("probes", len(g.sentCommands), 1)
+	probe := g.sentCommands[0]
+	g.sentCommands = nil
 	task := wire.TaskStatus{Task: "job-1/0", Attempt: 6<<tokenBits | 1, Status: wire.TaskRunning}
-	g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandExecuted, Heartbeat: g.reportOf("vm-1", ours, task)})
-	g.want("a stop", len(g.start) == 1 && g.start[0].Request.Commands[0].Verb == wire.VerbStop, true)
+	g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandExecuted, Heartbeat: g.heartbeatOf("vm-1", termToken, task)})
+	g.want("a stop", len(g.sentCommands) == 1 && g.sentCommands[0].Request.Commands[0].Verb == wire.VerbStop, true)
 }
--- a/internal/scheduler/dependencies_model_test.go
+++ b/internal/scheduler/dependencies_model_test.go
@@ -60,8 +60,8 @@
 // playGraph plays one history of graphs, ends, cancellations and takeovers.
 func playGraph(t tester, r property.Chooser, steps int) {
 	m := &graphModel{map[string][]string{}, map[string]bool{}, map[string]bool{}}
-	g := newStage(t, ledger.Snapshot{})
-	g.up("vm-1")
+	g := newHarness(t, ledger.Snapshot{})
+	g.bringUp("vm-1")
 	var refs []string
 	for step := range steps {
 		switch k := r.IntN(10); {
@@ -81,7 +81,7 @@
 			g.submit(j)
 		case k < 8:
 			if ref := refs[r.IntN(len(refs))]; m.ready(ref) {
-				g.settle(CommandExecuted)
+				g.endCommands(CommandExecuted)
 				g.finishTask("vm-1", ref)
 				m.done[ref] = true
 			}
@@ -92,14 +92,14 @@
 		default:
 			g = takeOver(t, g, refs)
 		}
-		g.settle(CommandExecuted)
+		g.endCommands(CommandExecuted)
 		g.agrees(m, refs)
 	}
 }
 
 // takeOver begins a new term from the job records that the last one has written, on a
 // machine that has begun anew: what ran there starts again.
-func takeOver(t tester, g *stage, refs []string) *stage {
+func takeOver(t tester, g *harness, refs []string) *harness {
 	t.Helper()
 	var s ledger.Snapshot
 	for _, ref := range refs {
@@ -109,17 +109,17 @@
 		}
 		s.Jobs = append(s.Jobs, ledger.SavedJob{ID: ref, Version: 1, Record: record})
 	}
-	n := newStage(t, s)
+	n := newHarness(t, s)
 	n.specs = g.specs
 	for ref, w := range g.writes {
 		n.writes[ref] = w
 	}
-	n.up("vm-1")
+	n.bringUp("vm-1")
 	return n
 }
 
 // agrees compares all jobs' states, and what is started, with the model.
-func (g *stage) agrees(m *graphModel, refs []string) {
+func (g *harness) agrees(m *graphModel, refs []string) {
 	g.t.Helper()
 	for _, ref := range refs {
 		want := []string{wire.JobQueued, wire.JobRunning}
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -19,7 +19,7 @@
 }
 
 // finishTask has a machine report the one task of a job as done.
-func (g *stage) finishTask(machine, ref string) {
+func (g *harness) finishTask(machine, ref string) {
 	g.t.Helper()
 	var tasks []wire.TaskStatus
 	there := false
@@ -31,17 +31,17 @@
 		tasks = append(tasks, t)
 	}
 	g.want(ref+" is on "+machine, there, true)
-	g.echo(machine, tasks...)
+	g.acknowledge(machine, tasks...)
 }
 
 // started tells which jobs' tasks have been started since the last look.
-func (g *stage) started() string {
+func (g *harness) started() string {
 	var refs []string
 	for _, o := range g.starts() {
 		ref, _, _ := wire.ParseTaskName(o.Task)
 		refs = append(refs, ref)
 	}
-	g.settle(CommandExecuted)
+	g.endCommands(CommandExecuted)
 	return strings.Join(refs, " ")
 }
 
@@ -49,8 +49,8 @@
 // until then it is queued and takes nothing of its team's limit.
 func TestDependents(t *testing.T) {
 	t.Run("a diamond", func(t *testing.T) {
-		g := newStage(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUsMax: 2})
-		g.up("vm-1")
+		g := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUsMax: 2})
+		g.bringUp("vm-1")
 		g.submit(after("job-1"))
 		g.submit(after("job-2", "job-1"))
 		g.submit(after("job-3", "job-1"))
@@ -58,10 +58,10 @@
 		g.want("started at first", g.started(), "job-1")
 		g.want("state of what waits", g.jobStatus("job-4"), wire.JobQueued)
 		g.want("demand for it", len(g.c.placement.queue()), 0)
-		g.held = true
+		g.holdWrites = true
 		g.finishTask("vm-1", "job-1")
 		g.want("started before the end is durable", g.started(), "")
-		g.release()
+		g.releaseWrites()
 		g.want("started after it", g.started(), "job-2 job-3")
 		g.finishTask("vm-1", "job-2")
 		g.want("started after one of two", g.started(), "")
@@ -71,8 +71,8 @@
 		g.want("state at last", g.jobStatus("job-4"), wire.JobDone)
 	})
 	t.Run("a predecessor that is done already, and one seen later", func(t *testing.T) {
-		g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-0", Record: ledger.JobRecord{Terminal: wire.JobDone, Tasks: 1, Done: 1}}}})
-		g.up("vm-1")
+		g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-0", Record: ledger.JobRecord{Terminal: wire.JobDone, Tasks: 1, Done: 1}}}})
+		g.bringUp("vm-1")
 		g.submit(after("job-2", "job-0", "job-1"))
 		g.want("started", g.started(), "")
 		g.submit(after("job-1"))
@@ -81,8 +81,8 @@
 		g.want("started", g.started(), "job-2")
 	})
 	t.Run("a predecessor whose end is seen first", func(t *testing.T) {
-		g := newStage(t, ledger.Snapshot{})
-		g.up("vm-1")
+		g := newHarness(t, ledger.Snapshot{})
+		g.bringUp("vm-1")
 		g.submit(after("job-2", "job-1"))
 		g.submit(after("job-4", "job-3"))
 		g.step(JobRecordEvent{JobID: "job-1", Record: ledger.JobRecord{Terminal: wire.JobDone, Tasks: 1, Done: 1}, Version: 4})
@@ -93,7 +93,7 @@
 	t.Run("a guarantee", func(t *testing.T) {
 		// Both teams want all of the one machine. What waits for others is none of
 		// the first team's demand, so its guarantee covers the rest.
-		g := newStage(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUs: 4}, settings.Team{Name: "u"})
+		g := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUs: 4}, settings.Team{Name: "u"})
 		other := newTestJob("job-9", 4, 1)
 		other.Team, other.Priority = "u", "critical"
 		g.submit(other)
@@ -106,8 +106,8 @@
 		g.want("in the queue", len(g.c.placement.queue()), 2)
 	})
 	t.Run("a long chain and a wide fan", func(t *testing.T) {
-		g := newStage(t, ledger.Snapshot{})
-		g.up("vm-1")
+		g := newHarness(t, ledger.Snapshot{})
+		g.bringUp("vm-1")
 		const n = 3000
 		g.submit(after("job-0"))
 		for i := range n {
@@ -135,25 +135,25 @@
 	cases := []struct {
 		name  string
 		saved []ledger.SavedJob
-		play  func(g *stage)
+		play  func(g *harness)
 		want  string // the state of job-3, which needs job-2, which needs job-1
 	}{
 		// "" is for the record alone to tell.
-		{"before it is durable", nil, func(g *stage) { g.held = true; g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")}) }, ""},
-		{"before that of the one between", nil, func(g *stage) { g.held = true; g.step(CancelRequest{JobID: "job-2", ReplyTo: recipient("u")}) }, ""},
-		{"once it is durable", nil, func(g *stage) { g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")}) }, wire.JobCancelled},
-		{"the one between", nil, func(g *stage) { g.step(CancelRequest{JobID: "job-2", ReplyTo: recipient("u")}) }, wire.JobCancelled},
-		{"the last alone", nil, func(g *stage) { g.step(CancelRequest{JobID: "job-3", ReplyTo: recipient("u")}) }, wire.JobCancelled},
-		{"done before", nil, func(g *stage) {
+		{"before it is durable", nil, func(g *harness) { g.holdWrites = true; g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")}) }, ""},
+		{"before that of the one between", nil, func(g *harness) { g.holdWrites = true; g.step(CancelRequest{JobID: "job-2", ReplyTo: recipient("u")}) }, ""},
+		{"once it is durable", nil, func(g *harness) { g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")}) }, wire.JobCancelled},
+		{"the one between", nil, func(g *harness) { g.step(CancelRequest{JobID: "job-2", ReplyTo: recipient("u")}) }, wire.JobCancelled},
+		{"the last alone", nil, func(g *harness) { g.step(CancelRequest{JobID: "job-3", ReplyTo: recipient("u")}) }, wire.JobCancelled},
+		{"done before", nil, func(g *harness) {
 			g.finishTask("vm-1", "job-1")
 			g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 		}, wire.JobQueued},
 		{"the leader ended between its write and theirs", []ledger.SavedJob{open("job-3", "job-2"), open("job-2", "job-1"), cancelled}, nil, wire.JobCancelled},
-		{"submitted after it", []ledger.SavedJob{cancelled}, func(g *stage) {
+		{"submitted after it", []ledger.SavedJob{cancelled}, func(g *harness) {
 			g.submit(after("job-2", "job-1"))
 			g.submit(after("job-3", "job-2"))
 		}, wire.JobCancelled},
-		{"one of several ancestors, the others run on", nil, func(g *stage) {
+		{"one of several ancestors, the others run on", nil, func(g *harness) {
 			g.submit(after("job-5"))
 			g.submit(after("job-6"))
 			g.submit(after("job-7", "job-5", "job-6"))
@@ -163,37 +163,37 @@
 			g.want("what needs that", g.jobStatus("job-8"), wire.JobCancelled)
 			g.want("what it was beside", g.jobStatus("job-6") != wire.JobCancelled, true)
 		}, wire.JobQueued},
-		{"both ways of a diamond", nil, func(g *stage) {
+		{"both ways of a diamond", nil, func(g *harness) {
 			g.submit(after("job-4", "job-1"))
 			g.submit(after("job-9", "job-4", "job-2"))
 			g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 			g.want("where the ways meet", g.jobStatus("job-9"), wire.JobCancelled)
 			g.want("the other way", g.jobStatus("job-4"), wire.JobCancelled)
 		}, wire.JobCancelled},
-		{"one way of a diamond", nil, func(g *stage) {
+		{"one way of a diamond", nil, func(g *harness) {
 			g.submit(after("job-4", "job-1"))
 			g.submit(after("job-9", "job-4", "job-2"))
 			g.step(CancelRequest{JobID: "job-4", ReplyTo: recipient("u")})
 			g.want("where the ways meet", g.jobStatus("job-9"), wire.JobCancelled)
 		}, wire.JobQueued},
-		{"cancelled as its last task ends", nil, func(g *stage) {
-			g.held = true
+		{"cancelled as its last task ends", nil, func(g *harness) {
+			g.holdWrites = true
 			g.finishTask("vm-1", "job-1")
 			g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
-			g.release()
+			g.releaseWrites()
 			g.want("the one that was cancelled", g.jobStatus("job-1"), wire.JobDone)
 		}, wire.JobQueued},
 		{"a takeover without it", []ledger.SavedJob{open("job-3", "job-2"), open("job-2", "job-1"), open("job-1")}, nil, wire.JobQueued},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newStage(t, ledger.Snapshot{Jobs: c.saved})
-			g.up("vm-1")
+			g := newHarness(t, ledger.Snapshot{Jobs: c.saved})
+			g.bringUp("vm-1")
 			if c.saved == nil {
 				g.submit(after("job-1"))
 				g.submit(after("job-2", "job-1"))
 				g.submit(after("job-3", "job-2"))
-				g.settle(CommandExecuted)
+				g.endCommands(CommandExecuted)
 			}
 			if c.play != nil {
 				c.play(g)
@@ -203,7 +203,7 @@
 				state = ""
 			}
 			g.want("state of the last", state, c.want)
-			g.settle(CommandExecuted)
+			g.endCommands(CommandExecuted)
 			g.wait(time.Second)
 			for _, o := range g.starts() {
 				if ref, _, _ := wire.ParseTaskName(o.Task); ref == "job-3" {
@@ -214,10 +214,10 @@
 	}
 }
 
-// TestUrgencyComesFromTheEnd: a job is as urgent as any that needs it, and in time
+// TestPriorityComesFromTheDependents: a job is as urgent as any that needs it, and in time
 // for its deadline; waits count from when it is ready.
-func TestUrgencyComesFromTheEnd(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{})
+func TestPriorityComesFromTheDependents(t *testing.T) {
+	g := newHarness(t, ledger.Snapshot{})
 	g.submit(newTestJob("job-7", 1, 1))
 	first := after("job-1")
 	first.Priority = "idle"
@@ -240,8 +240,8 @@
 	g.want("first in the queue", g.c.placement.queue()[0].id, "job-1")
 	g.want("rank of another job", of("job-7").priority.class, 2)
 	g.now += 3 * time.Minute
-	g.up("vm-1")
-	g.settle(CommandExecuted)
+	g.bringUp("vm-1")
+	g.endCommands(CommandExecuted)
 	g.finishTask("vm-1", "job-1")
 	g.want("when the second became ready", of("job-2").priority.arrived, g.now)
 }
@@ -251,12 +251,12 @@
 // reads them all.
 func TestSmallValues(t *testing.T) {
 	const limit, tasks, machines = 1024, 600, 150
-	g := newStage(t, ledger.Snapshot{})
+	g := newHarness(t, ledger.Snapshot{})
 	for i := range machines {
-		g.up(fmt.Sprintf("vm-%06d", i))
+		g.bringUp(fmt.Sprintf("vm-%06d", i))
 	}
 	g.submit(newTestJob("job-1", tasks, 1))
-	g.settle(CommandExecuted)
+	g.endCommands(CommandExecuted)
 	hosts := g.writes["host/job-1/0"]
 	g.want("hosts in one key at first", len(hosts.Value.([]string)), machines)
 	g.step(ValueLimitChanged{ValueBytes: limit})
@@ -277,7 +277,7 @@
 			}
 			reports = append(reports, taskIn(wire.Command{Task: g.c.jobs.taskName(b), Attempt: b.attempt}, status, why))
 		}
-		g.echo(name, reports...)
+		g.acknowledge(name, reports...)
 	}
 	saved := ledger.SavedJob{ID: "job-1", Record: ledger.JobRecord{Job: j.spec}}
 	found := map[string]bool{}
@@ -305,7 +305,7 @@
 		}
 	}
 	g.want("hosts in all pieces", len(found), machines)
-	n := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{saved}})
+	n := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{saved}})
 	g.want("done for a new leader", n.c.jobs.list[0].progress.done, tasks/2)
 	g.want("its hosts", len(n.c.jobs.list[0].record.hosts), machines)
 	// All of it is deleted with the job.
--- a/internal/scheduler/evictions_test.go
+++ b/internal/scheduler/evictions_test.go
@@ -14,14 +14,14 @@
 
 // newDrainStage begins a term that carries plans out, with one in the ledger unless it is
 // nil.
-func newDrainStage(t tester, r *rollout.Record) *stage {
+func newDrainStage(t tester, r *rollout.Record) *harness {
 	operator := settings.Defaults()
 	operator.Drain = settings.Drain{Enabled: true, Budgets: rollout.Budgets{General: rollout.Budget{Jobs: 1, Window: time.Second}}}
 	var s ledger.Snapshot
 	if r != nil {
 		s.Plans = []rollout.Record{*r}
 	}
-	return newStageAt(t, time.Hour, testConfig(operator, settings.Team{Name: "t"}), s)
+	return newHarnessAt(t, time.Hour, testConfig(operator, settings.Team{Name: "t"}), s)
 }
 
 func somePlan(phase rollout.Phase, batch ...string) *rollout.Record {
@@ -30,13 +30,13 @@
 }
 
 // written is the plan's record as it was last written.
-func (g *stage) written() rollout.Record {
+func (g *harness) written() rollout.Record {
 	r, _ := g.writes[ledger.PlanKey("winter")].Value.(rollout.Record)
 	return r
 }
 
 // answerTo is what a command about a plan is answered.
-func (g *stage) answer(e PlanRequest) error {
+func (g *harness) answer(e PlanRequest) error {
 	e.ReplyTo = recipient("operator")
 	g.step(e)
 	a, ok := last[PlanReply](g)
@@ -46,10 +46,10 @@
 	return a.Err
 }
 
-// TestMachineOfABatchThatNobodyKnows: it was returned as the leader before ended. The plan
+// TestUnknownMachineOfABatch: it was returned as the leader before ended. The plan
 // took it for one that boots, and waited until that was given up, longer than leaders
 // lasted.
-func TestMachineOfABatchThatNobodyKnows(t *testing.T) {
+func TestUnknownMachineOfABatch(t *testing.T) {
 	g := newDrainStage(t, somePlan(rollout.Draining, "vm-9"))
 	g.wait(10 * time.Second)
 	g.want("machines", len(g.c.machines.list), 0)
@@ -67,11 +67,11 @@
 	if err := g.answer(PlanRequest{Spec: &spec}); err == nil || !strings.Contains(err.Error(), "no machine") {
 		t.Errorf("no machine is there: %v", err)
 	}
-	g.up("vm-1")
-	g.held = true
+	g.bringUp("vm-1")
+	g.holdWrites = true
 	g.step(PlanRequest{Spec: &spec, ReplyTo: recipient("operator")})
 	g.want("durable", g.c.evictions.plans["winter"].rollout.Durable(), false)
-	g.release()
+	g.releaseWrites()
 	answer, _ := last[PlanReply](g)
 	g.want("answer once durable", answer.Err, nil)
 	if err := g.answer(PlanRequest{Spec: &spec}); !errors.Is(err, errPlanExists) {
@@ -82,7 +82,7 @@
 	}
 	g.want("paused", g.answer(PlanRequest{Name: "winter", Command: rollout.Pause}), nil)
 	g.want("written", g.written().Paused, true)
-	off := newStage(t, ledger.Snapshot{Plans: []rollout.Record{*somePlan(rollout.Choosing)}})
+	off := newHarness(t, ledger.Snapshot{Plans: []rollout.Record{*somePlan(rollout.Choosing)}})
 	if err := off.answer(PlanRequest{Name: "winter", Command: rollout.Pause}); !errors.Is(err, errEvictionDisabled) {
 		t.Error(err)
 	}
@@ -92,34 +92,34 @@
 // its move is durable, with the time that it needs, and nothing starts on its machine.
 func TestMoveIsWrittenBeforeTheStop(t *testing.T) {
 	g := newDrainStage(t, nil)
-	g.up("vm-1")
+	g.bringUp("vm-1")
 	job := newTestJob("job-1", 1, 1)
 	job.CheckpointIntervalS, job.CheckpointDurationS, job.EstimatedRunS = 10, 7, 1000
 	g.submit(job)
 	o := g.starts()[0]
-	g.settle(CommandExecuted)
+	g.endCommands(CommandExecuted)
 	g.now += time.Minute
 	running := taskIn(o, wire.TaskRunning, "")
-	g.report(g.reportOf("vm-1", ours, running))
+	g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, running))
 	spec := somePlan(rollout.Choosing).Spec
 	g.want("begun", g.answer(PlanRequest{Spec: &spec}), nil)
 	for range 4 {
 		g.wait(2 * time.Second)
-		g.echo("vm-1", running)
+		g.acknowledge("vm-1", running)
 	}
-	g.held = true
+	g.holdWrites = true
 	for range 20 {
 		g.wait(2 * time.Second)
-		g.echo("vm-1", running)
+		g.acknowledge("vm-1", running)
 	}
 	g.want("moves written, not durable", len(g.written().Moves), 1)
-	g.want("stops before that is durable", len(g.start), 0)
+	g.want("stops before that is durable", len(g.sentCommands), 0)
 	g.submit(newTestJob("job-2", 1, 1))
 	g.want("starts on a machine that is emptied", len(g.starts()), 0)
-	g.release()
+	g.releaseWrites()
 	g.wait(time.Second)
-	g.want("stops", len(g.start), 1)
-	stop := g.start[0].Request.Commands[0]
+	g.want("stops", len(g.sentCommands), 1)
+	stop := g.sentCommands[0].Request.Commands[0]
 	g.want("the stop", []any{stop.Verb, stop.Attempt, *stop.GracePeriodS}, []any{wire.VerbStop, o.Attempt, 7.0})
 }
 
@@ -127,15 +127,15 @@
 // stops is charged, not refused, and holds back what the plan would move elsewhere.
 func TestNoticeWhileDraining(t *testing.T) {
 	g := newDrainStage(t, nil)
-	g.up("vm-1")
-	g.up("vm-2")
+	g.bringUp("vm-1")
+	g.bringUp("vm-2")
 	var running []wire.TaskStatus
 	for _, ref := range []string{"job-1", "job-2"} {
 		job := newTestJob(ref, 1, 3)
 		job.CheckpointIntervalS, job.CheckpointDurationS, job.EstimatedRunS = 10, 1, 10000
 		g.submit(job)
 		running = append(running, taskIn(g.starts()[0], wire.TaskRunning, ""))
-		g.settle(CommandExecuted)
+		g.endCommands(CommandExecuted)
 	}
 	machines := []string{"vm-1", "vm-2"}
 	if g.c.jobs.list[0].record.hosts[0].machine != g.c.machineNamed("vm-1").index {
@@ -143,7 +143,7 @@
 	}
 	report := func() {
 		for i, name := range machines {
-			g.echo(name, running[i])
+			g.acknowledge(name, running[i])
 		}
 	}
 	report()
@@ -151,27 +151,27 @@
 		g.wait(2 * time.Second)
 		report()
 	}
-	g.start = nil
-	notice := g.reportOf(machines[0], g.c.machineNamed(machines[0]).agent.fencingToken, running[0])
+	g.sentCommands = nil
+	notice := g.heartbeatOf(machines[0], g.c.machineNamed(machines[0]).agent.fencingToken, running[0])
 	seconds := 60.0
 	notice.TerminationNoticeS = &seconds
-	g.report(notice)
+	g.sendHeartbeat(notice)
 	stopped := running[0]
 	stopped.Status, stopped.ExitReason, stopped.CheckpointSaved = wire.TaskEnded, wire.ExitStopped, true
-	g.echo(machines[0], stopped)
+	g.acknowledge(machines[0], stopped)
 	entries := g.c.evictions.disruptions.Entries(g.now)
 	if len(entries) != 1 || entries[0].Job.Ref != "job-1" || entries[0].Cause == rollout.Move {
 		t.Fatalf("%+v", entries)
 	}
-	g.start = nil
+	g.sentCommands = nil
 	spec := rollout.Spec{Name: "winter", Machines: []string{machines[1]}, Canary: 1, Batch: 1, WaitS: 100, HealthS: 100}
 	g.want("begun", g.answer(PlanRequest{Spec: &spec}), nil)
 	g.wait(3 * time.Second)
 	g.want("moves while the budget is used up", len(g.written().Moves), 0)
 	g.want("what it waits for", strings.Contains(strings.Join(g.c.evictions.plans["winter"].rollout.Waits(), " "), "room for it elsewhere"), true)
-	g.echo(machines[1], running[1])
+	g.acknowledge(machines[1], running[1])
 	g.wait(28 * time.Second)
-	g.echo(machines[1], running[1])
+	g.acknowledge(machines[1], running[1])
 	g.wait(4 * time.Second)
 	g.want("what it waits for in the end", strings.Join(g.c.evictions.plans["winter"].rollout.Waits(), " "), "job-2/0 on "+machines[1]+": the budget of team t: 1 of 1 jobs")
 }
--- a/internal/scheduler/federation_test.go
+++ b/internal/scheduler/federation_test.go
@@ -18,7 +18,7 @@
 
 // newCell is a stage of cell "lima" with neighbour "puno", whose only machine of four
 // cores is up and the last that there may be.
-func newCell(t *testing.T, change func(o *settings.Operator), teams ...settings.Team) *stage {
+func newCell(t *testing.T, change func(o *settings.Operator), teams ...settings.Team) *harness {
 	o := settings.Defaults()
 	o.MaxMachines = 1
 	o.Cells = settings.Cells{Name: "lima", Spill: true, ShortageFor: 5 * time.Second, MaxWait: 10 * time.Second, Repeatable: map[string]bool{},
@@ -26,22 +26,22 @@
 	if change != nil {
 		change(&o)
 	}
-	g := newStageWith(t, o, ledger.Snapshot{}, teams...)
-	g.up("vm-1")
+	g := newHarnessWith(t, o, ledger.Snapshot{}, teams...)
+	g.bringUp("vm-1")
 	g.step(TransfersEnabled{})
 	return g
 }
 
 // wait lets time pass while the machine reports what it runs.
-func (g *stage) waitWith(d time.Duration, machine string, tasks ...wire.TaskStatus) {
+func (g *harness) waitWith(d time.Duration, machine string, tasks ...wire.TaskStatus) {
 	for end := g.now + d; g.now < end; {
 		g.wait(time.Second)
-		g.echo(machine, tasks...)
+		g.acknowledge(machine, tasks...)
 	}
 }
 
 // fill has a job take the whole machine for long and returns how it is reported.
-func (g *stage) fill(ref string) []wire.TaskStatus {
+func (g *harness) fill(ref string) []wire.TaskStatus {
 	j := newTestJob(ref, 4, 1)
 	j.EstimatedRunS = 1000
 	g.submit(j)
@@ -49,12 +49,12 @@
 	for _, o := range g.starts() {
 		running = append(running, taskIn(o, wire.TaskRunning, ""))
 	}
-	g.settle(CommandExecuted)
+	g.endCommands(CommandExecuted)
 	return running
 }
 
 // last returns the latest effect of a type.
-func last[E Effect](g *stage) (e E, ok bool) {
+func last[E Effect](g *harness) (e E, ok bool) {
 	for i := len(g.others) - 1; i >= 0; i-- {
 		if e, ok = g.others[i].(E); ok {
 			return e, true
@@ -65,7 +65,7 @@
 
 // offered plays a shortage up to the neighbour's offer of room and names the jobs that
 // are offered to it.
-func (g *stage) offered(room float64, running []wire.TaskStatus) (refs []string) {
+func (g *harness) offered(room float64, running []wire.TaskStatus) (refs []string) {
 	g.waitWith(20*time.Second, "vm-1", running...)
 	if ask, ok := last[AskCapacity](g); ok {
 		g.step(CapacityResult{Cell: ask.Cell, Cores: min(room, ask.Cores), For: 5 * time.Second})
@@ -78,8 +78,8 @@
 	return refs
 }
 
-// TestOffers: which jobs leave a cell that is short of room.
-func TestOffers(t *testing.T) {
+// TestDelegation: which jobs leave a cell that is short of room.
+func TestDelegation(t *testing.T) {
 	zone := "a"
 	cases := []struct {
 		name   string
@@ -119,9 +119,9 @@
 
 func seconds(s float64) *float64 { return &s }
 
-// TestAwayJob follows a job through the neighbour to its end: it is charged to its team,
+// TestDelegatedJob follows a job through the neighbour to its end: it is charged to its team,
 // never placed here, and over when its end is durable here.
-func TestAwayJob(t *testing.T) {
+func TestDelegatedJob(t *testing.T) {
 	g := newCell(t, nil, settings.Team{Name: "t"}, settings.Team{Name: "tight", CPUsMax: 3})
 	tight := func(ref string) *wire.Job {
 		j := newTestJob(ref, 2, 1)
@@ -137,7 +137,7 @@
 	}
 	answer(federation.OutcomeAccepted, 2)
 	g.want("told while it runs there", g.jobStatus("job-2"), wire.JobRunning)
-	g.up("vm-2")
+	g.bringUp("vm-2")
 	g.submit(tight("job-3"))
 	g.want("started within the limit of both cells", len(g.starts()), 1)
 	answer(federation.OutcomeDone, 0)
@@ -152,9 +152,9 @@
 	}
 }
 
-// TestCancelAway: the cancellation of an away job is told when the neighbour has it, and
+// TestCancelOfADelegatedJob: the cancellation of an away job is told when the neighbour has it, and
 // refused at once while that does not answer.
-func TestCancelAway(t *testing.T) {
+func TestCancelOfADelegatedJob(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		g := newCell(t, nil)
 		running := g.fill("job-1")
@@ -177,9 +177,9 @@
 // TestUnknownTransfer: a job whose transfer's record can't be read may run elsewhere. It
 // was not started here, but its cancellation was confirmed.
 func TestUnknownTransfer(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 1, Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}}},
+	g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 1, Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}}},
 		Delegated: []ledger.SavedDelegated{{JobID: "job-1", Unknown: true}}}, settings.Team{Name: "t", CPUsMax: 1.5})
-	g.up("vm-1")
+	g.bringUp("vm-1")
 	g.want("started", len(g.starts()), 0)
 	g.submit(newTestJob("job-2", 1, 1))
 	g.want("started of the rest of the team's limit", len(g.starts()), 0)
@@ -191,13 +191,13 @@
 	g.want("its state", g.jobStatus("job-1"), wire.JobQueued)
 }
 
-// TestLending: what another cell is offered.
-func TestLending(t *testing.T) {
+// TestCapacityOffers: what another cell is offered.
+func TestCapacityOffers(t *testing.T) {
 	cases := []struct {
 		name   string
 		change func(o *settings.Operator)
 		teams  []settings.Team
-		before func(g *stage)
+		before func(g *harness)
 		home   string
 		ask    float64
 		want   float64
@@ -209,7 +209,7 @@
 		{"a stranger", nil, nil, nil, "cusco", 100, 0, "not a neighbour"},
 		{"a relation that is being drained", func(o *settings.Operator) { o.Cells.Neighbours[0].Drain = true }, nil, nil, "puno", 100, 0, "drained"},
 		{"nothing is lent", func(o *settings.Operator) { o.Cells.Neighbours[0].LendCores = 0 }, nil, nil, "puno", 100, 0, "own work"},
-		{"this cell's own work waits", nil, nil, func(g *stage) { g.fill("job-1"); g.submit(newTestJob("job-2", 1, 1)) }, "puno", 100, 0, "own work"},
+		{"this cell's own work waits", nil, nil, func(g *harness) { g.fill("job-1"); g.submit(newTestJob("job-2", 1, 1)) }, "puno", 100, 0, "own work"},
 		{"what is guaranteed to a team", nil, []settings.Team{{Name: "t"}, {Name: "sure", CPUs: 3}}, nil, "puno", 100, 1, ""},
 	}
 	for _, c := range cases {
@@ -228,7 +228,7 @@
 }
 
 // offerOf is another cell's offer.
-func offerOf(g *stage, ref, job string) federation.Outcome {
+func offerOf(g *harness, ref, job string) federation.Outcome {
 	m := federation.Message{Kind: federation.Offer, JobID: ref, Epoch: 1, Body: &federation.OfferBody{Job: []byte(job), Cores: 1}}
 	g.step(TransferRequest{Origin: "puno", Messages: []federation.Message{m}, ReplyTo: recipient("r")})
 	if put, ok := last[WriteForeign](g); ok && put.Write.Key.JobID == ref {
@@ -239,9 +239,9 @@
 	return answer.Answers[0].Outcome
 }
 
-// TestGuests: which offers are accepted. A guest runs after this cell's own jobs, is
+// TestForeignJobs: which offers are accepted. A guest runs after this cell's own jobs, is
 // nobody's here, and is not offered on.
-func TestGuests(t *testing.T) {
+func TestForeignJobs(t *testing.T) {
 	const described = `{"ref":"%s","lane":"c","owner":"t","shape":"batch","urgency":"high","pieces":1,"vcpus":%v,"gpus":0,"mem_gb":1,"bundle":"i","size_gb":1,
 		"flavors":null,"room":%s,"together":false,"spread":false,"loaners":true,"guess_s":9,"snapshot_s":0,"flush_s":0,"due_s":60,"waits_on":%s}`
 	g := newCell(t, nil)
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -12,20 +12,20 @@
 	"leadproxy/internal/wire"
 )
 
-// stage drives a core by hand: a fake clock, and effects kept until looked at.
-type stage struct {
+// harness drives a core by hand: a fake clock, and effects kept until looked at.
+type harness struct {
 	t        tester
 	c        *Core
 	now      time.Duration
 	seq      map[string]uint64
-	start    []SendCommands // commands not yet settled
+	sentCommands    []SendCommands // commands not yet settled
 	answered []wire.Command // in answers to reports, since the last settle
 	out      []Effect
 	others   []Effect // those that have no place above, from the beginning
-	// held, while set, keeps ledger writes from becoming durable.
-	held    bool
+	// holdWrites, while set, keeps ledger writes from becoming durable.
+	holdWrites    bool
 	pending []ledger.Tag
-	hires   []wire.ScaleOutRequest
+	scaleOuts   []wire.ScaleOutRequest
 	deleted []string
 	writes  map[string]ledger.Write // the last by key
 	puts    int                     // writes so far
@@ -59,15 +59,15 @@
 	Fatal(args ...any)
 }
 
-func newStage(t tester, s ledger.Snapshot, teams ...settings.Team) *stage {
-	return newStageWith(t, settings.Defaults(), s, teams...)
+func newHarness(t tester, s ledger.Snapshot, teams ...settings.Team) *harness {
+	return newHarnessWith(t, settings.Defaults(), s, teams...)
 }
 
-func newStageWith(t tester, operator settings.Operator, s ledger.Snapshot, teams ...settings.Team) *stage {
+func newHarnessWith(t tester, operator settings.Operator, s ledger.Snapshot, teams ...settings.Team) *harness {
 	if len(teams) == 0 {
 		teams = []settings.Team{{Name: "t"}}
 	}
-	return newStageAt(t, 0, testConfig(operator, teams...), s)
+	return newHarnessAt(t, 0, testConfig(operator, teams...), s)
 }
 
 func testConfig(operator settings.Operator, teams ...settings.Team) Config {
@@ -76,8 +76,8 @@
 	return Config{Term: testTerm, Platform: p, Operator: operator, ValueBytes: 16 << 10}
 }
 
-func newStageAt(t tester, now time.Duration, cfg Config, s ledger.Snapshot) *stage {
-	g := &stage{now: now, t: t, seq: map[string]uint64{}, writes: map[string]ledger.Write{}, specs: map[string]*wire.Job{}}
+func newHarnessAt(t tester, now time.Duration, cfg Config, s ledger.Snapshot) *harness {
+	g := &harness{now: now, t: t, seq: map[string]uint64{}, writes: map[string]ledger.Write{}, specs: map[string]*wire.Job{}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	g.c = NewCore(cfg, s, now, now.Milliseconds(), log)
 	g.take(g.c.InitialEffects())
@@ -86,12 +86,12 @@
 	return g
 }
 
-func (g *stage) step(e Event) {
+func (g *harness) step(e Event) {
 	g.c.Step(e, g.now, g.now.Milliseconds())
 	g.take(g.c.Settle())
 }
 
-func (g *stage) take(effects []Effect) {
+func (g *harness) take(effects []Effect) {
 	var tags []ledger.Tag
 	for _, e := range effects {
 		switch e := e.(type) {
@@ -104,10 +104,10 @@
 				}
 			}
 		case SendCommands:
-			g.start = append(g.start, e)
+			g.sentCommands = append(g.sentCommands, e)
 		case CallCloud:
 			if e.Call.ScaleOut != nil {
-				g.hires = append(g.hires, *e.Call.ScaleOut)
+				g.scaleOuts = append(g.scaleOuts, *e.Call.ScaleOut)
 			}
 			g.deleted = append(g.deleted, e.Call.Delete...)
 		case HeartbeatReply:
@@ -120,36 +120,36 @@
 			g.others = append(g.others, e)
 		}
 	}
-	if g.held {
+	if g.holdWrites {
 		g.pending = append(g.pending, tags...)
 	} else if len(tags) > 0 {
 		g.step(WritesDurable{tags})
 	}
 }
 
-// release makes the held writes durable.
-func (g *stage) release() {
-	g.held = false
+// releaseWrites makes the held writes durable.
+func (g *harness) releaseWrites() {
+	g.holdWrites = false
 	tags := g.pending
 	g.pending = nil
 	g.step(WritesDurable{tags})
 }
 
 // wait lets time pass, a tick at a time.
-func (g *stage) wait(d time.Duration) {
+func (g *harness) wait(d time.Duration) {
 	for end := g.now + d; g.now < end; {
 		g.now += 250 * time.Millisecond
 		g.step(Tick{})
 	}
 }
 
-func (g *stage) reportOf(name string, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+func (g *harness) heartbeatOf(name string, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	g.seq[name]++
 	return &wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", Type: "m4", Zone: "a", Spot: true, AgentEpoch: 1, Sequence: g.seq[name], FencingToken: token, Tasks: tasks}
 }
 
-// report sends a report and returns the answer.
-func (g *stage) report(r *wire.Heartbeat) *wire.HeartbeatResponse {
+// sendHeartbeat sends a report and returns the answer.
+func (g *harness) sendHeartbeat(r *wire.Heartbeat) *wire.HeartbeatResponse {
 	g.out = nil
 	g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: recipient("w")})
 	for _, e := range g.out {
@@ -161,36 +161,36 @@
 	return nil
 }
 
-const ours = testTerm << tokenBits
+const termToken = testTerm << tokenBits
 
-// up brings a machine up to where it may be used.
-func (g *stage) up(name string) { g.report(g.reportOf(name, 0)); g.report(g.reportOf(name, ours)) }
+// bringUp brings a machine up to where it may be used.
+func (g *harness) bringUp(name string) { g.sendHeartbeat(g.heartbeatOf(name, 0)); g.sendHeartbeat(g.heartbeatOf(name, termToken)) }
 
-// echo has a worker show that it has heard our latest token.
-func (g *stage) echo(name string, tasks ...wire.TaskStatus) *wire.HeartbeatResponse {
+// acknowledge has a worker show that it has heard our latest token.
+func (g *harness) acknowledge(name string, tasks ...wire.TaskStatus) *wire.HeartbeatResponse {
 	m := g.c.machineNamed(name)
-	r := g.reportOf(name, m.agent.fencingToken, tasks...)
+	r := g.heartbeatOf(name, m.agent.fencingToken, tasks...)
 	r.AgentEpoch = max(m.agent.epoch, 1)
-	return g.report(r)
+	return g.sendHeartbeat(r)
 }
 
 func newTestJob(ref string, tasks int, cpus float64) *wire.Job {
 	return &wire.Job{ID: ref, Class: "c", Team: "t", Kind: "batch", Priority: "standard", Tasks: tasks, CPUs: cpus, MemGB: 1, Image: "i", Spot: true, EstimatedRunS: 10}
 }
 
-func (g *stage) submit(j *wire.Job) {
+func (g *harness) submit(j *wire.Job) {
 	g.specs[j.ID] = j
 	g.step(JobRecordEvent{JobID: j.ID, Record: ledger.JobRecord{Job: j, AcceptedMS: g.now.Milliseconds()}, Version: 3})
 }
 
 // starts lists the starts in unsettled commands and in answers.
-func (g *stage) starts() (orders []wire.Command) {
+func (g *harness) starts() (orders []wire.Command) {
 	for _, o := range g.answered {
 		if o.Verb == wire.VerbStart {
 			orders = append(orders, o)
 		}
 	}
-	for _, d := range g.start {
+	for _, d := range g.sentCommands {
 		for _, o := range d.Request.Commands {
 			if o.Verb == wire.VerbStart {
 				orders = append(orders, o)
@@ -200,10 +200,10 @@
 	return orders
 }
 
-// settle ends all commands that are on their way.
-func (g *stage) settle(outcome CommandOutcome) {
-	calls := g.start
-	g.start, g.answered = nil, nil
+// endCommands ends all commands that are on their way.
+func (g *harness) endCommands(outcome CommandOutcome) {
+	calls := g.sentCommands
+	g.sentCommands, g.answered = nil, nil
 	for _, d := range calls {
 		g.step(CommandResult{CommandID: d.CommandID, Outcome: outcome})
 	}
@@ -221,7 +221,7 @@
 	return s
 }
 
-func (g *stage) want(what string, got, want any) {
+func (g *harness) want(what string, got, want any) {
 	g.t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
 		g.t.Errorf("%s: %v, want %v", what, got, want)
@@ -229,7 +229,7 @@
 }
 
 // jobStatus asks for a job's state.
-func (g *stage) jobStatus(ref string) string {
+func (g *harness) jobStatus(ref string) string {
 	g.out = nil
 	g.step(StatusRequest{JobID: ref, ReplyTo: recipient("u")})
 	return g.out[0].(UserReply).Status.Status
--- a/internal/scheduler/heartbeat_responses_test.go
+++ b/internal/scheduler/heartbeat_responses_test.go
@@ -7,50 +7,50 @@
 	"leadproxy/internal/wire"
 )
 
-// TestAnswersWaitForStarts: starts that a report made room for go with its answer,
+// TestResponsesWaitForStarts: starts that a report made room for go with its answer,
 // once their machine is in the ledger; a direct command after each answer was half
 // of what a leader sent in a burst. An answer that waits is given all the same, and
 // no start goes with two messages, nor with an answer that its worker has given up.
-func TestAnswersWaitForStarts(t *testing.T) {
+func TestResponsesWaitForStarts(t *testing.T) {
 	cases := []struct {
 		name string
-		then func(g *stage, report func())
+		then func(g *harness, report func())
 		want string // answers with their orders, and direct commands
 	}{
-		{"durable soon", func(g *stage, _ func()) { g.release() }, "answer with start start start start forget forget forget forget "},
-		{"durable late", func(g *stage, _ func()) {
+		{"durable soon", func(g *harness, _ func()) { g.releaseWrites() }, "answer with start start start start forget forget forget forget "},
+		{"durable late", func(g *harness, _ func()) {
 			g.now += maxHold
 			g.step(Tick{})
-			g.release()
+			g.releaseWrites()
 		}, "answer with nothing, command with start start start start "},
-		{"the worker has given it up", func(g *stage, report func()) {
+		{"the worker has given it up", func(g *harness, report func()) {
 			report()
-			g.release()
+			g.releaseWrites()
 		}, "answer with nothing, answer with start start start start forget forget forget forget "},
-		{"given up and late", func(g *stage, report func()) {
+		{"given up and late", func(g *harness, report func()) {
 			report()
 			g.now += maxHold
 			g.step(Tick{})
-			g.release()
+			g.releaseWrites()
 		}, "answer with nothing, answer with nothing, command with start start start start "},
-		{"a new session", func(g *stage, _ func()) {
-			r := g.reportOf("vm-1", ours)
+		{"a new session", func(g *harness, _ func()) {
+			r := g.heartbeatOf("vm-1", termToken)
 			r.AgentEpoch = 2
 			g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: recipient("w")})
-			g.release()
+			g.releaseWrites()
 		}, "answer with nothing, answer with nothing"},
-		{"the machine is gone", func(g *stage, _ func()) {
+		{"the machine is gone", func(g *harness, _ func()) {
 			g.c.removeMachine(g.c.machineNamed("vm-1"), "deleted")
-			g.release()
+			g.releaseWrites()
 		}, "no answer"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newStage(t, ledger.Snapshot{})
-			g.up("vm-1")
+			g := newHarness(t, ledger.Snapshot{})
+			g.bringUp("vm-1")
 			g.submit(newTestJob("job-1", 4, 1))
 			first := g.starts()
-			g.settle(CommandExecuted)
+			g.endCommands(CommandExecuted)
 			var ended []wire.TaskStatus
 			for _, o := range first {
 				ended = append(ended, taskIn(o, wire.TaskEnded, wire.ExitDone))
@@ -58,8 +58,8 @@
 			g.submit(newTestJob("job-2", 4, 1))
 			g.want("started on a full machine", len(g.starts()), 0)
 
-			g.held, g.out = true, nil
-			report := func() { g.step(HeartbeatEvent{Heartbeat: g.reportOf("vm-1", ours, ended...), ReplyTo: recipient("w")}) }
+			g.holdWrites, g.out = true, nil
+			report := func() { g.step(HeartbeatEvent{Heartbeat: g.heartbeatOf("vm-1", termToken, ended...), ReplyTo: recipient("w")}) }
 			report()
 			g.want("answered at once", len(g.out), 0)
 			c.then(g, report)
@@ -80,7 +80,7 @@
 					add("answer with " + verbs(a.Response))
 				}
 			}
-			for _, d := range g.start {
+			for _, d := range g.sentCommands {
 				add("command with " + verbs(&wire.HeartbeatResponse{Commands: d.Request.Commands}))
 			}
 			g.want("sent", got, c.want)
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -18,7 +18,7 @@
 	due := func(j *wire.Job, s float64) *wire.Job { j.DeadlineS = &s; return j }
 	high := newTestJob("job-3", 1, 4)
 	high.Priority = "high"
-	g := newStage(t, ledger.Snapshot{})
+	g := newHarness(t, ledger.Snapshot{})
 	late := due(newTestJob("job-5", 1, 4), 5)
 	for _, j := range []*wire.Job{newTestJob("job-1", 1, 4), due(newTestJob("job-2", 1, 4), 500), late, due(newTestJob("job-6", 9, 4), 90), high, due(newTestJob("job-4", 1, 4), 100)} {
 		g.submit(j)
@@ -41,31 +41,31 @@
 }
 
 func TestGoalFallsAfterABurst(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{})
-	g.up("vm-1")
+	g := newHarness(t, ledger.Snapshot{})
+	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 4, 1))
 	o := g.starts()
-	g.settle(CommandExecuted)
+	g.endCommands(CommandExecuted)
 	g.c.placement.goal.L = 1 // as a burst has left it
 	tell := func(tasks ...wire.TaskStatus) {
 		for range 8 {
 			g.wait(time.Second)
-			g.report(g.reportOf("vm-1", ours, tasks...))
+			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, tasks...))
 		}
 	}
 	tell(taskIn(o[0], wire.TaskRunning, ""), taskIn(o[1], wire.TaskRunning, ""), taskIn(o[2], wire.TaskRunning, ""), taskIn(o[3], wire.TaskRunning, ""))
 	g.want("goal while the machine is full", g.c.placement.goal.L, 1.0)
-	g.report(g.reportOf("vm-1", ours, taskIn(o[0], wire.TaskEnded, wire.ExitDone), taskIn(o[1], wire.TaskEnded, wire.ExitDone), taskIn(o[2], wire.TaskEnded, wire.ExitDone), taskIn(o[3], wire.TaskEnded, wire.ExitDone)))
+	g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(o[0], wire.TaskEnded, wire.ExitDone), taskIn(o[1], wire.TaskEnded, wire.ExitDone), taskIn(o[2], wire.TaskEnded, wire.ExitDone), taskIn(o[3], wire.TaskEnded, wire.ExitDone)))
 	tell()
 	g.want("goal once all is quiet", g.c.placement.goal.L < 1, true)
 }
 
 func TestAJobOfMostTasks(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{})
-	g.up("vm-1")
+	g := newHarness(t, ledger.Snapshot{})
+	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", wire.MaxTasks, 0.01))
 	started := 0
-	for _, d := range g.start {
+	for _, d := range g.sentCommands {
 		body, err := json.Marshal(d.Request)
 		if err != nil || len(body) > wire.MaxBody {
 			t.Errorf("a command takes %d bytes: %v", len(body), err)
@@ -76,10 +76,10 @@
 	g.want("starts", started, 16)
 	small := newTestJob("job-2", wire.MaxTasks, 0.01)
 	small.MemGB, small.Priority = 0, "high"
-	g.start = nil
+	g.sentCommands = nil
 	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 	g.submit(small)
-	g.want("commands for many starts", len(g.start) > 1, true)
+	g.want("commands for many starts", len(g.sentCommands) > 1, true)
 }
 
 // TestNobodyIsStarved: urgent work that never ends must leave room for the
@@ -106,22 +106,22 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newStage(t, ledger.Snapshot{}, settings.Team{Name: "t"}, settings.Team{Name: "t2"})
+			g := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t"}, settings.Team{Name: "t2"})
 			for i := range c.machines {
-				g.up(fmt.Sprintf("vm-%d", i))
+				g.bringUp(fmt.Sprintf("vm-%d", i))
 			}
 			running := map[string][]wire.Command{}
 			began := time.Duration(-1)
 			jobs := 0
 			collect := func() {
-				for _, d := range g.start {
+				for _, d := range g.sentCommands {
 					for _, o := range d.Request.Commands {
 						if o.Verb == wire.VerbStart {
 							running[d.Machine] = append(running[d.Machine], o)
 						}
 					}
 				}
-				g.settle(CommandExecuted)
+				g.endCommands(CommandExecuted)
 			}
 			victim := c.victim()
 			for step := 0; g.now < c.within+time.Second && began < 0; step++ {
@@ -139,7 +139,7 @@
 					name := fmt.Sprintf("vm-%d", i)
 					all := running[name]
 					if len(all) == 0 {
-						g.echo(name)
+						g.acknowledge(name)
 						continue
 					}
 					tasks := []wire.TaskStatus{taskIn(all[0], wire.TaskEnded, wire.ExitDone)}
@@ -147,7 +147,7 @@
 						tasks = append(tasks, taskIn(o, wire.TaskRunning, ""))
 					}
 					running[name] = all[1:]
-					for _, o := range g.echo(name, tasks...).Commands {
+					for _, o := range g.acknowledge(name, tasks...).Commands {
 						if o.Verb == wire.VerbStart {
 							running[name] = append(running[name], o)
 						}
@@ -169,10 +169,10 @@
 	}
 }
 
-// TestRoomGoesToAJobWhoseImageIsThere: among jobs of one priority, one that has
+// TestFreeRoomIsGivenToAJobWhoseImageIsThere: among jobs of one priority, one that has
 // time to spare leaves a machine to another whose image is on it, and one that
 // has none does not.
-func TestRoomGoesToAJobWhoseImageIsThere(t *testing.T) {
+func TestFreeRoomIsGivenToAJobWhoseImageIsThere(t *testing.T) {
 	cases := []struct {
 		name  string
 		due   float64 // of the job that is first in the queue
@@ -184,10 +184,10 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newStage(t, ledger.Snapshot{})
+			g := newHarness(t, ledger.Snapshot{})
 			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Types: true}, Types: []wire.MachineType{
 				{Name: "m4", CPUs: 4, MemGB: 16, CacheGB: 20, FetchGBPerS: 0.1, Price: 1, SpotPrice: 0.5, BootS: 40, Zones: []string{"a", "b"}}}}})
-			g.up("vm-1")
+			g.bringUp("vm-1")
 			job := func(ref, image string, due float64) *wire.Job {
 				j := newTestJob(ref, 1, 4)
 				j.Image, j.ImageGB, j.DeadlineS = image, 1, &due
@@ -195,11 +195,11 @@
 			}
 			g.submit(job("job-1", "here", 300))
 			o := g.starts()[0]
-			g.settle(CommandExecuted)
-			g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskRunning, "")))
+			g.endCommands(CommandExecuted)
+			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskRunning, "")))
 			g.submit(job("job-2", "elsewhere", c.due))
 			g.submit(job("job-3", "here", 250))
-			g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskEnded, wire.ExitDone)))
+			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskEnded, wire.ExitDone)))
 			if s := g.starts(); len(s) != 1 || s[0].Task != c.first {
 				t.Errorf("started %v, want %s", s, c.first)
 			}
--- a/internal/scheduler/renewal_model_test.go
+++ b/internal/scheduler/renewal_model_test.go
@@ -85,7 +85,7 @@
 type renewals struct {
 	t       tester
 	r       property.Chooser
-	g       *stage
+	g       *harness
 	workers []*modelWorker
 	refs    []string
 	told    map[string]time.Duration // when a job was told as cancelled
@@ -108,13 +108,13 @@
 }
 
 func playRenewals(t tester, r property.Chooser, steps int) {
-	h := &renewals{t: t, r: r, g: newStage(t, ledger.Snapshot{}), told: map[string]time.Duration{}, reports: map[recipient]*wire.Heartbeat{}, answers: map[recipient]*wire.HeartbeatResponse{}}
+	h := &renewals{t: t, r: r, g: newHarness(t, ledger.Snapshot{}), told: map[string]time.Duration{}, reports: map[recipient]*wire.Heartbeat{}, answers: map[recipient]*wire.HeartbeatResponse{}}
 	for k := range 4 {
 		h.workers = append(h.workers, &modelWorker{name: fmt.Sprintf("vm-%d", k+1), session: 1, known: map[uint64]bool{}})
 	}
 	for range steps {
 		h.act()
-		h.look()
+		h.checkTasks()
 	}
 }
 
@@ -198,18 +198,18 @@
 	to := recipient(fmt.Sprint("report ", h.count))
 	h.reports[to] = report
 	h.g.step(HeartbeatEvent{Heartbeat: report, ReplyTo: to})
-	h.look()
+	h.checkTasks()
 	return h.answers[to]
 }
 
 // settleCommand has a command on its way carried out, lost, or held up.
 func (h *renewals) settleCommand() {
-	if len(h.g.start) == 0 {
+	if len(h.g.sentCommands) == 0 {
 		return
 	}
-	at := h.r.IntN(len(h.g.start))
-	d := h.g.start[at]
-	h.g.start = slices.Delete(h.g.start, at, at+1)
+	at := h.r.IntN(len(h.g.sentCommands))
+	d := h.g.sentCommands[at]
+	h.g.sentCommands = slices.Delete(h.g.sentCommands, at, at+1)
 	i := slices.IndexFunc(h.workers, func(w *modelWorker) bool { return w.name == d.Machine })
 	if i < 0 || h.workers[i].hung || h.r.IntN(3) == 0 {
 		if i >= 0 && h.r.IntN(2) == 0 {
@@ -264,13 +264,13 @@
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	snapshot := ledger.New(cfg.Term, nil, func() ledger.Limits { return ledger.Limits{} }, log).Adopt(entries, 1)
 	old := h.g
-	for _, d := range old.start {
+	for _, d := range old.sentCommands {
 		if i := slices.IndexFunc(h.workers, func(w *modelWorker) bool { return w.name == d.Machine }); i >= 0 {
 			w := h.workers[i]
 			h.late = append(h.late, func() { w.command(d.Request) })
 		}
 	}
-	h.g = newStageAt(h.t, old.now, cfg, snapshot)
+	h.g = newHarnessAt(h.t, old.now, cfg, snapshot)
 	h.g.specs = old.specs
 	for key, w := range old.writes {
 		if _, rewritten := h.g.writes[key]; !rewritten {
@@ -279,8 +279,8 @@
 	}
 }
 
-// look takes what the core has answered and holds it, and the workers, to the rules.
-func (h *renewals) look() {
+// checkTasks takes what the core has answered and holds it, and the workers, to the rules.
+func (h *renewals) checkTasks() {
 	out := h.g.out
 	h.g.out = nil
 	for _, e := range out {
--- a/internal/scheduler/required_stops_test.go
+++ b/internal/scheduler/required_stops_test.go
@@ -8,7 +8,7 @@
 	"leadproxy/internal/wire"
 )
 
-// TestEveryAnswerStopsCancelledTasks: users were told that a job is cancelled, and a minute
+// TestEveryResponseStopsCancelledTasks: users were told that a job is cancelled, and a minute
 // later a task of it was still running. An answer renews a worker's lease whatever its
 // orders are, and only some answers had the stops: those to the newest report of a machine
 // that is up and has echoed the term's token. What follows are the others. In each the stop
@@ -18,20 +18,20 @@
 // cancelled and the cloud deletes nothing (TestCancelledOnMachineBeingReturned), or leaders
 // end in series (TestCancelledDuringSeriesOfLeaders); their logs have no stop after the
 // cancellation. The rest was found by going through all that answers a report.
-func TestEveryAnswerStopsCancelledTasks(t *testing.T) {
+func TestEveryResponseStopsCancelledTasks(t *testing.T) {
 	start := wire.Command{Task: "job-1/0", Attempt: 6<<tokenBits | 1}
 	cancelled := ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
 		Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), Terminal: wire.JobCancelled, Tasks: 1}, Hosts: savedHosts("vm-1")}}}
 	// running has a leader of our term start a task, and a user cancel its job.
-	running := func(t *testing.T) (*stage, wire.TaskStatus) {
-		g := newStage(t, ledger.Snapshot{})
-		g.up("vm-1")
+	running := func(t *testing.T) (*harness, wire.TaskStatus) {
+		g := newHarness(t, ledger.Snapshot{})
+		g.bringUp("vm-1")
 		g.submit(newTestJob("job-1", 1, 1))
 		task := taskIn(g.starts()[0], wire.TaskRunning, "")
-		g.settle(CommandExecuted)
-		g.report(g.reportOf("vm-1", ours, task))
+		g.endCommands(CommandExecuted)
+		g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, task))
 		g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
-		g.settle(CommandOutcomeUnknown)
+		g.endCommands(CommandOutcomeUnknown)
 		return g, task
 	}
 	for _, q := range []struct {
@@ -40,49 +40,49 @@
 	}{
 		{"the newest report", func(t *testing.T) *wire.HeartbeatResponse {
 			g, task := running(t)
-			return g.report(g.reportOf("vm-1", ours, task))
+			return g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, task))
 		}},
 		{"a machine that is being returned", func(t *testing.T) *wire.HeartbeatResponse {
 			g, task := running(t)
 			g.wait(14 * time.Second) // four rounds without an echo; the cloud does not answer
 			g.want("asked to delete", g.deleted, []string{"vm-1"})
-			return g.report(g.reportOf("vm-1", ours, task))
+			return g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, task))
 		}},
 		{"the first report to a new leader", func(t *testing.T) *wire.HeartbeatResponse {
-			g := newStage(t, cancelled)
-			return g.report(g.reportOf("vm-1", 6<<tokenBits, taskIn(start, wire.TaskRunning, "")))
+			g := newHarness(t, cancelled)
+			return g.sendHeartbeat(g.heartbeatOf("vm-1", 6<<tokenBits, taskIn(start, wire.TaskRunning, "")))
 		}},
 		{"a report that looks older than one that was seen", func(t *testing.T) *wire.HeartbeatResponse {
 			g, task := running(t)
-			old := g.reportOf("vm-1", ours, task)
-			g.report(g.reportOf("vm-1", ours, task))
-			return g.report(old)
+			old := g.heartbeatOf("vm-1", termToken, task)
+			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, task))
+			return g.sendHeartbeat(old)
 		}},
 		{"a report of a lower token than its machine has shown", func(t *testing.T) *wire.HeartbeatResponse {
 			g, task := running(t)
-			g.echo("vm-1", task)
-			return g.report(g.reportOf("vm-1", ours, task))
+			g.acknowledge("vm-1", task)
+			return g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, task))
 		}},
 		{"a job that is over and forgotten here", func(t *testing.T) *wire.HeartbeatResponse {
 			g, task := running(t)
-			g.echo("vm-1")
+			g.acknowledge("vm-1")
 			g.want("settled", g.c.jobs.list[0].end.cleanedUp, true)
-			return g.echo("vm-1", task)
+			return g.acknowledge("vm-1", task)
 		}},
 		{"a job that nobody knows, as its record can't be read", func(t *testing.T) *wire.HeartbeatResponse {
-			g := newStage(t, ledger.Snapshot{})
-			g.up("vm-1")
-			return g.report(g.reportOf("vm-1", ours, taskIn(start, wire.TaskRunning, "")))
+			g := newHarness(t, ledger.Snapshot{})
+			g.bringUp("vm-1")
+			return g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(start, wire.TaskRunning, "")))
 		}},
 		{"a task beyond its job's total", func(t *testing.T) *wire.HeartbeatResponse {
-			g := newStage(t, cancelled)
-			g.up("vm-1")
-			return g.report(g.reportOf("vm-1", ours, wire.TaskStatus{Task: "job-1/1", Attempt: 6<<tokenBits | 2, Status: wire.TaskFetching}))
+			g := newHarness(t, cancelled)
+			g.bringUp("vm-1")
+			return g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, wire.TaskStatus{Task: "job-1/1", Attempt: 6<<tokenBits | 2, Status: wire.TaskFetching}))
 		}},
 		{"a task whose name can't be read", func(t *testing.T) *wire.HeartbeatResponse {
-			g := newStage(t, cancelled)
-			g.up("vm-1")
-			return g.report(g.reportOf("vm-1", ours, wire.TaskStatus{Task: "job-1", Attempt: 6<<tokenBits | 2, Status: wire.TaskRunning}))
+			g := newHarness(t, cancelled)
+			g.bringUp("vm-1")
+			return g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, wire.TaskStatus{Task: "job-1", Attempt: 6<<tokenBits | 2, Status: wire.TaskRunning}))
 		}},
 	} {
 		t.Run(q.name, func(t *testing.T) {
@@ -104,24 +104,24 @@
 // Evidence: without the repair below no command left at the cancellation, and before answers
 // were mended (TestEveryAnswerStopsCancelledTasks) the next one gave the time to save again.
 func TestCancelEndsSaving(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{})
-	g.up("vm-1")
+	g := newHarness(t, ledger.Snapshot{})
+	g.bringUp("vm-1")
 	j := newTestJob("job-1", 1, 1)
 	j.CheckpointIntervalS, j.CheckpointDurationS = 10, 100
 	g.submit(j)
 	o := g.starts()[0]
-	g.settle(CommandExecuted)
+	g.endCommands(CommandExecuted)
 	notice := 300.0
-	r := g.reportOf("vm-1", ours, taskIn(o, wire.TaskRunning, ""))
+	r := g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskRunning, ""))
 	r.TerminationNoticeS = &notice
-	saving := g.report(r).Commands
+	saving := g.sendHeartbeat(r).Commands
 	g.want("time to save before the cancellation", len(saving) > 0 && *saving[0].GracePeriodS >= 100, true)
-	g.start = nil
+	g.sentCommands = nil
 	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
-	if g.want("commands at the cancellation", len(g.start), 1); len(g.start) == 1 {
-		g.want("time to save in the command", *g.start[0].Request.Commands[0].GracePeriodS, 0.0)
+	if g.want("commands at the cancellation", len(g.sentCommands), 1); len(g.sentCommands) == 1 {
+		g.want("time to save in the command", *g.sentCommands[0].Request.Commands[0].GracePeriodS, 0.0)
 	}
-	g.settle(CommandOutcomeUnknown)
-	orders := g.report(g.reportOf("vm-1", ours, taskIn(o, wire.TaskCheckpointing, ""))).Commands
+	g.endCommands(CommandOutcomeUnknown)
+	orders := g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskCheckpointing, ""))).Commands
 	g.want("time to save in the next answer", len(orders) == 1 && *orders[0].GracePeriodS == 0, true)
 }
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -10,15 +10,15 @@
 	"leadproxy/internal/wire"
 )
 
-// looksPerReport fills a site of so many machines, half of them short of cores
+// heartbeatsProcessedPerReport fills a site of so many machines, half of them short of cores
 // and half of memory, lets jobs wait that need a little of both, and counts the
 // nodes of the index that reports of ended tasks cause to be looked at.
-func looksPerReport(t *testing.T, machines int) int {
-	g := newStage(t, ledger.Snapshot{})
+func heartbeatsProcessedPerReport(t *testing.T, machines int) int {
+	g := newHarness(t, ledger.Snapshot{})
 	tasks := map[string][]wire.TaskStatus{}
 	for i := range machines {
 		name := fmt.Sprintf("vm-%06d", i)
-		g.up(name)
+		g.bringUp(name)
 		j := newTestJob(fmt.Sprintf("job-%d", i+1), 4, 1)
 		if i%2 == 0 {
 			j.Tasks, j.MemGB = 1, 16
@@ -27,7 +27,7 @@
 		for _, o := range g.starts() {
 			tasks[name] = append(tasks[name], taskIn(o, wire.TaskRunning, ""))
 		}
-		g.settle(CommandExecuted)
+		g.endCommands(CommandExecuted)
 	}
 	for i := range 30 {
 		j := newTestJob(fmt.Sprintf("job-9%05d", i), 10, 2)
@@ -40,47 +40,47 @@
 	for i := range reports {
 		name := fmt.Sprintf("vm-%06d", 1+2*i)
 		tasks[name][0].Status, tasks[name][0].ExitReason = wire.TaskEnded, wire.ExitDone
-		g.report(g.reportOf(name, ours, tasks[name]...))
+		g.sendHeartbeat(g.heartbeatOf(name, termToken, tasks[name]...))
 	}
 	return (g.c.placement.index.Looks() - before) / reports
 }
 
-// TestWorkPerReportDoesNotGrow: on a full site every report of an ended task had
+// TestWorkPerHeartbeatDoesNotGrow: on a full site every report of an ended task had
 // all machines looked at for each waiting job, which took more than a
 // controller has.
-func TestWorkPerReportDoesNotGrow(t *testing.T) {
-	small, large := looksPerReport(t, 128), looksPerReport(t, 2048)
+func TestWorkPerHeartbeatDoesNotGrow(t *testing.T) {
+	small, large := heartbeatsProcessedPerReport(t, 128), heartbeatsProcessedPerReport(t, 2048)
 	if large > 4*max(small, 10) {
 		t.Errorf("a report costs %d looks with 128 machines and %d with 2048", small, large)
 	}
 }
 
-// TestBeyondTheLimitNothingIsHiredOrKept: tasks that their team's limit bars
+// TestBeyondTheLimitNothingIsRentedOrKept: tasks that their team's limit bars
 // bring no machines, however many jobs they are in, and keep none.
-func TestBeyondTheLimitNothingIsHiredOrKept(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUsMax: 4})
+func TestBeyondTheLimitNothingIsRentedOrKept(t *testing.T) {
+	g := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUsMax: 4})
 	for i := range 5 {
 		g.submit(newTestJob(fmt.Sprintf("job-%d", i+1), 8, 1))
 	}
 	g.wait(2 * time.Second)
 	machines := 0
-	for _, h := range g.hires {
+	for _, h := range g.scaleOuts {
 		machines += h.Count
 	}
 	g.want("hired for 4 cores of 40", machines, 1)
 
-	g.up("vm-1")
+	g.bringUp("vm-1")
 	running := []wire.TaskStatus{}
 	for _, o := range g.starts() {
 		running = append(running, taskIn(o, wire.TaskRunning, ""))
 	}
 	g.want("started within the limit", len(running), 4)
-	g.settle(CommandExecuted)
-	g.up("vm-2")
+	g.endCommands(CommandExecuted)
+	g.bringUp("vm-2")
 	for range 100 {
 		g.wait(time.Second)
-		g.echo("vm-1", running...)
-		g.echo("vm-2")
+		g.acknowledge("vm-1", running...)
+		g.acknowledge("vm-2")
 	}
 	returned := map[string]bool{}
 	for _, name := range g.deleted {
--- a/internal/scheduler/soft_state_test.go
+++ b/internal/scheduler/soft_state_test.go
@@ -16,11 +16,11 @@
 
 // newHintedStage begins a term an hour after its process, with what the ledger holds of
 // job-1, whose only task may be on vm-1.
-func newHintedStage(t tester, v *softstate.View) *stage {
+func newHintedStage(t tester, v *softstate.View) *harness {
 	record := ledger.JobRecord{Job: newTestJob("job-1", 1, 1), AcceptedMS: time.Hour.Milliseconds()}
 	cfg := testConfig(settings.Defaults(), settings.Team{Name: "t"})
 	cfg.SoftState = v
-	return newStageAt(t, time.Hour, cfg, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 3, Record: record, Hosts: savedHosts("vm-1")}}})
+	return newHarnessAt(t, time.Hour, cfg, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 3, Record: record, Hosts: savedHosts("vm-1")}}})
 }
 
 func hintsOf(machines ...softstate.Machine) *softstate.View {
@@ -35,58 +35,58 @@
 	Allocations: []softstate.Allocation{{Task: "job-1/0", Attempt: hintedAttempt, Running: 20 * time.Second}}}
 
 // hintedReport is the report of vm-1 while the task runs there.
-func hintedReport(g *stage, token uint64, status, why string) *wire.Heartbeat {
-	r := g.reportOf("vm-1", token, wire.TaskStatus{Task: "job-1/0", Attempt: hintedAttempt, Status: status, ExitReason: why})
+func hintedReport(g *harness, token uint64, status, why string) *wire.Heartbeat {
+	r := g.heartbeatOf("vm-1", token, wire.TaskStatus{Task: "job-1/0", Attempt: hintedAttempt, Status: status, ExitReason: why})
 	r.AgentEpoch = 2
 	return r
 }
 
-// TestHintedMachinesAreProbedAtOnce: where the ledger's machines are reached is known before
+// TestInheritedMachinesAreProbedAtOnce: where the ledger's machines are reached is known before
 // the cloud's list, and the answer settles what an earlier leader has started.
-func TestHintedMachinesAreProbedAtOnce(t *testing.T) {
+func TestInheritedMachinesAreProbedAtOnce(t *testing.T) {
 	g := newHintedStage(t, hintsOf(hintedMachine, softstate.Machine{Name: "vm-9", Address: "10.1.0.9:9000", AgentEpoch: 1}))
 	g.want("machines", len(g.c.machines.list), 1) // a hint alone makes none
-	g.want("probes", len(g.start), 1)
-	probe := g.start[0]
-	g.want("the probe", []any{probe.Address, probe.Request.AgentEpoch, probe.Request.FencingToken, len(probe.Request.Commands)}, []any{"10.1.0.1:9000", uint64(2), uint64(ours), 0})
+	g.want("probes", len(g.sentCommands), 1)
+	probe := g.sentCommands[0]
+	g.want("the probe", []any{probe.Address, probe.Request.AgentEpoch, probe.Request.FencingToken, len(probe.Request.Commands)}, []any{"10.1.0.1:9000", uint64(2), uint64(termToken), 0})
 	g.want("unsettled", g.c.UnresolvedHosts(), 1)
-	g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandExecuted, Heartbeat: hintedReport(g, ours, wire.TaskRunning, "")})
+	g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandExecuted, Heartbeat: hintedReport(g, termToken, wire.TaskRunning, "")})
 	g.want("unsettled after its answer", g.c.UnresolvedHosts(), 0)
 	g.want("bookings", g.c.jobs.list[0].progress.allocated, 1)
 }
 
-// TestHintIsNotBelievedAgainstAReport: the task that a hint names is not on its machine, and
+// TestHeartbeatOverridesInheritedSoftState: the task that a hint names is not on its machine, and
 // is placed like any other; the machine is reached elsewhere, and is not shunned for that.
-func TestHintIsNotBelievedAgainstAReport(t *testing.T) {
+func TestHeartbeatOverridesInheritedSoftState(t *testing.T) {
 	g := newHintedStage(t, hintsOf(hintedMachine))
-	probe := g.start[0]
-	g.start = nil
+	probe := g.sentCommands[0]
+	g.sentCommands = nil
 	g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandNotSent})
 	m := g.c.machineNamed("vm-1")
 	g.want("address, shunned, doubted", []any{m.agent.address, m.commands.avoidUntil, m.agent.unacknowledged}, []any{"", time.Duration(0), false})
 	g.want("bookings by the hint", g.c.jobs.list[0].progress.allocated, 0)
-	for _, token := range []uint64{0, ours} {
-		r := g.reportOf("vm-1", token)
+	for _, token := range []uint64{0, termToken} {
+		r := g.heartbeatOf("vm-1", token)
 		r.Address = "10.1.0.7:9000"
-		g.report(r)
+		g.sendHeartbeat(r)
 	}
 	g.want("address by its report", m.agent.address, "10.1.0.7:9000")
 	g.want("starts", len(g.starts()), 1)
 }
 
-// TestRunTimesTakenOver: a task that ran before the term is learned from with the time that
+// TestRunTimesAreInherited: a task that ran before the term is learned from with the time that
 // a hint tells, and not at all without: it looked as short as the term was.
-func TestRunTimesTakenOver(t *testing.T) {
+func TestRunTimesAreInherited(t *testing.T) {
 	for _, hinted := range []bool{true, false} {
 		var v *softstate.View
 		if hinted {
 			v = hintsOf(hintedMachine)
 		}
 		g := newHintedStage(t, v)
-		g.report(hintedReport(g, 0, wire.TaskRunning, ""))
-		g.report(hintedReport(g, ours, wire.TaskRunning, ""))
+		g.sendHeartbeat(hintedReport(g, 0, wire.TaskRunning, ""))
+		g.sendHeartbeat(hintedReport(g, termToken, wire.TaskRunning, ""))
 		g.wait(10 * time.Second)
-		g.report(hintedReport(g, ours, wire.TaskEnded, wire.ExitDone))
+		g.sendHeartbeat(hintedReport(g, termToken, wire.TaskEnded, wire.ExitDone))
 		want := 1.0 // of the estimate, 10 s
 		if hinted {
 			want = 3 // 20 s before the term, and 10 s in it
@@ -95,14 +95,14 @@
 	}
 }
 
-// TestHintsAreTakenOver: what one term has learned, the next one knows; what has changed
+// TestSoftStateIsInherited: what one term has learned, the next one knows; what has changed
 // since is told alone, in parts if it is much.
-func TestHintsAreTakenOver(t *testing.T) {
+func TestSoftStateIsInherited(t *testing.T) {
 	g := newHintedStage(t, nil)
 	for i := range softstate.MaxChanges {
-		g.up("vm-" + string(rune('a'+i%26)) + string(rune('a'+i/26)))
+		g.bringUp("vm-" + string(rune('a'+i%26)) + string(rune('a'+i/26)))
 	}
-	g.report(hintedReport(g, 0, wire.TaskRunning, ""))
+	g.sendHeartbeat(hintedReport(g, 0, wire.TaskRunning, ""))
 	g.c.estimates.learn(g.c.jobs.list[0].request.class, 2)
 	g.c.types.list[0].boot = 33 * time.Second
 	ask := func(since uint64) SoftStateReply {
--- a/internal/scheduler/spending_test.go
+++ b/internal/scheduler/spending_test.go
@@ -30,8 +30,8 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			g := newStage(t, ledger.Snapshot{})
-			g.up("vm-1")
+			g := newHarness(t, ledger.Snapshot{})
+			g.bringUp("vm-1")
 			g.submit(newTestJob("job-000001", 1, 1))
 			c := g.c
 			m, j := c.machines.list[c.machines.indexByName["vm-1"]], c.jobs.list[0]
--- a/internal/scheduler/unreachable_test.go
+++ b/internal/scheduler/unreachable_test.go
@@ -12,7 +12,7 @@
 
 // noted returns the record of silent machines that was last written, and its
 // key.
-func (g *stage) noted() (string, *ledger.UnreachableRecord) {
+func (g *harness) noted() (string, *ledger.UnreachableRecord) {
 	for key, w := range g.writes {
 		if r, ok := w.Value.(ledger.UnreachableRecord); ok && len(r.Machines) > 0 && strings.HasPrefix(key, ledger.UnreachableKey("")) {
 			return key, &r
@@ -22,7 +22,7 @@
 }
 
 // answers counts the reports that were answered with a 200.
-func (g *stage) answers() (n int) {
+func (g *harness) answers() (n int) {
 	for _, e := range g.out {
 		if a, ok := e.(HeartbeatReply); ok && a.Response != nil {
 			n++
@@ -31,15 +31,15 @@
 	return n
 }
 
-// TestASilentMachineIsNotedAndNotAnsweredBeforeThatIsWithdrawn: a later leader
+// TestUnreachableAgentGetsNoResponseBeforeItsRecordIsWithdrawn: a later leader
 // takes the note's word that the lease is not renewed.
-func TestASilentMachineIsNotedAndNotAnsweredBeforeThatIsWithdrawn(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{})
-	g.up("vm-1")
+func TestUnreachableAgentGetsNoResponseBeforeItsRecordIsWithdrawn(t *testing.T) {
+	g := newHarness(t, ledger.Snapshot{})
+	g.bringUp("vm-1")
 	heard := g.now
 	g.submit(newTestJob("job-1", 1, 1))
 	o := g.starts()[0]
-	g.settle(CommandExecuted)
+	g.endCommands(CommandExecuted)
 	g.wait(5 * time.Second)
 	if _, r := g.noted(); r != nil {
 		t.Errorf("noted after 5 s: %+v", r)
@@ -52,9 +52,9 @@
 	if over := time.Duration(r.LeaseExpiryMS) * time.Millisecond; over < heard+30*time.Second || over > heard+31*time.Second || len(r.Machines) != 1 {
 		t.Errorf("noted %+v", r)
 	}
-	g.held, g.out = true, nil
+	g.holdWrites, g.out = true, nil
 	report := func() {
-		r := g.reportOf("vm-1", g.c.machineNamed("vm-1").agent.fencingToken, taskIn(o, wire.TaskRunning, ""))
+		r := g.heartbeatOf("vm-1", g.c.machineNamed("vm-1").agent.fencingToken, taskIn(o, wire.TaskRunning, ""))
 		g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: recipient("w")})
 	}
 	report()
@@ -62,7 +62,7 @@
 	// Not deleted: a late copy of the note's own write finds no key at first.
 	g.want("withdrawn", fmt.Sprint(g.writes[key].Value, g.writes[key].Urgent), "{0 []} true")
 	report()
-	g.release()
+	g.releaseWrites()
 	g.want("answered afterwards", g.answers(), 2)
 	g.out = nil
 	report()
@@ -73,9 +73,9 @@
 	g.want("the key of the next note", again, key)
 }
 
-// TestANewLeaderBelievesTheNotes: what an earlier leader started on a machine
+// TestANewLeaderTakesOverUnreachableAgentRecords: what an earlier leader started on a machine
 // that was silent is over when the note says, not a lease after the takeover.
-func TestANewLeaderBelievesTheNotes(t *testing.T) {
+func TestANewLeaderTakesOverUnreachableAgentRecords(t *testing.T) {
 	key := ledger.UnreachableKey("6-1")
 	saved := func(over time.Duration, machines ...string) ledger.Snapshot {
 		s := ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}}
@@ -98,11 +98,11 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newStage(t, c.saved)
-			g.up("vm-2")
+			g := newHarness(t, c.saved)
+			g.bringUp("vm-2")
 			for len(g.starts()) == 0 && g.now < time.Minute {
 				g.wait(250 * time.Millisecond)
-				g.echo("vm-2")
+				g.acknowledge("vm-2")
 			}
 			if g.now < c.after || g.now > c.until {
 				t.Errorf("started after %s", g.now)
@@ -110,26 +110,26 @@
 		})
 	}
 	t.Run("the machine is back before", func(t *testing.T) {
-		g := newStage(t, saved(5*time.Second, "vm-1"))
-		g.up("vm-2")
-		g.held, g.out = true, nil
+		g := newHarness(t, saved(5*time.Second, "vm-1"))
+		g.bringUp("vm-2")
+		g.holdWrites, g.out = true, nil
 		old := wire.TaskStatus{Task: "job-1/0", Attempt: 6<<tokenBits | 1, Status: wire.TaskRunning}
-		g.step(HeartbeatEvent{Heartbeat: g.reportOf("vm-1", 6<<tokenBits, old), ReplyTo: recipient("w")})
+		g.step(HeartbeatEvent{Heartbeat: g.heartbeatOf("vm-1", 6<<tokenBits, old), ReplyTo: recipient("w")})
 		g.want("answered before the note is withdrawn", g.answers(), 0)
-		g.release()
+		g.releaseWrites()
 		g.want("answered afterwards", g.answers(), 1)
-		g.echo("vm-1", old)
+		g.acknowledge("vm-1", old)
 		g.wait(6 * time.Second)
 		g.want("its task goes on", g.jobStatus("job-1"), wire.JobRunning)
 		g.want("and is not started again", len(g.starts()), 0)
 	})
 }
 
-// TestANewSessionHasALeaseOfItsOwn: a worker whose lease has ended goes on in
+// TestANewEpochHasALeaseOfItsOwn: a worker whose lease has ended goes on in
 // the next session for a whole lease, even if no report of it is answered. What
 // a direct command started there was taken for over when the lease of the
 // session before was, and started again elsewhere.
-func TestANewSessionHasALeaseOfItsOwn(t *testing.T) {
+func TestANewEpochHasALeaseOfItsOwn(t *testing.T) {
 	cases := []struct {
 		name  string
 		saved ledger.Snapshot
@@ -140,49 +140,49 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newStage(t, c.saved)
+			g := newHarness(t, c.saved)
 			g.wait(c.heard)
 			m := g.c.machineNamed("vm-1")
 			m.agent.address = "10.1.0.1:9000"
 			g.c.commands.sendCommand(&commandInFlight{machine: m, agentEpoch: 2, fencingToken: m.agent.fencingToken}, []wire.Command{})
 			g.take(g.c.Settle())
-			probe := g.start[len(g.start)-1]
-			g.start = nil
-			r := g.reportOf("vm-1", ours)
+			probe := g.sentCommands[len(g.sentCommands)-1]
+			g.sentCommands = nil
+			r := g.heartbeatOf("vm-1", termToken)
 			r.AgentEpoch = 2
 			g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandExecuted, Heartbeat: r})
 			g.submit(newTestJob("job-1", 1, 1))
 			g.want("started there", len(g.starts()), 1)
-			g.settle(CommandExecuted)
+			g.endCommands(CommandExecuted)
 			heard := g.now
 			for g.now < heard+28*time.Second {
 				g.wait(time.Second)
-				g.echo("vm-2")
+				g.acknowledge("vm-2")
 			}
 			g.want("started again within its lease", len(g.starts()), 0)
 			for g.now < heard+33*time.Second {
 				g.wait(time.Second)
-				g.echo("vm-2")
+				g.acknowledge("vm-2")
 			}
 			g.want("started again after it", len(g.starts()), 1)
 		})
 	}
 }
 
-// TestNothingIsNotedWhileNothingCanBeWritten: the note could not be withdrawn
+// TestNothingIsRecordedWhileNothingCanBeWritten: the note could not be withdrawn
 // for a machine that is back before the state service is.
-func TestNothingIsNotedWhileNothingCanBeWritten(t *testing.T) {
-	g := newStage(t, ledger.Snapshot{})
-	g.up("vm-1")
+func TestNothingIsRecordedWhileNothingCanBeWritten(t *testing.T) {
+	g := newHarness(t, ledger.Snapshot{})
+	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
-	g.settle(CommandExecuted)
-	g.held = true
+	g.endCommands(CommandExecuted)
+	g.holdWrites = true
 	g.submit(newTestJob("job-2", 1, 4)) // hires, which waits for the ledger
 	g.wait(12 * time.Second)
 	if _, r := g.noted(); r != nil {
 		t.Errorf("noted in an outage: %+v", r)
 	}
-	g.release()
+	g.releaseWrites()
 	g.wait(4 * time.Second)
 	if _, r := g.noted(); r == nil {
 		t.Error("not noted after the outage")
