--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -1,10 +1,11 @@
 package scheduler
 
 import (
+	"time"
+
 	"leadproxy/internal/ledger"
 	"leadproxy/internal/settings"
 	"leadproxy/internal/wire"
-	"time"
 )
 
 // newJob adds a job of a record to the job table.
