--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -98,10 +98,18 @@
 // used notes when the machine was last used.
 func (m *capacity) used(at time.Duration) { m.idleSince = at }
 
-// allocate takes room on a machine. charge is false for a task that is only waited
-// for to be gone.
-func (c *Core) allocate(m *machine, j *job, n int32, attempt uint64, charge bool) *allocation {
-	b := c.placement.takeRoom(m, j, n, attempt, charge)
+// allocationPurpose is what room is allocated for.
+type allocationPurpose int
+
+// The purposes of an allocation.
+const (
+	toRun      allocationPurpose = iota // the task is to run
+	untilEnded                          // its job has ended, and the room is taken until the task has
+)
+
+// allocate takes room on a machine.
+func (c *Core) allocate(m *machine, j *job, n int32, attempt uint64, purpose allocationPurpose) *allocation {
+	b := c.placement.takeRoom(m, j, n, attempt, purpose)
 	c.softState.machineChanged(m)
 	return b
 }
@@ -114,13 +122,13 @@
 }
 
 // takeRoom adds an allocation to its machine, its job, its class and its team.
-func (p *placement) takeRoom(m *machine, j *job, n int32, attempt uint64, charge bool) *allocation {
+func (p *placement) takeRoom(m *machine, j *job, n int32, attempt uint64, purpose allocationPurpose) *allocation {
 	b := &allocation{job: j.index, task: n, zone: m.zone, attempt: attempt, share: j.request.size.Share(m.capacity.total)}
-	b.stopping = !charge
+	b.stopping = purpose == untilEnded
 	if math.IsInf(b.share, 1) {
 		b.share = 0
 	}
-	j.progress.addAllocation(n, charge)
+	j.progress.addAllocation(n, purpose)
 	p.countInZone(j, b.zone, 1)
 	p.classes.allocate(j.request.class, j.request.size.CPUs)
 	p.teams.At(j.request.team).Allocate(j.request.size)
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -64,7 +64,7 @@
 
 // countStop counts a stop in a response to a heartbeat.
 func (w *cancellationWatch) countStop(m *machine, t *wire.TaskStatus) {
-	j, _, _ := w.jobs.findTask(m, t)
+	j := w.jobs.findTask(m, t).job
 	switch {
 	case j == nil:
 		w.counts.Unknown++
--- a/internal/scheduler/cloud_results.go
+++ b/internal/scheduler/cloud_results.go
@@ -53,7 +53,7 @@
 // listRead takes the cloud's list of machines.
 func (c *Core) listRead(list []wire.ListedMachine) {
 	for _, m := range c.machines.live {
-		m.rental.inList(false)
+		m.rental.missedListing()
 	}
 	for i := range list {
 		l := &list[i]
@@ -67,7 +67,7 @@
 		if m.typeName == "" {
 			c.updateDescription(m, l.Type, l.Zone, l.Spot, l.Address)
 		}
-		m.rental.inList(true)
+		m.rental.foundInList()
 		if l.Status == wire.MachineRunning && settings.Seconds(l.AgeS) > c.clock.now-c.clock.termStart {
 			c.agents.probe(m)
 		}
--- a/internal/scheduler/command_results.go
+++ b/internal/scheduler/command_results.go
@@ -51,7 +51,7 @@
 		c.commands.eachSent(command, func(b *allocation) { b.state = allocationConfirmed })
 	}
 	if e.Heartbeat != nil && e.Heartbeat.Machine == m.name && e.Heartbeat.FencingToken>>tokenBits <= c.term {
-		c.applyHeartbeat(m, e.Heartbeat, false)
+		c.applyHeartbeat(m, e.Heartbeat, fromCommandResult)
 	}
 	if e.Outcome == CommandExecuted {
 		c.commands.repeatStops(command, e.Heartbeat)
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -87,8 +87,8 @@
 	return c
 }
 
-// Step takes one event. Its effects, and those of others that came with it, are returned by
-// Settle.
+// Step takes one event. Its effects follow together with those of other events that came with it,
+// when the caller ends the step.
 func (c *Core) Step(event Event, now time.Duration, wallMS int64) {
 	c.clock.set(now, wallMS)
 	switch e := event.(type) {
@@ -136,10 +136,10 @@
 	}
 }
 
-// NeedsPlacement tells whether Settle would place tasks.
+// NeedsPlacement tells whether tasks are to be placed at the end of the step.
 func (c *Core) NeedsPlacement() bool { return c.placement.needed }
 
-// Settle places what can be placed after one or more steps and returns all effects. Under load
+// Settle ends one or more steps: it places what can be placed and returns all effects. Under load
 // many events share one placement.
 func (c *Core) Settle() []Effect {
 	if c.placement.needed {
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -153,7 +153,7 @@
 	c.log.Debug("job cancelled with a dependency", "job", j.id, "dependency", p.id)
 	if !j.ended() {
 		j.end.decide(wire.JobCancelled)
-		c.jobs.writeTerminal(j, false)
+		c.jobs.writeTerminal(j, writeLater)
 	}
 	c.terminalIsDurable(j)
 }
--- a/internal/scheduler/heartbeat_responses.go
+++ b/internal/scheduler/heartbeat_responses.go
@@ -108,9 +108,12 @@
 		}
 		// A response renews the agent's lease, whatever it commands and however little its
 		// heartbeat is believed. So none is sent without the stops of what must not run.
-		believed := !a.outdated && m.commands.openResponse == i+1 && m.trusted(q.term)
-		list := q.requiredStops(m, a.heartbeat, believed)
-		if believed {
+		trust := maybeOld
+		if !a.outdated && m.commands.openResponse == i+1 && m.trusted(q.term) {
+			trust = trusted
+		}
+		list := q.requiredStops(m, a.heartbeat, trust)
+		if trust == trusted {
 			list = q.commandsFor(m, a.heartbeat, list)
 		}
 		answer := &wire.HeartbeatResponse{FencingToken: m.agent.fencingToken, Commands: list}
@@ -182,11 +185,12 @@
 	if _, unresolved := m.commands.unresolvedStarts[t.Attempt]; unresolved {
 		return false
 	}
-	j, n, _ := q.jobs.findTask(m, t)
+	found := q.jobs.findTask(m, t)
+	j := found.job
 	if j == nil || t.ExitReason != wire.ExitDone || j.end.durable {
 		return true
 	}
-	return int(n) < len(j.progress.tasks) && j.progress.tasks[n].state == taskDurable
+	return int(found.index) < len(j.progress.tasks) && j.progress.tasks[found.index].state == taskDurable
 }
 
 // holdForUnreachable holds the response to a machine with an unreachable-agent record until that
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -23,7 +23,7 @@
 	}
 	c.agents.withdrawRecordOf(m)
 	a := heldResponse{replyTo: e.ReplyTo, machine: m, heartbeat: r}
-	if c.applyHeartbeat(m, r, true) {
+	if c.applyHeartbeat(m, r, fromHeartbeat) {
 		c.commands.newestHeartbeat(m)
 		c.agents.raiseFencingToken(m)
 	} else {
@@ -40,9 +40,18 @@
 	c.commands.open(a)
 }
 
+// statusSource is how an agent's status has arrived.
+type statusSource int
+
+// The ways of a status.
+const (
+	fromHeartbeat     statusSource = iota // it is followed by a response
+	fromCommandResult                     // with the result of a direct command, or of an inspection
+)
+
 // applyHeartbeat takes in an agent's status, from a heartbeat or from the response to a direct
 // command. It returns false for a stale one.
-func (c *Core) applyHeartbeat(m *machine, r *wire.Heartbeat, reported bool) bool {
+func (c *Core) applyHeartbeat(m *machine, r *wire.Heartbeat, source statusSource) bool {
 	if m.agent.isStale(r) {
 		return false
 	}
@@ -70,7 +79,7 @@
 	if m.trusted(c.term) {
 		// Without our token this may be a copy from before our term, of any age: its list of
 		// tasks is not believed.
-		c.reconcileTasks(m, r, reported)
+		c.reconcileTasks(m, r, source)
 	}
 	if m.trusted(c.term) && len(m.recorded.inDoubtJobs) > 0 {
 		// Only now is it certain that no earlier leader's start is on its way.
--- a/internal/scheduler/inspections.go
+++ b/internal/scheduler/inspections.go
@@ -48,7 +48,7 @@
 	} else {
 		m.agent.lateCopy()
 	}
-	c.applyHeartbeat(m, r, false)
+	c.applyHeartbeat(m, r, fromCommandResult)
 }
 
 // agentRestarted takes in that an agent has restarted: what it does not list is gone.
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -195,10 +195,9 @@
 	return true
 }
 
-// addAllocation counts an allocation. Without a charge it is one of a job that has ended, and the
-// task's state stays.
-func (p *progress) addAllocation(n int32, charge bool) {
-	if charge {
+// addAllocation counts an allocation. The task's state stays if its job has ended.
+func (p *progress) addAllocation(n int32, purpose allocationPurpose) {
+	if purpose == toRun {
 		p.tasks[n].state = taskAllocated
 	}
 	p.allocated++
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -88,7 +88,7 @@
 	if terminal == wire.JobCancelled {
 		c.jobs.cancellationBegan(j)
 	}
-	c.jobs.writeTerminal(j, true)
+	c.jobs.writeTerminal(j, writeUrgently)
 }
 
 // terminalIsDurable does what follows once a job's terminal state is durable.
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -217,8 +217,17 @@
 	}
 }
 
+// writeUrgency tells whether somebody waits for a write.
+type writeUrgency int
+
+// The urgencies of a write.
+const (
+	writeUrgently writeUrgency = iota
+	writeLater                 // when there is time for it
+)
+
 // writeTerminal writes a job's terminal state.
-func (t *jobTable) writeTerminal(j *job, urgent bool) {
+func (t *jobTable) writeTerminal(j *job, urgency writeUrgency) {
 	rec := ledger.JobRecord{AcceptedMS: j.record.acceptedMS, Terminal: j.end.state, Tasks: j.progress.total, Done: j.progress.done, EndedMS: t.clock.wallMS, Origin: j.transfer.origin, TransferEpoch: j.transfer.epoch}
 	if j.end.state == wire.JobCancelled {
 		// What a new leader needs stays: the use of tasks that it has not yet seen end counts
@@ -227,5 +236,5 @@
 	} else if j.transfer.origin == "" {
 		rec.Class, rec.Team, rec.Cores, rec.RunS = j.spec.Class, j.spec.Team, j.request.size.CPUs*float64(j.progress.total), t.estimates.expectedRun(j).Seconds()
 	}
-	t.writes.put(ledger.Write{Key: ledger.JobKey(j.id), Value: rec, Urgent: urgent, Version: j.record.version, Tag: terminalTag{j.index}})
+	t.writes.put(ledger.Write{Key: ledger.JobKey(j.id), Value: rec, Urgent: urgency == writeUrgently, Version: j.record.version, Tag: terminalTag{j.index}})
 }
--- a/internal/scheduler/job_table.go
+++ b/internal/scheduler/job_table.go
@@ -54,18 +54,24 @@
 	return wire.TaskName(t.list[b.job].id, int(b.task))
 }
 
-// findTask finds the task of an entry in a heartbeat. The allocation is nil when there is none
-// for it.
-func (t *jobTable) findTask(m *machine, status *wire.TaskStatus) (j *job, n int32, b *allocation) {
+// reportedTask is the task of an entry in a heartbeat.
+type reportedTask struct {
+	job        *job // nil: not known
+	index      int32
+	allocation *allocation // nil: there is none for the attempt
+}
+
+// findTask finds the task of an entry in a heartbeat.
+func (t *jobTable) findTask(m *machine, status *wire.TaskStatus) reportedTask {
 	if b := m.allocation(status.Attempt); b != nil {
-		return t.list[b.job], b.task, b
+		return reportedTask{t.list[b.job], b.task, b}
 	}
 	id, k, ok := wire.ParseTaskName(status.Task)
 	at, known := t.indexByID[id]
 	if !ok || !known || t.list[at].spec != nil && k >= t.list[at].progress.total {
-		return nil, 0, nil
+		return reportedTask{}
 	}
-	return t.list[at], int32(k), nil
+	return reportedTask{job: t.list[at], index: int32(k)}
 }
 
 // taskIsDone tells whether a task has ended.
--- a/internal/scheduler/ledger_writes.go
+++ b/internal/scheduler/ledger_writes.go
@@ -42,7 +42,7 @@
 	case terminalTag:
 		j := c.jobs.list[t.job]
 		c.log.Error("terminal job record exceeds the value limit", "job", j.id)
-		c.jobs.writeTerminal(j, true)
+		c.jobs.writeTerminal(j, writeUrgently)
 	case scaleOutTag:
 		c.log.Error("scale-out record exceeds the value limit", "request", t.name)
 	case planTag:
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -66,16 +66,16 @@
 	return first
 }
 
-// inList notes whether the cloud's newest list has the machine.
-func (r *rental) inList(present bool) {
-	switch {
-	case present:
-		r.missedListings = 0
-	case r.listed:
+// missedListing notes that a list of the cloud may lack the machine, until it is found in it.
+func (r *rental) missedListing() {
+	if r.listed {
 		r.missedListings++
 	}
 }
 
+// foundInList notes that the newest list has the machine.
+func (r *rental) foundInList() { r.missedListings = 0 }
+
 // machineRecord is what the ledger's records say of a machine.
 type machineRecord struct {
 	gone        bool    // the ledger has a record that it is gone
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -136,7 +136,7 @@
 // startOn allocates room for a job's next task on a machine and has it started there.
 func (c *Core) startOn(j *job, m *machine) {
 	n := j.progress.takeWaiting()
-	b := c.allocate(m, j, n, c.attempts.nextAttempt(), true)
+	b := c.allocate(m, j, n, c.attempts.nextAttempt(), toRun)
 	c.placement.refresh(m)
 	if c.debug {
 		c.log.Debug("task placed", "task", c.jobs.taskName(b), "attempt", b.attempt, "machine", m.name, "goal", c.placement.goal.L, "share", b.share, "load", m.capacity.load, "image", m.hasImage(j.request.image))
--- a/internal/scheduler/required_stops.go
+++ b/internal/scheduler/required_stops.go
@@ -6,18 +6,27 @@
 	"leadproxy/internal/wire"
 )
 
+// heartbeatTrust tells whether the list of tasks in a heartbeat is believed.
+type heartbeatTrust int
+
+// What a list of tasks is worth.
+const (
+	maybeOld heartbeatTrust = iota // it may be a copy from before, of any age
+	trusted                        // it is the agent's newest, and the agent has acknowledged the term's token
+)
+
 // requiredStops lists the stops that the response to a heartbeat must contain: those of the
 // tasks in it that must not run. It decides that for every response, since each renews the
 // agent's lease. That a heartbeat may be an old copy is no reason to leave one out: stopping an
 // attempt that is no longer there does nothing.
-func (q *commands) requiredStops(m *machine, r *wire.Heartbeat, believed bool) []wire.Command {
+func (q *commands) requiredStops(m *machine, r *wire.Heartbeat, trust heartbeatTrust) []wire.Command {
 	stops := []wire.Command{}
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
 		if t.Status == wire.TaskEnded || len(stops) >= maxCommandsPerResponse {
 			continue // what is left is stopped in the responses to the next heartbeats
 		}
-		if grace, must := q.mustStop(m, t, believed); must {
+		if grace, must := q.mustStop(m, t, trust); must {
 			q.cancellations.countStop(m, t)
 			stops = append(stops, stopCommand(t.Task, t.Attempt, grace))
 		}
@@ -27,20 +36,20 @@
 
 // mustStop tells whether a task that an agent reports as alive must not run, and how long it may
 // take to save its progress.
-func (q *commands) mustStop(m *machine, t *wire.TaskStatus, believed bool) (grace float64, must bool) {
-	j, _, b := q.jobs.findTask(m, t)
+func (q *commands) mustStop(m *machine, t *wire.TaskStatus, trust heartbeatTrust) (grace float64, must bool) {
+	found := q.jobs.findTask(m, t)
 	switch {
-	case j == nil:
+	case found.job == nil:
 		// Whatever an earlier leader started has its job's record in the ledger. So this one
 		// can't be read, and may say that the job is cancelled.
 		return 0, true
-	case j.ended():
+	case found.job.ended():
 		return 0, true // its progress is of no use
-	case b == nil:
+	case found.allocation == nil:
 		// What has no allocation, in a heartbeat that may be an old copy, is not judged yet.
-		return 0, believed
+		return 0, trust == trusted
 	}
-	return b.gracePeriod, b.stopping
+	return found.allocation.gracePeriod, found.allocation.stopping
 }
 
 func stopCommand(task string, attempt uint64, grace float64) wire.Command {
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -4,11 +4,12 @@
 
 // reconcileTasks brings the allocations of a machine in line with a fresh heartbeat, or with the
 // result of a direct command.
-func (c *Core) reconcileTasks(m *machine, r *wire.Heartbeat, reported bool) {
+func (c *Core) reconcileTasks(m *machine, r *wire.Heartbeat, source statusSource) {
 	c.agents.countHeartbeat()
 	for i := range r.Tasks {
 		t := &r.Tasks[i]
-		j, n, b := c.jobs.findTask(m, t)
+		found := c.jobs.findTask(m, t)
+		j, n, b := found.job, found.index, found.allocation
 		if j == nil {
 			continue // the response stops it, see mustStop
 		}
@@ -20,7 +21,7 @@
 			if b = c.adopt(m, j, n, t); b == nil {
 				continue
 			}
-			if b.stopping && !reported {
+			if b.stopping && source == fromCommandResult {
 				c.commands.sendStop(m, b) // no response that could carry it is sent there
 			}
 		}
@@ -29,7 +30,7 @@
 			c.statusChanged(m, j, b, t.Status)
 		}
 	}
-	c.releaseMissing(m, r, reported)
+	c.releaseMissing(m, r, source)
 }
 
 // statusChanged notes that a task's status differs from that in the last heartbeat.
@@ -50,7 +51,7 @@
 }
 
 // releaseMissing frees the allocations whose attempts a machine no longer has, or never will.
-func (c *Core) releaseMissing(m *machine, r *wire.Heartbeat, reported bool) {
+func (c *Core) releaseMissing(m *machine, r *wire.Heartbeat, source statusSource) {
 	for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
 		b := m.capacity.allocations[k]
 		if b.lastHeartbeatSeen == c.agents.heartbeatsProcessed {
@@ -60,7 +61,7 @@
 		switch {
 		case b.state <= allocationQueued, unresolved:
 			// Not sent yet, or it may still be executed.
-		case b.state == allocationSent && b.responseSequence > 0 && (!reported || r.Sequence <= b.responseSequence):
+		case b.state == allocationSent && b.responseSequence > 0 && (source == fromCommandResult || r.Sequence <= b.responseSequence):
 			// The response that carries its start may still be on its way: the agent's next
 			// heartbeat is sent only after it, or after it is given up.
 		default:
@@ -84,14 +85,14 @@
 	ts := &j.progress.tasks[n]
 	if j.ended() {
 		// It counts for its team until it is gone.
-		return c.allocate(m, j, n, t.Attempt, false)
+		return c.allocate(m, j, n, t.Attempt, untilEnded)
 	}
 	if ts.state != taskWaiting {
 		c.log.Error("task running where it is not allocated", "machine", m.name, "task", t.Task, "attempt", t.Attempt, "state", ts.state)
 		return nil
 	}
 	j.progress.dropWaiting(n)
-	b := c.allocate(m, j, n, t.Attempt, true)
+	b := c.allocate(m, j, n, t.Attempt, toRun)
 	if _, ok := j.record.hostAt[m.index]; !ok {
 		c.jobs.addHost(j, m)
 	}
