--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -11,17 +11,39 @@
 // Event is what happened outside the core.
 type Event interface{ isEvent() }
 
-func (JobRecordEvent) isEvent()    {}
-func (HeartbeatEvent) isEvent()    {}
-func (CommandResult) isEvent()     {}
-func (CancelRequest) isEvent()     {}
-func (StatusRequest) isEvent()     {}
+// Users and their jobs.
+
+func (JobRecordEvent) isEvent() {}
+func (CancelRequest) isEvent()  {}
+func (StatusRequest) isEvent()  {}
+
+// Agents.
+
+func (HeartbeatEvent) isEvent() {}
+func (CommandResult) isEvent()  {}
+func (InspectResult) isEvent()  {}
+
+// The cloud.
+
+func (CloudResult) isEvent() {}
+
+// The ledger.
+
 func (WritesDurable) isEvent()     {}
-func (CloudResult) isEvent()       {}
-func (InspectResult) isEvent()     {}
-func (ValueLimitChanged) isEvent() {}
 func (WritesRejected) isEvent()    {}
-func (Tick) isEvent()              {}
+func (ValueLimitChanged) isEvent() {}
+
+// Operators with plans that drain machines, and standbys.
+
+func (PlanRequest) isEvent()      {}
+func (PlanListRequest) isEvent()  {}
+func (SoftStateRequest) isEvent() {}
+
+// Time.
+
+func (Tick) isEvent() {}
+
+// Other cells, see federation_events.go.
 
 func (TransferResult) isEvent()      {}
 func (CapacityResult) isEvent()      {}
@@ -30,9 +52,6 @@
 func (ForeignWriteResult) isEvent()  {}
 func (TransfersEnabled) isEvent()    {}
 func (TransferListRequest) isEvent() {}
-func (SoftStateRequest) isEvent()    {}
-func (PlanRequest) isEvent()         {}
-func (PlanListRequest) isEvent()     {}
 
 // Recipient is who gets the reply to a heartbeat, a status request or a cancellation.
 type Recipient interface {
@@ -40,7 +59,8 @@
 	Deliver(answer Effect)
 }
 
-// The events.
+// The events, by the part of the core that they concern; those of other cells are in
+// federation_events.go.
 type (
 	// JobRecordEvent carries a job record, from a controller that accepted it or from the watch.
 	JobRecordEvent struct {
@@ -48,6 +68,17 @@
 		Record  ledger.JobRecord
 		Version uint64
 	}
+	// CancelRequest is a user's request to cancel a job.
+	CancelRequest struct {
+		JobID   string
+		ReplyTo Recipient
+	}
+	// StatusRequest is a user's question.
+	StatusRequest struct {
+		JobID   string
+		ReplyTo Recipient
+	}
+
 	// HeartbeatEvent is an agent's heartbeat, which needs a response.
 	HeartbeatEvent struct {
 		Heartbeat *wire.Heartbeat
@@ -59,36 +90,23 @@
 		Outcome   CommandOutcome
 		Heartbeat *wire.Heartbeat // with DirectDone and DirectRefused
 	}
-	// CancelRequest is a user's request to cancel a job.
-	CancelRequest struct {
-		JobID   string
-		ReplyTo Recipient
-	}
-	// StatusRequest is a user's question.
-	StatusRequest struct {
-		JobID   string
-		ReplyTo Recipient
-	}
-	// WritesDurable carries the tags of writes that have become durable.
-	WritesDurable struct{ Tags []ledger.Tag }
-	// CloudResult is the outcome of a cloud call.
-	CloudResult struct{ Result autoscaler.Result }
 	// InspectResult is an agent's present status, requested by an inspection.
 	InspectResult struct {
 		Machine   string
 		Heartbeat *wire.Heartbeat // nil: no response
 	}
-	// ValueLimitChanged carries how many bytes a value may have from now on.
-	ValueLimitChanged struct{ ValueBytes int }
+
+	// CloudResult is the outcome of a cloud call.
+	CloudResult struct{ Result autoscaler.Result }
+
+	// WritesDurable carries the tags of writes that have become durable.
+	WritesDurable struct{ Tags []ledger.Tag }
 	// WritesRejected carries the tags of writes that were not carried out, since their values
 	// are larger than the key-value store allows by now.
 	WritesRejected struct{ Tags []ledger.Tag }
-	// SoftStateRequest is a standby's request for what has changed in memory since an earlier
-	// reply; 0: all.
-	SoftStateRequest struct {
-		Since   uint64
-		ReplyTo Recipient
-	}
+	// ValueLimitChanged carries how many bytes a value may have from now on.
+	ValueLimitChanged struct{ ValueBytes int }
+
 	// PlanRequest creates a plan, with Spec, or sends a command to the plan of a name.
 	PlanRequest struct {
 		Spec     *rollout.Spec
@@ -99,6 +117,13 @@
 	}
 	// PlanListRequest is an operator's request for the plans.
 	PlanListRequest struct{ ReplyTo Recipient }
+	// SoftStateRequest is a standby's request for what has changed in memory since an earlier
+	// reply; 0: all.
+	SoftStateRequest struct {
+		Since   uint64
+		ReplyTo Recipient
+	}
+
 	// Tick comes a few times a second.
 	Tick struct{}
 )
--- a/internal/scheduler/failure_attribution.go
+++ b/internal/scheduler/failure_attribution.go
@@ -15,8 +15,8 @@
 	j.retry.notBefore = p.clock.now + j.retry.backoff
 }
 
-// blameLimit is how many different jobs must fail on a machine, with no success
-// between, before it counts as faulty; suspectLimit on how many machines a job
+// quarantineThreshold is how many different jobs must fail on a machine, with no success
+// between, before it counts as faulty; suspectThreshold on how many machines a job
 // that never succeeded must fail before it is taken for the faulty one.
 const (
 	quarantineThreshold = 2
@@ -28,7 +28,7 @@
 	return j.progress.done == 0 && len(j.retry.failedOn) >= suspectThreshold
 }
 
-// attemptFailed judges whether the machine or the job is to blame.
+// attemptFailed attributes a failure to the machine or to the job.
 func (p *placement) attemptFailed(m *machine, j *job, n int32, attempt uint64) {
 	if j.retry.failedOn == nil {
 		j.retry.failedOn = map[int32]bool{}
