--- a/internal/lint/protocol_words_lists_test.go
+++ b/internal/lint/protocol_words_lists_test.go
@@ -100,9 +100,6 @@
 	{"internal/rollout/phases.go", "HirePrefix", "not renamed yet"},
 	{"internal/rollout/view.go", "Hired", "not renamed yet"},
 	{"internal/rollout/view.go", "HireAhead", "not renamed yet"},
-	{"internal/scheduler/commands.go", "orders", "not renamed yet"},
-	{"internal/scheduler/eviction_view.go", "hiredMS", "not renamed yet"},
-	{"internal/scheduler/heartbeat_responses.go", "orders", "not renamed yet"},
 }
 
 // allowedFields are the fields that may be named like their tag though it is a word of the
@@ -118,5 +115,4 @@
 	{"internal/kvstore/watch.go", "under", "parameter of the store's URLs"},
 	{"internal/kvstore/watch.go", "wait_ms", "parameter of the store's URLs"},
 	{"internal/rollout/record.go", "aborted", "a plan's phase as the ledger holds it"},
-	{"internal/scheduler/ledger_writes.go", "hire", "not renamed yet"},
 }
--- /dev/null
+++ b/internal/scheduler/agents.go
@@ -0,0 +1,90 @@
+package scheduler
+
+import (
+	"log/slog"
+	"time"
+
+	"leadproxy/internal/settings"
+)
+
+// agents is what the leader keeps of the agents on the machines beyond what is kept with each
+// machine: leases, probes, inspections, and the records of unreachable agents.
+type agents struct {
+	term     uint64
+	clock    *clock
+	effects  *effects
+	writes   *durableWrites
+	machines *machineTable
+	commands *commands
+	cfg      *Config
+	log      *slog.Logger
+
+	lease             time.Duration // an agent's lease, stretched by clock drift and a margin
+	heartbeatInterval time.Duration
+
+	unreachable         unreachableAgents
+	probes              probes
+	inspectionsInFlight int
+	heartbeatsProcessed uint64          // heartbeats whose list of tasks was reconciled
+	expectedCount       int             // machines that should be sending heartbeats
+	zoneCutAt           []time.Duration // by zone: when it last seemed to be cut off
+}
+
+// leaseMargin is added to an agent's lease for the time in which it ends its tasks.
+const leaseMargin = 250 * time.Millisecond
+
+func newAgents(c *Core) agents {
+	workers := c.cfg.Platform.Facts.Workers
+	return agents{cfg: &c.cfg, log: c.log, term: c.term, clock: &c.clock, effects: &c.effects, writes: &c.writes, machines: &c.machines, commands: &c.commands,
+		lease:             settings.Stretch(settings.Seconds(workers.LeaseS)) + leaseMargin,
+		heartbeatInterval: settings.Seconds(workers.ReportS),
+		probes:            probes{atOnce: minProbes}}
+}
+
+// countHeartbeat numbers the heartbeat whose list of tasks is being reconciled.
+func (a *agents) countHeartbeat() { a.heartbeatsProcessed++ }
+
+// schedulable tells whether new tasks may start on a machine at all.
+func (a *agents) schedulable(m *machine) bool {
+	return m.state == machineUp && m.trusted(a.term) && m.agent.epoch > m.agent.expiredEpoch && m.typ >= 0 && m.agent.unreachable == nil && !m.eviction.cordoned && !m.health.quarantined && a.clock.now >= m.commands.avoidUntil && m.rental.terminationAt == 0 && !m.agent.unacknowledged && a.clock.now-m.agent.lastAcknowledged < a.unreachableAfter()
+}
+
+// trusted tells whether the content of an agent's heartbeats is believed: it has acknowledged
+// the term's token. A machine whose deletion is requested counts as well: the cloud's API may be
+// out of order for longer than cancel_s, and an agent that keeps running meanwhile must be sent
+// the stops of its tasks.
+func (m *machine) trusted(term uint64) bool {
+	return (m.state == machineUp || m.state == machineDeleting) && m.agent.acknowledgedToken>>tokenBits == term
+}
+
+// unreachableAfter is when a machine that said nothing gets no more work.
+func (a *agents) unreachableAfter() time.Duration { return a.heartbeatInterval*2 + time.Second }
+
+// unacknowledgedFor is how long an agent has not shown that it receives this leader's responses.
+// That its heartbeats arrive shows nothing.
+func (a *agents) unacknowledgedFor(m *machine) time.Duration {
+	return a.clock.now - max(m.agent.lastAcknowledged, m.agent.epochSeenAt, a.clock.tickingSince)
+}
+
+// heartbeatExpected tells whether a machine should be sending heartbeats: it has, or an earlier
+// leader has started something on it.
+func (a *agents) heartbeatExpected(m *machine) bool {
+	return m.state == machineUp || m.state == machineStarting && len(m.recorded.inDoubtJobs) > 0
+}
+
+// markUnacknowledged notes a sign that an agent does not receive our responses: nothing starts
+// on its machine until it has acknowledged a higher token. That its heartbeats arrive shows
+// nothing.
+func (c *Core) markUnacknowledged(m *machine) {
+	m.agent.markUnacknowledged(c.clock.now)
+	c.placement.indexChanged(m)
+}
+
+// raiseFencingToken raises an agent's token now and then: its next heartbeat acknowledges it if
+// the response has arrived. It does not while a command is on its way there, which would then be
+// refused.
+func (a *agents) raiseFencingToken(m *machine) {
+	if m.trusted(a.term) && m.commands.inFlight == 0 && m.agent.acknowledgedToken >= m.agent.fencingToken && a.clock.now-m.agent.tokenRaisedAt >= a.lease/4 {
+		m.agent.raiseToken(a.clock.now)
+	}
+}
--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -4,17 +4,17 @@
 	"math"
 	"time"
 
-	"leadproxy/internal/wire"
+	"leadproxy/internal/slowfit"
 )
 
-// The states of a booking.
+// The states of an allocation.
 type allocationState uint8
 
 const (
 	allocationPlanned   allocationState = iota // waits for its host to be durable
 	allocationQueued                           // its start leaves with the end of this step
 	allocationSent                             // a start is on its way, or its outcome is unknown
-	allocationConfirmed                        // the worker has executed the start, or reported the task
+	allocationConfirmed                        // the agent has executed the start, or reported the task
 )
 
 // allocation is room taken on a machine for one attempt of a task.
@@ -23,15 +23,16 @@
 	zone      int32
 	attempt   uint64
 	state     allocationState
-	// answeredSequence is the seq of the report whose answer carried the start; 0: a
-	// direct command did. Only a later report tells that it was not executed.
-	answeredSequence  uint64
-	lastHeartbeatSeen uint64 // the last look at a report that listed it
-	status            string // as last reported
+	// responseSequence is the sequence number of the heartbeat whose response carried the start;
+	// 0: a direct command did. Only a later heartbeat shows that it was not executed.
+	responseSequence  uint64
+	lastHeartbeatSeen uint64 // number of the last processed heartbeat that listed it
+	status            string // as in the last heartbeat
 	share             float64
 	phase             uint32
 	runningSince      time.Duration // when it began to run, or was first seen running
-	// runStartUnknown: it was running before it was first seen, for nobody knows how long.
+	// runStartUnknown: it was running before it was first seen, and it is not known for how
+	// long.
 	runStartUnknown bool
 	stopping        bool
 	gracePeriod     float64
@@ -40,12 +41,20 @@
 	stopRepeated bool
 }
 
-func (c *Core) taskName(b *allocation) string {
-	return wire.TaskName{JobID: c.jobs[b.job].id, Index: int(b.task)}.String()
+// capacity is the room of one machine, what takes it, and the images it holds.
+type capacity struct {
+	total       slowfit.Size
+	free        slowfit.Size
+	load        float64 // of the present phase of the SLOW-FIT goal
+	phase       uint32
+	allocations []*allocation
+	idleSince   time.Duration
+	images      []imageSlot // the least recently used one first
+	reserved    bool        // kept free for one job's first task
 }
 
 func (m *machine) allocation(attempt uint64) *allocation {
-	for _, b := range m.allocations {
+	for _, b := range m.capacity.allocations {
 		if b.attempt == attempt {
 			return b
 		}
@@ -53,77 +62,128 @@
 	return nil
 }
 
-// allocate takes room on a machine. charge is false for a task that is only waited
-// for to be gone.
-func (c *Core) allocate(m *machine, j *job, n int32, attempt uint64, charge bool) *allocation {
-	b := &allocation{job: j.index, task: n, zone: m.zone, attempt: attempt, share: j.size.Share(m.total)}
-	if charge {
-		j.tasks[n].state = taskBooked
-	} else {
-		b.stopping = true
+// addImage notes that the machine holds an image, and drops the least recently used ones beyond
+// its cache.
+func (m *capacity) addImage(image int32, gb, cache float64) {
+	for i, s := range m.images {
+		if s.image == image {
+			copy(m.images[i:], m.images[i+1:])
+			m.images[len(m.images)-1] = s
+			return
+		}
+	}
+	m.images = append(m.images, imageSlot{image, gb})
+	sum := 0.0
+	for _, s := range m.images {
+		sum += s.gb
 	}
+	for len(m.images) > 1 && sum > cache {
+		sum -= m.images[0].gb
+		m.images = m.images[1:]
+	}
+}
+
+// inheritImage adds an image that the soft state of an earlier leader names.
+func (m *capacity) inheritImage(image int32, gb float64) {
+	m.images = append(m.images, imageSlot{image, gb})
+}
+
+// setTotal takes the room of the machine's type, once that is known or has changed.
+func (m *capacity) setTotal(total slowfit.Size) {
+	used := m.total.Minus(m.free)
+	m.total = total
+	m.free = total.Minus(used)
+}
+
+// used notes when the machine was last used.
+func (m *capacity) used(at time.Duration) { m.idleSince = at }
+
+// allocationPurpose is what room is allocated for.
+type allocationPurpose int
+
+// The purposes of an allocation.
+const (
+	toRun      allocationPurpose = iota // the task is to run
+	untilEnded                          // its job has ended, and the room is taken until the task has
+)
+
+// allocate takes room on a machine.
+func (c *Core) allocate(m *machine, j *job, n int32, attempt uint64, purpose allocationPurpose) *allocation {
+	b := c.placement.takeRoom(m, j, n, attempt, purpose)
+	c.softState.machineChanged(m)
+	return b
+}
+
+// deallocate frees an allocation's room. A job that has ended may be cleaned up then.
+func (c *Core) deallocate(m *machine, b *allocation) {
+	c.placement.giveRoomBack(m, b)
+	c.softState.machineChanged(m)
+	c.jobs.cleanUp(c.jobs.list[b.job])
+}
+
+// takeRoom adds an allocation to its machine, its job, its class and its team.
+func (p *placement) takeRoom(m *machine, j *job, n int32, attempt uint64, purpose allocationPurpose) *allocation {
+	b := &allocation{job: j.index, task: n, zone: m.zone, attempt: attempt, share: j.request.size.Share(m.capacity.total)}
+	b.stopping = purpose == untilEnded
 	if math.IsInf(b.share, 1) {
 		b.share = 0
 	}
-	j.booked++
-	j.zoned(b.zone, 1)
-	c.coresByClass[j.class] += j.size.CPUs
-	c.teams[j.team].booked = c.teams[j.team].booked.plus(unitsOf(j.size))
-	m.free = m.free.Minus(j.size)
-	if m.phase != c.goal.Phase {
-		m.phase, m.load = c.goal.Phase, 0
+	j.progress.addAllocation(n, purpose)
+	p.countInZone(j, b.zone, 1)
+	p.classes.allocate(j.request.class, j.request.size.CPUs)
+	p.teams.At(j.request.team).Allocate(j.request.size)
+	m.capacity.free = m.capacity.free.Minus(j.request.size)
+	if m.capacity.phase != p.goal.Phase {
+		m.capacity.phase, m.capacity.load = p.goal.Phase, 0
 	}
-	b.phase = m.phase
-	m.load += b.share
-	m.allocations = append(m.allocations, b)
-	m.idleSince = c.now
-	c.changed(m)
-	c.indexChanged(m)
+	b.phase = m.capacity.phase
+	m.capacity.load += b.share
+	m.capacity.allocations = append(m.capacity.allocations, b)
+	m.capacity.idleSince = p.clock.now
+	p.indexChanged(m)
 	return b
 }
 
-// deallocate gives a booking's room back.
-func (c *Core) deallocate(m *machine, b *allocation) {
-	for k, o := range m.allocations {
+// giveRoomBack removes an allocation.
+func (p *placement) giveRoomBack(m *machine, b *allocation) {
+	for k, o := range m.capacity.allocations {
 		if o == b {
-			m.allocations = append(m.allocations[:k], m.allocations[k+1:]...)
+			m.capacity.allocations = append(m.capacity.allocations[:k], m.capacity.allocations[k+1:]...)
 			break
 		}
 	}
-	j := c.jobs[b.job]
-	j.booked--
-	j.zoned(b.zone, -1)
-	c.coresByClass[j.class] -= j.size.CPUs
-	c.teams[j.team].booked = c.teams[j.team].booked.minus(unitsOf(j.size))
-	if len(m.allocations) == 0 {
-		m.free, m.load = m.total, 0
+	j := p.jobs.list[b.job]
+	j.progress.removeAllocation()
+	p.countInZone(j, b.zone, -1)
+	p.classes.deallocate(j.request.class, j.request.size.CPUs)
+	p.teams.At(j.request.team).Deallocate(j.request.size)
+	if len(m.capacity.allocations) == 0 {
+		m.capacity.free, m.capacity.load = m.capacity.total, 0
 	} else {
-		m.free = m.free.Plus(j.size)
-		if b.phase == m.phase {
-			m.load = max(0, m.load-b.share)
+		m.capacity.free = m.capacity.free.Plus(j.request.size)
+		if b.phase == m.capacity.phase {
+			m.capacity.load = max(0, m.capacity.load-b.share)
 		}
 	}
-	m.idleSince = c.now
-	c.changed(m)
-	c.indexChanged(m)
-	c.needsPlacement = true
-	c.settleJob(j)
+	m.capacity.idleSince = p.clock.now
+	p.indexChanged(m)
+	p.needed = true
 }
 
-// release gives a booking's room back and has its task wait again.
+// release frees an allocation's room and has its task wait again.
 func (c *Core) release(m *machine, b *allocation) {
-	c.lostWork(m, b)
-	c.displaced(m, b, false, "its machine is lost")
+	c.autoscaling.addLostWork(m, b)
+	c.evictions.displaced(m, b, false, "its machine is lost")
 	c.deallocate(m, b)
-	c.requeue(c.jobs[b.job], b.task)
+	c.placement.requeue(c.jobs.list[b.job], b.task)
 }
 
 // dropAllocations frees all of a machine whose tasks are certainly gone.
 func (c *Core) dropAllocations(m *machine, why string) {
-	for len(m.allocations) > 0 {
-		b := m.allocations[len(m.allocations)-1]
-		c.log.Debug("task lost with its machine", "machine", m.name, "task", c.taskName(b), "why", why)
+	for len(m.capacity.allocations) > 0 {
+		b := m.capacity.allocations[len(m.capacity.allocations)-1]
+		c.log.Debug("task lost with its machine", "machine", m.name, "task", c.jobs.taskName(b), "reason", why)
 		c.release(m, b)
 	}
-	m.pendingCommands = nil
+	m.commands.dropPending()
 }
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -1,169 +1,160 @@
 package scheduler
 
 import (
+	"log/slog"
 	"math"
-	"slices"
 	"time"
 
 	"leadproxy/internal/wire"
 )
 
-// sendPlanned sends the starts that waited for their host to be durable.
-func (c *Core) sendPlanned(j *job, m *machine) {
-	for _, b := range slices.Clone(m.allocations) {
-		switch {
-		case b.job != j.index || b.state != allocationPlanned:
-		case c.accepts(m) && !j.over():
-			c.sendStart(j, m, b)
-		default:
-			c.stopAllocation(m, b, 0)
+// commands is what is on its way to agents: the commands of the present step, those whose result
+// is not known yet, and the responses to heartbeats that are still open.
+type commands struct {
+	term    uint64
+	clock   *clock
+	log     *slog.Logger
+	effects *effects
+	jobs    *jobTable
+	// cancellations counts the stops.
+	cancellations *cancellationWatch
+
+	openResponses        []heldResponse // of this step
+	awaitingWrites       []heldResponse // that wait for starts to be durable
+	heldForUnreachable   []heldResponse // to machines with an unreachable-agent record
+	machinesWithCommands []*machine     // with commands of this step
+	inFlight             map[uint64]*commandInFlight
+	lastID               uint64
+}
+
+func newCommands(c *Core) commands {
+	return commands{term: c.term, clock: &c.clock, log: c.log, effects: &c.effects, jobs: &c.jobs, cancellations: &c.cancellations,
+		inFlight: map[uint64]*commandInFlight{}}
+}
+
+// machineCommands is what is on its way to the agent of one machine.
+type machineCommands struct {
+	pending          []wire.Command
+	inFlight         int
+	unresolvedStarts map[uint64]uint64 // starts that may yet be executed: attempt -> token that rules it out
+	openResponse     int               // the response that is open for it, from 1; 0: none
+	// heldHeartbeat is the heartbeat whose response waits for starts to be durable.
+	heldHeartbeat *wire.Heartbeat
+	avoidUntil    time.Duration // until then nothing is started on it: commands do not arrive
+}
+
+// ruleOut resolves the starts that can't be executed any more by an agent that has acknowledged a
+// token.
+func (m *machineCommands) ruleOut(acknowledged uint64) {
+	for attempt, token := range m.unresolvedStarts {
+		if acknowledged >= token {
+			delete(m.unresolvedStarts, attempt)
 		}
 	}
 }
 
-func (c *Core) sendStart(j *job, m *machine, b *allocation) {
+// ruleOutAll resolves all starts: none can be executed any more.
+func (m *machineCommands) ruleOutAll() { clear(m.unresolvedStarts) }
+
+// ruleOutAt has all starts resolved by a token, once that is acknowledged.
+func (m *machineCommands) ruleOutAt(token uint64) {
+	for attempt := range m.unresolvedStarts {
+		m.unresolvedStarts[attempt] = token
+	}
+}
+
+// avoid keeps new tasks from the machine for a time.
+func (m *machineCommands) avoid(until time.Duration) { m.avoidUntil = until }
+
+// dropPending drops the commands that were not sent yet.
+func (m *machineCommands) dropPending() { m.pending = nil }
+
+// commandInFlight is a command whose result is not known yet.
+type commandInFlight struct {
+	machine              *machine
+	agentEpoch           uint64
+	fencingToken         uint64
+	startedAttempts      []uint64
+	stoppedAttempts      []uint64
+	probe                bool
+	sent                 time.Duration // of a probe
+	addressFromSoftState bool          // a probe to an address that only inherited soft state names
+}
+
+func (q *commands) sendStart(j *job, m *machine, b *allocation) {
 	b.state = allocationQueued
-	c.queueCommand(m, wire.Command{Verb: wire.VerbStart, Task: c.taskName(b), Attempt: b.attempt})
+	q.queueCommand(m, wire.Command{Verb: wire.VerbStart, Task: q.jobs.taskName(b), Attempt: b.attempt})
 }
 
-// queueCommand has a machine told something at the end of the step.
-func (c *Core) queueCommand(m *machine, o wire.Command) {
-	if len(m.pendingCommands) == 0 {
-		c.machinesWithCommands = append(c.machinesWithCommands, m)
+// queueCommand has a command sent to a machine at the end of the step.
+func (q *commands) queueCommand(m *machine, o wire.Command) {
+	if len(m.commands.pending) == 0 {
+		q.machinesWithCommands = append(q.machinesWithCommands, m)
 	}
-	m.pendingCommands = append(m.pendingCommands, o)
+	m.commands.pending = append(m.commands.pending, o)
 }
 
-// flush gives the answers that are open and turns the orders that don't travel
-// with one into direct commands, each well below the protocol's bound on a
-// body.
-func (c *Core) flush() {
-	c.writeJobs()
-	c.resumeAnswers()
-	c.giveAnswers()
-	for _, m := range c.machinesWithCommands {
-		if m.heldHeartbeat != nil {
-			continue // they go with its answer
+// sendDeferred ends a step: it writes what is new about jobs, sends the open responses, and
+// turns the commands that don't travel with one into direct commands, each well below the
+// protocol's bound on a body.
+func (c *Core) sendDeferred() {
+	c.jobs.writeJobs()
+	c.commands.resumeResponses()
+	c.commands.sendResponses()
+	c.commands.sendPending()
+	c.autoscaling.flushDeletes()
+}
+
+// sendPending sends the commands that don't travel with a response.
+func (q *commands) sendPending() {
+	for _, m := range q.machinesWithCommands {
+		if m.commands.heldHeartbeat != nil {
+			continue // they are sent with its response
 		}
-		orders := m.pendingCommands
-		m.pendingCommands = nil
-		for len(orders) > 0 {
-			n := min(len(orders), maxCommandsPerResponse)
-			c.command(m, orders[:n])
-			orders = orders[n:]
+		batch := m.commands.pending
+		m.commands.pending = nil
+		for len(batch) > 0 {
+			n := min(len(batch), maxCommandsPerResponse)
+			q.sendBatch(m, batch[:n])
+			batch = batch[n:]
 		}
 	}
-	clear(c.machinesWithCommands)
-	c.machinesWithCommands = c.machinesWithCommands[:0]
-	c.flushDeletes()
+	clear(q.machinesWithCommands)
+	q.machinesWithCommands = q.machinesWithCommands[:0]
 }
 
-func (c *Core) command(m *machine, orders []wire.Command) {
-	call := &commandInFlight{machine: m, agentEpoch: m.agentEpoch, fencingToken: m.fencingToken}
-	kept := make([]wire.Command, 0, len(orders))
-	for _, o := range orders {
+// sendBatch sends the commands of a machine that fit one direct command.
+func (q *commands) sendBatch(m *machine, batch []wire.Command) {
+	command := &commandInFlight{machine: m, agentEpoch: m.agent.epoch, fencingToken: m.agent.fencingToken}
+	kept := make([]wire.Command, 0, len(batch))
+	for _, o := range batch {
 		switch o.Verb {
 		case wire.VerbStop:
-			call.stoppedAttempts = append(call.stoppedAttempts, o.Attempt)
+			command.stoppedAttempts = append(command.stoppedAttempts, o.Attempt)
 		case wire.VerbStart:
 			b := m.allocation(o.Attempt)
 			if b == nil {
 				continue // released since
 			}
 			b.state = allocationSent
-			// Until the command's outcome is known, or a raised token rules it
-			// out, this start may act at any time.
-			m.unresolvedStarts[o.Attempt] = math.MaxUint64
-			call.startedAttempts = append(call.startedAttempts, o.Attempt)
+			// Until the command's outcome is known, or a raised token rules it out, this start
+			// may be executed at any time.
+			m.commands.unresolvedStarts[o.Attempt] = math.MaxUint64
+			command.startedAttempts = append(command.startedAttempts, o.Attempt)
 		}
 		kept = append(kept, o)
 	}
 	if len(kept) > 0 {
-		c.send(call, kept)
-	}
-}
-
-// send has a direct command carried out and remembers it until it is back.
-func (c *Core) send(call *commandInFlight, orders []wire.Command) {
-	m := call.machine
-	c.lastCommandID++
-	m.commandsInFlight++
-	c.commandsInFlight[c.lastCommandID] = call
-	c.emit(SendCommands{CommandID: c.lastCommandID, Machine: m.name, Address: m.address,
-		Request: wire.CommandRequest{FencingToken: call.fencingToken, AgentEpoch: call.agentEpoch, Commands: orders}})
-}
-
-// shunFor is how long a machine that commands don't reach gets no new tasks.
-const shunFor = 4 * time.Second
-
-func (c *Core) commandResult(e CommandResult) {
-	call := c.commandsInFlight[e.CommandID]
-	delete(c.commandsInFlight, e.CommandID)
-	if call == nil {
-		return
-	}
-	m := call.machine
-	m.commandsInFlight--
-	if call.probe {
-		defer c.probeResult(call, e.Outcome)
-	}
-	if m.state == machineGone {
-		return
-	}
-	if call.addressFromSoftState && (e.Outcome == CommandOutcomeUnknown || e.Outcome == CommandNotSent) {
-		c.inheritedAddressFailed(m) // the hint is wrong, or old: nothing against the machine
-		return
-	}
-	if e.Outcome == CommandOutcomeUnknown || e.Outcome == CommandNotSent {
-		// Its reports may still come, but starts don't arrive: leave it alone
-		// for a while rather than book the same tasks there again and again.
-		m.avoidUntil = c.now + shunFor
-		c.markUnacknowledged(m)
-	}
-	switch e.Outcome {
-	case CommandOutcomeUnknown:
-		c.commandOutcomeUnknown(call)
-		return
-	case CommandNotSent, CommandRejected:
-		c.eachSent(call, func(b *allocation) { c.release(m, b) })
-		if e.Outcome == CommandRejected && !call.probe {
-			c.log.Info("direct command refused", "machine", m.name, "token", call.fencingToken, "session", call.agentEpoch)
-		}
-	case CommandExecuted:
-		c.eachSent(call, func(b *allocation) { b.state = allocationConfirmed })
-	}
-	if e.Heartbeat != nil && e.Heartbeat.Machine == m.name && e.Heartbeat.FencingToken>>tokenBits <= c.term {
-		c.observe(m, e.Heartbeat, false)
-	}
-	if e.Outcome == CommandExecuted {
-		c.repeatStops(call, e.Heartbeat)
+		q.sendCommand(command, kept)
 	}
 }
 
-// commandOutcomeUnknown keeps the starts of a command booked of which nobody knows whether it
-// was carried out. The token is higher now: once the worker has echoed it, the command
-// can't be executed any more, and what is not there then will never be.
-func (c *Core) commandOutcomeUnknown(call *commandInFlight) {
-	m := call.machine
-	if m.agentEpoch != call.agentEpoch {
-		return // it can only be refused
-	}
-	for _, a := range call.startedAttempts {
-		if _, ok := m.unresolvedStarts[a]; ok {
-			m.unresolvedStarts[a] = call.fencingToken + 1
-		}
-	}
-	c.log.Debug("direct command unanswered", "machine", m.name, "starts", len(call.startedAttempts), "token", m.fencingToken)
-}
-
-// eachSent settles the starts of a command whose outcome is known, and calls f for the
-// bookings that still wait for it.
-func (c *Core) eachSent(call *commandInFlight, f func(b *allocation)) {
-	m := call.machine
-	for _, a := range call.startedAttempts {
-		delete(m.unresolvedStarts, a)
-		if b := m.allocation(a); b != nil && b.state == allocationSent {
-			f(b)
-		}
-	}
+// sendCommand sends a direct command and keeps it until its result arrives.
+func (q *commands) sendCommand(command *commandInFlight, batch []wire.Command) {
+	m := command.machine
+	q.lastID++
+	m.commands.inFlight++
+	q.inFlight[q.lastID] = command
+	q.effects.emit(SendCommands{CommandID: q.lastID, Machine: m.name, Address: m.agent.address,
+		Request: wire.CommandRequest{FencingToken: command.fencingToken, AgentEpoch: command.agentEpoch, Commands: batch}})
 }
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -5,209 +5,208 @@
 	"time"
 
 	"leadproxy/internal/federation"
+	"leadproxy/internal/scheduler/quota"
 	"leadproxy/internal/settings"
+	"leadproxy/internal/wire"
 )
 
-// Which jobs are offered to other cells, when, and to whom.
+// This file decides which jobs are delegated to other cells, when, and to which.
 
-// lookEvery is how often the queue is looked through for jobs to be offered.
-const lookEvery = time.Second
+// forwardingInterval is how often the queue is searched for jobs to be delegated.
+const forwardingInterval = time.Second
 
-// mayLeave tells whether a job can run in another cell: whole, never started anywhere,
+// mayDelegate tells whether a job can run in another cell: whole, never started anywhere,
 // of this cell, and not bound to a zone of it.
-func (c *Core) mayLeave(j *job) bool {
-	return j.placeable(c.now) && j.origin == "" && !j.startedOnce && j.booked == 0 && len(j.hosts) == 0 && j.done == 0 &&
-		j.reservedMachine == nil && j.zone < 0 && !j.suspect() && c.federation.delegated.MayBegin(j.id)
+func (f *federationState) mayDelegate(j *job) bool {
+	return j.placeable(f.clock.now) && j.transfer.origin == "" && !j.progress.startedOnce && j.progress.allocated == 0 && len(j.record.hosts) == 0 && j.progress.done == 0 &&
+		j.placement.reservedMachine == nil && j.request.zone < 0 && !j.suspect() && f.delegated.MayBegin(j.id)
 }
 
 // expectedLate tells whether a job that begins after a wait misses its deadline or,
 // without one, waits longer than it may.
-func (c *Core) expectedLate(j *job, wait time.Duration) bool {
-	if j.deadline == never {
-		return c.now-j.arrived+wait > c.federation.cells.MaxWait
+func (f *federationState) expectedLate(j *job, wait time.Duration) bool {
+	if j.priority.deadline == never {
+		return f.clock.now-j.priority.arrived+wait > f.cells.MaxWait
 	}
-	return c.now+wait+c.expectedRun(j) > j.deadline
+	return f.clock.now+wait+f.estimates.expectedRun(j) > j.priority.deadline
 }
 
-// findCellForJobs offers jobs to neighbours that have room for them while this cell is short
-// of it.
-func (c *Core) findCellForJobs() {
+// forwardJobs delegates jobs to neighbours that have room for them while this cell is short of
+// it.
+func (c *Core) forwardJobs() {
 	t := &c.federation
-	late := c.expectedLateJobs()
-	if !t.shortage.Observe(c.now, len(late) > 0 && !c.canScaleOut()) {
+	late := c.federation.expectedLateJobs()
+	if !t.shortage.Observe(c.clock.now, len(late) > 0 && !c.autoscaling.canScaleOut()) {
 		return
 	}
 	wanted := 0.0
 	for _, j := range late {
 		wanted += j.cores()
 	}
-	choice := c.delegationInput()
-	c.askForCapacity(choice, wanted)
+	choice := c.federation.delegationInput()
+	c.federation.requestCapacity(choice, wanted)
 	for _, j := range late {
-		if !choice.credit() {
+		if !choice.hasCredit() {
 			break
 		}
-		c.offer(j, choice)
+		c.federation.delegate(j, choice)
 	}
 	c.applyOriginEffects()
 }
 
-// offering is what offers are decided by at one moment.
-type offering struct {
-	cells []federation.Cell // the neighbours, in order
-	used  []units           // by team, in all cells
+// delegationInput is the situation by which jobs are delegated.
+type delegationInput struct {
+	cells []federation.Cell // the neighbours, in order of preference
+	used  []quota.Units     // by team, in all cells
 }
 
-// delegationInput looks at the neighbours and the teams.
-func (c *Core) delegationInput() *offering {
-	t := &c.federation
-	o := &offering{cells: make([]federation.Cell, len(t.neighbours)), used: c.uncertainUse()}
+// delegationInput describes the neighbours and what the teams use at present.
+func (f *federationState) delegationInput() *delegationInput {
+	o := &delegationInput{cells: make([]federation.Cell, len(f.neighbours)), used: f.uncertainUse()}
 	for i := range o.used {
-		o.used[i] = o.used[i].plus(c.teams[i].booked)
+		o.used[i] = o.used[i].Plus(f.teams.At(int32(i)).Allocated())
 	}
 	idle := true
-	for i, n := range t.neighbours {
-		jobs, cores := c.delegatedTo(n)
+	for i, n := range f.neighbours {
+		jobs, cores := f.delegatedTo(n)
 		idle = idle && jobs == 0
 		o.cells[i] = federation.Cell{Capacity: n.MaxCores, Used: cores, Jobs: n.MaxJobs - jobs}
-		if c.now < n.until && !n.Drain {
+		if f.clock.now < n.until && !n.Drain {
 			o.cells[i].Credit = n.credit
 		}
 	}
 	if idle {
-		t.selector.Reset()
+		f.selector.Reset()
 	}
 	return o
 }
 
-// credit tells whether some neighbour has offered room.
-func (o *offering) credit() bool {
+// hasCredit tells whether some neighbour has offered capacity.
+func (o *delegationInput) hasCredit() bool {
 	return slices.ContainsFunc(o.cells, func(cell federation.Cell) bool { return cell.Credit > 0 })
 }
 
-// expectedLateJobs lists, in the order of the queue, the jobs that may leave and whose
-// wait here is expected to be too long: what is ahead of them, and left of what runs,
-// shared by the cores that there are. A job that leaves is ahead of none.
-func (c *Core) expectedLateJobs() []*job {
+// expectedLateJobs lists, in the order of the queue, the jobs that may be delegated and whose
+// wait here is expected to be too long: what is ahead of them, and left of what runs, shared by
+// all cores. A job that is delegated is ahead of none.
+func (f *federationState) expectedLateJobs() []*job {
 	cores, ahead := 0.0, 0.0
-	for _, m := range c.liveMachines {
-		if c.counts(m) {
-			cores += m.total.CPUs
-			ahead += c.busy(m)
+	for _, m := range f.machines.live {
+		if f.autoscaling.countsAsCapacity(m) {
+			cores += m.capacity.total.CPUs
+			ahead += f.placement.remainingWork(m)
 		}
 	}
 	var late []*job
-	for _, j := range c.queue() {
-		wait := c.federation.cells.MaxWait + time.Second
+	for _, j := range f.placement.queue() {
+		wait := f.cells.MaxWait + time.Second
 		if cores > 0 {
 			wait = settings.Seconds(ahead / cores)
 		}
-		if c.mayLeave(j) && c.expectedLate(j, wait) {
+		if f.mayDelegate(j) && f.expectedLate(j, wait) {
 			late = append(late, j)
 			continue
 		}
-		ahead += c.workLeft(j)
+		ahead += f.placement.queuedWork(j)
 	}
 	return late
 }
 
-// canScaleOut tells whether machines are coming or could be asked for.
-func (c *Core) canScaleOut() bool {
-	if len(c.openScaleOuts()) > 0 {
-		return true
-	}
-	if slices.ContainsFunc(c.liveMachines, func(m *machine) bool { return m.state == machineStarting && m.typ >= 0 }) {
-		return true
-	}
-	if most := c.cfg.Operator.MaxMachines; most > 0 && c.machineCount() >= most {
-		return false
-	}
-	return c.poolsOpen()
-}
-
-// poolsOpen tells whether some offer of the cloud was not refused a moment ago.
-func (c *Core) poolsOpen() bool {
-	for range c.openPools() {
-		return true
-	}
-	return false
-}
-
-// askForCapacity asks the neighbours what they have for so many cores.
-func (c *Core) askForCapacity(choice *offering, cores float64) {
-	for i, n := range c.federation.neighbours {
+// requestCapacity requests an offer of capacity from the neighbours.
+func (f *federationState) requestCapacity(choice *delegationInput, cores float64) {
+	for i, n := range f.neighbours {
 		cell := choice.cells[i]
 		free := min(cores, cell.Capacity-cell.Used)
-		if n.Drain || n.capacityRequested || c.now < n.nextCapacityRequest || cell.Jobs <= 0 || free <= 0 || cell.Credit >= free {
+		if n.Drain || n.capacityRequested || f.clock.now < n.nextCapacityRequest || cell.Jobs <= 0 || free <= 0 || cell.Credit >= free {
 			continue
 		}
 		n.capacityRequested = true
-		c.emit(AskCapacity{Cell: n.Name, Cores: free})
+		f.effects.emit(AskCapacity{Cell: n.Name, Cores: free})
 	}
 }
 
-// askAgain is how long a neighbour rests that was asked for room.
-const askAgain = 2 * time.Second
+// capacityRequestInterval is the least time between two capacity requests to a neighbour.
+const capacityRequestInterval = 2 * time.Second
 
-// capacityResult takes a neighbour's answer to the question for room.
+// capacityResult takes a neighbour's reply to a capacity request.
 func (c *Core) capacityResult(e CapacityResult) {
-	n := c.neighbourNamed(e.Cell)
+	n := c.federation.neighbourNamed(e.Cell)
 	if n == nil {
 		return
 	}
 	n.capacityRequested = false
-	n.nextCapacityRequest = c.now + max(askAgain, e.RetryAfter)
+	n.nextCapacityRequest = c.clock.now + max(capacityRequestInterval, e.RetryAfter)
 	if e.Err != nil {
-		c.log.Debug("neighbour not asked for room", "cell", n.Name, "error", e.Err)
+		c.log.Debug("capacity request failed", "cell", n.Name, "error", e.Err)
 		return
 	}
-	n.credit, n.until = e.Cores, c.now+e.For
+	n.credit, n.until = e.Cores, c.clock.now+e.For
 	if n.reason != e.Reason {
 		n.reason = e.Reason
 		if e.Reason != "" {
-			c.log.Info("neighbour has no room", "cell", n.Name, "why", e.Reason, "again_s", e.RetryAfter.Seconds())
+			c.log.Info("neighbour offers no capacity", "cell", n.Name, "reason", e.Reason, "retry_after_s", e.RetryAfter.Seconds())
 		}
 	}
 	if e.Cores <= 0 {
 		return
 	}
-	c.findCellForJobs()
-	c.exchange()
+	c.forwardJobs()
+	c.federation.sendTransfers()
 }
 
-// delegatedTo is what is away in a cell: jobs, and their cores.
-func (c *Core) delegatedTo(n *neighbour) (jobs int, cores float64) {
-	for _, ref := range c.federation.delegated.JobsAt(n.Name) {
-		if at, ok := c.jobIndexByID[ref]; ok && !c.jobs[at].over() {
+// delegatedTo is what is delegated to a cell: jobs, and their cores.
+func (f *federationState) delegatedTo(n *neighbour) (jobs int, cores float64) {
+	for _, id := range f.delegated.JobsAt(n.Name) {
+		if at, ok := f.jobs.indexByID[id]; ok && !f.jobs.list[at].ended() {
 			jobs++
-			cores += c.jobs[at].cores()
+			cores += f.jobs.list[at].cores()
 		}
 	}
 	return jobs, cores
 }
 
-// offer begins the transfer of a job to the neighbour that the choice names, if its
+// delegate begins the transfer of a job to the neighbour that the choice names, if its
 // team's limit leaves room for all of it: tasks in other cells count there as well.
-func (c *Core) offer(j *job, o *offering) {
-	if c.roomInLimit(j, o.used[j.team]) < j.total {
+func (f *federationState) delegate(j *job, o *delegationInput) {
+	if f.teams.At(j.request.team).Room(j.request.size, o.used[j.request.team]) < j.progress.total {
 		return
 	}
-	for i, n := range c.federation.neighbours {
+	for i, n := range f.neighbours {
 		o.cells[i].Excluded = n.refused[j.id]
 	}
-	at := c.federation.selector.Select(o.cells, j.cores())
+	at := f.selector.Select(o.cells, j.cores())
 	if at < 0 {
 		return
 	}
-	body := c.offerBody(j)
+	body := f.offerBody(j)
 	if body == nil {
 		return
 	}
-	n, cell := c.federation.neighbours[at], &o.cells[at]
+	n, cell := f.neighbours[at], &o.cells[at]
 	n.credit -= j.cores()
 	cell.Credit, cell.Used, cell.Jobs = n.credit, cell.Used+j.cores(), cell.Jobs-1
-	o.used[j.team] = o.used[j.team].plus(unitsOf(j.size).times(j.total))
-	j.delegated = true
-	c.federation.delegated.Begin(j.id, n.Name, body, c.now, c.wall)
-	c.log.Info("job is offered to a neighbour", "job", j.id, "cell", n.Name, "cores", j.cores(), "waited_s", (c.now - j.arrived).Seconds(), "share", j.cores()/n.MaxCores)
+	o.used[j.request.team] = o.used[j.request.team].Plus(quota.Of(j.request.size).Times(j.progress.total))
+	j.transfer.delegated = true
+	f.delegated.Begin(j.id, n.Name, body, f.clock.now, f.clock.wallMS)
+	f.log.Info("job delegated to a neighbour", "job", j.id, "cell", n.Name, "cores", j.cores(), "waited_s", (f.clock.now - j.priority.arrived).Seconds(), "share", j.cores()/n.MaxCores)
+}
+
+// uncertainUse is what each team's tasks may use on machines that have sent no heartbeat in this
+// term, and in other cells.
+func (f *federationState) uncertainUse() []quota.Units {
+	use := make([]quota.Units, f.teams.Len())
+	transfers := !f.delegated.Idle()
+	for _, j := range f.jobs.active {
+		if len(j.record.inDoubtHosts) > 0 && j.end.state != wire.JobDone {
+			n := j.progress.total - j.progress.done - j.progress.allocated
+			use[j.request.team] = use[j.request.team].Plus(quota.Of(j.request.size).Times(max(n, 0)))
+		}
+		unreadable := j.transfer.delegated && !f.delegated.Delegated(j.id)
+		if unreadable || transfers && f.delegated.MayRunRemotely(j.id) {
+			// All of its tasks may run there at once, also if its transfer's record can't
+			// be read.
+			use[j.request.team] = use[j.request.team].Plus(quota.Of(j.request.size).Times(j.progress.total))
+		}
+	}
+	return use
 }
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -10,55 +10,54 @@
 	"leadproxy/internal/slowfit"
 )
 
-// arrived learns from a job that has just come in.
-func (c *Core) arrived(j *job) {
-	f := &c.autoscaling
-	cores := j.size.CPUs * float64(j.total)
-	c.learnArrival(j.class, j.team, j.arrived, cores, c.expectedRun(j).Seconds())
-	f.addSize(j.size, cores*j.spec.EstimatedRunS, c.classObjectives[j.class].wait > 0)
+// observeArrival learns from a job that has just come in.
+func (a *autoscaling) observeArrival(j *job) {
+	cores := j.request.size.CPUs * float64(j.progress.total)
+	a.learnArrival(j.request.class, j.request.team, j.priority.arrived, cores, a.estimates.expectedRun(j).Seconds())
+	a.addSize(j.request.size, cores*j.spec.EstimatedRunS, a.classes.objectives[j.request.class].wait > 0)
 }
 
 // learnArrival learns the demand from one job.
-func (c *Core) learnArrival(class, team int32, at time.Duration, cores, seconds float64) {
-	c.autoscaling.demand[class].ObserveArrival(at, cores, seconds)
-	if c.teams[team].limit.cpus > 0 {
-		c.autoscaling.limitedDemand[team].ObserveArrival(at, cores, seconds)
+func (a *autoscaling) learnArrival(class, team int32, at time.Duration, cores, seconds float64) {
+	a.demand[class].ObserveArrival(at, cores, seconds)
+	if _, limited := a.teams.At(team).CPULimit(); limited {
+		a.limitedDemand[team].ObserveArrival(at, cores, seconds)
 	}
 }
 
-// sized is a task size with its share of the recent demand.
-type sized struct {
+// weightedSize is a task size with its share of the recent demand.
+type weightedSize struct {
 	size   slowfit.Size
 	weight float64
-	wait   bool // some class of that size has an aim on waiting
+	wait   bool // some class of that size has an objective on waiting
 }
 
 // maxSizes bounds the sizes that are remembered.
 const maxSizes = 16
 
-func (f *autoscaling) addSize(size slowfit.Size, weight float64, wait bool) {
+func (a *autoscaling) addSize(size slowfit.Size, weight float64, wait bool) {
 	at := -1
-	for i := range f.sizes {
-		f.sizes[i].weight *= 0.98
-		if f.sizes[i].size == size {
+	for i := range a.sizes {
+		a.sizes[i].weight *= 0.98
+		if a.sizes[i].size == size {
 			at = i
 		}
 	}
 	if at < 0 {
-		at = len(f.sizes)
-		f.sizes = append(f.sizes, sized{size: size})
+		at = len(a.sizes)
+		a.sizes = append(a.sizes, weightedSize{size: size})
 	}
-	f.sizes[at].weight += weight
-	f.sizes[at].wait = f.sizes[at].wait || wait
-	slices.SortStableFunc(f.sizes, func(a, b sized) int { return cmp.Compare(b.weight, a.weight) })
-	f.sizes = f.sizes[:min(len(f.sizes), maxSizes)]
+	a.sizes[at].weight += weight
+	a.sizes[at].wait = a.sizes[at].wait || wait
+	slices.SortStableFunc(a.sizes, func(x, y weightedSize) int { return cmp.Compare(y.weight, x.weight) })
+	a.sizes = a.sizes[:min(len(a.sizes), maxSizes)]
 }
 
 // headroomSizes are the sizes that the headroom should hold: the heaviest of the
 // demand, then those of classes that must not wait.
-func (c *Core) headroomSizes() []slowfit.Size {
+func (a *autoscaling) headroomSizes() []slowfit.Size {
 	var out []slowfit.Size
-	for i, s := range c.autoscaling.sizes {
+	for i, s := range a.sizes {
 		if i == 0 || s.wait {
 			out = append(out, s.size)
 		}
@@ -66,32 +65,17 @@
 	return out
 }
 
-func (f *autoscaling) learnRatio(class int32, ratio float64) {
-	ratio = min(max(ratio, 0.1), 10)
-	if old := f.runRatios[class]; old > 0 {
-		ratio = old + (ratio-old)/16
-	}
-	f.runRatios[class] = ratio
-}
-
-func (f *autoscaling) ratio(class int32) float64 {
-	if r := f.runRatios[class]; r > 0 {
-		return r
-	}
-	return 1
-}
-
-// headroomCores are the cores that the learned demand makes worth keeping. What a
-// team asks for beyond its limit is none of it.
-func (c *Core) headroomCores() float64 {
-	spread := c.cfg.Operator.HeadroomSpread
-	mean, deviation := autoscaler.Demand(c.now, c.autoscaling.demand)
+// headroomCores are the cores that the learned demand makes worth keeping. A team's demand
+// beyond its limit does not count.
+func (a *autoscaling) headroomCores() float64 {
+	spread := a.cfg.Operator.HeadroomSpread
+	mean, deviation := autoscaler.Demand(a.clock.now, a.demand)
 	variance, capped := deviation*deviation, 0.0
-	for i, t := range c.teams {
-		if t.limit.cpus > 0 {
-			m, d := autoscaler.Demand(c.now, c.autoscaling.limitedDemand[i:i+1])
+	for i := range a.teams.Len() {
+		if limit, limited := a.teams.At(int32(i)).CPULimit(); limited {
+			m, d := autoscaler.Demand(a.clock.now, a.limitedDemand[i:i+1])
 			mean, variance = mean-m, variance-d*d
-			capped += min(m+spread*d, float64(t.limit.cpus)/perUnit)
+			capped += min(m+spread*d, limit)
 		}
 	}
 	return max(mean, 0) + spread*math.Sqrt(max(variance, 0)) + capped
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -5,220 +5,209 @@
 	"time"
 
 	"leadproxy/internal/ledger"
+	"leadproxy/internal/scheduler/depgraph"
 	"leadproxy/internal/wire"
 )
 
-// A job may name others that have to be done before any of its tasks starts. This
-// is the one place that knows the dependency graph: each job's predecessors and
-// dependents by index, and how many predecessors are open.
+// A job may name others that have to be done before any of its tasks starts. Package depgraph
+// holds the graph; this file connects it with the jobs and their records.
 //
-// A predecessor is done only once its record says so durably: until then a new
-// leader may run its last task again. One that this leader has not seen yet, since
-// another node has just accepted it, is open.
+// A predecessor counts as done only once its record says so durably: until then a new leader may
+// run its last task again. One that this leader has not seen yet, since another controller has
+// just accepted it, counts as unfinished.
 //
-// An open job with a cancelled ancestor is cancelled. That follows from durable
-// facts alone: a record says aborted or done, never first one and then the other,
-// and a job whose ancestor never ends never starts. So it holds from the moment in
-// which the ancestor's record is durable, whoever leads and whichever node is asked;
-// the dependents' own records follow when there are writes for them.
-
-// dependencies is what a job has in the graph.
-type dependencies struct {
-	dependsOn  []int32 // predecessors that have been seen
-	dependents []int32 // jobs that wait for this one
-	open       int     // predecessors that are not done, seen or not
-}
-
-// blocked tells whether a job waits for others, or is away. It takes no part of its
-// team's guarantee, is in no queue, and hires nothing.
-func (j *job) blocked() bool { return j.deps.open > 0 || j.delegated }
-
-// linkDependencies brings a new job into the graph, as a job that needs others and as one that
-// others wait for.
-func (c *Core) linkDependencies(j *job) {
-	if j.spec != nil && !j.over() {
-		for _, ref := range j.spec.DependsOn {
-			if at, ok := c.jobIndexByID[ref]; ok {
-				c.needs(j, c.jobs[at])
-				continue
+// An unfinished job with a cancelled ancestor is cancelled. That follows from durable facts
+// alone: a record says cancelled or done, never first one and then the other, and a job whose
+// ancestor never ends never starts. So it holds from the moment in which the ancestor's record
+// is durable, whoever leads and whichever controller is asked; the dependents' own records
+// follow when there are writes for them.
+
+// blocked tells whether a job waits for others, or is delegated to another cell. It takes no
+// part of its team's guarantee, is in no queue, and has no machines rented for it.
+func (j *job) blocked() bool { return j.dependencies.Open() > 0 || j.transfer.delegated }
+
+// isDone tells whether a job is done, by its durable record.
+func (j *job) isDone() bool { return j.end.durable && j.end.state == wire.JobDone }
+
+// isCancelled tells whether a job is cancelled, by its durable record.
+func (j *job) isCancelled() bool { return j.end.durable && j.end.state == wire.JobCancelled }
+
+// linkJob brings a new job into the graph, as a job that depends on others and as one that
+// others depend on. It returns the jobs that no longer wait for any.
+func (t *jobTable) linkJob(j *job) (ready []*job) {
+	if j.spec != nil && !j.ended() {
+		for _, id := range j.spec.DependsOn {
+			if at, ok := t.indexByID[id]; ok {
+				p := t.list[at]
+				t.graph.Depend(j.dependencies, p.dependencies, p.isDone())
+			} else {
+				t.graph.Await(j.dependencies, id)
 			}
-			j.deps.open++
-			c.awaitedJobs[ref] = append(c.awaitedJobs[ref], j.index)
 		}
 	}
-	for _, at := range c.awaitedJobs[j.id] {
-		child := c.jobs[at]
-		child.deps.open-- // counted while it was not seen
-		c.needs(child, j)
-		if !child.blocked() && !child.over() {
-			c.becomesReady(child, c.now)
+	for _, at := range t.graph.Resolve(j.id, j.dependencies, j.isDone()) {
+		if dependent := t.list[at]; !dependent.blocked() && !dependent.ended() {
+			ready = append(ready, dependent)
 		}
 	}
-	delete(c.awaitedJobs, j.id)
-}
-
-// needs notes that a job waits for another one.
-func (c *Core) needs(j, p *job) {
-	j.deps.dependsOn = append(j.deps.dependsOn, p.index)
-	if p.terminalDurable && p.terminal == wire.JobDone {
-		return
-	}
-	j.deps.open++
-	p.deps.dependents = append(p.deps.dependents, j.index)
+	return ready
 }
 
-// settleDependencies draws the conclusions for a job that has been linked: it may be
-// cancelled with an ancestor, ready, or raise those that it waits for.
-func (c *Core) settleDependencies(j *job) {
-	for _, at := range j.deps.dependsOn {
-		if p := c.jobs[at]; p.terminalDurable && p.terminal == wire.JobCancelled {
+// checkDependencies does what follows for a job that has been linked: it may be cancelled with
+// an ancestor, or raise the priority of those that it waits for.
+func (c *Core) checkDependencies(j *job) {
+	for _, at := range j.dependencies.Predecessors() {
+		if p := c.jobs.list[at]; p.isCancelled() {
 			c.cancelDependent(j, p)
 			return
 		}
 	}
-	c.raisePriority(j)
+	if c.jobs.raisePriority(j) {
+		c.placement.markNeeded()
+	}
 	if j.blocked() {
-		c.log.Debug("job waits for others", "job", j.id, "open", j.deps.open, "first", c.firstOpen(j))
+		c.log.Debug("job waits for its dependencies", "job", j.id, "open", j.dependencies.Open(), "first", c.jobs.firstOpen(j))
 	}
 }
 
-// firstOpen names a job that another one waits for.
-func (c *Core) firstOpen(j *job) string {
-	for _, ref := range j.spec.DependsOn {
-		at, ok := c.jobIndexByID[ref]
+// firstOpen names the first job that another one waits for, for the log.
+func (t *jobTable) firstOpen(j *job) string {
+	for _, id := range j.spec.DependsOn {
+		at, ok := t.indexByID[id]
 		if !ok {
-			return ref + " (not seen yet)"
+			return id + " (not seen yet)"
 		}
-		if p := c.jobs[at]; !p.terminalDurable {
-			return ref
+		if p := t.list[at]; !p.end.durable {
+			return id
 		}
 	}
 	return ""
 }
 
-// raisePriority has all that a job needs, directly or through others, be as urgent as the
-// job is: its priority, and in time for its deadline, less what lies between.
-func (c *Core) raisePriority(j *job) {
+// raisePriority gives the jobs that a job depends on, directly or through others, at least its
+// priority, and a deadline that leaves it time to meet its own. It tells whether any was raised.
+func (t *jobTable) raisePriority(j *job) (raised bool) {
 	todo := []*job{j}
 	for len(todo) > 0 {
 		j, todo = todo[len(todo)-1], todo[:len(todo)-1]
-		due := j.deadline
+		due := j.priority.deadline
 		if due != never {
-			due -= c.expectedRun(j)
+			due -= t.estimates.expectedRun(j)
 		}
-		for _, at := range j.deps.dependsOn {
-			p := c.jobs[at]
-			if p.over() || p.spec == nil || p.priorityClass <= j.priorityClass && p.deadline <= due {
+		for _, at := range j.dependencies.Predecessors() {
+			p := t.list[at]
+			if p.ended() || p.spec == nil || p.priority.class <= j.priority.class && p.priority.deadline <= due {
 				continue
 			}
-			p.priorityClass, p.deadline = min(p.priorityClass, j.priorityClass), min(p.deadline, due)
-			c.needsPlacement = true
+			p.priority.class, p.priority.deadline = min(p.priority.class, j.priority.class), min(p.priority.deadline, due)
+			raised = true
 			todo = append(todo, p)
 		}
 	}
+	return raised
 }
 
-// raisePriorityBy has a job that was seen late be as urgent as those that wait for it.
-func (c *Core) raisePriorityBy(p *job) {
-	for _, at := range p.deps.dependents {
-		c.raisePriority(c.jobs[at])
+// raisePriorityBy raises a job that became known late, as those that depend on it require.
+func (t *jobTable) raisePriorityBy(p *job) (raised bool) {
+	for _, at := range p.dependencies.Dependents() {
+		raised = t.raisePriority(t.list[at]) || raised
 	}
+	return raised
 }
 
-// releaseDependents tells a job's dependents that it is durably over.
+// releaseDependents has a job's dependents wait for one less, or cancels them with it, once its
+// end is durable.
 func (c *Core) releaseDependents(p *job) {
-	children := p.deps.dependents
-	p.deps.dependents = nil
-	for _, at := range children {
-		j := c.jobs[at]
-		if p.terminal == wire.JobCancelled {
+	for _, at := range c.jobs.graph.TakeDependents(p.dependencies) {
+		j := c.jobs.list[at]
+		if p.end.state == wire.JobCancelled {
 			c.cancelDependent(j, p)
 			continue
 		}
-		if j.deps.open--; j.deps.open == 0 && !j.over() {
-			c.becomesReady(j, c.now)
+		if c.jobs.graph.PredecessorFinished(j.dependencies) && !j.ended() {
+			c.becomesReady(j, c.clock.now)
 		}
 	}
 }
 
-// becomesReady counts a job's waits, and what it asks for, from a moment on.
+// linkDependencies brings a new job into the graph. Jobs that waited only for it may run.
+func (c *Core) linkDependencies(j *job) {
+	for _, ready := range c.jobs.linkJob(j) {
+		c.becomesReady(ready, c.clock.now)
+	}
+}
+
+// becomesReady has a job's wait, and the demand for it, count from a moment on.
 func (c *Core) becomesReady(j *job, at time.Duration) {
-	j.arrived = at
-	c.arrived(j)
-	c.needsPlacement = true
-	c.log.Debug("all that a job waits for is done", "job", j.id, "tasks", j.total)
+	j.priority.arriveAt(at)
+	c.autoscaling.observeArrival(j)
+	c.placement.markNeeded()
+	c.log.Debug("job dependencies are done", "job", j.id, "tasks", j.progress.total)
 }
 
-// cancelDependent cancels a job since another one that it needs is cancelled.
+// cancelDependent cancels a job since one that it depends on is cancelled.
 func (c *Core) cancelDependent(j, p *job) {
-	if j.terminalDurable {
+	if j.end.durable {
 		return
 	}
-	c.log.Debug("job is cancelled with one that it needs", "job", j.id, "needs", p.id)
-	if !j.over() {
-		j.terminal = wire.JobCancelled
-		c.writeTerminal(j, false)
+	c.log.Debug("job cancelled with a dependency", "job", j.id, "dependency", p.id)
+	if !j.ended() {
+		j.end.decide(wire.JobCancelled)
+		c.jobs.writeTerminal(j, writeLater)
 	}
 	c.terminalIsDurable(j)
 }
 
-// terminalStatePending tells whether the state service may know more of a job's end than this
-// leader does: its own end is being written, or the cancellation of one that it needs,
-// directly or through others. That may have been carried out and its answer lost;
-// another node has then read it and told a user, and "queued" would go back on that.
-func (c *Core) terminalStatePending(j *job) bool {
-	if j.terminalDurable {
+// terminalStatePending tells whether the key-value store may know more of a job's end than this
+// leader does: its own end is being written, or the cancellation of one that it depends on,
+// directly or through others. That write may have been carried out and its answer lost;
+// another controller may then have read it and told a user, and "queued" would contradict that.
+func (t *jobTable) terminalStatePending(j *job) bool {
+	if j.end.durable {
 		return false
 	}
-	if j.over() {
+	if j.ended() {
 		return true
 	}
-	if len(c.cancelling) == 0 {
-		return false // as nearly always; an ancestor need not be looked for
+	if len(t.cancelling) == 0 {
+		return false // as nearly always: no walk through the ancestors is needed
 	}
-	seen := map[int32]bool{}
-	todo := slices.Clone(j.deps.dependsOn)
-	for len(todo) > 0 {
-		at := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		p := c.jobs[at]
-		if p.terminalDurable || seen[at] {
-			continue
+	return t.graph.AnyAncestor(j.dependencies, func(at int32) depgraph.Visit {
+		switch {
+		case t.list[at].end.durable:
+			return depgraph.Skip
+		case t.cancelling[at]:
+			return depgraph.Found
 		}
-		if c.cancelling[at] {
-			return true
-		}
-		seen[at] = true
-		todo = append(todo, p.deps.dependsOn...)
-	}
-	return false
+		return depgraph.Continue
+	})
 }
 
 // readySince is when the last of a restored job's predecessors was done.
-func (c *Core) readySince(j *job) time.Duration {
-	last := j.arrived
-	for _, at := range j.deps.dependsOn {
-		last = max(last, c.jobs[at].endedAt)
+func (t *jobTable) readySince(j *job) time.Duration {
+	last := j.priority.arrived
+	for _, at := range j.dependencies.Predecessors() {
+		last = max(last, t.list[at].end.at)
 	}
-	return min(last, c.now)
+	return min(last, t.clock.now)
 }
 
 // restoreDependencies builds the graph from what the ledger holds, before anything is
 // started.
 func (c *Core) restoreDependencies() {
-	for _, j := range c.jobs {
+	for _, j := range c.jobs.list {
 		c.linkDependencies(j)
 	}
-	for _, j := range slices.Clone(c.jobs) {
-		if j.spec == nil || len(j.spec.DependsOn) == 0 || j.over() {
+	for _, j := range slices.Clone(c.jobs.list) {
+		if j.spec == nil || len(j.spec.DependsOn) == 0 || j.ended() {
 			continue
 		}
-		c.settleDependencies(j)
-		if !j.over() && !j.blocked() {
-			c.becomesReady(j, c.readySince(j))
+		c.checkDependencies(j)
+		if !j.ended() && !j.blocked() {
+			c.becomesReady(j, c.jobs.readySince(j))
 		}
 	}
 }
 
-// waitsFor tells whether a restored or new job has others to wait for.
-func waitsFor(rec *ledger.JobRecord) bool { return rec.Job != nil && len(rec.Job.DependsOn) > 0 }
+// hasDependencies tells whether the record of a job names others that it depends on.
+func hasDependencies(rec *ledger.JobRecord) bool { return rec.Job != nil && len(rec.Job.DependsOn) > 0 }
--- a/internal/scheduler/eviction_actions.go
+++ b/internal/scheduler/eviction_actions.go
@@ -10,47 +10,47 @@
 	"leadproxy/internal/rollout"
 )
 
-// What plans that drain machines have done.
+// This file carries out the actions of plans that drain machines.
 
-// cordon has nothing start on the machines that plans are emptying, and keeps those that
-// they have hired.
-func (c *Core) cordon() {
-	for _, m := range c.liveMachines {
+// cordon has nothing start on the machines that plans empty, and keeps those that they have
+// rented.
+func (v *evictionState) cordon() {
+	for _, m := range v.machines.live {
 		cordoned, kept := false, false
-		for _, p := range c.evictions.plans {
+		for _, p := range v.plans {
 			cordoned = cordoned || p.rollout.Cordons(m.name)
 			kept = kept || p.rollout.Keeps(m.name)
 		}
-		m.keptForPlan = kept
-		if m.cordoned != cordoned {
-			m.cordoned = cordoned
-			c.indexChanged(m)
-			c.needsPlacement = true
+		m.eviction.kept = kept
+		if m.eviction.cordoned != cordoned {
+			m.eviction.cordoned = cordoned
+			v.placement.indexChanged(m)
+			v.placement.markNeeded()
 		}
 	}
 }
 
-// carryOutPlan does what a plan wants.
+// carryOutPlan carries out an action of a plan.
 func (c *Core) carryOutPlan(act rollout.Act) {
 	switch a := act.(type) {
 	case rollout.MoveTask:
-		if m := c.machineIfKnown(a.Machine); m != nil {
+		if m := c.machines.find(a.Machine); m != nil {
 			c.moveTask(m, a.Ref, int32(a.Task))
 		}
 	case rollout.ReturnMachine:
-		if m := c.machineIfKnown(a.Machine); m != nil && (m.state == machineDeleting || c.isEmpty(m)) {
-			c.askDelete(m, "drained")
+		if m := c.machines.find(a.Machine); m != nil && (m.state == machineDeleting || c.evictions.isEmpty(m)) {
+			c.autoscaling.requestDelete(m, "drained")
 		}
 	case rollout.HireAhead:
-		c.scaleOutAhead(a)
+		c.evictions.scaleOutAhead(a)
 	}
 }
 
 // moveTask has a task stopped, after it has saved its progress if it can.
-func (c *Core) moveTask(m *machine, ref string, n int32) {
-	for _, b := range slices.Clone(m.allocations) {
-		j := c.jobs[b.job]
-		if j.id != ref || b.task != n || b.stopping || j.spec == nil {
+func (c *Core) moveTask(m *machine, id string, n int32) {
+	for _, b := range slices.Clone(m.capacity.allocations) {
+		j := c.jobs.list[b.job]
+		if j.id != id || b.task != n || b.stopping || j.spec == nil {
 			continue
 		}
 		b.moving = true
@@ -58,22 +58,22 @@
 		if j.spec.CheckpointIntervalS > 0 {
 			grace = j.spec.CheckpointDurationS
 		}
-		c.log.Info("task is moved", "task", c.taskName(b), "machine", m.name, "grace_s", grace)
+		c.log.Info("task evicted by a plan", "task", c.jobs.taskName(b), "machine", m.name, "grace_s", grace)
 		c.stopAllocation(m, b, grace)
 	}
 }
 
-// requestsFor are the hires for a plan's replacements: one for each kind of machine, in
-// parts that the cloud takes. They are none until all of the machines are known: a request
-// that is made once for fewer brings no more later.
-func (c *Core) requestsFor(request string, like []string) map[string]autoscaler.PlannedScaleOut {
+// requestsFor are the scale-outs for a plan's replacements: one for each kind of machine, in
+// parts of the size that the cloud accepts. They are none until all of the machines are known: a
+// request that is made once for fewer machines can't be extended later.
+func (v *evictionState) requestsFor(request string, like []string) map[string]autoscaler.PlannedScaleOut {
 	counts := map[autoscaler.CapacityPool]int{}
 	for _, name := range like {
-		m := c.machineIfKnown(name)
+		m := v.machines.find(name)
 		switch {
 		case m != nil && m.typ >= 0 && m.zone >= 0:
 			counts[autoscaler.CapacityPool{Type: m.typ, Zone: m.zone, Spot: m.spot}]++
-		case !c.mayMove():
+		case !v.mayDisrupt():
 			return nil
 		}
 	}
@@ -81,7 +81,7 @@
 	for offer, n := range counts {
 		for part := 0; n > 0; part++ {
 			count := min(n, autoscaler.MaxScaleOut)
-			name := fmt.Sprintf("%s-%s-%s-%t-%d", request, c.types[offer.Type].Name, c.zones.list[offer.Zone], offer.Spot, part)
+			name := fmt.Sprintf("%s-%s-%s-%t-%d", request, v.types.list[offer.Type].Name, v.machines.zones.list[offer.Zone], offer.Spot, part)
 			requests[name] = autoscaler.PlannedScaleOut{Pool: offer, Count: count, Reason: "to replace machines that are drained"}
 			n -= count
 		}
@@ -89,39 +89,38 @@
 	return requests
 }
 
-// scaleOutAhead hires replacements. A request that the cloud has refused is made again under
-// its name when the offer may be asked for again.
-func (c *Core) scaleOutAhead(a rollout.HireAhead) {
-	requests := c.requestsFor(a.Request, a.Like)
+// scaleOutAhead rents replacements. A request that the cloud has refused is repeated under its
+// name when the pool may be used again.
+func (v *evictionState) scaleOutAhead(a rollout.HireAhead) {
+	requests := v.requestsFor(a.Request, a.Like)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
 		w := requests[name]
-		if c.autoscaling.scaleOuts[name] != nil || c.evictions.rented[name] != nil || c.now < c.autoscaling.pool(w.Pool).blockedUntil {
+		if v.autoscaling.scaleOuts[name] != nil || v.rented[name] != nil || v.clock.now < v.autoscaling.pool(w.Pool).blockedUntil {
 			continue
 		}
-		c.startNamedScaleOut(name, w)
+		v.autoscaling.startNamedScaleOut(name, w)
 	}
 }
 
-// rentedForPlan is what the requests for a plan's replacements have brought, once all are
-// answered.
-func (c *Core) rentedForPlan(r *rollout.Record) (machines []string) {
-	requests := c.requestsFor(r.Hire, r.Batch)
+// rentedForPlan lists the machines of a plan's scale-outs, once all have a result.
+func (v *evictionState) rentedForPlan(r *rollout.Record) (machines []string) {
+	requests := v.requestsFor(r.Hire, r.Batch)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
-		if c.evictions.rented[name] == nil {
+		if v.rented[name] == nil {
 			return nil
 		}
-		machines = append(machines, c.evictions.rented[name]...)
+		machines = append(machines, v.rented[name]...)
 	}
 	return machines
 }
 
-// noteRented notes the machines of a hire, if it may be a plan's.
-func (c *Core) noteRented(request string, machines []string) {
+// recordRented records the machines of a scale-out, if it may be a plan's.
+func (v *evictionState) recordRented(request string, machines []string) {
 	if !strings.HasPrefix(request, rollout.HirePrefix) {
 		return
 	}
-	if c.evictions.rented == nil {
-		c.evictions.rented = map[string][]string{}
+	if v.rented == nil {
+		v.rented = map[string][]string{}
 	}
-	c.evictions.rented[request] = machines
+	v.rented[request] = machines
 }
--- a/internal/scheduler/failure_attribution.go
+++ b/internal/scheduler/failure_attribution.go
@@ -6,63 +6,74 @@
 	"leadproxy/internal/wire"
 )
 
-// holdJob lets a job wait a little before its next start, longer each time.
-func (c *Core) holdJob(j *job) {
-	if c.now < j.notBefore {
+// backOff lets a job wait a little before its next start, longer each time.
+func (p *placement) backOff(j *job) {
+	if p.clock.now < j.retry.notBefore {
 		return
 	}
-	j.backoff = min(max(j.backoff*2, 500*time.Millisecond), 15*time.Second)
-	j.notBefore = c.now + j.backoff
+	j.retry.backoff = min(max(j.retry.backoff*2, 500*time.Millisecond), 15*time.Second)
+	j.retry.notBefore = p.clock.now + j.retry.backoff
 }
 
-// blameLimit is how many different jobs must fail on a machine, with no success
-// between, before it counts as faulty; suspectLimit on how many machines a job
+// quarantineThreshold is how many different jobs must fail on a machine, with no success
+// between, before it counts as faulty; suspectThreshold on how many machines a job
 // that never succeeded must fail before it is taken for the faulty one.
 const (
-	blameLimit   = 2
-	suspectLimit = 3
+	quarantineThreshold = 2
+	suspectThreshold    = 3
 )
 
-// suspect tells that rather the job than its machines is at fault.
-func (j *job) suspect() bool { return j.done == 0 && len(j.failedOn) >= suspectLimit }
+// suspect tells whether the job rather than its machines is at fault.
+func (j *job) suspect() bool {
+	return j.progress.done == 0 && len(j.retry.failedOn) >= suspectThreshold
+}
 
-// attemptFailed judges whether the machine or the job is to blame.
-func (c *Core) attemptFailed(m *machine, j *job, n int32, attempt uint64) {
-	if j.failedOn == nil {
-		j.failedOn = map[int32]bool{}
+// attemptFailed attributes a failure to the machine or to the job.
+func (p *placement) attemptFailed(m *machine, j *job, n int32, attempt uint64) {
+	if j.retry.failedOn == nil {
+		j.retry.failedOn = map[int32]bool{}
 	}
-	j.failedOn[m.index] = true
-	c.log.Info("task failed", "machine", m.name, "task", wire.TaskName{JobID: j.id, Index: int(n)}.String(), "attempt", attempt, "machines", len(j.failedOn))
+	j.retry.failedOn[m.index] = true
+	p.log.Info("task failed", "machine", m.name, "task", wire.TaskName{JobID: j.id, Index: int(n)}.String(), "attempt", attempt, "machines", len(j.retry.failedOn))
 	if j.suspect() {
 		// It is tried again now and then until its user cancels it.
-		c.holdJob(j)
+		p.backOff(j)
 		return
 	}
-	if m.failedJobs == nil {
-		m.failedJobs = map[int32]bool{}
+	if m.health.failedJobs == nil {
+		m.health.failedJobs = map[int32]bool{}
 	}
-	m.failedJobs[j.index] = true
-	if len(m.failedJobs) >= blameLimit || j.done > 0 {
-		c.quarantine(m)
+	m.health.failedJobs[j.index] = true
+	if len(m.health.failedJobs) >= quarantineThreshold || j.progress.done > 0 {
+		p.quarantine(m)
 	}
 }
 
-// clearOfBlame notes a success of a job: what failed before was the machines'
-// fault.
-func (c *Core) clearOfBlame(j *job) {
-	for i := range j.failedOn {
-		if m := c.machines[i]; m.failedJobs[j.index] {
-			c.quarantine(m)
+// jobSucceeded notes a success of a job: its earlier failures were the machines' fault.
+func (p *placement) jobSucceeded(j *job) {
+	for i := range j.retry.failedOn {
+		if m := p.machines.list[i]; m.health.failedJobs[j.index] {
+			p.quarantine(m)
 		}
 	}
-	j.backoff = 0
+	j.retry.backoff = 0
 }
 
-func (c *Core) quarantine(m *machine) {
-	if m.quarantined || m.state == machineGone {
+func (p *placement) quarantine(m *machine) {
+	if m.health.quarantined || m.state == machineGone {
 		return
 	}
-	m.quarantined = true
-	c.indexChanged(m)
-	c.log.Info("machine quarantined: tasks fail on it", "machine", m.name, "jobs", len(m.failedJobs), "bookings", len(m.allocations))
+	m.health.quarantined = true
+	p.indexChanged(m)
+	p.log.Info("machine quarantined: tasks fail on it", "machine", m.name, "jobs", len(m.health.failedJobs), "allocations", len(m.capacity.allocations))
+}
+
+// endBackOffs has the jobs placed whose delay has passed.
+func (p *placement) endBackOffs() {
+	for _, j := range p.jobs.active {
+		if j.retry.notBefore > 0 && p.clock.now >= j.retry.notBefore {
+			j.retry.notBefore = 0
+			p.needed = true
+		}
+	}
 }
--- a/internal/scheduler/heartbeat_responses.go
+++ b/internal/scheduler/heartbeat_responses.go
@@ -7,159 +7,199 @@
 	"leadproxy/internal/wire"
 )
 
-// heldAnswer is a report's answer, which is given at the end of the step so
-// that starts decided in it travel along.
-type heldAnswer struct {
+// heldResponse is the response to a heartbeat. It is sent at the end of the step so that starts
+// decided in it travel along.
+type heldResponse struct {
 	replyTo   Recipient
 	machine   *machine
 	heartbeat *wire.Heartbeat
-	// outdated: the report is older than what is known of its worker.
+	// outdated: the heartbeat is older than what is known of its agent.
 	outdated bool
-	// until is when an answer that waits for starts to become durable is given
-	// without them; 0: it has not waited.
+	// until is when a response that waits for starts to become durable is sent without them; 0:
+	// it has not waited.
 	until time.Duration
 }
 
-// awaitFor is how long an answer waits for starts whose machine is being written
-// down. That mostly takes a tenth of it; the starts would else follow in a direct
-// command, which costs as much as several reports.
-const awaitFor = 400 * time.Millisecond
+// newestHeartbeat has the next response that is opened carry the commands for a machine.
+func (q *commands) newestHeartbeat(m *machine) {
+	if m.commands.heldHeartbeat != nil {
+		// Its agent has given up the response to an earlier one.
+		m.commands.heldHeartbeat = nil
+		if len(m.commands.pending) > 0 {
+			q.machinesWithCommands = append(q.machinesWithCommands, m)
+		}
+	}
+	m.commands.openResponse = len(q.openResponses) + 1
+}
+
+// open opens a response, which is sent at the end of the step.
+func (q *commands) open(a heldResponse) { q.openResponses = append(q.openResponses, a) }
+
+// openHeldForUnreachable opens the responses to machines that had unreachable-agent records.
+func (q *commands) openHeldForUnreachable() {
+	held := q.heldForUnreachable
+	q.heldForUnreachable = nil
+	for _, a := range held {
+		if !a.outdated {
+			a.machine.commands.openResponse = len(q.openResponses) + 1
+		}
+		q.open(a)
+	}
+}
 
-// awaits keeps an answer back while starts for its machine are being written down.
-func (c *Core) awaits(a heldAnswer) bool {
+// maxHold is how long a response waits for starts whose host is being written. That mostly takes
+// a tenth of it; otherwise the starts would follow in a direct command, which costs as much as
+// several heartbeats.
+const maxHold = 400 * time.Millisecond
+
+// holdForWrites holds a response while starts for its machine wait for a write.
+func (q *commands) holdForWrites(a heldResponse) bool {
 	m := a.machine
-	if a.until > 0 || !m.trusted(c.term) || !m.plannable() {
+	if a.until > 0 || !m.trusted(q.term) || !m.hasPlannedStarts() {
 		return false
 	}
-	a.until = c.now + awaitFor
-	m.openAnswer, m.heldHeartbeat = 0, a.heartbeat
-	c.awaitingWrites = append(c.awaitingWrites, a)
+	a.until = q.clock.now + maxHold
+	m.commands.openResponse, m.commands.heldHeartbeat = 0, a.heartbeat
+	q.awaitingWrites = append(q.awaitingWrites, a)
 	return true
 }
 
-// plannable tells whether starts for a machine are being written down.
-func (m *machine) plannable() bool {
-	return slices.ContainsFunc(m.allocations, func(b *allocation) bool { return b.state == allocationPlanned })
+// hasPlannedStarts tells whether starts for a machine wait for a write.
+func (m *machine) hasPlannedStarts() bool {
+	return slices.ContainsFunc(m.capacity.allocations, func(b *allocation) bool { return b.state == allocationPlanned })
 }
 
-// resumeAnswers has the answers given that need not wait any longer. One whose
-// worker has sent a newer report since goes without orders.
-func (c *Core) resumeAnswers() {
-	keep := c.awaitingWrites[:0]
-	for _, a := range c.awaitingWrites {
+// resumeResponses opens the held responses that need not wait any longer. One whose agent has
+// sent a newer heartbeat since is sent without commands.
+func (q *commands) resumeResponses() {
+	keep := q.awaitingWrites[:0]
+	for _, a := range q.awaitingWrites {
 		m := a.machine
-		if m.heldHeartbeat == a.heartbeat {
-			if c.now < a.until && m.state != machineGone && m.plannable() {
+		if m.commands.heldHeartbeat == a.heartbeat {
+			if q.clock.now < a.until && m.state != machineGone && m.hasPlannedStarts() {
 				keep = append(keep, a)
 				continue
 			}
-			m.heldHeartbeat = nil
-			m.openAnswer = len(c.openAnswers) + 1
-			if len(m.pendingCommands) > 0 {
-				c.machinesWithCommands = append(c.machinesWithCommands, m) // for what does not go into the answer
+			m.commands.heldHeartbeat = nil
+			m.commands.openResponse = len(q.openResponses) + 1
+			if len(m.commands.pending) > 0 {
+				q.machinesWithCommands = append(q.machinesWithCommands, m) // for what does not fit the response
 			}
 		} else {
 			a.outdated = true
 		}
-		c.openAnswers = append(c.openAnswers, a)
+		q.open(a)
 	}
-	clear(c.awaitingWrites[len(keep):])
-	c.awaitingWrites = keep
+	clear(q.awaitingWrites[len(keep):])
+	q.awaitingWrites = keep
 }
 
-// giveAnswers answers the reports of this step. Only the newest report of a
-// machine gets orders.
-func (c *Core) giveAnswers() {
-	for i, a := range c.openAnswers {
+// sendResponses responds to the heartbeats of this step. Only the newest heartbeat of a machine
+// gets commands.
+func (q *commands) sendResponses() {
+	for i, a := range q.openResponses {
 		m := a.machine
 		if m.state == machineGone {
-			c.emit(HeartbeatReply{ReplyTo: a.replyTo})
+			q.effects.emit(HeartbeatReply{ReplyTo: a.replyTo})
 			continue
 		}
-		if c.holdAnswerForUnreachable(a) || m.openAnswer == i+1 && c.awaits(a) {
+		if q.holdForUnreachable(a) || m.commands.openResponse == i+1 && q.holdForWrites(a) {
 			continue
 		}
-		// An answer renews the worker's lease, whatever it orders and however little its
-		// report is believed. So none goes without the stops of what must not run.
-		believed := !a.outdated && m.openAnswer == i+1 && m.trusted(c.term)
-		orders := c.requiredStops(m, a.heartbeat, believed)
-		if believed {
-			orders = c.commandsFor(m, a.heartbeat, orders)
+		// A response renews the agent's lease, whatever it commands and however little its
+		// heartbeat is believed. So none is sent without the stops of what must not run.
+		trust := maybeOld
+		if !a.outdated && m.commands.openResponse == i+1 && m.trusted(q.term) {
+			trust = trusted
+		}
+		list := q.requiredStops(m, a.heartbeat, trust)
+		if trust == trusted {
+			list = q.commandsFor(m, a.heartbeat, list)
 		}
-		answer := &wire.HeartbeatResponse{FencingToken: m.fencingToken, Commands: orders}
-		if m.openAnswer == i+1 {
-			m.openAnswer = 0
+		answer := &wire.HeartbeatResponse{FencingToken: m.agent.fencingToken, Commands: list}
+		if m.commands.openResponse == i+1 {
+			m.commands.openResponse = 0
 		}
-		c.emit(HeartbeatReply{ReplyTo: a.replyTo, Response: answer})
+		q.effects.emit(HeartbeatReply{ReplyTo: a.replyTo, Response: answer})
 	}
-	clear(c.openAnswers)
-	c.openAnswers = c.openAnswers[:0]
+	clear(q.openResponses)
+	q.openResponses = q.openResponses[:0]
 }
 
-// withOutbox adds a machine's waiting orders to the answer of its report, as
-// far as they go in. Unlike a direct command, an answer is never executed late:
-// the worker's next report shows what became of it.
-func (c *Core) withOutbox(m *machine, r *wire.Heartbeat, orders []wire.Command) []wire.Command {
-	if r.AgentEpoch != m.agentEpoch {
-		return orders
+// appendPending adds a machine's pending commands to the response to its heartbeat, as far as
+// they fit. Unlike a direct command, a response is never executed late: the agent's next
+// heartbeat shows what became of it.
+func (q *commands) appendPending(m *machine, r *wire.Heartbeat, list []wire.Command) []wire.Command {
+	if r.AgentEpoch != m.agent.epoch {
+		return list
 	}
-	for len(m.pendingCommands) > 0 && len(orders) < maxCommandsPerResponse {
-		o := m.pendingCommands[0]
-		m.pendingCommands = m.pendingCommands[1:]
+	for len(m.commands.pending) > 0 && len(list) < maxCommandsPerResponse {
+		o := m.commands.pending[0]
+		m.commands.pending = m.commands.pending[1:]
 		if o.Verb == wire.VerbStart {
 			b := m.allocation(o.Attempt)
 			if b == nil {
 				continue // released since
 			}
-			b.state, b.answeredSequence = allocationSent, r.Sequence
+			b.state, b.responseSequence = allocationSent, r.Sequence
 		}
-		orders = append(orders, o)
+		list = append(list, o)
 	}
-	return orders
+	return list
 }
 
-// forgetAtOnce is how many done tasks are forgotten together. A worker reports
-// again at once when its tasks change, so each forget by itself costs another
-// report, a third of all on a large fleet. It waits for an order that changes
-// the tasks anyway, or for others like it.
-const forgetAtOnce = 8
+// minForgets is how many finished tasks are forgotten together. An agent sends a heartbeat at
+// once when its tasks change, so each forget by itself costs another heartbeat, a third of all
+// in a large cell. It waits for a command that changes the tasks anyway, or for others like it.
+const minForgets = 8
 
-// commandsFor adds to the stops of a report that is believed what else its answer orders:
-// which ended tasks the worker may drop, and what waits for its machine.
-func (c *Core) commandsFor(m *machine, r *wire.Heartbeat, orders []wire.Command) []wire.Command {
+// commandsFor adds to the stops of a believed heartbeat the other commands of its response:
+// which ended tasks the agent may drop, and the machine's pending commands.
+func (q *commands) commandsFor(m *machine, r *wire.Heartbeat, list []wire.Command) []wire.Command {
 	var done []wire.Command
 	for i := range r.Tasks {
-		if len(orders)+len(done) >= maxCommandsPerResponse {
+		if len(list)+len(done) >= maxCommandsPerResponse {
 			break
 		}
 		t := &r.Tasks[i]
-		if t.Status != wire.TaskEnded || !c.mayForget(m, t) {
+		if t.Status != wire.TaskEnded || !q.mayForget(m, t) {
 			continue
 		}
 		forget := wire.Command{Verb: wire.VerbForget, Task: t.Task, Attempt: t.Attempt}
 		if t.ExitReason == wire.ExitDone {
 			done = append(done, forget)
 		} else {
-			orders = append(orders, forget)
+			list = append(list, forget)
 		}
 	}
-	orders = c.withOutbox(m, r, orders)
-	if len(orders) > 0 || len(done) >= forgetAtOnce {
-		orders = append(orders, done...)
+	list = q.appendPending(m, r, list)
+	if len(list) > 0 || len(done) >= minForgets {
+		list = append(list, done...)
 	}
-	return orders
+	return list
 }
 
-// mayForget tells whether an ended attempt may be dropped by its worker: not
-// while a copy of its start may still arrive, since the worker would run it
-// again, and not before its end is in the ledger.
-func (c *Core) mayForget(m *machine, t *wire.TaskStatus) bool {
-	if _, unsettled := m.unresolvedStarts[t.Attempt]; unsettled {
+// mayForget tells whether an agent may drop an ended attempt: not while a copy of its start may
+// still arrive, since the agent would run it again, and not before its end is in the ledger.
+func (q *commands) mayForget(m *machine, t *wire.TaskStatus) bool {
+	if _, unresolved := m.commands.unresolvedStarts[t.Attempt]; unresolved {
 		return false
 	}
-	j, n, _ := c.taskOf(m, t)
-	if j == nil || t.ExitReason != wire.ExitDone || j.terminalDurable {
+	found := q.jobs.findTask(m, t)
+	j := found.job
+	if j == nil || t.ExitReason != wire.ExitDone || j.end.durable {
 		return true
 	}
-	return int(n) < len(j.tasks) && j.tasks[n].state == taskDurable
+	return int(found.index) < len(j.progress.tasks) && j.progress.tasks[found.index].state == taskDurable
+}
+
+// holdForUnreachable holds the response to a machine with an unreachable-agent record until that
+// is withdrawn.
+func (q *commands) holdForUnreachable(a heldResponse) bool {
+	if a.machine.agent.unreachable == nil {
+		return false
+	}
+	a.machine.commands.openResponse = 0
+	q.heldForUnreachable = append(q.heldForUnreachable, a)
+	return true
 }
--- /dev/null
+++ b/internal/scheduler/inspections.go
@@ -0,0 +1,72 @@
+package scheduler
+
+import (
+	"time"
+
+	"leadproxy/internal/wire"
+)
+
+// inspectionInterval is the least time between two inspections of an agent that sends stale
+// heartbeats; each late copy doubles it, up to a lease. maxInspections bounds how many run at
+// once: copies may come from all machines for minutes.
+const (
+	inspectionInterval = 2 * time.Second
+	maxInspections     = 32
+)
+
+// inspectStaleSender inspects the sender of a heartbeat that is older than what we know: mostly
+// it is a late copy, but an agent that has truly restarted counts from 1 again, and must not be
+// taken for a copy for ever.
+func (a *agents) inspectStaleSender(m *machine, r *wire.Heartbeat) {
+	wait := min(inspectionInterval<<min(m.agent.staleHeartbeats, 8), a.lease)
+	if r.Address == "" || m.agent.inspecting || a.inspectionsInFlight >= maxInspections || a.clock.now-m.agent.lastInspection < wait && m.agent.lastInspection > 0 {
+		return
+	}
+	a.inspectionsInFlight++
+	m.agent.inspecting, m.agent.lastInspection = true, a.clock.now
+	m.agent.inspectedAt = m.agent.position()
+	a.effects.emit(InspectWorker{Machine: m.name, Address: r.Address})
+}
+
+// inspectionEnded notes that an inspection has ended, with or without a result.
+func (a *agents) inspectionEnded(m *machine) {
+	m.agent.inspecting = false
+	a.inspectionsInFlight--
+}
+
+// inspectResult takes the status of an agent that was inspected. If that is older than the
+// newest heartbeat before the inspection, the agent has restarted.
+func (c *Core) inspectResult(e InspectResult) {
+	m := c.machineNamed(e.Machine)
+	c.agents.inspectionEnded(m)
+	r := e.Heartbeat
+	if r == nil || r.Machine != m.name || m.state == machineGone || r.FencingToken>>tokenBits > c.term {
+		return
+	}
+	if positionOf(r).before(m.agent.inspectedAt) {
+		c.agentRestarted(m, r)
+	} else {
+		m.agent.lateCopy()
+	}
+	c.applyHeartbeat(m, r, fromCommandResult)
+}
+
+// agentRestarted takes in that an agent has restarted: what it does not list is gone.
+func (c *Core) agentRestarted(m *machine, r *wire.Heartbeat) {
+	c.log.Info("agent restarted: its epochs count from the beginning", "machine", m.name, "agent_epoch", r.AgentEpoch, "allocations", len(m.capacity.allocations))
+	listed := map[uint64]bool{}
+	for _, t := range r.Tasks {
+		listed[t.Attempt] = true
+	}
+	for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
+		// A command on its way to the earlier incarnation may yet be executed by the present
+		// one.
+		if b := m.capacity.allocations[k]; m.commands.unresolvedStarts[b.attempt] == 0 && !listed[b.attempt] {
+			c.release(m, b)
+		}
+	}
+	m.agent.restart(r.AgentEpoch, c.clock.now)
+	c.markUnacknowledged(m)
+	m.agent.requireLatestToken()
+	m.commands.ruleOutAt(m.agent.fencingToken)
+}
--- /dev/null
+++ b/internal/scheduler/job_events.go
@@ -0,0 +1,168 @@
+package scheduler
+
+import (
+	"time"
+
+	"leadproxy/internal/ledger"
+	"leadproxy/internal/settings"
+	"leadproxy/internal/wire"
+)
+
+// newJob adds a job of a record to the job table.
+func (c *Core) newJob(id string, rec ledger.JobRecord, version uint64) *job {
+	j := &job{index: int32(len(c.jobs.list)), id: id, spec: rec.Job, dependencies: c.jobs.graph.Add(),
+		request:  request{zone: -1},
+		priority: priority{deadline: never},
+		progress: progress{total: rec.Tasks, done: rec.Done},
+		end:      jobEnd{state: rec.Terminal, durable: rec.Terminal != "", cleanedUp: rec.Job == nil},
+		record:   jobRecord{version: version, acceptedMS: rec.AcceptedMS},
+		transfer: transfer{origin: rec.Origin, epoch: rec.TransferEpoch}}
+	if rec.EndedMS > 0 {
+		j.end.becameDurable(c.clock.ago(rec.EndedMS))
+	}
+	c.jobs.add(j)
+	if rec.Job == nil {
+		return j
+	}
+	j.priority = priorityOf(rec.Job, c.clock.ago(rec.AcceptedMS))
+	j.request = c.requestOf(rec.Job)
+	j.progress = progress{total: rec.Job.Tasks, done: rec.Done, tasks: make([]task, rec.Job.Tasks)}
+	j.record = jobRecord{version: version, acceptedMS: rec.AcceptedMS, hostAt: map[int32]int{}}
+	c.jobs.activate(j)
+	return j
+}
+
+// requestOf resolves the names in a job's description.
+func (c *Core) requestOf(spec *wire.Job) request {
+	r := request{size: sizeOf(spec), class: c.classOf(spec.Class), image: c.placement.images.of(spec.Image), zone: -1, team: c.teams.Index(spec.Team)}
+	if spec.Zone != nil {
+		r.zone = c.machines.zones.of(*spec.Zone)
+	}
+	return r
+}
+
+// priorityOf is the priority of a job by its own description.
+func priorityOf(spec *wire.Job, arrived time.Duration) priority {
+	p := priority{class: spec.PriorityClass(), deadline: never, arrived: arrived}
+	if spec.DeadlineS != nil {
+		p.deadline = arrived + settings.Seconds(*spec.DeadlineS)
+	}
+	return p
+}
+
+// recordJob takes a job's record, which may be known already.
+func (c *Core) recordJob(e JobRecordEvent) *job {
+	if i, ok := c.jobs.indexByID[e.JobID]; ok {
+		return c.jobs.list[i]
+	}
+	j := c.newJob(e.JobID, e.Record, e.Version)
+	j.progress.fillWaiting()
+	c.linkDependencies(j)
+	if j.end.durable {
+		// Its end was written while this leader had not seen it yet.
+		c.releaseDependents(j)
+	}
+	switch {
+	case j.end.cleanedUp:
+		return j
+	case j.ended():
+		c.jobs.cleanUp(j)
+		return j
+	}
+	c.log.Debug("job accepted", "job", j.id, "tasks", j.progress.total, "cpus", j.request.size.CPUs, "class", j.spec.Class)
+	c.checkDependencies(j)
+	if !j.ended() && !j.blocked() && j.transfer.origin == "" {
+		c.autoscaling.observeArrival(j)
+	}
+	c.jobs.raisePriorityBy(j)
+	c.placement.markNeeded()
+	return j
+}
+
+// finish decides a job's terminal state and writes it. Users are told when it is durable.
+func (c *Core) finish(j *job, terminal string) {
+	j.end.decide(terminal)
+	if c.evictions.disruptions != nil {
+		c.evictions.disruptions.Over(j.id, c.clock.now)
+	}
+	if terminal == wire.JobCancelled {
+		c.jobs.cancellationBegan(j)
+	}
+	c.jobs.writeTerminal(j, writeUrgently)
+}
+
+// terminalIsDurable does what follows once a job's terminal state is durable.
+func (c *Core) terminalIsDurable(j *job) {
+	if j.end.durable {
+		return // it followed from another job's end before its own record was written
+	}
+	j.end.becameDurable(c.clock.now)
+	c.jobs.cancellationEnded(j)
+	j.progress.dropAllWaiting()
+	c.log.Debug("job ended", "job", j.id, "state", j.end.state, "seconds", (c.clock.now - j.priority.arrived).Seconds(), "late", c.clock.now > j.priority.deadline)
+	for _, to := range j.end.takeRecipients() {
+		c.effects.emit(UserReply{ReplyTo: to, Known: true, Status: c.status(j)})
+	}
+	c.stopTasks(j)
+	c.placement.markNeeded()
+	c.releaseDependents(j)
+	c.jobs.cleanUp(j)
+	c.federation.delegated.JobOver(j.id, c.clock.now)
+	c.applyOriginEffects()
+}
+
+// taskEnded notes that a task has completed.
+func (c *Core) taskEnded(j *job, n int32) {
+	if j.ended() || j.progress.tasks[n].state >= taskDone {
+		return
+	}
+	j.progress.taskEnded(n)
+	if c.evictions.disruptions != nil {
+		c.evictions.disruptions.Ends(j.id, int(n), c.clock.now)
+	}
+	c.placement.jobSucceeded(j)
+	if j.progress.done == j.progress.total {
+		c.finish(j, wire.JobDone)
+		return
+	}
+	c.jobs.writeEnded(j, n)
+}
+
+// requeue makes a task wait again.
+func (p *placement) requeue(j *job, n int32) {
+	if !j.ended() && j.progress.requeue(n) {
+		p.needed = true
+	}
+}
+
+// cancelRequested begins the cancellation of a job.
+func (c *Core) cancelRequested(e CancelRequest) {
+	i, ok := c.jobs.indexByID[e.JobID]
+	if !ok || c.jobs.list[i].transfer.origin != "" {
+		c.effects.emit(UserReply{ReplyTo: e.ReplyTo})
+		return
+	}
+	j := c.jobs.list[i]
+	if j.end.durable {
+		c.effects.emit(UserReply{ReplyTo: e.ReplyTo, Known: true, Status: c.status(j)})
+		return
+	}
+	// A job whose transfer's record can't be read is delegated as well, to an unknown cell.
+	if !j.ended() && (!c.federation.delegated.Cancel(j.id, c.clock.now) || j.transfer.delegated) {
+		c.cancelDelegated(j, e.ReplyTo)
+		return
+	}
+	j.end.await(e.ReplyTo)
+	if !j.ended() {
+		c.log.Debug("cancelling job", "job", j.id)
+		c.cancel(j)
+	}
+}
+
+// cancel cancels a job. Its tasks are stopped now, not when that is durable: the write may be
+// carried out and its answer lost, other controllers read it and tell the user, and we learn of
+// it only after an outage. What its tasks do from here on is of no use.
+func (c *Core) cancel(j *job) {
+	c.finish(j, wire.JobCancelled)
+	c.stopTasks(j)
+}
--- /dev/null
+++ b/internal/scheduler/parts_test.go
@@ -0,0 +1,214 @@
+package scheduler
+
+import (
+	"go/ast"
+	"go/parser"
+	"go/token"
+	"go/types"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+)
+
+// TestPartsWriteOnlyTheirOwnFields: a field of a part of the core is written by the methods of
+// that part alone, so that its type shows all that can change it. Writes through a pointer that was
+// kept in a variable are not found.
+func TestPartsWriteOnlyTheirOwnFields(t *testing.T) {
+	fset := token.NewFileSet()
+	files := parseProduct(t, fset)
+	parts := partsOfCore(t, files)
+	owners := map[string]bool{"Core": true}
+	for _, typ := range parts {
+		owners[typ] = true
+	}
+	eachWrite(files, func(method *ast.FuncDecl, path []string, at token.Pos) {
+		if !owners[receiverType(method)] || len(path) < 3 || path[0] != receiverName(method) || parts[path[1]] == "" {
+			return
+		}
+		t.Errorf("%s: %s writes the field %s of part %s", fset.Position(at), method.Name.Name, path[2], path[1])
+	})
+}
+
+// ownersOfRecords are the parts of the core that may write the parts of a job or machine besides
+// the methods of these themselves.
+var ownersOfRecords = map[string]string{
+	"agentState":      "agents",
+	"machineCommands": "commands",
+	"capacity":        "placement",
+	"indexEntry":      "placement",
+	"rental":          "autoscaling",
+	"machineRecord":   "jobTable",
+	"machineHealth":   "placement",
+	"machineEviction": "evictionState",
+	"request":         "placement",
+	"priority":        "jobTable",
+	"progress":        "jobTable",
+	"jobEnd":          "jobTable",
+	"jobPlacement":    "placement",
+	"retry":           "placement",
+	"jobRecord":       "jobTable",
+	"transfer":        "federationState",
+}
+
+// TestRecordsAreWrittenByTheirOwners: the parts of a job and of a machine are written by their own
+// methods and by those of the part of the core that owns them.
+func TestRecordsAreWrittenByTheirOwners(t *testing.T) {
+	fset := token.NewFileSet()
+	files := parseProduct(t, fset)
+	records := fieldsOf(files, "job")
+	for name, typ := range fieldsOf(files, "machine") {
+		records[name] = typ
+	}
+	mediators := map[string]bool{"Core": true}
+	for _, typ := range partsOfCore(t, files) {
+		mediators[typ] = true
+	}
+	found := 0
+	eachWrite(files, func(method *ast.FuncDecl, path []string, at token.Pos) {
+		for i := 1; i < len(path)-1; i++ {
+			typ := records[path[i]]
+			owner := ownersOfRecords[typ]
+			receiver := receiverType(method)
+			if owner == "" || i == 1 && path[0] == receiverName(method) && mediators[receiver] {
+				continue // not a part of a job or machine
+			}
+			found++
+			if receiver != typ && receiver != owner {
+				t.Errorf("%s: %s writes the field %s of %s", fset.Position(at), method.Name.Name, path[i+1], typ)
+			}
+		}
+	})
+	if found < 20 {
+		t.Errorf("only %d writes found", found)
+	}
+}
+
+// eachWrite calls f for each write in a method of this package, with the names on the way to what
+// is written.
+func eachWrite(files []*ast.File, f func(method *ast.FuncDecl, path []string, at token.Pos)) {
+	for _, file := range files {
+		for _, decl := range file.Decls {
+			method, ok := decl.(*ast.FuncDecl)
+			if !ok || method.Recv == nil {
+				continue
+			}
+			ast.Inspect(method.Body, func(n ast.Node) bool {
+				for _, written := range writtenBy(n) {
+					f(method, pathOf(written), n.Pos())
+				}
+				return true
+			})
+		}
+	}
+}
+
+// parseProduct parses the files of this package apart from its tests.
+func parseProduct(t *testing.T, fset *token.FileSet) (files []*ast.File) {
+	t.Helper()
+	names, err := filepath.Glob("*.go")
+	if err != nil {
+		t.Fatal(err)
+	}
+	for _, name := range names {
+		if strings.HasSuffix(name, "_test.go") {
+			continue
+		}
+		file, err := parser.ParseFile(fset, name, nil, 0)
+		if err != nil {
+			t.Fatal(err)
+		}
+		files = append(files, file)
+	}
+	return files
+}
+
+// receiverType names the type of a method's receiver.
+func receiverType(method *ast.FuncDecl) string {
+	typ := method.Recv.List[0].Type
+	if pointer, ok := typ.(*ast.StarExpr); ok {
+		typ = pointer.X
+	}
+	if name, ok := typ.(*ast.Ident); ok {
+		return name.Name
+	}
+	return ""
+}
+
+// receiverName names a method's receiver.
+func receiverName(method *ast.FuncDecl) string {
+	if names := method.Recv.List[0].Names; len(names) > 0 {
+		return names[0].Name
+	}
+	return ""
+}
+
+// partsOfCore lists the parts of the core, which are its fields of types of this package, with
+// their types.
+func partsOfCore(t *testing.T, files []*ast.File) map[string]string {
+	t.Helper()
+	parts := fieldsOf(files, "Core")
+	delete(parts, "cfg")
+	if len(parts) < 10 {
+		t.Fatalf("only %d parts found: %v", len(parts), parts)
+	}
+	return parts
+}
+
+// fieldsOf lists the fields of a struct that have types of this package, with these.
+func fieldsOf(files []*ast.File, structName string) map[string]string {
+	fields := map[string]string{}
+	for _, file := range files {
+		declared := file.Scope.Lookup(structName)
+		if declared == nil {
+			continue
+		}
+		for _, field := range declared.Decl.(*ast.TypeSpec).Type.(*ast.StructType).Fields.List {
+			if typ, local := field.Type.(*ast.Ident); local && types.Universe.Lookup(typ.Name) == nil {
+				for _, name := range field.Names {
+					fields[name.Name] = typ.Name
+				}
+			}
+		}
+	}
+	return fields
+}
+
+// writtenBy lists the expressions that a statement assigns to.
+func writtenBy(n ast.Node) []ast.Expr {
+	switch s := n.(type) {
+	case *ast.AssignStmt:
+		if s.Tok != token.DEFINE {
+			return s.Lhs
+		}
+	case *ast.IncDecStmt:
+		return []ast.Expr{s.X}
+	case *ast.CallExpr:
+		if f, ok := s.Fun.(*ast.Ident); ok && (f.Name == "delete" || f.Name == "clear") {
+			return s.Args[:1]
+		}
+	}
+	return nil
+}
+
+// pathOf lists the names in an expression A.B[...].C, nil for any other.
+func pathOf(e ast.Expr) []string {
+	var path []string
+	for {
+		switch x := e.(type) {
+		case *ast.SelectorExpr:
+			path = append(path, x.Sel.Name)
+			e = x.X
+		case *ast.IndexExpr:
+			e = x.X
+		case *ast.ParenExpr:
+			e = x.X
+		case *ast.Ident:
+			path = append(path, x.Name)
+			slices.Reverse(path)
+			return path
+		default:
+			return nil
+		}
+	}
+}
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -6,21 +6,21 @@
 	"leadproxy/internal/wire"
 )
 
-// A new leader can use a machine, and settle what an earlier leader started
-// there, only once the machine has echoed its token. Waiting for reports takes
-// as long as the workers take to find the new leader, up to a report's interval
-// and more. So machines that the cloud lists as running are probed: a direct
-// command without orders carries the token there, and its answer is the echo.
+// A new leader can use a machine, and resolve what an earlier leader started there, only once
+// its agent has acknowledged the new token. Waiting for heartbeats takes as long as the agents
+// take to find the new leader, up to a heartbeat interval and more. So machines that the cloud
+// lists as running are probed: a direct command without content carries the token there, and its
+// result is the acknowledgement.
 
-// The bounds of the probes on their way. A probe costs as much as several reports,
-// and probing all machines at once held up a small controller for seconds, with
-// reports that would have brought the same. So there are few at first, one more
-// for each that is back soon, and fewer again when they come back late.
+// The bounds of the probes in flight. A probe costs as much as several heartbeats, and probing
+// all machines at once held up a small controller for seconds, with heartbeats that would have
+// had the same result. So there are few at first, one more for each whose result comes soon, and
+// fewer again when results come late.
 const (
-	fewProbes = 4
+	minProbes = 4
 	maxProbes = 64
-	probeSoon = 150 * time.Millisecond
-	probeLate = 500 * time.Millisecond
+	fastProbe = 150 * time.Millisecond
+	slowProbe = 500 * time.Millisecond
 )
 
 // probes are the machines that are to be probed, and how many of them may be at once.
@@ -30,50 +30,69 @@
 	atOnce   int
 }
 
-// probeFor is how long after the beginning of a term machines are probed. What
-// is silent then is treated as silent.
-const probeFor = 20 * time.Second
+// probePeriod is how long after the beginning of a term machines are probed. What is unreachable
+// then is treated as unreachable.
+const probePeriod = 20 * time.Second
 
-// probe has a machine of an earlier term told our token.
-func (c *Core) probe(m *machine) {
-	if m.probes > 0 || m.trusted(c.term) || m.address == "" || c.now-c.termStart > probeFor {
+// probe sends the agent of a machine of an earlier term our token.
+func (a *agents) probe(m *machine) {
+	if m.agent.probes > 0 || m.trusted(a.term) || m.agent.address == "" || a.clock.now-a.clock.termStart > probePeriod {
 		return
 	}
-	m.probes = 1
-	c.probes.waiting = append(c.probes.waiting, m)
-	c.sendProbes()
+	m.agent.probes = 1
+	a.probes.waiting = append(a.probes.waiting, m)
+	a.sendProbes()
 }
 
-func (c *Core) sendProbes() {
-	for len(c.probes.waiting) > 0 && c.probes.underWay < c.probes.atOnce {
-		m := c.probes.waiting[0]
-		c.probes.waiting = c.probes.waiting[1:]
-		if m.trusted(c.term) || m.state == machineGone || m.state == machineDeleting {
+func (a *agents) sendProbes() {
+	for len(a.probes.waiting) > 0 && a.probes.underWay < a.probes.atOnce {
+		m := a.probes.waiting[0]
+		a.probes.waiting = a.probes.waiting[1:]
+		if m.trusted(a.term) || m.state == machineGone || m.state == machineDeleting {
 			continue
 		}
-		c.probes.underWay++
-		// Its session is not known before its first word, unless by a hint; nearly all
-		// are in their first.
-		c.send(&commandInFlight{machine: m, agentEpoch: max(m.agentEpoch, m.softStateEpoch, 1), fencingToken: m.fencingToken, probe: true, sent: c.now, addressFromSoftState: m.addressFromSoftState}, []wire.Command{})
+		a.probes.underWay++
+		// Its epoch is not known before its first heartbeat, unless by inherited soft state;
+		// nearly all agents are in their first.
+		a.commands.sendCommand(&commandInFlight{machine: m, agentEpoch: max(m.agent.epoch, m.agent.softStateEpoch, 1), fencingToken: m.agent.fencingToken, probe: true, sent: a.clock.now, addressFromSoftState: m.agent.addressFromSoftState}, []wire.Command{})
 	}
 }
 
-// probeResult follows up on a probe: one that named the wrong session is repeated
-// once with the right one.
-func (c *Core) probeResult(call *commandInFlight, outcome CommandOutcome) {
-	m := call.machine
-	c.probes.underWay--
-	switch took := c.now - call.sent; {
+// probeResult follows up on a probe: one that named the wrong epoch is repeated once with the
+// right one.
+func (a *agents) probeResult(command *commandInFlight, outcome CommandOutcome) {
+	m := command.machine
+	a.probes.underWay--
+	switch took := a.clock.now - command.sent; {
 	case outcome == CommandOutcomeUnknown || outcome == CommandNotSent:
-		// It tells of that machine only.
-	case took <= probeSoon:
-		c.probes.atOnce = min(c.probes.atOnce+1, maxProbes)
-	case took >= probeLate:
-		c.probes.atOnce = max(c.probes.atOnce/2, fewProbes)
+		// It says something about that machine only.
+	case took <= fastProbe:
+		a.probes.atOnce = min(a.probes.atOnce+1, maxProbes)
+	case took >= slowProbe:
+		a.probes.atOnce = max(a.probes.atOnce/2, minProbes)
 	}
-	if outcome == CommandRejected && m.probes == 1 && !m.trusted(c.term) {
-		m.probes++
-		c.probes.waiting = append(c.probes.waiting, m)
+	if outcome == CommandRejected && m.agent.probes == 1 && !m.trusted(a.term) {
+		m.agent.probes++
+		a.probes.waiting = append(a.probes.waiting, m)
+	}
+	a.sendProbes()
+}
+
+// probeInherited probes the machines that the ledger names at their inherited addresses, without
+// waiting for the cloud's list.
+func (a *agents) probeInherited() {
+	for _, m := range a.machines.live {
+		if m.agent.addressFromSoftState {
+			a.probe(m)
+		}
+	}
+}
+
+// inheritedAddressFailed drops the inherited address of a machine. The cloud's list or its next
+// heartbeat has the present one.
+func (a *agents) inheritedAddressFailed(m *machine) {
+	m.agent.addressFromSoftState, m.agent.softStateEpoch, m.agent.probes = false, 0, 0
+	if m.agent.epoch == 0 {
+		m.agent.address = ""
 	}
-	c.sendProbes()
 }
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -7,128 +7,116 @@
 	"leadproxy/internal/wire"
 )
 
-// restore takes a job from the ledger at the start of a term.
-func (c *Core) restore(s *ledger.SavedJob) {
+// restore takes a term's state over from the ledger and from what an earlier leader held in
+// memory. Jobs come after machines that are gone, and all that refers to jobs after those.
+func (c *Core) restore(s *ledger.Snapshot) {
+	c.softState.restoreSoftState(c.cfg.SoftState)
+	for _, name := range s.Gone {
+		m := c.machineNamed(name)
+		m.state = machineGone
+		m.recorded.setGone(true)
+	}
+	for i := range s.Jobs {
+		c.restoreJob(&s.Jobs[i])
+	}
+	c.restoreDependencies()
+	for _, h := range s.ScaleOuts {
+		c.restoreScaleOut(h)
+	}
+	c.restoreUnreachable(s.Unreachable)
+	c.restoreTransfers(s)
+	c.evictions.restoreEvictions(s.Plans)
+	c.agents.probeInherited()
+}
+
+// restoreJob takes a job from the ledger at the start of a term.
+func (c *Core) restoreJob(s *ledger.SavedJob) {
 	if s.Record.Job == nil && s.Record.Terminal == "" {
 		// Ranges or hosts whose job record is missing: records are never
 		// deleted, so there is nothing that could run.
-		c.log.Error("ledger has traces of a job without a record", "job", s.ID)
+		c.log.Error("ledger has keys of a job without a record", "job", s.ID)
 		return
 	}
 	j := c.newJob(s.ID, s.Record, s.Version)
 	if s.Record.Class != "" {
-		accepted := c.now - time.Duration(c.wall-s.Record.AcceptedMS)*time.Millisecond
-		c.learnArrival(c.classOf(s.Record.Class), c.teamOf(s.Record.Team), accepted, s.Record.Cores, s.Record.RunS)
+		accepted := c.clock.now - time.Duration(c.clock.wallMS-s.Record.AcceptedMS)*time.Millisecond
+		c.autoscaling.learnArrival(c.classOf(s.Record.Class), c.teams.Index(s.Record.Team), accepted, s.Record.Cores, s.Record.RunS)
 	}
 	if j.spec == nil {
 		// It is done; an earlier leader was stopped while it tidied up.
 		for _, h := range s.Hosts {
-			c.put(ledger.Write{Key: h.Key})
+			c.writes.put(ledger.Write{Key: h.Key})
 		}
 		for _, f := range s.Finished {
-			c.put(ledger.Write{Key: f.Key})
+			c.writes.put(ledger.Write{Key: f.Key})
 		}
 		return
 	}
 	finished := 0
 	for _, f := range s.Finished {
-		j.finishedKey(f.Key)
+		j.record.addFinishedKey(f.Key)
 		f.Ranges.Each(func(i int) {
-			if n := f.Chunk*ledger.TasksPerChunk + i; n < len(j.tasks) && j.tasks[n].state != taskDurable {
-				j.tasks[n].state = taskDurable
+			if j.progress.restoreFinished(f.Chunk*ledger.TasksPerChunk + i) {
 				finished++
 			}
 		})
 	}
-	// A cancelled job's record has the count as well, and the ranges may be
-	// there still: counted twice they were more than its tasks, and no node
-	// could begin a term.
-	j.done = max(j.done, finished)
-	j.fillWaiting()
-	j.startedOnce = j.done > 0 || len(s.Hosts) > 0
+	// A cancelled job's record has the count as well, and the ranges may be there still: counted
+	// twice they were more than its tasks, and no controller could begin a term.
+	j.progress.restore(finished, len(s.Hosts) > 0)
 	c.restoreHosts(j, s.Hosts)
 	if s.HostsUnknown {
-		// Its tasks may be on machines that nobody can name. Those that live report
-		// within a lease, and what the others ran is over by then.
-		j.notBefore = c.now + c.agentLease
+		// Its tasks may be on unknown machines. Agents that live send heartbeats within a lease,
+		// and what the others ran has ended by then.
+		j.retry.delayUntil(c.clock.now + c.agents.lease)
 	}
-	if !waitsFor(&s.Record) && j.origin == "" {
-		c.arrived(j)
+	if !hasDependencies(&s.Record) && j.transfer.origin == "" {
+		c.autoscaling.observeArrival(j)
 	}
 	switch {
-	case j.over():
-		c.settleJob(j)
-	case j.done == j.total:
+	case j.ended():
+		c.jobs.cleanUp(j)
+	case j.progress.done == j.progress.total:
 		c.finish(j, wire.JobDone)
 	}
-	c.needsPlacement = true
+	c.placement.markNeeded()
 }
 
-// restoreHosts notes the machines that a job's tasks may be on. Until each has
-// been heard of, or must have ended them, unseen tasks are neither placed
-// again nor taken for free.
+// restoreHosts notes the machines that a job's tasks may be on. Until each has sent a heartbeat,
+// or must have ended them, unseen tasks are neither placed again nor counted as free.
 func (c *Core) restoreHosts(j *job, chunks []ledger.SavedHosts) {
 	for _, chunk := range chunks {
-		// A key that is missing, as its deletion was under way, keeps its number.
-		for len(j.hostChunks) <= chunk.Chunk {
-			j.hostChunks = append(j.hostChunks, len(j.hosts))
+		var machines []*machine
+		for _, name := range chunk.Machines {
+			machines = append(machines, c.machineNamed(name))
 		}
-		c.restoreChunk(j, chunk.Machines)
-	}
-}
-
-func (c *Core) restoreChunk(j *job, hosts []string) {
-	for _, name := range hosts {
-		m := c.machineNamed(name)
-		if _, ok := j.hostAt[m.index]; ok {
-			continue
-		}
-		j.hostAt[m.index] = len(j.hosts)
-		j.hosts = append(j.hosts, host{machine: m.index, durable: true})
-		j.hostsWritten = len(j.hosts)
-		m.namedByJobs++
-		if m.state == machineGone {
-			continue
-		}
-		if j.inDoubtHosts == nil {
-			j.inDoubtHosts = map[int32]bool{}
-		}
-		j.inDoubtHosts[m.index] = true
-		m.inDoubtJobs = append(m.inDoubtJobs, j.index)
+		c.jobs.restoreHosts(j, chunk.Chunk, machines)
 	}
 }
 
 // UnresolvedHosts is how many machines may still run what an earlier leader started there.
-func (c *Core) UnresolvedHosts() int {
-	n := 0
-	for _, m := range c.liveMachines {
-		if len(m.inDoubtJobs) > 0 {
-			n++
-		}
-	}
-	return n
-}
+func (c *Core) UnresolvedHosts() int { return c.machines.unresolvedHosts() }
 
 // Machines is how many machines this term knows, up or coming.
-func (c *Core) Machines() int { return c.machineCount() }
+func (c *Core) Machines() int { return c.machines.count() }
 
 // Jobs is how many jobs this term knows.
-func (c *Core) Jobs() int { return len(c.jobs) }
+func (c *Core) Jobs() int { return len(c.jobs.list) }
 
-// resolveInDoubt ends the doubt about what an earlier leader started on m.
+// resolveInDoubt resolves what an earlier leader started on a machine: its agent has listed all
+// that runs, or all of it has ended.
 func (c *Core) resolveInDoubt(m *machine, why string) {
-	if len(m.inDoubtJobs) > 0 {
-		c.log.Debug("earlier starts on a machine are settled", "machine", m.name, "why", why, "jobs", len(m.inDoubtJobs), "after", (c.now - c.termStart).Seconds())
+	if len(m.recorded.inDoubtJobs) > 0 {
+		c.log.Debug("earlier starts on a machine are resolved", "machine", m.name, "reason", why, "jobs", len(m.recorded.inDoubtJobs), "after", (c.clock.now - c.clock.termStart).Seconds())
 	}
-	for _, i := range m.inDoubtJobs {
-		j := c.jobs[i]
-		delete(j.inDoubtHosts, m.index)
-		if len(j.inDoubtHosts) == 0 {
-			c.needsPlacement = true
-			if j.over() {
-				c.settleJob(j)
-			}
+	for _, i := range m.recorded.takeInDoubt() {
+		j := c.jobs.list[i]
+		if !j.record.resolveInDoubt(m.index) {
+			continue
+		}
+		c.placement.markNeeded()
+		if j.ended() {
+			c.jobs.cleanUp(j)
 		}
 	}
-	m.inDoubtJobs = nil
 }
--- a/internal/scheduler/scale_in.go
+++ b/internal/scheduler/scale_in.go
@@ -1,7 +1,6 @@
 package scheduler
 
 import (
-	"math"
 	"slices"
 	"time"
 
@@ -9,158 +8,115 @@
 	"leadproxy/internal/settings"
 )
 
-// askDelete has a machine deleted. It is gone only when the cloud says so; until
-// then it is asked for again now and then.
-func (c *Core) askDelete(m *machine, why string) {
-	if m.state == machineDeleting && c.now-m.lastDeleteRequest < 10*time.Second {
+// requestDelete requests the deletion of a machine. It is gone only when the cloud says so;
+// until then the request is repeated now and then.
+func (a *autoscaling) requestDelete(m *machine, why string) {
+	if m.state == machineDeleting && a.clock.now-m.rental.lastDeleteRequest < 10*time.Second {
 		return
 	}
-	c.log.Info("returning machine", "machine", m.name, "why", why, "bookings", len(m.allocations), "age", (c.now - m.rentedAt).Seconds())
-	m.state, m.lastDeleteRequest = machineDeleting, c.now
-	c.indexChanged(m)
-	c.autoscaling.deletes = append(c.autoscaling.deletes, m.name)
+	a.log.Info("returning machine", "machine", m.name, "why", why, "allocations", len(m.capacity.allocations), "age", (a.clock.now - m.rental.rentedAt).Seconds())
+	m.state, m.rental.lastDeleteRequest = machineDeleting, a.clock.now
+	a.placement.indexChanged(m)
+	a.deletes = append(a.deletes, m.name)
 }
 
-// flushDeletes asks for the deletions of a step together, since the cloud takes
-// few calls.
-func (c *Core) flushDeletes() {
-	for names := c.autoscaling.deletes; len(names) > 0; {
+// flushDeletes requests the deletions of a step together, since the cloud's API allows few
+// calls.
+func (a *autoscaling) flushDeletes() {
+	for names := a.deletes; len(names) > 0; {
 		n := min(len(names), autoscaler.MaxDelete)
-		c.emit(CallCloud{autoscaler.Call{Delete: slices.Clone(names[:n])}})
+		a.effects.emit(CallCloud{autoscaler.Call{Delete: slices.Clone(names[:n])}})
 		names = names[n:]
 	}
-	c.autoscaling.deletes = c.autoscaling.deletes[:0]
-}
-
-// inactive is how long a machine has not shown that it hears this leader. That its
-// reports come in alone shows nothing.
-func (c *Core) inactive(m *machine) time.Duration {
-	return c.now - max(m.lastAcknowledged, m.epochSeenAt, c.tickingSince)
-}
-
-// expected tells whether a machine should be reporting: it has, or an earlier
-// leader has started something on it.
-func (c *Core) expected(m *machine) bool {
-	return m.state == machineUp || m.state == machineStarting && len(m.inDoubtJobs) > 0
+	a.deletes = a.deletes[:0]
 }
 
 // ExpectedAgents is how many machines should be reporting.
-func (c *Core) ExpectedAgents() int { return c.expectedAgents }
-
-// scaleIn gives back what is broken, lost, or not needed any more.
-func (c *Core) scaleIn() {
-	cores := c.countFleet()
-	headroom := c.headroomCores()
-	waiting := c.placeableWithinLimit()
-	for _, m := range c.liveMachines {
+func (c *Core) ExpectedAgents() int { return c.agents.expectedCount }
+
+// scaleIn returns the machines that are broken, lost, or not needed any more.
+func (a *autoscaling) scaleIn() {
+	cores := a.countCapacity()
+	headroom := a.headroomCores()
+	waiting := a.placement.placeableWithinLimit()
+	for _, m := range a.machines.live {
 		if m.state == machineGone {
 			continue
 		}
-		if why := c.reasonToScaleIn(m); why != "" {
-			c.askDelete(m, why)
+		if why := a.reasonToScaleIn(m); why != "" {
+			a.requestDelete(m, why)
 			continue
 		}
-		// Ordinary machines cost a multiple and are not kept for what may come.
-		target, patience := headroom, c.cfg.Operator.IdleReturn
+		// On-demand machines cost a multiple and are not kept for future demand.
+		target, patience := headroom, a.cfg.Operator.IdleReturn
 		if !m.spot {
 			target, patience = 0, patience/4
 		}
-		if c.mayGoIdle(m, waiting) && c.now-m.idleSince > patience && cores-m.total.CPUs >= target {
-			cores -= m.total.CPUs
-			c.askDelete(m, "idle")
+		if a.mayScaleIn(m, waiting) && a.clock.now-m.capacity.idleSince > patience && cores-m.capacity.total.CPUs >= target {
+			cores -= m.capacity.total.CPUs
+			a.requestDelete(m, "idle")
 		}
 	}
 }
 
-// zoneCount is how many machines of a zone should be reporting, and how many of them
-// are silent.
-type zoneCount struct{ up, silent int }
-
-// countFleet counts the cores to plan with, and notes how many machines should be
-// reporting and which zones seem to be cut off.
-func (c *Core) countFleet() (cores float64) {
-	zones := make([]zoneCount, len(c.zones.list))
+// countCapacity counts the cores to plan with, and notes how many machines should be sending
+// heartbeats and which zones seem to be cut off.
+func (a *autoscaling) countCapacity() (cores float64) {
+	zones := make([]zoneCount, len(a.machines.zones.list))
 	var all zoneCount
-	for _, m := range c.liveMachines {
-		if c.counts(m) {
-			cores += m.total.CPUs
+	for _, m := range a.machines.live {
+		if a.countsAsCapacity(m) {
+			cores += m.capacity.total.CPUs
 		}
-		if !c.expected(m) || m.zone < 0 {
+		if !a.agents.heartbeatExpected(m) || m.zone < 0 {
 			continue
 		}
 		zones[m.zone].up++
 		all.up++
-		if c.inactive(m) >= c.unreachableAfter() && m.missedListings < 2 {
-			zones[m.zone].silent++
-			all.silent++
+		if a.agents.unacknowledgedFor(m) >= a.agents.unreachableAfter() && m.rental.missedListings < 2 {
+			zones[m.zone].unreachable++
+			all.unreachable++
 		}
 	}
-	c.expectedAgents = all.up
-	c.noteCuts(zones, all)
+	a.agents.zonesCounted(zones, all)
 	return cores
 }
 
-// noteCuts notes which zones seem to be cut off. A whole zone silent at once, or most
-// machines, is rather a cut between us and them: there they work on, and deleting them
-// would lose that. When it ends, or their reports come by another way, they come back
-// one by one.
-func (c *Core) noteCuts(zones []zoneCount, all zoneCount) {
-	for len(c.zoneCutAt) < len(zones) {
-		c.zoneCutAt = append(c.zoneCutAt, math.MinInt64/2)
-	}
-	maxSilent := 2*all.silent > max(all.up, 2)
-	for i, z := range zones {
-		if maxSilent || z.up > 1 && z.silent == z.up {
-			c.zoneCutAt[i] = c.now
-		}
-	}
-}
-
-// cutOff tells whether a machine's zone seems to be cut off, or was a moment ago.
-func (c *Core) cutOff(m *machine) bool {
-	return m.zone >= 0 && c.now-c.zoneCutAt[m.zone] < 4*c.heartbeatInterval
-}
-
-// placeableWithinLimit lists the jobs with tasks that their teams' limits let run.
-func (c *Core) placeableWithinLimit() []*job {
-	return slices.DeleteFunc(c.queue(), func(j *job) bool { return c.roomInLimit(j, c.teams[j.team].booked) == 0 })
-}
-
-// mayGoIdle tells whether an idle machine may be given back at all: its least rental is
-// over and no waiting task could use it. One that some waiting task could use is kept,
-// whatever keeps that task from it now. One that is too small or not allowed for all of
-// them is not: on a large site there is always something waiting. Nor is one that only
-// tasks beyond their team's limit would use.
-func (c *Core) mayGoIdle(m *machine, waiting []*job) bool {
-	if m.state != machineUp || m.keptForPlan || len(m.allocations) > 0 || c.now-m.rentedAt < minRental || !m.trusted(c.term) {
+// mayScaleIn tells whether an idle machine may be returned at all: its least rental has passed
+// and no waiting task could use it. One that some waiting task could use is kept, whatever keeps
+// that task from it now. One that is too small or not allowed for all of them is not: in a large
+// cell there is always something waiting. Nor is one that only tasks beyond their team's limit
+// would use.
+func (a *autoscaling) mayScaleIn(m *machine, waiting []*job) bool {
+	if m.state != machineUp || m.eviction.kept || len(m.capacity.allocations) > 0 || a.clock.now-m.rental.rentedAt < minRental || !m.trusted(a.term) {
 		return false
 	}
 	return !slices.ContainsFunc(waiting, func(j *job) bool {
-		return j.allows(m.typ, m.zone, m.spot) && j.size.Within(m.total)
+		return j.allows(m.typ, m.zone, m.spot) && j.request.size.Within(m.capacity.total)
 	})
 }
 
-// reasonToScaleIn tells why a machine is to be given back whether or not it is wanted;
-// "": there is no reason.
-func (c *Core) reasonToScaleIn(m *machine) string {
-	quiet := c.inactive(m)
+// reasonToScaleIn tells why a machine is to be returned whether or not it is needed; "": there
+// is no reason.
+func (a *autoscaling) reasonToScaleIn(m *machine) string {
+	unacknowledged := a.agents.unacknowledgedFor(m)
 	switch {
 	case m.state == machineDeleting:
 		return "not yet known to be gone"
-	case c.expected(m) && quiet > c.unreachableAfter() && m.missedListings >= 2:
+	case a.agents.heartbeatExpected(m) && unacknowledged > a.agents.unreachableAfter() && m.rental.missedListings >= 2:
 		// Absence from the list proves nothing, but its deletion will.
-		return "silent and not listed any more"
-	case c.expected(m) && quiet > 4*c.heartbeatInterval && !c.cutOff(m):
-		return "silent"
+		return "unreachable and not listed any more"
+	case a.agents.heartbeatExpected(m) && unacknowledged > 4*a.agents.heartbeatInterval && !a.agents.zoneCutOff(m):
+		return "unreachable"
 	case m.state == machineStarting:
-		return c.reasonToStopBoot(m, quiet)
-	case quiet > c.agentLease+c.heartbeatInterval:
+		return a.reasonToStopBoot(m, unacknowledged)
+	case unacknowledged > a.agents.lease+a.agents.heartbeatInterval:
 		return "lost"
-	case len(m.allocations) > 0:
+	case len(m.capacity.allocations) > 0:
 		return ""
-	case m.terminationAt > 0:
-		return "will be taken back"
-	case m.quarantined:
+	case m.rental.terminationAt > 0:
+		return "termination notice"
+	case m.health.quarantined:
 		return "faulty"
 	}
 	return ""
@@ -169,18 +125,18 @@
 // unknownBootPatience is how long a machine of an unknown type may boot.
 const unknownBootPatience = 90 * time.Second
 
-// reasonToStopBoot tells why a machine that has not reported yet is to be given back.
-// One that an earlier leader had up may be silent for a while: it has a lease's time to
-// show itself.
-func (c *Core) reasonToStopBoot(m *machine, quiet time.Duration) string {
+// reasonToStopBoot tells why a machine without a heartbeat so far is to be returned. One that an
+// earlier leader had up may be unreachable for a while: it has a lease's time for its first
+// heartbeat.
+func (a *autoscaling) reasonToStopBoot(m *machine, unacknowledged time.Duration) string {
 	patience := unknownBootPatience
 	switch {
 	case m.typ >= 0:
-		patience = time.Duration(c.cfg.Operator.BootPatience * float64(settings.Seconds(c.types[m.typ].BootS)))
-	case quiet < c.agentLease:
+		patience = time.Duration(a.cfg.Operator.BootPatience * float64(settings.Seconds(a.types.list[m.typ].BootS)))
+	case unacknowledged < a.agents.lease:
 		return ""
 	}
-	if c.now-m.rentedAt > patience && c.now-c.termStart > c.agentLease {
+	if a.clock.now-m.rental.rentedAt > patience && a.clock.now-a.clock.termStart > a.agents.lease {
 		return "did not come up"
 	}
 	return ""
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -11,133 +11,112 @@
 )
 
 type scaleOut struct {
-	record         ledger.ScaleOutRecord
+	saved          ledger.ScaleOutRecord // its record in the ledger
 	pool           autoscaler.CapacityPool
 	unseenMachines map[string]bool
-	open           bool // the cloud's answer is still wanted
+	open           bool // the cloud's result is still needed
 	sent           bool
 	retry          time.Duration
 }
 
-func (c *Core) startScaleOut(w autoscaler.PlannedScaleOut) {
-	c.autoscaling.scaleOutCount++
+func (a *autoscaling) startScaleOut(w autoscaler.PlannedScaleOut) {
+	a.scaleOutCount++
 	// The name embeds the term, so that no other leader ever uses it.
-	c.startNamedScaleOut(fmt.Sprintf("h%d-%d", c.term, c.autoscaling.scaleOutCount), w)
+	a.startNamedScaleOut(fmt.Sprintf("h%d-%d", a.term, a.scaleOutCount), w)
 }
 
-// startNamedScaleOut hires under a name. The cloud takes each name once, however often it is
-// sent.
-func (c *Core) startNamedScaleOut(name string, w autoscaler.PlannedScaleOut) {
-	t := c.types[w.Pool.Type]
-	h := &scaleOut{pool: w.Pool, open: true, record: ledger.ScaleOutRecord{Request: wire.ScaleOutRequest{
-		RequestID: name, CapacityPool: wire.CapacityPool{Type: t.Name, Zone: c.zones.list[w.Pool.Zone], Spot: w.Pool.Spot}, Count: min(w.Count, autoscaler.MaxScaleOut)}}}
-	c.autoscaling.scaleOuts[name] = h
-	c.log.Info("hiring", "request", name, "type", t.Name, "zone", h.record.Request.Zone, "spot", w.Pool.Spot, "count", h.record.Request.Count, "why", w.Reason)
-	c.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.record, Urgent: true, Tag: scaleOutTag{name}})
+// startNamedScaleOut rents machines under a name. The cloud accepts each name once, however
+// often it is sent.
+func (a *autoscaling) startNamedScaleOut(name string, w autoscaler.PlannedScaleOut) {
+	t := a.types.list[w.Pool.Type]
+	h := &scaleOut{pool: w.Pool, open: true, saved: ledger.ScaleOutRecord{Request: wire.ScaleOutRequest{
+		RequestID: name, CapacityPool: wire.CapacityPool{Type: t.Name, Zone: a.machines.zones.list[w.Pool.Zone], Spot: w.Pool.Spot}, Count: min(w.Count, autoscaler.MaxScaleOut)}}}
+	a.addScaleOut(h)
+	a.log.Info("scaling out", "request", name, "type", t.Name, "zone", h.saved.Request.Zone, "spot", w.Pool.Spot, "count", h.saved.Request.Count, "reason", w.Reason)
+	a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.saved, Urgent: true, Tag: scaleOutTag{name}})
 }
 
-func (c *Core) scaleOutDurable(name string) {
-	if h := c.autoscaling.scaleOuts[name]; h != nil && h.open && !h.sent {
-		c.sendScaleOut(h)
+func (a *autoscaling) addScaleOut(h *scaleOut) { a.scaleOuts[h.saved.Request.RequestID] = h }
+
+// scaleOutDurable sends a scale-out once its record is durable.
+func (a *autoscaling) scaleOutDurable(name string) {
+	if h := a.scaleOuts[name]; h != nil && h.open && !h.sent {
+		a.sendScaleOut(h)
 	}
 }
 
-func (c *Core) sendScaleOut(h *scaleOut) {
+func (a *autoscaling) sendScaleOut(h *scaleOut) {
 	h.sent = true
-	order := h.record.Request
-	c.emit(CallCloud{autoscaler.Call{ScaleOut: &order}})
+	request := h.saved.Request
+	a.effects.emit(CallCloud{autoscaler.Call{ScaleOut: &request}})
 }
 
-// restoreScaleOut takes an earlier leader's hire over. One whose answer is not on
-// record is repeated under its own name, to learn its machines.
+// restoreScaleOut continues an earlier leader's scale-out. One whose result is not in its record
+// is repeated under its own name, to learn its machines.
 func (c *Core) restoreScaleOut(r ledger.ScaleOutRecord) {
-	h := &scaleOut{record: r, pool: autoscaler.CapacityPool{Type: -1, Zone: c.zones.of(r.Request.Zone), Spot: r.Request.Spot}}
-	c.autoscaling.scaleOuts[r.Request.RequestID] = h
+	h := &scaleOut{saved: r, pool: autoscaler.CapacityPool{Type: -1, Zone: c.machines.zones.of(r.Request.Zone), Spot: r.Request.Spot}}
+	c.autoscaling.addScaleOut(h)
 	if r.Machines == nil {
 		h.open = true
-		c.sendScaleOut(h)
+		c.autoscaling.sendScaleOut(h)
 		return
 	}
 	c.machinesRented(h, r.Machines)
 }
 
-// machinesRented notes the machines of a hire.
-func (c *Core) machinesRented(h *scaleOut, machines []string) {
-	h.open = false
-	c.noteRented(h.record.Request.RequestID, machines)
-	h.unseenMachines = map[string]bool{}
-	for _, name := range machines {
-		m := c.machineNamed(name)
-		m.scaleOutID = h.record.Request.RequestID
-		if m.state == machineStarting {
-			c.describe(m, h.record.Request.Type, h.record.Request.Zone, h.record.Request.Spot, "")
-		}
-		if m.state == machineStarting && !m.listed {
-			h.unseenMachines[name] = true
-		}
-	}
-	c.closeScaleOut(h)
-}
-
-// scaleOutMachineSeen notes that a machine is known from the list or from itself, so that
-// its hire need not be remembered for it.
-func (c *Core) scaleOutMachineSeen(m *machine) {
-	if h := c.autoscaling.scaleOuts[m.scaleOutID]; h != nil && h.unseenMachines != nil {
+// scaleOutMachineSeen notes that a machine is known from the list or from its agent, so that its
+// scale-out need not be kept for it.
+func (a *autoscaling) scaleOutMachineSeen(m *machine) {
+	if h := a.scaleOuts[m.rental.scaleOutID]; h != nil && h.unseenMachines != nil {
 		delete(h.unseenMachines, m.name)
-		c.closeScaleOut(h)
+		a.closeScaleOut(h)
 	}
 }
 
-func (c *Core) closeScaleOut(h *scaleOut) {
+func (a *autoscaling) closeScaleOut(h *scaleOut) {
 	if len(h.unseenMachines) == 0 {
-		c.dropScaleOut(h)
+		a.dropScaleOut(h)
 	}
 }
 
-func (c *Core) dropScaleOut(h *scaleOut) {
-	delete(c.autoscaling.scaleOuts, h.record.Request.RequestID)
-	c.put(ledger.Write{Key: ledger.ScaleOutKey(h.record.Request.RequestID)})
+func (a *autoscaling) dropScaleOut(h *scaleOut) {
+	delete(a.scaleOuts, h.saved.Request.RequestID)
+	a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.saved.Request.RequestID)})
 }
 
-func (c *Core) scaleOutResult(r autoscaler.Result) {
-	h := c.autoscaling.scaleOuts[r.Call.ScaleOut.RequestID]
+// scaleOutEnded takes the result of a scale-out, and tells whether it has rented machines.
+func (a *autoscaling) scaleOutEnded(r autoscaler.Result) (h *scaleOut, rented bool) {
+	h = a.scaleOuts[r.Call.ScaleOut.RequestID]
 	if h == nil || !h.open {
-		return
+		return nil, false
 	}
 	h.sent = false
-	st := c.autoscaling.pool(h.pool)
-	block := func() {
-		if c.now < st.blockedUntil {
-			return // several hires of one offer were on their way
-		}
-		st.backoff = min(max(st.backoff*2, refusedFirst), refusedMost)
-		st.blockedUntil = c.now + st.backoff
-		st.fillsRequests = 0
-	}
+	pool := a.pool(h.pool)
+	request := &h.saved.Request
 	switch {
 	case r.Err == nil:
-		c.log.Info("hired", "request", h.record.Request.RequestID, "machines", r.Machines, "wanted", h.record.Request.Count)
-		if len(r.Machines) < h.record.Request.Count {
-			block()
+		a.log.Info("scale-out result", "request", request.RequestID, "machines", r.Machines, "wanted", request.Count)
+		if len(r.Machines) < request.Count {
+			pool.block(a.clock.now)
 		} else {
-			st.backoff = 0
-			st.fillsRequests++
+			pool.filled()
 		}
-		h.record.Machines = r.Machines
+		h.saved.Machines = r.Machines
 		if len(r.Machines) == 0 {
-			c.dropScaleOut(h)
-			return
+			a.dropScaleOut(h)
+			return nil, false
 		}
-		c.put(ledger.Write{Key: ledger.ScaleOutKey(h.record.Request.RequestID), Value: h.record})
-		c.machinesRented(h, r.Machines)
+		a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(request.RequestID), Value: h.saved})
+		return h, true
 	case errors.Is(r.Err, autoscaler.ErrNoCapacity):
-		c.log.Info("hire refused: no capacity", "request", h.record.Request.RequestID, "type", h.record.Request.Type, "zone", h.record.Request.Zone, "spot", h.record.Request.Spot)
-		block()
+		a.log.Info("scale-out refused: no capacity", "request", request.RequestID, "type", request.Type, "zone", request.Zone, "spot", request.Spot)
+		pool.block(a.clock.now)
 		h.open = false
-		c.dropScaleOut(h)
+		a.dropScaleOut(h)
 	default:
 		// It may have been carried out. Only the same name is safe to repeat.
-		c.log.Info("hire unanswered", "request", h.record.Request.RequestID, "error", r.Err)
-		h.retry = c.now + time.Second
+		a.log.Info("scale-out result unknown, will retry", "request", request.RequestID, "error", r.Err)
+		h.retry = a.clock.now + time.Second
 	}
+	return nil, false
 }
--- a/internal/scheduler/scaling_plan.go
+++ b/internal/scheduler/scaling_plan.go
@@ -2,39 +2,40 @@
 
 import (
 	"iter"
-	"math"
+	"slices"
 
 	"leadproxy/internal/autoscaler"
+	"leadproxy/internal/scheduler/quota"
 )
 
-// counts tells whether a machine is part of the capacity to plan with.
-func (c *Core) counts(m *machine) bool {
+// countsAsCapacity tells whether a machine is part of the capacity to plan with.
+func (a *autoscaling) countsAsCapacity(m *machine) bool {
 	switch m.state {
 	case machineStarting:
 		return m.typ >= 0
 	case machineUp:
-		return m.typ >= 0 && !m.quarantined && !m.cordoned && m.terminationAt == 0 && c.inactive(m) < c.unreachableAfter()
+		return m.typ >= 0 && !m.health.quarantined && !m.eviction.cordoned && m.rental.terminationAt == 0 && a.agents.unacknowledgedFor(m) < a.agents.unreachableAfter()
 	}
 	return false
 }
 
-// scaleOutMachines asks for what waiting tasks need and what is to be kept warm.
-func (c *Core) scaleOutMachines() {
-	open := len(c.openScaleOuts())
-	for _, w := range autoscaler.Plan(c.plan()) {
+// scaleOutMachines requests what waiting tasks need and what is to be kept as headroom.
+func (a *autoscaling) scaleOutMachines() {
+	open := len(a.openScaleOuts())
+	for _, w := range autoscaler.Plan(a.plan()) {
 		for ; w.Count > 0; w.Count -= autoscaler.MaxScaleOut {
 			if open >= maxOpenScaleOuts {
 				return
 			}
-			c.startScaleOut(w)
+			a.startScaleOut(w)
 			open++
 		}
 	}
 }
 
-func (c *Core) openScaleOuts() []*scaleOut {
+func (a *autoscaling) openScaleOuts() []*scaleOut {
 	var out []*scaleOut
-	for _, h := range c.autoscaling.scaleOuts {
+	for _, h := range a.scaleOuts {
 		if h.open {
 			out = append(out, h)
 		}
@@ -42,34 +43,34 @@
 	return out
 }
 
-// plan describes the situation to plan hires from.
-func (c *Core) plan() autoscaler.PlanInput {
-	s := autoscaler.PlanInput{MaxMachines: c.cfg.Operator.MaxMachines, Sizes: c.headroomSizes(), Headroom: c.headroomCores()}
-	c.planPools(&s)
-	c.planMachines(&s)
-	c.planScaleOuts(&s)
-	c.planWaiting(&s)
+// plan describes the situation for which scale-outs are planned.
+func (a *autoscaling) plan() autoscaler.PlanInput {
+	s := autoscaler.PlanInput{MaxMachines: a.cfg.Operator.MaxMachines, Sizes: a.headroomSizes(), Headroom: a.headroomCores()}
+	a.planPools(&s)
+	a.planMachines(&s)
+	a.planScaleOuts(&s)
+	a.planWaiting(&s)
 	return s
 }
 
-// planPools lists the machine types and the offers that may be asked for.
-func (c *Core) planPools(s *autoscaler.PlanInput) {
-	for i := range c.types {
-		s.Types = append(s.Types, autoscaler.MachineType{Total: c.types[i].total, Boot: c.types[i].boot})
+// planPools lists the machine types and the capacity pools that may be used.
+func (a *autoscaling) planPools(s *autoscaler.PlanInput) {
+	for i := range a.types.list {
+		s.Types = append(s.Types, autoscaler.MachineType{Total: a.types.list[i].total, Boot: a.types.list[i].boot})
 	}
-	for o, st := range c.openPools() {
-		s.Pools = append(s.Pools, autoscaler.PricedPool{CapacityPool: o, Price: c.types[o.Type].price(o.Spot), MaxCount: st.maxCount()})
+	for o, st := range a.openPools() {
+		s.Pools = append(s.Pools, autoscaler.PricedPool{CapacityPool: o, Price: a.types.list[o.Type].price(o.Spot), MaxCount: st.maxCount()})
 	}
 }
 
-// openPools are the offers of the cloud that were not refused a moment ago.
-func (c *Core) openPools() iter.Seq2[autoscaler.CapacityPool, *poolState] {
+// openPools are the capacity pools of the cloud without a recent refusal.
+func (a *autoscaling) openPools() iter.Seq2[autoscaler.CapacityPool, *poolState] {
 	return func(yield func(autoscaler.CapacityPool, *poolState) bool) {
-		for i := range c.types {
-			for _, z := range c.types[i].zones {
+		for i := range a.types.list {
+			for _, z := range a.types.list[i].zones {
 				for _, spot := range []bool{true, false} {
 					o := autoscaler.CapacityPool{Type: int32(i), Zone: z, Spot: spot}
-					if st := c.autoscaling.pool(o); c.now >= st.blockedUntil && !yield(o, st) {
+					if st := a.pool(o); a.clock.now >= st.blockedUntil && !yield(o, st) {
 						return
 					}
 				}
@@ -78,41 +79,31 @@
 	}
 }
 
-// machineCount is how many machines there are, up or coming.
-func (c *Core) machineCount() (n int) {
-	for _, m := range c.liveMachines {
-		if m.state != machineGone {
-			n++
-		}
-	}
-	return n
-}
-
 // planMachines counts the machines that are up or coming.
-func (c *Core) planMachines(s *autoscaler.PlanInput) {
-	s.Machines += c.machineCount()
-	for _, m := range c.liveMachines {
-		if !c.counts(m) {
+func (a *autoscaling) planMachines(s *autoscaler.PlanInput) {
+	s.Machines += a.machines.count()
+	for _, m := range a.machines.live {
+		if !a.countsAsCapacity(m) {
 			continue
 		}
-		s.Cores += m.total.CPUs
+		s.Cores += m.capacity.total.CPUs
 		o := autoscaler.CapacityPool{Type: m.typ, Zone: m.zone, Spot: m.spot}
-		if m.trusted(c.term) {
-			s.Running = append(s.Running, autoscaler.RunningMachine{CapacityPool: o, BusyCoreSeconds: c.busy(m)})
+		if m.trusted(a.term) {
+			s.Running = append(s.Running, autoscaler.RunningMachine{CapacityPool: o, BusyCoreSeconds: a.placement.remainingWork(m)})
 		} else {
-			s.Pending = append(s.Pending, autoscaler.PendingMachine{CapacityPool: o, Free: m.free})
+			s.Pending = append(s.Pending, autoscaler.PendingMachine{CapacityPool: o, Free: m.capacity.free})
 		}
 	}
 }
 
-// planScaleOuts counts the machines of hires that the cloud has not answered yet.
-func (c *Core) planScaleOuts(s *autoscaler.PlanInput) {
-	for _, h := range c.openScaleOuts() {
+// planScaleOuts counts the machines of scale-outs without a result.
+func (a *autoscaling) planScaleOuts(s *autoscaler.PlanInput) {
+	for _, h := range a.openScaleOuts() {
 		if h.pool.Type < 0 {
 			continue
 		}
-		total := c.types[h.pool.Type].total
-		for range h.record.Request.Count {
+		total := a.types.list[h.pool.Type].total
+		for range h.saved.Request.Count {
 			s.Pending = append(s.Pending, autoscaler.PendingMachine{CapacityPool: h.pool, Free: total})
 			s.Cores += total.CPUs
 			s.Machines++
@@ -120,56 +111,61 @@
 	}
 }
 
-// planWaiting lists the tasks that wait, in the order of the queue. What a team's limit
-// leaves is shared by all its waiting jobs.
-func (c *Core) planWaiting(s *autoscaler.PlanInput) {
-	used := make([]units, len(c.teams))
+// planWaiting lists the tasks that wait, in the order of the queue. What a team's limit leaves
+// is shared by all its waiting jobs.
+func (a *autoscaling) planWaiting(s *autoscaler.PlanInput) {
+	used := make([]quota.Units, a.teams.Len())
 	for i := range used {
-		used[i] = c.teams[i].booked
+		used[i] = a.teams.At(int32(i)).Allocated()
 	}
-	for _, j := range c.queue() {
-		c.resolveTypes(j)
-		n := min(len(j.waiting), c.roomInLimit(j, used[j.team]))
-		used[j.team] = used[j.team].plus(unitsOf(j.size).times(n))
+	for _, j := range a.placement.queue() {
+		a.placement.resolveTypes(j)
+		n := min(len(j.progress.waiting), a.teams.At(j.request.team).Room(j.request.size, used[j.request.team]))
+		used[j.request.team] = used[j.request.team].Plus(quota.Of(j.request.size).Times(n))
 		if j.suspect() {
 			n = min(n, 1)
 		}
 		if n > 0 {
-			s.Queued = append(s.Queued, autoscaler.TaskGroup{Size: j.size, Count: n, Run: c.expectedRun(j), Slack: j.slack(c.now),
+			s.Queued = append(s.Queued, autoscaler.TaskGroup{Size: j.request.size, Count: n, Run: a.estimates.expectedRun(j), Slack: j.slack(a.clock.now),
 				Allows: func(o autoscaler.CapacityPool) bool { return j.allows(o.Type, o.Zone, o.Spot) }})
 		}
 	}
 }
 
-// busy is the core-seconds that are expected to be left of a machine's tasks.
-func (c *Core) busy(m *machine) float64 {
-	sum := 0.0
-	for _, b := range m.allocations {
-		j := c.jobs[b.job]
-		if j.spec == nil {
-			continue
-		}
-		left := c.expectedRun(j)
-		if b.runningSince > 0 {
-			// One that has outrun its estimate goes on for some time more.
-			left = max(left-(c.now-b.runningSince), left/4)
-		}
-		sum += j.size.CPUs * left.Seconds()
+// canScaleOut tells whether machines are coming or could be requested.
+func (a *autoscaling) canScaleOut() bool {
+	if len(a.openScaleOuts()) > 0 {
+		return true
+	}
+	if slices.ContainsFunc(a.machines.live, func(m *machine) bool { return m.state == machineStarting && m.typ >= 0 }) {
+		return true
 	}
-	return sum
+	if most := a.cfg.Operator.MaxMachines; most > 0 && a.machines.count() >= most {
+		return false
+	}
+	return a.poolsOpen()
+}
+
+// poolsOpen tells whether there is a capacity pool without a recent refusal.
+func (a *autoscaling) poolsOpen() bool {
+	for range a.openPools() {
+		return true
+	}
+	return false
 }
 
-// roomInLimit is how many more tasks of a job its team's limit lets run while
-// the team uses so much.
-func (c *Core) roomInLimit(j *job, used units) int {
-	limit := c.teams[j.team].limit
-	need := unitsOf(j.size)
-	n := math.MaxInt32
-	if limit.cpus > 0 && need.cpus > 0 {
-		n = min(n, int((limit.cpus-used.cpus)/need.cpus))
-	}
-	if limit.gpus > 0 && need.gpus > 0 {
-		n = min(n, int((limit.gpus-used.gpus)/need.gpus))
-	}
-	return max(n, 0)
+// scalableCores is what the cloud may still give.
+func (a *autoscaling) scalableCores() float64 {
+	most := a.cfg.Operator.MaxMachines
+	if len(a.types.list) == 0 || !a.poolsOpen() {
+		return 0
+	}
+	largest := 0.0
+	for i := range a.types.list {
+		largest = max(largest, a.types.list[i].total.CPUs)
+	}
+	if most == 0 {
+		return largest * autoscaler.MaxScaleOut
+	}
+	return largest * float64(max(0, most-a.machines.count()))
 }
--- a/internal/scheduler/soft_state.go
+++ b/internal/scheduler/soft_state.go
@@ -10,164 +10,170 @@
 	"leadproxy/internal/softstate"
 )
 
-// inheritedSoftState is what an earlier leader's hints say. It is looked at where this term knows
-// nothing better, and dropped when its beginning is over.
+// softState is what this leader inherits in memory from an earlier one, and the version of what
+// it passes on itself.
+type softState struct {
+	term        uint64
+	clock       *clock
+	effects     *effects
+	types       *machineTypes
+	classes     *classTable
+	estimates   *runEstimates
+	jobs        *jobTable
+	machines    *machineTable
+	placement   *placement
+	autoscaling *autoscaling
+
+	inherited inheritedSoftState
+	version   uint64 // counts the changes of machines that are passed on
+}
+
+func newSoftState(c *Core) softState {
+	return softState{term: c.term, clock: &c.clock, effects: &c.effects, types: &c.types, classes: &c.classes, estimates: &c.estimates,
+		jobs: &c.jobs, machines: &c.machines, placement: &c.placement, autoscaling: &c.autoscaling}
+}
+
+// inheritedSoftState is the soft state of an earlier leader. It is used where this term knows
+// nothing better, and dropped when the term's beginning has passed.
 type inheritedSoftState struct {
 	machines   map[string]softstate.Machine
 	runningFor map[uint64]time.Duration // by attempt: how long before the term it began to run
 	estimates  softstate.Estimates
 }
 
-// restoreSoftState takes the hints of an earlier leader, before anything else is restored.
-func (c *Core) restoreSoftState(v *softstate.View) {
+// restoreSoftState takes the soft state of an earlier leader, before anything else is restored.
+func (s *softState) restoreSoftState(v *softstate.View) {
 	if v == nil || len(v.Machines) == 0 {
 		return
 	}
-	c.inherited = inheritedSoftState{machines: v.Machines, runningFor: map[uint64]time.Duration{}, estimates: v.Estimates}
+	s.inherited = inheritedSoftState{machines: v.Machines, runningFor: map[uint64]time.Duration{}, estimates: v.Estimates}
 	for _, m := range v.Machines {
 		for _, b := range m.Allocations {
 			if b.Running > 0 {
-				c.inherited.runningFor[b.Attempt] = b.Running
+				s.inherited.runningFor[b.Attempt] = b.Running
 			}
 		}
 	}
 }
 
-// probeInherited probes the machines that the ledger names where the hints say that they are
-// reached, without waiting for the cloud's list.
-func (c *Core) probeInherited() {
-	for _, m := range c.liveMachines {
-		if m.addressFromSoftState {
-			c.probe(m)
-		}
+// dropInherited drops the inherited soft state once the term's beginning has passed.
+func (s *softState) dropInherited() {
+	if s.inherited.machines != nil && s.clock.now-s.clock.termStart > probePeriod {
+		s.inherited = inheritedSoftState{}
 	}
 }
 
-// dropInherited forgets the hints once the term's beginning is over.
-func (c *Core) dropInherited() {
-	if c.inherited.machines != nil && c.now-c.termStart > probeFor {
-		c.inherited = inheritedSoftState{}
-	}
-}
-
-// inheritMachine fills in what the hints say of a machine that is new to this term. The list of
-// the cloud and its reports overwrite that.
-func (c *Core) inheritMachine(m *machine) {
-	h, ok := c.inherited.machines[m.name]
+// inheritMachine fills in what the inherited soft state says of a machine that is new to this
+// term. The cloud's list and its heartbeats overwrite that.
+func (s *softState) inheritMachine(m *machine) {
+	h, ok := s.inherited.machines[m.name]
 	if !ok {
 		return
 	}
-	m.addressFromSoftState, m.address, m.softStateEpoch = true, h.Address, h.AgentEpoch
+	m.agent.inherit(h.Address, h.AgentEpoch)
 	if len(h.Allocations) == 0 {
-		m.idleSince = c.now - h.Idle
+		m.capacity.used(s.clock.now - h.Idle)
 	}
 	for _, i := range h.Images {
-		m.images = append(m.images, imageSlot{c.images.of(i.Name), i.GB})
-	}
-}
-
-// inheritedAddressFailed takes back what a hint said of where a machine is reached. The cloud's list or
-// its next report tells.
-func (c *Core) inheritedAddressFailed(m *machine) {
-	m.addressFromSoftState, m.softStateEpoch, m.probes = false, 0, 0
-	if m.agentEpoch == 0 {
-		m.address = ""
+		m.capacity.inheritImage(s.placement.images.of(i.Name), i.GB)
 	}
 }
 
-// runningSince is since when an attempt has run that is seen running for the first time.
-// known is false if it began in an earlier term and no hint tells when.
-func (c *Core) runningSince(attempt uint64) (since time.Duration, known bool) {
-	if attempt>>tokenBits == c.term {
-		return c.now, true
+// runningSince is since when an attempt has run that is seen running for the first time. known
+// is false if it began in an earlier term and no inherited soft state has it.
+func (s *softState) runningSince(attempt uint64) (since time.Duration, known bool) {
+	if attempt>>tokenBits == s.term {
+		return s.clock.now, true
 	}
-	ran, ok := c.inherited.runningFor[attempt]
+	ran, ok := s.inherited.runningFor[attempt]
 	if !ok {
-		return c.now, false
+		return s.clock.now, false
 	}
-	return max(c.termStart-ran, 1), true
+	return max(s.clock.termStart-ran, 1), true
 }
 
-// inheritType fills in what the hints say of a machine type that is new to this term.
-func (c *Core) inheritType(index int32) {
-	t := &c.types[index]
-	if s, ok := c.inherited.estimates.BootSeconds[t.Name]; ok {
+// inheritType fills in what the inherited soft state says of a machine type that is new to this
+// term.
+func (s *softState) inheritType(index int32) {
+	t := &s.types.list[index]
+	if s, ok := s.inherited.estimates.BootSeconds[t.Name]; ok {
 		t.boot = settings.Seconds(s)
 	}
-	for _, o := range c.inherited.estimates.Pools {
+	for _, o := range s.inherited.estimates.Pools {
 		if o.Type != t.Name {
 			continue
 		}
-		st := c.autoscaling.pool(autoscaler.CapacityPool{Type: index, Zone: c.zones.of(o.Zone), Spot: o.Spot})
-		st.blockedUntil = c.now + min(o.BackoffLeft, refusedMost)
-		st.backoff = min(o.Backoff, refusedMost)
+		st := s.autoscaling.pool(autoscaler.CapacityPool{Type: index, Zone: s.machines.zones.of(o.Zone), Spot: o.Spot})
+		st.blockedUntil = s.clock.now + min(o.BackoffLeft, maxPoolBackoff)
+		st.backoff = min(o.Backoff, maxPoolBackoff)
 		st.fillsRequests = o.Filled
 	}
 }
 
-// changed notes that hints of our own have something new to tell of a machine.
-func (c *Core) changed(m *machine) {
-	c.softStateVersion++
-	m.changedAt = c.softStateVersion
+// machineChanged notes that the soft state of a machine has changed.
+func (s *softState) machineChanged(m *machine) {
+	s.version++
+	m.softStateVersion = s.version
 }
 
-// softStateRequested tells what has changed since an earlier answer, oldest change first.
-func (c *Core) softStateRequested(e SoftStateRequest) {
+// softStateRequested replies with what has changed since an earlier reply, the oldest change
+// first.
+func (s *softState) softStateRequested(e SoftStateRequest) {
 	var changed []*machine
-	for _, m := range c.machines {
-		if m.changedAt > e.Since && (m.state != machineGone || e.Since > 0) {
+	for _, m := range s.machines.list {
+		if m.softStateVersion > e.Since && (m.state != machineGone || e.Since > 0) {
 			changed = append(changed, m)
 		}
 	}
-	slices.SortFunc(changed, func(a, b *machine) int { return cmp.Compare(a.changedAt, b.changedAt) })
-	given := SoftStateReply{ReplyTo: e.ReplyTo, Term: c.term, UpTo: c.softStateVersion, Estimates: c.estimates()}
+	slices.SortFunc(changed, func(a, b *machine) int { return cmp.Compare(a.softStateVersion, b.softStateVersion) })
+	reply := SoftStateReply{ReplyTo: e.ReplyTo, Term: s.term, UpTo: s.version, Estimates: s.learnedEstimates()}
 	if len(changed) > softstate.MaxChanges {
 		changed = changed[:softstate.MaxChanges]
-		given.UpTo = changed[softstate.MaxChanges-1].changedAt
-		given.More = true
+		reply.UpTo = changed[softstate.MaxChanges-1].softStateVersion
+		reply.More = true
 	}
 	for _, m := range changed {
-		given.Machines = append(given.Machines, c.machineSoftState(m))
+		reply.Machines = append(reply.Machines, s.machineSoftState(m))
 	}
-	c.emit(given)
+	s.effects.emit(reply)
 }
 
-// machineSoftState is what is known of a machine.
-func (c *Core) machineSoftState(m *machine) softstate.Machine {
-	h := softstate.Machine{Name: m.name, Gone: m.state == machineGone, Address: m.address, AgentEpoch: m.agentEpoch, FencingToken: m.fencingToken,
-		SinceHeartbeat: max(0, c.now-m.lastHeartbeat), Idle: max(0, c.now-m.idleSince)}
-	for _, i := range m.images {
-		h.Images = append(h.Images, softstate.Image{Name: c.images.list[i.image], GB: i.gb})
-	}
-	for _, b := range m.allocations {
-		k := softstate.Allocation{Task: c.taskName(b), Attempt: b.attempt}
+// machineSoftState is the soft state of a machine.
+func (s *softState) machineSoftState(m *machine) softstate.Machine {
+	h := softstate.Machine{Name: m.name, Gone: m.state == machineGone, Address: m.agent.address, AgentEpoch: m.agent.epoch, FencingToken: m.agent.fencingToken,
+		SinceHeartbeat: max(0, s.clock.now-m.agent.lastHeartbeat), Idle: max(0, s.clock.now-m.capacity.idleSince)}
+	for _, i := range m.capacity.images {
+		h.Images = append(h.Images, softstate.Image{Name: s.placement.images.list[i.image], GB: i.gb})
+	}
+	for _, b := range m.capacity.allocations {
+		k := softstate.Allocation{Task: s.jobs.taskName(b), Attempt: b.attempt}
 		if b.runningSince > 0 {
-			k.Running = c.now - b.runningSince
+			k.Running = s.clock.now - b.runningSince
 		}
 		h.Allocations = append(h.Allocations, k)
 	}
 	return h
 }
 
-// estimates is what this term has learned.
-func (c *Core) estimates() softstate.Estimates {
+// learnedEstimates is what this term has learned.
+func (s *softState) learnedEstimates() softstate.Estimates {
 	l := softstate.Estimates{RunRatios: map[string]float64{}, BootSeconds: map[string]float64{}}
-	for class, ratio := range c.autoscaling.runRatios {
+	for class, ratio := range s.estimates.runRatios {
 		if ratio > 0 {
-			l.RunRatios[c.classes.list[class]] = ratio
+			l.RunRatios[s.classes.names.list[class]] = ratio
 		}
 	}
-	for i := range c.types {
-		if boot := c.types[i].boot.Seconds(); boot > 0 {
-			l.BootSeconds[c.types[i].Name] = boot
+	for i := range s.types.list {
+		if boot := s.types.list[i].boot.Seconds(); boot > 0 {
+			l.BootSeconds[s.types.list[i].Name] = boot
 		}
 	}
-	for o, st := range c.autoscaling.pools {
+	for o, st := range s.autoscaling.pools {
 		if o.Type < 0 || o.Zone < 0 || *st == (poolState{}) {
 			continue
 		}
-		l.Pools = append(l.Pools, softstate.CapacityPool{Type: c.types[o.Type].Name, Zone: c.zones.list[o.Zone], Spot: o.Spot,
-			BackoffLeft: max(0, st.blockedUntil-c.now), Backoff: st.backoff, Filled: st.fillsRequests})
+		l.Pools = append(l.Pools, softstate.CapacityPool{Type: s.types.list[o.Type].Name, Zone: s.machines.zones.list[o.Zone], Spot: o.Spot,
+			BackoffLeft: max(0, st.blockedUntil-s.clock.now), Backoff: st.backoff, Filled: st.fillsRequests})
 	}
 	slices.SortFunc(l.Pools, comparePools)
 	return l
--- a/internal/scheduler/spending.go
+++ b/internal/scheduler/spending.go
@@ -9,28 +9,28 @@
 // spending is what the machines cost over an interval, divided by what they were doing,
 // in the cloud's currency. What a machine costs goes by cores to what uses them.
 type spending struct {
-	booting   float64 // machines that have not reported yet
-	fetching  float64 // cores of tasks that wait for their image, or for word of their start
+	booting   float64 // machines without a heartbeat so far
+	fetching  float64 // cores of tasks that wait for their image, or for the result of their start
 	running   float64 // cores of tasks that run
 	saving    float64 // cores of tasks that are being stopped
 	partIdle  float64 // free cores of machines with tasks
 	idle      float64 // machines without tasks
-	returning float64 // machines whose deletion is asked for
+	returning float64 // machines whose deletion is requested
 	lost      float64 // of running: what tasks had run that have to run again
 }
 
 // spendingLog is what the machines have cost since it was last logged.
 type spendingLog struct {
-	spent  spending
-	until  time.Duration // as far as that is reckoned
-	logged time.Duration
+	spent        spending
+	accruedUntil time.Duration // as far as that is reckoned
+	loggedAt     time.Duration
 }
 
-// The times of the reckoning: how often all machines are looked at for it, and how often
-// it is logged.
+// The intervals of the accounting: how often the cost of all machines is added, and how often it
+// is logged.
 const (
-	spendEvery    = time.Second
-	spendingEvery = 30 * time.Second
+	spendingInterval    = time.Second
+	spendingLogInterval = 30 * time.Second
 )
 
 const secondsPerHour = 3600
@@ -41,73 +41,73 @@
 }
 
 // pricePerSecond is what a machine costs at present.
-func (c *Core) pricePerSecond(m *machine) float64 {
+func (a *autoscaling) pricePerSecond(m *machine) float64 {
 	if m.typ < 0 {
 		return 0
 	}
-	return c.types[m.typ].price(m.spot) / secondsPerHour
+	return a.types.list[m.typ].price(m.spot) / secondsPerHour
 }
 
-// spend adds what the machines have cost since the last time.
-func (c *Core) spend() {
-	if c.now-c.spendingLog.until < spendEvery {
+// accrueSpending adds what the machines have cost since the last time.
+func (a *autoscaling) accrueSpending() {
+	if a.clock.now-a.spending.accruedUntil < spendingInterval {
 		return
 	}
-	elapsed := (c.now - c.spendingLog.until).Seconds()
-	c.spendingLog.until = c.now
-	for _, m := range c.liveMachines {
-		cost := c.pricePerSecond(m) * elapsed
+	elapsed := (a.clock.now - a.spending.accruedUntil).Seconds()
+	a.spending.accruedUntil = a.clock.now
+	for _, m := range a.machines.live {
+		cost := a.pricePerSecond(m) * elapsed
 		switch m.state {
 		case machineStarting:
-			c.spendingLog.spent.booting += cost
+			a.spending.spent.booting += cost
 		case machineUp:
-			c.spendOn(m, cost)
+			a.divideCost(m, cost)
 		case machineDeleting:
-			c.spendingLog.spent.returning += cost
+			a.spending.spent.returning += cost
 		case machineGone:
 		}
 	}
-	if c.now-c.spendingLog.logged >= spendingEvery {
-		c.logSpending()
+	if a.clock.now-a.spending.loggedAt >= spendingLogInterval {
+		a.logSpending()
 	}
 }
 
-// spendOn divides the cost of a machine that is up.
-func (c *Core) spendOn(m *machine, cost float64) {
-	if len(m.allocations) == 0 || m.total.CPUs <= 0 {
-		c.spendingLog.spent.idle += cost
+// divideCost divides the cost of a machine that is up.
+func (a *autoscaling) divideCost(m *machine, cost float64) {
+	if len(m.capacity.allocations) == 0 || m.capacity.total.CPUs <= 0 {
+		a.spending.spent.idle += cost
 		return
 	}
 	free := cost
-	for _, b := range m.allocations {
-		share := cost * c.jobs[b.job].size.CPUs / m.total.CPUs
+	for _, b := range m.capacity.allocations {
+		share := cost * a.jobs.list[b.job].request.size.CPUs / m.capacity.total.CPUs
 		free -= share
 		switch {
 		case b.stopping:
-			c.spendingLog.spent.saving += share
+			a.spending.spent.saving += share
 		case b.status == wire.TaskRunning:
-			c.spendingLog.spent.running += share
+			a.spending.spent.running += share
 		default:
-			c.spendingLog.spent.fetching += share
+			a.spending.spent.fetching += share
 		}
 	}
-	c.spendingLog.spent.partIdle += max(free, 0)
+	a.spending.spent.partIdle += max(free, 0)
 }
 
-// lostWork counts what a task had run that has to run again.
-func (c *Core) lostWork(m *machine, b *allocation) {
-	j := c.jobs[b.job]
-	if b.runningSince == 0 || m.total.CPUs <= 0 || j.over() {
+// addLostWork counts what a task had run that has to run again.
+func (a *autoscaling) addLostWork(m *machine, b *allocation) {
+	j := a.jobs.list[b.job]
+	if b.runningSince == 0 || m.capacity.total.CPUs <= 0 || j.ended() {
 		return
 	}
-	c.spendingLog.spent.lost += c.pricePerSecond(m) * j.size.CPUs / m.total.CPUs * (c.now - b.runningSince).Seconds()
+	a.spending.spent.lost += a.pricePerSecond(m) * j.request.size.CPUs / m.capacity.total.CPUs * (a.clock.now - b.runningSince).Seconds()
 }
 
-func (c *Core) logSpending() {
-	s := &c.spendingLog.spent
+func (a *autoscaling) logSpending() {
+	s := &a.spending.spent
 	if s.total() > 0 {
-		c.log.Info("money spent", "seconds", (c.now - c.spendingLog.logged).Seconds(), "total", s.total(), "booting", s.booting, "fetching", s.fetching,
-			"running", s.running, "saving", s.saving, "part_idle", s.partIdle, "idle", s.idle, "returning", s.returning, "lost", s.lost, "machines", len(c.liveMachines))
+		a.log.Info("spending", "seconds", (a.clock.now - a.spending.loggedAt).Seconds(), "total", s.total(), "booting", s.booting, "fetching", s.fetching,
+			"running", s.running, "saving", s.saving, "part_idle", s.partIdle, "idle", s.idle, "returning", s.returning, "lost", s.lost, "machines", len(a.machines.live))
 	}
-	c.spendingLog.spent, c.spendingLog.logged = spending{}, c.now
+	a.spending.spent, a.spending.loggedAt = spending{}, a.clock.now
 }
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -10,169 +10,186 @@
 	"leadproxy/internal/settings"
 )
 
-// A new leader must take it that its predecessor has answered every worker up
-// to the end of its term, and waits a whole lease for those it can't hear. When
-// a zone is cut off and then the leader ends, that leaves all jobs with tasks in
-// that zone waiting again from the start. So a leader notes durably which
-// machines are silent and when their leases must be over. From then on it does
-// not answer such a machine until the note is withdrawn, as durably.
-
-// unreachableAgents is what is noted of silent machines.
+// A new leader must assume that its predecessor has responded to every agent up to the end of
+// its term, and waits a whole lease for those that it can't reach. When a zone is cut off and
+// then the leader fails, that leaves all jobs with tasks in that zone waiting again from the
+// start. So a leader records durably which agents are unreachable and when their leases must
+// have expired. From then on it does not respond to such an agent until the record is withdrawn,
+// as durably.
+
+// unreachableAgents are the unreachable-agent records.
 type unreachableAgents struct {
 	records   []*unreachableRecord
-	freeKeys  []string // keys that hold no note any more
+	freeKeys  []string // keys that hold no record any more
 	keyCount  int      // keys of this term so far
 	nextCheck time.Duration
 }
 
-// unreachableRecord is one key of silent machines.
+// unreachableRecord is one record, of several agents, under one key.
 type unreachableRecord struct {
 	key       string
 	machines  []*machine
 	withdrawn bool
 }
 
-// unreachableCheckInterval is how often silent machines are looked for.
+// unreachableCheckInterval is how often unreachable agents are searched for.
 const unreachableCheckInterval = 2 * time.Second
 
-// recordUnreachable notes the machines that have fallen silent and that some job's
-// tasks may be on.
+// recordUnreachable records the agents that have become unreachable, and keeps new tasks from
+// their machines.
 func (c *Core) recordUnreachable() {
-	// In an outage a note could not be withdrawn, and a machine that is back
-	// would lose its lease for want of an answer.
-	if c.now < c.unreachable.nextCheck || c.pendingWrites > 0 && c.now-c.lastDurableAt > unreachableCheckInterval {
-		return
+	for _, m := range c.agents.recordUnreachable() {
+		c.placement.indexChanged(m)
+	}
+}
+
+// recordUnreachable records the agents that have become unreachable and whose machines some
+// job's tasks may be on. It returns those machines.
+func (a *agents) recordUnreachable() []*machine {
+	// In an outage a record could not be withdrawn, and an agent that is reachable again would
+	// lose its lease for want of a response.
+	if a.clock.now < a.unreachable.nextCheck || a.writes.stalled(unreachableCheckInterval) {
+		return nil
 	}
-	c.unreachable.nextCheck = c.now + unreachableCheckInterval
-	var silent []*machine
-	for _, m := range c.liveMachines {
-		if m.unreachable == nil && m.namedByJobs > 0 && m.state != machineGone && c.now-max(m.lastHeartbeat, c.termStart, c.tickingSince) > c.unreachableAfter() {
-			silent = append(silent, m)
+	a.unreachable.nextCheck = a.clock.now + unreachableCheckInterval
+	var unreachable []*machine
+	for _, m := range a.machines.live {
+		if m.agent.unreachable == nil && m.recorded.namedByJobs > 0 && m.state != machineGone && a.isUnreachable(m) {
+			unreachable = append(unreachable, m)
 		}
 	}
-	for len(silent) > 0 {
-		names := make([]string, min(len(silent), ledger.HostsPerChunk))
+	for rest := unreachable; len(rest) > 0; {
+		names := make([]string, min(len(rest), ledger.HostsPerChunk))
 		for i := range names {
-			names[i] = silent[i].name
+			names[i] = rest[i].name
 		}
-		n := ledger.NamesThatFit(names, c.cfg.ValueBytes-unreachableRecordOverhead)
-		c.writeUnreachable(silent[:n])
-		silent = silent[n:]
+		n := ledger.NamesThatFit(names, a.cfg.ValueBytes-unreachableRecordOverhead)
+		a.writeUnreachable(rest[:n])
+		rest = rest[n:]
 	}
+	return unreachable
 }
 
-// unreachableRecordOverhead is what a note takes besides the machines' names.
+// isUnreachable tells whether an agent has sent no heartbeat for too long. Time in which this
+// controller was suspended does not count.
+func (a *agents) isUnreachable(m *machine) bool {
+	return a.clock.now-max(m.agent.lastHeartbeat, a.clock.termStart, a.clock.tickingSince) > a.unreachableAfter()
+}
+
+// unreachableRecordOverhead is the size of a record besides the machines' names.
 const unreachableRecordOverhead = 64
 
-func (c *Core) writeUnreachable(machines []*machine) {
-	n := &unreachableRecord{key: c.unreachableKey(), machines: machines}
-	c.unreachable.records = append(c.unreachable.records, n)
+// writeUnreachable writes one record.
+func (a *agents) writeUnreachable(machines []*machine) {
+	n := &unreachableRecord{key: a.newRecordKey(), machines: machines}
+	a.unreachable.records = append(a.unreachable.records, n)
 	record := ledger.UnreachableRecord{}
-	over := c.termStart
+	expiry := a.clock.termStart
 	for _, m := range machines {
-		m.unreachable = n
-		c.indexChanged(m)
-		over = max(over, m.leaseExpiry)
+		m.agent.unreachable = n
+		expiry = max(expiry, m.agent.leaseExpiry)
 		record.Machines = append(record.Machines, m.name)
 	}
-	record.LeaseExpiryMS = c.wall + int64((over-c.now)/time.Millisecond) + 1
-	c.log.Info("noting silent machines", "machines", len(machines), "leases_over_in", (over - c.now).Seconds())
-	c.put(ledger.Write{Key: n.key, Value: record})
+	record.LeaseExpiryMS = a.clock.wallMS + int64((expiry-a.clock.now)/time.Millisecond) + 1
+	a.log.Info("recording unreachable machines", "machines", len(machines), "lease_expiry_s", (expiry - a.clock.now).Seconds())
+	a.writes.put(ledger.Write{Key: n.key, Value: record})
 }
 
-// unreachableKey returns a key for a note, one that is free if there is. Keys are never
-// deleted: a write of unknown outcome may yet be carried out, and where its key
-// is missing, as it was before, it would bring back a note that is withdrawn.
-func (c *Core) unreachableKey() string {
-	if n := len(c.unreachable.freeKeys); n > 0 {
-		key := c.unreachable.freeKeys[n-1]
-		c.unreachable.freeKeys = c.unreachable.freeKeys[:n-1]
+// newRecordKey returns a key for a record, a free one if there is one. Keys are never deleted: a
+// write of unknown outcome may yet be carried out, and where its key is missing, as it was
+// before, it would restore a record that is withdrawn.
+func (a *agents) newRecordKey() string {
+	if n := len(a.unreachable.freeKeys); n > 0 {
+		key := a.unreachable.freeKeys[n-1]
+		a.unreachable.freeKeys = a.unreachable.freeKeys[:n-1]
 		return key
 	}
-	c.unreachable.keyCount++
-	return ledger.UnreachableKey(fmt.Sprintf("%d-%d", c.term, c.unreachable.keyCount))
+	a.unreachable.keyCount++
+	return ledger.UnreachableKey(fmt.Sprintf("%d-%d", a.term, a.unreachable.keyCount))
 }
 
-// restoreUnreachable takes over what earlier leaders have noted.
+// restoreUnreachable takes over the records of earlier leaders.
 func (c *Core) restoreUnreachable(records map[string]ledger.UnreachableRecord) {
-	// Both leaders' time of day may be off, in opposite directions.
-	margin := time.Duration(2 * c.cfg.Platform.Facts.ClockErrorMS * float64(time.Millisecond))
 	for _, key := range slices.Sorted(maps.Keys(records)) {
-		r := records[key]
-		if len(r.Machines) == 0 {
-			c.unreachable.freeKeys = append(c.unreachable.freeKeys, key)
-			continue
-		}
-		n := &unreachableRecord{key: key}
-		c.unreachable.records = append(c.unreachable.records, n)
-		over := c.now + settings.Stretch(time.Duration(r.LeaseExpiryMS-c.wall)*time.Millisecond) + margin
-		for _, name := range r.Machines {
-			m := c.machineNamed(name)
-			m.unreachable = n
-			m.leaseExpiry = min(m.leaseExpiry, over)
-			n.machines = append(n.machines, m)
+		var machines []*machine
+		for _, name := range records[key].Machines {
+			machines = append(machines, c.machineNamed(name))
 		}
+		c.agents.restoreRecord(key, machines, records[key].LeaseExpiryMS)
 	}
 }
 
-// heardFrom notes a sign of life: what was noted of the machine, and of those noted
-// with it, is withdrawn.
-func (c *Core) heardFrom(m *machine) {
-	if m.unreachable != nil {
-		c.withdrawUnreachable(m.unreachable)
+// restoreRecord takes over a record of an earlier leader; without machines it is withdrawn, and
+// its key free.
+func (a *agents) restoreRecord(key string, machines []*machine, leaseExpiryMS int64) {
+	if len(machines) == 0 {
+		a.unreachable.freeKeys = append(a.unreachable.freeKeys, key)
+		return
+	}
+	n := &unreachableRecord{key: key, machines: machines}
+	a.unreachable.records = append(a.unreachable.records, n)
+	// Both leaders' time of day may be off, in opposite directions.
+	margin := time.Duration(2 * a.cfg.Platform.Facts.ClockErrorMS * float64(time.Millisecond))
+	expiry := a.clock.now + settings.Stretch(time.Duration(leaseExpiryMS-a.clock.wallMS)*time.Millisecond) + margin
+	for _, m := range machines {
+		m.agent.unreachable = n
+		m.agent.leaseExpiry = min(m.agent.leaseExpiry, expiry)
 	}
 }
 
-func (c *Core) withdrawUnreachable(n *unreachableRecord) {
+// withdrawRecordOf withdraws the record with a machine whose agent has sent something, and with
+// it that of the others in it.
+func (a *agents) withdrawRecordOf(m *machine) {
+	if m.agent.unreachable != nil {
+		a.withdrawRecord(m.agent.unreachable)
+	}
+}
+
+func (a *agents) withdrawRecord(n *unreachableRecord) {
 	if !n.withdrawn {
 		n.withdrawn = true
-		c.put(ledger.Write{Key: n.key, Value: ledger.UnreachableRecord{}, Urgent: true, Tag: unreachableTag{n.key}})
+		a.writes.put(ledger.Write{Key: n.key, Value: ledger.UnreachableRecord{}, Urgent: true, Tag: unreachableTag{n.key}})
 	}
 }
 
-// unreachableWithdrawn is told that a note is withdrawn durably: its machines may be
-// answered again.
+// unreachableWithdrawn notes that the withdrawal of a record is durable: its machines may get
+// responses and tasks again.
 func (c *Core) unreachableWithdrawn(key string) {
-	i := slices.IndexFunc(c.unreachable.records, func(n *unreachableRecord) bool { return n.key == key })
-	if i < 0 {
+	machines, known := c.agents.recordWithdrawn(key)
+	if !known {
 		return
 	}
-	n := c.unreachable.records[i]
-	c.unreachable.records = slices.Delete(c.unreachable.records, i, i+1)
-	c.unreachable.freeKeys = append(c.unreachable.freeKeys, key)
-	for _, m := range n.machines {
-		if m.unreachable == n {
-			m.unreachable = nil
-			c.indexChanged(m)
-		}
-	}
-	c.needsPlacement = true
-	held := c.heldForUnreachable
-	c.heldForUnreachable = nil
-	for _, a := range held {
-		if !a.outdated {
-			a.machine.openAnswer = len(c.openAnswers) + 1
-		}
-		c.openAnswers = append(c.openAnswers, a)
+	for _, m := range machines {
+		c.placement.indexChanged(m)
 	}
+	c.placement.markNeeded()
+	c.commands.openHeldForUnreachable()
 }
 
-// dropUnreachable withdraws the notes that are of no use any more.
-func (c *Core) dropUnreachable() {
-	for _, n := range c.unreachable.records {
-		if !slices.ContainsFunc(n.machines, func(m *machine) bool { return m.state != machineGone && m.namedByJobs > 0 }) {
-			c.withdrawUnreachable(n)
+// recordWithdrawn removes a record whose withdrawal is durable, and returns the machines that it
+// was about.
+func (a *agents) recordWithdrawn(key string) (machines []*machine, known bool) {
+	i := slices.IndexFunc(a.unreachable.records, func(n *unreachableRecord) bool { return n.key == key })
+	if i < 0 {
+		return nil, false
+	}
+	n := a.unreachable.records[i]
+	a.unreachable.records = slices.Delete(a.unreachable.records, i, i+1)
+	a.unreachable.freeKeys = append(a.unreachable.freeKeys, key)
+	for _, m := range n.machines {
+		if m.agent.unreachable == n {
+			m.agent.unreachable = nil
+			machines = append(machines, m)
 		}
 	}
+	return machines, true
 }
 
-// holdAnswerForUnreachable keeps the answer to a machine that is noted as silent until that is
-// withdrawn.
-func (c *Core) holdAnswerForUnreachable(a heldAnswer) bool {
-	if a.machine.unreachable == nil {
-		return false
+// withdrawUseless withdraws the records that serve no job any more.
+func (a *agents) withdrawUseless() {
+	for _, n := range a.unreachable.records {
+		if !slices.ContainsFunc(n.machines, func(m *machine) bool { return m.state != machineGone && m.recorded.namedByJobs > 0 }) {
+			a.withdrawRecord(n)
+		}
 	}
-	a.machine.openAnswer = 0
-	c.heldForUnreachable = append(c.heldForUnreachable, a)
-	return true
 }
