--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -220,14 +220,14 @@
 // writePriority tells whether somebody waits for a write.
 type writePriority int
 
-// The urgencies of a write.
+// The priorities of a write.
 const (
 	writeUrgently writePriority = iota
-	writeLater                 // when there is time for it
+	writeLater                  // when there is time for it
 )
 
 // writeTerminal writes a job's terminal state.
-func (t *jobTable) writeTerminal(j *job, priority writePriority) {
+func (t *jobTable) writeTerminal(j *job, order writePriority) {
 	rec := ledger.JobRecord{AcceptedMS: j.record.acceptedMS, Terminal: j.end.state, Tasks: j.progress.total, Done: j.progress.done, EndedMS: t.clock.wallMS, Origin: j.transfer.origin, TransferEpoch: j.transfer.epoch}
 	if j.end.state == wire.JobCancelled {
 		// What a new leader needs stays: the use of tasks that it has not yet seen end counts
@@ -236,5 +236,5 @@
 	} else if j.transfer.origin == "" {
 		rec.Class, rec.Team, rec.Cores, rec.RunS = j.spec.Class, j.spec.Team, j.request.size.CPUs*float64(j.progress.total), t.estimates.expectedRun(j).Seconds()
 	}
-	t.writes.put(ledger.Write{Key: ledger.JobKey(j.id), Value: rec, Urgent: priority == writeUrgently, Version: j.record.version, Tag: terminalTag{j.index}})
+	t.writes.put(ledger.Write{Key: ledger.JobKey(j.id), Value: rec, Urgent: order == writeUrgently, Version: j.record.version, Tag: terminalTag{j.index}})
 }
