--- /dev/null
+++ b/internal/controller/federated_cells_test.go
@@ -0,0 +1,280 @@
+package controller
+
+import (
+	"encoding/json"
+	"fmt"
+	"maps"
+	"slices"
+	"strings"
+	"testing"
+	"testing/synctest"
+	"time"
+
+	"leadproxy/internal/fake"
+	"leadproxy/internal/federation"
+	"leadproxy/internal/settings"
+	"leadproxy/internal/wire"
+)
+
+// Several cells of one operator, each with its own controllers, key-value store, cloud and
+// workers, on one network in memory. One checker checks all of them: a task that is on
+// machines of two cells runs twice.
+
+// repeatableClass is the class whose jobs may run again after an uncertain run.
+const repeatableClass = "again"
+
+// federatedCells is some cells, the first of which is short of machines.
+type federatedCells struct {
+	t       *testing.T
+	net     *fake.Net
+	checker *fake.Checker
+	names   []string
+	cells   map[string]*cluster
+	// mustForward are the cells some of whose jobs must have run elsewhere in the end.
+	mustForward []string
+}
+
+// federationPlan is what the cells are made of.
+type federationPlan struct {
+	names       []string
+	maxMachines map[string]int      // by cell; 12 where not named
+	neighbours  map[string][]string // by cell; all others where not named
+	teamLimits  map[string]float64
+	oldVersions map[string]int // controllers of a cell that begin with an older version
+	runTime     func(task string) time.Duration
+	seed        uint64
+	standby     bool // their controllers follow their leaders
+}
+
+// jobID names a job of a cell: its number begins with the cell's place.
+func (f *federatedCells) jobID(cell string, k int) string {
+	return fmt.Sprintf("job-%d%05d", 1+slices.Index(f.names, cell), k)
+}
+
+func (f *federatedCells) ownsJob(cell string) func(ref string) bool {
+	prefix := fmt.Sprintf("job-%d", 1+slices.Index(f.names, cell))
+	return func(ref string) bool { return strings.HasPrefix(ref, prefix) }
+}
+
+// operatorOf are the settings of a cell's controllers.
+func (p *federationPlan) operatorOf(cell string) settings.Operator {
+	o := settings.Defaults()
+	o.MaxMachines = p.maxMachinesOf(cell)
+	o.Cells.Name, o.Cells.Spill = cell, true
+	o.Cells.ShortageFor, o.Cells.MaxWait = 3*time.Second, 10*time.Second
+	o.Cells.Repeatable = map[string]bool{repeatableClass: true}
+	neighbours := p.neighbours[cell]
+	if p.neighbours == nil {
+		neighbours = slices.DeleteFunc(slices.Clone(p.names), func(n string) bool { return n == cell })
+	}
+	for i, n := range neighbours {
+		var controllers []string
+		for k := range 3 {
+			controllers = append(controllers, fmt.Sprintf("%s-n%d:81", n, k))
+		}
+		o.Cells.Neighbours = append(o.Cells.Neighbours, settings.Neighbour{Name: n, Controllers: controllers, Preference: i,
+			MaxJobs: 50, MaxCores: 64, LendCores: 64, TakeBack: 15 * time.Second})
+	}
+	return o
+}
+
+func (p *federationPlan) maxMachinesOf(cell string) int {
+	if n, ok := p.maxMachines[cell]; ok {
+		return n
+	}
+	return 12
+}
+
+func newFederation(t *testing.T, p federationPlan) *federatedCells {
+	f := &federatedCells{t: t, net: fake.NewNet(t), checker: newChecker(t, cancelLimit, p.teamLimits), names: p.names, cells: map[string]*cluster{}}
+	for _, name := range p.names {
+		cell := &cellPlan{name: name, net: f.net, checker: f.checker, operator: p.operatorOf(name), ownsJob: f.ownsJob(name)}
+		f.cells[name] = newCluster(t, clusterPlan{maxMachines: p.maxMachinesOf(name), teamLimits: p.teamLimits, oldVersions: p.oldVersions[name], runTime: p.runTime, seed: p.seed, standby: p.standby, cell: cell})
+	}
+	return f
+}
+
+// runFederationScenario plays a scenario and then checks that all that was accepted is
+// served, once, and that no transfer is left.
+func runFederationScenario(t *testing.T, p federationPlan, scenario func(f *federatedCells)) {
+	t.Parallel()
+	synctest.Test(t, func(t *testing.T) {
+		f := newFederation(t, p)
+		for _, c := range f.cells {
+			for i := range c.nodes {
+				c.start(i)
+			}
+		}
+		for _, c := range f.cells {
+			c.await("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
+		}
+		time.Sleep(6 * time.Second) // all have announced what they know
+		scenario(f)
+		f.finish()
+	})
+}
+
+func (f *federatedCells) finish() {
+	origin := f.cells[f.names[0]]
+	for _, c := range f.cells {
+		c.endFaults()
+	}
+	origin.awaitAllServed()
+	for _, c := range f.cells {
+		c.users.Wait()
+	}
+	origin.await("all tasks gone", time.Minute, func() bool { on, _ := f.checker.On(""); return on == 0 })
+	for name, c := range f.cells {
+		c.awaitLedgerCleanup()
+		c.await("transfers released in "+name, 30*time.Second, func() bool { return len(f.foreignJobs(name, federation.ForeignAccepted)) == 0 })
+	}
+	for _, name := range f.mustForward {
+		if len(f.forwardedJobs(name)) == 0 {
+			f.t.Errorf("no job of %s was accepted elsewhere", name)
+		}
+	}
+	origin.reportViolations()
+	for _, c := range f.cells {
+		for i := range c.nodes {
+			c.kill(i)
+		}
+	}
+	time.Sleep(5 * time.Second)
+}
+
+// overload has a cell's users submit n jobs of four tasks, half a second apart.
+func (f *federatedCells) overload(cell string, n int, change func(k int, j *wire.Job)) []*wire.Job {
+	var jobs []*wire.Job
+	for k := range n {
+		j := fake.NewJob(f.jobID(cell, k), 4, func(j *wire.Job) { j.CPUs = 2 })
+		if change != nil {
+			change(k, j)
+		}
+		jobs = append(jobs, j)
+		f.cells[cell].users.Submit(j)
+		time.Sleep(500 * time.Millisecond)
+	}
+	return jobs
+}
+
+// foreignJobs lists the transfers of a neighbour that are in a state.
+func (f *federatedCells) foreignJobs(cell string, state federation.ForeignState) (keys []string) {
+	for key, value := range f.entries(cell, "cell/guest/") {
+		var r federation.ForeignRecord
+		if err := json.Unmarshal(value, &r); err != nil {
+			f.t.Errorf("%s: %v", key, err)
+		}
+		if r.State == state {
+			keys = append(keys, key)
+		}
+	}
+	slices.Sort(keys)
+	return keys
+}
+
+// entries are the keys of a cell under a prefix, with what they hold.
+func (f *federatedCells) entries(cell, prefix string) map[string]json.RawMessage {
+	values := map[string]json.RawMessage{}
+	for _, e := range f.cells[cell].state.Changes() {
+		switch {
+		case strings.HasPrefix(e.Set, prefix):
+			values[e.Set] = e.Value
+		case strings.HasPrefix(e.Delete, prefix):
+			delete(values, e.Delete)
+		}
+	}
+	return values
+}
+
+// forwardedJobs lists the jobs that another cell has accepted from one.
+func (f *federatedCells) forwardedJobs(origin string) []string {
+	refs := map[string]bool{}
+	for _, c := range f.names {
+		for _, e := range f.cells[c].state.Changes() {
+			if ref, ok := strings.CutPrefix(e.Set, "cell/guest/"+origin+"/"); ok && strings.Contains(string(e.Value), string(federation.ForeignAccepted)) {
+				refs[ref] = true
+			}
+		}
+	}
+	return slices.Sorted(maps.Keys(refs))
+}
+
+// awaitDelegated waits until origin has a transfer in a state, and names its job and cell.
+func (f *federatedCells) awaitDelegated(origin string, state federation.DelegatedState) (ref, cell string) {
+	f.t.Helper()
+	f.awaitPrecisely("a transfer that is "+string(state), func() bool {
+		for key, value := range f.entries(origin, "cell/away/") {
+			var r federation.DelegatedRecord
+			if json.Unmarshal(value, &r) == nil && r.State == state {
+				ref, cell = strings.TrimPrefix(key, "cell/away/"), r.Cell
+				return true
+			}
+		}
+		return false
+	})
+	return ref, cell
+}
+
+// awaitPrecisely waits with a fine grain.
+func (f *federatedCells) awaitPrecisely(what string, ok func() bool) {
+	f.t.Helper()
+	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
+		if ok() {
+			return
+		}
+	}
+	f.t.Errorf("not within a minute: %s", what)
+}
+
+// partition cuts all controllers of two cells from one another. With hold, what they send
+// is delivered when the connection is back, and else it is refused.
+func (f *federatedCells) partition(a, b string, hold bool) {
+	f.eachLink(a, b, func(x, y string) { f.net.Cut(x, y, hold) })
+}
+
+// heal ends a partition of two cells.
+func (f *federatedCells) heal(a, b string) { f.eachLink(a, b, f.net.Heal) }
+
+// eachLink calls do for each pair of controllers of two cells.
+func (f *federatedCells) eachLink(a, b string, do func(x, y string)) {
+	for _, x := range f.cells[a].nodes {
+		for _, y := range f.cells[b].nodes {
+			do(x.platform.Node, y.platform.Node)
+		}
+	}
+}
+
+// twoCells is a small cell beside one with room.
+func twoCells() federationPlan {
+	return federationPlan{names: []string{"a", "b"}, maxMachines: map[string]int{"a": 2}, runTime: func(string) time.Duration { return 12 * time.Second }}
+}
+
+// expectForwarding has the end of the scenario check that jobs were forwarded at all.
+func (f *federatedCells) expectForwarding(origin string) {
+	f.mustForward = append(f.mustForward, origin)
+}
+
+// loseRequests loses what one cell's controllers send to the other's for a while.
+func (f *federatedCells) loseRequests(from, to string) {
+	f.awaitDelegated("a", federation.Accepted)
+	for _, x := range f.cells[from].nodes {
+		for _, y := range f.cells[to].nodes {
+			f.net.CutOneWay(x.platform.Node, y.platform.Node)
+		}
+	}
+	time.Sleep(20 * time.Second)
+	f.heal(from, to)
+}
+
+// restartWith restarts all controllers, one after the other, with other settings.
+func (f *federatedCells) restartWith(change func(o *settings.Operator)) {
+	for _, name := range f.names {
+		c := f.cells[name]
+		c.operator.Cells.Neighbours = slices.Clone(c.operator.Cells.Neighbours)
+		change(&c.operator)
+		for i := range c.nodes {
+			c.restart(i, 2*time.Second)
+			time.Sleep(3 * time.Second)
+		}
+	}
+}
