--- a/internal/controller/rollout_measure_test.go
+++ b/internal/controller/rollout_measure_test.go
@@ -134,7 +134,7 @@
 }
 
 // TestMeasureDrains replaces all machines in steps, one by one, and all at once.
-// docs/design-rollouts.md has the results and the command.
+// docs/design-rollouts.md has the results, docs/operations-drain.md the command.
 func TestMeasureDrains(t *testing.T) {
 	ways := []drainWay{
 		{"in steps", "canary = 1\nbatch = 10%\nwait_s = 600\nhealth_s = 3600"},
--- a/internal/controller/soft_state_measure_test.go
+++ b/internal/controller/soft_state_measure_test.go
@@ -13,7 +13,7 @@
 
 // TestFailoverOfLargestCluster: 4,000 machines that all run a task, and a leader that ends,
 // with a standby's copy of the ledger alone and with soft state, alternately. The log has each
-// failover's phases; docs/design-standby.md has the command.
+// failover's phases; docs/operations-standby.md has the command.
 func TestFailoverOfLargestCluster(t *testing.T) {
 	for round := range 2 {
 		for _, hinted := range []bool{false, true} {
--- a/internal/federation/messages.go
+++ b/internal/federation/messages.go
@@ -56,7 +56,7 @@
 	OutcomeAbsent
 	// OutcomeAccepted: the neighbour runs the job.
 	OutcomeAccepted
-	// OutcomeDone and OutcomeAborted are the ends of an accepted job.
+	// OutcomeDone and OutcomeCancelled are the ends of an accepted job.
 	OutcomeDone
 	OutcomeCancelled
 	// OutcomeRefused and OutcomeRevoked: the job is never accepted in this epoch.
--- a/internal/rollout/disruptions_test.go
+++ b/internal/rollout/disruptions_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// TestLoweredBudget: a budget that was lowered below the number of disrupted jobs jobIDuses all
+// TestLoweredBudget: a budget that was lowered below the number of disrupted jobs refuses all
 // evictions until these have regained their progress and their window is over.
 func TestLoweredBudget(t *testing.T) {
 	budgets := Budgets{General: Budget{Jobs: 1, Window: time.Minute}}
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -88,7 +88,7 @@
 	CommandResult struct {
 		CommandID uint64
 		Outcome   CommandOutcome
-		Heartbeat *wire.Heartbeat // with DirectDone and DirectRefused
+		Heartbeat *wire.Heartbeat // with CommandExecuted and CommandRejected
 	}
 	// InspectResult is an agent's present status, requested by an inspection.
 	InspectResult struct {
--- a/internal/scheduler/evictions_test.go
+++ b/internal/scheduler/evictions_test.go
@@ -35,7 +35,7 @@
 	return r
 }
 
-// answerTo is what a command about a plan is answered.
+// answer is what a command about a plan is answered.
 func (g *harness) answer(e PlanRequest) error {
 	e.ReplyTo = recipient("operator")
 	g.step(e)
--- a/internal/scheduler/federation_events.go
+++ b/internal/scheduler/federation_events.go
@@ -52,7 +52,7 @@
 
 // The effects of transfers between cells.
 type (
-	// SendTransfers sends messages to a neighbour. TransfersAnswered follows.
+	// SendTransfers sends messages to a neighbour. TransferResult follows.
 	SendTransfers struct {
 		Cell     string
 		Messages []federation.Message
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -30,7 +30,7 @@
 			g.acknowledge("vm-3")
 		}
 	}
-	tell(19 * time.Second) // a quarter of a lease until it is raisedAt, two rounds to wait
+	tell(19 * time.Second) // a quarter of a lease until it is raised, two rounds to wait
 	g.want("deaf machine is closed", g.c.machines.list[0].indexed.schedulable, false)
 	g.submit(newTestJob("job-2", 2, 4))
 	for _, d := range g.sentCommands {
--- a/internal/scheduler/required_stops_test.go
+++ b/internal/scheduler/required_stops_test.go
@@ -102,7 +102,7 @@
 // long that takes is the user's word (flush_s), and may be more than cancel_s.
 //
 // Evidence: without the repair below no command left at the cancellation, and before answers
-// were mended (TestEveryAnswerStopsCancelledTasks) the next one gave the time to save again.
+// were mended (TestEveryResponseStopsCancelledTasks) the next one gave the time to save again.
 func TestCancelEndsSaving(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
--- a/internal/standby/proof_test.go
+++ b/internal/standby/proof_test.go
@@ -22,7 +22,7 @@
 
 // TestKillAndFreeze kills and freezes leaders in turns, by chance, while a batch of jobs
 // runs without end: each job is done once, and each successor decides within five seconds.
-// docs/design-standby.md has the command.
+// docs/operations-standby.md has the command.
 func TestKillAndFreeze(t *testing.T) {
 	program := fake.BuildController(t, "../..")
 	d := newDeployment(t, 0, 12, true)
--- a/internal/standby/takeover_measure_test.go
+++ b/internal/standby/takeover_measure_test.go
@@ -13,7 +13,7 @@
 )
 
 // How long a takeover takes with real controllers on the loopback interface, by the number
-// of jobs in the ledger. docs/design-standby.md has the command.
+// of jobs in the ledger. docs/operations-standby.md has the command.
 
 const takeovers = 4
 
