--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -41,7 +41,7 @@
 	actor
 	workerMachine
 	config      WorkerConfig
-	host        *Host // nil on other networks than a Net
+	host        *Host // nil unless the network is in memory
 	net         transport.Network
 	addr        string
 	closeServer func()
--- /dev/null
+++ b/internal/soak/checks_test.go
@@ -0,0 +1,78 @@
+package soak
+
+import (
+	"encoding/json"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"time"
+
+	"leadproxy/internal/fake"
+	"leadproxy/internal/scheduler"
+	"leadproxy/internal/transport"
+)
+
+// checkInvariants has the checker check what time alone can violate, until the test ends.
+func (r *run) checkInvariants() {
+	for r.t.Context().Err() == nil {
+		transport.Pause(r.t.Context(), checkInterval)
+		calm := <-r.calm
+		r.calm <- calm
+		r.deployment.Checker.Look(calm, r.deployment.Cloud.Rooms())
+	}
+}
+
+// finish ends all faults and expects all accepted jobs to end, no task to be left on a machine, and
+// the ledger to be cleaned up.
+func (r *run) finish() {
+	close(r.usersStopped)
+	for _, controller := range r.deployment.Controllers {
+		r.resume(controller)
+	}
+	<-r.calm
+	r.calm <- time.Now()
+	checker, store := r.deployment.Checker, r.deployment.Store
+	fake.Await(r.t, "all jobs over", 5*time.Minute, func() bool { return len(checker.Open()) == 0 })
+	if open := checker.Open(); len(open) > 0 {
+		r.t.Errorf("still open: %v", open)
+	} else {
+		r.deployment.Users.Wait()
+		fake.Await(r.t, "all tasks gone", time.Minute, func() bool { on, _ := checker.On(""); return on == 0 })
+		fake.Await(r.t, "the ledger cleaned up", time.Minute, func() bool { return store.Count("fin/")+store.Count("host/") == 0 })
+	}
+	for _, violation := range checker.Broken() {
+		r.t.Error(violation)
+	}
+	r.checkLogs()
+	runs := checker.Runs()
+	r.t.Logf("seed %d: %d runs of tasks on machines, %d tasks completed, %d jobs, %d starts after a confirmed cancellation",
+		r.plan.seed, len(runs), len(fake.Completions(runs)), store.Count("job/"), checker.LateStarts())
+}
+
+// checkLogs expects no lines in the controllers' logs that must never be there.
+func (r *run) checkLogs() {
+	for _, controller := range r.deployment.Controllers {
+		for _, line := range strings.Split(controller.Log(), "\n") {
+			if strings.Contains(line, scheduler.MessageCancelledTaskOverdue) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
+				r.t.Errorf("%s: %s", controller.Platform.Node, line)
+			}
+		}
+	}
+}
+
+// keepArtifacts keeps what explains a failed run: logs, schedule and ledger.
+func (r *run) keepArtifacts() {
+	dir := fake.KeepLogs(r.t, r.deployment.Controllers)
+	ledger, err := json.MarshalIndent(r.deployment.Store.Entries(), "", " ")
+	if err == nil {
+		err = os.WriteFile(filepath.Join(dir, "ledger.json"), ledger, 0o600)
+	}
+	if err == nil {
+		text := fmt.Sprintf("%+v\n%s\n%s\n", r.plan, r.schedule, strings.Join(r.deployment.Checker.Broken(), "\n"))
+		err = os.WriteFile(filepath.Join(dir, "schedule.txt"), []byte(text), 0o600)
+	}
+	if err != nil {
+		r.t.Error(err)
+	}
+}
--- /dev/null
+++ b/internal/soak/fault_kinds_test.go
@@ -0,0 +1,45 @@
+package soak
+
+// faultKind is what a fault does.
+type faultKind string
+
+// The kinds of faults.
+const (
+	killController      faultKind = "a controller is killed"
+	killAllControllers  faultKind = "all controllers are killed"
+	killLeaders         faultKind = "each new leader is killed"
+	suspendController   faultKind = "a controller is suspended"
+	cutStore            faultKind = "a controller loses the key-value store"
+	cutPeers            faultKind = "a controller loses the other controllers"
+	cutWorkers          faultKind = "a controller loses the workers"
+	cutAllButWorkers    faultKind = "a controller loses all but the workers"
+	storeOutage         faultKind = "the key-value store is unavailable"
+	slowStore           faultKind = "the key-value store is slow"
+	lateWrites          faultKind = "transactions get no response and are carried out late"
+	lostResponses       faultKind = "transactions get no response"
+	lostCommands        faultKind = "commands are lost"
+	lateCommands        faultKind = "commands are delayed"
+	duplicateCommands   faultKind = "commands are duplicated"
+	cloudOutage         faultKind = "the cloud is unavailable"
+	hungMachines        faultKind = "machines hang"
+	inboundCut          faultKind = "machines receive nothing"
+	outboundCut         faultKind = "machines reach no controller"
+	rebootedMachines    faultKind = "machines reboot"
+	terminatedMachines  faultKind = "machines are terminated"
+	duplicateHeartbeats faultKind = "heartbeats are duplicated and the copies delayed"
+	replayedHeartbeats  faultKind = "old heartbeats are replayed to every controller"
+	cancelJobs          faultKind = "users cancel many jobs at once"
+)
+
+// faultKinds are the kinds that schedules draw from. Those that have led to violations before stand
+// twice.
+var faultKinds = []faultKind{
+	killController, killController, killAllControllers, killLeaders, killLeaders, suspendController,
+	cutStore, cutPeers, cutWorkers, cutAllButWorkers,
+	storeOutage, slowStore, lateWrites, lostResponses,
+	lostCommands, lateCommands, duplicateCommands,
+	cloudOutage, cloudOutage,
+	hungMachines, hungMachines, inboundCut, outboundCut, rebootedMachines, terminatedMachines,
+	duplicateHeartbeats, replayedHeartbeats,
+	cancelJobs, cancelJobs,
+}
--- /dev/null
+++ b/internal/soak/faults_test.go
@@ -0,0 +1,106 @@
+package soak
+
+import (
+	"time"
+
+	"leadproxy/internal/fake"
+)
+
+// beginFault lets a fault begin and returns what ends it.
+func (r *run) beginFault(f scheduledFault) (end func()) {
+	commandShare := min(1, 2*f.share)
+	switch f.kind {
+	case killController, killAllControllers, killLeaders, suspendController:
+		return r.beginProcessFault(f)
+	case cutStore, cutPeers, cutWorkers, cutAllButWorkers:
+		return r.dropBytes(r.relaysOf(f), f.directions)
+	case hungMachines, inboundCut, outboundCut, rebootedMachines, terminatedMachines, duplicateHeartbeats, replayedHeartbeats:
+		return r.beginMachineFault(f)
+	case storeOutage:
+		r.deployment.Store.Outage(true)
+		return func() { r.deployment.Store.Outage(false) }
+	case slowStore:
+		r.deployment.Store.Slow(time.Duration(f.share * float64(time.Second)))
+		return func() { r.deployment.Store.Slow(0) }
+	case lateWrites:
+		return r.writeFaults.begin(messageFault{fake.Delayed, f.share, minMessageDelay, maxMessageDelay})
+	case lostResponses:
+		return r.writeFaults.begin(messageFault{kind: fake.AnswerLost, share: f.share})
+	case lostCommands:
+		return r.commandFaults.begin(messageFault{kind: fake.RequestLost, share: commandShare})
+	case lateCommands:
+		return r.commandFaults.begin(messageFault{fake.Delayed, commandShare, minMessageDelay, maxMessageDelay})
+	case duplicateCommands:
+		return r.commandFaults.begin(messageFault{kind: fake.Duplicated, share: commandShare})
+	case cloudOutage:
+		return r.cloudFaults.begin(messageFault{kind: fake.Refused, share: 1})
+	case cancelJobs:
+		r.cancelSome(f.share)
+	}
+	return func() {}
+}
+
+// targetOf is the index of the controller that a fault applies to.
+func (r *run) targetOf(f scheduledFault) int {
+	if at := fake.Leader(r.deployment.Store, r.deployment.Controllers); f.target == currentLeader && at >= 0 {
+		return at
+	}
+	return max(f.target, 0)
+}
+
+// beginProcessFault kills or suspends controllers.
+func (r *run) beginProcessFault(f scheduledFault) (end func()) {
+	target := r.targetOf(f)
+	controllers := []*fake.Process{r.deployment.Controllers[target]}
+	if f.kind == killAllControllers {
+		controllers = r.deployment.Controllers
+	}
+	for _, controller := range controllers {
+		if f.kind == suspendController {
+			controller.Suspend()
+		} else {
+			controller.Kill()
+		}
+	}
+	return func() {
+		for _, controller := range controllers {
+			r.resume(controller)
+		}
+	}
+}
+
+// resume makes a controller run that was killed or suspended, or neither.
+func (r *run) resume(controller *fake.Process) {
+	if controller.Running() {
+		controller.Resume()
+	} else {
+		controller.Start(r.program)
+	}
+}
+
+// relaysOf are the relays that a fault applies to.
+func (r *run) relaysOf(f scheduledFault) []*fake.Relay {
+	relays := &r.deployment.Relays[r.targetOf(f)]
+	switch f.kind {
+	case cutStore:
+		return []*fake.Relay{relays.Store}
+	case cutPeers:
+		return relays.Peers
+	case cutWorkers:
+		return []*fake.Relay{relays.Workers}
+	}
+	return append([]*fake.Relay{relays.Store}, relays.Peers...)
+}
+
+// dropBytes makes relays drop the bytes of some directions.
+func (r *run) dropBytes(relays []*fake.Relay, directions []fake.Direction) (end func()) {
+	setDropping := func(dropping bool) {
+		for _, relay := range relays {
+			for _, direction := range directions {
+				relay.SetDropping(direction, dropping)
+			}
+		}
+	}
+	setDropping(true)
+	return func() { setDropping(false) }
+}
--- /dev/null
+++ b/internal/soak/machine_faults_test.go
@@ -0,0 +1,61 @@
+package soak
+
+import (
+	"slices"
+	"time"
+
+	"leadproxy/internal/fake"
+)
+
+// beginMachineFault lets a fault begin on a share of the machines.
+func (r *run) beginMachineFault(f scheduledFault) (end func()) {
+	workers := r.randomWorkers(f.share)
+	set := r.machineFault(f.kind)
+	for _, w := range workers {
+		set(w, true)
+	}
+	return func() {
+		for _, w := range workers {
+			set(w, false)
+		}
+	}
+}
+
+// machineFault returns the function that lets a kind of fault begin and end on one machine.
+func (r *run) machineFault(kind faultKind) func(w *fake.Worker, on bool) {
+	return map[faultKind]func(w *fake.Worker, on bool){
+		hungMachines: (*fake.Worker).Hang,
+		inboundCut:   (*fake.Worker).CutInbound,
+		outboundCut:  (*fake.Worker).CutOutbound,
+		rebootedMachines: func(w *fake.Worker, on bool) {
+			if on {
+				w.Reboot()
+			}
+		},
+		terminatedMachines: func(w *fake.Worker, on bool) {
+			if on {
+				r.deployment.Cloud.Take(w.Name())
+			}
+		},
+		duplicateHeartbeats: func(w *fake.Worker, on bool) {
+			if !on {
+				w.DuplicateReports(nil)
+				return
+			}
+			delay := minMessageDelay + time.Duration(r.random.Int64N(int64(maxMessageDelay)))
+			w.DuplicateReports(func() time.Duration { return delay })
+		},
+		replayedHeartbeats: func(w *fake.Worker, on bool) {
+			if on {
+				w.SaveReport()
+			} else {
+				w.ReplayReport()
+			}
+		},
+	}[kind]
+}
+
+// randomWorkers is a random share of the machines that are up.
+func (r *run) randomWorkers(share float64) []*fake.Worker {
+	return slices.DeleteFunc(r.deployment.Cloud.Workers(), func(*fake.Worker) bool { return r.random.Float64() >= share })
+}
--- /dev/null
+++ b/internal/soak/message_faults_test.go
@@ -0,0 +1,56 @@
+package soak
+
+import (
+	"math/rand/v2"
+	"net/http"
+	"sync/atomic"
+	"time"
+
+	"leadproxy/internal/fake"
+)
+
+// messageFaults injects the active fault into requests of one path, or of all paths with "".
+type messageFaults struct {
+	path   string
+	active atomic.Pointer[messageFault]
+	random chan *rand.Rand // holds one
+}
+
+// messageFault is a fault that is injected into a share of requests.
+type messageFault struct {
+	kind               fake.Fault
+	share              float64
+	minDelay, maxDelay time.Duration
+}
+
+func newMessageFaults(path string, seed uint64) *messageFaults {
+	m := &messageFaults{path: path, random: make(chan *rand.Rand, 1)}
+	m.random <- rand.New(rand.NewPCG(seed, 2))
+	return m
+}
+
+// inject decides which fault is injected into a request.
+func (m *messageFaults) inject(_ string, r *http.Request) fake.Trouble {
+	f := m.active.Load()
+	if f == nil || r.Method != http.MethodPost || m.path != "" && r.URL.Path != m.path {
+		return fake.Trouble{}
+	}
+	random := <-m.random
+	defer func() { m.random <- random }()
+	if random.Float64() >= f.share {
+		return fake.Trouble{}
+	}
+	return fake.Trouble{Fault: f.kind, For: f.minDelay + time.Duration(random.Float64()*float64(f.maxDelay-f.minDelay))}
+}
+
+// begin makes a fault the active one until end is called, or until another one begins.
+func (m *messageFaults) begin(f messageFault) (end func()) {
+	m.active.Store(&f)
+	return func() { m.active.CompareAndSwap(&f, nil) }
+}
+
+// The delays of messages.
+const (
+	minMessageDelay = 2 * time.Second
+	maxMessageDelay = 14 * time.Second
+)
--- a/internal/soak/short_test.go
+++ b/internal/soak/short_test.go
@@ -7,9 +7,9 @@
 	"leadproxy/internal/fake"
 )
 
-// TestShortSoak plays one seed for less than a minute. The times of workers are those of an
-// operator, far longer than what a busy machine adds, and an answer that renews a lease
-// without the stops that it owes is found at once.
+// TestShortSoak runs one seed for less than a minute. The workers' times are an operator's, far longer
+// than the delays that a busy machine adds, and a response that renews a lease without the stop
+// commands that belong to it is found at once.
 func TestShortSoak(t *testing.T) {
-	play(t, fake.BuildController(t, "../.."), plan{seed: 1, machines: 12, length: 40 * time.Second, pace: operatorPace})
+	runPlan(t, fake.BuildController(t, "../.."), plan{seed: 1, machines: 12, faultDuration: 40 * time.Second, times: operatorTimes})
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -15,27 +15,27 @@
 	firstSeed = flag.Uint64("first", 1, "the first seed")
 	seeds     = flag.Int("seeds", 50, "how many seeds")
 	machines  = flag.Int("machines", 0, "how many machines; 0: 24, and now and then 300")
-	length    = flag.Duration("length", 80*time.Second, "how long the troubles of a seed last")
+	duration  = flag.Duration("length", 80*time.Second, "how long the faults of a seed last")
 	program   = flag.String("program", "", "the controller's program; none: built from this tree")
 )
 
-// paces are the proportions of report, lease and cancel_s that operators have, and shorter
-// ones with more rounds.
-var paces = []pace{
+// workerTimeSets have operators' proportions of heartbeat interval, lease and cancel_s, and shorter
+// times with more rounds of heartbeats.
+var workerTimeSets = []workerTimes{
 	{time.Second, 10 * time.Second, 20 * time.Second},
 	{3 * time.Second, 26 * time.Second, 51 * time.Second},
 	{6 * time.Second, 31 * time.Second, 56 * time.Second},
 	{8 * time.Second, 36 * time.Second, 56 * time.Second},
 }
 
-// The sizes of runs: one in so many is large.
+// The numbers of machines of runs, of which one in so many is large.
 const (
-	fewMachines  = 24
-	manyMachines = 300
-	oneInLarge   = 10
+	usualMachineCount = 24
+	largeMachineCount = 300
+	largeOneIn        = 10
 )
 
-// TestSoak plays many seeds, -parallel of them at a time. docs/failures.md has the command.
+// TestSoak runs many seeds, -parallel of them at a time. docs/failures.md has the command.
 func TestSoak(t *testing.T) {
 	built := *program
 	if built == "" {
@@ -45,14 +45,15 @@
 		seed := *firstSeed + uint64(k)
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
-			p := plan{seed: seed, machines: *machines, length: *length, pace: paces[seed%uint64(len(paces))], standby: seed%5 == 0}
+			p := plan{seed: seed, machines: *machines, faultDuration: *duration,
+				times: workerTimeSets[seed%uint64(len(workerTimeSets))], standby: seed%5 == 0}
 			if p.machines == 0 {
-				p.machines = fewMachines
-				if seed%oneInLarge == 0 {
-					p.machines = manyMachines
+				p.machines = usualMachineCount
+				if seed%largeOneIn == 0 {
+					p.machines = largeMachineCount
 				}
 			}
-			play(t, built, p)
+			runPlan(t, built, p)
 		})
 	}
 }
--- /dev/null
+++ b/internal/soak/users_test.go
@@ -0,0 +1,75 @@
+package soak
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net/http"
+	"time"
+
+	"leadproxy/internal/fake"
+	"leadproxy/internal/transport"
+	"leadproxy/internal/wire"
+)
+
+// startUsers has users submit, cancel, query and repeat until they are stopped.
+func (r *run) startUsers() {
+	stopPipelines := r.deployment.Users.Pipelines()
+	random := rand.New(rand.NewPCG(r.plan.seed, 4))
+	r.deployment.Users.Go(func() {
+		defer stopPipelines()
+		for k := 0; ; k++ {
+			select {
+			case <-r.usersStopped:
+				return
+			case <-time.After(time.Duration(random.ExpFloat64() / jobsPerSecond * float64(time.Second))):
+				r.submit(k, random)
+			}
+		}
+	})
+}
+
+// submit has a user submit a job, and cancel it later if it runs until then.
+func (r *run) submit(k int, random *rand.Rand) {
+	j := fake.NewJob(fmt.Sprintf("job-%06d", k), 1+random.IntN(maxTasks), func(j *wire.Job) {
+		j.CPUs = float64(1 + random.IntN(3))
+		if random.IntN(tightTeamOneIn) == 0 {
+			j.Team = "tight"
+		} else {
+			j.Tasks *= r.plan.taskFactor()
+		}
+		if random.IntN(3) == 0 {
+			j.CheckpointIntervalS, j.CheckpointDurationS = 2, float64(1+random.IntN(5))
+		}
+	})
+	r.deployment.Users.Submit(j)
+	if !runsUntilCancelled(j.ID) {
+		return
+	}
+	r.cancellable <- append(<-r.cancellable, j)
+	delay := time.Duration(random.Int64N(int64(15 * time.Second)))
+	r.deployment.Users.Go(func() {
+		transport.Pause(r.t.Context(), delay)
+		r.cancel(j)
+	})
+}
+
+// cancel has a user cancel a job until that is confirmed.
+func (r *run) cancel(j *wire.Job) {
+	for r.t.Context().Err() == nil {
+		if code, _ := r.deployment.Users.Until(fake.AskedCancel, j.ID, nil); code == http.StatusOK {
+			r.deployment.Users.Look(j.ID, j)
+			return
+		}
+	}
+}
+
+// cancelSome has users cancel a share of the jobs that run until they are cancelled, all at once.
+func (r *run) cancelSome(share float64) {
+	jobs := <-r.cancellable
+	r.cancellable <- nil
+	for _, j := range jobs {
+		if r.random.Float64() < share {
+			r.deployment.Users.Go(func() { r.cancel(j) })
+		}
+	}
+}
