--- /dev/null
+++ b/internal/fake/addresses.go
@@ -0,0 +1,29 @@
+package fake
+
+import (
+	"net"
+	"sync"
+	"testing"
+)
+
+// reserved are the addresses that were handed out: nothing listens there until a controller starts,
+// and the next search could find the same port.
+var reserved sync.Map
+
+// Reserve finds free loopback addresses, each once in a test run. They are not on 127.0.0.1, where
+// a fake or a connection could take the port before the controller does.
+func Reserve(t testing.TB, n int) (addresses []string) {
+	t.Helper()
+	for len(addresses) < n {
+		l, err := net.Listen("tcp", "127.7.0.1:0")
+		if err != nil {
+			t.Fatal(err)
+		}
+		l.Close()
+		address := l.Addr().String()
+		if _, taken := reserved.LoadOrStore(address, true); !taken {
+			addresses = append(addresses, address)
+		}
+	}
+	return addresses
+}
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -27,10 +27,10 @@
 	actor
 	limits     Limits
 	jobs       map[string]*checkedJob
-	running    map[string]location // by task
+	running    map[string]Location // by task
 	violations []string
-	// lateStarts counts task starts after the cancellation was confirmed. The start command may
-	// have been in flight then, so that they are no violation until Limits.Cancel has passed.
+	// lateStarts counts task starts after the cancellation was confirmed. The start command may have
+	// been in flight then, so that they are a violation only after the limit for cancellations.
 	lateStarts  int
 	runs        []TaskRun
 	checkpoints map[string]time.Duration // saved progress of stopped tasks
@@ -50,19 +50,19 @@
 	schedulableSince  time.Time       // since when it has waited although there was free capacity
 }
 
-// location is the machine that a task runs on.
-type location struct {
-	machine     string
-	machineType string
-	zone        string
-	spot        bool
+// Location is the machine that a task runs on.
+type Location struct {
+	Machine     string
+	MachineType string
+	Zone        string
+	Spot        bool
 }
 
 // NewChecker starts a checker that lives as long as the test.
 func NewChecker(t testing.TB, l Limits) *Checker {
 	return &Checker{
 		actor: newActor(t), limits: l,
-		jobs: map[string]*checkedJob{}, running: map[string]location{}, checkpoints: map[string]time.Duration{},
+		jobs: map[string]*checkedJob{}, running: map[string]Location{}, checkpoints: map[string]time.Duration{},
 	}
 }
 
--- a/internal/fake/checker_cancellation.go
+++ b/internal/fake/checker_cancellation.go
@@ -15,7 +15,7 @@
 // checkCancelledTask checks that a task that is still running is not long cancelled.
 func (c *Checker) checkCancelledTask(task string) {
 	if j := c.jobs[wire.JobIDOfTask(task)]; j != nil && c.cancelDue(j) {
-		c.violate(invariantRanCancelled, "%s is on %s %s after the confirmation", task, c.running[task].machine, time.Since(j.terminalAt))
+		c.violate(invariantRanCancelled, "%s is on %s %s after the confirmation", task, c.running[task].Machine, time.Since(j.terminalAt))
 		j.terminalAt = time.Now() // report it once
 	}
 }
--- a/internal/fake/checker_placement.go
+++ b/internal/fake/checker_placement.go
@@ -8,25 +8,25 @@
 )
 
 // checkPlacement checks that the machine where a task starts suits its job.
-func (c *Checker) checkPlacement(task string, job *wire.Job, l location) {
+func (c *Checker) checkPlacement(task string, job *wire.Job, l Location) {
 	mismatch := l.mismatch(job)
 	if zone := c.zoneMismatch(task, job, l); zone != "" {
 		mismatch = zone
 	}
 	if mismatch != "" {
-		c.violate(invariantWrongPlace, "%s on %s: %s", task, l.machine, mismatch)
+		c.violate(invariantWrongPlace, "%s on %s: %s", task, l.Machine, mismatch)
 	}
 }
 
 // mismatch says which of a job's constraints on machines a location does not meet; "": it meets
 // all.
-func (l location) mismatch(job *wire.Job) string {
+func (l Location) mismatch(job *wire.Job) string {
 	switch {
-	case job.Types != nil && !slices.Contains(job.Types, l.machineType):
-		return "type " + l.machineType
-	case job.Zone != nil && *job.Zone != l.zone:
-		return "zone " + l.zone
-	case l.spot && !job.Spot:
+	case job.Types != nil && !slices.Contains(job.Types, l.MachineType):
+		return "type " + l.MachineType
+	case job.Zone != nil && *job.Zone != l.Zone:
+		return "zone " + l.Zone
+	case l.Spot && !job.Spot:
 		return "a spot machine"
 	}
 	return ""
@@ -34,20 +34,20 @@
 
 // zoneMismatch says how a task's zone violates gang scheduling (all tasks in one zone) or spread
 // (at most half of them, rounded up, in one); "": it does not.
-func (c *Checker) zoneMismatch(task string, job *wire.Job, l location) (mismatch string) {
+func (c *Checker) zoneMismatch(task string, job *wire.Job, l Location) (mismatch string) {
 	inZone := 1
 	for other, at := range c.running {
 		if wire.JobIDOfTask(other) != job.ID || other == task {
 			continue
 		}
-		if at.zone == l.zone {
+		if at.Zone == l.Zone {
 			inZone++
 		} else if job.Gang {
-			mismatch = "zone " + l.zone + " while another task is in " + at.zone
+			mismatch = "zone " + l.Zone + " while another task is in " + at.Zone
 		}
 	}
 	if job.Spread && inZone > (job.Tasks+1)/2 {
-		mismatch = fmt.Sprintf("%d of %d tasks in zone %s", inZone, job.Tasks, l.zone)
+		mismatch = fmt.Sprintf("%d of %d tasks in zone %s", inZone, job.Tasks, l.Zone)
 	}
 	return mismatch
 }
--- a/internal/fake/checker_tasks.go
+++ b/internal/fake/checker_tasks.go
@@ -23,15 +23,15 @@
 }
 
 // RecordTaskStart records that a task runs on a machine from now on.
-func (c *Checker) RecordTaskStart(task, machine, machineType, zone string, spot bool) {
+func (c *Checker) RecordTaskStart(task string, on Location) {
 	c.do(func() {
 		j := c.jobs[wire.JobIDOfTask(task)]
 		if j == nil {
 			c.violate(invariantInvented, "%s started and was never submitted", task)
 			return
 		}
-		if at, ok := c.running[task]; ok && (c.limits.MayRepeat == nil || !c.limits.MayRepeat(j.job.Class)) {
-			c.violate(invariantRanTwice, "%s starts on %s while on %s", task, machine, at.machine)
+		if previous, ok := c.running[task]; ok && (c.limits.MayRepeat == nil || !c.limits.MayRepeat(j.job.Class)) {
+			c.violate(invariantRanTwice, "%s starts on %s while on %s", task, on.Machine, previous.Machine)
 		}
 		c.forEachDependency(j, func(jobID string, dependency *checkedJob) {
 			if len(dependency.completed) < dependency.job.Tasks {
@@ -44,10 +44,9 @@
 				c.violate(invariantRanCancelled, "%s starts %s after the confirmation", task, time.Since(j.terminalAt))
 			}
 		}
-		at := location{machine: machine, machineType: machineType, zone: zone, spot: spot}
-		c.checkPlacement(task, j.job, at)
-		c.running[task] = at
-		c.runs = append(c.runs, TaskRun{Task: task, Machine: machine, Began: time.Now(), InitialProgress: c.checkpoints[task]})
+		c.checkPlacement(task, j.job, on)
+		c.running[task] = on
+		c.runs = append(c.runs, TaskRun{Task: task, Machine: on.Machine, Began: time.Now(), InitialProgress: c.checkpoints[task]})
 		c.checkQuota(j.job.Team)
 	})
 }
@@ -55,7 +54,7 @@
 // Ends records that a task no longer runs on a machine, and whether it has completed.
 func (c *Checker) Ends(task, machine string, completed bool) {
 	c.do(func() {
-		if c.running[task].machine == machine {
+		if c.running[task].Machine == machine {
 			c.checkCancelledTask(task)
 			delete(c.running, task)
 		}
--- a/internal/fake/checker_tasks_test.go
+++ b/internal/fake/checker_tasks_test.go
@@ -11,20 +11,20 @@
 	testChecker(t, []checkerCase{
 		{"a task ends on one machine and starts on another", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
-			s.RecordTaskStart("job-1/0", "m1", "m", "a", true)
+			s.start("job-1/0", "m1", "a")
 			s.Ends("job-1/0", "m1", false)
 			s.run("job-1/0", "m2")
 		}},
 		{"a task on two machines", "ran_twice", func(s *scenario) {
 			s.submit("job-1", 1, nil)
-			s.RecordTaskStart("job-1/0", "m1", "m", "a", true)
-			s.RecordTaskStart("job-1/0", "m2", "m", "a", true)
+			s.start("job-1/0", "m1", "a")
+			s.start("job-1/0", "m2", "a")
 		}},
-		{"a task of a job that was never submitted", "invented", func(s *scenario) { s.RecordTaskStart("job-1/0", "m1", "m", "a", true) }},
+		{"a task of a job that was never submitted", "invented", func(s *scenario) { s.start("job-1/0", "m1", "a") }},
 		{"more CPUs than the team's limit", "quota", func(s *scenario) {
 			s.submit("job-1", 3, nil)
 			for _, task := range []string{"job-1/0", "job-1/1", "job-1/2"} {
-				s.RecordTaskStart(task, "m1", "m", "a", true)
+				s.start(task, "m1", "a")
 			}
 		}},
 		{"a wrong zone", "wrong_place", func(s *scenario) {
@@ -41,18 +41,18 @@
 		}},
 		{"a gang in two zones", "wrong_place", func(s *scenario) {
 			s.submit("job-1", 2, func(j *wire.Job) { j.Gang = true })
-			s.RecordTaskStart("job-1/0", "m1", "m", "a", true)
-			s.RecordTaskStart("job-1/1", "m2", "m", "b", true)
+			s.start("job-1/0", "m1", "a")
+			s.start("job-1/1", "m2", "b")
 		}},
 		{"a gang in two zones, one after the other", "", func(s *scenario) {
 			s.submit("job-1", 2, func(j *wire.Job) { j.Gang = true })
 			s.run("job-1/0", "m1")
-			s.RecordTaskStart("job-1/1", "m2", "m", "b", true)
+			s.start("job-1/1", "m2", "b")
 		}},
 		{"a spread job in one zone", "wrong_place", func(s *scenario) {
 			s.submit("job-1", 2, func(j *wire.Job) { j.Spread = true })
-			s.RecordTaskStart("job-1/0", "m1", "m", "a", true)
-			s.RecordTaskStart("job-1/1", "m2", "m", "a", true)
+			s.start("job-1/0", "m1", "a")
+			s.start("job-1/1", "m2", "a")
 		}},
 	})
 }
--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -32,9 +32,14 @@
 	s.RecordResponse(kind, jobID, sentAt, code, status)
 }
 
+// start records that a task starts on a spot machine.
+func (s *scenario) start(task, machine, zone string) {
+	s.RecordTaskStart(task, Location{Machine: machine, MachineType: "m", Zone: zone, Spot: true})
+}
+
 // run records the run of a task that completes after a second.
 func (s *scenario) run(task, machine string) {
-	s.RecordTaskStart(task, machine, "m", "a", true)
+	s.start(task, machine, "a")
 	time.Sleep(time.Second)
 	s.Ends(task, machine, true)
 }
--- a/internal/fake/process.go
+++ b/internal/fake/process.go
@@ -3,15 +3,18 @@
 import (
 	"bytes"
 	"cmp"
+	"encoding/json"
 	"fmt"
 	"os"
 	"os/exec"
 	"path/filepath"
+	"slices"
 	"syscall"
 	"testing"
 
 	"github.com/BurntSushi/toml"
 
+	"leadproxy/internal/election"
 	"leadproxy/internal/settings"
 )
 
@@ -122,3 +125,35 @@
 }
 
 func (c *Process) logFile() string { return c.configFile + ".log" }
+
+// Leader is the index of the controller that the key-value store names as the leader, or -1.
+func Leader(s *State, controllers []*Process) int {
+	var holder struct {
+		Node string `json:"node"`
+	}
+	if value := s.Value(election.LeaderKey); value == nil || json.Unmarshal(value, &holder) != nil {
+		return -1
+	}
+	return slices.IndexFunc(controllers, func(c *Process) bool { return c.Platform.Node == holder.Node })
+}
+
+// KeepLogs copies controllers' logs to a directory that outlives the test, and returns it.
+func KeepLogs(t testing.TB, controllers []*Process) (dir string) {
+	t.Helper()
+	dir, err := os.MkdirTemp("", "leadproxy-logs-")
+	if err != nil {
+		t.Error(err)
+		return ""
+	}
+	for _, c := range controllers {
+		text, err := os.ReadFile(c.logFile())
+		if err == nil {
+			err = os.WriteFile(filepath.Join(dir, c.Platform.Node+".log"), text, 0o600)
+		}
+		if err != nil {
+			t.Error(err)
+		}
+	}
+	t.Logf("the controllers' logs are in %s", dir)
+	return dir
+}
--- a/internal/fake/worker_faults.go
+++ b/internal/fake/worker_faults.go
@@ -28,8 +28,8 @@
 func (w *Worker) CutOutbound(on bool) { w.do(func() { w.outboundCut = on }) }
 
 // DuplicateReports makes a copy of each heartbeat arrive again after a delay; nil ends that.
-func (w *Worker) DuplicateReports(after func() time.Duration) {
-	w.do(func() { w.duplicateDelay = after })
+func (w *Worker) DuplicateReports(delay func() time.Duration) {
+	w.do(func() { w.duplicateDelay = delay })
 }
 
 // SaveReport saves a copy of the current heartbeat, which can be replayed later.
--- a/internal/fake/worker_tasks.go
+++ b/internal/fake/worker_tasks.go
@@ -98,7 +98,9 @@
 func (w *Worker) beginTask(t *workerTask) {
 	t.Status, t.progress = wire.TaskRunning, w.config.Check.CheckpointedProgress(t.Task)
 	w.signalChange()
-	w.config.Check.RecordTaskStart(t.Task, w.name, w.request.Type, w.request.Zone, w.request.Spot)
+	w.config.Check.RecordTaskStart(t.Task, Location{
+		Machine: w.name, MachineType: w.request.Type, Zone: w.request.Zone, Spot: w.request.Spot,
+	})
 }
 
 func (w *Worker) completeTask(t *workerTask) {
