--- a/internal/fake/checker_requests_test.go
+++ b/internal/fake/checker_requests_test.go
@@ -7,7 +7,7 @@
 	"leadproxy/internal/wire"
 )
 
-func TestCheckerRequests(t *testing.T) {
+func TestCheckerJobStatus(t *testing.T) {
 	testChecker(t, []checkerCase{
 		{"all tasks complete", "", func(s *scenario) {
 			s.submit("job-1", 2, nil)
@@ -17,36 +17,6 @@
 			s.respond(AskedSubmit, "job-1", 200, wire.JobDone)
 			s.respond(AskedStatus, "job-9", 404, "")
 		}},
-		{"an accepted job gets 404", "forgotten", func(s *scenario) {
-			s.submit("job-1", 1, nil)
-			s.respond(AskedStatus, "job-1", 404, "")
-		}},
-		{"a repeated submission gets 422", "forgotten", func(s *scenario) {
-			s.submit("job-1", 1, nil)
-			s.respond(AskedSubmit, "job-1", 422, "")
-		}},
-		{"no request is answered", "forgotten", func(s *scenario) {
-			s.submit("job-1", 1, nil)
-			calm := time.Now()
-			for range 17 {
-				s.RecordRequest("job-1")
-				time.Sleep(5 * time.Second)
-				s.Look(calm, nil)
-			}
-		}},
-		{"some requests are answered", "", func(s *scenario) {
-			s.submit("job-1", 1, nil)
-			calm := time.Now()
-			for k := range 30 {
-				s.RecordRequest("job-1")
-				if k%14 == 13 {
-					s.respond(AskedStatus, "job-1", 200, wire.JobQueued)
-				}
-				time.Sleep(5 * time.Second)
-				s.Look(calm, nil)
-			}
-		}},
-		{"status of a job that was never submitted", "invented", func(s *scenario) { s.respond(AskedStatus, "job-1", 200, wire.JobQueued) }},
 		{"done before all tasks have completed", "not_done", func(s *scenario) {
 			s.submit("job-1", 2, nil)
 			s.run("job-1/0", "m1")
@@ -77,6 +47,41 @@
 			s.respond(AskedStatus, "job-1", 200, wire.JobDone)
 			s.RecordResponse(AskedStatus, "job-1", sentAt, 200, wire.JobRunning)
 		}},
+	})
+}
+
+func TestCheckerRequests(t *testing.T) {
+	testChecker(t, []checkerCase{
+		{"an accepted job gets 404", "forgotten", func(s *scenario) {
+			s.submit("job-1", 1, nil)
+			s.respond(AskedStatus, "job-1", 404, "")
+		}},
+		{"a repeated submission gets 422", "forgotten", func(s *scenario) {
+			s.submit("job-1", 1, nil)
+			s.respond(AskedSubmit, "job-1", 422, "")
+		}},
+		{"no request is answered", "forgotten", func(s *scenario) {
+			s.submit("job-1", 1, nil)
+			calm := time.Now()
+			for range 17 {
+				s.RecordRequest("job-1")
+				time.Sleep(5 * time.Second)
+				s.Look(calm, nil)
+			}
+		}},
+		{"some requests are answered", "", func(s *scenario) {
+			s.submit("job-1", 1, nil)
+			calm := time.Now()
+			for k := range 30 {
+				s.RecordRequest("job-1")
+				if k%14 == 13 {
+					s.respond(AskedStatus, "job-1", 200, wire.JobQueued)
+				}
+				time.Sleep(5 * time.Second)
+				s.Look(calm, nil)
+			}
+		}},
+		{"status of a job that was never submitted", "invented", func(s *scenario) { s.respond(AskedStatus, "job-1", 200, wire.JobQueued) }},
 		{"a job that can't run is accepted", "accepted_unfit", func(s *scenario) {
 			s.Submits(&wire.Job{ID: "job-1", Tasks: 1}, false)
 			s.respond(AskedSubmit, "job-1", 201, wire.JobQueued)
