--- a/internal/compat/recording_test.go
+++ b/internal/compat/recording_test.go
@@ -40,7 +40,7 @@
 
 func readProductionRecording(t *testing.T) Recording {
 	t.Helper()
-	r, err := ReadRecording(recordingFile)
+	r, err := Read(recordingFile)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -69,7 +69,7 @@
 // the shape of what production writes itself.
 func (c *cluster) writesAreReadable() {
 	c.t.Helper()
-	recorded, err := compat.ReadRecording(productionRecording)
+	recorded, err := compat.Read(productionRecording)
 	if err != nil {
 		c.t.Fatal(err)
 	}
