--- a/internal/capability/announcement.go
+++ b/internal/capability/announcement.go
@@ -11,8 +11,8 @@
 	"leadproxy/internal/wire"
 )
 
-// Prefix is the prefix of the keys under which the controllers announce themselves, by name.
-const Prefix = "node/"
+// KeyPrefix is the prefix of the keys under which the controllers announce themselves, by name.
+const KeyPrefix = "node/"
 
 // announcement is the value of a controller's key. Each controller writes its own key only, so that
 // an older version does not lose the fields that a later one has added.
@@ -34,13 +34,13 @@
 
 // readAnnouncements reads what all controllers have announced.
 func (n *Negotiator) readAnnouncements(ctx context.Context) (announcements, error) {
-	listing, err := kvstore.ListAll(ctx, n.store, kvstore.PriorityRead, Prefix)
+	listing, err := kvstore.ListAll(ctx, n.store, kvstore.PriorityRead, KeyPrefix)
 	if err != nil {
-		return announcements{}, fmt.Errorf("list the announcements under %s: %w", Prefix, err)
+		return announcements{}, fmt.Errorf("list the announcements under %s: %w", KeyPrefix, err)
 	}
 	found := announcements{levels: map[string]int{}}
 	for _, entry := range listing.Entries {
-		name := strings.TrimPrefix(entry.Key, Prefix)
+		name := strings.TrimPrefix(entry.Key, KeyPrefix)
 		if name == n.controller {
 			found.ownVersion = entry.Version
 		}
@@ -59,7 +59,7 @@
 	if err != nil {
 		return false, fmt.Errorf("encode the announcement: %w", err)
 	}
-	key := Prefix + n.controller
+	key := KeyPrefix + n.controller
 	written, _, err = n.store.CompareAndSwap(ctx, kvstore.PriorityRead, wire.CompareAndSwap{
 		Conditions: []wire.Condition{{Key: key, Version: version}},
 		Changes:    []wire.Change{{Set: key, Value: value}},
--- a/internal/capability/capability.go
+++ b/internal/capability/capability.go
@@ -16,6 +16,6 @@
 	// Transfers: jobs that are delegated to another cell, which an older version would start, and
 	// foreign jobs.
 	Transfers = 2
-	// Level is that of this version.
-	Level = Transfers
+	// CurrentLevel is that of this version.
+	CurrentLevel = Transfers
 )
--- a/internal/capability/golden_test.go
+++ b/internal/capability/golden_test.go
@@ -10,9 +10,9 @@
 func TestGoldenAnnouncement(t *testing.T) {
 	property.CheckGolden(t, "node", &announcement{})
 	property.CheckGoldenValues(t, "constants", map[string]any{
-		"key prefix":                   Prefix,
+		"key prefix":                   KeyPrefix,
 		"level of jobs that wait":      Pipelines,
 		"level of transfers":           Transfers,
-		"level of the present version": Level,
+		"level of the present version": CurrentLevel,
 	})
 }
--- a/internal/capability/negotiator_test.go
+++ b/internal/capability/negotiator_test.go
@@ -67,9 +67,9 @@
 		unavailable bool
 		commonLevel int
 	}{
-		{"all support it", map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":3,"more":7}`}, false, Level},
+		{"all support it", map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":3,"more":7}`}, false, CurrentLevel},
 		{"one supports a level less", map[string]string{"node/n2": `{"level":1}`, "node/n3": `{"level":2}`}, false, Pipelines},
-		{"this one supported less", map[string]string{"node/n1": `{"level":1}`, "node/n2": `{"level":2}`, "node/n3": `{"level":2}`}, false, Level},
+		{"this one supported less", map[string]string{"node/n1": `{"level":1}`, "node/n2": `{"level":2}`, "node/n3": `{"level":2}`}, false, CurrentLevel},
 		{"one is missing", map[string]string{"node/n2": `{"level":2}`}, false, 0},
 		{"one supports nothing", map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":0}`}, false, 0},
 		{"one can't be decoded", map[string]string{"node/n2": `{"level":2}`, "node/n3": `7`}, false, 0},
@@ -80,11 +80,11 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				store := &fakeStore{entries: c.entries, unavailable: c.unavailable}
-				negotiator := New("n1", Level, []string{"n2", "n3"}, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
+				negotiator := New("n1", CurrentLevel, []string{"n2", "n3"}, store, slog.New(slog.NewTextHandler(io.Discard, nil)))
 				go negotiator.Run(t.Context())
 				time.Sleep(3 * pollInterval)
 				synctest.Wait()
-				for level := 1; level <= Level; level++ {
+				for level := 1; level <= CurrentLevel; level++ {
 					if got := negotiator.AllSupport(level); got != (c.commonLevel >= level) {
 						t.Errorf("level %d: %v, want those up to %d", level, got, c.commonLevel)
 					}
@@ -92,14 +92,14 @@
 				if got := store.get("node/n1"); (got == `{"level":2}`) == c.unavailable {
 					t.Errorf("announced as %q", got)
 				}
-				if c.commonLevel == Level || c.unavailable {
+				if c.commonLevel == CurrentLevel || c.unavailable {
 					return
 				}
 				// The last controller starts with the new version.
 				store.add(map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":2}`})
 				time.Sleep(2 * pollInterval)
 				synctest.Wait()
-				if !negotiator.AllSupport(Level) {
+				if !negotiator.AllSupport(CurrentLevel) {
 					t.Error("not all support the level after the last one has announced it")
 				}
 			})
--- a/internal/cells/client_test.go
+++ b/internal/cells/client_test.go
@@ -19,7 +19,7 @@
 // then on to that one first.
 func TestClientFindsTheLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := fake.NewNet(t)
+		n := fake.NewNetwork(t)
 		leaders := []*stubLeader{{}, {}, {leads: true}}
 		var servers []*grpc.Server
 		for i, addr := range limaCells().Neighbours[0].Controllers {
--- a/internal/cells/three_cells_test.go
+++ b/internal/cells/three_cells_test.go
@@ -44,7 +44,7 @@
 type cell struct {
 	t         *testing.T
 	name      string
-	store     *fake.State
+	store     *fake.KVStore
 	cloud     *fake.Cloud
 	users     *fake.Users
 	processes []*fake.Process
@@ -58,20 +58,20 @@
 func newCell(t *testing.T, name string, machines int, check *fake.Checker) *cell {
 	t.Helper()
 	network := transport.TCP{}
-	c := &cell{t: t, name: name, store: fake.NewState(t, network, "127.0.0.1:0", nil)}
-	public, back := fake.Reserve(t, controllers), fake.Reserve(t, controllers)
-	var workers []fake.Node
+	c := &cell{t: t, name: name, store: fake.NewKVStore(t, network, "127.0.0.1:0", nil)}
+	public, back := fake.ReserveAddresses(t, controllers), fake.ReserveAddresses(t, controllers)
+	var workers []fake.ControllerAddress
 	for i, addr := range public {
-		workers = append(workers, fake.Node{Name: c.controllerName(i), Addr: addr})
+		workers = append(workers, fake.ControllerAddress{Name: c.controllerName(i), Addr: addr})
 	}
 	c.users = fake.NewUsers(t, network, public, check, 1)
 	zones := []string{"x", "y", "z"}
-	c.cloud = fake.NewCloud(t, network, "127.0.0.1:0", fake.CloudConfig{Prefix: name + "-vm-",
-		Types: []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 1, Zones: zones}},
-		Boot:  time.Second, ListLag: 2 * time.Second, Most: machines,
-		Worker: fake.WorkerConfig{Nodes: workers, Report: time.Second, Lease: 8 * time.Second, Fetch: 200 * time.Millisecond,
-			Run: func(string) time.Duration { return taskTime }, Check: check},
-		Host: func(string) (transport.Network, string) { return network, "127.0.0.1:0" },
+	c.cloud = fake.NewCloud(t, network, "127.0.0.1:0", fake.CloudConfig{NamePrefix: name + "-vm-",
+		Types:    []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 1, Zones: zones}},
+		BootTime: time.Second, ListLag: 2 * time.Second, MaxMachines: machines,
+		Worker: fake.WorkerConfig{Controllers: workers, HeartbeatInterval: time.Second, Lease: 8 * time.Second, ImageFetchTime: 200 * time.Millisecond,
+			RunTime: func(string) time.Duration { return taskTime }, Checker: check},
+		NewHost: func(string) (transport.Network, string) { return network, "127.0.0.1:0" },
 	})
 	facts := settings.Facts{Nodes: controllers, Zones: zones, ClockErrorMS: 5, Teams: []settings.Team{{Name: "open"}},
 		Workers:   settings.Workers{ReportS: 1, LeaseS: 8, CancelS: cancelLimit.Seconds()},
@@ -167,7 +167,7 @@
 		}
 		return byID[id]
 	}
-	for _, change := range origin.store.Changes() {
+	for _, change := range origin.store.History() {
 		id, ok := strings.CutPrefix(change.Set, ledger.JobPrefix)
 		if !ok {
 			continue
@@ -178,7 +178,7 @@
 		}
 	}
 	for _, neighbour := range neighbours {
-		for _, change := range neighbour.store.Changes() {
+		for _, change := range neighbour.store.History() {
 			id, ok := strings.CutPrefix(change.Set, "cell/guest/"+origin.name+"/")
 			var record federation.ForeignRecord
 			if ok && json.Unmarshal(change.Value, &record) == nil {
@@ -187,7 +187,7 @@
 			}
 		}
 	}
-	for _, run := range check.Runs() {
+	for _, run := range check.TaskRuns() {
 		job := summaryOf(wire.JobIDOfTask(run.Task))
 		job.attempts++
 		if name, _, _ := strings.Cut(run.Machine, "-vm-"); !slices.Contains(job.cells, name) {
@@ -226,7 +226,7 @@
 // job has a single final answer and ran in a single cell.
 func TestThreeCells(t *testing.T) {
 	program := fake.BuildController(t, repository)
-	check := fake.NewChecker(t, fake.Limits{Cancel: cancelLimit, Waiting: 90 * time.Second, Silent: 75 * time.Second})
+	check := fake.NewChecker(t, fake.Limits{CancelDeadline: cancelLimit, MaxWaiting: 90 * time.Second, MaxUnanswered: 75 * time.Second})
 	a, b, c := newCell(t, "a", 2, check), newCell(t, "b", 12, check), newCell(t, "c", 12, check)
 	a.writeSettings(2, b, c)
 	b.writeSettings(12, a, c)
@@ -250,13 +250,13 @@
 		}
 	})
 	flood(a)
-	fake.Await(t, "all jobs over", 4*time.Minute, func() bool { return len(check.Open()) == 0 })
+	fake.WaitFor(t, "all jobs over", 4*time.Minute, func() bool { return len(check.OpenJobs()) == 0 })
 	a.users.Wait()
-	fake.Await(t, "all transfers closed at the origin", 30*time.Second, func() bool { return a.store.Count("cell/away/") == 0 })
+	fake.WaitFor(t, "all transfers closed at the origin", 30*time.Second, func() bool { return a.store.Count("cell/away/") == 0 })
 	jobs := summarizeJobs(check, a, b, c)
 	writeSummary(t, jobs)
 	checkSummaries(t, jobs)
-	for _, broken := range check.Broken() {
+	for _, broken := range check.Violations() {
 		t.Error(broken)
 	}
 	t.Logf("%.0f s", time.Since(start).Seconds())
@@ -276,7 +276,7 @@
 		for _, p := range c.processes {
 			p.Start(program)
 		}
-		fake.Await(t, "a leader of "+c.name, 20*time.Second, func() bool { return fake.Leader(c.store, c.processes) >= 0 })
+		fake.WaitFor(t, "a leader of "+c.name, 20*time.Second, func() bool { return fake.Leader(c.store, c.processes) >= 0 })
 	}
 	time.Sleep(6 * time.Second) // all have announced their capabilities
 }
--- a/internal/compat/deployment_config_test.go
+++ b/internal/compat/deployment_config_test.go
@@ -43,25 +43,25 @@
 func newCloud(t *testing.T, controllerAddresses, zones []string, checker *fake.Checker) *fake.Cloud {
 	t.Helper()
 	network := transport.TCP{}
-	var controllers []fake.Node
+	var controllers []fake.ControllerAddress
 	for i, addr := range controllerAddresses {
-		controllers = append(controllers, fake.Node{Name: controllerName(i), Addr: addr})
+		controllers = append(controllers, fake.ControllerAddress{Name: controllerName(i), Addr: addr})
 	}
 	return fake.NewCloud(t, network, "127.0.0.1:0", fake.CloudConfig{
-		Types: []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: machineBootTime.Seconds(), Zones: zones}},
-		Boot:  machineBootTime, ListLag: 2 * time.Second, Most: 12,
+		Types:    []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: machineBootTime.Seconds(), Zones: zones}},
+		BootTime: machineBootTime, ListLag: 2 * time.Second, MaxMachines: 12,
 		Worker: fake.WorkerConfig{
-			Nodes: controllers, Report: heartbeatInterval, Lease: workerLease, Fetch: 200 * time.Millisecond,
-			Run: func(string) time.Duration { return taskRunTime }, Check: checker,
+			Controllers: controllers, HeartbeatInterval: heartbeatInterval, Lease: workerLease, ImageFetchTime: 200 * time.Millisecond,
+			RunTime: func(string) time.Duration { return taskRunTime }, Checker: checker,
 		},
-		Host: func(string) (transport.Network, string) { return network, "127.0.0.1:0" },
+		NewHost: func(string) (transport.Network, string) { return network, "127.0.0.1:0" },
 	})
 }
 
 // addControllers writes the controllers' settings. What they send one another goes through relays.
 func (d *deployment) addControllers(public, zones []string) {
 	d.t.Helper()
-	peerAddresses := fake.Reserve(d.t, controllerCount)
+	peerAddresses := fake.ReserveAddresses(d.t, controllerCount)
 	relayAddresses := d.startPeerRelays(peerAddresses)
 	facts := platformFacts(zones)
 	dir := d.t.TempDir()
--- a/internal/compat/deployment_test.go
+++ b/internal/compat/deployment_test.go
@@ -18,14 +18,14 @@
 // systems in this process.
 type deployment struct {
 	t           *testing.T
-	store       *fake.State
+	store       *fake.KVStore
 	cloud       *fake.Cloud
 	checker     *fake.Checker
 	users       *fake.Users
 	recorder    *recorder
 	controllers []*fake.Process
 	calm        atomic.Pointer[time.Time] // since when there are no faults; nil: there are
-	writeFaults atomic.Pointer[fake.Troubles]
+	writeFaults atomic.Pointer[fake.FaultInjector]
 }
 
 // build builds the program of a commit of the repository, or of the working tree with "", and returns
@@ -54,11 +54,11 @@
 	network := transport.TCP{}
 	d := &deployment{t: t, recorder: newRecorder()}
 	d.checker = fake.NewChecker(t, fake.Limits{
-		Cancel: cancelDeadline, CPUs: map[string]float64{"tight": tightTeamCPUs},
-		Waiting: 90 * time.Second, Silent: 75 * time.Second,
+		CancelDeadline: cancelDeadline, TeamCPULimits: map[string]float64{"tight": tightTeamCPUs},
+		MaxWaiting: 90 * time.Second, MaxUnanswered: 75 * time.Second,
 	})
-	d.store = fake.NewState(t, network, "127.0.0.1:0", d.injectWriteFault)
-	public := fake.Reserve(t, controllerCount)
+	d.store = fake.NewKVStore(t, network, "127.0.0.1:0", d.injectWriteFault)
+	public := fake.ReserveAddresses(t, controllerCount)
 	d.users = fake.NewUsers(t, network, public, d.checker, 1)
 	zones := []string{"a", "b", "c"}
 	d.cloud = newCloud(t, public, zones, d.checker)
@@ -68,11 +68,11 @@
 }
 
 // injectWriteFault injects the fault that is set into transactions of the key-value store.
-func (d *deployment) injectWriteFault(from string, r *http.Request) fake.Trouble {
+func (d *deployment) injectWriteFault(from string, r *http.Request) fake.InjectedFault {
 	if inject := d.writeFaults.Load(); inject != nil && r.URL.Path == "/txn" {
 		return (*inject)(from, r)
 	}
-	return fake.Trouble{}
+	return fake.InjectedFault{}
 }
 
 // checkInvariants has the checker check what time alone can violate, until the test ends.
@@ -83,7 +83,7 @@
 		if since := d.calm.Load(); since != nil {
 			calm = *since
 		}
-		d.checker.Look(calm, d.cloud.Rooms())
+		d.checker.CheckInvariants(calm, d.cloud.FreeCapacity())
 	}
 }
 
@@ -130,7 +130,7 @@
 
 func (d *deployment) await(what string, limit time.Duration, ok func() bool) {
 	d.t.Helper()
-	fake.Await(d.t, what, limit, ok)
+	fake.WaitFor(d.t, what, limit, ok)
 }
 
 // finish ends a test: without faults, all accepted jobs have to end, and no invariant may have been
@@ -139,15 +139,15 @@
 	d.t.Helper()
 	now := time.Now()
 	d.calm.Store(&now)
-	d.await("all jobs over", 2*time.Minute, func() bool { return len(d.checker.Open()) == 0 })
-	if open := d.checker.Open(); len(open) > 0 {
+	d.await("all jobs over", 2*time.Minute, func() bool { return len(d.checker.OpenJobs()) == 0 })
+	if open := d.checker.OpenJobs(); len(open) > 0 {
 		d.t.Errorf("still open: %v", open)
 	}
 	d.users.Wait()
 	d.await("the ledger cleaned up", 30*time.Second, func() bool {
 		return d.store.Count("fin/")+d.store.Count("host/") == 0
 	})
-	for _, violation := range d.checker.Broken() {
+	for _, violation := range d.checker.Violations() {
 		d.t.Error(violation)
 	}
 	if d.t.Failed() {
--- a/internal/compat/exercise_test.go
+++ b/internal/compat/exercise_test.go
@@ -18,17 +18,17 @@
 	d.t.Helper()
 	d.startAll(program)
 	d.submitVariety()
-	d.await("tasks on machines", 20*time.Second, func() bool { on, _ := d.checker.On(""); return on > 0 })
-	lostResponses := fake.Troubles(func(string, *http.Request) fake.Trouble { return fake.Trouble{Fault: fake.AnswerLost} })
+	d.await("tasks on machines", 20*time.Second, func() bool { on, _ := d.checker.TaskCounts(""); return on > 0 })
+	lostResponses := fake.FaultInjector(func(string, *http.Request) fake.InjectedFault { return fake.InjectedFault{Kind: fake.ResponseLost} })
 	d.writeFaults.Store(&lostResponses)
 	time.Sleep(2 * time.Second)
 	d.writeFaults.Store(nil)
 	d.users.Submit(fake.NewJob("job-000050", 20, nil))
-	d.await("more tasks on machines", 20*time.Second, func() bool { on, _ := d.checker.On("job-000050"); return on > 4 })
+	d.await("more tasks on machines", 20*time.Second, func() bool { on, _ := d.checker.TaskCounts("job-000050"); return on > 4 })
 	d.losePartOfMachines()
-	d.store.Outage(true)
+	d.store.SetOutage(true)
 	time.Sleep(5 * time.Second)
-	d.store.Outage(false)
+	d.store.SetOutage(false)
 	time.Sleep(3 * time.Second)
 	if leader := d.leader(); leader >= 0 {
 		d.replace(leader, program, time.Second)
@@ -65,14 +65,14 @@
 	for i, w := range d.cloud.Workers() {
 		switch i % 3 {
 		case 0:
-			w.Hang(true)
+			w.SetHung(true)
 		case 1:
-			w.CutOutbound(true)
+			w.SetOutboundCut(true)
 		}
 	}
 	time.Sleep(2 * workerLease)
 	for _, w := range d.cloud.Workers() {
-		w.Hang(false)
-		w.CutOutbound(false)
+		w.SetHung(false)
+		w.SetOutboundCut(false)
 	}
 }
--- a/internal/compat/record_test.go
+++ b/internal/compat/record_test.go
@@ -23,7 +23,7 @@
 	commit := productionCommit(t)
 	d := newDeployment(t)
 	d.exerciseEverything(build(t, commit))
-	recording := Recording{Commit: commit, Messages: d.recorder.recorded(), Values: exampleValues(t, d.store.Changes())}
+	recording := Recording{Commit: commit, Messages: d.recorder.recorded(), Values: exampleValues(t, d.store.History())}
 	checkKeyFamilies(t, recording.Values)
 	checkMethods(t, recording.Messages)
 	if *record && !t.Failed() {
--- a/internal/compat/recording.go
+++ b/internal/compat/recording.go
@@ -43,8 +43,8 @@
 	Reply   Direction = "reply"
 )
 
-// Read reads a recording from a file.
-func Read(path string) (Recording, error) {
+// ReadRecording reads a recording from a file.
+func ReadRecording(path string) (Recording, error) {
 	var r Recording
 	text, err := os.ReadFile(path)
 	if err != nil {
--- a/internal/compat/recording_test.go
+++ b/internal/compat/recording_test.go
@@ -40,7 +40,7 @@
 
 func readProductionRecording(t *testing.T) Recording {
 	t.Helper()
-	r, err := Read(recordingFile)
+	r, err := ReadRecording(recordingFile)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/compat/rolling_test.go
+++ b/internal/compat/rolling_test.go
@@ -28,7 +28,7 @@
 			stop := d.submitJobs()
 			time.Sleep(5 * time.Second)
 			d.upgradeOneByOne(d.upgradeOrder(order.leaderFirst), old, current)
-			d.await("all announced", 20*time.Second, func() bool { return d.store.Count(capability.Prefix) == controllerCount })
+			d.await("all announced", 20*time.Second, func() bool { return d.store.Count(capability.KeyPrefix) == controllerCount })
 			time.Sleep(3 * time.Second)
 			stopPipelines := d.users.Pipelines()
 			time.Sleep(10 * time.Second)
@@ -67,11 +67,11 @@
 	old, current := build(t, productionCommit(t)), build(t, "")
 	d := newDeployment(t)
 	d.startAll(current)
-	d.await("all announced", 20*time.Second, func() bool { return d.store.Count(capability.Prefix) == controllerCount })
+	d.await("all announced", 20*time.Second, func() bool { return d.store.Count(capability.KeyPrefix) == controllerCount })
 	stop := d.submitJobs()
 	time.Sleep(5 * time.Second)
 	for i := range d.controllers {
-		d.store.Remove(capability.Prefix + controllerName(i))
+		d.store.Remove(capability.KeyPrefix + controllerName(i))
 	}
 	for i := range d.controllers {
 		d.replace(i, old, time.Second)
@@ -123,8 +123,8 @@
 	}
 	d.users.Poll(first)
 	second := fake.NewJob(fmt.Sprintf("job-61000%d", i), 1, func(j *wire.Job) { j.DependsOn = []string{first.ID} })
-	d.checker.Submits(second, true)
-	if code, _ := d.users.Call(i, fake.AskedSubmit, second.ID, second); code != 503 {
+	d.checker.RecordSubmission(second, true)
+	if code, _ := d.users.Call(i, fake.RequestSubmit, second.ID, second); code != 503 {
 		d.t.Errorf("a job that waits for another one, during the upgrade: %d, want 503", code)
 	}
 }
--- a/internal/controller/agent_failures_test.go
+++ b/internal/controller/agent_failures_test.go
@@ -41,11 +41,11 @@
 		"after a session": func(c *cluster, deliver func()) {
 			workers := c.cloud.Workers()
 			for _, w := range workers {
-				w.Hang(true)
+				w.SetHung(true)
 			}
 			time.Sleep(agentLease + time.Second)
 			for _, w := range workers {
-				w.Hang(false)
+				w.SetHung(false)
 			}
 			for range 4 {
 				time.Sleep(700 * time.Millisecond)
@@ -57,14 +57,14 @@
 		},
 		"all the time": func(c *cluster, deliver func()) {
 			for _, w := range c.cloud.Workers() {
-				w.DuplicateReports(func() time.Duration { return 2*time.Second + time.Duration(c.users.Random()*float64(40*time.Second)) })
+				w.DuplicateHeartbeats(func() time.Duration { return 2*time.Second + time.Duration(c.users.Random()*float64(40*time.Second)) })
 			}
 			time.Sleep(20 * time.Second)
 			c.kill(c.leader())
 			time.Sleep(20 * time.Second)
 			deliver()
 			for _, w := range c.cloud.Workers() {
-				w.DuplicateReports(nil)
+				w.DuplicateHeartbeats(nil)
 			}
 		},
 	} {
@@ -74,13 +74,13 @@
 				c.awaitRunning(15)
 				workers := c.cloud.Workers()
 				for _, w := range workers {
-					w.SaveReport()
+					w.SaveHeartbeat()
 				}
 				time.Sleep(10 * time.Second)
 				c.users.Cancel(jobs[0])
 				when(c, func() {
 					for _, w := range workers {
-						w.ReplayReport()
+						w.ReplayHeartbeat()
 					}
 				})
 				c.submitJobs(100, 4, 300*time.Millisecond, nil)
@@ -98,28 +98,28 @@
 	runScenario(t, clusterPlan{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
 		c.submitJobs(0, 1, time.Second, func(_ int, j *wire.Job) { j.Tasks = 20 })
 		c.awaitRunning(20)
-		c.await("the first job's end", 2*time.Minute, func() bool { _, done := c.checker.On("job-000000"); return done == 20 })
+		c.await("the first job's end", 2*time.Minute, func() bool { _, done := c.checker.TaskCounts("job-000000"); return done == 20 })
 		workers := c.cloud.Workers()
 		for _, w := range workers {
-			w.SaveReport()
+			w.SaveHeartbeat()
 		}
 		c.submitJobs(10, 8, 200*time.Millisecond, func(k int, j *wire.Job) { j.ID = fmt.Sprintf("job-%06d", 10+2*k) })
 		c.awaitRunning(20)
 		time.Sleep(4 * time.Second)
 		workers = everyOther(workers)
 		for _, w := range workers {
-			w.Hang(true)
+			w.SetHung(true)
 		}
 		lead := c.leader()
 		c.kill(lead)
 		for range 100 {
 			for _, w := range workers {
-				w.ReplayReport()
+				w.ReplayHeartbeat()
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
 		for _, w := range workers {
-			w.Hang(false)
+			w.SetHung(false)
 		}
 		c.start(lead)
 	})
@@ -130,9 +130,9 @@
 // hosts may have no answer yet.
 func TestFastBootsDuringFailover(t *testing.T) {
 	runWithSeeds(t, clusterPlan{bootTime: time.Second, runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
-		c.state.Slow(700 * time.Millisecond)
+		c.state.SetDelay(700 * time.Millisecond)
 		c.writeFaults.Store(c.randomFaults(0.3, fake.Delayed, 2*time.Second, 8*time.Second))
-		c.scaleOutFaults.Store(c.randomFaults(0.3, fake.AnswerLost, 0, 0))
+		c.scaleOutFaults.Store(c.randomFaults(0.3, fake.ResponseLost, 0, 0))
 		c.submitJobs(0, 8, 200*time.Millisecond, func(_ int, j *wire.Job) { j.Tasks = 6 })
 		for range 3 {
 			time.Sleep(randomDuration(r, time.Second, 6*time.Second))
@@ -141,7 +141,7 @@
 			}
 		}
 		time.Sleep(10 * time.Second)
-		c.state.Slow(0)
+		c.state.SetDelay(0)
 		c.writeFaults.Store(nil)
 		c.scaleOutFaults.Store(nil)
 	})
@@ -150,7 +150,7 @@
 // TestDelayedCommands: a command or its answer is held up for seconds, and the
 // machine then resumes; jobs are cancelled and the leader changes meanwhile.
 func TestDelayedCommands(t *testing.T) {
-	for _, fault := range []fake.Fault{fake.Delayed, fake.AnswerLost, fake.RequestLost, fake.Duplicated} {
+	for _, fault := range []fake.FaultKind{fake.Delayed, fake.ResponseLost, fake.RequestLost, fake.Duplicated} {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
 			runScenario(t, clusterPlan{runTime: longRunning(30 * time.Second)}, func(c *cluster) {
 				c.commandsDelayed = true
@@ -158,7 +158,7 @@
 				jobs := c.submitJobs(0, 12, 300*time.Millisecond, nil)
 				time.Sleep(3 * time.Second)
 				for _, w := range everyOther(c.cloud.Workers()) {
-					w.Hang(true)
+					w.SetHung(true)
 				}
 				for _, j := range everyOther(jobs) {
 					c.users.Cancel(j)
@@ -166,7 +166,7 @@
 				time.Sleep(7 * time.Second)
 				c.restart(c.leader(), time.Second)
 				for _, w := range c.cloud.Workers() {
-					w.Hang(false)
+					w.SetHung(false)
 				}
 				c.submitJobs(100, 6, 300*time.Millisecond, nil)
 				time.Sleep(20 * time.Second)
@@ -214,7 +214,7 @@
 				c.awaitRunning(20)
 				workers := c.cloud.Workers()
 				for _, w := range workers {
-					w.CutOutbound(true)
+					w.SetOutboundCut(true)
 				}
 				time.Sleep(2 * time.Second)
 				for _, j := range everyOther(jobs) {
@@ -222,7 +222,7 @@
 				}
 				time.Sleep(lasts)
 				for _, w := range workers {
-					w.CutOutbound(false)
+					w.SetOutboundCut(false)
 				}
 			})
 		})
@@ -238,7 +238,7 @@
 		jobs := c.submitJobs(0, 12, 300*time.Millisecond, nil)
 		c.awaitRunning(15)
 		for _, w := range c.cloud.Workers() {
-			w.SaveReport()
+			w.SaveHeartbeat()
 		}
 		for k := range 6 {
 			workers := c.cloud.Workers()
@@ -248,7 +248,7 @@
 			c.users.Cancel(jobs[2*k])
 			time.Sleep(randomDuration(r, 100*time.Millisecond, 5*time.Second))
 			for _, w := range workers {
-				w.ReplayReport()
+				w.ReplayHeartbeat()
 			}
 			if k%2 == 0 {
 				c.restart(c.leader(), randomDuration(r, 100*time.Millisecond, time.Second))
@@ -289,7 +289,7 @@
 							}
 						}
 					}
-					cut(func(a, b string) { c.net.Cut(a, b, hold) })
+					cut(func(a, b string) { c.net.Partition(a, b, hold) })
 					time.Sleep(3 * time.Second)
 					for _, j := range everyOther(jobs) {
 						c.users.Cancel(j)
--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -50,17 +50,17 @@
 
 // startLeader starts one controller that leads, over our own fakes.
 func startLeader(b *testing.B) string {
-	store := fake.NewState(b, transport.TCP{}, "127.0.0.1:0", nil)
+	store := fake.NewKVStore(b, transport.TCP{}, "127.0.0.1:0", nil)
 	// The benchmark is the only worker.
-	refuse := func(_ string, r *http.Request) fake.Trouble {
+	refuse := func(_ string, r *http.Request) fake.InjectedFault {
 		if r.URL.Path == "/machines" && r.Method == http.MethodPost {
-			return fake.Trouble{Fault: fake.Refused}
+			return fake.InjectedFault{Kind: fake.Unavailable}
 		}
-		return fake.Trouble{}
+		return fake.InjectedFault{}
 	}
-	cloud := fake.NewCloud(b, transport.TCP{}, "127.0.0.1:0", fake.CloudConfig{Trouble: refuse,
+	cloud := fake.NewCloud(b, transport.TCP{}, "127.0.0.1:0", fake.CloudConfig{Faults: refuse,
 		Types: []wire.MachineType{{Name: "m4", CPUs: 4, MemGB: 16, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 1, Zones: []string{"a"}}}})
-	addrs := fake.Reserve(b, 2)
+	addrs := fake.ReserveAddresses(b, 2)
 	p := &settings.Platform{Node: "n0", Zone: "a", Listen: addrs[0], Back: addrs[1], Services: settings.Services{State: store.Addr(), Cloud: cloud.Addr()}}
 	p.Facts = settings.Facts{Nodes: 1, Teams: []settings.Team{{Name: "t"}},
 		Workers:   settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 56},
--- a/internal/controller/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -27,9 +27,9 @@
 					jobs := c.submitJobs(0, 8, 300*time.Millisecond, nil)
 					c.awaitRunning(10)
 					lead := c.leader()
-					c.state.Refuse(c.name(lead), true)
+					c.state.SetRefused(c.name(lead), true)
 					if then == "lost" {
-						c.writeFaults.Store(c.randomFaults(1, fake.AnswerLost, 0, 0))
+						c.writeFaults.Store(c.randomFaults(1, fake.ResponseLost, 0, 0))
 					}
 					// Users cancel half the jobs, again and again, while the leader is
 					// refused alone.
@@ -37,7 +37,7 @@
 						c.users.Cancel(j)
 					}
 					time.Sleep(gap)
-					c.state.Outage(true)
+					c.state.SetOutage(true)
 					c.writeFaults.Store(nil)
 					switch now := c.leader(); then {
 					case "kill": // and back at once
@@ -48,16 +48,16 @@
 						}
 					case "hang":
 						for _, w := range everyOther(c.cloud.Workers()) {
-							w.Hang(true)
+							w.SetHung(true)
 						}
 					}
 					time.Sleep(15 * time.Second)
 					for _, w := range c.cloud.Workers() {
-						w.Hang(false)
+						w.SetHung(false)
 					}
 					time.Sleep(cancelLimit)
-					c.state.Refuse(c.name(lead), false)
-					c.state.Outage(false)
+					c.state.SetRefused(c.name(lead), false)
+					c.state.SetOutage(false)
 					for i := range c.nodes {
 						c.reconnect(i)
 					}
@@ -83,12 +83,12 @@
 				for _, w := range workers {
 					for i := range c.nodes {
 						if i != lead {
-							c.net.Cut(w.Name(), c.name(i), false)
+							c.net.Partition(w.Name(), c.name(i), false)
 						}
 					}
 				}
-				c.state.Slow(slow)
-				c.state.Refuse(c.name(lead), true)
+				c.state.SetDelay(slow)
+				c.state.SetRefused(c.name(lead), true)
 				began := time.Now()
 				for _, j := range everyOther(jobs) {
 					for c.users.CancelAt((lead+1)%len(c.nodes), j) == false && time.Since(began) < time.Minute {
@@ -99,8 +99,8 @@
 					t.Errorf("cancellations took %s", took)
 				}
 				time.Sleep(cancelLimit + 10*time.Second)
-				c.state.Slow(0)
-				c.state.Refuse(c.name(lead), false)
+				c.state.SetDelay(0)
+				c.state.SetRefused(c.name(lead), false)
 				for _, w := range workers {
 					for i := range c.nodes {
 						c.net.Heal(w.Name(), c.name(i))
@@ -129,19 +129,19 @@
 				before = child.ID
 			}
 		}
-		c.writeFaults.Store(c.randomFaults(1, fake.AnswerLost, 0, 0))
+		c.writeFaults.Store(c.randomFaults(1, fake.ResponseLost, 0, 0))
 		for _, j := range everyOther(jobs) {
 			c.users.Cancel(j)
 		}
 		time.Sleep(300 * time.Millisecond)
 		for _, j := range everyOther(jobs) {
-			c.users.Look(j.ID, j)
+			c.users.QueryEverywhere(j.ID, j)
 		}
 		time.Sleep(200 * time.Millisecond)
-		c.state.Outage(true)
+		c.state.SetOutage(true)
 		c.writeFaults.Store(nil)
 		time.Sleep(cancelLimit + 20*time.Second)
-		c.state.Outage(false)
+		c.state.SetOutage(false)
 	})
 }
 
@@ -153,13 +153,13 @@
 		for k := range 30 {
 			j := fake.NewJob(fmt.Sprintf("job-%06d", 10+k), 1, nil)
 			c.users.Submit(j)
-			done := func() bool { _, n := c.checker.On(j.ID); return n == 1 }
+			done := func() bool { _, n := c.checker.TaskCounts(j.ID); return n == 1 }
 			for end := time.Now().Add(30 * time.Second); !done() && time.Now().Before(end); {
 				time.Sleep(time.Millisecond)
 			}
 			time.Sleep(randomDuration(r, 0, 15*time.Millisecond))
 			c.users.Cancel(j)
-			c.users.Look(j.ID, j)
+			c.users.QueryEverywhere(j.ID, j)
 		}
 	})
 }
@@ -173,9 +173,9 @@
 			c.users.Submit(j)
 			time.Sleep(randomDuration(r, 0, 12*time.Millisecond))
 			for i := range c.nodes {
-				c.users.Go(func() { c.users.Call(i, fake.AskedCancel, j.ID, nil) })
+				c.users.Go(func() { c.users.Call(i, fake.RequestCancel, j.ID, nil) })
 			}
-			c.users.Look(j.ID, j)
+			c.users.QueryEverywhere(j.ID, j)
 			c.users.Cancel(j)
 			time.Sleep(randomDuration(r, 100*time.Millisecond, 2*time.Second))
 			if k == 15 {
@@ -201,10 +201,10 @@
 		time.Sleep(500 * time.Millisecond)
 		c.restart(c.leader(), 800*time.Millisecond)
 		time.Sleep(4 * time.Second)
-		c.state.Refuse(c.name(max(c.leader(), 0)), true)
+		c.state.SetRefused(c.name(max(c.leader(), 0)), true)
 		time.Sleep(5 * time.Second)
 		for i := range c.nodes {
-			c.state.Refuse(c.name(i), false)
+			c.state.SetRefused(c.name(i), false)
 		}
 	})
 }
--- a/internal/controller/cancelled_tasks_test.go
+++ b/internal/controller/cancelled_tasks_test.go
@@ -51,26 +51,26 @@
 				hung := map[string]*fake.Worker{}
 				for i, w := range c.cloud.Workers() {
 					if i%3 == 0 {
-						w.Hang(true)
+						w.SetHung(true)
 						hung[w.Addr()] = w
 					}
 				}
 				c.commandsDelayed = true // what a machine was fetching for when it hung begins when it continues
-				lost := fake.Troubles(func(_ string, r *http.Request) fake.Trouble {
+				lost := fake.FaultInjector(func(_ string, r *http.Request) fake.InjectedFault {
 					if hung[r.Host] != nil {
-						return fake.Trouble{Fault: fake.RequestLost}
+						return fake.InjectedFault{Kind: fake.RequestLost}
 					}
-					return fake.Trouble{}
+					return fake.InjectedFault{}
 				})
 				c.commandFaults.Store(&lost)
-				c.deleteFaults.Store(c.randomFaults(1, fake.Refused, 0, 0))
+				c.deleteFaults.Store(c.randomFaults(1, fake.Unavailable, 0, 0))
 				for _, j := range jobs {
 					c.users.Cancel(j)
 				}
 				time.Sleep(q.hang)
 				c.commandFaults.Store(nil)
 				for _, w := range hung {
-					w.Hang(false)
+					w.SetHung(false)
 				}
 				time.Sleep(q.pace.cancel + 10*time.Second)
 				c.deleteFaults.Store(nil)
@@ -128,7 +128,7 @@
 		c.kill(c.leader())
 		c.state.Put(key, "[]")
 		time.Sleep(cancelLimit + 10*time.Second)
-		if on, _ := c.checker.On(job.ID); on > 0 {
+		if on, _ := c.checker.TaskCounts(job.ID); on > 0 {
 			t.Errorf("%d of its tasks run on", on)
 		}
 		c.commandFaults.Store(nil)
--- a/internal/controller/cluster_end_test.go
+++ b/internal/controller/cluster_end_test.go
@@ -14,7 +14,7 @@
 	c.endFaults()
 	c.awaitAllServed()
 	c.users.Wait()
-	c.await("all tasks gone", time.Minute, func() bool { on, _ := c.checker.On(""); return on == 0 })
+	c.await("all tasks gone", time.Minute, func() bool { on, _ := c.checker.TaskCounts(""); return on == 0 })
 	c.awaitLedgerCleanup()
 	c.reportViolations()
 }
@@ -22,8 +22,8 @@
 // awaitAllServed waits until all that was accepted is done or cancelled.
 func (c *cluster) awaitAllServed() {
 	c.t.Helper()
-	c.await("all jobs over", 6*time.Minute, func() bool { return len(c.checker.Open()) == 0 })
-	if open := c.checker.Open(); len(open) > 0 {
+	c.await("all jobs over", 6*time.Minute, func() bool { return len(c.checker.OpenJobs()) == 0 })
+	if open := c.checker.OpenJobs(); len(open) > 0 {
 		c.t.Errorf("still open: %v", open)
 	}
 }
@@ -39,7 +39,7 @@
 // reportViolations reports the rules that were broken.
 func (c *cluster) reportViolations() {
 	c.t.Helper()
-	for _, b := range c.checker.Broken() {
+	for _, b := range c.checker.Violations() {
 		c.t.Error(b)
 	}
 	if n := c.checker.LateStarts(); n > 0 && !c.commandsDelayed {
--- a/internal/controller/cluster_processes_test.go
+++ b/internal/controller/cluster_processes_test.go
@@ -97,7 +97,7 @@
 func (c *cluster) isolate(i int, hold bool) {
 	for k := range c.nodes {
 		if k != i {
-			c.net.Cut(c.name(i), c.name(k), hold)
+			c.net.Partition(c.name(i), c.name(k), hold)
 		}
 	}
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -23,8 +23,8 @@
 // test does with it, the checker holds it to the rules.
 type cluster struct {
 	t             *testing.T
-	net           *fake.Net
-	state         *fake.State
+	net           *fake.Network
+	state         *fake.KVStore
 	cloud         *fake.Cloud
 	checker       *fake.Checker
 	nodes         []*controllerProcess
@@ -33,7 +33,7 @@
 	prefix        string // of its hosts' names
 	leaderActions *leaderActionChecker
 	// The faults of writes to the key-value store, commands, scale-outs, and deletions.
-	writeFaults, commandFaults, scaleOutFaults, deleteFaults atomic.Pointer[fake.Troubles]
+	writeFaults, commandFaults, scaleOutFaults, deleteFaults atomic.Pointer[fake.FaultInjector]
 	// commandsDelayed: commands were held up, so starts may come late.
 	commandsDelayed bool
 	// faultFreeSince holds since when there are no faults; zero: there are.
@@ -43,7 +43,7 @@
 // cellPlan is what one cell of several is made of.
 type cellPlan struct {
 	name     string
-	net      *fake.Net
+	net      *fake.Network
 	checker  *fake.Checker
 	operator settings.Operator
 	ownsJob  func(ref string) bool // its users' jobs
@@ -145,7 +145,7 @@
 	c.faultFreeSince <- time.Time{}
 	ownsJob := func(string) bool { return true }
 	if p.cell == nil {
-		c.net = fake.NewNet(t)
+		c.net = fake.NewNetwork(t)
 		c.checker = newChecker(t, p.timings.cancel, p.teamLimits)
 	} else {
 		c.net, c.checker, c.operator, c.prefix, ownsJob = p.cell.net, p.cell.checker, p.cell.operator, p.cell.name+"-", p.cell.ownsJob
@@ -154,8 +154,8 @@
 	if p.budgets != nil {
 		c.operator.Drain = settings.Drain{Enabled: true, Budgets: *p.budgets}
 	}
-	c.state = fake.NewState(t, c.net.Host(c.prefix+"state"), c.prefix+"state:1", onPath("/txn", &c.writeFaults))
-	c.state.RunFast(p.clockDrift)
+	c.state = fake.NewKVStore(t, c.net.Host(c.prefix+"state"), c.prefix+"state:1", onPath("/txn", &c.writeFaults))
+	c.state.SetClockDrift(p.clockDrift)
 	for key, value := range p.ledger {
 		c.state.Put(key, value)
 	}
@@ -188,7 +188,7 @@
 func newControllers(p clusterPlan, prefix string) (nodes []*controllerProcess) {
 	for i, zone := range clusterZones {
 		name := fmt.Sprintf("%sn%d", prefix, i)
-		level := capability.Level
+		level := capability.CurrentLevel
 		if i < p.oldVersions {
 			level = 0
 		}
@@ -220,20 +220,20 @@
 
 // newCloud makes the cloud, whose workers know the controllers that the plan names.
 func (c *cluster) newCloud(p clusterPlan) *fake.Cloud {
-	var known []fake.Node
+	var known []fake.ControllerAddress
 	for i, n := range c.nodes {
 		if p.reportTo == nil || slices.Contains(p.reportTo, i) {
-			known = append(known, fake.Node{Name: n.platform.Node, Addr: n.platform.Listen})
+			known = append(known, fake.ControllerAddress{Name: n.platform.Node, Addr: n.platform.Listen})
 		}
 	}
 	return fake.NewCloud(c.t, c.net.Host(c.prefix+"cloud"), c.prefix+"cloud:1", fake.CloudConfig{
-		Prefix: c.prefix + "vm-",
-		Types:  []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: clusterZones}},
-		Boot:   p.bootTime, ListLag: 2 * time.Second, Most: p.maxMachines,
-		Worker: fake.WorkerConfig{Nodes: known, Report: p.timings.heartbeat, Lease: p.timings.lease + time.Duration(p.clockDrift*float64(p.timings.lease)), Fetch: 500 * time.Millisecond,
-			Run: p.runTime, Check: c.checker, Trouble: onPath("/commands", &c.commandFaults)},
-		Trouble: firstFault(onPath("/machines", &c.scaleOutFaults), onPath("/machines/delete", &c.deleteFaults)),
-		Host:    func(name string) (transport.Network, string) { return c.net.Host(name), name + ":9000" },
+		NamePrefix: c.prefix + "vm-",
+		Types:      []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: clusterZones}},
+		BootTime:   p.bootTime, ListLag: 2 * time.Second, MaxMachines: p.maxMachines,
+		Worker: fake.WorkerConfig{Controllers: known, HeartbeatInterval: p.timings.heartbeat, Lease: p.timings.lease + time.Duration(p.clockDrift*float64(p.timings.lease)), ImageFetchTime: 500 * time.Millisecond,
+			RunTime: p.runTime, Checker: c.checker, CommandFaults: onPath("/commands", &c.commandFaults)},
+		Faults:  firstFault(onPath("/machines", &c.scaleOutFaults), onPath("/machines/delete", &c.deleteFaults)),
+		NewHost: func(name string) (transport.Network, string) { return c.net.Host(name), name + ":9000" },
 	})
 }
 
@@ -243,16 +243,16 @@
 		transport.Pause(c.t.Context(), 2*time.Second)
 		since := <-c.faultFreeSince
 		c.faultFreeSince <- since
-		c.checker.LookAt(since, c.cloud.Rooms(), ownsJob)
+		c.checker.CheckInvariantsOfCell(since, c.cloud.FreeCapacity(), ownsJob)
 	}
 }
 
 func newChecker(t *testing.T, cancel time.Duration, limits map[string]float64) *fake.Checker {
-	return fake.NewChecker(t, fake.Limits{Cancel: cancel, CPUs: limits, Waiting: 90 * time.Second, Silent: 75 * time.Second,
-		MayRepeat: func(class string) bool { return class == repeatableClass }})
+	return fake.NewChecker(t, fake.Limits{CancelDeadline: cancel, TeamCPULimits: limits, MaxWaiting: 90 * time.Second, MaxUnanswered: 75 * time.Second,
+		RetryAllowed: func(class string) bool { return class == repeatableClass }})
 }
 
 func (c *cluster) await(what string, limit time.Duration, ok func() bool) {
 	c.t.Helper()
-	fake.Await(c.t, what, limit, ok)
+	fake.WaitFor(c.t, what, limit, ok)
 }
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -16,7 +16,7 @@
 
 // Run runs a controller on a network until ctx ends or an address can't be served.
 func Run(ctx context.Context, n transport.Network, p *settings.Platform, op settings.Operator, log *slog.Logger) error {
-	return runAtLevel(ctx, capability.Level, n, p, op, log)
+	return runAtLevel(ctx, capability.CurrentLevel, n, p, op, log)
 }
 
 // runAtLevel is Run for a version that knows the capabilities of a level: it announces
--- a/internal/controller/federated_cells_test.go
+++ b/internal/controller/federated_cells_test.go
@@ -26,7 +26,7 @@
 // federatedCells is some cells, the first of which is short of machines.
 type federatedCells struct {
 	t       *testing.T
-	net     *fake.Net
+	net     *fake.Network
 	checker *fake.Checker
 	names   []string
 	cells   map[string]*cluster
@@ -86,7 +86,7 @@
 }
 
 func newFederation(t *testing.T, p federationPlan) *federatedCells {
-	f := &federatedCells{t: t, net: fake.NewNet(t), checker: newChecker(t, cancelLimit, p.teamLimits), names: p.names, cells: map[string]*cluster{}}
+	f := &federatedCells{t: t, net: fake.NewNetwork(t), checker: newChecker(t, cancelLimit, p.teamLimits), names: p.names, cells: map[string]*cluster{}}
 	for _, name := range p.names {
 		cell := &cellPlan{name: name, net: f.net, checker: f.checker, operator: p.operatorOf(name), ownsJob: f.ownsJob(name)}
 		f.cells[name] = newCluster(t, clusterPlan{maxMachines: p.maxMachinesOf(name), teamLimits: p.teamLimits, oldVersions: p.oldVersions[name], runTime: p.runTime, seed: p.seed, standby: p.standby, cell: cell})
@@ -123,7 +123,7 @@
 	for _, c := range f.cells {
 		c.users.Wait()
 	}
-	origin.await("all tasks gone", time.Minute, func() bool { on, _ := f.checker.On(""); return on == 0 })
+	origin.await("all tasks gone", time.Minute, func() bool { on, _ := f.checker.TaskCounts(""); return on == 0 })
 	for name, c := range f.cells {
 		c.awaitLedgerCleanup()
 		c.await("transfers released in "+name, 30*time.Second, func() bool { return len(f.foreignJobs(name, federation.ForeignAccepted)) == 0 })
@@ -175,7 +175,7 @@
 // entries are the keys of a cell under a prefix, with what they hold.
 func (f *federatedCells) entries(cell, prefix string) map[string]json.RawMessage {
 	values := map[string]json.RawMessage{}
-	for _, e := range f.cells[cell].state.Changes() {
+	for _, e := range f.cells[cell].state.History() {
 		switch {
 		case strings.HasPrefix(e.Set, prefix):
 			values[e.Set] = e.Value
@@ -190,7 +190,7 @@
 func (f *federatedCells) forwardedJobs(origin string) []string {
 	refs := map[string]bool{}
 	for _, c := range f.names {
-		for _, e := range f.cells[c].state.Changes() {
+		for _, e := range f.cells[c].state.History() {
 			if ref, ok := strings.CutPrefix(e.Set, "cell/guest/"+origin+"/"); ok && strings.Contains(string(e.Value), string(federation.ForeignAccepted)) {
 				refs[ref] = true
 			}
@@ -229,7 +229,7 @@
 // partition cuts all controllers of two cells from one another. With hold, what they send
 // is delivered when the connection is back, and else it is refused.
 func (f *federatedCells) partition(a, b string, hold bool) {
-	f.eachLink(a, b, func(x, y string) { f.net.Cut(x, y, hold) })
+	f.eachLink(a, b, func(x, y string) { f.net.Partition(x, y, hold) })
 }
 
 // heal ends a partition of two cells.
@@ -259,7 +259,7 @@
 	f.awaitDelegated("a", federation.Accepted)
 	for _, x := range f.cells[from].nodes {
 		for _, y := range f.cells[to].nodes {
-			f.net.CutOneWay(x.platform.Node, y.platform.Node)
+			f.net.PartitionOneWay(x.platform.Node, y.platform.Node)
 		}
 	}
 	time.Sleep(20 * time.Second)
--- a/internal/controller/federation_measure_test.go
+++ b/internal/controller/federation_measure_test.go
@@ -88,10 +88,10 @@
 		f.finish()
 		spilled = len(f.forwardedJobs("a"))
 		starts, ends := map[string]time.Time{}, map[string]time.Time{}
-		for _, run := range f.checker.Runs() {
+		for _, run := range f.checker.TaskRuns() {
 			ref := wire.JobIDOfTask(run.Task)
-			if run.Began.After(starts[ref]) {
-				starts[ref] = run.Began
+			if run.Started.After(starts[ref]) {
+				starts[ref] = run.Started
 			}
 			if run.Ended.After(ends[ref]) {
 				ends[ref] = run.Ended
--- a/internal/controller/federation_test.go
+++ b/internal/controller/federation_test.go
@@ -22,7 +22,7 @@
 		f.cells["a"].awaitAllServed()
 		for _, ref := range f.forwardedJobs("a") {
 			for _, cell := range []string{"b", "c"} {
-				for _, change := range f.cells[cell].state.Changes() {
+				for _, change := range f.cells[cell].state.History() {
 					if change.Set == ledger.DelegatedKey(ref) {
 						t.Errorf("%s is forwarded again by %s", ref, cell)
 					}
@@ -56,9 +56,9 @@
 	},
 	"the origin cell loses its key-value store": func(f *federatedCells) {
 		f.awaitDelegated("a", federation.Accepted)
-		f.cells["a"].state.Outage(true)
+		f.cells["a"].state.SetOutage(true)
 		time.Sleep(25 * time.Second)
-		f.cells["a"].state.Outage(false)
+		f.cells["a"].state.SetOutage(false)
 	},
 	"the neighbour accepts and its answer is lost": func(f *federatedCells) {
 		f.awaitPrecisely("an accept", func() bool { return len(f.foreignJobs("b", federation.ForeignAccepted)) > 0 })
@@ -107,12 +107,12 @@
 		f.awaitDelegated("a", federation.Accepted)
 		time.Sleep(3 * time.Second)
 		for _, w := range everyOther(f.cells["b"].cloud.Workers()) {
-			f.cells["b"].cloud.Take(w.Name())
+			f.cells["b"].cloud.Terminate(w.Name())
 		}
 	},
 	"answers of the state services are lost": func(f *federatedCells) {
 		for _, c := range f.cells {
-			c.writeFaults.Store(c.randomFaults(0.3, fake.AnswerLost, 0, 0))
+			c.writeFaults.Store(c.randomFaults(0.3, fake.ResponseLost, 0, 0))
 		}
 		time.Sleep(30 * time.Second)
 		for _, c := range f.cells {
@@ -182,7 +182,7 @@
 			f.partition("a", "b", true)
 			time.Sleep(6 * time.Second)
 			asked := time.Now()
-			if code, _ := origin.users.Call(origin.leader(), fake.AskedCancel, ref, nil); code != 503 {
+			if code, _ := origin.users.Call(origin.leader(), fake.RequestCancel, ref, nil); code != 503 {
 				t.Errorf("the cancellation got %d, want 503", code)
 			}
 			if took := time.Since(asked); took > 500*time.Millisecond {
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -68,17 +68,17 @@
 				c.restart(l, randomDuration(r, 100*time.Millisecond, 4*time.Second))
 			}
 			if k == 4 {
-				c.state.Outage(true)
+				c.state.SetOutage(true)
 			}
 			if k == 6 {
-				c.state.Outage(false)
+				c.state.SetOutage(false)
 			}
 			if k%3 == 0 {
 				c.users.Cancel(jobs[k])
 			}
 			time.Sleep(randomDuration(r, 2*time.Second, 12*time.Second))
 		}
-		c.state.Outage(false)
+		c.state.SetOutage(false)
 	})
 }
 
@@ -93,7 +93,7 @@
 					jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
 					c.awaitRunning(20)
 					lead := c.leader()
-					c.net.Cut(c.name(lead), "state", hold)
+					c.net.Partition(c.name(lead), "state", hold)
 					c.isolate(lead, hold)
 					c.awaitNewTerm()
 					for _, j := range everyOther(jobs) {
@@ -136,15 +136,15 @@
 	}
 	runScenario(t, clusterPlan{ledger: ledger}, func(c *cluster) {
 		for _, ref := range []string{"job-800001", "job-800002", "job-800003"} {
-			c.checker.Submits(fake.NewJob(ref, 5, nil), true)
+			c.checker.RecordSubmission(fake.NewJob(ref, 5, nil), true)
 		}
 		for _, task := range []string{"1/0", "1/1", "1/4", "3/0", "3/1", "3/2", "3/3", "3/4"} {
-			c.checker.Ends("job-80000"+task, "vm-900001", true)
+			c.checker.RecordTaskEnd("job-80000"+task, "vm-900001", true)
 		}
-		c.checker.Cancels("job-800002")
-		c.users.Call(0, fake.AskedStatus, "job-800001", nil)
+		c.checker.RecordCancellation("job-800002")
+		c.users.Call(0, fake.RequestStatus, "job-800001", nil)
 		for ref, want := range map[string]string{"job-800002": wire.JobCancelled, "job-800003": wire.JobDone} {
-			if _, status := c.users.Until(fake.AskedStatus, ref, nil); status != want {
+			if _, status := c.users.RetryUntilFinal(fake.RequestStatus, ref, nil); status != want {
 				t.Errorf("%s is %s, want %s", ref, status, want)
 			}
 		}
@@ -152,10 +152,10 @@
 		c.users.Submit(fake.NewJob("job-800004", 1, func(j *wire.Job) { j.DependsOn = []string{"job-800001", "job-800003"} }))
 		c.users.Submit(fake.NewJob("job-800005", 1, func(j *wire.Job) { j.DependsOn = []string{"job-800002"} }))
 		c.await("the open job done", time.Minute, func() bool {
-			_, status := c.users.Call(1, fake.AskedStatus, "job-800001", nil)
+			_, status := c.users.Call(1, fake.RequestStatus, "job-800001", nil)
 			return status == wire.JobDone
 		})
-		if _, done := c.checker.On("job-800001"); done != 5 {
+		if _, done := c.checker.TaskCounts("job-800001"); done != 5 {
 			t.Errorf("%d tasks done", done)
 		}
 	})
@@ -165,13 +165,13 @@
 // ends the leader in the middle, then all controllers, and has every task run to its
 // end.
 func TestJobsSurviveTheirLeader(t *testing.T) {
-	every := func(pattern ...fake.Fault) *fake.Troubles {
+	every := func(pattern ...fake.FaultKind) *fake.FaultInjector {
 		n := make(chan int, 1)
 		n <- 0
-		f := fake.Troubles(func(string, *http.Request) fake.Trouble {
+		f := fake.FaultInjector(func(string, *http.Request) fake.InjectedFault {
 			k := <-n
 			n <- k + 1
-			return fake.Trouble{Fault: pattern[k%len(pattern)], For: 3 * time.Second}
+			return fake.InjectedFault{Kind: pattern[k%len(pattern)], Delay: 3 * time.Second}
 		})
 		return &f
 	}
@@ -182,18 +182,18 @@
 		}
 		return 700 * time.Millisecond
 	}}, func(c *cluster) {
-		c.writeFaults.Store(every(ok, ok, ok, fake.AnswerLost, ok, ok, fake.Duplicated, ok, ok, fake.Delayed, ok, ok, fake.Refused))
+		c.writeFaults.Store(every(ok, ok, ok, fake.ResponseLost, ok, ok, fake.Duplicated, ok, ok, fake.Delayed, ok, ok, fake.Unavailable))
 		c.commandsDelayed = true
-		c.commandFaults.Store(every(ok, ok, fake.AnswerLost, ok, fake.RequestLost, ok, ok, fake.Delayed, fake.Duplicated))
-		c.scaleOutFaults.Store(every(ok, ok, fake.AnswerLost, ok, ok, ok, fake.Refused))
+		c.commandFaults.Store(every(ok, ok, fake.ResponseLost, ok, fake.RequestLost, ok, ok, fake.Delayed, fake.Duplicated))
+		c.scaleOutFaults.Store(every(ok, ok, fake.ResponseLost, ok, ok, ok, fake.Unavailable))
 		jobs := c.submitJobs(1, 3, 0, func(_ int, j *wire.Job) { j.Tasks = 30 })
-		c.await("some tasks done", 30*time.Second, func() bool { _, done := c.checker.On(""); return done > 10 })
+		c.await("some tasks done", 30*time.Second, func() bool { _, done := c.checker.TaskCounts(""); return done > 10 })
 		lead := c.leader()
 		c.kill(lead)
 		c.users.Cancel(jobs[2])
 		time.Sleep(5 * time.Second)
 		c.start(lead)
-		c.await("more tasks done", 60*time.Second, func() bool { _, done := c.checker.On(""); return done > 30 })
+		c.await("more tasks done", 60*time.Second, func() bool { _, done := c.checker.TaskCounts(""); return done > 30 })
 		for i := range c.nodes {
 			c.kill(i)
 		}
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -21,7 +21,7 @@
 		c.users.SendInvalid()
 		time.Sleep(30 * time.Second)
 		for k := range 6 {
-			if _, done := c.checker.On(fmt.Sprintf("job-%06d", k)); done != 3 {
+			if _, done := c.checker.TaskCounts(fmt.Sprintf("job-%06d", k)); done != 3 {
 				t.Errorf("%d tasks of job %d done", done, k)
 			}
 		}
@@ -53,9 +53,9 @@
 // TestOverload: there is more work than room, urgent and not, over slow links.
 func TestOverload(t *testing.T) {
 	runScenario(t, clusterPlan{maxMachines: 4, runTime: longRunning(25 * time.Second)}, func(c *cluster) {
-		c.state.Slow(300 * time.Millisecond)
+		c.state.SetDelay(300 * time.Millisecond)
 		c.commandsDelayed = true
-		c.commandFaults.Store(c.randomFaults(0.2, fake.AnswerLost, 0, 0))
+		c.commandFaults.Store(c.randomFaults(0.2, fake.ResponseLost, 0, 0))
 		jobs := c.submitJobs(0, 24, 300*time.Millisecond, func(k int, j *wire.Job) {
 			j.Tasks, j.CPUs = 8, 2
 			j.Priority = []string{"idle", "standard", "high", "critical"}[k%4]
@@ -63,7 +63,7 @@
 		c.users.Cancel(jobs[3])
 		time.Sleep(30 * time.Second)
 		c.kill(c.leader())
-		c.state.Slow(0)
+		c.state.SetDelay(0)
 		c.commandFaults.Store(nil)
 		time.Sleep(time.Minute)
 		c.startAll()
@@ -125,10 +125,10 @@
 			workers := c.cloud.Workers()
 			w := workers[r.IntN(len(workers))]
 			if r.IntN(2) == 0 {
-				c.cloud.Take(w.Name())
+				c.cloud.Terminate(w.Name())
 			} else {
-				w.Hang(true)
-				c.users.Go(func() { time.Sleep(25 * time.Second); w.Hang(false) })
+				w.SetHung(true)
+				c.users.Go(func() { time.Sleep(25 * time.Second); w.SetHung(false) })
 			}
 			time.Sleep(randomDuration(r, time.Second, 8*time.Second))
 		}
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -61,23 +61,23 @@
 			c.startAll()
 		}},
 		{"an outage", func(c *cluster) {
-			c.state.Outage(true)
+			c.state.SetOutage(true)
 			time.Sleep(50 * time.Second)
-			c.state.Outage(false)
+			c.state.SetOutage(false)
 		}},
 		{"the answers to writes are lost, then an outage", func(c *cluster) {
-			c.writeFaults.Store(c.randomFaults(1, fake.AnswerLost, 0, 0))
+			c.writeFaults.Store(c.randomFaults(1, fake.ResponseLost, 0, 0))
 			time.Sleep(2 * time.Second)
-			c.state.Outage(true)
+			c.state.SetOutage(true)
 			c.writeFaults.Store(nil)
 			time.Sleep(50 * time.Second)
-			c.state.Outage(false)
+			c.state.SetOutage(false)
 		}},
 		{"the leader alone is refused", func(c *cluster) {
 			lead := c.leader()
-			c.state.Refuse(c.name(lead), true)
+			c.state.SetRefused(c.name(lead), true)
 			time.Sleep(20 * time.Second)
-			c.state.Refuse(c.name(lead), false)
+			c.state.SetRefused(c.name(lead), false)
 		}},
 	}
 	// A job's tasks run for 8 s, and begin some 6 s after it is submitted, once there are
@@ -98,7 +98,7 @@
 						first := pipelines[n][0]
 						// At all controllers within a millisecond, then until it is answered.
 						for i := range c.nodes {
-							c.users.Go(func() { c.users.Call(i, fake.AskedCancel, first.ID, nil) })
+							c.users.Go(func() { c.users.Call(i, fake.RequestCancel, first.ID, nil) })
 						}
 						c.users.Cancel(first)
 						if n == len(moments)/2 {
@@ -120,7 +120,7 @@
 // queryAll asks about all jobs of a pipeline at all controllers.
 func (c *cluster) queryAll(jobs []*wire.Job) {
 	for _, j := range jobs {
-		c.users.Go(func() { c.users.Look(j.ID, j) })
+		c.users.Go(func() { c.users.QueryEverywhere(j.ID, j) })
 	}
 }
 
@@ -130,12 +130,12 @@
 	c.t.Helper()
 	ends := map[string]int{}
 	for _, jobs := range pipelines {
-		_, want := c.users.Until(fake.AskedCancel, jobs[0].ID, nil)
+		_, want := c.users.RetryUntilFinal(fake.RequestCancel, jobs[0].ID, nil)
 		ends[want]++
 		for _, j := range jobs {
 			if dependsOnJob(jobs, j, jobs[0].ID) {
 				c.await(j.ID+" is "+want, 2*time.Minute, func() bool {
-					_, status := c.users.Call(c.users.AnyNode(), fake.AskedStatus, j.ID, nil)
+					_, status := c.users.Call(c.users.AnyController(), fake.RequestStatus, j.ID, nil)
 					return status == want
 				})
 			}
@@ -171,18 +171,18 @@
 		"hire/h3-1": `{}`, "silent/3-1": `7`, "node/n1": `"none"`, "fence": `{}`, "gone/vm-900002": `{}`,
 	}
 	runScenario(t, clusterPlan{ledger: ledger}, func(c *cluster) {
-		c.checker.Submits(fake.NewJob("job-800001", 2, nil), true)
-		c.users.Call(0, fake.AskedStatus, "job-800001", nil)
+		c.checker.RecordSubmission(fake.NewJob("job-800001", 2, nil), true)
+		c.users.Call(0, fake.RequestStatus, "job-800001", nil)
 		c.submitJobs(0, 5, time.Second, nil)
 		for i := range c.nodes {
 			for _, ref := range []string{"job-800002", "job-800003"} {
-				if code, _ := c.users.Call(i, fake.AskedStatus, ref, nil); code < 500 && code != 0 {
+				if code, _ := c.users.Call(i, fake.RequestStatus, ref, nil); code < 500 && code != 0 {
 					t.Errorf("%s, whose record can't be read, gets %d at %s", ref, code, c.name(i))
 				}
 			}
 		}
 		c.await("the job with unknown hosts done", 2*time.Minute, func() bool {
-			_, status := c.users.Call(c.users.AnyNode(), fake.AskedStatus, "job-800001", nil)
+			_, status := c.users.Call(c.users.AnyController(), fake.RequestStatus, "job-800001", nil)
 			return status == wire.JobDone
 		})
 		// An operator removes the keys that can't be read.
--- a/internal/controller/rollout_measure_test.go
+++ b/internal/controller/rollout_measure_test.go
@@ -71,7 +71,7 @@
 		old := c.machineNames()
 		began := time.Now()
 		if way.text == "" {
-			c.cloud.Take(old...)
+			c.cloud.Terminate(old...)
 		} else if err := c.beginPlan("winter", "types = m8\n"+way.text); err != nil {
 			t.Error(err)
 		}
@@ -110,7 +110,7 @@
 // count takes what was lost and late from what the machines saw.
 func (r *drainResult) count(c *cluster, accepted map[string]time.Time) {
 	ends := map[string]time.Time{}
-	for _, run := range c.checker.Runs() {
+	for _, run := range c.checker.TaskRuns() {
 		ref := wire.JobIDOfTask(run.Task)
 		if run.Completed && run.Ended.After(ends[ref]) {
 			ends[ref] = run.Ended
@@ -126,7 +126,7 @@
 		}
 	}
 	for _, s := range c.missedStops() {
-		r.lost += s.Over.Sub(s.Began)
+		r.lost += s.Ended.Sub(s.Began)
 	}
 	for _, team := range []string{"open", "tight"} {
 		r.most = max(r.most, c.maxStoppedJobs(func(j *wire.Job) bool { return j.Team == team }))
--- a/internal/controller/rollout_plans_test.go
+++ b/internal/controller/rollout_plans_test.go
@@ -103,11 +103,11 @@
 }
 
 // missedStops lists what tasks missed, by what the machines recorded.
-func (c *cluster) missedStops() []fake.Stop { return fake.Stops(c.checker.Runs()) }
+func (c *cluster) missedStops() []fake.Interruption { return fake.Interruptions(c.checker.TaskRuns()) }
 
 // maxStoppedJobs is how many jobs of some were stopped at once at most.
 func (c *cluster) maxStoppedJobs(in func(j *wire.Job) bool) int {
-	return fake.MostStopped(c.missedStops(), func(ref string) bool { return in(c.checker.Job(ref)) })
+	return fake.MaxInterrupted(c.missedStops(), func(ref string) bool { return in(c.checker.Job(ref)) })
 }
 
 // checkBudgets checks what the machines recorded against the budgets; hit jobs may be more, of
@@ -190,7 +190,7 @@
 		c.awaitPlan("the budget of", 3*time.Minute)
 		for k := 0; k < 60 && strings.Count(c.plans(), "finished") < 2; k++ {
 			time.Sleep(20 * time.Second)
-			for _, j := range c.checker.Open() { // what can't save is moved at once
+			for _, j := range c.checker.OpenJobs() { // what can't save is moved at once
 				for _, name := range []string{"first", "second"} {
 					if strings.Contains(c.plans(), j+"/") && strings.Contains(c.plans(), "allow the job") {
 						rolloutservice.Steer(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform, name, rollout.Allow, j)
@@ -227,7 +227,7 @@
 		c.steer("winter", rollout.Skip, old[1])
 		c.awaitPlan("finished", 20*time.Minute)
 		c.checkBudgets(0)
-		if !slices.Contains(c.machineNames(), old[1]) && len(c.checker.Open()) > 0 {
+		if !slices.Contains(c.machineNames(), old[1]) && len(c.checker.OpenJobs()) > 0 {
 			c.t.Errorf("%s was skipped, and is gone", old[1])
 		}
 	})
@@ -235,20 +235,20 @@
 
 // drainFaults are faults while a plan is being carried out.
 var drainFaults = map[string]func(c *cluster, old []string){
-	"a machine crashes": func(c *cluster, old []string) { c.cloud.Take(old[0], old[1]) },
+	"a machine crashes": func(c *cluster, old []string) { c.cloud.Terminate(old[0], old[1]) },
 	"machines fall silent": func(c *cluster, _ []string) {
 		for _, w := range everyOther(c.cloud.Workers()) {
-			w.Hang(true)
+			w.SetHung(true)
 		}
 		time.Sleep(agentLease + 5*time.Second)
 		for _, w := range c.cloud.Workers() {
-			w.Hang(false)
+			w.SetHung(false)
 		}
 	},
 	"the key-value store is down": func(c *cluster, _ []string) {
-		c.state.Outage(true)
+		c.state.SetOutage(true)
 		time.Sleep(40 * time.Second)
-		c.state.Outage(false)
+		c.state.SetOutage(false)
 	},
 	"the leader pauses and resumes": func(c *cluster, _ []string) {
 		lead := c.leader()
@@ -258,22 +258,22 @@
 	},
 	"heartbeats come late and twice": func(c *cluster, _ []string) {
 		for _, w := range c.cloud.Workers() {
-			w.DuplicateReports(func() time.Duration { return time.Duration(c.users.Random() * float64(10*time.Second)) })
+			w.DuplicateHeartbeats(func() time.Duration { return time.Duration(c.users.Random() * float64(10*time.Second)) })
 		}
 		time.Sleep(time.Minute)
 		for _, w := range c.cloud.Workers() {
-			w.DuplicateReports(nil)
+			w.DuplicateHeartbeats(nil)
 		}
 	},
 	"a zone is lost": func(c *cluster, _ []string) {
 		for _, w := range c.cloud.Workers() {
 			if w.Zone() == "a" {
-				c.cloud.Take(w.Name())
+				c.cloud.Terminate(w.Name())
 			}
 		}
 	},
 	"jobs are cancelled in the middle of a move": func(c *cluster, _ []string) {
-		for _, ref := range c.checker.Open()[:4] {
+		for _, ref := range c.checker.OpenJobs()[:4] {
 			c.users.Cancel(c.checker.Job(ref))
 		}
 	},
--- a/internal/controller/scenario_steps_test.go
+++ b/internal/controller/scenario_steps_test.go
@@ -42,7 +42,7 @@
 
 // awaitRunning waits until that many tasks are on machines.
 func (c *cluster) awaitRunning(n int) {
-	c.await(fmt.Sprintf("%d tasks on machines", n), time.Minute, func() bool { on, _ := c.checker.On(""); return on >= n })
+	c.await(fmt.Sprintf("%d tasks on machines", n), time.Minute, func() bool { on, _ := c.checker.TaskCounts(""); return on >= n })
 }
 
 // awaitNewTerm waits until another controller leads than did, or the same in a new term.
@@ -53,7 +53,7 @@
 
 // unreachableBy are the ways in which a machine is unreachable.
 var unreachableBy = map[string]func(w *fake.Worker, on bool){
-	"hang": (*fake.Worker).Hang, "deaf": (*fake.Worker).CutInbound, "mute": (*fake.Worker).CutOutbound,
+	"hang": (*fake.Worker).SetHung, "deaf": (*fake.Worker).SetInboundCut, "mute": (*fake.Worker).SetOutboundCut,
 }
 
 // everyOther returns every other one.
--- a/internal/controller/standby_test.go
+++ b/internal/controller/standby_test.go
@@ -22,7 +22,7 @@
 const pauseTime = 10 * time.Second
 
 // pause holds up all that a controller sends and is sent, until resume: to all others it is suspended, and what was in flight arrives when it resumes.
-func (c *cluster) pause(i int)  { c.eachLink(i, func(a, b string) { c.net.Cut(a, b, true) }) }
+func (c *cluster) pause(i int)  { c.eachLink(i, func(a, b string) { c.net.Partition(a, b, true) }) }
 func (c *cluster) resume(i int) { c.eachLink(i, c.net.Heal) }
 
 func (c *cluster) eachLink(i int, do func(a, b string)) {
@@ -41,16 +41,16 @@
 
 // pauseAt has the leader paused as soon as a message of it with some text arrives, which
 // then gets that fault. paused reports that it has happened.
-func (c *cluster) pauseAt(text string, fate fake.Trouble) (trouble *fake.Troubles, paused *atomic.Bool) {
+func (c *cluster) pauseAt(text string, fate fake.InjectedFault) (trouble *fake.FaultInjector, paused *atomic.Bool) {
 	paused = &atomic.Bool{}
-	f := fake.Troubles(func(from string, r *http.Request) fake.Trouble {
+	f := fake.FaultInjector(func(from string, r *http.Request) fake.InjectedFault {
 		lead := c.leader()
 		if lead < 0 || from != c.name(lead) {
-			return fake.Trouble{}
+			return fake.InjectedFault{}
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil || !bytes.Contains(body, []byte(text)) || paused.Swap(true) {
-			return fake.Trouble{}
+			return fake.InjectedFault{}
 		}
 		c.pause(lead)
 		return fate
@@ -61,20 +61,20 @@
 // TestLeaderPausedInAStep: the leader is suspended in the middle of a decision, at each of
 // its steps, while another one takes over, and then continues with what it was about to do.
 func TestLeaderPausedInAStep(t *testing.T) {
-	late := fake.Trouble{Fault: fake.Delayed, For: pauseTime + time.Second}
+	late := fake.InjectedFault{Kind: fake.Delayed, Delay: pauseTime + time.Second}
 	steps := []struct {
 		name, text string
-		fate       fake.Trouble
-		messages   func(c *cluster) *atomic.Pointer[fake.Troubles]
+		fate       fake.InjectedFault
+		messages   func(c *cluster) *atomic.Pointer[fake.FaultInjector]
 	}{
 		{"before a write", `"host/`, late, (*cluster).writeFaultsOf},
-		{"between a write and its command", `"host/`, fake.Trouble{}, (*cluster).writeFaultsOf},
-		{"between a command and its outcome", `"` + wire.VerbStart + `"`, fake.Trouble{}, (*cluster).commandFaultsOf},
+		{"between a write and its command", `"host/`, fake.InjectedFault{}, (*cluster).writeFaultsOf},
+		{"between a command and its outcome", `"` + wire.VerbStart + `"`, fake.InjectedFault{}, (*cluster).commandFaultsOf},
 		{"in a command", `"` + wire.VerbStart + `"`, late, (*cluster).commandFaultsOf},
 		{"before a cancellation is written", `"` + wire.JobCancelled + `"`, late, (*cluster).writeFaultsOf},
-		{"in the answer to a cancellation", `"` + wire.JobCancelled + `"`, fake.Trouble{}, (*cluster).writeFaultsOf},
+		{"in the answer to a cancellation", `"` + wire.JobCancelled + `"`, fake.InjectedFault{}, (*cluster).writeFaultsOf},
 		{"before a hire", ``, late, (*cluster).scaleOutFaultsOf},
-		{"in a hire's answer", ``, fake.Trouble{}, (*cluster).scaleOutFaultsOf},
+		{"in a hire's answer", ``, fake.InjectedFault{}, (*cluster).scaleOutFaultsOf},
 	}
 	for _, step := range steps {
 		t.Run(step.name, func(t *testing.T) {
@@ -104,9 +104,9 @@
 	}
 }
 
-func (c *cluster) writeFaultsOf() *atomic.Pointer[fake.Troubles]    { return &c.writeFaults }
-func (c *cluster) commandFaultsOf() *atomic.Pointer[fake.Troubles]  { return &c.commandFaults }
-func (c *cluster) scaleOutFaultsOf() *atomic.Pointer[fake.Troubles] { return &c.scaleOutFaults }
+func (c *cluster) writeFaultsOf() *atomic.Pointer[fake.FaultInjector]    { return &c.writeFaults }
+func (c *cluster) commandFaultsOf() *atomic.Pointer[fake.FaultInjector]  { return &c.commandFaults }
+func (c *cluster) scaleOutFaultsOf() *atomic.Pointer[fake.FaultInjector] { return &c.scaleOutFaults }
 
 // TestTwoLeadersEnd: the leader ends, and its successor within a second of having won.
 func TestTwoLeadersEnd(t *testing.T) {
@@ -148,7 +148,7 @@
 				time.Sleep(100 * time.Millisecond)
 			}
 			was := c.leader()
-			c.writeFaults.Store(c.randomFaults(0.7, fake.AnswerLost, 0, 0))
+			c.writeFaults.Store(c.randomFaults(0.7, fake.ResponseLost, 0, 0))
 			c.users.Cancel(jobs[2*k])
 			c.users.Submit(fake.NewJob(fmt.Sprintf("job-%06d", 50+k), 2, nil))
 			time.Sleep(randomDuration(r, time.Millisecond, 30*time.Millisecond))
@@ -171,7 +171,7 @@
 				c.submitJobs(0, 6, 300*time.Millisecond, nil)
 				first := c.leader()
 				cutOff := c.follower()
-				c.net.Cut(c.name(cutOff), "state", hold)
+				c.net.Partition(c.name(cutOff), "state", hold)
 				jobs := c.submitJobs(10, 4, time.Second, nil)
 				c.kill(first)
 				c.awaitLeader(first)
@@ -202,7 +202,7 @@
 		for k := range 3 {
 			workers := everyOther(c.cloud.Workers())
 			for _, w := range workers {
-				w.CutInbound(true)
+				w.SetInboundCut(true)
 			}
 			lead := c.leader()
 			if lead < 0 {
@@ -218,7 +218,7 @@
 			c.resume(lead)
 			c.startAll()
 			for _, w := range workers {
-				w.CutInbound(false)
+				w.SetInboundCut(false)
 			}
 			time.Sleep(5 * time.Second)
 		}
--- a/internal/controller/store_failures_test.go
+++ b/internal/controller/store_failures_test.go
@@ -19,7 +19,7 @@
 // is lost, while other controllers read what it wrote.
 func TestLostTransactionAnswers(t *testing.T) {
 	runWithSeeds(t, clusterPlan{runTime: longRunning(20 * time.Second)}, func(c *cluster, _ *rand.Rand) {
-		c.writeFaults.Store(c.randomFaults(0.3, fake.AnswerLost, 0, 0))
+		c.writeFaults.Store(c.randomFaults(0.3, fake.ResponseLost, 0, 0))
 		jobs := c.submitJobs(0, 20, 400*time.Millisecond, nil)
 		for _, j := range everyOther(jobs) {
 			c.users.Cancel(j)
@@ -40,7 +40,7 @@
 		c.writeFaults.Store(c.randomFaults(0.25, fake.Delayed, 2*time.Second, 12*time.Second))
 		jobs := c.submitJobs(0, 20, 400*time.Millisecond, nil)
 		for _, w := range everyOther(c.cloud.Workers()) {
-			w.CutOutbound(true)
+			w.SetOutboundCut(true)
 		}
 		for _, j := range everyOther(jobs) {
 			c.users.Cancel(j)
@@ -48,7 +48,7 @@
 		}
 		time.Sleep(9 * time.Second)
 		for _, w := range c.cloud.Workers() {
-			w.CutOutbound(false)
+			w.SetOutboundCut(false)
 		}
 		c.restart(c.leader(), 500*time.Millisecond)
 		c.submitJobs(100, 10, 400*time.Millisecond, nil)
@@ -65,29 +65,29 @@
 			runScenario(t, clusterPlan{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
 				jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
 				c.awaitRunning(10)
-				c.state.Slow(slow)
+				c.state.SetDelay(slow)
 				for _, j := range everyOther(jobs) {
 					c.users.Cancel(j)
 					time.Sleep(time.Second)
 				}
 				lead := c.leader()
 				if lead >= 0 {
-					c.state.Refuse(c.name(lead), true)
+					c.state.SetRefused(c.name(lead), true)
 				}
 				for _, j := range jobs[:4] {
-					c.users.Look(j.ID, j)
+					c.users.QueryEverywhere(j.ID, j)
 					time.Sleep(500 * time.Millisecond)
 				}
-				c.state.Outage(true)
+				c.state.SetOutage(true)
 				for range 6 {
-					c.users.Look(jobs[0].ID, jobs[0])
+					c.users.QueryEverywhere(jobs[0].ID, jobs[0])
 					c.users.Cancel(jobs[1])
 					time.Sleep(cancelLimit / 5)
 				}
-				c.state.Slow(0)
-				c.state.Outage(false)
+				c.state.SetDelay(0)
+				c.state.SetOutage(false)
 				if lead >= 0 {
-					c.state.Refuse(c.name(lead), false)
+					c.state.SetRefused(c.name(lead), false)
 				}
 			})
 		})
@@ -110,10 +110,10 @@
 			fall()
 		},
 		"at the end of an outage": func(c *cluster, fall func()) {
-			c.state.Outage(true)
+			c.state.SetOutage(true)
 			time.Sleep(15 * time.Second)
 			fall()
-			c.state.Outage(false)
+			c.state.SetOutage(false)
 		},
 		"while a controller is missing": func(c *cluster, fall func()) {
 			c.kill(c.follower())
@@ -138,9 +138,9 @@
 			runScenario(t, clusterPlan{nextLimits: &low, maxMachines: 40, runTime: run, notStarted: absent}, func(c *cluster) {
 				jobs := c.submitJobs(0, 3, 500*time.Millisecond, func(_ int, j *wire.Job) { j.Tasks, j.CPUs = 600, 0.25 })
 				c.awaitRunning(300)
-				when(c, func() { c.state.Limit(low) })
+				when(c, func() { c.state.SetLimits(low) })
 				time.Sleep(20 * time.Second)
-				if large := c.state.Largest("fin/"); large > 1024 && absent == 0 {
+				if large := c.state.LargestValue("fin/"); large > 1024 && absent == 0 {
 					t.Errorf("%d bytes of finished tasks in a value, all controllers being upgraded", large)
 				} else if large <= 1024 && absent > 0 {
 					t.Error("nothing was written as an older version reads it")
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -21,7 +21,7 @@
 func (c *cluster) upgrade(i int, after time.Duration) {
 	c.kill(i)
 	time.Sleep(after)
-	c.nodes[i].level = capability.Level
+	c.nodes[i].level = capability.CurrentLevel
 	c.start(i)
 }
 
@@ -31,7 +31,7 @@
 	c.t.Helper()
 	c.checkWritesReadable()
 	for i, n := range c.nodes {
-		if n.level < capability.Level {
+		if n.level < capability.CurrentLevel {
 			c.upgrade(i, 2*time.Second)
 			time.Sleep(3 * time.Second)
 		}
@@ -40,7 +40,7 @@
 
 // upgradedController is a controller of the current version.
 func (c *cluster) upgradedController() int {
-	return slices.IndexFunc(c.nodes, func(n *controllerProcess) bool { return n.level == capability.Level })
+	return slices.IndexFunc(c.nodes, func(n *controllerProcess) bool { return n.level == capability.CurrentLevel })
 }
 
 // leaderAtLevel ends leaders until one of a level leads.
@@ -69,7 +69,7 @@
 // the shape of what production writes itself.
 func (c *cluster) checkWritesReadable() {
 	c.t.Helper()
-	recorded, err := compat.Read(productionRecording)
+	recorded, err := compat.ReadRecording(productionRecording)
 	if err != nil {
 		c.t.Fatal(err)
 	}
@@ -77,7 +77,7 @@
 	for _, v := range recorded.Values {
 		known[compat.KeyFamily(v.Key)] = append(known[compat.KeyFamily(v.Key)], c.fields(v.Value)...)
 	}
-	for _, change := range c.state.Changes() {
+	for _, change := range c.state.History() {
 		family := compat.KeyFamily(change.Set)
 		if change.Set == "" || family == "node" {
 			continue
@@ -105,7 +105,7 @@
 // checkPipelinesAccepted checks that a job that waits for another one is taken.
 func (c *cluster) checkPipelinesAccepted() {
 	c.t.Helper()
-	c.await("all announced", 30*time.Second, func() bool { return c.state.Count(capability.Prefix) == len(c.nodes) })
+	c.await("all announced", 30*time.Second, func() bool { return c.state.Count(capability.KeyPrefix) == len(c.nodes) })
 	first := fake.NewJob("job-700000", 2, nil)
 	second := fake.NewJob("job-700001", 1, func(j *wire.Job) { j.DependsOn = []string{first.ID} })
 	for _, j := range []*wire.Job{first, second} {
@@ -127,8 +127,8 @@
 	}
 	c.users.Poll(first)
 	second := fake.NewJob("job-700001", 1, func(j *wire.Job) { j.DependsOn = []string{first.ID} })
-	c.checker.Submits(second, true)
-	if code, _ := c.users.Call(c.upgradedController(), fake.AskedSubmit, second.ID, second); code != 503 {
+	c.checker.RecordSubmission(second, true)
+	if code, _ := c.users.Call(c.upgradedController(), fake.RequestSubmit, second.ID, second); code != 503 {
 		c.t.Errorf("a job that waits for another one, with a controller of the old version up: %d, want 503", code)
 	}
 }
@@ -160,7 +160,7 @@
 		}},
 		{"an upgraded leader with old followers", func(c *cluster) {
 			c.upgrade(c.oldVersionFollower(), 2*time.Second)
-			c.leaderAtLevel(capability.Level)
+			c.leaderAtLevel(capability.CurrentLevel)
 			time.Sleep(20 * time.Second)
 			c.leaderAtLevel(0)
 			time.Sleep(10 * time.Second)
@@ -182,7 +182,7 @@
 			time.Sleep(3 * time.Second)
 			for i := range c.nodes {
 				if i > 0 {
-					c.nodes[i].level = capability.Level
+					c.nodes[i].level = capability.CurrentLevel
 				}
 				c.start(i)
 			}
@@ -191,11 +191,11 @@
 		}},
 		{"an outage in the middle", func(c *cluster) {
 			c.upgrade(c.oldVersionFollower(), time.Second)
-			c.state.Outage(true)
+			c.state.SetOutage(true)
 			time.Sleep(5 * time.Second)
 			c.upgrade(c.oldVersionFollower(), time.Second)
 			time.Sleep(10 * time.Second)
-			c.state.Outage(false)
+			c.state.SetOutage(false)
 			time.Sleep(5 * time.Second)
 			c.upgradeRest()
 		}},
@@ -207,8 +207,8 @@
 			c.checkWritesReadable()
 			last := c.oldVersionFollower()
 			c.kill(last)
-			c.state.Limit(low)
-			c.nodes[last].level = capability.Level
+			c.state.SetLimits(low)
+			c.nodes[last].level = capability.CurrentLevel
 			time.Sleep(2 * time.Second)
 			c.start(last)
 			time.Sleep(10 * time.Second)
@@ -245,7 +245,7 @@
 func (c *cluster) oldVersionFollower() int {
 	lead, found := c.leader(), -1
 	for i, n := range c.nodes {
-		if n.level < capability.Level && (found < 0 || found == lead) {
+		if n.level < capability.CurrentLevel && (found < 0 || found == lead) {
 			found = i
 		}
 	}
--- a/internal/dispatch/event_loop.go
+++ b/internal/dispatch/event_loop.go
@@ -80,7 +80,7 @@
 // place otherwise, or if no controller of that version can run any more; then there is
 // nothing to be rewritten when the limits fall.
 func (d *Dispatcher) maxValueBytes() int {
-	size := d.store.Limits().ValueBytes
+	size := d.store.Limits().MaxValueBytes
 	if d.config.PipelinesSupported() {
 		size = min(size, d.config.Platform.Facts.State.LeastValueBytes())
 	}
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -92,7 +92,7 @@
 	return ledger.Limits{
 		MaxChanges:       max(minTransactionChanges, min(store.MaxChanges, int(writesPerSecond))),
 		TransactionBytes: maxTransactionBytes,
-		ValueBytes:       store.ValueBytes,
+		ValueBytes:       store.MaxValueBytes,
 		DeferrableRate:   writesPerSecond / deferrablePart,
 	}
 }
--- a/internal/fake/addresses.go
+++ b/internal/fake/addresses.go
@@ -10,9 +10,9 @@
 // and the next search could find the same port.
 var reserved sync.Map
 
-// Reserve finds free loopback addresses, each once in a test run. They are not on 127.0.0.1, where
+// ReserveAddresses finds free loopback addresses, each once in a test run. They are not on 127.0.0.1, where
 // a fake or a connection could take the port before the controller does.
-func Reserve(t testing.TB, n int) (addresses []string) {
+func ReserveAddresses(t testing.TB, n int) (addresses []string) {
 	t.Helper()
 	for len(addresses) < n {
 		l, err := net.Listen("tcp", "127.7.0.1:0")
--- a/internal/fake/await.go
+++ b/internal/fake/await.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Await waits for a condition, and fails the test when it does not become true in time.
-func Await(t testing.TB, what string, limit time.Duration, ok func() bool) {
+// WaitFor waits for a condition, and fails the test when it does not become true in time.
+func WaitFor(t testing.TB, what string, limit time.Duration, ok func() bool) {
 	t.Helper()
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
 		if ok() {
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -11,14 +11,14 @@
 
 // Limits are the bounds that the checker holds the service to.
 type Limits struct {
-	Cancel time.Duration      // no task of a cancelled job may run later than this after the confirmation
-	CPUs   map[string]float64 // CPU limit of each team; no entry: unlimited
-	// Waiting is how long a job may wait without faults while there is free capacity for it, and
+	CancelDeadline time.Duration      // no task of a cancelled job may run later than this after the confirmation
+	TeamCPULimits  map[string]float64 // CPU limit of each team; no entry: unlimited
+	// MaxWaiting is how long a job may wait without faults while there is free capacity for it, and
 	// Silent how long all requests about a job may stay unanswered.
-	Waiting, Silent time.Duration
-	// MayRepeat reports whether jobs of a class may run again after a run of unknown outcome;
+	MaxWaiting, MaxUnanswered time.Duration
+	// RetryAllowed reports whether jobs of a class may run again after a run of unknown outcome;
 	// nil: none may.
-	MayRepeat func(class string) bool
+	RetryAllowed func(class string) bool
 }
 
 // Checker compares the responses that users got and the tasks that machines ran with the
@@ -66,8 +66,8 @@
 	}
 }
 
-// Broken lists the violations so far in order, each with the name of its invariant first.
-func (c *Checker) Broken() (violations []string) {
+// Violations lists the violations so far in order, each with the name of its invariant first.
+func (c *Checker) Violations() (violations []string) {
 	c.do(func() { violations = slices.Clone(c.violations) })
 	return violations
 }
@@ -88,8 +88,8 @@
 	return job
 }
 
-// Open lists the accepted jobs of which no user has been told a terminal status.
-func (c *Checker) Open() (jobIDs []string) {
+// OpenJobs lists the accepted jobs of which no user has been told a terminal status.
+func (c *Checker) OpenJobs() (jobIDs []string) {
 	c.do(func() {
 		for jobID, j := range c.jobs {
 			if !j.acceptedAt.IsZero() && j.terminalStatus == "" {
@@ -101,8 +101,8 @@
 	return jobIDs
 }
 
-// On counts the tasks of a job, or of all jobs with "", that are running and that have completed.
-func (c *Checker) On(jobID string) (running, completed int) {
+// TaskCounts counts the tasks of a job, or of all jobs with "", that are running and that have completed.
+func (c *Checker) TaskCounts(jobID string) (running, completed int) {
 	c.do(func() {
 		for task := range c.running {
 			if jobID == "" || wire.JobIDOfTask(task) == jobID {
--- a/internal/fake/checker_cancellation.go
+++ b/internal/fake/checker_cancellation.go
@@ -9,7 +9,7 @@
 
 // cancelDue reports whether the time has passed within which a cancelled job's tasks must end.
 func (c *Checker) cancelDue(j *checkedJob) bool {
-	return j.terminalStatus == wire.JobCancelled && time.Since(j.terminalAt) > c.limits.Cancel
+	return j.terminalStatus == wire.JobCancelled && time.Since(j.terminalAt) > c.limits.CancelDeadline
 }
 
 // checkCancelledTask checks that a task that is still running is not long cancelled.
--- a/internal/fake/checker_cancellation_test.go
+++ b/internal/fake/checker_cancellation_test.go
@@ -12,19 +12,19 @@
 		{"a task runs on long after the cancellation", "ran_cancelled", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.start("job-1/0", "m1", "a")
-			s.respond(AskedCancel, "job-1", 200, wire.JobCancelled)
+			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(41 * time.Second)
-			s.Look(time.Time{}, nil)
+			s.CheckInvariants(time.Time{}, nil)
 		}},
 		{"a lease renewed without the stop of a cancelled task", "renewed_without_stop", func(s *scenario) {
 			s.submit("job-1", 1, nil)
-			s.respond(AskedCancel, "job-1", 200, wire.JobCancelled)
+			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			s.RecordLeaseRenewal("m1", time.Now(), []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, Status: wire.TaskRunning}}, nil)
 		}},
 		{"a lease renewed with the stops of cancelled tasks, and by earlier heartbeats", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			before := time.Now()
-			s.respond(AskedCancel, "job-1", 200, wire.JobCancelled)
+			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			tasks := []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, Status: wire.TaskRunning}, {Task: "job-1/0", Attempt: 2, Status: wire.TaskEnded}}
 			s.RecordLeaseRenewal("m1", before, tasks, nil)
 			s.RecordLeaseRenewal("m1", time.Now(), tasks, []wire.Command{{Verb: wire.VerbStop, Task: "job-1/0", Attempt: 1}})
@@ -32,21 +32,21 @@
 		{"a task ends late after the cancellation", "ran_cancelled", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.start("job-1/0", "m1", "a")
-			s.respond(AskedStatus, "job-1", 200, wire.JobQueued)
-			s.respond(AskedCancel, "job-1", 200, wire.JobCancelled)
+			s.respond(RequestStatus, "job-1", 200, wire.JobQueued)
+			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(41 * time.Second)
-			s.Ends("job-1/0", "m1", false)
+			s.RecordTaskEnd("job-1/0", "m1", false)
 		}},
 		{"a task ends in time after the cancellation", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.start("job-1/0", "m1", "a")
-			s.respond(AskedCancel, "job-1", 200, wire.JobCancelled)
+			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(39 * time.Second)
-			s.Ends("job-1/0", "m1", false)
+			s.RecordTaskEnd("job-1/0", "m1", false)
 		}},
 		{"a task starts long after the cancellation", "ran_cancelled", func(s *scenario) {
 			s.submit("job-1", 1, nil)
-			s.respond(AskedCancel, "job-1", 200, wire.JobCancelled)
+			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(41 * time.Second)
 			s.start("job-1/0", "m1", "a")
 		}},
--- a/internal/fake/checker_dependencies_test.go
+++ b/internal/fake/checker_dependencies_test.go
@@ -32,29 +32,29 @@
 			s.submit("job-1", 1, nil)
 			s.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
 			s.submit("job-3", 1, func(j *wire.Job) { j.DependsOn = []string{"job-2"} })
-			s.respond(AskedCancel, "job-1", 200, wire.JobCancelled)
+			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(41 * time.Second)
-			s.respond(AskedStatus, "job-3", 200, wire.JobQueued)
+			s.respond(RequestStatus, "job-3", 200, wire.JobQueued)
 		}},
 		{"cancelled with its dependency", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
-			s.respond(AskedCancel, "job-1", 200, wire.JobCancelled)
-			s.respond(AskedStatus, "job-2", 200, wire.JobQueued)
-			s.respond(AskedStatus, "job-2", 200, wire.JobCancelled)
+			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
+			s.respond(RequestStatus, "job-2", 200, wire.JobQueued)
+			s.respond(RequestStatus, "job-2", 200, wire.JobCancelled)
 		}},
 		{"cancelled with a job that depends on it", "went_back", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
-			s.respond(AskedCancel, "job-2", 200, wire.JobCancelled)
-			s.respond(AskedStatus, "job-1", 200, wire.JobCancelled)
+			s.respond(RequestCancel, "job-2", 200, wire.JobCancelled)
+			s.respond(RequestStatus, "job-1", 200, wire.JobCancelled)
 		}},
 		{"waits for a dependency although there is free capacity", "", func(s *scenario) {
 			s.submit("job-1", 1, func(j *wire.Job) { j.Zone = &zone })
 			s.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
 			calm := time.Now()
 			for range 30 {
-				s.Look(calm, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 2, MemGB: 2}})
+				s.CheckInvariants(calm, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 2, MemGB: 2}})
 				time.Sleep(10 * time.Second)
 			}
 		}},
--- a/internal/fake/checker_liveness.go
+++ b/internal/fake/checker_liveness.go
@@ -14,16 +14,16 @@
 	CPUs, MemGB float64
 }
 
-// Look checks the invariants that the passing of time alone can violate, and is to be called
+// CheckInvariants checks the invariants that the passing of time alone can violate, and is to be called
 // periodically: that no cancelled task goes on running and, when there have been no faults since
 // calm, that no job waits although there is free capacity and that requests are answered. calm is
 // zero while there are faults.
-func (c *Checker) Look(calm time.Time, free []FreeCapacity) {
-	c.LookAt(calm, free, func(string) bool { return true })
+func (c *Checker) CheckInvariants(calm time.Time, free []FreeCapacity) {
+	c.CheckInvariantsOfCell(calm, free, func(string) bool { return true })
 }
 
-// LookAt does the same for the jobs of one cell, and its free capacity.
-func (c *Checker) LookAt(calm time.Time, free []FreeCapacity, owns func(jobID string) bool) {
+// CheckInvariantsOfCell does the same for the jobs of one cell, and its free capacity.
+func (c *Checker) CheckInvariantsOfCell(calm time.Time, free []FreeCapacity, owns func(jobID string) bool) {
 	c.do(func() {
 		for task := range c.running {
 			c.checkCancelledTask(task)
@@ -44,7 +44,7 @@
 // checkAnswered checks that requests about a job have been answered since calm.
 func (c *Checker) checkAnswered(jobID string, j *checkedJob, calm time.Time) {
 	unanswered := j.lastRequestAt.Sub(later(j.unansweredSince, calm))
-	if !j.unansweredSince.IsZero() && unanswered > c.limits.Silent {
+	if !j.unansweredSince.IsZero() && unanswered > c.limits.MaxUnanswered {
 		c.violate(invariantForgotten, "%s: no request answered for %s", jobID, unanswered)
 		j.unansweredSince = time.Now()
 	}
@@ -59,7 +59,7 @@
 	if j.schedulableSince.IsZero() {
 		j.schedulableSince = time.Now()
 	}
-	if time.Since(j.schedulableSince) > c.limits.Waiting {
+	if time.Since(j.schedulableSince) > c.limits.MaxWaiting {
 		c.violate(invariantLeftWaiting, "%s: %d of %d done, free capacity for %s", jobID, len(j.completed), j.job.Tasks, time.Since(j.schedulableSince))
 		j.schedulableSince = time.Now()
 	}
@@ -90,7 +90,7 @@
 // hasCapacity reports whether a task of a job could start: within its team's limit, on a machine
 // that has room.
 func (c *Checker) hasCapacity(job *wire.Job, free []FreeCapacity) bool {
-	if limit := c.limits.CPUs[job.Team]; limit > 0 && job.CPUs+c.usedCPUs(job.Team) > limit {
+	if limit := c.limits.TeamCPULimits[job.Team]; limit > 0 && job.CPUs+c.usedCPUs(job.Team) > limit {
 		return false
 	}
 	return slices.ContainsFunc(free, func(f FreeCapacity) bool { return f.fits(job) })
--- a/internal/fake/checker_liveness_test.go
+++ b/internal/fake/checker_liveness_test.go
@@ -14,7 +14,7 @@
 			s.submit("job-1", 1, nil)
 			calm := time.Now()
 			for range 11 {
-				s.Look(calm, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 2, MemGB: 2}})
+				s.CheckInvariants(calm, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 2, MemGB: 2}})
 				time.Sleep(10 * time.Second)
 			}
 		}},
@@ -24,7 +24,7 @@
 			s.submit("job-3", 1, func(j *wire.Job) { j.Spot = false })
 			calm := time.Now()
 			for range 30 {
-				s.Look(calm, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 1, MemGB: 2, Spot: true}, {Type: "m", Zone: "a", CPUs: 2, Spot: true}})
+				s.CheckInvariants(calm, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 1, MemGB: 2, Spot: true}, {Type: "m", Zone: "a", CPUs: 2, Spot: true}})
 				time.Sleep(10 * time.Second)
 			}
 		}},
@@ -34,7 +34,7 @@
 			s.start("job-1/1", "m1", "a")
 			calm := time.Now()
 			for range 30 {
-				s.Look(calm, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 20, MemGB: 20}})
+				s.CheckInvariants(calm, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 20, MemGB: 20}})
 				time.Sleep(10 * time.Second)
 			}
 		}},
--- a/internal/fake/checker_placement.go
+++ b/internal/fake/checker_placement.go
@@ -54,7 +54,7 @@
 
 // checkQuota checks that a team's running tasks keep to its CPU limit.
 func (c *Checker) checkQuota(team string) {
-	limit := c.limits.CPUs[team]
+	limit := c.limits.TeamCPULimits[team]
 	if limit == 0 {
 		return
 	}
--- a/internal/fake/checker_requests.go
+++ b/internal/fake/checker_requests.go
@@ -12,13 +12,13 @@
 
 // The kinds of requests.
 const (
-	AskedSubmit RequestKind = iota
-	AskedStatus
-	AskedCancel
+	RequestSubmit RequestKind = iota
+	RequestStatus
+	RequestCancel
 )
 
-// Submits records that a user submits a job, and whether it can run.
-func (c *Checker) Submits(j *wire.Job, runnable bool) {
+// RecordSubmission records that a user submits a job, and whether it can run.
+func (c *Checker) RecordSubmission(j *wire.Job, runnable bool) {
 	c.do(func() {
 		if c.jobs[j.ID] == nil {
 			c.jobs[j.ID] = &checkedJob{job: j, runnable: runnable, completed: map[string]bool{}}
@@ -26,8 +26,8 @@
 	})
 }
 
-// Cancels records that a user requests the cancellation of a job.
-func (c *Checker) Cancels(jobID string) {
+// RecordCancellation records that a user requests the cancellation of a job.
+func (c *Checker) RecordCancellation(jobID string) {
 	c.do(func() {
 		if j := c.jobs[jobID]; j != nil && j.cancelRequestedAt.IsZero() {
 			j.cancelRequestedAt = time.Now()
@@ -77,7 +77,7 @@
 			if known {
 				c.violate(invariantForgotten, "%s: 404", jobID)
 			}
-		case kind == AskedSubmit && (code == http.StatusBadRequest || code == http.StatusUnprocessableEntity):
+		case kind == RequestSubmit && (code == http.StatusBadRequest || code == http.StatusUnprocessableEntity):
 			if known {
 				c.violate(invariantForgotten, "%s: its repetition got %d", jobID, code)
 			} else if j.runnable {
@@ -93,7 +93,7 @@
 		c.violate(invariantWentBack, "%s: %s after %s", jobID, status, j.terminalStatus)
 	}
 	if status != wire.JobDone && status != wire.JobCancelled {
-		if dependency, since := c.cancelledDependency(j); dependency != "" && sentAt.Sub(since) > c.limits.Cancel {
+		if dependency, since := c.cancelledDependency(j); dependency != "" && sentAt.Sub(since) > c.limits.CancelDeadline {
 			c.violate(invariantOrphaned, "%s is %s %s after %s was told as cancelled", jobID, status, sentAt.Sub(since), dependency)
 		}
 		return
--- a/internal/fake/checker_requests_test.go
+++ b/internal/fake/checker_requests_test.go
@@ -13,39 +13,39 @@
 			s.submit("job-1", 2, nil)
 			s.run("job-1/0", "m1")
 			s.run("job-1/1", "m2")
-			s.respond(AskedStatus, "job-1", 200, wire.JobDone)
-			s.respond(AskedSubmit, "job-1", 200, wire.JobDone)
-			s.respond(AskedStatus, "job-9", 404, "")
+			s.respond(RequestStatus, "job-1", 200, wire.JobDone)
+			s.respond(RequestSubmit, "job-1", 200, wire.JobDone)
+			s.respond(RequestStatus, "job-9", 404, "")
 		}},
 		{"done before all tasks have completed", "not_done", func(s *scenario) {
 			s.submit("job-1", 2, nil)
 			s.run("job-1/0", "m1")
-			s.respond(AskedStatus, "job-1", 200, wire.JobDone)
+			s.respond(RequestStatus, "job-1", 200, wire.JobDone)
 		}},
 		{"queued after done", "went_back", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.run("job-1/0", "m1")
-			s.respond(AskedStatus, "job-1", 200, wire.JobDone)
-			s.respond(AskedSubmit, "job-1", 200, wire.JobQueued)
+			s.respond(RequestStatus, "job-1", 200, wire.JobDone)
+			s.respond(RequestSubmit, "job-1", 200, wire.JobQueued)
 		}},
 		{"cancelled after done", "went_back", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.run("job-1/0", "m1")
-			s.Cancels("job-1")
-			s.respond(AskedStatus, "job-1", 200, wire.JobDone)
+			s.RecordCancellation("job-1")
+			s.respond(RequestStatus, "job-1", 200, wire.JobDone)
 			sentAt := time.Now().Add(-time.Hour)
-			s.RecordResponse(AskedStatus, "job-1", sentAt, 200, wire.JobCancelled)
+			s.RecordResponse(RequestStatus, "job-1", sentAt, 200, wire.JobCancelled)
 		}},
 		{"cancelled without a request", "went_back", func(s *scenario) {
 			s.submit("job-1", 1, nil)
-			s.respond(AskedStatus, "job-1", 200, wire.JobCancelled)
+			s.respond(RequestStatus, "job-1", 200, wire.JobCancelled)
 		}},
 		{"a response that was in flight", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			sentAt := time.Now()
 			s.run("job-1/0", "m1")
-			s.respond(AskedStatus, "job-1", 200, wire.JobDone)
-			s.RecordResponse(AskedStatus, "job-1", sentAt, 200, wire.JobRunning)
+			s.respond(RequestStatus, "job-1", 200, wire.JobDone)
+			s.RecordResponse(RequestStatus, "job-1", sentAt, 200, wire.JobRunning)
 		}},
 	})
 }
@@ -54,11 +54,11 @@
 	testChecker(t, []checkerCase{
 		{"an accepted job gets 404", "forgotten", func(s *scenario) {
 			s.submit("job-1", 1, nil)
-			s.respond(AskedStatus, "job-1", 404, "")
+			s.respond(RequestStatus, "job-1", 404, "")
 		}},
 		{"a repeated submission gets 422", "forgotten", func(s *scenario) {
 			s.submit("job-1", 1, nil)
-			s.respond(AskedSubmit, "job-1", 422, "")
+			s.respond(RequestSubmit, "job-1", 422, "")
 		}},
 		{"no request is answered", "forgotten", func(s *scenario) {
 			s.submit("job-1", 1, nil)
@@ -66,7 +66,7 @@
 			for range 17 {
 				s.RecordRequest("job-1")
 				time.Sleep(5 * time.Second)
-				s.Look(calm, nil)
+				s.CheckInvariants(calm, nil)
 			}
 		}},
 		{"some requests are answered", "", func(s *scenario) {
@@ -75,20 +75,20 @@
 			for k := range 30 {
 				s.RecordRequest("job-1")
 				if k%14 == 13 {
-					s.respond(AskedStatus, "job-1", 200, wire.JobQueued)
+					s.respond(RequestStatus, "job-1", 200, wire.JobQueued)
 				}
 				time.Sleep(5 * time.Second)
-				s.Look(calm, nil)
+				s.CheckInvariants(calm, nil)
 			}
 		}},
-		{"status of a job that was never submitted", "invented", func(s *scenario) { s.respond(AskedStatus, "job-1", 200, wire.JobQueued) }},
+		{"status of a job that was never submitted", "invented", func(s *scenario) { s.respond(RequestStatus, "job-1", 200, wire.JobQueued) }},
 		{"a job that can't run is accepted", "accepted_unfit", func(s *scenario) {
-			s.Submits(&wire.Job{ID: "job-1", Tasks: 1}, false)
-			s.respond(AskedSubmit, "job-1", 201, wire.JobQueued)
+			s.RecordSubmission(&wire.Job{ID: "job-1", Tasks: 1}, false)
+			s.respond(RequestSubmit, "job-1", 201, wire.JobQueued)
 		}},
 		{"a job that can run is refused", "refused_fit", func(s *scenario) {
-			s.Submits(&wire.Job{ID: "job-1", Tasks: 1}, true)
-			s.respond(AskedSubmit, "job-1", 422, "")
+			s.RecordSubmission(&wire.Job{ID: "job-1", Tasks: 1}, true)
+			s.respond(RequestSubmit, "job-1", 422, "")
 		}},
 	})
 }
--- a/internal/fake/checker_tasks.go
+++ b/internal/fake/checker_tasks.go
@@ -10,14 +10,14 @@
 // TaskRun is one run of a task on a machine.
 type TaskRun struct {
 	Task, Machine   string
-	Began           time.Time
+	Started         time.Time
 	Ended           time.Time     // zero while it runs
 	InitialProgress time.Duration // of the checkpoint that it began with
 	Completed       bool
 }
 
-// Runs lists all runs of tasks on machines, in the order in which they began.
-func (c *Checker) Runs() (runs []TaskRun) {
+// TaskRuns lists all runs of tasks on machines, in the order in which they began.
+func (c *Checker) TaskRuns() (runs []TaskRun) {
 	c.do(func() { runs = slices.Clone(c.runs) })
 	return runs
 }
@@ -30,7 +30,7 @@
 			c.violate(invariantInvented, "%s started and was never submitted", task)
 			return
 		}
-		if previous, ok := c.running[task]; ok && (c.limits.MayRepeat == nil || !c.limits.MayRepeat(j.job.Class)) {
+		if previous, ok := c.running[task]; ok && (c.limits.RetryAllowed == nil || !c.limits.RetryAllowed(j.job.Class)) {
 			c.violate(invariantRanTwice, "%s starts on %s while on %s", task, on.Machine, previous.Machine)
 		}
 		c.forEachDependency(j, func(jobID string, dependency *checkedJob) {
@@ -46,13 +46,13 @@
 		}
 		c.checkPlacement(task, j.job, on)
 		c.running[task] = on
-		c.runs = append(c.runs, TaskRun{Task: task, Machine: on.Machine, Began: time.Now(), InitialProgress: c.checkpoints[task]})
+		c.runs = append(c.runs, TaskRun{Task: task, Machine: on.Machine, Started: time.Now(), InitialProgress: c.checkpoints[task]})
 		c.checkQuota(j.job.Team)
 	})
 }
 
-// Ends records that a task no longer runs on a machine, and whether it has completed.
-func (c *Checker) Ends(task, machine string, completed bool) {
+// RecordTaskEnd records that a task no longer runs on a machine, and whether it has completed.
+func (c *Checker) RecordTaskEnd(task, machine string, completed bool) {
 	c.do(func() {
 		if c.running[task].Machine == machine {
 			c.checkCancelledTask(task)
--- a/internal/fake/checker_tasks_test.go
+++ b/internal/fake/checker_tasks_test.go
@@ -12,7 +12,7 @@
 		{"a task ends on one machine and starts on another", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.start("job-1/0", "m1", "a")
-			s.Ends("job-1/0", "m1", false)
+			s.RecordTaskEnd("job-1/0", "m1", false)
 			s.run("job-1/0", "m2")
 		}},
 		{"a task on two machines", "ran_twice", func(s *scenario) {
--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -17,15 +17,15 @@
 	if change != nil {
 		change(j)
 	}
-	s.Submits(j, true)
-	s.respond(AskedSubmit, jobID, 201, wire.JobQueued)
+	s.RecordSubmission(j, true)
+	s.respond(RequestSubmit, jobID, 201, wire.JobQueued)
 }
 
 // respond records a request and, a second later, the response.
 func (s *scenario) respond(kind RequestKind, jobID string, code int, status string) {
 	s.RecordRequest(jobID)
-	if kind == AskedCancel {
-		s.Cancels(jobID)
+	if kind == RequestCancel {
+		s.RecordCancellation(jobID)
 	}
 	sentAt := time.Now()
 	time.Sleep(time.Second)
@@ -41,7 +41,7 @@
 func (s *scenario) run(task, machine string) {
 	s.start(task, machine, "a")
 	time.Sleep(time.Second)
-	s.Ends(task, machine, true)
+	s.RecordTaskEnd(task, machine, true)
 }
 
 // checkerCase is a scenario that violates one invariant, or with "" none.
@@ -56,10 +56,10 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				limits := Limits{Cancel: 40 * time.Second, CPUs: map[string]float64{"t": 5}, Waiting: 90 * time.Second, Silent: 75 * time.Second}
+				limits := Limits{CancelDeadline: 40 * time.Second, TeamCPULimits: map[string]float64{"t": 5}, MaxWaiting: 90 * time.Second, MaxUnanswered: 75 * time.Second}
 				s := &scenario{NewChecker(t, limits)}
 				c.play(s)
-				violations := s.Broken()
+				violations := s.Violations()
 				switch {
 				case c.violated == "" && len(violations) > 0:
 					t.Errorf("violates %v", violations)
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -13,15 +13,15 @@
 
 // CloudConfig describes a cloud.
 type CloudConfig struct {
-	Types   []wire.MachineType
-	Boot    time.Duration // from the request until a machine is up
-	ListLag time.Duration // from the request until a machine is listed
-	Most    int           // machines at the same time; 0: unlimited
-	Prefix  string        // of the machines' names; "": vm-
-	Worker  WorkerConfig
-	// Host makes the network of a machine, and its address there.
-	Host    func(name string) (n transport.Network, addr string)
-	Trouble Troubles
+	Types       []wire.MachineType
+	BootTime    time.Duration // from the request until a machine is up
+	ListLag     time.Duration // from the request until a machine is listed
+	MaxMachines int           // machines at the same time; 0: unlimited
+	NamePrefix  string        // of the machines' names; "": vm-
+	Worker      WorkerConfig
+	// NewHost makes the network of a machine, and its address there.
+	NewHost func(name string) (n transport.Network, addr string)
+	Faults  FaultInjector
 }
 
 // Cloud is a fake of the cloud's API. Its machines run fake workers.
@@ -52,15 +52,15 @@
 	mux.HandleFunc("POST /machines", c.handleScaleOut)
 	mux.HandleFunc("POST /machines/delete", c.handleDelete)
 	mux.HandleFunc("GET /machines", c.handleList)
-	c.addr, _ = startServer(t, n, addr, withFaults(t.Context(), mux, config.Trouble))
+	c.addr, _ = startServer(t, n, addr, withFaults(t.Context(), mux, config.Faults))
 	return c
 }
 
 // Addr is the address of the cloud's API.
 func (c *Cloud) Addr() string { return c.addr }
 
-// Take terminates machines with everything on them, as the cloud does with spot instances.
-func (c *Cloud) Take(names ...string) {
+// Terminate terminates machines with everything on them, as the cloud does with spot instances.
+func (c *Cloud) Terminate(names ...string) {
 	var workers []*Worker
 	c.do(func() {
 		for _, name := range names {
@@ -93,8 +93,8 @@
 	return workers
 }
 
-// Rooms lists the free capacity of the machines that work and are in contact with a controller.
-func (c *Cloud) Rooms() (free []FreeCapacity) {
+// FreeCapacity lists the free capacity of the machines that work and are in contact with a controller.
+func (c *Cloud) FreeCapacity() (free []FreeCapacity) {
 	for _, w := range c.Workers() {
 		if capacity, ok := w.freeCapacity(); ok {
 			free = append(free, capacity)
--- a/internal/fake/cloud_api.go
+++ b/internal/fake/cloud_api.go
@@ -40,7 +40,7 @@
 		return names
 	}
 	for range request.Count {
-		if c.config.Most > 0 && len(c.machines) >= c.config.Most {
+		if c.config.MaxMachines > 0 && len(c.machines) >= c.config.MaxMachines {
 			break
 		}
 		names = append(names, c.startMachine(request, machineType))
@@ -53,9 +53,9 @@
 
 // startMachine lets a machine boot and returns its name.
 func (c *Cloud) startMachine(request wire.ScaleOutRequest, machineType wire.MachineType) string {
-	name := fmt.Sprintf("%s%06d", cmp.Or(c.config.Prefix, "vm-"), c.created)
+	name := fmt.Sprintf("%s%06d", cmp.Or(c.config.NamePrefix, "vm-"), c.created)
 	c.created++
-	n, addr := c.config.Host(name)
+	n, addr := c.config.NewHost(name)
 	m := &cloudMachine{
 		createdAt: time.Now(),
 		listed:    wire.ListedMachine{Name: name, Address: addr, CapacityPool: request.CapacityPool, Status: wire.MachineBooting},
@@ -63,7 +63,7 @@
 	c.machines[name] = m
 	ctx := c.t.Context()
 	go func() {
-		transport.Pause(ctx, c.config.Boot)
+		transport.Pause(ctx, c.config.BootTime)
 		c.do(func() {
 			if m.deleted || ctx.Err() != nil {
 				return
@@ -81,7 +81,7 @@
 		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
-	c.Take(m.Names...)
+	c.Terminate(m.Names...)
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
--- a/internal/fake/deployment.go
+++ b/internal/fake/deployment.go
@@ -33,7 +33,7 @@
 	UseRelays bool
 	// WriteFaults are injected into transactions of the key-value store, CommandFaults into
 	// commands to workers, and CloudFaults into calls of the cloud.
-	WriteFaults, CommandFaults, CloudFaults Troubles
+	WriteFaults, CommandFaults, CloudFaults FaultInjector
 }
 
 // The default times of a deployment's workers.
@@ -46,7 +46,7 @@
 // Deployment has controllers as real processes on the loopback interface, and fakes of all other
 // systems.
 type Deployment struct {
-	Store       *State
+	Store       *KVStore
 	Cloud       *Cloud
 	Checker     *Checker
 	Users       *Users
@@ -67,9 +67,9 @@
 	t.Helper()
 	p.setDefaults()
 	network := transport.TCP{}
-	d := &Deployment{Store: NewState(t, network, "127.0.0.1:0", p.WriteFaults)}
-	d.Checker = NewChecker(t, Limits{Cancel: p.CancelDeadline, CPUs: p.TeamCPULimits, Waiting: 90 * time.Second, Silent: 75 * time.Second})
-	addresses := controllerAddresses{public: Reserve(t, p.Controllers), peer: Reserve(t, p.Controllers)}
+	d := &Deployment{Store: NewKVStore(t, network, "127.0.0.1:0", p.WriteFaults)}
+	d.Checker = NewChecker(t, Limits{CancelDeadline: p.CancelDeadline, TeamCPULimits: p.TeamCPULimits, MaxWaiting: 90 * time.Second, MaxUnanswered: 75 * time.Second})
+	addresses := controllerAddresses{public: ReserveAddresses(t, p.Controllers), peer: ReserveAddresses(t, p.Controllers)}
 	d.Users = NewUsers(t, network, addresses.public, d.Checker, cmp.Or(p.Seed, 1))
 	heartbeatAddresses := addresses.public
 	if p.UseRelays {
--- a/internal/fake/deployment_settings.go
+++ b/internal/fake/deployment_settings.go
@@ -42,22 +42,22 @@
 		return CloudConfig{}
 	}
 	return CloudConfig{
-		Types: []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 1, Zones: []string{"a"}}},
-		Boot:  time.Second, ListLag: 2 * time.Second, Most: p.Machines,
+		Types:    []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 1, Zones: []string{"a"}}},
+		BootTime: time.Second, ListLag: 2 * time.Second, MaxMachines: p.Machines,
 		Worker:  p.workerConfig(heartbeatAddresses, checker),
-		Trouble: p.CloudFaults,
-		Host:    func(string) (transport.Network, string) { return transport.TCP{}, "127.0.0.1:0" },
+		Faults:  p.CloudFaults,
+		NewHost: func(string) (transport.Network, string) { return transport.TCP{}, "127.0.0.1:0" },
 	}
 }
 
 // workerConfig describes the workers on those machines.
 func (p *DeploymentPlan) workerConfig(heartbeatAddresses []string, checker *Checker) WorkerConfig {
-	var controllers []Node
+	var controllers []ControllerAddress
 	for i, addr := range heartbeatAddresses {
-		controllers = append(controllers, Node{Name: controllerName(i), Addr: addr})
+		controllers = append(controllers, ControllerAddress{Name: controllerName(i), Addr: addr})
 	}
 	return WorkerConfig{
-		Nodes: controllers, Report: p.HeartbeatInterval, Lease: p.WorkerLease, Fetch: 200 * time.Millisecond,
-		Run: p.RunTime, Check: checker, Saving: p.SlowCheckpoints, Trouble: p.CommandFaults,
+		Controllers: controllers, HeartbeatInterval: p.HeartbeatInterval, Lease: p.WorkerLease, ImageFetchTime: 200 * time.Millisecond,
+		RunTime: p.RunTime, Checker: checker, SlowCheckpoints: p.SlowCheckpoints, CommandFaults: p.CommandFaults,
 	}
 }
--- a/internal/fake/faults.go
+++ b/internal/fake/faults.go
@@ -11,31 +11,31 @@
 	"leadproxy/internal/transport"
 )
 
-// Fault is a kind of fault that is injected into one message.
-type Fault int
+// FaultKind is a kind of fault that is injected into one message.
+type FaultKind int
 
 // The kinds of faults.
 const (
-	NoFault     Fault = iota
-	RequestLost       // not carried out, never answered
-	AnswerLost        // carried out, never answered
-	Duplicated        // carried out twice, with the second response
-	Delayed           // not answered; carried out late, when the sender has given up
-	Refused           // 503 at once
+	NoFault      FaultKind = iota
+	RequestLost            // not carried out, never answered
+	ResponseLost           // carried out, never answered
+	Duplicated             // carried out twice, with the second response
+	Delayed                // not answered; carried out late, when the sender has given up
+	Unavailable            // 503 at once
 )
 
-// Trouble is the fault that is injected into one message, and by how much it delays it.
-type Trouble struct {
-	Fault Fault
-	For   time.Duration
+// InjectedFault is the fault that is injected into one message, and by how much it delays it.
+type InjectedFault struct {
+	Kind  FaultKind
+	Delay time.Duration
 }
 
-// Troubles decides which fault is injected into a message from a host. It may read the body.
-type Troubles func(from string, r *http.Request) Trouble
+// FaultInjector decides which fault is injected into a message from a host. It may read the body.
+type FaultInjector func(from string, r *http.Request) InjectedFault
 
 // withFaults serves h with the faults that an injector, unless it is nil, decides for each
 // message.
-func withFaults(ctx context.Context, h http.Handler, inject Troubles) http.Handler {
+func withFaults(ctx context.Context, h http.Handler, inject FaultInjector) http.Handler {
 	if inject == nil {
 		return h
 	}
@@ -50,10 +50,10 @@
 			c.Body = io.NopCloser(bytes.NewReader(body))
 			return c
 		}
-		switch injected := inject(r.RemoteAddr, copyRequest()); injected.Fault {
+		switch injected := inject(r.RemoteAddr, copyRequest()); injected.Kind {
 		case RequestLost:
 			<-r.Context().Done()
-		case AnswerLost:
+		case ResponseLost:
 			h.ServeHTTP(httptest.NewRecorder(), copyRequest())
 			<-r.Context().Done()
 		case Duplicated:
@@ -61,13 +61,13 @@
 			h.ServeHTTP(w, copyRequest())
 		case Delayed:
 			go func() {
-				transport.Pause(ctx, injected.For)
+				transport.Pause(ctx, injected.Delay)
 				if ctx.Err() == nil {
 					h.ServeHTTP(httptest.NewRecorder(), copyRequest())
 				}
 			}()
 			<-r.Context().Done()
-		case Refused:
+		case Unavailable:
 			w.WriteHeader(http.StatusServiceUnavailable)
 		default:
 			original := r.WithContext(r.Context())
--- a/internal/fake/interruptions.go
+++ b/internal/fake/interruptions.go
@@ -6,17 +6,17 @@
 	"leadproxy/internal/wire"
 )
 
-// Stop is an interruption: the time during which a task of a job did not run, or ran again to make
+// Interruption is an interruption: the time during which a task of a job did not run, or ran again to make
 // up for lost progress.
-type Stop struct {
-	Ref         string
-	Began, Over time.Time
+type Interruption struct {
+	JobID        string
+	Began, Ended time.Time
 }
 
-// Stops lists the interruptions of tasks, from the machines' runs alone: each lasts from the end
+// Interruptions lists the interruptions of tasks, from the machines' runs alone: each lasts from the end
 // of a run that did not complete until the task runs again and has made up for the progress that
 // it had not saved.
-func Stops(runs []TaskRun) (interruptions []Stop) {
+func Interruptions(runs []TaskRun) (interruptions []Interruption) {
 	previousRuns := map[string]TaskRun{}
 	for _, run := range runs {
 		previous, again := previousRuns[run.Task]
@@ -24,23 +24,23 @@
 		if !again {
 			continue
 		}
-		lost := previous.Ended.Sub(previous.Began) + previous.InitialProgress - run.InitialProgress
-		end := run.Began.Add(max(0, lost))
+		lost := previous.Ended.Sub(previous.Started) + previous.InitialProgress - run.InitialProgress
+		end := run.Started.Add(max(0, lost))
 		if !run.Ended.IsZero() && run.Ended.Before(end) {
 			end = run.Ended
 		}
-		interruptions = append(interruptions, Stop{Ref: wire.JobIDOfTask(run.Task), Began: previous.Ended, Over: end})
+		interruptions = append(interruptions, Interruption{JobID: wire.JobIDOfTask(run.Task), Began: previous.Ended, Ended: end})
 	}
 	return interruptions
 }
 
-// MostStopped is the largest number of a set of jobs that were interrupted at the same time.
-func MostStopped(interruptions []Stop, in func(jobID string) bool) (most int) {
+// MaxInterrupted is the largest number of a set of jobs that were interrupted at the same time.
+func MaxInterrupted(interruptions []Interruption, in func(jobID string) bool) (most int) {
 	for _, at := range interruptions {
 		jobIDs := map[string]bool{}
 		for _, other := range interruptions {
-			if in(other.Ref) && !other.Began.After(at.Began) && other.Over.After(at.Began) {
-				jobIDs[other.Ref] = true
+			if in(other.JobID) && !other.Began.After(at.Began) && other.Ended.After(at.Began) {
+				jobIDs[other.JobID] = true
 			}
 		}
 		most = max(most, len(jobIDs))
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -2,13 +2,13 @@
 
 import "testing"
 
-// Net is a network in memory. On a test's fake clock, minutes without traffic pass at once on its
+// Network is a network in memory. On a test's fake clock, minutes without traffic pass at once on its
 // connections, which they would not on sockets: a goroutine that waits for the kernel keeps the fake
 // clock from advancing.
 //
 // Hosts have names, and the link between two of them can be cut (network partition): either what is
 // sent is held back until the cut is healed, or connections are reset.
-type Net struct {
+type Network struct {
 	actor
 	listeners map[string]*memoryListener // by address
 	cuts      map[hostPair]bool
@@ -25,14 +25,14 @@
 	return hostPair{a, b}
 }
 
-// NewNet starts a network that lives as long as the test.
-func NewNet(t testing.TB) *Net {
-	return &Net{actor: newActor(t), listeners: map[string]*memoryListener{}, cuts: map[hostPair]bool{}, conns: map[*memoryConn]struct{}{}}
+// NewNetwork starts a network that lives as long as the test.
+func NewNetwork(t testing.TB) *Network {
+	return &Network{actor: newActor(t), listeners: map[string]*memoryListener{}, cuts: map[hostPair]bool{}, conns: map[*memoryConn]struct{}{}}
 }
 
-// Cut cuts the link between two hosts. With hold, what is sent meanwhile arrives when the cut is
+// Partition cuts the link between two hosts. With hold, what is sent meanwhile arrives when the cut is
 // healed; otherwise connections are reset.
-func (n *Net) Cut(a, b string, hold bool) {
+func (n *Network) Partition(a, b string, hold bool) {
 	n.do(func() {
 		if n.cuts[pairOf(a, b)] {
 			return
@@ -51,9 +51,9 @@
 	})
 }
 
-// CutOneWay holds back what one host sends to another until the cut is healed. The other direction
+// PartitionOneWay holds back what one host sends to another until the cut is healed. The other direction
 // of existing connections stays open; no new ones can be made.
-func (n *Net) CutOneWay(from, to string) {
+func (n *Network) PartitionOneWay(from, to string) {
 	n.do(func() {
 		n.cuts[pairOf(from, to)] = true
 		for c := range n.conns {
@@ -65,7 +65,7 @@
 }
 
 // Heal ends the cut between two hosts.
-func (n *Net) Heal(a, b string) {
+func (n *Network) Heal(a, b string) {
 	n.do(func() {
 		if !n.cuts[pairOf(a, b)] {
 			return
--- a/internal/fake/network_host.go
+++ b/internal/fake/network_host.go
@@ -11,13 +11,15 @@
 
 // Host is one incarnation of a process or machine on the network. It is a transport.Network.
 type Host struct {
-	net  *Net
+	net  *Network
 	name string
 	down chan struct{}
 }
 
 // Host returns a new incarnation of the host with a name.
-func (n *Net) Host(name string) *Host { return &Host{net: n, name: name, down: make(chan struct{})} }
+func (n *Network) Host(name string) *Host {
+	return &Host{net: n, name: name, down: make(chan struct{})}
+}
 
 // IsDown reports whether the incarnation was killed.
 func (h *Host) IsDown() bool {
--- a/internal/fake/process.go
+++ b/internal/fake/process.go
@@ -127,7 +127,7 @@
 func (c *Process) logFile() string { return c.configFile + ".log" }
 
 // Leader is the index of the controller that the key-value store names as the leader, or -1.
-func Leader(s *State, controllers []*Process) int {
+func Leader(s *KVStore, controllers []*Process) int {
 	var holder struct {
 		Node string `json:"node"`
 	}
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -13,8 +13,8 @@
 	"leadproxy/internal/wire"
 )
 
-// State is a fake of the consensus-backed key-value store.
-type State struct {
+// KVStore is a fake of the consensus-backed key-value store.
+type KVStore struct {
 	actor
 	addr     string
 	revision uint64
@@ -39,9 +39,9 @@
 	expiresAt time.Time
 }
 
-// NewState starts a key-value store that lives as long as the test.
-func NewState(t testing.TB, n transport.Network, addr string, inject Troubles) *State {
-	s := &State{actor: newActor(t), keys: map[string]wire.Entry{}, leases: map[uint64]*lease{}, refusedHosts: map[string]bool{}}
+// NewKVStore starts a key-value store that lives as long as the test.
+func NewKVStore(t testing.TB, n transport.Network, addr string, inject FaultInjector) *KVStore {
+	s := &KVStore{actor: newActor(t), keys: map[string]wire.Entry{}, leases: map[uint64]*lease{}, refusedHosts: map[string]bool{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/{key...}", s.handleGet)
 	mux.HandleFunc("GET /store", s.handleList)
@@ -56,7 +56,7 @@
 }
 
 // runExpiry lets leases expire.
-func (s *State) runExpiry(ctx context.Context) {
+func (s *KVStore) runExpiry(ctx context.Context) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
 	for {
@@ -70,10 +70,10 @@
 }
 
 // Addr is the address at which it listens.
-func (s *State) Addr() string { return s.addr }
+func (s *KVStore) Addr() string { return s.addr }
 
 // expireLeases ends the leases whose time has passed. In an outage none expires.
-func (s *State) expireLeases() {
+func (s *KVStore) expireLeases() {
 	if s.unavailable {
 		return
 	}
@@ -85,7 +85,7 @@
 }
 
 // expireLease ends a lease and deletes the keys that are bound to it.
-func (s *State) expireLease(id uint64) {
+func (s *KVStore) expireLease(id uint64) {
 	delete(s.leases, id)
 	var changes []wire.Change
 	for k, e := range s.keys {
@@ -99,7 +99,7 @@
 }
 
 // apply makes changes at a new revision.
-func (s *State) apply(changes []wire.Change) {
+func (s *KVStore) apply(changes []wire.Change) {
 	s.revision++
 	for _, c := range changes {
 		if _, there := s.keys[c.Set+c.Delete]; there != (c.Set != "") {
@@ -117,7 +117,7 @@
 }
 
 // orderedKeys lists the keys in order.
-func (s *State) orderedKeys() []string {
+func (s *KVStore) orderedKeys() []string {
 	if s.keyOrder == nil {
 		s.keyOrder = slices.Sorted(maps.Keys(s.keys))
 	}
--- a/internal/fake/store_api.go
+++ b/internal/fake/store_api.go
@@ -11,7 +11,7 @@
 	"leadproxy/internal/wire"
 )
 
-func (s *State) handleGet(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) handleGet(w http.ResponseWriter, r *http.Request) {
 	var entry wire.Entry
 	var found bool
 	var revision uint64
@@ -26,7 +26,7 @@
 	writeJSON(w, http.StatusOK, entry)
 }
 
-func (s *State) handleList(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) handleList(w http.ResponseWriter, r *http.Request) {
 	limit, err := strconv.Atoi(r.FormValue("limit"))
 	if err != nil {
 		limit = 1000
@@ -38,7 +38,7 @@
 
 // page returns the first entries, up to a limit, of those under a prefix whose keys come after
 // another one.
-func (s *State) page(prefix, after string, limit int) wire.EntryPage {
+func (s *KVStore) page(prefix, after string, limit int) wire.EntryPage {
 	page := wire.EntryPage{Entries: []wire.Entry{}, Revision: s.revision}
 	keys := s.orderedKeys()
 	for at, _ := slices.BinarySearch(keys, max(prefix, after)); at < len(keys); at++ {
@@ -57,7 +57,7 @@
 	return page
 }
 
-func (s *State) handleCompareAndSwap(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) handleCompareAndSwap(w http.ResponseWriter, r *http.Request) {
 	var request wire.CompareAndSwap
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
@@ -75,7 +75,7 @@
 }
 
 // compareAndSwap applies the changes of a transaction if all its conditions hold.
-func (s *State) compareAndSwap(t *wire.CompareAndSwap) casResult {
+func (s *KVStore) compareAndSwap(t *wire.CompareAndSwap) casResult {
 	if status := s.exceededLimit(t); status != 0 {
 		return casResult{status, wire.ErrorResponse{Error: "beyond the limits"}}
 	}
@@ -99,7 +99,7 @@
 	return casResult{http.StatusOK, wire.CompareAndSwapResponse{Revision: s.revision}}
 }
 
-func (s *State) handleLeaseGrant(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) handleLeaseGrant(w http.ResponseWriter, r *http.Request) {
 	var request wire.LeaseRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
@@ -116,7 +116,7 @@
 }
 
 // handleLease calls f for the lease that a request names, or responds 404.
-func (s *State) handleLease(w http.ResponseWriter, r *http.Request, f func(id uint64, l *lease)) {
+func (s *KVStore) handleLease(w http.ResponseWriter, r *http.Request, f func(id uint64, l *lease)) {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	found := false
 	s.do(func() {
@@ -133,10 +133,10 @@
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
-func (s *State) handleLeaseRenewal(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) handleLeaseRenewal(w http.ResponseWriter, r *http.Request) {
 	s.handleLease(w, r, func(_ uint64, l *lease) { l.expiresAt = time.Now().Add(l.ttl) })
 }
 
-func (s *State) handleLeaseRevocation(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) handleLeaseRevocation(w http.ResponseWriter, r *http.Request) {
 	s.handleLease(w, r, func(id uint64, _ *lease) { s.expireLease(id) })
 }
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -10,9 +10,9 @@
 	"leadproxy/internal/wire"
 )
 
-// Outage makes the store refuse all hosts, or ends that: then every lease has its full time to live
+// SetOutage makes the store refuse all hosts, or ends that: then every lease has its full time to live
 // again.
-func (s *State) Outage(on bool) {
+func (s *KVStore) SetOutage(on bool) {
 	s.do(func() {
 		s.unavailable = on
 		if !on {
@@ -24,25 +24,25 @@
 	})
 }
 
-// Refuse makes the store refuse one host, or ends that. The host's leases expire meanwhile.
-func (s *State) Refuse(host string, on bool) {
+// SetRefused makes the store refuse one host, or ends that. The host's leases expire meanwhile.
+func (s *KVStore) SetRefused(host string, on bool) {
 	s.do(func() { s.refusedHosts[host] = on; s.wakeWatchers() })
 }
 
-// RunFast makes the store's clock run fast by a share, so that leases expire early.
-func (s *State) RunFast(share float64) { s.do(func() { s.clockDrift = share }) }
+// SetClockDrift makes the store's clock run fast by a share, so that leases expire early.
+func (s *KVStore) SetClockDrift(share float64) { s.do(func() { s.clockDrift = share }) }
 
-// Slow delays every response.
-func (s *State) Slow(d time.Duration) { s.do(func() { s.delay = d }) }
+// SetDelay delays every response.
+func (s *KVStore) SetDelay(d time.Duration) { s.do(func() { s.delay = d }) }
 
-// Limit makes the store refuse values and transactions beyond the limits, and writes beyond the
+// SetLimits makes the store refuse values and transactions beyond the limits, and writes beyond the
 // rate, from now on. What is stored stays readable.
-func (s *State) Limit(l settings.StateLimits) {
+func (s *KVStore) SetLimits(l settings.StateLimits) {
 	s.do(func() { s.limits, s.writeBudget, s.budgetRefilledAt = l, l.WriteRPS, time.Now() })
 }
 
 // Forget discards the history of changes (compaction): a watch from an earlier revision gets 410.
-func (s *State) Forget() {
+func (s *KVStore) Forget() {
 	s.do(func() {
 		s.revision++
 		s.compactedRevision, s.history = s.revision, nil
@@ -55,7 +55,7 @@
 
 // withAvailability serves h with the store's delay and refuses requests while it is unavailable.
 // Open watches are not ended.
-func (s *State) withAvailability(h http.Handler) http.Handler {
+func (s *KVStore) withAvailability(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var refused bool
 		var delay time.Duration
@@ -70,11 +70,11 @@
 }
 
 // refuses reports whether requests of a host are refused.
-func (s *State) refuses(host string) bool { return s.unavailable || s.refusedHosts[host] }
+func (s *KVStore) refuses(host string) bool { return s.unavailable || s.refusedHosts[host] }
 
 // exceededLimit is the status code with which a transaction is refused because of the limits;
 // 0: it is not.
-func (s *State) exceededLimit(t *wire.CompareAndSwap) int {
+func (s *KVStore) exceededLimit(t *wire.CompareAndSwap) int {
 	if s.limits.TxnOps == 0 {
 		return 0
 	}
@@ -92,7 +92,7 @@
 }
 
 // hasLargeValue reports whether a value is larger than the limit.
-func (s *State) hasLargeValue(changes []wire.Change) bool {
+func (s *KVStore) hasLargeValue(changes []wire.Change) bool {
 	maxBytes := int(s.limits.ValueKB * 1024)
 	return slices.ContainsFunc(changes, func(c wire.Change) bool { return len(c.Value) > maxBytes })
 }
--- a/internal/fake/store_inspection.go
+++ b/internal/fake/store_inspection.go
@@ -9,19 +9,19 @@
 )
 
 // Value returns the stored value of a key.
-func (s *State) Value(key string) (value json.RawMessage) {
+func (s *KVStore) Value(key string) (value json.RawMessage) {
 	s.do(func() { value = s.keys[key].Value })
 	return value
 }
 
 // Version returns a key's version; 0: there is no such key.
-func (s *State) Version(key string) (version uint64) {
+func (s *KVStore) Version(key string) (version uint64) {
 	s.do(func() { version = s.keys[key].Version })
 	return version
 }
 
 // Count returns the number of keys under a prefix.
-func (s *State) Count(prefix string) (n int) {
+func (s *KVStore) Count(prefix string) (n int) {
 	s.do(func() {
 		for k := range s.keys {
 			if strings.HasPrefix(k, prefix) {
@@ -33,7 +33,7 @@
 }
 
 // Entries lists all keys with their values, in order.
-func (s *State) Entries() (entries []wire.Entry) {
+func (s *KVStore) Entries() (entries []wire.Entry) {
 	s.do(func() {
 		for _, key := range s.orderedKeys() {
 			entries = append(entries, s.keys[key])
@@ -42,8 +42,8 @@
 	return entries
 }
 
-// Largest is the size in bytes of the largest value under a prefix.
-func (s *State) Largest(prefix string) (bytes int) {
+// LargestValue is the size in bytes of the largest value under a prefix.
+func (s *KVStore) LargestValue(prefix string) (bytes int) {
 	s.do(func() {
 		for key, entry := range s.keys {
 			if strings.HasPrefix(key, prefix) {
@@ -55,23 +55,23 @@
 }
 
 // Put writes a key as if a controller had done so before the test.
-func (s *State) Put(key, value string) {
+func (s *KVStore) Put(key, value string) {
 	s.do(func() { s.apply([]wire.Change{{Set: key, Value: json.RawMessage(value)}}) })
 }
 
 // Remove deletes a key as an operator would.
-func (s *State) Remove(key string) {
+func (s *KVStore) Remove(key string) {
 	s.do(func() { s.apply([]wire.Change{{Delete: key}}) })
 }
 
-// Changes lists all changes so far, in order.
-func (s *State) Changes() (changes []wire.WatchEvent) {
+// History lists all changes so far, in order.
+func (s *KVStore) History() (changes []wire.WatchEvent) {
 	s.do(func() { changes = slices.Clone(s.history) })
 	return changes
 }
 
 // Revision is the store's current revision.
-func (s *State) Revision() (revision uint64) {
+func (s *KVStore) Revision() (revision uint64) {
 	s.do(func() { revision = s.revision })
 	return revision
 }
--- a/internal/fake/store_watch.go
+++ b/internal/fake/store_watch.go
@@ -30,7 +30,7 @@
 	return watchRequest{from: from, prefix: r.FormValue("under"), wait: time.Duration(milliseconds) * time.Millisecond}, nil
 }
 
-func (s *State) handleWatch(w http.ResponseWriter, r *http.Request) {
+func (s *KVStore) handleWatch(w http.ResponseWriter, r *http.Request) {
 	request, err := parseWatchRequest(r)
 	if err != nil {
 		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
@@ -70,7 +70,7 @@
 
 // eventsSince returns the events that a watch from a host asks for. If there are none, or the host
 // is refused, changed is closed when the watch should try again.
-func (s *State) eventsSince(request watchRequest, host string, changed chan struct{}) wire.WatchResponse {
+func (s *KVStore) eventsSince(request watchRequest, host string, changed chan struct{}) wire.WatchResponse {
 	response := wire.WatchResponse{Events: []wire.WatchEvent{}}
 	if s.refuses(host) {
 		s.watchers = append(s.watchers, changed)
@@ -89,7 +89,7 @@
 }
 
 // wakeWatchers makes all open watches look for events again.
-func (s *State) wakeWatchers() {
+func (s *KVStore) wakeWatchers() {
 	for _, w := range s.watchers {
 		close(w)
 	}
--- a/internal/fake/user_invalid_requests.go
+++ b/internal/fake/user_invalid_requests.go
@@ -17,8 +17,8 @@
 		u.sendMalformed()
 		u.sendUnfit()
 		for i := range u.controllers {
-			u.Call(i, AskedStatus, unknownJob, nil)
-			u.Call(i, AskedCancel, unknownJob, nil)
+			u.Call(i, RequestStatus, unknownJob, nil)
+			u.Call(i, RequestCancel, unknownJob, nil)
 		}
 	})
 }
@@ -44,10 +44,10 @@
 		func(j *wire.Job) { j.Types = []string{"other"} },
 	} {
 		j := NewJob(fmt.Sprintf("job-91000%d", n), 1, change)
-		u.checker.Submits(j, false)
-		if code, _ := u.Call(u.AnyNode(), AskedSubmit, j.ID, j); code != http.StatusUnprocessableEntity && isFinal(code) {
+		u.checker.RecordSubmission(j, false)
+		if code, _ := u.Call(u.AnyController(), RequestSubmit, j.ID, j); code != http.StatusUnprocessableEntity && isFinal(code) {
 			u.t.Errorf("a job that can never run: %d", code)
 		}
-		u.Call(u.AnyNode(), AskedStatus, j.ID, nil)
+		u.Call(u.AnyController(), RequestStatus, j.ID, nil)
 	}
 }
--- a/internal/fake/user_requests.go
+++ b/internal/fake/user_requests.go
@@ -12,8 +12,8 @@
 // code is 0 when there was no response.
 func (u *Users) Call(controller int, kind RequestKind, jobID string, body any) (code int, status string) {
 	request := u.newUserRequest(kind, jobID, body)
-	if kind == AskedCancel {
-		u.checker.Cancels(jobID)
+	if kind == RequestCancel {
+		u.checker.RecordCancellation(jobID)
 	}
 	sentAt := time.Now()
 	u.checker.RecordRequest(jobID)
@@ -41,13 +41,13 @@
 func (u *Users) newUserRequest(kind RequestKind, jobID string, body any) userRequest {
 	const jobsPath = "/v2/runs"
 	switch kind {
-	case AskedSubmit:
+	case RequestSubmit:
 		payload, err := json.Marshal(body)
 		if err != nil {
 			u.t.Error(err)
 		}
 		return userRequest{transport.Request{Method: http.MethodPost, Path: jobsPath, Body: payload}, changeTimeout}
-	case AskedCancel:
+	case RequestCancel:
 		return userRequest{transport.Request{Method: http.MethodPost, Path: jobsPath + "/" + jobID + "/cancel", Body: []byte("{}")}, changeTimeout}
 	}
 	return userRequest{transport.Request{Method: http.MethodGet, Path: jobsPath + "/" + jobID}, queryTimeout}
@@ -63,10 +63,10 @@
 	return conn.Do(deadline, request)
 }
 
-// Until repeats a request at random controllers, as users do, until it gets a final response.
-func (u *Users) Until(kind RequestKind, jobID string, body any) (code int, status string) {
+// RetryUntilFinal repeats a request at random controllers, as users do, until it gets a final response.
+func (u *Users) RetryUntilFinal(kind RequestKind, jobID string, body any) (code int, status string) {
 	for range maxAttempts {
-		code, status = u.Call(u.AnyNode(), kind, jobID, body)
+		code, status = u.Call(u.AnyController(), kind, jobID, body)
 		if isFinal(code) {
 			return code, status
 		}
@@ -75,13 +75,13 @@
 	return code, status
 }
 
-// Look queries a job at all controllers at once and repeats its submission, three times within
+// QueryEverywhere queries a job at all controllers at once and repeats its submission, three times within
 // milliseconds.
-func (u *Users) Look(jobID string, body any) {
+func (u *Users) QueryEverywhere(jobID string, body any) {
 	for range 3 {
 		for i := range u.controllers {
-			u.pending.Go(func() { u.Call(i, AskedStatus, jobID, nil) })
-			u.pending.Go(func() { u.Call(i, AskedSubmit, jobID, body) })
+			u.pending.Go(func() { u.Call(i, RequestStatus, jobID, nil) })
+			u.pending.Go(func() { u.Call(i, RequestSubmit, jobID, body) })
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -60,8 +60,8 @@
 	return r.Float64()
 }
 
-// AnyNode is the index of a random controller, as a load balancer would choose it.
-func (u *Users) AnyNode() int { return int(u.Random() * float64(len(u.controllers))) }
+// AnyController is the index of a random controller, as a load balancer would choose it.
+func (u *Users) AnyController() int { return int(u.Random() * float64(len(u.controllers))) }
 
 // Go runs f as a user, for whose end Wait waits.
 func (u *Users) Go(f func()) { u.pending.Go(f) }
@@ -71,20 +71,20 @@
 
 // Submit has a user submit a job, query it at all controllers, and poll until it is over.
 func (u *Users) Submit(j *wire.Job) {
-	u.checker.Submits(j, true)
+	u.checker.RecordSubmission(j, true)
 	u.pending.Go(func() {
-		if code, _ := u.Until(AskedSubmit, j.ID, j); !isAccepted(code) {
+		if code, _ := u.RetryUntilFinal(RequestSubmit, j.ID, j); !isAccepted(code) {
 			return // the user gave up; the checker knows if it was accepted all the same
 		}
-		u.Look(j.ID, j)
+		u.QueryEverywhere(j.ID, j)
 		u.pollUntilOver(j)
 	})
 }
 
 // Accept submits a job and reports whether it was accepted.
 func (u *Users) Accept(j *wire.Job) bool {
-	u.checker.Submits(j, true)
-	code, _ := u.Until(AskedSubmit, j.ID, j)
+	u.checker.RecordSubmission(j, true)
+	code, _ := u.RetryUntilFinal(RequestSubmit, j.ID, j)
 	return isAccepted(code)
 }
 
@@ -96,9 +96,9 @@
 func (u *Users) pollUntilOver(j *wire.Job) {
 	for u.t.Context().Err() == nil {
 		time.Sleep(pollInterval)
-		code, status := u.Call(u.AnyNode(), AskedStatus, j.ID, nil)
+		code, status := u.Call(u.AnyController(), RequestStatus, j.ID, nil)
 		if code == http.StatusOK && (status == wire.JobDone || status == wire.JobCancelled) {
-			u.Look(j.ID, j)
+			u.QueryEverywhere(j.ID, j)
 			return
 		}
 	}
@@ -108,8 +108,8 @@
 // query it at all controllers.
 func (u *Users) Cancel(j *wire.Job) {
 	u.pending.Go(func() {
-		if code, _ := u.Until(AskedCancel, j.ID, nil); code == http.StatusOK {
-			u.Look(j.ID, j)
+		if code, _ := u.RetryUntilFinal(RequestCancel, j.ID, nil); code == http.StatusOK {
+			u.QueryEverywhere(j.ID, j)
 		}
 	})
 }
@@ -117,9 +117,9 @@
 // CancelAt requests the cancellation of a job once, at one controller, and reports whether it was
 // confirmed.
 func (u *Users) CancelAt(controller int, j *wire.Job) bool {
-	code, status := u.Call(controller, AskedCancel, j.ID, nil)
+	code, status := u.Call(controller, RequestCancel, j.ID, nil)
 	if code == http.StatusOK && status == wire.JobCancelled {
-		u.Look(j.ID, j)
+		u.QueryEverywhere(j.ID, j)
 		return true
 	}
 	return false
--- a/internal/fake/worker.go
+++ b/internal/fake/worker.go
@@ -14,20 +14,20 @@
 
 // WorkerConfig is what all workers of a cloud have in common.
 type WorkerConfig struct {
-	Nodes  []Node                          // the controllers
-	Report time.Duration                   // between heartbeats
-	Lease  time.Duration                   // how long tasks stay without a response to a heartbeat
-	Fetch  time.Duration                   // how long fetching an image takes
-	Run    func(task string) time.Duration // how long a task runs
-	Check  *Checker
-	// Saving makes tasks take flush_s to save a checkpoint; otherwise it is immediate.
-	Saving bool
-	// Trouble injects faults into commands.
-	Trouble Troubles
+	Controllers       []ControllerAddress             // the controllers
+	HeartbeatInterval time.Duration                   // between heartbeats
+	Lease             time.Duration                   // how long tasks stay without a response to a heartbeat
+	ImageFetchTime    time.Duration                   // how long fetching an image takes
+	RunTime           func(task string) time.Duration // how long a task runs
+	Checker           *Checker
+	// SlowCheckpoints makes tasks take flush_s to save a checkpoint; otherwise it is immediate.
+	SlowCheckpoints bool
+	// CommandFaults injects faults into commands.
+	CommandFaults FaultInjector
 }
 
-// Node is a controller's name and the address at which workers reach it.
-type Node struct{ Name, Addr string }
+// ControllerAddress is a controller's name and the address at which workers reach it.
+type ControllerAddress struct{ Name, Addr string }
 
 // workerMachine is the machine of a worker.
 type workerMachine struct {
@@ -85,7 +85,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /commands", w.handleCommands)
 	mux.HandleFunc("GET /inspect", w.handleInspect)
-	w.addr, w.closeServer = startServer(t, n, addr, withFaults(ctx, mux, config.Trouble))
+	w.addr, w.closeServer = startServer(t, n, addr, withFaults(ctx, mux, config.CommandFaults))
 	go w.runClock()
 	go w.sendHeartbeats()
 	return w
@@ -126,7 +126,7 @@
 // in contact with a controller.
 func (w *Worker) freeCapacity() (free FreeCapacity, valid bool) {
 	w.do(func() {
-		connected := !w.inboundCut && !w.outboundCut && time.Since(w.leaseRenewedAt) < 2*w.config.Report+time.Second
+		connected := !w.inboundCut && !w.outboundCut && time.Since(w.leaseRenewedAt) < 2*w.config.HeartbeatInterval+time.Second
 		valid = w.ctx.Err() == nil && w.hung == nil && connected
 		free = FreeCapacity{Type: w.request.Type, Zone: w.request.Zone, Spot: w.request.Spot, CPUs: w.size.CPUs, MemGB: w.size.MemGB}
 		for _, t := range w.tasks {
--- a/internal/fake/worker_faults.go
+++ b/internal/fake/worker_faults.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Hang makes the machine stand still, or resumes it.
-func (w *Worker) Hang(on bool) {
+// SetHung makes the machine stand still, or resumes it.
+func (w *Worker) SetHung(on bool) {
 	w.do(func() {
 		switch {
 		case on && w.hung == nil:
@@ -21,28 +21,30 @@
 	})
 }
 
-// CutInbound lets the machine's heartbeats arrive while responses and commands to it are lost.
-func (w *Worker) CutInbound(on bool) { w.do(func() { w.inboundCut = on }) }
+// SetInboundCut lets the machine's heartbeats arrive while responses and commands to it are lost.
+func (w *Worker) SetInboundCut(on bool) { w.do(func() { w.inboundCut = on }) }
 
-// CutOutbound makes all controllers unreachable for the machine while commands still reach it.
-func (w *Worker) CutOutbound(on bool) { w.do(func() { w.outboundCut = on }) }
+// SetOutboundCut makes all controllers unreachable for the machine while commands still reach it.
+func (w *Worker) SetOutboundCut(on bool) { w.do(func() { w.outboundCut = on }) }
 
-// DuplicateReports makes a copy of each heartbeat arrive again after a delay; nil ends that.
-func (w *Worker) DuplicateReports(delay func() time.Duration) {
+// DuplicateHeartbeats makes a copy of each heartbeat arrive again after a delay; nil ends that.
+func (w *Worker) DuplicateHeartbeats(delay func() time.Duration) {
 	w.do(func() { w.duplicateDelay = delay })
 }
 
-// SaveReport saves a copy of the current heartbeat, which can be replayed later.
-func (w *Worker) SaveReport() { w.do(func() { w.savedHeartbeat = w.encodeHeartbeat(w.heartbeat()) }) }
+// SaveHeartbeat saves a copy of the current heartbeat, which can be replayed later.
+func (w *Worker) SaveHeartbeat() {
+	w.do(func() { w.savedHeartbeat = w.encodeHeartbeat(w.heartbeat()) })
+}
 
-// ReplayReport sends the saved heartbeat to all controllers.
-func (w *Worker) ReplayReport() {
+// ReplayHeartbeat sends the saved heartbeat to all controllers.
+func (w *Worker) ReplayHeartbeat() {
 	var body []byte
 	w.do(func() { body = w.savedHeartbeat })
 	if body == nil {
 		return
 	}
-	for _, controller := range w.config.Nodes {
+	for _, controller := range w.config.Controllers {
 		go w.postHeartbeat(controller.Addr, body)
 	}
 }
--- a/internal/fake/worker_heartbeats.go
+++ b/internal/fake/worker_heartbeats.go
@@ -62,10 +62,10 @@
 // sendHeartbeats sends heartbeats to one controller after the other, as the protocol requires,
 // until one accepts them, and then stays with that one.
 func (w *Worker) sendHeartbeats() {
-	current := w.random.IntN(len(w.config.Nodes))
+	current := w.random.IntN(len(w.config.Controllers))
 	var last time.Time
 	for w.ctx.Err() == nil {
-		interval := time.Duration(float64(w.config.Report) * (0.75 + w.random.Float64()/2))
+		interval := time.Duration(float64(w.config.HeartbeatInterval) * (0.75 + w.random.Float64()/2))
 		w.awaitNextHeartbeat(last, interval)
 		var hung chan struct{}
 		var outboundCut bool
@@ -77,7 +77,7 @@
 		last = time.Now()
 		var result heartbeatResult
 		if !outboundCut {
-			result = w.sendHeartbeat(w.config.Nodes[current].Addr, last)
+			result = w.sendHeartbeat(w.config.Controllers[current].Addr, last)
 		}
 		if result.accepted {
 			continue
@@ -92,11 +92,11 @@
 // nextController returns the index of the controller to send to after one that did not accept, and
 // after what delay: the leader soon, if one was named, otherwise the next in the list.
 func (w *Worker) nextController(current int, leader string) (next int, delay time.Duration) {
-	at := slices.IndexFunc(w.config.Nodes, func(n Node) bool { return n.Name == leader })
+	at := slices.IndexFunc(w.config.Controllers, func(n ControllerAddress) bool { return n.Name == leader })
 	if at >= 0 && at != current {
 		return at, time.Duration(w.random.Int64N(int64(minHeartbeatInterval)))
 	}
-	return (current + 1) % len(w.config.Nodes), failoverDelay
+	return (current + 1) % len(w.config.Controllers), failoverDelay
 }
 
 // heartbeatResult is the result of sending a heartbeat to a controller.
@@ -188,7 +188,7 @@
 		}
 		w.raiseFencingToken(response.FencingToken)
 		w.leaseRenewedAt = sentAt
-		w.config.Check.RecordLeaseRenewal(w.name, sentAt, heartbeat.Tasks, response.Commands)
+		w.config.Checker.RecordLeaseRenewal(w.name, sentAt, heartbeat.Tasks, response.Commands)
 		w.executeCommands(response.Commands)
 	})
 	return true
--- a/internal/fake/worker_tasks.go
+++ b/internal/fake/worker_tasks.go
@@ -23,7 +23,7 @@
 func (w *Worker) endAllTasks() {
 	for _, t := range w.tasks {
 		if t.onMachine() {
-			w.config.Check.Ends(t.Task, w.name, false)
+			w.config.Checker.RecordTaskEnd(t.Task, w.name, false)
 		}
 	}
 	w.tasks, w.knownAttempts = nil, map[uint64]bool{}
@@ -41,7 +41,7 @@
 				w.beginTask(t)
 			}
 		case wire.TaskRunning:
-			if t.progress += elapsed; t.progress >= w.config.Run(t.Task) {
+			if t.progress += elapsed; t.progress >= w.config.RunTime(t.Task) {
 				w.completeTask(t)
 			}
 		case wire.TaskCheckpointing:
@@ -61,13 +61,13 @@
 	w.signalChange()
 	t := &workerTask{TaskStatus: wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Status: wire.TaskEnded}}
 	w.tasks = append(w.tasks, t)
-	t.job = w.config.Check.Job(wire.JobIDOfTask(command.Task))
+	t.job = w.config.Checker.Job(wire.JobIDOfTask(command.Task))
 	if t.ExitReason = w.rejection(t); t.ExitReason != "" {
 		return
 	}
 	t.Status = wire.TaskFetching
 	if readyAt, ok := w.imageReadyAt[t.job.Image]; !ok {
-		w.imageReadyAt[t.job.Image] = time.Now().Add(w.config.Fetch)
+		w.imageReadyAt[t.job.Image] = time.Now().Add(w.config.ImageFetchTime)
 	} else if !time.Now().Before(readyAt) {
 		w.beginTask(t)
 	}
@@ -96,9 +96,9 @@
 }
 
 func (w *Worker) beginTask(t *workerTask) {
-	t.Status, t.progress = wire.TaskRunning, w.config.Check.CheckpointedProgress(t.Task)
+	t.Status, t.progress = wire.TaskRunning, w.config.Checker.CheckpointedProgress(t.Task)
 	w.signalChange()
-	w.config.Check.RecordTaskStart(t.Task, Location{
+	w.config.Checker.RecordTaskStart(t.Task, Location{
 		Machine: w.name, MachineType: w.request.Type, Zone: w.request.Zone, Spot: w.request.Spot,
 	})
 }
@@ -106,7 +106,7 @@
 func (w *Worker) completeTask(t *workerTask) {
 	t.Status, t.ExitReason = wire.TaskEnded, wire.ExitDone
 	w.signalChange()
-	w.config.Check.Ends(t.Task, w.name, true)
+	w.config.Checker.RecordTaskEnd(t.Task, w.name, true)
 }
 
 // stopTask ends a task, after a checkpoint if the command's grace period is long enough for it.
@@ -119,7 +119,7 @@
 	case t.Status == wire.TaskEnded, t.Status == wire.TaskCheckpointing && grace > 0:
 	case t.Status == wire.TaskRunning && t.job.CheckpointIntervalS > 0 && grace >= t.job.CheckpointDurationS:
 		t.Status, t.checkpointDoneAt = wire.TaskCheckpointing, time.Now()
-		if w.config.Saving {
+		if w.config.SlowCheckpoints {
 			t.checkpointDoneAt = t.checkpointDoneAt.Add(time.Duration(t.job.CheckpointDurationS * float64(time.Second)))
 		}
 		w.signalChange()
@@ -140,10 +140,10 @@
 // endStoppedTask ends a task that was told to stop.
 func (w *Worker) endStoppedTask(t *workerTask, outcome checkpointOutcome) {
 	if t.onMachine() {
-		w.config.Check.Ends(t.Task, w.name, false)
+		w.config.Checker.RecordTaskEnd(t.Task, w.name, false)
 	}
 	if outcome == checkpointSaved {
-		w.config.Check.RecordCheckpoint(t.Task, t.progress)
+		w.config.Checker.RecordCheckpoint(t.Task, t.progress)
 	}
 	t.Status, t.ExitReason, t.CheckpointSaved = wire.TaskEnded, wire.ExitStopped, outcome == checkpointSaved
 	w.signalChange()
--- a/internal/jobapi/fakes_test.go
+++ b/internal/jobapi/fakes_test.go
@@ -44,7 +44,7 @@
 func (f *fakeStore) Serving() bool { return !f.unserved }
 
 func (f *fakeStore) Limits() kvstore.Limits {
-	return kvstore.Limits{MaxChanges: 8, ValueBytes: 16 << 10, WriteRPS: 40}
+	return kvstore.Limits{MaxChanges: 8, MaxValueBytes: 16 << 10, WriteRPS: 40}
 }
 
 func (f *fakeStore) CompareAndSwap(ctx context.Context, _ kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
--- a/internal/jobapi/group_commit.go
+++ b/internal/jobapi/group_commit.go
@@ -147,7 +147,7 @@
 	defer cancel()
 	for len(batch) > 0 {
 		attempt := newCommitAttempt(batch)
-		created, response, err := c.store.CompareAndSwap(ctx, kvstore.PriorityAccept, attempt.transaction)
+		created, response, err := c.store.CompareAndSwap(ctx, kvstore.PrioritySubmission, attempt.transaction)
 		if limit := c.maxBatch(); errors.Is(err, kvstore.ErrLimitsLowered) && len(batch) > limit {
 			for part := range slices.Chunk(batch, limit) {
 				c.commit(ctx, part)
--- a/internal/kvstore/limits.go
+++ b/internal/kvstore/limits.go
@@ -13,19 +13,19 @@
 // Limits are the store's limits on transactions and rates that hold at the moment, as far as
 // known.
 type Limits struct {
-	MaxChanges int
-	ValueBytes int
-	RPS        float64
-	WriteRPS   float64
+	MaxChanges    int
+	MaxValueBytes int
+	RPS           float64
+	WriteRPS      float64
 }
 
 func limitsOf(l settings.StateLimits) *Limits {
-	return &Limits{MaxChanges: l.TxnOps, ValueBytes: int(l.ValueKB * 1024), RPS: l.RPS, WriteRPS: l.WriteRPS}
+	return &Limits{MaxChanges: l.TxnOps, MaxValueBytes: int(l.ValueKB * 1024), RPS: l.RPS, WriteRPS: l.WriteRPS}
 }
 
 // exceededBy reports whether a transaction is larger than the limits allow.
 func (l *Limits) exceededBy(t *wire.CompareAndSwap) bool {
-	return len(t.Changes) > l.MaxChanges || slices.ContainsFunc(t.Changes, func(c wire.Change) bool { return len(c.Value) > l.ValueBytes })
+	return len(t.Changes) > l.MaxChanges || slices.ContainsFunc(t.Changes, func(c wire.Change) bool { return len(c.Value) > l.MaxValueBytes })
 }
 
 // A write is occasionally refused for the rate though all controllers keep to their shares, as
@@ -66,7 +66,7 @@
 		return
 	}
 	t.log.Info("key-value store limits lowered as announced", "reason", reason,
-		"value_bytes", t.announced.ValueBytes, "ops", t.announced.MaxChanges, "write_rps", t.announced.WriteRPS)
+		"value_bytes", t.announced.MaxValueBytes, "ops", t.announced.MaxChanges, "write_rps", t.announced.WriteRPS)
 }
 
 // recordRejected takes a transaction that the store has rejected as invalid. It reports whether the
--- a/internal/kvstore/rate_limiter_test.go
+++ b/internal/kvstore/rate_limiter_test.go
@@ -78,7 +78,7 @@
 		limiter := startRateLimiter(t, limitsOfRates(10, 10), 1)
 		useUpBudget(t, limiter)
 		order := make(chan Priority, 3)
-		for _, p := range []Priority{PriorityRead, PriorityAccept, PriorityLeader} {
+		for _, p := range []Priority{PriorityRead, PrioritySubmission, PriorityLeader} {
 			go func() {
 				if limiter.wait(t.Context(), p, 0) == nil {
 					order <- p
@@ -86,7 +86,7 @@
 			}()
 			synctest.Wait()
 		}
-		if a, b, c := <-order, <-order, <-order; a != PriorityLeader || b != PriorityAccept || c != PriorityRead {
+		if a, b, c := <-order, <-order, <-order; a != PriorityLeader || b != PrioritySubmission || c != PriorityRead {
 			t.Errorf("granted in the order %v %v %v", a, b, c)
 		}
 		// A lease request is granted even when the budget is used up.
@@ -107,7 +107,7 @@
 		var written atomic.Int64
 		for range 50 {
 			go func() {
-				if limiter.wait(ctx, PriorityAccept, 1) == nil {
+				if limiter.wait(ctx, PrioritySubmission, 1) == nil {
 					written.Add(1)
 				}
 			}()
@@ -133,11 +133,11 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for range maxWaiting {
-			go func() { _ = limiter.wait(ctx, PriorityAccept, 0) }()
+			go func() { _ = limiter.wait(ctx, PrioritySubmission, 0) }()
 		}
 		synctest.Wait()
 		before := time.Now()
-		if err := limiter.wait(ctx, PriorityAccept, 0); !errors.Is(err, ErrOverloaded) || time.Since(before) > 0 {
+		if err := limiter.wait(ctx, PrioritySubmission, 0); !errors.Is(err, ErrOverloaded) || time.Since(before) > 0 {
 			t.Errorf("rejected after %v: %v", time.Since(before), err)
 		}
 	})
--- a/internal/kvstore/request_queue.go
+++ b/internal/kvstore/request_queue.go
@@ -12,7 +12,7 @@
 const (
 	PriorityLease Priority = iota
 	PriorityLeader
-	PriorityAccept
+	PrioritySubmission
 	PriorityRead
 	priorityCount
 )
--- a/internal/rolloutservice/replace_workers_test.go
+++ b/internal/rolloutservice/replace_workers_test.go
@@ -55,8 +55,8 @@
 		d.submit()
 		time.Sleep(200 * time.Millisecond)
 	}
-	allRun := func() bool { running, _ := d.Checker.On(""); return running >= 2*replaced-2 }
-	fake.Await(t, "tasks on all machines", time.Minute, allRun)
+	allRun := func() bool { running, _ := d.Checker.TaskCounts(""); return running >= 2*replaced-2 }
+	fake.WaitFor(t, "tasks on all machines", time.Minute, allRun)
 	var old []string
 	for _, w := range d.Cloud.Workers() {
 		old = append(old, w.Name())
@@ -82,11 +82,11 @@
 			t.Errorf("%s was not replaced", w.Name())
 		}
 	}
-	fake.Await(t, "all jobs over", 4*time.Minute, func() bool { return len(d.Checker.Open()) == 0 })
+	fake.WaitFor(t, "all jobs over", 4*time.Minute, func() bool { return len(d.Checker.OpenJobs()) == 0 })
 	d.Users.Wait()
 	stopped := d.checkBudgets()
 	completed := d.checkCompletions()
-	for _, broken := range d.Checker.Broken() {
+	for _, broken := range d.Checker.Violations() {
 		t.Error(broken)
 	}
 	t.Logf("%d machines replaced in %s, %d controllers killed, %d tasks stopped, %d completed", len(old), took.Round(time.Second), d.kills, stopped, completed)
@@ -120,7 +120,7 @@
 func (d *deployment) createPlan(machines []string) {
 	d.t.Helper()
 	text := "[plan]\nname = winter\nmachines = " + strings.Join(machines, ", ") + "\nbatch = 25%\nwait_s = 300\nhealth_s = 300"
-	fake.Await(d.t, "the plan created", time.Minute, func() bool {
+	fake.WaitFor(d.t, "the plan created", time.Minute, func() bool {
 		_, err := rolloutservice.Create(d.t.Context(), transport.TCP{}, d.Platform, text)
 		return err == nil || strings.Contains(err.Error(), "of that name")
 	})
@@ -140,9 +140,9 @@
 // number of stopped tasks.
 func (d *deployment) checkBudgets() int {
 	d.t.Helper()
-	stops := fake.Stops(d.Checker.Runs())
+	stops := fake.Interruptions(d.Checker.TaskRuns())
 	for _, team := range teams {
-		most := fake.MostStopped(stops, func(jobID string) bool { return d.Checker.Job(jobID).Team == team })
+		most := fake.MaxInterrupted(stops, func(jobID string) bool { return d.Checker.Job(jobID).Team == team })
 		if most > teamBudget {
 			d.t.Errorf("%d jobs of team %s were stopped at once", most, team)
 		}
@@ -158,7 +158,7 @@
 // tasks.
 func (d *deployment) checkCompletions() int {
 	d.t.Helper()
-	completed := fake.Completions(d.Checker.Runs())
+	completed := fake.Completions(d.Checker.TaskRuns())
 	for task, n := range completed {
 		if n > 1 {
 			d.t.Errorf("%s was completed %d times", task, n)
--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -19,7 +19,7 @@
 		transport.Pause(r.t.Context(), checkInterval)
 		calm := <-r.calm
 		r.calm <- calm
-		r.deployment.Checker.Look(calm, r.deployment.Cloud.Rooms())
+		r.deployment.Checker.CheckInvariants(calm, r.deployment.Cloud.FreeCapacity())
 	}
 }
 
@@ -33,19 +33,19 @@
 	<-r.calm
 	r.calm <- time.Now()
 	checker, store := r.deployment.Checker, r.deployment.Store
-	fake.Await(r.t, "all jobs over", 5*time.Minute, func() bool { return len(checker.Open()) == 0 })
-	if open := checker.Open(); len(open) > 0 {
+	fake.WaitFor(r.t, "all jobs over", 5*time.Minute, func() bool { return len(checker.OpenJobs()) == 0 })
+	if open := checker.OpenJobs(); len(open) > 0 {
 		r.t.Errorf("still open: %v", open)
 	} else {
 		r.deployment.Users.Wait()
-		fake.Await(r.t, "all tasks gone", time.Minute, func() bool { on, _ := checker.On(""); return on == 0 })
-		fake.Await(r.t, "the ledger cleaned up", time.Minute, func() bool { return store.Count("fin/")+store.Count("host/") == 0 })
+		fake.WaitFor(r.t, "all tasks gone", time.Minute, func() bool { on, _ := checker.TaskCounts(""); return on == 0 })
+		fake.WaitFor(r.t, "the ledger cleaned up", time.Minute, func() bool { return store.Count("fin/")+store.Count("host/") == 0 })
 	}
-	for _, violation := range checker.Broken() {
+	for _, violation := range checker.Violations() {
 		r.t.Error(violation)
 	}
 	r.checkLogs()
-	runs := checker.Runs()
+	runs := checker.TaskRuns()
 	r.t.Logf("seed %d: %d runs of tasks on machines, %d tasks completed, %d jobs, %d starts after a confirmed cancellation",
 		r.plan.seed, len(runs), len(fake.Completions(runs)), store.Count("job/"), checker.LateStarts())
 }
@@ -69,7 +69,7 @@
 		err = os.WriteFile(filepath.Join(dir, "ledger.json"), ledger, 0o600)
 	}
 	if err == nil {
-		text := fmt.Sprintf("%+v\n%s\n%s\n", r.plan, r.schedule, strings.Join(r.deployment.Checker.Broken(), "\n"))
+		text := fmt.Sprintf("%+v\n%s\n%s\n", r.plan, r.schedule, strings.Join(r.deployment.Checker.Violations(), "\n"))
 		err = os.WriteFile(filepath.Join(dir, "schedule.txt"), []byte(text), 0o600)
 	}
 	if err != nil {
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -17,15 +17,15 @@
 	case hungMachines, inboundCut, outboundCut, rebootedMachines, terminatedMachines, duplicateHeartbeats, replayedHeartbeats:
 		return r.beginMachineFault(f)
 	case storeOutage:
-		r.deployment.Store.Outage(true)
-		return func() { r.deployment.Store.Outage(false) }
+		r.deployment.Store.SetOutage(true)
+		return func() { r.deployment.Store.SetOutage(false) }
 	case slowStore:
-		r.deployment.Store.Slow(time.Duration(f.share * float64(time.Second)))
-		return func() { r.deployment.Store.Slow(0) }
+		r.deployment.Store.SetDelay(time.Duration(f.share * float64(time.Second)))
+		return func() { r.deployment.Store.SetDelay(0) }
 	case lateWrites:
 		return r.writeFaults.begin(messageFault{fake.Delayed, f.share, minMessageDelay, maxMessageDelay})
 	case lostResponses:
-		return r.writeFaults.begin(messageFault{kind: fake.AnswerLost, share: f.share})
+		return r.writeFaults.begin(messageFault{kind: fake.ResponseLost, share: f.share})
 	case lostCommands:
 		return r.commandFaults.begin(messageFault{kind: fake.RequestLost, share: commandShare})
 	case lateCommands:
@@ -33,7 +33,7 @@
 	case duplicateCommands:
 		return r.commandFaults.begin(messageFault{kind: fake.Duplicated, share: commandShare})
 	case cloudOutage:
-		return r.cloudFaults.begin(messageFault{kind: fake.Refused, share: 1})
+		return r.cloudFaults.begin(messageFault{kind: fake.Unavailable, share: 1})
 	case cancelJobs:
 		r.cancelSome(f.share)
 	}
--- a/internal/soak/machine_faults_test.go
+++ b/internal/soak/machine_faults_test.go
@@ -24,9 +24,9 @@
 // machineFault returns the function that lets a kind of fault begin and end on one machine.
 func (r *run) machineFault(kind faultKind) func(w *fake.Worker, on bool) {
 	return map[faultKind]func(w *fake.Worker, on bool){
-		hungMachines: (*fake.Worker).Hang,
-		inboundCut:   (*fake.Worker).CutInbound,
-		outboundCut:  (*fake.Worker).CutOutbound,
+		hungMachines: (*fake.Worker).SetHung,
+		inboundCut:   (*fake.Worker).SetInboundCut,
+		outboundCut:  (*fake.Worker).SetOutboundCut,
 		rebootedMachines: func(w *fake.Worker, on bool) {
 			if on {
 				w.Reboot()
@@ -34,22 +34,22 @@
 		},
 		terminatedMachines: func(w *fake.Worker, on bool) {
 			if on {
-				r.deployment.Cloud.Take(w.Name())
+				r.deployment.Cloud.Terminate(w.Name())
 			}
 		},
 		duplicateHeartbeats: func(w *fake.Worker, on bool) {
 			if !on {
-				w.DuplicateReports(nil)
+				w.DuplicateHeartbeats(nil)
 				return
 			}
 			delay := minMessageDelay + time.Duration(r.random.Int64N(int64(maxMessageDelay)))
-			w.DuplicateReports(func() time.Duration { return delay })
+			w.DuplicateHeartbeats(func() time.Duration { return delay })
 		},
 		replayedHeartbeats: func(w *fake.Worker, on bool) {
 			if on {
-				w.SaveReport()
+				w.SaveHeartbeat()
 			} else {
-				w.ReplayReport()
+				w.ReplayHeartbeat()
 			}
 		},
 	}[kind]
--- a/internal/soak/message_faults_test.go
+++ b/internal/soak/message_faults_test.go
@@ -18,7 +18,7 @@
 
 // messageFault is a fault that is injected into a share of requests.
 type messageFault struct {
-	kind               fake.Fault
+	kind               fake.FaultKind
 	share              float64
 	minDelay, maxDelay time.Duration
 }
@@ -30,17 +30,17 @@
 }
 
 // inject decides which fault is injected into a request.
-func (m *messageFaults) inject(_ string, r *http.Request) fake.Trouble {
+func (m *messageFaults) inject(_ string, r *http.Request) fake.InjectedFault {
 	f := m.active.Load()
 	if f == nil || r.Method != http.MethodPost || m.path != "" && r.URL.Path != m.path {
-		return fake.Trouble{}
+		return fake.InjectedFault{}
 	}
 	random := <-m.random
 	defer func() { m.random <- random }()
 	if random.Float64() >= f.share {
-		return fake.Trouble{}
+		return fake.InjectedFault{}
 	}
-	return fake.Trouble{Fault: f.kind, For: f.minDelay + time.Duration(random.Float64()*float64(f.maxDelay-f.minDelay))}
+	return fake.InjectedFault{Kind: f.kind, Delay: f.minDelay + time.Duration(random.Float64()*float64(f.maxDelay-f.minDelay))}
 }
 
 // begin makes a fault the active one until end is called, or until another one begins.
--- a/internal/soak/users_test.go
+++ b/internal/soak/users_test.go
@@ -56,8 +56,8 @@
 // cancel has a user cancel a job until that is confirmed.
 func (r *run) cancel(j *wire.Job) {
 	for r.t.Context().Err() == nil {
-		if code, _ := r.deployment.Users.Until(fake.AskedCancel, j.ID, nil); code == http.StatusOK {
-			r.deployment.Users.Look(j.ID, j)
+		if code, _ := r.deployment.Users.RetryUntilFinal(fake.RequestCancel, j.ID, nil); code == http.StatusOK {
+			r.deployment.Users.QueryEverywhere(j.ID, j)
 			return
 		}
 	}
--- a/internal/softstate/stream_test.go
+++ b/internal/softstate/stream_test.go
@@ -58,14 +58,14 @@
 // pair is a leader, and a standby that follows it, on a network in memory.
 type pair struct {
 	t        *testing.T
-	net      *fake.Net
+	net      *fake.Network
 	memory   *memory
 	follower *Follower
 	stop     context.CancelFunc
 }
 
 func newPair(t *testing.T, m *memory, others []string) *pair {
-	p := &pair{t: t, net: fake.NewNet(t), memory: m}
+	p := &pair{t: t, net: fake.NewNetwork(t), memory: m}
 	ctx, cancel := context.WithCancel(t.Context())
 	listener, err := p.net.Host("n1").Listen(ctx, "n1:81")
 	if err != nil {
@@ -118,7 +118,7 @@
 		view(3, 7)
 		m.change(7, append(m.parts, Changes{Machines: []Machine{{Name: "vm-2", Gone: true}}}))
 		view(2, 7)
-		p.net.Cut("n1", "n2", false)
+		p.net.Partition("n1", "n2", false)
 		m.change(7, append(m.parts, part("vm-4")))
 		view(2, 7)
 		p.net.Heal("n1", "n2")
--- a/internal/standby/deployment_test.go
+++ b/internal/standby/deployment_test.go
@@ -32,7 +32,7 @@
 // deployment is three controllers over a ledger of many jobs.
 type deployment struct {
 	t     *testing.T
-	state *fake.State
+	state *fake.KVStore
 	check *fake.Checker
 	users *fake.Users
 	nodes []*fake.Process
@@ -87,7 +87,7 @@
 // next waits for the takeover that follows a leader's end at a moment.
 func (d *deployment) next(before int, ended time.Time) phases {
 	d.t.Helper()
-	fake.Await(d.t, "a takeover", 60*time.Second, func() bool { return len(d.lines()) > before })
+	fake.WaitFor(d.t, "a takeover", 60*time.Second, func() bool { return len(d.lines()) > before })
 	lines := d.lines()
 	slices.SortFunc(lines, func(a, b []string) int { return strings.Compare(a[1], b[1]) })
 	last := lines[len(lines)-1]
--- a/internal/standby/follower_test.go
+++ b/internal/standby/follower_test.go
@@ -20,14 +20,14 @@
 // stage is a follower of a fake state service.
 type stage struct {
 	t        *testing.T
-	service  *fake.State
+	service  *fake.KVStore
 	store    *kvstore.Client
 	follower *Follower
 }
 
 func newStage(t *testing.T, keys, maxBytes int) *stage {
-	n := fake.NewNet(t)
-	s := &stage{t: t, service: fake.NewState(t, n.Host("state"), "state:1", nil)}
+	n := fake.NewNetwork(t)
+	s := &stage{t: t, service: fake.NewKVStore(t, n.Host("state"), "state:1", nil)}
 	for i := range keys {
 		s.service.Put(fmt.Sprintf("job/%06d", i), fmt.Sprintf(`"value %d"`, i))
 	}
@@ -94,13 +94,13 @@
 			time.Sleep(30 * time.Millisecond)
 		}
 		check("with changes that have just come")
-		s.service.Outage(true)
+		s.service.SetOutage(true)
 		s.service.Put("host/1/0", `["vm-1"]`)
 		time.Sleep(30 * time.Second)
 		if s.follower.Ready() {
 			t.Error("it is ready in an outage")
 		}
-		s.service.Outage(false)
+		s.service.SetOutage(false)
 		s.await(Following)
 		check("after an outage")
 	})
@@ -116,7 +116,7 @@
 		says     string
 	}{
 		{"it is larger than it may be", 1000, func(s *stage) { s.await(Demoted) }, nil, "demoted"},
-		{"the service does not answer", 1 << 20, func(s *stage) { s.await(Following); s.service.Outage(true) }, errNotConfirmedInTime, "in time"},
+		{"the service does not answer", 1 << 20, func(s *stage) { s.await(Following); s.service.SetOutage(true) }, errNotConfirmedInTime, "in time"},
 		{"its changes are no longer kept", 1 << 20, func(s *stage) {
 			s.await(Following)
 			s.service.Forget()
@@ -131,7 +131,7 @@
 				if err == nil || c.want != nil && !errors.Is(err, c.want) || !strings.Contains(err.Error(), c.says) {
 					t.Errorf("told %v", err)
 				}
-				s.service.Outage(false)
+				s.service.SetOutage(false)
 				s.follower.Release()
 			})
 		})
--- a/internal/standby/proof_test.go
+++ b/internal/standby/proof_test.go
@@ -29,7 +29,7 @@
 	for _, n := range d.nodes {
 		n.Start(program)
 	}
-	fake.Await(t, "the first term", 30*time.Second, func() bool { return len(d.lines()) > 0 })
+	fake.WaitFor(t, "the first term", 30*time.Second, func() bool { return len(d.lines()) > 0 })
 	stop := make(chan struct{})
 	d.users.Go(func() {
 		for k := 0; ; k++ {
@@ -63,7 +63,7 @@
 		}
 	}
 	close(stop)
-	fake.Await(t, "all jobs over", 2*time.Minute, func() bool { return len(d.check.Open()) == 0 })
+	fake.WaitFor(t, "all jobs over", 2*time.Minute, func() bool { return len(d.check.OpenJobs()) == 0 })
 	d.users.Wait()
 	d.onceEach()
 	slices.Sort(firsts)
@@ -96,7 +96,7 @@
 // did.
 func (d *deployment) onceEach() {
 	d.t.Helper()
-	completed := fake.Completions(d.check.Runs())
+	completed := fake.Completions(d.check.TaskRuns())
 	doubled := 0
 	for task, n := range completed {
 		if n != 1 {
@@ -104,8 +104,8 @@
 			d.t.Errorf("%s was completed %d times", task, n)
 		}
 	}
-	for _, broken := range d.check.Broken() {
+	for _, broken := range d.check.Violations() {
 		d.t.Error(broken)
 	}
-	d.t.Logf("%d tasks completed, %d more than once, %d stays on machines", len(completed), doubled, len(d.check.Runs()))
+	d.t.Logf("%d tasks completed, %d more than once, %d stays on machines", len(completed), doubled, len(d.check.TaskRuns()))
 }
--- a/internal/standby/takeover_measure_test.go
+++ b/internal/standby/takeover_measure_test.go
@@ -28,11 +28,11 @@
 				for _, n := range d.nodes {
 					n.Start(program)
 				}
-				fake.Await(t, "the first term", 60*time.Second, func() bool { return len(d.lines()) > 0 })
+				fake.WaitFor(t, "the first term", 60*time.Second, func() bool { return len(d.lines()) > 0 })
 				var views, decided, ending []string
 				for range takeovers {
 					if warm {
-						fake.Await(t, "both standbys follow", 60*time.Second, func() bool { return d.following() == controllers-1 })
+						fake.WaitFor(t, "both standbys follow", 60*time.Second, func() bool { return d.following() == controllers-1 })
 					} else {
 						time.Sleep(3 * time.Second)
 					}
@@ -64,7 +64,7 @@
 				for k := range 10 {
 					d.users.Submit(fake.NewJob(fmt.Sprintf("job-%06d", k), machines/10, func(j *wire.Job) { j.CPUs = 8 }))
 				}
-				fake.Await(t, "all machines at work", 3*time.Minute, func() bool { on, _ := d.check.On(""); return on >= machines })
+				fake.WaitFor(t, "all machines at work", 3*time.Minute, func() bool { on, _ := d.check.TaskCounts(""); return on >= machines })
 				var views, settled, ending []string
 				for range takeovers {
 					time.Sleep(8 * time.Second)
