--- a/internal/dispatch/event_loop.go
+++ b/internal/dispatch/event_loop.go
@@ -49,9 +49,9 @@
 	}
 }
 
-// applyEvent applies one event to the core. After the process was suspended, another leader
-// may have begun: actions that follow from passing time alone, such as writing off
-// unreachable machines, are not this controller's to take then.
+// applyEvent applies one event to the core. While the leadership is suspended, another leader may
+// have begun: actions that follow from passing time alone, such as writing off unreachable
+// machines, must not be taken then.
 func (t *term) applyEvent(event scheduler.Event) {
 	if _, isTick := event.(scheduler.Tick); isTick && !t.elector.IsLeader(t.number) {
 		return
--- a/internal/election/extension_grants.go
+++ b/internal/election/extension_grants.go
@@ -82,8 +82,8 @@
 	return remaining
 }
 
-// GrantExtension answers another controller's request for an extension. It reports whether this
-// controller will not act as the leader for the duration.
+// GrantExtension answers another controller's request for an extension (the gRPC method Vouch of
+// package peers). It reports whether this controller will not act as the leader for the duration.
 func (e *Elector) GrantExtension(ctx context.Context, duration time.Duration) bool {
 	if duration <= 0 || duration > 2*extensionDuration {
 		return false
