--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -4,6 +4,7 @@
 	"log/slog"
 	"time"
 
+	"leadproxy/internal/scheduler/agentstate"
 	"leadproxy/internal/settings"
 )
 
@@ -41,12 +42,23 @@
 		probes:            probes{atOnce: minProbes}}
 }
 
+// contact is what is done to reach the agent of one machine.
+type contact struct {
+	probes          int // probes sent to it
+	inspecting      bool
+	lastInspection  time.Duration
+	inspectedAt     agentstate.HeartbeatPosition // the newest heartbeat when the inspection began
+	staleHeartbeats int                          // stale heartbeats in a row that an inspection has shown to be late copies
+
+	unreachable *unreachableRecord
+}
+
 // countHeartbeat numbers the heartbeat whose list of tasks is being reconciled.
 func (a *agents) countHeartbeat() { a.heartbeatsProcessed++ }
 
 // schedulable tells whether new tasks may start on a machine at all.
 func (a *agents) schedulable(m *machine) bool {
-	return m.state == machineUp && m.trusted(a.term) && m.agent.epoch > m.agent.expiredEpoch && m.typ >= 0 && m.agent.unreachable == nil && !m.eviction.cordoned && !m.health.quarantined && a.clock.now >= m.commands.avoidUntil && m.rental.terminationAt == 0 && !m.agent.unacknowledged && a.clock.now-m.agent.lastAcknowledged < a.unreachableAfter()
+	return m.state == machineUp && m.trusted(a.term) && !m.agent.EpochEnded(m.agent.Epoch()) && m.typ >= 0 && m.contact.unreachable == nil && !m.eviction.cordoned && !m.health.quarantined && a.clock.now >= m.commands.avoidUntil && m.rental.terminationAt == 0 && !m.agent.Unacknowledged() && a.clock.now-m.agent.LastAcknowledged() < a.unreachableAfter()
 }
 
 // trusted tells whether the content of an agent's heartbeats is believed: it has acknowledged
@@ -54,7 +66,7 @@
 // out of order for longer than cancel_s, and an agent that keeps running meanwhile must be sent
 // the stops of its tasks.
 func (m *machine) trusted(term uint64) bool {
-	return (m.state == machineUp || m.state == machineDeleting) && m.agent.acknowledgedToken>>tokenBits == term
+	return (m.state == machineUp || m.state == machineDeleting) && m.agent.AcknowledgedToken()>>tokenBits == term
 }
 
 // unreachableAfter is when a machine that said nothing gets no more work.
@@ -63,7 +75,7 @@
 // unacknowledgedFor is how long an agent has not shown that it receives this leader's responses.
 // That its heartbeats arrive shows nothing.
 func (a *agents) unacknowledgedFor(m *machine) time.Duration {
-	return a.clock.now - max(m.agent.lastAcknowledged, m.agent.epochSeenAt, a.clock.tickingSince)
+	return a.clock.now - max(m.agent.LastAcknowledged(), m.agent.EpochSeenAt(), a.clock.tickingSince)
 }
 
 // heartbeatExpected tells whether a machine should be sending heartbeats: it has, or an earlier
@@ -76,7 +88,7 @@
 // on its machine until it has acknowledged a higher token. That its heartbeats arrive shows
 // nothing.
 func (c *Core) markUnacknowledged(m *machine) {
-	m.agent.markUnacknowledged(c.clock.now)
+	m.agent.MarkUnacknowledged(c.clock.now)
 	c.placement.indexChanged(m)
 }
 
@@ -84,7 +96,7 @@
 // the response has arrived. It does not while a command is on its way there, which would then be
 // refused.
 func (a *agents) raiseFencingToken(m *machine) {
-	if m.trusted(a.term) && m.commands.inFlight == 0 && m.agent.acknowledgedToken >= m.agent.fencingToken && a.clock.now-m.agent.tokenRaisedAt >= a.lease/4 {
-		m.agent.raiseToken(a.clock.now)
+	if m.trusted(a.term) && m.commands.inFlight == 0 && m.agent.TokenDue(a.clock.now, a.lease/4) {
+		m.agent.RaiseToken(a.clock.now)
 	}
 }
--- a/internal/scheduler/command_results.go
+++ b/internal/scheduler/command_results.go
@@ -63,7 +63,7 @@
 // be executed any more, and an attempt that is missing then will never run.
 func (q *commands) commandOutcomeUnknown(command *commandInFlight) {
 	m := command.machine
-	if m.agent.epoch != command.agentEpoch {
+	if m.agent.Epoch() != command.agentEpoch {
 		return // it can only be refused
 	}
 	for _, a := range command.startedAttempts {
@@ -71,7 +71,7 @@
 			m.commands.unresolvedStarts[a] = command.fencingToken + 1
 		}
 	}
-	q.log.Debug("direct command result unknown", "machine", m.name, "starts", len(command.startedAttempts), "fencing_token", m.agent.fencingToken)
+	q.log.Debug("direct command result unknown", "machine", m.name, "starts", len(command.startedAttempts), "fencing_token", m.agent.FencingToken())
 }
 
 // eachSent resolves the starts of a command whose outcome is known, and calls f for the
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -125,7 +125,7 @@
 
 // sendBatch sends the commands of a machine that fit one direct command.
 func (q *commands) sendBatch(m *machine, batch []wire.Command) {
-	command := &commandInFlight{machine: m, agentEpoch: m.agent.epoch, fencingToken: m.agent.fencingToken}
+	command := &commandInFlight{machine: m, agentEpoch: m.agent.Epoch(), fencingToken: m.agent.FencingToken()}
 	kept := make([]wire.Command, 0, len(batch))
 	for _, o := range batch {
 		switch o.Verb {
@@ -155,6 +155,6 @@
 	q.lastID++
 	m.commands.inFlight++
 	q.inFlight[q.lastID] = command
-	q.effects.emit(SendCommands{CommandID: q.lastID, Machine: m.name, Address: m.agent.address,
+	q.effects.emit(SendCommands{CommandID: q.lastID, Machine: m.name, Address: m.agent.Address(),
 		Request: wire.CommandRequest{FencingToken: command.fencingToken, AgentEpoch: command.agentEpoch, Commands: batch}})
 }
--- a/internal/scheduler/eviction_view.go
+++ b/internal/scheduler/eviction_view.go
@@ -107,8 +107,8 @@
 // replacement is a machine that was rented for a plan, as the plan sees it.
 func (v *evictionState) replacement(m *machine) rollout.Replacement {
 	r := rollout.Replacement{Name: m.name, Failed: m.state == machineGone || m.state == machineDeleting || m.health.quarantined}
-	if v.agents.schedulable(m) && m.agent.epochSeenAt > 0 {
-		r.Healthy = max(1, v.clock.now-m.agent.epochSeenAt)
+	if v.agents.schedulable(m) && m.agent.EpochSeenAt() > 0 {
+		r.Healthy = max(1, v.clock.now-m.agent.EpochSeenAt())
 	}
 	return r
 }
--- a/internal/scheduler/evictions_test.go
+++ b/internal/scheduler/evictions_test.go
@@ -152,7 +152,7 @@
 		report()
 	}
 	g.sentCommands = nil
-	notice := g.heartbeatOf(machines[0], g.c.machineNamed(machines[0]).agent.fencingToken, running[0])
+	notice := g.heartbeatOf(machines[0], g.c.machineNamed(machines[0]).agent.FencingToken(), running[0])
 	seconds := 60.0
 	notice.TerminationNoticeS = &seconds
 	g.sendHeartbeat(notice)
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -172,8 +172,8 @@
 // acknowledge has a worker show that it has heard our latest token.
 func (g *harness) acknowledge(name string, tasks ...wire.TaskStatus) *wire.HeartbeatResponse {
 	m := g.c.machineNamed(name)
-	r := g.heartbeatOf(name, m.agent.fencingToken, tasks...)
-	r.AgentEpoch = max(m.agent.epoch, 1)
+	r := g.heartbeatOf(name, m.agent.FencingToken(), tasks...)
+	r.AgentEpoch = max(m.agent.Epoch(), 1)
 	return g.sendHeartbeat(r)
 }
 
--- a/internal/scheduler/heartbeat_responses.go
+++ b/internal/scheduler/heartbeat_responses.go
@@ -116,7 +116,7 @@
 		if trust == trusted {
 			list = q.commandsFor(m, a.heartbeat, list)
 		}
-		answer := &wire.HeartbeatResponse{FencingToken: m.agent.fencingToken, Commands: list}
+		answer := &wire.HeartbeatResponse{FencingToken: m.agent.FencingToken(), Commands: list}
 		if m.commands.openResponse == i+1 {
 			m.commands.openResponse = 0
 		}
@@ -130,7 +130,7 @@
 // they fit. Unlike a direct command, a response is never executed late: the agent's next
 // heartbeat shows what became of it.
 func (q *commands) appendPending(m *machine, r *wire.Heartbeat, list []wire.Command) []wire.Command {
-	if r.AgentEpoch != m.agent.epoch {
+	if r.AgentEpoch != m.agent.Epoch() {
 		return list
 	}
 	for len(m.commands.pending) > 0 && len(list) < maxCommandsPerResponse {
@@ -196,7 +196,7 @@
 // holdForUnreachable holds the response to a machine with an unreachable-agent record until that
 // is withdrawn.
 func (q *commands) holdForUnreachable(a heldResponse) bool {
-	if a.machine.agent.unreachable == nil {
+	if a.machine.contact.unreachable == nil {
 		return false
 	}
 	a.machine.commands.openResponse = 0
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -30,13 +30,13 @@
 		a.outdated = true
 		c.agents.inspectStaleSender(m, r)
 	}
-	if r.AgentEpoch <= m.agent.expiredEpoch {
+	if m.agent.EpochEnded(r.AgentEpoch) {
 		// That epoch must have ended. A response could keep it alive if it had not, with tasks
 		// that have no allocation any more.
 		c.effects.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
 	}
-	m.agent.responded(c.agents.lease)
+	m.agent.Responded(c.agents.lease)
 	c.commands.open(a)
 }
 
@@ -52,7 +52,7 @@
 // applyHeartbeat takes in an agent's status, from a heartbeat or from the response to a direct
 // command. It returns false for a stale one.
 func (c *Core) applyHeartbeat(m *machine, r *wire.Heartbeat, source statusSource) bool {
-	if m.agent.isStale(r) {
+	if m.agent.IsStale(r) {
 		return false
 	}
 	// A machine that becomes schedulable, at its first acknowledgement or after it was
@@ -60,18 +60,18 @@
 	wasOpen := c.agents.schedulable(m)
 	if m.state == machineStarting {
 		m.state = machineUp
-		m.agent.firstSeen(c.clock.now)
+		m.agent.FirstSeen(c.clock.now)
 		c.machineCameUp(m)
 	}
 	c.updateDescription(m, r.Type, r.Zone, r.Spot, r.Address)
-	m.agent.received(c.clock.now)
+	m.agent.Received(c.clock.now)
 	c.agents.withdrawRecordOf(m)
-	if r.AgentEpoch != m.agent.epoch {
+	if r.AgentEpoch != m.agent.Epoch() {
 		c.epochBegan(m, r.AgentEpoch)
 	}
 	c.placement.indexChanged(m)
-	m.agent.acknowledge(r, c.clock.now)
-	m.commands.ruleOut(m.agent.acknowledgedToken)
+	m.agent.Acknowledge(r, c.clock.now)
+	m.commands.ruleOut(m.agent.AcknowledgedToken())
 	if r.TerminationNoticeS != nil && m.rental.terminationAt == 0 {
 		m.rental.noticeTermination(c.clock.now + settings.Seconds(*r.TerminationNoticeS))
 		c.log.Info("machine has a termination notice", "machine", m.name, "seconds", *r.TerminationNoticeS, "allocations", len(m.capacity.allocations))
@@ -96,7 +96,7 @@
 
 // epochBegan notes that an agent is in another epoch than before.
 func (c *Core) epochBegan(m *machine, epoch uint64) {
-	if m.agent.epoch != 0 {
+	if m.agent.Epoch() != 0 {
 		c.log.Info("agent began a new epoch", "machine", m.name, "agent_epoch", epoch, "allocations", len(m.capacity.allocations))
 		c.dropAllocations(m, "its agent began a new epoch")
 		// It has received no response for a whole lease.
@@ -104,6 +104,6 @@
 	}
 	// A start sent to the earlier epoch can't be executed any more.
 	m.commands.ruleOutAll()
-	m.agent.beginEpoch(epoch, c.clock.now+c.agents.lease)
+	m.agent.BeginEpoch(epoch, c.clock.now+c.agents.lease)
 	c.softState.machineChanged(m)
 }
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -67,11 +67,11 @@
 			g.sendHeartbeat(&old)
 			o := running(g)
 			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskRunning, "")))
-			over := g.c.machines.list[0].agent.leaseExpiry
+			over := g.c.machines.list[0].agent.LeaseExpiry()
 			g.wait(8 * time.Second)
 			g.sendHeartbeat(&old)
 			g.want("bookings", g.c.jobs.list[0].progress.allocated, 1)
-			g.want("the end of the lease", g.c.machines.list[0].agent.leaseExpiry, over)
+			g.want("the end of the lease", g.c.machines.list[0].agent.LeaseExpiry(), over)
 		}},
 		{"after its lease: what it lists is over", func(g *harness) {
 			o := running(g)
@@ -117,7 +117,7 @@
 			n := g.c.jobs.list[0].progress.allocated
 			g.sendHeartbeat(&held)
 			g.want("bookings", g.c.jobs.list[0].progress.allocated, n)
-			g.want("session", g.c.machines.list[0].agent.epoch, 2)
+			g.want("session", g.c.machines.list[0].agent.Epoch(), 2)
 		}},
 	}
 	for _, c := range cases {
@@ -141,7 +141,7 @@
 	g.want("started elsewhere", len(g.starts()), 0)
 	// Its worker may truly have begun anew with higher counts: it says so again with
 	// the token that the answer gave it.
-	again := *g.heartbeatOf("vm-1", g.c.machineNamed("vm-1").agent.fencingToken)
+	again := *g.heartbeatOf("vm-1", g.c.machineNamed("vm-1").agent.FencingToken())
 	again.Sequence = 91
 	g.sendHeartbeat(&again)
 	g.want("started anew", len(g.starts()), 1)
--- a/internal/scheduler/inspections.go
+++ b/internal/scheduler/inspections.go
@@ -3,6 +3,7 @@
 import (
 	"time"
 
+	"leadproxy/internal/scheduler/agentstate"
 	"leadproxy/internal/wire"
 )
 
@@ -18,22 +19,28 @@
 // it is a late copy, but an agent that has truly restarted counts from 1 again, and must not be
 // taken for a copy for ever.
 func (a *agents) inspectStaleSender(m *machine, r *wire.Heartbeat) {
-	wait := min(inspectionInterval<<min(m.agent.staleHeartbeats, 8), a.lease)
-	if r.Address == "" || m.agent.inspecting || a.inspectionsInFlight >= maxInspections || a.clock.now-m.agent.lastInspection < wait && m.agent.lastInspection > 0 {
+	wait := min(inspectionInterval<<min(m.contact.staleHeartbeats, 8), a.lease)
+	if r.Address == "" || m.contact.inspecting || a.inspectionsInFlight >= maxInspections || a.clock.now-m.contact.lastInspection < wait && m.contact.lastInspection > 0 {
 		return
 	}
 	a.inspectionsInFlight++
-	m.agent.inspecting, m.agent.lastInspection = true, a.clock.now
-	m.agent.inspectedAt = m.agent.position()
+	m.contact.inspecting, m.contact.lastInspection = true, a.clock.now
+	m.contact.inspectedAt = m.agent.Position()
 	a.effects.emit(InspectWorker{Machine: m.name, Address: r.Address})
 }
 
 // inspectionEnded notes that an inspection has ended, with or without a result.
 func (a *agents) inspectionEnded(m *machine) {
-	m.agent.inspecting = false
+	m.contact.inspecting = false
 	a.inspectionsInFlight--
 }
 
+// lateCopyFound notes that an inspection has shown a stale heartbeat to be a late copy.
+func (a *agents) lateCopyFound(m *machine) { m.contact.staleHeartbeats++ }
+
+// restartFound notes that an inspection has shown the agent to have restarted.
+func (a *agents) restartFound(m *machine) { m.contact.staleHeartbeats = 0 }
+
 // inspectResult takes the status of an agent that was inspected. If that is older than the
 // newest heartbeat before the inspection, the agent has restarted.
 func (c *Core) inspectResult(e InspectResult) {
@@ -43,10 +50,10 @@
 	if r == nil || r.Machine != m.name || m.state == machineGone || r.FencingToken>>tokenBits > c.term {
 		return
 	}
-	if positionOf(r).before(m.agent.inspectedAt) {
+	if agentstate.PositionOf(r).Before(m.contact.inspectedAt) {
 		c.agentRestarted(m, r)
 	} else {
-		m.agent.lateCopy()
+		c.agents.lateCopyFound(m)
 	}
 	c.applyHeartbeat(m, r, fromCommandResult)
 }
@@ -65,8 +72,9 @@
 			c.release(m, b)
 		}
 	}
-	m.agent.restart(r.AgentEpoch, c.clock.now)
+	c.agents.restartFound(m)
+	m.agent.Restart(r.AgentEpoch, c.clock.now)
 	c.markUnacknowledged(m)
-	m.agent.requireLatestToken()
-	m.commands.ruleOutAt(m.agent.fencingToken)
+	m.agent.RequireLatestToken()
+	m.commands.ruleOutAt(m.agent.FencingToken())
 }
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -2,7 +2,7 @@
 
 // expireLease does what follows for a machine from the passing of time.
 func (c *Core) expireLease(m *machine) {
-	if m.state == machineGone || !m.agent.leaseExpired(c.clock.now, c.agents.lease) {
+	if m.state == machineGone || !m.agent.LeaseExpired(c.clock.now, c.agents.lease) {
 		return
 	}
 	// Its agent has had no response for a whole lease: whatever it ran has ended.
@@ -17,5 +17,5 @@
 	// Starts for that epoch are refused from now on, and whatever a late copy of its heartbeats
 	// lists has ended as well.
 	m.commands.ruleOutAll()
-	m.agent.endEpoch()
+	m.agent.EndEpoch()
 }
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"leadproxy/internal/ledger"
+	"leadproxy/internal/scheduler/agentstate"
 )
 
 // The states of a machine.
@@ -28,7 +29,8 @@
 	spot     bool
 	state    machineState
 
-	agent    agentState
+	agent    agentstate.State
+	contact  contact
 	commands machineCommands
 	capacity capacity
 	indexed  indexEntry
@@ -132,7 +134,7 @@
 	}
 	name = strings.Clone(name) // mostly a part of a heartbeat's body
 	m := &machine{index: int32(len(c.machines.list)), name: name, typ: -1, zone: -1,
-		agent:    agentState{fencingToken: c.term << tokenBits, leaseExpiry: c.clock.termStart + c.agents.lease},
+		agent:    agentstate.New(c.term<<tokenBits, c.clock.termStart+c.agents.lease),
 		commands: machineCommands{unresolvedStarts: map[uint64]uint64{}},
 		capacity: capacity{idleSince: c.clock.now},
 		indexed:  indexEntry{pool: -1},
@@ -145,7 +147,7 @@
 
 // updateDescription takes in what a heartbeat or the cloud's list says of a machine.
 func (c *Core) updateDescription(m *machine, typ, zone string, spot bool, address string) {
-	if m.agent.setAddress(address) {
+	if m.agent.SetAddress(address) {
 		c.softState.machineChanged(m)
 	}
 	m.spot = spot
--- a/internal/scheduler/parts_test.go
+++ b/internal/scheduler/parts_test.go
@@ -33,7 +33,7 @@
 // ownersOfRecords are the parts of the core that may write the parts of a job or machine besides
 // the methods of these themselves.
 var ownersOfRecords = map[string]string{
-	"agentState":      "agents",
+	"contact":         "agents",
 	"machineCommands": "commands",
 	"capacity":        "placement",
 	"indexEntry":      "placement",
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -36,10 +36,10 @@
 
 // probe sends the agent of a machine of an earlier term our token.
 func (a *agents) probe(m *machine) {
-	if m.agent.probes > 0 || m.trusted(a.term) || m.agent.address == "" || a.clock.now-a.clock.termStart > probePeriod {
+	if m.contact.probes > 0 || m.trusted(a.term) || m.agent.Address() == "" || a.clock.now-a.clock.termStart > probePeriod {
 		return
 	}
-	m.agent.probes = 1
+	m.contact.probes = 1
 	a.probes.waiting = append(a.probes.waiting, m)
 	a.sendProbes()
 }
@@ -54,7 +54,7 @@
 		a.probes.underWay++
 		// Its epoch is not known before its first heartbeat, unless by inherited soft state;
 		// nearly all agents are in their first.
-		a.commands.sendCommand(&commandInFlight{machine: m, agentEpoch: max(m.agent.epoch, m.agent.softStateEpoch, 1), fencingToken: m.agent.fencingToken, probe: true, sent: a.clock.now, addressFromSoftState: m.agent.addressFromSoftState}, []wire.Command{})
+		a.commands.sendCommand(&commandInFlight{machine: m, agentEpoch: m.agent.LikelyEpoch(), fencingToken: m.agent.FencingToken(), probe: true, sent: a.clock.now, addressFromSoftState: m.agent.AddressInherited()}, []wire.Command{})
 	}
 }
 
@@ -71,8 +71,8 @@
 	case took >= slowProbe:
 		a.probes.atOnce = max(a.probes.atOnce/2, minProbes)
 	}
-	if outcome == CommandRejected && m.agent.probes == 1 && !m.trusted(a.term) {
-		m.agent.probes++
+	if outcome == CommandRejected && m.contact.probes == 1 && !m.trusted(a.term) {
+		m.contact.probes++
 		a.probes.waiting = append(a.probes.waiting, m)
 	}
 	a.sendProbes()
@@ -82,7 +82,7 @@
 // waiting for the cloud's list.
 func (a *agents) probeInherited() {
 	for _, m := range a.machines.live {
-		if m.agent.addressFromSoftState {
+		if m.agent.AddressInherited() {
 			a.probe(m)
 		}
 	}
@@ -91,8 +91,6 @@
 // inheritedAddressFailed drops the inherited address of a machine. The cloud's list or its next
 // heartbeat has the present one.
 func (a *agents) inheritedAddressFailed(m *machine) {
-	m.agent.addressFromSoftState, m.agent.softStateEpoch, m.agent.probes = false, 0, 0
-	if m.agent.epoch == 0 {
-		m.agent.address = ""
-	}
+	m.agent.DropInherited()
+	m.contact.probes = 0
 }
--- a/internal/scheduler/required_stops.go
+++ b/internal/scheduler/required_stops.go
@@ -62,7 +62,7 @@
 // after its stop, and the task ran until the agent's next heartbeat was answered.
 func (q *commands) repeatStops(command *commandInFlight, r *wire.Heartbeat) {
 	m := command.machine
-	if r == nil || r.Machine != m.name || r.AgentEpoch != m.agent.epoch {
+	if r == nil || r.Machine != m.name || r.AgentEpoch != m.agent.Epoch() {
 		return
 	}
 	for _, attempt := range command.startedAttempts {
--- a/internal/scheduler/soft_state.go
+++ b/internal/scheduler/soft_state.go
@@ -70,7 +70,7 @@
 	if !ok {
 		return
 	}
-	m.agent.inherit(h.Address, h.AgentEpoch)
+	m.agent.Inherit(h.Address, h.AgentEpoch)
 	if len(h.Allocations) == 0 {
 		m.capacity.used(s.clock.now - h.Idle)
 	}
@@ -140,8 +140,8 @@
 
 // machineSoftState is the soft state of a machine.
 func (s *softState) machineSoftState(m *machine) softstate.Machine {
-	h := softstate.Machine{Name: m.name, Gone: m.state == machineGone, Address: m.agent.address, AgentEpoch: m.agent.epoch, FencingToken: m.agent.fencingToken,
-		SinceHeartbeat: max(0, s.clock.now-m.agent.lastHeartbeat), Idle: max(0, s.clock.now-m.capacity.idleSince)}
+	h := softstate.Machine{Name: m.name, Gone: m.state == machineGone, Address: m.agent.Address(), AgentEpoch: m.agent.Epoch(), FencingToken: m.agent.FencingToken(),
+		SinceHeartbeat: max(0, s.clock.now-m.agent.LastHeartbeat()), Idle: max(0, s.clock.now-m.capacity.idleSince)}
 	for _, i := range m.capacity.images {
 		h.Images = append(h.Images, softstate.Image{Name: s.placement.images.list[i.image], GB: i.gb})
 	}
--- a/internal/scheduler/soft_state_test.go
+++ b/internal/scheduler/soft_state_test.go
@@ -63,14 +63,14 @@
 	g.sentCommands = nil
 	g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandNotSent})
 	m := g.c.machineNamed("vm-1")
-	g.want("address, shunned, doubted", []any{m.agent.address, m.commands.avoidUntil, m.agent.unacknowledged}, []any{"", time.Duration(0), false})
+	g.want("address, shunned, doubted", []any{m.agent.Address(), m.commands.avoidUntil, m.agent.Unacknowledged()}, []any{"", time.Duration(0), false})
 	g.want("bookings by the hint", g.c.jobs.list[0].progress.allocated, 0)
 	for _, token := range []uint64{0, termToken} {
 		r := g.heartbeatOf("vm-1", token)
 		r.Address = "10.1.0.7:9000"
 		g.sendHeartbeat(r)
 	}
-	g.want("address by its report", m.agent.address, "10.1.0.7:9000")
+	g.want("address by its report", m.agent.Address(), "10.1.0.7:9000")
 	g.want("starts", len(g.starts()), 1)
 }
 
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -54,7 +54,7 @@
 	a.unreachable.nextCheck = a.clock.now + unreachableCheckInterval
 	var unreachable []*machine
 	for _, m := range a.machines.live {
-		if m.agent.unreachable == nil && m.recorded.namedByJobs > 0 && m.state != machineGone && a.isUnreachable(m) {
+		if m.contact.unreachable == nil && m.recorded.namedByJobs > 0 && m.state != machineGone && a.isUnreachable(m) {
 			unreachable = append(unreachable, m)
 		}
 	}
@@ -73,7 +73,7 @@
 // isUnreachable tells whether an agent has sent no heartbeat for too long. Time in which this
 // controller was suspended does not count.
 func (a *agents) isUnreachable(m *machine) bool {
-	return a.clock.now-max(m.agent.lastHeartbeat, a.clock.termStart, a.clock.tickingSince) > a.unreachableAfter()
+	return a.clock.now-max(m.agent.LastHeartbeat(), a.clock.termStart, a.clock.tickingSince) > a.unreachableAfter()
 }
 
 // unreachableRecordOverhead is the size of a record besides the machines' names.
@@ -86,8 +86,8 @@
 	record := ledger.UnreachableRecord{}
 	expiry := a.clock.termStart
 	for _, m := range machines {
-		m.agent.unreachable = n
-		expiry = max(expiry, m.agent.leaseExpiry)
+		m.contact.unreachable = n
+		expiry = max(expiry, m.agent.LeaseExpiry())
 		record.Machines = append(record.Machines, m.name)
 	}
 	record.LeaseExpiryMS = a.clock.wallMS + int64((expiry-a.clock.now)/time.Millisecond) + 1
@@ -132,16 +132,16 @@
 	margin := time.Duration(2 * a.cfg.Platform.Facts.ClockErrorMS * float64(time.Millisecond))
 	expiry := a.clock.now + settings.Stretch(time.Duration(leaseExpiryMS-a.clock.wallMS)*time.Millisecond) + margin
 	for _, m := range machines {
-		m.agent.unreachable = n
-		m.agent.leaseExpiry = min(m.agent.leaseExpiry, expiry)
+		m.contact.unreachable = n
+		m.agent.LimitLease(expiry)
 	}
 }
 
 // withdrawRecordOf withdraws the record with a machine whose agent has sent something, and with
 // it that of the others in it.
 func (a *agents) withdrawRecordOf(m *machine) {
-	if m.agent.unreachable != nil {
-		a.withdrawRecord(m.agent.unreachable)
+	if m.contact.unreachable != nil {
+		a.withdrawRecord(m.contact.unreachable)
 	}
 }
 
@@ -177,8 +177,8 @@
 	a.unreachable.records = slices.Delete(a.unreachable.records, i, i+1)
 	a.unreachable.freeKeys = append(a.unreachable.freeKeys, key)
 	for _, m := range n.machines {
-		if m.agent.unreachable == n {
-			m.agent.unreachable = nil
+		if m.contact.unreachable == n {
+			m.contact.unreachable = nil
 			machines = append(machines, m)
 		}
 	}
--- a/internal/scheduler/unreachable_test.go
+++ b/internal/scheduler/unreachable_test.go
@@ -54,7 +54,7 @@
 	}
 	g.holdWrites, g.out = true, nil
 	report := func() {
-		r := g.heartbeatOf("vm-1", g.c.machineNamed("vm-1").agent.fencingToken, taskIn(o, wire.TaskRunning, ""))
+		r := g.heartbeatOf("vm-1", g.c.machineNamed("vm-1").agent.FencingToken(), taskIn(o, wire.TaskRunning, ""))
 		g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: recipient("w")})
 	}
 	report()
@@ -143,8 +143,8 @@
 			g := newHarness(t, c.saved)
 			g.wait(c.heard)
 			m := g.c.machineNamed("vm-1")
-			m.agent.address = "10.1.0.1:9000"
-			g.c.commands.sendCommand(&commandInFlight{machine: m, agentEpoch: 2, fencingToken: m.agent.fencingToken}, []wire.Command{})
+			m.agent.SetAddress("10.1.0.1:9000")
+			g.c.commands.sendCommand(&commandInFlight{machine: m, agentEpoch: 2, fencingToken: m.agent.FencingToken()}, []wire.Command{})
 			g.take(g.c.Settle())
 			probe := g.sentCommands[len(g.sentCommands)-1]
 			g.sentCommands = nil
