--- a/internal/scheduler/attempts_test.go
+++ b/internal/scheduler/attempts_test.go
@@ -8,8 +8,8 @@
 	"leadproxy/internal/ledger"
 )
 
-// TestAttemptsOfATermAreBounded: the counter of attempts ran over into the term, and
-// numbers came twice. The term is given up in time, and nothing is started beyond it.
+// TestAttemptsOfATermAreBounded: the counter of attempts overflowed into the term, and numbers
+// came twice. The leader resigns in time, and nothing is started beyond the bound.
 func TestAttemptsOfATermAreBounded(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
--- a/internal/scheduler/cancellations_test.go
+++ b/internal/scheduler/cancellations_test.go
@@ -9,8 +9,9 @@
 	"leadproxy/internal/wire"
 )
 
-// TestOverdueCancelledTasksAreLogged: a task of a cancelled job ran on and nothing said so: it
-// was found from outside, a minute later, and no log told why. The leader notes it as an error.
+// TestOverdueCancelledTasksAreLogged: a task of a cancelled job kept running without any log
+// line: it was found from outside, a minute later, and no log showed why. The leader logs it as
+// an error.
 func TestOverdueCancelledTasksAreLogged(t *testing.T) {
 	for _, q := range []struct {
 		name string
@@ -63,8 +64,9 @@
 	}
 }
 
-// TestProbeThatFindsACancelledTask: a new leader's probe is back before the worker's next
-// report, which may be many seconds later. The stop goes at once, not with its answer.
+// TestProbeThatFindsACancelledTask: the result of a new leader's probe arrives before the
+// agent's next heartbeat, which may be many seconds later. The stop is sent at once, not with
+// its response.
 func TestProbeThatFindsACancelledTask(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
 		Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), Terminal: wire.JobCancelled, Tasks: 1}, Hosts: savedHosts("vm-1")}}})
--- a/internal/scheduler/command_results_test.go
+++ b/internal/scheduler/command_results_test.go
@@ -21,8 +21,8 @@
 	g.want("starts later", len(g.starts()), 1)
 }
 
-// TestOneLostCommandDoesNotMakeAMachineUnreachable: a machine that one command did not reach gets
-// no work until it echoes, but is not given up at once.
+// TestOneLostCommandDoesNotMakeAMachineUnreachable: a machine that one command did not reach
+// gets no work until its agent acknowledges a higher token, but is not given up at once.
 func TestOneLostCommandDoesNotMakeAMachineUnreachable(t *testing.T) {
 	for _, outcome := range []CommandOutcome{CommandOutcomeUnknown, CommandNotSent} {
 		g := newHarness(t, ledger.Snapshot{})
--- a/internal/scheduler/dependencies_bench_test.go
+++ b/internal/scheduler/dependencies_bench_test.go
@@ -8,9 +8,9 @@
 	"leadproxy/internal/wire"
 )
 
-// BenchmarkDependents is what jobs that wait for others cost by edge: to be seen, raised
-// by a last job with a deadline, and released or cancelled with the first one. The
-// figure must not grow with the shape's size.
+// BenchmarkDependents is the cost per edge of jobs that depend on others: to add them, to raise
+// their priority by a last job with a deadline, and to release or cancel them with the first
+// one. The figure must not grow with the shape's size.
 func BenchmarkDependents(b *testing.B) {
 	shapes := map[string]func(i int) (needs []string){
 		"chain": func(i int) []string { return []string{fmt.Sprintf("job-%d", i-1)} },
--- a/internal/scheduler/dependencies_model_test.go
+++ b/internal/scheduler/dependencies_model_test.go
@@ -13,8 +13,8 @@
 	"leadproxy/internal/wire"
 )
 
-// graphModel is what the protocol says of jobs that wait for others, in the plainest
-// form: everything is reckoned anew from all jobs each time it is asked for.
+// graphModel is the protocol's definition of dependent jobs in the plainest form: everything is
+// computed again from all jobs each time.
 type graphModel struct {
 	needs     map[string][]string
 	done      map[string]bool
@@ -41,9 +41,9 @@
 	return !m.done[ref] && !m.aborted(ref) && !m.anyAncestor(ref, func(r string) bool { return !m.done[r] })
 }
 
-// TestGraphAgreesWithTheModel submits random graphs, ends and cancels jobs at random,
-// and takes over from the ledger in between. The core starts just what the model says
-// is ready, and tells every job's state as the model does.
+// TestGraphAgreesWithTheModel submits random graphs, ends and cancels jobs at random, and begins
+// new terms from the ledger in between. The core starts just what the model says is ready, and
+// reports every job's state as the model does.
 func TestGraphAgreesWithTheModel(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -52,7 +52,7 @@
 	}
 }
 
-// TestGraphProperty has rapid look for a short history in which core and model differ.
+// TestGraphProperty has rapid search for a short history in which core and model differ.
 func TestGraphProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { playGraph(t, property.Drawn{T: t}, rapid.IntRange(30, 60).Draw(t, "steps")) })
 }
@@ -97,8 +97,8 @@
 	}
 }
 
-// takeOver begins a new term from the job records that the last one has written, on a
-// machine that has begun anew: what ran there starts again.
+// takeOver begins a new term from the job records that the last one has written, on a machine
+// that has restarted: what ran there starts again.
 func takeOver(t tester, g *harness, refs []string) *harness {
 	t.Helper()
 	var s ledger.Snapshot
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -34,7 +34,7 @@
 	g.acknowledge(machine, tasks...)
 }
 
-// started tells which jobs' tasks have been started since the last look.
+// started lists the jobs whose tasks have been started since the last call.
 func (g *harness) started() string {
 	var refs []string
 	for _, o := range g.starts() {
@@ -45,8 +45,8 @@
 	return strings.Join(refs, " ")
 }
 
-// TestDependents: nothing of a job starts before all that it needs is durably done;
-// until then it is queued and takes nothing of its team's limit.
+// TestDependents: nothing of a job starts before all its dependencies are durably done; until
+// then it is queued and does not count for its team's limit.
 func TestDependents(t *testing.T) {
 	t.Run("a diamond", func(t *testing.T) {
 		g := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUsMax: 2})
@@ -91,8 +91,8 @@
 		g.want("state of the other", g.jobStatus("job-4"), wire.JobCancelled)
 	})
 	t.Run("a guarantee", func(t *testing.T) {
-		// Both teams want all of the one machine. What waits for others is none of
-		// the first team's demand, so its guarantee covers the rest.
+		// Both teams need all of the one machine. A job that waits for its dependencies does not
+		// count for the first team's demand, so its guarantee covers the rest.
 		g := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUs: 4}, settings.Team{Name: "u"})
 		other := newTestJob("job-9", 4, 1)
 		other.Team, other.Priority = "u", "critical"
@@ -125,8 +125,8 @@
 	})
 }
 
-// TestDependentsOfACancelledJob: they are told as cancelled from the moment in which
-// that of their ancestor is durable, without writes of their own, and stay so.
+// TestDependentsOfACancelledJob: they count as cancelled from the moment in which that of their
+// ancestor is durable, without writes of their own, and stay so.
 func TestDependentsOfACancelledJob(t *testing.T) {
 	open := func(ref string, needs ...string) ledger.SavedJob {
 		return ledger.SavedJob{ID: ref, Version: 3, Record: ledger.JobRecord{Job: after(ref, needs...), AcceptedMS: 1}}
@@ -136,9 +136,9 @@
 		name  string
 		saved []ledger.SavedJob
 		play  func(g *harness)
-		want  string // the state of job-3, which needs job-2, which needs job-1
+		want  string // the state of job-3, which depends on job-2, which depends on job-1
 	}{
-		// "" is for the record alone to tell.
+		// "" is decided by the record alone.
 		{"before it is durable", nil, func(g *harness) { g.holdWrites = true; g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")}) }, ""},
 		{"before that of the one between", nil, func(g *harness) { g.holdWrites = true; g.step(CancelRequest{JobID: "job-2", ReplyTo: recipient("u")}) }, ""},
 		{"once it is durable", nil, func(g *harness) { g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")}) }, wire.JobCancelled},
@@ -214,7 +214,7 @@
 	}
 }
 
-// TestPriorityComesFromTheDependents: a job is as urgent as any that needs it, and in time
+// TestPriorityComesFromTheDependents: a job is as urgent as any that depends on it, and in time
 // for its deadline; waits count from when it is ready.
 func TestPriorityComesFromTheDependents(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
--- a/internal/scheduler/evictions_test.go
+++ b/internal/scheduler/evictions_test.go
@@ -35,7 +35,7 @@
 	return r
 }
 
-// answerTo is what a command about a plan is answered.
+// answerTo is the reply to a command about a plan.
 func (g *harness) answer(e PlanRequest) error {
 	e.ReplyTo = recipient("operator")
 	g.step(e)
@@ -59,8 +59,8 @@
 	g.want("the plan", []any{r.Phase, r.Drained, len(g.c.machines.list)}, []any{rollout.Finished, 1, 0})
 }
 
-// TestCommandsAreAnsweredWhenDurable: a plan that is begun counts once it is written, and
-// what makes no sense is refused at once.
+// TestCommandsAreAnsweredWhenDurable: a plan that is created counts once it is written, and an
+// invalid request is refused at once.
 func TestCommandsAreAnsweredWhenDurable(t *testing.T) {
 	g := newDrainStage(t, nil)
 	spec := somePlan(rollout.Choosing).Spec
@@ -88,8 +88,8 @@
 	}
 }
 
-// TestMoveIsWrittenBeforeTheStop: the task that saves its progress is told to stop only when
-// its move is durable, with the time that it needs, and nothing starts on its machine.
+// TestMoveIsWrittenBeforeTheStop: the task that saves its progress is stopped only when its move
+// is durable, with the time that it needs, and nothing starts on its machine.
 func TestMoveIsWrittenBeforeTheStop(t *testing.T) {
 	g := newDrainStage(t, nil)
 	g.bringUp("vm-1")
@@ -123,8 +123,8 @@
 	g.want("the stop", []any{stop.Verb, stop.Attempt, *stop.GracePeriodS}, []any{wire.VerbStop, o.Attempt, 7.0})
 }
 
-// TestNoticeWhileDraining: the cloud takes a machine back that a plan is emptying. What that
-// stops is charged, not refused, and holds back what the plan would move elsewhere.
+// TestNoticeWhileDraining: the cloud terminates a machine that a plan is emptying. The tasks
+// that this stops are charged, not refused, and delay what the plan would move elsewhere.
 func TestNoticeWhileDraining(t *testing.T) {
 	g := newDrainStage(t, nil)
 	g.bringUp("vm-1")
--- a/internal/scheduler/federation_test.go
+++ b/internal/scheduler/federation_test.go
@@ -13,8 +13,8 @@
 	"leadproxy/internal/wire"
 )
 
-// errNeighbourSilent is the outcome of an exchange that a neighbour did not answer.
-var errNeighbourSilent = errors.New("the neighbour does not answer")
+// errNeighbourUnreachable is the result of an exchange that a neighbour did not answer.
+var errNeighbourUnreachable = errors.New("the neighbour does not answer")
 
 // newCell is a stage of cell "lima" with neighbour "puno", whose only machine of four
 // cores is up and the last that there may be.
@@ -32,7 +32,7 @@
 	return g
 }
 
-// wait lets time pass while the machine reports what it runs.
+// waitWith lets time pass while the machine reports what it runs.
 func (g *harness) waitWith(d time.Duration, machine string, tasks ...wire.TaskStatus) {
 	for end := g.now + d; g.now < end; {
 		g.wait(time.Second)
@@ -63,8 +63,8 @@
 	return e, false
 }
 
-// offered plays a shortage up to the neighbour's offer of room and names the jobs that
-// are offered to it.
+// offered plays a shortage up to the neighbour's capacity offer and names the jobs that are
+// offered to it.
 func (g *harness) offered(room float64, running []wire.TaskStatus) (refs []string) {
 	g.waitWith(20*time.Second, "vm-1", running...)
 	if ask, ok := last[AskCapacity](g); ok {
@@ -120,7 +120,7 @@
 func seconds(s float64) *float64 { return &s }
 
 // TestDelegatedJob follows a job through the neighbour to its end: it is charged to its team,
-// never placed here, and over when its end is durable here.
+// never placed here, and has ended when its end is durable here.
 func TestDelegatedJob(t *testing.T) {
 	g := newCell(t, nil, settings.Team{Name: "t"}, settings.Team{Name: "tight", CPUsMax: 3})
 	tight := func(ref string) *wire.Job {
@@ -152,8 +152,8 @@
 	}
 }
 
-// TestCancelOfADelegatedJob: the cancellation of an away job is told when the neighbour has it, and
-// refused at once while that does not answer.
+// TestCancelOfADelegatedJob: the cancellation of a delegated job is confirmed when the neighbour
+// has it, and refused at once while that does not respond.
 func TestCancelOfADelegatedJob(t *testing.T) {
 	for _, silent := range []bool{false, true} {
 		g := newCell(t, nil)
@@ -162,7 +162,7 @@
 		g.offered(100, running)
 		g.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: federation.OutcomeAccepted}}})
 		if silent {
-			g.step(TransferResult{Cell: "puno", Err: errNeighbourSilent})
+			g.step(TransferResult{Cell: "puno", Err: errNeighbourUnreachable})
 		}
 		g.others = nil
 		g.step(CancelRequest{JobID: "job-2", ReplyTo: recipient("u")})
@@ -191,7 +191,7 @@
 	g.want("its state", g.jobStatus("job-1"), wire.JobQueued)
 }
 
-// TestCapacityOffers: what another cell is offered.
+// TestCapacityOffers: the capacity that another cell is offered.
 func TestCapacityOffers(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -239,8 +239,8 @@
 	return answer.Answers[0].Outcome
 }
 
-// TestForeignJobs: which offers are accepted. A guest runs after this cell's own jobs, is
-// nobody's here, and is not offered on.
+// TestForeignJobs: which offers are accepted. A foreign job runs after this cell's own jobs, is
+// unknown to users here, and is not delegated further.
 func TestForeignJobs(t *testing.T) {
 	const described = `{"ref":"%s","lane":"c","owner":"t","shape":"batch","urgency":"high","pieces":1,"vcpus":%v,"gpus":0,"mem_gb":1,"bundle":"i","size_gb":1,
 		"flavors":null,"room":%s,"together":false,"spread":false,"loaners":true,"guess_s":9,"snapshot_s":0,"flush_s":0,"due_s":60,"waits_on":%s}`
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -12,14 +12,14 @@
 	"leadproxy/internal/wire"
 )
 
-// harness drives a core by hand: a fake clock, and effects kept until looked at.
+// harness drives a core by hand: a fake clock, and effects kept for inspection.
 type harness struct {
 	t            tester
 	c            *Core
 	now          time.Duration
 	seq          map[string]uint64
-	sentCommands []SendCommands // commands not yet settled
-	answered     []wire.Command // in answers to reports, since the last settle
+	sentCommands []SendCommands // commands without a result
+	answered     []wire.Command // in responses to heartbeats, since the last call of endCommands
 	out          []Effect
 	others       []Effect // those that have no place above, from the beginning
 	// holdWrites, while set, keeps ledger writes from becoming durable.
@@ -34,10 +34,10 @@
 
 const testTerm = 7
 
-// recipient stands for whoever waits for an answer.
+// recipient stands for whoever waits for a reply.
 type recipient string
 
-// Deliver is not called: the stage looks at the effects.
+// Deliver is not called: the harness reads the effects.
 func (recipient) Deliver(Effect) {}
 
 // savedHosts and savedRanges are what the ledger holds of one job in one key.
@@ -148,7 +148,7 @@
 	return &wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", Type: "m4", Zone: "a", Spot: true, AgentEpoch: 1, Sequence: g.seq[name], FencingToken: token, Tasks: tasks}
 }
 
-// sendHeartbeat sends a report and returns the answer.
+// sendHeartbeat sends a heartbeat and returns the response.
 func (g *harness) sendHeartbeat(r *wire.Heartbeat) *wire.HeartbeatResponse {
 	g.out = nil
 	g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: recipient("w")})
@@ -163,13 +163,13 @@
 
 const termToken = testTerm << tokenBits
 
-// bringUp brings a machine up to where it may be used.
+// bringUp brings a machine up until it is schedulable.
 func (g *harness) bringUp(name string) {
 	g.sendHeartbeat(g.heartbeatOf(name, 0))
 	g.sendHeartbeat(g.heartbeatOf(name, termToken))
 }
 
-// acknowledge has a worker show that it has heard our latest token.
+// acknowledge has an agent show that it has received our latest token.
 func (g *harness) acknowledge(name string, tasks ...wire.TaskStatus) *wire.HeartbeatResponse {
 	m := g.c.machineNamed(name)
 	r := g.heartbeatOf(name, m.agent.FencingToken(), tasks...)
@@ -186,7 +186,7 @@
 	g.step(JobRecordEvent{JobID: j.ID, Record: ledger.JobRecord{Job: j, AcceptedMS: g.now.Milliseconds()}, Version: 3})
 }
 
-// starts lists the starts in unsettled commands and in answers.
+// starts lists the starts in commands without a result and in responses.
 func (g *harness) starts() (orders []wire.Command) {
 	for _, o := range g.answered {
 		if o.Verb == wire.VerbStart {
--- a/internal/scheduler/heartbeat_responses_test.go
+++ b/internal/scheduler/heartbeat_responses_test.go
@@ -8,15 +8,15 @@
 	"leadproxy/internal/wire"
 )
 
-// TestResponsesWaitForStarts: starts that a report made room for go with its answer,
-// once their machine is in the ledger; a direct command after each answer was half
-// of what a leader sent in a burst. An answer that waits is given all the same, and
-// no start goes with two messages, nor with an answer that its worker has given up.
+// TestResponsesWaitForStarts: starts that a heartbeat made room for travel with its response,
+// once their host is in the ledger; a direct command after each response was half of what a
+// leader sent in a burst. A response that waits is sent all the same, and no start travels in
+// two messages, nor with a response that its agent has given up.
 func TestResponsesWaitForStarts(t *testing.T) {
 	cases := []struct {
 		name string
 		then func(g *harness, report func())
-		want string // answers with their orders, and direct commands
+		want string // responses with their commands, and direct commands
 	}{
 		{"durable soon", func(g *harness, _ func()) { g.releaseWrites() }, "answer with start start start start forget forget forget forget "},
 		{"durable late", func(g *harness, _ func()) {
@@ -132,7 +132,7 @@
 			g.submit(newTestJob("job-1", 8, 2)) // no room for it beside the other
 			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(nine, wire.TaskRunning, "")))
 			g.want("starts without room", len(g.starts()), 0)
-			// The first job's host is on record, so its next start can go at once.
+			// The first job's host is in the ledger, so its next start can be sent at once.
 			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(nine, wire.TaskEnded, wire.ExitStopped)))
 			g.want("starts in the answer", len(g.answered), 2) // a forget and the start
 			o := g.starts()[0]
@@ -177,8 +177,8 @@
 	}
 }
 
-// TestForgetTravelsWithOtherCommands: a done task by itself is not worth the report
-// that forgetting it brings, but goes along with a start.
+// TestForgetTravelsWithOtherCommands: a done task by itself is not worth the heartbeat that
+// forgetting it causes, but travels along with a start.
 func TestForgetTravelsWithOtherCommands(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
@@ -188,7 +188,7 @@
 	done, runs := taskIn(orders[0], wire.TaskEnded, wire.ExitDone), taskIn(orders[1], wire.TaskRunning, "")
 	g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, done, runs))
 	g.want("alone", verbs(g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, done, runs))), "")
-	g.holdWrites = true // so that the start waits for the report
+	g.holdWrites = true // so that the start waits for the heartbeat
 	g.submit(newTestJob("job-2", 1, 1))
 	m := g.c.machineNamed("vm-1")
 	g.c.sendPlanned(g.c.jobs.list[1], m)
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -9,9 +9,9 @@
 	"leadproxy/internal/wire"
 )
 
-// TestMachineThatDoesNotReceiveResponses: a machine whose reports come in, but which hears
-// neither answers nor commands, gets no new work, keeps what is booked there
-// until that is surely over, and is replaced.
+// TestMachineThatDoesNotReceiveResponses: a machine whose heartbeats arrive, but which receives
+// neither responses nor commands, gets no new work, keeps its allocations until their tasks have
+// surely ended, and is replaced.
 func TestMachineThatDoesNotReceiveResponses(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
@@ -46,9 +46,8 @@
 	g.want("and waits again afterwards", len(g.c.jobs.list[0].progress.waiting), 1)
 }
 
-// TestLateCopiesOfHeartbeats: a copy that comes seconds or more than a lease late
-// revives no machine, frees or doubles no booking, renews no lease in our books
-// and ends no doubt.
+// TestLateCopiesOfHeartbeats: a copy that arrives seconds or more than a lease late revives no
+// machine, frees or doubles no allocation, renews no lease and resolves no host in doubt.
 func TestLateCopiesOfHeartbeats(t *testing.T) {
 	running := func(g *harness) wire.Command {
 		g.bringUp("vm-1")
@@ -125,9 +124,9 @@
 	}
 }
 
-// TestHeartbeatOfAnIncarnationBeforeOurTerm: a machine was back within a moment before our term
-// began, and counts anew. A late report of its earlier life, which we never saw, has
-// higher counts and an older token: it does not tell what runs there.
+// TestHeartbeatOfAnIncarnationBeforeOurTerm: an agent restarted just before our term began, and
+// counts from the beginning. A late heartbeat of its earlier incarnation, which we never saw,
+// has higher numbers and an older token: it does not show what runs there.
 func TestHeartbeatOfAnIncarnationBeforeOurTerm(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
@@ -139,8 +138,8 @@
 	g.sendHeartbeat(&old)
 	g.want("bookings after it", g.c.jobs.list[0].progress.allocated, 1)
 	g.want("started elsewhere", len(g.starts()), 0)
-	// Its worker may truly have begun anew with higher counts: it says so again with
-	// the token that the answer gave it.
+	// Its agent may truly have restarted with higher numbers: it sends the same again with the
+	// token that the response has.
 	again := *g.heartbeatOf("vm-1", g.c.machineNamed("vm-1").agent.FencingToken())
 	again.Sequence = 91
 	g.sendHeartbeat(&again)
--- a/internal/scheduler/inspections_test.go
+++ b/internal/scheduler/inspections_test.go
@@ -9,12 +9,12 @@
 	"leadproxy/internal/wire"
 )
 
-// TestAgentThatRestarts: a machine that is back within a moment
-// looks like a late copy until the worker is asked.
+// TestAgentThatRestarts: an agent that has restarted within a moment can't be told from a late
+// copy until it is inspected.
 func TestAgentThatRestarts(t *testing.T) {
 	cases := []struct {
 		name   string
-		says   uint64 // the seq that the worker answers with
+		says   uint64 // the sequence number in the inspection's result
 		starts int
 	}{
 		{"it was a late copy", 90, 0},
@@ -54,9 +54,9 @@
 			if c.starts == 0 {
 				return
 			}
-			// A report of the life that is over looks newer than all that comes now:
-			// it says that the new attempt is not there, and the task was started on
-			// another machine as well.
+			// A heartbeat of the incarnation that has ended has a higher position than all from
+			// now on: by that the new attempt was missing, and the task was started on another
+			// machine as well.
 			n := g.starts()[0]
 			g.endCommands(CommandExecuted)
 			old := *g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskRunning, ""))
@@ -68,8 +68,8 @@
 	}
 }
 
-// TestLateCopiesCostLittle: copies of old reports may come for minutes and from
-// all machines; asking each worker about each of them would be as many commands.
+// TestLateCopiesCostLittle: copies of old heartbeats may come for minutes and from all machines;
+// inspecting each agent for each of them would be as many commands.
 func TestLateCopiesCostLittle(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	asked := func() (names []string) {
--- a/internal/scheduler/job_events_test.go
+++ b/internal/scheduler/job_events_test.go
@@ -27,10 +27,10 @@
 	g.want("bookings left", g.c.jobs.list[0].progress.allocated, 0)
 }
 
-// TestCancelStopsTasksAtOnce: the write of a cancellation may be carried out and its
-// answer lost. Other nodes then tell the user, while the leader, in an outage that
-// begins at that moment, goes on answering workers and learns of it only minutes
-// later. So the tasks are stopped when the cancellation is asked for.
+// TestCancelStopsTasksAtOnce: the write of a cancellation may be carried out and its answer
+// lost. Other controllers then tell the user, while the leader, in an outage that begins at that
+// moment, keeps responding to agents and learns of it only minutes later. So the tasks are
+// stopped when the cancellation is requested.
 func TestCancelStopsTasksAtOnce(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
@@ -58,9 +58,9 @@
 	g.want("orders to another machine", verbs(g.sendHeartbeat(g.heartbeatOf("vm-2", termToken, taskIn(o, wire.TaskRunning, "")))), "stop ")
 }
 
-// TestStopThatOvertakesItsStartIsRepeated: a cancellation comes while the start is on its
-// way in another command, and the stop is carried out first, which the worker ignores. The
-// task began after the cancellation was confirmed, and ran until the next report.
+// TestStopThatOvertakesItsStartIsRepeated: a cancellation comes while the start is on its way in
+// another command, and the stop is executed first, which the agent ignores. The task began after
+// the cancellation was confirmed, and ran until the next heartbeat.
 func TestStopThatOvertakesItsStartIsRepeated(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
@@ -91,8 +91,8 @@
 	g.holdWrites = true
 	g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskEnded, wire.ExitDone)))
 	g.want("told before it is durable", g.jobStatus("job-1") == wire.JobDone, false)
-	// The state service may have the write while its answer is on its way, and
-	// another node may have told a user: "queued" would go back on that.
+	// The key-value store may have the write while its answer is on its way, and another
+	// controller may have told a user: "queued" would contradict that.
 	g.want("sent to the record while it is being written", g.out[0].(UserReply).TerminalStatePending, true)
 	g.out = nil
 	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
--- a/internal/scheduler/ledger_writes_test.go
+++ b/internal/scheduler/ledger_writes_test.go
@@ -19,9 +19,9 @@
 	g.want("starts once it is", len(g.starts()), 2)
 }
 
-// TestWritesOfAStepTravelTogether: a step that brings a job many machines and many
-// ended tasks writes each of its keys once, with all of them, and every machine
-// still gets its starts only when it is in the ledger.
+// TestWritesOfAStepTravelTogether: a step that adds many machines and many ended tasks to a job
+// writes each of its keys once, with all of them, and every machine still gets its starts only
+// when it is in the ledger.
 func TestWritesOfAStepTravelTogether(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	const machines = ledger.HostsPerChunk + 50
@@ -66,9 +66,9 @@
 	g.want("durable", n, 12)
 }
 
-// TestSmallValues: when the state service takes small values only, finished tasks,
-// hosts and notes are written in pieces, also what is rejected, and a new leader
-// reads them all.
+// TestSmallValues: when the key-value store takes small values only, finished tasks, hosts and
+// unreachable-agent records are written in pieces, also what is rejected, and a new leader reads
+// them all.
 func TestSmallValues(t *testing.T) {
 	const limit, tasks, machines = 1024, 600, 150
 	g := newHarness(t, ledger.Snapshot{})
@@ -80,7 +80,7 @@
 	hosts := g.writes["host/job-1/0"]
 	g.want("hosts in one key at first", len(hosts.Value.([]string)), machines)
 	g.step(ValueLimitChanged{ValueBytes: limit})
-	// The write was not carried out: everything of it goes in pieces.
+	// The write was not carried out: all of it is written in pieces.
 	j := g.c.jobs.list[0]
 	for i := range j.record.hosts {
 		j.record.hosts[i].durable = false
--- a/internal/scheduler/probes_test.go
+++ b/internal/scheduler/probes_test.go
@@ -10,8 +10,7 @@
 	"leadproxy/internal/wire"
 )
 
-// TestANewLeaderProbesMachines: it need not wait until the workers' reports find
-// it.
+// TestANewLeaderProbesMachines: it need not wait until the agents' heartbeats find it.
 func TestANewLeaderProbesMachines(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/internal/scheduler/renewal_model_test.go
+++ b/internal/scheduler/renewal_model_test.go
@@ -20,20 +20,20 @@
 	"leadproxy/internal/wire"
 )
 
-// Workers by the protocol alone, a core, and between them messages that are lost, late and
-// doubled. Whatever happens, an answer that a worker may take for a renewal of its lease has
-// the stops of all tasks in its report that are told as cancelled, and none of those is there
-// cancel_s later. The tests of single cases above came from what had been seen to break; this
-// one looks for what has not.
+// Agents by the protocol alone, a core, and between them messages that are lost, late and
+// doubled. Whatever happens, a response that an agent may take for a renewal of its lease has
+// the stops of all tasks in its heartbeat that are reported to users as cancelled, and none of
+// those is there cancel_s later. The tests of single cases above came from what had been seen to
+// break; this one searches for what has not.
 
-// The times of the model's workers; those of testConfig.
+// The times of the model's agents; those of testConfig.
 const (
 	modelLease  = 30 * time.Second
 	modelCancel = 60 * time.Second
 )
 
-// modelWorker is a worker as the protocol has it.
-type modelWorker struct {
+// modelAgent is an agent as the protocol defines it.
+type modelAgent struct {
 	name                string
 	session, seq, token uint64
 	renewed             time.Duration
@@ -42,13 +42,13 @@
 	hung                bool
 }
 
-func (w *modelWorker) report() *wire.Heartbeat {
+func (w *modelAgent) report() *wire.Heartbeat {
 	w.seq++
 	return &wire.Heartbeat{Machine: w.name, Address: w.name + ":9000", Type: "m4", Zone: "a", Spot: true,
 		AgentEpoch: w.session, Sequence: w.seq, FencingToken: w.token, Tasks: slices.Clone(w.tasks)}
 }
 
-func (w *modelWorker) execute(orders []wire.Command) {
+func (w *modelAgent) execute(orders []wire.Command) {
 	for _, o := range orders {
 		at := slices.IndexFunc(w.tasks, func(t wire.TaskStatus) bool { return t.Attempt == o.Attempt })
 		switch {
@@ -65,7 +65,7 @@
 }
 
 // command carries a direct command out, or refuses it.
-func (w *modelWorker) command(c wire.CommandRequest) CommandOutcome {
+func (w *modelAgent) command(c wire.CommandRequest) CommandOutcome {
 	if c.FencingToken < w.token || c.AgentEpoch != w.session {
 		return CommandRejected
 	}
@@ -74,8 +74,8 @@
 	return CommandExecuted
 }
 
-// expire ends the session if no answer has renewed its lease for so long.
-func (w *modelWorker) expire(now time.Duration) {
+// expire ends the epoch if no response has renewed its lease for so long.
+func (w *modelAgent) expire(now time.Duration) {
 	if now-w.renewed > modelLease {
 		w.session, w.seq, w.renewed, w.tasks, w.known = w.session+1, 0, now, nil, map[uint64]bool{}
 	}
@@ -86,9 +86,9 @@
 	t       tester
 	r       property.Chooser
 	g       *harness
-	workers []*modelWorker
+	workers []*modelAgent
 	refs    []string
-	told    map[string]time.Duration // when a job was told as cancelled
+	told    map[string]time.Duration // when a job was reported as cancelled
 	reports map[recipient]*wire.Heartbeat
 	answers map[recipient]*wire.HeartbeatResponse
 	late    []func() // messages that are held up
@@ -102,7 +102,7 @@
 	}
 }
 
-// TestRenewalsProperty has rapid look for a short history that breaks a rule.
+// TestRenewalsProperty has rapid search for a short history that breaks a rule.
 func TestRenewalsProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) { playRenewals(t, property.Drawn{T: t}, rapid.IntRange(30, 120).Draw(t, "steps")) })
 }
@@ -110,7 +110,7 @@
 func playRenewals(t tester, r property.Chooser, steps int) {
 	h := &renewals{t: t, r: r, g: newHarness(t, ledger.Snapshot{}), told: map[string]time.Duration{}, reports: map[recipient]*wire.Heartbeat{}, answers: map[recipient]*wire.HeartbeatResponse{}}
 	for k := range 4 {
-		h.workers = append(h.workers, &modelWorker{name: fmt.Sprintf("vm-%d", k+1), session: 1, known: map[uint64]bool{}})
+		h.workers = append(h.workers, &modelAgent{name: fmt.Sprintf("vm-%d", k+1), session: 1, known: map[uint64]bool{}})
 	}
 	for range steps {
 		h.act()
@@ -123,9 +123,9 @@
 	w := h.workers[h.r.IntN(len(h.workers))]
 	switch k := h.r.IntN(40); {
 	case k < 14:
-		h.sendReport(w)
+		h.sendHeartbeatOf(w)
 	case k < 20:
-		h.settleCommand()
+		h.endCommand()
 	case k < 24:
 		h.pass()
 	case k < 27:
@@ -170,9 +170,9 @@
 	h.g.submit(j)
 }
 
-// sendReport has a worker report. The report or its answer may be lost, and a copy may come
+// sendHeartbeatOf has an agent send a heartbeat. It or its response may be lost, and a copy may come
 // late.
-func (h *renewals) sendReport(w *modelWorker) {
+func (h *renewals) sendHeartbeatOf(w *modelAgent) {
 	if w.hung {
 		return
 	}
@@ -192,7 +192,7 @@
 	w.execute(answer.Commands)
 }
 
-// deliver brings a report to the core and returns the answer, if it is given at once.
+// deliver brings a heartbeat to the core and returns the response, if it is sent at once.
 func (h *renewals) deliver(report *wire.Heartbeat) *wire.HeartbeatResponse {
 	h.count++
 	to := recipient(fmt.Sprint("report ", h.count))
@@ -202,15 +202,15 @@
 	return h.answers[to]
 }
 
-// settleCommand has a command on its way carried out, lost, or held up.
-func (h *renewals) settleCommand() {
+// endCommand has a command on its way carried out, lost, or held up.
+func (h *renewals) endCommand() {
 	if len(h.g.sentCommands) == 0 {
 		return
 	}
 	at := h.r.IntN(len(h.g.sentCommands))
 	d := h.g.sentCommands[at]
 	h.g.sentCommands = slices.Delete(h.g.sentCommands, at, at+1)
-	i := slices.IndexFunc(h.workers, func(w *modelWorker) bool { return w.name == d.Machine })
+	i := slices.IndexFunc(h.workers, func(w *modelAgent) bool { return w.name == d.Machine })
 	if i < 0 || h.workers[i].hung || h.r.IntN(3) == 0 {
 		if i >= 0 && h.r.IntN(2) == 0 {
 			w := h.workers[i]
@@ -225,8 +225,8 @@
 
 // remove has the cloud delete a machine at last.
 func (h *renewals) remove(name string) {
-	h.workers = slices.DeleteFunc(h.workers, func(w *modelWorker) bool { return w.name == name && len(h.workers) > 2 })
-	if !slices.ContainsFunc(h.workers, func(w *modelWorker) bool { return w.name == name }) {
+	h.workers = slices.DeleteFunc(h.workers, func(w *modelAgent) bool { return w.name == name && len(h.workers) > 2 })
+	if !slices.ContainsFunc(h.workers, func(w *modelAgent) bool { return w.name == name }) {
 		h.g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{name}}}})
 	}
 }
@@ -265,7 +265,7 @@
 	snapshot := ledger.New(cfg.Term, nil, func() ledger.Limits { return ledger.Limits{} }, log).Adopt(entries, 1)
 	old := h.g
 	for _, d := range old.sentCommands {
-		if i := slices.IndexFunc(h.workers, func(w *modelWorker) bool { return w.name == d.Machine }); i >= 0 {
+		if i := slices.IndexFunc(h.workers, func(w *modelAgent) bool { return w.name == d.Machine }); i >= 0 {
 			w := h.workers[i]
 			h.late = append(h.late, func() { w.command(d.Request) })
 		}
@@ -279,7 +279,7 @@
 	}
 }
 
-// checkTasks takes what the core has answered and holds it, and the workers, to the rules.
+// checkTasks takes the core's responses and checks them, and the agents, against the rules.
 func (h *renewals) checkTasks() {
 	out := h.g.out
 	h.g.out = nil
@@ -292,7 +292,7 @@
 		case HeartbeatReply:
 			if to, ok := e.ReplyTo.(recipient); ok && e.Response != nil {
 				h.answers[to] = e.Response
-				h.owes(h.reports[to], e.Response)
+				h.checkStops(h.reports[to], e.Response)
 			}
 		case InspectWorker:
 			for _, w := range h.workers {
@@ -312,8 +312,8 @@
 	}
 }
 
-// owes sees to it that an answer has the stops that its report asks for.
-func (h *renewals) owes(report *wire.Heartbeat, answer *wire.HeartbeatResponse) {
+// checkStops checks that a response has the stops that its heartbeat requires.
+func (h *renewals) checkStops(report *wire.Heartbeat, answer *wire.HeartbeatResponse) {
 	for _, t := range report.Tasks {
 		ref, _, _ := wire.ParseTaskName(t.Task)
 		if _, cancelled := h.told[ref]; !cancelled || t.Status == wire.TaskEnded {
--- a/internal/scheduler/scale_in_test.go
+++ b/internal/scheduler/scale_in_test.go
@@ -20,7 +20,7 @@
 	g.want("asked to delete", g.deleted, []string{"vm-1"})
 	g.bringUp("vm-2")
 	g.want("starts before it is surely gone", len(g.starts()), 0)
-	g.wait(17 * time.Second) // its lease is over
+	g.wait(17 * time.Second) // its lease has expired
 	g.bringUp("vm-3")
 	g.want("starts after", len(g.starts()), 1)
 }
@@ -28,7 +28,7 @@
 func TestWhichUnreachableMachinesAreDeleted(t *testing.T) {
 	cases := []struct {
 		name    string
-		zones   map[string]string // of the machines that fall silent
+		zones   map[string]string // of the machines that become unreachable
 		talking map[string]string // of the others
 		deleted int
 	}{
@@ -63,7 +63,7 @@
 	for _, name := range machines {
 		g.bringUp(name)
 	}
-	g.wait(14 * time.Second) // all are silent: we are cut off
+	g.wait(14 * time.Second) // all are unreachable: we are cut off
 	for _, name := range machines {
 		g.bringUp(name)
 		g.wait(time.Second)
@@ -109,7 +109,7 @@
 			j := newTestJob("job-1", 1, 1)
 			c.change(j)
 			g.submit(j)
-			g.endCommands(CommandNotSent) // what fits waits as well: commands don't get there
+			g.endCommands(CommandNotSent) // what fits waits as well: commands do not arrive there
 			for range 100 {
 				g.wait(time.Second)
 				g.acknowledge("vm-1")
@@ -120,8 +120,8 @@
 	}
 }
 
-// TestBeyondTheLimitNothingIsRentedOrKept: tasks that their team's limit bars
-// bring no machines, however many jobs they are in, and keep none.
+// TestBeyondTheLimitNothingIsRentedOrKept: tasks beyond their team's limit cause no scale-out,
+// however many jobs they are in, and keep no machine.
 func TestBeyondTheLimitNothingIsRentedOrKept(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUsMax: 4})
 	for i := range 5 {
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -8,10 +8,10 @@
 	"leadproxy/internal/wire"
 )
 
-// heartbeatsProcessedPerReport fills a site of so many machines, half of them short of cores
-// and half of memory, lets jobs wait that need a little of both, and counts the
-// nodes of the index that reports of ended tasks cause to be looked at.
-func heartbeatsProcessedPerReport(t *testing.T, machines int) int {
+// indexVisitsPerHeartbeat fills a cell of so many machines, half of them short of cores and
+// half of memory, lets jobs wait that need a little of both, and counts the nodes of the index
+// that are visited for heartbeats with ended tasks.
+func indexVisitsPerHeartbeat(t *testing.T, machines int) int {
 	g := newHarness(t, ledger.Snapshot{})
 	tasks := map[string][]wire.TaskStatus{}
 	for i := range machines {
@@ -43,11 +43,10 @@
 	return (g.c.placement.index.Looks() - before) / reports
 }
 
-// TestWorkPerHeartbeatDoesNotGrow: on a full site every report of an ended task had
-// all machines looked at for each waiting job, which took more than a
-// controller has.
+// TestWorkPerHeartbeatDoesNotGrow: in a full cell every heartbeat with an ended task had all
+// machines examined for each waiting job, which took more than a controller has.
 func TestWorkPerHeartbeatDoesNotGrow(t *testing.T) {
-	small, large := heartbeatsProcessedPerReport(t, 128), heartbeatsProcessedPerReport(t, 2048)
+	small, large := indexVisitsPerHeartbeat(t, 128), indexVisitsPerHeartbeat(t, 2048)
 	if large > 4*max(small, 10) {
 		t.Errorf("a report costs %d looks with 128 machines and %d with 2048", small, large)
 	}
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -15,8 +15,8 @@
 	"leadproxy/internal/wire"
 )
 
-// simulation is a whole deployment on a fake clock, around a core: machines that run
-// what they are told and report, and users whose jobs keep them busy.
+// simulation is a whole deployment on a fake clock, around a core: machines that execute
+// commands and send heartbeats, and users whose jobs keep them busy.
 type simulation struct {
 	c        *Core
 	now      time.Duration
@@ -30,10 +30,10 @@
 type simulatedMachine struct {
 	report wire.Heartbeat
 	ends   map[uint64]time.Duration
-	next   time.Duration // its next report
+	next   time.Duration // its next heartbeat
 }
 
-// Deliver is not called: the site looks at the effects.
+// Deliver is not called: the simulation reads the effects.
 func (m *simulatedMachine) Deliver(Effect) {}
 
 func newSimulation(machines int) *simulation {
--- a/internal/scheduler/soft_state_test.go
+++ b/internal/scheduler/soft_state_test.go
@@ -14,9 +14,9 @@
 // hintedAttempt is one that the leader before has started.
 const hintedAttempt = 5<<tokenBits | 3
 
-// newHintedStage begins a term an hour after its process, with what the ledger holds of
+// newInheritingHarness begins a term an hour after its process, with what the ledger holds of
 // job-1, whose only task may be on vm-1.
-func newHintedStage(t tester, v *softstate.View) *harness {
+func newInheritingHarness(t tester, v *softstate.View) *harness {
 	record := ledger.JobRecord{Job: newTestJob("job-1", 1, 1), AcceptedMS: time.Hour.Milliseconds()}
 	cfg := testConfig(settings.Defaults(), settings.Team{Name: "t"})
 	cfg.SoftState = v
@@ -34,31 +34,32 @@
 var hintedMachine = softstate.Machine{Name: "vm-1", Address: "10.1.0.1:9000", AgentEpoch: 2,
 	Allocations: []softstate.Allocation{{Task: "job-1/0", Attempt: hintedAttempt, Running: 20 * time.Second}}}
 
-// hintedReport is the report of vm-1 while the task runs there.
-func hintedReport(g *harness, token uint64, status, why string) *wire.Heartbeat {
+// inheritedHeartbeat is the heartbeat of vm-1 while the task runs there.
+func inheritedHeartbeat(g *harness, token uint64, status, why string) *wire.Heartbeat {
 	r := g.heartbeatOf("vm-1", token, wire.TaskStatus{Task: "job-1/0", Attempt: hintedAttempt, Status: status, ExitReason: why})
 	r.AgentEpoch = 2
 	return r
 }
 
-// TestInheritedMachinesAreProbedAtOnce: where the ledger's machines are reached is known before
-// the cloud's list, and the answer settles what an earlier leader has started.
+// TestInheritedMachinesAreProbedAtOnce: the addresses of the ledger's machines are known before
+// the cloud's list, and the result resolves what an earlier leader has started.
 func TestInheritedMachinesAreProbedAtOnce(t *testing.T) {
-	g := newHintedStage(t, hintsOf(hintedMachine, softstate.Machine{Name: "vm-9", Address: "10.1.0.9:9000", AgentEpoch: 1}))
-	g.want("machines", len(g.c.machines.list), 1) // a hint alone makes none
+	g := newInheritingHarness(t, hintsOf(hintedMachine, softstate.Machine{Name: "vm-9", Address: "10.1.0.9:9000", AgentEpoch: 1}))
+	g.want("machines", len(g.c.machines.list), 1) // inherited soft state alone makes none
 	g.want("probes", len(g.sentCommands), 1)
 	probe := g.sentCommands[0]
 	g.want("the probe", []any{probe.Address, probe.Request.AgentEpoch, probe.Request.FencingToken, len(probe.Request.Commands)}, []any{"10.1.0.1:9000", uint64(2), uint64(termToken), 0})
 	g.want("unsettled", g.c.UnresolvedHosts(), 1)
-	g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandExecuted, Heartbeat: hintedReport(g, termToken, wire.TaskRunning, "")})
+	g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandExecuted, Heartbeat: inheritedHeartbeat(g, termToken, wire.TaskRunning, "")})
 	g.want("unsettled after its answer", g.c.UnresolvedHosts(), 0)
 	g.want("bookings", g.c.jobs.list[0].progress.allocated, 1)
 }
 
-// TestHeartbeatOverridesInheritedSoftState: the task that a hint names is not on its machine, and
-// is placed like any other; the machine is reached elsewhere, and is not shunned for that.
+// TestHeartbeatOverridesInheritedSoftState: the task that inherited soft state names is not on
+// its machine, and is placed like any other; the machine has another address, and is not avoided
+// for that.
 func TestHeartbeatOverridesInheritedSoftState(t *testing.T) {
-	g := newHintedStage(t, hintsOf(hintedMachine))
+	g := newInheritingHarness(t, hintsOf(hintedMachine))
 	probe := g.sentCommands[0]
 	g.sentCommands = nil
 	g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandNotSent})
@@ -74,19 +75,19 @@
 	g.want("starts", len(g.starts()), 1)
 }
 
-// TestRunTimesAreInherited: a task that ran before the term is learned from with the time that
-// a hint tells, and not at all without: it looked as short as the term was.
+// TestRunTimesAreInherited: a task that ran before the term is learned from with the time in the
+// inherited soft state, and not at all without: it seemed as short as the term.
 func TestRunTimesAreInherited(t *testing.T) {
 	for _, hinted := range []bool{true, false} {
 		var v *softstate.View
 		if hinted {
 			v = hintsOf(hintedMachine)
 		}
-		g := newHintedStage(t, v)
-		g.sendHeartbeat(hintedReport(g, 0, wire.TaskRunning, ""))
-		g.sendHeartbeat(hintedReport(g, termToken, wire.TaskRunning, ""))
+		g := newInheritingHarness(t, v)
+		g.sendHeartbeat(inheritedHeartbeat(g, 0, wire.TaskRunning, ""))
+		g.sendHeartbeat(inheritedHeartbeat(g, termToken, wire.TaskRunning, ""))
 		g.wait(10 * time.Second)
-		g.sendHeartbeat(hintedReport(g, termToken, wire.TaskEnded, wire.ExitDone))
+		g.sendHeartbeat(inheritedHeartbeat(g, termToken, wire.TaskEnded, wire.ExitDone))
 		want := 1.0 // of the estimate, 10 s
 		if hinted {
 			want = 3 // 20 s before the term, and 10 s in it
@@ -95,14 +96,14 @@
 	}
 }
 
-// TestSoftStateIsInherited: what one term has learned, the next one knows; what has changed
-// since is told alone, in parts if it is much.
+// TestSoftStateIsInherited: the next term knows what one term has learned; what has changed
+// since is passed on alone, in parts if it is much.
 func TestSoftStateIsInherited(t *testing.T) {
-	g := newHintedStage(t, nil)
+	g := newInheritingHarness(t, nil)
 	for i := range softstate.MaxChanges {
 		g.bringUp("vm-" + string(rune('a'+i%26)) + string(rune('a'+i/26)))
 	}
-	g.sendHeartbeat(hintedReport(g, 0, wire.TaskRunning, ""))
+	g.sendHeartbeat(inheritedHeartbeat(g, 0, wire.TaskRunning, ""))
 	g.c.estimates.learn(g.c.jobs.list[0].request.class, 2)
 	g.c.types.list[0].boot = 33 * time.Second
 	ask := func(since uint64) SoftStateReply {
@@ -116,7 +117,7 @@
 	g.want("what has changed since", len(ask(second.UpTo).Machines), 0)
 	g.c.softState.machineChanged(g.c.machineNamed("vm-1"))
 	g.want("after a change", ask(second.UpTo).Machines[0].Name, "vm-1")
-	next := newHintedStage(t, &softstate.View{Term: 5, Machines: map[string]softstate.Machine{"vm-1": {Name: "vm-1"}}, Estimates: first.Estimates})
+	next := newInheritingHarness(t, &softstate.View{Term: 5, Machines: map[string]softstate.Machine{"vm-1": {Name: "vm-1"}}, Estimates: first.Estimates})
 	next.step(SoftStateRequest{ReplyTo: recipient("s")})
 	if got := next.others[len(next.others)-1].(SoftStateReply).Estimates; !reflect.DeepEqual(got.BootSeconds, first.Estimates.BootSeconds) {
 		t.Errorf("learned %+v, told %+v", got, first.Estimates)
--- a/internal/scheduler/spending_test.go
+++ b/internal/scheduler/spending_test.go
@@ -9,8 +9,8 @@
 	"leadproxy/internal/wire"
 )
 
-// TestSpendingIsDividedByUse: what a machine costs goes to what it does, and all of it
-// goes somewhere.
+// TestSpendingIsDividedByUse: the cost of a machine is charged to what it does, and all of it is
+// charged to something.
 func TestSpendingIsDividedByUse(t *testing.T) {
 	running := func(j *job) *allocation { return &allocation{job: j.index, status: wire.TaskRunning} }
 	fetching := func(j *job) *allocation { return &allocation{job: j.index, status: wire.TaskFetching} }
--- a/internal/scheduler/unreachable_test.go
+++ b/internal/scheduler/unreachable_test.go
@@ -10,9 +10,8 @@
 	"leadproxy/internal/wire"
 )
 
-// noted returns the record of silent machines that was last written, and its
-// key.
-func (g *harness) noted() (string, *ledger.UnreachableRecord) {
+// lastUnreachableRecord returns the unreachable-agent record that was last written, and its key.
+func (g *harness) lastUnreachableRecord() (string, *ledger.UnreachableRecord) {
 	for key, w := range g.writes {
 		if r, ok := w.Value.(ledger.UnreachableRecord); ok && len(r.Machines) > 0 && strings.HasPrefix(key, ledger.UnreachableKey("")) {
 			return key, &r
@@ -21,8 +20,8 @@
 	return "", nil
 }
 
-// answers counts the reports that were answered with a 200.
-func (g *harness) answers() (n int) {
+// responseCount counts the heartbeats that got a response.
+func (g *harness) responseCount() (n int) {
 	for _, e := range g.out {
 		if a, ok := e.(HeartbeatReply); ok && a.Response != nil {
 			n++
@@ -31,8 +30,8 @@
 	return n
 }
 
-// TestUnreachableAgentGetsNoResponseBeforeItsRecordIsWithdrawn: a later leader
-// takes the note's word that the lease is not renewed.
+// TestUnreachableAgentGetsNoResponseBeforeItsRecordIsWithdrawn: a later leader relies on the
+// record that the lease is not renewed.
 func TestUnreachableAgentGetsNoResponseBeforeItsRecordIsWithdrawn(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
@@ -41,11 +40,11 @@
 	o := g.starts()[0]
 	g.endCommands(CommandExecuted)
 	g.wait(5 * time.Second)
-	if _, r := g.noted(); r != nil {
+	if _, r := g.lastUnreachableRecord(); r != nil {
 		t.Errorf("noted after 5 s: %+v", r)
 	}
 	g.wait(6 * time.Second)
-	key, r := g.noted()
+	key, r := g.lastUnreachableRecord()
 	if r == nil {
 		t.Fatal("not noted after 11 s")
 	}
@@ -58,23 +57,23 @@
 		g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: recipient("w")})
 	}
 	report()
-	g.want("answered before the note is withdrawn", g.answers(), 0)
-	// Not deleted: a late copy of the note's own write finds no key at first.
+	g.want("answered before the note is withdrawn", g.responseCount(), 0)
+	// Not deleted: a late copy of the record's own write finds no key at first.
 	g.want("withdrawn", fmt.Sprint(g.writes[key].Value, g.writes[key].Urgent), "{0 []} true")
 	report()
 	g.releaseWrites()
-	g.want("answered afterwards", g.answers(), 2)
+	g.want("answered afterwards", g.responseCount(), 2)
 	g.out = nil
 	report()
-	g.want("answered from then on", g.answers(), 1)
+	g.want("answered from then on", g.responseCount(), 1)
 	g.want("its task goes on", g.jobStatus("job-1"), wire.JobRunning)
 	g.wait(11 * time.Second)
-	again, _ := g.noted()
+	again, _ := g.lastUnreachableRecord()
 	g.want("the key of the next note", again, key)
 }
 
 // TestANewLeaderTakesOverUnreachableAgentRecords: what an earlier leader started on a machine
-// that was silent is over when the note says, not a lease after the takeover.
+// with a record has ended at the time in the record, not a lease after the failover.
 func TestANewLeaderTakesOverUnreachableAgentRecords(t *testing.T) {
 	key := ledger.UnreachableKey("6-1")
 	saved := func(over time.Duration, machines ...string) ledger.Snapshot {
@@ -87,7 +86,7 @@
 	cases := []struct {
 		name         string
 		saved        ledger.Snapshot
-		after, until time.Duration // when the task is started anew
+		after, until time.Duration // when the task is started again
 	}{
 		{"no note", saved(0), 30 * time.Second, 32 * time.Second},
 		{"over in five seconds", saved(5*time.Second, "vm-1"), 5 * time.Second, 6 * time.Second},
@@ -115,9 +114,9 @@
 		g.holdWrites, g.out = true, nil
 		old := wire.TaskStatus{Task: "job-1/0", Attempt: 6<<tokenBits | 1, Status: wire.TaskRunning}
 		g.step(HeartbeatEvent{Heartbeat: g.heartbeatOf("vm-1", 6<<tokenBits, old), ReplyTo: recipient("w")})
-		g.want("answered before the note is withdrawn", g.answers(), 0)
+		g.want("answered before the note is withdrawn", g.responseCount(), 0)
 		g.releaseWrites()
-		g.want("answered afterwards", g.answers(), 1)
+		g.want("answered afterwards", g.responseCount(), 1)
 		g.acknowledge("vm-1", old)
 		g.wait(6 * time.Second)
 		g.want("its task goes on", g.jobStatus("job-1"), wire.JobRunning)
@@ -125,15 +124,15 @@
 	})
 }
 
-// TestANewEpochHasALeaseOfItsOwn: a worker whose lease has ended goes on in
-// the next session for a whole lease, even if no report of it is answered. What
-// a direct command started there was taken for over when the lease of the
-// session before was, and started again elsewhere.
+// TestANewEpochHasALeaseOfItsOwn: an agent whose lease has expired continues in the next epoch
+// for a whole lease, even if none of its heartbeats gets a response. What a direct command
+// started there was taken for ended when the lease of the epoch before was, and started again
+// elsewhere.
 func TestANewEpochHasALeaseOfItsOwn(t *testing.T) {
 	cases := []struct {
 		name  string
 		saved ledger.Snapshot
-		heard time.Duration // when it first answers a direct command
+		heard time.Duration // when the result of its first direct command arrives
 	}{
 		{"its silence was noted", ledger.Snapshot{Unreachable: map[string]ledger.UnreachableRecord{ledger.UnreachableKey("6-1"): {LeaseExpiryMS: 3000, Machines: []string{"vm-1"}}}}, time.Second},
 		{"it is heard late", ledger.Snapshot{}, 25 * time.Second},
@@ -169,22 +168,22 @@
 	}
 }
 
-// TestNothingIsRecordedWhileNothingCanBeWritten: the note could not be withdrawn
-// for a machine that is back before the state service is.
+// TestNothingIsRecordedWhileNothingCanBeWritten: the record could not be withdrawn for a machine
+// that is reachable again before the key-value store is.
 func TestNothingIsRecordedWhileNothingCanBeWritten(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
 	g.endCommands(CommandExecuted)
 	g.holdWrites = true
-	g.submit(newTestJob("job-2", 1, 4)) // hires, which waits for the ledger
+	g.submit(newTestJob("job-2", 1, 4)) // a scale-out, which waits for the ledger
 	g.wait(12 * time.Second)
-	if _, r := g.noted(); r != nil {
+	if _, r := g.lastUnreachableRecord(); r != nil {
 		t.Errorf("noted in an outage: %+v", r)
 	}
 	g.releaseWrites()
 	g.wait(4 * time.Second)
-	if _, r := g.noted(); r == nil {
+	if _, r := g.lastUnreachableRecord(); r == nil {
 		t.Error("not noted after the outage")
 	}
 }
