--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -58,7 +58,19 @@
 
 // schedulable tells whether new tasks may start on a machine at all.
 func (a *agents) schedulable(m *machine) bool {
-	return m.state == machineUp && m.trusted(a.term) && !m.agent.EpochEnded(m.agent.Epoch()) && m.typ >= 0 && m.contact.unreachable == nil && !m.eviction.cordoned && !m.health.quarantined && a.clock.now >= m.commands.avoidUntil && m.rental.terminationAt == 0 && !m.agent.Unacknowledged() && a.clock.now-m.agent.LastAcknowledged() < a.unreachableAfter()
+	switch {
+	case m.state != machineUp, !m.trusted(a.term):
+		return false // nothing is known of it in this term
+	case m.agent.EpochEnded(m.agent.Epoch()), m.typ < 0:
+		return false // its agent must restart, or its room is not known
+	case m.contact.unreachable != nil, m.agent.Unacknowledged(), a.clock.now-m.agent.LastAcknowledged() >= a.unreachableAfter():
+		return false // its agent may not receive our responses
+	case a.clock.now < m.commands.avoidUntil:
+		return false // commands have not arrived there
+	case m.eviction.cordoned, m.health.quarantined, m.rental.terminationAt != 0:
+		return false // a plan empties it, tasks fail on it, or the cloud takes it away
+	}
+	return true
 }
 
 // trusted tells whether the content of an agent's heartbeats is believed: it has acknowledged
--- a/internal/scheduler/agentstate/state.go
+++ b/internal/scheduler/agentstate/state.go
@@ -49,7 +49,8 @@
 // Epoch is the agent's epoch by its newest heartbeat; 0: there was none.
 func (a *State) Epoch() uint64 { return a.epoch }
 
-// LikelyEpoch is the agent's epoch as far as known. Nearly all agents are in their first.
+// LikelyEpoch is the agent's epoch as far as known. Before its first heartbeat that is the inherited
+// one, if any; nearly all agents are in their first.
 func (a *State) LikelyEpoch() uint64 { return max(a.epoch, a.inheritedEpoch, 1) }
 
 // EpochEnded tells whether an epoch has certainly ended.
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -100,7 +100,8 @@
 			}
 			w.counts.Overdue++
 			w.log.Error(MessageCancelledTaskOverdue, "leader_term", w.term, "machine", m.name, "task", w.jobs.taskName(b), "attempt", b.attempt, "status", b.status,
-				"since_end_s", (w.clock.now - j.end.at).Seconds(), "since_heartbeat_s", (w.clock.now - m.agent.LastHeartbeat()).Seconds(), "since_acknowledged_s", (w.clock.now - m.agent.LastAcknowledged()).Seconds(),
+				"since_end_s", (w.clock.now - j.end.at).Seconds(),
+				"since_heartbeat_s", (w.clock.now - m.agent.LastHeartbeat()).Seconds(), "since_acknowledged_s", (w.clock.now - m.agent.LastAcknowledged()).Seconds(),
 				"deleting", m.state == machineDeleting, "stopping", b.stopping)
 		}
 	}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -63,6 +63,11 @@
 	}
 }
 
+// idle tells whether nothing is on its way to the machine that may start a task there.
+func (m *machineCommands) idle() bool {
+	return len(m.unresolvedStarts) == 0 && len(m.pending) == 0 && m.heldHeartbeat == nil
+}
+
 // avoid keeps new tasks from the machine for a time.
 func (m *machineCommands) avoid(until time.Duration) { m.avoidUntil = until }
 
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -18,8 +18,9 @@
 // mayDelegate tells whether a job can run in another cell: whole, never started anywhere,
 // of this cell, and not bound to a zone of it.
 func (f *federationState) mayDelegate(j *job) bool {
-	return j.placeable(f.clock.now) && j.transfer.origin == "" && !j.progress.startedOnce && j.progress.allocated == 0 && len(j.record.hosts) == 0 && j.progress.done == 0 &&
-		j.placement.reservedMachine == nil && j.request.zone < 0 && !j.suspect() && f.delegated.MayBegin(j.id)
+	neverStarted := !j.progress.startedOnce && j.progress.allocated == 0 && len(j.record.hosts) == 0 && j.progress.done == 0
+	boundHere := j.transfer.origin != "" || j.request.zone >= 0 || j.placement.reservedMachine != nil
+	return j.placeable(f.clock.now) && neverStarted && !boundHere && !j.suspect() && f.delegated.MayBegin(j.id)
 }
 
 // expectedLate tells whether a job that begins after a wait misses its deadline or,
--- a/internal/scheduler/eviction_view.go
+++ b/internal/scheduler/eviction_view.go
@@ -63,7 +63,8 @@
 // isEmpty tells whether a machine is proved to run nothing, and nothing that was sent there
 // may still start.
 func (v *evictionState) isEmpty(m *machine) bool {
-	return m.trusted(v.term) && len(m.capacity.allocations) == 0 && len(m.commands.unresolvedStarts) == 0 && len(m.recorded.inDoubtJobs) == 0 && len(m.commands.pending) == 0 && m.commands.heldHeartbeat == nil
+	runsNothing := m.trusted(v.term) && len(m.capacity.allocations) == 0 && len(m.recorded.inDoubtJobs) == 0
+	return runsNothing && m.commands.idle()
 }
 
 // planMachine is a machine as a plan sees it.
--- a/internal/scheduler/fair_share.go
+++ b/internal/scheduler/fair_share.go
@@ -42,10 +42,15 @@
 	}
 }
 
+// reservationInterval is the least time between two searches for a machine to reserve for a job.
+const reservationInterval = time.Second
+
 // reserve keeps the machine free for a job's first task on which the least is left
 // to do.
 func (p *placement) reserve(j *job) {
-	if len(p.reservingJobs) > 0 && len(p.reservingJobs) >= len(p.machines.live)/reservedMachinesDivisor || j.placement.reservationTriedAt > 0 && p.clock.now-j.placement.reservationTriedAt < time.Second {
+	enough := len(p.reservingJobs) > 0 && len(p.reservingJobs) >= len(p.machines.live)/reservedMachinesDivisor
+	triedJustNow := j.placement.reservationTriedAt > 0 && p.clock.now-j.placement.reservationTriedAt < reservationInterval
+	if enough || triedJustNow {
 		return
 	}
 	j.placement.reservationTriedAt = p.clock.now
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -228,13 +228,24 @@
 
 // writeTerminal writes a job's terminal state.
 func (t *jobTable) writeTerminal(j *job, urgency writeUrgency) {
-	rec := ledger.JobRecord{AcceptedMS: j.record.acceptedMS, Terminal: j.end.state, Tasks: j.progress.total, Done: j.progress.done, EndedMS: t.clock.wallMS, Origin: j.transfer.origin, TransferEpoch: j.transfer.epoch}
+	rec := ledger.JobRecord{
+		AcceptedMS:    j.record.acceptedMS,
+		EndedMS:       t.clock.wallMS,
+		Terminal:      j.end.state,
+		Tasks:         j.progress.total,
+		Done:          j.progress.done,
+		Origin:        j.transfer.origin,
+		TransferEpoch: j.transfer.epoch,
+	}
 	if j.end.state == wire.JobCancelled {
 		// What a new leader needs stays: the use of tasks that it has not yet seen end counts
 		// for the team. The whole description may be more than fits by now.
 		rec.Job = j.spec.CancelledSummary()
 	} else if j.transfer.origin == "" {
-		rec.Class, rec.Team, rec.Cores, rec.RunS = j.spec.Class, j.spec.Team, j.request.size.CPUs*float64(j.progress.total), t.estimates.expectedRun(j).Seconds()
+		// Later leaders learn the demand from it.
+		rec.Class, rec.Team = j.spec.Class, j.spec.Team
+		rec.Cores = j.cores()
+		rec.RunS = t.estimates.expectedRun(j).Seconds()
 	}
 	t.writes.put(ledger.Write{Key: ledger.JobKey(j.id), Value: rec, Urgent: urgency == writeUrgently, Version: j.record.version, Tag: terminalTag{j.index}})
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -139,7 +139,8 @@
 	b := c.allocate(m, j, n, c.attempts.nextAttempt(), toRun)
 	c.placement.refresh(m)
 	if c.debug {
-		c.log.Debug("task placed", "task", c.jobs.taskName(b), "attempt", b.attempt, "machine", m.name, "goal", c.placement.goal.L, "share", b.share, "load", m.capacity.load, "image", m.hasImage(j.request.image))
+		c.log.Debug("task placed", "task", c.jobs.taskName(b), "attempt", b.attempt, "machine", m.name,
+			"goal", c.placement.goal.L, "share", b.share, "load", m.capacity.load, "image", m.hasImage(j.request.image))
 	}
 	if _, ok := j.record.hostAt[m.index]; !ok {
 		c.jobs.addHost(j, m)
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -52,9 +52,15 @@
 			continue
 		}
 		a.probes.underWay++
-		// Its epoch is not known before its first heartbeat, unless by inherited soft state;
-		// nearly all agents are in their first.
-		a.commands.sendCommand(&commandInFlight{machine: m, agentEpoch: m.agent.LikelyEpoch(), fencingToken: m.agent.FencingToken(), probe: true, sent: a.clock.now, addressFromSoftState: m.agent.AddressInherited()}, []wire.Command{})
+		probe := &commandInFlight{
+			machine:              m,
+			agentEpoch:           m.agent.LikelyEpoch(),
+			fencingToken:         m.agent.FencingToken(),
+			probe:                true,
+			sent:                 a.clock.now,
+			addressFromSoftState: m.agent.AddressInherited(),
+		}
+		a.commands.sendCommand(probe, []wire.Command{})
 	}
 }
 
