--- a/internal/scheduler/autoscaling.go
+++ b/internal/scheduler/autoscaling.go
@@ -20,8 +20,7 @@
 	maxCalls         = 4 // for one capacity pool at once
 )
 
-// autoscaling is what the leader knows of the cloud, of its own demand, and of what the machines
-// have cost.
+// autoscaling is what the leader knows of the cloud and of its own demand.
 type autoscaling struct {
 	cfg       *Config
 	term      uint64
@@ -52,8 +51,6 @@
 	demand        []autoscaler.DemandEstimator // by class
 	limitedDemand []autoscaler.DemandEstimator // by team, only of those with a limit
 	sizes         []weightedSize               // of the demand, the one with most core-seconds first
-
-	spending spendingLog
 }
 
 func newAutoscaling(c *Core) autoscaling {
@@ -63,7 +60,6 @@
 		pools:         map[autoscaler.CapacityPool]*poolState{},
 		scaleOuts:     map[string]*scaleOut{},
 		limitedDemand: make([]autoscaler.DemandEstimator, c.teams.Len()),
-		spending:      spendingLog{accruedUntil: c.clock.now, loggedAt: c.clock.now},
 	}
 }
 
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -57,6 +57,7 @@
 	commands      commands
 	placement     placement
 	autoscaling   autoscaling
+	spending      spending
 	softState     softState
 	federation    federationState
 	evictions     evictionState
@@ -78,6 +79,7 @@
 	c.commands = newCommands(c)
 	c.placement = newPlacement(c)
 	c.autoscaling = newAutoscaling(c)
+	c.spending = newSpending(c)
 	c.softState = newSoftState(c)
 	c.federation = newFederation(c)
 	c.evictions = newEvictions(c)
@@ -157,7 +159,7 @@
 // tick does what follows from the passing of time alone.
 func (c *Core) tick() {
 	c.clock.tick()
-	c.autoscaling.accrueSpending()
+	c.spending.accrue()
 	for _, m := range c.machines.live {
 		c.expireLease(m)
 		if m.indexed.schedulable != c.agents.schedulable(m) {
--- a/internal/scheduler/spending_test.go
+++ b/internal/scheduler/spending_test.go
@@ -19,14 +19,14 @@
 		name     string
 		state    machineState
 		bookings []func(j *job) *allocation // of one core each, on four
-		want     spending                   // in hundredths of what the machine costs
+		want     costs                      // in hundredths of what the machine costs
 	}{
-		{"boots", machineStarting, nil, spending{booting: 100}},
-		{"has nothing to do", machineUp, nil, spending{idle: 100}},
-		{"is being returned", machineDeleting, nil, spending{returning: 100}},
-		{"is gone", machineGone, nil, spending{}},
-		{"runs one task", machineUp, []func(j *job) *allocation{running}, spending{running: 25, partIdle: 75}},
-		{"does all at once", machineUp, []func(j *job) *allocation{running, fetching, stopping, running}, spending{running: 50, fetching: 25, saving: 25}},
+		{"boots", machineStarting, nil, costs{booting: 100}},
+		{"has nothing to do", machineUp, nil, costs{idle: 100}},
+		{"is being returned", machineDeleting, nil, costs{returning: 100}},
+		{"is gone", machineGone, nil, costs{}},
+		{"runs one task", machineUp, []func(j *job) *allocation{running}, costs{running: 25, partIdle: 75}},
+		{"does all at once", machineUp, []func(j *job) *allocation{running, fetching, stopping, running}, costs{running: 50, fetching: 25, saving: 25}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -39,18 +39,18 @@
 			for _, book := range tc.bookings {
 				m.capacity.allocations = append(m.capacity.allocations, book(j))
 			}
-			c.autoscaling.spending.spent, c.autoscaling.spending.accruedUntil, c.autoscaling.spending.loggedAt = spending{}, c.clock.now, c.clock.now
+			c.spending.spent, c.spending.accruedUntil, c.spending.loggedAt = costs{}, c.clock.now, c.clock.now
 			c.clock.now += 10 * time.Second
-			c.autoscaling.accrueSpending()
-			unit := c.autoscaling.pricePerSecond(m) * 10 / 100
+			c.spending.accrue()
+			unit := c.spending.pricePerSecond(m) * 10 / 100
 			for _, part := range []struct {
 				name      string
 				got, want float64
 			}{
-				{"booting", c.autoscaling.spending.spent.booting, tc.want.booting}, {"fetching", c.autoscaling.spending.spent.fetching, tc.want.fetching},
-				{"running", c.autoscaling.spending.spent.running, tc.want.running}, {"saving", c.autoscaling.spending.spent.saving, tc.want.saving},
-				{"partly idle", c.autoscaling.spending.spent.partIdle, tc.want.partIdle}, {"idle", c.autoscaling.spending.spent.idle, tc.want.idle},
-				{"returning", c.autoscaling.spending.spent.returning, tc.want.returning},
+				{"booting", c.spending.spent.booting, tc.want.booting}, {"fetching", c.spending.spent.fetching, tc.want.fetching},
+				{"running", c.spending.spent.running, tc.want.running}, {"saving", c.spending.spent.saving, tc.want.saving},
+				{"partly idle", c.spending.spent.partIdle, tc.want.partIdle}, {"idle", c.spending.spent.idle, tc.want.idle},
+				{"returning", c.spending.spent.returning, tc.want.returning},
 			} {
 				if unit == 0 || math.Abs(part.got/unit-part.want) > 1e-6 {
 					t.Errorf("%s: %v of the cost, want %v", part.name, part.got/unit, part.want)
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -106,7 +106,7 @@
 	}
 	if b != nil {
 		if t.ExitReason != wire.ExitDone && !t.CheckpointSaved {
-			c.autoscaling.addLostWork(m, b)
+			c.spending.addLostWork(m, b)
 		}
 		if t.ExitReason == wire.ExitStopped {
 			c.evictions.displaced(m, b, t.CheckpointSaved, "it was stopped")
