--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -32,8 +32,9 @@
 const tokenBits = 24
 
 // Core is the leader's state for one term. Step is its only entry. Its state lies in parts: each
-// has a type of its own, whose methods touch the fields of that part alone. What concerns
-// several parts is a method of Core.
+// has a type of its own, whose methods alone write its fields, and names the parts that it reads
+// among its fields. A part reads only those that stand above it here. What concerns several parts
+// is a method of Core.
 type Core struct {
 	cfg Config
 	log *slog.Logger
@@ -41,27 +42,27 @@
 	debug bool
 	term  uint64
 
-	clock   clock
-	effects effects
-	writes  durableWrites
-
-	types     machineTypes
-	classes   classTable
-	estimates runEstimates
-	teams     quota.Teams
-	jobs      jobTable
-	machines  machineTable
-
-	attempts      attempts
-	agents        agents
-	commands      commands
-	placement     placement
-	autoscaling   autoscaling
-	spending      spending
-	softState     softState
-	federation    federationState
-	evictions     evictionState
-	cancellations cancellationWatch
+	clock   clock         // the time of the present event
+	effects effects       // of the present step
+	writes  durableWrites // to the ledger
+
+	types         machineTypes      // of the cloud
+	classes       classTable        // of jobs
+	estimates     runEstimates      // of run times, learned
+	teams         quota.Teams       // and their quotas
+	machines      machineTable      // all machines
+	jobs          jobTable          // all jobs, their dependencies and their records
+	cancellations cancellationWatch // of the tasks of cancelled jobs
+
+	commands    commands        // to agents, and the responses to their heartbeats
+	agents      agents          // whether they can be reached
+	attempts    attempts        // their numbers
+	placement   placement       // which task runs where, and when
+	autoscaling autoscaling     // renting and returning machines
+	spending    spending        // what the machines cost
+	softState   softState       // inherited from an earlier leader, and passed on
+	federation  federationState // jobs that are forwarded between cells
+	evictions   evictionState   // plans that drain machines
 }
 
 // NewCore starts a term from what the ledger holds. now is the controller's monotonic
@@ -72,18 +73,18 @@
 	c.writes = newDurableWrites(c)
 	c.types = newMachineTypes()
 	c.teams = quota.NewTeams(cfg.Platform.Facts.Teams)
-	c.jobs = newJobTable(c)
 	c.machines = newMachineTable()
-	c.attempts = newAttempts(c)
-	c.agents = newAgents(c)
+	c.jobs = newJobTable(c)
+	c.cancellations = newCancellationWatch(c)
 	c.commands = newCommands(c)
+	c.agents = newAgents(c)
+	c.attempts = newAttempts(c)
 	c.placement = newPlacement(c)
 	c.autoscaling = newAutoscaling(c)
 	c.spending = newSpending(c)
 	c.softState = newSoftState(c)
 	c.federation = newFederation(c)
 	c.evictions = newEvictions(c)
-	c.cancellations = newCancellationWatch(c)
 	c.restore(&s)
 	c.sendDeferred()
 	return c
--- a/internal/scheduler/parts_test.go
+++ b/internal/scheduler/parts_test.go
@@ -30,6 +30,37 @@
 	})
 }
 
+// TestPartsReadOnlyThoseAboveThem: the parts of the core depend on each other in one direction.
+func TestPartsReadOnlyThoseAboveThem(t *testing.T) {
+	files := parseProduct(t, token.NewFileSet())
+	place := map[string]int{} // of a part in the core, by type
+	for i, field := range structFields(files, "Core") {
+		if typ, ok := field.Type.(*ast.Ident); ok {
+			place[typ.Name] = i + 1
+		}
+	}
+	found := 0
+	for _, part := range partsOfCore(t, files) {
+		for _, field := range structFields(files, part) {
+			pointer, ok := field.Type.(*ast.StarExpr)
+			if !ok {
+				continue
+			}
+			read, ok := pointer.X.(*ast.Ident)
+			if !ok || place[read.Name] == 0 {
+				continue
+			}
+			found++
+			if place[read.Name] >= place[part] {
+				t.Errorf("part %s reads %s, which does not stand above it", part, read.Name)
+			}
+		}
+	}
+	if found < 20 {
+		t.Errorf("only %d parts are read by others", found)
+	}
+}
+
 // ownersOfRecords are the parts of the core that may write the parts of a job or machine besides
 // the methods of these themselves.
 var ownersOfRecords = map[string]string{
@@ -158,22 +189,28 @@
 // fieldsOf lists the fields of a struct that have types of this package, with these.
 func fieldsOf(files []*ast.File, structName string) map[string]string {
 	fields := map[string]string{}
-	for _, file := range files {
-		declared := file.Scope.Lookup(structName)
-		if declared == nil {
-			continue
-		}
-		for _, field := range declared.Decl.(*ast.TypeSpec).Type.(*ast.StructType).Fields.List {
-			if typ, local := field.Type.(*ast.Ident); local && types.Universe.Lookup(typ.Name) == nil {
-				for _, name := range field.Names {
-					fields[name.Name] = typ.Name
-				}
+	for _, field := range structFields(files, structName) {
+		if typ, local := field.Type.(*ast.Ident); local && types.Universe.Lookup(typ.Name) == nil {
+			for _, name := range field.Names {
+				fields[name.Name] = typ.Name
 			}
 		}
 	}
 	return fields
 }
 
+// structFields lists the fields of a struct in their order.
+func structFields(files []*ast.File, structName string) []*ast.Field {
+	for _, file := range files {
+		if declared := file.Scope.Lookup(structName); declared != nil {
+			if typ, ok := declared.Decl.(*ast.TypeSpec).Type.(*ast.StructType); ok {
+				return typ.Fields.List
+			}
+		}
+	}
+	return nil
+}
+
 // writtenBy lists the expressions that a statement assigns to.
 func writtenBy(n ast.Node) []ast.Expr {
 	switch s := n.(type) {
