--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -39,13 +39,13 @@
 		for _, id := range j.spec.DependsOn {
 			if at, ok := t.indexByID[id]; ok {
 				p := t.list[at]
-				t.graph.Depend(j.dependencies, p.dependencies, p.isDone())
+				t.graph.Depend(&j.dependencies, &p.dependencies, p.isDone())
 			} else {
-				t.graph.Await(j.dependencies, id)
+				t.graph.Await(&j.dependencies, id)
 			}
 		}
 	}
-	for _, at := range t.graph.Resolve(j.id, j.dependencies, j.isDone()) {
+	for _, at := range t.graph.Resolve(j.id, &j.dependencies, j.isDone()) {
 		if dependent := t.list[at]; !dependent.blocked() && !dependent.ended() {
 			ready = append(ready, dependent)
 		}
@@ -118,13 +118,13 @@
 // releaseDependents has a job's dependents wait for one less, or cancels them with it, once its
 // end is durable.
 func (c *Core) releaseDependents(p *job) {
-	for _, at := range c.jobs.graph.TakeDependents(p.dependencies) {
+	for _, at := range c.jobs.graph.TakeDependents(&p.dependencies) {
 		j := c.jobs.list[at]
 		if p.end.state == wire.JobCancelled {
 			c.cancelDependent(j, p)
 			continue
 		}
-		if c.jobs.graph.PredecessorFinished(j.dependencies) && !j.ended() {
+		if c.jobs.graph.PredecessorFinished(&j.dependencies) && !j.ended() {
 			c.becomesReady(j, c.clock.now)
 		}
 	}
@@ -172,7 +172,7 @@
 	if len(t.cancelling) == 0 {
 		return false // as nearly always: no walk through the ancestors is needed
 	}
-	return t.graph.AnyAncestor(j.dependencies, func(at int32) depgraph.Visit {
+	return t.graph.AnyAncestor(&j.dependencies, func(at int32) depgraph.Visit {
 		switch {
 		case t.list[at].end.durable:
 			return depgraph.Skip
--- a/internal/scheduler/depgraph/graph.go
+++ b/internal/scheduler/depgraph/graph.go
@@ -8,13 +8,13 @@
 // Node is the place of one job in the graph. Its index is the job's own.
 type Node struct {
 	index        int32
+	open         int32   // predecessors that are unfinished, known or not
 	predecessors []int32 // known jobs that it depends on
 	dependents   []int32 // jobs that depend on it, as long as it is unfinished
-	open         int     // predecessors that are unfinished, known or not
 }
 
 // Open is how many unfinished jobs the node's job waits for.
-func (n *Node) Open() int { return n.open }
+func (n *Node) Open() int { return int(n.open) }
 
 // Predecessors are the known jobs that the node's job depends on. The caller does not change
 // them.
@@ -29,11 +29,11 @@
 	awaited map[string][]int32 // by id: the jobs that depend on a job which is not known yet
 }
 
-// Add adds the node of a new job. Jobs are added in the order of their indices.
-func (g *Graph) Add() *Node {
-	n := &Node{index: int32(len(g.nodes))}
+// Add adds the node of a new job, which lies in the job. Jobs are added in the order of their
+// indices.
+func (g *Graph) Add(n *Node) {
+	n.index = int32(len(g.nodes))
 	g.nodes = append(g.nodes, n)
-	return n
 }
 
 // Depend notes that one job depends on another known one, which may be finished already.
--- a/internal/scheduler/depgraph/graph_test.go
+++ b/internal/scheduler/depgraph/graph_test.go
@@ -14,9 +14,16 @@
 	}
 }
 
+// add adds a node of its own to a graph.
+func add(g *Graph) *Node {
+	n := &Node{}
+	g.Add(n)
+	return n
+}
+
 func TestDependOnAnUnfinishedJob(t *testing.T) {
 	var g Graph
-	first, second := g.Add(), g.Add()
+	first, second := add(&g), add(&g)
 	g.Depend(second, first, false)
 	wantEqual(t, "open", second.Open(), 1)
 	wantEqual(t, "predecessors", second.Predecessors(), []int32{0})
@@ -25,7 +32,7 @@
 
 func TestDependOnAFinishedJob(t *testing.T) {
 	var g Graph
-	first, second := g.Add(), g.Add()
+	first, second := add(&g), add(&g)
 	g.Depend(second, first, true)
 	wantEqual(t, "open", second.Open(), 0)
 	wantEqual(t, "predecessors", second.Predecessors(), []int32{0})
@@ -36,11 +43,11 @@
 	for _, finished := range []bool{false, true} {
 		t.Run(fmt.Sprintf("finished=%t", finished), func(t *testing.T) {
 			var g Graph
-			a, b := g.Add(), g.Add()
+			a, b := add(&g), add(&g)
 			g.Await(a, "late")
 			g.Await(b, "late")
 			g.Await(b, "other")
-			late := g.Add()
+			late := add(&g)
 			wantEqual(t, "resolved", g.Resolve("late", late, finished), []int32{0, 1})
 			stillOpen := 1
 			if finished {
@@ -56,7 +63,7 @@
 
 func TestLastPredecessorReleasesAJob(t *testing.T) {
 	var g Graph
-	a, b, c := g.Add(), g.Add(), g.Add()
+	a, b, c := add(&g), add(&g), add(&g)
 	g.Depend(c, a, false)
 	g.Depend(c, b, false)
 	wantEqual(t, "dependents taken", g.TakeDependents(a), []int32{2})
@@ -68,7 +75,7 @@
 func TestAnyAncestor(t *testing.T) {
 	// 3 depends on 1 and 2, both on 0.
 	var g Graph
-	n := []*Node{g.Add(), g.Add(), g.Add(), g.Add()}
+	n := []*Node{add(&g), add(&g), add(&g), add(&g)}
 	g.Depend(n[1], n[0], false)
 	g.Depend(n[2], n[0], false)
 	g.Depend(n[3], n[1], false)
@@ -131,7 +138,7 @@
 
 // learn makes a job known.
 func (m *model) learn(i int) {
-	n := m.g.Add()
+	n := add(&m.g)
 	m.nodes[i], m.jobOf = n, append(m.jobOf, i)
 	for _, p := range m.dependsOn[i] {
 		if known := m.nodes[p]; known != nil {
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -36,7 +36,7 @@
 
 	request      request
 	priority     priority
-	dependencies *depgraph.Node
+	dependencies depgraph.Node
 	progress     progress
 	end          jobEnd
 	placement    jobPlacement
@@ -75,13 +75,13 @@
 
 // jobEnd is the terminal state of a job, and what remains to be done about it.
 type jobEnd struct {
-	state   string // decided, being written or durable
-	durable bool
+	state string // decided, being written or durable
 	// at is when it became durable, or was decided if that was before this term.
 	at            time.Duration
-	cleanedUp     bool        // all that a terminal state requires is done
-	overdueLogged bool        // its tasks may have run past the bound of a cancellation
 	replyTo       []Recipient // who waits for it to be durable
+	durable       bool
+	cleanedUp     bool // all that a terminal state requires is done
+	overdueLogged bool // its tasks may have run past the bound of a cancellation
 }
 
 // jobPlacement is what placement keeps of a job.
@@ -154,6 +154,12 @@
 	return slowfit.Size{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
 }
 
+// begin makes room for the states of a job's tasks.
+func (p *progress) begin(tasks int) {
+	p.total = tasks
+	p.tasks = make([]task, tasks)
+}
+
 // fillWaiting lists the waiting tasks, the lowest number to be placed first.
 func (p *progress) fillWaiting() {
 	p.waiting = make([]int32, 0, max(0, len(p.tasks)-p.done))
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -10,13 +10,17 @@
 
 // newJob adds a job of a record to the job table.
 func (c *Core) newJob(id string, rec ledger.JobRecord, version uint64) *job {
-	j := &job{index: int32(len(c.jobs.list)), id: id, spec: rec.Job, dependencies: c.jobs.graph.Add(),
+	j := &job{
+		index:    int32(len(c.jobs.list)),
+		id:       id,
+		spec:     rec.Job,
 		request:  request{zone: -1},
 		priority: priority{deadline: never},
 		progress: progress{total: rec.Tasks, done: rec.Done},
 		end:      jobEnd{state: rec.Terminal, durable: rec.Terminal != "", cleanedUp: rec.Job == nil},
 		record:   jobRecord{version: version, acceptedMS: rec.AcceptedMS},
-		transfer: transfer{origin: rec.Origin, epoch: rec.TransferEpoch}}
+		transfer: transfer{origin: rec.Origin, epoch: rec.TransferEpoch},
+	}
 	if rec.EndedMS > 0 {
 		j.end.becameDurable(c.clock.ago(rec.EndedMS))
 	}
@@ -24,10 +28,10 @@
 	if rec.Job == nil {
 		return j
 	}
-	j.priority = priorityOf(rec.Job, c.clock.ago(rec.AcceptedMS))
 	j.request = c.requestOf(rec.Job)
-	j.progress = progress{total: rec.Job.Tasks, done: rec.Done, tasks: make([]task, rec.Job.Tasks)}
-	j.record = jobRecord{version: version, acceptedMS: rec.AcceptedMS, hostAt: map[int32]int{}}
+	j.priority = priorityOf(rec.Job, c.clock.ago(rec.AcceptedMS))
+	j.progress.begin(rec.Job.Tasks)
+	j.record.begin()
 	c.jobs.activate(j)
 	return j
 }
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -8,6 +8,9 @@
 	"leadproxy/internal/wire"
 )
 
+// begin makes room for the hosts of a job that has not ended.
+func (r *jobRecord) begin() { r.hostAt = map[int32]int{} }
+
 // addFinishedKey notes a key of finished tasks.
 func (r *jobRecord) addFinishedKey(key string) {
 	if r.finishedKeys == nil {
--- a/internal/scheduler/job_table.go
+++ b/internal/scheduler/job_table.go
@@ -32,6 +32,7 @@
 
 // add adds a new job, whose index follows the last one.
 func (t *jobTable) add(j *job) {
+	t.graph.Add(&j.dependencies)
 	t.indexByID[j.id] = j.index
 	t.list = append(t.list, j)
 }
