--- a/internal/scheduler/eviction_view.go
+++ b/internal/scheduler/eviction_view.go
@@ -63,7 +63,8 @@
 // isEmpty tells whether a machine is proved to run nothing, and nothing that was sent there
 // may still start.
 func (v *evictionState) isEmpty(m *machine) bool {
-	return m.trusted(v.term) && len(m.capacity.allocations) == 0 && len(m.commands.unresolvedStarts) == 0 && len(m.recorded.inDoubtJobs) == 0 && len(m.commands.pending) == 0 && m.commands.heldHeartbeat == nil
+	runsNothing := m.trusted(v.term) && len(m.capacity.allocations) == 0 && len(m.recorded.inDoubtJobs) == 0
+	return runsNothing && m.commands.idle()
 }
 
 // planMachine is a machine as a plan sees it.
@@ -107,8 +108,8 @@
 // replacement is a machine that was rented for a plan, as the plan sees it.
 func (v *evictionState) replacement(m *machine) rollout.Replacement {
 	r := rollout.Replacement{Name: m.name, Failed: m.state == machineGone || m.state == machineDeleting || m.health.quarantined}
-	if v.agents.schedulable(m) && m.agent.epochSeenAt > 0 {
-		r.Healthy = max(1, v.clock.now-m.agent.epochSeenAt)
+	if v.agents.schedulable(m) && m.agent.EpochSeenAt() > 0 {
+		r.Healthy = max(1, v.clock.now-m.agent.EpochSeenAt())
 	}
 	return r
 }
