--- a/internal/autoscaler/plan_input.go
+++ b/internal/autoscaler/plan_input.go
@@ -62,18 +62,18 @@
 
 // PlanInput is what a plan is made from.
 type PlanInput struct {
-	Types       []MachineType
-	Pools       []PricedPool
-	Running     []RunningMachine
-	Pending     []PendingMachine
-	Queued      []TaskGroup // in the order of the queue
-	Cores       float64     // of all machines, running and pending
-	Machines    int
-	MaxMachines int     // 0: no bound
-	Headroom    float64 // cores worth keeping, with spot machines
-	// Sizes are what the headroom should hold, the most wanted first. A later
+	Types            []MachineType
+	Pools            []PricedPool
+	Running          []RunningMachine
+	Pending          []PendingMachine
+	Queued           []TaskGroup // in the order of the queue
+	ProvisionedCores float64     // of all machines, running and pending
+	Machines         int
+	MaxMachines      int     // 0: no bound
+	Headroom         float64 // cores worth keeping, with spot machines
+	// HeadroomSizes are what the headroom should hold, the most wanted first. A later
 	// one counts only when no pool suits those before.
-	Sizes []slowfit.Size
+	HeadroomSizes []slowfit.Size
 }
 
 // PlannedScaleOut is a decision to rent machines.
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -54,7 +54,7 @@
 	}
 	p.scaleOuts[pool].Count += machines
 	p.machinesLeft -= machines
-	p.Cores += float64(machines) * p.Types[pool.Type].Total.CPUs
+	p.ProvisionedCores += float64(machines) * p.Types[pool.Type].Total.CPUs
 }
 
 // planGroup plans machines for a group of tasks.
@@ -106,8 +106,8 @@
 // planHeadroom plans the cheapest cores up to the learned demand. It takes one pool a plan:
 // how many machines that has shows in the cloud's response.
 func (p *planner) planHeadroom() {
-	missingCores := p.Headroom - p.Cores
-	for _, size := range p.Sizes {
+	missingCores := p.Headroom - p.ProvisionedCores
+	for _, size := range p.HeadroomSizes {
 		if missingCores <= 0 || p.machinesLeft <= 0 || size.CPUs <= 0 {
 			continue
 		}
--- a/internal/autoscaler/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -45,9 +45,9 @@
 			Queued: []TaskGroup{{Size: fourCores, Count: 480, Run: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 120}}},
 		{"the bound on machines holds", PlanInput{MaxMachines: 3, Machines: 2,
 			Queued: []TaskGroup{{Size: fourCores, Count: 80, Run: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 1}}},
-		{"headroom up to the learned demand", PlanInput{Cores: 4, Headroom: 12, Sizes: []slowfit.Size{fourCores}}, []PlannedScaleOut{{Pool: small, Count: 2}}},
-		{"a size that no pool holds leaves the choice to the next", PlanInput{Headroom: 4, Sizes: []slowfit.Size{{CPUs: 99}, fourCores}}, []PlannedScaleOut{{Pool: small, Count: 1}}},
-		{"enough headroom", PlanInput{Cores: 12, Headroom: 12, Sizes: []slowfit.Size{fourCores}}, nil},
+		{"headroom up to the learned demand", PlanInput{ProvisionedCores: 4, Headroom: 12, HeadroomSizes: []slowfit.Size{fourCores}}, []PlannedScaleOut{{Pool: small, Count: 2}}},
+		{"a size that no pool holds leaves the choice to the next", PlanInput{Headroom: 4, HeadroomSizes: []slowfit.Size{{CPUs: 99}, fourCores}}, []PlannedScaleOut{{Pool: small, Count: 1}}},
+		{"enough headroom", PlanInput{ProvisionedCores: 12, Headroom: 12, HeadroomSizes: []slowfit.Size{fourCores}}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/cells/three_cells_test.go
+++ b/internal/cells/three_cells_test.go
@@ -73,20 +73,20 @@
 			RunTime: func(string) time.Duration { return taskTime }, Checker: check},
 		NewHost: func(string) (transport.Network, string) { return network, "127.0.0.1:0" },
 	})
-	facts := settings.Facts{Nodes: controllers, Zones: zones, ClockErrorMS: 5, Teams: []settings.Team{{Name: "open"}},
-		Workers:   settings.Workers{ReportS: 1, LeaseS: 8, CancelS: cancelLimit.Seconds()},
-		State:     settings.StateLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32},
+	facts := settings.Facts{ControllerCount: controllers, Zones: zones, ClockErrorMS: 5, Teams: []settings.Team{{Name: "open"}},
+		Workers:   settings.Workers{HeartbeatS: 1, LeaseS: 8, CancelS: cancelLimit.Seconds()},
+		Store:     settings.StoreLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32},
 		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 2},
 		Resources: settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 2000}}
 	dir := t.TempDir()
 	c.settingsFile, c.traceFile = filepath.Join(dir, "cells.ini"), filepath.Join(dir, "trace")
 	for i := range controllers {
 		c.relays = append(c.relays, fake.NewRelay(t, back[i]))
-		p := settings.Platform{Node: c.controllerName(i), Zone: zones[i], Listen: public[i], Back: back[i], Facts: facts,
-			Services: settings.Services{State: c.store.Addr(), Cloud: c.cloud.Addr()}}
+		p := settings.Platform{Name: c.controllerName(i), Zone: zones[i], PublicAddr: public[i], PeerAddr: back[i], Facts: facts,
+			Services: settings.Services{Store: c.store.Addr(), Cloud: c.cloud.Addr()}}
 		for k := range controllers {
 			if k != i {
-				p.Peers = append(p.Peers, settings.Peer{Node: c.controllerName(k), Zone: zones[k], Addr: back[k]})
+				p.Peers = append(p.Peers, settings.Peer{Name: c.controllerName(k), Zone: zones[k], Addr: back[k]})
 			}
 		}
 		c.processes = append(c.processes, fake.NewProcess(t, dir, p, "--settings", c.settingsFile))
@@ -173,8 +173,8 @@
 			continue
 		}
 		job := summaryOf(id)
-		if record, err := ledger.DecodeJob(id, change.Value); err == nil && record.Terminal != "" {
-			job.finalAnswers = append(job.finalAnswers, record.Terminal)
+		if record, err := ledger.DecodeJobRecord(id, change.Value); err == nil && record.TerminalState != "" {
+			job.finalAnswers = append(job.finalAnswers, record.TerminalState)
 		}
 	}
 	for _, neighbour := range neighbours {
--- a/internal/cells/trace_test.go
+++ b/internal/cells/trace_test.go
@@ -41,7 +41,7 @@
 			t.Fatal(err)
 		}
 		for _, step := range cell.steps {
-			tracer.Note(step)
+			tracer.RecordStep(step)
 		}
 	}
 	// A controller that is killed may leave an incomplete line.
--- a/internal/cells/tracer.go
+++ b/internal/cells/tracer.go
@@ -41,7 +41,7 @@
 	log    *slog.Logger
 	tracer trace.Tracer // nil if there is no file
 	// lastStep is the time of the latest step of each transfer. Only the goroutine that calls
-	// Note uses it.
+	// RecordStep uses it.
 	lastStep map[federation.ForeignKey]time.Time
 }
 
@@ -69,8 +69,8 @@
 	return t, nil
 }
 
-// Note records a step. One goroutine at a time may call it.
-func (t *Tracer) Note(step federation.TransferStep) {
+// RecordStep records a step. One goroutine at a time may call it.
+func (t *Tracer) RecordStep(step federation.TransferStep) {
 	origin, neighbour, side := step.Origin, t.cell, sideNeighbour
 	if step.Origin == "" {
 		origin, neighbour, side = t.cell, step.Cell, sideOrigin
--- a/internal/compat/deployment_config_test.go
+++ b/internal/compat/deployment_config_test.go
@@ -30,10 +30,10 @@
 // platformFacts are the facts in the controllers' platform settings.
 func platformFacts(zones []string) settings.Facts {
 	return settings.Facts{
-		Nodes: controllerCount, Zones: zones, ClockErrorMS: 5,
+		ControllerCount: controllerCount, Zones: zones, ClockErrorMS: 5,
 		Teams:     []settings.Team{{Name: "open"}, {Name: "tight", CPUsMax: tightTeamCPUs}},
-		Workers:   settings.Workers{ReportS: heartbeatInterval.Seconds(), LeaseS: workerLease.Seconds(), CancelS: cancelDeadline.Seconds()},
-		State:     settings.StateLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32},
+		Workers:   settings.Workers{HeartbeatS: heartbeatInterval.Seconds(), LeaseS: workerLease.Seconds(), CancelS: cancelDeadline.Seconds()},
+		Store:     settings.StoreLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32},
 		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 2},
 		Resources: settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 2000},
 	}
@@ -67,12 +67,12 @@
 	dir := d.t.TempDir()
 	for i := range controllerCount {
 		p := settings.Platform{
-			Node: controllerName(i), Zone: zones[i], Listen: public[i], Back: peerAddresses[i], Facts: facts,
-			Services: settings.Services{State: d.store.Addr(), Cloud: d.cloud.Addr()},
+			Name: controllerName(i), Zone: zones[i], PublicAddr: public[i], PeerAddr: peerAddresses[i], Facts: facts,
+			Services: settings.Services{Store: d.store.Addr(), Cloud: d.cloud.Addr()},
 		}
 		for k := range controllerCount {
 			if k != i {
-				p.Peers = append(p.Peers, settings.Peer{Node: controllerName(k), Zone: zones[k], Addr: relayAddresses[k]})
+				p.Peers = append(p.Peers, settings.Peer{Name: controllerName(k), Zone: zones[k], Addr: relayAddresses[k]})
 			}
 		}
 		d.controllers = append(d.controllers, fake.NewProcess(d.t, dir, p))
--- a/internal/compat/deployment_test.go
+++ b/internal/compat/deployment_test.go
@@ -117,7 +117,7 @@
 // healthy reports whether a controller serves users.
 func (d *deployment) healthy(i int) bool {
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + d.controllers[i].Platform.Listen + "/healthz")
+	resp, err := client.Get("http://" + d.controllers[i].Platform.PublicAddr + "/healthz")
 	if err != nil {
 		return false
 	}
--- a/internal/compat/recording_test.go
+++ b/internal/compat/recording_test.go
@@ -154,8 +154,8 @@
 		finished += len(j.Finished)
 		hosts += len(j.Hosts)
 	}
-	if found != len(jobs) || finished != want["fin"] || hosts != want["host"] || len(s.ScaleOuts) != want["hire"] || len(s.Gone) != want["gone"] {
-		t.Errorf("%d of %d jobs, %d finished, %d hosts, %d scale-outs, %d gone; recorded were %v", found, len(jobs), finished, hosts, len(s.ScaleOuts), len(s.Gone), want)
+	if found != len(jobs) || finished != want["fin"] || hosts != want["host"] || len(s.ScaleOuts) != want["hire"] || len(s.GoneMachines) != want["gone"] {
+		t.Errorf("%d of %d jobs, %d finished, %d hosts, %d scale-outs, %d gone; recorded were %v", found, len(jobs), finished, hosts, len(s.ScaleOuts), len(s.GoneMachines), want)
 	}
 }
 
--- a/internal/controller/assembly.go
+++ b/internal/controller/assembly.go
@@ -58,15 +58,15 @@
 	facts := p.Facts
 	c := &components{platform: p, log: log, sockets: divideSockets(facts.Resources)}
 	c.connections = &connectionTracker{hangUpAbove: int64(c.sockets.hangUpAbove), scarceAbove: int64(c.sockets.scarceAbove)}
-	rate := dispatch.FollowerShare(facts.Nodes)
-	store := kvstore.New(ctx, n, p.Services.State, facts.State, rate, log)
-	c.elector = election.New(p.Node, op, store, log)
-	others, err := peers.Dial(ctx, n, p.Node, p.Peers)
+	rate := dispatch.FollowerShare(facts.ControllerCount)
+	store := kvstore.New(ctx, n, p.Services.Store, facts.Store, rate, log)
+	c.elector = election.New(p.Name, op, store, log)
+	others, err := peers.Dial(ctx, n, p.Name, p.Peers)
 	if err != nil {
 		return nil, err
 	}
 	c.elector.Peers = others
-	c.capabilities = capability.New(p.Node, level, others.Names(), store, log)
+	c.capabilities = capability.New(p.Name, level, others.Names(), store, log)
 	c.followers = c.newFollowers(op, store, others)
 	if err := c.addDispatcher(ctx, n, op, store); err != nil {
 		return nil, err
@@ -83,14 +83,14 @@
 		Platform: p, Elector: c.elector, Store: store, Dispatcher: c.dispatcher, Peers: others, MachineTypes: types,
 		StoreShare: rate, PipelinesSupported: c.supports(capability.Pipelines), Healthy: c.health.Healthy, Log: log,
 	})
-	c.heartbeats = newHeartbeatHandler(ctx, p.Node, c.elector, c.dispatcher, others, c.connections, log)
+	c.heartbeats = newHeartbeatHandler(ctx, p.Name, c.elector, c.dispatcher, others, c.connections, log)
 	c.reachability = &reachabilityMonitor{
 		elector:             c.elector,
 		directHeartbeats:    c.heartbeats.direct,
 		forwardedHeartbeats: c.heartbeats.forwarded,
 		expectedMachines:    c.dispatcher.ExpectedMachines,
 		unansweredCommands:  c.dispatcher.UnansweredCommands,
-		heartbeatInterval:   settings.Seconds(facts.Workers.ReportS),
+		heartbeatInterval:   settings.Seconds(facts.Workers.HeartbeatS),
 		peers:               others,
 		log:                 log,
 	}
@@ -109,9 +109,9 @@
 		f.standby = standby.NewFollower(store, ledger.Prefixes(), int(op.Standby.MaxMB*(1<<20)), c.log)
 		c.elector.Ready = f.standby.Ready
 	}
-	if op.Standby.Hints {
+	if op.Standby.SoftState {
 		leader := func() string { return c.elector.View().Leader }
-		f.softState = softstate.NewFollower(c.platform.Node, leader, others.Conn, c.log)
+		f.softState = softstate.NewFollower(c.platform.Name, leader, others.Conn, c.log)
 	}
 	return f
 }
@@ -134,7 +134,7 @@
 		PipelinesSupported: c.supports(capability.Pipelines),
 		TransfersSupported: c.supports(capability.Transfers),
 		Neighbours:         neighbours,
-		TraceTransfer:      tracer.Note,
+		TraceTransfer:      tracer.RecordStep,
 	}
 	// A nil pointer in an interface would not be nil.
 	if c.followers.standby != nil {
--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -61,10 +61,10 @@
 	cloud := fake.NewCloud(b, transport.TCP{}, "127.0.0.1:0", fake.CloudConfig{Faults: refuse,
 		Types: []wire.MachineType{{Name: "m4", CPUs: 4, MemGB: 16, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 1, Zones: []string{"a"}}}})
 	addrs := fake.ReserveAddresses(b, 2)
-	p := &settings.Platform{Node: "n0", Zone: "a", Listen: addrs[0], Back: addrs[1], Services: settings.Services{State: store.Addr(), Cloud: cloud.Addr()}}
-	p.Facts = settings.Facts{Nodes: 1, Teams: []settings.Team{{Name: "t"}},
-		Workers:   settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 56},
-		State:     settings.StateLimits{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 32},
+	p := &settings.Platform{Name: "n0", Zone: "a", PublicAddr: addrs[0], PeerAddr: addrs[1], Services: settings.Services{Store: store.Addr(), Cloud: cloud.Addr()}}
+	p.Facts = settings.Facts{ControllerCount: 1, Teams: []settings.Team{{Name: "t"}},
+		Workers:   settings.Workers{HeartbeatS: 8, LeaseS: 36, CancelS: 56},
+		Store:     settings.StoreLimits{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 32},
 		Cloud:     settings.CloudLimits{RPS: 20, ListLagS: 0.1},
 		Resources: settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 4000}}
 	ctx, cancel := context.WithCancel(context.Background())
@@ -78,7 +78,7 @@
 	for range 100 {
 		time.Sleep(50 * time.Millisecond)
 		if v == nil {
-			c, err := net.Dial("tcp", p.Listen)
+			c, err := net.Dial("tcp", p.PublicAddr)
 			if err != nil {
 				continue // it does not listen yet
 			}
@@ -86,7 +86,7 @@
 			v = &httpClient{c, bufio.NewReader(c)}
 		}
 		if v.send(b, "POST", "/v1/report", heartbeatBody("vm-999999", 1)) == http.StatusOK {
-			return p.Listen
+			return p.PublicAddr
 		}
 	}
 	b.Fatal("the controller does not lead")
--- a/internal/controller/cluster_processes_test.go
+++ b/internal/controller/cluster_processes_test.go
@@ -15,7 +15,7 @@
 func (c *cluster) start(i int) {
 	n := c.nodes[i]
 	ctx, cancel := context.WithCancel(context.Background())
-	n.host, n.cancel, n.done = c.net.Host(n.platform.Node), cancel, make(chan struct{})
+	n.host, n.cancel, n.done = c.net.Host(n.platform.Name), cancel, make(chan struct{})
 	handler := slog.Handler(slog.DiscardHandler)
 	if c.operator.Standby.Follow {
 		handler = c.leaderActions
@@ -25,12 +25,12 @@
 	}
 	log := slog.New(alarmHandler{c.t, handler})
 	if os.Getenv("CLUSTER_LOG") != "" {
-		log = log.With("node", n.platform.Node, "test", c.t.Name())
+		log = log.With("node", n.platform.Name, "test", c.t.Name())
 	}
 	go func(host *fake.Host, level int, done chan struct{}) {
 		defer close(done)
 		if err := runAtLevel(ctx, level, host, n.platform, c.operator, log); err != nil && !host.IsDown() {
-			c.t.Errorf("%s ended: %v", n.platform.Node, err)
+			c.t.Errorf("%s ended: %v", n.platform.Name, err)
 		}
 	}(n.host, n.level, n.done)
 }
@@ -72,7 +72,7 @@
 		return -1
 	}
 	for i, n := range c.nodes {
-		if n.platform.Node == h.Node {
+		if n.platform.Name == h.Node {
 			return i
 		}
 	}
@@ -90,7 +90,7 @@
 	return -1
 }
 
-func (c *cluster) name(i int) string { return c.nodes[i].platform.Node }
+func (c *cluster) name(i int) string { return c.nodes[i].platform.Name }
 
 // isolate cuts a controller from all others. With hold, what they send is delivered when
 // the connection is back, and else it is refused.
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -56,7 +56,7 @@
 	teamLimits      map[string]float64
 	runTime         func(task string) time.Duration
 	writesPerSecond float64 // the key-value store's rate of writes
-	nextLimits      *settings.StateLimits
+	nextLimits      *settings.StoreLimits
 	notStarted      int // controllers that are not up yet
 	// reportTo, unless nil, are the controllers that workers know; else all.
 	reportTo []int
@@ -150,9 +150,9 @@
 	} else {
 		c.net, c.checker, c.operator, c.prefix, ownsJob = p.cell.net, p.cell.checker, p.cell.operator, p.cell.name+"-", p.cell.ownsJob
 	}
-	c.operator.Standby.Follow, c.operator.Standby.Hints = p.standby, p.standby
+	c.operator.Standby.Follow, c.operator.Standby.SoftState = p.standby, p.standby
 	if p.budgets != nil {
-		c.operator.Drain = settings.Drain{Enabled: true, Budgets: *p.budgets}
+		c.operator.Rollouts = settings.Rollouts{Enabled: true, Budgets: *p.budgets}
 	}
 	c.state = fake.NewKVStore(t, c.net.Host(c.prefix+"state"), c.prefix+"state:1", onPath("/txn", &c.writeFaults))
 	c.state.SetClockDrift(p.clockDrift)
@@ -162,7 +162,7 @@
 	c.nodes = newControllers(p, c.prefix)
 	var addresses []string
 	for _, n := range c.nodes {
-		addresses = append(addresses, n.platform.Listen)
+		addresses = append(addresses, n.platform.PublicAddr)
 	}
 	c.users = fake.NewUsers(t, c.net.Host(c.prefix+"users"), addresses, c.checker, p.seed)
 	c.cloud = c.newCloud(p)
@@ -192,13 +192,13 @@
 		if i < p.oldVersions {
 			level = 0
 		}
-		nodes = append(nodes, &controllerProcess{level: level, platform: &settings.Platform{Node: name, Zone: zone,
-			Listen: name + ":80", Back: name + ":81", Facts: p.facts(), Services: settings.Services{State: prefix + "state:1", Cloud: prefix + "cloud:1"}}})
+		nodes = append(nodes, &controllerProcess{level: level, platform: &settings.Platform{Name: name, Zone: zone,
+			PublicAddr: name + ":80", PeerAddr: name + ":81", Facts: p.facts(), Services: settings.Services{Store: prefix + "state:1", Cloud: prefix + "cloud:1"}}})
 	}
 	for i, n := range nodes {
 		for k, other := range nodes {
 			if k != i {
-				n.platform.Peers = append(n.platform.Peers, settings.Peer{Node: other.platform.Node, Zone: other.platform.Zone, Addr: other.platform.Back})
+				n.platform.Peers = append(n.platform.Peers, settings.Peer{Name: other.platform.Name, Zone: other.platform.Zone, Addr: other.platform.PeerAddr})
 			}
 		}
 	}
@@ -207,9 +207,9 @@
 
 // facts are the settings that all controllers have in common.
 func (p *clusterPlan) facts() settings.Facts {
-	facts := settings.Facts{Nodes: len(clusterZones), Zones: clusterZones, ClockErrorMS: 5,
-		Workers:   settings.Workers{ReportS: p.timings.heartbeat.Seconds(), LeaseS: p.timings.lease.Seconds(), CancelS: p.timings.cancel.Seconds()},
-		State:     settings.StateLimits{RPS: 2 * p.writesPerSecond, WriteRPS: p.writesPerSecond, ValueKB: 16, TxnOps: 32, Next: p.nextLimits},
+	facts := settings.Facts{ControllerCount: len(clusterZones), Zones: clusterZones, ClockErrorMS: 5,
+		Workers:   settings.Workers{HeartbeatS: p.timings.heartbeat.Seconds(), LeaseS: p.timings.lease.Seconds(), CancelS: p.timings.cancel.Seconds()},
+		Store:     settings.StoreLimits{RPS: 2 * p.writesPerSecond, WriteRPS: p.writesPerSecond, ValueKB: 16, TxnOps: 32, Next: p.nextLimits},
 		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 2},
 		Resources: settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 2000}}
 	for _, name := range []string{"open", "tight"} {
@@ -223,7 +223,7 @@
 	var known []fake.ControllerAddress
 	for i, n := range c.nodes {
 		if p.reportTo == nil || slices.Contains(p.reportTo, i) {
-			known = append(known, fake.ControllerAddress{Name: n.platform.Node, Addr: n.platform.Listen})
+			known = append(known, fake.ControllerAddress{Name: n.platform.Name, Addr: n.platform.PublicAddr})
 		}
 	}
 	return fake.NewCloud(c.t, c.net.Host(c.prefix+"cloud"), c.prefix+"cloud:1", fake.CloudConfig{
--- a/internal/controller/controller.go
+++ b/internal/controller/controller.go
@@ -23,14 +23,14 @@
 // that level and uses what all controllers have announced.
 func runAtLevel(ctx context.Context, level int, n transport.Network, p *settings.Platform, op settings.Operator, log *slog.Logger) error {
 	limitMemory(p.Facts.Resources)
-	public, err := n.Listen(ctx, p.Listen)
+	public, err := n.Listen(ctx, p.PublicAddr)
 	if err != nil {
-		return fmt.Errorf("public_addr %s: %w", p.Listen, err)
+		return fmt.Errorf("public_addr %s: %w", p.PublicAddr, err)
 	}
 	defer public.Close()
-	internal, err := n.Listen(ctx, p.Back)
+	internal, err := n.Listen(ctx, p.PeerAddr)
 	if err != nil {
-		return fmt.Errorf("back %s: %w", p.Back, err)
+		return fmt.Errorf("back %s: %w", p.PeerAddr, err)
 	}
 	defer internal.Close()
 	ctx, cancel := context.WithCancel(ctx)
@@ -39,7 +39,7 @@
 	if err != nil {
 		return err
 	}
-	log.Info("serving", "node", p.Node, "zone", p.Zone, "public_address", p.Listen, "peer_address", p.Back, "peers", len(p.Peers))
+	log.Info("serving", "node", p.Name, "zone", p.Zone, "public_address", p.PublicAddr, "peer_address", p.PeerAddr, "peers", len(p.Peers))
 	components.start(ctx)
 	return components.serve(ctx, public, internal)
 }
--- a/internal/controller/federated_cells_test.go
+++ b/internal/controller/federated_cells_test.go
@@ -60,7 +60,7 @@
 func (p *federationPlan) operatorOf(cell string) settings.Operator {
 	o := settings.Defaults()
 	o.MaxMachines = p.maxMachinesOf(cell)
-	o.Cells.Name, o.Cells.Spill = cell, true
+	o.Cells.Name, o.Cells.DelegateJobs = cell, true
 	o.Cells.ShortageFor, o.Cells.MaxWait = 3*time.Second, 10*time.Second
 	o.Cells.Repeatable = map[string]bool{repeatableClass: true}
 	neighbours := p.neighbours[cell]
@@ -73,7 +73,7 @@
 			controllers = append(controllers, fmt.Sprintf("%s-n%d:81", n, k))
 		}
 		o.Cells.Neighbours = append(o.Cells.Neighbours, settings.Neighbour{Name: n, Controllers: controllers, Preference: i,
-			MaxJobs: 50, MaxCores: 64, LendCores: 64, TakeBack: 15 * time.Second})
+			MaxJobs: 50, MaxCores: 64, MaxOfferedCores: 64, ReclaimAfter: 15 * time.Second})
 	}
 	return o
 }
@@ -239,7 +239,7 @@
 func (f *federatedCells) eachLink(a, b string, do func(x, y string)) {
 	for _, x := range f.cells[a].nodes {
 		for _, y := range f.cells[b].nodes {
-			do(x.platform.Node, y.platform.Node)
+			do(x.platform.Name, y.platform.Name)
 		}
 	}
 }
@@ -259,7 +259,7 @@
 	f.awaitDelegated("a", federation.Accepted)
 	for _, x := range f.cells[from].nodes {
 		for _, y := range f.cells[to].nodes {
-			f.net.PartitionOneWay(x.platform.Node, y.platform.Node)
+			f.net.PartitionOneWay(x.platform.Name, y.platform.Name)
 		}
 	}
 	time.Sleep(20 * time.Second)
--- a/internal/controller/federation_measure_test.go
+++ b/internal/controller/federation_measure_test.go
@@ -60,7 +60,7 @@
 		submitted := make(chan map[string]time.Time, 1)
 		submitted <- map[string]time.Time{}
 		for _, c := range f.cells {
-			c.operator.Cells.Spill = spilling
+			c.operator.Cells.DelegateJobs = spilling
 			for i := range c.nodes {
 				c.start(i)
 			}
--- a/internal/controller/federation_test.go
+++ b/internal/controller/federation_test.go
@@ -46,7 +46,7 @@
 		f.awaitDelegated("a", federation.Accepted)
 		f.awaitPrecisely("a result at the neighbour", func() bool {
 			for _, value := range f.entries("b", ledger.JobPrefix) {
-				if rec, err := ledger.DecodeJob("", value); err == nil && rec.Origin == "a" && rec.Terminal != "" {
+				if rec, err := ledger.DecodeJobRecord("", value); err == nil && rec.Origin == "a" && rec.TerminalState != "" {
 					return true
 				}
 			}
@@ -284,7 +284,7 @@
 	runFederationScenario(t, twoCells(), func(f *federatedCells) {
 		f.cells["a"].users.Go(func() { f.overload("a", 24, nil) })
 		f.awaitDelegated("a", federation.Accepted)
-		f.restartWith(func(o *settings.Operator) { o.Cells.Neighbours[0].Drain = true })
+		f.restartWith(func(o *settings.Operator) { o.Cells.Neighbours[0].Draining = true })
 		f.cells["a"].await("no job away", 2*time.Minute, func() bool { return f.cells["a"].state.Count("cell/away/") == 0 })
 		f.cells["b"].await("no guest", time.Minute, func() bool { return len(f.foreignJobs("b", federation.ForeignAccepted)) == 0 })
 		drained := len(f.forwardedJobs("a"))
--- a/internal/controller/soft_state_measure_test.go
+++ b/internal/controller/soft_state_measure_test.go
@@ -20,7 +20,7 @@
 			t.Run(fmt.Sprintf("%d/hints=%t", round, hinted), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					c := newCluster(t, clusterPlan{maxMachines: largestCluster, writesPerSecond: 400, runTime: longRunning(3 * time.Minute), standby: true, seed: uint64(round)})
-					c.operator.Standby.Hints = hinted
+					c.operator.Standby.SoftState = hinted
 					for i := range c.nodes {
 						c.start(i)
 					}
--- a/internal/controller/store_failures_test.go
+++ b/internal/controller/store_failures_test.go
@@ -98,7 +98,7 @@
 // and fewer writes from some moment on, without notice: in the middle of work, as a
 // leader ends, at the end of an outage, or before all controllers are known to be upgraded.
 func TestStateLimitsFall(t *testing.T) {
-	low := settings.StateLimits{RPS: 200, WriteRPS: 40, ValueKB: 1, TxnOps: 5}
+	low := settings.StoreLimits{RPS: 200, WriteRPS: 40, ValueKB: 1, TxnOps: 5}
 	for name, when := range map[string]func(c *cluster, fall func()){
 		"in the middle": func(_ *cluster, fall func()) { fall() },
 		"as the leader ends": func(c *cluster, fall func()) {
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -137,7 +137,7 @@
 // that are submitted, cancelled and polled throughout. What the upgraded controllers write
 // before all are upgraded is what production writes; pipelines are taken afterwards.
 func TestVersionsSideBySide(t *testing.T) {
-	low := settings.StateLimits{RPS: 200, WriteRPS: 40, ValueKB: 1, TxnOps: 5}
+	low := settings.StoreLimits{RPS: 200, WriteRPS: 40, ValueKB: 1, TxnOps: 5}
 	scenarios := []struct {
 		name string
 		play func(c *cluster)
--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -102,7 +102,7 @@
 
 // inspectWorker asks a worker for its state and passes the response to the core. Reading
 // does no harm, so it takes no leadership check.
-func (d *Dispatcher) inspectWorker(ctx context.Context, effect scheduler.InspectWorker) {
+func (d *Dispatcher) inspectWorker(ctx context.Context, effect scheduler.InspectAgent) {
 	result := scheduler.InspectResult{Machine: effect.Machine}
 	request := workerRequest{address: effect.Address, method: http.MethodGet, path: "/inspect"}
 	response, err := d.workers.call(ctx, request, func() bool { return true })
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -20,13 +20,13 @@
 			t.callCloud(ctx, effect.Call)
 		case scheduler.SendCommands:
 			go t.sendCommands(ctx, t.number, effect)
-		case scheduler.InspectWorker:
+		case scheduler.InspectAgent:
 			go t.inspectWorker(ctx, effect)
 		case scheduler.ResignLeadership:
 			t.elector.Resign(t.number)
 		case scheduler.SendTransfers:
 			go t.sendTransfers(ctx, effect)
-		case scheduler.AskCapacity:
+		case scheduler.RequestCapacity:
 			go t.askCapacity(ctx, effect)
 		case scheduler.WriteForeign:
 			go t.writeForeignRecord(ctx, effect)
--- a/internal/dispatch/event_loop.go
+++ b/internal/dispatch/event_loop.go
@@ -22,7 +22,7 @@
 		t.updateCapabilities()
 		t.applyBatch(ctx, event, &throttle)
 		began := time.Now()
-		effects := t.core.Settle()
+		effects := t.core.Flush()
 		throttle.placed(began, time.Since(began))
 		t.expectedMachines.Store(int64(t.core.ExpectedAgents()))
 		t.executeEffects(ctx, effects)
@@ -82,7 +82,7 @@
 func (d *Dispatcher) maxValueBytes() int {
 	size := d.store.Limits().MaxValueBytes
 	if d.config.PipelinesSupported() {
-		size = min(size, d.config.Platform.Facts.State.LeastValueBytes())
+		size = min(size, d.config.Platform.Facts.Store.LeastValueBytes())
 	}
 	// The store may count a value as it keeps it, with more between its parts than
 	// this controller writes.
--- a/internal/dispatch/federation.go
+++ b/internal/dispatch/federation.go
@@ -54,7 +54,7 @@
 }
 
 // askCapacity asks another cell for capacity and passes its offer to the core.
-func (t *term) askCapacity(ctx context.Context, effect scheduler.AskCapacity) {
+func (t *term) askCapacity(ctx context.Context, effect scheduler.RequestCapacity) {
 	offer, err := t.config.Neighbours.AskCapacity(ctx, effect.Cell, effect.Cores)
 	t.postEvent(ctx, scheduler.CapacityResult{
 		Cell: effect.Cell, Cores: offer.Cores, For: offer.For, RetryAfter: offer.RetryAfter, Reason: offer.Reason, Err: err,
--- a/internal/dispatch/job_watch.go
+++ b/internal/dispatch/job_watch.go
@@ -70,7 +70,7 @@
 
 func (d *Dispatcher) postJobRecord(ctx context.Context, key string, value json.RawMessage, version uint64) {
 	job := strings.TrimPrefix(key, ledger.JobPrefix)
-	record, err := ledger.DecodeJob(job, value)
+	record, err := ledger.DecodeJobRecord(job, value)
 	if err != nil {
 		d.log.Error("job record malformed", "key", key, "error", err)
 		return
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -88,7 +88,7 @@
 // ledgerLimits bounds the ledger's transactions by what the key-value store accepts now.
 func (d *Dispatcher) ledgerLimits() ledger.Limits {
 	store := d.store.Limits()
-	writesPerSecond := store.WriteRPS * leaderShare(d.config.Platform.Facts.Nodes)
+	writesPerSecond := store.WriteRPS * leaderShare(d.config.Platform.Facts.ControllerCount)
 	return ledger.Limits{
 		MaxChanges:       max(minTransactionChanges, min(store.MaxChanges, int(writesPerSecond))),
 		TransactionBytes: maxTransactionBytes,
--- a/internal/dispatch/term_lifecycle.go
+++ b/internal/dispatch/term_lifecycle.go
@@ -45,7 +45,7 @@
 		return current
 	}
 	current.end()
-	controllers := d.config.Platform.Facts.Nodes
+	controllers := d.config.Platform.Facts.ControllerCount
 	if !view.Elected {
 		d.store.SetRateShare(FollowerShare(controllers))
 		return nil
--- a/internal/fake/deployment.go
+++ b/internal/fake/deployment.go
@@ -116,15 +116,15 @@
 // platform returns the platform settings of one controller.
 func (d *Deployment) platform(t *testing.T, i int, facts settings.Facts, addresses controllerAddresses) settings.Platform {
 	platform := settings.Platform{
-		Node: controllerName(i), Zone: "a", Listen: addresses.public[i], Back: addresses.peer[i], Facts: facts,
-		Services: settings.Services{State: d.Store.Addr(), Cloud: d.Cloud.Addr()},
+		Name: controllerName(i), Zone: "a", PublicAddr: addresses.public[i], PeerAddr: addresses.peer[i], Facts: facts,
+		Services: settings.Services{Store: d.Store.Addr(), Cloud: d.Cloud.Addr()},
 	}
 	if d.Relays != nil {
-		platform.Services.State = d.Relays[i].Store.Addr()
+		platform.Services.Store = d.Relays[i].Store.Addr()
 	}
 	for k, address := range addresses.peer {
 		if k != i {
-			platform.Peers = append(platform.Peers, settings.Peer{Node: controllerName(k), Zone: "a", Addr: d.peerAddress(t, i, address)})
+			platform.Peers = append(platform.Peers, settings.Peer{Name: controllerName(k), Zone: "a", Addr: d.peerAddress(t, i, address)})
 		}
 	}
 	return platform
--- a/internal/fake/deployment_settings.go
+++ b/internal/fake/deployment_settings.go
@@ -22,9 +22,9 @@
 func (p *DeploymentPlan) facts() settings.Facts {
 	writes := float64(minWriteRPS + p.Machines/machinesPerWritePerSecond)
 	facts := settings.Facts{
-		Nodes: p.Controllers, Zones: []string{"a"}, ClockErrorMS: 5,
-		Workers:   settings.Workers{ReportS: p.HeartbeatInterval.Seconds(), LeaseS: p.WorkerLease.Seconds(), CancelS: p.CancelDeadline.Seconds()},
-		State:     settings.StateLimits{RPS: writes * minStoreRPS / minWriteRPS, WriteRPS: writes, ValueKB: 16, TxnOps: 32},
+		ControllerCount: p.Controllers, Zones: []string{"a"}, ClockErrorMS: 5,
+		Workers:   settings.Workers{HeartbeatS: p.HeartbeatInterval.Seconds(), LeaseS: p.WorkerLease.Seconds(), CancelS: p.CancelDeadline.Seconds()},
+		Store:     settings.StoreLimits{RPS: writes * minStoreRPS / minWriteRPS, WriteRPS: writes, ValueKB: 16, TxnOps: 32},
 		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 2},
 		Resources: settings.Resources{CPUShare: 1, RAMMB: 1000, Sockets: max(minSockets, socketsPerMachine*p.Machines)},
 	}
--- a/internal/fake/process.go
+++ b/internal/fake/process.go
@@ -39,7 +39,7 @@
 	if err := toml.NewEncoder(&text).Encode(p); err != nil {
 		t.Fatal(err)
 	}
-	c := &Process{Platform: p, Arguments: arguments, t: t, configFile: filepath.Join(dir, p.Node+".toml")}
+	c := &Process{Platform: p, Arguments: arguments, t: t, configFile: filepath.Join(dir, p.Name+".toml")}
 	if err := os.WriteFile(c.configFile, text.Bytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -134,7 +134,7 @@
 	if value := s.Value(election.LeaderKey); value == nil || json.Unmarshal(value, &holder) != nil {
 		return -1
 	}
-	return slices.IndexFunc(controllers, func(c *Process) bool { return c.Platform.Node == holder.Node })
+	return slices.IndexFunc(controllers, func(c *Process) bool { return c.Platform.Name == holder.Node })
 }
 
 // KeepLogs copies controllers' logs to a directory that outlives the test, and returns it.
@@ -148,7 +148,7 @@
 	for _, c := range controllers {
 		text, err := os.ReadFile(c.logFile())
 		if err == nil {
-			err = os.WriteFile(filepath.Join(dir, c.Platform.Node+".log"), text, 0o600)
+			err = os.WriteFile(filepath.Join(dir, c.Platform.Name+".log"), text, 0o600)
 		}
 		if err != nil {
 			t.Error(err)
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -29,7 +29,7 @@
 	refusedHosts      map[string]bool
 	delay             time.Duration        // added to each response
 	clockDrift        float64              // the share by which its clock runs fast
-	limits            settings.StateLimits // zero: none
+	limits            settings.StoreLimits // zero: none
 	writeBudget       float64              // tokens left in the bucket that limits the rate of writes
 	budgetRefilledAt  time.Time
 }
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -37,7 +37,7 @@
 
 // SetLimits makes the store refuse values and transactions beyond the limits, and writes beyond the
 // rate, from now on. What is stored stays readable.
-func (s *KVStore) SetLimits(l settings.StateLimits) {
+func (s *KVStore) SetLimits(l settings.StoreLimits) {
 	s.do(func() { s.limits, s.writeBudget, s.budgetRefilledAt = l, l.WriteRPS, time.Now() })
 }
 
--- a/internal/jobapi/cancellations.go
+++ b/internal/jobapi/cancellations.go
@@ -48,7 +48,7 @@
 // cancelAtLeader forwards a cancellation to the leader. Without one, a job that has ended
 // can still be answered for.
 func (s *Service) cancelAtLeader(ctx context.Context, leader string, request Request) Response {
-	if !request.LocalOnly && leader != "" && leader != s.Platform.Node {
+	if !request.LocalOnly && leader != "" && leader != s.Platform.Name {
 		if response, err := s.askPeer(ctx, cancelTimeout, leader, request); err == nil {
 			return response
 		}
--- a/internal/jobapi/dependencies.go
+++ b/internal/jobapi/dependencies.go
@@ -83,8 +83,8 @@
 // called queued.
 func (s *Service) recordedState(ctx context.Context, record *ledger.JobRecord) (string, error) {
 	switch {
-	case record.Terminal != "":
-		return record.Terminal, nil
+	case record.TerminalState != "":
+		return record.TerminalState, nil
 	case record.Job == nil:
 		return wire.JobQueued, nil
 	}
@@ -117,8 +117,8 @@
 		case errors.Is(err, errNoRecord):
 		case err != nil:
 			return false, err
-		case stored.record.Terminal == wire.JobDone:
-		case stored.record.Terminal == wire.JobCancelled:
+		case stored.record.TerminalState == wire.JobDone:
+		case stored.record.TerminalState == wire.JobCancelled:
 			return true, nil
 		case stored.record.Job != nil:
 			pending = append(pending, stored.record.Job.DependsOn...)
--- a/internal/jobapi/fakes_test.go
+++ b/internal/jobapi/fakes_test.go
@@ -104,9 +104,9 @@
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	config := Config{
-		Platform: &settings.Platform{Node: "n1", Facts: settings.Facts{
+		Platform: &settings.Platform{Name: "n1", Facts: settings.Facts{
 			Teams: []settings.Team{{Name: "t", CPUsMax: 6}},
-			State: settings.StateLimits{WriteRPS: 40, TxnOps: 8, ValueKB: 16},
+			Store: settings.StoreLimits{WriteRPS: 40, TxnOps: 8, ValueKB: 16},
 		}},
 		Elector:    election.New("n1", settings.Operator{LeaderLease: time.Second}, nil, log),
 		Store:      store,
--- a/internal/jobapi/forwarding.go
+++ b/internal/jobapi/forwarding.go
@@ -54,7 +54,7 @@
 func (s *Service) forwardingOrder() []string {
 	others := s.Peers.Names()
 	leader := s.Elector.View().Leader
-	if leader == s.Platform.Node || !slices.Contains(others, leader) {
+	if leader == s.Platform.Name || !slices.Contains(others, leader) {
 		return others
 	}
 	order := []string{leader}
--- a/internal/jobapi/group_commit_test.go
+++ b/internal/jobapi/group_commit_test.go
@@ -29,7 +29,7 @@
 			continue
 		}
 		accepted++
-		end := ledger.JobRecord{Job: j.CancelledSummary(), AcceptedMS: 1796190522949, Terminal: wire.JobCancelled, Tasks: j.Tasks, Done: j.Tasks - 1, EndedMS: 1796190522949}
+		end := ledger.JobRecord{Job: j.CancelledSummary(), AcceptedMS: 1796190522949, TerminalState: wire.JobCancelled, Tasks: j.Tasks, Done: j.Tasks - 1, EndedMS: 1796190522949}
 		b, err := json.Marshal(end)
 		if err != nil || len(b) > limit {
 			t.Errorf("%d bytes of class: the end takes %d bytes of %d: %v", length, len(b), limit, err)
--- a/internal/jobapi/http_test.go
+++ b/internal/jobapi/http_test.go
@@ -89,9 +89,9 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			store := &fakeStore{down: c.down, busy: c.busy, records: map[string]ledger.JobRecord{
-				"job/job-3": {Origin: "lima", TransferEpoch: 1, Terminal: wire.JobDone, Tasks: 1, Done: 1},
-				"job/job-7": {Terminal: wire.JobDone, Tasks: 2, Done: 2}, "job/job-8": {Job: &wire.Job{ID: "job-8", Tasks: 1}},
-				"job/job-6":  {Terminal: wire.JobCancelled, Job: &wire.Job{ID: "job-6", Tasks: 1}},
+				"job/job-3": {Origin: "lima", TransferEpoch: 1, TerminalState: wire.JobDone, Tasks: 1, Done: 1},
+				"job/job-7": {TerminalState: wire.JobDone, Tasks: 2, Done: 2}, "job/job-8": {Job: &wire.Job{ID: "job-8", Tasks: 1}},
+				"job/job-6":  {TerminalState: wire.JobCancelled, Job: &wire.Job{ID: "job-6", Tasks: 1}},
 				"job/job-5":  {Job: &wire.Job{ID: "job-5", Tasks: 1, DependsOn: []string{"job-7", "job-51"}}},
 				"job/job-51": {Job: &wire.Job{ID: "job-51", Tasks: 1, DependsOn: []string{"job-6"}}},
 				"job/job-4":  {Job: &wire.Job{ID: "job-4", Tasks: 1}}}}
--- a/internal/jobapi/idempotency.go
+++ b/internal/jobapi/idempotency.go
@@ -29,7 +29,7 @@
 	if record.Origin != "" {
 		return problem(http.StatusUnprocessableEntity, "a job of this name runs here for cell %s", record.Origin)
 	}
-	if record.Terminal == "" {
+	if record.TerminalState == "" {
 		if status, err := s.statusFromLeader(ctx, request.JobID, request.LocalOnly); err == nil {
 			return JSON(http.StatusOK, wire.JobResponse{ID: request.JobID, Status: status.Status})
 		}
--- a/internal/jobapi/records.go
+++ b/internal/jobapi/records.go
@@ -32,7 +32,7 @@
 	case !found:
 		return storedRecord{}, errNoRecord
 	}
-	record, err := ledger.DecodeJob(jobID, entry.Value)
+	record, err := ledger.DecodeJobRecord(jobID, entry.Value)
 	if err != nil {
 		s.Log.Error("job record malformed", "job", jobID, "error", err)
 		return storedRecord{}, fmt.Errorf("%w: %w", errMalformedRecord, err)
--- a/internal/jobapi/service.go
+++ b/internal/jobapi/service.go
@@ -86,7 +86,7 @@
 		s.teams[team.Name] = team
 	}
 	// What is accepted now has to fit when the limits have fallen.
-	s.commits = newGroupCommit(config.Store, config.StoreShare, facts.State.LeastValueBytes())
+	s.commits = newGroupCommit(config.Store, config.StoreShare, facts.Store.LeastValueBytes())
 	go s.commits.run(ctx)
 	return s
 }
--- a/internal/jobapi/status.go
+++ b/internal/jobapi/status.go
@@ -51,7 +51,7 @@
 		return status, nil
 	}
 	leader := s.Elector.View().Leader
-	if localOnly || leader == "" || leader == s.Platform.Node {
+	if localOnly || leader == "" || leader == s.Platform.Name {
 		return wire.JobStatus{}, errLeaderUnavailable
 	}
 	response, err := s.askPeer(ctx, leaderStatusTimeout, leader, Request{Kind: Status, JobID: jobID})
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -30,7 +30,7 @@
 
 // New returns a client whose rate limiter runs until ctx ends. This controller's initial share of
 // the store's rates is given.
-func New(ctx context.Context, n transport.Network, addr string, l settings.StateLimits, share float64, log *slog.Logger) *Client {
+func New(ctx context.Context, n transport.Network, addr string, l settings.StoreLimits, share float64, log *slog.Logger) *Client {
 	limits, availability := newLimitTracker(l, log), newAvailability(log)
 	c := &Client{
 		baseURL:      "http://" + addr,
--- a/internal/kvstore/limits.go
+++ b/internal/kvstore/limits.go
@@ -19,7 +19,7 @@
 	WriteRPS      float64
 }
 
-func limitsOf(l settings.StateLimits) *Limits {
+func limitsOf(l settings.StoreLimits) *Limits {
 	return &Limits{MaxChanges: l.TxnOps, MaxValueBytes: int(l.ValueKB * 1024), RPS: l.RPS, WriteRPS: l.WriteRPS}
 }
 
@@ -46,7 +46,7 @@
 	refusals []time.Time
 }
 
-func newLimitTracker(l settings.StateLimits, log *slog.Logger) *limitTracker {
+func newLimitTracker(l settings.StoreLimits, log *slog.Logger) *limitTracker {
 	t := &limitTracker{log: log}
 	t.current.Store(limitsOf(l))
 	if l.Next != nil {
--- a/internal/kvstore/limits_test.go
+++ b/internal/kvstore/limits_test.go
@@ -11,7 +11,7 @@
 )
 
 // announcedLimits are lower limits that the settings announce.
-var announcedLimits = &settings.StateLimits{RPS: 100, WriteRPS: 20, TxnOps: 5, ValueKB: 2}
+var announcedLimits = &settings.StoreLimits{RPS: 100, WriteRPS: 20, TxnOps: 5, ValueKB: 2}
 
 // TestRepeatedRateRefusalsLowerLimits: writes that are refused for the rate again and again show
 // that the announced limits are in force. An occasional refusal does not, nor any without announced
@@ -19,7 +19,7 @@
 func TestRepeatedRateRefusalsLowerLimits(t *testing.T) {
 	cases := []struct {
 		name      string
-		announced *settings.StateLimits
+		announced *settings.StoreLimits
 		writes    int
 		times     int
 		interval  time.Duration
--- a/internal/kvstore/rate_limiter_test.go
+++ b/internal/kvstore/rate_limiter_test.go
@@ -14,7 +14,7 @@
 )
 
 // startRateLimiter runs a rate limiter until the test ends.
-func startRateLimiter(t *testing.T, l settings.StateLimits, share float64) *rateLimiter {
+func startRateLimiter(t *testing.T, l settings.StoreLimits, share float64) *rateLimiter {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	limiter := newRateLimiter(newLimitTracker(l, log), newAvailability(log), share)
@@ -23,8 +23,8 @@
 }
 
 // limitsOfRates are limits with given rates.
-func limitsOfRates(rps, writeRPS float64) settings.StateLimits {
-	return settings.StateLimits{RPS: rps, WriteRPS: writeRPS, TxnOps: 32, ValueKB: 16}
+func limitsOfRates(rps, writeRPS float64) settings.StoreLimits {
+	return settings.StoreLimits{RPS: rps, WriteRPS: writeRPS, TxnOps: 32, ValueKB: 16}
 }
 
 func TestRateIsKept(t *testing.T) {
--- a/internal/leadertransfer/leadertransfer.go
+++ b/internal/leadertransfer/leadertransfer.go
@@ -57,7 +57,7 @@
 // Status returns the role of this controller and the state of its standby.
 func (s *Server) Status(context.Context, *handoverpb.StatusRequest) (*handoverpb.StatusReply, error) {
 	v := s.elector.View()
-	reply := &handoverpb.StatusReply{Node: s.platform.Node, Leader: v.Leader}
+	reply := &handoverpb.StatusReply{Node: s.platform.Name, Leader: v.Leader}
 	if v.IsLeader(time.Now()) {
 		reply.Term = v.Term
 	}
@@ -139,7 +139,7 @@
 		return nil, status.Error(codes.FailedPrecondition, err.Error())
 	}
 	for _, p := range s.platform.Peers {
-		s.requestCandidacy(ctx, p, p.Node == successor)
+		s.requestCandidacy(ctx, p, p.Name == successor)
 	}
 	s.log.Info("transferring the leadership", "leader_term", v.Term, "successor", successor)
 	s.elector.Resign(v.Term)
@@ -154,7 +154,7 @@
 		return err
 	})
 	if err != nil {
-		s.log.Info("candidacy request failed", "controller", p.Node, "error", err)
+		s.log.Info("candidacy request failed", "controller", p.Name, "error", err)
 	}
 }
 
@@ -227,7 +227,7 @@
 // controllers returns all controllers of a deployment in the order of their names.
 func controllers(p *settings.Platform) []settings.Peer {
 	all := p.Controllers()
-	slices.SortFunc(all, func(a, b settings.Peer) int { return strings.Compare(a.Node, b.Node) })
+	slices.SortFunc(all, func(a, b settings.Peer) int { return strings.Compare(a.Name, b.Name) })
 	return all
 }
 
@@ -241,7 +241,7 @@
 	for _, c := range controllers(p) {
 		st, err := fetchStatus(ctx, n, c.Addr)
 		if err != nil {
-			st = &handoverpb.StatusReply{Node: c.Node, State: "no answer", Why: err.Error()}
+			st = &handoverpb.StatusReply{Node: c.Name, State: "no answer", Why: err.Error()}
 		}
 		newestRevision = max(newestRevision, st.Revision)
 		all = append(all, st)
--- a/internal/ledger/compatibility_test.go
+++ b/internal/ledger/compatibility_test.go
@@ -39,13 +39,13 @@
 		t.Fatal(s.Malformed)
 	}
 	open, aborted, done := s.Jobs[0].Record, s.Jobs[1].Record, s.Jobs[2].Record
-	if open.Terminal != "" || open.Job.Tasks != 5 || open.Job.DependsOn != nil || *open.Job.DeadlineS != 90 || open.AcceptedMS != 946684800123 {
+	if open.TerminalState != "" || open.Job.Tasks != 5 || open.Job.DependsOn != nil || *open.Job.DeadlineS != 90 || open.AcceptedMS != 946684800123 {
 		t.Errorf("an open job: %+v", open)
 	}
-	if aborted.Terminal != wire.JobCancelled || aborted.Done != 2 || aborted.Job.Team != "t" {
+	if aborted.TerminalState != wire.JobCancelled || aborted.Done != 2 || aborted.Job.Team != "t" {
 		t.Errorf("a cancelled job: %+v", aborted)
 	}
-	if done.Terminal != wire.JobDone || done.Cores != 7.5 || done.EndedMS != 0 {
+	if done.TerminalState != wire.JobDone || done.Cores != 7.5 || done.EndedMS != 0 {
 		t.Errorf("a job that is done: %+v", done)
 	}
 	finished := 0
@@ -53,8 +53,8 @@
 	if finished != 3 || len(s.Jobs[0].Hosts) != 1 || !reflect.DeepEqual(s.Jobs[0].Hosts[0].Machines, []string{"vm-000001", "vm-000002"}) {
 		t.Errorf("what is kept besides: %+v", s.Jobs[0])
 	}
-	if len(s.ScaleOuts) != 1 || s.ScaleOuts[0].Request.Count != 2 || len(s.Gone) != 1 || s.Unreachable["silent/7-1"].LeaseExpiryMS != 946684800999 {
-		t.Errorf("scale-outs %+v, gone %v, unreachable %+v", s.ScaleOuts, s.Gone, s.Unreachable)
+	if len(s.ScaleOuts) != 1 || s.ScaleOuts[0].Request.Count != 2 || len(s.GoneMachines) != 1 || s.Unreachable["silent/7-1"].LeaseExpiryMS != 946684800999 {
+		t.Errorf("scale-outs %+v, gone %v, unreachable %+v", s.ScaleOuts, s.GoneMachines, s.Unreachable)
 	}
 }
 
@@ -110,8 +110,8 @@
 		terminal string
 	}{
 		{"an open job", JobRecord{Job: j, AcceptedMS: 946684800123}, productionOpen, "", true, ""},
-		{"done", JobRecord{AcceptedMS: 946684800123, Terminal: wire.JobDone, Tasks: 5, Done: 5, Class: "c", Team: "t", Cores: 7.5, RunS: 8.25, EndedMS: 946684801000}, "", "ended_ms", false, "done"},
-		{"cancelled", JobRecord{Job: j.CancelledSummary(), AcceptedMS: 946684800123, Terminal: wire.JobCancelled, Tasks: 5, Done: 2, EndedMS: 946684801000}, "", "ended_ms", true, "aborted"},
+		{"done", JobRecord{AcceptedMS: 946684800123, TerminalState: wire.JobDone, Tasks: 5, Done: 5, Class: "c", Team: "t", Cores: 7.5, RunS: 8.25, EndedMS: 946684801000}, "", "ended_ms", false, "done"},
+		{"cancelled", JobRecord{Job: j.CancelledSummary(), AcceptedMS: 946684800123, TerminalState: wire.JobCancelled, Tasks: 5, Done: 2, EndedMS: 946684801000}, "", "ended_ms", true, "aborted"},
 		{"one with dependencies", JobRecord{Job: &wire.Job{ID: "job-000002", Class: "c", Team: "t", Kind: "batch", Priority: "high", Tasks: 1, DependsOn: []string{"job-000001"}}}, "", "waits_on", true, ""},
 	}
 	for _, c := range cases {
--- a/internal/ledger/decode.go
+++ b/internal/ledger/decode.go
@@ -74,7 +74,7 @@
 
 func (d *snapshotDecoder) decodeJob(entry *wire.Entry) error {
 	id := strings.TrimPrefix(entry.Key, JobPrefix)
-	record, err := DecodeJob(id, entry.Value)
+	record, err := DecodeJobRecord(id, entry.Value)
 	if err != nil {
 		return err
 	}
@@ -115,7 +115,7 @@
 }
 
 func (d *snapshotDecoder) decodeGone(entry *wire.Entry) error {
-	d.snapshot.Gone = append(d.snapshot.Gone, strings.TrimPrefix(entry.Key, gonePrefix))
+	d.snapshot.GoneMachines = append(d.snapshot.GoneMachines, strings.TrimPrefix(entry.Key, gonePrefix))
 	return nil
 }
 
--- a/internal/ledger/decode_bench_test.go
+++ b/internal/ledger/decode_bench_test.go
@@ -22,7 +22,7 @@
 	for i := range 2000 {
 		jobID := fmt.Sprintf("job-%06d", i)
 		if i%5 > 0 {
-			add(JobKey(jobID), JobRecord{AcceptedMS: 1, Terminal: wire.JobDone, Tasks: 120, Done: 120, Class: "c", Team: "t", Cores: 120, RunS: 15})
+			add(JobKey(jobID), JobRecord{AcceptedMS: 1, TerminalState: wire.JobDone, Tasks: 120, Done: 120, Class: "c", Team: "t", Cores: 120, RunS: 15})
 			continue
 		}
 		add(JobKey(jobID), JobRecord{AcceptedMS: 1, Job: &wire.Job{ID: jobID, Class: "c", Team: "t", Kind: "batch", Priority: "high", Tasks: 120, CPUs: 1, MemGB: 3, Image: "i", ImageGB: 1, Spot: true, EstimatedRunS: 15}})
@@ -31,7 +31,7 @@
 		for k := range 40 {
 			hosts = append(hosts, fmt.Sprintf("vm-%06d", 40*i+k))
 		}
-		add(HostKey(jobID, 0), hosts)
+		add(HostsKey(jobID, 0), hosts)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
--- a/internal/ledger/job_record.go
+++ b/internal/ledger/job_record.go
@@ -15,11 +15,11 @@
 	Job *wire.Job `json:"job,omitempty"`
 	// AcceptedMS is the time of day of the acceptance.
 	AcceptedMS int64 `json:"accepted_ms"`
-	// Terminal is empty, wire.JobDone or wire.JobCancelled. A record is never deleted;
+	// TerminalState is empty, wire.JobDone or wire.JobCancelled. A record is never deleted;
 	// with a terminal state it shrinks to what queries need.
-	Terminal string `json:"fate,omitempty"`
-	Tasks    int    `json:"tasks,omitempty"`
-	Done     int    `json:"done,omitempty"`
+	TerminalState string `json:"fate,omitempty"`
+	Tasks         int    `json:"tasks,omitempty"`
+	Done          int    `json:"done,omitempty"`
 	// EndedMS is the time of day of the terminal state.
 	EndedMS int64 `json:"ended_ms,omitempty"`
 	// What a finished job asked for, from which a new leader learns the demand.
@@ -33,8 +33,8 @@
 	TransferEpoch uint64 `json:"epoch,omitempty"`
 }
 
-// DecodeJob reads the record of a job. The error is a *KeyError.
-func DecodeJob(jobID string, value []byte) (JobRecord, error) {
+// DecodeJobRecord reads the record of a job. The error is a *KeyError.
+func DecodeJobRecord(jobID string, value []byte) (JobRecord, error) {
 	var record JobRecord
 	err := json.Unmarshal(value, &record)
 	if err == nil {
@@ -48,14 +48,14 @@
 
 // check finds what no controller can have written.
 func (r *JobRecord) check(jobID string) error {
-	switch r.Terminal {
+	switch r.TerminalState {
 	case "":
 		if r.Job == nil {
 			return errors.New("neither a description nor a terminal state")
 		}
 	case wire.JobDone, wire.JobCancelled:
 	default:
-		return fmt.Errorf("unknown terminal state %q", r.Terminal)
+		return fmt.Errorf("unknown terminal state %q", r.TerminalState)
 	}
 	if r.Tasks < 0 || r.Tasks > wire.MaxTasks || r.Done < 0 || r.Done > wire.MaxTasks {
 		return fmt.Errorf("%d of %d tasks done", r.Done, r.Tasks)
--- a/internal/ledger/keys.go
+++ b/internal/ledger/keys.go
@@ -45,8 +45,8 @@
 	return fmt.Sprintf("%s.%d", FinishedTasksKey(jobID, chunk), first)
 }
 
-// HostKey is the key of one chunk of the machines a job's tasks may be on.
-func HostKey(jobID string, chunk int) string {
+// HostsKey is the key of one chunk of the machines a job's tasks may be on.
+func HostsKey(jobID string, chunk int) string {
 	return fmt.Sprintf("%s%s/%d", hostsPrefix, jobID, chunk)
 }
 
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -10,9 +10,9 @@
 
 // Snapshot is the whole ledger, read at the start of a term.
 type Snapshot struct {
-	Jobs      []SavedJob
-	ScaleOuts []ScaleOutRecord
-	Gone      []string
+	Jobs         []SavedJob
+	ScaleOuts    []ScaleOutRecord
+	GoneMachines []string
 	// Delegated and Foreign are the transfers.
 	Delegated []SavedDelegated
 	Foreign   []SavedForeign
--- a/internal/lint/protocol_words_lists_test.go
+++ b/internal/lint/protocol_words_lists_test.go
@@ -96,10 +96,6 @@
 // allowedIdentifiers are the identifiers that may contain a word of the protocol.
 var allowedIdentifiers = []exception{
 	{"internal/rollout/record.go", "PhaseAborted", "a plan that its operator aborted, as leadproxy drain abort says it"},
-	{"internal/rollout/record.go", "Hire", "not renamed yet"},
-	{"internal/rollout/phases.go", "HirePrefix", "not renamed yet"},
-	{"internal/rollout/view.go", "Hired", "not renamed yet"},
-	{"internal/rollout/view.go", "HireAhead", "not renamed yet"},
 }
 
 // allowedFields are the fields that may be named like their tag though it is a word of the
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -39,13 +39,13 @@
 	for _, other := range others {
 		conn, err := rpc.Connect(network, other.Addr, grpc.WithInitialWindowSize(windowBytes), grpc.WithInitialConnWindowSize(windowBytes))
 		if err != nil {
-			return nil, fmt.Errorf("peer %s: %w", other.Node, err)
+			return nil, fmt.Errorf("peer %s: %w", other.Name, err)
 		}
 		context.AfterFunc(ctx, func() { conn.Close() })
 		client := peerpb.NewPeerClient(conn)
 		forwarder := newForwarder(node, func(ctx context.Context) (heartbeatStream, error) { return client.Share(ctx) })
-		p.names = append(p.names, other.Node)
-		p.byName[other.Node] = peer{conn: conn, client: client, forwarder: forwarder}
+		p.names = append(p.names, other.Name)
+		p.byName[other.Name] = peer{conn: conn, client: client, forwarder: forwarder}
 		go forwarder.run(ctx)
 	}
 	return p, nil
--- a/internal/property/rapid.go
+++ b/internal/property/rapid.go
@@ -33,8 +33,8 @@
 	IntN(n int) int
 }
 
-// Drawn makes choices that rapid draws, so that rapid can shrink a failing history.
-type Drawn struct{ T *rapid.T }
+// RapidChooser makes choices that rapid draws, so that rapid can shrink a failing history.
+type RapidChooser struct{ T *rapid.T }
 
 // IntN is a number from 0 to n-1.
-func (d Drawn) IntN(n int) int { return rapid.IntRange(0, n-1).Draw(d.T, "choice") }
+func (d RapidChooser) IntN(n int) int { return rapid.IntRange(0, n-1).Draw(d.T, "choice") }
--- a/internal/rollout/budgets.go
+++ b/internal/rollout/budgets.go
@@ -26,7 +26,7 @@
 
 // Job identifies a job and the groups that it belongs to.
 type Job struct {
-	Ref         string
+	ID          string
 	Team, Class string
 }
 
@@ -54,12 +54,12 @@
 type Budgets struct {
 	// General is the budget of each team that has none of its own. Classes have none then.
 	General Budget
-	Of      map[Group]Budget
+	ByGroup map[Group]Budget
 }
 
 // budgetOf returns the budget of a group; ok is false if the group has none.
 func (b Budgets) budgetOf(g Group) (budget Budget, ok bool) {
-	if budget, ok = b.Of[g]; ok {
+	if budget, ok = b.ByGroup[g]; ok {
 		return budget, true
 	}
 	if name, isTeam := g.Team(); isTeam && name != "" {
@@ -68,10 +68,10 @@
 	return Budget{}, false
 }
 
-// Longest is the longest window of all budgets.
-func (b Budgets) Longest() time.Duration {
+// LongestWindow is the longest window of all budgets.
+func (b Budgets) LongestWindow() time.Duration {
 	longest := b.General.Window
-	for _, budget := range b.Of {
+	for _, budget := range b.ByGroup {
 		longest = max(longest, budget.Window)
 	}
 	return longest
--- a/internal/rollout/commands.go
+++ b/internal/rollout/commands.go
@@ -27,18 +27,18 @@
 	endedByOperator  = "aborted by an operator"
 )
 
-// Steer carries out a command. It takes effect once the record is durable.
-func (c *Rollout) Steer(command Command, argument string, wallMS int64) error {
-	if c.record.Phase.Over() {
+// Apply carries out a command. It takes effect once the record is durable.
+func (c *Controller) Apply(command Command, argument string, wallMS int64) error {
+	if c.record.Phase.Ended() {
 		return fmt.Errorf("%w: it is %s", ErrCommand, c.record.Phase)
 	}
 	c.waitReasons = nil // the next step finds them again
 	switch command {
 	case Pause:
-		c.record.Paused, c.record.Why = true, pausedByOperator
+		c.record.Paused, c.record.Reason = true, pausedByOperator
 		c.recordChanged()
 	case Resume:
-		c.record.Paused, c.record.Why = false, ""
+		c.record.Paused, c.record.Reason = false, ""
 		c.recordChanged()
 	case Abort:
 		c.end(PhaseAborted, endedByOperator, wallMS)
@@ -53,7 +53,7 @@
 }
 
 // addName adds the job or machine that a command names to a list of the record.
-func (c *Rollout) addName(list *[]string, command Command, name string) error {
+func (c *Controller) addName(list *[]string, command Command, name string) error {
 	if name == "" {
 		return fmt.Errorf("%w: %s of what?", ErrCommand, command)
 	}
--- a/internal/rollout/disruptions.go
+++ b/internal/rollout/disruptions.go
@@ -10,8 +10,8 @@
 // Cause is the reason for which a task lost its machine.
 type Cause string
 
-// Move is the cause of voluntary disruptions, the evictions by plans. All others are involuntary.
-const Move Cause = "move"
+// CauseEviction is the cause of voluntary disruptions, the evictions by plans. All others are involuntary.
+const CauseEviction Cause = "move"
 
 // disruption is the disruption of one job: from the moment when a task loses its machine until
 // all its tasks have regained the progress that they lost.
@@ -32,22 +32,24 @@
 	runningSince time.Duration // if running
 }
 
-// Account tracks the disrupted jobs and compares them with the budgets. Voluntary and
+// DisruptionTracker tracks the disrupted jobs and compares them with the budgets. Voluntary and
 // involuntary disruptions are recorded in it, and only voluntary ones are ever refused.
-type Account struct {
+type DisruptionTracker struct {
 	budgets Budgets
 	jobs    map[string]*disruption
 }
 
-// NewAccount returns a tracker without disrupted jobs.
-func NewAccount(b Budgets) *Account { return &Account{budgets: b, jobs: map[string]*disruption{}} }
+// NewDisruptionTracker returns a tracker without disrupted jobs.
+func NewDisruptionTracker(b Budgets) *DisruptionTracker {
+	return &DisruptionTracker{budgets: b, jobs: map[string]*disruption{}}
+}
 
-// Lose records that a task of a job has lost its machine, and progress that took a time to make.
-func (t *Account) Lose(j Job, index int, lostProgress time.Duration, cause Cause, now time.Duration) {
-	d := t.jobs[j.Ref]
+// TaskDisrupted records that a task of a job has lost its machine, and progress that took a time to make.
+func (t *DisruptionTracker) TaskDisrupted(j Job, index int, lostProgress time.Duration, cause Cause, now time.Duration) {
+	d := t.jobs[j.ID]
 	if d == nil {
 		d = &disruption{job: j, tasks: map[int]*disruptedTask{}}
-		t.jobs[j.Ref] = d
+		t.jobs[j.ID] = d
 	}
 	if !d.ongoing {
 		d.ongoing, d.started, d.cause = true, now, cause
@@ -58,8 +60,8 @@
 	d.tasks[index] = &disruptedTask{lostProgress: lostProgress}
 }
 
-// Runs records that a task runs, from now on if it did not before.
-func (t *Account) Runs(jobID string, index int, now time.Duration) {
+// TaskRunning records that a task runs, from now on if it did not before.
+func (t *DisruptionTracker) TaskRunning(jobID string, index int, now time.Duration) {
 	d := t.jobs[jobID]
 	if d == nil {
 		return
@@ -69,16 +71,16 @@
 	}
 }
 
-// Ends records that a task has finished and has no progress to regain any more.
-func (t *Account) Ends(jobID string, index int, now time.Duration) {
+// TaskFinished records that a task has finished and has no progress to regain any more.
+func (t *DisruptionTracker) TaskFinished(jobID string, index int, now time.Duration) {
 	if d := t.jobs[jobID]; d != nil {
 		delete(d.tasks, index)
 		d.endIfRegained()
 	}
 }
 
-// Over records that a job has ended.
-func (t *Account) Over(jobID string, now time.Duration) {
+// JobFinished records that a job has ended.
+func (t *DisruptionTracker) JobFinished(jobID string, now time.Duration) {
 	if d := t.jobs[jobID]; d != nil {
 		clear(d.tasks)
 		d.endIfRegained()
@@ -94,7 +96,7 @@
 
 // Tick ends the disruptions whose progress is regained, and forgets those that do not count any
 // more.
-func (t *Account) Tick(now time.Duration) {
+func (t *DisruptionTracker) Tick(now time.Duration) {
 	for jobID, d := range t.jobs {
 		for index, task := range d.tasks {
 			if task.running && now-task.runningSince >= task.lostProgress {
@@ -109,26 +111,26 @@
 }
 
 // counts reports whether a disruption still counts for one of its groups.
-func (t *Account) counts(d *disruption, now time.Duration) bool {
+func (t *DisruptionTracker) counts(d *disruption, now time.Duration) bool {
 	return slices.ContainsFunc(d.job.groups(), func(g Group) bool { return t.countsFor(d, g, now) })
 }
 
-func (t *Account) countsFor(d *disruption, g Group, now time.Duration) bool {
+func (t *DisruptionTracker) countsFor(d *disruption, g Group, now time.Duration) bool {
 	budget, ok := t.budgets.budgetOf(g)
 	return d.ongoing || ok && now-d.started < budget.Window
 }
 
 // isRecorded reports whether a job's disruption still counts, as of the last tick.
-func (t *Account) isRecorded(jobID string) bool { return t.jobs[jobID] != nil }
+func (t *DisruptionTracker) isRecorded(jobID string) bool { return t.jobs[jobID] != nil }
 
 // isDisrupted reports whether a job is disrupted now.
-func (t *Account) isDisrupted(jobID string) bool {
+func (t *DisruptionTracker) isDisrupted(jobID string) bool {
 	d := t.jobs[jobID]
 	return d != nil && d.ongoing
 }
 
 // disruptedJobs is the number of jobs that count for a group.
-func (t *Account) disruptedJobs(g Group, now time.Duration) int {
+func (t *DisruptionTracker) disruptedJobs(g Group, now time.Duration) int {
 	count := 0
 	for _, d := range t.jobs {
 		if slices.Contains(d.job.groups(), g) && t.countsFor(d, g, now) {
@@ -142,14 +144,14 @@
 // running is the number of running jobs of a group. A job that is already disrupted does not
 // count against itself; but where lost machines have disrupted more jobs than the budget allows,
 // none of these is evicted on top of that.
-func (t *Account) checkBudgets(j Job, running func(Group) int, now time.Duration) error {
+func (t *DisruptionTracker) checkBudgets(j Job, running func(Group) int, now time.Duration) error {
 	for _, g := range j.groups() {
 		budget, ok := t.budgets.budgetOf(g)
 		if !ok {
 			continue
 		}
 		disrupted, limit := t.disruptedJobs(g, now), budget.limit(running(g))
-		if d := t.jobs[j.Ref]; d != nil && t.countsFor(d, g, now) {
+		if d := t.jobs[j.ID]; d != nil && t.countsFor(d, g, now) {
 			disrupted-- // the job itself
 		}
 		if disrupted >= limit {
@@ -159,25 +161,25 @@
 	return nil
 }
 
-// Entry is a disrupted job as operators see it.
-type Entry struct {
+// Disruption is a disrupted job as operators see it.
+type Disruption struct {
 	Job   Job
 	Cause Cause
-	// For is the time since the disruption began.
-	For time.Duration
+	// Duration is the time since the disruption began.
+	Duration time.Duration
 	// Tasks is the number of tasks that have not regained their lost progress.
 	Tasks int
-	// Open is false for a disruption that has ended and still counts.
-	Open bool
+	// Ongoing is false for a disruption that has ended and still counts.
+	Ongoing bool
 }
 
-// Entries lists the jobs that count, the oldest disruption first.
-func (t *Account) Entries(now time.Duration) []Entry {
-	var all []Entry
+// Disruptions lists the jobs that count, the oldest disruption first.
+func (t *DisruptionTracker) Disruptions(now time.Duration) []Disruption {
+	var all []Disruption
 	for _, jobID := range slices.Sorted(maps.Keys(t.jobs)) {
 		d := t.jobs[jobID]
-		all = append(all, Entry{Job: d.job, Cause: d.cause, For: now - d.started, Tasks: len(d.tasks), Open: d.ongoing})
+		all = append(all, Disruption{Job: d.job, Cause: d.cause, Duration: now - d.started, Tasks: len(d.tasks), Ongoing: d.ongoing})
 	}
-	slices.SortStableFunc(all, func(x, y Entry) int { return cmp.Compare(y.For, x.For) })
+	slices.SortStableFunc(all, func(x, y Disruption) int { return cmp.Compare(y.Duration, x.Duration) })
 	return all
 }
--- a/internal/rollout/disruptions_test.go
+++ b/internal/rollout/disruptions_test.go
@@ -11,10 +11,10 @@
 // evictions until these have regained their progress and their window is over.
 func TestLoweredBudget(t *testing.T) {
 	budgets := Budgets{General: Budget{Jobs: 1, Window: time.Minute}}
-	disruptions := NewAccount(budgets)
+	disruptions := NewDisruptionTracker(budgets)
 	running := func(Group) int { return 10 }
 	for _, jobID := range []string{"job-1", "job-2"} {
-		disruptions.Lose(Job{jobID, "t", "c"}, 0, 10*time.Second, "machine lost", 0)
+		disruptions.TaskDisrupted(Job{jobID, "t", "c"}, 0, 10*time.Second, "machine lost", 0)
 	}
 	for _, jobID := range []string{"job-1", "job-3"} {
 		var budget *BudgetError
@@ -22,11 +22,11 @@
 			t.Errorf("eviction of %s: %v, want a budget of 1", jobID, err)
 		}
 	}
-	disruptions.Runs("job-1", 0, 20*time.Second)
-	disruptions.Over("job-2", 30*time.Second)
+	disruptions.TaskRunning("job-1", 0, 20*time.Second)
+	disruptions.JobFinished("job-2", 30*time.Second)
 	disruptions.Tick(40 * time.Second)
 	if disruptions.isDisrupted("job-1") || disruptions.isDisrupted("job-2") || disruptions.disruptedJobs(TeamGroup("t"), 40*time.Second) != 2 {
-		t.Errorf("%+v", disruptions.Entries(40*time.Second))
+		t.Errorf("%+v", disruptions.Disruptions(40*time.Second))
 	}
 	disruptions.Tick(2 * time.Minute)
 	if err := disruptions.checkBudgets(Job{"job-3", "t", "c"}, running, 2*time.Minute); err != nil {
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -16,11 +16,11 @@
 // TestGoldenConstants compares the constants that are stored or that operators use.
 func TestGoldenConstants(t *testing.T) {
 	property.CheckGoldenValues(t, "constants", map[string]any{
-		"phase choosing":        Choosing,
+		"phase choosing":        PhaseSelecting,
 		"phase hiring":          PhaseScalingOut,
-		"phase draining":        Draining,
+		"phase draining":        PhaseDraining,
 		"phase checking":        PhaseChecking,
-		"phase finished":        Finished,
+		"phase finished":        PhaseFinished,
 		"phase aborted":         PhaseAborted,
 		"phase failed":          PhaseFailed,
 		"command pause":         Pause,
@@ -28,9 +28,9 @@
 		"command abort":         Abort,
 		"command allow":         Allow,
 		"command skip":          Skip,
-		"cause move":            Move,
+		"cause move":            CauseEviction,
 		"record version":        RecordVersion,
-		"prefix of hires":       HirePrefix,
+		"prefix of hires":       ScaleOutRequestPrefix,
 		"group of the team a":   TeamGroup("a"),
 		"group of the class a":  ClassGroup("a"),
 		"most listed machines":  maxListed,
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -22,7 +22,7 @@
 )
 
 func modelBudgets() Budgets {
-	return Budgets{General: Budget{Jobs: 2, Window: modelWindow}, Of: map[Group]Budget{TeamGroup("b"): {Share: 0.25, Window: modelWindow}, ClassGroup("one"): {Jobs: 1, Window: modelWindow}}}
+	return Budgets{General: Budget{Jobs: 2, Window: modelWindow}, ByGroup: map[Group]Budget{TeamGroup("b"): {Share: 0.25, Window: modelWindow}, ClassGroup("one"): {Jobs: 1, Window: modelWindow}}}
 }
 
 // modelTask is a task of the model.
@@ -49,15 +49,15 @@
 
 type model struct {
 	t      *rapid.T
-	random property.Drawn
+	random property.RapidChooser
 	now    time.Duration
 	// machines are those that exist; true: replacements that a plan rented.
 	machines map[string]bool
 	tasks    []*modelTask
 	rented   map[string][]string // by request
 
-	disruptions *Account
-	plans       map[string]*Rollout
+	disruptions *DisruptionTracker
+	plans       map[string]*Controller
 	durable     map[string]Record
 	// leaderSince is when the current leader began.
 	leaderSince time.Duration
@@ -71,7 +71,7 @@
 	jobs := map[string]bool{}
 	for _, t := range m.tasks {
 		if t.machine != "" && slices.Contains(groupsOf(t.job), g) {
-			jobs[t.job.Ref] = true
+			jobs[t.job.ID] = true
 		}
 	}
 	return len(jobs)
@@ -82,7 +82,7 @@
 	jobs := map[string]bool{}
 	for _, t := range m.tasks {
 		if t.disrupted && t.evicted && slices.Contains(groupsOf(t.job), g) {
-			jobs[t.job.Ref] = true
+			jobs[t.job.ID] = true
 		}
 	}
 	return jobs
@@ -91,11 +91,11 @@
 // takeOff takes a task off its machine.
 func (m *model) takeOff(t *modelTask, cause Cause) {
 	lost := t.progressAtRisk()
-	t.machine, t.disrupted, t.evicted = "", true, cause == Move
+	t.machine, t.disrupted, t.evicted = "", true, cause == CauseEviction
 	t.lostProgress, t.ran = lost, t.ran-lost
 	t.left += lost
-	if cause != Move {
-		m.disruptions.Lose(t.job, t.index, lost, cause, m.now)
+	if cause != CauseEviction {
+		m.disruptions.TaskDisrupted(t.job, t.index, lost, cause, m.now)
 		return
 	}
 	for _, g := range groupsOf(t.job) {
@@ -114,16 +114,16 @@
 	machine := Machine{Name: name}
 	for _, t := range m.tasks {
 		if t.machine == name {
-			machine.Tasks = append(machine.Tasks, Task{Job: t.job, Index: t.index, Left: t.left, Lost: t.progressAtRisk(), Slack: time.Hour, HasRoom: true})
+			machine.Tasks = append(machine.Tasks, Task{Job: t.job, Index: t.index, RemainingRun: t.left, LostProgress: t.progressAtRisk(), Slack: time.Hour, HasCapacity: true})
 		}
 	}
 	machine.Empty = len(machine.Tasks) == 0
 	return machine
 }
 
-func (m *model) view(r *Rollout) *View {
+func (m *model) view(r *Controller) *View {
 	record, _ := r.Record()
-	v := &View{Now: m.now, WallMS: m.now.Milliseconds(), MayMove: m.now-m.leaderSince >= modelWindow, Running: m.runningJobs, Hired: m.rented[record.Hire]}
+	v := &View{Now: m.now, WallMS: m.now.Milliseconds(), MayDisrupt: m.now-m.leaderSince >= modelWindow, RunningJobs: m.runningJobs, Rented: m.rented[record.ScaleOutRequestID]}
 	for _, name := range slices.Sorted(maps.Keys(m.machines)) {
 		if !m.machines[name] && !slices.Contains(record.Batch, name) {
 			v.Candidates = append(v.Candidates, m.machine(name))
@@ -148,21 +148,21 @@
 			m.carryOut(plan, action)
 		}
 		record, _ := plan.Record()
-		if !record.Phase.Over() && plan.Durable() && len(plan.Waits()) == 0 && record.Phase != Draining {
+		if !record.Phase.Ended() && plan.IsDurable() && len(plan.WaitReasons()) == 0 && record.Phase != PhaseDraining {
 			m.t.Fatalf("plan %s is %s and waits for nothing", name, record.Phase)
 		}
 	}
 }
 
-func (m *model) carryOut(plan *Rollout, action Act) {
-	if !plan.Durable() {
+func (m *model) carryOut(plan *Controller, action Action) {
+	if !plan.IsDurable() {
 		m.t.Fatal("an action is returned before the record is durable")
 	}
 	switch a := action.(type) {
-	case MoveTask:
+	case EvictTask:
 		for _, t := range m.tasks {
-			if t.job.Ref == a.Ref && t.index == a.Task && t.machine == a.Machine {
-				m.takeOff(t, Move)
+			if t.job.ID == a.JobID && t.index == a.Task && t.machine == a.Machine {
+				m.takeOff(t, CauseEviction)
 			}
 		}
 	case ReturnMachine:
@@ -171,14 +171,14 @@
 			m.t.Fatalf("%s is returned: %+v", a.Machine, machine)
 		}
 		delete(m.machines, a.Machine)
-	case HireAhead:
-		if m.rented[a.Request] != nil {
+	case ScaleOutAhead:
+		if m.rented[a.RequestID] != nil {
 			return
 		}
-		for i := range a.Like {
-			name := fmt.Sprintf("new-%s-%d", a.Request, i)
+		for i := range a.Replaced {
+			name := fmt.Sprintf("new-%s-%d", a.RequestID, i)
 			m.machines[name] = true
-			m.rented[a.Request] = append(m.rented[a.Request], name)
+			m.rented[a.RequestID] = append(m.rented[a.RequestID], name)
 		}
 	}
 }
@@ -188,25 +188,25 @@
 	for name, plan := range m.plans {
 		record, generation := plan.Record()
 		m.durable[name] = record
-		plan.Saved(generation)
+		plan.MarkDurable(generation)
 	}
 }
 
 // failOver begins the term of a new leader, from the durable records.
 func (m *model) failOver() {
-	m.disruptions, m.leaderSince = NewAccount(modelBudgets()), m.now
+	m.disruptions, m.leaderSince = NewDisruptionTracker(modelBudgets()), m.now
 	for _, name := range slices.Sorted(maps.Keys(m.durable)) {
-		m.plans[name] = NewRollout(m.durable[name], m.disruptions, m.isDone, m.now, m.now.Milliseconds())
+		m.plans[name] = NewController(m.durable[name], m.disruptions, m.isDone, m.now, m.now.Milliseconds())
 	}
 	for _, t := range m.tasks { // the agents send heartbeats to the new leader
 		if t.machine != "" {
-			m.disruptions.Runs(t.job.Ref, t.index, m.now)
+			m.disruptions.TaskRunning(t.job.ID, t.index, m.now)
 		}
 	}
 }
 
 func (m *model) isDone(jobID string, task int) bool {
-	return !slices.ContainsFunc(m.tasks, func(t *modelTask) bool { return t.job.Ref == jobID && t.index == task })
+	return !slices.ContainsFunc(m.tasks, func(t *modelTask) bool { return t.job.ID == jobID && t.index == task })
 }
 
 // tick lets a second pass: tasks run and finish, and waiting ones are placed.
@@ -223,13 +223,13 @@
 			m.run(t)
 		} else {
 			t.machine, t.ran = open[m.random.IntN(len(open))], 0
-			m.disruptions.Runs(t.job.Ref, t.index, m.now)
+			m.disruptions.TaskRunning(t.job.ID, t.index, m.now)
 		}
 		if t.left > 0 {
 			unfinished = append(unfinished, t)
 			continue
 		}
-		m.disruptions.Ends(t.job.Ref, t.index, m.now)
+		m.disruptions.TaskFinished(t.job.ID, t.index, m.now)
 	}
 	m.tasks = unfinished
 }
@@ -261,7 +261,7 @@
 func (m *model) pauseOrResume() {
 	for _, name := range slices.Sorted(maps.Keys(m.plans)) {
 		command := []Command{Pause, Resume}[m.random.IntN(2)]
-		if err := m.plans[name].Steer(command, "", m.now.Milliseconds()); err != nil && !m.plans[name].record.Phase.Over() {
+		if err := m.plans[name].Apply(command, "", m.now.Milliseconds()); err != nil && !m.plans[name].record.Phase.Ended() {
 			m.t.Fatal(err)
 		}
 	}
@@ -269,7 +269,7 @@
 
 func (m *model) cordoned(machine string) bool {
 	for _, plan := range m.plans {
-		if plan.Cordons(machine) {
+		if plan.IsCordoned(machine) {
 			return true
 		}
 	}
@@ -277,14 +277,14 @@
 }
 
 func newModel(t *rapid.T) *model {
-	m := &model{t: t, random: property.Drawn{T: t}, now: time.Minute, machines: map[string]bool{}, rented: map[string][]string{},
-		plans: map[string]*Rollout{}, durable: map[string]Record{}, disruptions: NewAccount(modelBudgets())}
+	m := &model{t: t, random: property.RapidChooser{T: t}, now: time.Minute, machines: map[string]bool{}, rented: map[string][]string{},
+		plans: map[string]*Controller{}, durable: map[string]Record{}, disruptions: NewDisruptionTracker(modelBudgets())}
 	for i := range 2 + m.random.IntN(5) {
 		m.machines[fmt.Sprintf("old-%d", i)] = false
 	}
 	names := slices.Sorted(maps.Keys(m.machines))
 	for i := range 2 + m.random.IntN(8) {
-		job := Job{Ref: fmt.Sprintf("job-%d", i), Team: []string{"a", "b"}[m.random.IntN(2)], Class: []string{"one", "many"}[m.random.IntN(2)]}
+		job := Job{ID: fmt.Sprintf("job-%d", i), Team: []string{"a", "b"}[m.random.IntN(2)], Class: []string{"one", "many"}[m.random.IntN(2)]}
 		for k := range 1 + m.random.IntN(3) {
 			m.tasks = append(m.tasks, &modelTask{job: job, index: k, machine: names[m.random.IntN(len(names))],
 				left: time.Duration(10+m.random.IntN(200)) * time.Second, checkpoints: m.random.IntN(2) == 0})
@@ -292,7 +292,7 @@
 	}
 	for i := range 1 + m.random.IntN(2) {
 		spec := Spec{Name: fmt.Sprintf("plan-%d", i), Zones: []string{"a"}, Canary: m.random.IntN(2), Batch: 1 + m.random.IntN(3), Surge: m.random.IntN(2) == 0, WaitS: float64(m.random.IntN(60)), CheckS: 1, HealthS: 600}
-		m.durable[spec.Name] = Record{Version: RecordVersion, Spec: spec, CreatedMS: m.now.Milliseconds(), Phase: Choosing, PhaseMS: m.now.Milliseconds()}
+		m.durable[spec.Name] = Record{Version: RecordVersion, Spec: spec, CreatedMS: m.now.Milliseconds(), Phase: PhaseSelecting, PhaseMS: m.now.Milliseconds()}
 	}
 	m.failOver()
 	return m
@@ -300,7 +300,7 @@
 
 func (m *model) allOver() bool {
 	for _, plan := range m.plans {
-		if !plan.record.Phase.Over() {
+		if !plan.record.Phase.Ended() {
 			return false
 		}
 	}
@@ -329,13 +329,13 @@
 // endTroubles has the operator resume each plan and allow all jobs to lose their progress.
 func (m *model) endTroubles() {
 	for _, plan := range m.plans {
-		if !plan.record.Phase.Over() {
-			if err := plan.Steer(Resume, "", m.now.Milliseconds()); err != nil {
+		if !plan.record.Phase.Ended() {
+			if err := plan.Apply(Resume, "", m.now.Milliseconds()); err != nil {
 				m.t.Fatal(err)
 			}
 		}
 		for _, task := range m.tasks {
-			plan.Steer(Allow, task.job.Ref, m.now.Milliseconds())
+			plan.Apply(Allow, task.job.ID, m.now.Milliseconds())
 		}
 	}
 }
@@ -367,8 +367,8 @@
 // machines.
 func (m *model) checkEnded() {
 	for name, plan := range m.plans {
-		if !plan.record.Phase.Over() {
-			m.t.Fatalf("plan %s has not ended: %s, %v", name, plan.record.Phase, plan.Waits())
+		if !plan.record.Phase.Ended() {
+			m.t.Fatalf("plan %s has not ended: %s, %v", name, plan.record.Phase, plan.WaitReasons())
 		}
 		if plan.record.Phase == PhaseFailed {
 			continue // a replacement has crashed
--- a/internal/rollout/phases.go
+++ b/internal/rollout/phases.go
@@ -8,19 +8,19 @@
 	"time"
 )
 
-// HirePrefix begins the names of the requests for replacements.
-const HirePrefix = "drain-"
+// ScaleOutRequestPrefix begins the names of the requests for replacements.
+const ScaleOutRequestPrefix = "drain-"
 
 // selectBatch selects the machines of the next batch: those on which the least progress would be
 // lost.
-func (c *Rollout) selectBatch(v *View) {
-	if !v.MayMove {
+func (c *Controller) selectBatch(v *View) {
+	if !v.MayDisrupt {
 		c.waitFor("all machines to be heard of since the leader began")
 		return
 	}
 	remaining := slices.DeleteFunc(slices.Clone(v.Candidates), func(m Machine) bool { return m.Gone || slices.Contains(c.record.Skipped, m.Name) })
 	if len(remaining) == 0 {
-		c.end(Finished, "no machine is left", v.WallMS)
+		c.end(PhaseFinished, "no machine is left", v.WallMS)
 		return
 	}
 	slices.SortStableFunc(remaining, func(a, b Machine) int {
@@ -31,19 +31,19 @@
 		c.record.Batch = append(c.record.Batch, m.Name)
 	}
 	c.record.Step++
-	c.record.Replacements, c.record.Hire = nil, ""
+	c.record.Replacements, c.record.ScaleOutRequestID = nil, ""
 	if c.record.Spec.Surge {
-		c.record.Hire = HirePrefix + fmt.Sprintf("%s-%d-%d", c.record.Spec.Name, c.record.CreatedMS, c.record.Step)
+		c.record.ScaleOutRequestID = ScaleOutRequestPrefix + fmt.Sprintf("%s-%d-%d", c.record.Spec.Name, c.record.CreatedMS, c.record.Step)
 		c.enter(PhaseScalingOut, v.WallMS)
 		return
 	}
-	c.enter(Draining, v.WallMS)
+	c.enter(PhaseDraining, v.WallMS)
 }
 
 // scaleOut rents the replacements and waits until they are healthy.
-func (c *Rollout) scaleOut(v *View) []Act {
-	if len(c.record.Replacements) == 0 && len(v.Hired) > 0 {
-		c.record.Replacements = slices.Clone(v.Hired)
+func (c *Controller) scaleOut(v *View) []Action {
+	if len(c.record.Replacements) == 0 && len(v.Rented) > 0 {
+		c.record.Replacements = slices.Clone(v.Rented)
 		c.recordChanged()
 		return nil
 	}
@@ -58,7 +58,7 @@
 		}
 	}
 	if healthy >= len(c.record.Batch) {
-		c.enter(Draining, v.WallMS)
+		c.enter(PhaseDraining, v.WallMS)
 		return nil
 	}
 	if c.phaseDuration(v) > seconds(c.record.Spec.HealthS) {
@@ -66,16 +66,16 @@
 		return nil
 	}
 	c.waitFor("replacements: %d of %d are healthy", healthy, len(c.record.Batch))
-	return []Act{HireAhead{Request: c.record.Hire, Like: c.record.Batch}}
+	return []Action{ScaleOutAhead{RequestID: c.record.ScaleOutRequestID, Replaced: c.record.Batch}}
 }
 
-func (c *Rollout) endFailedReplacement(m Replacement, v *View) {
+func (c *Controller) endFailedReplacement(m Replacement, v *View) {
 	c.end(PhaseFailed, "replacement "+m.Name+" has failed", v.WallMS)
 }
 
 // drainBatch evicts the tasks of the batch's machines and returns those that are empty.
-func (c *Rollout) drainBatch(v *View) []Act {
-	var actions []Act
+func (c *Controller) drainBatch(v *View) []Action {
+	var actions []Action
 	drained := 0
 	for i := range v.Batch {
 		m := &v.Batch[i]
@@ -101,8 +101,8 @@
 
 // checkHealth ends the step once its evicted jobs are no longer disrupted and its replacements
 // are healthy.
-func (c *Rollout) checkHealth(v *View) {
-	for _, e := range c.record.Moves {
+func (c *Controller) checkHealth(v *View) {
+	for _, e := range c.record.Evictions {
 		if c.disruptions.isDisrupted(e.JobID) {
 			c.waitFor("%s to be whole again", e.JobID)
 		}
@@ -119,7 +119,7 @@
 	switch {
 	case len(c.waitReasons) == 0:
 		c.record.Batch = nil
-		c.enter(Choosing, v.WallMS)
+		c.enter(PhaseSelecting, v.WallMS)
 	case c.phaseDuration(v) > seconds(c.record.Spec.HealthS):
 		c.end(PhaseFailed, "not healthy after health_s: "+strings.Join(c.waitReasons, ", "), v.WallMS)
 	}
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -13,17 +13,17 @@
 
 // The phases. In the last three, the plan has ended.
 const (
-	Choosing        Phase = "choosing"
+	PhaseSelecting  Phase = "choosing"
 	PhaseScalingOut Phase = "hiring"
-	Draining        Phase = "draining"
+	PhaseDraining   Phase = "draining"
 	PhaseChecking   Phase = "checking"
-	Finished        Phase = "finished"
+	PhaseFinished   Phase = "finished"
 	PhaseAborted    Phase = "aborted"
 	PhaseFailed     Phase = "failed"
 )
 
-// Over reports whether a plan has ended.
-func (p Phase) Over() bool { return p == Finished || p == PhaseAborted || p == PhaseFailed }
+// Ended reports whether a plan has ended.
+func (p Phase) Ended() bool { return p == PhaseFinished || p == PhaseAborted || p == PhaseFailed }
 
 // Record is a plan as the ledger stores it.
 type Record struct {
@@ -34,15 +34,15 @@
 	// PhaseMS is the time of day at which the phase began.
 	PhaseMS int64 `json:"phase_ms"`
 	Paused  bool  `json:"paused,omitempty"`
-	// Why is the reason for which the plan is paused or has ended.
-	Why  string `json:"why,omitempty"`
-	Step int    `json:"step"` // steps begun
-	// Batch are the machines of the current step, and Hire is the name of the request for their
+	// Reason is the reason for which the plan is paused or has ended.
+	Reason string `json:"why,omitempty"`
+	Step   int    `json:"step"` // steps begun
+	// Batch are the machines of the current step, and ScaleOutRequestID is the name of the request for their
 	// replacements.
-	Batch        []string         `json:"batch,omitempty"`
-	Hire         string           `json:"hire,omitempty"`
-	Replacements []string         `json:"replacements,omitempty"`
-	Moves        []EvictionRecord `json:"moves,omitempty"`
+	Batch             []string         `json:"batch,omitempty"`
+	ScaleOutRequestID string           `json:"hire,omitempty"`
+	Replacements      []string         `json:"replacements,omitempty"`
+	Evictions         []EvictionRecord `json:"moves,omitempty"`
 	// Allowed are jobs that may lose their progress, by the operator's permission, and Skipped
 	// are machines that are left out.
 	Allowed []string `json:"allowed,omitempty"`
@@ -72,14 +72,14 @@
 		return fmt.Errorf("%w: version %d, %d is known", ErrRecord, r.Version, RecordVersion)
 	}
 	switch r.Phase {
-	case Choosing, PhaseScalingOut, Draining, PhaseChecking, Finished, PhaseAborted, PhaseFailed:
+	case PhaseSelecting, PhaseScalingOut, PhaseDraining, PhaseChecking, PhaseFinished, PhaseAborted, PhaseFailed:
 	default:
 		return fmt.Errorf("%w: unknown phase %q", ErrRecord, r.Phase)
 	}
 	if r.Spec.Name != name || r.Step < 0 || r.Drained < 0 {
 		return fmt.Errorf("%w: plan %q, step %d, %d machines drained", ErrRecord, r.Spec.Name, r.Step, r.Drained)
 	}
-	for _, e := range r.Moves {
+	for _, e := range r.Evictions {
 		if e.Task < 0 || e.LostProgressMS < 0 {
 			return fmt.Errorf("%w: eviction of task %d of job %s", ErrRecord, e.Task, e.JobID)
 		}
--- a/internal/rollout/spec_parser.go
+++ b/internal/rollout/spec_parser.go
@@ -11,8 +11,8 @@
 	"leadproxy/internal/inifile"
 )
 
-// ErrPlan means that a plan can't be carried out as it is written.
-var ErrPlan = errors.New("invalid plan")
+// ErrInvalidPlan means that a plan can't be carried out as it is written.
+var ErrInvalidPlan = errors.New("invalid plan")
 
 var planName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,38}[a-z0-9])?$`)
 
@@ -31,14 +31,14 @@
 }
 
 func (p *specParser) refuse(format string, args ...any) {
-	p.errs = append(p.errs, fmt.Errorf("%w: "+format, append([]any{ErrPlan}, args...)...))
+	p.errs = append(p.errs, fmt.Errorf("%w: "+format, append([]any{ErrInvalidPlan}, args...)...))
 }
 
 // ParseSpec reads a plan's text, an INI file with the section [plan].
 func ParseSpec(text string) (Spec, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{}, []byte(text))
 	if err != nil {
-		return Spec{}, fmt.Errorf("%w: %w", ErrPlan, err)
+		return Spec{}, fmt.Errorf("%w: %w", ErrInvalidPlan, err)
 	}
 	p := &specParser{spec: defaultSpec()}
 	for _, section := range file.Sections() {
--- a/internal/rollout/spec_test.go
+++ b/internal/rollout/spec_test.go
@@ -26,7 +26,7 @@
 		"name = w\nzones = a\nzone = b",
 		"name = w\nmachines = " + strings.Repeat("vm-1,", 1) + strings.Join(strings.Fields(strings.Repeat("vm ", 3)), ",") + "\n[other]\nkey = 1",
 	} {
-		if _, err := ParseSpec("[plan]\n" + wrong); !errors.Is(err, ErrPlan) {
+		if _, err := ParseSpec("[plan]\n" + wrong); !errors.Is(err, ErrInvalidPlan) {
 			t.Errorf("%q: %v", wrong, err)
 		}
 	}
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -7,17 +7,17 @@
 	// Now is the time by a monotonic clock, WallMS the time of day.
 	Now    time.Duration
 	WallMS int64
-	// MayMove means that jobs may be disrupted: the leader knows the disruptions that earlier
+	// MayDisrupt means that jobs may be disrupted: the leader knows the disruptions that earlier
 	// leaders may have caused.
-	MayMove bool
+	MayDisrupt bool
 	// Candidates are the machines that the plan selects, without those of the batch.
 	Candidates []Machine
 	Batch      []Machine
-	// Hired are the machines that the request for replacements has brought; nil before that.
-	Hired        []string
+	// Rented are the machines that the request for replacements has brought; nil before that.
+	Rented       []string
 	Replacements []Replacement
-	// Running is the number of running jobs of a group.
-	Running func(Group) int
+	// RunningJobs is the number of running jobs of a group.
+	RunningJobs func(Group) int
 }
 
 // Machine is a machine that a plan drains.
@@ -34,7 +34,7 @@
 func (m *Machine) lostProgress() time.Duration {
 	var sum time.Duration
 	for _, t := range m.Tasks {
-		sum += t.Lost
+		sum += t.LostProgress
 	}
 	return sum
 }
@@ -43,15 +43,15 @@
 type Task struct {
 	Job   Job
 	Index int
-	// Left is the time for which it is expected to run on, and Lost the progress that it would
+	// RemainingRun is the time for which it is expected to run on, and LostProgress the progress that it would
 	// lose by an eviction now.
-	Left, Lost time.Duration
+	RemainingRun, LostProgress time.Duration
 	// Slack is the time by which the job may be delayed without it or a job that depends on it
 	// missing a deadline.
 	Slack    time.Duration
 	Stopping bool
-	// HasRoom means that another machine has the capacity for it.
-	HasRoom bool
+	// HasCapacity means that another machine has the capacity for it.
+	HasCapacity bool
 }
 
 // Replacement is a machine that was rented before those of the batch are drained.
@@ -62,27 +62,27 @@
 	Failed  bool
 }
 
-// Act is an action that the caller has to carry out. It may be returned again until its effect
+// Action is an action that the caller has to carry out. It may be returned again until its effect
 // shows in the view, so carrying it out must be idempotent.
-type Act interface{ isAct() }
+type Action interface{ isAction() }
 
-func (MoveTask) isAct()      {}
-func (ReturnMachine) isAct() {}
-func (HireAhead) isAct()     {}
+func (EvictTask) isAction()     {}
+func (ReturnMachine) isAction() {}
+func (ScaleOutAhead) isAction() {}
 
 // The actions.
 type (
-	// MoveTask stops a task after it has saved a checkpoint, if it can.
-	MoveTask struct {
-		Machine, Ref string
-		Task         int
+	// EvictTask stops a task after it has saved a checkpoint, if it can.
+	EvictTask struct {
+		Machine, JobID string
+		Task           int
 	}
 	// ReturnMachine returns an empty machine.
 	ReturnMachine struct{ Machine string }
-	// HireAhead rents a replacement for each machine of a list. The request's name is used for
+	// ScaleOutAhead rents a replacement for each machine of a list. The request's name is used for
 	// one scale-out only.
-	HireAhead struct {
-		Request string
-		Like    []string
+	ScaleOutAhead struct {
+		RequestID string
+		Replaced  []string
 	}
 )
--- a/internal/rolloutservice/server.go
+++ b/internal/rolloutservice/server.go
@@ -81,7 +81,7 @@
 		Name:      record.Spec.Name,
 		Phase:     string(record.Phase),
 		Paused:    record.Paused,
-		Why:       record.Why,
+		Why:       record.Reason,
 		Step:      int64(record.Step),
 		Drained:   int64(record.Drained),
 		CreatedMs: record.CreatedMS,
@@ -91,13 +91,13 @@
 	}
 }
 
-func encodeDisruption(entry rollout.Entry) *rolloutpb.Disrupted {
+func encodeDisruption(entry rollout.Disruption) *rolloutpb.Disrupted {
 	return &rolloutpb.Disrupted{
-		Ref:   entry.Job.Ref,
+		Ref:   entry.Job.ID,
 		Team:  entry.Job.Team,
 		Class: entry.Job.Class,
 		Cause: string(entry.Cause),
-		ForMs: entry.For.Milliseconds(),
+		ForMs: entry.Duration.Milliseconds(),
 		Tasks: int64(entry.Tasks),
 	}
 }
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -66,7 +66,7 @@
 		case codes.FailedPrecondition, codes.InvalidArgument:
 			return &RefusedError{Reason: status.Convert(err).Message()}
 		}
-		errs = append(errs, fmt.Errorf("controller %s: %w", controller.Node, err))
+		errs = append(errs, fmt.Errorf("controller %s: %w", controller.Name, err))
 	}
 	return errors.Join(errs...)
 }
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -57,7 +57,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			var controllers []settings.Peer
 			for i, code := range c.controllers {
-				controllers = append(controllers, settings.Peer{Node: fmt.Sprintf("n%d", i), Addr: startController(t, code)})
+				controllers = append(controllers, settings.Peer{Name: fmt.Sprintf("n%d", i), Addr: startController(t, code)})
 			}
 			err := CallLeader(t.Context(), transport.TCP{}, controllers, 5*time.Second, func(ctx context.Context, conn *grpc.ClientConn) error {
 				return conn.Invoke(ctx, "/test.Service/Call", &emptypb.Empty{}, &emptypb.Empty{})
--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -38,7 +38,7 @@
 	workers := c.cfg.Platform.Facts.Workers
 	return agents{cfg: &c.cfg, log: c.log, term: c.term, clock: &c.clock, effects: &c.effects, writes: &c.writes, machines: &c.machines, commands: &c.commands,
 		lease:             settings.Stretch(settings.Seconds(workers.LeaseS)) + leaseMargin,
-		heartbeatInterval: settings.Seconds(workers.ReportS),
+		heartbeatInterval: settings.Seconds(workers.HeartbeatS),
 		probes:            probes{atOnce: minProbes}}
 }
 
--- a/internal/scheduler/cancellations_test.go
+++ b/internal/scheduler/cancellations_test.go
@@ -42,7 +42,7 @@
 		}, false},
 		{"a new leader that finds it", func(g *harness, task wire.TaskStatus) {
 			next := newHarnessAt(g.t, g.now, testConfig(g.c.cfg.Operator, g.c.cfg.Platform.Facts.Teams...), ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
-				Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), Terminal: wire.JobCancelled, Tasks: 1, EndedMS: 1}, Hosts: savedHosts("vm-1")}}})
+				Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), TerminalState: wire.JobCancelled, Tasks: 1, EndedMS: 1}, Hosts: savedHosts("vm-1")}}})
 			for range 22 {
 				next.wait(3 * time.Second)
 				next.acknowledge("vm-1", task)
@@ -69,7 +69,7 @@
 // its response.
 func TestProbeThatFindsACancelledTask(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
-		Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), Terminal: wire.JobCancelled, Tasks: 1}, Hosts: savedHosts("vm-1")}}})
+		Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), TerminalState: wire.JobCancelled, Tasks: 1}, Hosts: savedHosts("vm-1")}}})
 	g.now += time.Second
 	g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}, List: []wire.ListedMachine{
 		{Name: "vm-1", Address: "10.1.0.1:9000", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a", Spot: true}, Status: wire.MachineRunning, AgeS: 90}}}})
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -142,9 +142,9 @@
 // NeedsPlacement tells whether tasks are to be placed at the end of the step.
 func (c *Core) NeedsPlacement() bool { return c.placement.needed }
 
-// Settle ends one or more steps: it places what can be placed and returns all effects. Under load
+// Flush ends one or more steps: it places what can be placed and returns all effects. Under load
 // many events share one placement.
-func (c *Core) Settle() []Effect {
+func (c *Core) Flush() []Effect {
 	if c.placement.needed {
 		c.placement.place(c.federation.uncertainUse())
 	}
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -72,7 +72,7 @@
 		jobs, cores := f.delegatedTo(n)
 		idle = idle && jobs == 0
 		o.cells[i] = federation.Cell{Capacity: n.MaxCores, Used: cores, Jobs: n.MaxJobs - jobs}
-		if f.clock.now < n.until && !n.Drain {
+		if f.clock.now < n.until && !n.Draining {
 			o.cells[i].Credit = n.credit
 		}
 	}
@@ -118,11 +118,11 @@
 	for i, n := range f.neighbours {
 		cell := choice.cells[i]
 		free := min(cores, cell.Capacity-cell.Used)
-		if n.Drain || n.capacityRequested || f.clock.now < n.nextCapacityRequest || cell.Jobs <= 0 || free <= 0 || cell.Credit >= free {
+		if n.Draining || n.capacityRequested || f.clock.now < n.nextCapacityRequest || cell.Jobs <= 0 || free <= 0 || cell.Credit >= free {
 			continue
 		}
 		n.capacityRequested = true
-		f.effects.emit(AskCapacity{Cell: n.Name, Cores: free})
+		f.effects.emit(RequestCapacity{Cell: n.Name, Cores: free})
 	}
 }
 
--- a/internal/scheduler/dependencies_model_test.go
+++ b/internal/scheduler/dependencies_model_test.go
@@ -54,7 +54,7 @@
 
 // TestGraphProperty has rapid search for a short history in which core and model differ.
 func TestGraphProperty(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { playGraph(t, property.Drawn{T: t}, rapid.IntRange(30, 60).Draw(t, "steps")) })
+	rapid.Check(t, func(t *rapid.T) { playGraph(t, property.RapidChooser{T: t}, rapid.IntRange(30, 60).Draw(t, "steps")) })
 }
 
 // playGraph plays one history of graphs, ends, cancellations and takeovers.
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -71,7 +71,7 @@
 		g.want("state at last", g.jobStatus("job-4"), wire.JobDone)
 	})
 	t.Run("a predecessor that is done already, and one seen later", func(t *testing.T) {
-		g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-0", Record: ledger.JobRecord{Terminal: wire.JobDone, Tasks: 1, Done: 1}}}})
+		g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-0", Record: ledger.JobRecord{TerminalState: wire.JobDone, Tasks: 1, Done: 1}}}})
 		g.bringUp("vm-1")
 		g.submit(after("job-2", "job-0", "job-1"))
 		g.want("started", g.started(), "")
@@ -85,8 +85,8 @@
 		g.bringUp("vm-1")
 		g.submit(after("job-2", "job-1"))
 		g.submit(after("job-4", "job-3"))
-		g.step(JobRecordEvent{JobID: "job-1", Record: ledger.JobRecord{Terminal: wire.JobDone, Tasks: 1, Done: 1}, Version: 4})
-		g.step(JobRecordEvent{JobID: "job-3", Record: ledger.JobRecord{Job: after("job-3"), Terminal: wire.JobCancelled}, Version: 4})
+		g.step(JobRecordEvent{JobID: "job-1", Record: ledger.JobRecord{TerminalState: wire.JobDone, Tasks: 1, Done: 1}, Version: 4})
+		g.step(JobRecordEvent{JobID: "job-3", Record: ledger.JobRecord{Job: after("job-3"), TerminalState: wire.JobCancelled}, Version: 4})
 		g.want("started", g.started(), "job-2")
 		g.want("state of the other", g.jobStatus("job-4"), wire.JobCancelled)
 	})
@@ -121,7 +121,7 @@
 		g.step(CancelRequest{JobID: "job-0", ReplyTo: recipient("u")})
 		g.want("the last of the fan", g.jobStatus(fmt.Sprintf("job-1%d", n-1)), wire.JobCancelled)
 		g.want("the last of the chain", g.jobStatus(fmt.Sprintf("job-2%d", n-1)), wire.JobCancelled)
-		g.want("what the ledger has of it", g.writes[fmt.Sprintf("job/job-2%d", n-1)].Value.(ledger.JobRecord).Terminal, wire.JobCancelled)
+		g.want("what the ledger has of it", g.writes[fmt.Sprintf("job/job-2%d", n-1)].Value.(ledger.JobRecord).TerminalState, wire.JobCancelled)
 	})
 }
 
@@ -131,7 +131,7 @@
 	open := func(ref string, needs ...string) ledger.SavedJob {
 		return ledger.SavedJob{ID: ref, Version: 3, Record: ledger.JobRecord{Job: after(ref, needs...), AcceptedMS: 1}}
 	}
-	cancelled := ledger.SavedJob{ID: "job-1", Version: 3, Record: ledger.JobRecord{Job: after("job-1").CancelledSummary(), Terminal: wire.JobCancelled}}
+	cancelled := ledger.SavedJob{ID: "job-1", Version: 3, Record: ledger.JobRecord{Job: after("job-1").CancelledSummary(), TerminalState: wire.JobCancelled}}
 	cases := []struct {
 		name  string
 		saved []ledger.SavedJob
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -144,14 +144,14 @@
 
 func (HeartbeatReply) isEffect()   {}
 func (SendCommands) isEffect()     {}
-func (InspectWorker) isEffect()    {}
+func (InspectAgent) isEffect()     {}
 func (WriteLedger) isEffect()      {}
 func (UserReply) isEffect()        {}
 func (CallCloud) isEffect()        {}
 func (ResignLeadership) isEffect() {}
 
 func (SendTransfers) isEffect()     {}
-func (AskCapacity) isEffect()       {}
+func (RequestCapacity) isEffect()   {}
 func (TransferReply) isEffect()     {}
 func (CapacityReply) isEffect()     {}
 func (WriteForeign) isEffect()      {}
@@ -175,8 +175,8 @@
 		Address   string
 		Request   wire.CommandRequest
 	}
-	// InspectWorker requests an agent's present status.
-	InspectWorker struct {
+	// InspectAgent requests an agent's present status.
+	InspectAgent struct {
 		Machine string
 		Address string
 	}
@@ -215,7 +215,7 @@
 		ReplyTo   Recipient
 		Term      uint64
 		Plans     []PlanStatus
-		Disrupted []rollout.Entry
+		Disrupted []rollout.Disruption
 	}
 	// ResignLeadership has this controller resign, so that another term begins.
 	ResignLeadership struct{}
--- a/internal/scheduler/eviction_actions.go
+++ b/internal/scheduler/eviction_actions.go
@@ -18,8 +18,8 @@
 	for _, m := range v.machines.live {
 		cordoned, kept := false, false
 		for _, p := range v.plans {
-			cordoned = cordoned || p.rollout.Cordons(m.name)
-			kept = kept || p.rollout.Keeps(m.name)
+			cordoned = cordoned || p.rollout.IsCordoned(m.name)
+			kept = kept || p.rollout.IsReplacement(m.name)
 		}
 		m.eviction.kept = kept
 		if m.eviction.cordoned != cordoned {
@@ -31,17 +31,17 @@
 }
 
 // carryOutPlan carries out an action of a plan.
-func (c *Core) carryOutPlan(act rollout.Act) {
+func (c *Core) carryOutPlan(act rollout.Action) {
 	switch a := act.(type) {
-	case rollout.MoveTask:
+	case rollout.EvictTask:
 		if m := c.machines.find(a.Machine); m != nil {
-			c.moveTask(m, a.Ref, int32(a.Task))
+			c.moveTask(m, a.JobID, int32(a.Task))
 		}
 	case rollout.ReturnMachine:
 		if m := c.machines.find(a.Machine); m != nil && (m.state == machineDeleting || c.evictions.isEmpty(m)) {
 			c.autoscaling.requestDelete(m, "drained")
 		}
-	case rollout.HireAhead:
+	case rollout.ScaleOutAhead:
 		c.evictions.scaleOutAhead(a)
 	}
 }
@@ -91,8 +91,8 @@
 
 // scaleOutAhead rents replacements. A request that the cloud has refused is repeated under its
 // name when the pool may be used again.
-func (v *evictionState) scaleOutAhead(a rollout.HireAhead) {
-	requests := v.requestsFor(a.Request, a.Like)
+func (v *evictionState) scaleOutAhead(a rollout.ScaleOutAhead) {
+	requests := v.requestsFor(a.RequestID, a.Replaced)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
 		w := requests[name]
 		if v.autoscaling.scaleOuts[name] != nil || v.rented[name] != nil || v.clock.now < v.autoscaling.pool(w.Pool).blockedUntil {
@@ -104,7 +104,7 @@
 
 // rentedForPlan lists the machines of a plan's scale-outs, once all have a result.
 func (v *evictionState) rentedForPlan(r *rollout.Record) (machines []string) {
-	requests := v.requestsFor(r.Hire, r.Batch)
+	requests := v.requestsFor(r.ScaleOutRequestID, r.Batch)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
 		if v.rented[name] == nil {
 			return nil
@@ -116,7 +116,7 @@
 
 // recordRented records the machines of a scale-out, if it may be a plan's.
 func (v *evictionState) recordRented(request string, machines []string) {
-	if !strings.HasPrefix(request, rollout.HirePrefix) {
+	if !strings.HasPrefix(request, rollout.ScaleOutRequestPrefix) {
 		return
 	}
 	if v.rented == nil {
--- a/internal/scheduler/eviction_view.go
+++ b/internal/scheduler/eviction_view.go
@@ -16,8 +16,8 @@
 func (v *evictionState) planView(p *plan) *rollout.View {
 	r, _ := p.rollout.Record()
 	room := map[roomKey]bool{}
-	view := &rollout.View{Now: v.clock.now, WallMS: v.clock.wallMS, MayMove: v.mayDisrupt(), Running: v.jobs.runningJobs()}
-	if r.Phase == rollout.Choosing {
+	view := &rollout.View{Now: v.clock.now, WallMS: v.clock.wallMS, MayDisrupt: v.mayDisrupt(), RunningJobs: v.jobs.runningJobs()}
+	if r.Phase == rollout.PhaseSelecting {
 		for _, m := range v.machines.live {
 			if v.selects(&r, m) {
 				view.Candidates = append(view.Candidates, v.planMachine(m, room))
@@ -28,17 +28,17 @@
 		if m := v.machines.find(name); m != nil {
 			view.Batch = append(view.Batch, v.planMachine(m, room))
 		} else {
-			view.Batch = append(view.Batch, rollout.Machine{Name: name, Gone: view.MayMove})
+			view.Batch = append(view.Batch, rollout.Machine{Name: name, Gone: view.MayDisrupt})
 		}
 	}
-	if r.Hire != "" {
-		view.Hired = v.rentedForPlan(&r)
+	if r.ScaleOutRequestID != "" {
+		view.Rented = v.rentedForPlan(&r)
 	}
 	for _, name := range r.Replacements {
 		if m := v.machines.find(name); m != nil {
 			view.Replacements = append(view.Replacements, v.replacement(m))
 		} else {
-			view.Replacements = append(view.Replacements, rollout.Replacement{Name: name, Failed: view.MayMove})
+			view.Replacements = append(view.Replacements, rollout.Replacement{Name: name, Failed: view.MayDisrupt})
 		}
 	}
 	return view
@@ -47,7 +47,7 @@
 // mayDisrupt tells whether jobs may be disrupted on purpose: what an earlier leader has started
 // is known, and what it has disrupted counts no more.
 func (v *evictionState) mayDisrupt() bool {
-	return v.machines.unresolvedHosts() == 0 && v.clock.now-v.clock.termStart >= max(v.cfg.Operator.Drain.Budgets.Longest(), v.agents.lease)
+	return v.machines.unresolvedHosts() == 0 && v.clock.now-v.clock.termStart >= max(v.cfg.Operator.Rollouts.Budgets.LongestWindow(), v.agents.lease)
 }
 
 // selects tells whether a machine is one of a plan's: it matches, and was rented before the plan
@@ -86,12 +86,12 @@
 	if _, known := room[key]; !known {
 		room[key] = v.roomElsewhere(m, j)
 	}
-	t := rollout.Task{Job: accountOf(j), Index: int(b.task), Left: v.estimates.expectedRun(j), Slack: j.slack(v.clock.now), Stopping: b.stopping, HasRoom: room[key]}
+	t := rollout.Task{Job: accountOf(j), Index: int(b.task), RemainingRun: v.estimates.expectedRun(j), Slack: j.slack(v.clock.now), Stopping: b.stopping, HasCapacity: room[key]}
 	if b.runningSince > 0 {
 		ran := v.clock.now - b.runningSince
-		t.Left = max(t.Left-ran, t.Left/4)
+		t.RemainingRun = max(t.RemainingRun-ran, t.RemainingRun/4)
 		if j.spec.CheckpointIntervalS <= 0 {
-			t.Lost = ran
+			t.LostProgress = ran
 		}
 	}
 	return t
--- a/internal/scheduler/evictions.go
+++ b/internal/scheduler/evictions.go
@@ -37,14 +37,14 @@
 	placement   *placement
 	autoscaling *autoscaling
 
-	disruptions *rollout.Account
+	disruptions *rollout.DisruptionTracker
 	plans       map[string]*plan
 	next        time.Duration
 	firstPlan   int // which plan advances first
 	// rented are the machines of scale-outs for replacements, by request.
 	rented map[string][]string
 	// logged are the disrupted jobs whose disruption was logged.
-	logged map[string]rollout.Entry
+	logged map[string]rollout.Disruption
 }
 
 func newEvictions(c *Core) evictionState {
@@ -55,7 +55,7 @@
 
 // plan is one plan under way.
 type plan struct {
-	rollout *rollout.Rollout
+	rollout *rollout.Controller
 	written uint64 // the generation that is being written
 	waiting []planWaiter
 	tooLong bool // its record does not fit a value
@@ -85,19 +85,19 @@
 
 // restoreEvictions continues the plans of the ledger, after the jobs and machines.
 func (v *evictionState) restoreEvictions(records []rollout.Record) {
-	if !v.cfg.Operator.Drain.Enabled {
+	if !v.cfg.Operator.Rollouts.Enabled {
 		return
 	}
-	v.disruptions, v.plans = rollout.NewAccount(v.cfg.Operator.Drain.Budgets), map[string]*plan{}
+	v.disruptions, v.plans = rollout.NewDisruptionTracker(v.cfg.Operator.Rollouts.Budgets), map[string]*plan{}
 	for _, r := range records {
-		v.plans[r.Spec.Name] = &plan{rollout: rollout.NewRollout(r, v.disruptions, v.jobs.taskIsDone, v.clock.now, v.clock.wallMS)}
+		v.plans[r.Spec.Name] = &plan{rollout: rollout.NewController(r, v.disruptions, v.jobs.taskIsDone, v.clock.now, v.clock.wallMS)}
 	}
 	v.cordon()
 }
 
 // accountOf is a job as the account sees it.
 func accountOf(j *job) rollout.Job {
-	return rollout.Job{Ref: j.id, Team: j.spec.Team, Class: j.spec.Class}
+	return rollout.Job{ID: j.id, Team: j.spec.Team, Class: j.spec.Class}
 }
 
 // displaced charges a task that has lost its place. saved: its progress was saved.
@@ -109,7 +109,7 @@
 	cause := rollout.Cause(why)
 	switch {
 	case b.moving:
-		cause = rollout.Move
+		cause = rollout.CauseEviction
 	case m.rental.terminationAt > 0:
 		cause = "the cloud takes its machine back"
 	}
@@ -117,13 +117,13 @@
 	if !saved && b.runningSince > 0 {
 		lost = v.clock.now - b.runningSince
 	}
-	v.disruptions.Lose(accountOf(j), int(b.task), lost, cause, v.clock.now)
+	v.disruptions.TaskDisrupted(accountOf(j), int(b.task), lost, cause, v.clock.now)
 }
 
 // taskRunning notes with the account of disruptions that a task runs.
 func (v *evictionState) taskRunning(b *allocation) {
 	if v.disruptions != nil {
-		v.disruptions.Runs(v.jobs.list[b.job].id, int(b.task), v.clock.now)
+		v.disruptions.TaskRunning(v.jobs.list[b.job].id, int(b.task), v.clock.now)
 	}
 }
 
@@ -158,14 +158,14 @@
 
 // logDisruptions logs the beginning and the end of each job's disruption.
 func (v *evictionState) logDisruptions() {
-	disrupted := map[string]rollout.Entry{}
-	for _, e := range v.disruptions.Entries(v.clock.now) {
-		if !e.Open {
+	disrupted := map[string]rollout.Disruption{}
+	for _, e := range v.disruptions.Disruptions(v.clock.now) {
+		if !e.Ongoing {
 			continue
 		}
-		disrupted[e.Job.Ref] = e
-		if _, known := v.logged[e.Job.Ref]; !known {
-			v.log.Info("job is disrupted", "job", e.Job.Ref, "team", e.Job.Team, "class", e.Job.Class, "cause", e.Cause, "seconds", e.For.Seconds())
+		disrupted[e.Job.ID] = e
+		if _, known := v.logged[e.Job.ID]; !known {
+			v.log.Info("job is disrupted", "job", e.Job.ID, "team", e.Job.Team, "class", e.Job.Class, "cause", e.Cause, "seconds", e.Duration.Seconds())
 		}
 	}
 	for id, e := range v.logged {
@@ -196,7 +196,7 @@
 	}
 	c.evictions.savePlan(name, p)
 	if after, _ := p.rollout.Record(); after.Phase != before.Phase || after.Paused != before.Paused {
-		c.log.Info("draining", "plan", name, "phase", after.Phase, "paused", after.Paused, "step", after.Step, "batch", len(after.Batch), "drained", after.Drained, "why", after.Why)
+		c.log.Info("draining", "plan", name, "phase", after.Phase, "paused", after.Paused, "step", after.Step, "batch", len(after.Batch), "drained", after.Drained, "why", after.Reason)
 	}
 }
 
@@ -217,7 +217,7 @@
 	if p == nil {
 		return
 	}
-	p.rollout.Saved(t.generation)
+	p.rollout.MarkDurable(t.generation)
 	var still []planWaiter
 	for _, w := range p.waiting {
 		if w.generation > t.generation {
@@ -234,7 +234,7 @@
 func (v *evictionState) dropOldPlans() {
 	var ended []string
 	for _, name := range v.planNames() {
-		if r, _ := v.plans[name].rollout.Record(); r.Phase.Over() && len(r.Moves) == 0 && v.plans[name].rollout.Durable() {
+		if r, _ := v.plans[name].rollout.Record(); r.Phase.Ended() && len(r.Evictions) == 0 && v.plans[name].rollout.IsDurable() {
 			ended = append(ended, name)
 		}
 	}
--- a/internal/scheduler/evictions_test.go
+++ b/internal/scheduler/evictions_test.go
@@ -16,7 +16,7 @@
 // nil.
 func newDrainStage(t tester, r *rollout.Record) *harness {
 	operator := settings.Defaults()
-	operator.Drain = settings.Drain{Enabled: true, Budgets: rollout.Budgets{General: rollout.Budget{Jobs: 1, Window: time.Second}}}
+	operator.Rollouts = settings.Rollouts{Enabled: true, Budgets: rollout.Budgets{General: rollout.Budget{Jobs: 1, Window: time.Second}}}
 	var s ledger.Snapshot
 	if r != nil {
 		s.Plans = []rollout.Record{*r}
@@ -50,27 +50,27 @@
 // took it for one that boots, and waited until that was given up, longer than leaders
 // lasted.
 func TestUnknownMachineOfABatch(t *testing.T) {
-	g := newDrainStage(t, somePlan(rollout.Draining, "vm-9"))
+	g := newDrainStage(t, somePlan(rollout.PhaseDraining, "vm-9"))
 	g.wait(10 * time.Second)
 	g.want("machines", len(g.c.machines.list), 0)
 	g.want("written before all can have been heard of", g.puts, 0)
 	g.wait(30 * time.Second)
 	r := g.written()
-	g.want("the plan", []any{r.Phase, r.Drained, len(g.c.machines.list)}, []any{rollout.Finished, 1, 0})
+	g.want("the plan", []any{r.Phase, r.Drained, len(g.c.machines.list)}, []any{rollout.PhaseFinished, 1, 0})
 }
 
 // TestCommandsAreAnsweredWhenDurable: a plan that is created counts once it is written, and an
 // invalid request is refused at once.
 func TestCommandsAreAnsweredWhenDurable(t *testing.T) {
 	g := newDrainStage(t, nil)
-	spec := somePlan(rollout.Choosing).Spec
+	spec := somePlan(rollout.PhaseSelecting).Spec
 	if err := g.answer(PlanRequest{Spec: &spec}); err == nil || !strings.Contains(err.Error(), "no machine") {
 		t.Errorf("no machine is there: %v", err)
 	}
 	g.bringUp("vm-1")
 	g.holdWrites = true
 	g.step(PlanRequest{Spec: &spec, ReplyTo: recipient("operator")})
-	g.want("durable", g.c.evictions.plans["winter"].rollout.Durable(), false)
+	g.want("durable", g.c.evictions.plans["winter"].rollout.IsDurable(), false)
 	g.releaseWrites()
 	answer, _ := last[PlanReply](g)
 	g.want("answer once durable", answer.Err, nil)
@@ -82,7 +82,7 @@
 	}
 	g.want("paused", g.answer(PlanRequest{Name: "winter", Command: rollout.Pause}), nil)
 	g.want("written", g.written().Paused, true)
-	off := newHarness(t, ledger.Snapshot{Plans: []rollout.Record{*somePlan(rollout.Choosing)}})
+	off := newHarness(t, ledger.Snapshot{Plans: []rollout.Record{*somePlan(rollout.PhaseSelecting)}})
 	if err := off.answer(PlanRequest{Name: "winter", Command: rollout.Pause}); !errors.Is(err, errEvictionDisabled) {
 		t.Error(err)
 	}
@@ -101,7 +101,7 @@
 	g.now += time.Minute
 	running := taskIn(o, wire.TaskRunning, "")
 	g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, running))
-	spec := somePlan(rollout.Choosing).Spec
+	spec := somePlan(rollout.PhaseSelecting).Spec
 	g.want("begun", g.answer(PlanRequest{Spec: &spec}), nil)
 	for range 4 {
 		g.wait(2 * time.Second)
@@ -112,7 +112,7 @@
 		g.wait(2 * time.Second)
 		g.acknowledge("vm-1", running)
 	}
-	g.want("moves written, not durable", len(g.written().Moves), 1)
+	g.want("moves written, not durable", len(g.written().Evictions), 1)
 	g.want("stops before that is durable", len(g.sentCommands), 0)
 	g.submit(newTestJob("job-2", 1, 1))
 	g.want("starts on a machine that is emptied", len(g.starts()), 0)
@@ -159,19 +159,19 @@
 	stopped := running[0]
 	stopped.Status, stopped.ExitReason, stopped.CheckpointSaved = wire.TaskEnded, wire.ExitStopped, true
 	g.acknowledge(machines[0], stopped)
-	entries := g.c.evictions.disruptions.Entries(g.now)
-	if len(entries) != 1 || entries[0].Job.Ref != "job-1" || entries[0].Cause == rollout.Move {
+	entries := g.c.evictions.disruptions.Disruptions(g.now)
+	if len(entries) != 1 || entries[0].Job.ID != "job-1" || entries[0].Cause == rollout.CauseEviction {
 		t.Fatalf("%+v", entries)
 	}
 	g.sentCommands = nil
 	spec := rollout.Spec{Name: "winter", Machines: []string{machines[1]}, Canary: 1, Batch: 1, WaitS: 100, HealthS: 100}
 	g.want("begun", g.answer(PlanRequest{Spec: &spec}), nil)
 	g.wait(3 * time.Second)
-	g.want("moves while the budget is used up", len(g.written().Moves), 0)
-	g.want("what it waits for", strings.Contains(strings.Join(g.c.evictions.plans["winter"].rollout.Waits(), " "), "room for it elsewhere"), true)
+	g.want("moves while the budget is used up", len(g.written().Evictions), 0)
+	g.want("what it waits for", strings.Contains(strings.Join(g.c.evictions.plans["winter"].rollout.WaitReasons(), " "), "room for it elsewhere"), true)
 	g.acknowledge(machines[1], running[1])
 	g.wait(28 * time.Second)
 	g.acknowledge(machines[1], running[1])
 	g.wait(4 * time.Second)
-	g.want("what it waits for in the end", strings.Join(g.c.evictions.plans["winter"].rollout.Waits(), " "), "job-2/0 on "+machines[1]+": the budget of team t: 1 of 1 jobs")
+	g.want("what it waits for in the end", strings.Join(g.c.evictions.plans["winter"].rollout.WaitReasons(), " "), "job-2/0 on "+machines[1]+": the budget of team t: 1 of 1 jobs")
 }
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -125,7 +125,7 @@
 		if !ok {
 			return 0
 		}
-		return n.TakeBack
+		return n.ReclaimAfter
 	}
 }
 
@@ -368,7 +368,7 @@
 
 // forwardingDue tells whether the queue is to be searched for jobs to be delegated.
 func (f *federationState) forwardingDue() bool {
-	if !f.cells.Spill || !f.transfersEnabled || f.clock.now < f.nextForwarding {
+	if !f.cells.DelegateJobs || !f.transfersEnabled || f.clock.now < f.nextForwarding {
 		return false
 	}
 	f.nextForwarding = f.clock.now + forwardingInterval
--- a/internal/scheduler/federation_events.go
+++ b/internal/scheduler/federation_events.go
@@ -57,8 +57,8 @@
 		Cell     string
 		Messages []federation.Message
 	}
-	// AskCapacity requests an offer of capacity from a neighbour. A CapacityResult follows.
-	AskCapacity struct {
+	// RequestCapacity requests an offer of capacity from a neighbour. A CapacityResult follows.
+	RequestCapacity struct {
 		Cell  string
 		Cores float64
 	}
--- a/internal/scheduler/federation_status.go
+++ b/internal/scheduler/federation_status.go
@@ -25,7 +25,7 @@
 	}
 	for _, n := range t.neighbours {
 		jobs, cores := c.federation.delegatedTo(n)
-		view := CellView{Name: n.Name, Drain: n.Drain, Unreachable: n.unreachable, Jobs: jobs, Cores: cores, Offered: offered[n.Name]}
+		view := CellView{Name: n.Name, Drain: n.Draining, Unreachable: n.unreachable, Jobs: jobs, Cores: cores, Offered: offered[n.Name]}
 		if c.clock.now < n.until {
 			view.Credit = n.credit
 		}
--- a/internal/scheduler/federation_test.go
+++ b/internal/scheduler/federation_test.go
@@ -21,8 +21,8 @@
 func newCell(t *testing.T, change func(o *settings.Operator), teams ...settings.Team) *harness {
 	o := settings.Defaults()
 	o.MaxMachines = 1
-	o.Cells = settings.Cells{Name: "lima", Spill: true, ShortageFor: 5 * time.Second, MaxWait: 10 * time.Second, Repeatable: map[string]bool{},
-		Neighbours: []settings.Neighbour{{Name: "puno", MaxJobs: 5, MaxCores: 40, LendCores: 12, TakeBack: time.Minute}}}
+	o.Cells = settings.Cells{Name: "lima", DelegateJobs: true, ShortageFor: 5 * time.Second, MaxWait: 10 * time.Second, Repeatable: map[string]bool{},
+		Neighbours: []settings.Neighbour{{Name: "puno", MaxJobs: 5, MaxCores: 40, MaxOfferedCores: 12, ReclaimAfter: time.Minute}}}
 	if change != nil {
 		change(&o)
 	}
@@ -67,7 +67,7 @@
 // offered to it.
 func (g *harness) offered(room float64, running []wire.TaskStatus) (refs []string) {
 	g.waitWith(20*time.Second, "vm-1", running...)
-	if ask, ok := last[AskCapacity](g); ok {
+	if ask, ok := last[RequestCapacity](g); ok {
 		g.step(CapacityResult{Cell: ask.Cell, Cores: min(room, ask.Cores), For: 5 * time.Second})
 	}
 	if send, ok := last[SendTransfers](g); ok {
@@ -95,8 +95,8 @@
 		{"waits for another one", nil, func(j *wire.Job) { j.DependsOn = []string{"job-1"} }, 100, ""},
 		{"more than may be away", func(o *settings.Operator) { o.Cells.Neighbours[0].MaxCores = 1 }, nil, 100, ""},
 		{"no jobs may be away", func(o *settings.Operator) { o.Cells.Neighbours[0].MaxJobs = 0 }, nil, 100, ""},
-		{"the relation is being drained", func(o *settings.Operator) { o.Cells.Neighbours[0].Drain = true }, nil, 100, ""},
-		{"spilling is off", func(o *settings.Operator) { o.Cells.Spill = false }, nil, 100, ""},
+		{"the relation is being drained", func(o *settings.Operator) { o.Cells.Neighbours[0].Draining = true }, nil, 100, ""},
+		{"spilling is off", func(o *settings.Operator) { o.Cells.DelegateJobs = false }, nil, 100, ""},
 		{"machines can be hired", func(o *settings.Operator) { o.MaxMachines = 0 }, nil, 100, ""},
 		{"it may wait for longer", func(o *settings.Operator) { o.Cells.MaxWait = time.Hour }, nil, 100, ""},
 		{"its deadline is far", nil, func(j *wire.Job) { j.DeadlineS = seconds(7200) }, 100, ""},
@@ -207,8 +207,8 @@
 		{"no more than asked for", nil, nil, nil, "puno", 1, 1, ""},
 		{"what could be hired as well, up to what may be lent", func(o *settings.Operator) { o.MaxMachines = 9 }, nil, nil, "puno", 100, 12, ""},
 		{"a stranger", nil, nil, nil, "cusco", 100, 0, "not a neighbour"},
-		{"a relation that is being drained", func(o *settings.Operator) { o.Cells.Neighbours[0].Drain = true }, nil, nil, "puno", 100, 0, "drained"},
-		{"nothing is lent", func(o *settings.Operator) { o.Cells.Neighbours[0].LendCores = 0 }, nil, nil, "puno", 100, 0, "own work"},
+		{"a relation that is being drained", func(o *settings.Operator) { o.Cells.Neighbours[0].Draining = true }, nil, nil, "puno", 100, 0, "drained"},
+		{"nothing is lent", func(o *settings.Operator) { o.Cells.Neighbours[0].MaxOfferedCores = 0 }, nil, nil, "puno", 100, 0, "own work"},
 		{"this cell's own work waits", nil, nil, func(g *harness) { g.fill("job-1"); g.submit(newTestJob("job-2", 1, 1)) }, "puno", 100, 0, "own work"},
 		{"what is guaranteed to a team", nil, []settings.Team{{Name: "t"}, {Name: "sure", CPUs: 3}}, nil, "puno", 100, 1, ""},
 	}
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -93,9 +93,9 @@
 func (c localJobs) Admit(origin, id string, body *federation.OfferBody) federation.Refusal {
 	n, ok := c.federation.cells.Find(origin)
 	switch {
-	case !ok || n.LendCores <= 0:
+	case !ok || n.MaxOfferedCores <= 0:
 		return federation.Refusal{Reason: "nothing is lent to cell " + origin}
-	case n.Drain:
+	case n.Draining:
 		return federation.Refusal{Reason: "the relation is being drained"}
 	case !c.federation.transfersEnabled:
 		return federation.Refusal{Reason: "not all controllers here know transfers", Temporary: true}
@@ -155,7 +155,7 @@
 	switch {
 	case !ok:
 		answer.Reason = "cell " + e.Origin + " is not a neighbour"
-	case n.Drain:
+	case n.Draining:
 		answer.Reason = "the relation is being drained"
 	case !f.transfersEnabled:
 		answer.Reason = "not all controllers here know transfers"
@@ -202,5 +202,5 @@
 			room -= credit.cores
 		}
 	}
-	return min(room, n.LendCores-fromOrigin)
+	return min(room, n.MaxOfferedCores-fromOrigin)
 }
--- a/internal/scheduler/goal.go
+++ b/internal/scheduler/goal.go
@@ -28,9 +28,9 @@
 	}
 	if n > 0 {
 		before := p.goal.L
-		p.goal.Fall(load / float64(n))
+		p.goal.Lower(load / float64(n))
 		if p.goal.L != before {
-			p.index.ClearLoads()
+			p.index.ResetLoads()
 			p.log.Debug("placement goal lowered", "from", before, "to", p.goal.L, "mean_load", load/float64(n))
 		}
 	}
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -71,8 +71,8 @@
 }
 
 func testConfig(operator settings.Operator, teams ...settings.Team) Config {
-	p := &settings.Platform{Facts: settings.Facts{Nodes: 3, Teams: teams,
-		Workers: settings.Workers{ReportS: 3, LeaseS: 30, CancelS: 60}}}
+	p := &settings.Platform{Facts: settings.Facts{ControllerCount: 3, Teams: teams,
+		Workers: settings.Workers{HeartbeatS: 3, LeaseS: 30, CancelS: 60}}}
 	return Config{Term: testTerm, Platform: p, Operator: operator, ValueBytes: 16 << 10}
 }
 
@@ -88,7 +88,7 @@
 
 func (g *harness) step(e Event) {
 	g.c.Step(e, g.now, g.now.Milliseconds())
-	g.take(g.c.Settle())
+	g.take(g.c.Flush())
 }
 
 func (g *harness) take(effects []Effect) {
--- a/internal/scheduler/inspections.go
+++ b/internal/scheduler/inspections.go
@@ -26,7 +26,7 @@
 	a.inspectionsInFlight++
 	m.contact.inspecting, m.contact.lastInspection = true, a.clock.now
 	m.contact.inspectedAt = m.agent.Position()
-	a.effects.emit(InspectWorker{Machine: m.name, Address: r.Address})
+	a.effects.emit(InspectAgent{Machine: m.name, Address: r.Address})
 }
 
 // inspectionEnded notes that an inspection has ended, with or without a result.
--- a/internal/scheduler/inspections_test.go
+++ b/internal/scheduler/inspections_test.go
@@ -34,7 +34,7 @@
 			g.sendHeartbeat(&again)
 			asked := 0
 			for _, e := range g.out {
-				if _, ok := e.(InspectWorker); ok {
+				if _, ok := e.(InspectAgent); ok {
 					asked++
 				}
 			}
@@ -74,7 +74,7 @@
 	g := newHarness(t, ledger.Snapshot{})
 	asked := func() (names []string) {
 		for _, e := range g.out {
-			if i, ok := e.(InspectWorker); ok {
+			if i, ok := e.(InspectAgent); ok {
 				names = append(names, i.Machine)
 			}
 		}
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -17,7 +17,7 @@
 		request:  request{zone: -1},
 		priority: priority{deadline: never},
 		progress: progress{total: rec.Tasks, done: rec.Done},
-		end:      jobEnd{state: rec.Terminal, durable: rec.Terminal != "", cleanedUp: rec.Job == nil},
+		end:      jobEnd{state: rec.TerminalState, durable: rec.TerminalState != "", cleanedUp: rec.Job == nil},
 		record:   jobRecord{version: version, acceptedMS: rec.AcceptedMS},
 		transfer: transfer{origin: rec.Origin, epoch: rec.TransferEpoch},
 	}
@@ -87,7 +87,7 @@
 func (c *Core) finish(j *job, terminal string) {
 	j.end.decide(terminal)
 	if c.evictions.disruptions != nil {
-		c.evictions.disruptions.Over(j.id, c.clock.now)
+		c.evictions.disruptions.JobFinished(j.id, c.clock.now)
 	}
 	if terminal == wire.JobCancelled {
 		c.jobs.cancellationBegan(j)
@@ -122,7 +122,7 @@
 	}
 	j.progress.taskEnded(n)
 	if c.evictions.disruptions != nil {
-		c.evictions.disruptions.Ends(j.id, int(n), c.clock.now)
+		c.evictions.disruptions.TaskFinished(j.id, int(n), c.clock.now)
 	}
 	c.placement.jobSucceeded(j)
 	if j.progress.done == j.progress.total {
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -23,7 +23,7 @@
 func (t *jobTable) dropKeys(j *job) {
 	var writes []ledger.Write
 	for chunk := range j.record.hostChunks {
-		writes = append(writes, ledger.Write{Key: ledger.HostKey(j.id, chunk)})
+		writes = append(writes, ledger.Write{Key: ledger.HostsKey(j.id, chunk)})
 	}
 	for _, key := range slices.Sorted(maps.Keys(j.record.finishedKeys)) {
 		writes = append(writes, ledger.Write{Key: key})
@@ -150,7 +150,7 @@
 			first, names = from, t.chunkFrom(j, from)
 		}
 		to := first + len(names)
-		t.writes.put(ledger.Write{Key: ledger.HostKey(j.id, len(j.record.hostChunks)-1), Value: names, Urgent: true, Tag: hostTag{j.index, from, to}})
+		t.writes.put(ledger.Write{Key: ledger.HostsKey(j.id, len(j.record.hostChunks)-1), Value: names, Urgent: true, Tag: hostTag{j.index, from, to}})
 		from = to
 	}
 	j.record.hostsWritten = len(j.record.hosts)
@@ -234,7 +234,7 @@
 	rec := ledger.JobRecord{
 		AcceptedMS:    j.record.acceptedMS,
 		EndedMS:       t.clock.wallMS,
-		Terminal:      j.end.state,
+		TerminalState: j.end.state,
 		Tasks:         j.progress.total,
 		Done:          j.progress.done,
 		Origin:        j.transfer.origin,
--- a/internal/scheduler/ledger_writes_test.go
+++ b/internal/scheduler/ledger_writes_test.go
@@ -51,7 +51,7 @@
 	for _, name := range []string{"vm-001", "vm-002", "vm-003"} {
 		g.c.Step(HeartbeatEvent{Heartbeat: g.heartbeatOf(name, termToken, tasks[name]...), ReplyTo: recipient("w")}, g.now, g.now.Milliseconds())
 	}
-	g.take(g.c.Settle())
+	g.take(g.c.Flush())
 	g.want("writes for the ended tasks of three machines", g.puts-puts, 1)
 	for _, o := range g.answered {
 		g.want("ordered before that is durable", o.Verb, "nothing")
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -173,7 +173,7 @@
 	c.dropAllocations(m, why)
 	m.commands.ruleOutAll()
 	c.resolveInDoubt(m, why)
-	c.placement.index.Leave(m.index)
+	c.placement.index.Remove(m.index)
 	c.autoscaling.scaleOutMachineSeen(m)
 	if m.recorded.namedByJobs > 0 {
 		m.recorded.setGone(true)
--- a/internal/scheduler/placement_index.go
+++ b/internal/scheduler/placement_index.go
@@ -41,7 +41,7 @@
 		p.openCores += m.indexed.cores
 	}
 	if !m.indexed.schedulable || m.capacity.reserved {
-		p.index.Close(m.index)
+		p.index.MarkUnschedulable(m.index)
 		return
 	}
 	key := poolKey{m.typ, m.zone, m.spot}
@@ -52,7 +52,7 @@
 		p.pools = append(p.pools, key)
 	}
 	if m.indexed.pool != pool {
-		p.index.Join(m.index, int(pool))
+		p.index.Add(m.index, int(pool))
 		m.indexed.pool = pool
 	}
 	load := m.capacity.load
@@ -66,7 +66,7 @@
 	for _, b := range m.capacity.allocations {
 		tags |= imageTag(p.jobs.list[b.job].request.image)
 	}
-	p.index.Open(m.index, m.capacity.free, load, tags)
+	p.index.Update(m.index, m.capacity.free, load, tags)
 }
 
 // imageTag is the index's tag of an image. Several images may share one.
@@ -80,8 +80,8 @@
 	w := p.request(j, only)
 	if j.placement.imageOnly {
 		at := w
-		at.AllowedTag = w.FavouredTag
-		at.Allowed = func(i int32) bool { return w.Favoured(i) && (w.Allowed == nil || w.Allowed(i)) }
+		at.AllowedTag = w.PreferredTag
+		at.Allowed = func(i int32) bool { return w.Preferred(i) && (w.Allowed == nil || w.Allowed(i)) }
 		return p.index.Place(&p.goal, &at)
 	}
 	if aim := p.classes.objectives[j.request.class].wait; aim > 0 {
@@ -117,7 +117,7 @@
 	if p.classes.objectives[j.request.class].wait > 0 {
 		cheap, image = 1, 2
 	}
-	w := slowfit.Request{Task: j.request.size, Bonus: image, FavouredTag: imageTag(j.request.image),
+	w := slowfit.Request{Task: j.request.size, PreferredBonus: image, PreferredTag: imageTag(j.request.image),
 		Pool: func(pool int) (bool, int) {
 			k := p.pools[pool]
 			if !j.allows(k.typ, k.zone, k.spot) || only >= 0 && k.zone != only || j.zoneFull(k.zone) {
@@ -128,7 +128,7 @@
 			}
 			return true, 0
 		},
-		Favoured: func(i int32) bool {
+		Preferred: func(i int32) bool {
 			m := p.machines.list[i]
 			return m.hasImage(j.request.image) || p.fetching(m, j.request.image)
 		},
--- a/internal/scheduler/plan_requests.go
+++ b/internal/scheduler/plan_requests.go
@@ -25,7 +25,7 @@
 	case v.plans[name] == nil:
 		err = fmt.Errorf("%w: %q", errNoPlan, name)
 	default:
-		err = v.plans[name].rollout.Steer(e.Command, e.Argument, v.clock.wallMS)
+		err = v.plans[name].rollout.Apply(e.Command, e.Argument, v.clock.wallMS)
 	}
 	if err != nil {
 		v.effects.emit(PlanReply{ReplyTo: e.ReplyTo, Err: err})
@@ -34,7 +34,7 @@
 	p := v.plans[name]
 	p.tooLong = false
 	v.savePlan(name, p)
-	if p.rollout.Durable() {
+	if p.rollout.IsDurable() {
 		v.effects.emit(PlanReply{ReplyTo: e.ReplyTo})
 		return
 	}
@@ -46,7 +46,7 @@
 	if v.plans[spec.Name] != nil {
 		return fmt.Errorf("%w: %q", errPlanExists, spec.Name)
 	}
-	record := rollout.Record{Version: rollout.RecordVersion, Spec: spec, CreatedMS: v.clock.wallMS, Phase: rollout.Choosing, PhaseMS: v.clock.wallMS}
+	record := rollout.Record{Version: rollout.RecordVersion, Spec: spec, CreatedMS: v.clock.wallMS, Phase: rollout.PhaseSelecting, PhaseMS: v.clock.wallMS}
 	selected, names := 0, v.planNames()
 	for _, m := range v.machines.live {
 		if !v.selects(&record, m) {
@@ -54,16 +54,16 @@
 		}
 		selected++
 		for _, name := range names {
-			if r, _ := v.plans[name].rollout.Record(); !r.Phase.Over() && v.selects(&r, m) {
-				return fmt.Errorf("%w: machine %s is in plan %q already", rollout.ErrPlan, m.name, name)
+			if r, _ := v.plans[name].rollout.Record(); !r.Phase.Ended() && v.selects(&r, m) {
+				return fmt.Errorf("%w: machine %s is in plan %q already", rollout.ErrInvalidPlan, m.name, name)
 			}
 		}
 	}
 	if selected == 0 {
-		return fmt.Errorf("%w: no machine is selected", rollout.ErrPlan)
+		return fmt.Errorf("%w: no machine is selected", rollout.ErrInvalidPlan)
 	}
-	p := &plan{rollout: rollout.NewRollout(record, v.disruptions, v.jobs.taskIsDone, v.clock.now, v.clock.wallMS)}
-	p.rollout.Begin()
+	p := &plan{rollout: rollout.NewController(record, v.disruptions, v.jobs.taskIsDone, v.clock.now, v.clock.wallMS)}
+	p.rollout.Start()
 	v.plans[spec.Name] = p
 	v.log.Info("draining", "plan", spec.Name, "phase", record.Phase, "machines", selected)
 	return nil
@@ -76,13 +76,13 @@
 		for _, name := range v.planNames() {
 			p := v.plans[name]
 			r, _ := p.rollout.Record()
-			waits := p.rollout.Waits()
+			waits := p.rollout.WaitReasons()
 			if p.tooLong {
 				waits = []string{"its record takes more than the state service lets a value hold"}
 			}
 			list.Plans = append(list.Plans, PlanStatus{r, waits})
 		}
-		list.Disrupted = v.disruptions.Entries(v.clock.now)
+		list.Disrupted = v.disruptions.Disruptions(v.clock.now)
 	}
 	v.effects.emit(list)
 }
--- a/internal/scheduler/renewal_model_test.go
+++ b/internal/scheduler/renewal_model_test.go
@@ -104,7 +104,9 @@
 
 // TestRenewalsProperty has rapid search for a short history that breaks a rule.
 func TestRenewalsProperty(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { playRenewals(t, property.Drawn{T: t}, rapid.IntRange(30, 120).Draw(t, "steps")) })
+	rapid.Check(t, func(t *rapid.T) {
+		playRenewals(t, property.RapidChooser{T: t}, rapid.IntRange(30, 120).Draw(t, "steps"))
+	})
 }
 
 func playRenewals(t tester, r property.Chooser, steps int) {
@@ -294,7 +296,7 @@
 				h.answers[to] = e.Response
 				h.checkStops(h.reports[to], e.Response)
 			}
-		case InspectWorker:
+		case InspectAgent:
 			for _, w := range h.workers {
 				if w.name == e.Machine && !w.hung {
 					h.g.step(InspectResult{Machine: w.name, Heartbeat: w.report()})
--- a/internal/scheduler/required_stops_test.go
+++ b/internal/scheduler/required_stops_test.go
@@ -21,7 +21,7 @@
 func TestEveryResponseStopsCancelledTasks(t *testing.T) {
 	start := wire.Command{Task: "job-1/0", Attempt: 6<<tokenBits | 1}
 	cancelled := ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
-		Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), Terminal: wire.JobCancelled, Tasks: 1}, Hosts: savedHosts("vm-1")}}}
+		Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), TerminalState: wire.JobCancelled, Tasks: 1}, Hosts: savedHosts("vm-1")}}}
 	// running has a leader of our term start a task, and a user cancel its job.
 	running := func(t *testing.T) (*harness, wire.TaskStatus) {
 		g := newHarness(t, ledger.Snapshot{})
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -11,7 +11,7 @@
 // memory. Jobs come after machines that are gone, and all that refers to jobs after those.
 func (c *Core) restore(s *ledger.Snapshot) {
 	c.softState.restoreSoftState(c.cfg.SoftState)
-	for _, name := range s.Gone {
+	for _, name := range s.GoneMachines {
 		m := c.machineNamed(name)
 		m.state = machineGone
 		m.recorded.setGone(true)
@@ -31,7 +31,7 @@
 
 // restoreJob takes a job from the ledger at the start of a term.
 func (c *Core) restoreJob(s *ledger.SavedJob) {
-	if s.Record.Job == nil && s.Record.Terminal == "" {
+	if s.Record.Job == nil && s.Record.TerminalState == "" {
 		// Ranges or hosts whose job record is missing: records are never
 		// deleted, so there is nothing that could run.
 		c.log.Error("ledger has keys of a job without a record", "job", s.ID)
--- a/internal/scheduler/restore_test.go
+++ b/internal/scheduler/restore_test.go
@@ -17,7 +17,7 @@
 	}
 	old := wire.Command{Task: "job-1/1", Attempt: 6<<tokenBits | 1}
 	gone := saved("vm-1")
-	gone.Gone = []string{"vm-1"}
+	gone.GoneMachines = []string{"vm-1"}
 	cases := []struct {
 		name   string
 		ledger ledger.Snapshot
@@ -62,7 +62,7 @@
 	var s ledger.Snapshot
 	for i := range 30 {
 		s.Jobs = append(s.Jobs, ledger.SavedJob{ID: fmt.Sprintf("job-%d", i), Record: ledger.JobRecord{
-			AcceptedMS: int64(i-30) * 10000, Terminal: wire.JobDone, Tasks: 1, Done: 1, Class: "c", Cores: 8, RunS: 20}})
+			AcceptedMS: int64(i-30) * 10000, TerminalState: wire.JobDone, Tasks: 1, Done: 1, Class: "c", Cores: 8, RunS: 20}})
 	}
 	g := newHarness(t, s)
 	mean, _ := autoscaler.Demand(0, g.c.autoscaling.demand)
@@ -87,7 +87,7 @@
 		{"all its machines are gone", ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec, Hosts: savedHosts("vm-7", "vm-8")}}}, func(g *harness) {
 			g.wait(31 * time.Second)
 		}},
-		{"its machines were deleted by an earlier leader", ledger.Snapshot{Gone: []string{"vm-7"}, Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec, Hosts: savedHosts("vm-7")}}}, func(g *harness) {}},
+		{"its machines were deleted by an earlier leader", ledger.Snapshot{GoneMachines: []string{"vm-7"}, Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec, Hosts: savedHosts("vm-7")}}}, func(g *harness) {}},
 		{"told of twice", ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec}}}, func(g *harness) {
 			g.step(JobRecordEvent{JobID: "job-1", Record: rec, Version: 3})
 		}},
@@ -107,7 +107,7 @@
 // job's cancellation and deleting its ranges. The next one counted the finished
 // tasks twice and ended on that, as did every one after it.
 func TestCancelledJobWhoseRangesAreStillThere(t *testing.T) {
-	rec := ledger.JobRecord{Job: newTestJob("job-1", 3, 1), Terminal: wire.JobCancelled, Tasks: 3, Done: 2}
+	rec := ledger.JobRecord{Job: newTestJob("job-1", 3, 1), TerminalState: wire.JobCancelled, Tasks: 3, Done: 2}
 	g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec, Hosts: savedHosts("vm-1"), Finished: savedRanges(0, 1)}}})
 	g.want("state", g.jobStatus("job-1"), wire.JobCancelled)
 	g.bringUp("vm-1")
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -33,14 +33,14 @@
 		g.submit(j)
 	}
 	g.want("started without room", len(g.starts()), 0)
-	before := g.c.placement.index.Looks()
+	before := g.c.placement.index.NodesVisited()
 	const reports = 50
 	for i := range reports {
 		name := fmt.Sprintf("vm-%06d", 1+2*i)
 		tasks[name][0].Status, tasks[name][0].ExitReason = wire.TaskEnded, wire.ExitDone
 		g.sendHeartbeat(g.heartbeatOf(name, termToken, tasks[name]...))
 	}
-	return (g.c.placement.index.Looks() - before) / reports
+	return (g.c.placement.index.NodesVisited() - before) / reports
 }
 
 // TestWorkPerHeartbeatDoesNotGrow: in a full cell every heartbeat with an ended task had all
--- a/internal/scheduler/scaling_plan.go
+++ b/internal/scheduler/scaling_plan.go
@@ -45,7 +45,7 @@
 
 // plan describes the situation for which scale-outs are planned.
 func (a *autoscaling) plan() autoscaler.PlanInput {
-	s := autoscaler.PlanInput{MaxMachines: a.cfg.Operator.MaxMachines, Sizes: a.headroomSizes(), Headroom: a.headroomCores()}
+	s := autoscaler.PlanInput{MaxMachines: a.cfg.Operator.MaxMachines, HeadroomSizes: a.headroomSizes(), Headroom: a.headroomCores()}
 	a.planPools(&s)
 	a.planMachines(&s)
 	a.planScaleOuts(&s)
@@ -86,7 +86,7 @@
 		if !a.countsAsCapacity(m) {
 			continue
 		}
-		s.Cores += m.capacity.total.CPUs
+		s.ProvisionedCores += m.capacity.total.CPUs
 		o := autoscaler.CapacityPool{Type: m.typ, Zone: m.zone, Spot: m.spot}
 		if m.trusted(a.term) {
 			s.Running = append(s.Running, autoscaler.RunningMachine{CapacityPool: o, BusyCoreSeconds: a.placement.remainingWork(m)})
@@ -105,7 +105,7 @@
 		total := a.types.list[h.pool.Type].total
 		for range h.saved.Request.Count {
 			s.Pending = append(s.Pending, autoscaler.PendingMachine{CapacityPool: h.pool, Free: total})
-			s.Cores += total.CPUs
+			s.ProvisionedCores += total.CPUs
 			s.Machines++
 		}
 	}
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -37,8 +37,8 @@
 func (m *simulatedMachine) Deliver(Effect) {}
 
 func newSimulation(machines int) *simulation {
-	p := &settings.Platform{Facts: settings.Facts{Nodes: 3, Teams: []settings.Team{{Name: "t"}},
-		Workers: settings.Workers{ReportS: 8, LeaseS: 36, CancelS: 56}, Objectives: []settings.Objective{{Kind: "wait", Class: "small", WithinS: 4}}}}
+	p := &settings.Platform{Facts: settings.Facts{ControllerCount: 3, Teams: []settings.Team{{Name: "t"}},
+		Workers: settings.Workers{HeartbeatS: 8, LeaseS: 36, CancelS: 56}, Objectives: []settings.Objective{{Kind: "wait", Class: "small", WithinS: 4}}}}
 	s := &simulation{at: map[string]*simulatedMachine{}, counts: map[string]int{}}
 	s.c = NewCore(Config{Term: testTerm, Platform: p, Operator: settings.Defaults()}, ledger.Snapshot{}, 0, 0, slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})))
 	s.take(s.c.InitialEffects())
@@ -65,7 +65,7 @@
 	s.settle()
 }
 
-func (s *simulation) settle() { s.take(s.c.Settle()) }
+func (s *simulation) settle() { s.take(s.c.Flush()) }
 
 func (s *simulation) take(effects []Effect) {
 	var tags []ledger.Tag
--- a/internal/scheduler/unreachable_test.go
+++ b/internal/scheduler/unreachable_test.go
@@ -144,7 +144,7 @@
 			m := g.c.machineNamed("vm-1")
 			m.agent.SetAddress("10.1.0.1:9000")
 			g.c.commands.sendCommand(&commandInFlight{machine: m, agentEpoch: 2, fencingToken: m.agent.FencingToken()}, []wire.Command{})
-			g.take(g.c.Settle())
+			g.take(g.c.Flush())
 			probe := g.sentCommands[len(g.sentCommands)-1]
 			g.sentCommands = nil
 			r := g.heartbeatOf("vm-1", termToken)
--- a/internal/settings/cell_sections.go
+++ b/internal/settings/cell_sections.go
@@ -76,7 +76,7 @@
 			cells.Name = value
 			return cellName.MatchString(value)
 		}},
-		"spill":      inifile.YesNo(&cells.Spill),
+		"spill":      inifile.YesNo(&cells.DelegateJobs),
 		"shortage_s": inifile.Seconds(&cells.ShortageFor, 1, 3600),
 		"max_wait_s": inifile.Seconds(&cells.MaxWait, 1, 86400),
 		"trace_file": inifile.Text(&cells.TraceFile),
@@ -93,9 +93,9 @@
 		"preference":  inifile.TruncatedNumber(&neighbour.Preference, 0, 1000),
 		"max_jobs":    inifile.TruncatedNumber(&neighbour.MaxJobs, 0, 1e6),
 		"max_cores":   inifile.Number(&neighbour.MaxCores, 0, 1e9),
-		"lend_cores":  inifile.Number(&neighbour.LendCores, 0, 1e9),
-		"take_back_s": inifile.Seconds(&neighbour.TakeBack, 10, 86400),
-		"drain":       inifile.YesNo(&neighbour.Drain),
+		"lend_cores":  inifile.Number(&neighbour.MaxOfferedCores, 0, 1e9),
+		"take_back_s": inifile.Seconds(&neighbour.ReclaimAfter, 10, 86400),
+		"drain":       inifile.YesNo(&neighbour.Draining),
 	})
 	if len(neighbour.Controllers) == 0 {
 		r.refuse(section.Name(), "controllers", "", "the addresses at which its controllers serve each other")
@@ -117,7 +117,7 @@
 	if r.cells.Name == "" && len(r.cells.Neighbours) > 0 {
 		r.refuse(cellSection, "name", "", "this cell's name, since there are neighbours")
 	}
-	if r.cells.Spill && len(r.cells.Neighbours) == 0 {
+	if r.cells.DelegateJobs && len(r.cells.Neighbours) == 0 {
 		r.refuse(cellSection, "spill", "yes", "no without neighbours")
 	}
 }
--- a/internal/settings/cells.go
+++ b/internal/settings/cells.go
@@ -12,8 +12,8 @@
 type Cells struct {
 	// Name is this cell's, and the same for all its controllers.
 	Name string
-	// Spill has this cell delegate jobs to others; without it, it only accepts foreign jobs.
-	Spill bool
+	// DelegateJobs has this cell delegate jobs to others; without it, it only accepts foreign jobs.
+	DelegateJobs bool
 	// ShortageFor is how long a shortage must last before jobs are offered to other cells, and
 	// how long there must be none before that ends.
 	ShortageFor time.Duration
@@ -38,12 +38,12 @@
 	// MaxJobs and MaxCores bound what is delegated to it at once.
 	MaxJobs  int
 	MaxCores float64
-	// LendCores bounds the capacity that is offered to it at once.
-	LendCores float64
-	// TakeBack is after how long without an answer a repeatable job is reclaimed.
-	TakeBack time.Duration
-	// Drain ends the relation: nothing more is offered to it or accepted from it.
-	Drain bool
+	// MaxOfferedCores bounds the capacity that is offered to it at once.
+	MaxOfferedCores float64
+	// ReclaimAfter is after how long without an answer a repeatable job is reclaimed.
+	ReclaimAfter time.Duration
+	// Draining ends the relation: nothing more is offered to it or accepted from it.
+	Draining bool
 }
 
 // Find returns the neighbour of a name.
@@ -62,7 +62,7 @@
 
 // defaultNeighbour are the bounds of a neighbour that has only its addresses.
 func defaultNeighbour(name string) Neighbour {
-	return Neighbour{Name: name, MaxJobs: 100, MaxCores: 256, TakeBack: 5 * time.Minute}
+	return Neighbour{Name: name, MaxJobs: 100, MaxCores: 256, ReclaimAfter: 5 * time.Minute}
 }
 
 // CheckNeighbours refuses neighbours that have the address of a controller of this cell. That
--- a/internal/settings/cells_test.go
+++ b/internal/settings/cells_test.go
@@ -31,10 +31,10 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	want := Cells{Name: "lima", Spill: true, ShortageFor: 10 * time.Second, MaxWait: time.Minute, Repeatable: map[string]bool{"report": true},
+	want := Cells{Name: "lima", DelegateJobs: true, ShortageFor: 10 * time.Second, MaxWait: time.Minute, Repeatable: map[string]bool{"report": true},
 		Neighbours: []Neighbour{
-			{Name: "arequipa", Controllers: []string{"10.1.0.1:8081", "10.1.0.2:8081"}, Preference: 1, MaxJobs: 100, MaxCores: 32, TakeBack: 90 * time.Second},
-			{Name: "puno", Controllers: []string{"10.2.0.1:8081"}, Preference: 2, MaxJobs: 100, MaxCores: 256, LendCores: 8, TakeBack: 5 * time.Minute, Drain: true},
+			{Name: "arequipa", Controllers: []string{"10.1.0.1:8081", "10.1.0.2:8081"}, Preference: 1, MaxJobs: 100, MaxCores: 32, ReclaimAfter: 90 * time.Second},
+			{Name: "puno", Controllers: []string{"10.2.0.1:8081"}, Preference: 2, MaxJobs: 100, MaxCores: 256, MaxOfferedCores: 8, ReclaimAfter: 5 * time.Minute, Draining: true},
 		}}
 	if !reflect.DeepEqual(o.Cells, want) {
 		t.Errorf("read %+v\nwant %+v", o.Cells, want)
--- a/internal/settings/golden_operator_test.go
+++ b/internal/settings/golden_operator_test.go
@@ -33,7 +33,7 @@
 // budgetOf reads one thing of a group's budget, if it has one.
 func budgetOf(group rollout.Group, read func(rollout.Budget) any) func(Operator) any {
 	return func(o Operator) any {
-		if b, ok := o.Drain.Budgets.Of[group]; ok {
+		if b, ok := o.Rollouts.Budgets.ByGroup[group]; ok {
 			return read(b)
 		}
 		return "no such budget"
@@ -61,7 +61,7 @@
 	{"fleet", "warm_spread", "9", func(o Operator) any { return o.HeadroomSpread }},
 	{"fleet", "max_machines", "9", func(o Operator) any { return o.MaxMachines }},
 	{"cell", "name", "cusco", func(o Operator) any { return o.Cells.Name }},
-	{"cell", "spill", "no", func(o Operator) any { return o.Cells.Spill }},
+	{"cell", "spill", "no", func(o Operator) any { return o.Cells.DelegateJobs }},
 	{"cell", "shortage_s", "90", func(o Operator) any { return o.Cells.ShortageFor }},
 	{"cell", "max_wait_s", "90", func(o Operator) any { return o.Cells.MaxWait }},
 	{"cell", "trace_file", "another", func(o Operator) any { return o.Cells.TraceFile }},
@@ -69,17 +69,17 @@
 	{"neighbour.arequipa", "preference", "9", neighbourOf(func(n Neighbour) any { return n.Preference })},
 	{"neighbour.arequipa", "max_jobs", "9", neighbourOf(func(n Neighbour) any { return n.MaxJobs })},
 	{"neighbour.arequipa", "max_cores", "9", neighbourOf(func(n Neighbour) any { return n.MaxCores })},
-	{"neighbour.arequipa", "lend_cores", "9", neighbourOf(func(n Neighbour) any { return n.LendCores })},
-	{"neighbour.arequipa", "take_back_s", "90", neighbourOf(func(n Neighbour) any { return n.TakeBack })},
-	{"neighbour.arequipa", "drain", "no", neighbourOf(func(n Neighbour) any { return n.Drain })},
+	{"neighbour.arequipa", "lend_cores", "9", neighbourOf(func(n Neighbour) any { return n.MaxOfferedCores })},
+	{"neighbour.arequipa", "take_back_s", "90", neighbourOf(func(n Neighbour) any { return n.ReclaimAfter })},
+	{"neighbour.arequipa", "drain", "no", neighbourOf(func(n Neighbour) any { return n.Draining })},
 	{"class.statement-run", "repeat", "no", repeatOf("statement-run")},
 	{"class.settle-window", "repeat", "yes", repeatOf("settle-window")},
 	{"standby", "follow", "no", func(o Operator) any { return o.Standby.Follow }},
-	{"standby", "hints", "no", func(o Operator) any { return o.Standby.Hints }},
+	{"standby", "hints", "no", func(o Operator) any { return o.Standby.SoftState }},
 	{"standby", "max_mb", "9", func(o Operator) any { return o.Standby.MaxMB }},
-	{"drain", "enabled", "no", func(o Operator) any { return o.Drain.Enabled }},
-	{"budget", "jobs", "9", func(o Operator) any { return o.Drain.Budgets.General.Jobs }},
-	{"budget", "window_s", "90", func(o Operator) any { return o.Drain.Budgets.General.Window }},
+	{"drain", "enabled", "no", func(o Operator) any { return o.Rollouts.Enabled }},
+	{"budget", "jobs", "9", func(o Operator) any { return o.Rollouts.Budgets.General.Jobs }},
+	{"budget", "window_s", "90", func(o Operator) any { return o.Rollouts.Budgets.General.Window }},
 	{"budget.team.settlement", "share", "20%", budgetOf(rollout.TeamGroup("settlement"), shareOf)},
 	{"budget.team.settlement", "window_s", "90", budgetOf(rollout.TeamGroup("settlement"), windowOf)},
 	{"budget.class.fraud-scoring", "jobs", "9", budgetOf(rollout.ClassGroup("fraud-scoring"), jobsOf)},
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -37,8 +37,8 @@
 	Cells Cells
 	// Standby configures how the controllers that do not lead follow the leader.
 	Standby Standby
-	// Drain configures the plans that drain and replace machines.
-	Drain Drain
+	// Rollouts configures the plans that drain and replace machines.
+	Rollouts Rollouts
 }
 
 // Defaults returns the settings that hold without an operators' file.
@@ -52,7 +52,7 @@
 		HeadroomSpread: 3,
 		Cells:          defaultCells(),
 		Standby:        Standby{MaxMB: 64},
-		Drain:          defaultRollouts(),
+		Rollouts:       defaultRollouts(),
 	}
 }
 
@@ -109,7 +109,7 @@
 	var cellErrors, standbyErrors, rolloutErrors []error
 	operator.Cells, cellErrors = readCells(path, text, file)
 	operator.Standby, standbyErrors = readStandby(path, text, file)
-	operator.Drain, rolloutErrors = readRollouts(path, text, file)
+	operator.Rollouts, rolloutErrors = readRollouts(path, text, file)
 	scalarErrors := readScalars(path, text, file, &operator)
 	return operator, errors.Join(slices.Concat(cellErrors, standbyErrors, rolloutErrors, scalarErrors)...)
 }
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -11,44 +11,44 @@
 // Platform is the content of the platform's file: who this controller is, where its peers and
 // the regional services are, and facts about the deployment.
 type Platform struct {
-	Node     string   `toml:"host_name"`
-	Zone     string   `toml:"site"`
-	Listen   string   `toml:"public_addr"`
-	Back     string   `toml:"back"`
-	Peers    []Peer   `toml:"others"`
-	Services Services `toml:"services"`
-	Facts    Facts    `toml:"facts"`
+	Name       string   `toml:"host_name"`
+	Zone       string   `toml:"site"`
+	PublicAddr string   `toml:"public_addr"`
+	PeerAddr   string   `toml:"back"`
+	Peers      []Peer   `toml:"others"`
+	Services   Services `toml:"services"`
+	Facts      Facts    `toml:"facts"`
 }
 
 // Peer is one of the other controllers.
 type Peer struct {
-	Node string `toml:"host_name"`
+	Name string `toml:"host_name"`
 	Zone string `toml:"site"`
 	Addr string `toml:"endpoint"`
 }
 
 // Controllers lists all controllers of the deployment, this one first.
 func (p *Platform) Controllers() []Peer {
-	return append([]Peer{{Node: p.Node, Zone: p.Zone, Addr: p.Back}}, p.Peers...)
+	return append([]Peer{{Name: p.Name, Zone: p.Zone, Addr: p.PeerAddr}}, p.Peers...)
 }
 
 // Services holds the addresses of the regional services.
 type Services struct {
 	Cloud string `toml:"cloud"`
-	State string `toml:"state"`
+	Store string `toml:"state"`
 }
 
 // Facts describes the deployment.
 type Facts struct {
-	Nodes        int         `toml:"nodes"`
-	Zones        []string    `toml:"zones"`
-	ClockErrorMS float64     `toml:"clock_error_ms"`
-	Teams        []Team      `toml:"teams"`
-	Objectives   []Objective `toml:"objectives"`
-	Workers      Workers     `toml:"workers"`
-	State        StateLimits `toml:"state"`
-	Cloud        CloudLimits `toml:"cloud"`
-	Resources    Resources   `toml:"resources"`
+	ControllerCount int         `toml:"nodes"`
+	Zones           []string    `toml:"zones"`
+	ClockErrorMS    float64     `toml:"clock_error_ms"`
+	Teams           []Team      `toml:"teams"`
+	Objectives      []Objective `toml:"objectives"`
+	Workers         Workers     `toml:"workers"`
+	Store           StoreLimits `toml:"state"`
+	Cloud           CloudLimits `toml:"cloud"`
+	Resources       Resources   `toml:"resources"`
 }
 
 // Team is a team's quota: what it is guaranteed and what it is limited to; 0 means none.
@@ -71,25 +71,25 @@
 
 // Workers holds the times that agents and controllers have to keep.
 type Workers struct {
-	ReportS float64 `toml:"report_s"`
-	LeaseS  float64 `toml:"lease_s"`
-	CancelS float64 `toml:"cancel_s"`
+	HeartbeatS float64 `toml:"report_s"`
+	LeaseS     float64 `toml:"lease_s"`
+	CancelS    float64 `toml:"cancel_s"`
 }
 
-// StateLimits are the limits of the key-value store.
-type StateLimits struct {
+// StoreLimits are the limits of the key-value store.
+type StoreLimits struct {
 	RPS      float64 `toml:"rps"`
 	WriteRPS float64 `toml:"write_rps"`
 	ValueKB  float64 `toml:"value_kb"`
 	TxnOps   int     `toml:"txn_ops"`
 	// Next holds limits that are announced: the store applies them from some moment on, without
 	// further notice. It is nil if none are announced.
-	Next *StateLimits `toml:"next"`
+	Next *StoreLimits `toml:"next"`
 }
 
 // LeastValueBytes is the largest size of a value, in bytes, that is allowed both by the present
 // limits and by the announced ones.
-func (l StateLimits) LeastValueBytes() int {
+func (l StoreLimits) LeastValueBytes() int {
 	kb := l.ValueKB
 	if l.Next != nil {
 		kb = min(kb, l.Next.ValueKB)
@@ -123,8 +123,8 @@
 func ParsePlatform(path, text string) (*Platform, error) {
 	// Older platforms leave out the fields that have a default here.
 	platform := &Platform{Facts: Facts{
-		Workers:   Workers{ReportS: 3, LeaseS: 30, CancelS: 60},
-		State:     StateLimits{RPS: 100, WriteRPS: 40, ValueKB: 16, TxnOps: 16},
+		Workers:   Workers{HeartbeatS: 3, LeaseS: 30, CancelS: 60},
+		Store:     StoreLimits{RPS: 100, WriteRPS: 40, ValueKB: 16, TxnOps: 16},
 		Cloud:     CloudLimits{RPS: 1, ListLagS: 10},
 		Resources: Resources{CPUShare: 1, RAMMB: 256, Sockets: 1000},
 	}}
--- a/internal/settings/platform_test.go
+++ b/internal/settings/platform_test.go
@@ -60,7 +60,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if n := p.Facts.State.Next; n == nil || n.WriteRPS != 20 || n.RPS != 90 || n.ValueKB != 16 || n.TxnOps != 16 {
+	if n := p.Facts.Store.Next; n == nil || n.WriteRPS != 20 || n.RPS != 90 || n.ValueKB != 16 || n.TxnOps != 16 {
 		t.Errorf("announced limits: %+v", n)
 	}
 }
--- a/internal/settings/platform_validation.go
+++ b/internal/settings/platform_validation.go
@@ -53,31 +53,31 @@
 // validate returns an error for each field that is out of range or contradicts another.
 func (p *Platform) validate(path string) error {
 	v := &fieldValidator{file: path}
-	if p.Node == "" {
-		v.refuse("host_name", p.Node, "this controller's name")
+	if p.Name == "" {
+		v.refuse("host_name", p.Name, "this controller's name")
 	}
-	v.address("public_addr", p.Listen)
-	v.address("back", p.Back)
-	if p.Back == p.Listen {
-		v.refuse("back", p.Back, "another address than public_addr")
+	v.address("public_addr", p.PublicAddr)
+	v.address("back", p.PeerAddr)
+	if p.PeerAddr == p.PublicAddr {
+		v.refuse("back", p.PeerAddr, "another address than public_addr")
 	}
 	v.address("services.cloud", p.Services.Cloud)
-	v.address("services.state", p.Services.State)
+	v.address("services.state", p.Services.Store)
 	p.validatePeers(v)
 	p.Facts.validateTeams(v)
 	p.Facts.validateNumbers(v)
-	p.Facts.State.validateNext(v)
+	p.Facts.Store.validateNext(v)
 	p.Facts.validateObjectives(v)
 	return errors.Join(v.errs...)
 }
 
 func (p *Platform) validatePeers(v *fieldValidator) {
-	names := map[string]bool{p.Node: true}
+	names := map[string]bool{p.Name: true}
 	for i, peer := range p.Peers {
-		if peer.Node == "" || names[peer.Node] {
-			v.refuse(fmt.Sprintf("others[%d].host_name", i), peer.Node, "a name that no other controller has")
+		if peer.Name == "" || names[peer.Name] {
+			v.refuse(fmt.Sprintf("others[%d].host_name", i), peer.Name, "a name that no other controller has")
 		}
-		names[peer.Node] = true
+		names[peer.Name] = true
 		v.address(fmt.Sprintf("others[%d].endpoint", i), peer.Addr)
 	}
 }
@@ -101,16 +101,16 @@
 }
 
 func (facts *Facts) validateNumbers(v *fieldValidator) {
-	v.positive("facts.workers.report_s", facts.Workers.ReportS)
+	v.positive("facts.workers.report_s", facts.Workers.HeartbeatS)
 	v.positive("facts.workers.lease_s", facts.Workers.LeaseS)
 	v.positive("facts.workers.cancel_s", facts.Workers.CancelS)
-	if facts.Workers.ReportS >= facts.Workers.LeaseS {
-		v.refuse("facts.workers.report_s", facts.Workers.ReportS, "less than facts.workers.lease_s")
+	if facts.Workers.HeartbeatS >= facts.Workers.LeaseS {
+		v.refuse("facts.workers.report_s", facts.Workers.HeartbeatS, "less than facts.workers.lease_s")
 	}
-	v.positive("facts.state.rps", facts.State.RPS)
-	v.positive("facts.state.write_rps", facts.State.WriteRPS)
-	v.positive("facts.state.value_kb", facts.State.ValueKB)
-	v.atLeast("facts.state.txn_ops", facts.State.TxnOps, minTxnOps)
+	v.positive("facts.state.rps", facts.Store.RPS)
+	v.positive("facts.state.write_rps", facts.Store.WriteRPS)
+	v.positive("facts.state.value_kb", facts.Store.ValueKB)
+	v.atLeast("facts.state.txn_ops", facts.Store.TxnOps, minTxnOps)
 	v.positive("facts.cloud.rps", facts.Cloud.RPS)
 	v.positive("facts.resources.cpu_share", facts.Resources.CPUShare)
 	v.positive("facts.resources.ram_mb", facts.Resources.RAMMB)
@@ -121,7 +121,7 @@
 
 // validateNext checks the limits that are announced. A limit that is left out keeps its present
 // value.
-func (l *StateLimits) validateNext(v *fieldValidator) {
+func (l *StoreLimits) validateNext(v *fieldValidator) {
 	next := l.Next
 	if next == nil {
 		return
--- a/internal/settings/rollouts.go
+++ b/internal/settings/rollouts.go
@@ -12,9 +12,9 @@
 	"leadproxy/internal/rollout"
 )
 
-// Drain configures rollouts, the plans that drain and replace machines: whether they are carried
+// Rollouts configures rollouts, the plans that drain and replace machines: whether they are carried
 // out, and which jobs they may disrupt.
-type Drain struct {
+type Rollouts struct {
 	Enabled bool
 	Budgets rollout.Budgets
 }
@@ -34,10 +34,10 @@
 	maxBudgetJobs       = 1e6
 )
 
-func defaultRollouts() Drain {
-	return Drain{Budgets: rollout.Budgets{
+func defaultRollouts() Rollouts {
+	return Rollouts{Budgets: rollout.Budgets{
 		General: rollout.Budget{Jobs: 1, Window: defaultBudgetWindow},
-		Of:      map[rollout.Group]rollout.Budget{},
+		ByGroup: map[rollout.Group]rollout.Budget{},
 	}}
 }
 
@@ -47,7 +47,7 @@
 }
 
 // readRollouts reads the sections about rollouts and their disruption budgets.
-func readRollouts(path, text string, file *ini.File) (Drain, []error) {
+func readRollouts(path, text string, file *ini.File) (Rollouts, []error) {
 	rollouts := defaultRollouts()
 	r := &sectionReader{path: path, text: text}
 	if file.HasSection(rolloutSection) {
@@ -62,9 +62,9 @@
 		class, isClass := strings.CutPrefix(name, classBudgetPrefix)
 		switch {
 		case isTeam && team != "":
-			rollouts.Budgets.Of[rollout.TeamGroup(team)] = r.readBudget(section, rollouts.Budgets.General)
+			rollouts.Budgets.ByGroup[rollout.TeamGroup(team)] = r.readBudget(section, rollouts.Budgets.General)
 		case isClass && class != "":
-			rollouts.Budgets.Of[rollout.ClassGroup(class)] = r.readBudget(section, rollouts.Budgets.General)
+			rollouts.Budgets.ByGroup[rollout.ClassGroup(class)] = r.readBudget(section, rollouts.Budgets.General)
 		case strings.HasPrefix(name, budgetSectionPrefix):
 			r.refuse(name, "", name, "[budget.team.NAME] or [budget.class.NAME]")
 		}
@@ -114,7 +114,7 @@
 
 // CheckBudgets refuses budgets of teams that the platform's file does not have.
 func CheckBudgets(platform *Platform, operator Operator) error {
-	for group := range operator.Drain.Budgets.Of {
+	for group := range operator.Rollouts.Budgets.ByGroup {
 		name, isTeam := group.Team()
 		if isTeam && !slices.ContainsFunc(platform.Facts.Teams, func(t Team) bool { return t.Name == name }) {
 			return fmt.Errorf("%w: [%s%s]: the platform has no team of that name", ErrConflict, teamBudgetPrefix, name)
--- a/internal/settings/rollouts_test.go
+++ b/internal/settings/rollouts_test.go
@@ -17,10 +17,10 @@
 		t.Fatal(err)
 	}
 	o, err := ParseOperator("drain.ini", string(text))
-	if err != nil || !o.Drain.Enabled || o.Drain.Budgets.General != (rollout.Budget{Jobs: 2, Window: time.Minute}) {
-		t.Errorf("%+v, %v", o.Drain, err)
+	if err != nil || !o.Rollouts.Enabled || o.Rollouts.Budgets.General != (rollout.Budget{Jobs: 2, Window: time.Minute}) {
+		t.Errorf("%+v, %v", o.Rollouts, err)
 	}
-	if Defaults().Drain.Enabled {
+	if Defaults().Rollouts.Enabled {
 		t.Error("rollouts are enabled by default")
 	}
 	if text, err = os.ReadFile("../../deploy/drain-plan.ini"); err != nil {
@@ -40,8 +40,8 @@
 	}
 	want := map[rollout.Group]rollout.Budget{rollout.TeamGroup("a"): {Share: 0.25, Window: 10 * time.Second}, rollout.ClassGroup("c"): {Window: 10 * time.Second}}
 	for g, b := range want {
-		if o.Drain.Budgets.Of[g] != b {
-			t.Errorf("%s: %+v", g, o.Drain.Budgets.Of[g])
+		if o.Rollouts.Budgets.ByGroup[g] != b {
+			t.Errorf("%s: %+v", g, o.Rollouts.Budgets.ByGroup[g])
 		}
 	}
 	for _, wrong := range []string{"[budget]\njobs = 0", "[budget]\njobs = -1", "[budget]\njobs = 1.5", "[budget]\nshare = 0%", "[budget]\nshare = 101%", "[budget]\nshare = 10",
--- a/internal/settings/standby.go
+++ b/internal/settings/standby.go
@@ -13,8 +13,8 @@
 	Follow bool
 	// MaxMB bounds that copy. One that would be larger is dropped.
 	MaxMB float64
-	// Hints has the leader replicate its soft state to them too, which it holds only in memory.
-	Hints bool
+	// SoftState has the leader replicate its soft state to them too, which it holds only in memory.
+	SoftState bool
 }
 
 const standbySection = "standby"
@@ -28,10 +28,10 @@
 	r := &sectionReader{path: path, text: text}
 	r.readKeys(file.Section(standbySection), inifile.Keys{
 		"follow": inifile.YesNo(&standby.Follow),
-		"hints":  inifile.YesNo(&standby.Hints),
+		"hints":  inifile.YesNo(&standby.SoftState),
 		"max_mb": inifile.Number(&standby.MaxMB, 1, 1e5),
 	})
-	if standby.Hints && !standby.Follow {
+	if standby.SoftState && !standby.Follow {
 		r.errs = append(r.errs, fmt.Errorf("%s: [%s] hints need follow: controllers that do not follow read everything anew", path, standbySection))
 	}
 	return standby, r.errs
--- a/internal/slowfit/goal_test.go
+++ b/internal/slowfit/goal_test.go
@@ -16,7 +16,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := Goal{C: 5, L: c.l}
-			g.Fall(c.busiest)
+			g.Lower(c.busiest)
 			if g.L != c.wantL || g.Phase != c.phases {
 				t.Errorf("L = %v in phase %d, want %v in %d", g.L, g.Phase, c.wantL, c.phases)
 			}
--- a/internal/slowfit/index.go
+++ b/internal/slowfit/index.go
@@ -7,7 +7,7 @@
 // machines that are alike in size and in what decides which jobs may use them.
 //
 // Machines are the caller's dense indices. Their order, the paper's last
-// tie-break, is that of Join.
+// tie-break, is that of Add.
 type Index struct {
 	pools []*pool
 	// poolsBySpeed are the numbers of the pools, the slowest first.
@@ -34,10 +34,10 @@
 	return len(x.pools) - 1
 }
 
-// Join puts a machine into a pool, as unschedulable. One that is in
+// Add puts a machine into a pool, as unschedulable. One that is in
 // another pool leaves that.
-func (x *Index) Join(machine int32, number int) {
-	x.Leave(machine)
+func (x *Index) Add(machine int32, number int) {
+	x.Remove(machine)
 	for int(machine) >= len(x.locations) {
 		x.locations = append(x.locations, location{pool: noPool})
 	}
@@ -68,43 +68,43 @@
 	return int(machine) < len(x.locations) && x.locations[machine].pool != noPool
 }
 
-// Leave takes a machine out of its pool.
-func (x *Index) Leave(machine int32) {
+// Remove takes a machine out of its pool.
+func (x *Index) Remove(machine int32) {
 	if !x.contains(machine) {
 		return
 	}
-	x.Close(machine)
+	x.MarkUnschedulable(machine)
 	at := x.locations[machine]
 	x.pools[at.pool].machines[at.leaf] = noMachine
 	x.locations[machine] = location{pool: noPool}
 }
 
-// Open reports that a machine takes tasks, its free resources, the load that counts
+// Update reports that a machine takes tasks, its free resources, the load that counts
 // towards the goal, and its tags: bits of which a Request may ask for one.
-func (x *Index) Open(machine int32, free Size, load float64, tags uint64) {
+func (x *Index) Update(machine int32, free Size, load float64, tags uint64) {
 	at := x.locations[machine]
 	x.pools[at.pool].set(int(at.leaf), node{free, load, tags})
 	x.infeasible.forget(free)
 }
 
-// Close reports that a machine takes no tasks.
-func (x *Index) Close(machine int32) {
+// MarkUnschedulable reports that a machine takes no tasks.
+func (x *Index) MarkUnschedulable(machine int32) {
 	if x.contains(machine) {
 		at := x.locations[machine]
 		x.pools[at.pool].set(int(at.leaf), unschedulable)
 	}
 }
 
-// ClearLoads has the load of all machines count as nothing, as at the start of
+// ResetLoads has the load of all machines count as nothing, as at the start of
 // a phase.
-func (x *Index) ClearLoads() {
+func (x *Index) ResetLoads() {
 	for _, p := range x.pools {
 		p.resetLoads()
 	}
 }
 
-// Looks is how many nodes of the pools' trees have been visited so far.
-func (x *Index) Looks() int { return x.nodesVisited }
+// NodesVisited is how many nodes of the pools' trees have been visited so far.
+func (x *Index) NodesVisited() int { return x.nodesVisited }
 
 // Infeasible tells whether it is known that no schedulable machine has room for a task.
 func (x *Index) Infeasible(task Size) bool { return x.infeasible.includes(task) }
--- a/internal/slowfit/index_test.go
+++ b/internal/slowfit/index_test.go
@@ -31,7 +31,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		machines, steps := rapid.IntRange(0, 20).Draw(t, "machines"), rapid.IntRange(50, 300).Draw(t, "steps")
 		scale, factor := rapid.SampledFrom(taskScales).Draw(t, "scale"), rapid.SampledFrom(goalFactors).Draw(t, "c")
-		newHistory(t, property.Drawn{T: t}, machines, scale, factor).play(steps)
+		newHistory(t, property.RapidChooser{T: t}, machines, scale, factor).play(steps)
 	})
 }
 
@@ -93,7 +93,7 @@
 	group := h.r.IntN(len(h.groups))
 	size := h.groups[group].size
 	number := len(h.machines)
-	h.index.Join(int32(number), group)
+	h.index.Add(int32(number), group)
 	h.machines = append(h.machines, historyMachine{
 		scannedMachine: scannedMachine{Total: size, Free: size, Index: number}, group: group, image: uint64(h.r.IntN(8)), schedulable: true})
 	h.update(number)
@@ -103,13 +103,13 @@
 func (h *history) update(number int) {
 	m := &h.machines[number]
 	if !m.schedulable {
-		h.index.Close(int32(number))
+		h.index.MarkUnschedulable(int32(number))
 		return
 	}
 	if m.phase != h.goal.Phase {
 		m.phase, m.Load = h.goal.Phase, 0
 	}
-	h.index.Open(int32(number), m.Free, m.Load, m.image)
+	h.index.Update(int32(number), m.Free, m.Load, m.image)
 }
 
 // play changes the cluster and places a task, for so many steps.
@@ -155,7 +155,7 @@
 	const anyZone = 2
 	zone, spotOnly, excluded, tag := h.r.IntN(3), h.r.IntN(3) == 0, h.r.IntN(len(h.machines)), uint64(1)<<h.r.IntN(3)
 	tagRequired := h.r.IntN(4) == 0
-	request := Request{Task: task, Bonus: 1 + h.r.IntN(2), FavouredTag: tag,
+	request := Request{Task: task, PreferredBonus: 1 + h.r.IntN(2), PreferredTag: tag,
 		Pool: func(pool int) (bool, int) {
 			group, score := h.groups[pool], 0
 			if group.spot {
@@ -163,8 +163,8 @@
 			}
 			return (zone == anyZone || group.zone == zone) && (!spotOnly || group.spot), score
 		},
-		Favoured: func(m int32) bool { return h.machines[m].image&tag != 0 },
-		Allowed:  func(m int32) bool { return int(m) != excluded && (!tagRequired || h.machines[m].image&tag != 0) },
+		Preferred: func(m int32) bool { return h.machines[m].image&tag != 0 },
+		Allowed:   func(m int32) bool { return int(m) != excluded && (!tagRequired || h.machines[m].image&tag != 0) },
 	}
 	if tagRequired {
 		request.AllowedTag = tag
@@ -206,8 +206,8 @@
 		}
 		allowed, score := request.Pool(m.group)
 		seen.Allowed, seen.Score = allowed && request.Allowed(int32(i)), score
-		if request.Favoured(int32(i)) {
-			seen.Score += request.Bonus
+		if request.Preferred(int32(i)) {
+			seen.Score += request.PreferredBonus
 		}
 		schedulable = append(schedulable, seen)
 	}
@@ -223,9 +223,9 @@
 		return
 	}
 	phase := h.goal.Phase
-	h.goal.Fall(0.01)
-	h.scanGoal.Fall(0.01)
+	h.goal.Lower(0.01)
+	h.scanGoal.Lower(0.01)
 	if h.goal.Phase != phase {
-		h.index.ClearLoads()
+		h.index.ResetLoads()
 	}
 }
--- a/internal/slowfit/place.go
+++ b/internal/slowfit/place.go
@@ -8,11 +8,11 @@
 	// Pool tells whether the task may use a pool's machines, and their score:
 	// it breaks ties between equally slow machines, before their order does.
 	Pool func(pool int) (allowed bool, score int)
-	// Favoured, unless nil, accepts machines that have Bonus more score. All that
-	// it accepts carry the tag FavouredTag.
-	Favoured    func(machine int32) bool
-	FavouredTag uint64
-	Bonus       int
+	// Preferred, unless nil, accepts machines that have PreferredBonus more score. All that
+	// it accepts carry the tag PreferredTag.
+	Preferred      func(machine int32) bool
+	PreferredTag   uint64
+	PreferredBonus int
 	// Allowed, unless nil, excludes single machines. All that it accepts carry the
 	// tag AllowedTag.
 	Allowed    func(machine int32) bool
@@ -23,7 +23,7 @@
 func (r *Request) accepts(machine int32) bool { return r.Allowed == nil || r.Allowed(machine) }
 
 // hasFavourites tells whether some machines have more score than others of their pool.
-func (r *Request) hasFavourites() bool { return r.Favoured != nil && r.Bonus > 0 }
+func (r *Request) hasFavourites() bool { return r.Preferred != nil && r.PreferredBonus > 0 }
 
 // loadBounds are what makes a machine assignable: the most load of the task on it, and its most
 // total load with the task.
@@ -60,7 +60,7 @@
 		}
 		roomIsKnown = true
 		g.double()
-		x.ClearLoads()
+		x.ResetLoads()
 	}
 }
 
--- a/internal/slowfit/place_bench_test.go
+++ b/internal/slowfit/place_bench_test.go
@@ -21,19 +21,19 @@
 	}
 	free := make([]Size, machines)
 	for i := range machines {
-		x.Join(int32(i), i%6)
+		x.Add(int32(i), i%6)
 	}
 	vacate := func() {
 		for i := range free {
 			free[i] = sizes[i%6/2]
-			x.Open(int32(i), free[i], 0, uint64(i%8))
+			x.Update(int32(i), free[i], 0, uint64(i%8))
 		}
 	}
 	vacate()
 	goal := Goal{C: 5}
-	request := Request{Task: Size{CPUs: 1, MemGB: 2}, Bonus: 2, FavouredTag: 1,
-		Pool:     func(pool int) (bool, int) { return true, pool % 2 },
-		Favoured: func(machine int32) bool { return machine%2 == 1 },
+	request := Request{Task: Size{CPUs: 1, MemGB: 2}, PreferredBonus: 2, PreferredTag: 1,
+		Pool:      func(pool int) (bool, int) { return true, pool % 2 },
+		Preferred: func(machine int32) bool { return machine%2 == 1 },
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
@@ -45,6 +45,6 @@
 			continue
 		}
 		free[machine] = free[machine].Minus(request.Task)
-		x.Open(machine, free[machine], 0, uint64(machine%8))
+		x.Update(machine, free[machine], 0, uint64(machine%8))
 	}
 }
--- a/internal/slowfit/query.go
+++ b/internal/slowfit/query.go
@@ -21,12 +21,12 @@
 // improve has a candidate replaced by the first machine of the pool that has room, if that is
 // better. Machines that the request favours come before the others.
 func (q *query) improve(best *candidate, r *Request, score int) {
-	if r.hasFavourites() && best.canImprove(score+r.Bonus) {
+	if r.hasFavourites() && best.canImprove(score+r.PreferredBonus) {
 		favourites := *q
-		favourites.tags |= r.FavouredTag
-		favourites.accepts = func(machine int32) bool { return r.Favoured(machine) && r.accepts(machine) }
+		favourites.tags |= r.PreferredTag
+		favourites.accepts = func(machine int32) bool { return r.Preferred(machine) && r.accepts(machine) }
 		if leaf := favourites.firstLeaf(root); leaf != noLeaf {
-			best.consider(q.pool, leaf, score+r.Bonus)
+			best.consider(q.pool, leaf, score+r.PreferredBonus)
 			return
 		}
 	}
--- a/internal/slowfit/slowfit.go
+++ b/internal/slowfit/slowfit.go
@@ -27,11 +27,11 @@
 	Phase uint32
 }
 
-// Fall starts a new phase with a lower goal: our extension, since in the paper
+// Lower starts a new phase with a lower goal: our extension, since in the paper
 // L never falls and after a burst stops limiting anything. L becomes what it
 // would be had the busiest machine's present load been the optimum, and never
 // more than it was.
-func (g *Goal) Fall(busiest float64) {
+func (g *Goal) Lower(busiest float64) {
 	if g.L == 0 || busiest*2 >= g.L {
 		return
 	}
--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -55,7 +55,7 @@
 	for _, controller := range r.deployment.Controllers {
 		for _, line := range strings.Split(controller.Log(), "\n") {
 			if strings.Contains(line, scheduler.MessageCancelledTaskOverdue) || strings.HasPrefix(line, "panic:") || strings.HasPrefix(line, "fatal error:") {
-				r.t.Errorf("%s: %s", controller.Platform.Node, line)
+				r.t.Errorf("%s: %s", controller.Platform.Name, line)
 			}
 		}
 	}
--- a/internal/softstate/replica_test.go
+++ b/internal/softstate/replica_test.go
@@ -54,7 +54,7 @@
 // replica equals the leader's state, and it never returns to an older term.
 func TestReplicaMatchesLeader(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		c := property.Drawn{T: t}
+		c := property.RapidChooser{T: t}
 		now := time.Unix(1000, 0)
 		replica, leader := NewReplica(), &modelLeader{term: 1, machines: map[string]Machine{}}
 		leader.open()
--- a/internal/standby/follower_test.go
+++ b/internal/standby/follower_test.go
@@ -32,7 +32,7 @@
 		s.service.Put(fmt.Sprintf("job/%06d", i), fmt.Sprintf(`"value %d"`, i))
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	s.store = kvstore.New(t.Context(), n.Host("n1"), "state:1", settings.StateLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32}, 0.5, log)
+	s.store = kvstore.New(t.Context(), n.Host("n1"), "state:1", settings.StoreLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32}, 0.5, log)
 	s.follower = NewFollower(s.store, modelPrefixes, maxBytes, log)
 	go s.follower.Run(t.Context())
 	return s
