--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -58,7 +58,7 @@
 		return scheduler.CommandNotSent, nil
 	}
 	request := workerRequest{address: effect.Address, method: http.MethodPost, path: "/commands", body: body}
-	response, err := d.workers.call(ctx, request, maySend)
+	response, err := d.commandPool.call(ctx, request, maySend)
 	d.countUnanswered(response, err)
 	switch {
 	case !response.sent:
@@ -105,7 +105,7 @@
 func (d *Dispatcher) inspectWorker(ctx context.Context, effect scheduler.InspectAgent) {
 	result := scheduler.InspectResult{Machine: effect.Machine}
 	request := workerRequest{address: effect.Address, method: http.MethodGet, path: "/inspect"}
-	response, err := d.workers.call(ctx, request, func() bool { return true })
+	response, err := d.commandPool.call(ctx, request, func() bool { return true })
 	switch {
 	case err != nil:
 		d.log.Debug("worker inspection failed", "machine", effect.Machine, "error", err)
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -65,13 +65,13 @@
 // Dispatcher gives the other parts of a controller access to the scheduler's core. It runs
 // one core for each term that this controller leads, and rejects requests in between.
 type Dispatcher struct {
-	config    Config
-	log       *slog.Logger
-	elector   *election.Elector
-	store     *kvstore.Client
-	started   time.Time
-	workers   *commandPool
-	mailboxes mailboxes
+	config      Config
+	log         *slog.Logger
+	elector     *election.Elector
+	store       *kvstore.Client
+	started     time.Time
+	commandPool *commandPool
+	mailboxes   mailboxes
 	// expectedMachines is how many machines should be sending heartbeats to this leader.
 	expectedMachines atomic.Int64
 	// unansweredCommands is how many commands in a row no worker has answered.
@@ -81,13 +81,13 @@
 // NewDispatcher makes a dispatcher; Run starts it.
 func NewDispatcher(config Config) *Dispatcher {
 	return &Dispatcher{
-		config:    config,
-		log:       config.Log,
-		elector:   config.Elector,
-		store:     config.Store,
-		started:   time.Now(),
-		workers:   newCommandPool(config.Network, config.Connections),
-		mailboxes: newMailboxes(),
+		config:      config,
+		log:         config.Log,
+		elector:     config.Elector,
+		store:       config.Store,
+		started:     time.Now(),
+		commandPool: newCommandPool(config.Network, config.Connections),
+		mailboxes:   newMailboxes(),
 	}
 }
 
@@ -101,7 +101,7 @@
 
 // CloseIdleConnections closes the idle connections to workers beyond those that are kept
 // while sockets are scarce.
-func (d *Dispatcher) CloseIdleConnections() { d.workers.trimIdle() }
+func (d *Dispatcher) CloseIdleConnections() { d.commandPool.trimIdle() }
 
 // UnansweredCommands is how many commands in a row no worker has answered.
 func (d *Dispatcher) UnansweredCommands() int { return int(d.unansweredCommands.Load()) }
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -31,7 +31,7 @@
 	// maxTransactionBytes keeps a transaction of the ledger below the store's 64 KiB.
 	maxTransactionBytes = 48 << 10
 	// minTransactionChanges is what a transaction of the ledger must hold: a write, and
-	// the fencing token.
+	// the fence.
 	minTransactionChanges = 2
 	// deferrablePart is the part of the leader's writes, as a divisor, for those that can wait.
 	deferrablePart = 4
@@ -42,8 +42,8 @@
 	ledgerRetryInterval = 200 * time.Millisecond
 )
 
-// lead leads for one term: it learns the ledger, builds the core and steps it until ctx ends
-// or the ledger can't be written any more.
+// lead leads for one term: it learns the ledger, builds the core and steps it until ctx ends or the
+// ledger's writer stops, which it does when another term has begun.
 func (d *Dispatcher) lead(ctx context.Context, number uint64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
--- a/internal/dispatch/term_lifecycle.go
+++ b/internal/dispatch/term_lifecycle.go
@@ -15,7 +15,7 @@
 
 // Run serves one term after the other until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
-	go d.workers.run(ctx)
+	go d.commandPool.run(ctx)
 	var current *runningTerm
 	defer func() { current.end() }()
 	for {
--- a/internal/election/extension_grants.go
+++ b/internal/election/extension_grants.go
@@ -70,9 +70,9 @@
 	g.holdsKey = false
 }
 
-// runUnlessGranted calls a function unless an extension lasts, and returns how long it still does.
+// runIfNoGrantLasts calls a function unless an extension lasts, and returns how long it still does.
 // No extension is granted during the call.
-func (g *extensionGrants) runUnlessGranted(f func()) (remaining time.Duration) {
+func (g *extensionGrants) runIfNoGrantLasts(f func()) (remaining time.Duration) {
 	g.lock()
 	defer g.unlock()
 	remaining = time.Until(g.grantedUntil)
--- a/internal/election/leader_term.go
+++ b/internal/election/leader_term.go
@@ -17,7 +17,7 @@
 	leaseRenewed leaseState = iota
 	// leaseNotRenewed: renewals fail, and the lease or an extension of it still holds.
 	leaseNotRenewed
-	// leadershipSuspended: renewals fail and nothing holds any more. The term resumes if a
+	// leadershipSuspended: renewals fail and the lease has expired. The term resumes if a
 	// renewal succeeds after all.
 	leadershipSuspended
 )
@@ -30,7 +30,7 @@
 type leaderTerm struct {
 	elector *Elector
 	number  uint64
-	lease   uint64
+	leaseID uint64
 	expiry  time.Time
 	state   leaseState
 	// extensionFailure is why the last request for an extension has not prolonged the lease.
@@ -40,7 +40,7 @@
 // newLeaderTerm returns the term of a lease that was requested at a moment.
 func newLeaderTerm(e *Elector, number, lease uint64, requested time.Time) *leaderTerm {
 	return &leaderTerm{
-		elector: e, number: number, lease: lease,
+		elector: e, number: number, leaseID: lease,
 		expiry:           e.lease.expiry(requested),
 		extensionFailure: errNotRequested,
 	}
@@ -73,7 +73,7 @@
 func (t *leaderTerm) begin(ctx context.Context) {
 	publish := func() { t.elector.view.publish(t.view()) }
 	for ctx.Err() == nil {
-		remaining := t.elector.grants.runUnlessGranted(publish)
+		remaining := t.elector.grants.runIfNoGrantLasts(publish)
 		if remaining <= 0 {
 			return
 		}
@@ -97,7 +97,7 @@
 		extension = t.elector.startExtensionRequest(ctx)
 	}
 	sent := time.Now()
-	err := t.elector.store.RenewLease(ctx, t.lease)
+	err := t.elector.store.RenewLease(ctx, t.leaseID)
 	switch {
 	case err == nil:
 		t.renewed(sent)
@@ -118,7 +118,7 @@
 }
 
 // renewalFailed records a failed renewal, takes the extension that was requested beside it, if any,
-// and suspends the leadership when the lease is over.
+// and records the suspension once the lease has expired. View.IsLeader is false by then.
 func (t *leaderTerm) renewalFailed(err error, extension <-chan extensionResult) {
 	if extension != nil {
 		t.applyExtension(<-extension)
@@ -154,13 +154,14 @@
 // before the lease is revoked.
 func (t *leaderTerm) stepDown(ctx context.Context) {
 	t.elector.view.publish(&View{})
-	t.elector.yield.resigned()
-	if err := t.elector.store.RevokeLease(ctx, t.lease); err != nil {
+	t.elector.yield.recordResignation()
+	if err := t.elector.store.RevokeLease(ctx, t.leaseID); err != nil {
 		t.elector.log.Debug("lease not revoked, it expires by itself", "leader_term", t.number, "error", err)
 	}
 }
 
-// Resign makes this controller give up a term of its own, so that another one leads.
+// Resign makes this controller give up a term of its own, so that another one leads. It does not
+// wait: while an earlier request is not handled yet, this one is dropped.
 func (e *Elector) Resign(term uint64) {
 	select {
 	case e.resignations <- term:
--- a/internal/election/yield.go
+++ b/internal/election/yield.go
@@ -31,8 +31,8 @@
 // leaderSeen records that there is a leader.
 func (y *candidacyYield) leaderSeen() { y.noLeaderSince = time.Time{} }
 
-// resigned records that this controller has resigned.
-func (y *candidacyYield) resigned() { y.resignedUntil = time.Now().Add(yieldAfterResignation) }
+// recordResignation records that this controller has resigned.
+func (y *candidacyYield) recordResignation() { y.resignedUntil = time.Now().Add(yieldAfterResignation) }
 
 // shouldYield reports, while there is no leader, whether the others are to campaign first. A nil
 // ready function means that this controller is ready.
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -80,9 +80,9 @@
 				return err
 			}
 			settled.add(tags)
-		case sendIfAny(l.Rejected, settled.rejected) <- settled.rejected:
+		case channelIfAny(l.Rejected, settled.rejected) <- settled.rejected:
 			settled.rejected = nil
-		case sendIfAny(l.Durable, settled.durable) <- settled.durable:
+		case channelIfAny(l.Durable, settled.durable) <- settled.durable:
 			settled.durable = nil
 		case write := <-l.retries:
 			l.queue.retry(write)
@@ -93,8 +93,8 @@
 	}
 }
 
-// sendIfAny is a channel if there are tags to be sent on it, or else nil, which blocks.
-func sendIfAny(channel chan []Tag, tags []Tag) chan []Tag {
+// channelIfAny is a channel if there are tags to be sent on it, or else nil, which blocks.
+func channelIfAny(channel chan []Tag, tags []Tag) chan []Tag {
 	if len(tags) == 0 {
 		return nil
 	}
--- a/internal/ledger/outcome.go
+++ b/internal/ledger/outcome.go
@@ -19,7 +19,7 @@
 }
 
 // applyOutcome takes what came of a transaction and returns the tags of what is settled by it.
-// The other writes go back into the queue. The error is ErrLeadershipLost.
+// The other writes go back into the queue. The only possible error is ErrLeadershipLost.
 func (l *Ledger) applyOutcome(ctx context.Context, o outcome) (settledTags, error) {
 	switch {
 	case o.err == nil && o.committed:
--- a/internal/ledger/transaction.go
+++ b/internal/ledger/transaction.go
@@ -44,7 +44,8 @@
 }
 
 // transactionBuilder makes the transactions of one term and owns the versions of all keys
-// that the leader writes. A late copy of an earlier transaction always fails its conditions:
+// that the leader writes. The fence is a key whose change makes every earlier transaction without
+// a response fail; it has nothing to do with the agents' fencing tokens. A late copy of an earlier transaction always fails its conditions:
 // each has the fence's version among them, and what follows a transaction of unknown outcome
 // moves the fence. Without it, a copy that creates a key would find the key as it was before,
 // missing, once it is deleted, and bring it back.
--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -56,7 +56,7 @@
 // countHeartbeat numbers the heartbeat whose list of tasks is being reconciled.
 func (a *agents) countHeartbeat() { a.heartbeatsProcessed++ }
 
-// schedulable tells whether new tasks may start on a machine at all.
+// schedulable tells whether new tasks may start on a machine.
 func (a *agents) schedulable(m *machine) bool {
 	switch {
 	case m.state != machineUp, !m.trusted(a.term):
--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -124,7 +124,7 @@
 // takeRoom adds an allocation to its machine, its job, its class and its team.
 func (p *placement) takeRoom(m *machine, j *job, n int32, attempt uint64, purpose allocationPurpose) *allocation {
 	b := &allocation{job: j.index, task: n, zone: m.zone, attempt: attempt, share: j.request.size.Share(m.capacity.total)}
-	b.stopping = purpose == untilEnded
+	b.stopping = purpose == untilEnded // mustStop stops it in the next response
 	if math.IsInf(b.share, 1) {
 		b.share = 0
 	}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -43,9 +43,9 @@
 	avoidUntil    time.Duration // until then nothing is started on it: commands do not arrive
 }
 
-// ruleOut resolves the starts that can't be executed any more by an agent that has acknowledged a
-// token.
-func (m *machineCommands) ruleOut(acknowledged uint64) {
+// resolveUpToToken resolves the starts that an agent can't execute any more once it has
+// acknowledged a token.
+func (m *machineCommands) resolveUpToToken(acknowledged uint64) {
 	for attempt, token := range m.unresolvedStarts {
 		if acknowledged >= token {
 			delete(m.unresolvedStarts, attempt)
@@ -53,11 +53,12 @@
 	}
 }
 
-// ruleOutAll resolves all starts: none can be executed any more.
-func (m *machineCommands) ruleOutAll() { clear(m.unresolvedStarts) }
+// resolveAllStarts resolves all starts: none can be executed any more.
+func (m *machineCommands) resolveAllStarts() { clear(m.unresolvedStarts) }
 
-// ruleOutAt has all starts resolved by a token, once that is acknowledged.
-func (m *machineCommands) ruleOutAt(token uint64) {
+// resolveOnToken has all starts resolved once a token is acknowledged: from then on the agent
+// refuses commands with an earlier one.
+func (m *machineCommands) resolveOnToken(token uint64) {
 	for attempt := range m.unresolvedStarts {
 		m.unresolvedStarts[attempt] = token
 	}
@@ -99,10 +100,10 @@
 	m.commands.pending = append(m.commands.pending, o)
 }
 
-// sendDeferred ends a step: it writes what is new about jobs, sends the open responses, and
+// finishStep ends a step: it writes what is new about jobs, sends the open responses, and
 // turns the commands that don't travel with one into direct commands, each well below the
 // protocol's bound on a body.
-func (c *Core) sendDeferred() {
+func (c *Core) finishStep() {
 	c.jobs.writeJobs()
 	c.commands.resumeResponses()
 	c.commands.sendResponses()
--- a/internal/scheduler/commands_test.go
+++ b/internal/scheduler/commands_test.go
@@ -4,16 +4,16 @@
 
 func TestStartsAreRuledOutByTokens(t *testing.T) {
 	m := machineCommands{unresolvedStarts: map[uint64]uint64{1: 8, 2: 9}}
-	m.ruleOut(8)
+	m.resolveUpToToken(8)
 	if _, left := m.unresolvedStarts[1]; left || len(m.unresolvedStarts) != 1 {
 		t.Errorf("left after token 8: %v", m.unresolvedStarts)
 	}
-	m.ruleOutAt(12)
-	m.ruleOut(11)
+	m.resolveOnToken(12)
+	m.resolveUpToToken(11)
 	if len(m.unresolvedStarts) != 1 {
 		t.Error("a start is resolved before the token that rules it out")
 	}
-	m.ruleOutAll()
+	m.resolveAllStarts()
 	if len(m.unresolvedStarts) != 0 {
 		t.Errorf("left: %v", m.unresolvedStarts)
 	}
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -86,7 +86,7 @@
 	c.federation = newFederation(c)
 	c.evictions = newEvictions(c)
 	c.restore(&s)
-	c.sendDeferred()
+	c.finishStep()
 	return c
 }
 
@@ -148,7 +148,7 @@
 	if c.placement.needed {
 		c.placement.place(c.federation.uncertainUse())
 	}
-	c.sendDeferred()
+	c.finishStep()
 	return c.effects.take()
 }
 
--- a/internal/scheduler/fair_share.go
+++ b/internal/scheduler/fair_share.go
@@ -73,8 +73,8 @@
 	p.refresh(best)
 }
 
-// placeReserved starts the jobs whose reserved machine has become free enough, and ends
-// reservations without a purpose.
+// placeReserved starts the first task of each job whose reserved machine has become free enough,
+// there and without asking SLOW-FIT, and ends reservations without a purpose.
 func (p *placement) placeReserved(uncertain []quota.Units) {
 	p.reservingJobs = slices.DeleteFunc(p.reservingJobs, func(j *job) bool {
 		m := j.placement.reservedMachine
@@ -84,7 +84,7 @@
 		}
 		m.capacity.reserved, j.placement.reservedMachine = false, nil
 		if waits && m.indexed.schedulable && p.withinLimit(j, uncertain) {
-			p.start(j, m)
+			p.startOn(j, m)
 		}
 		p.refresh(m)
 		return true
--- a/internal/scheduler/heartbeat_responses.go
+++ b/internal/scheduler/heartbeat_responses.go
@@ -15,13 +15,14 @@
 	heartbeat *wire.Heartbeat
 	// outdated: the heartbeat is older than what is known of its agent.
 	outdated bool
-	// until is when a response that waits for starts to become durable is sent without them; 0:
+	// holdUntil is when a response that waits for starts to become durable is sent without them; 0:
 	// it has not waited.
-	until time.Duration
+	holdUntil time.Duration
 }
 
-// newestHeartbeat has the next response that is opened carry the commands for a machine.
-func (q *commands) newestHeartbeat(m *machine) {
+// attachCommandsToNextResponse has the next response that is opened carry the commands for a
+// machine. It is called for the newest heartbeat of its agent.
+func (q *commands) attachCommandsToNextResponse(m *machine) {
 	if m.commands.heldHeartbeat != nil {
 		// Its agent has given up the response to an earlier one.
 		m.commands.heldHeartbeat = nil
@@ -55,10 +56,10 @@
 // holdForWrites holds a response while starts for its machine wait for a write.
 func (q *commands) holdForWrites(a heldResponse) bool {
 	m := a.machine
-	if a.until > 0 || !m.trusted(q.term) || !m.hasPlannedStarts() {
+	if a.holdUntil > 0 || !m.trusted(q.term) || !m.hasPlannedStarts() {
 		return false
 	}
-	a.until = q.clock.now + maxHold
+	a.holdUntil = q.clock.now + maxHold
 	m.commands.openResponse, m.commands.heldHeartbeat = 0, a.heartbeat
 	q.awaitingWrites = append(q.awaitingWrites, a)
 	return true
@@ -76,7 +77,7 @@
 	for _, a := range q.awaitingWrites {
 		m := a.machine
 		if m.commands.heldHeartbeat == a.heartbeat {
-			if q.clock.now < a.until && m.state != machineGone && m.hasPlannedStarts() {
+			if q.clock.now < a.holdUntil && m.state != machineGone && m.hasPlannedStarts() {
 				keep = append(keep, a)
 				continue
 			}
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -24,7 +24,7 @@
 	c.agents.withdrawRecordOf(m)
 	a := heldResponse{replyTo: e.ReplyTo, machine: m, heartbeat: r}
 	if c.applyHeartbeat(m, r, fromHeartbeat) {
-		c.commands.newestHeartbeat(m)
+		c.commands.attachCommandsToNextResponse(m)
 		c.agents.raiseFencingToken(m)
 	} else {
 		a.outdated = true
@@ -71,7 +71,7 @@
 	}
 	c.placement.indexChanged(m)
 	m.agent.Acknowledge(r, c.clock.now)
-	m.commands.ruleOut(m.agent.AcknowledgedToken())
+	m.commands.resolveUpToToken(m.agent.AcknowledgedToken())
 	if r.TerminationNoticeS != nil && m.rental.terminationAt == 0 {
 		m.rental.noticeTermination(c.clock.now + settings.Seconds(*r.TerminationNoticeS))
 		c.log.Info("machine has a termination notice", "machine", m.name, "seconds", *r.TerminationNoticeS, "allocations", len(m.capacity.allocations))
@@ -103,7 +103,7 @@
 		c.markUnacknowledged(m)
 	}
 	// A start sent to the earlier epoch can't be executed any more.
-	m.commands.ruleOutAll()
+	m.commands.resolveAllStarts()
 	m.agent.BeginEpoch(epoch, c.clock.now+c.agents.lease)
 	c.softState.machineChanged(m)
 }
--- a/internal/scheduler/inspections.go
+++ b/internal/scheduler/inspections.go
@@ -76,5 +76,5 @@
 	m.agent.Restart(r.AgentEpoch, c.clock.now)
 	c.markUnacknowledged(m)
 	m.agent.RequireLatestToken()
-	m.commands.ruleOutAt(m.agent.FencingToken())
+	m.commands.resolveOnToken(m.agent.FencingToken())
 }
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -151,8 +151,8 @@
 		c.effects.emit(UserReply{ReplyTo: e.ReplyTo, Known: true, Status: c.status(j)})
 		return
 	}
-	// A job whose transfer's record can't be read is delegated as well, to an unknown cell.
-	if !j.ended() && (!c.federation.delegated.Cancel(j.id, c.clock.now) || j.transfer.delegated) {
+	// A job whose transfer's record can't be read counts as delegated to an unknown cell.
+	if !j.ended() && !c.mayCancelAtOnce(j) {
 		c.cancelDelegated(j, e.ReplyTo)
 		return
 	}
@@ -163,6 +163,13 @@
 	}
 }
 
+// mayCancelAtOnce tells the federation of the cancellation, and whether no other cell may run the
+// job.
+func (c *Core) mayCancelAtOnce(j *job) bool {
+	immediate := c.federation.delegated.Cancel(j.id, c.clock.now)
+	return immediate && !j.transfer.delegated
+}
+
 // cancel cancels a job. Its tasks are stopped now, not when that is durable: the write may be
 // carried out and its answer lost, other controllers read it and tell the user, and we learn of
 // it only after an outage. What its tasks do from here on is of no use.
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -16,6 +16,6 @@
 	}
 	// Starts for that epoch are refused from now on, and whatever a late copy of its heartbeats
 	// lists has ended as well.
-	m.commands.ruleOutAll()
+	m.commands.resolveAllStarts()
 	m.agent.EndEpoch()
 }
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -171,7 +171,7 @@
 	m.state = machineGone
 	c.softState.machineChanged(m)
 	c.dropAllocations(m, why)
-	m.commands.ruleOutAll()
+	m.commands.resolveAllStarts()
 	c.resolveInDoubt(m, why)
 	c.placement.index.Remove(m.index)
 	c.autoscaling.scaleOutMachineSeen(m)
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -25,8 +25,8 @@
 	machines  *machineTable
 	agents    *agents
 	attempts  *attempts
-	// start allocates room for the next task of a job on a machine and has it started.
-	start func(j *job, m *machine)
+	// startOn allocates room for the next task of a job on a machine and has it started.
+	startOn func(j *job, m *machine)
 
 	needed bool // something has changed that may let waiting tasks start
 	images names
@@ -43,7 +43,7 @@
 
 func newPlacement(c *Core) placement {
 	return placement{clock: &c.clock, log: c.log, types: &c.types, classes: &c.classes, estimates: &c.estimates, teams: &c.teams,
-		jobs: &c.jobs, machines: &c.machines, agents: &c.agents, attempts: &c.attempts, start: c.startOn,
+		jobs: &c.jobs, machines: &c.machines, agents: &c.agents, attempts: &c.attempts, startOn: c.startOn,
 		poolIndexByKey: map[poolKey]int32{}, goal: slowfit.Goal{C: c.cfg.Operator.SlowFitC}}
 }
 
@@ -111,23 +111,23 @@
 		return 0
 	}
 	p.resolveTypes(j)
-	only := int32(-1)
+	onlyZone := int32(-1)
 	if j.spec.Gang {
-		only = p.gangZone(j)
+		onlyZone = p.gangZone(j)
 	}
 	for len(j.progress.waiting) > 0 && p.attempts.attemptsLeft() && (more == nil || more(placed)) {
 		if j.suspect() && j.progress.allocated > 0 || !p.withinLimit(j, uncertain) {
 			return placed // a suspect job is tried one task at a time
 		}
-		at := p.choose(j, only)
+		at := p.choose(j, onlyZone)
 		if at < 0 {
 			return placed
 		}
 		m := p.machines.list[at]
-		p.start(j, m)
+		p.startOn(j, m)
 		placed++
-		if only < 0 && j.spec.Gang {
-			only = m.zone
+		if onlyZone < 0 && j.spec.Gang {
+			onlyZone = m.zone
 		}
 	}
 	return placed
--- a/internal/scheduler/placement_index.go
+++ b/internal/scheduler/placement_index.go
@@ -76,28 +76,28 @@
 // waiting is first placed only on machines on which its image would be ready in time, if one of
 // those has room: a slower machine that must fetch the image first would miss the objective by
 // that alone.
-func (p *placement) choose(j *job, only int32) int32 {
-	w := p.request(j, only)
+func (p *placement) choose(j *job, onlyZone int32) int32 {
+	base := p.request(j, onlyZone)
 	if j.placement.imageOnly {
-		at := w
-		at.AllowedTag = w.PreferredTag
-		at.Allowed = func(i int32) bool { return w.Preferred(i) && (w.Allowed == nil || w.Allowed(i)) }
-		return p.index.Place(&p.goal, &at)
+		withImage := base
+		withImage.AllowedTag = base.PreferredTag
+		withImage.Allowed = func(i int32) bool { return base.Preferred(i) && (base.Allowed == nil || base.Allowed(i)) }
+		return p.index.Place(&p.goal, &withImage)
 	}
-	if aim := p.classes.objectives[j.request.class].wait; aim > 0 {
-		soon := w
-		soon.Allowed = func(i int32) bool {
+	if maxWait := p.classes.objectives[j.request.class].wait; maxWait > 0 {
+		inTime := base
+		inTime.Allowed = func(i int32) bool {
 			m := p.machines.list[i]
-			return p.fetchTime(j, m) <= aim && (w.Allowed == nil || w.Allowed(i))
+			return p.fetchTime(j, m) <= maxWait && (base.Allowed == nil || base.Allowed(i))
 		}
-		if !p.fetchedWithin(j, aim) {
-			soon.AllowedTag = imageTag(j.request.image)
+		if !p.fetchedWithin(j, maxWait) {
+			inTime.AllowedTag = imageTag(j.request.image)
 		}
-		if at := p.index.Place(&p.goal, &soon); at >= 0 {
-			return at
+		if found := p.index.Place(&p.goal, &inTime); found >= 0 {
+			return found
 		}
 	}
-	return p.index.Place(&p.goal, &w)
+	return p.index.Place(&p.goal, &base)
 }
 
 // fetchedWithin tells whether a job's image can be fetched within a time by
@@ -112,7 +112,7 @@
 // class with an objective on waiting prefers machines with its image, since a fetch counts as
 // waiting; other work prefers spot machines, so that dearer ones become empty and can be
 // returned.
-func (p *placement) request(j *job, only int32) slowfit.Request {
+func (p *placement) request(j *job, onlyZone int32) slowfit.Request {
 	cheap, image := 2, 1
 	if p.classes.objectives[j.request.class].wait > 0 {
 		cheap, image = 1, 2
@@ -120,7 +120,7 @@
 	w := slowfit.Request{Task: j.request.size, PreferredBonus: image, PreferredTag: imageTag(j.request.image),
 		Pool: func(pool int) (bool, int) {
 			k := p.pools[pool]
-			if !j.allows(k.typ, k.zone, k.spot) || only >= 0 && k.zone != only || j.zoneFull(k.zone) {
+			if !j.allows(k.typ, k.zone, k.spot) || onlyZone >= 0 && k.zone != onlyZone || j.zoneFull(k.zone) {
 				return false, 0
 			}
 			if k.spot {
--- a/internal/scheduler/required_stops.go
+++ b/internal/scheduler/required_stops.go
@@ -40,8 +40,8 @@
 	found := q.jobs.findTask(m, t)
 	switch {
 	case found.job == nil:
-		// Whatever an earlier leader started has its job's record in the ledger. So this one
-		// can't be read, and may say that the job is cancelled.
+		// Whatever an earlier leader started has a job record in the ledger. If no job is
+		// found, its record can't be read and may be of a cancelled job: it is stopped.
 		return 0, true
 	case found.job.ended():
 		return 0, true // its progress is of no use
--- a/internal/scheduler/task_stops.go
+++ b/internal/scheduler/task_stops.go
@@ -17,8 +17,8 @@
 	c.commands.sendStop(m, b)
 }
 
-// stopTasks has all tasks of a job stopped, also those that are being stopped already and have
-// time to save: that may be more than a cancelled job's tasks have.
+// stopTasks stops all tasks of a job, also those that are being stopped already and have a grace
+// period for their checkpoint: it may be longer than cancel_s allows.
 func (c *Core) stopTasks(j *job) {
 	if j.progress.allocated == 0 {
 		return
