--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -46,7 +46,7 @@
 	net      *fake.Network
 	checker  *fake.Checker
 	operator settings.Operator
-	ownsJob  func(ref string) bool // its users' jobs
+	ownsJob  func(jobID string) bool // its users' jobs
 }
 
 // clusterPlan is what a cluster is made of. Zero values stand for the usual.
@@ -238,7 +238,7 @@
 }
 
 // keepChecking has the rules checked as long as the test runs.
-func (c *cluster) keepChecking(ownsJob func(ref string) bool) {
+func (c *cluster) keepChecking(ownsJob func(jobID string) bool) {
 	for c.t.Context().Err() == nil {
 		transport.Pause(c.t.Context(), 2*time.Second)
 		since := <-c.faultFreeSince
--- a/internal/controller/federated_cells_test.go
+++ b/internal/controller/federated_cells_test.go
@@ -51,9 +51,9 @@
 	return fmt.Sprintf("job-%d%05d", 1+slices.Index(f.names, cell), k)
 }
 
-func (f *federatedCells) ownsJob(cell string) func(ref string) bool {
+func (f *federatedCells) ownsJob(cell string) func(jobID string) bool {
 	prefix := fmt.Sprintf("job-%d", 1+slices.Index(f.names, cell))
-	return func(ref string) bool { return strings.HasPrefix(ref, prefix) }
+	return func(jobID string) bool { return strings.HasPrefix(jobID, prefix) }
 }
 
 // operatorOf are the settings of a cell's controllers.
@@ -188,31 +188,31 @@
 
 // forwardedJobs lists the jobs that another cell has accepted from one.
 func (f *federatedCells) forwardedJobs(origin string) []string {
-	refs := map[string]bool{}
+	jobIDs := map[string]bool{}
 	for _, c := range f.names {
 		for _, e := range f.cells[c].state.History() {
-			if ref, ok := strings.CutPrefix(e.Set, "cell/guest/"+origin+"/"); ok && strings.Contains(string(e.Value), string(federation.ForeignAccepted)) {
-				refs[ref] = true
+			if jobID, ok := strings.CutPrefix(e.Set, "cell/guest/"+origin+"/"); ok && strings.Contains(string(e.Value), string(federation.ForeignAccepted)) {
+				jobIDs[jobID] = true
 			}
 		}
 	}
-	return slices.Sorted(maps.Keys(refs))
+	return slices.Sorted(maps.Keys(jobIDs))
 }
 
 // awaitDelegated waits until origin has a transfer in a state, and names its job and cell.
-func (f *federatedCells) awaitDelegated(origin string, state federation.DelegatedState) (ref, cell string) {
+func (f *federatedCells) awaitDelegated(origin string, state federation.DelegatedState) (jobID, cell string) {
 	f.t.Helper()
 	f.awaitPrecisely("a transfer that is "+string(state), func() bool {
 		for key, value := range f.entries(origin, "cell/away/") {
 			var r federation.DelegatedRecord
 			if json.Unmarshal(value, &r) == nil && r.State == state {
-				ref, cell = strings.TrimPrefix(key, "cell/away/"), r.Cell
+				jobID, cell = strings.TrimPrefix(key, "cell/away/"), r.Cell
 				return true
 			}
 		}
 		return false
 	})
-	return ref, cell
+	return jobID, cell
 }
 
 // awaitPrecisely waits with a fine grain.
--- a/internal/controller/federation_measure_test.go
+++ b/internal/controller/federation_measure_test.go
@@ -29,9 +29,9 @@
 // jobRunTime is how long a job's tasks run: 10 to 30 s, the same with and without forwarding jobs.
 func jobRunTime(seed uint64) func(task string) time.Duration {
 	return func(task string) time.Duration {
-		ref := wire.JobIDOfTask(task)
+		jobID := wire.JobIDOfTask(task)
 		h := fnv.New64a()
-		fmt.Fprint(h, seed, ref)
+		fmt.Fprint(h, seed, jobID)
 		return meanRun/2 + time.Duration(rand.New(rand.NewPCG(h.Sum64(), 1)).Int64N(int64(meanRun)))
 	}
 }
@@ -89,17 +89,17 @@
 		spilled = len(f.forwardedJobs("a"))
 		starts, ends := map[string]time.Time{}, map[string]time.Time{}
 		for _, run := range f.checker.TaskRuns() {
-			ref := wire.JobIDOfTask(run.Task)
-			if run.Started.After(starts[ref]) {
-				starts[ref] = run.Started
+			jobID := wire.JobIDOfTask(run.Task)
+			if run.Started.After(starts[jobID]) {
+				starts[jobID] = run.Started
 			}
-			if run.Ended.After(ends[ref]) {
-				ends[ref] = run.Ended
+			if run.Ended.After(ends[jobID]) {
+				ends[jobID] = run.Ended
 			}
 		}
-		for ref, at := range <-submitted {
+		for jobID, at := range <-submitted {
 			for _, name := range p.names {
-				if !f.ownsJob(name)(ref) {
+				if !f.ownsJob(name)(jobID) {
 					continue
 				}
 				if seen[name] == nil {
@@ -107,9 +107,9 @@
 				}
 				m := seen[name]
 				m.jobs++
-				m.waits = append(m.waits, starts[ref].Sub(at).Seconds())
-				m.ends = append(m.ends, ends[ref].Sub(at).Seconds())
-				if ends[ref].Sub(at).Seconds() > measuredDue {
+				m.waits = append(m.waits, starts[jobID].Sub(at).Seconds())
+				m.ends = append(m.ends, ends[jobID].Sub(at).Seconds())
+				if ends[jobID].Sub(at).Seconds() > measuredDue {
 					m.late++
 				}
 			}
--- a/internal/controller/federation_test.go
+++ b/internal/controller/federation_test.go
@@ -20,11 +20,11 @@
 		f.overload("a", 16, nil)
 		f.expectForwarding("a")
 		f.cells["a"].awaitAllServed()
-		for _, ref := range f.forwardedJobs("a") {
+		for _, jobID := range f.forwardedJobs("a") {
 			for _, cell := range []string{"b", "c"} {
 				for _, change := range f.cells[cell].state.History() {
-					if change.Set == ledger.DelegatedKey(ref) {
-						t.Errorf("%s is forwarded again by %s", ref, cell)
+					if change.Set == ledger.DelegatedKey(jobID) {
+						t.Errorf("%s is forwarded again by %s", jobID, cell)
 					}
 				}
 			}
@@ -142,19 +142,19 @@
 // TestOverflowCancelled: jobs are cancelled at each moment of their transfers.
 func TestOverflowCancelled(t *testing.T) {
 	moments := map[string]func(f *federatedCells) string{
-		"planned or offered": func(f *federatedCells) string { ref, _ := f.awaitDelegated("a", federation.Offered); return ref },
+		"planned or offered": func(f *federatedCells) string { jobID, _ := f.awaitDelegated("a", federation.Offered); return jobID },
 		"crossing the accept": func(f *federatedCells) string {
-			ref, _ := f.awaitDelegated("a", federation.Offered)
+			jobID, _ := f.awaitDelegated("a", federation.Offered)
 			f.awaitPrecisely("its guest", func() bool {
-				return f.cells["b"].state.Value(ledger.ForeignKey(federation.ForeignKey{Origin: "a", JobID: ref})) != nil
+				return f.cells["b"].state.Value(ledger.ForeignKey(federation.ForeignKey{Origin: "a", JobID: jobID})) != nil
 			})
-			return ref
+			return jobID
 		},
-		"accepted": func(f *federatedCells) string { ref, _ := f.awaitDelegated("a", federation.Accepted); return ref },
+		"accepted": func(f *federatedCells) string { jobID, _ := f.awaitDelegated("a", federation.Accepted); return jobID },
 		"running": func(f *federatedCells) string {
-			ref, _ := f.awaitDelegated("a", federation.Accepted)
+			jobID, _ := f.awaitDelegated("a", federation.Accepted)
 			time.Sleep(8 * time.Second)
-			return ref
+			return jobID
 		},
 	}
 	for name, moment := range moments {
@@ -162,8 +162,8 @@
 			runFederationScenario(t, twoCells(), func(f *federatedCells) {
 				origin := f.cells["a"]
 				origin.users.Go(func() {
-					ref := moment(f)
-					origin.users.Cancel(f.checker.Job(ref))
+					jobID := moment(f)
+					origin.users.Cancel(f.checker.Job(jobID))
 				})
 				f.overload("a", 10, nil)
 				f.expectForwarding("a")
@@ -178,18 +178,18 @@
 	runFederationScenario(t, twoCells(), func(f *federatedCells) {
 		origin := f.cells["a"]
 		origin.users.Go(func() {
-			ref, _ := f.awaitDelegated("a", federation.Accepted)
+			jobID, _ := f.awaitDelegated("a", federation.Accepted)
 			f.partition("a", "b", true)
 			time.Sleep(6 * time.Second)
 			asked := time.Now()
-			if code, _ := origin.users.Call(origin.leader(), fake.RequestCancel, ref, nil); code != 503 {
+			if code, _ := origin.users.Call(origin.leader(), fake.RequestCancel, jobID, nil); code != 503 {
 				t.Errorf("the cancellation got %d, want 503", code)
 			}
 			if took := time.Since(asked); took > 500*time.Millisecond {
 				t.Errorf("the refusal took %s", took)
 			}
 			f.heal("a", "b")
-			origin.users.Cancel(f.checker.Job(ref))
+			origin.users.Cancel(f.checker.Job(jobID))
 		})
 		f.overload("a", 10, nil)
 	})
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -135,17 +135,17 @@
 		"hire/h7-1": `{"hire":{"hire":"h7-1","flavor":"m8","room":"a","loaners":true,"number":2}}`,
 	}
 	runScenario(t, clusterPlan{ledger: ledger}, func(c *cluster) {
-		for _, ref := range []string{"job-800001", "job-800002", "job-800003"} {
-			c.checker.RecordSubmission(fake.NewJob(ref, 5, nil), true)
+		for _, jobID := range []string{"job-800001", "job-800002", "job-800003"} {
+			c.checker.RecordSubmission(fake.NewJob(jobID, 5, nil), true)
 		}
 		for _, task := range []string{"1/0", "1/1", "1/4", "3/0", "3/1", "3/2", "3/3", "3/4"} {
 			c.checker.RecordTaskEnd("job-80000"+task, "vm-900001", true)
 		}
 		c.checker.RecordCancellation("job-800002")
 		c.users.Call(0, fake.RequestStatus, "job-800001", nil)
-		for ref, want := range map[string]string{"job-800002": wire.JobCancelled, "job-800003": wire.JobDone} {
-			if _, status := c.users.RetryUntilFinal(fake.RequestStatus, ref, nil); status != want {
-				t.Errorf("%s is %s, want %s", ref, status, want)
+		for jobID, want := range map[string]string{"job-800002": wire.JobCancelled, "job-800003": wire.JobDone} {
+			if _, status := c.users.RetryUntilFinal(fake.RequestStatus, jobID, nil); status != want {
+				t.Errorf("%s is %s, want %s", jobID, status, want)
 			}
 		}
 		time.Sleep(5 * time.Second) // all controllers know of one another
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -26,11 +26,11 @@
 // submitShape submits a pipeline, each job once those that it needs are accepted.
 func (c *cluster) submitShape(s pipelineShape, first int) (jobs []*wire.Job) {
 	c.t.Helper()
-	ref := func(stage int) string { return fmt.Sprintf("job-0%04d%d", first, stage) }
+	jobID := func(stage int) string { return fmt.Sprintf("job-0%04d%d", first, stage) }
 	for stage, needs := range s.dependsOn {
-		j := fake.NewJob(ref(stage), 2, nil)
+		j := fake.NewJob(jobID(stage), 2, nil)
 		for _, n := range needs {
-			j.DependsOn = append(j.DependsOn, ref(n))
+			j.DependsOn = append(j.DependsOn, jobID(n))
 		}
 		if !c.users.Accept(j) {
 			c.t.Errorf("%s of the %s is not accepted", j.ID, s.name)
@@ -145,13 +145,13 @@
 }
 
 // dependsOnJob reports whether a job depends on another one, directly or through others.
-func dependsOnJob(jobs []*wire.Job, j *wire.Job, ref string) bool {
+func dependsOnJob(jobs []*wire.Job, j *wire.Job, jobID string) bool {
 	for _, before := range j.DependsOn {
-		if before == ref {
+		if before == jobID {
 			return true
 		}
 		for _, p := range jobs {
-			if p.ID == before && dependsOnJob(jobs, p, ref) {
+			if p.ID == before && dependsOnJob(jobs, p, jobID) {
 				return true
 			}
 		}
@@ -175,9 +175,9 @@
 		c.users.Call(0, fake.RequestStatus, "job-800001", nil)
 		c.submitJobs(0, 5, time.Second, nil)
 		for i := range c.nodes {
-			for _, ref := range []string{"job-800002", "job-800003"} {
-				if code, _ := c.users.Call(i, fake.RequestStatus, ref, nil); code < 500 && code != 0 {
-					t.Errorf("%s, whose record can't be read, gets %d at %s", ref, code, c.name(i))
+			for _, jobID := range []string{"job-800002", "job-800003"} {
+				if code, _ := c.users.Call(i, fake.RequestStatus, jobID, nil); code < 500 && code != 0 {
+					t.Errorf("%s, whose record can't be read, gets %d at %s", jobID, code, c.name(i))
 				}
 			}
 		}
--- a/internal/controller/rollout_measure_test.go
+++ b/internal/controller/rollout_measure_test.go
@@ -111,17 +111,17 @@
 func (r *drainResult) count(c *cluster, accepted map[string]time.Time) {
 	ends := map[string]time.Time{}
 	for _, run := range c.checker.TaskRuns() {
-		ref := wire.JobIDOfTask(run.Task)
-		if run.Completed && run.Ended.After(ends[ref]) {
-			ends[ref] = run.Ended
+		jobID := wire.JobIDOfTask(run.Task)
+		if run.Completed && run.Ended.After(ends[jobID]) {
+			ends[jobID] = run.Ended
 		}
 		if !run.Completed {
 			r.stopped++
 		}
 	}
-	for ref, at := range accepted {
+	for jobID, at := range accepted {
 		r.jobs++
-		if ends[ref].Sub(at) > drainedDue {
+		if ends[jobID].Sub(at) > drainedDue {
 			r.late++
 		}
 	}
--- a/internal/controller/rollout_plans_test.go
+++ b/internal/controller/rollout_plans_test.go
@@ -107,7 +107,7 @@
 
 // maxStoppedJobs is how many jobs of some were stopped at once at most.
 func (c *cluster) maxStoppedJobs(in func(j *wire.Job) bool) int {
-	return fake.MaxInterrupted(c.missedStops(), func(ref string) bool { return in(c.checker.Job(ref)) })
+	return fake.MaxInterrupted(c.missedStops(), func(jobID string) bool { return in(c.checker.Job(jobID)) })
 }
 
 // checkBudgets checks what the machines recorded against the budgets; hit jobs may be more, of
@@ -273,8 +273,8 @@
 		}
 	},
 	"jobs are cancelled in the middle of a move": func(c *cluster, _ []string) {
-		for _, ref := range c.checker.OpenJobs()[:4] {
-			c.users.Cancel(c.checker.Job(ref))
+		for _, jobID := range c.checker.OpenJobs()[:4] {
+			c.users.Cancel(c.checker.Job(jobID))
 		}
 	},
 }
--- a/internal/controller/scenario_steps_test.go
+++ b/internal/controller/scenario_steps_test.go
@@ -32,8 +32,8 @@
 // when all faults are over. Pipelines are short.
 func longRunning(d time.Duration) func(task string) time.Duration {
 	return func(task string) time.Duration {
-		ref := wire.JobIDOfTask(task)
-		if strings.HasPrefix(ref, "job-0") && strings.Contains("02468", ref[len(ref)-1:]) {
+		jobID := wire.JobIDOfTask(task)
+		if strings.HasPrefix(jobID, "job-0") && strings.Contains("02468", jobID[len(jobID)-1:]) {
 			return d
 		}
 		return 8 * time.Second
--- a/internal/dispatch/failover.go
+++ b/internal/dispatch/failover.go
@@ -23,17 +23,17 @@
 
 // restoreLedger learns the ledger at the start of a term: from the standby if its copy is
 // complete, or else by reading it whole.
-func (d *Dispatcher) restoreLedger(ctx context.Context, book *ledger.Ledger, number uint64, timings *failoverTimings) (ledger.Snapshot, bool) {
+func (d *Dispatcher) restoreLedger(ctx context.Context, ledgerWriter *ledger.Ledger, number uint64, timings *failoverTimings) (ledger.Snapshot, bool) {
 	if d.config.Standby == nil {
-		return d.readLedger(ctx, book, number)
+		return d.readLedger(ctx, ledgerWriter, number)
 	}
 	view, err := d.config.Standby.Promote(ctx, number)
 	if err != nil {
 		d.log.Info("standby copy not usable, reading the ledger", "leader_term", number, "reason", err)
-		return d.readLedger(ctx, book, number)
+		return d.readLedger(ctx, ledgerWriter, number)
 	}
 	timings.fromStandby = true
-	snapshot := book.Adopt(view.Entries, view.Revision)
+	snapshot := ledgerWriter.Adopt(view.Entries, view.Revision)
 	gate := view.Gate
 	d.log.Info("standby copy promoted", "leader_term", number, "jobs", len(snapshot.Jobs), "ended", gate.PreviousTermEnded.Reason, "complete", gate.ReplicaComplete.Reason,
 		"complete_s", gate.ReplicaComplete.Elapsed.Seconds(), "fenced", gate.EarlierWritesFenced.Reason)
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -47,18 +47,18 @@
 func (d *Dispatcher) lead(ctx context.Context, number uint64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
-	book := ledger.New(number, d.store, d.ledgerLimits, d.log)
+	ledgerWriter := ledger.New(number, d.store, d.ledgerLimits, d.log)
 	timings := failoverTimings{termWon: time.Now()}
 	if d.config.Standby != nil {
 		defer d.config.Standby.Release()
 	}
-	snapshot, ok := d.restoreLedger(ctx, book, number, &timings)
+	snapshot, ok := d.restoreLedger(ctx, ledgerWriter, number, &timings)
 	if !ok {
 		return
 	}
 	timings.ledgerKnown = time.Now()
 	go func() {
-		if err := book.Run(ctx); err != nil && ctx.Err() == nil {
+		if err := ledgerWriter.Run(ctx); err != nil && ctx.Err() == nil {
 			d.log.Info("ledger writer stopped", "leader_term", number, "error", err)
 			cancel()
 		}
@@ -75,7 +75,7 @@
 		ValueBytes: valueBytes, SoftState: softState,
 	}
 	t := &term{
-		Dispatcher: d, number: number, ledger: book, cloud: cloud, timings: timings, valueBytes: valueBytes,
+		Dispatcher: d, number: number, ledger: ledgerWriter, cloud: cloud, timings: timings, valueBytes: valueBytes,
 		core:   scheduler.NewCore(config, snapshot, now, wall, d.log),
 		ticker: time.NewTicker(tickInterval),
 	}
@@ -98,9 +98,9 @@
 }
 
 // readLedger reads the whole ledger, again and again until it succeeds or ctx ends.
-func (d *Dispatcher) readLedger(ctx context.Context, book *ledger.Ledger, number uint64) (ledger.Snapshot, bool) {
+func (d *Dispatcher) readLedger(ctx context.Context, ledgerWriter *ledger.Ledger, number uint64) (ledger.Snapshot, bool) {
 	for ctx.Err() == nil {
-		snapshot, err := book.Load(ctx)
+		snapshot, err := ledgerWriter.Load(ctx)
 		if err == nil {
 			d.log.Info("ledger read", "leader_term", number, "jobs", len(snapshot.Jobs), "scale_outs", len(snapshot.ScaleOuts), "revision", snapshot.Revision)
 			return snapshot, true
--- a/internal/federation/delegated_jobs.go
+++ b/internal/federation/delegated_jobs.go
@@ -122,9 +122,9 @@
 
 // Restore adds a transfer of an earlier leader, whose last message may or may not have been
 // sent. over tells whether the origin's record of the job has its terminal state.
-func (h *DelegatedJobs) Restore(ref string, record DelegatedRecord, body *OfferBody, over bool, now time.Duration) {
-	t := &transfer{jobID: ref, record: record, body: body, jobOver: over, startedAt: now, lastAnswer: now, nextMessageAt: now}
-	h.transfers[ref] = t
+func (h *DelegatedJobs) Restore(jobID string, record DelegatedRecord, body *OfferBody, over bool, now time.Duration) {
+	t := &transfer{jobID: jobID, record: record, body: body, jobOver: over, startedAt: now, lastAnswer: now, nextMessageAt: now}
+	h.transfers[jobID] = t
 	switch {
 	case record.State == Returned && record.Cleanup:
 		t.phase = phaseCleaning
@@ -143,33 +143,33 @@
 
 // MayBegin tells whether a job may be offered to a cell: not while an earlier epoch may still
 // run, and only maxEpochs times.
-func (h *DelegatedJobs) MayBegin(ref string) bool {
-	t := h.transfers[ref]
+func (h *DelegatedJobs) MayBegin(jobID string) bool {
+	t := h.transfers[jobID]
 	return t == nil || t.phase == phaseClosed && t.record.Epoch < maxEpochs
 }
 
 // Delegated tells whether the origin must not run a job.
-func (h *DelegatedJobs) Delegated(ref string) bool {
-	t := h.transfers[ref]
+func (h *DelegatedJobs) Delegated(jobID string) bool {
+	t := h.transfers[jobID]
 	return t != nil && t.delegated()
 }
 
 // Begin plans a transfer. From now on the origin must not run the job.
-func (h *DelegatedJobs) Begin(ref, cell string, body *OfferBody, now time.Duration, wallMS int64) {
+func (h *DelegatedJobs) Begin(jobID, cell string, body *OfferBody, now time.Duration, wallMS int64) {
 	epoch := uint64(1)
-	if old := h.transfers[ref]; old != nil {
+	if old := h.transfers[jobID]; old != nil {
 		epoch = old.record.Epoch + 1
 	}
 	record := DelegatedRecord{Cell: cell, Epoch: epoch, State: Offered, SinceMS: wallMS, Repeatable: body.Repeatable}
-	t := &transfer{jobID: ref, record: record, body: body, startedAt: now, lastAnswer: now}
-	h.transfers[ref] = t
+	t := &transfer{jobID: jobID, record: record, body: body, startedAt: now, lastAnswer: now}
+	h.transfers[jobID] = t
 	h.save(t)
 	h.trace(t, StepPlanned, "")
 }
 
 // RecordSaved is called when a record is durable.
-func (h *DelegatedJobs) RecordSaved(ref string, record DelegatedRecord, now time.Duration) {
-	t := h.transfers[ref]
+func (h *DelegatedJobs) RecordSaved(jobID string, record DelegatedRecord, now time.Duration) {
+	t := h.transfers[jobID]
 	if t == nil || t.record != record {
 		return // a later one is being written
 	}
@@ -180,14 +180,14 @@
 	case t.phase == phaseReturning && t.record.Cleanup:
 		t.phase, t.nextMessageAt = phaseCleaning, now
 		h.trace(t, StepReturned, "the neighbour may still run it, and is to cancel it")
-		h.emit(ReturnJob{ref})
+		h.emit(ReturnJob{jobID})
 	case t.phase == phaseReturning && t.cancelling:
 		t.phase = phaseEnding
-		h.emit(EndJob{JobID: ref, Cancelled: true})
+		h.emit(EndJob{JobID: jobID, Cancelled: true})
 	case t.phase == phaseReturning:
 		t.phase = phaseClosed
 		h.trace(t, StepReturned, "")
-		h.emit(ReturnJob{ref})
+		h.emit(ReturnJob{jobID})
 	}
 }
 
@@ -213,14 +213,14 @@
 
 // sorted returns the transfers in the order of their jobs, so that a replay gives the same effects.
 func (h *DelegatedJobs) sorted() []*transfer {
-	refs := make([]string, 0, len(h.transfers))
-	for ref := range h.transfers {
-		refs = append(refs, ref)
+	jobIDs := make([]string, 0, len(h.transfers))
+	for jobID := range h.transfers {
+		jobIDs = append(jobIDs, jobID)
 	}
-	slices.Sort(refs)
-	all := make([]*transfer, len(refs))
-	for i, ref := range refs {
-		all[i] = h.transfers[ref]
+	slices.Sort(jobIDs)
+	all := make([]*transfer, len(jobIDs))
+	for i, jobID := range jobIDs {
+		all[i] = h.transfers[jobID]
 	}
 	return all
 }
@@ -355,8 +355,8 @@
 
 // Cancel is called when a job's user requests its cancellation. It returns whether the origin may
 // cancel the job at once. If not, EndJob follows when the neighbour's answer allows it.
-func (h *DelegatedJobs) Cancel(ref string, now time.Duration) (immediate bool) {
-	t := h.transfers[ref]
+func (h *DelegatedJobs) Cancel(jobID string, now time.Duration) (immediate bool) {
+	t := h.transfers[jobID]
 	if t == nil || t.phase == phaseClosed {
 		return true
 	}
@@ -370,8 +370,8 @@
 }
 
 // JobOver is called when the origin's record of a job has its terminal state.
-func (h *DelegatedJobs) JobOver(ref string, now time.Duration) {
-	t := h.transfers[ref]
+func (h *DelegatedJobs) JobOver(jobID string, now time.Duration) {
+	t := h.transfers[jobID]
 	if t == nil {
 		return
 	}
--- a/internal/federation/delegated_status.go
+++ b/internal/federation/delegated_status.go
@@ -26,8 +26,8 @@
 }
 
 // Cell returns the neighbour of a job's latest transfer; "": there is none.
-func (h *DelegatedJobs) Cell(ref string) string {
-	if t := h.transfers[ref]; t != nil {
+func (h *DelegatedJobs) Cell(jobID string) string {
+	if t := h.transfers[jobID]; t != nil {
 		return t.record.Cell
 	}
 	return ""
@@ -35,13 +35,13 @@
 
 // JobsAt returns the jobs that a neighbour may run, in order.
 func (h *DelegatedJobs) JobsAt(cell string) []string {
-	var refs []string
+	var jobIDs []string
 	for _, t := range h.sorted() {
 		if t.record.Cell == cell && t.mayRunRemotely() {
-			refs = append(refs, t.jobID)
+			jobIDs = append(jobIDs, t.jobID)
 		}
 	}
-	return refs
+	return jobIDs
 }
 
 // mayRunRemotely tells whether the neighbour may run the job.
@@ -50,14 +50,14 @@
 }
 
 // MayRunRemotely tells whether a neighbour may run a job.
-func (h *DelegatedJobs) MayRunRemotely(ref string) bool {
-	t := h.transfers[ref]
+func (h *DelegatedJobs) MayRunRemotely(jobID string) bool {
+	t := h.transfers[jobID]
 	return t != nil && t.mayRunRemotely()
 }
 
 // Progress returns the task counts of the neighbour's last answer.
-func (h *DelegatedJobs) Progress(ref string) (done, running int) {
-	if t := h.transfers[ref]; t != nil {
+func (h *DelegatedJobs) Progress(jobID string) (done, running int) {
+	if t := h.transfers[jobID]; t != nil {
 		return t.tasksDone, t.tasksRunning
 	}
 	return 0, 0
--- a/internal/federation/model_test.go
+++ b/internal/federation/model_test.go
@@ -95,9 +95,9 @@
 	w := &world{t: t, jobs: map[string]*modelJob{}, neighbours: map[string]*neighbourCell{}, cells: []string{"b", "c"}}
 	w.origin = &originCell{delegated: map[string]DelegatedRecord{}, ends: map[string]string{}, started: map[string]bool{}}
 	for i := range modelJobs {
-		ref := fmt.Sprintf("job-%d", i)
-		w.refs = append(w.refs, ref)
-		w.jobs[ref] = &modelJob{ref: ref, repeatable: i == 0, begun: map[string]bool{}, completed: map[string]bool{}}
+		jobID := fmt.Sprintf("job-%d", i)
+		w.refs = append(w.refs, jobID)
+		w.jobs[jobID] = &modelJob{ref: jobID, repeatable: i == 0, begun: map[string]bool{}, completed: map[string]bool{}}
 	}
 	for _, name := range w.cells {
 		w.neighbours[name] = &neighbourCell{name: name, admits: true, records: map[ForeignKey]ForeignRecord{}, versions: map[ForeignKey]uint64{}, jobs: map[string]*OfferBody{}, own: map[string]bool{}, ends: map[string]string{}}
@@ -109,8 +109,8 @@
 
 // --- the origin ---
 
-func (w *world) body(ref string) *OfferBody {
-	return &OfferBody{Job: []byte(ref), Cores: 1, Repeatable: w.jobs[ref].repeatable}
+func (w *world) body(jobID string) *OfferBody {
+	return &OfferBody{Job: []byte(jobID), Cores: 1, Repeatable: w.jobs[jobID].repeatable}
 }
 
 // leadOrigin begins a term of the origin.
@@ -118,12 +118,12 @@
 	h := w.origin
 	h.jobs = NewDelegatedJobs(func(string) time.Duration { return reclaimAfterModel })
 	h.decided, h.writes = map[string]string{}, nil
-	for ref, end := range h.ends {
-		h.decided[ref] = end
+	for jobID, end := range h.ends {
+		h.decided[jobID] = end
 	}
-	for _, ref := range w.refs {
-		if record, ok := h.delegated[ref]; ok {
-			h.jobs.Restore(ref, record, w.body(ref), h.ends[ref] != "", w.now)
+	for _, jobID := range w.refs {
+		if record, ok := h.delegated[jobID]; ok {
+			h.jobs.Restore(jobID, record, w.body(jobID), h.ends[jobID] != "", w.now)
 		}
 	}
 	w.applyOriginEffects()
@@ -148,10 +148,10 @@
 }
 
 // decide has the origin's leader write a job's terminal state.
-func (w *world) decide(ref, end string) {
-	if w.origin.decided[ref] == "" {
-		w.origin.decided[ref] = end
-		w.origin.writes = append(w.origin.writes, originWrite{ref: ref, end: end})
+func (w *world) decide(jobID, end string) {
+	if w.origin.decided[jobID] == "" {
+		w.origin.decided[jobID] = end
+		w.origin.writes = append(w.origin.writes, originWrite{ref: jobID, end: end})
 	}
 }
 
@@ -174,34 +174,34 @@
 
 // applyOriginWrite makes a write durable, and checks what users may be told from then on.
 func (w *world) applyOriginWrite(write originWrite) {
-	ref := write.ref
+	jobID := write.ref
 	switch {
 	case write.record != nil:
-		w.origin.delegated[ref] = *write.record
+		w.origin.delegated[jobID] = *write.record
 	case write.drop:
-		delete(w.origin.delegated, ref)
+		delete(w.origin.delegated, jobID)
 	default:
-		w.told(ref, write.end)
+		w.told(jobID, write.end)
 	}
 }
 
 // told checks a final answer as it becomes durable.
-func (w *world) told(ref, end string) {
-	j := w.jobs[ref]
-	if old := w.origin.ends[ref]; old != "" && old != end {
-		w.t.Fatalf("%s: told %s after %s", ref, end, old)
+func (w *world) told(jobID, end string) {
+	j := w.jobs[jobID]
+	if old := w.origin.ends[jobID]; old != "" && old != end {
+		w.t.Fatalf("%s: told %s after %s", jobID, end, old)
 	}
-	w.origin.ends[ref] = end
+	w.origin.ends[jobID] = end
 	if end == "done" && len(j.completed) == 0 {
-		w.t.Fatalf("%s is told as done and has not run to its end", ref)
+		w.t.Fatalf("%s is told as done and has not run to its end", jobID)
 	}
 	if end == "aborted" && !j.wanted {
-		w.t.Fatalf("%s is told as cancelled and nobody asked for it", ref)
+		w.t.Fatalf("%s is told as cancelled and nobody asked for it", jobID)
 	}
 	if end == "aborted" {
 		for _, cell := range w.cells {
-			if g := w.neighbours[cell]; g.jobs[ref] != nil && g.ends[ref] == "" {
-				w.t.Fatalf("%s is told as cancelled while it can run in %s", ref, cell)
+			if g := w.neighbours[cell]; g.jobs[jobID] != nil && g.ends[jobID] == "" {
+				w.t.Fatalf("%s is told as cancelled while it can run in %s", jobID, cell)
 			}
 		}
 	}
@@ -218,47 +218,47 @@
 }
 
 // startAtOrigin starts a job at the origin if its leader may.
-func (w *world) startAtOrigin(ref string) {
-	if w.origin.decided[ref] == "" && !w.origin.jobs.Delegated(ref) {
-		w.origin.started[ref] = true
-		w.starts(ref, "origin")
+func (w *world) startAtOrigin(jobID string) {
+	if w.origin.decided[jobID] == "" && !w.origin.jobs.Delegated(jobID) {
+		w.origin.started[jobID] = true
+		w.starts(jobID, "origin")
 	}
 }
 
 // finishAtOrigin completes a job that runs at the origin.
-func (w *world) finishAtOrigin(ref string) {
-	if w.jobs[ref].begun["origin"] && w.origin.decided[ref] == "" && !w.origin.jobs.Delegated(ref) {
-		w.jobs[ref].completed["origin"] = true
-		w.decide(ref, "done")
+func (w *world) finishAtOrigin(jobID string) {
+	if w.jobs[jobID].begun["origin"] && w.origin.decided[jobID] == "" && !w.origin.jobs.Delegated(jobID) {
+		w.jobs[jobID].completed["origin"] = true
+		w.decide(jobID, "done")
 	}
 }
 
 // starts records that a job runs in a cell, and checks that it may.
-func (w *world) starts(ref, cell string) {
-	j := w.jobs[ref]
+func (w *world) starts(jobID, cell string) {
+	j := w.jobs[jobID]
 	j.begun[cell] = true
 	if !j.repeatable && len(j.begun) > 1 {
-		w.t.Fatalf("%s may run only once and was started in %v", ref, j.begun)
+		w.t.Fatalf("%s may run only once and was started in %v", jobID, j.begun)
 	}
-	if w.origin.ends[ref] == "aborted" {
-		w.t.Fatalf("%s starts in %s after it was told as cancelled", ref, cell)
+	if w.origin.ends[jobID] == "aborted" {
+		w.t.Fatalf("%s starts in %s after it was told as cancelled", jobID, cell)
 	}
 }
 
 // delegate begins a transfer if the origin's leader may.
-func (w *world) delegate(ref, cell string) {
+func (w *world) delegate(jobID, cell string) {
 	h := w.origin
-	if h.decided[ref] == "" && !h.started[ref] && !h.jobs.Delegated(ref) && h.jobs.MayBegin(ref) {
-		h.jobs.Begin(ref, cell, w.body(ref), w.now, w.now.Milliseconds())
+	if h.decided[jobID] == "" && !h.started[jobID] && !h.jobs.Delegated(jobID) && h.jobs.MayBegin(jobID) {
+		h.jobs.Begin(jobID, cell, w.body(jobID), w.now, w.now.Milliseconds())
 		w.applyOriginEffects()
 	}
 }
 
 // cancel is a user's request to cancel a job.
-func (w *world) cancel(ref string) {
-	w.jobs[ref].wanted = true
-	if w.origin.decided[ref] == "" && w.origin.jobs.Cancel(ref, w.now) {
-		w.decide(ref, "aborted")
+func (w *world) cancel(jobID string) {
+	w.jobs[jobID].wanted = true
+	if w.origin.decided[jobID] == "" && w.origin.jobs.Cancel(jobID, w.now) {
+		w.decide(jobID, "aborted")
 	}
 	w.applyOriginEffects()
 }
@@ -339,24 +339,24 @@
 }
 
 // startForeign and finishForeign run an accepted job; cancelForeign ends one.
-func (w *world) startForeign(g *neighbourCell, ref string) {
-	if g.jobs[ref] != nil && g.ends[ref] == "" {
-		w.starts(ref, g.name)
+func (w *world) startForeign(g *neighbourCell, jobID string) {
+	if g.jobs[jobID] != nil && g.ends[jobID] == "" {
+		w.starts(jobID, g.name)
 	}
 }
 
-func (w *world) finishForeign(g *neighbourCell, ref string) {
-	if w.jobs[ref].begun[g.name] && g.jobs[ref] != nil && g.ends[ref] == "" {
-		w.jobs[ref].completed[g.name] = true
-		g.ends[ref] = "done"
+func (w *world) finishForeign(g *neighbourCell, jobID string) {
+	if w.jobs[jobID].begun[g.name] && g.jobs[jobID] != nil && g.ends[jobID] == "" {
+		w.jobs[jobID].completed[g.name] = true
+		g.ends[jobID] = "done"
 	}
 }
 
-func (w *world) cancelForeign(g *neighbourCell, ref string) {
-	if g.cancel[ref] && g.jobs[ref] != nil && g.ends[ref] == "" {
-		g.ends[ref] = "aborted"
+func (w *world) cancelForeign(g *neighbourCell, jobID string) {
+	if g.cancel[jobID] && g.jobs[jobID] != nil && g.ends[jobID] == "" {
+		g.ends[jobID] = "aborted"
 	}
-	delete(g.cancel, ref)
+	delete(g.cancel, jobID)
 }
 
 // --- the network ---
@@ -409,8 +409,8 @@
 			}
 		},
 		"own job": func(t *rapid.T) {
-			if g, ref := w.cell(t), w.ref(t); g.jobs[ref] == nil {
-				g.own[ref] = true
+			if g, jobID := w.cell(t), w.ref(t); g.jobs[jobID] == nil {
+				g.own[jobID] = true
 			}
 		},
 		"deliver": func(t *rapid.T) { w.deliverSome(t, 8) },
@@ -474,11 +474,11 @@
 		w.carry()
 		for _, cell := range w.cells {
 			g := w.neighbours[cell]
-			for _, ref := range w.refs {
-				w.cancelForeign(g, ref)
-				w.startForeign(g, ref)
-				if !w.jobs[ref].wanted {
-					w.finishForeign(g, ref)
+			for _, jobID := range w.refs {
+				w.cancelForeign(g, jobID)
+				w.startForeign(g, jobID)
+				if !w.jobs[jobID].wanted {
+					w.finishForeign(g, jobID)
 				}
 			}
 		}
@@ -490,44 +490,44 @@
 // settleOrigin completes the origin's jobs and has users repeat their cancellations. A job whose
 // cancellation is requested never completes by itself.
 func (w *world) settleOrigin() {
-	for _, ref := range w.refs {
-		if w.jobs[ref].wanted {
-			w.cancel(ref)
+	for _, jobID := range w.refs {
+		if w.jobs[jobID].wanted {
+			w.cancel(jobID)
 			continue
 		}
-		w.startAtOrigin(ref)
-		w.finishAtOrigin(ref)
+		w.startAtOrigin(jobID)
+		w.finishAtOrigin(jobID)
 	}
 }
 
 // settled checks what must hold in the end.
 func (w *world) settled() {
-	for _, ref := range w.refs {
-		if w.origin.ends[ref] == "" {
-			w.t.Fatalf("%s has no final answer: %s", ref, w.describe(ref))
+	for _, jobID := range w.refs {
+		if w.origin.ends[jobID] == "" {
+			w.t.Fatalf("%s has no final answer: %s", jobID, w.describe(jobID))
 		}
-		if record, ok := w.origin.delegated[ref]; ok {
-			w.t.Fatalf("%s: the origin still has the record %+v: %s", ref, record, w.describe(ref))
+		if record, ok := w.origin.delegated[jobID]; ok {
+			w.t.Fatalf("%s: the origin still has the record %+v: %s", jobID, record, w.describe(jobID))
 		}
 		for _, cell := range w.cells {
 			g := w.neighbours[cell]
-			if g.jobs[ref] != nil && g.ends[ref] == "" {
-				w.t.Fatalf("%s is open in %s: %s", ref, cell, w.describe(ref))
+			if g.jobs[jobID] != nil && g.ends[jobID] == "" {
+				w.t.Fatalf("%s is open in %s: %s", jobID, cell, w.describe(jobID))
 			}
-			if g.records[ForeignKey{"a", ref}].State == ForeignAccepted {
-				w.t.Fatalf("%s is not released in %s: %s", ref, cell, w.describe(ref))
+			if g.records[ForeignKey{"a", jobID}].State == ForeignAccepted {
+				w.t.Fatalf("%s is not released in %s: %s", jobID, cell, w.describe(jobID))
 			}
 		}
 	}
 }
 
-func (w *world) describe(ref string) string {
-	text := fmt.Sprintf("decided %q, writes %v", w.origin.decided[ref], w.origin.writes)
-	if tr := w.origin.jobs.transfers[ref]; tr != nil {
+func (w *world) describe(jobID string) string {
+	text := fmt.Sprintf("decided %q, writes %v", w.origin.decided[jobID], w.origin.writes)
+	if tr := w.origin.jobs.transfers[jobID]; tr != nil {
 		text += fmt.Sprintf(", %s of epoch %d to %s, cancelling %v", phaseNames[tr.phase], tr.record.Epoch, tr.record.Cell, tr.cancelling)
 	}
 	for _, cell := range w.cells {
-		if r, ok := w.neighbours[cell].records[ForeignKey{"a", ref}]; ok {
+		if r, ok := w.neighbours[cell].records[ForeignKey{"a", jobID}]; ok {
 			text += fmt.Sprintf(", %s has %+v", cell, r)
 		}
 	}
@@ -552,8 +552,8 @@
 	for range 8 {
 		w.carry()
 		for _, cell := range w.cells {
-			for _, ref := range w.refs {
-				w.cancelForeign(w.neighbours[cell], ref)
+			for _, jobID := range w.refs {
+				w.cancelForeign(w.neighbours[cell], jobID)
 			}
 		}
 		w.pass(RetryInterval)
@@ -565,29 +565,29 @@
 // second.
 func TestTransferReclaimedTwice(t *testing.T) {
 	w := newWorld(t)
-	ref := w.refs[0]
-	w.delegate(ref, "b")
+	jobID := w.refs[0]
+	w.delegate(jobID, "b")
 	w.flush()
-	if w.origin.delegated[ref].State != Accepted {
-		t.Fatalf("not accepted: %s", w.describe(ref))
+	if w.origin.delegated[jobID].State != Accepted {
+		t.Fatalf("not accepted: %s", w.describe(jobID))
 	}
 	w.packets = nil
 	w.now += reclaimAfterModel + time.Second
 	w.origin.jobs.Tick(w.now)
 	w.applyOriginEffects()
 	w.flush() // the origin reclaims it, the neighbour cancels it
-	if w.origin.jobs.Delegated(ref) || w.neighbours["b"].ends[ref] != "aborted" {
-		t.Fatalf("not reclaimed: %s", w.describe(ref))
+	if w.origin.jobs.Delegated(jobID) || w.neighbours["b"].ends[jobID] != "aborted" {
+		t.Fatalf("not reclaimed: %s", w.describe(jobID))
 	}
 	w.flush() // and releases it
-	w.delegate(ref, "b")
-	if !w.origin.jobs.Delegated(ref) {
-		t.Fatalf("not offered again: %s", w.describe(ref))
+	w.delegate(jobID, "b")
+	if !w.origin.jobs.Delegated(jobID) {
+		t.Fatalf("not offered again: %s", w.describe(jobID))
 	}
 	w.flush()
 	w.settle()
 	w.settled()
-	if w.origin.ends[ref] != "done" || !w.jobs[ref].completed["origin"] {
-		t.Errorf("%s: %s", w.origin.ends[ref], w.describe(ref))
+	if w.origin.ends[jobID] != "done" || !w.jobs[jobID].completed["origin"] {
+		t.Errorf("%s: %s", w.origin.ends[jobID], w.describe(jobID))
 	}
 }
--- a/internal/jobapi/http_test.go
+++ b/internal/jobapi/http_test.go
@@ -97,9 +97,9 @@
 				"job/job-4":  {Job: &wire.Job{ID: "job-4", Tasks: 1}}}}
 			many := []string{}
 			for i := range maxAncestors + 1 {
-				ref := fmt.Sprintf("job-4%d", i)
-				many = append(many, ref)
-				store.records["job/"+ref] = ledger.JobRecord{Job: &wire.Job{ID: ref, Tasks: 1}}
+				jobID := fmt.Sprintf("job-4%d", i)
+				many = append(many, jobID)
+				store.records["job/"+jobID] = ledger.JobRecord{Job: &wire.Job{ID: jobID, Tasks: 1}}
 			}
 			store.records["job/job-4"].Job.DependsOn = many
 			s := newTestService(t, store, &fakePeers{c.peer}, func(config *Config) {
--- a/internal/scheduler/dependencies_model_test.go
+++ b/internal/scheduler/dependencies_model_test.go
@@ -21,8 +21,8 @@
 	cancelled map[string]bool // by their own users
 }
 
-func (m *graphModel) anyAncestor(ref string, is func(ref string) bool) bool {
-	for _, p := range m.needs[ref] {
+func (m *graphModel) anyAncestor(jobID string, is func(jobID string) bool) bool {
+	for _, p := range m.needs[jobID] {
 		if is(p) || m.anyAncestor(p, is) {
 			return true
 		}
@@ -31,14 +31,14 @@
 }
 
 // aborted tells whether a job is cancelled, by its user or with an ancestor.
-func (m *graphModel) aborted(ref string) bool {
+func (m *graphModel) aborted(jobID string) bool {
 	own := func(r string) bool { return m.cancelled[r] }
-	return !m.done[ref] && (own(ref) || m.anyAncestor(ref, own))
+	return !m.done[jobID] && (own(jobID) || m.anyAncestor(jobID, own))
 }
 
 // ready tells whether a job's tasks may start.
-func (m *graphModel) ready(ref string) bool {
-	return !m.done[ref] && !m.aborted(ref) && !m.anyAncestor(ref, func(r string) bool { return !m.done[r] })
+func (m *graphModel) ready(jobID string) bool {
+	return !m.done[jobID] && !m.aborted(jobID) && !m.anyAncestor(jobID, func(r string) bool { return !m.done[r] })
 }
 
 // TestGraphAgreesWithTheModel submits random graphs, ends and cancels jobs at random, and begins
@@ -62,79 +62,79 @@
 	m := &graphModel{map[string][]string{}, map[string]bool{}, map[string]bool{}}
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
-	var refs []string
+	var jobIDs []string
 	for step := range steps {
 		switch k := r.IntN(10); {
-		case k < 5 || len(refs) < 3:
-			ref := fmt.Sprintf("job-%03d", step)
-			j := newTestJob(ref, 1, 0.01)
+		case k < 5 || len(jobIDs) < 3:
+			jobID := fmt.Sprintf("job-%03d", step)
+			j := newTestJob(jobID, 1, 0.01)
 			j.MemGB = 0.01 // the machine has room for all
 			for range r.IntN(4) {
-				if len(refs) > 0 {
-					j.DependsOn = append(j.DependsOn, refs[r.IntN(len(refs))])
+				if len(jobIDs) > 0 {
+					j.DependsOn = append(j.DependsOn, jobIDs[r.IntN(len(jobIDs))])
 				}
 			}
 			slices.Sort(j.DependsOn)
 			j.DependsOn = slices.Compact(j.DependsOn)
-			refs = append(refs, ref)
-			m.needs[ref] = j.DependsOn
+			jobIDs = append(jobIDs, jobID)
+			m.needs[jobID] = j.DependsOn
 			g.submit(j)
 		case k < 8:
-			if ref := refs[r.IntN(len(refs))]; m.ready(ref) {
+			if jobID := jobIDs[r.IntN(len(jobIDs))]; m.ready(jobID) {
 				g.endCommands(CommandExecuted)
-				g.finishTask("vm-1", ref)
-				m.done[ref] = true
+				g.finishTask("vm-1", jobID)
+				m.done[jobID] = true
 			}
 		case k < 9:
-			ref := refs[r.IntN(len(refs))]
-			g.step(CancelRequest{JobID: ref, ReplyTo: recipient("u")})
-			m.cancelled[ref] = m.cancelled[ref] || !m.done[ref]
+			jobID := jobIDs[r.IntN(len(jobIDs))]
+			g.step(CancelRequest{JobID: jobID, ReplyTo: recipient("u")})
+			m.cancelled[jobID] = m.cancelled[jobID] || !m.done[jobID]
 		default:
-			g = takeOver(t, g, refs)
+			g = takeOver(t, g, jobIDs)
 		}
 		g.endCommands(CommandExecuted)
-		g.agrees(m, refs)
+		g.agrees(m, jobIDs)
 	}
 }
 
 // takeOver begins a new term from the job records that the last one has written, on a machine
 // that has restarted: what ran there starts again.
-func takeOver(t tester, g *harness, refs []string) *harness {
+func takeOver(t tester, g *harness, jobIDs []string) *harness {
 	t.Helper()
 	var s ledger.Snapshot
-	for _, ref := range refs {
-		record := ledger.JobRecord{Job: g.specs[ref]}
-		if w, ok := g.writes[ledger.JobKey(ref)]; ok {
+	for _, jobID := range jobIDs {
+		record := ledger.JobRecord{Job: g.specs[jobID]}
+		if w, ok := g.writes[ledger.JobKey(jobID)]; ok {
 			record = w.Value.(ledger.JobRecord)
 		}
-		s.Jobs = append(s.Jobs, ledger.SavedJob{ID: ref, Version: 1, Record: record})
+		s.Jobs = append(s.Jobs, ledger.SavedJob{ID: jobID, Version: 1, Record: record})
 	}
 	n := newHarness(t, s)
 	n.specs = g.specs
-	for ref, w := range g.writes {
-		n.writes[ref] = w
+	for jobID, w := range g.writes {
+		n.writes[jobID] = w
 	}
 	n.bringUp("vm-1")
 	return n
 }
 
 // agrees compares all jobs' states, and what is started, with the model.
-func (g *harness) agrees(m *graphModel, refs []string) {
+func (g *harness) agrees(m *graphModel, jobIDs []string) {
 	g.t.Helper()
-	for _, ref := range refs {
+	for _, jobID := range jobIDs {
 		want := []string{wire.JobQueued, wire.JobRunning}
 		switch {
-		case m.done[ref]:
+		case m.done[jobID]:
 			want = []string{wire.JobDone}
-		case m.aborted(ref):
+		case m.aborted(jobID):
 			want = []string{wire.JobCancelled}
 		}
-		if got := g.jobStatus(ref); !slices.Contains(want, got) {
-			g.t.Errorf("%s is %s, want %v", ref, got, want)
+		if got := g.jobStatus(jobID); !slices.Contains(want, got) {
+			g.t.Errorf("%s is %s, want %v", jobID, got, want)
 		}
-		j := g.c.jobs.list[g.c.jobs.indexByID[ref]]
-		if booked := j.progress.tasks != nil && !j.ended() && j.progress.allocated > 0; booked != m.ready(ref) {
-			g.t.Errorf("%s has a task on a machine: %v, ready: %v", ref, booked, m.ready(ref))
+		j := g.c.jobs.list[g.c.jobs.indexByID[jobID]]
+		if booked := j.progress.tasks != nil && !j.ended() && j.progress.allocated > 0; booked != m.ready(jobID) {
+			g.t.Errorf("%s has a task on a machine: %v, ready: %v", jobID, booked, m.ready(jobID))
 		}
 	}
 }
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -12,37 +12,37 @@
 )
 
 // after is a job of one task that waits for others.
-func after(ref string, others ...string) *wire.Job {
-	j := newTestJob(ref, 1, 1)
+func after(jobID string, others ...string) *wire.Job {
+	j := newTestJob(jobID, 1, 1)
 	j.DependsOn = others
 	return j
 }
 
 // finishTask has a machine report the one task of a job as done.
-func (g *harness) finishTask(machine, ref string) {
+func (g *harness) finishTask(machine, jobID string) {
 	g.t.Helper()
 	var tasks []wire.TaskStatus
 	there := false
 	for _, b := range g.c.machineNamed(machine).capacity.allocations {
 		t := taskIn(wire.Command{Task: g.c.jobs.taskName(b), Attempt: b.attempt}, wire.TaskRunning, "")
-		if t.Task == ref+"/0" {
+		if t.Task == jobID+"/0" {
 			t.Status, t.ExitReason, there = wire.TaskEnded, wire.ExitDone, true
 		}
 		tasks = append(tasks, t)
 	}
-	g.want(ref+" is on "+machine, there, true)
+	g.want(jobID+" is on "+machine, there, true)
 	g.acknowledge(machine, tasks...)
 }
 
 // started lists the jobs whose tasks have been started since the last call.
 func (g *harness) started() string {
-	var refs []string
+	var jobIDs []string
 	for _, o := range g.starts() {
-		ref := wire.JobIDOfTask(o.Task)
-		refs = append(refs, ref)
+		jobID := wire.JobIDOfTask(o.Task)
+		jobIDs = append(jobIDs, jobID)
 	}
 	g.endCommands(CommandExecuted)
-	return strings.Join(refs, " ")
+	return strings.Join(jobIDs, " ")
 }
 
 // TestDependents: nothing of a job starts before all its dependencies are durably done; until
@@ -128,8 +128,8 @@
 // TestDependentsOfACancelledJob: they count as cancelled from the moment in which that of their
 // ancestor is durable, without writes of their own, and stay so.
 func TestDependentsOfACancelledJob(t *testing.T) {
-	open := func(ref string, needs ...string) ledger.SavedJob {
-		return ledger.SavedJob{ID: ref, Version: 3, Record: ledger.JobRecord{Job: after(ref, needs...), AcceptedMS: 1}}
+	open := func(jobID string, needs ...string) ledger.SavedJob {
+		return ledger.SavedJob{ID: jobID, Version: 3, Record: ledger.JobRecord{Job: after(jobID, needs...), AcceptedMS: 1}}
 	}
 	cancelled := ledger.SavedJob{ID: "job-1", Version: 3, Record: ledger.JobRecord{Job: after("job-1").CancelledSummary(), TerminalState: wire.JobCancelled}}
 	cases := []struct {
@@ -206,7 +206,7 @@
 			g.endCommands(CommandExecuted)
 			g.wait(time.Second)
 			for _, o := range g.starts() {
-				if ref := wire.JobIDOfTask(o.Task); ref == "job-3" {
+				if jobID := wire.JobIDOfTask(o.Task); jobID == "job-3" {
 					t.Errorf("%s was started", o.Task)
 				}
 			}
@@ -223,7 +223,7 @@
 	first.Priority = "idle"
 	g.submit(first)
 	g.submit(after("job-2", "job-1"))
-	of := func(ref string) *job { return g.c.jobs.list[g.c.jobs.indexByID[ref]] }
+	of := func(jobID string) *job { return g.c.jobs.list[g.c.jobs.indexByID[jobID]] }
 	g.want("without an end", of("job-1").priority.class > of("job-2").priority.class, false)
 	g.want("its deadline", of("job-1").priority.deadline, never)
 	last := after("job-3", "job-2")
@@ -231,8 +231,8 @@
 	due := 100.0
 	last.DeadlineS = &due
 	g.submit(last)
-	for _, ref := range []string{"job-1", "job-2", "job-3"} {
-		g.want("rank of "+ref, of(ref).priority.class, 0)
+	for _, jobID := range []string{"job-1", "job-2", "job-3"} {
+		g.want("rank of "+jobID, of(jobID).priority.class, 0)
 	}
 	g.want("due of the last", of("job-3").priority.deadline, 100*time.Second)
 	g.want("due of the one before", of("job-2").priority.deadline, 90*time.Second)
--- a/internal/scheduler/evictions_test.go
+++ b/internal/scheduler/evictions_test.go
@@ -130,8 +130,8 @@
 	g.bringUp("vm-1")
 	g.bringUp("vm-2")
 	var running []wire.TaskStatus
-	for _, ref := range []string{"job-1", "job-2"} {
-		job := newTestJob(ref, 1, 3)
+	for _, jobID := range []string{"job-1", "job-2"} {
+		job := newTestJob(jobID, 1, 3)
 		job.CheckpointIntervalS, job.CheckpointDurationS, job.EstimatedRunS = 10, 1, 10000
 		g.submit(job)
 		running = append(running, taskIn(g.starts()[0], wire.TaskRunning, ""))
--- a/internal/scheduler/fair_share_test.go
+++ b/internal/scheduler/fair_share_test.go
@@ -14,8 +14,8 @@
 // TestNobodyIsStarved: urgent work that never ends must leave room for the
 // other class, the other team and a job of large tasks to begin.
 func TestNobodyIsStarved(t *testing.T) {
-	urgent := func(ref string, tasks int, cpus float64) *wire.Job {
-		j := newTestJob(ref, tasks, cpus)
+	urgent := func(jobID string, tasks int, cpus float64) *wire.Job {
+		j := newTestJob(jobID, tasks, cpus)
 		j.Priority, j.Class = "high", "u"
 		return j
 	}
--- a/internal/scheduler/federation_test.go
+++ b/internal/scheduler/federation_test.go
@@ -41,8 +41,8 @@
 }
 
 // fill has a job take the whole machine for long and returns how it is reported.
-func (g *harness) fill(ref string) []wire.TaskStatus {
-	j := newTestJob(ref, 4, 1)
+func (g *harness) fill(jobID string) []wire.TaskStatus {
+	j := newTestJob(jobID, 4, 1)
 	j.EstimatedRunS = 1000
 	g.submit(j)
 	var running []wire.TaskStatus
@@ -65,17 +65,17 @@
 
 // offered plays a shortage up to the neighbour's capacity offer and names the jobs that are
 // offered to it.
-func (g *harness) offered(room float64, running []wire.TaskStatus) (refs []string) {
+func (g *harness) offered(room float64, running []wire.TaskStatus) (jobIDs []string) {
 	g.waitWith(20*time.Second, "vm-1", running...)
 	if ask, ok := last[RequestCapacity](g); ok {
 		g.step(CapacityResult{Cell: ask.Cell, Cores: min(room, ask.Cores), For: 5 * time.Second})
 	}
 	if send, ok := last[SendTransfers](g); ok {
 		for _, m := range send.Messages {
-			refs = append(refs, fmt.Sprintf("%s %s/%d", m.Kind, m.JobID, m.Epoch))
+			jobIDs = append(jobIDs, fmt.Sprintf("%s %s/%d", m.Kind, m.JobID, m.Epoch))
 		}
 	}
-	return refs
+	return jobIDs
 }
 
 // TestDelegation: which jobs leave a cell that is short of room.
@@ -123,8 +123,8 @@
 // never placed here, and has ended when its end is durable here.
 func TestDelegatedJob(t *testing.T) {
 	g := newCell(t, nil, settings.Team{Name: "t"}, settings.Team{Name: "tight", CPUsMax: 3})
-	tight := func(ref string) *wire.Job {
-		j := newTestJob(ref, 2, 1)
+	tight := func(jobID string) *wire.Job {
+		j := newTestJob(jobID, 2, 1)
 		j.Team = "tight"
 		return j
 	}
@@ -228,13 +228,13 @@
 }
 
 // offerOf is another cell's offer.
-func offerOf(g *harness, ref, job string) federation.Outcome {
-	m := federation.Message{Kind: federation.Offer, JobID: ref, Epoch: 1, Body: &federation.OfferBody{Job: []byte(job), Cores: 1}}
+func offerOf(g *harness, jobID, job string) federation.Outcome {
+	m := federation.Message{Kind: federation.Offer, JobID: jobID, Epoch: 1, Body: &federation.OfferBody{Job: []byte(job), Cores: 1}}
 	g.step(TransferRequest{Origin: "puno", Messages: []federation.Message{m}, ReplyTo: recipient("r")})
-	if put, ok := last[WriteForeign](g); ok && put.Write.Key.JobID == ref {
+	if put, ok := last[WriteForeign](g); ok && put.Write.Key.JobID == jobID {
 		g.step(ForeignWriteResult{Write: put.Write, Job: put.Job, Version: 9})
 	}
-	g.step(TransferRequest{Origin: "puno", Messages: []federation.Message{{Kind: federation.Status, JobID: ref, Epoch: 1}}, ReplyTo: recipient("r")})
+	g.step(TransferRequest{Origin: "puno", Messages: []federation.Message{{Kind: federation.Status, JobID: jobID, Epoch: 1}}, ReplyTo: recipient("r")})
 	answer, _ := last[TransferReply](g)
 	return answer.Answers[0].Outcome
 }
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -177,8 +177,8 @@
 	return g.sendHeartbeat(r)
 }
 
-func newTestJob(ref string, tasks int, cpus float64) *wire.Job {
-	return &wire.Job{ID: ref, Class: "c", Team: "t", Kind: "batch", Priority: "standard", Tasks: tasks, CPUs: cpus, MemGB: 1, Image: "i", Spot: true, EstimatedRunS: 10}
+func newTestJob(jobID string, tasks int, cpus float64) *wire.Job {
+	return &wire.Job{ID: jobID, Class: "c", Team: "t", Kind: "batch", Priority: "standard", Tasks: tasks, CPUs: cpus, MemGB: 1, Image: "i", Spot: true, EstimatedRunS: 10}
 }
 
 func (g *harness) submit(j *wire.Job) {
@@ -232,8 +232,8 @@
 }
 
 // jobStatus asks for a job's state.
-func (g *harness) jobStatus(ref string) string {
+func (g *harness) jobStatus(jobID string) string {
 	g.out = nil
-	g.step(StatusRequest{JobID: ref, ReplyTo: recipient("u")})
+	g.step(StatusRequest{JobID: jobID, ReplyTo: recipient("u")})
 	return g.out[0].(UserReply).Status.Status
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -84,8 +84,8 @@
 			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Types: true}, Types: []wire.MachineType{
 				{Name: "m4", CPUs: 4, MemGB: 16, CacheGB: 20, FetchGBPerS: 0.1, Price: 1, SpotPrice: 0.5, BootS: 40, Zones: []string{"a", "b"}}}}})
 			g.bringUp("vm-1")
-			job := func(ref, image string, due float64) *wire.Job {
-				j := newTestJob(ref, 1, 4)
+			job := func(jobID, image string, due float64) *wire.Job {
+				j := newTestJob(jobID, 1, 4)
 				j.Image, j.ImageGB, j.DeadlineS = image, 1, &due
 				return j
 			}
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -18,11 +18,11 @@
 	for _, j := range []*wire.Job{newTestJob("job-1", 1, 4), due(newTestJob("job-2", 1, 4), 500), late, due(newTestJob("job-6", 9, 4), 90), high, due(newTestJob("job-4", 1, 4), 100)} {
 		g.submit(j)
 	}
-	order := func() (refs []string) {
+	order := func() (jobIDs []string) {
 		for _, j := range g.c.placement.queue() {
-			refs = append(refs, j.id)
+			jobIDs = append(jobIDs, j.id)
 		}
-		return refs
+		return jobIDs
 	}
 	g.want("order", order(), []string{"job-3", "job-4", "job-2", "job-1", "job-6", "job-5"})
 	g.step(CancelRequest{JobID: "job-5", ReplyTo: recipient("u")})
--- a/internal/scheduler/renewal_model_test.go
+++ b/internal/scheduler/renewal_model_test.go
@@ -133,8 +133,8 @@
 	case k < 27:
 		h.submit()
 	case k < 30 && len(h.refs) > 0:
-		ref := h.refs[h.r.IntN(len(h.refs))]
-		h.g.step(CancelRequest{JobID: ref, ReplyTo: recipient(ref)})
+		jobID := h.refs[h.r.IntN(len(h.refs))]
+		h.g.step(CancelRequest{JobID: jobID, ReplyTo: recipient(jobID)})
 	case k < 33 && len(h.late) > 0:
 		at := h.r.IntN(len(h.late))
 		message := h.late[at]
@@ -237,8 +237,8 @@
 // cancelled job can't be read any more.
 func (h *renewals) takeOver() {
 	records := map[string]any{}
-	for ref, j := range h.g.specs {
-		records[ledger.JobKey(ref)] = ledger.JobRecord{Job: j, AcceptedMS: 1}
+	for jobID, j := range h.g.specs {
+		records[ledger.JobKey(jobID)] = ledger.JobRecord{Job: j, AcceptedMS: 1}
 	}
 	for key, w := range h.g.writes {
 		records[key] = w.Value
@@ -255,8 +255,8 @@
 	}
 	slices.SortFunc(entries, func(a, b wire.Entry) int { return strings.Compare(a.Key, b.Key) })
 	for i := range entries {
-		for _, ref := range h.refs {
-			if _, cancelled := h.told[ref]; cancelled && entries[i].Key == ledger.JobKey(ref) && h.r.IntN(10) == 0 {
+		for _, jobID := range h.refs {
+			if _, cancelled := h.told[jobID]; cancelled && entries[i].Key == ledger.JobKey(jobID) && h.r.IntN(10) == 0 {
 				entries[i].Value = []byte("[]")
 			}
 		}
@@ -306,8 +306,8 @@
 	}
 	for _, w := range h.workers {
 		for _, t := range w.tasks {
-			ref := wire.JobIDOfTask(t.Task)
-			if told, cancelled := h.told[ref]; cancelled && !w.hung && t.Status != wire.TaskEnded && h.g.now-told > modelCancel {
+			jobID := wire.JobIDOfTask(t.Task)
+			if told, cancelled := h.told[jobID]; cancelled && !w.hung && t.Status != wire.TaskEnded && h.g.now-told > modelCancel {
 				h.t.Errorf("%s is on %s %s after its job was told as cancelled", t.Task, w.name, h.g.now-told)
 			}
 		}
@@ -317,8 +317,8 @@
 // checkStops checks that a response has the stops that its heartbeat requires.
 func (h *renewals) checkStops(report *wire.Heartbeat, answer *wire.HeartbeatResponse) {
 	for _, t := range report.Tasks {
-		ref := wire.JobIDOfTask(t.Task)
-		if _, cancelled := h.told[ref]; !cancelled || t.Status == wire.TaskEnded {
+		jobID := wire.JobIDOfTask(t.Task)
+		if _, cancelled := h.told[jobID]; !cancelled || t.Status == wire.TaskEnded {
 			continue
 		}
 		if !slices.ContainsFunc(answer.Commands, func(o wire.Command) bool { return o.Verb == wire.VerbStop && o.Attempt == t.Attempt }) {
--- a/internal/scheduler/spending_test.go
+++ b/internal/scheduler/spending_test.go
@@ -36,8 +36,8 @@
 			c := g.c
 			m, j := c.machines.list[c.machines.indexByName["vm-1"]], c.jobs.list[0]
 			m.state, m.capacity.allocations = tc.state, nil
-			for _, book := range tc.bookings {
-				m.capacity.allocations = append(m.capacity.allocations, book(j))
+			for _, ledgerWriter := range tc.bookings {
+				m.capacity.allocations = append(m.capacity.allocations, ledgerWriter(j))
 			}
 			c.spending.spent, c.spending.accruedUntil, c.spending.loggedAt = costs{}, c.clock.now, c.clock.now
 			c.clock.now += 10 * time.Second
--- a/internal/standby/deployment_test.go
+++ b/internal/standby/deployment_test.go
@@ -42,13 +42,13 @@
 	t.Helper()
 	d := deploy(t, fake.DeploymentPlan{Machines: machines, RunTime: func(string) time.Duration { return 2 * time.Second }}, warm)
 	for i := range jobs {
-		ref := fmt.Sprintf("job-%08d", i)
+		jobID := fmt.Sprintf("job-%08d", i)
 		record := `{"accepted_ms":1796190522949,"fate":"done","tasks":16,"done":16,"ended_ms":1796190622949,"class":"c","team":"open","cores":16,"run_s":20}`
 		if i%openShare == 0 {
 			// It waits for one that is never submitted, so that the size stays.
-			record = fmt.Sprintf(`{"job":{"ref":"%s","lane":"c","owner":"open","shape":"batch","urgency":"high","pieces":16,"vcpus":1,"gpus":0,"mem_gb":2,"bundle":"image","size_gb":1,"flavors":null,"room":null,"together":false,"spread":false,"loaners":true,"guess_s":20,"snapshot_s":0,"flush_s":0,"due_s":600,"waits_on":["job-999999999"]},"accepted_ms":1796190522949}`, ref)
+			record = fmt.Sprintf(`{"job":{"ref":"%s","lane":"c","owner":"open","shape":"batch","urgency":"high","pieces":16,"vcpus":1,"gpus":0,"mem_gb":2,"bundle":"image","size_gb":1,"flavors":null,"room":null,"together":false,"spread":false,"loaners":true,"guess_s":20,"snapshot_s":0,"flush_s":0,"due_s":600,"waits_on":["job-999999999"]},"accepted_ms":1796190522949}`, jobID)
 		}
-		d.state.Put("job/"+ref, record)
+		d.state.Put("job/"+jobID, record)
 	}
 	return d
 }
