--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -112,3 +112,17 @@
 		m.agent.RaiseToken(a.clock.now)
 	}
 }
+
+// countsAsCapacity tells whether a machine is part of the capacity to plan with.
+func (a *agents) countsAsCapacity(m *machine) bool {
+	switch m.state {
+	case machineStarting:
+		return m.typ >= 0
+	case machineUp:
+		return m.typ >= 0 && !m.health.quarantined && !m.eviction.cordoned && m.rental.terminationAt == 0 && a.unacknowledgedFor(m) < a.unreachableAfter()
+	}
+	return false
+}
+
+// ExpectedAgents is how many machines should be reporting.
+func (c *Core) ExpectedAgents() int { return c.agents.expectedCount }
--- a/internal/scheduler/classes.go
+++ b/internal/scheduler/classes.go
@@ -45,7 +45,7 @@
 func (c *Core) classOf(name string) int32 {
 	i, isNew := c.classes.index(name, c.cfg.Platform.Facts.Objectives)
 	if isNew {
-		c.autoscaling.addClass()
+		c.demand.addClass()
 		c.estimates.addClass()
 	}
 	return i
--- a/internal/scheduler/cloud_results.go
+++ b/internal/scheduler/cloud_results.go
@@ -18,11 +18,11 @@
 			}
 		}
 	case r.Call.Types:
-		if c.autoscaling.typesRequestEnded(r.Err) {
+		if c.cloudReads.typesRequestEnded(r.Err) {
 			c.typesRead(r.Types)
 		}
 	case r.Call.List:
-		if c.autoscaling.listRequestEnded(r.Err) {
+		if c.cloudReads.listRequestEnded(r.Err) {
 			c.listRead(r.List)
 		}
 	}
@@ -62,7 +62,7 @@
 			continue
 		}
 		if m.rental.wasListed(c.clock.now - settings.Seconds(l.AgeS)) {
-			c.autoscaling.scaleOutMachineSeen(m)
+			c.scaleOuts.machineSeen(m)
 		}
 		if m.typeName == "" {
 			c.updateDescription(m, l.Type, l.Zone, l.Spot, l.Address)
@@ -73,7 +73,7 @@
 		}
 		if l.Status == wire.MachineFailed {
 			// It has stopped on its own, and all on it with it.
-			c.autoscaling.requestDelete(m, "failed")
+			c.returns.requestDelete(m, "failed")
 			c.removeMachine(m, "listed as failed")
 		}
 	}
@@ -81,9 +81,8 @@
 
 // machinesRented records the machines of a scale-out.
 func (c *Core) machinesRented(h *scaleOut, machines []string) {
-	h.open = false
+	h.resultTaken()
 	c.evictions.recordRented(h.saved.Request.RequestID, machines)
-	h.unseenMachines = map[string]bool{}
 	for _, name := range machines {
 		m := c.machineNamed(name)
 		m.rental.rentedBy(h.saved.Request.RequestID)
@@ -91,15 +90,15 @@
 			c.updateDescription(m, h.saved.Request.Type, h.saved.Request.Zone, h.saved.Request.Spot, "")
 		}
 		if m.state == machineStarting && !m.rental.listed {
-			h.unseenMachines[name] = true
+			h.awaitMachine(name)
 		}
 	}
-	c.autoscaling.closeScaleOut(h)
+	c.scaleOuts.dropIfSeen(h)
 }
 
 // scaleOutResult takes the result of a scale-out.
 func (c *Core) scaleOutResult(r autoscaler.Result) {
-	if h, rented := c.autoscaling.scaleOutEnded(r); rented {
+	if h, rented := c.scaleOuts.ended(r); rented {
 		c.machinesRented(h, r.Machines)
 	}
 }
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -108,7 +108,7 @@
 	c.commands.resumeResponses()
 	c.commands.sendResponses()
 	c.commands.sendPending()
-	c.autoscaling.flushDeletes()
+	c.returns.flush()
 }
 
 // sendPending sends the commands that don't travel with a response.
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -54,15 +54,20 @@
 	jobs          jobTable          // all jobs, their dependencies and their records
 	cancellations cancellationWatch // of the tasks of cancelled jobs
 
-	commands    commands        // to agents, and the responses to their heartbeats
-	agents      agents          // whether they can be reached
-	attempts    attempts        // their numbers
-	placement   placement       // which task runs where, and when
-	autoscaling autoscaling     // renting and returning machines
-	spending    spending        // what the machines cost
-	softState   softState       // inherited from an earlier leader, and passed on
-	federation  federationState // jobs that are forwarded between cells
-	evictions   evictionState   // plans that drain machines
+	commands   commands         // to agents, and the responses to their heartbeats
+	agents     agents           // whether they can be reached
+	attempts   attempts         // their numbers
+	placement  placement        // which task runs where, and when
+	cloudReads cloudReads       // of machine types and machines
+	pools      capacityPools    // of the cloud, and their back-off
+	demand     learnedDemand    // from recent jobs
+	scaleOuts  scaleOutRequests // machines being rented
+	returns    machineReturns   // machines being returned
+	planner    capacityPlanner  // of capacity
+	spending   spending         // what the machines cost
+	softState  softState        // inherited from an earlier leader, and passed on
+	federation federationState  // jobs that are forwarded between cells
+	evictions  evictionState    // plans that drain machines
 }
 
 // NewCore starts a term from what the ledger holds. now is the controller's monotonic
@@ -80,7 +85,12 @@
 	c.agents = newAgents(c)
 	c.attempts = newAttempts(c)
 	c.placement = newPlacement(c)
-	c.autoscaling = newAutoscaling(c)
+	c.cloudReads = newCloudReads(c)
+	c.pools = newCapacityPools(c)
+	c.demand = newLearnedDemand(c)
+	c.scaleOuts = newScaleOutRequests(c)
+	c.returns = newMachineReturns(c)
+	c.planner = newCapacityPlanner(c)
 	c.spending = newSpending(c)
 	c.softState = newSoftState(c)
 	c.federation = newFederation(c)
@@ -176,7 +186,9 @@
 	c.recordUnreachable()
 	c.agents.withdrawUseless()
 	c.softState.dropInherited()
-	c.autoscaling.tick()
+	c.cloudReads.requestDue()
+	c.scaleOuts.repeatDue()
+	c.planner.planDue()
 	c.attempts.endExhausted()
 	c.federationTick()
 	c.evictionTick()
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -37,7 +37,7 @@
 func (c *Core) forwardJobs() {
 	t := &c.federation
 	late := c.federation.expectedLateJobs()
-	if !t.shortage.Observe(c.clock.now, len(late) > 0 && !c.autoscaling.canScaleOut()) {
+	if !t.shortage.Observe(c.clock.now, len(late) > 0 && !c.planner.canScaleOut()) {
 		return
 	}
 	wanted := 0.0
@@ -93,7 +93,7 @@
 func (f *federationState) expectedLateJobs() []*job {
 	cores, ahead := 0.0, 0.0
 	for _, m := range f.machines.live {
-		if f.autoscaling.countsAsCapacity(m) {
+		if f.agents.countsAsCapacity(m) {
 			cores += m.capacity.total.CPUs
 			ahead += f.placement.remainingWork(m)
 		}
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -7,21 +7,43 @@
 	"time"
 
 	"leadproxy/internal/autoscaler"
+	"leadproxy/internal/scheduler/quota"
 	"leadproxy/internal/slowfit"
 )
 
+// learnedDemand is the demand that recent jobs have shown. It owns the estimators and the sizes.
+type learnedDemand struct {
+	cfg       *Config
+	clock     *clock
+	classes   *classTable
+	estimates *runEstimates
+	teams     *quota.Teams
+
+	byClass       []autoscaler.DemandEstimator
+	limitedByTeam []autoscaler.DemandEstimator // only of teams with a limit
+	sizes         []weightedSize               // the one with most core-seconds first
+}
+
+func newLearnedDemand(c *Core) learnedDemand {
+	return learnedDemand{cfg: &c.cfg, clock: &c.clock, classes: &c.classes, estimates: &c.estimates, teams: &c.teams,
+		limitedByTeam: make([]autoscaler.DemandEstimator, c.teams.Len())}
+}
+
+// addClass makes room for the demand of a class.
+func (d *learnedDemand) addClass() { d.byClass = append(d.byClass, autoscaler.DemandEstimator{}) }
+
 // observeArrival learns from a job that has just come in.
-func (a *autoscaling) observeArrival(j *job) {
+func (d *learnedDemand) observeArrival(j *job) {
 	cores := j.request.size.CPUs * float64(j.progress.total)
-	a.learnArrival(j.request.class, j.request.team, j.priority.arrived, cores, a.estimates.expectedRun(j).Seconds())
-	a.addSize(j.request.size, cores*j.spec.EstimatedRunS, a.classes.objectives[j.request.class].wait > 0)
+	d.learnArrival(j.request.class, j.request.team, j.priority.arrived, cores, d.estimates.expectedRun(j).Seconds())
+	d.addSize(j.request.size, cores*j.spec.EstimatedRunS, d.classes.objectives[j.request.class].wait > 0)
 }
 
 // learnArrival learns the demand from one job.
-func (a *autoscaling) learnArrival(class, team int32, at time.Duration, cores, seconds float64) {
-	a.demand[class].ObserveArrival(at, cores, seconds)
-	if _, limited := a.teams.At(team).CPULimit(); limited {
-		a.limitedDemand[team].ObserveArrival(at, cores, seconds)
+func (d *learnedDemand) learnArrival(class, team int32, at time.Duration, cores, seconds float64) {
+	d.byClass[class].ObserveArrival(at, cores, seconds)
+	if _, limited := d.teams.At(team).CPULimit(); limited {
+		d.limitedByTeam[team].ObserveArrival(at, cores, seconds)
 	}
 }
 
@@ -35,29 +57,29 @@
 // maxSizes bounds the sizes that are remembered.
 const maxSizes = 16
 
-func (a *autoscaling) addSize(size slowfit.Size, weight float64, wait bool) {
+func (d *learnedDemand) addSize(size slowfit.Size, weight float64, wait bool) {
 	at := -1
-	for i := range a.sizes {
-		a.sizes[i].weight *= 0.98
-		if a.sizes[i].size == size {
+	for i := range d.sizes {
+		d.sizes[i].weight *= 0.98
+		if d.sizes[i].size == size {
 			at = i
 		}
 	}
 	if at < 0 {
-		at = len(a.sizes)
-		a.sizes = append(a.sizes, weightedSize{size: size})
+		at = len(d.sizes)
+		d.sizes = append(d.sizes, weightedSize{size: size})
 	}
-	a.sizes[at].weight += weight
-	a.sizes[at].wait = a.sizes[at].wait || wait
-	slices.SortStableFunc(a.sizes, func(x, y weightedSize) int { return cmp.Compare(y.weight, x.weight) })
-	a.sizes = a.sizes[:min(len(a.sizes), maxSizes)]
+	d.sizes[at].weight += weight
+	d.sizes[at].wait = d.sizes[at].wait || wait
+	slices.SortStableFunc(d.sizes, func(x, y weightedSize) int { return cmp.Compare(y.weight, x.weight) })
+	d.sizes = d.sizes[:min(len(d.sizes), maxSizes)]
 }
 
 // headroomSizes are the sizes that the headroom should hold: the heaviest of the
 // demand, then those of classes that must not wait.
-func (a *autoscaling) headroomSizes() []slowfit.Size {
+func (d *learnedDemand) headroomSizes() []slowfit.Size {
 	var out []slowfit.Size
-	for i, s := range a.sizes {
+	for i, s := range d.sizes {
 		if i == 0 || s.wait {
 			out = append(out, s.size)
 		}
@@ -67,15 +89,15 @@
 
 // headroomCores are the cores that the learned demand makes worth keeping. A team's demand
 // beyond its limit does not count.
-func (a *autoscaling) headroomCores() float64 {
-	spread := a.cfg.Operator.HeadroomSpread
-	mean, deviation := autoscaler.Demand(a.clock.now, a.demand)
+func (d *learnedDemand) headroomCores() float64 {
+	spread := d.cfg.Operator.HeadroomSpread
+	mean, deviation := autoscaler.Demand(d.clock.now, d.byClass)
 	variance, capped := deviation*deviation, 0.0
-	for i := range a.teams.Len() {
-		if limit, limited := a.teams.At(int32(i)).CPULimit(); limited {
-			m, d := autoscaler.Demand(a.clock.now, a.limitedDemand[i:i+1])
-			mean, variance = mean-m, variance-d*d
-			capped += min(m+spread*d, limit)
+	for i := range d.teams.Len() {
+		if limit, limited := d.teams.At(int32(i)).CPULimit(); limited {
+			m, deviation := autoscaler.Demand(d.clock.now, d.limitedByTeam[i:i+1])
+			mean, variance = mean-m, variance-deviation*deviation
+			capped += min(m+spread*deviation, limit)
 		}
 	}
 	return max(mean, 0) + spread*math.Sqrt(max(variance, 0)) + capped
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -140,7 +140,7 @@
 // becomesReady has a job's wait, and the demand for it, count from a moment on.
 func (c *Core) becomesReady(j *job, at time.Duration) {
 	j.priority.arriveAt(at)
-	c.autoscaling.observeArrival(j)
+	c.demand.observeArrival(j)
 	c.placement.markNeeded()
 	c.log.Debug("job dependencies are done", "job", j.id, "tasks", j.progress.total)
 }
--- a/internal/scheduler/eviction_actions.go
+++ b/internal/scheduler/eviction_actions.go
@@ -39,7 +39,7 @@
 		}
 	case rollout.ReturnMachine:
 		if m := c.machines.find(a.Machine); m != nil && (m.state == machineDeleting || c.evictions.isEmpty(m)) {
-			c.autoscaling.requestDelete(m, "drained")
+			c.returns.requestDelete(m, "drained")
 		}
 	case rollout.ScaleOutAhead:
 		c.evictions.scaleOutAhead(a)
@@ -95,10 +95,10 @@
 	requests := v.requestsFor(a.RequestID, a.Replaced)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
 		w := requests[name]
-		if v.autoscaling.scaleOuts[name] != nil || v.rented[name] != nil || v.clock.now < v.autoscaling.pool(w.Pool).blockedUntil {
+		if v.scaleOuts.byID[name] != nil || v.rented[name] != nil || v.clock.now < v.pools.pool(w.Pool).blockedUntil {
 			continue
 		}
-		v.autoscaling.startNamedScaleOut(name, w)
+		v.scaleOuts.startNamed(name, w)
 	}
 }
 
--- a/internal/scheduler/evictions.go
+++ b/internal/scheduler/evictions.go
@@ -23,19 +23,20 @@
 
 // evictionState are the plans of a term; without an account there are none.
 type evictionState struct {
-	cfg         *Config
-	term        uint64
-	clock       *clock
-	log         *slog.Logger
-	effects     *effects
-	writes      *durableWrites
-	types       *machineTypes
-	estimates   *runEstimates
-	jobs        *jobTable
-	machines    *machineTable
-	agents      *agents
-	placement   *placement
-	autoscaling *autoscaling
+	cfg       *Config
+	term      uint64
+	clock     *clock
+	log       *slog.Logger
+	effects   *effects
+	writes    *durableWrites
+	types     *machineTypes
+	estimates *runEstimates
+	jobs      *jobTable
+	machines  *machineTable
+	agents    *agents
+	placement *placement
+	pools     *capacityPools
+	scaleOuts *scaleOutRequests
 
 	disruptions *rollout.DisruptionTracker
 	plans       map[string]*plan
@@ -49,7 +50,7 @@
 
 func newEvictions(c *Core) evictionState {
 	return evictionState{cfg: &c.cfg, term: c.term, clock: &c.clock, log: c.log, effects: &c.effects, writes: &c.writes,
-		types: &c.types, estimates: &c.estimates, autoscaling: &c.autoscaling,
+		types: &c.types, estimates: &c.estimates, pools: &c.pools, scaleOuts: &c.scaleOuts,
 		jobs: &c.jobs, machines: &c.machines, agents: &c.agents, placement: &c.placement}
 }
 
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -17,18 +17,20 @@
 // foreign jobs that run here. The protocol is in package federation; here it is connected with
 // the jobs, the ledger and the neighbours.
 type federationState struct {
-	cfg         *Config
-	clock       *clock
-	log         *slog.Logger
-	effects     *effects
-	writes      *durableWrites
-	types       *machineTypes
-	estimates   *runEstimates
-	teams       *quota.Teams
-	jobs        *jobTable
-	machines    *machineTable
-	placement   *placement
-	autoscaling *autoscaling
+	cfg       *Config
+	clock     *clock
+	log       *slog.Logger
+	effects   *effects
+	writes    *durableWrites
+	types     *machineTypes
+	estimates *runEstimates
+	teams     *quota.Teams
+	jobs      *jobTable
+	machines  *machineTable
+	placement *placement
+	agents    *agents
+	pools     *capacityPools
+	demand    *learnedDemand
 
 	cells          settings.Cells
 	delegated      *federation.DelegatedJobs
@@ -82,7 +84,7 @@
 func newFederation(c *Core) federationState {
 	operator := c.cfg.Operator
 	t := federationState{cfg: &c.cfg, clock: &c.clock, log: c.log, effects: &c.effects, writes: &c.writes, types: &c.types, estimates: &c.estimates, teams: &c.teams,
-		jobs: &c.jobs, machines: &c.machines, placement: &c.placement, autoscaling: &c.autoscaling,
+		jobs: &c.jobs, machines: &c.machines, placement: &c.placement, agents: &c.agents, pools: &c.pools, demand: &c.demand,
 		cells:     operator.Cells,
 		delegated: federation.NewDelegatedJobs(reclaimAfter(operator.Cells)),
 		foreign:   federation.NewForeignJobs(localJobs{c}),
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -176,7 +176,7 @@
 // rented, less what this cell's own waiting work takes, its headroom, what is guaranteed to its
 // teams and what is offered or accepted already.
 func (f *federationState) offerableCapacity(n settings.Neighbour) float64 {
-	room := f.autoscaling.scalableCores()
+	room := f.pools.scalableCores()
 	for _, m := range f.machines.live {
 		if m.indexed.schedulable && !m.capacity.reserved {
 			room += m.capacity.free.CPUs
@@ -193,7 +193,7 @@
 		}
 		inUse += j.request.size.CPUs * float64(j.progress.allocated)
 	}
-	room -= max(0, f.autoscaling.headroomCores()-inUse)
+	room -= max(0, f.demand.headroomCores()-inUse)
 	for i := range f.teams.Len() {
 		room -= f.teams.At(int32(i)).UnusedGuarantee()
 	}
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -76,7 +76,7 @@
 	c.log.Debug("job accepted", "job", j.id, "tasks", j.progress.total, "cpus", j.request.size.CPUs, "class", j.spec.Class)
 	c.checkDependencies(j)
 	if !j.ended() && !j.blocked() && j.transfer.origin == "" {
-		c.autoscaling.observeArrival(j)
+		c.demand.observeArrival(j)
 	}
 	c.jobs.raisePriorityBy(j)
 	c.placement.markNeeded()
--- a/internal/scheduler/ledger_writes.go
+++ b/internal/scheduler/ledger_writes.go
@@ -67,7 +67,7 @@
 	case terminalTag:
 		c.terminalIsDurable(c.jobs.list[t.job])
 	case scaleOutTag:
-		c.autoscaling.scaleOutDurable(t.name)
+		c.scaleOuts.recordDurable(t.name)
 	case unreachableTag:
 		c.unreachableWithdrawn(t.key)
 	case planTag:
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -174,7 +174,7 @@
 	m.commands.resolveAllStarts()
 	c.resolveInDoubt(m, why)
 	c.placement.index.Remove(m.index)
-	c.autoscaling.scaleOutMachineSeen(m)
+	c.scaleOuts.machineSeen(m)
 	if m.recorded.namedByJobs > 0 {
 		m.recorded.setGone(true)
 		c.writes.put(ledger.Write{Key: ledger.GoneKey(m.name), Value: true})
@@ -189,6 +189,6 @@
 		t := &c.types.list[m.typ]
 		t.boot += (c.clock.now - m.rental.rentedAt - t.boot) / 4
 	}
-	c.autoscaling.scaleOutMachineSeen(m)
+	c.scaleOuts.machineSeen(m)
 	c.placement.markNeeded()
 }
--- a/internal/scheduler/parts_test.go
+++ b/internal/scheduler/parts_test.go
@@ -68,7 +68,7 @@
 	"machineCommands": "commands",
 	"capacity":        "placement",
 	"indexEntry":      "placement",
-	"rental":          "autoscaling",
+	"rental":          "machineReturns",
 	"machineRecord":   "jobTable",
 	"machineHealth":   "placement",
 	"machineEviction": "evictionState",
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -40,7 +40,7 @@
 	j := c.newJob(s.ID, s.Record, s.Version)
 	if s.Record.Class != "" {
 		accepted := c.clock.now - time.Duration(c.clock.wallMS-s.Record.AcceptedMS)*time.Millisecond
-		c.autoscaling.learnArrival(c.classOf(s.Record.Class), c.teams.Index(s.Record.Team), accepted, s.Record.Cores, s.Record.RunS)
+		c.demand.learnArrival(c.classOf(s.Record.Class), c.teams.Index(s.Record.Team), accepted, s.Record.Cores, s.Record.RunS)
 	}
 	if j.spec == nil {
 		// It is done; an earlier leader was stopped while it tidied up.
@@ -71,7 +71,7 @@
 		j.retry.delayUntil(c.clock.now + c.agents.lease)
 	}
 	if !hasDependencies(&s.Record) && j.transfer.origin == "" {
-		c.autoscaling.observeArrival(j)
+		c.demand.observeArrival(j)
 	}
 	switch {
 	case j.ended():
@@ -120,3 +120,11 @@
 		}
 	}
 }
+
+// restoreScaleOut continues an earlier leader's scale-out.
+func (c *Core) restoreScaleOut(r ledger.ScaleOutRecord) {
+	h := c.scaleOuts.restore(r)
+	if r.Machines != nil {
+		c.machinesRented(h, r.Machines)
+	}
+}
--- a/internal/scheduler/restore_test.go
+++ b/internal/scheduler/restore_test.go
@@ -65,7 +65,7 @@
 			AcceptedMS: int64(i-30) * 10000, TerminalState: wire.JobDone, Tasks: 1, Done: 1, Class: "c", Cores: 8, RunS: 20}})
 	}
 	g := newHarness(t, s)
-	mean, _ := autoscaler.Demand(0, g.c.autoscaling.demand)
+	mean, _ := autoscaler.Demand(0, g.c.demand.byClass)
 	if mean < 13 || mean > 16 {
 		t.Errorf("mean demand %v cores, want about 16", mean)
 	}
--- a/internal/scheduler/scale_in.go
+++ b/internal/scheduler/scale_in.go
@@ -1,6 +1,7 @@
 package scheduler
 
 import (
+	"log/slog"
 	"slices"
 	"time"
 
@@ -8,77 +9,99 @@
 	"leadproxy/internal/settings"
 )
 
+// minRental is how long a machine is charged for at least.
+const minRental = 60 * time.Second
+
+// machineReturns returns machines to the cloud: those that are broken, lost or not needed. It owns
+// the deletions to be requested, and writes the rental of a machine besides the methods of that.
+type machineReturns struct {
+	cfg       *Config
+	term      uint64
+	clock     *clock
+	log       *slog.Logger
+	effects   *effects
+	types     *machineTypes
+	machines  *machineTable
+	agents    *agents
+	placement *placement
+	demand    *learnedDemand
+
+	deletes []string // to be requested at the end of the step
+}
+
+func newMachineReturns(c *Core) machineReturns {
+	return machineReturns{cfg: &c.cfg, term: c.term, clock: &c.clock, log: c.log, effects: &c.effects, types: &c.types,
+		machines: &c.machines, agents: &c.agents, placement: &c.placement, demand: &c.demand}
+}
+
 // requestDelete requests the deletion of a machine. It is gone only when the cloud says so;
 // until then the request is repeated now and then.
-func (a *autoscaling) requestDelete(m *machine, why string) {
-	if m.state == machineDeleting && a.clock.now-m.rental.lastDeleteRequest < 10*time.Second {
+func (r *machineReturns) requestDelete(m *machine, why string) {
+	if m.state == machineDeleting && r.clock.now-m.rental.lastDeleteRequest < 10*time.Second {
 		return
 	}
-	a.log.Info("returning machine", "machine", m.name, "why", why, "allocations", len(m.capacity.allocations), "age", (a.clock.now - m.rental.rentedAt).Seconds())
-	m.state, m.rental.lastDeleteRequest = machineDeleting, a.clock.now
-	a.placement.indexChanged(m)
-	a.deletes = append(a.deletes, m.name)
+	r.log.Info("returning machine", "machine", m.name, "why", why, "allocations", len(m.capacity.allocations), "age", (r.clock.now - m.rental.rentedAt).Seconds())
+	m.state, m.rental.lastDeleteRequest = machineDeleting, r.clock.now
+	r.placement.indexChanged(m)
+	r.deletes = append(r.deletes, m.name)
 }
 
-// flushDeletes requests the deletions of a step together, since the cloud's API allows few
+// flush requests the deletions of a step together, since the cloud's API allows few
 // calls.
-func (a *autoscaling) flushDeletes() {
-	for names := a.deletes; len(names) > 0; {
+func (r *machineReturns) flush() {
+	for names := r.deletes; len(names) > 0; {
 		n := min(len(names), autoscaler.MaxDelete)
-		a.effects.emit(CallCloud{autoscaler.Call{Delete: slices.Clone(names[:n])}})
+		r.effects.emit(CallCloud{autoscaler.Call{Delete: slices.Clone(names[:n])}})
 		names = names[n:]
 	}
-	a.deletes = a.deletes[:0]
+	r.deletes = r.deletes[:0]
 }
 
-// ExpectedAgents is how many machines should be reporting.
-func (c *Core) ExpectedAgents() int { return c.agents.expectedCount }
-
-// scaleIn returns the machines that are broken, lost, or not needed any more.
-func (a *autoscaling) scaleIn() {
-	cores := a.countCapacity()
-	headroom := a.headroomCores()
-	waiting := a.placement.placeableWithinLimit()
-	for _, m := range a.machines.live {
+// returnUnneeded returns the machines that are broken, lost, or not needed any more.
+func (r *machineReturns) returnUnneeded() {
+	cores := r.countCapacity()
+	headroom := r.demand.headroomCores()
+	waiting := r.placement.placeableWithinLimit()
+	for _, m := range r.machines.live {
 		if m.state == machineGone {
 			continue
 		}
-		if why := a.reasonToScaleIn(m); why != "" {
-			a.requestDelete(m, why)
+		if why := r.reasonToScaleIn(m); why != "" {
+			r.requestDelete(m, why)
 			continue
 		}
 		// On-demand machines cost a multiple and are not kept for future demand.
-		target, patience := headroom, a.cfg.Operator.IdleReturn
+		target, patience := headroom, r.cfg.Operator.IdleReturn
 		if !m.spot {
 			target, patience = 0, patience/4
 		}
-		if a.mayScaleIn(m, waiting) && a.clock.now-m.capacity.idleSince > patience && cores-m.capacity.total.CPUs >= target {
+		if r.mayScaleIn(m, waiting) && r.clock.now-m.capacity.idleSince > patience && cores-m.capacity.total.CPUs >= target {
 			cores -= m.capacity.total.CPUs
-			a.requestDelete(m, "idle")
+			r.requestDelete(m, "idle")
 		}
 	}
 }
 
 // countCapacity counts the cores to plan with, and notes how many machines should be sending
 // heartbeats and which zones seem to be cut off.
-func (a *autoscaling) countCapacity() (cores float64) {
-	zones := make([]zoneCount, len(a.machines.zones.list))
+func (r *machineReturns) countCapacity() (cores float64) {
+	zones := make([]zoneCount, len(r.machines.zones.list))
 	var all zoneCount
-	for _, m := range a.machines.live {
-		if a.countsAsCapacity(m) {
+	for _, m := range r.machines.live {
+		if r.agents.countsAsCapacity(m) {
 			cores += m.capacity.total.CPUs
 		}
-		if !a.agents.heartbeatExpected(m) || m.zone < 0 {
+		if !r.agents.heartbeatExpected(m) || m.zone < 0 {
 			continue
 		}
 		zones[m.zone].up++
 		all.up++
-		if a.agents.unacknowledgedFor(m) >= a.agents.unreachableAfter() && m.rental.missedListings < 2 {
+		if r.agents.unacknowledgedFor(m) >= r.agents.unreachableAfter() && m.rental.missedListings < 2 {
 			zones[m.zone].unreachable++
 			all.unreachable++
 		}
 	}
-	a.agents.zonesCounted(zones, all)
+	r.agents.zonesCounted(zones, all)
 	return cores
 }
 
@@ -87,8 +110,8 @@
 // that task from it now. One that is too small or not allowed for all of them is not: in a large
 // cell there is always something waiting. Nor is one that only tasks beyond their team's limit
 // would use.
-func (a *autoscaling) mayScaleIn(m *machine, waiting []*job) bool {
-	if m.state != machineUp || m.eviction.kept || len(m.capacity.allocations) > 0 || a.clock.now-m.rental.rentedAt < minRental || !m.trusted(a.term) {
+func (r *machineReturns) mayScaleIn(m *machine, waiting []*job) bool {
+	if m.state != machineUp || m.eviction.kept || len(m.capacity.allocations) > 0 || r.clock.now-m.rental.rentedAt < minRental || !m.trusted(r.term) {
 		return false
 	}
 	return !slices.ContainsFunc(waiting, func(j *job) bool {
@@ -98,19 +121,19 @@
 
 // reasonToScaleIn tells why a machine is to be returned whether or not it is needed; "": there
 // is no reason.
-func (a *autoscaling) reasonToScaleIn(m *machine) string {
-	unacknowledged := a.agents.unacknowledgedFor(m)
+func (r *machineReturns) reasonToScaleIn(m *machine) string {
+	unacknowledged := r.agents.unacknowledgedFor(m)
 	switch {
 	case m.state == machineDeleting:
 		return "not yet known to be gone"
-	case a.agents.heartbeatExpected(m) && unacknowledged > a.agents.unreachableAfter() && m.rental.missedListings >= 2:
+	case r.agents.heartbeatExpected(m) && unacknowledged > r.agents.unreachableAfter() && m.rental.missedListings >= 2:
 		// Absence from the list proves nothing, but its deletion will.
 		return "unreachable and not listed any more"
-	case a.agents.heartbeatExpected(m) && unacknowledged > 4*a.agents.heartbeatInterval && !a.agents.zoneCutOff(m):
+	case r.agents.heartbeatExpected(m) && unacknowledged > 4*r.agents.heartbeatInterval && !r.agents.zoneCutOff(m):
 		return "unreachable"
 	case m.state == machineStarting:
-		return a.reasonToStopBoot(m, unacknowledged)
-	case unacknowledged > a.agents.lease+a.agents.heartbeatInterval:
+		return r.reasonToStopBoot(m, unacknowledged)
+	case unacknowledged > r.agents.lease+r.agents.heartbeatInterval:
 		return "lost"
 	case len(m.capacity.allocations) > 0:
 		return ""
@@ -128,15 +151,15 @@
 // reasonToStopBoot tells why a machine without a heartbeat so far is to be returned. One that an
 // earlier leader had up may be unreachable for a while: it has a lease's time for its first
 // heartbeat.
-func (a *autoscaling) reasonToStopBoot(m *machine, unacknowledged time.Duration) string {
+func (r *machineReturns) reasonToStopBoot(m *machine, unacknowledged time.Duration) string {
 	patience := unknownBootPatience
 	switch {
 	case m.typ >= 0:
-		patience = time.Duration(a.cfg.Operator.BootPatience * float64(settings.Seconds(a.types.list[m.typ].BootS)))
-	case unacknowledged < a.agents.lease:
+		patience = time.Duration(r.cfg.Operator.BootPatience * float64(settings.Seconds(r.types.list[m.typ].BootS)))
+	case unacknowledged < r.agents.lease:
 		return ""
 	}
-	if a.clock.now-m.rental.rentedAt > patience && a.clock.now-a.clock.termStart > a.agents.lease {
+	if r.clock.now-m.rental.rentedAt > patience && r.clock.now-r.clock.termStart > r.agents.lease {
 		return "did not come up"
 	}
 	return ""
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -3,6 +3,7 @@
 import (
 	"errors"
 	"fmt"
+	"log/slog"
 	"time"
 
 	"leadproxy/internal/autoscaler"
@@ -10,6 +11,28 @@
 	"leadproxy/internal/wire"
 )
 
+// scaleOutRequests rents machines. It owns the scale-outs that are under way or whose machines are
+// not all known from elsewhere, and keeps their records in the ledger.
+type scaleOutRequests struct {
+	term     uint64
+	clock    *clock
+	log      *slog.Logger
+	effects  *effects
+	writes   *durableWrites
+	types    *machineTypes
+	machines *machineTable
+	pools    *capacityPools
+
+	byID  map[string]*scaleOut
+	count uint64 // of names given out in this term
+}
+
+func newScaleOutRequests(c *Core) scaleOutRequests {
+	return scaleOutRequests{term: c.term, clock: &c.clock, log: c.log, effects: &c.effects, writes: &c.writes,
+		types: &c.types, machines: &c.machines, pools: &c.pools, byID: map[string]*scaleOut{}}
+}
+
+// scaleOut is one request for machines, by this leader or an earlier one.
 type scaleOut struct {
 	saved          ledger.ScaleOutRecord // its record in the ledger
 	pool           autoscaler.CapacityPool
@@ -19,104 +42,137 @@
 	retry          time.Duration
 }
 
-func (a *autoscaling) startScaleOut(w autoscaler.PlannedScaleOut) {
-	a.scaleOutCount++
+// resultTaken notes that the cloud's result is known.
+func (h *scaleOut) resultTaken() {
+	h.open = false
+	h.unseenMachines = map[string]bool{}
+}
+
+// awaitMachine keeps the scale-out until a machine of it is known from elsewhere.
+func (h *scaleOut) awaitMachine(name string) { h.unseenMachines[name] = true }
+
+// start rents machines under a new name.
+func (s *scaleOutRequests) start(w autoscaler.PlannedScaleOut) {
+	s.count++
 	// The name embeds the term, so that no other leader ever uses it.
-	a.startNamedScaleOut(fmt.Sprintf("h%d-%d", a.term, a.scaleOutCount), w)
+	s.startNamed(fmt.Sprintf("h%d-%d", s.term, s.count), w)
 }
 
-// startNamedScaleOut rents machines under a name. The cloud accepts each name once, however
+// startNamed rents machines under a name. The cloud accepts each name once, however
 // often it is sent.
-func (a *autoscaling) startNamedScaleOut(name string, w autoscaler.PlannedScaleOut) {
-	t := a.types.list[w.Pool.Type]
+func (s *scaleOutRequests) startNamed(name string, w autoscaler.PlannedScaleOut) {
+	t := s.types.list[w.Pool.Type]
 	h := &scaleOut{pool: w.Pool, open: true, saved: ledger.ScaleOutRecord{Request: wire.ScaleOutRequest{
-		RequestID: name, CapacityPool: wire.CapacityPool{Type: t.Name, Zone: a.machines.zones.list[w.Pool.Zone], Spot: w.Pool.Spot}, Count: min(w.Count, autoscaler.MaxScaleOut)}}}
-	a.addScaleOut(h)
-	a.log.Info("scaling out", "request", name, "type", t.Name, "zone", h.saved.Request.Zone, "spot", w.Pool.Spot, "count", h.saved.Request.Count, "reason", w.Reason)
-	a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.saved, Urgent: true, Tag: scaleOutTag{name}})
+		RequestID: name, CapacityPool: wire.CapacityPool{Type: t.Name, Zone: s.machines.zones.list[w.Pool.Zone], Spot: w.Pool.Spot}, Count: min(w.Count, autoscaler.MaxScaleOut)}}}
+	s.add(h)
+	s.log.Info("scaling out", "request", name, "type", t.Name, "zone", h.saved.Request.Zone, "spot", w.Pool.Spot, "count", h.saved.Request.Count, "reason", w.Reason)
+	s.writes.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.saved, Urgent: true, Tag: scaleOutTag{name}})
 }
 
-func (a *autoscaling) addScaleOut(h *scaleOut) { a.scaleOuts[h.saved.Request.RequestID] = h }
+// add notes a scale-out.
+func (s *scaleOutRequests) add(h *scaleOut) { s.byID[h.saved.Request.RequestID] = h }
 
-// scaleOutDurable sends a scale-out once its record is durable.
-func (a *autoscaling) scaleOutDurable(name string) {
-	if h := a.scaleOuts[name]; h != nil && h.open && !h.sent {
-		a.sendScaleOut(h)
+// recordDurable sends a scale-out once its record is durable.
+func (s *scaleOutRequests) recordDurable(name string) {
+	if h := s.byID[name]; h != nil && h.open && !h.sent {
+		s.send(h)
 	}
 }
 
-func (a *autoscaling) sendScaleOut(h *scaleOut) {
+// send requests the machines of a scale-out.
+func (s *scaleOutRequests) send(h *scaleOut) {
 	h.sent = true
 	request := h.saved.Request
-	a.effects.emit(CallCloud{autoscaler.Call{ScaleOut: &request}})
+	s.effects.emit(CallCloud{autoscaler.Call{ScaleOut: &request}})
+}
+
+// open lists the scale-outs whose result is still needed.
+func (s *scaleOutRequests) open() []*scaleOut {
+	var out []*scaleOut
+	for _, h := range s.byID {
+		if h.open {
+			out = append(out, h)
+		}
+	}
+	return out
+}
+
+// repeatDue sends again the scale-outs of unknown outcome whose retry is due.
+func (s *scaleOutRequests) repeatDue() {
+	for _, h := range s.byID {
+		if h.open && !h.sent && h.retry > 0 && s.clock.now >= h.retry {
+			s.send(h)
+		}
+	}
 }
 
-// restoreScaleOut continues an earlier leader's scale-out. One whose result is not in its record
-// is repeated under its own name, to learn its machines.
-func (c *Core) restoreScaleOut(r ledger.ScaleOutRecord) {
-	h := &scaleOut{saved: r, pool: autoscaler.CapacityPool{Type: -1, Zone: c.machines.zones.of(r.Request.Zone), Spot: r.Request.Spot}}
-	c.autoscaling.addScaleOut(h)
+// restore adds an earlier leader's scale-out. One whose result is not in its record is repeated
+// under its own name, to learn its machines.
+func (s *scaleOutRequests) restore(r ledger.ScaleOutRecord) *scaleOut {
+	h := &scaleOut{saved: r, pool: autoscaler.CapacityPool{Type: -1, Zone: s.machines.zones.of(r.Request.Zone), Spot: r.Request.Spot}}
+	s.add(h)
 	if r.Machines == nil {
 		h.open = true
-		c.autoscaling.sendScaleOut(h)
-		return
+		s.send(h)
 	}
-	c.machinesRented(h, r.Machines)
+	return h
 }
 
-// scaleOutMachineSeen notes that a machine is known from the list or from its agent, so that its
+// machineSeen notes that a machine is known from the list or from its agent, so that its
 // scale-out need not be kept for it.
-func (a *autoscaling) scaleOutMachineSeen(m *machine) {
-	if h := a.scaleOuts[m.rental.scaleOutID]; h != nil && h.unseenMachines != nil {
+func (s *scaleOutRequests) machineSeen(m *machine) {
+	if h := s.byID[m.rental.scaleOutID]; h != nil && h.unseenMachines != nil {
 		delete(h.unseenMachines, m.name)
-		a.closeScaleOut(h)
+		s.dropIfSeen(h)
 	}
 }
 
-func (a *autoscaling) closeScaleOut(h *scaleOut) {
+// dropIfSeen drops a scale-out once all its machines are known from elsewhere.
+func (s *scaleOutRequests) dropIfSeen(h *scaleOut) {
 	if len(h.unseenMachines) == 0 {
-		a.dropScaleOut(h)
+		s.drop(h)
 	}
 }
 
-func (a *autoscaling) dropScaleOut(h *scaleOut) {
-	delete(a.scaleOuts, h.saved.Request.RequestID)
-	a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.saved.Request.RequestID)})
+// drop forgets a scale-out and has its record deleted.
+func (s *scaleOutRequests) drop(h *scaleOut) {
+	delete(s.byID, h.saved.Request.RequestID)
+	s.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.saved.Request.RequestID)})
 }
 
-// scaleOutEnded takes the result of a scale-out, and tells whether it has rented machines.
-func (a *autoscaling) scaleOutEnded(r autoscaler.Result) (h *scaleOut, rented bool) {
-	h = a.scaleOuts[r.Call.ScaleOut.RequestID]
+// ended takes the result of a scale-out, and tells whether it has rented machines.
+func (s *scaleOutRequests) ended(r autoscaler.Result) (h *scaleOut, rented bool) {
+	h = s.byID[r.Call.ScaleOut.RequestID]
 	if h == nil || !h.open {
 		return nil, false
 	}
 	h.sent = false
-	pool := a.pool(h.pool)
+	pool := s.pools.pool(h.pool)
 	request := &h.saved.Request
 	switch {
 	case r.Err == nil:
-		a.log.Info("scale-out result", "request", request.RequestID, "machines", r.Machines, "wanted", request.Count)
+		s.log.Info("scale-out result", "request", request.RequestID, "machines", r.Machines, "wanted", request.Count)
 		if len(r.Machines) < request.Count {
-			pool.block(a.clock.now)
+			pool.block(s.clock.now)
 		} else {
 			pool.filled()
 		}
 		h.saved.Machines = r.Machines
 		if len(r.Machines) == 0 {
-			a.dropScaleOut(h)
+			s.drop(h)
 			return nil, false
 		}
-		a.writes.put(ledger.Write{Key: ledger.ScaleOutKey(request.RequestID), Value: h.saved})
+		s.writes.put(ledger.Write{Key: ledger.ScaleOutKey(request.RequestID), Value: h.saved})
 		return h, true
 	case errors.Is(r.Err, autoscaler.ErrNoCapacity):
-		a.log.Info("scale-out refused: no capacity", "request", request.RequestID, "type", request.Type, "zone", request.Zone, "spot", request.Spot)
-		pool.block(a.clock.now)
+		s.log.Info("scale-out refused: no capacity", "request", request.RequestID, "type", request.Type, "zone", request.Zone, "spot", request.Spot)
+		pool.block(s.clock.now)
 		h.open = false
-		a.dropScaleOut(h)
+		s.drop(h)
 	default:
 		// It may have been carried out. Only the same name is safe to repeat.
-		a.log.Info("scale-out result unknown, will retry", "request", request.RequestID, "error", r.Err)
-		h.retry = a.clock.now + time.Second
+		s.log.Info("scale-out result unknown, will retry", "request", request.RequestID, "error", r.Err)
+		h.retry = s.clock.now + time.Second
 	}
 	return nil, false
 }
--- a/internal/scheduler/soft_state.go
+++ b/internal/scheduler/soft_state.go
@@ -13,16 +13,16 @@
 // softState is what this leader inherits in memory from an earlier one, and the version of what
 // it passes on itself.
 type softState struct {
-	term        uint64
-	clock       *clock
-	effects     *effects
-	types       *machineTypes
-	classes     *classTable
-	estimates   *runEstimates
-	jobs        *jobTable
-	machines    *machineTable
-	placement   *placement
-	autoscaling *autoscaling
+	term      uint64
+	clock     *clock
+	effects   *effects
+	types     *machineTypes
+	classes   *classTable
+	estimates *runEstimates
+	jobs      *jobTable
+	machines  *machineTable
+	placement *placement
+	pools     *capacityPools
 
 	inherited inheritedSoftState
 	version   uint64 // counts the changes of machines that are passed on
@@ -30,7 +30,7 @@
 
 func newSoftState(c *Core) softState {
 	return softState{term: c.term, clock: &c.clock, effects: &c.effects, types: &c.types, classes: &c.classes, estimates: &c.estimates,
-		jobs: &c.jobs, machines: &c.machines, placement: &c.placement, autoscaling: &c.autoscaling}
+		jobs: &c.jobs, machines: &c.machines, placement: &c.placement, pools: &c.pools}
 }
 
 // inheritedSoftState is the soft state of an earlier leader. It is used where this term knows
@@ -103,10 +103,8 @@
 		if o.Type != t.Name {
 			continue
 		}
-		st := s.autoscaling.pool(autoscaler.CapacityPool{Type: index, Zone: s.machines.zones.of(o.Zone), Spot: o.Spot})
-		st.blockedUntil = s.clock.now + min(o.BackoffLeft, maxPoolBackoff)
-		st.backoff = min(o.Backoff, maxPoolBackoff)
-		st.fillsRequests = o.Filled
+		pool := s.pools.pool(autoscaler.CapacityPool{Type: index, Zone: s.machines.zones.of(o.Zone), Spot: o.Spot})
+		pool.inherit(&o, s.clock.now)
 	}
 }
 
@@ -168,7 +166,7 @@
 			l.BootSeconds[s.types.list[i].Name] = boot
 		}
 	}
-	for o, st := range s.autoscaling.pools {
+	for o, st := range s.pools.states {
 		if o.Type < 0 || o.Zone < 0 || *st == (poolState{}) {
 			continue
 		}
