--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -54,20 +54,24 @@
 	jobs          jobTable          // all jobs, their dependencies and their records
 	cancellations cancellationWatch // of the tasks of cancelled jobs
 
-	commands   commands         // to agents, and the responses to their heartbeats
-	agents     agents           // whether they can be reached
-	attempts   attempts         // their numbers
-	placement  placement        // which task runs where, and when
-	cloudReads cloudReads       // of machine types and machines
-	pools      capacityPools    // of the cloud, and their back-off
-	demand     learnedDemand    // from recent jobs
-	scaleOuts  scaleOutRequests // machines being rented
-	returns    machineReturns   // machines being returned
-	planner    capacityPlanner  // of capacity
-	spending   spending         // what the machines cost
-	softState  softState        // inherited from an earlier leader, and passed on
-	federation federationState  // jobs that are forwarded between cells
-	evictions  evictionState    // plans that drain machines
+	commands      commands         // to agents, and the responses to their heartbeats
+	agents        agents           // whether they can be reached
+	attempts      attempts         // their numbers
+	placement     placement        // which task runs where, and when
+	cloudReads    cloudReads       // of machine types and machines
+	pools         capacityPools    // of the cloud, and their back-off
+	demand        learnedDemand    // from recent jobs
+	scaleOuts     scaleOutRequests // machines being rented
+	returns       machineReturns   // machines being returned
+	planner       capacityPlanner  // of capacity
+	spending      spending         // what the machines cost
+	softState     softState        // inherited from an earlier leader, and passed on
+	neighbours    neighbourTable   // other cells, and the exchanges with them
+	transferSteps transferSteps    // counts of what happens to forwarded jobs
+	delegations   delegations      // jobs that other cells run
+	offers        capacityOffers   // of room to other cells
+	foreign       foreignJobs      // of other cells
+	evictions     evictionState    // plans that drain machines
 }
 
 // NewCore starts a term from what the ledger holds. now is the controller's monotonic
@@ -93,7 +97,11 @@
 	c.planner = newCapacityPlanner(c)
 	c.spending = newSpending(c)
 	c.softState = newSoftState(c)
-	c.federation = newFederation(c)
+	c.neighbours = newNeighbourTable(c)
+	c.transferSteps = newTransferSteps(c)
+	c.delegations = newDelegations(c)
+	c.offers = newCapacityOffers(c)
+	c.foreign = newForeignJobs(c)
 	c.evictions = newEvictions(c)
 	c.restore(&s)
 	c.finishStep()
@@ -156,7 +164,7 @@
 // many events share one placement.
 func (c *Core) Flush() []Effect {
 	if c.placement.needed {
-		c.placement.place(c.federation.uncertainUse())
+		c.placement.place(c.delegations.uncertainUse())
 	}
 	c.finishStep()
 	return c.effects.take()
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -1,58 +1,108 @@
 package scheduler
 
 import (
+	"log/slog"
 	"slices"
 	"time"
 
 	"leadproxy/internal/federation"
 	"leadproxy/internal/scheduler/quota"
 	"leadproxy/internal/settings"
-	"leadproxy/internal/wire"
 )
 
-// This file decides which jobs are delegated to other cells, when, and to which.
-
 // forwardingInterval is how often the queue is searched for jobs to be delegated.
 const forwardingInterval = time.Second
 
-// mayDelegate tells whether a job can run in another cell: whole, never started anywhere,
-// of this cell, and not bound to a zone of it.
-func (f *federationState) mayDelegate(j *job) bool {
-	neverStarted := !j.progress.startedOnce && j.progress.allocated == 0 && len(j.record.hosts) == 0 && j.progress.done == 0
-	boundHere := j.transfer.origin != "" || j.request.zone >= 0 || j.placement.reservedMachine != nil
-	return j.placeable(f.clock.now) && neverStarted && !boundHere && !j.suspect() && f.delegated.MayBegin(j.id)
+// delegations decides which jobs are delegated to other cells, when, and to which. It owns the
+// origin side of the transfers and alone writes which jobs other cells may run.
+type delegations struct {
+	clock      *clock
+	log        *slog.Logger
+	effects    *effects
+	writes     *durableWrites
+	estimates  *runEstimates
+	teams      *quota.Teams
+	jobs       *jobTable
+	machines   *machineTable
+	agents     *agents
+	placement  *placement
+	neighbours *neighbourTable
+	steps      *transferSteps
+
+	transfers      *federation.DelegatedJobs
+	shortage       federation.Shortage
+	selector       *federation.CellSelector
+	nextForwarding time.Duration
 }
 
-// expectedLate tells whether a job that begins after a wait misses its deadline or,
-// without one, waits longer than it may.
-func (f *federationState) expectedLate(j *job, wait time.Duration) bool {
-	if j.priority.deadline == never {
-		return f.clock.now-j.priority.arrived+wait > f.cells.MaxWait
+func newDelegations(c *Core) delegations {
+	operator := c.cfg.Operator
+	return delegations{clock: &c.clock, log: c.log, effects: &c.effects, writes: &c.writes, estimates: &c.estimates,
+		teams: &c.teams, jobs: &c.jobs, machines: &c.machines, agents: &c.agents, placement: &c.placement,
+		neighbours: &c.neighbours, steps: &c.transferSteps,
+		transfers: federation.NewDelegatedJobs(reclaimAfter(operator.Cells)),
+		shortage:  federation.Shortage{MinDuration: operator.Cells.ShortageFor},
+		selector:  federation.NewCellSelector(operator.SlowFitC),
+	}
+}
+
+// reclaimAfter tells when a repeatable job is reclaimed from a cell. One that the settings no
+// longer name is treated as the strictest.
+func reclaimAfter(cells settings.Cells) func(cell string) time.Duration {
+	return func(cell string) time.Duration {
+		n, ok := cells.Find(cell)
+		if !ok {
+			return 0
+		}
+		return n.ReclaimAfter
+	}
+}
+
+// forwardingDue tells whether the queue is to be searched for jobs to be delegated.
+func (d *delegations) forwardingDue() bool {
+	if !d.neighbours.cells.DelegateJobs || !d.neighbours.transfersEnabled || d.clock.now < d.nextForwarding {
+		return false
 	}
-	return f.clock.now+wait+f.estimates.expectedRun(j) > j.priority.deadline
+	d.nextForwarding = d.clock.now + forwardingInterval
+	return true
 }
 
-// forwardJobs delegates jobs to neighbours that have room for them while this cell is short of
-// it.
-func (c *Core) forwardJobs() {
-	t := &c.federation
-	late := c.federation.expectedLateJobs()
-	if !t.shortage.Observe(c.clock.now, len(late) > 0 && !c.planner.canScaleOut()) {
+// forward delegates jobs to neighbours that have room for them while this cell is short of it:
+// jobs are expected to be late, and no machines can be had.
+func (d *delegations) forward(canScaleOut func() bool) {
+	late := d.expectedLateJobs()
+	if !d.shortage.Observe(d.clock.now, len(late) > 0 && !canScaleOut()) {
 		return
 	}
 	wanted := 0.0
 	for _, j := range late {
 		wanted += j.cores()
 	}
-	choice := c.federation.delegationInput()
-	c.federation.requestCapacity(choice, wanted)
+	choice := d.delegationInput()
+	d.requestCapacity(choice, wanted)
 	for _, j := range late {
 		if !choice.hasCredit() {
 			break
 		}
-		c.federation.delegate(j, choice)
+		d.delegate(j, choice)
 	}
-	c.applyOriginEffects()
+}
+
+// mayDelegate tells whether a job can run in another cell: whole, never started anywhere,
+// of this cell, and not bound to a zone of it.
+func (d *delegations) mayDelegate(j *job) bool {
+	neverStarted := !j.progress.startedOnce && j.progress.allocated == 0 && len(j.record.hosts) == 0 && j.progress.done == 0
+	boundHere := j.transfer.origin != "" || j.request.zone >= 0 || j.placement.reservedMachine != nil
+	return j.placeable(d.clock.now) && neverStarted && !boundHere && !j.suspect() && d.transfers.MayBegin(j.id)
+}
+
+// expectedLate tells whether a job that begins after a wait misses its deadline or,
+// without one, waits longer than it may.
+func (d *delegations) expectedLate(j *job, wait time.Duration) bool {
+	if j.priority.deadline == never {
+		return d.clock.now-j.priority.arrived+wait > d.neighbours.cells.MaxWait
+	}
+	return d.clock.now+wait+d.estimates.expectedRun(j) > j.priority.deadline
 }
 
 // delegationInput is the situation by which jobs are delegated.
@@ -62,22 +112,22 @@
 }
 
 // delegationInput describes the neighbours and what the teams use at present.
-func (f *federationState) delegationInput() *delegationInput {
-	o := &delegationInput{cells: make([]federation.Cell, len(f.neighbours)), used: f.uncertainUse()}
+func (d *delegations) delegationInput() *delegationInput {
+	o := &delegationInput{cells: make([]federation.Cell, len(d.neighbours.list)), used: d.uncertainUse()}
 	for i := range o.used {
-		o.used[i] = o.used[i].Plus(f.teams.At(int32(i)).Allocated())
+		o.used[i] = o.used[i].Plus(d.teams.At(int32(i)).Allocated())
 	}
 	idle := true
-	for i, n := range f.neighbours {
-		jobs, cores := f.delegatedTo(n)
+	for i, n := range d.neighbours.list {
+		jobs, cores := d.delegatedTo(n)
 		idle = idle && jobs == 0
 		o.cells[i] = federation.Cell{Capacity: n.MaxCores, Used: cores, Jobs: n.MaxJobs - jobs}
-		if f.clock.now < n.until && !n.Draining {
+		if d.clock.now < n.until && !n.Draining {
 			o.cells[i].Credit = n.credit
 		}
 	}
 	if idle {
-		f.selector.Reset()
+		d.selector.Reset()
 	}
 	return o
 }
@@ -90,77 +140,47 @@
 // expectedLateJobs lists, in the order of the queue, the jobs that may be delegated and whose
 // wait here is expected to be too long: what is ahead of them, and left of what runs, shared by
 // all cores. A job that is delegated is ahead of none.
-func (f *federationState) expectedLateJobs() []*job {
+func (d *delegations) expectedLateJobs() []*job {
 	cores, ahead := 0.0, 0.0
-	for _, m := range f.machines.live {
-		if f.agents.countsAsCapacity(m) {
+	for _, m := range d.machines.live {
+		if d.agents.countsAsCapacity(m) {
 			cores += m.capacity.total.CPUs
-			ahead += f.placement.remainingWork(m)
+			ahead += d.placement.remainingWork(m)
 		}
 	}
 	var late []*job
-	for _, j := range f.placement.queue() {
-		wait := f.cells.MaxWait + time.Second
+	for _, j := range d.placement.queue() {
+		wait := d.neighbours.cells.MaxWait + time.Second
 		if cores > 0 {
 			wait = settings.Seconds(ahead / cores)
 		}
-		if f.mayDelegate(j) && f.expectedLate(j, wait) {
+		if d.mayDelegate(j) && d.expectedLate(j, wait) {
 			late = append(late, j)
 			continue
 		}
-		ahead += f.placement.queuedWork(j)
+		ahead += d.placement.queuedWork(j)
 	}
 	return late
 }
 
 // requestCapacity requests an offer of capacity from the neighbours.
-func (f *federationState) requestCapacity(choice *delegationInput, cores float64) {
-	for i, n := range f.neighbours {
+func (d *delegations) requestCapacity(choice *delegationInput, cores float64) {
+	for i, n := range d.neighbours.list {
 		cell := choice.cells[i]
 		free := min(cores, cell.Capacity-cell.Used)
-		if n.Draining || n.capacityRequested || f.clock.now < n.nextCapacityRequest || cell.Jobs <= 0 || free <= 0 || cell.Credit >= free {
+		if n.Draining || n.capacityRequested || d.clock.now < n.nextCapacityRequest || cell.Jobs <= 0 || free <= 0 || cell.Credit >= free {
 			continue
 		}
-		n.capacityRequested = true
-		f.effects.emit(RequestCapacity{Cell: n.Name, Cores: free})
+		d.neighbours.requestCapacity(n, free)
 	}
 }
 
-// capacityRequestInterval is the least time between two capacity requests to a neighbour.
-const capacityRequestInterval = 2 * time.Second
-
-// capacityResult takes a neighbour's reply to a capacity request.
-func (c *Core) capacityResult(e CapacityResult) {
-	n := c.federation.neighbourNamed(e.Cell)
-	if n == nil {
-		return
-	}
-	n.capacityRequested = false
-	n.nextCapacityRequest = c.clock.now + max(capacityRequestInterval, e.RetryAfter)
-	if e.Err != nil {
-		c.log.Debug("capacity request failed", "cell", n.Name, "error", e.Err)
-		return
-	}
-	n.credit, n.until = e.Cores, c.clock.now+e.For
-	if n.reason != e.Reason {
-		n.reason = e.Reason
-		if e.Reason != "" {
-			c.log.Info("neighbour offers no capacity", "cell", n.Name, "reason", e.Reason, "retry_after_s", e.RetryAfter.Seconds())
-		}
-	}
-	if e.Cores <= 0 {
-		return
-	}
-	c.forwardJobs()
-	c.federation.sendTransfers()
-}
-
 // delegatedTo is what is delegated to a cell: jobs, and their cores.
-func (f *federationState) delegatedTo(n *neighbour) (jobs int, cores float64) {
-	for _, id := range f.delegated.JobsAt(n.Name) {
-		if at, ok := f.jobs.indexByID[id]; ok && !f.jobs.list[at].ended() {
+func (d *delegations) delegatedTo(n *neighbour) (jobs int, cores float64) {
+	for _, id := range d.transfers.JobsAt(n.Name) {
+		if at, ok := d.jobs.indexByID[id]; ok && !d.jobs.list[at].ended() {
 			jobs++
-			cores += f.jobs.list[at].cores()
+			cores += d.jobs.list[at].cores()
 		}
 	}
 	return jobs, cores
@@ -168,46 +188,26 @@
 
 // delegate begins the transfer of a job to the neighbour that the choice names, if its
 // team's limit leaves room for all of it: tasks in other cells count there as well.
-func (f *federationState) delegate(j *job, o *delegationInput) {
-	if f.teams.At(j.request.team).Room(j.request.size, o.used[j.request.team]) < j.progress.total {
+func (d *delegations) delegate(j *job, o *delegationInput) {
+	if d.teams.At(j.request.team).Room(j.request.size, o.used[j.request.team]) < j.progress.total {
 		return
 	}
-	for i, n := range f.neighbours {
+	for i, n := range d.neighbours.list {
 		o.cells[i].Excluded = n.refused[j.id]
 	}
-	at := f.selector.Select(o.cells, j.cores())
+	at := d.selector.Select(o.cells, j.cores())
 	if at < 0 {
 		return
 	}
-	body := f.offerBody(j)
+	body := d.offerBody(j)
 	if body == nil {
 		return
 	}
-	n, cell := f.neighbours[at], &o.cells[at]
-	n.credit -= j.cores()
+	n, cell := d.neighbours.list[at], &o.cells[at]
+	n.useCredit(j.cores())
 	cell.Credit, cell.Used, cell.Jobs = n.credit, cell.Used+j.cores(), cell.Jobs-1
 	o.used[j.request.team] = o.used[j.request.team].Plus(quota.Of(j.request.size).Times(j.progress.total))
 	j.transfer.delegated = true
-	f.delegated.Begin(j.id, n.Name, body, f.clock.now, f.clock.wallMS)
-	f.log.Info("job delegated to a neighbour", "job", j.id, "cell", n.Name, "cores", j.cores(), "waited_s", (f.clock.now - j.priority.arrived).Seconds(), "share", j.cores()/n.MaxCores)
-}
-
-// uncertainUse is what each team's tasks may use on machines that have sent no heartbeat in this
-// term, and in other cells.
-func (f *federationState) uncertainUse() []quota.Units {
-	use := make([]quota.Units, f.teams.Len())
-	transfers := !f.delegated.Idle()
-	for _, j := range f.jobs.active {
-		if len(j.record.inDoubtHosts) > 0 && j.end.state != wire.JobDone {
-			n := j.progress.total - j.progress.done - j.progress.allocated
-			use[j.request.team] = use[j.request.team].Plus(quota.Of(j.request.size).Times(max(n, 0)))
-		}
-		unreadable := j.transfer.delegated && !f.delegated.Delegated(j.id)
-		if unreadable || transfers && f.delegated.MayRunRemotely(j.id) {
-			// All of its tasks may run there at once, also if its transfer's record can't
-			// be read.
-			use[j.request.team] = use[j.request.team].Plus(quota.Of(j.request.size).Times(j.progress.total))
-		}
-	}
-	return use
+	d.transfers.Begin(j.id, n.Name, body, d.clock.now, d.clock.wallMS)
+	d.log.Info("job delegated to a neighbour", "job", j.id, "cell", n.Name, "cores", j.cores(), "waited_s", (d.clock.now - j.priority.arrived).Seconds(), "share", j.cores()/n.MaxCores)
 }
--- a/internal/scheduler/federation_status.go
+++ b/internal/scheduler/federation_status.go
@@ -8,11 +8,10 @@
 
 // transferListRequested lists the transfers for an operator.
 func (c *Core) transferListRequested(e TransferListRequest) {
-	t := &c.federation
-	list := TransferListReply{ReplyTo: e.ReplyTo, Delegated: t.delegated.List(c.clock.now), Counts: maps.Clone(t.counts)}
+	list := TransferListReply{ReplyTo: e.ReplyTo, Delegated: c.delegations.transfers.List(c.clock.now), Counts: maps.Clone(c.transferSteps.counts)}
 	offered := map[string]float64{}
-	for _, key := range t.foreign.Keys() {
-		record, _ := t.foreign.Record(key)
+	for _, key := range c.foreign.transfers.Keys() {
+		record, _ := c.foreign.transfers.Record(key)
 		state, _ := c.foreignState(key)
 		if record.State == federation.ForeignAccepted {
 			list.Foreign = append(list.Foreign, ForeignView{Key: key, Record: record, State: state})
@@ -23,8 +22,8 @@
 			offered[j.transfer.origin] += j.cores()
 		}
 	}
-	for _, n := range t.neighbours {
-		jobs, cores := c.federation.delegatedTo(n)
+	for _, n := range c.neighbours.list {
+		jobs, cores := c.delegations.delegatedTo(n)
 		view := CellView{Name: n.Name, Drain: n.Draining, Unreachable: n.unreachable, Jobs: jobs, Cores: cores, Offered: offered[n.Name]}
 		if c.clock.now < n.until {
 			view.Credit = n.credit
--- a/internal/scheduler/federation_test.go
+++ b/internal/scheduler/federation_test.go
@@ -269,7 +269,7 @@
 	told, _ := last[UserReply](g)
 	g.want("its state is told to users here", told.Known, false)
 	guest := g.c.jobs.list[g.c.jobs.indexByID["job-87"]]
-	g.want("it may leave", g.c.federation.mayDelegate(guest), false)
+	g.want("it may leave", g.c.delegations.mayDelegate(guest), false)
 	own := newTestJob("job-2", 4, 1)
 	own.Priority = "high"
 	guest.progress.allocated, guest.progress.waiting = 0, []int32{0} // as if it waited
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -111,7 +111,7 @@
 	c.placement.markNeeded()
 	c.releaseDependents(j)
 	c.jobs.cleanUp(j)
-	c.federation.delegated.JobOver(j.id, c.clock.now)
+	c.delegations.transfers.JobOver(j.id, c.clock.now)
 	c.applyOriginEffects()
 }
 
@@ -152,7 +152,7 @@
 		return
 	}
 	// A job whose transfer's record can't be read counts as delegated to an unknown cell.
-	if !j.ended() && !c.mayCancelAtOnce(j) {
+	if !j.ended() && !c.delegations.cancel(j) {
 		c.cancelDelegated(j, e.ReplyTo)
 		return
 	}
@@ -163,13 +163,6 @@
 	}
 }
 
-// mayCancelAtOnce tells the federation of the cancellation, and whether no other cell may run the
-// job.
-func (c *Core) mayCancelAtOnce(j *job) bool {
-	immediate := c.federation.delegated.Cancel(j.id, c.clock.now)
-	return immediate && !j.transfer.delegated
-}
-
 // cancel cancels a job. Its tasks are stopped now, not when that is durable: the write may be
 // carried out and its answer lost, other controllers read it and tell the user, and we learn of
 // it only after an outage. What its tasks do from here on is of no use.
--- a/internal/scheduler/ledger_writes.go
+++ b/internal/scheduler/ledger_writes.go
@@ -73,9 +73,8 @@
 	case planTag:
 		c.evictions.planDurable(t)
 	case delegatedTag:
-		c.federation.delegated.RecordSaved(t.jobID, t.record, c.clock.now)
-		c.applyOriginEffects()
-		c.federation.sendTransfers()
+		c.delegations.transfers.RecordSaved(t.jobID, t.record, c.clock.now)
+		c.sendOriginEffects()
 	}
 }
 
--- a/internal/scheduler/parts_test.go
+++ b/internal/scheduler/parts_test.go
@@ -79,7 +79,7 @@
 	"jobPlacement":    "placement",
 	"retry":           "placement",
 	"jobRecord":       "jobTable",
-	"transfer":        "federationState",
+	"transfer":        "delegations",
 }
 
 // TestRecordsAreWrittenByTheirOwners: the parts of a job and of a machine are written by their own
--- a/internal/scheduler/user_requests.go
+++ b/internal/scheduler/user_requests.go
@@ -25,7 +25,7 @@
 		}
 	default:
 		if j.transfer.delegated {
-			s.Done, s.Running = c.federation.delegated.Progress(j.id)
+			s.Done, s.Running = c.delegations.transfers.Progress(j.id)
 		} else if j.progress.tasks != nil {
 			s.Running = c.runningTasks(j)
 		}
