--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -173,7 +173,7 @@
 // release frees an allocation's room and has its task wait again.
 func (c *Core) release(m *machine, b *allocation) {
 	c.spending.addLostWork(m, b)
-	c.evictions.displaced(m, b, false, "its machine is lost")
+	c.disruptions.displaced(m, b, false, "its machine is lost")
 	c.deallocate(m, b)
 	c.placement.requeue(c.jobs.list[b.job], b.task)
 }
--- a/internal/scheduler/cloud_results.go
+++ b/internal/scheduler/cloud_results.go
@@ -82,7 +82,7 @@
 // machinesRented records the machines of a scale-out.
 func (c *Core) machinesRented(h *scaleOut, machines []string) {
 	h.resultTaken()
-	c.evictions.recordRented(h.saved.Request.RequestID, machines)
+	c.replacements.recordRented(h.saved.Request.RequestID, machines)
 	for _, name := range machines {
 		m := c.machineNamed(name)
 		m.rental.rentedBy(h.saved.Request.RequestID)
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -54,24 +54,27 @@
 	jobs          jobTable          // all jobs, their dependencies and their records
 	cancellations cancellationWatch // of the tasks of cancelled jobs
 
-	commands      commands         // to agents, and the responses to their heartbeats
-	agents        agents           // whether they can be reached
-	attempts      attempts         // their numbers
-	placement     placement        // which task runs where, and when
-	cloudReads    cloudReads       // of machine types and machines
-	pools         capacityPools    // of the cloud, and their back-off
-	demand        learnedDemand    // from recent jobs
-	scaleOuts     scaleOutRequests // machines being rented
-	returns       machineReturns   // machines being returned
-	planner       capacityPlanner  // of capacity
-	spending      spending         // what the machines cost
-	softState     softState        // inherited from an earlier leader, and passed on
-	neighbours    neighbourTable   // other cells, and the exchanges with them
-	transferSteps transferSteps    // counts of what happens to forwarded jobs
-	delegations   delegations      // jobs that other cells run
-	offers        capacityOffers   // of room to other cells
-	foreign       foreignJobs      // of other cells
-	evictions     evictionState    // plans that drain machines
+	commands      commands          // to agents, and the responses to their heartbeats
+	agents        agents            // whether they can be reached
+	attempts      attempts          // their numbers
+	placement     placement         // which task runs where, and when
+	cloudReads    cloudReads        // of machine types and machines
+	pools         capacityPools     // of the cloud, and their back-off
+	demand        learnedDemand     // from recent jobs
+	scaleOuts     scaleOutRequests  // machines being rented
+	returns       machineReturns    // machines being returned
+	planner       capacityPlanner   // of capacity
+	spending      spending          // what the machines cost
+	softState     softState         // inherited from an earlier leader, and passed on
+	neighbours    neighbourTable    // other cells, and the exchanges with them
+	transferSteps transferSteps     // counts of what happens to forwarded jobs
+	delegations   delegations       // jobs that other cells run
+	offers        capacityOffers    // of room to other cells
+	foreign       foreignJobs       // of other cells
+	disruptions   disruptionAccount // of jobs
+	replacements  replacements      // of machines that are drained
+	planViews     planViews         // of the present state, for plans
+	plans         drainPlans        // that drain machines
 }
 
 // NewCore starts a term from what the ledger holds. now is the controller's monotonic
@@ -102,7 +105,10 @@
 	c.delegations = newDelegations(c)
 	c.offers = newCapacityOffers(c)
 	c.foreign = newForeignJobs(c)
-	c.evictions = newEvictions(c)
+	c.disruptions = newDisruptionAccount(c)
+	c.replacements = newReplacements(c)
+	c.planViews = newPlanViews(c)
+	c.plans = newDrainPlans(c)
 	c.restore(&s)
 	c.finishStep()
 	return c
@@ -143,9 +149,9 @@
 
 	// Operators with plans that drain machines, and standbys.
 	case PlanRequest:
-		c.evictions.planRequested(e)
+		c.plans.requested(e)
 	case PlanListRequest:
-		c.evictions.planListRequested(e)
+		c.plans.listRequested(e)
 	case SoftStateRequest:
 		c.softState.softStateRequested(e)
 
--- /dev/null
+++ b/internal/scheduler/drain_plans.go
@@ -0,0 +1,184 @@
+package scheduler
+
+import (
+	"cmp"
+	"errors"
+	"log/slog"
+	"maps"
+	"slices"
+	"time"
+
+	"leadproxy/internal/ledger"
+	"leadproxy/internal/rollout"
+)
+
+// evictionInterval is how often plans advance.
+const evictionInterval = time.Second
+
+// keptPlans is how many plans that have ended are kept for operators.
+const keptPlans = 20
+
+// drainPlans are the plans of a term that drain machines; without an account of disruptions there
+// are none. It owns the plans and alone writes which machines are cordoned or kept for them. What
+// they decide is in package rollout.
+type drainPlans struct {
+	term        uint64
+	clock       *clock
+	log         *slog.Logger
+	effects     *effects
+	writes      *durableWrites
+	jobs        *jobTable
+	machines    *machineTable
+	placement   *placement
+	disruptions *disruptionAccount
+	views       *planViews
+
+	byName    map[string]*plan
+	next      time.Duration
+	firstPlan int // which plan advances first
+}
+
+func newDrainPlans(c *Core) drainPlans {
+	return drainPlans{term: c.term, clock: &c.clock, log: c.log, effects: &c.effects, writes: &c.writes, jobs: &c.jobs,
+		machines: &c.machines, placement: &c.placement, disruptions: &c.disruptions, views: &c.planViews}
+}
+
+// plan is one plan under way.
+type plan struct {
+	rollout *rollout.Controller
+	written uint64 // the generation that is being written
+	waiting []planWaiter
+	tooLong bool // its record does not fit a value
+}
+
+// planWaiter waits for a generation of a plan's record to be durable.
+type planWaiter struct {
+	generation uint64
+	to         Recipient
+}
+
+// planTag marks the write of a plan's record.
+type planTag struct {
+	name       string
+	generation uint64
+}
+
+// IsTag marks it for the ledger.
+func (planTag) IsTag() {}
+
+// The errors of commands about plans.
+var (
+	errEvictionDisabled = errors.New("draining is not enabled in the settings")
+	errNoPlan           = errors.New("there is no plan of that name")
+	errPlanExists       = errors.New("there is a plan of that name")
+)
+
+// restore continues the plans of the ledger, after the jobs and machines.
+func (d *drainPlans) restore(records []rollout.Record) {
+	d.disruptions.enable()
+	if !d.disruptions.enabled() {
+		return
+	}
+	d.byName = map[string]*plan{}
+	for _, r := range records {
+		d.byName[r.Spec.Name] = &plan{rollout: rollout.NewController(r, d.disruptions.tracker, d.jobs.taskIsDone, d.clock.now, d.clock.wallMS)}
+	}
+	d.cordon()
+}
+
+// due tells whether the plans are to be advanced now, and in which order.
+func (d *drainPlans) due() (names []string, due bool) {
+	if !d.disruptions.enabled() || d.clock.now < d.next {
+		return nil, false
+	}
+	d.next = d.clock.now + evictionInterval
+	d.disruptions.advance()
+	inOrder := d.names()
+	for i := range inOrder {
+		names = append(names, inOrder[(i+d.firstPlan)%len(inOrder)])
+	}
+	d.firstPlan++
+	return names, true
+}
+
+// names lists the plans in the order of their creation.
+func (d *drainPlans) names() []string {
+	names := slices.Collect(maps.Keys(d.byName))
+	slices.SortFunc(names, func(a, b string) int {
+		x, _ := d.byName[a].rollout.Record()
+		y, _ := d.byName[b].rollout.Record()
+		return cmp.Or(cmp.Compare(x.CreatedMS, y.CreatedMS), cmp.Compare(a, b))
+	})
+	return names
+}
+
+// save writes a plan's record if it has changed.
+func (d *drainPlans) save(name string, p *plan) {
+	record, generation := p.rollout.Record()
+	if generation == p.written || p.tooLong {
+		return
+	}
+	p.written = generation
+	d.writes.put(ledger.Write{Key: ledger.PlanKey(name), Value: record, Urgent: true, Tag: planTag{name, generation}})
+}
+
+// recordDurable notes that a plan's record is durable. Who waits for that gets the reply, and the
+// actions that it allows come with the next step.
+func (d *drainPlans) recordDurable(t planTag) {
+	p := d.byName[t.name]
+	if p == nil {
+		return
+	}
+	p.rollout.MarkDurable(t.generation)
+	var still []planWaiter
+	for _, w := range p.waiting {
+		if w.generation > t.generation {
+			still = append(still, w)
+			continue
+		}
+		d.effects.emit(PlanReply{ReplyTo: w.to})
+	}
+	p.waiting = still
+	d.next = 0
+}
+
+// dropOld forgets plans that have ended, the oldest ones first.
+func (d *drainPlans) dropOld() {
+	var ended []string
+	for _, name := range d.names() {
+		if r, _ := d.byName[name].rollout.Record(); r.Phase.Ended() && len(r.Evictions) == 0 && d.byName[name].rollout.IsDurable() {
+			ended = append(ended, name)
+		}
+	}
+	for _, name := range ended[:max(0, len(ended)-keptPlans)] {
+		delete(d.byName, name)
+		d.writes.put(ledger.Write{Key: ledger.PlanKey(name)})
+	}
+}
+
+// recordRejected notes that a plan's record does not fit a value: the plan does not advance until
+// it is aborted.
+func (d *drainPlans) recordRejected(t planTag) {
+	if p := d.byName[t.name]; p != nil {
+		p.tooLong = true
+		d.log.Error("plan record exceeds the value limit", "plan", t.name)
+	}
+}
+
+// cordon has nothing start on the machines that plans empty, and keeps those that they have
+// rented.
+func (d *drainPlans) cordon() {
+	for _, m := range d.machines.live {
+		cordoned, kept := false, false
+		for _, p := range d.byName {
+			cordoned = cordoned || p.rollout.IsCordoned(m.name)
+			kept = kept || p.rollout.IsReplacement(m.name)
+		}
+		m.eviction.kept = kept
+		if m.eviction.cordoned != cordoned {
+			m.eviction.cordoned = cordoned
+			d.placement.indexChanged(m)
+			d.placement.markNeeded()
+		}
+	}
+}
--- a/internal/scheduler/evictions_test.go
+++ b/internal/scheduler/evictions_test.go
@@ -70,7 +70,7 @@
 	g.bringUp("vm-1")
 	g.holdWrites = true
 	g.step(PlanRequest{Spec: &spec, ReplyTo: recipient("operator")})
-	g.want("durable", g.c.evictions.plans["winter"].rollout.IsDurable(), false)
+	g.want("durable", g.c.plans.byName["winter"].rollout.IsDurable(), false)
 	g.releaseWrites()
 	answer, _ := last[PlanReply](g)
 	g.want("answer once durable", answer.Err, nil)
@@ -159,7 +159,7 @@
 	stopped := running[0]
 	stopped.Status, stopped.ExitReason, stopped.CheckpointSaved = wire.TaskEnded, wire.ExitStopped, true
 	g.acknowledge(machines[0], stopped)
-	entries := g.c.evictions.disruptions.Disruptions(g.now)
+	entries := g.c.disruptions.tracker.Disruptions(g.now)
 	if len(entries) != 1 || entries[0].Job.ID != "job-1" || entries[0].Cause == rollout.CauseEviction {
 		t.Fatalf("%+v", entries)
 	}
@@ -168,10 +168,10 @@
 	g.want("begun", g.answer(PlanRequest{Spec: &spec}), nil)
 	g.wait(3 * time.Second)
 	g.want("moves while the budget is used up", len(g.written().Evictions), 0)
-	g.want("what it waits for", strings.Contains(strings.Join(g.c.evictions.plans["winter"].rollout.WaitReasons(), " "), "room for it elsewhere"), true)
+	g.want("what it waits for", strings.Contains(strings.Join(g.c.plans.byName["winter"].rollout.WaitReasons(), " "), "room for it elsewhere"), true)
 	g.acknowledge(machines[1], running[1])
 	g.wait(28 * time.Second)
 	g.acknowledge(machines[1], running[1])
 	g.wait(4 * time.Second)
-	g.want("what it waits for in the end", strings.Join(g.c.evictions.plans["winter"].rollout.WaitReasons(), " "), "job-2/0 on "+machines[1]+": the budget of team t: 1 of 1 jobs")
+	g.want("what it waits for in the end", strings.Join(g.c.plans.byName["winter"].rollout.WaitReasons(), " "), "job-2/0 on "+machines[1]+": the budget of team t: 1 of 1 jobs")
 }
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -86,9 +86,7 @@
 // finish decides a job's terminal state and writes it. Users are told when it is durable.
 func (c *Core) finish(j *job, terminal string) {
 	j.end.decide(terminal)
-	if c.evictions.disruptions != nil {
-		c.evictions.disruptions.JobFinished(j.id, c.clock.now)
-	}
+	c.disruptions.jobFinished(j)
 	if terminal == wire.JobCancelled {
 		c.jobs.cancellationBegan(j)
 	}
@@ -121,9 +119,7 @@
 		return
 	}
 	j.progress.taskEnded(n)
-	if c.evictions.disruptions != nil {
-		c.evictions.disruptions.TaskFinished(j.id, int(n), c.clock.now)
-	}
+	c.disruptions.taskFinished(j, n)
 	c.placement.jobSucceeded(j)
 	if j.progress.done == j.progress.total {
 		c.finish(j, wire.JobDone)
--- a/internal/scheduler/ledger_writes.go
+++ b/internal/scheduler/ledger_writes.go
@@ -46,7 +46,7 @@
 	case scaleOutTag:
 		c.log.Error("scale-out record exceeds the value limit", "request", t.name)
 	case planTag:
-		c.evictions.planRejected(t)
+		c.plans.recordRejected(t)
 	case delegatedTag:
 		c.log.Error("transfer record exceeds the value limit", "job", t.jobID)
 	}
@@ -71,7 +71,7 @@
 	case unreachableTag:
 		c.unreachableWithdrawn(t.key)
 	case planTag:
-		c.evictions.planDurable(t)
+		c.plans.recordDurable(t)
 	case delegatedTag:
 		c.delegations.transfers.RecordSaved(t.jobID, t.record, c.clock.now)
 		c.sendOriginEffects()
--- a/internal/scheduler/parts_test.go
+++ b/internal/scheduler/parts_test.go
@@ -71,7 +71,7 @@
 	"rental":          "machineReturns",
 	"machineRecord":   "jobTable",
 	"machineHealth":   "placement",
-	"machineEviction": "evictionState",
+	"machineEviction": "drainPlans",
 	"request":         "placement",
 	"priority":        "jobTable",
 	"progress":        "jobTable",
--- a/internal/scheduler/plan_requests.go
+++ b/internal/scheduler/plan_requests.go
@@ -12,49 +12,49 @@
 	Waits  []string
 }
 
-// planRequested creates or steers a plan. The reply follows when its record is durable.
-func (v *evictionState) planRequested(e PlanRequest) {
+// requested creates or steers a plan. The reply follows when its record is durable.
+func (d *drainPlans) requested(e PlanRequest) {
 	var err error
 	name := e.Name
 	switch {
-	case v.disruptions == nil:
+	case !d.disruptions.enabled():
 		err = errEvictionDisabled
 	case e.Spec != nil:
 		name = e.Spec.Name
-		err = v.createPlan(*e.Spec)
-	case v.plans[name] == nil:
+		err = d.create(*e.Spec)
+	case d.byName[name] == nil:
 		err = fmt.Errorf("%w: %q", errNoPlan, name)
 	default:
-		err = v.plans[name].rollout.Apply(e.Command, e.Argument, v.clock.wallMS)
+		err = d.byName[name].rollout.Apply(e.Command, e.Argument, d.clock.wallMS)
 	}
 	if err != nil {
-		v.effects.emit(PlanReply{ReplyTo: e.ReplyTo, Err: err})
+		d.effects.emit(PlanReply{ReplyTo: e.ReplyTo, Err: err})
 		return
 	}
-	p := v.plans[name]
+	p := d.byName[name]
 	p.tooLong = false
-	v.savePlan(name, p)
+	d.save(name, p)
 	if p.rollout.IsDurable() {
-		v.effects.emit(PlanReply{ReplyTo: e.ReplyTo})
+		d.effects.emit(PlanReply{ReplyTo: e.ReplyTo})
 		return
 	}
 	p.waiting = append(p.waiting, planWaiter{p.written, e.ReplyTo})
 }
 
-// createPlan begins a plan whose machines no other plan has.
-func (v *evictionState) createPlan(spec rollout.Spec) error {
-	if v.plans[spec.Name] != nil {
+// create begins a plan whose machines no other plan has.
+func (d *drainPlans) create(spec rollout.Spec) error {
+	if d.byName[spec.Name] != nil {
 		return fmt.Errorf("%w: %q", errPlanExists, spec.Name)
 	}
-	record := rollout.Record{Version: rollout.RecordVersion, Spec: spec, CreatedMS: v.clock.wallMS, Phase: rollout.PhaseSelecting, PhaseMS: v.clock.wallMS}
-	selected, names := 0, v.planNames()
-	for _, m := range v.machines.live {
-		if !v.selects(&record, m) {
+	record := rollout.Record{Version: rollout.RecordVersion, Spec: spec, CreatedMS: d.clock.wallMS, Phase: rollout.PhaseSelecting, PhaseMS: d.clock.wallMS}
+	selected, names := 0, d.names()
+	for _, m := range d.machines.live {
+		if !d.views.selects(&record, m) {
 			continue
 		}
 		selected++
 		for _, name := range names {
-			if r, _ := v.plans[name].rollout.Record(); !r.Phase.Ended() && v.selects(&r, m) {
+			if r, _ := d.byName[name].rollout.Record(); !r.Phase.Ended() && d.views.selects(&r, m) {
 				return fmt.Errorf("%w: machine %s is in plan %q already", rollout.ErrInvalidPlan, m.name, name)
 			}
 		}
@@ -62,19 +62,19 @@
 	if selected == 0 {
 		return fmt.Errorf("%w: no machine is selected", rollout.ErrInvalidPlan)
 	}
-	p := &plan{rollout: rollout.NewController(record, v.disruptions, v.jobs.taskIsDone, v.clock.now, v.clock.wallMS)}
+	p := &plan{rollout: rollout.NewController(record, d.disruptions.tracker, d.jobs.taskIsDone, d.clock.now, d.clock.wallMS)}
 	p.rollout.Start()
-	v.plans[spec.Name] = p
-	v.log.Info("draining", "plan", spec.Name, "phase", record.Phase, "machines", selected)
+	d.byName[spec.Name] = p
+	d.log.Info("draining", "plan", spec.Name, "phase", record.Phase, "machines", selected)
 	return nil
 }
 
-// planListRequested lists the plans and the jobs that count as disrupted.
-func (v *evictionState) planListRequested(e PlanListRequest) {
-	list := PlanListReply{ReplyTo: e.ReplyTo, Term: v.term}
-	if v.disruptions != nil {
-		for _, name := range v.planNames() {
-			p := v.plans[name]
+// listRequested lists the plans and the jobs that count as disrupted.
+func (d *drainPlans) listRequested(e PlanListRequest) {
+	list := PlanListReply{ReplyTo: e.ReplyTo, Term: d.term}
+	if d.disruptions.enabled() {
+		for _, name := range d.names() {
+			p := d.byName[name]
 			r, _ := p.rollout.Record()
 			waits := p.rollout.WaitReasons()
 			if p.tooLong {
@@ -82,7 +82,7 @@
 			}
 			list.Plans = append(list.Plans, PlanStatus{r, waits})
 		}
-		list.Disrupted = v.disruptions.Disruptions(v.clock.now)
+		list.Disrupted = d.disruptions.tracker.Disruptions(d.clock.now)
 	}
-	v.effects.emit(list)
+	d.effects.emit(list)
 }
--- a/internal/scheduler/eviction_view.go
+++ b/internal/scheduler/plan_views.go
@@ -6,17 +6,32 @@
 	"leadproxy/internal/rollout"
 )
 
-// This file describes the present state to plans that drain machines.
+// planViews describes the present state to plans that drain machines. It owns nothing.
+type planViews struct {
+	term         uint64
+	clock        *clock
+	estimates    *runEstimates
+	jobs         *jobTable
+	machines     *machineTable
+	agents       *agents
+	disruptions  *disruptionAccount
+	replacements *replacements
+}
+
+func newPlanViews(c *Core) planViews {
+	return planViews{term: c.term, clock: &c.clock, estimates: &c.estimates, jobs: &c.jobs,
+		machines: &c.machines, agents: &c.agents, disruptions: &c.disruptions, replacements: &c.replacements}
+}
 
 // roomKey is a job whose tasks are to leave a zone: whether there is room for one is determined
 // once a step.
 type roomKey struct{ job, zone int32 }
 
-// planView describes the present state to a plan.
-func (v *evictionState) planView(p *plan) *rollout.View {
+// of describes the present state to a plan.
+func (v *planViews) of(p *plan) *rollout.View {
 	r, _ := p.rollout.Record()
 	room := map[roomKey]bool{}
-	view := &rollout.View{Now: v.clock.now, WallMS: v.clock.wallMS, MayDisrupt: v.mayDisrupt(), RunningJobs: v.jobs.runningJobs()}
+	view := &rollout.View{Now: v.clock.now, WallMS: v.clock.wallMS, MayDisrupt: v.disruptions.mayDisrupt(), RunningJobs: v.jobs.runningJobs()}
 	if r.Phase == rollout.PhaseSelecting {
 		for _, m := range v.machines.live {
 			if v.selects(&r, m) {
@@ -32,11 +47,11 @@
 		}
 	}
 	if r.ScaleOutRequestID != "" {
-		view.Rented = v.rentedForPlan(&r)
+		view.Rented = v.replacements.rentedForPlan(&r)
 	}
 	for _, name := range r.Replacements {
 		if m := v.machines.find(name); m != nil {
-			view.Replacements = append(view.Replacements, v.replacement(m))
+			view.Replacements = append(view.Replacements, v.replacementView(m))
 		} else {
 			view.Replacements = append(view.Replacements, rollout.Replacement{Name: name, Failed: view.MayDisrupt})
 		}
@@ -44,15 +59,9 @@
 	return view
 }
 
-// mayDisrupt tells whether jobs may be disrupted on purpose: what an earlier leader has started
-// is known, and what it has disrupted counts no more.
-func (v *evictionState) mayDisrupt() bool {
-	return v.machines.unresolvedHosts() == 0 && v.clock.now-v.clock.termStart >= max(v.cfg.Operator.Rollouts.Budgets.LongestWindow(), v.agents.lease)
-}
-
 // selects tells whether a machine is one of a plan's: it matches, and was rented before the plan
 // was made.
-func (v *evictionState) selects(r *rollout.Record, m *machine) bool {
+func (v *planViews) selects(r *rollout.Record, m *machine) bool {
 	if m.state == machineGone || m.state == machineDeleting || m.zone < 0 {
 		return false
 	}
@@ -62,13 +71,13 @@
 
 // isEmpty tells whether a machine is proved to run nothing, and nothing that was sent there
 // may still start.
-func (v *evictionState) isEmpty(m *machine) bool {
+func (v *planViews) isEmpty(m *machine) bool {
 	runsNothing := m.trusted(v.term) && len(m.capacity.allocations) == 0 && len(m.recorded.inDoubtJobs) == 0
 	return runsNothing && m.commands.idle()
 }
 
 // planMachine is a machine as a plan sees it.
-func (v *evictionState) planMachine(m *machine, room map[roomKey]bool) rollout.Machine {
+func (v *planViews) planMachine(m *machine, room map[roomKey]bool) rollout.Machine {
 	out := rollout.Machine{Name: m.name, Empty: v.isEmpty(m), Gone: m.state == machineGone}
 	if m.state == machineDeleting && len(m.capacity.allocations) == 0 {
 		out.Empty = true
@@ -81,7 +90,8 @@
 	return out
 }
 
-func (v *evictionState) planTask(m *machine, j *job, b *allocation, room map[roomKey]bool) rollout.Task {
+// planTask is a task as a plan sees it.
+func (v *planViews) planTask(m *machine, j *job, b *allocation, room map[roomKey]bool) rollout.Task {
 	key := roomKey{j.index, m.zone}
 	if _, known := room[key]; !known {
 		room[key] = v.roomElsewhere(m, j)
@@ -99,14 +109,14 @@
 
 // roomElsewhere tells whether there is room for a job's task on another machine now; for a job
 // with gang scheduling, in its zone.
-func (v *evictionState) roomElsewhere(from *machine, j *job) bool {
+func (v *planViews) roomElsewhere(from *machine, j *job) bool {
 	return slices.ContainsFunc(v.machines.live, func(m *machine) bool {
 		return m != from && v.agents.schedulable(m) && j.allows(m.typ, m.zone, m.spot) && j.request.size.Within(m.capacity.free) && (!j.spec.Gang || m.zone == from.zone)
 	})
 }
 
-// replacement is a machine that was rented for a plan, as the plan sees it.
-func (v *evictionState) replacement(m *machine) rollout.Replacement {
+// replacementView is a machine that was rented for a plan, as the plan sees it.
+func (v *planViews) replacementView(m *machine) rollout.Replacement {
 	r := rollout.Replacement{Name: m.name, Failed: m.state == machineGone || m.state == machineDeleting || m.health.quarantined}
 	if v.agents.schedulable(m) && m.agent.EpochSeenAt() > 0 {
 		r.Healthy = max(1, v.clock.now-m.agent.EpochSeenAt())
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -25,7 +25,7 @@
 	}
 	c.restoreUnreachable(s.Unreachable)
 	c.restoreTransfers(s)
-	c.evictions.restoreEvictions(s.Plans)
+	c.plans.restore(s.Plans)
 	c.agents.probeInherited()
 }
 
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -41,7 +41,7 @@
 	}
 	since, known := c.softState.runningSince(b.attempt)
 	b.runningSince, b.runStartUnknown = since, !known
-	c.evictions.taskRunning(b)
+	c.disruptions.taskRunning(b)
 	c.softState.machineChanged(m)
 	j.progress.markStarted()
 	m.capacity.used(c.clock.now)
@@ -109,7 +109,7 @@
 			c.spending.addLostWork(m, b)
 		}
 		if t.ExitReason == wire.ExitStopped {
-			c.evictions.displaced(m, b, t.CheckpointSaved, "it was stopped")
+			c.disruptions.displaced(m, b, t.CheckpointSaved, "it was stopped")
 		}
 		c.deallocate(m, b)
 	}
