--- a/internal/scheduler/cloud_results.go
+++ b/internal/scheduler/cloud_results.go
@@ -33,7 +33,7 @@
 	for _, t := range types {
 		i, isNew := c.types.add(t)
 		if isNew {
-			c.softState.inheritType(i)
+			c.inherited.fillType(i)
 		}
 		c.types.list[i].update(t, &c.machines.zones)
 		if isNew {
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -65,7 +65,8 @@
 	returns       machineReturns    // machines being returned
 	planner       capacityPlanner   // of capacity
 	spending      spending          // what the machines cost
-	softState     softState         // inherited from an earlier leader, and passed on
+	inherited     inheritedState    // soft state of an earlier leader
+	softState     softState         // passed on to standbys
 	neighbours    neighbourTable    // other cells, and the exchanges with them
 	transferSteps transferSteps     // counts of what happens to forwarded jobs
 	delegations   delegations       // jobs that other cells run
@@ -99,6 +100,7 @@
 	c.returns = newMachineReturns(c)
 	c.planner = newCapacityPlanner(c)
 	c.spending = newSpending(c)
+	c.inherited = newInheritedState(c)
 	c.softState = newSoftState(c)
 	c.neighbours = newNeighbourTable(c)
 	c.transferSteps = newTransferSteps(c)
@@ -199,7 +201,7 @@
 	c.cancellations.check()
 	c.recordUnreachable()
 	c.agents.withdrawUseless()
-	c.softState.dropInherited()
+	c.inherited.drop()
 	c.cloudReads.requestDue()
 	c.scaleOuts.repeatDue()
 	c.planner.planDue()
@@ -208,3 +210,12 @@
 	c.evictionTick()
 	c.placement.lowerGoal()
 }
+
+// UnresolvedHosts is how many machines may still run what an earlier leader started there.
+func (c *Core) UnresolvedHosts() int { return c.machines.unresolvedHosts() }
+
+// Machines is how many machines this term knows, up or coming.
+func (c *Core) Machines() int { return c.machines.count() }
+
+// Jobs is how many jobs this term knows.
+func (c *Core) Jobs() int { return len(c.jobs.list) }
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -77,6 +77,32 @@
 	}
 }
 
+// dropRestoredKeys deletes what an earlier leader has left of a job that is done.
+func (t *jobTable) dropRestoredKeys(s *ledger.SavedJob) {
+	for _, h := range s.Hosts {
+		t.writes.put(ledger.Write{Key: h.Key})
+	}
+	for _, f := range s.Finished {
+		t.writes.put(ledger.Write{Key: f.Key})
+	}
+}
+
+// restoreFinished takes the finished tasks of a job from the ledger.
+func (t *jobTable) restoreFinished(j *job, s *ledger.SavedJob) {
+	finished := 0
+	for _, f := range s.Finished {
+		j.record.addFinishedKey(f.Key)
+		f.Ranges.Each(func(i int) {
+			if j.progress.restoreFinished(f.Chunk*ledger.TasksPerChunk + i) {
+				finished++
+			}
+		})
+	}
+	// A cancelled job's record has the count as well, and the ranges may be there still: counted
+	// twice they were more than its tasks, and no controller could begin a term.
+	j.progress.restore(finished, len(s.Hosts) > 0)
+}
+
 // restoreHosts takes the hosts of one key from the ledger.
 func (t *jobTable) restoreHosts(j *job, chunk int, machines []*machine) {
 	// A key that is missing, as its deletion was under way, keeps its number.
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -45,6 +45,12 @@
 	}
 }
 
+// learnBoot learns from the boot of a machine of the type.
+func (t *machineType) learnBoot(took time.Duration) { t.boot += (took - t.boot) / 4 }
+
+// inheritBoot takes over what an earlier leader had learned.
+func (t *machineType) inheritBoot(boot time.Duration) { t.boot = boot }
+
 // price is what a machine of the type costs per hour at present.
 func (t *machineType) price(spot bool) float64 {
 	if spot {
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -140,7 +140,7 @@
 		indexed:  indexEntry{pool: -1},
 		rental:   rental{rentedAt: c.clock.now}}
 	c.machines.add(m)
-	c.softState.inheritMachine(m)
+	c.inherited.fillMachine(m)
 	c.softState.machineChanged(m)
 	return m
 }
@@ -186,8 +186,7 @@
 func (c *Core) machineCameUp(m *machine) {
 	c.log.Info("machine is up", "machine", m.name, "seconds", (c.clock.now - m.rental.rentedAt).Seconds())
 	if m.typ >= 0 && m.rental.scaleOutID != "" {
-		t := &c.types.list[m.typ]
-		t.boot += (c.clock.now - m.rental.rentedAt - t.boot) / 4
+		c.types.list[m.typ].learnBoot(c.clock.now - m.rental.rentedAt)
 	}
 	c.scaleOuts.machineSeen(m)
 	c.placement.markNeeded()
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -10,7 +10,7 @@
 // restore takes a term's state over from the ledger and from what an earlier leader held in
 // memory. Jobs come after machines that are gone, and all that refers to jobs after those.
 func (c *Core) restore(s *ledger.Snapshot) {
-	c.softState.restoreSoftState(c.cfg.SoftState)
+	c.inherited.restore(c.cfg.SoftState)
 	for _, name := range s.GoneMachines {
 		m := c.machineNamed(name)
 		m.state = machineGone
@@ -44,26 +44,10 @@
 	}
 	if j.spec == nil {
 		// It is done; an earlier leader was stopped while it tidied up.
-		for _, h := range s.Hosts {
-			c.writes.put(ledger.Write{Key: h.Key})
-		}
-		for _, f := range s.Finished {
-			c.writes.put(ledger.Write{Key: f.Key})
-		}
+		c.jobs.dropRestoredKeys(s)
 		return
 	}
-	finished := 0
-	for _, f := range s.Finished {
-		j.record.addFinishedKey(f.Key)
-		f.Ranges.Each(func(i int) {
-			if j.progress.restoreFinished(f.Chunk*ledger.TasksPerChunk + i) {
-				finished++
-			}
-		})
-	}
-	// A cancelled job's record has the count as well, and the ranges may be there still: counted
-	// twice they were more than its tasks, and no controller could begin a term.
-	j.progress.restore(finished, len(s.Hosts) > 0)
+	c.jobs.restoreFinished(j, s)
 	c.restoreHosts(j, s.Hosts)
 	if s.HostsUnknown {
 		// Its tasks may be on unknown machines. Agents that live send heartbeats within a lease,
@@ -94,15 +78,6 @@
 	}
 }
 
-// UnresolvedHosts is how many machines may still run what an earlier leader started there.
-func (c *Core) UnresolvedHosts() int { return c.machines.unresolvedHosts() }
-
-// Machines is how many machines this term knows, up or coming.
-func (c *Core) Machines() int { return c.machines.count() }
-
-// Jobs is how many jobs this term knows.
-func (c *Core) Jobs() int { return len(c.jobs.list) }
-
 // resolveInDoubt resolves what an earlier leader started on a machine: its agent has listed all
 // that runs, or all of it has ended.
 func (c *Core) resolveInDoubt(m *machine, why string) {
--- a/internal/scheduler/soft_state.go
+++ b/internal/scheduler/soft_state.go
@@ -3,15 +3,11 @@
 import (
 	"cmp"
 	"slices"
-	"time"
 
-	"leadproxy/internal/autoscaler"
-	"leadproxy/internal/settings"
 	"leadproxy/internal/softstate"
 )
 
-// softState is what this leader inherits in memory from an earlier one, and the version of what
-// it passes on itself.
+// softState passes on to standbys what this leader holds in memory. It owns the version of that.
 type softState struct {
 	term      uint64
 	clock     *clock
@@ -24,8 +20,7 @@
 	placement *placement
 	pools     *capacityPools
 
-	inherited inheritedSoftState
-	version   uint64 // counts the changes of machines that are passed on
+	version uint64 // counts the changes of machines that are passed on
 }
 
 func newSoftState(c *Core) softState {
@@ -33,81 +28,6 @@
 		jobs: &c.jobs, machines: &c.machines, placement: &c.placement, pools: &c.pools}
 }
 
-// inheritedSoftState is the soft state of an earlier leader. It is used where this term knows
-// nothing better, and dropped when the term's beginning has passed.
-type inheritedSoftState struct {
-	machines   map[string]softstate.Machine
-	runningFor map[uint64]time.Duration // by attempt: how long before the term it began to run
-	estimates  softstate.Estimates
-}
-
-// restoreSoftState takes the soft state of an earlier leader, before anything else is restored.
-func (s *softState) restoreSoftState(v *softstate.View) {
-	if v == nil || len(v.Machines) == 0 {
-		return
-	}
-	s.inherited = inheritedSoftState{machines: v.Machines, runningFor: map[uint64]time.Duration{}, estimates: v.Estimates}
-	for _, m := range v.Machines {
-		for _, b := range m.Allocations {
-			if b.Running > 0 {
-				s.inherited.runningFor[b.Attempt] = b.Running
-			}
-		}
-	}
-}
-
-// dropInherited drops the inherited soft state once the term's beginning has passed.
-func (s *softState) dropInherited() {
-	if s.inherited.machines != nil && s.clock.now-s.clock.termStart > probePeriod {
-		s.inherited = inheritedSoftState{}
-	}
-}
-
-// inheritMachine fills in what the inherited soft state says of a machine that is new to this
-// term. The cloud's list and its heartbeats overwrite that.
-func (s *softState) inheritMachine(m *machine) {
-	h, ok := s.inherited.machines[m.name]
-	if !ok {
-		return
-	}
-	m.agent.Inherit(h.Address, h.AgentEpoch)
-	if len(h.Allocations) == 0 {
-		m.capacity.used(s.clock.now - h.Idle)
-	}
-	for _, i := range h.Images {
-		m.capacity.inheritImage(s.placement.images.of(i.Name), i.GB)
-	}
-}
-
-// runningSince is since when an attempt has run that is seen running for the first time. known
-// is false if it began in an earlier term and no inherited soft state has it.
-func (s *softState) runningSince(attempt uint64) (since time.Duration, known bool) {
-	if attempt>>tokenBits == s.term {
-		return s.clock.now, true
-	}
-	ran, ok := s.inherited.runningFor[attempt]
-	if !ok {
-		return s.clock.now, false
-	}
-	return max(s.clock.termStart-ran, 1), true
-}
-
-// inheritType fills in what the inherited soft state says of a machine type that is new to this
-// term.
-func (s *softState) inheritType(index int32) {
-	t := &s.types.list[index]
-	if s, ok := s.inherited.estimates.BootSeconds[t.Name]; ok {
-		t.boot = settings.Seconds(s)
-	}
-	for _, o := range s.inherited.estimates.Pools {
-		if o.Type != t.Name {
-			continue
-		}
-		pool := s.pools.pool(autoscaler.CapacityPool{Type: index, Zone: s.machines.zones.of(o.Zone), Spot: o.Spot})
-		pool.inherit(&o, s.clock.now)
-	}
-}
-
 // machineChanged notes that the soft state of a machine has changed.
 func (s *softState) machineChanged(m *machine) {
 	s.version++
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -39,7 +39,7 @@
 	if status != wire.TaskRunning {
 		return
 	}
-	since, known := c.softState.runningSince(b.attempt)
+	since, known := c.inherited.runningSince(b.attempt)
 	b.runningSince, b.runStartUnknown = since, !known
 	c.disruptions.taskRunning(b)
 	c.softState.machineChanged(m)
