--- a/internal/dispatch/send_guard.go
+++ b/internal/dispatch/send_guard.go
@@ -81,7 +81,7 @@
 
 // sendable returns the commands whose starts were not withdrawn. They count as sent from then on.
 func (g *SendGuard) sendable(term uint64, commands []wire.Command, starts scheduler.StartDeliveries) []wire.Command {
-	sendable, forbidden := starts.Send(commands)
+	sendable, forbidden := starts.TakeSendable(commands)
 	for _, start := range forbidden {
 		g.log.Error(MessageForbiddenStart, "leader_term", term, "task", start.Task, "attempt", start.Attempt, "count", g.forbidden.Add(1))
 	}
--- a/internal/fake/worker_commands.go
+++ b/internal/fake/worker_commands.go
@@ -73,7 +73,7 @@
 	})
 }
 
-// raiseFencingToken records a fencing token if it is higher than all before. That causes an early
+// raiseFencingTokenIfDue records a fencing token if it is higher than all before. That causes an early
 // heartbeat at most once per half a lease.
 func (w *Worker) raiseFencingToken(token uint64) {
 	if token <= w.fencingToken {
--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -27,8 +27,8 @@
 	probes              probes
 	inspectionsInFlight int
 	heartbeatsProcessed uint64          // heartbeats whose list of tasks was reconciled
-	expectedCount       int             // machines that should be sending heartbeats
-	zoneCutAt           []time.Duration // by zone: when it last seemed to be cut off
+	expectedAgents      int             // machines that should be sending heartbeats
+	zonePartitionedAt   []time.Duration // by zone: when it last seemed to be cut off
 }
 
 // leaseMargin is added to an agent's lease for the time in which it ends its tasks.
@@ -39,30 +39,30 @@
 	return agents{cfg: &c.cfg, log: c.log, term: c.term, clock: &c.clock, effects: &c.effects, writes: &c.writes, machines: &c.machines, commands: &c.commands,
 		lease:             settings.Stretch(settings.Seconds(workers.LeaseS)) + leaseMargin,
 		heartbeatInterval: settings.Seconds(workers.HeartbeatS),
-		probes:            probes{atOnce: minProbes}}
+		probes:            probes{limit: minConcurrentProbes}}
 }
 
 // contact is what is done to reach the agent of one machine.
 type contact struct {
-	probes          int // probes sent to it
-	inspecting      bool
-	lastInspection  time.Duration
-	inspectedAt     agentstate.HeartbeatPosition // the newest heartbeat when the inspection began
-	staleHeartbeats int                          // stale heartbeats in a row that an inspection has shown to be late copies
+	probesSent            int // probes sent to it
+	inspecting            bool
+	lastInspection        time.Duration
+	positionAtInspection  agentstate.HeartbeatPosition // the newest heartbeat when the inspection began
+	consecutiveLateCopies int                          // stale heartbeats in a row that an inspection has shown to be late copies
 
-	unreachable *unreachableRecord
+	unreachableRecord *unreachableRecord
 }
 
 // countHeartbeat numbers the heartbeat whose list of tasks is being reconciled.
 func (a *agents) countHeartbeat() { a.heartbeatsProcessed++ }
 
-// responded notes that a heartbeat of a machine's agent gets a response.
-func (a *agents) responded(m *machine) {
+// recordResponse notes that a heartbeat of a machine's agent gets a response.
+func (a *agents) recordResponse(m *machine) {
 	if m.agent.RestartUnacknowledged() {
-		m.agent.RespondedAfterRestart(a.clock.now, a.lease)
+		m.agent.RecordResponseAfterRestart(a.clock.now, a.lease)
 		return
 	}
-	m.agent.Responded(a.lease)
+	m.agent.RecordResponse(a.lease)
 }
 
 // schedulable tells whether new tasks may start on a machine.
@@ -72,9 +72,9 @@
 		return false // nothing is known of it in this term
 	case m.agent.EpochEnded(m.agent.Epoch()), m.typ < 0:
 		return false // its agent must restart, or its room is not known
-	case m.contact.unreachable != nil, m.agent.Unacknowledged(), a.clock.now-m.agent.LastAcknowledged() >= a.unreachableAfter():
+	case m.contact.unreachableRecord != nil, m.agent.Unacknowledged(), a.clock.now-m.agent.LastAcknowledged() >= a.unreachableTimeout():
 		return false // its agent may not receive our responses
-	case a.clock.now < m.commands.avoidUntil:
+	case a.clock.now < m.commands.noStartsUntil:
 		return false // commands have not arrived there
 	case m.eviction.cordoned, m.health.quarantined, m.rental.terminationAt != 0:
 		return false // a plan empties it, tasks fail on it, or the cloud takes it away
@@ -90,8 +90,8 @@
 	return (m.state == machineUp || m.state == machineDeleting) && m.agent.AcknowledgedToken()>>tokenBits == term
 }
 
-// unreachableAfter is when a machine that said nothing gets no more work.
-func (a *agents) unreachableAfter() time.Duration { return a.heartbeatInterval*2 + time.Second }
+// unreachableTimeout is when a machine that said nothing gets no more work.
+func (a *agents) unreachableTimeout() time.Duration { return a.heartbeatInterval*2 + time.Second }
 
 // unacknowledgedFor is how long an agent has not shown that it receives this leader's responses.
 // That its heartbeats arrive shows nothing.
@@ -113,11 +113,11 @@
 	c.placement.indexChanged(m)
 }
 
-// raiseFencingToken raises an agent's token now and then: its next heartbeat acknowledges it if
+// raiseFencingTokenIfDue raises an agent's token now and then: its next heartbeat acknowledges it if
 // the response has arrived. It does not while a command is on its way there, which would then be
 // refused.
-func (a *agents) raiseFencingToken(m *machine) {
-	if m.trusted(a.term) && m.commands.inFlight == 0 && m.agent.TokenDue(a.clock.now, a.lease/4) {
+func (a *agents) raiseFencingTokenIfDue(m *machine) {
+	if m.trusted(a.term) && m.commands.inFlight == 0 && m.agent.TokenRaiseDue(a.clock.now, a.lease/4) {
 		m.agent.RaiseToken(a.clock.now)
 	}
 }
@@ -128,10 +128,10 @@
 	case machineStarting:
 		return m.typ >= 0
 	case machineUp:
-		return m.typ >= 0 && !m.health.quarantined && !m.eviction.cordoned && m.rental.terminationAt == 0 && a.unacknowledgedFor(m) < a.unreachableAfter()
+		return m.typ >= 0 && !m.health.quarantined && !m.eviction.cordoned && m.rental.terminationAt == 0 && a.unacknowledgedFor(m) < a.unreachableTimeout()
 	}
 	return false
 }
 
 // ExpectedAgents is how many machines should be reporting.
-func (c *Core) ExpectedAgents() int { return c.agents.expectedCount }
+func (c *Core) ExpectedAgents() int { return c.agents.expectedAgents }
--- a/internal/scheduler/agentstate/state.go
+++ b/internal/scheduler/agentstate/state.go
@@ -12,13 +12,13 @@
 // State is what is known of one agent. It has no clock of its own.
 type State struct {
 	address string
-	// inherited: the address is known only from the soft state of an earlier leader, and
+	// addressInherited: the address is known only from the soft state of an earlier leader, and
 	// inheritedEpoch is the agent's epoch by that.
-	inherited      bool
-	inheritedEpoch uint64
+	addressInherited bool
+	inheritedEpoch   uint64
 
 	epoch, sequence   uint64 // of its newest heartbeat
-	expiredEpoch      uint64 // epochs up to this one have certainly ended
+	lastEndedEpoch    uint64 // epochs up to this one have certainly ended
 	fencingToken      uint64 // the token of the commands to it
 	acknowledgedToken uint64 // the highest token that it has sent back
 	// minAcceptedToken: a heartbeat with a lower token comes from an incarnation of the
@@ -44,7 +44,7 @@
 
 // AddressInherited tells whether the address is known only from the soft state of an earlier
 // leader.
-func (a *State) AddressInherited() bool { return a.inherited }
+func (a *State) AddressInherited() bool { return a.addressInherited }
 
 // Epoch is the agent's epoch by its newest heartbeat; 0: there was none.
 func (a *State) Epoch() uint64 { return a.epoch }
@@ -54,7 +54,7 @@
 func (a *State) LikelyEpoch() uint64 { return max(a.epoch, a.inheritedEpoch, 1) }
 
 // EpochEnded tells whether an epoch has certainly ended.
-func (a *State) EpochEnded(epoch uint64) bool { return epoch <= a.expiredEpoch }
+func (a *State) EpochEnded(epoch uint64) bool { return epoch <= a.lastEndedEpoch }
 
 // FencingToken is the token of the commands to the agent.
 func (a *State) FencingToken() uint64 { return a.fencingToken }
@@ -97,7 +97,7 @@
 // IsStale tells whether a heartbeat is older than what is known of the agent, or was sent by an
 // incarnation of it that has ended.
 func (a *State) IsStale(r *wire.Heartbeat) bool {
-	if r.AgentEpoch <= a.expiredEpoch || !a.Position().Before(PositionOf(r)) {
+	if r.AgentEpoch <= a.lastEndedEpoch || !a.Position().Before(PositionOf(r)) {
 		return true
 	}
 	// An agent never forgets a token while it runs. So one with a lower token is from an earlier
@@ -106,11 +106,11 @@
 	return r.FencingToken < max(a.minAcceptedToken, a.acknowledgedToken)
 }
 
-// FirstSeen notes the first heartbeat of an incarnation.
-func (a *State) FirstSeen(now time.Duration) { a.epochSeenAt = now }
+// RecordFirstHeartbeat notes the first heartbeat of an incarnation.
+func (a *State) RecordFirstHeartbeat(now time.Duration) { a.epochSeenAt = now }
 
-// Received notes when a heartbeat that is not stale was received.
-func (a *State) Received(now time.Duration) { a.lastHeartbeat = now }
+// RecordHeartbeat notes when a heartbeat that is not stale was received.
+func (a *State) RecordHeartbeat(now time.Duration) { a.lastHeartbeat = now }
 
 // BeginEpoch notes that the agent is in another epoch than before. An epoch begins with a lease
 // of its own, without any response, and this one may have begun just now: what was known of the
@@ -130,10 +130,10 @@
 	}
 }
 
-// Responded notes that a heartbeat gets a response, which renews the agent's lease. The lease
+// RecordResponse notes that a heartbeat gets a response, which renews the agent's lease. The lease
 // counts from when the agent sent the heartbeat. That was before we received anything newer from
 // it, so counting from the last heartbeat that was accepted is late enough, also for a late copy.
-func (a *State) Responded(lease time.Duration) {
+func (a *State) RecordResponse(lease time.Duration) {
 	a.lastResponse = max(a.lastResponse, a.lastHeartbeat)
 	a.leaseExpiry = max(a.leaseExpiry, a.lastHeartbeat+lease)
 }
@@ -142,9 +142,9 @@
 // was raised since: which of its heartbeats are new is not known.
 func (a *State) RestartUnacknowledged() bool { return a.acknowledgedToken < a.minAcceptedToken }
 
-// RespondedAfterRestart notes a response to an agent whose restart is unacknowledged. The heartbeat
+// RecordResponseAfterRestart notes a response to an agent whose restart is unacknowledged. The heartbeat
 // may have been sent just now.
-func (a *State) RespondedAfterRestart(now, lease time.Duration) {
+func (a *State) RecordResponseAfterRestart(now, lease time.Duration) {
 	a.lastResponse = now
 	a.leaseExpiry = max(a.leaseExpiry, now+lease)
 }
@@ -155,12 +155,12 @@
 }
 
 // EndEpoch notes that the present epoch has certainly ended.
-func (a *State) EndEpoch() { a.expiredEpoch = a.epoch }
+func (a *State) EndEpoch() { a.lastEndedEpoch = a.epoch }
 
-// Restart notes that the agent has restarted and counts its epochs from the beginning. BeginEpoch
+// ResetAfterRestart notes that the agent has restarted and counts its epochs from the beginning. BeginEpoch
 // has its new lease taken in.
-func (a *State) Restart(epoch uint64, now time.Duration) {
-	a.epoch, a.sequence, a.expiredEpoch, a.acknowledgedToken, a.epochSeenAt = epoch, 0, 0, 0, now
+func (a *State) ResetAfterRestart(epoch uint64, now time.Duration) {
+	a.epoch, a.sequence, a.lastEndedEpoch, a.acknowledgedToken, a.epochSeenAt = epoch, 0, 0, 0, now
 }
 
 // RequireLatestToken has heartbeats with less than the latest token count as stale: a late one of
@@ -186,18 +186,18 @@
 	if address == "" || address == a.address {
 		return false
 	}
-	a.address, a.inherited = strings.Clone(address), false
+	a.address, a.addressInherited = strings.Clone(address), false
 	return true
 }
 
 // Inherit takes the address and the epoch from the soft state of an earlier leader.
 func (a *State) Inherit(address string, epoch uint64) {
-	a.inherited, a.address, a.inheritedEpoch = true, address, epoch
+	a.addressInherited, a.address, a.inheritedEpoch = true, address, epoch
 }
 
 // DropInherited drops the inherited address, which was wrong or is old.
 func (a *State) DropInherited() {
-	a.inherited, a.inheritedEpoch = false, 0
+	a.addressInherited, a.inheritedEpoch = false, 0
 	if a.epoch == 0 {
 		a.address = ""
 	}
@@ -206,8 +206,8 @@
 // LimitLease notes that the agent's lease expires no later than a time.
 func (a *State) LimitLease(expiry time.Duration) { a.leaseExpiry = min(a.leaseExpiry, expiry) }
 
-// TokenDue tells whether the token should be raised, so that the agent shows again that it
+// TokenRaiseDue tells whether the token should be raised, so that the agent shows again that it
 // receives our responses: the present one is acknowledged, and was raised some time ago.
-func (a *State) TokenDue(now, interval time.Duration) bool {
+func (a *State) TokenRaiseDue(now, interval time.Duration) bool {
 	return a.acknowledgedToken >= a.fencingToken && now-a.tokenRaisedAt >= interval
 }
--- a/internal/scheduler/agentstate/state_test.go
+++ b/internal/scheduler/agentstate/state_test.go
@@ -24,8 +24,8 @@
 		{"an earlier one of the epoch", State{epoch: 2, sequence: 5}, heartbeatAt(2, 4, 0), true},
 		{"of a later epoch", State{epoch: 2, sequence: 5}, heartbeatAt(3, 1, 0), false},
 		{"of an earlier epoch", State{epoch: 2, sequence: 5}, heartbeatAt(1, 9, 0), true},
-		{"of an epoch that has ended", State{epoch: 2, sequence: 5, expiredEpoch: 2}, heartbeatAt(2, 6, 0), true},
-		{"of the epoch after one that has ended", State{epoch: 2, sequence: 5, expiredEpoch: 2}, heartbeatAt(3, 1, 0), false},
+		{"of an epoch that has ended", State{epoch: 2, sequence: 5, lastEndedEpoch: 2}, heartbeatAt(2, 6, 0), true},
+		{"of the epoch after one that has ended", State{epoch: 2, sequence: 5, lastEndedEpoch: 2}, heartbeatAt(3, 1, 0), false},
 		{"with a lower token than acknowledged", State{epoch: 2, sequence: 5, acknowledgedToken: 8}, heartbeatAt(2, 6, 7), true},
 		{"with the token that is acknowledged", State{epoch: 2, sequence: 5, acknowledgedToken: 8}, heartbeatAt(2, 6, 8), false},
 		{"with a lower token than required", State{epoch: 1, minAcceptedToken: 9}, heartbeatAt(1, 1, 8), true},
@@ -59,8 +59,8 @@
 }
 
 func TestRestartOfAnAgent(t *testing.T) {
-	a := State{epoch: 4, sequence: 90, fencingToken: 8, acknowledgedToken: 8, expiredEpoch: 3}
-	a.Restart(1, time.Second)
+	a := State{epoch: 4, sequence: 90, fencingToken: 8, acknowledgedToken: 8, lastEndedEpoch: 3}
+	a.ResetAfterRestart(1, time.Second)
 	a.MarkUnacknowledged(time.Second)
 	a.RequireLatestToken()
 	if a.EpochSeenAt() != time.Second {
@@ -80,13 +80,13 @@
 	if a.LeaseExpired(lease-1, lease) || !a.LeaseExpired(lease, lease) {
 		t.Error("an agent without a response: its lease does not end with the term's first")
 	}
-	a.Received(40 * time.Second)
+	a.RecordHeartbeat(40 * time.Second)
 	a.BeginEpoch(2, 40*time.Second+lease)
-	a.Responded(lease)
+	a.RecordResponse(lease)
 	if a.LeaseExpired(70*time.Second-1, lease) || !a.LeaseExpired(70*time.Second, lease) {
 		t.Error("the lease does not count from the last heartbeat")
 	}
-	a.Responded(lease) // to a late copy
+	a.RecordResponse(lease) // to a late copy
 	if !a.LeaseExpired(70*time.Second, lease) {
 		t.Error("the response to a late copy renews the lease")
 	}
@@ -103,11 +103,11 @@
 func TestAddressOfAnAgent(t *testing.T) {
 	a := State{}
 	a.Inherit("10.0.0.1:1", 3)
-	if a.SetAddress("") || a.SetAddress("10.0.0.1:1") || !a.inherited {
+	if a.SetAddress("") || a.SetAddress("10.0.0.1:1") || !a.addressInherited {
 		t.Error("the inherited address has changed")
 	}
-	if !a.SetAddress("10.0.0.2:1") || a.inherited || a.address != "10.0.0.2:1" {
-		t.Errorf("address %q, inherited %t", a.address, a.inherited)
+	if !a.SetAddress("10.0.0.2:1") || a.addressInherited || a.address != "10.0.0.2:1" {
+		t.Errorf("address %q, inherited %t", a.address, a.addressInherited)
 	}
 }
 
@@ -132,16 +132,16 @@
 func TestTokenIsRaisedOnceItIsAcknowledged(t *testing.T) {
 	const interval = 10 * time.Second
 	a := New(8, 0)
-	if a.TokenDue(interval, interval) {
+	if a.TokenRaiseDue(interval, interval) {
 		t.Error("due before the token is acknowledged")
 	}
 	a.Acknowledge(heartbeatAt(1, 1, 8), interval)
-	if !a.TokenDue(interval, interval) {
+	if !a.TokenRaiseDue(interval, interval) {
 		t.Error("not due though the token is acknowledged and old")
 	}
 	a.RaiseToken(interval)
 	a.Acknowledge(heartbeatAt(1, 2, 9), interval)
-	if a.TokenDue(2*interval-1, interval) || !a.TokenDue(2*interval, interval) {
+	if a.TokenRaiseDue(2*interval-1, interval) || !a.TokenRaiseDue(2*interval, interval) {
 		t.Error("not due an interval after the last time")
 	}
 }
--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -179,7 +179,7 @@
 // release frees an allocation's room and has its task wait again. A start that has not been sent yet
 // is never sent then.
 func (c *Core) release(m *machine, b *allocation) {
-	c.commands.resolveWithdrawn(m, b)
+	c.commands.withdrawUnsentStart(m, b)
 	c.spending.addLostWork(m, b)
 	c.disruptions.displaced(m, b, false, "its machine is lost")
 	c.deallocate(m, b)
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -28,8 +28,8 @@
 	return attempts{term: c.term, log: c.log, effects: &c.effects}
 }
 
-// attemptsLeft tells whether another task can be started in this term.
-func (a *attempts) attemptsLeft() bool { return a.count < maxAttempts }
+// hasAttemptsLeft tells whether another task can be started in this term.
+func (a *attempts) hasAttemptsLeft() bool { return a.count < maxAttempts }
 
 // nextAttempt numbers a new attempt.
 func (a *attempts) nextAttempt() uint64 {
@@ -37,8 +37,8 @@
 	return a.term<<tokenBits | a.count
 }
 
-// endExhausted resigns the leadership when few attempts are left in the term.
-func (a *attempts) endExhausted() {
+// resignIfExhausted resigns the leadership when few attempts are left in the term.
+func (a *attempts) resignIfExhausted() {
 	if a.count < maxAttempts-attemptReserve {
 		return
 	}
--- a/internal/scheduler/command_results.go
+++ b/internal/scheduler/command_results.go
@@ -6,11 +6,11 @@
 	"leadproxy/internal/scheduler/agentstate"
 )
 
-// avoidFor is how long a machine that commands don't reach gets no new tasks.
-const avoidFor = 4 * time.Second
+// startSuspension is how long a machine that commands don't reach gets no new tasks.
+const startSuspension = 4 * time.Second
 
-// takeInFlight returns a command whose result has arrived, or nil when it is not known.
-func (q *commands) takeInFlight(id uint64) *commandInFlight {
+// removeInFlight returns a command whose result has arrived, or nil when it is not known.
+func (q *commands) removeInFlight(id uint64) *commandInFlight {
 	command := q.inFlight[id]
 	if command != nil {
 		delete(q.inFlight, id)
@@ -19,19 +19,19 @@
 	return command
 }
 
-// restartFound notes that the agent of a machine has restarted. The commands that are still on their
+// discardSendPositions notes that the agent of a machine has restarted. The commands that are still on their
 // way show nothing new by that.
-func (q *commands) restartFound(m *machine) {
+func (q *commands) discardSendPositions(m *machine) {
 	for _, command := range q.inFlight {
 		if command.machine == m {
-			command.sentAfter = agentstate.HeartbeatPosition{}
+			command.positionWhenSent = agentstate.HeartbeatPosition{}
 		}
 	}
 }
 
-// commandResult takes the result of a direct command.
-func (c *Core) commandResult(e CommandResult) {
-	command := c.commands.takeInFlight(e.CommandID)
+// handleCommandResult takes the result of a direct command.
+func (c *Core) handleCommandResult(e CommandResult) {
+	command := c.commands.removeInFlight(e.CommandID)
 	if command == nil {
 		return
 	}
@@ -40,38 +40,38 @@
 	}
 	m := command.machine
 	if command.probe {
-		defer c.agents.probeResult(command, e.Outcome)
+		defer c.agents.handleProbeResult(command, e.Outcome)
 	}
 	if m.state == machineGone {
 		return
 	}
 	if command.addressFromSoftState && (e.Outcome == CommandOutcomeUnknown || e.Outcome == CommandNotSent) {
-		c.agents.inheritedAddressFailed(m) // the inherited address is wrong, or old: that says nothing about the machine
+		c.agents.dropInheritedAddress(m) // the inherited address is wrong, or old: that says nothing about the machine
 		return
 	}
 	if e.Outcome == CommandOutcomeUnknown || e.Outcome == CommandNotSent {
 		// Its heartbeats may still arrive, but starts don't: it is avoided for a while, or the
 		// same tasks would be placed there again and again.
-		m.commands.avoid(c.clock.now + avoidFor)
+		m.commands.suspendStarts(c.clock.now + startSuspension)
 		c.markUnacknowledged(m)
 	}
 	switch e.Outcome {
 	case CommandOutcomeUnknown:
-		c.commands.commandOutcomeUnknown(command)
+		c.commands.handleUnknownOutcome(command)
 		return
 	case CommandNotSent, CommandRejected:
-		c.commands.eachSent(command, func(b *allocation) { c.release(m, b) })
+		c.commands.resolveStarts(command, func(b *allocation) { c.release(m, b) })
 		if e.Outcome == CommandRejected && !command.probe {
 			c.log.Info("direct command refused", "machine", m.name, "fencing_token", command.fencingToken, "agent_epoch", command.agentEpoch)
 		}
 	case CommandExecuted:
-		c.commands.eachSent(command, func(b *allocation) { b.state = allocationConfirmed })
+		c.commands.resolveStarts(command, func(b *allocation) { b.state = allocationConfirmed })
 	}
 	if e.Heartbeat != nil && e.Heartbeat.Machine == m.name && e.Heartbeat.FencingToken>>tokenBits <= c.term {
 		// The agent made it after the command was sent. So if it is older than what was known then,
 		// its sender has restarted.
-		if agentstate.PositionOf(e.Heartbeat).Before(command.sentAfter) {
-			c.agentRestarted(m, e.Heartbeat)
+		if agentstate.PositionOf(e.Heartbeat).Before(command.positionWhenSent) {
+			c.handleAgentRestart(m, e.Heartbeat)
 		}
 		c.applyHeartbeat(m, e.Heartbeat, fromCommandResult)
 	}
@@ -80,10 +80,10 @@
 	}
 }
 
-// commandOutcomeUnknown keeps the allocations of a command for which it is not known whether it
+// handleUnknownOutcome keeps the allocations of a command for which it is not known whether it
 // was executed. The token is higher now: once the agent has acknowledged it, the command can't
 // be executed any more, and an attempt that is missing then will never run.
-func (q *commands) commandOutcomeUnknown(command *commandInFlight) {
+func (q *commands) handleUnknownOutcome(command *commandInFlight) {
 	m := command.machine
 	if m.agent.Epoch() != command.agentEpoch {
 		return // it can only be refused
@@ -96,9 +96,9 @@
 	q.log.Debug("direct command result unknown", "machine", m.name, "starts", len(command.startedAttempts), "fencing_token", m.agent.FencingToken())
 }
 
-// eachSent resolves the starts of a command whose outcome is known, and calls f for the
+// resolveStarts resolves the starts of a command whose outcome is known, and calls f for the
 // allocations that still wait for it.
-func (q *commands) eachSent(command *commandInFlight, f func(b *allocation)) {
+func (q *commands) resolveStarts(command *commandInFlight, f func(b *allocation)) {
 	m := command.machine
 	for _, a := range command.startedAttempts {
 		delete(m.commands.unresolvedStarts, a)
--- a/internal/scheduler/command_results_test.go
+++ b/internal/scheduler/command_results_test.go
@@ -99,7 +99,7 @@
 			g.endCommands(CommandOutcomeUnknown)
 			g.want("token", g.sendHeartbeat(g.heartbeatOf("vm-1", termToken)).FencingToken, uint64(termToken+1))
 			c.act(g, first)
-			g.wait(avoidFor + time.Second/2)
+			g.wait(startSuspension + time.Second/2)
 			again := g.starts()
 			g.want("further starts", len(again), c.again)
 			if len(again) > 0 && again[0].Attempt == first.Attempt {
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -20,12 +20,12 @@
 	// cancellations counts the stops.
 	cancellations *cancellationWatch
 
-	openResponses        []heldResponse // of this step
-	awaitingWrites       []heldResponse // that wait for starts to be durable
-	heldForUnreachable   []heldResponse // to machines with an unreachable-agent record
-	machinesWithCommands []*machine     // with commands of this step
-	inFlight             map[uint64]*commandInFlight
-	lastID               uint64
+	pendingResponses        []pendingResponse // of this step
+	responsesAwaitingWrites []pendingResponse // that wait for starts to be durable
+	responsesToUnreachable  []pendingResponse // to machines with an unreachable-agent record
+	machinesWithCommands    []*machine        // with commands of this step
+	inFlight                map[uint64]*commandInFlight
+	lastCommandID           uint64
 }
 
 func newCommands(c *Core) commands {
@@ -38,10 +38,10 @@
 	pending          []wire.Command
 	inFlight         int
 	unresolvedStarts map[uint64]uint64 // starts that may yet be executed: attempt -> token that rules it out
-	openResponse     int               // the response that is open for it, from 1; 0: none
+	responseNumber   int               // the response that is open for it, from 1; 0: none
 	// heldHeartbeat is the heartbeat whose response waits for starts to be durable.
 	heldHeartbeat *wire.Heartbeat
-	avoidUntil    time.Duration // until then nothing is started on it: commands do not arrive
+	noStartsUntil time.Duration // until then nothing is started on it: commands do not arrive
 }
 
 // resolveUpToToken resolves the starts that an agent can't execute any more once it has
@@ -57,14 +57,14 @@
 // resolveAllStarts resolves all starts: none can be executed any more.
 func (m *machineCommands) resolveAllStarts() { clear(m.unresolvedStarts) }
 
-// startUnresolved notes that a start may yet be executed.
-func (m *machineCommands) startUnresolved(attempt uint64) {
+// addUnresolvedStart notes that a start may yet be executed.
+func (m *machineCommands) addUnresolvedStart(attempt uint64) {
 	m.unresolvedStarts[attempt] = math.MaxUint64
 }
 
-// resolveOnToken has all starts resolved once a token is acknowledged: from then on the agent
+// resolveAllOnToken has all starts resolved once a token is acknowledged: from then on the agent
 // refuses commands with an earlier one.
-func (m *machineCommands) resolveOnToken(token uint64) {
+func (m *machineCommands) resolveAllOnToken(token uint64) {
 	for attempt := range m.unresolvedStarts {
 		m.unresolvedStarts[attempt] = token
 	}
@@ -75,8 +75,8 @@
 	return len(m.unresolvedStarts) == 0 && len(m.pending) == 0 && m.heldHeartbeat == nil
 }
 
-// avoid keeps new tasks from the machine for a time.
-func (m *machineCommands) avoid(until time.Duration) { m.avoidUntil = until }
+// suspendStarts keeps new tasks from the machine for a time.
+func (m *machineCommands) suspendStarts(until time.Duration) { m.noStartsUntil = until }
 
 // dropPending drops the commands that were not sent yet.
 func (m *machineCommands) dropPending() { m.pending = nil }
@@ -86,24 +86,24 @@
 	machine              *machine
 	agentEpoch           uint64
 	fencingToken         uint64
-	sentAfter            agentstate.HeartbeatPosition // the newest heartbeat as it was sent
+	positionWhenSent     agentstate.HeartbeatPosition // the newest heartbeat as it was sent
 	startedAttempts      []uint64
-	starts               StartDeliveries // of startedAttempts
+	startDeliveries      StartDeliveries // of startedAttempts
 	stoppedAttempts      []uint64
 	probe                bool
-	sent                 time.Duration // of a probe
+	sentAt               time.Duration // of a probe
 	addressFromSoftState bool          // a probe to an address that only inherited soft state names
 }
 
-func (q *commands) sendStart(j *job, m *machine, b *allocation) {
+func (q *commands) queueStart(j *job, m *machine, b *allocation) {
 	b.state = allocationQueued
 	b.start.forbidWhen(&j.end.cancellationConfirmed)
 	q.queueCommand(m, wire.Command{Verb: wire.VerbStart, Task: q.jobs.taskName(b), Attempt: b.attempt})
 }
 
-// resolveWithdrawn withdraws the start of an allocation that is being released, if it has not left
+// withdrawUnsentStart withdraws the start of an allocation that is being released, if it has not left
 // this controller. Nothing is in doubt about it then.
-func (q *commands) resolveWithdrawn(m *machine, b *allocation) {
+func (q *commands) withdrawUnsentStart(m *machine, b *allocation) {
 	if !b.withdrawStart() {
 		return
 	}
@@ -124,14 +124,14 @@
 // protocol's bound on a body.
 func (c *Core) finishStep() {
 	c.jobs.writeJobs()
-	c.commands.resumeResponses()
+	c.commands.releaseHeldResponses()
 	c.commands.sendResponses()
-	c.commands.sendPending()
+	c.commands.sendPendingCommands()
 	c.returns.flush()
 }
 
-// sendPending sends the commands that don't travel with a response.
-func (q *commands) sendPending() {
+// sendPendingCommands sends the commands that don't travel with a response.
+func (q *commands) sendPendingCommands() {
 	for _, m := range q.machinesWithCommands {
 		if m.commands.heldHeartbeat != nil {
 			continue // they are sent with its response
@@ -164,9 +164,9 @@
 			b.state = allocationSent
 			// Until the command's outcome is known, or a raised token rules it out, this start
 			// may be executed at any time.
-			m.commands.startUnresolved(o.Attempt)
+			m.commands.addUnresolvedStart(o.Attempt)
 			command.startedAttempts = append(command.startedAttempts, o.Attempt)
-			command.starts = append(command.starts, &b.start)
+			command.startDeliveries = append(command.startDeliveries, &b.start)
 		}
 		kept = append(kept, o)
 	}
@@ -178,10 +178,10 @@
 // sendCommand sends a direct command and keeps it until its result arrives.
 func (q *commands) sendCommand(command *commandInFlight, batch []wire.Command) {
 	m := command.machine
-	q.lastID++
-	command.sentAfter = m.agent.Position()
+	q.lastCommandID++
+	command.positionWhenSent = m.agent.Position()
 	m.commands.inFlight++
-	q.inFlight[q.lastID] = command
-	q.effects.emit(SendCommands{CommandID: q.lastID, Machine: m.name, Address: m.agent.Address(), Starts: command.starts,
+	q.inFlight[q.lastCommandID] = command
+	q.effects.emit(SendCommands{CommandID: q.lastCommandID, Machine: m.name, Address: m.agent.Address(), Starts: command.startDeliveries,
 		Request: wire.CommandRequest{FencingToken: command.fencingToken, AgentEpoch: command.agentEpoch, Commands: batch}})
 }
--- a/internal/scheduler/commands_test.go
+++ b/internal/scheduler/commands_test.go
@@ -8,7 +8,7 @@
 	if _, left := m.unresolvedStarts[1]; left || len(m.unresolvedStarts) != 1 {
 		t.Errorf("left after token 8: %v", m.unresolvedStarts)
 	}
-	m.resolveOnToken(12)
+	m.resolveAllOnToken(12)
 	m.resolveUpToToken(11)
 	if len(m.unresolvedStarts) != 1 {
 		t.Error("a start is resolved before the token that rules it out")
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -131,11 +131,11 @@
 
 	// Agents.
 	case HeartbeatEvent:
-		c.heartbeatReceived(e)
+		c.handleHeartbeat(e)
 	case CommandResult:
-		c.commandResult(e)
+		c.handleCommandResult(e)
 	case InspectResult:
-		c.inspectResult(e)
+		c.handleInspectResult(e)
 
 	// The cloud.
 	case CloudResult:
@@ -200,12 +200,12 @@
 	c.machines.dropGone(&c.writes)
 	c.cancellations.check()
 	c.recordUnreachable()
-	c.agents.withdrawUseless()
+	c.agents.withdrawUnneededRecords()
 	c.inherited.drop()
 	c.cloudReads.requestDue()
 	c.scaleOuts.repeatDue()
 	c.planner.planDue()
-	c.attempts.endExhausted()
+	c.attempts.resignIfExhausted()
 	c.federationTick()
 	c.evictionTick()
 	c.placement.lowerGoal()
--- a/internal/scheduler/dependencies_model_test.go
+++ b/internal/scheduler/dependencies_model_test.go
@@ -97,7 +97,7 @@
 	}
 }
 
-// takeOver begins a new term from the job records that the last one has written, on a machine
+// changeLeader begins a new term from the job records that the last one has written, on a machine
 // that has restarted: what ran there starts again.
 func takeOver(t tester, g *harness, jobIDs []string) *harness {
 	t.Helper()
--- a/internal/scheduler/heartbeat_responses.go
+++ b/internal/scheduler/heartbeat_responses.go
@@ -7,14 +7,14 @@
 	"leadproxy/internal/wire"
 )
 
-// heldResponse is the response to a heartbeat. It is sent at the end of the step so that starts
+// pendingResponse is the response to a heartbeat. It is sent at the end of the step so that starts
 // decided in it travel along.
-type heldResponse struct {
+type pendingResponse struct {
 	replyTo   Recipient
 	machine   *machine
 	heartbeat *wire.Heartbeat
-	// outdated: the heartbeat is older than what is known of its agent.
-	outdated bool
+	// stale: the heartbeat is older than what is known of its agent.
+	stale bool
 	// holdUntil is when a response that waits for starts to become durable is sent without them; 0:
 	// it has not waited.
 	holdUntil time.Duration
@@ -30,38 +30,40 @@
 			q.machinesWithCommands = append(q.machinesWithCommands, m)
 		}
 	}
-	m.commands.openResponse = len(q.openResponses) + 1
+	m.commands.responseNumber = len(q.pendingResponses) + 1
 }
 
-// open opens a response, which is sent at the end of the step.
-func (q *commands) open(a heldResponse) { q.openResponses = append(q.openResponses, a) }
+// queueResponse opens a response, which is sent at the end of the step.
+func (q *commands) queueResponse(a pendingResponse) {
+	q.pendingResponses = append(q.pendingResponses, a)
+}
 
-// openHeldForUnreachable opens the responses to machines that had unreachable-agent records.
-func (q *commands) openHeldForUnreachable() {
-	held := q.heldForUnreachable
-	q.heldForUnreachable = nil
+// queueResponsesToUnreachable opens the responses to machines that had unreachable-agent records.
+func (q *commands) queueResponsesToUnreachable() {
+	held := q.responsesToUnreachable
+	q.responsesToUnreachable = nil
 	for _, a := range held {
-		if !a.outdated {
-			a.machine.commands.openResponse = len(q.openResponses) + 1
+		if !a.stale {
+			a.machine.commands.responseNumber = len(q.pendingResponses) + 1
 		}
-		q.open(a)
+		q.queueResponse(a)
 	}
 }
 
-// maxHold is how long a response waits for starts whose host is being written. That mostly takes
+// maxResponseHold is how long a response waits for starts whose host is being written. That mostly takes
 // a tenth of it; otherwise the starts would follow in a direct command, which costs as much as
 // several heartbeats.
-const maxHold = 400 * time.Millisecond
+const maxResponseHold = 400 * time.Millisecond
 
 // holdForWrites holds a response while starts for its machine wait for a write.
-func (q *commands) holdForWrites(a heldResponse) bool {
+func (q *commands) holdForWrites(a pendingResponse) bool {
 	m := a.machine
 	if a.holdUntil > 0 || !m.trusted(q.term) || !m.hasPlannedStarts() {
 		return false
 	}
-	a.holdUntil = q.clock.now + maxHold
-	m.commands.openResponse, m.commands.heldHeartbeat = 0, a.heartbeat
-	q.awaitingWrites = append(q.awaitingWrites, a)
+	a.holdUntil = q.clock.now + maxResponseHold
+	m.commands.responseNumber, m.commands.heldHeartbeat = 0, a.heartbeat
+	q.responsesAwaitingWrites = append(q.responsesAwaitingWrites, a)
 	return true
 }
 
@@ -70,11 +72,11 @@
 	return slices.ContainsFunc(m.capacity.allocations, func(b *allocation) bool { return b.state == allocationPlanned })
 }
 
-// resumeResponses opens the held responses that need not wait any longer. One whose agent has
+// releaseHeldResponses opens the held responses that need not wait any longer. One whose agent has
 // sent a newer heartbeat since is sent without commands.
-func (q *commands) resumeResponses() {
-	keep := q.awaitingWrites[:0]
-	for _, a := range q.awaitingWrites {
+func (q *commands) releaseHeldResponses() {
+	keep := q.responsesAwaitingWrites[:0]
+	for _, a := range q.responsesAwaitingWrites {
 		m := a.machine
 		if m.commands.heldHeartbeat == a.heartbeat {
 			if q.clock.now < a.holdUntil && m.state != machineGone && m.hasPlannedStarts() {
@@ -82,56 +84,56 @@
 				continue
 			}
 			m.commands.heldHeartbeat = nil
-			m.commands.openResponse = len(q.openResponses) + 1
+			m.commands.responseNumber = len(q.pendingResponses) + 1
 			if len(m.commands.pending) > 0 {
 				q.machinesWithCommands = append(q.machinesWithCommands, m) // for what does not fit the response
 			}
 		} else {
-			a.outdated = true
+			a.stale = true
 		}
-		q.open(a)
+		q.queueResponse(a)
 	}
-	clear(q.awaitingWrites[len(keep):])
-	q.awaitingWrites = keep
+	clear(q.responsesAwaitingWrites[len(keep):])
+	q.responsesAwaitingWrites = keep
 }
 
 // sendResponses responds to the heartbeats of this step. Only the newest heartbeat of a machine
 // gets commands.
 func (q *commands) sendResponses() {
-	for i, a := range q.openResponses {
+	for i, a := range q.pendingResponses {
 		m := a.machine
 		if m.state == machineGone {
 			q.effects.emit(HeartbeatReply{ReplyTo: a.replyTo})
 			continue
 		}
-		if q.holdForUnreachable(a) || m.commands.openResponse == i+1 && q.holdForWrites(a) {
+		if q.holdForUnreachable(a) || m.commands.responseNumber == i+1 && q.holdForWrites(a) {
 			continue
 		}
 		// A response renews the agent's lease, whatever it commands and however little its
 		// heartbeat is believed. So none is sent without the stops of what must not run.
-		trust := maybeOld
-		if !a.outdated && m.commands.openResponse == i+1 && m.trusted(q.term) {
-			trust = trusted
+		trust := untrustedHeartbeat
+		if !a.stale && m.commands.responseNumber == i+1 && m.trusted(q.term) {
+			trust = trustedHeartbeat
 		}
 		list := q.requiredStops(m, a.heartbeat, trust)
 		var starts StartDeliveries
-		if trust == trusted {
-			list, starts = q.commandsFor(m, a.heartbeat, list)
+		if trust == trustedHeartbeat {
+			list, starts = q.appendForgetsAndPending(m, a.heartbeat, list)
 		}
 		answer := &wire.HeartbeatResponse{FencingToken: m.agent.FencingToken(), Commands: list}
-		if m.commands.openResponse == i+1 {
-			m.commands.openResponse = 0
+		if m.commands.responseNumber == i+1 {
+			m.commands.responseNumber = 0
 		}
 		q.effects.emit(HeartbeatReply{ReplyTo: a.replyTo, Response: answer, Starts: starts})
 	}
-	clear(q.openResponses)
-	q.openResponses = q.openResponses[:0]
+	clear(q.pendingResponses)
+	q.pendingResponses = q.pendingResponses[:0]
 }
 
-// appendPending adds a machine's pending commands to the response to its heartbeat, as far as
+// appendPendingCommands adds a machine's pending commands to the response to its heartbeat, as far as
 // they fit. Unlike a direct command, a response is never executed late: the agent's next
 // heartbeat shows what became of it.
-func (q *commands) appendPending(m *machine, r *wire.Heartbeat, list []wire.Command) ([]wire.Command, StartDeliveries) {
+func (q *commands) appendPendingCommands(m *machine, r *wire.Heartbeat, list []wire.Command) ([]wire.Command, StartDeliveries) {
 	var starts StartDeliveries
 	if r.AgentEpoch != m.agent.Epoch() {
 		return list, starts
@@ -152,14 +154,14 @@
 	return list, starts
 }
 
-// minForgets is how many finished tasks are forgotten together. An agent sends a heartbeat at
+// minForgetBatch is how many finished tasks are forgotten together. An agent sends a heartbeat at
 // once when its tasks change, so each forget by itself costs another heartbeat, a third of all
 // in a large cell. It waits for a command that changes the tasks anyway, or for others like it.
-const minForgets = 8
+const minForgetBatch = 8
 
-// commandsFor adds to the stops of a believed heartbeat the other commands of its response:
+// appendForgetsAndPending adds to the stops of a believed heartbeat the other commands of its response:
 // which ended tasks the agent may drop, and the machine's pending commands.
-func (q *commands) commandsFor(m *machine, r *wire.Heartbeat, list []wire.Command) ([]wire.Command, StartDeliveries) {
+func (q *commands) appendForgetsAndPending(m *machine, r *wire.Heartbeat, list []wire.Command) ([]wire.Command, StartDeliveries) {
 	var done []wire.Command
 	for i := range r.Tasks {
 		if len(list)+len(done) >= maxCommandsPerResponse {
@@ -176,8 +178,8 @@
 			list = append(list, forget)
 		}
 	}
-	list, starts := q.appendPending(m, r, list)
-	if len(list) > 0 || len(done) >= minForgets {
+	list, starts := q.appendPendingCommands(m, r, list)
+	if len(list) > 0 || len(done) >= minForgetBatch {
 		list = append(list, done...)
 	}
 	return list, starts
@@ -199,11 +201,11 @@
 
 // holdForUnreachable holds the response to a machine with an unreachable-agent record until that
 // is withdrawn.
-func (q *commands) holdForUnreachable(a heldResponse) bool {
-	if a.machine.contact.unreachable == nil {
+func (q *commands) holdForUnreachable(a pendingResponse) bool {
+	if a.machine.contact.unreachableRecord == nil {
 		return false
 	}
-	a.machine.commands.openResponse = 0
-	q.heldForUnreachable = append(q.heldForUnreachable, a)
+	a.machine.commands.responseNumber = 0
+	q.responsesToUnreachable = append(q.responsesToUnreachable, a)
 	return true
 }
--- a/internal/scheduler/heartbeat_responses_test.go
+++ b/internal/scheduler/heartbeat_responses_test.go
@@ -20,7 +20,7 @@
 	}{
 		{"durable soon", func(g *harness, _ func()) { g.releaseWrites() }, "answer with start start start start forget forget forget forget "},
 		{"durable late", func(g *harness, _ func()) {
-			g.now += maxHold
+			g.now += maxResponseHold
 			g.step(Tick{})
 			g.releaseWrites()
 		}, "answer with nothing, command with start start start start "},
@@ -30,7 +30,7 @@
 		}, "answer with nothing, answer with start start start start forget forget forget forget "},
 		{"given up and late", func(g *harness, report func()) {
 			report()
-			g.now += maxHold
+			g.now += maxResponseHold
 			g.step(Tick{})
 			g.releaseWrites()
 		}, "answer with nothing, answer with nothing, command with start start start start "},
@@ -152,20 +152,20 @@
 		durable bool
 		want    int
 	}{
-		{"ends in the ledger", CommandExecuted, termToken, wire.ExitDone, true, minForgets},
+		{"ends in the ledger", CommandExecuted, termToken, wire.ExitDone, true, minForgetBatch},
 		{"ends not yet in the ledger", CommandExecuted, termToken, wire.ExitDone, false, 0},
 		{"while the starts may still be repeated", CommandOutcomeUnknown, termToken, wire.ExitDone, true, 0},
-		{"once the raised token is echoed", CommandOutcomeUnknown, termToken + 1, wire.ExitDone, true, minForgets},
-		{"failures", CommandExecuted, termToken, wire.ExitError, true, minForgets},
+		{"once the raised token is echoed", CommandOutcomeUnknown, termToken + 1, wire.ExitDone, true, minForgetBatch},
+		{"failures", CommandExecuted, termToken, wire.ExitError, true, minForgetBatch},
 		{"failures whose starts may still be repeated", CommandOutcomeUnknown, termToken, wire.ExitError, true, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := newHarness(t, ledger.Snapshot{})
 			g.bringUp("vm-1")
-			g.submit(newTestJob("job-1", minForgets+1, 0.25))
+			g.submit(newTestJob("job-1", minForgetBatch+1, 0.25))
 			var ended []wire.TaskStatus
-			for _, o := range g.starts()[:minForgets] {
+			for _, o := range g.starts()[:minForgetBatch] {
 				ended = append(ended, taskIn(o, wire.TaskEnded, c.why))
 			}
 			g.endCommands(c.outcome)
@@ -191,6 +191,6 @@
 	g.holdWrites = true // so that the start waits for the heartbeat
 	g.submit(newTestJob("job-2", 1, 1))
 	m := g.c.machineNamed("vm-1")
-	g.c.sendPlanned(g.c.jobs.list[1], m)
+	g.c.sendPlannedStarts(g.c.jobs.list[1], m)
 	g.want("with a start", verbs(g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, done, runs))), "start forget ")
 }
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -8,7 +8,7 @@
 // maxCommandsPerResponse keeps the response to a heartbeat well below 64 KiB.
 const maxCommandsPerResponse = 300
 
-func (c *Core) heartbeatReceived(e HeartbeatEvent) {
+func (c *Core) handleHeartbeat(e HeartbeatEvent) {
 	r := e.Heartbeat
 	if r.FencingToken>>tokenBits > c.term {
 		// A newer leader has sent this agent a token: we must not respond.
@@ -22,12 +22,12 @@
 		return
 	}
 	c.agents.withdrawRecordOf(m)
-	a := heldResponse{replyTo: e.ReplyTo, machine: m, heartbeat: r}
+	a := pendingResponse{replyTo: e.ReplyTo, machine: m, heartbeat: r}
 	if c.applyHeartbeat(m, r, fromHeartbeat) {
 		c.commands.attachCommandsToNextResponse(m)
-		c.agents.raiseFencingToken(m)
+		c.agents.raiseFencingTokenIfDue(m)
 	} else {
-		a.outdated = true
+		a.stale = true
 		c.agents.inspectStaleSender(m, r)
 	}
 	if m.agent.EpochEnded(r.AgentEpoch) {
@@ -36,8 +36,8 @@
 		c.effects.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
 	}
-	c.agents.responded(m)
-	c.commands.open(a)
+	c.agents.recordResponse(m)
+	c.commands.queueResponse(a)
 }
 
 // statusSource is how an agent's status has arrived.
@@ -60,14 +60,14 @@
 	wasOpen := c.agents.schedulable(m)
 	if m.state == machineStarting {
 		m.state = machineUp
-		m.agent.FirstSeen(c.clock.now)
+		m.agent.RecordFirstHeartbeat(c.clock.now)
 		c.machineCameUp(m)
 	}
 	c.updateDescription(m, r.Type, r.Zone, r.Spot, r.Address)
-	m.agent.Received(c.clock.now)
+	m.agent.RecordHeartbeat(c.clock.now)
 	c.agents.withdrawRecordOf(m)
 	if r.AgentEpoch != m.agent.Epoch() {
-		c.epochBegan(m, r.AgentEpoch)
+		c.beginAgentEpoch(m, r.AgentEpoch)
 	}
 	c.placement.indexChanged(m)
 	m.agent.Acknowledge(r, c.clock.now)
@@ -94,8 +94,8 @@
 	return true
 }
 
-// epochBegan notes that an agent is in another epoch than before.
-func (c *Core) epochBegan(m *machine, epoch uint64) {
+// beginAgentEpoch notes that an agent is in another epoch than before.
+func (c *Core) beginAgentEpoch(m *machine, epoch uint64) {
 	if m.agent.Epoch() != 0 {
 		c.log.Info("agent began a new epoch", "machine", m.name, "agent_epoch", epoch, "allocations", len(m.capacity.allocations))
 		c.dropAllocations(m, "its agent began a new epoch")
--- a/internal/scheduler/inspections_test.go
+++ b/internal/scheduler/inspections_test.go
@@ -68,9 +68,9 @@
 	}
 }
 
-// TestLateCopiesCostLittle: copies of old heartbeats may come for minutes and from all machines;
+// TestInspectionsOfLateCopiesAreLimited: copies of old heartbeats may come for minutes and from all machines;
 // inspecting each agent for each of them would be as many commands.
-func TestLateCopiesCostLittle(t *testing.T) {
+func TestInspectionsOfLateCopiesAreLimited(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	asked := func() (names []string) {
 		for _, e := range g.out {
@@ -94,7 +94,7 @@
 		g.step(HeartbeatEvent{Heartbeat: copies[name(i)], ReplyTo: recipient("w")})
 	}
 	at := asked()
-	g.want("asked at once", len(at), maxInspections)
+	g.want("asked at once", len(at), maxConcurrentInspections)
 	for _, n := range at {
 		g.step(InspectResult{Machine: n, Heartbeat: g.heartbeatOf(n, termToken)})
 	}
@@ -133,15 +133,15 @@
 		start func(g *harness) wire.Command // sends a start to vm-1 after the inspection began
 		then  func(g *harness, o wire.Command, commandID uint64)
 	}{
-		{"a direct command, executed before the result", startDirectly, func(g *harness, o wire.Command, commandID uint64) {
+		{"a direct command, executed before the result", startByDirectCommand, func(g *harness, o wire.Command, commandID uint64) {
 			executed(g, commandID, taskIn(o, wire.TaskRunning, ""))
 			inspected(g)
 		}},
-		{"a direct command, executed after the result", startDirectly, func(g *harness, o wire.Command, commandID uint64) {
+		{"a direct command, executed after the result", startByDirectCommand, func(g *harness, o wire.Command, commandID uint64) {
 			inspected(g)
 			executed(g, commandID, taskIn(o, wire.TaskRunning, ""))
 		}},
-		{"a direct command without an answer", startDirectly, func(g *harness, _ wire.Command, commandID uint64) {
+		{"a direct command without an answer", startByDirectCommand, func(g *harness, _ wire.Command, commandID uint64) {
 			g.step(CommandResult{CommandID: commandID, Outcome: CommandOutcomeUnknown})
 			inspected(g)
 		}},
@@ -180,8 +180,8 @@
 	}
 }
 
-// startDirectly has a task started on vm-1 by a direct command.
-func startDirectly(g *harness) wire.Command {
+// startByDirectCommand has a task started on vm-1 by a direct command.
+func startByDirectCommand(g *harness) wire.Command {
 	g.submit(newTestJob("job-1", 1, 1))
 	return g.starts()[0]
 }
@@ -210,7 +210,7 @@
 			g.seq["vm-1"] = 40
 			g.wait(resetAt - silence)
 			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken))
-			o := startDirectly(g)
+			o := startByDirectCommand(g)
 			g.wait(silence)
 			reset := *g.heartbeatOf("vm-1", 0)
 			reset.Sequence = 1
@@ -224,7 +224,7 @@
 				late := result
 				g.sendHeartbeat(&late)
 			}
-			g.wantStartAfterLease()
+			g.wantRestartOnlyAfterLease()
 		})
 	}
 }
@@ -238,34 +238,34 @@
 	g.bringUp("vm-1")
 	g.seq["vm-1"] = 40
 	g.sendHeartbeat(g.heartbeatOf("vm-1", termToken))
-	o := startDirectly(g)
+	o := startByDirectCommand(g)
 	commandID := g.sentCommands[0].CommandID
 	g.now += sinceHeartbeat
 	result := *g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskRunning, ""))
 	result.Sequence = 1
 	g.step(CommandResult{CommandID: commandID, Outcome: CommandExecuted, Heartbeat: &result})
-	g.wantStartAfterLease()
+	g.wantRestartOnlyAfterLease()
 }
 
-// wantStartAfterLease lets a lease pass, which begins now, in which vm-2 can take tasks and vm-1 says
+// wantRestartOnlyAfterLease lets a lease pass, which begins now, in which vm-2 can take tasks and vm-1 says
 // nothing: a task of vm-1 is started again after it and not before.
-func (g *harness) wantStartAfterLease() {
+func (g *harness) wantRestartOnlyAfterLease() {
 	g.t.Helper()
 	g.sentCommands, g.answered = nil, nil
 	for end := g.now + 30*time.Second; g.now < end; {
 		g.wait(time.Second)
-		g.acknowledgeOther("vm-2")
+		g.bringUpOrAcknowledge("vm-2")
 	}
 	g.want("starts within its lease", len(g.starts()), 0)
 	for range 3 {
 		g.wait(time.Second)
-		g.acknowledgeOther("vm-2")
+		g.bringUpOrAcknowledge("vm-2")
 	}
 	g.want("starts after its lease", len(g.starts()), 1)
 }
 
-// acknowledgeOther has another machine be up, and its agent send a heartbeat.
-func (g *harness) acknowledgeOther(name string) {
+// bringUpOrAcknowledge has another machine be up, and its agent send a heartbeat.
+func (g *harness) bringUpOrAcknowledge(name string) {
 	if g.seq[name] == 0 {
 		g.bringUp(name)
 	}
--- a/internal/scheduler/ledger_writes.go
+++ b/internal/scheduler/ledger_writes.go
@@ -58,7 +58,7 @@
 	case hostTag:
 		j := c.jobs.list[t.job]
 		for _, host := range c.jobs.hostsDurable(j, t) {
-			c.sendPlanned(j, c.machines.list[host])
+			c.sendPlannedStarts(j, c.machines.list[host])
 		}
 	case finishedTag:
 		for _, n := range t.tasks {
@@ -69,7 +69,7 @@
 	case scaleOutTag:
 		c.scaleOuts.recordDurable(t.name)
 	case unreachableTag:
-		c.unreachableWithdrawn(t.key)
+		c.handleUnreachableRecordWithdrawn(t.key)
 	case planTag:
 		c.plans.recordDurable(t)
 	case delegatedTag:
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -107,7 +107,7 @@
 func (p *placement) placeJob(j *job, uncertain []quota.Units, more func(placed int) bool) (placed int) {
 	// Most of what waits in a full cell, or for its team's limit, can't be placed: that must
 	// show before any machine is examined.
-	if len(j.progress.waiting) == 0 || !p.attempts.attemptsLeft() || p.index.Infeasible(j.request.size) || !p.withinLimit(j, uncertain) {
+	if len(j.progress.waiting) == 0 || !p.attempts.hasAttemptsLeft() || p.index.Infeasible(j.request.size) || !p.withinLimit(j, uncertain) {
 		return 0
 	}
 	p.resolveTypes(j)
@@ -115,7 +115,7 @@
 	if j.spec.Gang {
 		onlyZone = p.gangZone(j)
 	}
-	for len(j.progress.waiting) > 0 && p.attempts.attemptsLeft() && (more == nil || more(placed)) {
+	for len(j.progress.waiting) > 0 && p.attempts.hasAttemptsLeft() && (more == nil || more(placed)) {
 		if j.suspect() && j.progress.allocated > 0 || !p.withinLimit(j, uncertain) {
 			return placed // a suspect job is tried one task at a time
 		}
@@ -146,7 +146,7 @@
 		c.jobs.addHost(j, m)
 	}
 	if j.record.hosts[j.record.hostAt[m.index]].durable {
-		c.commands.sendStart(j, m, b)
+		c.commands.queueStart(j, m, b)
 	}
 }
 
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -17,17 +17,17 @@
 // had the same result. So there are few at first, one more for each whose result comes soon, and
 // fewer again when results come late.
 const (
-	minProbes = 4
-	maxProbes = 64
-	fastProbe = 150 * time.Millisecond
-	slowProbe = 500 * time.Millisecond
+	minConcurrentProbes = 4
+	maxConcurrentProbes = 64
+	fastProbeLatency    = 150 * time.Millisecond
+	slowProbeLatency    = 500 * time.Millisecond
 )
 
 // probes are the machines that are to be probed, and how many of them may be at once.
 type probes struct {
 	waiting  []*machine
-	underWay int
-	atOnce   int
+	inFlight int
+	limit    int
 }
 
 // probePeriod is how long after the beginning of a term machines are probed. What is unreachable
@@ -36,57 +36,57 @@
 
 // probe sends the agent of a machine of an earlier term our token.
 func (a *agents) probe(m *machine) {
-	if m.contact.probes > 0 || m.trusted(a.term) || m.agent.Address() == "" || a.clock.now-a.clock.termStart > probePeriod {
+	if m.contact.probesSent > 0 || m.trusted(a.term) || m.agent.Address() == "" || a.clock.now-a.clock.termStart > probePeriod {
 		return
 	}
-	m.contact.probes = 1
+	m.contact.probesSent = 1
 	a.probes.waiting = append(a.probes.waiting, m)
 	a.sendProbes()
 }
 
 func (a *agents) sendProbes() {
-	for len(a.probes.waiting) > 0 && a.probes.underWay < a.probes.atOnce {
+	for len(a.probes.waiting) > 0 && a.probes.inFlight < a.probes.limit {
 		m := a.probes.waiting[0]
 		a.probes.waiting = a.probes.waiting[1:]
 		if m.trusted(a.term) || m.state == machineGone || m.state == machineDeleting {
 			continue
 		}
-		a.probes.underWay++
+		a.probes.inFlight++
 		probe := &commandInFlight{
 			machine:              m,
 			agentEpoch:           m.agent.LikelyEpoch(),
 			fencingToken:         m.agent.FencingToken(),
 			probe:                true,
-			sent:                 a.clock.now,
+			sentAt:               a.clock.now,
 			addressFromSoftState: m.agent.AddressInherited(),
 		}
 		a.commands.sendCommand(probe, []wire.Command{})
 	}
 }
 
-// probeResult follows up on a probe: one that named the wrong epoch is repeated once with the
+// handleProbeResult follows up on a probe: one that named the wrong epoch is repeated once with the
 // right one.
-func (a *agents) probeResult(command *commandInFlight, outcome CommandOutcome) {
+func (a *agents) handleProbeResult(command *commandInFlight, outcome CommandOutcome) {
 	m := command.machine
-	a.probes.underWay--
-	switch took := a.clock.now - command.sent; {
+	a.probes.inFlight--
+	switch took := a.clock.now - command.sentAt; {
 	case outcome == CommandOutcomeUnknown || outcome == CommandNotSent:
 		// It says something about that machine only.
-	case took <= fastProbe:
-		a.probes.atOnce = min(a.probes.atOnce+1, maxProbes)
-	case took >= slowProbe:
-		a.probes.atOnce = max(a.probes.atOnce/2, minProbes)
+	case took <= fastProbeLatency:
+		a.probes.limit = min(a.probes.limit+1, maxConcurrentProbes)
+	case took >= slowProbeLatency:
+		a.probes.limit = max(a.probes.limit/2, minConcurrentProbes)
 	}
-	if outcome == CommandRejected && m.contact.probes == 1 && !m.trusted(a.term) {
-		m.contact.probes++
+	if outcome == CommandRejected && m.contact.probesSent == 1 && !m.trusted(a.term) {
+		m.contact.probesSent++
 		a.probes.waiting = append(a.probes.waiting, m)
 	}
 	a.sendProbes()
 }
 
-// probeInherited probes the machines that the ledger names at their inherited addresses, without
+// probeInheritedAddresses probes the machines that the ledger names at their inherited addresses, without
 // waiting for the cloud's list.
-func (a *agents) probeInherited() {
+func (a *agents) probeInheritedAddresses() {
 	for _, m := range a.machines.live {
 		if m.agent.AddressInherited() {
 			a.probe(m)
@@ -94,9 +94,9 @@
 	}
 }
 
-// inheritedAddressFailed drops the inherited address of a machine. The cloud's list or its next
+// dropInheritedAddress drops the inherited address of a machine. The cloud's list or its next
 // heartbeat has the present one.
-func (a *agents) inheritedAddressFailed(m *machine) {
+func (a *agents) dropInheritedAddress(m *machine) {
 	m.agent.DropInherited()
-	m.contact.probes = 0
+	m.contact.probesSent = 0
 }
--- a/internal/scheduler/probes_test.go
+++ b/internal/scheduler/probes_test.go
@@ -58,9 +58,9 @@
 		takes time.Duration
 		most  int // on their way at once, at the end
 	}{
-		{"at once", 50 * time.Millisecond, maxProbes},
-		{"neither soon nor late", 300 * time.Millisecond, minProbes},
-		{"late", time.Second, minProbes},
+		{"at once", 50 * time.Millisecond, maxConcurrentProbes},
+		{"neither soon nor late", 300 * time.Millisecond, minConcurrentProbes},
+		{"late", time.Second, minConcurrentProbes},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -71,7 +71,7 @@
 			}
 			g.now += time.Second
 			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}, List: list}})
-			g.want("at first", len(g.sentCommands), minProbes)
+			g.want("at first", len(g.sentCommands), minConcurrentProbes)
 			most := 0
 			for len(g.sentCommands) > 0 && g.now < 8*time.Second {
 				most = max(most, len(g.sentCommands))
--- a/internal/scheduler/renewal_model_test.go
+++ b/internal/scheduler/renewal_model_test.go
@@ -34,111 +34,111 @@
 
 // modelAgent is an agent as the protocol defines it.
 type modelAgent struct {
-	name                string
-	session, seq, token uint64
-	renewed             time.Duration
-	tasks               []wire.TaskStatus
-	known               map[uint64]bool
-	hung                bool
+	name                          string
+	epoch, sequence, fencingToken uint64
+	leaseRenewedAt                time.Duration
+	tasks                         []wire.TaskStatus
+	knownAttempts                 map[uint64]bool
+	hung                          bool
 }
 
-func (w *modelAgent) report() *wire.Heartbeat {
-	w.seq++
+func (w *modelAgent) nextHeartbeat() *wire.Heartbeat {
+	w.sequence++
 	return &wire.Heartbeat{Machine: w.name, Address: w.name + ":9000", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a", Spot: true},
-		AgentEpoch: w.session, Sequence: w.seq, FencingToken: w.token, Tasks: slices.Clone(w.tasks)}
+		AgentEpoch: w.epoch, Sequence: w.sequence, FencingToken: w.fencingToken, Tasks: slices.Clone(w.tasks)}
 }
 
 func (w *modelAgent) execute(orders []wire.Command) {
 	for _, o := range orders {
 		at := slices.IndexFunc(w.tasks, func(t wire.TaskStatus) bool { return t.Attempt == o.Attempt })
 		switch {
-		case o.Verb == wire.VerbStart && !w.known[o.Attempt]:
-			w.known[o.Attempt] = true
+		case o.Verb == wire.VerbStart && !w.knownAttempts[o.Attempt]:
+			w.knownAttempts[o.Attempt] = true
 			w.tasks = append(w.tasks, wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: wire.TaskRunning})
 		case o.Verb == wire.VerbStop && at >= 0 && w.tasks[at].Status != wire.TaskEnded:
 			w.tasks[at].Status, w.tasks[at].ExitReason = wire.TaskEnded, wire.ExitStopped
 		case o.Verb == wire.VerbForget && at >= 0 && w.tasks[at].Status == wire.TaskEnded:
 			w.tasks = slices.Delete(w.tasks, at, at+1)
-			delete(w.known, o.Attempt)
+			delete(w.knownAttempts, o.Attempt)
 		}
 	}
 }
 
-// command carries a direct command out, or refuses it.
-func (w *modelAgent) command(c wire.CommandRequest) CommandOutcome {
-	if c.FencingToken < w.token || c.AgentEpoch != w.session {
+// executeRequest carries a direct command out, or refuses it.
+func (w *modelAgent) executeRequest(c wire.CommandRequest) CommandOutcome {
+	if c.FencingToken < w.fencingToken || c.AgentEpoch != w.epoch {
 		return CommandRejected
 	}
-	w.token = c.FencingToken
+	w.fencingToken = c.FencingToken
 	w.execute(c.Commands)
 	return CommandExecuted
 }
 
-// expire ends the epoch if no response has renewed its lease for so long.
-func (w *modelAgent) expire(now time.Duration) {
-	if now-w.renewed > modelLease {
-		w.session, w.seq, w.renewed, w.tasks, w.known = w.session+1, 0, now, nil, map[uint64]bool{}
+// expireLease ends the epoch if no response has renewed its lease for so long.
+func (w *modelAgent) expireLease(now time.Duration) {
+	if now-w.leaseRenewedAt > modelLease {
+		w.epoch, w.sequence, w.leaseRenewedAt, w.tasks, w.knownAttempts = w.epoch+1, 0, now, nil, map[uint64]bool{}
 	}
 }
 
-// renewals is one history.
-type renewals struct {
-	t       tester
-	r       property.Chooser
-	g       *harness
-	workers []*modelAgent
-	refs    []string
-	told    map[string]time.Duration // when a job was reported as cancelled
-	reports map[recipient]*wire.Heartbeat
-	answers map[recipient]*wire.HeartbeatResponse
-	late    []func() // messages that are held up
-	count   int
+// renewalHistory is one history.
+type renewalHistory struct {
+	t                   tester
+	random              property.Chooser
+	harness             *harness
+	agents              []*modelAgent
+	jobIDs              []string
+	cancelledAt         map[string]time.Duration // when a job was reported as cancelled
+	heartbeats          map[recipient]*wire.Heartbeat
+	responses           map[recipient]*wire.HeartbeatResponse
+	delayedMessages     []func() // messages that are held up
+	heartbeatsDelivered int
 }
 
 // TestRenewalsStopCancelledTasks plays histories from fixed seeds.
 func TestRenewalsStopCancelledTasks(t *testing.T) {
 	for seed := range uint64(300) {
-		playRenewals(t, rand.New(rand.NewPCG(seed, 17)), 250)
+		runRenewalHistory(t, rand.New(rand.NewPCG(seed, 17)), 250)
 	}
 }
 
 // TestRenewalsProperty has rapid search for a short history that breaks a rule.
 func TestRenewalsProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		playRenewals(t, property.RapidChooser{T: t}, rapid.IntRange(30, 120).Draw(t, "steps"))
+		runRenewalHistory(t, property.RapidChooser{T: t}, rapid.IntRange(30, 120).Draw(t, "steps"))
 	})
 }
 
-func playRenewals(t tester, r property.Chooser, steps int) {
-	h := &renewals{t: t, r: r, g: newHarness(t, ledger.Snapshot{}), told: map[string]time.Duration{}, reports: map[recipient]*wire.Heartbeat{}, answers: map[recipient]*wire.HeartbeatResponse{}}
+func runRenewalHistory(t tester, r property.Chooser, steps int) {
+	h := &renewalHistory{t: t, random: r, harness: newHarness(t, ledger.Snapshot{}), cancelledAt: map[string]time.Duration{}, heartbeats: map[recipient]*wire.Heartbeat{}, responses: map[recipient]*wire.HeartbeatResponse{}}
 	for k := range 4 {
-		h.workers = append(h.workers, &modelAgent{name: fmt.Sprintf("vm-%d", k+1), session: 1, known: map[uint64]bool{}})
+		h.agents = append(h.agents, &modelAgent{name: fmt.Sprintf("vm-%d", k+1), epoch: 1, knownAttempts: map[uint64]bool{}})
 	}
 	for range steps {
-		h.act()
-		h.checkTasks()
+		h.performRandomAction()
+		h.checkEffects()
 	}
 }
 
-// act has one thing happen.
-func (h *renewals) act() {
-	w := h.workers[h.r.IntN(len(h.workers))]
-	switch k := h.r.IntN(40); {
+// performRandomAction has one thing happen.
+func (h *renewalHistory) performRandomAction() {
+	w := h.agents[h.random.IntN(len(h.agents))]
+	switch k := h.random.IntN(40); {
 	case k < 14:
 		h.sendHeartbeatOf(w)
 	case k < 20:
-		h.endCommand()
+		h.finishRandomCommand()
 	case k < 24:
-		h.pass()
+		h.advanceTime()
 	case k < 27:
-		h.submit()
-	case k < 30 && len(h.refs) > 0:
-		jobID := h.refs[h.r.IntN(len(h.refs))]
-		h.g.step(CancelRequest{JobID: jobID, ReplyTo: recipient(jobID)})
-	case k < 33 && len(h.late) > 0:
-		at := h.r.IntN(len(h.late))
-		message := h.late[at]
-		h.late = slices.Delete(h.late, at, at+1)
+		h.submitJob()
+	case k < 30 && len(h.jobIDs) > 0:
+		jobID := h.jobIDs[h.random.IntN(len(h.jobIDs))]
+		h.harness.step(CancelRequest{JobID: jobID, ReplyTo: recipient(jobID)})
+	case k < 33 && len(h.delayedMessages) > 0:
+		at := h.random.IntN(len(h.delayedMessages))
+		message := h.delayedMessages[at]
+		h.delayedMessages = slices.Delete(h.delayedMessages, at, at+1)
 		message()
 	case k < 35:
 		w.hung = !w.hung
@@ -149,98 +149,98 @@
 				break
 			}
 		}
-	case k < 37 && h.r.IntN(4) == 0:
-		h.takeOver()
-	case k < 38 && h.r.IntN(4) == 0 && len(h.g.deleted) > 0:
-		h.remove(h.g.deleted[h.r.IntN(len(h.g.deleted))])
+	case k < 37 && h.random.IntN(4) == 0:
+		h.changeLeader()
+	case k < 38 && h.random.IntN(4) == 0 && len(h.harness.deleted) > 0:
+		h.confirmDeletion(h.harness.deleted[h.random.IntN(len(h.harness.deleted))])
 	}
 }
 
-// pass lets up to three seconds pass.
-func (h *renewals) pass() {
-	h.g.wait(time.Duration(1+h.r.IntN(12)) * 250 * time.Millisecond)
-	for _, w := range h.workers {
+// advanceTime lets up to three seconds pass.
+func (h *renewalHistory) advanceTime() {
+	h.harness.wait(time.Duration(1+h.random.IntN(12)) * 250 * time.Millisecond)
+	for _, w := range h.agents {
 		if !w.hung {
-			w.expire(h.g.now)
+			w.expireLease(h.harness.now)
 		}
 	}
 }
 
-func (h *renewals) submit() {
-	j := newTestJob(fmt.Sprintf("job-%06d", len(h.refs)), 1+h.r.IntN(3), 1)
-	h.refs = append(h.refs, j.ID)
-	h.g.submit(j)
+func (h *renewalHistory) submitJob() {
+	j := newTestJob(fmt.Sprintf("job-%06d", len(h.jobIDs)), 1+h.random.IntN(3), 1)
+	h.jobIDs = append(h.jobIDs, j.ID)
+	h.harness.submit(j)
 }
 
 // sendHeartbeatOf has an agent send a heartbeat. It or its response may be lost, and a copy may come
 // late.
-func (h *renewals) sendHeartbeatOf(w *modelAgent) {
+func (h *renewalHistory) sendHeartbeatOf(w *modelAgent) {
 	if w.hung {
 		return
 	}
-	w.expire(h.g.now)
-	sent, report := h.g.now, w.report()
-	if h.r.IntN(5) == 0 {
-		h.late = append(h.late, func() { h.deliver(report) })
+	w.expireLease(h.harness.now)
+	sent, report := h.harness.now, w.nextHeartbeat()
+	if h.random.IntN(5) == 0 {
+		h.delayedMessages = append(h.delayedMessages, func() { h.deliver(report) })
 	}
-	if h.r.IntN(8) == 0 {
+	if h.random.IntN(8) == 0 {
 		return
 	}
 	answer := h.deliver(report)
-	if answer == nil || h.r.IntN(8) == 0 || answer.FencingToken < w.token {
+	if answer == nil || h.random.IntN(8) == 0 || answer.FencingToken < w.fencingToken {
 		return
 	}
-	w.token, w.renewed = answer.FencingToken, sent
+	w.fencingToken, w.leaseRenewedAt = answer.FencingToken, sent
 	w.execute(answer.Commands)
 }
 
 // deliver brings a heartbeat to the core and returns the response, if it is sent at once.
-func (h *renewals) deliver(report *wire.Heartbeat) *wire.HeartbeatResponse {
-	h.count++
-	to := recipient(fmt.Sprint("report ", h.count))
-	h.reports[to] = report
-	h.g.step(HeartbeatEvent{Heartbeat: report, ReplyTo: to})
-	h.checkTasks()
-	return h.answers[to]
+func (h *renewalHistory) deliver(report *wire.Heartbeat) *wire.HeartbeatResponse {
+	h.heartbeatsDelivered++
+	to := recipient(fmt.Sprint("report ", h.heartbeatsDelivered))
+	h.heartbeats[to] = report
+	h.harness.step(HeartbeatEvent{Heartbeat: report, ReplyTo: to})
+	h.checkEffects()
+	return h.responses[to]
 }
 
-// endCommand has a command on its way carried out, lost, or held up.
-func (h *renewals) endCommand() {
-	if len(h.g.sentCommands) == 0 {
+// finishRandomCommand has a command on its way carried out, lost, or held up.
+func (h *renewalHistory) finishRandomCommand() {
+	if len(h.harness.sentCommands) == 0 {
 		return
 	}
-	at := h.r.IntN(len(h.g.sentCommands))
-	d := h.g.sentCommands[at]
-	h.g.sentCommands = slices.Delete(h.g.sentCommands, at, at+1)
-	i := slices.IndexFunc(h.workers, func(w *modelAgent) bool { return w.name == d.Machine })
-	if i < 0 || h.workers[i].hung || h.r.IntN(3) == 0 {
-		if i >= 0 && h.r.IntN(2) == 0 {
-			w := h.workers[i]
-			h.late = append(h.late, func() { w.command(d.Request) })
+	at := h.random.IntN(len(h.harness.sentCommands))
+	d := h.harness.sentCommands[at]
+	h.harness.sentCommands = slices.Delete(h.harness.sentCommands, at, at+1)
+	i := slices.IndexFunc(h.agents, func(w *modelAgent) bool { return w.name == d.Machine })
+	if i < 0 || h.agents[i].hung || h.random.IntN(3) == 0 {
+		if i >= 0 && h.random.IntN(2) == 0 {
+			w := h.agents[i]
+			h.delayedMessages = append(h.delayedMessages, func() { w.executeRequest(d.Request) })
 		}
-		h.g.step(CommandResult{CommandID: d.CommandID, Outcome: CommandOutcomeUnknown})
+		h.harness.step(CommandResult{CommandID: d.CommandID, Outcome: CommandOutcomeUnknown})
 		return
 	}
-	w := h.workers[i]
-	h.g.step(CommandResult{CommandID: d.CommandID, Outcome: w.command(d.Request), Heartbeat: w.report()})
+	w := h.agents[i]
+	h.harness.step(CommandResult{CommandID: d.CommandID, Outcome: w.executeRequest(d.Request), Heartbeat: w.nextHeartbeat()})
 }
 
-// remove has the cloud delete a machine at last.
-func (h *renewals) remove(name string) {
-	h.workers = slices.DeleteFunc(h.workers, func(w *modelAgent) bool { return w.name == name && len(h.workers) > 2 })
-	if !slices.ContainsFunc(h.workers, func(w *modelAgent) bool { return w.name == name }) {
-		h.g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{name}}}})
+// confirmDeletion has the cloud delete a machine at last.
+func (h *renewalHistory) confirmDeletion(name string) {
+	h.agents = slices.DeleteFunc(h.agents, func(w *modelAgent) bool { return w.name == name && len(h.agents) > 2 })
+	if !slices.ContainsFunc(h.agents, func(w *modelAgent) bool { return w.name == name }) {
+		h.harness.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{name}}}})
 	}
 }
 
-// takeOver begins a new term from what the ledger holds. Now and then the record of a
+// changeLeader begins a new term from what the ledger holds. Now and then the record of a
 // cancelled job can't be read any more.
-func (h *renewals) takeOver() {
+func (h *renewalHistory) changeLeader() {
 	records := map[string]any{}
-	for jobID, j := range h.g.specs {
+	for jobID, j := range h.harness.specs {
 		records[ledger.JobKey(jobID)] = ledger.JobRecord{Job: j, AcceptedMS: 1}
 	}
-	for key, w := range h.g.writes {
+	for key, w := range h.harness.writes {
 		records[key] = w.Value
 	}
 	var entries []wire.Entry
@@ -255,70 +255,70 @@
 	}
 	slices.SortFunc(entries, func(a, b wire.Entry) int { return strings.Compare(a.Key, b.Key) })
 	for i := range entries {
-		for _, jobID := range h.refs {
-			if _, cancelled := h.told[jobID]; cancelled && entries[i].Key == ledger.JobKey(jobID) && h.r.IntN(10) == 0 {
+		for _, jobID := range h.jobIDs {
+			if _, cancelled := h.cancelledAt[jobID]; cancelled && entries[i].Key == ledger.JobKey(jobID) && h.random.IntN(10) == 0 {
 				entries[i].Value = []byte("[]")
 			}
 		}
 	}
 	cfg := testConfig(settings.Defaults(), settings.Team{Name: "t"})
-	cfg.Term = h.g.c.term + 1
+	cfg.Term = h.harness.c.term + 1
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	snapshot := ledger.New(cfg.Term, nil, func() ledger.Limits { return ledger.Limits{} }, log).Adopt(entries, 1)
-	old := h.g
+	old := h.harness
 	for _, d := range old.sentCommands {
-		if i := slices.IndexFunc(h.workers, func(w *modelAgent) bool { return w.name == d.Machine }); i >= 0 {
-			w := h.workers[i]
-			h.late = append(h.late, func() { w.command(d.Request) })
+		if i := slices.IndexFunc(h.agents, func(w *modelAgent) bool { return w.name == d.Machine }); i >= 0 {
+			w := h.agents[i]
+			h.delayedMessages = append(h.delayedMessages, func() { w.executeRequest(d.Request) })
 		}
 	}
-	h.g = newHarnessAt(h.t, old.now, cfg, snapshot)
-	h.g.specs = old.specs
+	h.harness = newHarnessAt(h.t, old.now, cfg, snapshot)
+	h.harness.specs = old.specs
 	for key, w := range old.writes {
-		if _, rewritten := h.g.writes[key]; !rewritten {
-			h.g.writes[key] = w
+		if _, rewritten := h.harness.writes[key]; !rewritten {
+			h.harness.writes[key] = w
 		}
 	}
 }
 
-// checkTasks takes the core's responses and checks them, and the agents, against the rules.
-func (h *renewals) checkTasks() {
-	out := h.g.out
-	h.g.out = nil
+// checkEffects takes the core's responses and checks them, and the agents, against the rules.
+func (h *renewalHistory) checkEffects() {
+	out := h.harness.out
+	h.harness.out = nil
 	for _, e := range out {
 		switch e := e.(type) {
 		case UserReply:
-			if _, known := h.told[e.Status.ID]; !known && e.Status.Status == wire.JobCancelled {
-				h.told[e.Status.ID] = h.g.now
+			if _, known := h.cancelledAt[e.Status.ID]; !known && e.Status.Status == wire.JobCancelled {
+				h.cancelledAt[e.Status.ID] = h.harness.now
 			}
 		case HeartbeatReply:
 			if to, ok := e.ReplyTo.(recipient); ok && e.Response != nil {
-				h.answers[to] = e.Response
-				h.checkStops(h.reports[to], e.Response)
+				h.responses[to] = e.Response
+				h.checkStops(h.heartbeats[to], e.Response)
 			}
 		case InspectAgent:
-			for _, w := range h.workers {
+			for _, w := range h.agents {
 				if w.name == e.Machine && !w.hung {
-					h.g.step(InspectResult{Machine: w.name, Heartbeat: w.report()})
+					h.harness.step(InspectResult{Machine: w.name, Heartbeat: w.nextHeartbeat()})
 				}
 			}
 		}
 	}
-	for _, w := range h.workers {
+	for _, w := range h.agents {
 		for _, t := range w.tasks {
 			jobID := wire.JobIDOfTask(t.Task)
-			if told, cancelled := h.told[jobID]; cancelled && !w.hung && t.Status != wire.TaskEnded && h.g.now-told > modelCancel {
-				h.t.Errorf("%s is on %s %s after its job was told as cancelled", t.Task, w.name, h.g.now-told)
+			if told, cancelled := h.cancelledAt[jobID]; cancelled && !w.hung && t.Status != wire.TaskEnded && h.harness.now-told > modelCancel {
+				h.t.Errorf("%s is on %s %s after its job was told as cancelled", t.Task, w.name, h.harness.now-told)
 			}
 		}
 	}
 }
 
 // checkStops checks that a response has the stops that its heartbeat requires.
-func (h *renewals) checkStops(report *wire.Heartbeat, answer *wire.HeartbeatResponse) {
+func (h *renewalHistory) checkStops(report *wire.Heartbeat, answer *wire.HeartbeatResponse) {
 	for _, t := range report.Tasks {
 		jobID := wire.JobIDOfTask(t.Task)
-		if _, cancelled := h.told[jobID]; !cancelled || t.Status == wire.TaskEnded {
+		if _, cancelled := h.cancelledAt[jobID]; !cancelled || t.Status == wire.TaskEnded {
 			continue
 		}
 		if !slices.ContainsFunc(answer.Commands, func(o wire.Command) bool { return o.Verb == wire.VerbStop && o.Attempt == t.Attempt }) {
--- a/internal/scheduler/required_stops.go
+++ b/internal/scheduler/required_stops.go
@@ -11,8 +11,8 @@
 
 // What a list of tasks is worth.
 const (
-	maybeOld heartbeatTrust = iota // it may be a copy from before, of any age
-	trusted                        // it is the agent's newest, and the agent has acknowledged the term's token
+	untrustedHeartbeat heartbeatTrust = iota // it may be a copy from before, of any age
+	trustedHeartbeat                         // it is the agent's newest, and the agent has acknowledged the term's token
 )
 
 // requiredStops lists the stops that the response to a heartbeat must contain: those of the
@@ -47,7 +47,7 @@
 		return 0, true // its progress is of no use
 	case found.allocation == nil:
 		// What has no allocation, in a heartbeat that may be an old copy, is not judged yet.
-		return 0, trust == trusted
+		return 0, trust == trustedHeartbeat
 	}
 	return found.allocation.gracePeriod, found.allocation.stopping
 }
@@ -66,26 +66,26 @@
 		return
 	}
 	for _, attempt := range command.startedAttempts {
-		if b := m.allocation(attempt); b != nil && b.stopping && isAlive(r, attempt) {
-			q.sendStop(m, b)
+		if b := m.allocation(attempt); b != nil && b.stopping && listsLiveAttempt(r, attempt) {
+			q.queueStop(m, b)
 		}
 	}
 	for _, attempt := range command.stoppedAttempts {
 		b := m.allocation(attempt)
-		if b != nil && b.stopping && b.state == allocationSent && !b.stopRepeated && !isAlive(r, attempt) {
+		if b != nil && b.stopping && b.state == allocationSent && !b.stopRepeated && !listsLiveAttempt(r, attempt) {
 			b.stopRepeated = true
-			q.sendStop(m, b)
+			q.queueStop(m, b)
 		}
 	}
 }
 
-// sendStop queues the stop of an allocated attempt.
-func (q *commands) sendStop(m *machine, b *allocation) {
+// queueStop queues the stop of an allocated attempt.
+func (q *commands) queueStop(m *machine, b *allocation) {
 	q.queueCommand(m, stopCommand(q.jobs.taskName(b), b.attempt, b.gracePeriod))
 }
 
-// isAlive tells whether a heartbeat lists an attempt that has not ended.
-func isAlive(r *wire.Heartbeat, attempt uint64) bool {
+// listsLiveAttempt tells whether a heartbeat lists an attempt that has not ended.
+func listsLiveAttempt(r *wire.Heartbeat, attempt uint64) bool {
 	return slices.ContainsFunc(r.Tasks, func(t wire.TaskStatus) bool {
 		return t.Attempt == attempt && t.Status != wire.TaskEnded
 	})
--- a/internal/scheduler/required_stops_test.go
+++ b/internal/scheduler/required_stops_test.go
@@ -97,13 +97,13 @@
 	}
 }
 
-// TestCancelEndsSaving: a task is told to stop and may save its progress, since its machine
+// TestCancelEndsCheckpointGracePeriod: a task is told to stop and may save its progress, since its machine
 // will be taken back; then its job is cancelled, and the task was let save to the end. How
 // long that takes is the user's word (flush_s), and may be more than cancel_s.
 //
 // Evidence: without the repair below no command left at the cancellation, and before answers
 // were mended (TestEveryResponseStopsCancelledTasks) the next one gave the time to save again.
-func TestCancelEndsSaving(t *testing.T) {
+func TestCancelEndsCheckpointGracePeriod(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
 	j := newTestJob("job-1", 1, 1)
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -23,10 +23,10 @@
 	for _, h := range s.ScaleOuts {
 		c.restoreScaleOut(h)
 	}
-	c.restoreUnreachable(s.Unreachable)
+	c.restoreUnreachableRecords(s.Unreachable)
 	c.restoreTransfers(s)
 	c.plans.restore(s.Plans)
-	c.agents.probeInherited()
+	c.agents.probeInheritedAddresses()
 }
 
 // restoreJob takes a job from the ledger at the start of a term.
--- a/internal/scheduler/scale_in.go
+++ b/internal/scheduler/scale_in.go
@@ -94,14 +94,14 @@
 		if !r.agents.heartbeatExpected(m) || m.zone < 0 {
 			continue
 		}
-		zones[m.zone].up++
-		all.up++
-		if r.agents.unacknowledgedFor(m) >= r.agents.unreachableAfter() && m.rental.missedListings < 2 {
+		zones[m.zone].expected++
+		all.expected++
+		if r.agents.unacknowledgedFor(m) >= r.agents.unreachableTimeout() && m.rental.missedListings < 2 {
 			zones[m.zone].unreachable++
 			all.unreachable++
 		}
 	}
-	r.agents.zonesCounted(zones, all)
+	r.agents.updateZoneCounts(zones, all)
 	return cores
 }
 
@@ -126,10 +126,10 @@
 	switch {
 	case m.state == machineDeleting:
 		return "not yet known to be gone"
-	case r.agents.heartbeatExpected(m) && unacknowledged > r.agents.unreachableAfter() && m.rental.missedListings >= 2:
+	case r.agents.heartbeatExpected(m) && unacknowledged > r.agents.unreachableTimeout() && m.rental.missedListings >= 2:
 		// Absence from the list proves nothing, but its deletion will.
 		return "unreachable and not listed any more"
-	case r.agents.heartbeatExpected(m) && unacknowledged > 4*r.agents.heartbeatInterval && !r.agents.zoneCutOff(m):
+	case r.agents.heartbeatExpected(m) && unacknowledged > 4*r.agents.heartbeatInterval && !r.agents.zonePartitioned(m):
 		return "unreachable"
 	case m.state == machineStarting:
 		return r.reasonToStopBoot(m, unacknowledged)
--- a/internal/scheduler/soft_state_test.go
+++ b/internal/scheduler/soft_state_test.go
@@ -64,7 +64,7 @@
 	g.sentCommands = nil
 	g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandNotSent})
 	m := g.c.machineNamed("vm-1")
-	g.want("address, shunned, doubted", []any{m.agent.Address(), m.commands.avoidUntil, m.agent.Unacknowledged()}, []any{"", time.Duration(0), false})
+	g.want("address, shunned, doubted", []any{m.agent.Address(), m.commands.noStartsUntil, m.agent.Unacknowledged()}, []any{"", time.Duration(0), false})
 	g.want("bookings by the hint", g.c.jobs.list[0].progress.allocated, 0)
 	for _, token := range []uint64{0, termToken} {
 		r := g.heartbeatOf("vm-1", token)
--- a/internal/scheduler/start_delivery.go
+++ b/internal/scheduler/start_delivery.go
@@ -43,8 +43,8 @@
 	return d.withdrawDeferred() || d.state.Load() == deliveryWithdrawn
 }
 
-// send decides whether the start may leave the controller at this moment.
-func (d *StartDelivery) send() sendDecision {
+// decideSend decides whether the start may leave the controller at this moment.
+func (d *StartDelivery) decideSend() sendDecision {
 	if d.forbidden != nil && d.forbidden.Load() && d.withdrawDeferred() {
 		return sendForbidden
 	}
@@ -70,16 +70,16 @@
 	}
 }
 
-// Send is called right before commands leave the controller. It returns those that may: all but
+// TakeSendable is called right before commands leave the controller. It returns those that may: all but
 // the starts that were withdrawn. forbidden are the starts that are held back though the core has
 // not withdrawn them, which must never happen. The list of commands is used up.
-func (s StartDeliveries) Send(commands []wire.Command) (sendable, forbidden []wire.Command) {
+func (s StartDeliveries) TakeSendable(commands []wire.Command) (sendable, forbidden []wire.Command) {
 	next := 0
 	sendable = slices.DeleteFunc(commands, func(command wire.Command) bool {
 		if command.Verb != wire.VerbStart || next == len(s) {
 			return false
 		}
-		decision := s[next].send()
+		decision := s[next].decideSend()
 		next++
 		if decision == sendForbidden {
 			forbidden = append(forbidden, command)
--- a/internal/scheduler/start_delivery_test.go
+++ b/internal/scheduler/start_delivery_test.go
@@ -29,11 +29,11 @@
 				starts, commands := deliver(g)
 				starts.Defer()
 				if c.sent {
-					starts.Send(commands)
+					starts.TakeSendable(commands)
 				}
 				g.sentCommands = nil
 				g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
-				sendable, forbidden := starts.Send(commands)
+				sendable, forbidden := starts.TakeSendable(commands)
 				g.want("sent after the cancellation", len(sendable), c.sendable)
 				g.want("forbidden", len(forbidden), 0)
 				g.want("allocations", g.c.jobs.list[0].progress.allocated, c.allocated)
@@ -67,15 +67,15 @@
 	return nil, nil
 }
 
-// TestWithdrawnCommandLeavesNoTrace guards against a machine that is avoided because a command to
+// TestWithdrawnCommandDoesNotSuspendStarts guards against a machine that is avoided because a command to
 // it was withdrawn: it says nothing about the machine, which takes the next start at once.
-func TestWithdrawnCommandLeavesNoTrace(t *testing.T) {
+func TestWithdrawnCommandDoesNotSuspendStarts(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
 	starts, commands := startInCommand(g)
 	starts.Defer()
 	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
-	starts.Send(commands)
+	starts.TakeSendable(commands)
 	g.endCommands(CommandWithdrawn)
 	g.submit(newTestJob("job-2", 1, 1))
 	g.want("starts of the next job", len(g.starts()), 1)
@@ -109,7 +109,7 @@
 			job := jobEnd{state: wire.JobCancelled}
 			delivery.forbidWhen(&job.cancellationConfirmed)
 			c.prepare(&delivery, &job)
-			sendable, forbidden := StartDeliveries{&delivery}.Send([]wire.Command{stop, start})
+			sendable, forbidden := StartDeliveries{&delivery}.TakeSendable([]wire.Command{stop, start})
 			if len(sendable) != c.sendable || len(forbidden) != c.forbidden {
 				t.Errorf("sendable %v, forbidden %v", sendable, forbidden)
 			}
@@ -127,7 +127,7 @@
 		var delivery StartDelivery
 		StartDeliveries{&delivery}.Defer()
 		sent := make(chan bool)
-		go func() { sent <- delivery.send() == sendAllowed }()
+		go func() { sent <- delivery.decideSend() == sendAllowed }()
 		withdrawn := delivery.withdraw()
 		if <-sent == withdrawn {
 			t.Fatalf("sent and withdrawn are both %v", withdrawn)
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -14,27 +14,27 @@
 			continue // the response stops it, see mustStop
 		}
 		if t.Status == wire.TaskEnded {
-			c.attemptEnded(m, j, n, b, t)
+			c.handleAttemptEnd(m, j, n, b, t)
 			continue
 		}
 		if b == nil {
-			if b = c.adopt(m, j, n, t); b == nil {
+			if b = c.adoptTask(m, j, n, t); b == nil {
 				continue
 			}
 			if b.stopping && source == fromCommandResult {
-				c.commands.sendStop(m, b) // no response that could carry it is sent there
+				c.commands.queueStop(m, b) // no response that could carry it is sent there
 			}
 		}
 		b.state, b.lastHeartbeatSeen = allocationConfirmed, c.agents.heartbeatsProcessed
 		if t.Status != b.status {
-			c.statusChanged(m, j, b, t.Status)
+			c.updateTaskStatus(m, j, b, t.Status)
 		}
 	}
 	c.releaseMissing(m, r, source)
 }
 
-// statusChanged notes that a task's status differs from that in the last heartbeat.
-func (c *Core) statusChanged(m *machine, j *job, b *allocation, status string) {
+// updateTaskStatus notes that a task's status differs from that in the last heartbeat.
+func (c *Core) updateTaskStatus(m *machine, j *job, b *allocation, status string) {
 	b.status = status
 	if status != wire.TaskRunning {
 		return
@@ -76,9 +76,9 @@
 	}
 }
 
-// adopt allocates room for a task that an earlier leader has started, or returns nil when it
+// adoptTask allocates room for a task that an earlier leader has started, or returns nil when it
 // must not run.
-func (c *Core) adopt(m *machine, j *job, n int32, t *wire.TaskStatus) *allocation {
+func (c *Core) adoptTask(m *machine, j *job, n int32, t *wire.TaskStatus) *allocation {
 	if j.spec == nil || j.progress.tasks == nil {
 		return nil // ended, and cleaned up here
 	}
@@ -99,8 +99,8 @@
 	return b
 }
 
-// attemptEnded resolves an attempt that its agent reports as ended.
-func (c *Core) attemptEnded(m *machine, j *job, n int32, b *allocation, t *wire.TaskStatus) {
+// handleAttemptEnd resolves an attempt that its agent reports as ended.
+func (c *Core) handleAttemptEnd(m *machine, j *job, n int32, b *allocation, t *wire.TaskStatus) {
 	if b == nil && (t.ExitReason != wire.ExitDone || j.progress.tasks == nil || j.ended() || j.progress.tasks[n].state != taskWaiting) {
 		return // resolved before
 	}
--- a/internal/scheduler/task_stops.go
+++ b/internal/scheduler/task_stops.go
@@ -15,7 +15,7 @@
 		return
 	}
 	b.stopping, b.gracePeriod = true, grace
-	c.commands.sendStop(m, b)
+	c.commands.queueStop(m, b)
 }
 
 // stopTasks stops all tasks of a job, also those that are being stopped already and have a grace
@@ -34,13 +34,13 @@
 	}
 }
 
-// sendPlanned sends the starts that waited for their host to be durable.
-func (c *Core) sendPlanned(j *job, m *machine) {
+// sendPlannedStarts sends the starts that waited for their host to be durable.
+func (c *Core) sendPlannedStarts(j *job, m *machine) {
 	for _, b := range slices.Clone(m.capacity.allocations) {
 		switch {
 		case b.job != j.index || b.state != allocationPlanned:
 		case c.agents.schedulable(m) && !j.ended():
-			c.commands.sendStart(j, m, b)
+			c.commands.queueStart(j, m, b)
 		default:
 			c.stopAllocation(m, b, 0)
 		}
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -19,10 +19,10 @@
 
 // unreachableAgents are the unreachable-agent records.
 type unreachableAgents struct {
-	records   []*unreachableRecord
-	freeKeys  []string // keys that hold no record any more
-	keyCount  int      // keys of this term so far
-	nextCheck time.Duration
+	records     []*unreachableRecord
+	freeKeys    []string // keys that hold no record any more
+	keysCreated int      // keys of this term so far
+	nextCheck   time.Duration
 }
 
 // unreachableRecord is one record, of several agents, under one key.
@@ -54,7 +54,7 @@
 	a.unreachable.nextCheck = a.clock.now + unreachableCheckInterval
 	var unreachable []*machine
 	for _, m := range a.machines.live {
-		if m.contact.unreachable == nil && m.recorded.namedByJobs > 0 && m.state != machineGone && a.isUnreachable(m) {
+		if m.contact.unreachableRecord == nil && m.recorded.namedByJobs > 0 && m.state != machineGone && a.isUnreachable(m) {
 			unreachable = append(unreachable, m)
 		}
 	}
@@ -64,7 +64,7 @@
 			names[i] = rest[i].name
 		}
 		n := ledger.NamesThatFit(names, a.cfg.ValueBytes-unreachableRecordOverhead)
-		a.writeUnreachable(rest[:n])
+		a.writeUnreachableRecord(rest[:n])
 		rest = rest[n:]
 	}
 	return unreachable
@@ -73,20 +73,20 @@
 // isUnreachable tells whether an agent has sent no heartbeat for too long. Time in which this
 // controller was suspended does not count.
 func (a *agents) isUnreachable(m *machine) bool {
-	return a.clock.now-max(m.agent.LastHeartbeat(), a.clock.termStart, a.clock.tickingSince) > a.unreachableAfter()
+	return a.clock.now-max(m.agent.LastHeartbeat(), a.clock.termStart, a.clock.tickingSince) > a.unreachableTimeout()
 }
 
 // unreachableRecordOverhead is the size of a record besides the machines' names.
 const unreachableRecordOverhead = 64
 
-// writeUnreachable writes one record.
-func (a *agents) writeUnreachable(machines []*machine) {
+// writeUnreachableRecord writes one record.
+func (a *agents) writeUnreachableRecord(machines []*machine) {
 	n := &unreachableRecord{key: a.newRecordKey(), machines: machines}
 	a.unreachable.records = append(a.unreachable.records, n)
 	record := ledger.UnreachableRecord{}
 	expiry := a.clock.termStart
 	for _, m := range machines {
-		m.contact.unreachable = n
+		m.contact.unreachableRecord = n
 		expiry = max(expiry, m.agent.LeaseExpiry())
 		record.Machines = append(record.Machines, m.name)
 	}
@@ -104,24 +104,24 @@
 		a.unreachable.freeKeys = a.unreachable.freeKeys[:n-1]
 		return key
 	}
-	a.unreachable.keyCount++
-	return ledger.UnreachableKey(fmt.Sprintf("%d-%d", a.term, a.unreachable.keyCount))
+	a.unreachable.keysCreated++
+	return ledger.UnreachableKey(fmt.Sprintf("%d-%d", a.term, a.unreachable.keysCreated))
 }
 
-// restoreUnreachable takes over the records of earlier leaders.
-func (c *Core) restoreUnreachable(records map[string]ledger.UnreachableRecord) {
+// restoreUnreachableRecords takes over the records of earlier leaders.
+func (c *Core) restoreUnreachableRecords(records map[string]ledger.UnreachableRecord) {
 	for _, key := range slices.Sorted(maps.Keys(records)) {
 		var machines []*machine
 		for _, name := range records[key].Machines {
 			machines = append(machines, c.machineNamed(name))
 		}
-		c.agents.restoreRecord(key, machines, records[key].LeaseExpiryMS)
+		c.agents.restoreUnreachableRecord(key, machines, records[key].LeaseExpiryMS)
 	}
 }
 
-// restoreRecord takes over a record of an earlier leader; without machines it is withdrawn, and
+// restoreUnreachableRecord takes over a record of an earlier leader; without machines it is withdrawn, and
 // its key free.
-func (a *agents) restoreRecord(key string, machines []*machine, leaseExpiryMS int64) {
+func (a *agents) restoreUnreachableRecord(key string, machines []*machine, leaseExpiryMS int64) {
 	if len(machines) == 0 {
 		a.unreachable.freeKeys = append(a.unreachable.freeKeys, key)
 		return
@@ -132,7 +132,7 @@
 	margin := time.Duration(2 * a.cfg.Platform.Facts.ClockErrorMS * float64(time.Millisecond))
 	expiry := a.clock.now + settings.Stretch(time.Duration(leaseExpiryMS-a.clock.wallMS)*time.Millisecond) + margin
 	for _, m := range machines {
-		m.contact.unreachable = n
+		m.contact.unreachableRecord = n
 		m.agent.LimitLease(expiry)
 	}
 }
@@ -140,8 +140,8 @@
 // withdrawRecordOf withdraws the record with a machine whose agent has sent something, and with
 // it that of the others in it.
 func (a *agents) withdrawRecordOf(m *machine) {
-	if m.contact.unreachable != nil {
-		a.withdrawRecord(m.contact.unreachable)
+	if m.contact.unreachableRecord != nil {
+		a.withdrawRecord(m.contact.unreachableRecord)
 	}
 }
 
@@ -152,10 +152,10 @@
 	}
 }
 
-// unreachableWithdrawn notes that the withdrawal of a record is durable: its machines may get
+// handleUnreachableRecordWithdrawn notes that the withdrawal of a record is durable: its machines may get
 // responses and tasks again.
-func (c *Core) unreachableWithdrawn(key string) {
-	machines, known := c.agents.recordWithdrawn(key)
+func (c *Core) handleUnreachableRecordWithdrawn(key string) {
+	machines, known := c.agents.removeWithdrawnRecord(key)
 	if !known {
 		return
 	}
@@ -163,12 +163,12 @@
 		c.placement.indexChanged(m)
 	}
 	c.placement.markNeeded()
-	c.commands.openHeldForUnreachable()
+	c.commands.queueResponsesToUnreachable()
 }
 
-// recordWithdrawn removes a record whose withdrawal is durable, and returns the machines that it
+// removeWithdrawnRecord removes a record whose withdrawal is durable, and returns the machines that it
 // was about.
-func (a *agents) recordWithdrawn(key string) (machines []*machine, known bool) {
+func (a *agents) removeWithdrawnRecord(key string) (machines []*machine, known bool) {
 	i := slices.IndexFunc(a.unreachable.records, func(n *unreachableRecord) bool { return n.key == key })
 	if i < 0 {
 		return nil, false
@@ -177,16 +177,16 @@
 	a.unreachable.records = slices.Delete(a.unreachable.records, i, i+1)
 	a.unreachable.freeKeys = append(a.unreachable.freeKeys, key)
 	for _, m := range n.machines {
-		if m.contact.unreachable == n {
-			m.contact.unreachable = nil
+		if m.contact.unreachableRecord == n {
+			m.contact.unreachableRecord = nil
 			machines = append(machines, m)
 		}
 	}
 	return machines, true
 }
 
-// withdrawUseless withdraws the records that serve no job any more.
-func (a *agents) withdrawUseless() {
+// withdrawUnneededRecords withdraws the records that serve no job any more.
+func (a *agents) withdrawUnneededRecords() {
 	for _, n := range a.unreachable.records {
 		if !slices.ContainsFunc(n.machines, func(m *machine) bool { return m.state != machineGone && m.recorded.namedByJobs > 0 }) {
 			a.withdrawRecord(n)
--- a/internal/standby/deployment_test.go
+++ b/internal/standby/deployment_test.go
@@ -105,7 +105,7 @@
 	return p
 }
 
-// takeOver ends the leader, waits for what its successor logs, and starts it again.
+// changeLeader ends the leader, waits for what its successor logs, and starts it again.
 func (d *deployment) takeOver(program string) phases {
 	d.t.Helper()
 	leader := fake.Leader(d.state, d.nodes)
