--- a/internal/fake/checker_dependencies.go
+++ b/internal/fake/checker_dependencies.go
@@ -42,7 +42,7 @@
 	return first, since
 }
 
-// cancelRequested reports whether a user has requested to cancel a job or one of its
+// handleCancelRequest reports whether a user has requested to cancel a job or one of its
 // dependencies.
 func (c *Checker) cancelRequested(j *checkedJob) bool {
 	requested := !j.cancelRequestedAt.IsZero()
--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -110,7 +110,7 @@
 // nothing.
 func (c *Core) markUnacknowledged(m *machine) {
 	m.agent.MarkUnacknowledged(c.clock.now)
-	c.placement.indexChanged(m)
+	c.placement.markIndexStale(m)
 }
 
 // raiseFencingTokenIfDue raises an agent's token now and then: its next heartbeat acknowledges it if
--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -35,8 +35,8 @@
 	// long.
 	runStartUnknown bool
 	stopping        bool
-	gracePeriod     float64
-	moving          bool // a plan has it stopped
+	gracePeriodS    float64
+	evictedByPlan   bool // a plan has it stopped
 	// stopRepeated: its stop may have come before its start, and was sent again.
 	stopRepeated bool
 	// start is the delivery of its start, which can be withdrawn until it is sent.
@@ -101,43 +101,43 @@
 	m.free = total.Minus(used)
 }
 
-// used notes when the machine was last used.
-func (m *capacity) used(at time.Duration) { m.idleSince = at }
+// markUsed notes when the machine was last used.
+func (m *capacity) markUsed(at time.Duration) { m.idleSince = at }
 
 // allocationPurpose is what room is allocated for.
 type allocationPurpose int
 
 // The purposes of an allocation.
 const (
-	toRun      allocationPurpose = iota // the task is to run
-	untilEnded                          // its job has ended, and the room is taken until the task has
+	purposeRun        allocationPurpose = iota // the task is to run
+	purposeUntilEnded                          // its job has ended, and the room is taken until the task has
 )
 
 // allocate takes room on a machine.
 func (c *Core) allocate(m *machine, j *job, n int32, attempt uint64, purpose allocationPurpose) *allocation {
-	b := c.placement.takeRoom(m, j, n, attempt, purpose)
+	b := c.placement.reserveResources(m, j, n, attempt, purpose)
 	c.softState.machineChanged(m)
 	return b
 }
 
 // deallocate frees an allocation's room. A job that has ended may be cleaned up then.
 func (c *Core) deallocate(m *machine, b *allocation) {
-	c.placement.giveRoomBack(m, b)
+	c.placement.releaseResources(m, b)
 	c.softState.machineChanged(m)
 	c.jobs.cleanUp(c.jobs.list[b.job])
 }
 
-// takeRoom adds an allocation to its machine, its job, its class and its team.
-func (p *placement) takeRoom(m *machine, j *job, n int32, attempt uint64, purpose allocationPurpose) *allocation {
+// reserveResources adds an allocation to its machine, its job, its class and its team.
+func (p *placement) reserveResources(m *machine, j *job, n int32, attempt uint64, purpose allocationPurpose) *allocation {
 	b := &allocation{job: j.index, task: n, zone: m.zone, attempt: attempt, share: j.request.size.Share(m.capacity.total)}
-	b.stopping = purpose == untilEnded // mustStop stops it in the next response
+	b.stopping = purpose == purposeUntilEnded // mustStop stops it in the next response
 	if math.IsInf(b.share, 1) {
 		b.share = 0
 	}
 	j.progress.addAllocation(n, purpose)
-	p.countInZone(j, b.zone, 1)
-	p.classes.allocate(j.request.class, j.request.size.CPUs)
-	p.teams.At(j.request.team).Allocate(j.request.size)
+	p.adjustZoneCount(j, b.zone, 1)
+	p.classes.addAllocated(j.request.class, j.request.size.CPUs)
+	p.teams.Team(j.request.team).Allocate(j.request.size)
 	m.capacity.free = m.capacity.free.Minus(j.request.size)
 	if m.capacity.phase != p.goal.Phase {
 		m.capacity.phase, m.capacity.load = p.goal.Phase, 0
@@ -146,12 +146,12 @@
 	m.capacity.load += b.share
 	m.capacity.allocations = append(m.capacity.allocations, b)
 	m.capacity.idleSince = p.clock.now
-	p.indexChanged(m)
+	p.markIndexStale(m)
 	return b
 }
 
-// giveRoomBack removes an allocation.
-func (p *placement) giveRoomBack(m *machine, b *allocation) {
+// releaseResources removes an allocation.
+func (p *placement) releaseResources(m *machine, b *allocation) {
 	for k, o := range m.capacity.allocations {
 		if o == b {
 			m.capacity.allocations = append(m.capacity.allocations[:k], m.capacity.allocations[k+1:]...)
@@ -160,9 +160,9 @@
 	}
 	j := p.jobs.list[b.job]
 	j.progress.removeAllocation()
-	p.countInZone(j, b.zone, -1)
-	p.classes.deallocate(j.request.class, j.request.size.CPUs)
-	p.teams.At(j.request.team).Deallocate(j.request.size)
+	p.adjustZoneCount(j, b.zone, -1)
+	p.classes.removeAllocated(j.request.class, j.request.size.CPUs)
+	p.teams.Team(j.request.team).Deallocate(j.request.size)
 	if len(m.capacity.allocations) == 0 {
 		m.capacity.free, m.capacity.load = m.capacity.total, 0
 	} else {
@@ -172,26 +172,26 @@
 		}
 	}
 	m.capacity.idleSince = p.clock.now
-	p.indexChanged(m)
+	p.markIndexStale(m)
 	p.needed = true
 }
 
-// release frees an allocation's room and has its task wait again. A start that has not been sent yet
+// releaseAndRequeue frees an allocation's room and has its task wait again. A start that has not been sent yet
 // is never sent then.
-func (c *Core) release(m *machine, b *allocation) {
+func (c *Core) releaseAndRequeue(m *machine, b *allocation) {
 	c.commands.withdrawUnsentStart(m, b)
 	c.spending.addLostWork(m, b)
 	c.disruptions.displaced(m, b, false, "its machine is lost")
 	c.deallocate(m, b)
-	c.placement.requeue(c.jobs.list[b.job], b.task)
+	c.placement.requeueTask(c.jobs.list[b.job], b.task)
 }
 
-// dropAllocations frees all of a machine whose tasks are certainly gone.
-func (c *Core) dropAllocations(m *machine, why string) {
+// releaseLostAllocations frees all of a machine whose tasks are certainly gone.
+func (c *Core) releaseLostAllocations(m *machine, why string) {
 	for len(m.capacity.allocations) > 0 {
 		b := m.capacity.allocations[len(m.capacity.allocations)-1]
 		c.log.Debug("task lost with its machine", "machine", m.name, "task", c.jobs.taskName(b), "reason", why)
-		c.release(m, b)
+		c.releaseAndRequeue(m, b)
 	}
 	m.commands.dropPending()
 }
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -46,17 +46,17 @@
 		loggedAt: c.clock.now}
 }
 
-// cancelBound is how long after the end of a cancelled job its tasks may be there, by two
+// cancellationBound is how long after the end of a cancelled job its tasks may be there, by two
 // controllers' clocks.
-func (w *cancellationWatch) cancelBound() time.Duration {
+func (w *cancellationWatch) cancellationBound() time.Duration {
 	facts := &w.cfg.Platform.Facts
 	return settings.Seconds(facts.Workers.CancelS) + time.Duration(2*facts.ClockErrorMS*float64(time.Millisecond))
 }
 
-// overdue tells whether a job's tasks must all have ended. Time in which this controller was
+// tasksOverdue tells whether a job's tasks must all have ended. Time in which this controller was
 // suspended does not count: its allocations are as old as that.
-func (w *cancellationWatch) overdue(j *job) bool {
-	return j.end.state == wire.JobCancelled && j.end.durable && w.clock.now-max(j.end.at, w.clock.tickingSince) > w.cancelBound()
+func (w *cancellationWatch) tasksOverdue(j *job) bool {
+	return j.end.state == wire.JobCancelled && j.end.durable && w.clock.now-max(j.end.at, w.clock.tickingSince) > w.cancellationBound()
 }
 
 // countDue counts a stop that was decided as a job was cancelled.
@@ -78,21 +78,21 @@
 	}
 }
 
-// check logs the allocations of cancelled jobs past their bound, each job once.
-func (w *cancellationWatch) check() {
+// logOverdueJobs logs the allocations of cancelled jobs past their bound, each job once.
+func (w *cancellationWatch) logOverdueJobs() {
 	for _, j := range w.jobs.active {
-		if j.progress.allocated > 0 && !j.end.overdueLogged && w.overdue(j) {
+		if j.progress.allocated > 0 && !j.end.overdueLogged && w.tasksOverdue(j) {
 			j.end.markOverdueLogged()
-			w.logOverdue(j)
+			w.logOverdueTasks(j)
 		}
 	}
 	if w.clock.now-w.loggedAt >= cancellationLogInterval {
-		w.logCancelled()
+		w.logStopCounts()
 	}
 }
 
-// logOverdue logs where a cancelled job's tasks may still be.
-func (w *cancellationWatch) logOverdue(j *job) {
+// logOverdueTasks logs where a cancelled job's tasks may still be.
+func (w *cancellationWatch) logOverdueTasks(j *job) {
 	for _, m := range w.machines.live {
 		for _, b := range m.capacity.allocations {
 			if b.job != j.index {
@@ -107,8 +107,8 @@
 	}
 }
 
-// logCancelled logs the counts, if any is not zero.
-func (w *cancellationWatch) logCancelled() {
+// logStopCounts logs the counts, if any is not zero.
+func (w *cancellationWatch) logStopCounts() {
 	if n := w.counts; n != (stopCounts{}) {
 		w.log.Info("stops of cancelled tasks", "stops_due", n.Due, "stops_repeated", n.Repeated, "unknown_tasks", n.Unknown, "overdue", n.Overdue)
 	}
--- a/internal/scheduler/cancellations_test.go
+++ b/internal/scheduler/cancellations_test.go
@@ -64,10 +64,10 @@
 	}
 }
 
-// TestProbeThatFindsACancelledTask: the result of a new leader's probe arrives before the
+// TestProbeFindingCancelledTaskSendsStop: the result of a new leader's probe arrives before the
 // agent's next heartbeat, which may be many seconds later. The stop is sent at once, not with
 // its response.
-func TestProbeThatFindsACancelledTask(t *testing.T) {
+func TestProbeFindingCancelledTaskSendsStop(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
 		Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), TerminalState: wire.JobCancelled, Tasks: 1}, Hosts: savedHosts("vm-1")}}})
 	g.now += time.Second
--- a/internal/scheduler/capacity_offers.go
+++ b/internal/scheduler/capacity_offers.go
@@ -97,7 +97,7 @@
 	}
 	room -= max(0, o.demand.headroomCores()-inUse)
 	for i := range o.teams.Len() {
-		room -= o.teams.At(int32(i)).UnusedGuarantee()
+		room -= o.teams.Team(int32(i)).UnusedGuarantee()
 	}
 	for _, credit := range o.credits {
 		if o.clock.now < credit.until {
--- a/internal/scheduler/classes.go
+++ b/internal/scheduler/classes.go
@@ -18,8 +18,8 @@
 	wait time.Duration // its tasks should have started by then; 0: no objective
 }
 
-// index returns the index of a class, which may be new.
-func (t *classTable) index(name string, objectives []settings.Objective) (index int32, isNew bool) {
+// indexOf returns the index of a class, which may be new.
+func (t *classTable) indexOf(name string, objectives []settings.Objective) (index int32, isNew bool) {
 	index = t.names.of(name)
 	if int(index) < len(t.objectives) {
 		return index, false
@@ -35,15 +35,15 @@
 	return index, true
 }
 
-// allocate notes that a task of a class takes cores.
-func (t *classTable) allocate(class int32, cores float64) { t.allocatedCores[class] += cores }
+// addAllocated notes that a task of a class takes cores.
+func (t *classTable) addAllocated(class int32, cores float64) { t.allocatedCores[class] += cores }
 
-// deallocate notes that a task of a class no longer takes cores.
-func (t *classTable) deallocate(class int32, cores float64) { t.allocatedCores[class] -= cores }
+// removeAllocated notes that a task of a class no longer takes cores.
+func (t *classTable) removeAllocated(class int32, cores float64) { t.allocatedCores[class] -= cores }
 
-// classOf returns a class's index and makes room for what is kept by class.
-func (c *Core) classOf(name string) int32 {
-	i, isNew := c.classes.index(name, c.cfg.Platform.Facts.Objectives)
+// classIndex returns a class's index and makes room for what is kept by class.
+func (c *Core) classIndex(name string) int32 {
+	i, isNew := c.classes.indexOf(name, c.cfg.Platform.Facts.Objectives)
 	if isNew {
 		c.demand.addClass()
 		c.estimates.addClass()
--- a/internal/scheduler/cloud_results.go
+++ b/internal/scheduler/cloud_results.go
@@ -43,7 +43,7 @@
 				}
 			}
 			for _, j := range c.jobs.active {
-				j.request.forgetTypes()
+				j.request.clearTypes()
 			}
 			c.placement.markNeeded()
 		}
--- a/internal/scheduler/command_results.go
+++ b/internal/scheduler/command_results.go
@@ -60,7 +60,7 @@
 		c.commands.handleUnknownOutcome(command)
 		return
 	case CommandNotSent, CommandRejected:
-		c.commands.resolveStarts(command, func(b *allocation) { c.release(m, b) })
+		c.commands.resolveStarts(command, func(b *allocation) { c.releaseAndRequeue(m, b) })
 		if e.Outcome == CommandRejected && !command.probe {
 			c.log.Info("direct command refused", "machine", m.name, "fencing_token", command.fencingToken, "agent_epoch", command.agentEpoch)
 		}
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -123,11 +123,11 @@
 	switch e := event.(type) {
 	// Users and their jobs.
 	case JobRecordEvent:
-		c.recordJob(e)
+		c.handleJobRecord(e)
 	case CancelRequest:
-		c.cancelRequested(e)
+		c.handleCancelRequest(e)
 	case StatusRequest:
-		c.statusRequested(e)
+		c.handleStatusRequest(e)
 
 	// Agents.
 	case HeartbeatEvent:
@@ -172,7 +172,7 @@
 // many events share one placement.
 func (c *Core) Flush() []Effect {
 	if c.placement.needed {
-		c.placement.place(c.delegations.uncertainUse())
+		c.placement.placeQueuedTasks(c.delegations.uncertainUse())
 	}
 	c.finishStep()
 	return c.effects.take()
@@ -191,14 +191,14 @@
 		c.expireLease(m)
 		if m.indexed.schedulable != c.agents.schedulable(m) {
 			// Its agent has become unreachable, or it is no longer avoided.
-			c.placement.indexChanged(m)
+			c.placement.markIndexStale(m)
 			c.placement.markNeeded()
 		}
 	}
-	c.placement.endBackOffs()
-	c.jobs.dropCleanedUp()
+	c.placement.endBackoffs()
+	c.jobs.removeCleanedUp()
 	c.machines.dropGone(&c.writes)
-	c.cancellations.check()
+	c.cancellations.logOverdueJobs()
 	c.recordUnreachable()
 	c.agents.withdrawUnneededRecords()
 	c.inherited.drop()
--- a/internal/scheduler/delegated_jobs.go
+++ b/internal/scheduler/delegated_jobs.go
@@ -44,7 +44,7 @@
 	spec := *j.spec
 	spec.DependsOn = nil // they are done, or it could not leave
 	spec.Priority = wire.PriorityName(j.priority.class)
-	if j.priority.deadline != never {
+	if j.priority.deadline != noDeadline {
 		due := (j.priority.deadline - d.clock.ago(j.record.acceptedMS)).Seconds()
 		spec.DeadlineS = &due
 	}
@@ -101,7 +101,7 @@
 	if n == nil || n.unreachable {
 		d.effects.emit(UserReply{ReplyTo: to, Known: true, CellUnreachable: true})
 	} else {
-		j.end.await(to)
+		j.end.addRecipient(to)
 	}
 }
 
@@ -139,13 +139,13 @@
 	for _, j := range d.jobs.active {
 		if len(j.record.inDoubtHosts) > 0 && j.end.state != wire.JobDone {
 			n := j.progress.total - j.progress.done - j.progress.allocated
-			use[j.request.team] = use[j.request.team].Plus(quota.Of(j.request.size).Times(max(n, 0)))
+			use[j.request.team] = use[j.request.team].Plus(quota.UnitsOf(j.request.size).Times(max(n, 0)))
 		}
 		unreadable := j.transfer.delegated && !d.transfers.Delegated(j.id)
 		if unreadable || transfers && d.transfers.MayRunRemotely(j.id) {
 			// All of its tasks may run there at once, also if its transfer's record can't
 			// be read.
-			use[j.request.team] = use[j.request.team].Plus(quota.Of(j.request.size).Times(j.progress.total))
+			use[j.request.team] = use[j.request.team].Plus(quota.UnitsOf(j.request.size).Times(j.progress.total))
 		}
 	}
 	return use
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -99,7 +99,7 @@
 // expectedLate tells whether a job that begins after a wait misses its deadline or,
 // without one, waits longer than it may.
 func (d *delegations) expectedLate(j *job, wait time.Duration) bool {
-	if j.priority.deadline == never {
+	if j.priority.deadline == noDeadline {
 		return d.clock.now-j.priority.arrived+wait > d.neighbours.cells.MaxWait
 	}
 	return d.clock.now+wait+d.estimates.expectedRun(j) > j.priority.deadline
@@ -115,7 +115,7 @@
 func (d *delegations) delegationInput() *delegationInput {
 	o := &delegationInput{cells: make([]federation.Cell, len(d.neighbours.list)), used: d.uncertainUse()}
 	for i := range o.used {
-		o.used[i] = o.used[i].Plus(d.teams.At(int32(i)).Allocated())
+		o.used[i] = o.used[i].Plus(d.teams.Team(int32(i)).Allocated())
 	}
 	idle := true
 	for i, n := range d.neighbours.list {
@@ -149,7 +149,7 @@
 		}
 	}
 	var late []*job
-	for _, j := range d.placement.queue() {
+	for _, j := range d.placement.sortedQueue() {
 		wait := d.neighbours.cells.MaxWait + time.Second
 		if cores > 0 {
 			wait = settings.Seconds(ahead / cores)
@@ -189,7 +189,7 @@
 // delegate begins the transfer of a job to the neighbour that the choice names, if its
 // team's limit leaves room for all of it: tasks in other cells count there as well.
 func (d *delegations) delegate(j *job, o *delegationInput) {
-	if d.teams.At(j.request.team).Room(j.request.size, o.used[j.request.team]) < j.progress.total {
+	if d.teams.Team(j.request.team).AdditionalTasks(j.request.size, o.used[j.request.team]) < j.progress.total {
 		return
 	}
 	for i, n := range d.neighbours.list {
@@ -206,7 +206,7 @@
 	n, cell := d.neighbours.list[at], &o.cells[at]
 	n.useCredit(j.cores())
 	cell.Credit, cell.Used, cell.Jobs = n.credit, cell.Used+j.cores(), cell.Jobs-1
-	o.used[j.request.team] = o.used[j.request.team].Plus(quota.Of(j.request.size).Times(j.progress.total))
+	o.used[j.request.team] = o.used[j.request.team].Plus(quota.UnitsOf(j.request.size).Times(j.progress.total))
 	j.transfer.delegated = true
 	d.transfers.Begin(j.id, n.Name, body, d.clock.now, d.clock.wallMS)
 	d.log.Info("job delegated to a neighbour", "job", j.id, "cell", n.Name, "cores", j.cores(), "waited_s", (d.clock.now - j.priority.arrived).Seconds(), "share", j.cores()/n.MaxCores)
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -42,7 +42,7 @@
 // learnArrival learns the demand from one job.
 func (d *learnedDemand) learnArrival(class, team int32, at time.Duration, cores, seconds float64) {
 	d.byClass[class].ObserveArrival(at, cores, seconds)
-	if _, limited := d.teams.At(team).CPULimit(); limited {
+	if _, limited := d.teams.Team(team).CPULimit(); limited {
 		d.limitedByTeam[team].ObserveArrival(at, cores, seconds)
 	}
 }
@@ -94,7 +94,7 @@
 	mean, deviation := autoscaler.Demand(d.clock.now, d.byClass)
 	variance, capped := deviation*deviation, 0.0
 	for i := range d.teams.Len() {
-		if limit, limited := d.teams.At(int32(i)).CPULimit(); limited {
+		if limit, limited := d.teams.Team(int32(i)).CPULimit(); limited {
 			m, deviation := autoscaler.Demand(d.clock.now, d.limitedByTeam[i:i+1])
 			mean, variance = mean-m, variance-deviation*deviation
 			capped += min(m+spread*deviation, limit)
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -24,7 +24,7 @@
 
 // blocked tells whether a job waits for others, or is delegated to another cell. It takes no
 // part of its team's guarantee, is in no queue, and has no machines rented for it.
-func (j *job) blocked() bool { return j.dependencies.Open() > 0 || j.transfer.delegated }
+func (j *job) blocked() bool { return j.dependencies.Unfinished() > 0 || j.transfer.delegated }
 
 // isDone tells whether a job is done, by its durable record.
 func (j *job) isDone() bool { return j.end.durable && j.end.state == wire.JobDone }
@@ -39,9 +39,9 @@
 		for _, id := range j.spec.DependsOn {
 			if at, ok := t.indexByID[id]; ok {
 				p := t.list[at]
-				t.graph.Depend(&j.dependencies, &p.dependencies, p.isDone())
+				t.graph.AddDependency(&j.dependencies, &p.dependencies, p.isDone())
 			} else {
-				t.graph.Await(&j.dependencies, id)
+				t.graph.AddUnknownDependency(&j.dependencies, id)
 			}
 		}
 	}
@@ -62,16 +62,16 @@
 			return
 		}
 	}
-	if c.jobs.raisePriority(j) {
+	if c.jobs.raisePredecessorPriorities(j) {
 		c.placement.markNeeded()
 	}
 	if j.blocked() {
-		c.log.Debug("job waits for its dependencies", "job", j.id, "open", j.dependencies.Open(), "first", c.jobs.firstOpen(j))
+		c.log.Debug("job waits for its dependencies", "job", j.id, "open", j.dependencies.Unfinished(), "first", c.jobs.firstUnfinishedDependency(j))
 	}
 }
 
-// firstOpen names the first job that another one waits for, for the log.
-func (t *jobTable) firstOpen(j *job) string {
+// firstUnfinishedDependency names the first job that another one waits for, for the log.
+func (t *jobTable) firstUnfinishedDependency(j *job) string {
 	for _, id := range j.spec.DependsOn {
 		at, ok := t.indexByID[id]
 		if !ok {
@@ -84,14 +84,14 @@
 	return ""
 }
 
-// raisePriority gives the jobs that a job depends on, directly or through others, at least its
+// raisePredecessorPriorities gives the jobs that a job depends on, directly or through others, at least its
 // priority, and a deadline that leaves it time to meet its own. It tells whether any was raised.
-func (t *jobTable) raisePriority(j *job) (raised bool) {
+func (t *jobTable) raisePredecessorPriorities(j *job) (raised bool) {
 	todo := []*job{j}
 	for len(todo) > 0 {
 		j, todo = todo[len(todo)-1], todo[:len(todo)-1]
 		due := j.priority.deadline
-		if due != never {
+		if due != noDeadline {
 			due -= t.estimates.expectedRun(j)
 		}
 		for _, at := range j.dependencies.Predecessors() {
@@ -107,10 +107,10 @@
 	return raised
 }
 
-// raisePriorityBy raises a job that became known late, as those that depend on it require.
-func (t *jobTable) raisePriorityBy(p *job) (raised bool) {
+// raisePriorityFromDependents raises a job that became known late, as those that depend on it require.
+func (t *jobTable) raisePriorityFromDependents(p *job) (raised bool) {
 	for _, at := range p.dependencies.Dependents() {
-		raised = t.raisePriority(t.list[at]) || raised
+		raised = t.raisePredecessorPriorities(t.list[at]) || raised
 	}
 	return raised
 }
@@ -124,8 +124,8 @@
 			c.cancelDependent(j, p)
 			continue
 		}
-		if c.jobs.graph.PredecessorFinished(&j.dependencies) && !j.ended() {
-			c.becomesReady(j, c.clock.now)
+		if c.jobs.graph.FinishPredecessor(&j.dependencies) && !j.ended() {
+			c.markReady(j, c.clock.now)
 		}
 	}
 }
@@ -133,13 +133,13 @@
 // linkDependencies brings a new job into the graph. Jobs that waited only for it may run.
 func (c *Core) linkDependencies(j *job) {
 	for _, ready := range c.jobs.linkJob(j) {
-		c.becomesReady(ready, c.clock.now)
+		c.markReady(ready, c.clock.now)
 	}
 }
 
-// becomesReady has a job's wait, and the demand for it, count from a moment on.
-func (c *Core) becomesReady(j *job, at time.Duration) {
-	j.priority.arriveAt(at)
+// markReady has a job's wait, and the demand for it, count from a moment on.
+func (c *Core) markReady(j *job, at time.Duration) {
+	j.priority.setArrival(at)
 	c.demand.observeArrival(j)
 	c.placement.markNeeded()
 	c.log.Debug("job dependencies are done", "job", j.id, "tasks", j.progress.total)
@@ -153,9 +153,9 @@
 	c.log.Debug("job cancelled with a dependency", "job", j.id, "dependency", p.id)
 	if !j.ended() {
 		j.end.decide(wire.JobCancelled)
-		c.jobs.writeTerminal(j, writeLater)
+		c.jobs.writeTerminal(j, writeDeferred)
 	}
-	c.terminalIsDurable(j)
+	c.handleTerminalDurable(j)
 }
 
 // terminalStatePending tells whether the key-value store may know more of a job's end than this
@@ -204,7 +204,7 @@
 		}
 		c.checkDependencies(j)
 		if !j.ended() && !j.blocked() {
-			c.becomesReady(j, c.jobs.readySince(j))
+			c.markReady(j, c.jobs.readySince(j))
 		}
 	}
 }
--- a/internal/scheduler/dependencies_model_test.go
+++ b/internal/scheduler/dependencies_model_test.go
@@ -16,13 +16,13 @@
 // graphModel is the protocol's definition of dependent jobs in the plainest form: everything is
 // computed again from all jobs each time.
 type graphModel struct {
-	needs     map[string][]string
+	dependsOn map[string][]string
 	done      map[string]bool
 	cancelled map[string]bool // by their own users
 }
 
 func (m *graphModel) anyAncestor(jobID string, is func(jobID string) bool) bool {
-	for _, p := range m.needs[jobID] {
+	for _, p := range m.dependsOn[jobID] {
 		if is(p) || m.anyAncestor(p, is) {
 			return true
 		}
@@ -30,15 +30,15 @@
 	return false
 }
 
-// aborted tells whether a job is cancelled, by its user or with an ancestor.
-func (m *graphModel) aborted(jobID string) bool {
+// isCancelled tells whether a job is cancelled, by its user or with an ancestor.
+func (m *graphModel) isCancelled(jobID string) bool {
 	own := func(r string) bool { return m.cancelled[r] }
 	return !m.done[jobID] && (own(jobID) || m.anyAncestor(jobID, own))
 }
 
-// ready tells whether a job's tasks may start.
-func (m *graphModel) ready(jobID string) bool {
-	return !m.done[jobID] && !m.aborted(jobID) && !m.anyAncestor(jobID, func(r string) bool { return !m.done[r] })
+// isReady tells whether a job's tasks may start.
+func (m *graphModel) isReady(jobID string) bool {
+	return !m.done[jobID] && !m.isCancelled(jobID) && !m.anyAncestor(jobID, func(r string) bool { return !m.done[r] })
 }
 
 // TestGraphAgreesWithTheModel submits random graphs, ends and cancels jobs at random, and begins
@@ -47,18 +47,20 @@
 func TestGraphAgreesWithTheModel(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			playGraph(t, rand.New(rand.NewPCG(seed, 11)), 60)
+			runGraphHistory(t, rand.New(rand.NewPCG(seed, 11)), 60)
 		})
 	}
 }
 
 // TestGraphProperty has rapid search for a short history in which core and model differ.
 func TestGraphProperty(t *testing.T) {
-	rapid.Check(t, func(t *rapid.T) { playGraph(t, property.RapidChooser{T: t}, rapid.IntRange(30, 60).Draw(t, "steps")) })
+	rapid.Check(t, func(t *rapid.T) {
+		runGraphHistory(t, property.RapidChooser{T: t}, rapid.IntRange(30, 60).Draw(t, "steps"))
+	})
 }
 
-// playGraph plays one history of graphs, ends, cancellations and takeovers.
-func playGraph(t tester, r property.Chooser, steps int) {
+// runGraphHistory plays one history of graphs, ends, cancellations and takeovers.
+func runGraphHistory(t tester, r property.Chooser, steps int) {
 	m := &graphModel{map[string][]string{}, map[string]bool{}, map[string]bool{}}
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
@@ -77,10 +79,10 @@
 			slices.Sort(j.DependsOn)
 			j.DependsOn = slices.Compact(j.DependsOn)
 			jobIDs = append(jobIDs, jobID)
-			m.needs[jobID] = j.DependsOn
+			m.dependsOn[jobID] = j.DependsOn
 			g.submit(j)
 		case k < 8:
-			if jobID := jobIDs[r.IntN(len(jobIDs))]; m.ready(jobID) {
+			if jobID := jobIDs[r.IntN(len(jobIDs))]; m.isReady(jobID) {
 				g.endCommands(CommandExecuted)
 				g.finishTask("vm-1", jobID)
 				m.done[jobID] = true
@@ -90,16 +92,16 @@
 			g.step(CancelRequest{JobID: jobID, ReplyTo: recipient("u")})
 			m.cancelled[jobID] = m.cancelled[jobID] || !m.done[jobID]
 		default:
-			g = takeOver(t, g, jobIDs)
+			g = startNextTerm(t, g, jobIDs)
 		}
 		g.endCommands(CommandExecuted)
-		g.agrees(m, jobIDs)
+		g.checkAgainstModel(m, jobIDs)
 	}
 }
 
 // changeLeader begins a new term from the job records that the last one has written, on a machine
 // that has restarted: what ran there starts again.
-func takeOver(t tester, g *harness, jobIDs []string) *harness {
+func startNextTerm(t tester, g *harness, jobIDs []string) *harness {
 	t.Helper()
 	var s ledger.Snapshot
 	for _, jobID := range jobIDs {
@@ -118,23 +120,23 @@
 	return n
 }
 
-// agrees compares all jobs' states, and what is started, with the model.
-func (g *harness) agrees(m *graphModel, jobIDs []string) {
+// checkAgainstModel compares all jobs' states, and what is started, with the model.
+func (g *harness) checkAgainstModel(m *graphModel, jobIDs []string) {
 	g.t.Helper()
 	for _, jobID := range jobIDs {
 		want := []string{wire.JobQueued, wire.JobRunning}
 		switch {
 		case m.done[jobID]:
 			want = []string{wire.JobDone}
-		case m.aborted(jobID):
+		case m.isCancelled(jobID):
 			want = []string{wire.JobCancelled}
 		}
 		if got := g.jobStatus(jobID); !slices.Contains(want, got) {
 			g.t.Errorf("%s is %s, want %v", jobID, got, want)
 		}
 		j := g.c.jobs.list[g.c.jobs.indexByID[jobID]]
-		if booked := j.progress.tasks != nil && !j.ended() && j.progress.allocated > 0; booked != m.ready(jobID) {
-			g.t.Errorf("%s has a task on a machine: %v, ready: %v", jobID, booked, m.ready(jobID))
+		if booked := j.progress.tasks != nil && !j.ended() && j.progress.allocated > 0; booked != m.isReady(jobID) {
+			g.t.Errorf("%s has a task on a machine: %v, ready: %v", jobID, booked, m.isReady(jobID))
 		}
 	}
 }
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -11,8 +11,8 @@
 	"leadproxy/internal/wire"
 )
 
-// after is a job of one task that waits for others.
-func after(jobID string, others ...string) *wire.Job {
+// newDependentJob is a job of one task that waits for others.
+func newDependentJob(jobID string, others ...string) *wire.Job {
 	j := newTestJob(jobID, 1, 1)
 	j.DependsOn = others
 	return j
@@ -34,8 +34,8 @@
 	g.acknowledge(machine, tasks...)
 }
 
-// started lists the jobs whose tasks have been started since the last call.
-func (g *harness) started() string {
+// takeStartedJobs lists the jobs whose tasks have been started since the last call.
+func (g *harness) takeStartedJobs() string {
 	var jobIDs []string
 	for _, o := range g.starts() {
 		jobID := wire.JobIDOfTask(o.Task)
@@ -51,43 +51,43 @@
 	t.Run("a diamond", func(t *testing.T) {
 		g := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUsMax: 2})
 		g.bringUp("vm-1")
-		g.submit(after("job-1"))
-		g.submit(after("job-2", "job-1"))
-		g.submit(after("job-3", "job-1"))
-		g.submit(after("job-4", "job-2", "job-3"))
-		g.want("started at first", g.started(), "job-1")
+		g.submit(newDependentJob("job-1"))
+		g.submit(newDependentJob("job-2", "job-1"))
+		g.submit(newDependentJob("job-3", "job-1"))
+		g.submit(newDependentJob("job-4", "job-2", "job-3"))
+		g.want("started at first", g.takeStartedJobs(), "job-1")
 		g.want("state of what waits", g.jobStatus("job-4"), wire.JobQueued)
-		g.want("demand for it", len(g.c.placement.queue()), 0)
+		g.want("demand for it", len(g.c.placement.sortedQueue()), 0)
 		g.holdWrites = true
 		g.finishTask("vm-1", "job-1")
-		g.want("started before the end is durable", g.started(), "")
+		g.want("started before the end is durable", g.takeStartedJobs(), "")
 		g.releaseWrites()
-		g.want("started after it", g.started(), "job-2 job-3")
+		g.want("started after it", g.takeStartedJobs(), "job-2 job-3")
 		g.finishTask("vm-1", "job-2")
-		g.want("started after one of two", g.started(), "")
+		g.want("started after one of two", g.takeStartedJobs(), "")
 		g.finishTask("vm-1", "job-3")
-		g.want("started at last", g.started(), "job-4")
+		g.want("started at last", g.takeStartedJobs(), "job-4")
 		g.finishTask("vm-1", "job-4")
 		g.want("state at last", g.jobStatus("job-4"), wire.JobDone)
 	})
 	t.Run("a predecessor that is done already, and one seen later", func(t *testing.T) {
 		g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-0", Record: ledger.JobRecord{TerminalState: wire.JobDone, Tasks: 1, Done: 1}}}})
 		g.bringUp("vm-1")
-		g.submit(after("job-2", "job-0", "job-1"))
-		g.want("started", g.started(), "")
-		g.submit(after("job-1"))
-		g.want("started", g.started(), "job-1")
+		g.submit(newDependentJob("job-2", "job-0", "job-1"))
+		g.want("started", g.takeStartedJobs(), "")
+		g.submit(newDependentJob("job-1"))
+		g.want("started", g.takeStartedJobs(), "job-1")
 		g.finishTask("vm-1", "job-1")
-		g.want("started", g.started(), "job-2")
+		g.want("started", g.takeStartedJobs(), "job-2")
 	})
 	t.Run("a predecessor whose end is seen first", func(t *testing.T) {
 		g := newHarness(t, ledger.Snapshot{})
 		g.bringUp("vm-1")
-		g.submit(after("job-2", "job-1"))
-		g.submit(after("job-4", "job-3"))
+		g.submit(newDependentJob("job-2", "job-1"))
+		g.submit(newDependentJob("job-4", "job-3"))
 		g.step(JobRecordEvent{JobID: "job-1", Record: ledger.JobRecord{TerminalState: wire.JobDone, Tasks: 1, Done: 1}, Version: 4})
-		g.step(JobRecordEvent{JobID: "job-3", Record: ledger.JobRecord{Job: after("job-3"), TerminalState: wire.JobCancelled}, Version: 4})
-		g.want("started", g.started(), "job-2")
+		g.step(JobRecordEvent{JobID: "job-3", Record: ledger.JobRecord{Job: newDependentJob("job-3"), TerminalState: wire.JobCancelled}, Version: 4})
+		g.want("started", g.takeStartedJobs(), "job-2")
 		g.want("state of the other", g.jobStatus("job-4"), wire.JobCancelled)
 	})
 	t.Run("a guarantee", func(t *testing.T) {
@@ -100,23 +100,23 @@
 		first := newTestJob("job-1", 4, 1)
 		g.submit(first)
 		for i := range 10 {
-			g.submit(after(fmt.Sprintf("job-2%d", i), "job-1"))
+			g.submit(newDependentJob(fmt.Sprintf("job-2%d", i), "job-1"))
 		}
-		g.want("first in the queue", g.c.placement.queue()[0].id, "job-1")
-		g.want("in the queue", len(g.c.placement.queue()), 2)
+		g.want("first in the queue", g.c.placement.sortedQueue()[0].id, "job-1")
+		g.want("in the queue", len(g.c.placement.sortedQueue()), 2)
 	})
 	t.Run("a long chain and a wide fan", func(t *testing.T) {
 		g := newHarness(t, ledger.Snapshot{})
 		g.bringUp("vm-1")
 		const n = 3000
-		g.submit(after("job-0"))
+		g.submit(newDependentJob("job-0"))
 		for i := range n {
-			g.submit(after(fmt.Sprintf("job-1%d", i), "job-0"))
+			g.submit(newDependentJob(fmt.Sprintf("job-1%d", i), "job-0"))
 			before := "job-0"
 			if i > 0 {
 				before = fmt.Sprintf("job-2%d", i-1)
 			}
-			g.submit(after(fmt.Sprintf("job-2%d", i), before))
+			g.submit(newDependentJob(fmt.Sprintf("job-2%d", i), before))
 		}
 		g.step(CancelRequest{JobID: "job-0", ReplyTo: recipient("u")})
 		g.want("the last of the fan", g.jobStatus(fmt.Sprintf("job-1%d", n-1)), wire.JobCancelled)
@@ -129,9 +129,9 @@
 // ancestor is durable, without writes of their own, and stay so.
 func TestDependentsOfACancelledJob(t *testing.T) {
 	open := func(jobID string, needs ...string) ledger.SavedJob {
-		return ledger.SavedJob{ID: jobID, Version: 3, Record: ledger.JobRecord{Job: after(jobID, needs...), AcceptedMS: 1}}
+		return ledger.SavedJob{ID: jobID, Version: 3, Record: ledger.JobRecord{Job: newDependentJob(jobID, needs...), AcceptedMS: 1}}
 	}
-	cancelled := ledger.SavedJob{ID: "job-1", Version: 3, Record: ledger.JobRecord{Job: after("job-1").CancelledSummary(), TerminalState: wire.JobCancelled}}
+	cancelled := ledger.SavedJob{ID: "job-1", Version: 3, Record: ledger.JobRecord{Job: newDependentJob("job-1").CancelledSummary(), TerminalState: wire.JobCancelled}}
 	cases := []struct {
 		name  string
 		saved []ledger.SavedJob
@@ -150,29 +150,29 @@
 		}, wire.JobQueued},
 		{"the leader ended between its write and theirs", []ledger.SavedJob{open("job-3", "job-2"), open("job-2", "job-1"), cancelled}, nil, wire.JobCancelled},
 		{"submitted after it", []ledger.SavedJob{cancelled}, func(g *harness) {
-			g.submit(after("job-2", "job-1"))
-			g.submit(after("job-3", "job-2"))
+			g.submit(newDependentJob("job-2", "job-1"))
+			g.submit(newDependentJob("job-3", "job-2"))
 		}, wire.JobCancelled},
 		{"one of several ancestors, the others run on", nil, func(g *harness) {
-			g.submit(after("job-5"))
-			g.submit(after("job-6"))
-			g.submit(after("job-7", "job-5", "job-6"))
-			g.submit(after("job-8", "job-7", "job-3"))
+			g.submit(newDependentJob("job-5"))
+			g.submit(newDependentJob("job-6"))
+			g.submit(newDependentJob("job-7", "job-5", "job-6"))
+			g.submit(newDependentJob("job-8", "job-7", "job-3"))
 			g.step(CancelRequest{JobID: "job-5", ReplyTo: recipient("u")})
 			g.want("what needs it", g.jobStatus("job-7"), wire.JobCancelled)
 			g.want("what needs that", g.jobStatus("job-8"), wire.JobCancelled)
 			g.want("what it was beside", g.jobStatus("job-6") != wire.JobCancelled, true)
 		}, wire.JobQueued},
 		{"both ways of a diamond", nil, func(g *harness) {
-			g.submit(after("job-4", "job-1"))
-			g.submit(after("job-9", "job-4", "job-2"))
+			g.submit(newDependentJob("job-4", "job-1"))
+			g.submit(newDependentJob("job-9", "job-4", "job-2"))
 			g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
 			g.want("where the ways meet", g.jobStatus("job-9"), wire.JobCancelled)
 			g.want("the other way", g.jobStatus("job-4"), wire.JobCancelled)
 		}, wire.JobCancelled},
 		{"one way of a diamond", nil, func(g *harness) {
-			g.submit(after("job-4", "job-1"))
-			g.submit(after("job-9", "job-4", "job-2"))
+			g.submit(newDependentJob("job-4", "job-1"))
+			g.submit(newDependentJob("job-9", "job-4", "job-2"))
 			g.step(CancelRequest{JobID: "job-4", ReplyTo: recipient("u")})
 			g.want("where the ways meet", g.jobStatus("job-9"), wire.JobCancelled)
 		}, wire.JobQueued},
@@ -190,9 +190,9 @@
 			g := newHarness(t, ledger.Snapshot{Jobs: c.saved})
 			g.bringUp("vm-1")
 			if c.saved == nil {
-				g.submit(after("job-1"))
-				g.submit(after("job-2", "job-1"))
-				g.submit(after("job-3", "job-2"))
+				g.submit(newDependentJob("job-1"))
+				g.submit(newDependentJob("job-2", "job-1"))
+				g.submit(newDependentJob("job-3", "job-2"))
 				g.endCommands(CommandExecuted)
 			}
 			if c.play != nil {
@@ -214,19 +214,19 @@
 	}
 }
 
-// TestPriorityComesFromTheDependents: a job is as urgent as any that depends on it, and in time
+// TestPredecessorsInheritPriority: a job is as urgent as any that depends on it, and in time
 // for its deadline; waits count from when it is ready.
-func TestPriorityComesFromTheDependents(t *testing.T) {
+func TestPredecessorsInheritPriority(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.submit(newTestJob("job-7", 1, 1))
-	first := after("job-1")
+	first := newDependentJob("job-1")
 	first.Priority = "idle"
 	g.submit(first)
-	g.submit(after("job-2", "job-1"))
+	g.submit(newDependentJob("job-2", "job-1"))
 	of := func(jobID string) *job { return g.c.jobs.list[g.c.jobs.indexByID[jobID]] }
 	g.want("without an end", of("job-1").priority.class > of("job-2").priority.class, false)
-	g.want("its deadline", of("job-1").priority.deadline, never)
-	last := after("job-3", "job-2")
+	g.want("its deadline", of("job-1").priority.deadline, noDeadline)
+	last := newDependentJob("job-3", "job-2")
 	last.Priority = "critical"
 	due := 100.0
 	last.DeadlineS = &due
@@ -237,7 +237,7 @@
 	g.want("due of the last", of("job-3").priority.deadline, 100*time.Second)
 	g.want("due of the one before", of("job-2").priority.deadline, 90*time.Second)
 	g.want("due of the first", of("job-1").priority.deadline, 80*time.Second)
-	g.want("first in the queue", g.c.placement.queue()[0].id, "job-1")
+	g.want("first in the queue", g.c.placement.sortedQueue()[0].id, "job-1")
 	g.want("rank of another job", of("job-7").priority.class, 2)
 	g.now += 3 * time.Minute
 	g.bringUp("vm-1")
--- a/internal/scheduler/depgraph/graph.go
+++ b/internal/scheduler/depgraph/graph.go
@@ -8,13 +8,13 @@
 // Node is the place of one job in the graph. Its index is the job's own.
 type Node struct {
 	index        int32
-	open         int32   // predecessors that are unfinished, known or not
+	unfinished   int32   // predecessors that are unfinished, known or not
 	predecessors []int32 // known jobs that it depends on
 	dependents   []int32 // jobs that depend on it, as long as it is unfinished
 }
 
-// Open is how many unfinished jobs the node's job waits for.
-func (n *Node) Open() int { return int(n.open) }
+// Unfinished is how many unfinished jobs the node's job waits for.
+func (n *Node) Unfinished() int { return int(n.unfinished) }
 
 // Predecessors are the known jobs that the node's job depends on. The caller does not change
 // them.
@@ -36,22 +36,22 @@
 	g.nodes = append(g.nodes, n)
 }
 
-// Depend notes that one job depends on another known one, which may be finished already.
-func (g *Graph) Depend(n, predecessor *Node, finished bool) {
+// AddDependency notes that one job depends on another known one, which may be finished already.
+func (g *Graph) AddDependency(n, predecessor *Node, finished bool) {
 	n.predecessors = append(n.predecessors, predecessor.index)
 	if finished {
 		return
 	}
-	n.open++
+	n.unfinished++
 	predecessor.dependents = append(predecessor.dependents, n.index)
 }
 
-// Await notes that a job depends on one that is not known yet.
-func (g *Graph) Await(n *Node, id string) {
+// AddUnknownDependency notes that a job depends on one that is not known yet.
+func (g *Graph) AddUnknownDependency(n *Node, id string) {
 	if g.awaited == nil {
 		g.awaited = map[string][]int32{}
 	}
-	n.open++
+	n.unfinished++
 	g.awaited[id] = append(g.awaited[id], n.index)
 }
 
@@ -62,8 +62,8 @@
 	delete(g.awaited, id)
 	for _, index := range waiting {
 		n := g.nodes[index]
-		n.open-- // counted while the predecessor was not known
-		g.Depend(n, predecessor, finished)
+		n.unfinished-- // counted while the predecessor was not known
+		g.AddDependency(n, predecessor, finished)
 	}
 	return waiting
 }
@@ -76,10 +76,10 @@
 	return dependents
 }
 
-// PredecessorFinished notes that a job waits for one less, and tells whether that was the last.
-func (g *Graph) PredecessorFinished(n *Node) (last bool) {
-	n.open--
-	return n.open == 0
+// FinishPredecessor notes that a job waits for one less, and tells whether that was the last.
+func (g *Graph) FinishPredecessor(n *Node) (last bool) {
+	n.unfinished--
+	return n.unfinished == 0
 }
 
 // Visit is what a walk through the ancestors does at one of them.
--- a/internal/scheduler/depgraph/graph_test.go
+++ b/internal/scheduler/depgraph/graph_test.go
@@ -14,8 +14,8 @@
 	}
 }
 
-// add adds a node of its own to a graph.
-func add(g *Graph) *Node {
+// addNode adds a node of its own to a graph.
+func addNode(g *Graph) *Node {
 	n := &Node{}
 	g.Add(n)
 	return n
@@ -23,18 +23,18 @@
 
 func TestDependOnAnUnfinishedJob(t *testing.T) {
 	var g Graph
-	first, second := add(&g), add(&g)
-	g.Depend(second, first, false)
-	wantEqual(t, "open", second.Open(), 1)
+	first, second := addNode(&g), addNode(&g)
+	g.AddDependency(second, first, false)
+	wantEqual(t, "open", second.Unfinished(), 1)
 	wantEqual(t, "predecessors", second.Predecessors(), []int32{0})
 	wantEqual(t, "dependents", first.Dependents(), []int32{1})
 }
 
 func TestDependOnAFinishedJob(t *testing.T) {
 	var g Graph
-	first, second := add(&g), add(&g)
-	g.Depend(second, first, true)
-	wantEqual(t, "open", second.Open(), 0)
+	first, second := addNode(&g), addNode(&g)
+	g.AddDependency(second, first, true)
+	wantEqual(t, "open", second.Unfinished(), 0)
 	wantEqual(t, "predecessors", second.Predecessors(), []int32{0})
 	wantEqual(t, "dependents", len(first.Dependents()), 0)
 }
@@ -43,18 +43,18 @@
 	for _, finished := range []bool{false, true} {
 		t.Run(fmt.Sprintf("finished=%t", finished), func(t *testing.T) {
 			var g Graph
-			a, b := add(&g), add(&g)
-			g.Await(a, "late")
-			g.Await(b, "late")
-			g.Await(b, "other")
-			late := add(&g)
+			a, b := addNode(&g), addNode(&g)
+			g.AddUnknownDependency(a, "late")
+			g.AddUnknownDependency(b, "late")
+			g.AddUnknownDependency(b, "other")
+			late := addNode(&g)
 			wantEqual(t, "resolved", g.Resolve("late", late, finished), []int32{0, 1})
 			stillOpen := 1
 			if finished {
 				stillOpen = 0
 			}
-			wantEqual(t, "open of the first", a.Open(), stillOpen)
-			wantEqual(t, "open of the second", b.Open(), 1+stillOpen)
+			wantEqual(t, "open of the first", a.Unfinished(), stillOpen)
+			wantEqual(t, "open of the second", b.Unfinished(), 1+stillOpen)
 			wantEqual(t, "dependents", len(late.Dependents()), 2*stillOpen)
 			wantEqual(t, "resolved again", len(g.Resolve("late", late, finished)), 0)
 		})
@@ -63,23 +63,23 @@
 
 func TestLastPredecessorReleasesAJob(t *testing.T) {
 	var g Graph
-	a, b, c := add(&g), add(&g), add(&g)
-	g.Depend(c, a, false)
-	g.Depend(c, b, false)
+	a, b, c := addNode(&g), addNode(&g), addNode(&g)
+	g.AddDependency(c, a, false)
+	g.AddDependency(c, b, false)
 	wantEqual(t, "dependents taken", g.TakeDependents(a), []int32{2})
 	wantEqual(t, "dependents left", len(a.Dependents()), 0)
-	wantEqual(t, "last after one", g.PredecessorFinished(c), false)
-	wantEqual(t, "last after both", g.PredecessorFinished(c), true)
+	wantEqual(t, "last after one", g.FinishPredecessor(c), false)
+	wantEqual(t, "last after both", g.FinishPredecessor(c), true)
 }
 
 func TestAnyAncestor(t *testing.T) {
 	// 3 depends on 1 and 2, both on 0.
 	var g Graph
-	n := []*Node{add(&g), add(&g), add(&g), add(&g)}
-	g.Depend(n[1], n[0], false)
-	g.Depend(n[2], n[0], false)
-	g.Depend(n[3], n[1], false)
-	g.Depend(n[3], n[2], false)
+	n := []*Node{addNode(&g), addNode(&g), addNode(&g), addNode(&g)}
+	g.AddDependency(n[1], n[0], false)
+	g.AddDependency(n[2], n[0], false)
+	g.AddDependency(n[3], n[1], false)
+	g.AddDependency(n[3], n[2], false)
 	visited := map[int32]int{}
 	found := g.AnyAncestor(n[3], func(i int32) Visit { visited[i]++; return Continue })
 	wantEqual(t, "found", found, false)
@@ -112,9 +112,9 @@
 				}
 			}
 		}
-		m := &model{t: t, dependsOn: dependsOn, nodes: map[int]*Node{}, finished: map[int]bool{}}
+		m := &jobModel{t: t, dependsOn: dependsOn, nodes: map[int]*Node{}, finished: map[int]bool{}}
 		for _, i := range r.Perm(jobs) {
-			m.learn(i)
+			m.addJob(i)
 			if r.IntN(2) == 0 {
 				m.finishOne(r)
 			}
@@ -127,34 +127,34 @@
 	}
 }
 
-type model struct {
+type jobModel struct {
 	t         *testing.T
-	g         Graph
+	graph     Graph
 	dependsOn [][]int
 	nodes     map[int]*Node
-	jobOf     []int // by index of the graph
+	jobByNode []int // by index of the graph
 	finished  map[int]bool
 }
 
-// learn makes a job known.
-func (m *model) learn(i int) {
-	n := add(&m.g)
-	m.nodes[i], m.jobOf = n, append(m.jobOf, i)
+// addJob makes a job known.
+func (m *jobModel) addJob(i int) {
+	n := addNode(&m.graph)
+	m.nodes[i], m.jobByNode = n, append(m.jobByNode, i)
 	for _, p := range m.dependsOn[i] {
 		if known := m.nodes[p]; known != nil {
-			m.g.Depend(n, known, m.finished[p])
+			m.graph.AddDependency(n, known, m.finished[p])
 		} else {
-			m.g.Await(n, fmt.Sprint(p))
+			m.graph.AddUnknownDependency(n, fmt.Sprint(p))
 		}
 	}
-	m.g.Resolve(fmt.Sprint(i), n, false)
+	m.graph.Resolve(fmt.Sprint(i), n, false)
 }
 
 // finishOne finishes some known job that waits for none.
-func (m *model) finishOne(r *rand.Rand) bool {
+func (m *jobModel) finishOne(r *rand.Rand) bool {
 	var ready []int
 	for i, n := range m.nodes {
-		if n.Open() == 0 && !m.finished[i] {
+		if n.Unfinished() == 0 && !m.finished[i] {
 			ready = append(ready, i)
 		}
 	}
@@ -164,17 +164,17 @@
 	slices.Sort(ready)
 	i := ready[r.IntN(len(ready))]
 	m.finished[i] = true
-	for _, at := range m.g.TakeDependents(m.nodes[i]) {
-		dependent := m.nodes[m.jobOf[at]]
-		if last := m.g.PredecessorFinished(dependent); last != (dependent.Open() == 0) {
-			m.t.Errorf("job %d: last is %t with %d open", m.jobOf[at], last, dependent.Open())
+	for _, at := range m.graph.TakeDependents(m.nodes[i]) {
+		dependent := m.nodes[m.jobByNode[at]]
+		if last := m.graph.FinishPredecessor(dependent); last != (dependent.Unfinished() == 0) {
+			m.t.Errorf("job %d: last is %t with %d open", m.jobByNode[at], last, dependent.Unfinished())
 		}
 	}
 	return true
 }
 
 // check compares what each known job waits for with a count.
-func (m *model) check(seed uint64) {
+func (m *jobModel) check(seed uint64) {
 	m.t.Helper()
 	for i, n := range m.nodes {
 		want := 0
@@ -183,8 +183,8 @@
 				want++
 			}
 		}
-		if n.Open() != want {
-			m.t.Fatalf("seed %d: job %d waits for %d, want %d", seed, i, n.Open(), want)
+		if n.Unfinished() != want {
+			m.t.Fatalf("seed %d: job %d waits for %d, want %d", seed, i, n.Unfinished(), want)
 		}
 	}
 }
--- a/internal/scheduler/disruptions.go
+++ b/internal/scheduler/disruptions.go
@@ -44,12 +44,12 @@
 // displaced charges a task that has lost its place. saved: its progress was saved.
 func (d *disruptionAccount) displaced(m *machine, b *allocation, saved bool, why string) {
 	j := d.jobs.list[b.job]
-	if d.tracker == nil || j.ended() || j.spec == nil || b.runningSince == 0 && !b.moving {
+	if d.tracker == nil || j.ended() || j.spec == nil || b.runningSince == 0 && !b.evictedByPlan {
 		return
 	}
 	cause := rollout.Cause(why)
 	switch {
-	case b.moving:
+	case b.evictedByPlan:
 		cause = rollout.CauseEviction
 	case m.rental.terminationAt > 0:
 		cause = "the cloud takes its machine back"
--- a/internal/scheduler/drain_plans.go
+++ b/internal/scheduler/drain_plans.go
@@ -177,7 +177,7 @@
 		m.eviction.kept = kept
 		if m.eviction.cordoned != cordoned {
 			m.eviction.cordoned = cordoned
-			d.placement.indexChanged(m)
+			d.placement.markIndexStale(m)
 			d.placement.markNeeded()
 		}
 	}
--- a/internal/scheduler/estimates.go
+++ b/internal/scheduler/estimates.go
@@ -11,8 +11,8 @@
 // addClass makes room for a class.
 func (e *runEstimates) addClass() { e.runRatios = append(e.runRatios, 0) }
 
-// learn takes the ratio of one run.
-func (e *runEstimates) learn(class int32, ratio float64) {
+// addRatio takes the ratio of one run.
+func (e *runEstimates) addRatio(class int32, ratio float64) {
 	ratio = min(max(ratio, 0.1), 10)
 	if old := e.runRatios[class]; old > 0 {
 		ratio = old + (ratio-old)/16
@@ -28,12 +28,12 @@
 	return 1
 }
 
-// learnRun learns how true the owners' estimates of a class are.
-func (e *runEstimates) learnRun(j *job, took time.Duration) {
+// addRun learns how true the owners' estimates of a class are.
+func (e *runEstimates) addRun(j *job, took time.Duration) {
 	if j.spec == nil || j.spec.EstimatedRunS <= 0 {
 		return
 	}
-	e.learn(j.request.class, took.Seconds()/j.spec.EstimatedRunS)
+	e.addRatio(j.request.class, took.Seconds()/j.spec.EstimatedRunS)
 }
 
 // expectedRun is how long a task of a job is expected to run.
--- a/internal/scheduler/evictions.go
+++ b/internal/scheduler/evictions.go
@@ -58,7 +58,7 @@
 		if j.id != id || b.task != n || b.stopping || j.spec == nil {
 			continue
 		}
-		b.moving = true
+		b.evictedByPlan = true
 		grace := 0.0
 		if j.spec.CheckpointIntervalS > 0 {
 			grace = j.spec.CheckpointDurationS
--- a/internal/scheduler/failure_attribution.go
+++ b/internal/scheduler/failure_attribution.go
@@ -6,8 +6,8 @@
 	"leadproxy/internal/wire"
 )
 
-// backOff lets a job wait a little before its next start, longer each time.
-func (p *placement) backOff(j *job) {
+// extendBackoff lets a job wait a little before its next start, longer each time.
+func (p *placement) extendBackoff(j *job) {
 	if p.clock.now < j.retry.notBefore {
 		return
 	}
@@ -28,8 +28,8 @@
 	return j.progress.done == 0 && len(j.retry.failedOn) >= suspectThreshold
 }
 
-// attemptFailed attributes a failure to the machine or to the job.
-func (p *placement) attemptFailed(m *machine, j *job, n int32, attempt uint64) {
+// recordFailure attributes a failure to the machine or to the job.
+func (p *placement) recordFailure(m *machine, j *job, n int32, attempt uint64) {
 	if j.retry.failedOn == nil {
 		j.retry.failedOn = map[int32]bool{}
 	}
@@ -37,7 +37,7 @@
 	p.log.Info("task failed", "machine", m.name, "task", wire.TaskName{JobID: j.id, Index: int(n)}.String(), "attempt", attempt, "machines", len(j.retry.failedOn))
 	if j.suspect() {
 		// It is tried again now and then until its user cancels it.
-		p.backOff(j)
+		p.extendBackoff(j)
 		return
 	}
 	if m.health.failedJobs == nil {
@@ -49,8 +49,8 @@
 	}
 }
 
-// jobSucceeded notes a success of a job: its earlier failures were the machines' fault.
-func (p *placement) jobSucceeded(j *job) {
+// recordSuccess notes a success of a job: its earlier failures were the machines' fault.
+func (p *placement) recordSuccess(j *job) {
 	for i := range j.retry.failedOn {
 		if m := p.machines.list[i]; m.health.failedJobs[j.index] {
 			p.quarantine(m)
@@ -64,12 +64,12 @@
 		return
 	}
 	m.health.quarantined = true
-	p.indexChanged(m)
+	p.markIndexStale(m)
 	p.log.Info("machine quarantined: tasks fail on it", "machine", m.name, "jobs", len(m.health.failedJobs), "allocations", len(m.capacity.allocations))
 }
 
-// endBackOffs has the jobs placed whose delay has passed.
-func (p *placement) endBackOffs() {
+// endBackoffs has the jobs placed whose delay has passed.
+func (p *placement) endBackoffs() {
 	for _, j := range p.jobs.active {
 		if j.retry.notBefore > 0 && p.clock.now >= j.retry.notBefore {
 			j.retry.notBefore = 0
--- a/internal/scheduler/fair_share.go
+++ b/internal/scheduler/fair_share.go
@@ -36,8 +36,8 @@
 	}
 	slices.SortStableFunc(aged, func(a, b *job) int { return cmp.Compare(a.priority.arrived, b.priority.arrived) })
 	for _, j := range aged {
-		if p.placeJob(j, uncertain, func(placed int) bool { return placed == 0 }) == 0 && p.withinLimit(j, uncertain) {
-			p.reserve(j)
+		if p.placeJob(j, uncertain, func(placed int) bool { return placed == 0 }) == 0 && p.withinTeamLimit(j, uncertain) {
+			p.reserveMachine(j)
 		}
 	}
 }
@@ -45,9 +45,9 @@
 // reservationInterval is the least time between two searches for a machine to reserve for a job.
 const reservationInterval = time.Second
 
-// reserve keeps the machine free for a job's first task on which the least is left
+// reserveMachine keeps the machine free for a job's first task on which the least is left
 // to do.
-func (p *placement) reserve(j *job) {
+func (p *placement) reserveMachine(j *job) {
 	enough := len(p.reservingJobs) > 0 && len(p.reservingJobs) >= len(p.machines.live)/reservedMachinesDivisor
 	triedJustNow := j.placement.reservationTriedAt > 0 && p.clock.now-j.placement.reservationTriedAt < reservationInterval
 	if enough || triedJustNow {
@@ -57,7 +57,7 @@
 	var best *machine
 	least := 0.0
 	for _, m := range p.machines.live {
-		if !m.indexed.schedulable || m.capacity.reserved || !j.allows(m.typ, m.zone, m.spot) || j.retry.failedOn[m.index] || !j.request.size.Within(m.capacity.total) {
+		if !m.indexed.schedulable || m.capacity.reserved || !j.allowsMachine(m.typ, m.zone, m.spot) || j.retry.failedOn[m.index] || !j.request.size.Within(m.capacity.total) {
 			continue
 		}
 		if left := p.remainingWork(m); best == nil || left < least {
@@ -70,7 +70,7 @@
 	p.log.Info("machine reserved for a job that has waited long", "machine", best.name, "job", j.id, "waited_s", (p.clock.now - j.priority.arrived).Seconds(), "core_seconds_left", least)
 	best.capacity.reserved, j.placement.reservedMachine = true, best
 	p.reservingJobs = append(p.reservingJobs, j)
-	p.refresh(best)
+	p.refreshIndex(best)
 }
 
 // placeReserved starts the first task of each job whose reserved machine has become free enough,
@@ -83,10 +83,10 @@
 			return false
 		}
 		m.capacity.reserved, j.placement.reservedMachine = false, nil
-		if waits && m.indexed.schedulable && p.withinLimit(j, uncertain) {
+		if waits && m.indexed.schedulable && p.withinTeamLimit(j, uncertain) {
 			p.startOn(j, m)
 		}
-		p.refresh(m)
+		p.refreshIndex(m)
 		return true
 	})
 }
@@ -107,7 +107,7 @@
 	for _, j := range queue {
 		p.placeJob(j, uncertain, func(int) bool {
 			class := p.classes.allocatedCores[j.request.class]+j.request.size.CPUs <= part/float64(len(classes))
-			team := p.teams.At(j.request.team).Allocated().Cores()+j.request.size.CPUs <= part/float64(len(teams))
+			team := p.teams.Team(j.request.team).Allocated().Cores()+j.request.size.CPUs <= part/float64(len(teams))
 			return class || team
 		})
 	}
--- a/internal/scheduler/fair_share_test.go
+++ b/internal/scheduler/fair_share_test.go
@@ -11,9 +11,9 @@
 	"leadproxy/internal/wire"
 )
 
-// TestNobodyIsStarved: urgent work that never ends must leave room for the
+// TestUrgentWorkDoesNotStarveOthers: urgent work that never ends must leave room for the
 // other class, the other team and a job of large tasks to begin.
-func TestNobodyIsStarved(t *testing.T) {
+func TestUrgentWorkDoesNotStarveOthers(t *testing.T) {
 	urgent := func(jobID string, tasks int, cpus float64) *wire.Job {
 		j := newTestJob(jobID, tasks, cpus)
 		j.Priority, j.Class = "high", "u"
@@ -54,7 +54,7 @@
 			}
 			victim := c.victim()
 			for step := 0; g.now < c.within+time.Second && began < 0; step++ {
-				for g.c.jobs.list == nil || jobs < 2 || len(g.c.placement.queue()) < 3 {
+				for g.c.jobs.list == nil || jobs < 2 || len(g.c.placement.sortedQueue()) < 3 {
 					jobs++
 					g.submit(urgent(fmt.Sprintf("job-1%03d", jobs), 8, 1))
 				}
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -84,7 +84,7 @@
 			c.foreign.write(e)
 		case federation.CancelForeign:
 			if at, ok := c.jobs.indexByID[e.JobID]; ok && !c.jobs.list[at].ended() {
-				c.cancel(c.jobs.list[at])
+				c.cancelJob(c.jobs.list[at])
 			}
 		case federation.TraceForeign:
 			c.transferSteps.trace(e.Step)
@@ -128,7 +128,7 @@
 // foreignWritten takes the result of a write of a foreign job.
 func (c *Core) foreignWritten(e ForeignWriteResult) {
 	if e.Job != nil && !e.JobExists {
-		c.recordJob(JobRecordEvent{JobID: e.Write.Key.JobID, Record: *e.Job, Version: e.Version})
+		c.handleJobRecord(JobRecordEvent{JobID: e.Write.Key.JobID, Record: *e.Job, Version: e.Version})
 	}
 	c.foreign.recordWritten(e)
 	c.applyForeignEffects()
@@ -145,10 +145,10 @@
 	switch {
 	case j.ended():
 	case e.Cancelled:
-		c.cancel(j)
+		c.cancelJob(j)
 	default:
-		j.progress.allDone()
-		c.finish(j, wire.JobDone)
+		j.progress.markAllDone()
+		c.finishJob(j, wire.JobDone)
 	}
 }
 
@@ -172,7 +172,7 @@
 		return federation.JobState{}, false
 	}
 	j := c.jobs.list[at]
-	status := c.status(j)
+	status := c.jobStatus(j)
 	return federation.JobState{Over: j.end.durable, Cancelled: j.end.state == wire.JobCancelled, Done: status.Done, Running: status.Running}, true
 }
 
--- a/internal/scheduler/federation_test.go
+++ b/internal/scheduler/federation_test.go
@@ -275,7 +275,7 @@
 	guest.progress.allocated, guest.progress.waiting = 0, []int32{0} // as if it waited
 	g.submit(own)
 	var order []string
-	for _, j := range g.c.placement.queue() {
+	for _, j := range g.c.placement.sortedQueue() {
 		order = append(order, j.id)
 	}
 	g.want("the order of jobs of one priority", strings.Join(order, " "), "job-2 job-87")
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -114,11 +114,11 @@
 	if spec.Zone != nil {
 		return "it is bound to a zone of its home"
 	}
-	if !f.teams.At(f.teams.Index(spec.Team)).Allows(quota.Of(sizeOf(spec))) {
+	if !f.teams.Team(f.teams.Index(spec.Team)).Allows(quota.UnitsOf(taskSize(spec))) {
 		return "one of its tasks needs more than its team's limit here"
 	}
 	if !slices.ContainsFunc(f.types.list, func(t machineType) bool {
-		return sizeOf(spec).Within(t.total) && (spec.Types == nil || slices.Contains(spec.Types, t.Name))
+		return taskSize(spec).Within(t.total) && (spec.Types == nil || slices.Contains(spec.Types, t.Name))
 	}) {
 		return "none of its tasks fits a machine type here"
 	}
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -69,7 +69,7 @@
 	if r.AgentEpoch != m.agent.Epoch() {
 		c.beginAgentEpoch(m, r.AgentEpoch)
 	}
-	c.placement.indexChanged(m)
+	c.placement.markIndexStale(m)
 	m.agent.Acknowledge(r, c.clock.now)
 	m.commands.resolveUpToToken(m.agent.AcknowledgedToken())
 	if r.TerminationNoticeS != nil && m.rental.terminationAt == 0 {
@@ -98,7 +98,7 @@
 func (c *Core) beginAgentEpoch(m *machine, epoch uint64) {
 	if m.agent.Epoch() != 0 {
 		c.log.Info("agent began a new epoch", "machine", m.name, "agent_epoch", epoch, "allocations", len(m.capacity.allocations))
-		c.dropAllocations(m, "its agent began a new epoch")
+		c.releaseLostAllocations(m, "its agent began a new epoch")
 		// It has received no response for a whole lease.
 		c.markUnacknowledged(m)
 	}
--- a/internal/scheduler/inherited_state.go
+++ b/internal/scheduler/inherited_state.go
@@ -59,7 +59,7 @@
 	}
 	m.agent.Inherit(h.Address, h.AgentEpoch)
 	if len(h.Allocations) == 0 {
-		m.capacity.used(i.clock.now - h.Idle)
+		m.capacity.markUsed(i.clock.now - h.Idle)
 	}
 	for _, image := range h.Images {
 		m.capacity.inheritImage(i.placement.images.of(image.Name), image.GB)
--- a/internal/scheduler/inspections.go
+++ b/internal/scheduler/inspections.go
@@ -88,7 +88,7 @@
 		case b.state <= allocationQueued:
 			// It leaves with the present token, if at all.
 		case b.withdrawStart():
-			c.release(m, b)
+			c.releaseAndRequeue(m, b)
 		default:
 			b.responseSequence = 0 // of a heartbeat of the earlier incarnation
 			m.commands.addUnresolvedStart(b.attempt)
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -10,7 +10,7 @@
 	"leadproxy/internal/wire"
 )
 
-type host struct {
+type jobHost struct {
 	machine int32
 	durable bool
 }
@@ -77,11 +77,11 @@
 	version    uint64
 	acceptedMS int64
 
-	hosts        []host
-	hostAt       map[int32]int // by machine: its place in hosts
-	hostsWritten int           // how many of them have been written, or are being
-	hostChunks   []int         // the first hosts of the keys that hold them
-	inDoubtHosts map[int32]bool
+	hosts              []jobHost
+	hostIndexByMachine map[int32]int // by machine: its place in hosts
+	hostsWritten       int           // how many of them have been written, or are being
+	hostChunks         []int         // the first hosts of the keys that hold them
+	inDoubtHosts       map[int32]bool
 
 	finishedKeys   map[string]bool // the keys of finished tasks
 	chunksInParts  map[int]bool    // the chunks of finished tasks that are written in parts
@@ -105,33 +105,33 @@
 	return !j.ended() && !j.blocked() && len(j.progress.waiting) > 0 && len(j.record.inDoubtHosts) == 0 && now >= j.retry.notBefore
 }
 
-// never is the deadline of a job without one.
-const never = time.Duration(math.MaxInt64)
+// noDeadline is the deadline of a job without one.
+const noDeadline = time.Duration(math.MaxInt64)
 
 // slack is the time left until the deadline beyond the estimated run.
 func (j *job) slack(now time.Duration) time.Duration {
-	if j.priority.deadline == never {
-		return never
+	if j.priority.deadline == noDeadline {
+		return noDeadline
 	}
 	return j.priority.deadline - now - settings.Seconds(j.spec.EstimatedRunS)
 }
 
-// sizeOf is what one task of a job takes of its machine.
-func sizeOf(s *wire.Job) slowfit.Size {
+// taskSize is what one task of a job takes of its machine.
+func taskSize(s *wire.Job) slowfit.Size {
 	return slowfit.Size{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
 }
 
-// arriveAt has the wait of the job count from a time on.
-func (p *priority) arriveAt(at time.Duration) { p.arrived = at }
+// setArrival has the wait of the job count from a time on.
+func (p *priority) setArrival(at time.Duration) { p.arrived = at }
 
-// forgetTypes has the types resolved again, since there are new ones.
-func (r *request) forgetTypes() { r.types = nil }
+// clearTypes has the types resolved again, since there are new ones.
+func (r *request) clearTypes() { r.types = nil }
 
 // delayUntil keeps the job's tasks from starting until a time.
 func (r *retry) delayUntil(at time.Duration) { r.notBefore = at }
 
-// forgetFailures drops where tasks have failed.
-func (r *retry) forgetFailures() { r.failedOn = nil }
+// clearFailures drops where tasks have failed.
+func (r *retry) clearFailures() { r.failedOn = nil }
 
 // setDelegated notes whether another cell may run the job.
 func (t *transfer) setDelegated(delegated bool) { t.delegated = delegated }
--- a/internal/scheduler/job_end.go
+++ b/internal/scheduler/job_end.go
@@ -24,15 +24,15 @@
 // decide sets the terminal state.
 func (e *jobEnd) decide(state string) { e.state = state }
 
-// becameDurable notes when the terminal state became durable.
-func (e *jobEnd) becameDurable(at time.Duration) { e.durable, e.at = true, at }
+// markDurable notes when the terminal state became durable.
+func (e *jobEnd) markDurable(at time.Duration) { e.durable, e.at = true, at }
 
 // confirm publishes that users may be told of the terminal state. The starts that have not been sent
 // are withdrawn by then.
 func (e *jobEnd) confirm() { e.cancellationConfirmed.Store(e.state == wire.JobCancelled) }
 
-// await has someone told when the terminal state is durable.
-func (e *jobEnd) await(to Recipient) { e.replyTo = append(e.replyTo, to) }
+// addRecipient has someone told when the terminal state is durable.
+func (e *jobEnd) addRecipient(to Recipient) { e.replyTo = append(e.replyTo, to) }
 
 // takeRecipients removes and returns those who wait for the terminal state.
 func (e *jobEnd) takeRecipients() []Recipient {
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -15,14 +15,14 @@
 		id:       id,
 		spec:     rec.Job,
 		request:  request{zone: -1},
-		priority: priority{deadline: never},
+		priority: priority{deadline: noDeadline},
 		progress: progress{total: rec.Tasks, done: rec.Done},
 		end:      jobEnd{state: rec.TerminalState, durable: rec.TerminalState != "", cleanedUp: rec.Job == nil},
 		record:   jobRecord{version: version, acceptedMS: rec.AcceptedMS},
 		transfer: transfer{origin: rec.Origin, epoch: rec.TransferEpoch},
 	}
 	if rec.EndedMS > 0 {
-		j.end.becameDurable(c.clock.ago(rec.EndedMS))
+		j.end.markDurable(c.clock.ago(rec.EndedMS))
 		j.end.confirm()
 	}
 	c.jobs.add(j)
@@ -31,15 +31,15 @@
 	}
 	j.request = c.requestOf(rec.Job)
 	j.priority = priorityOf(rec.Job, c.clock.ago(rec.AcceptedMS))
-	j.progress.begin(rec.Job.Tasks)
-	j.record.begin()
-	c.jobs.activate(j)
+	j.progress.initTasks(rec.Job.Tasks)
+	j.record.initHosts()
+	c.jobs.addActive(j)
 	return j
 }
 
 // requestOf resolves the names in a job's description.
 func (c *Core) requestOf(spec *wire.Job) request {
-	r := request{size: sizeOf(spec), class: c.classOf(spec.Class), image: c.placement.images.of(spec.Image), zone: -1, team: c.teams.Index(spec.Team)}
+	r := request{size: taskSize(spec), class: c.classIndex(spec.Class), image: c.placement.images.of(spec.Image), zone: -1, team: c.teams.Index(spec.Team)}
 	if spec.Zone != nil {
 		r.zone = c.machines.zones.of(*spec.Zone)
 	}
@@ -48,20 +48,20 @@
 
 // priorityOf is the priority of a job by its own description.
 func priorityOf(spec *wire.Job, arrived time.Duration) priority {
-	p := priority{class: spec.PriorityClass(), deadline: never, arrived: arrived}
+	p := priority{class: spec.PriorityClass(), deadline: noDeadline, arrived: arrived}
 	if spec.DeadlineS != nil {
 		p.deadline = arrived + settings.Seconds(*spec.DeadlineS)
 	}
 	return p
 }
 
-// recordJob takes a job's record, which may be known already.
-func (c *Core) recordJob(e JobRecordEvent) *job {
+// handleJobRecord takes a job's record, which may be known already.
+func (c *Core) handleJobRecord(e JobRecordEvent) *job {
 	if i, ok := c.jobs.indexByID[e.JobID]; ok {
 		return c.jobs.list[i]
 	}
 	j := c.newJob(e.JobID, e.Record, e.Version)
-	j.progress.fillWaiting()
+	j.progress.rebuildWaiting()
 	c.linkDependencies(j)
 	if j.end.durable {
 		// Its end was written while this leader had not seen it yet.
@@ -79,32 +79,32 @@
 	if !j.ended() && !j.blocked() && j.transfer.origin == "" {
 		c.demand.observeArrival(j)
 	}
-	c.jobs.raisePriorityBy(j)
+	c.jobs.raisePriorityFromDependents(j)
 	c.placement.markNeeded()
 	return j
 }
 
-// finish decides a job's terminal state and writes it. Users are told when it is durable.
-func (c *Core) finish(j *job, terminal string) {
+// finishJob decides a job's terminal state and writes it. Users are told when it is durable.
+func (c *Core) finishJob(j *job, terminal string) {
 	j.end.decide(terminal)
 	c.disruptions.jobFinished(j)
 	if terminal == wire.JobCancelled {
-		c.jobs.cancellationBegan(j)
+		c.jobs.addCancelling(j)
 	}
-	c.jobs.writeTerminal(j, writeUrgently)
+	c.jobs.writeTerminal(j, writeUrgent)
 }
 
-// terminalIsDurable does what follows once a job's terminal state is durable.
-func (c *Core) terminalIsDurable(j *job) {
+// handleTerminalDurable does what follows once a job's terminal state is durable.
+func (c *Core) handleTerminalDurable(j *job) {
 	if j.end.durable {
 		return // it followed from another job's end before its own record was written
 	}
-	j.end.becameDurable(c.clock.now)
-	c.jobs.cancellationEnded(j)
-	j.progress.dropAllWaiting()
+	j.end.markDurable(c.clock.now)
+	c.jobs.removeCancelling(j)
+	j.progress.clearWaiting()
 	c.log.Debug("job ended", "job", j.id, "state", j.end.state, "seconds", (c.clock.now - j.priority.arrived).Seconds(), "late", c.clock.now > j.priority.deadline)
 	for _, to := range j.end.takeRecipients() {
-		c.effects.emit(UserReply{ReplyTo: to, Known: true, Status: c.status(j)})
+		c.effects.emit(UserReply{ReplyTo: to, Known: true, Status: c.jobStatus(j)})
 	}
 	c.stopTasks(j)
 	j.end.confirm()
@@ -115,30 +115,30 @@
 	c.applyOriginEffects()
 }
 
-// taskEnded notes that a task has completed.
-func (c *Core) taskEnded(j *job, n int32) {
+// completeTask notes that a task has completed.
+func (c *Core) completeTask(j *job, n int32) {
 	if j.ended() || j.progress.tasks[n].state >= taskDone {
 		return
 	}
-	j.progress.taskEnded(n)
+	j.progress.markTaskDone(n)
 	c.disruptions.taskFinished(j, n)
-	c.placement.jobSucceeded(j)
+	c.placement.recordSuccess(j)
 	if j.progress.done == j.progress.total {
-		c.finish(j, wire.JobDone)
+		c.finishJob(j, wire.JobDone)
 		return
 	}
-	c.jobs.writeEnded(j, n)
+	c.jobs.queueFinishedTasks(j, n)
 }
 
-// requeue makes a task wait again.
-func (p *placement) requeue(j *job, n int32) {
+// requeueTask makes a task wait again.
+func (p *placement) requeueTask(j *job, n int32) {
 	if !j.ended() && j.progress.requeue(n) {
 		p.needed = true
 	}
 }
 
-// cancelRequested begins the cancellation of a job.
-func (c *Core) cancelRequested(e CancelRequest) {
+// handleCancelRequest begins the cancellation of a job.
+func (c *Core) handleCancelRequest(e CancelRequest) {
 	i, ok := c.jobs.indexByID[e.JobID]
 	if !ok || c.jobs.list[i].transfer.origin != "" {
 		c.effects.emit(UserReply{ReplyTo: e.ReplyTo})
@@ -146,7 +146,7 @@
 	}
 	j := c.jobs.list[i]
 	if j.end.durable {
-		c.effects.emit(UserReply{ReplyTo: e.ReplyTo, Known: true, Status: c.status(j)})
+		c.effects.emit(UserReply{ReplyTo: e.ReplyTo, Known: true, Status: c.jobStatus(j)})
 		return
 	}
 	// A job whose transfer's record can't be read counts as delegated to an unknown cell.
@@ -154,17 +154,17 @@
 		c.cancelDelegated(j, e.ReplyTo)
 		return
 	}
-	j.end.await(e.ReplyTo)
+	j.end.addRecipient(e.ReplyTo)
 	if !j.ended() {
 		c.log.Debug("cancelling job", "job", j.id)
-		c.cancel(j)
+		c.cancelJob(j)
 	}
 }
 
-// cancel cancels a job. Its tasks are stopped now, not when that is durable: the write may be
+// cancelJob cancels a job. Its tasks are stopped now, not when that is durable: the write may be
 // carried out and its answer lost, other controllers read it and tell the user, and we learn of
 // it only after an outage. What its tasks do from here on is of no use.
-func (c *Core) cancel(j *job) {
-	c.finish(j, wire.JobCancelled)
+func (c *Core) cancelJob(j *job) {
+	c.finishJob(j, wire.JobCancelled)
 	c.stopTasks(j)
 }
--- a/internal/scheduler/job_events_test.go
+++ b/internal/scheduler/job_events_test.go
@@ -7,7 +7,7 @@
 	"leadproxy/internal/wire"
 )
 
-func TestCancelIsToldOnlyWhenDurableAndLateStartsAreStopped(t *testing.T) {
+func TestCancelIsReportedOnlyWhenDurableAndLateStartsAreStopped(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
@@ -82,7 +82,7 @@
 	g.want("bookings left", g.c.jobs.list[0].progress.allocated, 0)
 }
 
-func TestCancelOfADoneJobSaysDone(t *testing.T) {
+func TestCancelOfDoneJobReportsDone(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
--- a/internal/scheduler/job_progress.go
+++ b/internal/scheduler/job_progress.go
@@ -22,14 +22,14 @@
 	startedOnce bool // some task of it has been seen running, or is done
 }
 
-// begin makes room for the states of a job's tasks.
-func (p *progress) begin(tasks int) {
+// initTasks makes room for the states of a job's tasks.
+func (p *progress) initTasks(tasks int) {
 	p.total = tasks
 	p.tasks = make([]task, tasks)
 }
 
-// fillWaiting lists the waiting tasks, the lowest number to be placed first.
-func (p *progress) fillWaiting() {
+// rebuildWaiting lists the waiting tasks, the lowest number to be placed first.
+func (p *progress) rebuildWaiting() {
 	p.waiting = make([]int32, 0, max(0, len(p.tasks)-p.done))
 	for i := len(p.tasks) - 1; i >= 0; i-- {
 		if p.tasks[i].state == taskWaiting {
@@ -38,16 +38,16 @@
 	}
 }
 
-// takeWaiting removes and returns the waiting task that is placed next.
-func (p *progress) takeWaiting() int32 {
+// popWaiting removes and returns the waiting task that is placed next.
+func (p *progress) popWaiting() int32 {
 	last := len(p.waiting) - 1
 	n := p.waiting[last]
 	p.waiting = p.waiting[:last]
 	return n
 }
 
-// dropWaiting removes a task from the waiting ones.
-func (p *progress) dropWaiting(n int32) {
+// removeWaiting removes a task from the waiting ones.
+func (p *progress) removeWaiting(n int32) {
 	for k, w := range p.waiting {
 		if w == n {
 			p.waiting = append(p.waiting[:k], p.waiting[k+1:]...)
@@ -56,8 +56,8 @@
 	}
 }
 
-// dropAllWaiting has none wait any more.
-func (p *progress) dropAllWaiting() { p.waiting = nil }
+// clearWaiting has none wait any more.
+func (p *progress) clearWaiting() { p.waiting = nil }
 
 // requeue has an allocated task wait again, and tells whether it was allocated.
 func (p *progress) requeue(n int32) bool {
@@ -71,7 +71,7 @@
 
 // addAllocation counts an allocation. The task's state stays if its job has ended.
 func (p *progress) addAllocation(n int32, purpose allocationPurpose) {
-	if purpose == toRun {
+	if purpose == purposeRun {
 		p.tasks[n].state = taskAllocated
 	}
 	p.allocated++
@@ -83,25 +83,25 @@
 // markStarted notes that some task has been seen running.
 func (p *progress) markStarted() { p.startedOnce = true }
 
-// taskEnded notes that a task has completed.
-func (p *progress) taskEnded(n int32) {
+// markTaskDone notes that a task has completed.
+func (p *progress) markTaskDone(n int32) {
 	if p.tasks[n].state == taskWaiting {
-		p.dropWaiting(n)
+		p.removeWaiting(n)
 	}
 	p.tasks[n].state = taskDone
 	p.done++
 	p.startedOnce = true
 }
 
-// taskDurable notes that the end of a task is in the ledger.
-func (p *progress) taskDurable(n int32) {
+// markTaskDurable notes that the end of a task is in the ledger.
+func (p *progress) markTaskDurable(n int32) {
 	if p.tasks != nil && p.tasks[n].state == taskDone {
 		p.tasks[n].state = taskDurable
 	}
 }
 
-// allDone counts all tasks as done.
-func (p *progress) allDone() { p.done = p.total }
+// markAllDone counts all tasks as done.
+func (p *progress) markAllDone() { p.done = p.total }
 
 // restoreFinished notes that a task's end is in the ledger, and tells whether that is new.
 func (p *progress) restoreFinished(n int) bool {
@@ -115,6 +115,6 @@
 // restore completes what is known of the tasks by the ledger.
 func (p *progress) restore(finished int, hasHosts bool) {
 	p.done = max(p.done, finished)
-	p.fillWaiting()
+	p.rebuildWaiting()
 	p.startedOnce = p.done > 0 || hasHosts
 }
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -8,8 +8,8 @@
 	"leadproxy/internal/wire"
 )
 
-// begin makes room for the hosts of a job that has not ended.
-func (r *jobRecord) begin() { r.hostAt = map[int32]int{} }
+// initHosts makes room for the hosts of a job that has not ended.
+func (r *jobRecord) initHosts() { r.hostIndexByMachine = map[int32]int{} }
 
 // addFinishedKey notes a key of finished tasks.
 func (r *jobRecord) addFinishedKey(key string) {
@@ -19,8 +19,8 @@
 	r.finishedKeys[key] = true
 }
 
-// dropKeys deletes what the ledger holds of a finished job besides its record.
-func (t *jobTable) dropKeys(j *job) {
+// deleteKeys deletes what the ledger holds of a finished job besides its record.
+func (t *jobTable) deleteKeys(j *job) {
 	var writes []ledger.Write
 	for chunk := range j.record.hostChunks {
 		writes = append(writes, ledger.Write{Key: ledger.HostsKey(j.id, chunk)})
@@ -36,14 +36,14 @@
 // addHost notes that a job's tasks may be on a machine. That is written at the end of the step,
 // and durable before the first start there.
 func (t *jobTable) addHost(j *job, m *machine) {
-	j.record.hostAt[m.index] = len(j.record.hosts)
-	j.record.hosts = append(j.record.hosts, host{machine: m.index})
+	j.record.hostIndexByMachine[m.index] = len(j.record.hosts)
+	j.record.hosts = append(j.record.hosts, jobHost{machine: m.index})
 	m.recorded.namedByJobs++
 	t.queueWrite(j)
 }
 
-// hostsDurable notes that the hosts of a write are durable, and returns those that were not before.
-func (t *jobTable) hostsDurable(j *job, written hostTag) (machines []int32) {
+// markHostsDurable notes that the hosts of a write are durable, and returns those that were not before.
+func (t *jobTable) markHostsDurable(j *job, written hostTag) (machines []int32) {
 	if j.record.hosts == nil {
 		return nil
 	}
@@ -56,10 +56,10 @@
 	return machines
 }
 
-// hostsRejected has a job's hosts written again, since they were too many for a value. What is
+// requeueRejectedHosts has a job's hosts written again, since they were too many for a value. What is
 // durable keeps its key; what comes after it begins a new one.
-func (t *jobTable) hostsRejected(j *job) {
-	first := slices.IndexFunc(j.record.hosts, func(h host) bool { return !h.durable })
+func (t *jobTable) requeueRejectedHosts(j *job) {
+	first := slices.IndexFunc(j.record.hosts, func(h jobHost) bool { return !h.durable })
 	if first < 0 {
 		return
 	}
@@ -69,16 +69,16 @@
 	t.queueWrite(j)
 }
 
-// writeEnded has the end of tasks written at the end of the step.
-func (t *jobTable) writeEnded(j *job, tasks ...int32) {
+// queueFinishedTasks has the end of tasks written at the end of the step.
+func (t *jobTable) queueFinishedTasks(j *job, tasks ...int32) {
 	if j.progress.tasks != nil {
 		j.record.unwrittenTasks = append(j.record.unwrittenTasks, tasks...)
 		t.queueWrite(j)
 	}
 }
 
-// dropRestoredKeys deletes what an earlier leader has left of a job that is done.
-func (t *jobTable) dropRestoredKeys(s *ledger.SavedJob) {
+// deleteRestoredKeys deletes what an earlier leader has left of a job that is done.
+func (t *jobTable) deleteRestoredKeys(s *ledger.SavedJob) {
 	for _, h := range s.Hosts {
 		t.writes.put(ledger.Write{Key: h.Key})
 	}
@@ -110,11 +110,11 @@
 		j.record.hostChunks = append(j.record.hostChunks, len(j.record.hosts))
 	}
 	for _, m := range machines {
-		if _, known := j.record.hostAt[m.index]; known {
+		if _, known := j.record.hostIndexByMachine[m.index]; known {
 			continue
 		}
-		j.record.hostAt[m.index] = len(j.record.hosts)
-		j.record.hosts = append(j.record.hosts, host{machine: m.index, durable: true})
+		j.record.hostIndexByMachine[m.index] = len(j.record.hosts)
+		j.record.hosts = append(j.record.hosts, jobHost{machine: m.index, durable: true})
 		j.record.hostsWritten = len(j.record.hosts)
 		m.recorded.namedByJobs++
 		if m.state != machineGone {
@@ -168,12 +168,12 @@
 		first, names := 0, []string(nil)
 		if n := len(j.record.hostChunks); n > 0 {
 			first = j.record.hostChunks[n-1]
-			names = t.chunkFrom(j, first)
+			names = t.hostNamesForChunk(j, first)
 		}
 		if first+len(names) <= from {
 			// There is none, or the last one is full.
 			j.record.hostChunks = append(j.record.hostChunks, from)
-			first, names = from, t.chunkFrom(j, from)
+			first, names = from, t.hostNamesForChunk(j, from)
 		}
 		to := first + len(names)
 		t.writes.put(ledger.Write{Key: ledger.HostsKey(j.id, len(j.record.hostChunks)-1), Value: names, Urgent: true, Tag: hostTag{j.index, from, to}})
@@ -182,8 +182,8 @@
 	j.record.hostsWritten = len(j.record.hosts)
 }
 
-// chunkFrom names the hosts of a job, from one of them on, that go into one key.
-func (t *jobTable) chunkFrom(j *job, first int) []string {
+// hostNamesForChunk names the hosts of a job, from one of them on, that go into one key.
+func (t *jobTable) hostNamesForChunk(j *job, first int) []string {
 	hosts := j.record.hosts[first:min(first+ledger.HostsPerChunk, len(j.record.hosts))]
 	names := make([]string, len(hosts))
 	for i, h := range hosts {
@@ -204,13 +204,13 @@
 	for len(ended) > 0 {
 		chunk := int(ended[0]) / ledger.TasksPerChunk
 		n, _ := slices.BinarySearch(ended, int32((chunk+1)*ledger.TasksPerChunk))
-		t.writeChunk(j, chunk, ended[:n])
+		t.writeFinishedChunk(j, chunk, ended[:n])
 		ended = ended[n:]
 	}
 }
 
-// writeChunk writes the finished tasks of one chunk, some of which are new.
-func (t *jobTable) writeChunk(j *job, chunk int, ended []int32) {
+// writeFinishedChunk writes the finished tasks of one chunk, some of which are new.
+func (t *jobTable) writeFinishedChunk(j *job, chunk int, ended []int32) {
 	first := chunk * ledger.TasksPerChunk
 	size := min(ledger.TasksPerChunk, j.progress.total-first)
 	done := func(i int) bool { return j.progress.tasks[first+i].state >= taskDone }
@@ -251,8 +251,8 @@
 
 // The priorities of a write.
 const (
-	writeUrgently writePriority = iota
-	writeLater                  // when there is time for it
+	writeUrgent   writePriority = iota
+	writeDeferred               // when there is time for it
 )
 
 // writeTerminal writes a job's terminal state.
@@ -276,5 +276,5 @@
 		rec.Cores = j.cores()
 		rec.RunS = t.estimates.expectedRun(j).Seconds()
 	}
-	t.writes.put(ledger.Write{Key: ledger.JobKey(j.id), Value: rec, Urgent: order == writeUrgently, Version: j.record.version, Tag: terminalTag{j.index}})
+	t.writes.put(ledger.Write{Key: ledger.JobKey(j.id), Value: rec, Urgent: order == writeUrgent, Version: j.record.version, Tag: terminalTag{j.index}})
 }
--- a/internal/scheduler/job_table.go
+++ b/internal/scheduler/job_table.go
@@ -37,14 +37,14 @@
 	t.list = append(t.list, j)
 }
 
-// activate counts a job among those that need attention.
-func (t *jobTable) activate(j *job) { t.active = append(t.active, j) }
+// addActive counts a job among those that need attention.
+func (t *jobTable) addActive(j *job) { t.active = append(t.active, j) }
 
-// cancellationBegan notes that a job's cancellation is being written.
-func (t *jobTable) cancellationBegan(j *job) { t.cancelling[j.index] = true }
+// addCancelling notes that a job's cancellation is being written.
+func (t *jobTable) addCancelling(j *job) { t.cancelling[j.index] = true }
 
-// cancellationEnded notes that it is durable.
-func (t *jobTable) cancellationEnded(j *job) { delete(t.cancelling, j.index) }
+// removeCancelling notes that it is durable.
+func (t *jobTable) removeCancelling(j *job) { delete(t.cancelling, j.index) }
 
 // anyWaiting tells whether some task could be placed if there were room.
 func (t *jobTable) anyWaiting() bool {
@@ -85,8 +85,8 @@
 	return j.ended() || n >= len(j.progress.tasks) || j.progress.tasks[n].state >= taskDone
 }
 
-// runningJobs counts the running jobs of a group, once for all who ask in a step.
-func (t *jobTable) runningJobs() func(rollout.Group) int {
+// runningJobCounter counts the running jobs of a group, once for all who ask in a step.
+func (t *jobTable) runningJobCounter() func(rollout.Group) int {
 	var counts map[rollout.Group]int
 	return func(g rollout.Group) int {
 		if counts == nil {
@@ -109,16 +109,16 @@
 		return
 	}
 	j.end.cleanedUp = true
-	t.dropKeys(j)
+	t.deleteKeys(j)
 	for _, h := range j.record.hosts {
 		m := t.machines.list[h.machine]
 		m.recorded.namedByJobs--
 	}
-	j.progress.tasks, j.record.hosts, j.record.hostAt, j.record.hostChunks, j.record.finishedKeys = nil, nil, nil, nil, nil
-	j.retry.forgetFailures()
+	j.progress.tasks, j.record.hosts, j.record.hostIndexByMachine, j.record.hostChunks, j.record.finishedKeys = nil, nil, nil, nil, nil
+	j.retry.clearFailures()
 }
 
-// dropCleanedUp removes jobs that need no more attention from the active ones.
-func (t *jobTable) dropCleanedUp() {
+// removeCleanedUp removes jobs that need no more attention from the active ones.
+func (t *jobTable) removeCleanedUp() {
 	t.active = slices.DeleteFunc(t.active, func(j *job) bool { return j.end.cleanedUp })
 }
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -12,7 +12,7 @@
 	// This holds as well while a deletion is requested and not confirmed.
 	if len(m.capacity.allocations) > 0 {
 		c.log.Info("machine lost: its lease has expired", "machine", m.name, "allocations", len(m.capacity.allocations))
-		c.dropAllocations(m, "its lease has expired")
+		c.releaseLostAllocations(m, "its lease has expired")
 	}
 	// Starts for that epoch are refused from now on, and whatever a late copy of its heartbeats
 	// lists has ended as well.
--- a/internal/scheduler/ledger_writes.go
+++ b/internal/scheduler/ledger_writes.go
@@ -36,13 +36,13 @@
 func (c *Core) writeRejected(tag ledger.Tag) {
 	switch t := tag.(type) {
 	case hostTag:
-		c.jobs.hostsRejected(c.jobs.list[t.job])
+		c.jobs.requeueRejectedHosts(c.jobs.list[t.job])
 	case finishedTag:
-		c.jobs.writeEnded(c.jobs.list[t.job], t.tasks...)
+		c.jobs.queueFinishedTasks(c.jobs.list[t.job], t.tasks...)
 	case terminalTag:
 		j := c.jobs.list[t.job]
 		c.log.Error("terminal job record exceeds the value limit", "job", j.id)
-		c.jobs.writeTerminal(j, writeUrgently)
+		c.jobs.writeTerminal(j, writeUrgent)
 	case scaleOutTag:
 		c.log.Error("scale-out record exceeds the value limit", "request", t.name)
 	case planTag:
@@ -57,15 +57,15 @@
 	switch t := tag.(type) {
 	case hostTag:
 		j := c.jobs.list[t.job]
-		for _, host := range c.jobs.hostsDurable(j, t) {
+		for _, host := range c.jobs.markHostsDurable(j, t) {
 			c.sendPlannedStarts(j, c.machines.list[host])
 		}
 	case finishedTag:
 		for _, n := range t.tasks {
-			c.jobs.list[t.job].progress.taskDurable(n)
+			c.jobs.list[t.job].progress.markTaskDurable(n)
 		}
 	case terminalTag:
-		c.terminalIsDurable(c.jobs.list[t.job])
+		c.handleTerminalDurable(c.jobs.list[t.job])
 	case scaleOutTag:
 		c.scaleOuts.recordDurable(t.name)
 	case unreachableTag:
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -159,7 +159,7 @@
 		m.typ = t
 		m.capacity.setTotal(c.types.list[t].total)
 	}
-	c.placement.indexChanged(m)
+	c.placement.markIndexStale(m)
 }
 
 // removeMachine notes that a machine, with all on it, no longer exists.
@@ -170,7 +170,7 @@
 	c.log.Info("machine is gone", "machine", m.name, "reason", why, "allocations", len(m.capacity.allocations))
 	m.state = machineGone
 	c.softState.machineChanged(m)
-	c.dropAllocations(m, why)
+	c.releaseLostAllocations(m, why)
 	m.commands.resolveAllStarts()
 	c.resolveInDoubt(m, why)
 	c.placement.index.Remove(m.index)
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -31,14 +31,14 @@
 	needed bool // something has changed that may let waiting tasks start
 	images names
 
-	goal           slowfit.Goal
-	lowLoadSince   time.Duration
-	index          slowfit.Index
-	pools          []poolKey // by the index's numbers
-	poolIndexByKey map[poolKey]int32
-	stale          []*machine // to be brought up to date in the index
-	openCores      float64    // of the machines in the index
-	reservingJobs  []*job     // jobs for which a machine is kept free
+	goal            slowfit.Goal
+	queueEmptySince time.Duration
+	index           slowfit.Index
+	pools           []poolKey // by the index's numbers
+	poolIndexByKey  map[poolKey]int32
+	staleMachines   []*machine // to be brought up to date in the index
+	openCores       float64    // of the machines in the index
+	reservingJobs   []*job     // jobs for which a machine is kept free
 }
 
 func newPlacement(c *Core) placement {
@@ -51,16 +51,16 @@
 // waiting ones start.
 func (p *placement) markNeeded() { p.needed = true }
 
-// place starts what can be started: first the jobs that have waited too long and those with less
+// placeQueuedTasks starts what can be started: first the jobs that have waited too long and those with less
 // than their share (fair_share.go), then all jobs in the order of the queue; each task where
 // SLOW-FIT puts it.
-func (p *placement) place(uncertain []quota.Units) {
+func (p *placement) placeQueuedTasks(uncertain []quota.Units) {
 	p.needed = false
-	for _, m := range p.stale {
-		p.refresh(m)
+	for _, m := range p.staleMachines {
+		p.refreshIndex(m)
 	}
-	p.stale = p.stale[:0]
-	queue := p.queue()
+	p.staleMachines = p.staleMachines[:0]
+	queue := p.sortedQueue()
 	p.placeAged(queue, uncertain)
 	p.placeUnderserved(queue, uncertain)
 	for from := 0; from < len(queue); {
@@ -91,15 +91,15 @@
 	}
 }
 
-// allows tells whether a job's rules let its tasks run on a machine, apart from gang scheduling
+// allowsMachine tells whether a job's rules let its tasks run on a machine, apart from gang scheduling
 // and spreading.
-func (j *job) allows(typ, zone int32, spot bool) bool {
+func (j *job) allowsMachine(typ, zone int32, spot bool) bool {
 	return (j.request.types == nil || slices.Contains(j.request.types, typ)) && (j.request.zone < 0 || j.request.zone == zone) && (j.spec.Spot || !spot)
 }
 
-// withinLimit tells whether a job's team may have one more of its tasks.
-func (p *placement) withinLimit(j *job, uncertain []quota.Units) bool {
-	return p.teams.At(j.request.team).AllowsAnother(j.request.size, uncertain[j.request.team])
+// withinTeamLimit tells whether a job's team may have one more of its tasks.
+func (p *placement) withinTeamLimit(j *job, uncertain []quota.Units) bool {
+	return p.teams.Team(j.request.team).AllowsAnother(j.request.size, uncertain[j.request.team])
 }
 
 // placeJob starts what it can of a job's waiting tasks, as long as more, unless nil, allows, and
@@ -107,7 +107,7 @@
 func (p *placement) placeJob(j *job, uncertain []quota.Units, more func(placed int) bool) (placed int) {
 	// Most of what waits in a full cell, or for its team's limit, can't be placed: that must
 	// show before any machine is examined.
-	if len(j.progress.waiting) == 0 || !p.attempts.hasAttemptsLeft() || p.index.Infeasible(j.request.size) || !p.withinLimit(j, uncertain) {
+	if len(j.progress.waiting) == 0 || !p.attempts.hasAttemptsLeft() || p.index.Infeasible(j.request.size) || !p.withinTeamLimit(j, uncertain) {
 		return 0
 	}
 	p.resolveTypes(j)
@@ -116,10 +116,10 @@
 		onlyZone = p.gangZone(j)
 	}
 	for len(j.progress.waiting) > 0 && p.attempts.hasAttemptsLeft() && (more == nil || more(placed)) {
-		if j.suspect() && j.progress.allocated > 0 || !p.withinLimit(j, uncertain) {
+		if j.suspect() && j.progress.allocated > 0 || !p.withinTeamLimit(j, uncertain) {
 			return placed // a suspect job is tried one task at a time
 		}
-		at := p.choose(j, onlyZone)
+		at := p.chooseMachine(j, onlyZone)
 		if at < 0 {
 			return placed
 		}
@@ -135,17 +135,17 @@
 
 // startOn allocates room for a job's next task on a machine and has it started there.
 func (c *Core) startOn(j *job, m *machine) {
-	n := j.progress.takeWaiting()
-	b := c.allocate(m, j, n, c.attempts.nextAttempt(), toRun)
-	c.placement.refresh(m)
+	n := j.progress.popWaiting()
+	b := c.allocate(m, j, n, c.attempts.nextAttempt(), purposeRun)
+	c.placement.refreshIndex(m)
 	if c.debug {
 		c.log.Debug("task placed", "task", c.jobs.taskName(b), "attempt", b.attempt, "machine", m.name,
 			"goal", c.placement.goal.L, "share", b.share, "load", m.capacity.load, "image", m.hasImage(j.request.image))
 	}
-	if _, ok := j.record.hostAt[m.index]; !ok {
+	if _, ok := j.record.hostIndexByMachine[m.index]; !ok {
 		c.jobs.addHost(j, m)
 	}
-	if j.record.hosts[j.record.hostAt[m.index]].durable {
+	if j.record.hosts[j.record.hostIndexByMachine[m.index]].durable {
 		c.commands.queueStart(j, m, b)
 	}
 }
@@ -167,8 +167,8 @@
 	return settings.Seconds(float64(fetching) * j.spec.ImageGB / rate)
 }
 
-// fetching tells whether a machine is about to fetch an image for some task.
-func (p *placement) fetching(m *machine, image int32) bool {
+// imageFetchPending tells whether a machine is about to fetch an image for some task.
+func (p *placement) imageFetchPending(m *machine, image int32) bool {
 	for _, b := range m.capacity.allocations {
 		if b.status != wire.TaskRunning && p.jobs.list[b.job].request.image == image {
 			return true
@@ -191,7 +191,7 @@
 	slots := make([]int, len(p.machines.zones.list))
 	best := int32(-1)
 	for _, m := range p.machines.live {
-		if m.indexed.schedulable && j.allows(m.typ, m.zone, m.spot) {
+		if m.indexed.schedulable && j.allowsMachine(m.typ, m.zone, m.spot) {
 			slots[m.zone] += j.request.size.Slots(m.capacity.free)
 			if best < 0 || slots[m.zone] > slots[best] {
 				best = m.zone
@@ -202,8 +202,8 @@
 	return best
 }
 
-// countInZone counts a job's tasks by zone as they come and go.
-func (p *placement) countInZone(j *job, zone int32, change int) {
+// adjustZoneCount counts a job's tasks by zone as they come and go.
+func (p *placement) adjustZoneCount(j *job, zone int32, change int) {
 	if zone < 0 || j.spec == nil || !j.spec.Gang && !j.spec.Spread {
 		return
 	}
@@ -213,8 +213,8 @@
 	j.placement.tasksByZone[zone] += change
 }
 
-// zoneFull tells whether a job that must be spread may have no more tasks in
+// spreadLimitReached tells whether a job that must be spread may have no more tasks in
 // a zone.
-func (j *job) zoneFull(zone int32) bool {
+func (j *job) spreadLimitReached(zone int32) bool {
 	return j.spec.Spread && int(zone) < len(j.placement.tasksByZone) && j.placement.tasksByZone[zone] >= (j.progress.total+1)/2
 }
--- a/internal/scheduler/goal.go
+++ b/internal/scheduler/placement_goal.go
@@ -2,21 +2,21 @@
 
 import "time"
 
-// goalFallDelay is how long nothing must have waited before the goal falls.
-const goalFallDelay = 5 * time.Second
+// goalLowerDelay is how long nothing must have waited before the goal falls.
+const goalLowerDelay = 5 * time.Second
 
 // lowerGoal lets the goal fall after a burst, since in the paper it never does and would stop
 // limiting anything. The mean load of the machines stands for the optimum: no placement brings
 // the busiest one below that.
 func (p *placement) lowerGoal() {
 	if p.jobs.anyWaiting() {
-		p.lowLoadSince = p.clock.now
+		p.queueEmptySince = p.clock.now
 		return
 	}
-	if p.clock.now-p.lowLoadSince < goalFallDelay {
+	if p.clock.now-p.queueEmptySince < goalLowerDelay {
 		return
 	}
-	p.lowLoadSince = p.clock.now
+	p.queueEmptySince = p.clock.now
 	load, n := 0.0, 0
 	for _, m := range p.machines.live {
 		if p.agents.schedulable(m) {
--- a/internal/scheduler/placement_index.go
+++ b/internal/scheduler/placement_index.go
@@ -22,16 +22,16 @@
 	stale       bool    // it is to be brought up to date
 }
 
-// indexChanged notes that the index may no longer show a machine as it is.
-func (p *placement) indexChanged(m *machine) {
+// markIndexStale notes that the index may no longer show a machine as it is.
+func (p *placement) markIndexStale(m *machine) {
 	if !m.indexed.stale {
 		m.indexed.stale = true
-		p.stale = append(p.stale, m)
+		p.staleMachines = append(p.staleMachines, m)
 	}
 }
 
-// refresh brings the index up to date for a machine.
-func (p *placement) refresh(m *machine) {
+// refreshIndex brings the index up to date for a machine.
+func (p *placement) refreshIndex(m *machine) {
 	m.indexed.stale = false
 	m.indexed.schedulable = p.agents.schedulable(m)
 	p.openCores -= m.indexed.cores
@@ -72,12 +72,12 @@
 // imageTag is the index's tag of an image. Several images may share one.
 func imageTag(image int32) uint64 { return 1 << (image % 64) }
 
-// choose has SLOW-FIT choose the machine for a job's next task. A class with an objective on
+// chooseMachine has SLOW-FIT choose the machine for a job's next task. A class with an objective on
 // waiting is first placed only on machines on which its image would be ready in time, if one of
 // those has room: a slower machine that must fetch the image first would miss the objective by
 // that alone.
-func (p *placement) choose(j *job, onlyZone int32) int32 {
-	base := p.request(j, onlyZone)
+func (p *placement) chooseMachine(j *job, onlyZone int32) int32 {
+	base := p.placementRequest(j, onlyZone)
 	if j.placement.imageOnly {
 		withImage := base
 		withImage.AllowedTag = base.PreferredTag
@@ -90,7 +90,7 @@
 			m := p.machines.list[i]
 			return p.fetchTime(j, m) <= maxWait && (base.Allowed == nil || base.Allowed(i))
 		}
-		if !p.fetchedWithin(j, maxWait) {
+		if !p.imageFetchableWithin(j, maxWait) {
 			inTime.AllowedTag = imageTag(j.request.image)
 		}
 		if found := p.index.Place(&p.goal, &inTime); found >= 0 {
@@ -100,19 +100,19 @@
 	return p.index.Place(&p.goal, &base)
 }
 
-// fetchedWithin tells whether a job's image can be fetched within a time by
+// imageFetchableWithin tells whether a job's image can be fetched within a time by
 // some type of machine.
-func (p *placement) fetchedWithin(j *job, within time.Duration) bool {
+func (p *placement) imageFetchableWithin(j *job, within time.Duration) bool {
 	return slices.ContainsFunc(p.types.list, func(t machineType) bool {
 		return t.FetchGBPerS <= 0 || settings.Seconds(j.spec.ImageGB/t.FetchGBPerS) <= within
 	})
 }
 
-// request is a job's next task as SLOW-FIT sees it. Merit tells equally slow machines apart: a
+// placementRequest is a job's next task as SLOW-FIT sees it. Merit tells equally slow machines apart: a
 // class with an objective on waiting prefers machines with its image, since a fetch counts as
 // waiting; other work prefers spot machines, so that dearer ones become empty and can be
 // returned.
-func (p *placement) request(j *job, onlyZone int32) slowfit.Request {
+func (p *placement) placementRequest(j *job, onlyZone int32) slowfit.Request {
 	cheap, image := 2, 1
 	if p.classes.objectives[j.request.class].wait > 0 {
 		cheap, image = 1, 2
@@ -120,7 +120,7 @@
 	w := slowfit.Request{Task: j.request.size, PreferredBonus: image, PreferredTag: imageTag(j.request.image),
 		Pool: func(pool int) (bool, int) {
 			k := p.pools[pool]
-			if !j.allows(k.typ, k.zone, k.spot) || onlyZone >= 0 && k.zone != onlyZone || j.zoneFull(k.zone) {
+			if !j.allowsMachine(k.typ, k.zone, k.spot) || onlyZone >= 0 && k.zone != onlyZone || j.spreadLimitReached(k.zone) {
 				return false, 0
 			}
 			if k.spot {
@@ -130,7 +130,7 @@
 		},
 		Preferred: func(i int32) bool {
 			m := p.machines.list[i]
-			return m.hasImage(j.request.image) || p.fetching(m, j.request.image)
+			return m.hasImage(j.request.image) || p.imageFetchPending(m, j.request.image)
 		},
 	}
 	if len(j.retry.failedOn) > 0 && !j.suspect() {
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -11,7 +11,7 @@
 	"leadproxy/internal/wire"
 )
 
-func TestLimits(t *testing.T) {
+func TestPlacementConstraints(t *testing.T) {
 	unseen := ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-9", Record: ledger.JobRecord{Job: newTestJob("job-9", 1, 1)}, Hosts: savedHosts("vm-7")}}}
 	cases := []struct {
 		name   string
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestAJobOfMostTasks(t *testing.T) {
+func TestJobWithMaxTasks(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", wire.MaxTasks, 0.01))
@@ -65,10 +65,10 @@
 	g.want("commands for many starts", len(g.sentCommands) > 1, true)
 }
 
-// TestFreeRoomIsGivenToAJobWhoseImageIsThere: among jobs of one priority, one that has
+// TestFreeCapacityGoesToJobWithCachedImage: among jobs of one priority, one that has
 // time to spare leaves a machine to another whose image is on it, and one that
 // has none does not.
-func TestFreeRoomIsGivenToAJobWhoseImageIsThere(t *testing.T) {
+func TestFreeCapacityGoesToJobWithCachedImage(t *testing.T) {
 	cases := []struct {
 		name  string
 		due   float64 // of the job that is first in the queue
--- a/internal/scheduler/plan_views.go
+++ b/internal/scheduler/plan_views.go
@@ -31,7 +31,7 @@
 func (v *planViews) of(p *plan) *rollout.View {
 	r, _ := p.rollout.Record()
 	room := map[roomKey]bool{}
-	view := &rollout.View{Now: v.clock.now, WallMS: v.clock.wallMS, MayDisrupt: v.disruptions.mayDisrupt(), RunningJobs: v.jobs.runningJobs()}
+	view := &rollout.View{Now: v.clock.now, WallMS: v.clock.wallMS, MayDisrupt: v.disruptions.mayDisrupt(), RunningJobs: v.jobs.runningJobCounter()}
 	if r.Phase == rollout.PhaseSelecting {
 		for _, m := range v.machines.live {
 			if v.selects(&r, m) {
@@ -111,7 +111,7 @@
 // with gang scheduling, in its zone.
 func (v *planViews) roomElsewhere(from *machine, j *job) bool {
 	return slices.ContainsFunc(v.machines.live, func(m *machine) bool {
-		return m != from && v.agents.schedulable(m) && j.allows(m.typ, m.zone, m.spot) && j.request.size.Within(m.capacity.free) && (!j.spec.Gang || m.zone == from.zone)
+		return m != from && v.agents.schedulable(m) && j.allowsMachine(m.typ, m.zone, m.spot) && j.request.size.Within(m.capacity.free) && (!j.spec.Gang || m.zone == from.zone)
 	})
 }
 
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -12,7 +12,7 @@
 // mayWaitForImage tells whether a job has time to let others precede it: more than fetching its
 // image would take, or none at all any more.
 func (p *placement) mayWaitForImage(j *job) bool {
-	if j.priority.deadline == never {
+	if j.priority.deadline == noDeadline {
 		return true
 	}
 	slack := j.priority.deadline - p.clock.now - p.estimates.expectedRun(j)
@@ -25,14 +25,14 @@
 	return slack < 0 || slack > 2*slowest
 }
 
-// queue returns the jobs with tasks to place, in order: teams within their guarantee, priority,
+// sortedQueue returns the jobs with tasks to place, in order: teams within their guarantee, priority,
 // age, the least work where some are late already, the time that is left.
-func (p *placement) queue() []*job {
+func (p *placement) sortedQueue() []*job {
 	var queue []*job
 	demand := make([]quota.Units, p.teams.Len())
 	for _, j := range p.jobs.active {
 		if !j.ended() && !j.blocked() {
-			demand[j.request.team] = demand[j.request.team].Plus(quota.Of(j.request.size).Times(j.progress.total - j.progress.done))
+			demand[j.request.team] = demand[j.request.team].Plus(quota.UnitsOf(j.request.size).Times(j.progress.total - j.progress.done))
 		}
 		if j.placeable(p.clock.now) {
 			queue = append(queue, j)
@@ -45,7 +45,7 @@
 	// A team whose unfinished jobs all fit within its guarantee need not wait
 	// for other teams.
 	withinGuarantee := func(j *job) bool {
-		return p.teams.At(j.request.team).WithinGuarantee(demand[j.request.team])
+		return p.teams.Team(j.request.team).WithinGuarantee(demand[j.request.team])
 	}
 	slices.SortStableFunc(queue, func(a, b *job) int {
 		if sa, sb := withinGuarantee(a), withinGuarantee(b); sa != sb {
@@ -97,7 +97,7 @@
 	switch age := p.clock.now - j.priority.arrived; {
 	case age >= maxStartDelay:
 		return -age
-	case j.priority.deadline != never && j.priority.deadline-p.clock.now < p.estimates.expectedRun(j):
+	case j.priority.deadline != noDeadline && j.priority.deadline-p.clock.now < p.estimates.expectedRun(j):
 		return ageLate
 	}
 	return ageInTime
@@ -113,9 +113,9 @@
 
 // placeableWithinLimit lists the jobs with tasks that their teams' limits let run.
 func (p *placement) placeableWithinLimit() []*job {
-	return slices.DeleteFunc(p.queue(), func(j *job) bool {
-		team := p.teams.At(j.request.team)
-		return team.Room(j.request.size, team.Allocated()) == 0
+	return slices.DeleteFunc(p.sortedQueue(), func(j *job) bool {
+		team := p.teams.Team(j.request.team)
+		return team.AdditionalTasks(j.request.size, team.Allocated()) == 0
 	})
 }
 
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -19,7 +19,7 @@
 		g.submit(j)
 	}
 	order := func() (jobIDs []string) {
-		for _, j := range g.c.placement.queue() {
+		for _, j := range g.c.placement.sortedQueue() {
 			jobIDs = append(jobIDs, j.id)
 		}
 		return jobIDs
--- a/internal/scheduler/quota/quota.go
+++ b/internal/scheduler/quota/quota.go
@@ -19,13 +19,13 @@
 // Units counts resources exactly.
 type Units struct{ cpus, gpus int64 }
 
-// Of is what a size takes.
-func Of(s slowfit.Size) Units {
+// UnitsOf is what a size takes.
+func UnitsOf(s slowfit.Size) Units {
 	return Units{int64(math.Ceil(s.CPUs*unitsPerCore - roundingError)), int64(math.Ceil(s.GPUs*unitsPerCore - roundingError))}
 }
 
-// configured is an amount from the settings.
-func configured(cpus, gpus float64) Units {
+// unitsFromSettings is an amount from the settings.
+func unitsFromSettings(cpus, gpus float64) Units {
 	return Units{int64(cpus * unitsPerCore), int64(gpus * unitsPerCore)}
 }
 
@@ -58,10 +58,10 @@
 func (t *Team) Allocated() Units { return t.allocated }
 
 // Allocate notes a new allocation.
-func (t *Team) Allocate(size slowfit.Size) { t.allocated = t.allocated.Plus(Of(size)) }
+func (t *Team) Allocate(size slowfit.Size) { t.allocated = t.allocated.Plus(UnitsOf(size)) }
 
 // Deallocate notes that an allocation has ended.
-func (t *Team) Deallocate(size slowfit.Size) { t.allocated = t.allocated.Minus(Of(size)) }
+func (t *Team) Deallocate(size slowfit.Size) { t.allocated = t.allocated.Minus(UnitsOf(size)) }
 
 // CPULimit is the team's limit in cores, if it has one.
 func (t *Team) CPULimit() (cores float64, limited bool) { return t.limit.Cores(), t.limit.cpus > 0 }
@@ -82,12 +82,12 @@
 // AllowsAnother tells whether the team may have one more task of a size, besides what its tasks
 // may use unseen.
 func (t *Team) AllowsAnother(size slowfit.Size, uncertain Units) bool {
-	return t.Allows(t.allocated.Plus(uncertain).Plus(Of(size)))
+	return t.Allows(t.allocated.Plus(uncertain).Plus(UnitsOf(size)))
 }
 
-// Room is how many more tasks of a size the team's limit allows while the team uses so much.
-func (t *Team) Room(size slowfit.Size, used Units) int {
-	need := Of(size)
+// AdditionalTasks is how many more tasks of a size the team's limit allows while the team uses so much.
+func (t *Team) AdditionalTasks(size slowfit.Size, used Units) int {
+	need := UnitsOf(size)
 	n := math.MaxInt32
 	if t.limit.cpus > 0 && need.cpus > 0 {
 		n = min(n, int((t.limit.cpus-used.cpus)/need.cpus))
@@ -110,7 +110,7 @@
 	q := Teams{indexByName: map[string]int32{}}
 	for _, t := range teams {
 		q.indexByName[t.Name] = int32(len(q.list))
-		q.list = append(q.list, Team{guarantee: configured(t.CPUs, t.GPUs), limit: configured(t.CPUsMax, t.GPUsMax)})
+		q.list = append(q.list, Team{guarantee: unitsFromSettings(t.CPUs, t.GPUs), limit: unitsFromSettings(t.CPUsMax, t.GPUsMax)})
 	}
 	q.list = append(q.list, Team{})
 	return q
@@ -127,5 +127,5 @@
 // Len is the number of indices.
 func (q *Teams) Len() int { return len(q.list) }
 
-// At is the team of an index.
-func (q *Teams) At(index int32) *Team { return &q.list[index] }
+// Team is the team of an index.
+func (q *Teams) Team(index int32) *Team { return &q.list[index] }
--- a/internal/scheduler/quota/quota_test.go
+++ b/internal/scheduler/quota/quota_test.go
@@ -19,15 +19,15 @@
 func TestUnitsAreExact(t *testing.T) {
 	sum := Units{}
 	for range 10 {
-		sum = sum.Plus(Of(slowfit.Size{CPUs: 0.1}))
+		sum = sum.Plus(UnitsOf(slowfit.Size{CPUs: 0.1}))
 	}
-	if sum != Of(slowfit.Size{CPUs: 1}) {
-		t.Errorf("ten tenths of a core are %v, want %v", sum, Of(slowfit.Size{CPUs: 1}))
+	if sum != UnitsOf(slowfit.Size{CPUs: 1}) {
+		t.Errorf("ten tenths of a core are %v, want %v", sum, UnitsOf(slowfit.Size{CPUs: 1}))
 	}
-	if got := sum.Minus(Of(slowfit.Size{CPUs: 0.1}).Times(10)); !got.IsZero() {
+	if got := sum.Minus(UnitsOf(slowfit.Size{CPUs: 0.1}).Times(10)); !got.IsZero() {
 		t.Errorf("left of ten tenths: %v, want none", got)
 	}
-	if got := Of(slowfit.Size{CPUs: 2.5}).Cores(); got != 2.5 {
+	if got := UnitsOf(slowfit.Size{CPUs: 2.5}).Cores(); got != 2.5 {
 		t.Errorf("cores: %v, want 2.5", got)
 	}
 }
@@ -41,10 +41,10 @@
 	if int(unknown) != q.Len()-1 {
 		t.Errorf("index of an unknown team: %d, want the last of %d", unknown, q.Len())
 	}
-	if !q.At(unknown).AllowsAnother(slowfit.Size{CPUs: 1e6}, Units{}) {
+	if !q.Team(unknown).AllowsAnother(slowfit.Size{CPUs: 1e6}, Units{}) {
 		t.Error("an unknown team has a limit")
 	}
-	if q.At(unknown).WithinGuarantee(Units{}) {
+	if q.Team(unknown).WithinGuarantee(Units{}) {
 		t.Error("an unknown team has a guarantee")
 	}
 }
@@ -65,11 +65,11 @@
 	} {
 		t.Run(test.name, func(t *testing.T) {
 			q := testTeams()
-			team := q.At(q.Index("limited"))
+			team := q.Team(q.Index("limited"))
 			for range test.allocated {
 				team.Allocate(one)
 			}
-			if got := team.AllowsAnother(one, Of(one).Times(test.uncertain)); got != test.want {
+			if got := team.AllowsAnother(one, UnitsOf(one).Times(test.uncertain)); got != test.want {
 				t.Errorf("another task is allowed: %t, want %t", got, test.want)
 			}
 		})
@@ -78,7 +78,7 @@
 
 func TestLimitOfEachResource(t *testing.T) {
 	q := testTeams()
-	team := q.At(q.Index("limited"))
+	team := q.Team(q.Index("limited"))
 	if !team.AllowsAnother(slowfit.Size{CPUs: 4, GPUs: 2}, Units{}) {
 		t.Error("a task of the whole limit is not allowed")
 	}
@@ -88,12 +88,12 @@
 	if cores, limited := team.CPULimit(); cores != 4 || !limited {
 		t.Errorf("limit of cores: %v, %t, want 4, true", cores, limited)
 	}
-	if _, limited := q.At(q.Index("free")).CPULimit(); limited {
+	if _, limited := q.Team(q.Index("free")).CPULimit(); limited {
 		t.Error("a team without a limit is limited")
 	}
 }
 
-func TestRoom(t *testing.T) {
+func TestAdditionalTasks(t *testing.T) {
 	q := testTeams()
 	for _, test := range []struct {
 		name string
@@ -109,7 +109,7 @@
 		{"more is used than the limit", "limited", slowfit.Size{CPUs: 1}, slowfit.Size{CPUs: 6}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := q.At(q.Index(test.team)).Room(test.size, Of(test.used)); got != test.want {
+			if got := q.Team(q.Index(test.team)).AdditionalTasks(test.size, UnitsOf(test.used)); got != test.want {
 				t.Errorf("room for %d tasks, want %d", got, test.want)
 			}
 		})
@@ -118,7 +118,7 @@
 
 func TestGuarantee(t *testing.T) {
 	q := testTeams()
-	team := q.At(q.Index("guaranteed"))
+	team := q.Team(q.Index("guaranteed"))
 	for _, test := range []struct {
 		name   string
 		demand slowfit.Size
@@ -129,7 +129,7 @@
 		{"too many GPUs", slowfit.Size{CPUs: 1, GPUs: 2}, false},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := team.WithinGuarantee(Of(test.demand)); got != test.want {
+			if got := team.WithinGuarantee(UnitsOf(test.demand)); got != test.want {
 				t.Errorf("within the guarantee: %t, want %t", got, test.want)
 			}
 		})
@@ -138,7 +138,7 @@
 
 func TestUnusedGuarantee(t *testing.T) {
 	q := testTeams()
-	team := q.At(q.Index("guaranteed"))
+	team := q.Team(q.Index("guaranteed"))
 	size := slowfit.Size{CPUs: 3}
 	for _, want := range []float64{8, 5, 2, 0} {
 		if got := team.UnusedGuarantee(); got != want {
--- a/internal/scheduler/required_stops.go
+++ b/internal/scheduler/required_stops.go
@@ -49,7 +49,7 @@
 		// What has no allocation, in a heartbeat that may be an old copy, is not judged yet.
 		return 0, trust == trustedHeartbeat
 	}
-	return found.allocation.gracePeriod, found.allocation.stopping
+	return found.allocation.gracePeriodS, found.allocation.stopping
 }
 
 func stopCommand(task string, attempt uint64, grace float64) wire.Command {
@@ -81,7 +81,7 @@
 
 // queueStop queues the stop of an allocated attempt.
 func (q *commands) queueStop(m *machine, b *allocation) {
-	q.queueCommand(m, stopCommand(q.jobs.taskName(b), b.attempt, b.gracePeriod))
+	q.queueCommand(m, stopCommand(q.jobs.taskName(b), b.attempt, b.gracePeriodS))
 }
 
 // listsLiveAttempt tells whether a heartbeat lists an attempt that has not ended.
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -40,11 +40,11 @@
 	j := c.newJob(s.ID, s.Record, s.Version)
 	if s.Record.Class != "" {
 		accepted := c.clock.now - time.Duration(c.clock.wallMS-s.Record.AcceptedMS)*time.Millisecond
-		c.demand.learnArrival(c.classOf(s.Record.Class), c.teams.Index(s.Record.Team), accepted, s.Record.Cores, s.Record.RunS)
+		c.demand.learnArrival(c.classIndex(s.Record.Class), c.teams.Index(s.Record.Team), accepted, s.Record.Cores, s.Record.RunS)
 	}
 	if j.spec == nil {
 		// It is done; an earlier leader was stopped while it tidied up.
-		c.jobs.dropRestoredKeys(s)
+		c.jobs.deleteRestoredKeys(s)
 		return
 	}
 	c.jobs.restoreFinished(j, s)
@@ -61,7 +61,7 @@
 	case j.ended():
 		c.jobs.cleanUp(j)
 	case j.progress.done == j.progress.total:
-		c.finish(j, wire.JobDone)
+		c.finishJob(j, wire.JobDone)
 	}
 	c.placement.markNeeded()
 }
--- a/internal/scheduler/scale_in.go
+++ b/internal/scheduler/scale_in.go
@@ -42,7 +42,7 @@
 	}
 	r.log.Info("returning machine", "machine", m.name, "why", why, "allocations", len(m.capacity.allocations), "age", (r.clock.now - m.rental.rentedAt).Seconds())
 	m.state, m.rental.lastDeleteRequest = machineDeleting, r.clock.now
-	r.placement.indexChanged(m)
+	r.placement.markIndexStale(m)
 	r.deletes = append(r.deletes, m.name)
 }
 
@@ -115,7 +115,7 @@
 		return false
 	}
 	return !slices.ContainsFunc(waiting, func(j *job) bool {
-		return j.allows(m.typ, m.zone, m.spot) && j.request.size.Within(m.capacity.total)
+		return j.allowsMachine(m.typ, m.zone, m.spot) && j.request.size.Within(m.capacity.total)
 	})
 }
 
--- a/internal/scheduler/scaling_plan.go
+++ b/internal/scheduler/scaling_plan.go
@@ -121,18 +121,18 @@
 func (p *capacityPlanner) planWaiting(s *autoscaler.PlanInput) {
 	used := make([]quota.Units, p.teams.Len())
 	for i := range used {
-		used[i] = p.teams.At(int32(i)).Allocated()
+		used[i] = p.teams.Team(int32(i)).Allocated()
 	}
-	for _, j := range p.placement.queue() {
+	for _, j := range p.placement.sortedQueue() {
 		p.placement.resolveTypes(j)
-		n := min(len(j.progress.waiting), p.teams.At(j.request.team).Room(j.request.size, used[j.request.team]))
-		used[j.request.team] = used[j.request.team].Plus(quota.Of(j.request.size).Times(n))
+		n := min(len(j.progress.waiting), p.teams.Team(j.request.team).AdditionalTasks(j.request.size, used[j.request.team]))
+		used[j.request.team] = used[j.request.team].Plus(quota.UnitsOf(j.request.size).Times(n))
 		if j.suspect() {
 			n = min(n, 1)
 		}
 		if n > 0 {
 			s.Queued = append(s.Queued, autoscaler.TaskGroup{Size: j.request.size, Count: n, Run: p.estimates.expectedRun(j), Slack: j.slack(p.clock.now),
-				Allows: func(o autoscaler.CapacityPool) bool { return j.allows(o.Type, o.Zone, o.Spot) }})
+				Allows: func(o autoscaler.CapacityPool) bool { return j.allowsMachine(o.Type, o.Zone, o.Spot) }})
 		}
 	}
 }
--- a/internal/scheduler/soft_state_test.go
+++ b/internal/scheduler/soft_state_test.go
@@ -104,7 +104,7 @@
 		g.bringUp("vm-" + string(rune('a'+i%26)) + string(rune('a'+i/26)))
 	}
 	g.sendHeartbeat(inheritedHeartbeat(g, 0, wire.TaskRunning, ""))
-	g.c.estimates.learn(g.c.jobs.list[0].request.class, 2)
+	g.c.estimates.addRatio(g.c.jobs.list[0].request.class, 2)
 	g.c.types.list[0].boot = 33 * time.Second
 	ask := func(since uint64) SoftStateReply {
 		g.out = nil
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -44,7 +44,7 @@
 	c.disruptions.taskRunning(b)
 	c.softState.machineChanged(m)
 	j.progress.markStarted()
-	m.capacity.used(c.clock.now)
+	m.capacity.markUsed(c.clock.now)
 	if j.spec != nil && m.typ >= 0 {
 		m.capacity.addImage(j.request.image, j.spec.ImageGB, c.types.list[m.typ].CacheGB)
 	}
@@ -71,7 +71,7 @@
 				c.markUnacknowledged(m)
 			}
 			c.log.Info("attempt is missing on its machine", "machine", m.name, "task", c.jobs.taskName(b), "attempt", b.attempt, "confirmed", b.state == allocationConfirmed)
-			c.release(m, b)
+			c.releaseAndRequeue(m, b)
 		}
 	}
 }
@@ -85,15 +85,15 @@
 	ts := &j.progress.tasks[n]
 	if j.ended() {
 		// It counts for its team until it is gone.
-		return c.allocate(m, j, n, t.Attempt, untilEnded)
+		return c.allocate(m, j, n, t.Attempt, purposeUntilEnded)
 	}
 	if ts.state != taskWaiting {
 		c.log.Error("task running where it is not allocated", "machine", m.name, "task", t.Task, "attempt", t.Attempt, "state", ts.state)
 		return nil
 	}
-	j.progress.dropWaiting(n)
-	b := c.allocate(m, j, n, t.Attempt, toRun)
-	if _, ok := j.record.hostAt[m.index]; !ok {
+	j.progress.removeWaiting(n)
+	b := c.allocate(m, j, n, t.Attempt, purposeRun)
+	if _, ok := j.record.hostIndexByMachine[m.index]; !ok {
 		c.jobs.addHost(j, m)
 	}
 	return b
@@ -116,22 +116,22 @@
 	switch t.ExitReason {
 	case wire.ExitDone:
 		if b != nil && b.runningSince > 0 && !b.runStartUnknown {
-			c.estimates.learnRun(j, c.clock.now-b.runningSince)
+			c.estimates.addRun(j, c.clock.now-b.runningSince)
 		}
 		m.health.taskSucceeded()
-		c.taskEnded(j, n)
+		c.completeTask(j, n)
 	case wire.ExitError:
-		c.placement.attemptFailed(m, j, n, t.Attempt)
-		c.placement.requeue(j, n)
+		c.placement.recordFailure(m, j, n, t.Attempt)
+		c.placement.requeueTask(j, n)
 	case wire.ExitNoSuchTask:
 		// The users' upload of the description is not there yet.
-		c.placement.backOff(j)
-		c.placement.requeue(j, n)
+		c.placement.extendBackoff(j)
+		c.placement.requeueTask(j, n)
 	case wire.ExitNoRoom, wire.ExitInUse:
 		c.log.Info("start refused", "machine", m.name, "task", t.Task, "attempt", t.Attempt, "reason", t.ExitReason)
-		c.placement.backOff(j)
-		c.placement.requeue(j, n)
+		c.placement.extendBackoff(j)
+		c.placement.requeueTask(j, n)
 	default:
-		c.placement.requeue(j, n)
+		c.placement.requeueTask(j, n)
 	}
 }
--- a/internal/scheduler/task_stops.go
+++ b/internal/scheduler/task_stops.go
@@ -11,10 +11,10 @@
 // simply released.
 func (c *Core) stopAllocation(m *machine, b *allocation, grace float64) {
 	if b.state <= allocationQueued || b.withdrawStart() {
-		c.release(m, b)
+		c.releaseAndRequeue(m, b)
 		return
 	}
-	b.stopping, b.gracePeriod = true, grace
+	b.stopping, b.gracePeriodS = true, grace
 	c.commands.queueStop(m, b)
 }
 
@@ -26,7 +26,7 @@
 	}
 	for _, m := range c.machines.live {
 		for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
-			if b := m.capacity.allocations[k]; b.job == j.index && (!b.stopping || b.gracePeriod > 0) {
+			if b := m.capacity.allocations[k]; b.job == j.index && (!b.stopping || b.gracePeriodS > 0) {
 				c.cancellations.countDue()
 				c.stopAllocation(m, b, 0)
 			}
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -39,7 +39,7 @@
 // their machines.
 func (c *Core) recordUnreachable() {
 	for _, m := range c.agents.recordUnreachable() {
-		c.placement.indexChanged(m)
+		c.placement.markIndexStale(m)
 	}
 }
 
@@ -160,7 +160,7 @@
 		return
 	}
 	for _, m := range machines {
-		c.placement.indexChanged(m)
+		c.placement.markIndexStale(m)
 	}
 	c.placement.markNeeded()
 	c.commands.queueResponsesToUnreachable()
--- a/internal/scheduler/user_requests.go
+++ b/internal/scheduler/user_requests.go
@@ -4,18 +4,18 @@
 	"leadproxy/internal/wire"
 )
 
-func (c *Core) statusRequested(e StatusRequest) {
+func (c *Core) handleStatusRequest(e StatusRequest) {
 	i, ok := c.jobs.indexByID[e.JobID]
 	if !ok || c.jobs.list[i].transfer.origin != "" {
 		c.effects.emit(UserReply{ReplyTo: e.ReplyTo}) // users have access to a job in its origin cell alone
 		return
 	}
 	j := c.jobs.list[i]
-	c.effects.emit(UserReply{ReplyTo: e.ReplyTo, Known: true, Status: c.status(j), TerminalStatePending: c.jobs.terminalStatePending(j)})
+	c.effects.emit(UserReply{ReplyTo: e.ReplyTo, Known: true, Status: c.jobStatus(j), TerminalStatePending: c.jobs.terminalStatePending(j)})
 }
 
-// status is what users may know of a job: a terminal state only once it is durable.
-func (c *Core) status(j *job) wire.JobStatus {
+// jobStatus is what users may know of a job: a terminal state only once it is durable.
+func (c *Core) jobStatus(j *job) wire.JobStatus {
 	s := wire.JobStatus{ID: j.id, Status: wire.JobQueued, Done: j.progress.done}
 	switch {
 	case j.end.durable:
