--- a/internal/cells/three_cells_test.go
+++ b/internal/cells/three_cells_test.go
@@ -54,7 +54,7 @@
 	traceFile    string
 }
 
-// newCell starts the outside systems of a cell, and prepares its controllers.
+// newCellHarness starts the outside systems of a cell, and prepares its controllers.
 func newCell(t *testing.T, name string, machines int, check *fake.Checker) *cell {
 	t.Helper()
 	network := transport.TCP{}
--- a/internal/cells/transfer_list.go
+++ b/internal/cells/transfer_list.go
@@ -30,16 +30,16 @@
 	for _, c := range transfers.Cells {
 		reply.Neighbours = append(reply.Neighbours, &cellpb.Neighbour{
 			Name:   c.Name,
-			Drain:  c.Drain,
+			Drain:  c.Draining,
 			Silent: c.Unreachable,
 			Jobs:   int32(c.Jobs),
 			Cores:  c.Cores,
 			Credit: c.Credit,
-			Lent:   c.Offered,
+			Lent:   c.ForeignCores,
 		})
 	}
 	for key, count := range transfers.Counts {
-		reply.Counts = append(reply.Counts, &cellpb.Count{Cell: key.Cell, Out: key.Out, Step: key.Step, Count: int64(count)})
+		reply.Counts = append(reply.Counts, &cellpb.Count{Cell: key.Cell, Out: key.Outbound, Step: key.Step, Count: int64(count)})
 	}
 	return reply
 }
@@ -71,7 +71,7 @@
 	}
 }
 
-// foreignState is the state of a foreign job in the words that operators see.
+// foreignJobState is the state of a foreign job in the words that operators see.
 func foreignState(view scheduler.ForeignView) string {
 	switch {
 	case view.State.Over && view.State.Cancelled:
--- a/internal/controller/rollout_measure_test.go
+++ b/internal/controller/rollout_measure_test.go
@@ -41,7 +41,7 @@
 		p := drainPlan(machines)
 		p.seed, p.writesPerSecond = seed, 400
 		p.runTime = func(string) time.Duration { return drainedRun }
-		p.budgets = &rollout.Budgets{General: rollout.Budget{Share: 0.1, Window: drainWindow}}
+		p.budgets = &rollout.Budgets{TeamDefault: rollout.Budget{Share: 0.1, Window: drainWindow}}
 		c := newCluster(t, p)
 		for i := range c.nodes {
 			c.start(i)
--- a/internal/controller/rollout_plans_test.go
+++ b/internal/controller/rollout_plans_test.go
@@ -23,7 +23,7 @@
 
 // drainBudgets are two jobs of each team, and one of the class of jobs that are rare.
 func drainBudgets() *rollout.Budgets {
-	return &rollout.Budgets{General: rollout.Budget{Jobs: 2, Window: drainWindow}, ByGroup: map[rollout.Group]rollout.Budget{rollout.ClassGroup("rare"): {Jobs: 1, Window: drainWindow}}}
+	return &rollout.Budgets{TeamDefault: rollout.Budget{Jobs: 2, Window: drainWindow}, ByGroup: map[rollout.Group]rollout.Budget{rollout.ClassGroup("rare"): {Jobs: 1, Window: drainWindow}}}
 }
 
 // drainPlan is a cluster whose machines can all be replaced.
--- a/internal/rollout/budgets.go
+++ b/internal/rollout/budgets.go
@@ -52,9 +52,9 @@
 
 // Budgets are the budgets of all groups.
 type Budgets struct {
-	// General is the budget of each team that has none of its own. Classes have none then.
-	General Budget
-	ByGroup map[Group]Budget
+	// TeamDefault is the budget of each team that has none of its own. Classes have none then.
+	TeamDefault Budget
+	ByGroup     map[Group]Budget
 }
 
 // budgetOf returns the budget of a group; ok is false if the group has none.
@@ -63,14 +63,14 @@
 		return budget, true
 	}
 	if name, isTeam := g.Team(); isTeam && name != "" {
-		return b.General, true
+		return b.TeamDefault, true
 	}
 	return Budget{}, false
 }
 
 // LongestWindow is the longest window of all budgets.
 func (b Budgets) LongestWindow() time.Duration {
-	longest := b.General.Window
+	longest := b.TeamDefault.Window
 	for _, budget := range b.ByGroup {
 		longest = max(longest, budget.Window)
 	}
--- a/internal/rollout/commands.go
+++ b/internal/rollout/commands.go
@@ -18,8 +18,8 @@
 	Skip   Command = "skip"  // a machine is left out
 )
 
-// ErrCommand means that a plan can't carry out a command.
-var ErrCommand = errors.New("the plan does not take that")
+// ErrInvalidCommand means that a plan can't carry out a command.
+var ErrInvalidCommand = errors.New("the plan does not take that")
 
 // pausedByOperator and endedByOperator are reasons in a plan's record.
 const (
@@ -30,7 +30,7 @@
 // Apply carries out a command. It takes effect once the record is durable.
 func (c *Controller) Apply(command Command, argument string, wallMS int64) error {
 	if c.record.Phase.Ended() {
-		return fmt.Errorf("%w: it is %s", ErrCommand, c.record.Phase)
+		return fmt.Errorf("%w: it is %s", ErrInvalidCommand, c.record.Phase)
 	}
 	c.waitReasons = nil // the next step finds them again
 	switch command {
@@ -47,7 +47,7 @@
 	case Skip:
 		return c.addName(&c.record.Skipped, command, argument)
 	default:
-		return fmt.Errorf("%w: %q", ErrCommand, command)
+		return fmt.Errorf("%w: %q", ErrInvalidCommand, command)
 	}
 	return nil
 }
@@ -55,10 +55,10 @@
 // addName adds the job or machine that a command names to a list of the record.
 func (c *Controller) addName(list *[]string, command Command, name string) error {
 	if name == "" {
-		return fmt.Errorf("%w: %s of what?", ErrCommand, command)
+		return fmt.Errorf("%w: %s of what?", ErrInvalidCommand, command)
 	}
-	if len(*list) >= maxNamed {
-		return fmt.Errorf("%w: %d are named already", ErrCommand, len(*list))
+	if len(*list) >= maxOverrides {
+		return fmt.Errorf("%w: %d are named already", ErrInvalidCommand, len(*list))
 	}
 	if !slices.Contains(*list, name) {
 		*list = append(slices.Clone(*list), name)
--- a/internal/rollout/commands_test.go
+++ b/internal/rollout/commands_test.go
@@ -13,10 +13,10 @@
 	if !plan.IsCordoned("vm-1") || !plan.IsCordoned("vm-2") {
 		t.Errorf("the batch is not cordoned: %+v", plan.record)
 	}
-	if err := plan.Apply(Skip, "", 0); !errors.Is(err, ErrCommand) {
+	if err := plan.Apply(Skip, "", 0); !errors.Is(err, ErrInvalidCommand) {
 		t.Errorf("skipping no machine: %v", err)
 	}
-	if err := plan.Apply("stop", "", 0); !errors.Is(err, ErrCommand) {
+	if err := plan.Apply("stop", "", 0); !errors.Is(err, ErrInvalidCommand) {
 		t.Errorf("an unknown command: %v", err)
 	}
 	if err := plan.Apply(Skip, "vm-1", 0); err != nil || plan.IsCordoned("vm-1") || !plan.IsCordoned("vm-2") {
@@ -28,7 +28,7 @@
 	if err := plan.Apply(Abort, "", 0); err != nil || plan.IsCordoned("vm-2") {
 		t.Errorf("%+v, %v", plan.record, err)
 	}
-	if err := plan.Apply(Resume, "", 0); !errors.Is(err, ErrCommand) {
+	if err := plan.Apply(Resume, "", 0); !errors.Is(err, ErrInvalidCommand) {
 		t.Error(err)
 	}
 }
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -63,7 +63,7 @@
 // recordChanged has the record written.
 func (c *Controller) recordChanged() { c.generation++ }
 
-func (c *Controller) enter(p Phase, wallMS int64) {
+func (c *Controller) enterPhase(p Phase, wallMS int64) {
 	c.record.Phase, c.record.PhaseMS = p, wallMS
 	c.recordChanged()
 }
@@ -71,11 +71,11 @@
 // end ends the plan, which lifts its cordons.
 func (c *Controller) end(p Phase, reason string, wallMS int64) {
 	c.record.Reason, c.record.Batch, c.record.Replacements, c.record.ScaleOutRequestID = reason, nil, nil, ""
-	c.enter(p, wallMS)
+	c.enterPhase(p, wallMS)
 }
 
-// waitFor adds a condition that the plan waits for.
-func (c *Controller) waitFor(format string, args ...any) {
+// addWaitReason adds a condition that the plan waits for.
+func (c *Controller) addWaitReason(format string, args ...any) {
 	c.waitReasons = append(c.waitReasons, fmt.Sprintf(format, args...))
 }
 
@@ -94,13 +94,13 @@
 		return nil
 	}
 	if !c.IsDurable() {
-		c.waitFor("the plan's record to be written")
+		c.addWaitReason("the plan's record to be written")
 		return nil
 	}
 	c.dropPastEvictions()
 	c.pauseAtDeadline(v)
 	if c.record.Paused {
-		c.waitFor("to be resumed (%s)", cmp.Or(c.record.Reason, pausedByOperator))
+		c.addWaitReason("to be resumed (%s)", cmp.Or(c.record.Reason, pausedByOperator))
 		return nil
 	}
 	actions := c.stepPhase(v)
--- a/internal/rollout/disruptions_test.go
+++ b/internal/rollout/disruptions_test.go
@@ -10,7 +10,7 @@
 // TestLoweredBudget: a budget that was lowered below the number of disrupted jobs refuses all
 // evictions until these have regained their progress and their window is over.
 func TestLoweredBudget(t *testing.T) {
-	budgets := Budgets{General: Budget{Jobs: 1, Window: time.Minute}}
+	budgets := Budgets{TeamDefault: Budget{Jobs: 1, Window: time.Minute}}
 	disruptions := NewDisruptionTracker(budgets)
 	running := func(Group) int { return 10 }
 	for _, jobID := range []string{"job-1", "job-2"} {
--- a/internal/rollout/evictions.go
+++ b/internal/rollout/evictions.go
@@ -8,13 +8,13 @@
 
 // The times by which evictions are decided.
 const (
-	// finishesSoon is the expected run time up to which a task is left to finish.
-	finishesSoon = 30 * time.Second
+	// finishSoonThreshold is the expected run time up to which a task is left to finish.
+	finishSoonThreshold = 30 * time.Second
 	// negligibleProgress may be lost without waiting for the task to finish.
 	negligibleProgress = 5 * time.Second
-	// capacityPatience is how long an eviction waits for capacity on another machine. After
+	// capacityWait is how long an eviction waits for capacity on another machine. After
 	// that the task is evicted, and waits for a machine to be rented.
-	capacityPatience = 30 * time.Second
+	capacityWait = 30 * time.Second
 	// evictionOverhead is the time that an eviction takes of a job's slack, in addition to the
 	// lost progress.
 	evictionOverhead = 30 * time.Second
@@ -26,7 +26,7 @@
 	for i := range m.Tasks {
 		t := &m.Tasks[i]
 		if t.Stopping {
-			c.waitFor("%s/%d on %s to stop", t.Job.ID, t.Index, m.Name)
+			c.addWaitReason("%s/%d on %s to stop", t.Job.ID, t.Index, m.Name)
 			continue
 		}
 		if c.evictionRecorded(m.Name, t) {
@@ -36,13 +36,13 @@
 			continue
 		}
 		if reason := c.evictionObstacle(v, t); reason != "" {
-			c.waitFor("%s/%d on %s: %s", t.Job.ID, t.Index, m.Name, reason)
+			c.addWaitReason("%s/%d on %s: %s", t.Job.ID, t.Index, m.Name, reason)
 			continue
 		}
 		c.recordEviction(v, m, t)
 	}
 	if len(m.Tasks) == 0 {
-		c.waitFor("%s to prove that it is empty", m.Name)
+		c.addWaitReason("%s to prove that it is empty", m.Name)
 	}
 	return actions
 }
@@ -77,7 +77,7 @@
 	patient := patience > 0
 	allowed := slices.Contains(c.record.Allowed, t.Job.ID)
 	switch {
-	case t.RemainingRun <= finishesSoon && patient:
+	case t.RemainingRun <= finishSoonThreshold && patient:
 		return "it ends soon"
 	case t.LostProgress > negligibleProgress && !allowed && patient:
 		return fmt.Sprintf("it can't save its progress and is left to end for %s", patience.Round(time.Second))
@@ -85,11 +85,11 @@
 		return "it can't save its progress: allow the job, skip the machine, or abort"
 	case t.missesDeadline() && patient && !allowed:
 		return "its job's deadline, or that of one that waits for it, is near"
-	case !t.HasCapacity && waited < capacityPatience:
+	case !t.FitsElsewhere && waited < capacityWait:
 		return "there is no room for it elsewhere yet"
 	case !v.MayDisrupt:
 		return "all machines are to be heard of since the leader began"
-	case len(c.record.Evictions) >= maxMoves:
+	case len(c.record.Evictions) >= maxEvictions:
 		return "there are as many moves as are recorded at once"
 	}
 	if err := c.disruptions.checkBudgets(t.Job, v.RunningJobs, v.Now); err != nil {
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -33,9 +33,9 @@
 		"prefix of hires":       ScaleOutRequestPrefix,
 		"group of the team a":   TeamGroup("a"),
 		"group of the class a":  ClassGroup("a"),
-		"most listed machines":  maxListed,
+		"most listed machines":  maxSelectedMachines,
 		"most machines a batch": maxBatch,
-		"most moves":            maxMoves,
-		"most named":            maxNamed,
+		"most moves":            maxEvictions,
+		"most named":            maxOverrides,
 	})
 }
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -22,7 +22,7 @@
 )
 
 func modelBudgets() Budgets {
-	return Budgets{General: Budget{Jobs: 2, Window: modelWindow}, ByGroup: map[Group]Budget{TeamGroup("b"): {Share: 0.25, Window: modelWindow}, ClassGroup("one"): {Jobs: 1, Window: modelWindow}}}
+	return Budgets{TeamDefault: Budget{Jobs: 2, Window: modelWindow}, ByGroup: map[Group]Budget{TeamGroup("b"): {Share: 0.25, Window: modelWindow}, ClassGroup("one"): {Jobs: 1, Window: modelWindow}}}
 }
 
 // modelTask is a task of the model.
@@ -31,20 +31,20 @@
 	index   int
 	machine string // "": it waits
 	// ran is the run time that is not lost, left is what remains.
-	ran, left   time.Duration
-	checkpoints bool
+	progress, remaining time.Duration
+	checkpoints         bool
 	// disrupted means that it has lost its machine and has not regained lostProgress yet, and
 	// evicted that this was by a plan.
 	disrupted, evicted bool
 	lostProgress       time.Duration
 }
 
-// progressAtRisk is the progress that the task would lose by losing its machine now.
-func (t *modelTask) progressAtRisk() time.Duration {
+// unsavedProgress is the progress that the task would lose by losing its machine now.
+func (t *modelTask) unsavedProgress() time.Duration {
 	if t.checkpoints {
 		return 0
 	}
-	return t.ran
+	return t.progress
 }
 
 type model struct {
@@ -88,12 +88,12 @@
 	return jobs
 }
 
-// takeOff takes a task off its machine.
-func (m *model) takeOff(t *modelTask, cause Cause) {
-	lost := t.progressAtRisk()
+// loseMachine takes a task off its machine.
+func (m *model) loseMachine(t *modelTask, cause Cause) {
+	lost := t.unsavedProgress()
 	t.machine, t.disrupted, t.evicted = "", true, cause == CauseEviction
-	t.lostProgress, t.ran = lost, t.ran-lost
-	t.left += lost
+	t.lostProgress, t.progress = lost, t.progress-lost
+	t.remaining += lost
 	if cause != CauseEviction {
 		m.disruptions.TaskDisrupted(t.job, t.index, lost, cause, m.now)
 		return
@@ -114,7 +114,7 @@
 	machine := Machine{Name: name}
 	for _, t := range m.tasks {
 		if t.machine == name {
-			machine.Tasks = append(machine.Tasks, Task{Job: t.job, Index: t.index, RemainingRun: t.left, LostProgress: t.progressAtRisk(), Slack: time.Hour, HasCapacity: true})
+			machine.Tasks = append(machine.Tasks, Task{Job: t.job, Index: t.index, RemainingRun: t.remaining, LostProgress: t.unsavedProgress(), Slack: time.Hour, FitsElsewhere: true})
 		}
 	}
 	machine.Empty = len(machine.Tasks) == 0
@@ -134,7 +134,7 @@
 	}
 	for _, name := range record.Replacements {
 		_, exists := m.machines[name]
-		v.Replacements = append(v.Replacements, Replacement{Name: name, Healthy: time.Minute, Failed: !exists})
+		v.Replacements = append(v.Replacements, Replacement{Name: name, HealthyFor: time.Minute, Failed: !exists})
 	}
 	return v
 }
@@ -162,7 +162,7 @@
 	case EvictTask:
 		for _, t := range m.tasks {
 			if t.job.ID == a.JobID && t.index == a.Task && t.machine == a.Machine {
-				m.takeOff(t, CauseEviction)
+				m.loseMachine(t, CauseEviction)
 			}
 		}
 	case ReturnMachine:
@@ -171,7 +171,7 @@
 			m.t.Fatalf("%s is returned: %+v", a.Machine, machine)
 		}
 		delete(m.machines, a.Machine)
-	case ScaleOutAhead:
+	case RentReplacements:
 		if m.rented[a.RequestID] != nil {
 			return
 		}
@@ -222,10 +222,10 @@
 		if t.machine != "" {
 			m.run(t)
 		} else {
-			t.machine, t.ran = open[m.random.IntN(len(open))], 0
+			t.machine, t.progress = open[m.random.IntN(len(open))], 0
 			m.disruptions.TaskRunning(t.job.ID, t.index, m.now)
 		}
-		if t.left > 0 {
+		if t.remaining > 0 {
 			unfinished = append(unfinished, t)
 			continue
 		}
@@ -236,8 +236,8 @@
 
 // run lets a task run for a tick.
 func (m *model) run(t *modelTask) {
-	t.ran, t.left = t.ran+modelTick, t.left-modelTick
-	if t.disrupted && t.ran >= t.lostProgress {
+	t.progress, t.remaining = t.progress+modelTick, t.remaining-modelTick
+	if t.disrupted && t.progress >= t.lostProgress {
 		t.disrupted = false
 	}
 }
@@ -252,7 +252,7 @@
 	delete(m.machines, name)
 	for _, t := range m.tasks {
 		if t.machine == name {
-			m.takeOff(t, "crash")
+			m.loseMachine(t, "crash")
 		}
 	}
 }
@@ -287,7 +287,7 @@
 		job := Job{ID: fmt.Sprintf("job-%d", i), Team: []string{"a", "b"}[m.random.IntN(2)], Class: []string{"one", "many"}[m.random.IntN(2)]}
 		for k := range 1 + m.random.IntN(3) {
 			m.tasks = append(m.tasks, &modelTask{job: job, index: k, machine: names[m.random.IntN(len(names))],
-				left: time.Duration(10+m.random.IntN(200)) * time.Second, checkpoints: m.random.IntN(2) == 0})
+				remaining: time.Duration(10+m.random.IntN(200)) * time.Second, checkpoints: m.random.IntN(2) == 0})
 		}
 	}
 	for i := range 1 + m.random.IntN(2) {
@@ -298,7 +298,7 @@
 	return m
 }
 
-func (m *model) allOver() bool {
+func (m *model) allEnded() bool {
 	for _, plan := range m.plans {
 		if !plan.record.Phase.Ended() {
 			return false
@@ -326,8 +326,8 @@
 	}
 }
 
-// endTroubles has the operator resume each plan and allow all jobs to lose their progress.
-func (m *model) endTroubles() {
+// resumeAndAllowAll has the operator resume each plan and allow all jobs to lose their progress.
+func (m *model) resumeAndAllowAll() {
 	for _, plan := range m.plans {
 		if !plan.record.Phase.Ended() {
 			if err := plan.Apply(Resume, "", m.now.Milliseconds()); err != nil {
@@ -350,9 +350,9 @@
 			m.randomStep()
 			m.step()
 		}
-		m.endTroubles()
+		m.resumeAndAllowAll()
 		for range 3000 {
-			if m.allOver() {
+			if m.allEnded() {
 				break
 			}
 			m.save()
--- a/internal/rollout/phases.go
+++ b/internal/rollout/phases.go
@@ -15,7 +15,7 @@
 // lost.
 func (c *Controller) selectBatch(v *View) {
 	if !v.MayDisrupt {
-		c.waitFor("all machines to be heard of since the leader began")
+		c.addWaitReason("all machines to be heard of since the leader began")
 		return
 	}
 	remaining := slices.DeleteFunc(slices.Clone(v.Candidates), func(m Machine) bool { return m.Gone || slices.Contains(c.record.Skipped, m.Name) })
@@ -34,10 +34,10 @@
 	c.record.Replacements, c.record.ScaleOutRequestID = nil, ""
 	if c.record.Spec.Surge {
 		c.record.ScaleOutRequestID = ScaleOutRequestPrefix + fmt.Sprintf("%s-%d-%d", c.record.Spec.Name, c.record.CreatedMS, c.record.Step)
-		c.enter(PhaseScalingOut, v.WallMS)
+		c.enterPhase(PhaseScalingOut, v.WallMS)
 		return
 	}
-	c.enter(PhaseDraining, v.WallMS)
+	c.enterPhase(PhaseDraining, v.WallMS)
 }
 
 // scaleOut rents the replacements and waits until they are healthy.
@@ -53,20 +53,20 @@
 			c.endFailedReplacement(m, v)
 			return nil
 		}
-		if m.Healthy > 0 && m.Healthy >= seconds(c.record.Spec.CheckS) {
+		if m.HealthyFor > 0 && m.HealthyFor >= seconds(c.record.Spec.CheckS) {
 			healthy++
 		}
 	}
 	if healthy >= len(c.record.Batch) {
-		c.enter(PhaseDraining, v.WallMS)
+		c.enterPhase(PhaseDraining, v.WallMS)
 		return nil
 	}
 	if c.phaseDuration(v) > seconds(c.record.Spec.HealthS) {
 		c.end(PhaseFailed, fmt.Sprintf("%d of %d replacements are healthy after health_s", healthy, len(c.record.Batch)), v.WallMS)
 		return nil
 	}
-	c.waitFor("replacements: %d of %d are healthy", healthy, len(c.record.Batch))
-	return []Action{ScaleOutAhead{RequestID: c.record.ScaleOutRequestID, Replaced: c.record.Batch}}
+	c.addWaitReason("replacements: %d of %d are healthy", healthy, len(c.record.Batch))
+	return []Action{RentReplacements{RequestID: c.record.ScaleOutRequestID, Replaced: c.record.Batch}}
 }
 
 func (c *Controller) endFailedReplacement(m Replacement, v *View) {
@@ -86,7 +86,7 @@
 			drained++
 		case m.Empty:
 			actions = append(actions, ReturnMachine{m.Name})
-			c.waitFor("%s to be gone", m.Name)
+			c.addWaitReason("%s to be gone", m.Name)
 		default:
 			actions = append(actions, c.drainMachine(v, m)...)
 		}
@@ -95,7 +95,7 @@
 		return actions
 	}
 	c.record.Drained += drained
-	c.enter(PhaseChecking, v.WallMS)
+	c.enterPhase(PhaseChecking, v.WallMS)
 	return nil
 }
 
@@ -104,7 +104,7 @@
 func (c *Controller) checkHealth(v *View) {
 	for _, e := range c.record.Evictions {
 		if c.disruptions.isDisrupted(e.JobID) {
-			c.waitFor("%s to be whole again", e.JobID)
+			c.addWaitReason("%s to be whole again", e.JobID)
 		}
 	}
 	for _, m := range v.Replacements {
@@ -112,14 +112,14 @@
 			c.endFailedReplacement(m, v)
 			return
 		}
-		if m.Healthy == 0 {
-			c.waitFor("replacement %s to be healthy", m.Name)
+		if m.HealthyFor == 0 {
+			c.addWaitReason("replacement %s to be healthy", m.Name)
 		}
 	}
 	switch {
 	case len(c.waitReasons) == 0:
 		c.record.Batch = nil
-		c.enter(PhaseSelecting, v.WallMS)
+		c.enterPhase(PhaseSelecting, v.WallMS)
 	case c.phaseDuration(v) > seconds(c.record.Spec.HealthS):
 		c.end(PhaseFailed, "not healthy after health_s: "+strings.Join(c.waitReasons, ", "), v.WallMS)
 	}
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -63,25 +63,25 @@
 	StartedMS      int64 `json:"began_ms"`
 }
 
-// ErrRecord means that a plan's record can't have been written by a controller of this version.
-var ErrRecord = errors.New("invalid record of a plan")
+// ErrInvalidRecord means that a plan's record can't have been written by a controller of this version.
+var ErrInvalidRecord = errors.New("invalid record of a plan")
 
-// Check returns ErrRecord for a record that can't be that of the named plan.
+// Check returns ErrInvalidRecord for a record that can't be that of the named plan.
 func (r *Record) Check(name string) error {
 	if r.Version != RecordVersion {
-		return fmt.Errorf("%w: version %d, %d is known", ErrRecord, r.Version, RecordVersion)
+		return fmt.Errorf("%w: version %d, %d is known", ErrInvalidRecord, r.Version, RecordVersion)
 	}
 	switch r.Phase {
 	case PhaseSelecting, PhaseScalingOut, PhaseDraining, PhaseChecking, PhaseFinished, PhaseAborted, PhaseFailed:
 	default:
-		return fmt.Errorf("%w: unknown phase %q", ErrRecord, r.Phase)
+		return fmt.Errorf("%w: unknown phase %q", ErrInvalidRecord, r.Phase)
 	}
 	if r.Spec.Name != name || r.Step < 0 || r.Drained < 0 {
-		return fmt.Errorf("%w: plan %q, step %d, %d machines drained", ErrRecord, r.Spec.Name, r.Step, r.Drained)
+		return fmt.Errorf("%w: plan %q, step %d, %d machines drained", ErrInvalidRecord, r.Spec.Name, r.Step, r.Drained)
 	}
 	for _, e := range r.Evictions {
 		if e.Task < 0 || e.LostProgressMS < 0 {
-			return fmt.Errorf("%w: eviction of task %d of job %s", ErrRecord, e.Task, e.JobID)
+			return fmt.Errorf("%w: eviction of task %d of job %s", ErrInvalidRecord, e.Task, e.JobID)
 		}
 	}
 	return nil
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -4,10 +4,10 @@
 
 // The bounds of a plan.
 const (
-	maxListed = 200 // machines that are selected by name
-	maxBatch  = 100 // machines of a batch, so that the record fits a value of the store
-	maxMoves  = 60  // evictions of a record
-	maxNamed  = 40  // jobs that are allowed, and machines that are skipped
+	maxSelectedMachines = 200 // machines that are selected by name
+	maxBatch            = 100 // machines of a batch, so that the record fits a value of the store
+	maxEvictions        = 60  // evictions of a record
+	maxOverrides        = 40  // jobs that are allowed, and machines that are skipped
 )
 
 // Spec is a plan as an operator writes it. Its selection and steps never change once the plan is
--- a/internal/rollout/spec_parser.go
+++ b/internal/rollout/spec_parser.go
@@ -30,7 +30,7 @@
 	errs []error
 }
 
-func (p *specParser) refuse(format string, args ...any) {
+func (p *specParser) addError(format string, args ...any) {
 	p.errs = append(p.errs, fmt.Errorf("%w: "+format, append([]any{ErrInvalidPlan}, args...)...))
 }
 
@@ -46,10 +46,10 @@
 		case section.Name() == "plan":
 			p.readPlan(section)
 		case len(section.Keys()) > 0:
-			p.refuse("section [%s]: only [plan] is known", section.Name())
+			p.addError("section [%s]: only [plan] is known", section.Name())
 		}
 	}
-	p.check()
+	p.validate()
 	return p.spec, errors.Join(p.errs...)
 }
 
@@ -69,7 +69,7 @@
 		"deadline_s": durationSeconds(&spec.DeadlineS),
 	})
 	for _, r := range refusals {
-		p.refuse("%s = %q: must be %s", r.Key, r.Value, r.Want)
+		p.addError("%s = %q: must be %s", r.Key, r.Value, r.Want)
 	}
 }
 
@@ -96,19 +96,19 @@
 	}
 }
 
-// check refuses values that contradict each other.
-func (p *specParser) check() {
+// validate refuses values that contradict each other.
+func (p *specParser) validate() {
 	spec := &p.spec
 	if !planName.MatchString(spec.Name) {
-		p.refuse("name = %q: a name of up to 40 lower-case letters, digits and hyphens", spec.Name)
+		p.addError("name = %q: a name of up to 40 lower-case letters, digits and hyphens", spec.Name)
 	}
 	if len(spec.Zones)+len(spec.Types)+len(spec.Machines) == 0 {
-		p.refuse("no machines are selected: zones, types or machines must be given")
+		p.addError("no machines are selected: zones, types or machines must be given")
 	}
-	if len(spec.Machines) > maxListed {
-		p.refuse("machines: %d are named, %d may be", len(spec.Machines), maxListed)
+	if len(spec.Machines) > maxSelectedMachines {
+		p.addError("machines: %d are named, %d may be", len(spec.Machines), maxSelectedMachines)
 	}
 	if spec.HealthS < spec.CheckS {
-		p.refuse("health_s = %v: a step could never be healthy, since check_s is %v", spec.HealthS, spec.CheckS)
+		p.addError("health_s = %v: a step could never be healthy, since check_s is %v", spec.HealthS, spec.CheckS)
 	}
 }
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -50,25 +50,25 @@
 	// missing a deadline.
 	Slack    time.Duration
 	Stopping bool
-	// HasCapacity means that another machine has the capacity for it.
-	HasCapacity bool
+	// FitsElsewhere means that another machine has the capacity for it.
+	FitsElsewhere bool
 }
 
 // Replacement is a machine that was rented before those of the batch are drained.
 type Replacement struct {
 	Name string
-	// Healthy is the time for which it has been up without a fault; 0 before it is up.
-	Healthy time.Duration
-	Failed  bool
+	// HealthyFor is the time for which it has been up without a fault; 0 before it is up.
+	HealthyFor time.Duration
+	Failed     bool
 }
 
 // Action is an action that the caller has to carry out. It may be returned again until its effect
 // shows in the view, so carrying it out must be idempotent.
 type Action interface{ isAction() }
 
-func (EvictTask) isAction()     {}
-func (ReturnMachine) isAction() {}
-func (ScaleOutAhead) isAction() {}
+func (EvictTask) isAction()        {}
+func (ReturnMachine) isAction()    {}
+func (RentReplacements) isAction() {}
 
 // The actions.
 type (
@@ -79,9 +79,9 @@
 	}
 	// ReturnMachine returns an empty machine.
 	ReturnMachine struct{ Machine string }
-	// ScaleOutAhead rents a replacement for each machine of a list. The request's name is used for
+	// RentReplacements rents a replacement for each machine of a list. The request's name is used for
 	// one scale-out only.
-	ScaleOutAhead struct {
+	RentReplacements struct {
 		RequestID string
 		Replaced  []string
 	}
--- a/internal/rolloutservice/server.go
+++ b/internal/rolloutservice/server.go
@@ -68,7 +68,7 @@
 	}
 	reply := &rolloutpb.ListReply{Term: list.Term}
 	for _, plan := range list.Plans {
-		reply.Plans = append(reply.Plans, encodePlan(&plan.Record, plan.Waits))
+		reply.Plans = append(reply.Plans, encodePlan(&plan.Record, plan.WaitReasons))
 	}
 	for _, entry := range list.Disrupted {
 		reply.Disrupted = append(reply.Disrupted, encodeDisruption(entry))
--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -181,7 +181,7 @@
 func (c *Core) releaseAndRequeue(m *machine, b *allocation) {
 	c.commands.withdrawUnsentStart(m, b)
 	c.spending.addLostWork(m, b)
-	c.disruptions.displaced(m, b, false, "its machine is lost")
+	c.disruptions.recordDisruption(m, b, false, "its machine is lost")
 	c.deallocate(m, b)
 	c.placement.requeueTask(c.jobs.list[b.job], b.task)
 }
--- a/internal/scheduler/capacity_offers.go
+++ b/internal/scheduler/capacity_offers.go
@@ -9,10 +9,10 @@
 
 // The lifetimes of capacity offers and refusals.
 const (
-	// creditFor is how long an offer of capacity stands.
-	creditFor = 5 * time.Second
-	// noRoomFor is after how long a cell that was refused room may ask again.
-	noRoomFor = 5 * time.Second
+	// offerLifetime is how long an offer of capacity stands.
+	offerLifetime = 5 * time.Second
+	// refusalRetryAfter is after how long a cell that was refused room may ask again.
+	refusalRetryAfter = 5 * time.Second
 )
 
 // capacityOffers offers capacity to other cells. It owns what is offered to each.
@@ -36,13 +36,13 @@
 
 // credit is capacity that was offered to another cell.
 type credit struct {
-	cores float64
-	until time.Duration
+	cores  float64
+	expiry time.Duration
 }
 
-// capacityRequested offers capacity to another cell, or says when to request it again.
-func (o *capacityOffers) capacityRequested(e CapacityRequest) {
-	answer := CapacityReply{ReplyTo: e.ReplyTo, RetryAfter: noRoomFor}
+// handleCapacityRequest offers capacity to another cell, or says when to request it again.
+func (o *capacityOffers) handleCapacityRequest(e CapacityRequest) {
+	answer := CapacityReply{ReplyTo: e.ReplyTo, RetryAfter: refusalRetryAfter}
 	n, ok := o.neighbours.cells.Find(e.Origin)
 	switch {
 	case !ok:
@@ -53,31 +53,31 @@
 		answer.Reason = "not all controllers here know transfers"
 	default:
 		delete(o.credits, e.Origin) // the new offer replaces it
-		answer.Cores = max(0, min(e.Cores, o.offerableCapacity(n)))
+		answer.Cores = max(0, min(e.Cores, o.offerableCores(n)))
 		if answer.Cores <= 0 {
 			answer.Reason = "no room beyond this cell's own work"
 			break
 		}
-		answer.For, answer.RetryAfter = creditFor, 0
-		o.credits[e.Origin] = &credit{cores: answer.Cores, until: o.clock.now + creditFor}
+		answer.For, answer.RetryAfter = offerLifetime, 0
+		o.credits[e.Origin] = &credit{cores: answer.Cores, expiry: o.clock.now + offerLifetime}
 	}
 	o.effects.emit(answer)
 }
 
-// use takes cores from what is offered to a cell, and tells whether that was enough.
-func (o *capacityOffers) use(origin string, cores float64) bool {
+// useCredit takes cores from what is offered to a cell, and tells whether that was enough.
+func (o *capacityOffers) useCredit(origin string, cores float64) bool {
 	credit := o.credits[origin]
-	if credit == nil || o.clock.now >= credit.until || cores > credit.cores {
+	if credit == nil || o.clock.now >= credit.expiry || cores > credit.cores {
 		return false
 	}
 	credit.cores -= cores
 	return true
 }
 
-// offerableCapacity is how many cores may be offered to a cell: those that are free or could be
+// offerableCores is how many cores may be offered to a cell: those that are free or could be
 // rented, less what this cell's own waiting work takes, its headroom, what is guaranteed to its
 // teams and what is offered or accepted already.
-func (o *capacityOffers) offerableCapacity(n settings.Neighbour) float64 {
+func (o *capacityOffers) offerableCores(n settings.Neighbour) float64 {
 	room := o.pools.scalableCores()
 	for _, m := range o.machines.live {
 		if m.indexed.schedulable && !m.capacity.reserved {
@@ -91,7 +91,7 @@
 		}
 		room -= j.request.size.CPUs * float64(len(j.progress.waiting))
 		if j.transfer.origin == n.Name {
-			fromOrigin += j.cores()
+			fromOrigin += j.totalCores()
 		}
 		inUse += j.request.size.CPUs * float64(j.progress.allocated)
 	}
@@ -100,7 +100,7 @@
 		room -= o.teams.Team(int32(i)).UnusedGuarantee()
 	}
 	for _, credit := range o.credits {
-		if o.clock.now < credit.until {
+		if o.clock.now < credit.expiry {
 			room -= credit.cores
 		}
 	}
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -72,7 +72,7 @@
 	delegations   delegations       // jobs that other cells run
 	offers        capacityOffers    // of room to other cells
 	foreign       foreignJobs       // of other cells
-	disruptions   disruptionAccount // of jobs
+	disruptions   disruptionMonitor // of jobs
 	replacements  replacements      // of machines that are drained
 	planViews     planViews         // of the present state, for plans
 	plans         drainPlans        // that drain machines
@@ -107,7 +107,7 @@
 	c.delegations = newDelegations(c)
 	c.offers = newCapacityOffers(c)
 	c.foreign = newForeignJobs(c)
-	c.disruptions = newDisruptionAccount(c)
+	c.disruptions = newDisruptionMonitor(c)
 	c.replacements = newReplacements(c)
 	c.planViews = newPlanViews(c)
 	c.plans = newDrainPlans(c)
@@ -151,9 +151,9 @@
 
 	// Operators with plans that drain machines, and standbys.
 	case PlanRequest:
-		c.plans.requested(e)
+		c.plans.handleRequest(e)
 	case PlanListRequest:
-		c.plans.listRequested(e)
+		c.plans.handleListRequest(e)
 	case SoftStateRequest:
 		c.softState.softStateRequested(e)
 
@@ -161,7 +161,7 @@
 		c.tick()
 
 	default:
-		c.federationEvent(event)
+		c.handleFederationEvent(event)
 	}
 }
 
@@ -206,8 +206,8 @@
 	c.scaleOuts.repeatDue()
 	c.planner.planDue()
 	c.attempts.resignIfExhausted()
-	c.federationTick()
-	c.evictionTick()
+	c.advanceTransfers()
+	c.advancePlans()
 	c.placement.lowerGoal()
 }
 
--- a/internal/scheduler/delegated_jobs.go
+++ b/internal/scheduler/delegated_jobs.go
@@ -53,11 +53,11 @@
 		d.log.Error("job description encoding failed", "job", j.id, "error", err)
 		return nil
 	}
-	return &federation.OfferBody{Job: text, Cores: j.cores(), AcceptedMS: j.record.acceptedMS, Repeatable: d.neighbours.cells.Repeatable[j.spec.Class]}
+	return &federation.OfferBody{Job: text, Cores: j.totalCores(), AcceptedMS: j.record.acceptedMS, Repeatable: d.neighbours.cells.Repeatable[j.spec.Class]}
 }
 
-// cores is what all tasks of a job take together.
-func (j *job) cores() float64 { return j.request.size.CPUs * float64(j.progress.total) }
+// totalCores is what all tasks of a job take together.
+func (j *job) totalCores() float64 { return j.request.size.CPUs * float64(j.progress.total) }
 
 // apply carries out an effect of the origin side of the transfers that concerns no other part's
 // decisions.
@@ -69,16 +69,16 @@
 	case federation.DropDelegated:
 		d.writes.put(ledger.Write{Key: ledger.DelegatedKey(e.JobID)})
 	case federation.Send:
-		d.neighbours.queue(e.Cell, e.Message)
+		d.neighbours.queueMessage(e.Cell, e.Message)
 	case federation.ReturnJob:
-		d.jobReturned(e.JobID)
+		d.returnJob(e.JobID)
 	case federation.TraceOrigin:
 		d.steps.trace(e.Step)
 	}
 }
 
-// jobReturned has a job wait in its origin cell again.
-func (d *delegations) jobReturned(id string) {
+// returnJob has a job wait in its origin cell again.
+func (d *delegations) returnJob(id string) {
 	at, ok := d.jobs.indexByID[id]
 	if !ok {
 		return
@@ -97,7 +97,7 @@
 // awaitCancellation has a user wait until the cell that runs a job has its cancellation durably.
 // Where the cell does not respond, the user is told at once to try again.
 func (d *delegations) awaitCancellation(j *job, to Recipient) {
-	n := d.neighbours.named(d.transfers.Cell(j.id))
+	n := d.neighbours.find(d.transfers.Cell(j.id))
 	if n == nil || n.unreachable {
 		d.effects.emit(UserReply{ReplyTo: to, Known: true, CellUnreachable: true})
 	} else {
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -76,7 +76,7 @@
 	}
 	wanted := 0.0
 	for _, j := range late {
-		wanted += j.cores()
+		wanted += j.totalCores()
 	}
 	choice := d.delegationInput()
 	d.requestCapacity(choice, wanted)
@@ -107,22 +107,22 @@
 
 // delegationInput is the situation by which jobs are delegated.
 type delegationInput struct {
-	cells []federation.Cell // the neighbours, in order of preference
-	used  []quota.Units     // by team, in all cells
+	cells      []federation.Cell // the neighbours, in order of preference
+	usedByTeam []quota.Units     // by team, in all cells
 }
 
 // delegationInput describes the neighbours and what the teams use at present.
 func (d *delegations) delegationInput() *delegationInput {
-	o := &delegationInput{cells: make([]federation.Cell, len(d.neighbours.list)), used: d.uncertainUse()}
-	for i := range o.used {
-		o.used[i] = o.used[i].Plus(d.teams.Team(int32(i)).Allocated())
+	o := &delegationInput{cells: make([]federation.Cell, len(d.neighbours.list)), usedByTeam: d.uncertainUse()}
+	for i := range o.usedByTeam {
+		o.usedByTeam[i] = o.usedByTeam[i].Plus(d.teams.Team(int32(i)).Allocated())
 	}
 	idle := true
 	for i, n := range d.neighbours.list {
 		jobs, cores := d.delegatedTo(n)
 		idle = idle && jobs == 0
 		o.cells[i] = federation.Cell{Capacity: n.MaxCores, Used: cores, Jobs: n.MaxJobs - jobs}
-		if d.clock.now < n.until && !n.Draining {
+		if d.clock.now < n.creditExpiry && !n.Draining {
 			o.cells[i].Credit = n.credit
 		}
 	}
@@ -180,7 +180,7 @@
 	for _, id := range d.transfers.JobsAt(n.Name) {
 		if at, ok := d.jobs.indexByID[id]; ok && !d.jobs.list[at].ended() {
 			jobs++
-			cores += d.jobs.list[at].cores()
+			cores += d.jobs.list[at].totalCores()
 		}
 	}
 	return jobs, cores
@@ -189,13 +189,13 @@
 // delegate begins the transfer of a job to the neighbour that the choice names, if its
 // team's limit leaves room for all of it: tasks in other cells count there as well.
 func (d *delegations) delegate(j *job, o *delegationInput) {
-	if d.teams.Team(j.request.team).AdditionalTasks(j.request.size, o.used[j.request.team]) < j.progress.total {
+	if d.teams.Team(j.request.team).AdditionalTasks(j.request.size, o.usedByTeam[j.request.team]) < j.progress.total {
 		return
 	}
 	for i, n := range d.neighbours.list {
-		o.cells[i].Excluded = n.refused[j.id]
+		o.cells[i].Excluded = n.refusedJobs[j.id]
 	}
-	at := d.selector.Select(o.cells, j.cores())
+	at := d.selector.Select(o.cells, j.totalCores())
 	if at < 0 {
 		return
 	}
@@ -204,10 +204,10 @@
 		return
 	}
 	n, cell := d.neighbours.list[at], &o.cells[at]
-	n.useCredit(j.cores())
-	cell.Credit, cell.Used, cell.Jobs = n.credit, cell.Used+j.cores(), cell.Jobs-1
-	o.used[j.request.team] = o.used[j.request.team].Plus(quota.UnitsOf(j.request.size).Times(j.progress.total))
+	n.useCredit(j.totalCores())
+	cell.Credit, cell.Used, cell.Jobs = n.credit, cell.Used+j.totalCores(), cell.Jobs-1
+	o.usedByTeam[j.request.team] = o.usedByTeam[j.request.team].Plus(quota.UnitsOf(j.request.size).Times(j.progress.total))
 	j.transfer.delegated = true
 	d.transfers.Begin(j.id, n.Name, body, d.clock.now, d.clock.wallMS)
-	d.log.Info("job delegated to a neighbour", "job", j.id, "cell", n.Name, "cores", j.cores(), "waited_s", (d.clock.now - j.priority.arrived).Seconds(), "share", j.cores()/n.MaxCores)
+	d.log.Info("job delegated to a neighbour", "job", j.id, "cell", n.Name, "cores", j.totalCores(), "waited_s", (d.clock.now - j.priority.arrived).Seconds(), "share", j.totalCores()/n.MaxCores)
 }
--- a/internal/scheduler/disruptions.go
+++ b/internal/scheduler/disruptions.go
@@ -7,9 +7,9 @@
 	"leadproxy/internal/rollout"
 )
 
-// disruptionAccount keeps account of the jobs that are disrupted, which bounds what plans may do.
+// disruptionMonitor keeps account of the jobs that are disrupted, which bounds what plans may do.
 // It owns the tracker and which disruptions were logged. Without draining there is no tracker.
-type disruptionAccount struct {
+type disruptionMonitor struct {
 	cfg      *Config
 	clock    *clock
 	log      *slog.Logger
@@ -22,27 +22,27 @@
 	logged map[string]rollout.Disruption
 }
 
-func newDisruptionAccount(c *Core) disruptionAccount {
-	return disruptionAccount{cfg: &c.cfg, clock: &c.clock, log: c.log, jobs: &c.jobs, machines: &c.machines, agents: &c.agents}
+func newDisruptionMonitor(c *Core) disruptionMonitor {
+	return disruptionMonitor{cfg: &c.cfg, clock: &c.clock, log: c.log, jobs: &c.jobs, machines: &c.machines, agents: &c.agents}
 }
 
 // enable begins the account, if the settings enable draining.
-func (d *disruptionAccount) enable() {
+func (d *disruptionMonitor) enable() {
 	if d.cfg.Operator.Rollouts.Enabled {
 		d.tracker = rollout.NewDisruptionTracker(d.cfg.Operator.Rollouts.Budgets)
 	}
 }
 
 // enabled tells whether the settings enable draining.
-func (d *disruptionAccount) enabled() bool { return d.tracker != nil }
+func (d *disruptionMonitor) enabled() bool { return d.tracker != nil }
 
-// accountOf is a job as the account sees it.
-func accountOf(j *job) rollout.Job {
+// rolloutJob is a job as the account sees it.
+func rolloutJob(j *job) rollout.Job {
 	return rollout.Job{ID: j.id, Team: j.spec.Team, Class: j.spec.Class}
 }
 
-// displaced charges a task that has lost its place. saved: its progress was saved.
-func (d *disruptionAccount) displaced(m *machine, b *allocation, saved bool, why string) {
+// recordDisruption charges a task that has lost its place. saved: its progress was saved.
+func (d *disruptionMonitor) recordDisruption(m *machine, b *allocation, saved bool, why string) {
 	j := d.jobs.list[b.job]
 	if d.tracker == nil || j.ended() || j.spec == nil || b.runningSince == 0 && !b.evictedByPlan {
 		return
@@ -58,38 +58,38 @@
 	if !saved && b.runningSince > 0 {
 		lost = d.clock.now - b.runningSince
 	}
-	d.tracker.TaskDisrupted(accountOf(j), int(b.task), lost, cause, d.clock.now)
+	d.tracker.TaskDisrupted(rolloutJob(j), int(b.task), lost, cause, d.clock.now)
 }
 
-// taskRunning notes with the account of disruptions that a task runs.
-func (d *disruptionAccount) taskRunning(b *allocation) {
+// recordRunning notes with the account of disruptions that a task runs.
+func (d *disruptionMonitor) recordRunning(b *allocation) {
 	if d.tracker != nil {
 		d.tracker.TaskRunning(d.jobs.list[b.job].id, int(b.task), d.clock.now)
 	}
 }
 
-// taskFinished notes that a task has completed.
-func (d *disruptionAccount) taskFinished(j *job, n int32) {
+// recordTaskFinished notes that a task has completed.
+func (d *disruptionMonitor) recordTaskFinished(j *job, n int32) {
 	if d.tracker != nil {
 		d.tracker.TaskFinished(j.id, int(n))
 	}
 }
 
-// jobFinished notes that a job has ended.
-func (d *disruptionAccount) jobFinished(j *job) {
+// recordJobFinished notes that a job has ended.
+func (d *disruptionMonitor) recordJobFinished(j *job) {
 	if d.tracker != nil {
 		d.tracker.JobFinished(j.id)
 	}
 }
 
-// advance brings the account up to the present time.
-func (d *disruptionAccount) advance() {
+// update brings the account up to the present time.
+func (d *disruptionMonitor) update() {
 	d.tracker.Tick(d.clock.now)
 	d.logDisruptions()
 }
 
 // logDisruptions logs the beginning and the end of each job's disruption.
-func (d *disruptionAccount) logDisruptions() {
+func (d *disruptionMonitor) logDisruptions() {
 	disrupted := map[string]rollout.Disruption{}
 	for _, e := range d.tracker.Disruptions(d.clock.now) {
 		if !e.Ongoing {
@@ -110,6 +110,6 @@
 
 // mayDisrupt tells whether jobs may be disrupted on purpose: what an earlier leader has started
 // is known, and what it has disrupted counts no more.
-func (d *disruptionAccount) mayDisrupt() bool {
+func (d *disruptionMonitor) mayDisrupt() bool {
 	return d.machines.unresolvedHosts() == 0 && d.clock.now-d.clock.termStart >= max(d.cfg.Operator.Rollouts.Budgets.LongestWindow(), d.agents.lease)
 }
--- a/internal/scheduler/drain_plans.go
+++ b/internal/scheduler/drain_plans.go
@@ -12,11 +12,11 @@
 	"leadproxy/internal/rollout"
 )
 
-// evictionInterval is how often plans advance.
-const evictionInterval = time.Second
+// planStepInterval is how often plans advance.
+const planStepInterval = time.Second
 
-// keptPlans is how many plans that have ended are kept for operators.
-const keptPlans = 20
+// maxEndedPlans is how many plans that have ended are kept for operators.
+const maxEndedPlans = 20
 
 // drainPlans are the plans of a term that drain machines; without an account of disruptions there
 // are none. It owns the plans and alone writes which machines are cordoned or kept for them. What
@@ -30,12 +30,12 @@
 	jobs        *jobTable
 	machines    *machineTable
 	placement   *placement
-	disruptions *disruptionAccount
+	disruptions *disruptionMonitor
 	views       *planViews
 
-	byName    map[string]*plan
-	next      time.Duration
-	firstPlan int // which plan advances first
+	byName   map[string]*plan
+	nextStep time.Duration
+	rotation int // which plan advances first
 }
 
 func newDrainPlans(c *Core) drainPlans {
@@ -45,10 +45,10 @@
 
 // plan is one plan under way.
 type plan struct {
-	rollout *rollout.Controller
-	written uint64 // the generation that is being written
-	waiting []planWaiter
-	tooLong bool // its record does not fit a value
+	rollout           *rollout.Controller
+	writtenGeneration uint64 // the generation that is being written
+	waiters           []planWaiter
+	recordTooLong     bool // its record does not fit a value
 }
 
 // planWaiter waits for a generation of a plan's record to be durable.
@@ -68,7 +68,7 @@
 
 // The errors of commands about plans.
 var (
-	errEvictionDisabled = errors.New("draining is not enabled in the settings")
+	errDrainingDisabled = errors.New("draining is not enabled in the settings")
 	errNoPlan           = errors.New("there is no plan of that name")
 	errPlanExists       = errors.New("there is a plan of that name")
 )
@@ -83,21 +83,21 @@
 	for _, r := range records {
 		d.byName[r.Spec.Name] = &plan{rollout: rollout.NewController(r, d.disruptions.tracker, d.jobs.taskIsDone, d.clock.now, d.clock.wallMS)}
 	}
-	d.cordon()
+	d.updateCordons()
 }
 
-// due tells whether the plans are to be advanced now, and in which order.
-func (d *drainPlans) due() (names []string, due bool) {
-	if !d.disruptions.enabled() || d.clock.now < d.next {
+// takeDue tells whether the plans are to be advanced now, and in which order.
+func (d *drainPlans) takeDue() (names []string, due bool) {
+	if !d.disruptions.enabled() || d.clock.now < d.nextStep {
 		return nil, false
 	}
-	d.next = d.clock.now + evictionInterval
-	d.disruptions.advance()
+	d.nextStep = d.clock.now + planStepInterval
+	d.disruptions.update()
 	inOrder := d.names()
 	for i := range inOrder {
-		names = append(names, inOrder[(i+d.firstPlan)%len(inOrder)])
+		names = append(names, inOrder[(i+d.rotation)%len(inOrder)])
 	}
-	d.firstPlan++
+	d.rotation++
 	return names, true
 }
 
@@ -115,10 +115,10 @@
 // save writes a plan's record if it has changed.
 func (d *drainPlans) save(name string, p *plan) {
 	record, generation := p.rollout.Record()
-	if generation == p.written || p.tooLong {
+	if generation == p.writtenGeneration || p.recordTooLong {
 		return
 	}
-	p.written = generation
+	p.writtenGeneration = generation
 	d.writes.put(ledger.Write{Key: ledger.PlanKey(name), Value: record, Urgent: true, Tag: planTag{name, generation}})
 }
 
@@ -131,26 +131,26 @@
 	}
 	p.rollout.MarkDurable(t.generation)
 	var still []planWaiter
-	for _, w := range p.waiting {
+	for _, w := range p.waiters {
 		if w.generation > t.generation {
 			still = append(still, w)
 			continue
 		}
 		d.effects.emit(PlanReply{ReplyTo: w.to})
 	}
-	p.waiting = still
-	d.next = 0
+	p.waiters = still
+	d.nextStep = 0
 }
 
-// dropOld forgets plans that have ended, the oldest ones first.
-func (d *drainPlans) dropOld() {
+// deleteOldPlans forgets plans that have ended, the oldest ones first.
+func (d *drainPlans) deleteOldPlans() {
 	var ended []string
 	for _, name := range d.names() {
 		if r, _ := d.byName[name].rollout.Record(); r.Phase.Ended() && len(r.Evictions) == 0 && d.byName[name].rollout.IsDurable() {
 			ended = append(ended, name)
 		}
 	}
-	for _, name := range ended[:max(0, len(ended)-keptPlans)] {
+	for _, name := range ended[:max(0, len(ended)-maxEndedPlans)] {
 		delete(d.byName, name)
 		d.writes.put(ledger.Write{Key: ledger.PlanKey(name)})
 	}
@@ -160,14 +160,14 @@
 // it is aborted.
 func (d *drainPlans) recordRejected(t planTag) {
 	if p := d.byName[t.name]; p != nil {
-		p.tooLong = true
+		p.recordTooLong = true
 		d.log.Error("plan record exceeds the value limit", "plan", t.name)
 	}
 }
 
-// cordon has nothing start on the machines that plans empty, and keeps those that they have
+// updateCordons has nothing start on the machines that plans empty, and keeps those that they have
 // rented.
-func (d *drainPlans) cordon() {
+func (d *drainPlans) updateCordons() {
 	for _, m := range d.machines.live {
 		cordoned, kept := false, false
 		for _, p := range d.byName {
--- a/internal/scheduler/evictions_test.go
+++ b/internal/scheduler/evictions_test.go
@@ -12,11 +12,11 @@
 	"leadproxy/internal/wire"
 )
 
-// newDrainStage begins a term that carries plans out, with one in the ledger unless it is
+// newDrainHarness begins a term that carries plans out, with one in the ledger unless it is
 // nil.
-func newDrainStage(t tester, r *rollout.Record) *harness {
+func newDrainHarness(t tester, r *rollout.Record) *harness {
 	operator := settings.Defaults()
-	operator.Rollouts = settings.Rollouts{Enabled: true, Budgets: rollout.Budgets{General: rollout.Budget{Jobs: 1, Window: time.Second}}}
+	operator.Rollouts = settings.Rollouts{Enabled: true, Budgets: rollout.Budgets{TeamDefault: rollout.Budget{Jobs: 1, Window: time.Second}}}
 	var s ledger.Snapshot
 	if r != nil {
 		s.Plans = []rollout.Record{*r}
@@ -24,47 +24,47 @@
 	return newHarnessAt(t, time.Hour, testConfig(operator, settings.Team{Name: "t"}), s)
 }
 
-func somePlan(phase rollout.Phase, batch ...string) *rollout.Record {
+func newPlanRecord(phase rollout.Phase, batch ...string) *rollout.Record {
 	return &rollout.Record{Version: rollout.RecordVersion, CreatedMS: time.Hour.Milliseconds(), PhaseMS: time.Hour.Milliseconds(), Phase: phase, Step: 1, Batch: batch,
 		Spec: rollout.Spec{Name: "winter", Types: []string{"m4"}, Canary: 1, Batch: 1, WaitS: 100, HealthS: 100}}
 }
 
-// written is the plan's record as it was last written.
-func (g *harness) written() rollout.Record {
+// writtenPlan is the plan's record as it was last written.
+func (g *harness) writtenPlan() rollout.Record {
 	r, _ := g.writes[ledger.PlanKey("winter")].Value.(rollout.Record)
 	return r
 }
 
-// answer is what a command about a plan is answered.
-func (g *harness) answer(e PlanRequest) error {
+// requestPlan is what a command about a plan is answered.
+func (g *harness) requestPlan(e PlanRequest) error {
 	e.ReplyTo = recipient("operator")
 	g.step(e)
-	a, ok := last[PlanReply](g)
+	a, ok := lastEffect[PlanReply](g)
 	if !ok {
 		return errors.New("not answered")
 	}
 	return a.Err
 }
 
-// TestUnknownMachineOfABatch: it was returned as the leader before ended. The plan
+// TestBatchMachineReturnedByEarlierLeader: it was returned as the leader before ended. The plan
 // took it for one that boots, and waited until that was given up, longer than leaders
 // lasted.
-func TestUnknownMachineOfABatch(t *testing.T) {
-	g := newDrainStage(t, somePlan(rollout.PhaseDraining, "vm-9"))
+func TestBatchMachineReturnedByEarlierLeader(t *testing.T) {
+	g := newDrainHarness(t, newPlanRecord(rollout.PhaseDraining, "vm-9"))
 	g.wait(10 * time.Second)
 	g.want("machines", len(g.c.machines.list), 0)
 	g.want("written before all can have been heard of", g.puts, 0)
 	g.wait(30 * time.Second)
-	r := g.written()
+	r := g.writtenPlan()
 	g.want("the plan", []any{r.Phase, r.Drained, len(g.c.machines.list)}, []any{rollout.PhaseFinished, 1, 0})
 }
 
-// TestCommandsAreAnsweredWhenDurable: a plan that is created counts once it is written, and an
+// TestPlanCommandsReplyWhenDurable: a plan that is created counts once it is written, and an
 // invalid request is refused at once.
-func TestCommandsAreAnsweredWhenDurable(t *testing.T) {
-	g := newDrainStage(t, nil)
-	spec := somePlan(rollout.PhaseSelecting).Spec
-	if err := g.answer(PlanRequest{Spec: &spec}); err == nil || !strings.Contains(err.Error(), "no machine") {
+func TestPlanCommandsReplyWhenDurable(t *testing.T) {
+	g := newDrainHarness(t, nil)
+	spec := newPlanRecord(rollout.PhaseSelecting).Spec
+	if err := g.requestPlan(PlanRequest{Spec: &spec}); err == nil || !strings.Contains(err.Error(), "no machine") {
 		t.Errorf("no machine is there: %v", err)
 	}
 	g.bringUp("vm-1")
@@ -72,26 +72,26 @@
 	g.step(PlanRequest{Spec: &spec, ReplyTo: recipient("operator")})
 	g.want("durable", g.c.plans.byName["winter"].rollout.IsDurable(), false)
 	g.releaseWrites()
-	answer, _ := last[PlanReply](g)
+	answer, _ := lastEffect[PlanReply](g)
 	g.want("answer once durable", answer.Err, nil)
-	if err := g.answer(PlanRequest{Spec: &spec}); !errors.Is(err, errPlanExists) {
+	if err := g.requestPlan(PlanRequest{Spec: &spec}); !errors.Is(err, errPlanExists) {
 		t.Error(err)
 	}
-	if err := g.answer(PlanRequest{Name: "summer", Command: rollout.Pause}); !errors.Is(err, errNoPlan) {
+	if err := g.requestPlan(PlanRequest{Name: "summer", Command: rollout.Pause}); !errors.Is(err, errNoPlan) {
 		t.Error(err)
 	}
-	g.want("paused", g.answer(PlanRequest{Name: "winter", Command: rollout.Pause}), nil)
-	g.want("written", g.written().Paused, true)
-	off := newHarness(t, ledger.Snapshot{Plans: []rollout.Record{*somePlan(rollout.PhaseSelecting)}})
-	if err := off.answer(PlanRequest{Name: "winter", Command: rollout.Pause}); !errors.Is(err, errEvictionDisabled) {
+	g.want("paused", g.requestPlan(PlanRequest{Name: "winter", Command: rollout.Pause}), nil)
+	g.want("written", g.writtenPlan().Paused, true)
+	off := newHarness(t, ledger.Snapshot{Plans: []rollout.Record{*newPlanRecord(rollout.PhaseSelecting)}})
+	if err := off.requestPlan(PlanRequest{Name: "winter", Command: rollout.Pause}); !errors.Is(err, errDrainingDisabled) {
 		t.Error(err)
 	}
 }
 
-// TestMoveIsWrittenBeforeTheStop: the task that saves its progress is stopped only when its move
+// TestEvictionIsDurableBeforeStop: the task that saves its progress is stopped only when its move
 // is durable, with the time that it needs, and nothing starts on its machine.
-func TestMoveIsWrittenBeforeTheStop(t *testing.T) {
-	g := newDrainStage(t, nil)
+func TestEvictionIsDurableBeforeStop(t *testing.T) {
+	g := newDrainHarness(t, nil)
 	g.bringUp("vm-1")
 	job := newTestJob("job-1", 1, 1)
 	job.CheckpointIntervalS, job.CheckpointDurationS, job.EstimatedRunS = 10, 7, 1000
@@ -101,8 +101,8 @@
 	g.now += time.Minute
 	running := taskIn(o, wire.TaskRunning, "")
 	g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, running))
-	spec := somePlan(rollout.PhaseSelecting).Spec
-	g.want("begun", g.answer(PlanRequest{Spec: &spec}), nil)
+	spec := newPlanRecord(rollout.PhaseSelecting).Spec
+	g.want("begun", g.requestPlan(PlanRequest{Spec: &spec}), nil)
 	for range 4 {
 		g.wait(2 * time.Second)
 		g.acknowledge("vm-1", running)
@@ -112,7 +112,7 @@
 		g.wait(2 * time.Second)
 		g.acknowledge("vm-1", running)
 	}
-	g.want("moves written, not durable", len(g.written().Evictions), 1)
+	g.want("moves written, not durable", len(g.writtenPlan().Evictions), 1)
 	g.want("stops before that is durable", len(g.sentCommands), 0)
 	g.submit(newTestJob("job-2", 1, 1))
 	g.want("starts on a machine that is emptied", len(g.starts()), 0)
@@ -123,10 +123,10 @@
 	g.want("the stop", []any{stop.Verb, stop.Attempt, *stop.GracePeriodS}, []any{wire.VerbStop, o.Attempt, 7.0})
 }
 
-// TestNoticeWhileDraining: the cloud terminates a machine that a plan is emptying. The tasks
+// TestTerminationNoticeWhileDraining: the cloud terminates a machine that a plan is emptying. The tasks
 // that this stops are charged, not refused, and delay what the plan would move elsewhere.
-func TestNoticeWhileDraining(t *testing.T) {
-	g := newDrainStage(t, nil)
+func TestTerminationNoticeWhileDraining(t *testing.T) {
+	g := newDrainHarness(t, nil)
 	g.bringUp("vm-1")
 	g.bringUp("vm-2")
 	var running []wire.TaskStatus
@@ -165,9 +165,9 @@
 	}
 	g.sentCommands = nil
 	spec := rollout.Spec{Name: "winter", Machines: []string{machines[1]}, Canary: 1, Batch: 1, WaitS: 100, HealthS: 100}
-	g.want("begun", g.answer(PlanRequest{Spec: &spec}), nil)
+	g.want("begun", g.requestPlan(PlanRequest{Spec: &spec}), nil)
 	g.wait(3 * time.Second)
-	g.want("moves while the budget is used up", len(g.written().Evictions), 0)
+	g.want("moves while the budget is used up", len(g.writtenPlan().Evictions), 0)
 	g.want("what it waits for", strings.Contains(strings.Join(g.c.plans.byName["winter"].rollout.WaitReasons(), " "), "room for it elsewhere"), true)
 	g.acknowledge(machines[1], running[1])
 	g.wait(28 * time.Second)
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -9,23 +9,23 @@
 // This file connects the parts of the federation with each other and with the jobs: neighbours,
 // delegations, capacity offers and foreign jobs. The protocol is in package federation.
 
-// federationEvent takes the events of transfers.
-func (c *Core) federationEvent(event Event) {
+// handleFederationEvent takes the events of transfers.
+func (c *Core) handleFederationEvent(event Event) {
 	switch e := event.(type) {
 	case TransferResult:
-		c.transferResult(e)
+		c.handleTransferResult(e)
 	case CapacityResult:
-		c.capacityResult(e)
+		c.handleCapacityResult(e)
 	case TransferRequest:
-		c.transfersRequested(e)
+		c.handleTransferRequest(e)
 	case CapacityRequest:
-		c.offers.capacityRequested(e)
+		c.offers.handleCapacityRequest(e)
 	case ForeignWriteResult:
-		c.foreignWritten(e)
+		c.handleForeignWriteResult(e)
 	case TransfersEnabled:
 		c.neighbours.enableTransfers()
 	case TransferListRequest:
-		c.transferListRequested(e)
+		c.handleTransferListRequest(e)
 	}
 }
 
@@ -36,8 +36,8 @@
 	c.applyOriginEffects()
 }
 
-// federationTick does what follows for transfers from the passing of time.
-func (c *Core) federationTick() {
+// advanceTransfers does what follows for transfers from the passing of time.
+func (c *Core) advanceTransfers() {
 	if len(c.neighbours.list) == 0 && c.delegations.transfers.Idle() {
 		return
 	}
@@ -47,7 +47,7 @@
 	if c.delegations.forwardingDue() {
 		c.forwardJobs()
 	}
-	c.neighbours.sendQueued()
+	c.neighbours.sendQueuedMessages()
 }
 
 // forwardJobs delegates jobs to neighbours while this cell is short of room.
@@ -62,7 +62,7 @@
 	for effects := transfers.TakeEffects(); len(effects) > 0; effects = transfers.TakeEffects() {
 		for _, effect := range effects {
 			if end, ok := effect.(federation.EndJob); ok {
-				c.delegatedEnded(end)
+				c.endDelegatedJob(end)
 				continue
 			}
 			c.delegations.apply(effect)
@@ -73,7 +73,7 @@
 // sendOriginEffects carries out the effects of the origin side, and sends the messages among them.
 func (c *Core) sendOriginEffects() {
 	c.applyOriginEffects()
-	c.neighbours.sendQueued()
+	c.neighbours.sendQueuedMessages()
 }
 
 // applyForeignEffects carries out the effects of the executing side of the transfers.
@@ -81,7 +81,7 @@
 	for _, effect := range c.foreign.transfers.TakeEffects() {
 		switch e := effect.(type) {
 		case federation.WriteForeign:
-			c.foreign.write(e)
+			c.foreign.writeRecord(e)
 		case federation.CancelForeign:
 			if at, ok := c.jobs.indexByID[e.JobID]; ok && !c.jobs.list[at].ended() {
 				c.cancelJob(c.jobs.list[at])
@@ -92,41 +92,41 @@
 	}
 }
 
-// transferResult takes the outcome of an exchange.
-func (c *Core) transferResult(e TransferResult) {
-	n := c.neighbours.named(e.Cell)
+// handleTransferResult takes the outcome of an exchange.
+func (c *Core) handleTransferResult(e TransferResult) {
+	n := c.neighbours.find(e.Cell)
 	if n == nil {
 		return
 	}
-	if c.neighbours.exchangeEnded(n, e.Err) {
+	if c.neighbours.endExchange(n, e.Err) {
 		c.delegations.refuseCancellations(n)
 	}
 	for _, a := range e.Answers {
 		c.delegations.transfers.HandleAnswer(e.Cell, a, c.clock.now)
-		n.answered(a, c.clock.now)
+		n.applyAnswer(a, c.clock.now)
 	}
 	c.sendOriginEffects()
 }
 
-// capacityResult takes a neighbour's reply to a capacity request.
-func (c *Core) capacityResult(e CapacityResult) {
-	n := c.neighbours.named(e.Cell)
-	if n == nil || !c.neighbours.capacityRequestEnded(n, e) {
+// handleCapacityResult takes a neighbour's reply to a capacity request.
+func (c *Core) handleCapacityResult(e CapacityResult) {
+	n := c.neighbours.find(e.Cell)
+	if n == nil || !c.neighbours.endCapacityRequest(n, e) {
 		return
 	}
 	c.forwardJobs()
-	c.neighbours.sendQueued()
+	c.neighbours.sendQueuedMessages()
 }
 
-// transfersRequested replies to another cell's messages.
-func (c *Core) transfersRequested(e TransferRequest) {
-	answers := c.foreign.handle(e.Origin, e.Messages)
+// handleTransferRequest replies to another cell's messages.
+func (c *Core) handleTransferRequest(e TransferRequest) {
+	answers := c.foreign.handleMessages(e.Origin, e.Messages)
 	c.applyForeignEffects()
 	c.effects.emit(TransferReply{ReplyTo: e.ReplyTo, Answers: answers})
 }
 
-// foreignWritten takes the result of a write of a foreign job.
-func (c *Core) foreignWritten(e ForeignWriteResult) {
+// handleForeignWriteResult takes the result of a write of a foreign job.
+func (c *Core) handleForeignWriteResult(e ForeignWriteResult) {
 	if e.Job != nil && !e.JobExists {
 		c.handleJobRecord(JobRecordEvent{JobID: e.Write.Key.JobID, Record: *e.Job, Version: e.Version})
 	}
@@ -134,9 +134,9 @@
 	c.applyForeignEffects()
 }
 
-// delegatedEnded writes the end of a job that another cell has run, or that was cancelled while
+// endDelegatedJob writes the end of a job that another cell has run, or that was cancelled while
 // it was delegated.
-func (c *Core) delegatedEnded(e federation.EndJob) {
+func (c *Core) endDelegatedJob(e federation.EndJob) {
 	at, ok := c.jobs.indexByID[e.JobID]
 	if !ok {
 		return
--- a/internal/scheduler/federation_events.go
+++ b/internal/scheduler/federation_events.go
@@ -90,7 +90,7 @@
 		Delegated []federation.DelegatedView
 		Foreign   []ForeignView
 		Cells     []CellView
-		Counts    map[TransferCount]int
+		Counts    map[TransferCounter]int
 	}
 )
 
@@ -103,11 +103,11 @@
 
 // CellView is a neighbour as operators see it.
 type CellView struct {
-	Name        string
-	Drain       bool
-	Unreachable bool
-	Jobs        int
-	Cores       float64
-	Credit      float64
-	Offered     float64
+	Name         string
+	Draining     bool
+	Unreachable  bool
+	Jobs         int
+	Cores        float64
+	Credit       float64
+	ForeignCores float64
 }
--- a/internal/scheduler/federation_test.go
+++ b/internal/scheduler/federation_test.go
@@ -13,12 +13,12 @@
 	"leadproxy/internal/wire"
 )
 
-// errNeighbourUnreachable is the result of an exchange that a neighbour did not answer.
-var errNeighbourUnreachable = errors.New("the neighbour does not answer")
+// errUnreachable is the result of an exchange that a neighbour did not answer.
+var errUnreachable = errors.New("the neighbour does not answer")
 
-// newCell is a stage of cell "lima" with neighbour "puno", whose only machine of four
+// newCellHarness is a stage of cell "lima" with neighbour "puno", whose only machine of four
 // cores is up and the last that there may be.
-func newCell(t *testing.T, change func(o *settings.Operator), teams ...settings.Team) *harness {
+func newCellHarness(t *testing.T, change func(o *settings.Operator), teams ...settings.Team) *harness {
 	o := settings.Defaults()
 	o.MaxMachines = 1
 	o.Cells = settings.Cells{Name: "lima", DelegateJobs: true, ShortageFor: 5 * time.Second, MaxWait: 10 * time.Second, Repeatable: map[string]bool{},
@@ -32,16 +32,16 @@
 	return g
 }
 
-// waitWith lets time pass while the machine reports what it runs.
-func (g *harness) waitWith(d time.Duration, machine string, tasks ...wire.TaskStatus) {
+// waitReporting lets time pass while the machine reports what it runs.
+func (g *harness) waitReporting(d time.Duration, machine string, tasks ...wire.TaskStatus) {
 	for end := g.now + d; g.now < end; {
 		g.wait(time.Second)
 		g.acknowledge(machine, tasks...)
 	}
 }
 
-// fill has a job take the whole machine for long and returns how it is reported.
-func (g *harness) fill(jobID string) []wire.TaskStatus {
+// fillMachine has a job take the whole machine for long and returns how it is reported.
+func (g *harness) fillMachine(jobID string) []wire.TaskStatus {
 	j := newTestJob(jobID, 4, 1)
 	j.EstimatedRunS = 1000
 	g.submit(j)
@@ -53,8 +53,8 @@
 	return running
 }
 
-// last returns the latest effect of a type.
-func last[E Effect](g *harness) (e E, ok bool) {
+// lastEffect returns the latest effect of a type.
+func lastEffect[E Effect](g *harness) (e E, ok bool) {
 	for i := len(g.others) - 1; i >= 0; i-- {
 		if e, ok = g.others[i].(E); ok {
 			return e, true
@@ -63,14 +63,14 @@
 	return e, false
 }
 
-// offered plays a shortage up to the neighbour's capacity offer and names the jobs that are
+// offersAfterShortage plays a shortage up to the neighbour's capacity offer and names the jobs that are
 // offered to it.
-func (g *harness) offered(room float64, running []wire.TaskStatus) (jobIDs []string) {
-	g.waitWith(20*time.Second, "vm-1", running...)
-	if ask, ok := last[RequestCapacity](g); ok {
+func (g *harness) offersAfterShortage(room float64, running []wire.TaskStatus) (jobIDs []string) {
+	g.waitReporting(20*time.Second, "vm-1", running...)
+	if ask, ok := lastEffect[RequestCapacity](g); ok {
 		g.step(CapacityResult{Cell: ask.Cell, Cores: min(room, ask.Cores), For: 5 * time.Second})
 	}
-	if send, ok := last[SendTransfers](g); ok {
+	if send, ok := lastEffect[SendTransfers](g); ok {
 		for _, m := range send.Messages {
 			jobIDs = append(jobIDs, fmt.Sprintf("%s %s/%d", m.Kind, m.JobID, m.Epoch))
 		}
@@ -99,38 +99,38 @@
 		{"spilling is off", func(o *settings.Operator) { o.Cells.DelegateJobs = false }, nil, 100, ""},
 		{"machines can be hired", func(o *settings.Operator) { o.MaxMachines = 0 }, nil, 100, ""},
 		{"it may wait for longer", func(o *settings.Operator) { o.Cells.MaxWait = time.Hour }, nil, 100, ""},
-		{"its deadline is far", nil, func(j *wire.Job) { j.DeadlineS = seconds(7200) }, 100, ""},
-		{"its deadline is near", func(o *settings.Operator) { o.Cells.MaxWait = time.Hour }, func(j *wire.Job) { j.DeadlineS = seconds(60) }, 100, "offer job-2/1"},
+		{"its deadline is far", nil, func(j *wire.Job) { j.DeadlineS = secondsPtr(7200) }, 100, ""},
+		{"its deadline is near", func(o *settings.Operator) { o.Cells.MaxWait = time.Hour }, func(j *wire.Job) { j.DeadlineS = secondsPtr(60) }, 100, "offer job-2/1"},
 		{"its team's limit leaves too little", nil, func(j *wire.Job) { j.Team = "tight" }, 100, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newCell(t, c.change, settings.Team{Name: "t"}, settings.Team{Name: "tight", CPUsMax: 1})
-			running := g.fill("job-1")
+			g := newCellHarness(t, c.change, settings.Team{Name: "t"}, settings.Team{Name: "tight", CPUsMax: 1})
+			running := g.fillMachine("job-1")
 			j := newTestJob("job-2", 2, 1)
 			if c.job != nil {
 				c.job(j)
 			}
 			g.submit(j)
-			g.want("offered", strings.Join(g.offered(c.room, running), ", "), c.want)
+			g.want("offered", strings.Join(g.offersAfterShortage(c.room, running), ", "), c.want)
 		})
 	}
 }
 
-func seconds(s float64) *float64 { return &s }
+func secondsPtr(s float64) *float64 { return &s }
 
 // TestDelegatedJob follows a job through the neighbour to its end: it is charged to its team,
 // never placed here, and has ended when its end is durable here.
 func TestDelegatedJob(t *testing.T) {
-	g := newCell(t, nil, settings.Team{Name: "t"}, settings.Team{Name: "tight", CPUsMax: 3})
+	g := newCellHarness(t, nil, settings.Team{Name: "t"}, settings.Team{Name: "tight", CPUsMax: 3})
 	tight := func(jobID string) *wire.Job {
 		j := newTestJob(jobID, 2, 1)
 		j.Team = "tight"
 		return j
 	}
-	running := g.fill("job-1")
+	running := g.fillMachine("job-1")
 	g.submit(tight("job-2"))
-	g.want("offered", len(g.offered(100, running)), 1)
+	g.want("offered", len(g.offersAfterShortage(100, running)), 1)
 	g.want("its record", g.writes[ledger.DelegatedKey("job-2")].Value.(federation.DelegatedRecord).State, federation.Offered)
 	answer := func(o federation.Outcome, running int) {
 		g.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: o, Running: running}}})
@@ -143,7 +143,7 @@
 	answer(federation.OutcomeDone, 0)
 	g.want("told in the end", g.jobStatus("job-2"), wire.JobDone)
 	g.wait(time.Second)
-	if send, ok := last[SendTransfers](g); !ok || send.Messages[0].Kind != federation.Release {
+	if send, ok := lastEffect[SendTransfers](g); !ok || send.Messages[0].Kind != federation.Release {
 		t.Errorf("after the end: %+v", send)
 	}
 	answer(federation.OutcomeReleased, 0)
@@ -156,17 +156,17 @@
 // has it, and refused at once while that does not respond.
 func TestCancelOfADelegatedJob(t *testing.T) {
 	for _, silent := range []bool{false, true} {
-		g := newCell(t, nil)
-		running := g.fill("job-1")
+		g := newCellHarness(t, nil)
+		running := g.fillMachine("job-1")
 		g.submit(newTestJob("job-2", 1, 1))
-		g.offered(100, running)
+		g.offersAfterShortage(100, running)
 		g.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: federation.OutcomeAccepted}}})
 		if silent {
-			g.step(TransferResult{Cell: "puno", Err: errNeighbourUnreachable})
+			g.step(TransferResult{Cell: "puno", Err: errUnreachable})
 		}
 		g.others = nil
 		g.step(CancelRequest{JobID: "job-2", ReplyTo: recipient("u")})
-		told, ok := last[UserReply](g)
+		told, ok := lastEffect[UserReply](g)
 		g.want("told at once", ok, silent)
 		g.want("as unreachable", told.CellUnreachable, silent)
 		g.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: federation.OutcomeCancelled}}})
@@ -186,7 +186,7 @@
 	g.submit(newTestJob("job-3", 1, 0.5))
 	g.want("started beside it", len(g.starts()), 1)
 	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
-	told, _ := last[UserReply](g)
+	told, _ := lastEffect[UserReply](g)
 	g.want("told as unreachable", told.CellUnreachable, true)
 	g.want("its state", g.jobStatus("job-1"), wire.JobQueued)
 }
@@ -209,17 +209,17 @@
 		{"a stranger", nil, nil, nil, "cusco", 100, 0, "not a neighbour"},
 		{"a relation that is being drained", func(o *settings.Operator) { o.Cells.Neighbours[0].Draining = true }, nil, nil, "puno", 100, 0, "drained"},
 		{"nothing is lent", func(o *settings.Operator) { o.Cells.Neighbours[0].MaxOfferedCores = 0 }, nil, nil, "puno", 100, 0, "own work"},
-		{"this cell's own work waits", nil, nil, func(g *harness) { g.fill("job-1"); g.submit(newTestJob("job-2", 1, 1)) }, "puno", 100, 0, "own work"},
+		{"this cell's own work waits", nil, nil, func(g *harness) { g.fillMachine("job-1"); g.submit(newTestJob("job-2", 1, 1)) }, "puno", 100, 0, "own work"},
 		{"what is guaranteed to a team", nil, []settings.Team{{Name: "t"}, {Name: "sure", CPUs: 3}}, nil, "puno", 100, 1, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newCell(t, c.change, c.teams...)
+			g := newCellHarness(t, c.change, c.teams...)
 			if c.before != nil {
 				c.before(g)
 			}
 			g.step(CapacityRequest{Origin: c.home, Cores: c.ask, ReplyTo: recipient("r")})
-			answer, _ := last[CapacityReply](g)
+			answer, _ := lastEffect[CapacityReply](g)
 			if answer.Cores != c.want || !strings.Contains(answer.Reason, c.why) || (answer.Cores == 0) != (answer.RetryAfter > 0) {
 				t.Errorf("%+v, want %v cores, %q", answer, c.want, c.why)
 			}
@@ -227,15 +227,15 @@
 	}
 }
 
-// offerOf is another cell's offer.
-func offerOf(g *harness, jobID, job string) federation.Outcome {
+// offerForeignJob is another cell's offer.
+func offerForeignJob(g *harness, jobID, job string) federation.Outcome {
 	m := federation.Message{Kind: federation.Offer, JobID: jobID, Epoch: 1, Body: &federation.OfferBody{Job: []byte(job), Cores: 1}}
 	g.step(TransferRequest{Origin: "puno", Messages: []federation.Message{m}, ReplyTo: recipient("r")})
-	if put, ok := last[WriteForeign](g); ok && put.Write.Key.JobID == jobID {
+	if put, ok := lastEffect[WriteForeign](g); ok && put.Write.Key.JobID == jobID {
 		g.step(ForeignWriteResult{Write: put.Write, Job: put.Job, Version: 9})
 	}
 	g.step(TransferRequest{Origin: "puno", Messages: []federation.Message{{Kind: federation.Status, JobID: jobID, Epoch: 1}}, ReplyTo: recipient("r")})
-	answer, _ := last[TransferReply](g)
+	answer, _ := lastEffect[TransferReply](g)
 	return answer.Answers[0].Outcome
 }
 
@@ -244,9 +244,9 @@
 func TestForeignJobs(t *testing.T) {
 	const described = `{"ref":"%s","lane":"c","owner":"t","shape":"batch","urgency":"high","pieces":1,"vcpus":%v,"gpus":0,"mem_gb":1,"bundle":"i","size_gb":1,
 		"flavors":null,"room":%s,"together":false,"spread":false,"loaners":true,"guess_s":9,"snapshot_s":0,"flush_s":0,"due_s":60,"waits_on":%s}`
-	g := newCell(t, nil)
+	g := newCellHarness(t, nil)
 	g.submit(newTestJob("job-1", 1, 1))
-	none := offerOf(g, "job-80", fmt.Sprintf(described, "job-80", 1, "null", "[]"))
+	none := offerForeignJob(g, "job-80", fmt.Sprintf(described, "job-80", 1, "null", "[]"))
 	g.want("without a promise of room", none, federation.OutcomeRefused)
 	g.step(CapacityRequest{Origin: "puno", Cores: 3, ReplyTo: recipient("r")})
 	cases := []struct {
@@ -263,10 +263,10 @@
 		{"beyond it", "job-88", fmt.Sprintf(described, "job-88", 2, "null", "[]"), federation.OutcomeRefused},
 	}
 	for _, c := range cases {
-		g.want(c.name, offerOf(g, c.ref, c.job).String(), c.want.String())
+		g.want(c.name, offerForeignJob(g, c.ref, c.job).String(), c.want.String())
 	}
 	g.step(StatusRequest{JobID: "job-87", ReplyTo: recipient("u")})
-	told, _ := last[UserReply](g)
+	told, _ := lastEffect[UserReply](g)
 	g.want("its state is told to users here", told.Known, false)
 	guest := g.c.jobs.list[g.c.jobs.indexByID["job-87"]]
 	g.want("it may leave", g.c.delegations.mayDelegate(guest), false)
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -40,13 +40,13 @@
 	}
 }
 
-// handle takes the messages of another cell, and returns the answers.
-func (f *foreignJobs) handle(origin string, messages []federation.Message) []federation.Answer {
+// handleMessages takes the messages of another cell, and returns the answers.
+func (f *foreignJobs) handleMessages(origin string, messages []federation.Message) []federation.Answer {
 	answers := make([]federation.Answer, 0, len(messages))
 	for _, m := range messages {
 		a := f.transfers.HandleMessage(origin, m, f.clock.wallMS)
 		if a.Temporary {
-			a.RetryAfter = noRoomFor
+			a.RetryAfter = refusalRetryAfter
 		}
 		answers = append(answers, a)
 	}
@@ -58,8 +58,8 @@
 	f.transfers.RecordWritten(e.Write.Key, e.Write.Record, e.Version, e.JobExists, f.clock.wallMS)
 }
 
-// write writes a foreign job's transfer record, with the job's own if it is accepted.
-func (f *foreignJobs) write(e federation.WriteForeign) {
+// writeRecord writes a foreign job's transfer record, with the job's own if it is accepted.
+func (f *foreignJobs) writeRecord(e federation.WriteForeign) {
 	put := WriteForeign{Write: e}
 	if e.Body != nil {
 		spec, err := wire.ParseJob(e.Body.Job)
@@ -87,17 +87,17 @@
 	if err != nil {
 		return federation.Refusal{Reason: "the job can't be read: " + err.Error()}
 	}
-	if reason := f.refuse(id, spec); reason != "" {
+	if reason := f.refusalReason(id, spec); reason != "" {
 		return federation.Refusal{Reason: reason}
 	}
-	if cores := spec.CPUs * float64(spec.Tasks); !f.offers.use(origin, cores) {
+	if cores := spec.CPUs * float64(spec.Tasks); !f.offers.useCredit(origin, cores) {
 		return federation.Refusal{Reason: fmt.Sprintf("no room was promised for %v cores", cores), Temporary: true}
 	}
 	return federation.Refusal{}
 }
 
-// refuse tells why a job of another cell can't run here at all; "": it can.
-func (f *foreignJobs) refuse(id string, spec *wire.Job) (reason string) {
+// refusalReason tells why a job of another cell can't run here at all; "": it can.
+func (f *foreignJobs) refusalReason(id string, spec *wire.Job) (reason string) {
 	if spec.ID != id {
 		return "the offer describes another job"
 	}
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -87,7 +87,7 @@
 // finishJob decides a job's terminal state and writes it. Users are told when it is durable.
 func (c *Core) finishJob(j *job, terminal string) {
 	j.end.decide(terminal)
-	c.disruptions.jobFinished(j)
+	c.disruptions.recordJobFinished(j)
 	if terminal == wire.JobCancelled {
 		c.jobs.addCancelling(j)
 	}
@@ -121,7 +121,7 @@
 		return
 	}
 	j.progress.markTaskDone(n)
-	c.disruptions.taskFinished(j, n)
+	c.disruptions.recordTaskFinished(j, n)
 	c.placement.recordSuccess(j)
 	if j.progress.done == j.progress.total {
 		c.finishJob(j, wire.JobDone)
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -273,7 +273,7 @@
 	} else if j.transfer.origin == "" {
 		// Later leaders learn the demand from it.
 		rec.Class, rec.Team = j.spec.Class, j.spec.Team
-		rec.Cores = j.cores()
+		rec.Cores = j.totalCores()
 		rec.RunS = t.estimates.expectedRun(j).Seconds()
 	}
 	t.writes.put(ledger.Write{Key: ledger.JobKey(j.id), Value: rec, Urgent: order == writeUrgent, Version: j.record.version, Tag: terminalTag{j.index}})
--- a/internal/scheduler/neighbours.go
+++ b/internal/scheduler/neighbours.go
@@ -24,7 +24,7 @@
 func newNeighbourTable(c *Core) neighbourTable {
 	t := neighbourTable{clock: &c.clock, log: c.log, effects: &c.effects, cells: c.cfg.Operator.Cells}
 	for _, n := range t.cells.Neighbours {
-		t.list = append(t.list, &neighbour{Neighbour: n, refused: map[string]bool{}})
+		t.list = append(t.list, &neighbour{Neighbour: n, refusedJobs: map[string]bool{}})
 	}
 	return t
 }
@@ -38,23 +38,23 @@
 	capacityRequested   bool                 // a capacity request is under way
 	nextCapacityRequest time.Duration        // when the next one may be sent
 	credit              float64              // cores that it has offered and that are not used yet
-	until               time.Duration        // when its offer expires
-	refused             map[string]bool      // jobs that it can't run, as it has said in this term
+	creditExpiry        time.Duration        // when its offer expires
+	refusedJobs         map[string]bool      // jobs that it can't run, as it has said in this term
 	waitingLoggedAt     time.Duration        // when it was last logged that jobs wait for it
-	reason              string               // why it last had no capacity
+	noCapacityReason    string               // why it last had no capacity
 }
 
-// maxExchange bounds the messages of one exchange, and maxExchangeBytes the jobs in it.
+// maxExchangeMessages bounds the messages of one exchange, and maxExchangeBytes the jobs in it.
 const (
-	maxExchange      = 256
-	maxExchangeBytes = 1 << 20
+	maxExchangeMessages = 256
+	maxExchangeBytes    = 1 << 20
 )
 
 // enableTransfers notes that every controller of this cell knows transfers.
 func (t *neighbourTable) enableTransfers() { t.transfersEnabled = true }
 
-// named returns the neighbour of a name; nil if the settings do not name it.
-func (t *neighbourTable) named(cell string) *neighbour {
+// find returns the neighbour of a name; nil if the settings do not name it.
+func (t *neighbourTable) find(cell string) *neighbour {
 	for _, n := range t.list {
 		if n.Name == cell {
 			return n
@@ -63,10 +63,10 @@
 	return nil
 }
 
-// queue has a message leave with the next exchange. A newer one about the same job
+// queueMessage has a message leave with the next exchange. A newer one about the same job
 // replaces it.
-func (t *neighbourTable) queue(cell string, m federation.Message) {
-	n := t.named(cell)
+func (t *neighbourTable) queueMessage(cell string, m federation.Message) {
+	n := t.find(cell)
 	if n == nil {
 		return // the settings no longer name it
 	}
@@ -79,9 +79,9 @@
 	n.outbox = append(n.outbox, m)
 }
 
-// sendQueued sends the queued messages. One exchange with each neighbour is under way at a
+// sendQueuedMessages sends the queued messages. One exchange with each neighbour is under way at a
 // time; what is queued meanwhile is sent with the next.
-func (t *neighbourTable) sendQueued() {
+func (t *neighbourTable) sendQueuedMessages() {
 	for _, n := range t.list {
 		if n.exchanging || len(n.outbox) == 0 {
 			continue
@@ -100,16 +100,16 @@
 		if m.Body != nil {
 			bytes += len(m.Body.Job)
 		}
-		if i == maxExchange || i > 0 && bytes > maxExchangeBytes {
+		if i == maxExchangeMessages || i > 0 && bytes > maxExchangeBytes {
 			return i
 		}
 	}
 	return len(n.outbox)
 }
 
-// exchangeEnded notes that an exchange has ended, and tells whether the neighbour has become
+// endExchange notes that an exchange has ended, and tells whether the neighbour has become
 // unreachable with it.
-func (t *neighbourTable) exchangeEnded(n *neighbour, err error) (lost bool) {
+func (t *neighbourTable) endExchange(n *neighbour, err error) (lost bool) {
 	n.exchanging = false
 	unreachable := err != nil
 	if unreachable == n.unreachable {
@@ -124,14 +124,14 @@
 	return unreachable
 }
 
-// answered notes what an answer says of the neighbour's capacity.
-func (n *neighbour) answered(a federation.Answer, now time.Duration) {
+// applyAnswer notes what an answer says of the neighbour's capacity.
+func (n *neighbour) applyAnswer(a federation.Answer, now time.Duration) {
 	switch {
 	case a.Outcome != federation.OutcomeRefused:
 	case a.Temporary:
 		n.nextCapacityRequest, n.credit = max(n.nextCapacityRequest, now+a.RetryAfter), 0
 	default:
-		n.refused[a.JobID] = true
+		n.refusedJobs[a.JobID] = true
 	}
 }
 
@@ -144,18 +144,18 @@
 	t.effects.emit(RequestCapacity{Cell: n.Name, Cores: cores})
 }
 
-// capacityRequestEnded takes a neighbour's reply to a capacity request, and tells whether it has
+// endCapacityRequest takes a neighbour's reply to a capacity request, and tells whether it has
 // offered any.
-func (t *neighbourTable) capacityRequestEnded(n *neighbour, e CapacityResult) (offered bool) {
+func (t *neighbourTable) endCapacityRequest(n *neighbour, e CapacityResult) (offered bool) {
 	n.capacityRequested = false
 	n.nextCapacityRequest = t.clock.now + max(capacityRequestInterval, e.RetryAfter)
 	if e.Err != nil {
 		t.log.Debug("capacity request failed", "cell", n.Name, "error", e.Err)
 		return false
 	}
-	n.credit, n.until = e.Cores, t.clock.now+e.For
-	if n.reason != e.Reason {
-		n.reason = e.Reason
+	n.credit, n.creditExpiry = e.Cores, t.clock.now+e.For
+	if n.noCapacityReason != e.Reason {
+		n.noCapacityReason = e.Reason
 		if e.Reason != "" {
 			t.log.Info("neighbour offers no capacity", "cell", n.Name, "reason", e.Reason, "retry_after_s", e.RetryAfter.Seconds())
 		}
--- a/internal/scheduler/plan_requests.go
+++ b/internal/scheduler/plan_requests.go
@@ -8,17 +8,17 @@
 
 // PlanStatus is a plan as operators see it.
 type PlanStatus struct {
-	Record rollout.Record
-	Waits  []string
+	Record      rollout.Record
+	WaitReasons []string
 }
 
-// requested creates or steers a plan. The reply follows when its record is durable.
-func (d *drainPlans) requested(e PlanRequest) {
+// handleRequest creates or steers a plan. The reply follows when its record is durable.
+func (d *drainPlans) handleRequest(e PlanRequest) {
 	var err error
 	name := e.Name
 	switch {
 	case !d.disruptions.enabled():
-		err = errEvictionDisabled
+		err = errDrainingDisabled
 	case e.Spec != nil:
 		name = e.Spec.Name
 		err = d.create(*e.Spec)
@@ -32,13 +32,13 @@
 		return
 	}
 	p := d.byName[name]
-	p.tooLong = false
+	p.recordTooLong = false
 	d.save(name, p)
 	if p.rollout.IsDurable() {
 		d.effects.emit(PlanReply{ReplyTo: e.ReplyTo})
 		return
 	}
-	p.waiting = append(p.waiting, planWaiter{p.written, e.ReplyTo})
+	p.waiters = append(p.waiters, planWaiter{p.writtenGeneration, e.ReplyTo})
 }
 
 // create begins a plan whose machines no other plan has.
@@ -69,15 +69,15 @@
 	return nil
 }
 
-// listRequested lists the plans and the jobs that count as disrupted.
-func (d *drainPlans) listRequested(e PlanListRequest) {
+// handleListRequest lists the plans and the jobs that count as disrupted.
+func (d *drainPlans) handleListRequest(e PlanListRequest) {
 	list := PlanListReply{ReplyTo: e.ReplyTo, Term: d.term}
 	if d.disruptions.enabled() {
 		for _, name := range d.names() {
 			p := d.byName[name]
 			r, _ := p.rollout.Record()
 			waits := p.rollout.WaitReasons()
-			if p.tooLong {
+			if p.recordTooLong {
 				waits = []string{"its record takes more than the state service lets a value hold"}
 			}
 			list.Plans = append(list.Plans, PlanStatus{r, waits})
--- a/internal/scheduler/plan_views.go
+++ b/internal/scheduler/plan_views.go
@@ -14,7 +14,7 @@
 	jobs         *jobTable
 	machines     *machineTable
 	agents       *agents
-	disruptions  *disruptionAccount
+	disruptions  *disruptionMonitor
 	replacements *replacements
 }
 
@@ -23,25 +23,25 @@
 		machines: &c.machines, agents: &c.agents, disruptions: &c.disruptions, replacements: &c.replacements}
 }
 
-// roomKey is a job whose tasks are to leave a zone: whether there is room for one is determined
+// capacityKey is a job whose tasks are to leave a zone: whether there is room for one is determined
 // once a step.
-type roomKey struct{ job, zone int32 }
+type capacityKey struct{ job, zone int32 }
 
-// of describes the present state to a plan.
-func (v *planViews) of(p *plan) *rollout.View {
+// build describes the present state to a plan.
+func (v *planViews) build(p *plan) *rollout.View {
 	r, _ := p.rollout.Record()
-	room := map[roomKey]bool{}
+	room := map[capacityKey]bool{}
 	view := &rollout.View{Now: v.clock.now, WallMS: v.clock.wallMS, MayDisrupt: v.disruptions.mayDisrupt(), RunningJobs: v.jobs.runningJobCounter()}
 	if r.Phase == rollout.PhaseSelecting {
 		for _, m := range v.machines.live {
 			if v.selects(&r, m) {
-				view.Candidates = append(view.Candidates, v.planMachine(m, room))
+				view.Candidates = append(view.Candidates, v.machineView(m, room))
 			}
 		}
 	}
 	for _, name := range r.Batch {
 		if m := v.machines.find(name); m != nil {
-			view.Batch = append(view.Batch, v.planMachine(m, room))
+			view.Batch = append(view.Batch, v.machineView(m, room))
 		} else {
 			view.Batch = append(view.Batch, rollout.Machine{Name: name, Gone: view.MayDisrupt})
 		}
@@ -76,27 +76,27 @@
 	return runsNothing && m.commands.idle()
 }
 
-// planMachine is a machine as a plan sees it.
-func (v *planViews) planMachine(m *machine, room map[roomKey]bool) rollout.Machine {
+// machineView is a machine as a plan sees it.
+func (v *planViews) machineView(m *machine, room map[capacityKey]bool) rollout.Machine {
 	out := rollout.Machine{Name: m.name, Empty: v.isEmpty(m), Gone: m.state == machineGone}
 	if m.state == machineDeleting && len(m.capacity.allocations) == 0 {
 		out.Empty = true
 	}
 	for _, b := range m.capacity.allocations {
 		if j := v.jobs.list[b.job]; j.spec != nil && !j.ended() {
-			out.Tasks = append(out.Tasks, v.planTask(m, j, b, room))
+			out.Tasks = append(out.Tasks, v.taskView(m, j, b, room))
 		}
 	}
 	return out
 }
 
-// planTask is a task as a plan sees it.
-func (v *planViews) planTask(m *machine, j *job, b *allocation, room map[roomKey]bool) rollout.Task {
-	key := roomKey{j.index, m.zone}
+// taskView is a task as a plan sees it.
+func (v *planViews) taskView(m *machine, j *job, b *allocation, room map[capacityKey]bool) rollout.Task {
+	key := capacityKey{j.index, m.zone}
 	if _, known := room[key]; !known {
-		room[key] = v.roomElsewhere(m, j)
+		room[key] = v.hasCapacityElsewhere(m, j)
 	}
-	t := rollout.Task{Job: accountOf(j), Index: int(b.task), RemainingRun: v.estimates.expectedRun(j), Slack: j.slack(v.clock.now), Stopping: b.stopping, HasCapacity: room[key]}
+	t := rollout.Task{Job: rolloutJob(j), Index: int(b.task), RemainingRun: v.estimates.expectedRun(j), Slack: j.slack(v.clock.now), Stopping: b.stopping, FitsElsewhere: room[key]}
 	if b.runningSince > 0 {
 		ran := v.clock.now - b.runningSince
 		t.RemainingRun = max(t.RemainingRun-ran, t.RemainingRun/4)
@@ -107,9 +107,9 @@
 	return t
 }
 
-// roomElsewhere tells whether there is room for a job's task on another machine now; for a job
+// hasCapacityElsewhere tells whether there is room for a job's task on another machine now; for a job
 // with gang scheduling, in its zone.
-func (v *planViews) roomElsewhere(from *machine, j *job) bool {
+func (v *planViews) hasCapacityElsewhere(from *machine, j *job) bool {
 	return slices.ContainsFunc(v.machines.live, func(m *machine) bool {
 		return m != from && v.agents.schedulable(m) && j.allowsMachine(m.typ, m.zone, m.spot) && j.request.size.Within(m.capacity.free) && (!j.spec.Gang || m.zone == from.zone)
 	})
@@ -119,7 +119,7 @@
 func (v *planViews) replacementView(m *machine) rollout.Replacement {
 	r := rollout.Replacement{Name: m.name, Failed: m.state == machineGone || m.state == machineDeleting || m.health.quarantined}
 	if v.agents.schedulable(m) && m.agent.EpochSeenAt() > 0 {
-		r.Healthy = max(1, v.clock.now-m.agent.EpochSeenAt())
+		r.HealthyFor = max(1, v.clock.now-m.agent.EpochSeenAt())
 	}
 	return r
 }
--- a/internal/scheduler/replacements.go
+++ b/internal/scheduler/replacements.go
@@ -18,7 +18,7 @@
 	machines    *machineTable
 	pools       *capacityPools
 	scaleOuts   *scaleOutRequests
-	disruptions *disruptionAccount
+	disruptions *disruptionMonitor
 
 	// rented are the machines of scale-outs for replacements, by request.
 	rented map[string][]string
@@ -29,10 +29,10 @@
 		scaleOuts: &c.scaleOuts, disruptions: &c.disruptions}
 }
 
-// requestsFor are the scale-outs for a plan's replacements: one for each kind of machine, in
+// scaleOutsFor are the scale-outs for a plan's replacements: one for each kind of machine, in
 // parts of the size that the cloud accepts. They are none until all of the machines are known: a
 // request that is made once for fewer machines can't be extended later.
-func (r *replacements) requestsFor(request string, like []string) map[string]autoscaler.PlannedScaleOut {
+func (r *replacements) scaleOutsFor(request string, like []string) map[string]autoscaler.PlannedScaleOut {
 	counts := map[autoscaler.CapacityPool]int{}
 	for _, name := range like {
 		m := r.machines.find(name)
@@ -55,10 +55,10 @@
 	return requests
 }
 
-// scaleOutAhead rents replacements. A request that the cloud has refused is repeated under its
+// rentReplacements rents replacements. A request that the cloud has refused is repeated under its
 // name when the pool may be used again.
-func (r *replacements) scaleOutAhead(a rollout.ScaleOutAhead) {
-	requests := r.requestsFor(a.RequestID, a.Replaced)
+func (r *replacements) rentReplacements(a rollout.RentReplacements) {
+	requests := r.scaleOutsFor(a.RequestID, a.Replaced)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
 		w := requests[name]
 		if r.scaleOuts.byID[name] != nil || r.rented[name] != nil || r.clock.now < r.pools.pool(w.Pool).blockedUntil {
@@ -70,7 +70,7 @@
 
 // rentedForPlan lists the machines of a plan's scale-outs, once all have a result.
 func (r *replacements) rentedForPlan(record *rollout.Record) (machines []string) {
-	requests := r.requestsFor(record.ScaleOutRequestID, record.Batch)
+	requests := r.scaleOutsFor(record.ScaleOutRequestID, record.Batch)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
 		if r.rented[name] == nil {
 			return nil
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -41,7 +41,7 @@
 	}
 	since, known := c.inherited.runningSince(b.attempt)
 	b.runningSince, b.runStartUnknown = since, !known
-	c.disruptions.taskRunning(b)
+	c.disruptions.recordRunning(b)
 	c.softState.machineChanged(m)
 	j.progress.markStarted()
 	m.capacity.markUsed(c.clock.now)
@@ -109,7 +109,7 @@
 			c.spending.addLostWork(m, b)
 		}
 		if t.ExitReason == wire.ExitStopped {
-			c.disruptions.displaced(m, b, t.CheckpointSaved, "it was stopped")
+			c.disruptions.recordDisruption(m, b, t.CheckpointSaved, "it was stopped")
 		}
 		c.deallocate(m, b)
 	}
--- a/internal/settings/rollouts.go
+++ b/internal/settings/rollouts.go
@@ -36,8 +36,8 @@
 
 func defaultRollouts() Rollouts {
 	return Rollouts{Budgets: rollout.Budgets{
-		General: rollout.Budget{Jobs: 1, Window: defaultBudgetWindow},
-		ByGroup: map[rollout.Group]rollout.Budget{},
+		TeamDefault: rollout.Budget{Jobs: 1, Window: defaultBudgetWindow},
+		ByGroup:     map[rollout.Group]rollout.Budget{},
 	}}
 }
 
@@ -54,7 +54,7 @@
 		r.readKeys(file.Section(rolloutSection), inifile.Keys{"enabled": inifile.YesNo(&rollouts.Enabled)})
 	}
 	if file.HasSection(budgetSection) {
-		rollouts.Budgets.General = r.readBudget(file.Section(budgetSection), rollouts.Budgets.General)
+		rollouts.Budgets.TeamDefault = r.readBudget(file.Section(budgetSection), rollouts.Budgets.TeamDefault)
 	}
 	for _, section := range file.Sections() {
 		name := section.Name()
@@ -62,9 +62,9 @@
 		class, isClass := strings.CutPrefix(name, classBudgetPrefix)
 		switch {
 		case isTeam && team != "":
-			rollouts.Budgets.ByGroup[rollout.TeamGroup(team)] = r.readBudget(section, rollouts.Budgets.General)
+			rollouts.Budgets.ByGroup[rollout.TeamGroup(team)] = r.readBudget(section, rollouts.Budgets.TeamDefault)
 		case isClass && class != "":
-			rollouts.Budgets.ByGroup[rollout.ClassGroup(class)] = r.readBudget(section, rollouts.Budgets.General)
+			rollouts.Budgets.ByGroup[rollout.ClassGroup(class)] = r.readBudget(section, rollouts.Budgets.TeamDefault)
 		case strings.HasPrefix(name, budgetSectionPrefix):
 			r.refuse(name, "", name, "[budget.team.NAME] or [budget.class.NAME]")
 		}
--- a/internal/settings/rollouts_test.go
+++ b/internal/settings/rollouts_test.go
@@ -17,7 +17,7 @@
 		t.Fatal(err)
 	}
 	o, err := ParseOperator("drain.ini", string(text))
-	if err != nil || !o.Rollouts.Enabled || o.Rollouts.Budgets.General != (rollout.Budget{Jobs: 2, Window: time.Minute}) {
+	if err != nil || !o.Rollouts.Enabled || o.Rollouts.Budgets.TeamDefault != (rollout.Budget{Jobs: 2, Window: time.Minute}) {
 		t.Errorf("%+v, %v", o.Rollouts, err)
 	}
 	if Defaults().Rollouts.Enabled {
