--- a/internal/cells/encoding.go
+++ b/internal/cells/encoding.go
@@ -43,7 +43,7 @@
 	if offer == nil {
 		return decoded, nil
 	}
-	if len(offer.Job) > wire.MaxBody || !(offer.Cores >= 0) || math.IsInf(offer.Cores, 0) || offer.AcceptedMs < 0 {
+	if len(offer.Job) > wire.MaxBodyBytes || !(offer.Cores >= 0) || math.IsInf(offer.Cores, 0) || offer.AcceptedMs < 0 {
 		return decoded, fmt.Errorf("%w: an offer of %d bytes, %v cores, accepted at %d", errMalformed, len(offer.Job), offer.Cores, offer.AcceptedMs)
 	}
 	decoded.Body = &federation.OfferBody{Job: offer.Job, Cores: offer.Cores, AcceptedMS: offer.AcceptedMs, Repeatable: offer.Repeatable}
--- a/internal/controller/heartbeat_handler_test.go
+++ b/internal/controller/heartbeat_handler_test.go
@@ -65,7 +65,7 @@
 	}
 }
 
-// discardLog drops all lines.
+// discardLogger drops all lines.
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
 // termUnawareDispatcher responds to every heartbeat, as a dispatcher would that does not know
--- a/internal/dispatch/failover.go
+++ b/internal/dispatch/failover.go
@@ -33,7 +33,7 @@
 		return d.readLedger(ctx, ledgerWriter, number)
 	}
 	timings.fromStandby = true
-	snapshot := ledgerWriter.Adopt(view.Entries, view.Revision)
+	snapshot := ledgerWriter.LoadEntries(view.Entries, view.Revision)
 	gate := view.Gate
 	d.log.Info("standby copy promoted", "leader_term", number, "jobs", len(snapshot.Jobs), "ended", gate.PreviousTermEnded.Reason, "complete", gate.ReplicaComplete.Reason,
 		"complete_s", gate.ReplicaComplete.Elapsed.Seconds(), "fenced", gate.EarlierWritesFenced.Reason)
--- a/internal/fake/worker_tasks.go
+++ b/internal/fake/worker_tasks.go
@@ -90,7 +90,7 @@
 		memory += other.job.MemGB
 	}
 	if cpus > w.size.CPUs || memory > w.size.MemGB {
-		return wire.ExitNoRoom
+		return wire.ExitNoCapacity
 	}
 	return ""
 }
--- a/internal/jobapi/http.go
+++ b/internal/jobapi/http.go
@@ -94,7 +94,7 @@
 		}
 		return body, nil
 	}
-	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, wire.MaxBody))
+	body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, wire.MaxBodyBytes))
 	var tooLarge *http.MaxBytesError
 	switch {
 	case errors.As(err, &tooLarge):
--- a/internal/jobapi/http_test.go
+++ b/internal/jobapi/http_test.go
@@ -138,7 +138,7 @@
 		runtime.ReadMemStats(&after)
 		return after.TotalAlloc - before.TotalAlloc, err
 	}
-	for _, announced := range []int64{1000, wire.MaxBody, wire.MaxBody + 1, -1} {
+	for _, announced := range []int64{1000, wire.MaxBodyBytes, wire.MaxBodyBytes + 1, -1} {
 		if room, err := read(announced, "{"); err == nil || room > 16<<10 {
 			t.Errorf("%d bytes announced, one sent: %d bytes taken, error %v", announced, room, err)
 		}
--- a/internal/ledger/batching_property_test.go
+++ b/internal/ledger/batching_property_test.go
@@ -11,9 +11,9 @@
 	_ "leadproxy/internal/property" // fixes the seed
 )
 
-// ledgerMachine drives a ledger's steps by hand over a store that loses transactions, loses
+// ledgerStateMachine drives a ledger's steps by hand over a store that loses transactions, loses
 // their responses, or carries them out late, and keeps what every key must hold in the end.
-type ledgerMachine struct {
+type ledgerStateMachine struct {
 	ledger  *Ledger
 	store   *fakeStore
 	want    map[string]string // the last value of each key; missing: deleted
@@ -21,14 +21,14 @@
 	durable map[Tag]int       // how often each was handed back
 }
 
-func newLedgerMachine(t *rapid.T) *ledgerMachine {
+func newLedgerStateMachine(t *rapid.T) *ledgerStateMachine {
 	limits := Limits{MaxChanges: rapid.IntRange(2, 6).Draw(t, "ops"), TransactionBytes: rapid.IntRange(400, 4000).Draw(t, "bytes")}
 	store := newFakeStore(testTerm)
-	return &ledgerMachine{newTestLedger(store, limits), store, map[string]string{}, 0, map[Tag]int{}}
+	return &ledgerStateMachine{newTestLedger(store, limits), store, map[string]string{}, 0, map[Tag]int{}}
 }
 
 // enqueue writes or deletes a key.
-func (m *ledgerMachine) enqueue(t *rapid.T) {
+func (m *ledgerStateMachine) enqueue(t *rapid.T) {
 	key := fmt.Sprintf("host/%d", rapid.IntRange(0, 5).Draw(t, "key"))
 	m.tags++
 	w := Write{Key: key, Urgent: rapid.Bool().Draw(t, "urgent"), Tag: numberTag(m.tags)}
@@ -43,15 +43,15 @@
 }
 
 // commit carries one transaction out, or whatever else its fate is.
-func (m *ledgerMachine) commit(t *rapid.T, fate string) {
+func (m *ledgerStateMachine) commit(t *rapid.T, fate string) {
 	if len(m.ledger.queue.pending) == 0 {
 		return
 	}
 	next := m.ledger.nextTransaction()
 	m.checkTransaction(t, next)
-	m.store.fates = fate
-	o := m.ledger.committer.attempt(context.Background(), next)
-	m.store.fates = ""
+	m.store.outcomes = fate
+	o := m.ledger.committer.commitOnce(context.Background(), next)
+	m.store.outcomes = ""
 	settled, err := m.ledger.applyOutcome(context.Background(), o)
 	if err != nil || len(settled.rejected) > 0 {
 		t.Fatalf("settled with %v, rejected: %v", err, settled.rejected)
@@ -62,7 +62,7 @@
 }
 
 // checkTransaction checks that a transaction has each key once and keeps to the limits.
-func (m *ledgerMachine) checkTransaction(t *rapid.T, next transaction) {
+func (m *ledgerStateMachine) checkTransaction(t *rapid.T, next transaction) {
 	t.Helper()
 	keys, changes, limits := keysOf(next.writes), next.request.Changes, m.ledger.limits
 	distinct := slices.Compact(slices.Sorted(slices.Values(keys)))
@@ -78,24 +78,24 @@
 	}
 }
 
-// release carries out a transaction that was held back.
-func (m *ledgerMachine) release(t *rapid.T) {
-	if len(m.store.held) == 0 {
+// applyDelayed carries out a transaction that was held back.
+func (m *ledgerStateMachine) applyDelayed(t *rapid.T) {
+	if len(m.store.delayedTransactions) == 0 {
 		return
 	}
-	k := rapid.IntRange(0, len(m.store.held)-1).Draw(t, "held")
-	m.store.apply(m.store.held[k])
+	k := rapid.IntRange(0, len(m.store.delayedTransactions)-1).Draw(t, "held")
+	m.store.apply(m.store.delayedTransactions[k])
 	if rapid.Bool().Draw(t, "once") {
-		m.store.held = slices.Delete(m.store.held, k, k+1)
+		m.store.delayedTransactions = slices.Delete(m.store.delayedTransactions, k, k+1)
 	}
 }
 
 // finish commits what is left and compares.
-func (m *ledgerMachine) finish(t *rapid.T) {
+func (m *ledgerStateMachine) finish(t *rapid.T) {
 	for range 100 {
 		m.commit(t, "c")
 	}
-	m.store.releaseHeld()
+	m.store.applyDelayed()
 	for n := range m.tags {
 		if times := m.durable[numberTag(n+1)]; times != 1 {
 			t.Fatalf("tag %d was handed back %d times", n+1, times)
@@ -109,16 +109,16 @@
 	}
 }
 
-// TestBatchingKeepsEveryLastWrite: whatever happens to the transactions and whenever
+// TestBatchingKeepsLastWriteOfEachKey: whatever happens to the transactions and whenever
 // late ones arrive, each key ends with its last write, each tag is handed back once, and no
 // transaction exceeds its limits.
-func TestBatchingKeepsEveryLastWrite(t *testing.T) {
+func TestBatchingKeepsLastWriteOfEachKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := newLedgerMachine(t)
+		m := newLedgerStateMachine(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"enqueue": m.enqueue,
 			"commit":  func(t *rapid.T) { m.commit(t, rapid.SampledFrom([]string{"c", "c", "l", "r", "h"}).Draw(t, "fate")) },
-			"release": m.release,
+			"release": m.applyDelayed,
 		})
 		m.finish(t)
 	})
--- a/internal/ledger/commit.go
+++ b/internal/ledger/commit.go
@@ -41,23 +41,23 @@
 	log   *slog.Logger
 }
 
-// failurePause is how long the next transaction waits after one that failed.
-const failurePause = 100 * time.Millisecond
+// failureBackoff is how long the next transaction waits after one that failed.
+const failureBackoff = 100 * time.Millisecond
 
 // commit carries out one transaction. If it fails, it waits before it returns, so that the
 // ledger accepts writes meanwhile.
 func (c committer) commit(ctx context.Context, t transaction) outcome {
-	o := c.attempt(ctx, t)
+	o := c.commitOnce(ctx, t)
 	if o.err != nil && !errors.Is(o.err, ErrLeadershipLost) {
-		transport.Pause(ctx, failurePause)
+		transport.Pause(ctx, failureBackoff)
 	}
 	return o
 }
 
-// attempt sends one transaction once. If its conditions fail, an earlier transaction of
+// commitOnce sends one transaction once. If its conditions fail, an earlier transaction of
 // unknown outcome was carried out, or another controller has written a job record: it reads
 // the versions anew.
-func (c committer) attempt(ctx context.Context, t transaction) outcome {
+func (c committer) commitOnce(ctx context.Context, t transaction) outcome {
 	o := outcome{transaction: t}
 	o.committed, o.response, o.err = c.store.CompareAndSwap(ctx, kvstore.PriorityLeader, t.request)
 	if o.err != nil || o.committed {
--- a/internal/ledger/compatibility_test.go
+++ b/internal/ledger/compatibility_test.go
@@ -28,8 +28,8 @@
 	return wire.Entry{Key: key, Value: json.RawMessage(value), Version: 3}
 }
 
-// TestReadsWhatProductionWrites: every kind of record.
-func TestReadsWhatProductionWrites(t *testing.T) {
+// TestDecodesProductionRecords: every kind of record.
+func TestDecodesProductionRecords(t *testing.T) {
 	s := decodeSnapshot([]wire.Entry{
 		entry("job/job-000001", productionOpen), entry("job/job-000002", strings.Replace(productionCancelled, "job-000001", "job-000002", 1)), entry("job/job-000003", productionDone),
 		entry("fin/job-000001/0", productionRanges), entry("host/job-000001/0", productionHosts), entry("hire/h7-1", productionScaleOut),
@@ -95,9 +95,9 @@
 	}
 )
 
-// TestProductionReadsWhatWeWrite: without what production does not know, our records
+// TestProductionDecodesRecords: without what production does not know, our records
 // are its own; what is new are fields that it ignores.
-func TestProductionReadsWhatWeWrite(t *testing.T) {
+func TestProductionDecodesRecords(t *testing.T) {
 	zone, due := "a", 90.0
 	j := &wire.Job{ID: "job-000001", Class: "c", Team: "t", Kind: "batch", Priority: "high", Tasks: 5, CPUs: 1.5, MemGB: 2, Image: "i", ImageGB: 0.5,
 		Types: []string{"m8"}, Zone: &zone, Spot: true, EstimatedRunS: 8, DeadlineS: &due}
@@ -144,9 +144,9 @@
 	}
 }
 
-// TestPartsAreReadWithTheirChunk: finished tasks in parts count together with what
+// TestFinishedTaskPartsMergeWithChunk: finished tasks in parts count together with what
 // the chunk's own key holds, and production takes none of their keys for a chunk's.
-func TestPartsAreReadWithTheirChunk(t *testing.T) {
+func TestFinishedTaskPartsMergeWithChunk(t *testing.T) {
 	s := decodeSnapshot([]wire.Entry{
 		entry("job/job-000001", productionOpen), entry("fin/job-000001/0", `[0,1]`), entry("fin/job-000001/0.0", `[0,2]`), entry("fin/job-000001/0.128", `[128,130]`),
 		entry("host/job-000001/0", `["vm-1"]`), entry("host/job-000001/1", `["vm-2"]`),
--- a/internal/ledger/decode.go
+++ b/internal/ledger/decode.go
@@ -16,14 +16,14 @@
 	d := snapshotDecoder{Snapshot{Unreachable: map[string]UnreachableRecord{}}, map[string]*SavedJob{}}
 	for i := range entries {
 		if err := d.decode(&entries[i]); err != nil {
-			d.snapshot.Malformed = append(d.snapshot.Malformed, malformed(entries[i].Key, err))
+			d.snapshot.Malformed = append(d.snapshot.Malformed, decodeError(entries[i].Key, err))
 		}
 	}
 	return d.finish()
 }
 
-// malformed is the error of a key that can't be read.
-func malformed(key string, err error) *KeyError {
+// decodeError is the error of a key that can't be read.
+func decodeError(key string, err error) *KeyError {
 	var keyError *KeyError
 	if errors.As(err, &keyError) {
 		return keyError
@@ -64,8 +64,8 @@
 	return nil
 }
 
-// job is a job of the snapshot, added if it is not there yet.
-func (d *snapshotDecoder) job(id string) *SavedJob {
+// ensureJob is a job of the snapshot, added if it is not there yet.
+func (d *snapshotDecoder) ensureJob(id string) *SavedJob {
 	if d.jobs[id] == nil {
 		d.jobs[id] = &SavedJob{ID: id}
 	}
@@ -78,7 +78,7 @@
 	if err != nil {
 		return err
 	}
-	job := d.job(id)
+	job := d.ensureJob(id)
 	job.Version, job.Record = entry.Version, record
 	return nil
 }
@@ -92,7 +92,7 @@
 	if err != nil {
 		return err
 	}
-	job := d.job(key.jobID)
+	job := d.ensureJob(key.jobID)
 	job.Finished = append(job.Finished, SavedRanges{entry.Key, key.chunk, ranges})
 	return nil
 }
@@ -104,7 +104,7 @@
 	if err != nil {
 		return err
 	}
-	job := d.job(key.jobID)
+	job := d.ensureJob(key.jobID)
 	machines, err := decodeValue[[]string](entry)
 	if err != nil {
 		job.HostsUnknown = true
--- a/internal/ledger/decode_test.go
+++ b/internal/ledger/decode_test.go
@@ -31,9 +31,9 @@
 	"hire/h7-1":                            {`7`, `{}`, `{"hire":{"hire":"h7-2","number":1}}`, `{"hire":{"hire":"h7-1","number":-1}}`, `{"hire":{"hire":"h7-1","number":1000}}`},
 }
 
-// TestMalformedKeysConcernThemselvesAlone: one value that can't be read kept every
+// TestMalformedKeyDoesNotAffectOtherKeys: one value that can't be read kept every
 // controller from leading, since no ledger was read without it.
-func TestMalformedKeysConcernThemselvesAlone(t *testing.T) {
+func TestMalformedKeyDoesNotAffectOtherKeys(t *testing.T) {
 	for key, values := range malformedValues {
 		for _, value := range values {
 			t.Run(fmt.Sprintf("%s %.20s", key, value), func(t *testing.T) {
--- a/internal/ledger/deferrable_writes_test.go
+++ b/internal/ledger/deferrable_writes_test.go
@@ -7,9 +7,9 @@
 	"time"
 )
 
-// TestDeferrableWritesLeaveRoomForUrgentOnes: while finished tasks are written
+// TestDeferrableWritesDoNotDelayUrgentWrites: while finished tasks are written
 // without end, an urgent write goes at once and the store's rate is not used up.
-func TestDeferrableWritesLeaveRoomForUrgentOnes(t *testing.T) {
+func TestDeferrableWritesDoNotDelayUrgentWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStore(testTerm)
 		f.lock = make(chan struct{}, 1)
@@ -18,7 +18,7 @@
 			return len(f.values), f.values["job/j"] != ""
 		}
 		l := newTestLedger(f, Limits{MaxChanges: 40, TransactionBytes: 1 << 14, DeferrableRate: 10})
-		ctx, cancel := runUntilEnd(t, l)
+		ctx, cancel := startLedger(t, l)
 		defer cancel()
 		go func() {
 			for {
--- a/internal/ledger/fake_store_test.go
+++ b/internal/ledger/fake_store_test.go
@@ -10,12 +10,12 @@
 
 // What happens to a transaction in the fake store.
 const (
-	carriedOut    = 'c'
-	requestLost   = 'l' // not carried out, outcome unknown
-	responseLost  = 'r' // carried out, outcome unknown
-	heldBack      = 'h' // outcome unknown; kept, to be carried out later
-	requestFaulty = 'b'
-	limitsLowered = 'z'
+	outcomeApplied        = 'c'
+	outcomeRequestLost    = 'l' // not carried out, outcome unknown
+	outcomeResponseLost   = 'r' // carried out, outcome unknown
+	outcomeDelayed        = 'h' // outcome unknown; kept, to be carried out later
+	outcomeInvalidRequest = 'b'
+	outcomeLimitsLowered  = 'z'
 )
 
 // fakeStore is a key-value store whose transactions can be lost on either way or come late.
@@ -23,9 +23,9 @@
 	revision uint64
 	keys     map[string]uint64 // the versions
 	values   map[string]string
-	// fates are of the coming transactions, one letter each. Further ones are carried out.
-	fates string
-	held  []wire.CompareAndSwap
+	// outcomes are of the coming transactions, one letter each. Further ones are carried out.
+	outcomes            string
+	delayedTransactions []wire.CompareAndSwap
 	// rejectedKey, unless empty, is a key that the store finds malformed.
 	rejectedKey string
 	// lock, unless nil, is taken by whoever reads or changes the rest. Waiting for a
@@ -58,19 +58,19 @@
 
 func (f *fakeStore) CompareAndSwap(_ context.Context, _ kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
 	defer f.acquire()()
-	fate := byte(carriedOut)
-	if f.fates != "" {
-		fate, f.fates = f.fates[0], f.fates[1:]
+	fate := byte(outcomeApplied)
+	if f.outcomes != "" {
+		fate, f.outcomes = f.outcomes[0], f.outcomes[1:]
 	}
 	switch fate {
-	case requestLost:
+	case outcomeRequestLost:
 		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnknownOutcome
-	case requestFaulty:
+	case outcomeInvalidRequest:
 		return false, wire.CompareAndSwapResponse{}, kvstore.ErrInvalidRequest
-	case limitsLowered:
+	case outcomeLimitsLowered:
 		return false, wire.CompareAndSwapResponse{}, kvstore.ErrLimitsLowered
-	case heldBack:
-		f.held = append(f.held, t)
+	case outcomeDelayed:
+		f.delayedTransactions = append(f.delayedTransactions, t)
 		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnknownOutcome
 	}
 	for _, c := range t.Changes {
@@ -79,7 +79,7 @@
 		}
 	}
 	ok, response := f.apply(t)
-	if fate == responseLost {
+	if fate == outcomeResponseLost {
 		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnknownOutcome
 	}
 	return ok, response, nil
@@ -108,9 +108,9 @@
 	return true, wire.CompareAndSwapResponse{Revision: f.revision}
 }
 
-// releaseHeld carries out all transactions that were held back.
-func (f *fakeStore) releaseHeld() {
-	for _, t := range f.held {
+// applyDelayed carries out all transactions that were held back.
+func (f *fakeStore) applyDelayed() {
+	for _, t := range f.delayedTransactions {
 		f.apply(t)
 	}
 }
--- a/internal/ledger/fence_test.go
+++ b/internal/ledger/fence_test.go
@@ -23,9 +23,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFakeStore(testTerm)
-				f.fates, f.keys["job/j"] = c.fates, 3
+				f.outcomes, f.keys["job/j"] = c.fates, 3
 				l := newTestLedger(f, Limits{MaxChanges: 4, TransactionBytes: 1 << 14})
-				ctx, cancel := runUntilEnd(t, l)
+				ctx, cancel := startLedger(t, l)
 				defer cancel()
 				l.Put(ctx, []Write{{Key: "job/j", Value: "old", Version: 3, Tag: numberTag(1)}})
 				if tags := <-l.Durable; !reflect.DeepEqual(tags, []Tag{numberTag(1)}) {
@@ -34,7 +34,7 @@
 				l.Put(ctx, []Write{{Key: "job/j", Value: "new", Tag: numberTag(2)}})
 				<-l.Durable
 				// A copy that comes now must not bring the old value back.
-				f.releaseHeld()
+				f.applyDelayed()
 				if f.values["job/j"] != `"new"` {
 					t.Errorf("the key holds %s", f.values["job/j"])
 				}
@@ -50,11 +50,11 @@
 	}
 }
 
-// TestLateCopyBringsNothingBack: a transaction that created a key had no response,
+// TestDelayedTransactionDoesNotRestoreDeletedKey: a transaction that created a key had no response,
 // was repeated, and the key has since been deleted. A copy that is carried out now
 // would find it missing, as it was, and bring back hosts or a scale-out that are long
 // settled.
-func TestLateCopyBringsNothingBack(t *testing.T) {
+func TestDelayedTransactionDoesNotRestoreDeletedKey(t *testing.T) {
 	cases := []struct{ name, fates string }{
 		{"held back once", "hc"},
 		{"held back twice", "hhc"},
@@ -65,18 +65,18 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFakeStore(testTerm)
-				f.fates = c.fates
+				f.outcomes = c.fates
 				l := newTestLedger(f, Limits{MaxChanges: 4, TransactionBytes: 1 << 14})
 				if _, err := l.Load(t.Context()); err != nil {
 					t.Fatal(err)
 				}
-				ctx, cancel := runUntilEnd(t, l)
+				ctx, cancel := startLedger(t, l)
 				defer cancel()
 				for _, value := range []any{"hosts", nil} {
 					l.Put(ctx, []Write{{Key: "host/j/0", Value: value, Tag: numberTag(1)}})
 					<-l.Durable
 				}
-				f.releaseHeld()
+				f.applyDelayed()
 				if v, ok := f.values["host/j/0"]; ok {
 					t.Errorf("the key is back and holds %s", v)
 				}
--- a/internal/ledger/finished_tasks.go
+++ b/internal/ledger/finished_tasks.go
@@ -9,15 +9,15 @@
 // The most bytes that the JSON of ranges takes: per task, when every other task is done, and
 // besides.
 const (
-	rangeBytesPerTask = 5
-	rangesOverhead    = 16
+	maxRangeBytesPerTask = 5
+	rangesOverheadBytes  = 16
 )
 
 // TasksPerPart is how many tasks a part has so that its ranges fit a value of so many
 // bytes in the worst case, every other task done. It is a power of two.
 func TasksPerPart(valueBytes int) int {
 	tasks := TasksPerChunk
-	for tasks > 1 && tasks*rangeBytesPerTask+rangesOverhead > valueBytes {
+	for tasks > 1 && tasks*maxRangeBytesPerTask+rangesOverheadBytes > valueBytes {
 		tasks /= 2
 	}
 	return tasks
--- a/internal/ledger/finished_tasks_test.go
+++ b/internal/ledger/finished_tasks_test.go
@@ -34,8 +34,8 @@
 	}
 }
 
-// TestWorstChunk: the ranges of a chunk stay below the least value limit of 16 KiB.
-func TestWorstChunk(t *testing.T) {
+// TestChunkFitsSmallestValueLimit: the ranges of a chunk stay below the least value limit of 16 KiB.
+func TestChunkFitsSmallestValueLimit(t *testing.T) {
 	worst, err := json.Marshal(EncodeRanges(func(i int) bool { return i%2 == 0 }, TasksPerChunk))
 	if err != nil || len(worst) > 12<<10 {
 		t.Errorf("the worst chunk takes %d bytes", len(worst))
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -55,7 +55,7 @@
 // key and deletes another.
 func TestGoldenTransaction(t *testing.T) {
 	limits := Limits{MaxChanges: 10, TransactionBytes: 1 << 20, ValueBytes: 16384}
-	l := New(7, nil, constantLimits(limits), discardLog())
+	l := New(7, nil, constantLimits(limits), discardLogger())
 	l.transactions.outcomeUnknown = true
 	l.transactions.versions[fenceKey] = 5
 	l.transactions.versions[GoneKey("m-1")] = 6
--- a/internal/ledger/helpers_test.go
+++ b/internal/ledger/helpers_test.go
@@ -24,13 +24,13 @@
 
 // newTestLedger is a ledger of testTerm that logs nothing.
 func newTestLedger(store Store, limits Limits) *Ledger {
-	return New(testTerm, store, constantLimits(limits), discardLog())
+	return New(testTerm, store, constantLimits(limits), discardLogger())
 }
 
-func discardLog() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
+func discardLogger() *slog.Logger { return slog.New(slog.NewTextHandler(io.Discard, nil)) }
 
-// runUntilEnd runs a ledger until the test ends. The result ends it sooner.
-func runUntilEnd(t *testing.T, l *Ledger) (context.Context, context.CancelFunc) {
+// startLedger runs a ledger until the test ends. The result ends it sooner.
+func startLedger(t *testing.T, l *Ledger) (context.Context, context.CancelFunc) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	go func() { _ = l.Run(ctx) }()
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -29,8 +29,8 @@
 	Rejected chan []Tag
 }
 
-// mailboxSize is how many messages each of the ledger's channels buffers.
-const mailboxSize = 64
+// channelBufferSize is how many messages each of the ledger's channels buffers.
+const channelBufferSize = 64
 
 // New makes the ledger of a term, within limits that may change; Load, then Run.
 func New(term uint64, store Store, currentLimits func() Limits, log *slog.Logger) *Ledger {
@@ -41,10 +41,10 @@
 		queue:         newWriteQueue(),
 		transactions:  transactionBuilder{term: term, versions: map[string]uint64{}},
 		committer:     committer{store, log},
-		incoming:      make(chan []Write, mailboxSize),
+		incoming:      make(chan []Write, channelBufferSize),
 		retries:       make(chan *pendingWrite),
-		Durable:       make(chan []Tag, mailboxSize),
-		Rejected:      make(chan []Tag, mailboxSize),
+		Durable:       make(chan []Tag, channelBufferSize),
+		Rejected:      make(chan []Tag, channelBufferSize),
 	}
 }
 
@@ -80,9 +80,9 @@
 				return err
 			}
 			settled.add(tags)
-		case channelIfAny(l.Rejected, settled.rejected) <- settled.rejected:
+		case sendChannel(l.Rejected, settled.rejected) <- settled.rejected:
 			settled.rejected = nil
-		case channelIfAny(l.Durable, settled.durable) <- settled.durable:
+		case sendChannel(l.Durable, settled.durable) <- settled.durable:
 			settled.durable = nil
 		case write := <-l.retries:
 			l.queue.retry(write)
@@ -93,8 +93,8 @@
 	}
 }
 
-// channelIfAny is a channel if there are tags to be sent on it, or else nil, which blocks.
-func channelIfAny(channel chan []Tag, tags []Tag) chan []Tag {
+// sendChannel is a channel if there are tags to be sent on it, or else nil, which blocks.
+func sendChannel(channel chan []Tag, tags []Tag) chan []Tag {
 	if len(tags) == 0 {
 		return nil
 	}
@@ -109,7 +109,7 @@
 			return err
 		}
 		l.queue.add(pending)
-		l.transactions.learnVersion(writes[i].Key, writes[i].Version)
+		l.transactions.setVersionIfUnknown(writes[i].Key, writes[i].Version)
 	}
 	return nil
 }
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -6,7 +6,7 @@
 	"testing/synctest"
 )
 
-func TestLedgerEndsWithItsTerm(t *testing.T) {
+func TestRunReturnsErrLeadershipLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStore(testTerm + 1)
 		l := newTestLedger(f, Limits{MaxChanges: 4, TransactionBytes: 1 << 14})
--- a/internal/ledger/load.go
+++ b/internal/ledger/load.go
@@ -21,12 +21,12 @@
 		}
 		entries = append(entries, listing.Entries...)
 	}
-	return l.Adopt(entries, revision), nil
+	return l.LoadEntries(entries, revision), nil
 }
 
-// Adopt begins with the keys of the ledger as they were read, all of them at a revision
+// LoadEntries begins with the keys of the ledger as they were read, all of them at a revision
 // or later.
-func (l *Ledger) Adopt(entries []wire.Entry, revision uint64) Snapshot {
+func (l *Ledger) LoadEntries(entries []wire.Entry, revision uint64) Snapshot {
 	for _, entry := range entries {
 		l.transactions.versions[entry.Key] = entry.Version
 	}
--- a/internal/ledger/machine_records.go
+++ b/internal/ledger/machine_records.go
@@ -33,15 +33,15 @@
 // HostsPerChunk is how many machine names one key holds.
 const HostsPerChunk = 200
 
-// nameOverhead is how many bytes the JSON of a name takes besides the name: quotes and a comma.
-const nameOverhead = 3
+// nameOverheadBytes is how many bytes the JSON of a name takes besides the name: quotes and a comma.
+const nameOverheadBytes = 3
 
-// NamesThatFit is how many of some names, from the first on, fit a value of so many
+// CountFittingNames is how many of some names, from the first on, fit a value of so many
 // bytes; at least one.
-func NamesThatFit(names []string, valueBytes int) int {
+func CountFittingNames(names []string, valueBytes int) int {
 	size := len("[]")
 	for i, name := range names {
-		if size += len(name) + nameOverhead; size > valueBytes && i > 0 {
+		if size += len(name) + nameOverheadBytes; size > valueBytes && i > 0 {
 			return i
 		}
 	}
--- a/internal/ledger/outcome.go
+++ b/internal/ledger/outcome.go
@@ -40,7 +40,7 @@
 // applyCommit takes note of a transaction that was carried out.
 func (l *Ledger) applyCommit(o outcome) settledTags {
 	var settled settledTags
-	l.transactions.committed(o.transaction, o.response.Revision)
+	l.transactions.recordCommit(o.transaction, o.response.Revision)
 	for _, write := range o.transaction.writes {
 		delete(l.queue.isolatedKeys, write.key)
 		settled.durable = append(settled.durable, write.tags...)
--- a/internal/ledger/plan_records_test.go
+++ b/internal/ledger/plan_records_test.go
@@ -9,9 +9,9 @@
 	"leadproxy/internal/wire"
 )
 
-// TestPlansOfOtherVersions: a plan that another version has written, or that can't be read,
+// TestUnusablePlansAreMalformed: a plan that another version has written, or that can't be read,
 // is not carried out, and keeps no controller from leading.
-func TestPlansOfOtherVersions(t *testing.T) {
+func TestUnusablePlansAreMalformed(t *testing.T) {
 	record := rollout.Record{Version: rollout.RecordVersion, Phase: rollout.PhaseSelecting, Spec: rollout.Spec{Name: "winter"}}
 	entry := func(name string, change func(r *rollout.Record)) wire.Entry {
 		r := record
--- a/internal/ledger/rejected_writes_test.go
+++ b/internal/ledger/rejected_writes_test.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// TestValuesThatAreTooLarge: when the limits fall, what is too large by then is handed
+// TestLoweredLimitsRejectLargeValues: when the limits fall, what is too large by then is handed
 // back to be written in smaller pieces, and holds up nothing else.
-func TestValuesThatAreTooLarge(t *testing.T) {
+func TestLoweredLimitsRejectLargeValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStore(testTerm)
-		f.fates = string(limitsLowered)
+		f.outcomes = string(outcomeLimitsLowered)
 		limits := make(chan Limits, 1)
 		limits <- Limits{MaxChanges: 9, TransactionBytes: 1 << 14, ValueBytes: 100}
 		l := New(testTerm, f, func() Limits {
 			current := <-limits
 			defer func() { limits <- current }()
 			return current
-		}, discardLog())
-		ctx, cancel := runUntilEnd(t, l)
+		}, discardLogger())
+		ctx, cancel := startLedger(t, l)
 		defer cancel()
 		l.Put(ctx, []Write{{Key: "a", Value: "small", Tag: numberTag(1)}, {Key: "b", Value: strings.Repeat("x", 50), Tag: numberTag(2)}, {Key: "c", Value: "small", Tag: numberTag(3)}})
 		synctest.Wait()
@@ -38,13 +38,13 @@
 	})
 }
 
-// TestRejectedWriteHoldsUpNoOther: one of several writes is malformed to the store.
-func TestRejectedWriteHoldsUpNoOther(t *testing.T) {
+// TestRejectedWriteDoesNotBlockOthers: one of several writes is malformed to the store.
+func TestRejectedWriteDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStore(testTerm)
-		f.fates, f.rejectedKey = string(requestFaulty), "b"
+		f.outcomes, f.rejectedKey = string(outcomeInvalidRequest), "b"
 		l := newTestLedger(f, testLimits)
-		ctx, cancel := runUntilEnd(t, l)
+		ctx, cancel := startLedger(t, l)
 		defer cancel()
 		l.Put(ctx, []Write{{Key: "a", Value: 1, Urgent: true}, {Key: "b", Value: 2, Urgent: true}, {Key: "c", Value: 3}})
 		time.Sleep(2 * time.Second)
--- a/internal/ledger/transaction.go
+++ b/internal/ledger/transaction.go
@@ -87,16 +87,16 @@
 	return wire.Change{Set: w.key, Value: w.value}
 }
 
-// learnVersion takes the version of a key that another controller has created, unless the
+// setVersionIfUnknown takes the version of a key that another controller has created, unless the
 // ledger knows one.
-func (b *transactionBuilder) learnVersion(key string, version uint64) {
+func (b *transactionBuilder) setVersionIfUnknown(key string, version uint64) {
 	if _, known := b.versions[key]; !known && version > 0 {
 		b.versions[key] = version
 	}
 }
 
-// committed takes the revision at which a transaction was carried out.
-func (b *transactionBuilder) committed(t transaction, revision uint64) {
+// recordCommit takes the revision at which a transaction was carried out.
+func (b *transactionBuilder) recordCommit(t transaction, revision uint64) {
 	if t.movesFence {
 		b.versions[fenceKey], b.outcomeUnknown = revision, false
 	}
--- a/internal/ledger/transaction_test.go
+++ b/internal/ledger/transaction_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestTransactionsKeepToTheLimits(t *testing.T) {
+func TestTransactionsRespectLimits(t *testing.T) {
 	l := newTestLedger(nil, Limits{MaxChanges: 3, TransactionBytes: 1000})
 	err := l.enqueue([]Write{{Key: "a", Value: 1}, {Key: "b", Value: 1}, {Key: "a", Value: 2}, {Key: "c", Value: 1, Urgent: true}, {Key: "d", Value: 1}})
 	if err != nil {
@@ -20,9 +20,9 @@
 	}
 }
 
-// TestTransactionsThatMoveTheFence: what follows a transaction of unknown outcome moves the
+// TestUnknownOutcomeMovesFence: what follows a transaction of unknown outcome moves the
 // fence, once, and the fence's new version is a condition of all that comes later.
-func TestTransactionsThatMoveTheFence(t *testing.T) {
+func TestUnknownOutcomeMovesFence(t *testing.T) {
 	b := transactionBuilder{term: testTerm, versions: map[string]uint64{fenceKey: 3}, outcomeUnknown: true}
 	if got := b.maxWrites(testLimits); got != testLimits.MaxChanges-1 {
 		t.Errorf("room for %d writes, want one less than %d", got, testLimits.MaxChanges)
@@ -31,7 +31,7 @@
 	if !moving.movesFence || moving.request.Changes[0].Set != fenceKey || len(moving.request.Changes) != 3 {
 		t.Errorf("the fence is not moved: %+v", moving.request)
 	}
-	b.committed(moving, 8)
+	b.recordCommit(moving, 8)
 	next := b.build(nil)
 	if next.movesFence || len(next.request.Changes) > 0 || next.request.Conditions[1].Version != 8 {
 		t.Errorf("the fence is moved again, or its version is not known: %+v", next.request)
@@ -41,13 +41,13 @@
 	}
 }
 
-// TestVersionsOfOtherControllersKeys: the version that a caller saw counts only for a key that
+// TestCallerVersionOnlyForUnknownKeys: the version that a caller saw counts only for a key that
 // the ledger has not read or written.
-func TestVersionsOfOtherControllersKeys(t *testing.T) {
+func TestCallerVersionOnlyForUnknownKeys(t *testing.T) {
 	b := transactionBuilder{versions: map[string]uint64{"known": 4}}
-	b.learnVersion("known", 2)
-	b.learnVersion("new", 2)
-	b.learnVersion("unseen", 0)
+	b.setVersionIfUnknown("known", 2)
+	b.setVersionIfUnknown("new", 2)
+	b.setVersionIfUnknown("unseen", 0)
 	if !reflect.DeepEqual(b.versions, map[string]uint64{"known": 4, "new": 2}) {
 		t.Errorf("versions %v", b.versions)
 	}
--- a/internal/ledger/write_queue_test.go
+++ b/internal/ledger/write_queue_test.go
@@ -24,7 +24,7 @@
 	return &q
 }
 
-func wantBatch(t *testing.T, q *writeQueue, keys ...string) []*pendingWrite {
+func takeExpectedBatch(t *testing.T, q *writeQueue, keys ...string) []*pendingWrite {
 	t.Helper()
 	writes := q.takeBatch(testLimits, testLimits.MaxChanges)
 	if !reflect.DeepEqual(keysOf(writes), keys) {
@@ -40,7 +40,7 @@
 	later := func() *pendingWrite { return &pendingWrite{key: "a", value: []byte("later"), tags: both[1:]} }
 	check := func(t *testing.T, q *writeQueue) {
 		t.Helper()
-		write := wantBatch(t, q, "a")[0]
+		write := takeExpectedBatch(t, q, "a")[0]
 		if string(write.value) != "later" || !reflect.DeepEqual(write.tags, both) {
 			t.Errorf("value %s, tags %v", write.value, write.tags)
 		}
@@ -52,14 +52,14 @@
 	})
 	t.Run("of one that was not carried out", func(t *testing.T) {
 		q := queueOf("a")
-		earlier := wantBatch(t, q, "a")[0]
+		earlier := takeExpectedBatch(t, q, "a")[0]
 		q.add(later())
 		q.requeue(earlier)
 		check(t, q)
 	})
 	t.Run("of one that was rejected", func(t *testing.T) {
 		q := queueOf("a")
-		earlier := wantBatch(t, q, "a")[0]
+		earlier := takeExpectedBatch(t, q, "a")[0]
 		q.reject(earlier)
 		q.add(later())
 		q.retry(earlier)
@@ -70,31 +70,31 @@
 // TestRejectedWriteIsRetried: a write that was set aside comes back with its value and tags.
 func TestRejectedWriteIsRetried(t *testing.T) {
 	q := queueOf("a")
-	rejected := wantBatch(t, q, "a")[0]
+	rejected := takeExpectedBatch(t, q, "a")[0]
 	q.reject(rejected)
-	wantBatch(t, q)
+	takeExpectedBatch(t, q)
 	q.retry(rejected)
-	if again := wantBatch(t, q, "a")[0]; again != rejected {
+	if again := takeExpectedBatch(t, q, "a")[0]; again != rejected {
 		t.Errorf("%+v comes back, want %+v", again, rejected)
 	}
 }
 
-// TestIsolatedKeysGoAlone: none shares a transaction with another write.
-func TestIsolatedKeysGoAlone(t *testing.T) {
+// TestIsolatedKeysAreBatchedAlone: none shares a transaction with another write.
+func TestIsolatedKeysAreBatchedAlone(t *testing.T) {
 	q := queueOf("a", "b", "c", "d")
 	q.isolate([]*pendingWrite{{key: "a"}, {key: "c"}})
-	wantBatch(t, q, "a")
-	wantBatch(t, q, "b")
-	wantBatch(t, q, "c")
-	wantBatch(t, q, "d")
+	takeExpectedBatch(t, q, "a")
+	takeExpectedBatch(t, q, "b")
+	takeExpectedBatch(t, q, "c")
+	takeExpectedBatch(t, q, "d")
 }
 
-// TestWriteThatBecomesUrgent: it overtakes the deferrable ones and goes once.
-func TestWriteThatBecomesUrgent(t *testing.T) {
+// TestWriteBecomingUrgentMovesAhead: it overtakes the deferrable ones and goes once.
+func TestWriteBecomingUrgentMovesAhead(t *testing.T) {
 	q := queueOf("a", "b")
 	q.add(&pendingWrite{key: "b", value: []byte("urgent"), urgent: true})
-	wantBatch(t, q, "b", "a")
-	wantBatch(t, q)
+	takeExpectedBatch(t, q, "b", "a")
+	takeExpectedBatch(t, q)
 }
 
 // TestDeferrableBudget: a full budget pays for a burst, and an empty one has writes wait until
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -189,7 +189,7 @@
 	for i, h := range hosts {
 		names[i] = t.machines.list[h.machine].name
 	}
-	return names[:ledger.NamesThatFit(names, t.cfg.ValueBytes)]
+	return names[:ledger.CountFittingNames(names, t.cfg.ValueBytes)]
 }
 
 // writeFinished writes the chunks in which a job has tasks that have ended since they were last
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -50,7 +50,7 @@
 	started := 0
 	for _, d := range g.sentCommands {
 		body, err := json.Marshal(d.Request)
-		if err != nil || len(body) > wire.MaxBody {
+		if err != nil || len(body) > wire.MaxBodyBytes {
 			t.Errorf("a command takes %d bytes: %v", len(body), err)
 		}
 		started += len(d.Request.Commands)
--- a/internal/scheduler/renewal_model_test.go
+++ b/internal/scheduler/renewal_model_test.go
@@ -264,7 +264,7 @@
 	cfg := testConfig(settings.Defaults(), settings.Team{Name: "t"})
 	cfg.Term = h.harness.c.term + 1
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	snapshot := ledger.New(cfg.Term, nil, func() ledger.Limits { return ledger.Limits{} }, log).Adopt(entries, 1)
+	snapshot := ledger.New(cfg.Term, nil, func() ledger.Limits { return ledger.Limits{} }, log).LoadEntries(entries, 1)
 	old := h.harness
 	for _, d := range old.sentCommands {
 		if i := slices.IndexFunc(h.agents, func(w *modelAgent) bool { return w.name == d.Machine }); i >= 0 {
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -127,7 +127,7 @@
 		// The users' upload of the description is not there yet.
 		c.placement.extendBackoff(j)
 		c.placement.requeueTask(j, n)
-	case wire.ExitNoRoom, wire.ExitInUse:
+	case wire.ExitNoCapacity, wire.ExitInUse:
 		c.log.Info("start refused", "machine", m.name, "task", t.Task, "attempt", t.Attempt, "reason", t.ExitReason)
 		c.placement.extendBackoff(j)
 		c.placement.requeueTask(j, n)
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -63,7 +63,7 @@
 		for i := range names {
 			names[i] = rest[i].name
 		}
-		n := ledger.NamesThatFit(names, a.cfg.ValueBytes-unreachableRecordOverhead)
+		n := ledger.CountFittingNames(names, a.cfg.ValueBytes-unreachableRecordOverhead)
 		a.writeUnreachableRecord(rest[:n])
 		rest = rest[n:]
 	}
--- a/internal/wire/field_decoder.go
+++ b/internal/wire/field_decoder.go
@@ -29,15 +29,15 @@
 	}
 }
 
-// present tells whether the object has the field, and not as null.
-func (d *fieldDecoder) present(field string) bool {
+// isPresent tells whether the object has the field, and not as null.
+func (d *fieldDecoder) isPresent(field string) bool {
 	raw, found := d.fields[field]
 	return found && string(raw) != "null"
 }
 
 // decode reads a field that must be there, and tells whether it could.
 func (d *fieldDecoder) decode(field string, into any) bool {
-	return d.present(field) && json.Unmarshal(d.fields[field], into) == nil
+	return d.isPresent(field) && json.Unmarshal(d.fields[field], into) == nil
 }
 
 // text reads a text that is not empty.
@@ -49,8 +49,8 @@
 	return text
 }
 
-// flag reads a truth value.
-func (d *fieldDecoder) flag(field string) bool {
+// boolean reads a truth value.
+func (d *fieldDecoder) boolean(field string) bool {
 	var flag bool
 	if !d.decode(field, &flag) {
 		d.fail(field, "true or false")
@@ -78,7 +78,7 @@
 
 // optional reads a field that may be absent or null.
 func (d *fieldDecoder) optional(field string, into any, wanted string) {
-	if d.present(field) && json.Unmarshal(d.fields[field], into) != nil {
+	if d.isPresent(field) && json.Unmarshal(d.fields[field], into) != nil {
 		d.fail(field, wanted)
 	}
 }
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -56,7 +56,7 @@
 		"cause done":              ExitDone,
 		"cause stopped":           ExitStopped,
 		"cause error":             ExitError,
-		"cause no room":           ExitNoRoom,
+		"cause no room":           ExitNoCapacity,
 		"cause in use":            ExitInUse,
 		"cause no such":           ExitNoSuchTask,
 		"verb start":              VerbStart,
@@ -67,7 +67,7 @@
 		"host failed":             MachineFailed,
 		"priorities":              priorities,
 		"name of task 7 of job-3": TaskName{JobID: "job-3", Index: 7}.String(),
-		"largest body":            MaxBody,
+		"largest body":            MaxBodyBytes,
 		"most tasks":              MaxTasks,
 	})
 }
--- a/internal/wire/heartbeat.go
+++ b/internal/wire/heartbeat.go
@@ -35,7 +35,7 @@
 	ExitDone       = "done"
 	ExitStopped    = "stopped"
 	ExitError      = "error"
-	ExitNoRoom     = "no_room"
+	ExitNoCapacity = "no_room"
 	ExitInUse      = "in_use"
 	ExitNoSuchTask = "no_such"
 )
--- a/internal/wire/heartbeat_parser.go
+++ b/internal/wire/heartbeat_parser.go
@@ -52,13 +52,13 @@
 	if t.Status == "" {
 		return &InvalidFieldError{fmt.Sprintf("%s of %s %q", fieldTaskStatus, fieldTask, t.Task), "be given"}
 	}
-	t.Status = ownCopy(t.Status, TaskRunning, TaskEnded, TaskFetching, TaskCheckpointing)
+	t.Status = internOrClone(t.Status, TaskRunning, TaskEnded, TaskFetching, TaskCheckpointing)
 	return nil
 }
 
-// ownCopy returns a text without the memory of the body that it was read from: one of the
+// internOrClone returns a text without the memory of the body that it was read from: one of the
 // constants if it equals one, or else a copy.
-func ownCopy(text string, constants ...string) string {
+func internOrClone(text string, constants ...string) string {
 	for _, constant := range constants {
 		if text == constant {
 			return constant
--- a/internal/wire/job_parser.go
+++ b/internal/wire/job_parser.go
@@ -10,7 +10,7 @@
 // The largest texts and amounts that a submission may hold.
 const (
 	maxNameLength  = 200
-	maxWordLength  = 40
+	maxEnumLength  = 40
 	maxImageLength = 1000
 	maxDevices     = 1e6 // cores, or GPUs
 	maxGB          = 1e9
@@ -62,9 +62,9 @@
 	d.require(ValidJobID(j.ID), fieldJobID, "job- and digits")
 	j.Class = d.text(fieldClass, maxNameLength)
 	j.Team = d.text(fieldTeam, maxNameLength)
-	j.Kind = d.text(fieldKind, maxWordLength)
+	j.Kind = d.text(fieldKind, maxEnumLength)
 	d.require(j.Kind == kindBatch, fieldKind, `"`+kindBatch+`"`)
-	j.Priority = d.text(fieldPriority, maxWordLength)
+	j.Priority = d.text(fieldPriority, maxEnumLength)
 	d.require(j.PriorityClass() < len(priorities), fieldPriority, "one of "+strings.Join(priorities, ", "))
 }
 
@@ -83,9 +83,9 @@
 	d.optional(fieldTypes, &j.Types, "a list of machine types, or null")
 	d.require(j.Types == nil || len(j.Types) > 0, fieldTypes, "a list of at least one machine type, or null")
 	d.optional(fieldZone, &j.Zone, "a zone's name, or null")
-	j.Gang = d.flag(fieldGang)
-	j.Spread = d.flag(fieldSpread)
-	j.Spot = d.flag(fieldSpot)
+	j.Gang = d.boolean(fieldGang)
+	j.Spread = d.boolean(fieldSpread)
+	j.Spot = d.boolean(fieldSpot)
 }
 
 // decodeTimes reads how long the tasks take, and by when they should be done.
@@ -93,7 +93,7 @@
 	j.EstimatedRunS = d.amount(fieldEstimatedRunS, maxSeconds)
 	j.CheckpointIntervalS = d.amount(fieldCheckpointIntervalS, maxSeconds)
 	j.CheckpointDurationS = d.amount(fieldCheckpointDurationS, maxSeconds)
-	if d.present(fieldDeadlineS) {
+	if d.isPresent(fieldDeadlineS) {
 		deadline := d.amount(fieldDeadlineS, maxSeconds)
 		j.DeadlineS = &deadline
 	}
--- a/internal/wire/object.go
+++ b/internal/wire/object.go
@@ -8,8 +8,8 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// MaxBody is the largest request body that is taken.
-const MaxBody = 64 << 10
+// MaxBodyBytes is the largest request body that is taken.
+const MaxBodyBytes = 64 << 10
 
 // parseObject reads the one JSON object that a body must be.
 func parseObject(body []byte, into any, flags json.ParseFlags) error {
