--- a/internal/autoscaler/calls.go
+++ b/internal/autoscaler/calls.go
@@ -29,7 +29,7 @@
 	priorityDelete callPriority = iota
 	priorityScaleOut
 	priorityRead
-	priorities // how many there are
+	priorityCount // how many there are
 )
 
 // priority is the call's.
--- a/internal/autoscaler/client.go
+++ b/internal/autoscaler/client.go
@@ -19,27 +19,27 @@
 // Client is the actor that makes the calls, in order of urgency: deletions,
 // scale-outs, then reads.
 type Client struct {
-	base    string
-	http    *http.Client
-	rate    float64 // calls a second
-	calls   chan Call
-	Results chan Result
+	baseURL        string
+	http           *http.Client
+	callsPerSecond float64 // calls a second
+	calls          chan Call
+	Results        chan Result
 }
 
 // NewClient makes a client with a share of the cloud's rate; Run starts it.
 func NewClient(n transport.Network, addr string, rate float64) *Client {
 	return &Client{
-		base:    "http://" + addr,
-		http:    transport.NewClient(n, maxConnections),
-		rate:    rate,
-		calls:   make(chan Call, callBuffer),
-		Results: make(chan Result, resultBuffer),
+		baseURL:        "http://" + addr,
+		http:           transport.NewClient(n, maxConnections),
+		callsPerSecond: rate,
+		calls:          make(chan Call, callBuffer),
+		Results:        make(chan Result, resultBuffer),
 	}
 }
 
 // interval is the time from one call to the next.
 func (c *Client) interval() time.Duration {
-	return time.Duration(float64(time.Second) / c.rate)
+	return time.Duration(float64(time.Second) / c.callsPerSecond)
 }
 
 // Submit hands a call over; it gives up only with ctx.
@@ -51,7 +51,7 @@
 }
 
 // callQueue holds calls that wait for the rate, by priority.
-type callQueue [priorities][]Call
+type callQueue [priorityCount][]Call
 
 // push appends a call to those of its priority.
 func (q *callQueue) push(call Call) {
--- a/internal/autoscaler/plan_input.go
+++ b/internal/autoscaler/plan_input.go
@@ -31,8 +31,8 @@
 
 // MachineType is a machine type as planning sees it.
 type MachineType struct {
-	Total slowfit.Size
-	Boot  time.Duration
+	Total    slowfit.Size
+	BootTime time.Duration
 }
 
 // PendingMachine is a machine that is rented but not yet up.
@@ -48,16 +48,16 @@
 	BusyCoreSeconds float64
 }
 
-// onSpot is the pool with the same machines as spot ones.
-func (p CapacityPool) onSpot() CapacityPool { return CapacityPool{p.Type, p.Zone, true} }
+// spotPool is the pool with the same machines as spot ones.
+func (p CapacityPool) spotPool() CapacityPool { return CapacityPool{p.Type, p.Zone, true} }
 
 // TaskGroup is a number of equal tasks that no present machine has room for.
 type TaskGroup struct {
-	Size   slowfit.Size
-	Count  int
-	Run    time.Duration
-	Slack  time.Duration // how long it may wait and still end in time
-	Allows func(CapacityPool) bool
+	Size    slowfit.Size
+	Count   int
+	RunTime time.Duration
+	Slack   time.Duration // how long it may wait and still end in time
+	Allows  func(CapacityPool) bool
 }
 
 // PlanInput is what a plan is made from.
@@ -68,9 +68,9 @@
 	Pending          []PendingMachine
 	Queued           []TaskGroup // in the order of the queue
 	ProvisionedCores float64     // of all machines, running and pending
-	Machines         int
+	MachineCount     int
 	MaxMachines      int     // 0: no bound
-	Headroom         float64 // cores worth keeping, with spot machines
+	HeadroomCores    float64 // cores worth keeping, with spot machines
 	// HeadroomSizes are what the headroom should hold, the most wanted first. A later
 	// one counts only when no pool suits those before.
 	HeadroomSizes []slowfit.Size
@@ -109,7 +109,7 @@
 	for _, m := range s.Pending {
 		if s.suits(m.CapacityPool, g) {
 			machineType := s.Types[m.Type]
-			cores += machineType.Total.CPUs * max(minPendingShare, 1-machineType.Boot.Seconds()/2/seconds)
+			cores += machineType.Total.CPUs * max(minPendingShare, 1-machineType.BootTime.Seconds()/2/seconds)
 		}
 	}
 	return cores
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -14,7 +14,7 @@
 func Plan(input PlanInput) []PlannedScaleOut {
 	p := planner{PlanInput: &input, scaleOuts: map[CapacityPool]*PlannedScaleOut{}, machinesLeft: math.MaxInt32}
 	if input.MaxMachines > 0 {
-		p.machinesLeft = max(0, input.MaxMachines-input.Machines)
+		p.machinesLeft = max(0, input.MaxMachines-input.MachineCount)
 	}
 	for i := range input.Queued {
 		p.planGroup(&input.Queued[i])
@@ -59,7 +59,7 @@
 
 // planGroup plans machines for a group of tasks.
 func (p *planner) planGroup(g *TaskGroup) {
-	p.queuedCoreSeconds += float64(g.Count) * g.Size.CPUs * g.Run.Seconds()
+	p.queuedCoreSeconds += float64(g.Count) * g.Size.CPUs * g.RunTime.Seconds()
 	tasks := p.assignToPending(g)
 	for tasks > 0 {
 		s := p.groupScaleOut(g, tasks)
@@ -106,7 +106,7 @@
 // planHeadroom plans the cheapest cores up to the learned demand. It takes one pool a plan:
 // how many machines that has shows in the cloud's response.
 func (p *planner) planHeadroom() {
-	missingCores := p.Headroom - p.ProvisionedCores
+	missingCores := p.HeadroomCores - p.ProvisionedCores
 	for _, size := range p.HeadroomSizes {
 		if missingCores <= 0 || p.machinesLeft <= 0 || size.CPUs <= 0 {
 			continue
@@ -118,7 +118,7 @@
 		}
 		wanted := int(missingCores/p.Types[best.Type].Total.CPUs + 0.5)
 		if machines := min(wanted, p.machinesLeft, best.maxCount()-p.requested(best.CapacityPool)); machines > 0 {
-			p.request(best.CapacityPool, machines, fmt.Sprintf("headroom of %.0f cores for the learned demand", p.Headroom))
+			p.request(best.CapacityPool, machines, fmt.Sprintf("headroom of %.0f cores for the learned demand", p.HeadroomCores))
 		}
 		return
 	}
@@ -134,7 +134,7 @@
 
 // groupScaleOut decides what to rent for those of a group's tasks that have no room.
 func (p *planner) groupScaleOut(g *TaskGroup, tasks int) groupScaleOut {
-	spotIfAllowed := func(pool CapacityPool) bool { return g.Allows(pool) && (pool.Spot || !g.Allows(pool.onSpot())) }
+	spotIfAllowed := func(pool CapacityPool) bool { return g.Allows(pool) && (pool.Spot || !g.Allows(pool.spotPool())) }
 	if best, found := p.cheapest(g.Size, tasks, spotIfAllowed); found {
 		return p.sizeScaleOut(g, &best, tasks, tasks)
 	}
@@ -144,16 +144,16 @@
 	if !found {
 		return groupScaleOut{}
 	}
-	late := p.lateTasks(g, p.Types[best.Type].Boot)
+	late := p.lateTasks(g, p.Types[best.Type].BootTime)
 	if late == 0 {
 		return groupScaleOut{}
 	}
 	return p.sizeScaleOut(g, &best, tasks, min(tasks, late))
 }
 
-// hopelessWait is how long, in boot times of a new machine, tasks may wait that no new machine
+// lateWaitBootTimes is how long, in boot times of a new machine, tasks may wait that no new machine
 // would bring in on time.
-const hopelessWait = 4
+const lateWaitBootTimes = 4
 
 // lateTasks is how many tasks' worth of cores the running and pending machines lack to get
 // through a group, and those before it, in time.
@@ -162,7 +162,7 @@
 	if g.Slack < boot {
 		// No new machine brings these in on time. They still should not wait without
 		// end.
-		seconds = hopelessWait * boot.Seconds()
+		seconds = lateWaitBootTimes * boot.Seconds()
 	}
 	missingCores := p.queuedCoreSeconds/seconds - p.availableCores(g, seconds)
 	if missingCores <= 0 {
@@ -175,8 +175,8 @@
 // sizeScaleOut decides how many machines of a pool to rent so that some of the tasks get room.
 // Tasks shorter than a boot are mostly served by turnover before a new machine is up.
 func (p *planner) sizeScaleOut(g *TaskGroup, pool *PricedPool, tasks, wanted int) groupScaleOut {
-	boot := p.Types[pool.Type].Boot
-	notTurnedOver := min(1, g.Run.Seconds()/max(boot.Seconds(), 1))
+	boot := p.Types[pool.Type].BootTime
+	notTurnedOver := min(1, g.RunTime.Seconds()/max(boot.Seconds(), 1))
 	slots := p.slots(pool.CapacityPool, g.Size)
 	needed := (int(math.Ceil(float64(wanted)*notTurnedOver)) + slots - 1) / slots
 	machines := min(needed, pool.maxCount()-p.requested(pool.CapacityPool))
@@ -186,9 +186,9 @@
 	return groupScaleOut{pool: pool.CapacityPool, machines: machines, tasksCovered: int(float64(machines*slots) / notTurnedOver)}
 }
 
-// usualLifetime is how long a machine is assumed to be of use once it is up, for
+// expectedLifetime is how long a machine is assumed to be of use once it is up, for
 // weighing its boot time.
-const usualLifetime = 3 * time.Minute
+const expectedLifetime = 3 * time.Minute
 
 // cheapest finds the pool with the least price per task slot. Slots beyond
 // the number of tasks count for nothing, nor do pools of which the plan has
@@ -202,7 +202,7 @@
 			continue
 		}
 		// Booting is paid for as well: a type that is up sooner is worth more.
-		bootCost := 1 + p.Types[pool.Type].Boot.Seconds()/usualLifetime.Seconds()
+		bootCost := 1 + p.Types[pool.Type].BootTime.Seconds()/expectedLifetime.Seconds()
 		if cost := pool.Price * bootCost / float64(min(slots, max(tasks, 1))); cost < least {
 			best, least = pool, cost
 		}
--- a/internal/autoscaler/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -9,8 +9,8 @@
 
 func TestPlan(t *testing.T) {
 	types := []MachineType{
-		{Total: slowfit.Size{CPUs: 4, MemGB: 16}, Boot: 40 * time.Second},
-		{Total: slowfit.Size{CPUs: 16, MemGB: 64}, Boot: 40 * time.Second},
+		{Total: slowfit.Size{CPUs: 4, MemGB: 16}, BootTime: 40 * time.Second},
+		{Total: slowfit.Size{CPUs: 16, MemGB: 64}, BootTime: 40 * time.Second},
 	}
 	small, large := CapacityPool{Type: 0, Spot: true}, CapacityPool{Type: 1, Spot: true}
 	onDemand := CapacityPool{Type: 0}
@@ -24,30 +24,30 @@
 	}{
 		{"nothing is queued", PlanInput{}, nil},
 		{"one task takes the cheapest machine that holds it", PlanInput{
-			Queued: []TaskGroup{{Size: fourCores, Count: 1, Run: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: small, Count: 1}}},
+			Queued: []TaskGroup{{Size: fourCores, Count: 1, RunTime: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: small, Count: 1}}},
 		{"many tasks take the cheapest slots", PlanInput{
-			Queued: []TaskGroup{{Size: fourCores, Count: 8, Run: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 2}}},
+			Queued: []TaskGroup{{Size: fourCores, Count: 8, RunTime: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 2}}},
 		{"pending machines are used first", PlanInput{
 			Pending: []PendingMachine{{CapacityPool: large, Free: types[1].Total}},
-			Queued:  []TaskGroup{{Size: fourCores, Count: 5, Run: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: small, Count: 1}}},
+			Queued:  []TaskGroup{{Size: fourCores, Count: 5, RunTime: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: small, Count: 1}}},
 		{"a pending machine that the job may not use is not used", PlanInput{
 			Pending: []PendingMachine{{CapacityPool: small, Free: types[0].Total}},
-			Queued:  []TaskGroup{{Size: fourCores, Count: 1, Run: time.Minute, Allows: func(o CapacityPool) bool { return !o.Spot }}}}, []PlannedScaleOut{{Pool: onDemand, Count: 1}}},
+			Queued:  []TaskGroup{{Size: fourCores, Count: 1, RunTime: time.Minute, Allows: func(o CapacityPool) bool { return !o.Spot }}}}, []PlannedScaleOut{{Pool: onDemand, Count: 1}}},
 		{"no on-demand machines while the running ones suffice", PlanInput{Running: []RunningMachine{{CapacityPool: large}}, Pools: pools[2:],
-			Queued: []TaskGroup{{Size: fourCores, Count: 8, Run: time.Minute, Slack: 3 * time.Minute, Allows: anyPool}}}, nil},
+			Queued: []TaskGroup{{Size: fourCores, Count: 8, RunTime: time.Minute, Slack: 3 * time.Minute, Allows: anyPool}}}, nil},
 		{"on-demand machines make up for what would be late", PlanInput{Running: []RunningMachine{{CapacityPool: large}}, Pools: pools[2:],
-			Queued: []TaskGroup{{Size: fourCores, Count: 8, Run: time.Minute, Slack: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: onDemand, Count: 4}}},
+			Queued: []TaskGroup{{Size: fourCores, Count: 8, RunTime: time.Minute, Slack: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: onDemand, Count: 4}}},
 		{"short tasks are partly left to turnover", PlanInput{
-			Queued: []TaskGroup{{Size: fourCores, Count: 8, Run: 10 * time.Second, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 1}}},
+			Queued: []TaskGroup{{Size: fourCores, Count: 8, RunTime: 10 * time.Second, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 1}}},
 		{"what exceeds one pool's maximum comes from the next", PlanInput{Pools: []PricedPool{{large, 3, 1}, {small, 1, 2}, {onDemand, 3, 0}},
-			Queued: []TaskGroup{{Size: fourCores, Count: 8, Run: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 1}, {Pool: small, Count: 2}}},
+			Queued: []TaskGroup{{Size: fourCores, Count: 8, RunTime: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 1}, {Pool: small, Count: 2}}},
 		{"more than a call's worth from a pool with a larger maximum", PlanInput{Pools: []PricedPool{{large, 3, 200}},
-			Queued: []TaskGroup{{Size: fourCores, Count: 480, Run: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 120}}},
-		{"the bound on machines holds", PlanInput{MaxMachines: 3, Machines: 2,
-			Queued: []TaskGroup{{Size: fourCores, Count: 80, Run: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 1}}},
-		{"headroom up to the learned demand", PlanInput{ProvisionedCores: 4, Headroom: 12, HeadroomSizes: []slowfit.Size{fourCores}}, []PlannedScaleOut{{Pool: small, Count: 2}}},
-		{"a size that no pool holds leaves the choice to the next", PlanInput{Headroom: 4, HeadroomSizes: []slowfit.Size{{CPUs: 99}, fourCores}}, []PlannedScaleOut{{Pool: small, Count: 1}}},
-		{"enough headroom", PlanInput{ProvisionedCores: 12, Headroom: 12, HeadroomSizes: []slowfit.Size{fourCores}}, nil},
+			Queued: []TaskGroup{{Size: fourCores, Count: 480, RunTime: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 120}}},
+		{"the bound on machines holds", PlanInput{MaxMachines: 3, MachineCount: 2,
+			Queued: []TaskGroup{{Size: fourCores, Count: 80, RunTime: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 1}}},
+		{"headroom up to the learned demand", PlanInput{ProvisionedCores: 4, HeadroomCores: 12, HeadroomSizes: []slowfit.Size{fourCores}}, []PlannedScaleOut{{Pool: small, Count: 2}}},
+		{"a size that no pool holds leaves the choice to the next", PlanInput{HeadroomCores: 4, HeadroomSizes: []slowfit.Size{{CPUs: 99}, fourCores}}, []PlannedScaleOut{{Pool: small, Count: 1}}},
+		{"enough headroom", PlanInput{ProvisionedCores: 12, HeadroomCores: 12, HeadroomSizes: []slowfit.Size{fourCores}}, nil},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/autoscaler/requests.go
+++ b/internal/autoscaler/requests.go
@@ -29,7 +29,7 @@
 	return response.Types, err
 }
 
-// scaleOut asks for machines and returns the names of those that the cloud gave.
+// scaleOutRequest asks for machines and returns the names of those that the cloud gave.
 func (c *Client) scaleOut(ctx context.Context, request *wire.ScaleOutRequest) ([]string, error) {
 	var response wire.MachineNames
 	err := c.do(ctx, http.MethodPost, "/machines", request, &response)
@@ -113,5 +113,5 @@
 			return nil, fmt.Errorf("encode request: %w", err)
 		}
 	}
-	return http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(payload))
+	return http.NewRequestWithContext(ctx, method, c.baseURL+path, bytes.NewReader(payload))
 }
--- a/internal/dispatch/event_loop.go
+++ b/internal/dispatch/event_loop.go
@@ -67,7 +67,7 @@
 	now, wall := t.clocks()
 	if size != t.valueBytes {
 		t.valueBytes = size
-		t.core.Step(scheduler.ValueLimitChanged{ValueBytes: size}, now, wall)
+		t.core.Step(scheduler.ValueLimitChanged{MaxValueBytes: size}, now, wall)
 	}
 	if !t.transfersEnabled && t.config.TransfersSupported() {
 		t.transfersEnabled = true
--- a/internal/dispatch/failover.go
+++ b/internal/dispatch/failover.go
@@ -60,5 +60,5 @@
 	sinceTermWon := func(at time.Time) float64 { return at.Sub(timings.termWon).Seconds() }
 	t.log.Info(MessageFailover, "leader_term", t.number, "from_standby", timings.fromStandby,
 		"ledger_known_s", sinceTermWon(timings.ledgerKnown), "first_decision_s", sinceTermWon(timings.firstDecision),
-		"resolved_s", sinceTermWon(now), "jobs", t.core.Jobs(), "machines", t.core.Machines())
+		"resolved_s", sinceTermWon(now), "jobs", t.core.JobCount(), "machines", t.core.MachineCount())
 }
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -74,7 +74,7 @@
 	valueBytes := d.maxValueBytes()
 	config := scheduler.Config{
 		Term: number, Platform: d.config.Platform, Operator: d.config.Operator,
-		ValueBytes: valueBytes, SoftState: softState,
+		MaxValueBytes: valueBytes, SoftState: softState,
 	}
 	t := &term{
 		Dispatcher: d, number: number, ledger: ledgerWriter, cloud: cloud, timings: timings, valueBytes: valueBytes,
--- a/internal/fake/cloud_api.go
+++ b/internal/fake/cloud_api.go
@@ -33,7 +33,7 @@
 	writeJSON(w, http.StatusOK, wire.MachineNames{Names: names})
 }
 
-// scaleOut starts as many of the requested machines as there is capacity for and returns their
+// scaleOutRequest starts as many of the requested machines as there is capacity for and returns their
 // names. A repeated request gets the machines of the first (idempotent request).
 func (c *Cloud) scaleOut(request wire.ScaleOutRequest, machineType wire.MachineType) (names []string) {
 	if names, ok := c.scaleOuts[request.RequestID]; ok {
--- a/internal/rollout/phases.go
+++ b/internal/rollout/phases.go
@@ -40,7 +40,7 @@
 	c.enterPhase(PhaseDraining, v.WallMS)
 }
 
-// scaleOut rents the replacements and waits until they are healthy.
+// scaleOutRequest rents the replacements and waits until they are healthy.
 func (c *Controller) scaleOut(v *View) []Action {
 	if len(c.record.Replacements) == 0 && len(v.Rented) > 0 {
 		c.record.Replacements = slices.Clone(v.Rented)
--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -70,7 +70,7 @@
 	switch {
 	case m.state != machineUp, !m.trusted(a.term):
 		return false // nothing is known of it in this term
-	case m.agent.EpochEnded(m.agent.Epoch()), m.typ < 0:
+	case m.agent.EpochEnded(m.agent.Epoch()), m.typeIndex < 0:
 		return false // its agent must restart, or its room is not known
 	case m.contact.unreachableRecord != nil, m.agent.Unacknowledged(), a.clock.now-m.agent.LastAcknowledged() >= a.unreachableTimeout():
 		return false // its agent may not receive our responses
@@ -87,7 +87,7 @@
 // out of order for longer than cancel_s, and an agent that keeps running meanwhile must be sent
 // the stops of its tasks.
 func (m *machine) trusted(term uint64) bool {
-	return (m.state == machineUp || m.state == machineDeleting) && m.agent.AcknowledgedToken()>>tokenBits == term
+	return (m.state == machineUp || m.state == machineDeleting) && m.agent.AcknowledgedToken()>>termCounterBits == term
 }
 
 // unreachableTimeout is when a machine that said nothing gets no more work.
@@ -126,9 +126,9 @@
 func (a *agents) countsAsCapacity(m *machine) bool {
 	switch m.state {
 	case machineStarting:
-		return m.typ >= 0
+		return m.typeIndex >= 0
 	case machineUp:
-		return m.typ >= 0 && !m.health.quarantined && !m.eviction.cordoned && m.rental.terminationAt == 0 && a.unacknowledgedFor(m) < a.unreachableTimeout()
+		return m.typeIndex >= 0 && !m.health.quarantined && !m.eviction.cordoned && m.rental.terminationAt == 0 && a.unacknowledgedFor(m) < a.unreachableTimeout()
 	}
 	return false
 }
--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -55,8 +55,8 @@
 	phase       uint32
 	allocations []*allocation
 	idleSince   time.Duration
-	images      []imageSlot // the least recently used one first
-	reserved    bool        // kept free for one job's first task
+	images      []cachedImage // the least recently used one first
+	reserved    bool          // kept free for one job's first task
 }
 
 func (m *machine) allocation(attempt uint64) *allocation {
@@ -78,7 +78,7 @@
 			return
 		}
 	}
-	m.images = append(m.images, imageSlot{image, gb})
+	m.images = append(m.images, cachedImage{image, gb})
 	sum := 0.0
 	for _, s := range m.images {
 		sum += s.gb
@@ -91,7 +91,7 @@
 
 // inheritImage adds an image that the soft state of an earlier leader names.
 func (m *capacity) inheritImage(image int32, gb float64) {
-	m.images = append(m.images, imageSlot{image, gb})
+	m.images = append(m.images, cachedImage{image, gb})
 }
 
 // setTotal takes the room of the machine's type, once that is known or has changed.
--- a/internal/scheduler/attempts.go
+++ b/internal/scheduler/attempts.go
@@ -9,7 +9,7 @@
 
 const (
 	// maxAttempts is the highest counter of one term.
-	maxAttempts = 1<<tokenBits - 1
+	maxAttempts = 1<<termCounterBits - 1
 	// attemptReserve is how many attempts before that the term is given up.
 	attemptReserve = 1 << 20
 )
@@ -34,7 +34,7 @@
 // nextAttempt numbers a new attempt.
 func (a *attempts) nextAttempt() uint64 {
 	a.count++
-	return a.term<<tokenBits | a.count
+	return a.term<<termCounterBits | a.count
 }
 
 // resignIfExhausted resigns the leadership when few attempts are left in the term.
--- a/internal/scheduler/attempts_test.go
+++ b/internal/scheduler/attempts_test.go
@@ -13,21 +13,21 @@
 func TestAttemptsOfATermAreBounded(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
-	ends := func() bool { return slices.Contains(g.out, Effect(ResignLeadership{})) }
-	g.wait(time.Second)
+	ends := func() bool { return slices.Contains(g.recentEffects, Effect(ResignLeadership{})) }
+	g.advance(time.Second)
 	g.want("given up at the start", ends(), false)
-	g.c.attempts.count = maxAttempts - attemptReserve
-	g.wait(time.Second)
+	g.core.attempts.count = maxAttempts - attemptReserve
+	g.advance(time.Second)
 	g.want("given up when few are left", ends(), true)
 
-	g.c.attempts.count = maxAttempts - 2
+	g.core.attempts.count = maxAttempts - 2
 	g.submit(newTestJob("job-1", 4, 1))
-	orders := g.starts()
+	orders := g.startCommands()
 	g.want("started with two left", len(orders), 2)
 	for _, o := range orders {
-		g.want("the term of an attempt", o.Attempt>>tokenBits, uint64(testTerm))
+		g.want("the term of an attempt", o.Attempt>>termCounterBits, uint64(testTerm))
 	}
-	g.endCommands(CommandExecuted)
+	g.completeCommands(CommandExecuted)
 	g.submit(newTestJob("job-2", 1, 1))
-	g.want("started with none left", len(g.starts()), 0)
+	g.want("started with none left", len(g.startCommands()), 0)
 }
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -42,7 +42,7 @@
 }
 
 func newCancellationWatch(c *Core) cancellationWatch {
-	return cancellationWatch{cfg: &c.cfg, term: c.term, clock: &c.clock, log: c.log, debug: c.debug, jobs: &c.jobs, machines: &c.machines,
+	return cancellationWatch{cfg: &c.cfg, term: c.term, clock: &c.clock, log: c.log, debug: c.debugEnabled, jobs: &c.jobs, machines: &c.machines,
 		loggedAt: c.clock.now}
 }
 
--- a/internal/scheduler/cancellations_test.go
+++ b/internal/scheduler/cancellations_test.go
@@ -20,46 +20,46 @@
 	}{
 		{"a worker that goes on after each stop", func(g *harness, task wire.TaskStatus) {
 			for range 22 {
-				g.wait(3 * time.Second)
+				g.advance(3 * time.Second)
 				g.acknowledge("vm-1", task)
 			}
 		}, true},
 		{"a worker that stops it", func(g *harness, task wire.TaskStatus) {
 			task.Status, task.ExitReason = wire.TaskEnded, wire.ExitStopped
 			for range 22 {
-				g.wait(3 * time.Second)
+				g.advance(3 * time.Second)
 				g.acknowledge("vm-1", task)
 			}
 		}, false},
 		{"a worker that is not heard: its lease is over before", func(g *harness, _ wire.TaskStatus) {
-			g.wait(66 * time.Second)
+			g.advance(66 * time.Second)
 		}, false},
 		{"a controller that stood still", func(g *harness, task wire.TaskStatus) {
 			g.now += 66 * time.Second
 			g.step(Tick{})
 			g.acknowledge("vm-1", task)
-			g.wait(3 * time.Second)
+			g.advance(3 * time.Second)
 		}, false},
 		{"a new leader that finds it", func(g *harness, task wire.TaskStatus) {
-			next := newHarnessAt(g.t, g.now, testConfig(g.c.cfg.Operator, g.c.cfg.Platform.Facts.Teams...), ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
+			next := newHarnessWithConfig(g.t, g.now, testConfig(g.core.cfg.Operator, g.core.cfg.Platform.Facts.Teams...), ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
 				Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1), TerminalState: wire.JobCancelled, Tasks: 1, EndedMS: 1}, Hosts: savedHosts("vm-1")}}})
 			for range 22 {
-				next.wait(3 * time.Second)
+				next.advance(3 * time.Second)
 				next.acknowledge("vm-1", task)
 			}
-			g.c = next.c
+			g.core = next.core
 		}, true},
 	} {
 		t.Run(q.name, func(t *testing.T) {
 			g := newHarness(t, ledger.Snapshot{})
 			g.bringUp("vm-1")
 			g.submit(newTestJob("job-1", 1, 1))
-			task := taskIn(g.starts()[0], wire.TaskRunning, "")
-			g.endCommands(CommandExecuted)
-			g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
-			g.endCommands(CommandOutcomeUnknown)
+			task := newTaskStatus(g.startCommands()[0], wire.TaskRunning, "")
+			g.completeCommands(CommandExecuted)
+			g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+			g.completeCommands(CommandOutcomeUnknown)
 			q.act(g, task)
-			g.want("noted", g.c.jobs.list[0].end.overdueLogged, q.want)
+			g.want("noted", g.core.jobs.list[0].end.overdueLogged, q.want)
 		})
 	}
 }
@@ -76,7 +76,7 @@
 	g.want("probes", len(g.sentCommands), 1)
 	probe := g.sentCommands[0]
 	g.sentCommands = nil
-	task := wire.TaskStatus{Task: "job-1/0", Attempt: 6<<tokenBits | 1, Status: wire.TaskRunning}
-	g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandExecuted, Heartbeat: g.heartbeatOf("vm-1", termToken, task)})
+	task := wire.TaskStatus{Task: "job-1/0", Attempt: 6<<termCounterBits | 1, Status: wire.TaskRunning}
+	g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandExecuted, Heartbeat: g.newHeartbeat("vm-1", termToken, task)})
 	g.want("a stop", len(g.sentCommands) == 1 && g.sentCommands[0].Request.Commands[0].Verb == wire.VerbStop, true)
 }
--- a/internal/scheduler/capacity_pools.go
+++ b/internal/scheduler/capacity_pools.go
@@ -10,9 +10,9 @@
 
 // The limits of the use of a capacity pool.
 const (
-	minPoolBackoff = 8 * time.Second
-	maxPoolBackoff = 30 * time.Second
-	maxCalls       = 4 // for one capacity pool at once
+	minPoolBackoff  = 8 * time.Second
+	maxPoolBackoff  = 30 * time.Second
+	maxCallsPerPool = 4 // for one capacity pool at once
 )
 
 // capacityPools tells which capacity pools of the cloud may be used. It owns the state of each
@@ -33,41 +33,43 @@
 
 // poolState is what the latest requests have shown of a pool.
 type poolState struct {
-	blockedUntil  time.Duration
-	backoff       time.Duration
-	fillsRequests int // scale-outs in a row that were filled
+	blockedUntil     time.Duration
+	backoff          time.Duration
+	consecutiveFills int // scale-outs in a row that were filled
 }
 
 // maxCount is how many machines of a pool may be requested at once: one call's worth at first,
 // more once the cloud has filled some.
-func (o *poolState) maxCount() int { return min(1+o.fillsRequests, maxCalls) * autoscaler.MaxScaleOut }
+func (o *poolState) maxCount() int {
+	return min(1+o.consecutiveFills, maxCallsPerPool) * autoscaler.MaxScaleOut
+}
 
-// block stops the use of a pool for a while, longer each time, after the cloud has refused it or
+// extendBackoff stops the use of a pool for a while, longer each time, after the cloud has refused it or
 // filled a request in part.
-func (o *poolState) block(now time.Duration) {
+func (o *poolState) extendBackoff(now time.Duration) {
 	if now < o.blockedUntil {
 		return // several scale-outs in one pool were on their way
 	}
 	o.backoff = min(max(o.backoff*2, minPoolBackoff), maxPoolBackoff)
 	o.blockedUntil = now + o.backoff
-	o.fillsRequests = 0
+	o.consecutiveFills = 0
 }
 
-// filled notes that a request was filled.
-func (o *poolState) filled() {
+// recordFilled notes that a request was filled.
+func (o *poolState) recordFilled() {
 	o.backoff = 0
-	o.fillsRequests++
+	o.consecutiveFills++
 }
 
 // inherit takes over what an earlier leader knew of the pool.
 func (o *poolState) inherit(pool *softstate.CapacityPool, now time.Duration) {
 	o.blockedUntil = now + min(pool.BackoffLeft, maxPoolBackoff)
 	o.backoff = min(pool.Backoff, maxPoolBackoff)
-	o.fillsRequests = pool.Filled
+	o.consecutiveFills = pool.Filled
 }
 
-// pool returns the state of a pool, which may be new.
-func (p *capacityPools) pool(o autoscaler.CapacityPool) *poolState {
+// state returns the state of a pool, which may be new.
+func (p *capacityPools) state(o autoscaler.CapacityPool) *poolState {
 	if p.states[o] == nil {
 		p.states[o] = &poolState{}
 	}
@@ -81,7 +83,7 @@
 			for _, z := range p.types.list[i].zones {
 				for _, spot := range []bool{true, false} {
 					o := autoscaler.CapacityPool{Type: int32(i), Zone: z, Spot: spot}
-					if st := p.pool(o); p.clock.now >= st.blockedUntil && !yield(o, st) {
+					if st := p.state(o); p.clock.now >= st.blockedUntil && !yield(o, st) {
 						return
 					}
 				}
@@ -90,8 +92,8 @@
 	}
 }
 
-// poolsOpen tells whether there is a capacity pool without a recent refusal.
-func (p *capacityPools) poolsOpen() bool {
+// anyPoolOpen tells whether there is a capacity pool without a recent refusal.
+func (p *capacityPools) anyPoolOpen() bool {
 	for range p.openPools() {
 		return true
 	}
@@ -101,7 +103,7 @@
 // scalableCores is what the cloud may still give.
 func (p *capacityPools) scalableCores() float64 {
 	most := p.cfg.Operator.MaxMachines
-	if len(p.types.list) == 0 || !p.poolsOpen() {
+	if len(p.types.list) == 0 || !p.anyPoolOpen() {
 		return 0
 	}
 	largest := 0.0
--- a/internal/scheduler/classes.go
+++ b/internal/scheduler/classes.go
@@ -8,7 +8,7 @@
 
 // classTable holds what is kept by class of jobs.
 type classTable struct {
-	names          names
+	names          nameTable
 	objectives     []classObjective
 	allocatedCores []float64
 }
@@ -20,7 +20,7 @@
 
 // indexOf returns the index of a class, which may be new.
 func (t *classTable) indexOf(name string, objectives []settings.Objective) (index int32, isNew bool) {
-	index = t.names.of(name)
+	index = t.names.intern(name)
 	if int(index) < len(t.objectives) {
 		return index, false
 	}
--- a/internal/scheduler/clock.go
+++ b/internal/scheduler/clock.go
@@ -20,19 +20,19 @@
 // set moves the clock to the time of an event.
 func (k *clock) set(now time.Duration, wallMS int64) { k.now, k.wallMS = now, wallMS }
 
-// longestTick is how far apart two ticks are at most while this process is running normally.
-const longestTick = 2 * time.Second
+// maxTickInterval is how far apart two ticks are at most while this process is running normally.
+const maxTickInterval = 2 * time.Second
 
 // tick notes a tick. After a longer pause this process was suspended, or starved: that it
 // received nothing meanwhile is no fault of the senders.
 func (k *clock) tick() {
-	if k.now-k.lastTick > longestTick {
+	if k.now-k.lastTick > maxTickInterval {
 		k.tickingSince = k.now
 	}
 	k.lastTick = k.now
 }
 
-// ago is the monotonic time of a moment in the past, given by the time of day in ms.
-func (k *clock) ago(ms int64) time.Duration {
+// fromWallTime is the monotonic time of a moment in the past, given by the time of day in ms.
+func (k *clock) fromWallTime(ms int64) time.Duration {
 	return k.now - max(0, time.Duration(k.wallMS-ms)*time.Millisecond)
 }
--- a/internal/scheduler/cloud_reads.go
+++ b/internal/scheduler/cloud_reads.go
@@ -20,10 +20,10 @@
 	log     *slog.Logger
 	effects *effects
 
-	nextList     time.Duration
-	nextTypes    time.Duration
-	listing      bool
-	readingTypes bool
+	nextList      time.Duration
+	nextTypes     time.Duration
+	listInFlight  bool
+	typesInFlight bool
 }
 
 func newCloudReads(c *Core) cloudReads {
@@ -32,20 +32,20 @@
 
 // requestDue requests what is due to be read.
 func (r *cloudReads) requestDue() {
-	if !r.readingTypes && r.clock.now >= r.nextTypes {
-		r.readingTypes = true
+	if !r.typesInFlight && r.clock.now >= r.nextTypes {
+		r.typesInFlight = true
 		r.effects.emit(CallCloud{autoscaler.Call{Types: true}})
 	}
-	if !r.listing && r.clock.now >= r.nextList {
-		r.listing = true
+	if !r.listInFlight && r.clock.now >= r.nextList {
+		r.listInFlight = true
 		r.effects.emit(CallCloud{autoscaler.Call{List: true}})
 	}
 }
 
-// typesRequestEnded notes that a request for the machine types has ended, and tells whether it
+// finishTypesRequest notes that a request for the machine types has ended, and tells whether it
 // has succeeded.
-func (r *cloudReads) typesRequestEnded(err error) (succeeded bool) {
-	r.readingTypes = false
+func (r *cloudReads) finishTypesRequest(err error) (succeeded bool) {
+	r.typesInFlight = false
 	r.nextTypes = r.clock.now + typesInterval
 	if err != nil {
 		r.log.Debug("reading the machine types failed", "error", err)
@@ -54,10 +54,10 @@
 	return err == nil
 }
 
-// listRequestEnded notes that a request for the list of machines has ended, and tells whether it
+// finishListRequest notes that a request for the list of machines has ended, and tells whether it
 // has succeeded.
-func (r *cloudReads) listRequestEnded(err error) (succeeded bool) {
-	r.listing = false
+func (r *cloudReads) finishListRequest(err error) (succeeded bool) {
+	r.listInFlight = false
 	r.nextList = r.clock.now + listInterval
 	if err != nil {
 		r.log.Debug("listing the machines failed", "error", err)
--- a/internal/scheduler/cloud_results.go
+++ b/internal/scheduler/cloud_results.go
@@ -6,34 +6,34 @@
 	"leadproxy/internal/wire"
 )
 
-// cloudResult takes the result of a call to the cloud.
-func (c *Core) cloudResult(r autoscaler.Result) {
+// handleCloudResult takes the result of a call to the cloud.
+func (c *Core) handleCloudResult(r autoscaler.Result) {
 	switch {
 	case r.Call.ScaleOut != nil:
-		c.scaleOutResult(r)
+		c.handleScaleOutResult(r)
 	case r.Call.Delete != nil:
 		for _, name := range r.Call.Delete {
-			if m := c.machineNamed(name); r.Err == nil {
+			if m := c.findOrAddMachine(name); r.Err == nil {
 				c.removeMachine(m, "deleted")
 			}
 		}
 	case r.Call.Types:
-		if c.cloudReads.typesRequestEnded(r.Err) {
-			c.typesRead(r.Types)
+		if c.cloudReads.finishTypesRequest(r.Err) {
+			c.updateTypes(r.Types)
 		}
 	case r.Call.List:
-		if c.cloudReads.listRequestEnded(r.Err) {
-			c.listRead(r.List)
+		if c.cloudReads.finishListRequest(r.Err) {
+			c.updateMachines(r.List)
 		}
 	}
 }
 
-// typesRead takes the machine types of the cloud.
-func (c *Core) typesRead(types []wire.MachineType) {
+// updateTypes takes the machine types of the cloud.
+func (c *Core) updateTypes(types []wire.MachineType) {
 	for _, t := range types {
-		i, isNew := c.types.add(t)
+		i, isNew := c.types.findOrAdd(t)
 		if isNew {
-			c.inherited.fillType(i)
+			c.inherited.applyToType(i)
 		}
 		c.types.list[i].update(t, &c.machines.zones)
 		if isNew {
@@ -50,55 +50,55 @@
 	}
 }
 
-// listRead takes the cloud's list of machines.
-func (c *Core) listRead(list []wire.ListedMachine) {
+// updateMachines takes the cloud's list of machines.
+func (c *Core) updateMachines(list []wire.ListedMachine) {
 	for _, m := range c.machines.live {
-		m.rental.missedListing()
+		m.rental.countMissedListing()
 	}
 	for i := range list {
 		l := &list[i]
-		m := c.machineNamed(l.Name)
+		m := c.findOrAddMachine(l.Name)
 		if m.state == machineGone {
 			continue
 		}
-		if m.rental.wasListed(c.clock.now - settings.Seconds(l.AgeS)) {
-			c.scaleOuts.machineSeen(m)
+		if m.rental.recordListed(c.clock.now - settings.Seconds(l.AgeS)) {
+			c.scaleOuts.recordMachineSeen(m)
 		}
 		if m.typeName == "" {
 			c.updateDescription(m, l.Type, l.Zone, l.Spot, l.Address)
 		}
-		m.rental.foundInList()
+		m.rental.resetMissedListings()
 		if l.Status == wire.MachineRunning && settings.Seconds(l.AgeS) > c.clock.now-c.clock.termStart {
 			c.agents.probe(m)
 		}
 		if l.Status == wire.MachineFailed {
 			// It has stopped on its own, and all on it with it.
-			c.returns.requestDelete(m, "failed")
+			c.scaleIns.requestDelete(m, "failed")
 			c.removeMachine(m, "listed as failed")
 		}
 	}
 }
 
-// machinesRented records the machines of a scale-out.
-func (c *Core) machinesRented(h *scaleOut, machines []string) {
-	h.resultTaken()
-	c.replacements.recordRented(h.saved.Request.RequestID, machines)
+// recordRentedMachines records the machines of a scale-out.
+func (c *Core) recordRentedMachines(h *scaleOutRequest, machines []string) {
+	h.markResolved()
+	c.replacements.recordRented(h.record.Request.RequestID, machines)
 	for _, name := range machines {
-		m := c.machineNamed(name)
-		m.rental.rentedBy(h.saved.Request.RequestID)
+		m := c.findOrAddMachine(name)
+		m.rental.setScaleOut(h.record.Request.RequestID)
 		if m.state == machineStarting {
-			c.updateDescription(m, h.saved.Request.Type, h.saved.Request.Zone, h.saved.Request.Spot, "")
+			c.updateDescription(m, h.record.Request.Type, h.record.Request.Zone, h.record.Request.Spot, "")
 		}
 		if m.state == machineStarting && !m.rental.listed {
 			h.awaitMachine(name)
 		}
 	}
-	c.scaleOuts.dropIfSeen(h)
+	c.scaleOuts.removeIfAllSeen(h)
 }
 
-// scaleOutResult takes the result of a scale-out.
-func (c *Core) scaleOutResult(r autoscaler.Result) {
-	if h, rented := c.scaleOuts.ended(r); rented {
-		c.machinesRented(h, r.Machines)
+// handleScaleOutResult takes the result of a scale-out.
+func (c *Core) handleScaleOutResult(r autoscaler.Result) {
+	if h, rented := c.scaleOuts.handleResult(r); rented {
+		c.recordRentedMachines(h, r.Machines)
 	}
 }
--- a/internal/scheduler/command_results.go
+++ b/internal/scheduler/command_results.go
@@ -67,7 +67,7 @@
 	case CommandExecuted:
 		c.commands.resolveStarts(command, func(b *allocation) { b.state = allocationConfirmed })
 	}
-	if e.Heartbeat != nil && e.Heartbeat.Machine == m.name && e.Heartbeat.FencingToken>>tokenBits <= c.term {
+	if e.Heartbeat != nil && e.Heartbeat.Machine == m.name && e.Heartbeat.FencingToken>>termCounterBits <= c.term {
 		// The agent made it after the command was sent. So if it is older than what was known then,
 		// its sender has restarted.
 		if agentstate.PositionOf(e.Heartbeat).Before(command.positionWhenSent) {
--- a/internal/scheduler/command_results_test.go
+++ b/internal/scheduler/command_results_test.go
@@ -13,12 +13,12 @@
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
-	g.endCommands(CommandNotSent)
-	g.want("starts at once", len(g.starts()), 0)
+	g.completeCommands(CommandNotSent)
+	g.want("starts at once", len(g.startCommands()), 0)
 	g.acknowledge("vm-1")
-	g.want("starts after an echo", len(g.starts()), 0)
-	g.wait(5 * time.Second)
-	g.want("starts later", len(g.starts()), 1)
+	g.want("starts after an echo", len(g.startCommands()), 0)
+	g.advance(5 * time.Second)
+	g.want("starts later", len(g.startCommands()), 1)
 }
 
 // TestOneLostCommandDoesNotMakeAMachineUnreachable: a machine that one command did not reach
@@ -30,16 +30,16 @@
 			g.bringUp(name)
 		}
 		for range 30 {
-			g.wait(time.Second)
+			g.advance(time.Second)
 			for _, name := range []string{"vm-1", "vm-2", "vm-3"} {
 				g.acknowledge(name)
 			}
 		}
 		g.submit(newTestJob("job-1", 1, 4))
-		g.endCommands(outcome)
-		g.want("open before the echo", g.c.agents.schedulable(g.c.machines.list[0]), false)
-		g.wait(time.Second)
-		g.want("deleted", len(g.deleted), 0)
+		g.completeCommands(outcome)
+		g.want("open before the echo", g.core.agents.schedulable(g.core.machines.list[0]), false)
+		g.advance(time.Second)
+		g.want("deleted", len(g.deletedMachines), 0)
 	}
 }
 
@@ -50,23 +50,23 @@
 		again int // further starts
 	}{
 		{"stays booked while the token is not echoed", func(g *harness, o wire.Command) {
-			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken))
+			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken))
 		}, 0},
 		{"is given up once a raised token is echoed without it", func(g *harness, o wire.Command) {
-			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken+1))
+			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken+1))
 		}, 1},
 		{"stands when the echo shows it", func(g *harness, o wire.Command) {
-			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken+1, taskIn(o, wire.TaskRunning, "")))
+			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken+1, newTaskStatus(o, wire.TaskRunning, "")))
 		}, 0},
 		{"is given up with the session", func(g *harness, o wire.Command) {
-			r := g.heartbeatOf("vm-1", termToken)
+			r := g.newHeartbeat("vm-1", termToken)
 			r.AgentEpoch = 2
 			g.sendHeartbeat(r)
 			g.acknowledge("vm-1")
 		}, 1},
 		{"is not given up for a silent machine within its lease", func(g *harness, o wire.Command) {
 			g.bringUp("vm-2")
-			g.wait(6 * time.Second)
+			g.advance(6 * time.Second)
 		}, 0},
 		{"is given up when the machine is deleted", func(g *harness, o wire.Command) {
 			g.bringUp("vm-2")
@@ -85,7 +85,7 @@
 			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}}})
 		}, 0},
 		{"a stale report proves nothing", func(g *harness, o wire.Command) {
-			r := g.heartbeatOf("vm-1", termToken+1)
+			r := g.newHeartbeat("vm-1", termToken+1)
 			r.Sequence = 1
 			g.sendHeartbeat(r)
 		}, 0},
@@ -95,12 +95,12 @@
 			g := newHarness(t, ledger.Snapshot{})
 			g.bringUp("vm-1")
 			g.submit(newTestJob("job-1", 1, 1))
-			first := g.starts()[0]
-			g.endCommands(CommandOutcomeUnknown)
-			g.want("token", g.sendHeartbeat(g.heartbeatOf("vm-1", termToken)).FencingToken, uint64(termToken+1))
+			first := g.startCommands()[0]
+			g.completeCommands(CommandOutcomeUnknown)
+			g.want("token", g.sendHeartbeat(g.newHeartbeat("vm-1", termToken)).FencingToken, uint64(termToken+1))
 			c.act(g, first)
-			g.wait(startSuspension + time.Second/2)
-			again := g.starts()
+			g.advance(startSuspension + time.Second/2)
+			again := g.startCommands()
 			g.want("further starts", len(again), c.again)
 			if len(again) > 0 && again[0].Attempt == first.Attempt {
 				t.Error("an attempt was used again")
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -127,7 +127,7 @@
 	c.commands.releaseHeldResponses()
 	c.commands.sendResponses()
 	c.commands.sendPendingCommands()
-	c.returns.flush()
+	c.scaleIns.sendDeletes()
 }
 
 // sendPendingCommands sends the commands that don't travel with a response.
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -21,15 +21,15 @@
 	Term     uint64
 	Platform *settings.Platform
 	Operator settings.Operator
-	// ValueBytes is how many bytes a value may have.
-	ValueBytes int
+	// MaxValueBytes is how many bytes a value may have.
+	MaxValueBytes int
 	// SoftState is what an earlier leader held in memory; nil: none is known.
 	SoftState *softstate.View
 }
 
-// tokenBits is the room that a fencing token and an attempt leave for the counter within one
+// termCounterBits is the room that a fencing token and an attempt leave for the counter within one
 // term.
-const tokenBits = 24
+const termCounterBits = 24
 
 // Core is the leader's state for one term. Step is its only entry. Its state lies in parts: each
 // has a type of its own, whose methods alone write its fields, and names the parts that it reads
@@ -38,9 +38,9 @@
 type Core struct {
 	cfg Config
 	log *slog.Logger
-	// debug spares the cost of log lines for each task that nobody reads.
-	debug bool
-	term  uint64
+	// debugEnabled spares the cost of log lines for each task that nobody reads.
+	debugEnabled bool
+	term         uint64
 
 	clock   clock         // the time of the present event
 	effects effects       // of the present step
@@ -62,7 +62,7 @@
 	pools         capacityPools     // of the cloud, and their back-off
 	demand        learnedDemand     // from recent jobs
 	scaleOuts     scaleOutRequests  // machines being rented
-	returns       machineReturns    // machines being returned
+	scaleIns      scaleInRequests   // machines being returned
 	planner       capacityPlanner   // of capacity
 	spending      spending          // what the machines cost
 	inherited     inheritedState    // soft state of an earlier leader
@@ -81,7 +81,7 @@
 // NewCore starts a term from what the ledger holds. now is the controller's monotonic
 // time, wall the time of day in ms.
 func NewCore(cfg Config, s ledger.Snapshot, now time.Duration, wall int64, log *slog.Logger) *Core {
-	c := &Core{cfg: cfg, log: log, debug: log.Enabled(context.Background(), slog.LevelDebug), term: cfg.Term}
+	c := &Core{cfg: cfg, log: log, debugEnabled: log.Enabled(context.Background(), slog.LevelDebug), term: cfg.Term}
 	c.clock = newClock(now, wall)
 	c.writes = newDurableWrites(c)
 	c.types = newMachineTypes()
@@ -97,7 +97,7 @@
 	c.pools = newCapacityPools(c)
 	c.demand = newLearnedDemand(c)
 	c.scaleOuts = newScaleOutRequests(c)
-	c.returns = newMachineReturns(c)
+	c.scaleIns = newScaleInRequests(c)
 	c.planner = newCapacityPlanner(c)
 	c.spending = newSpending(c)
 	c.inherited = newInheritedState(c)
@@ -139,15 +139,15 @@
 
 	// The cloud.
 	case CloudResult:
-		c.cloudResult(e.Result)
+		c.handleCloudResult(e.Result)
 
 	// The ledger.
 	case WritesDurable:
-		c.writesDurable(e)
+		c.handleWritesDurable(e)
 	case WritesRejected:
-		c.writesRejected(e)
+		c.handleWritesRejected(e)
 	case ValueLimitChanged:
-		c.cfg.ValueBytes = e.ValueBytes
+		c.cfg.MaxValueBytes = e.MaxValueBytes
 
 	// Operators with plans that drain machines, and standbys.
 	case PlanRequest:
@@ -155,7 +155,7 @@
 	case PlanListRequest:
 		c.plans.handleListRequest(e)
 	case SoftStateRequest:
-		c.softState.softStateRequested(e)
+		c.softState.handleRequest(e)
 
 	case Tick:
 		c.tick()
@@ -201,9 +201,9 @@
 	c.cancellations.logOverdueJobs()
 	c.recordUnreachable()
 	c.agents.withdrawUnneededRecords()
-	c.inherited.drop()
+	c.inherited.dropExpired()
 	c.cloudReads.requestDue()
-	c.scaleOuts.repeatDue()
+	c.scaleOuts.retryDue()
 	c.planner.planDue()
 	c.attempts.resignIfExhausted()
 	c.advanceTransfers()
@@ -214,8 +214,8 @@
 // UnresolvedHosts is how many machines may still run what an earlier leader started there.
 func (c *Core) UnresolvedHosts() int { return c.machines.unresolvedHosts() }
 
-// Machines is how many machines this term knows, up or coming.
-func (c *Core) Machines() int { return c.machines.count() }
+// MachineCount is how many machines this term knows, up or coming.
+func (c *Core) MachineCount() int { return c.machines.count() }
 
-// Jobs is how many jobs this term knows.
-func (c *Core) Jobs() int { return len(c.jobs.list) }
+// JobCount is how many jobs this term knows.
+func (c *Core) JobCount() int { return len(c.jobs.list) }
--- a/internal/scheduler/delegated_jobs.go
+++ b/internal/scheduler/delegated_jobs.go
@@ -45,7 +45,7 @@
 	spec.DependsOn = nil // they are done, or it could not leave
 	spec.Priority = wire.PriorityName(j.priority.class)
 	if j.priority.deadline != noDeadline {
-		due := (j.priority.deadline - d.clock.ago(j.record.acceptedMS)).Seconds()
+		due := (j.priority.deadline - d.clock.fromWallTime(j.record.acceptedMS)).Seconds()
 		spec.DeadlineS = &due
 	}
 	text, err := json.Marshal(&spec)
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -49,9 +49,9 @@
 
 // weightedSize is a task size with its share of the recent demand.
 type weightedSize struct {
-	size   slowfit.Size
-	weight float64
-	wait   bool // some class of that size has an objective on waiting
+	size             slowfit.Size
+	weight           float64
+	hasWaitObjective bool // some class of that size has an objective on waiting
 }
 
 // maxSizes bounds the sizes that are remembered.
@@ -70,7 +70,7 @@
 		d.sizes = append(d.sizes, weightedSize{size: size})
 	}
 	d.sizes[at].weight += weight
-	d.sizes[at].wait = d.sizes[at].wait || wait
+	d.sizes[at].hasWaitObjective = d.sizes[at].hasWaitObjective || wait
 	slices.SortStableFunc(d.sizes, func(x, y weightedSize) int { return cmp.Compare(y.weight, x.weight) })
 	d.sizes = d.sizes[:min(len(d.sizes), maxSizes)]
 }
@@ -80,7 +80,7 @@
 func (d *learnedDemand) headroomSizes() []slowfit.Size {
 	var out []slowfit.Size
 	for i, s := range d.sizes {
-		if i == 0 || s.wait {
+		if i == 0 || s.hasWaitObjective {
 			out = append(out, s.size)
 		}
 	}
--- a/internal/scheduler/dependencies_bench_test.go
+++ b/internal/scheduler/dependencies_bench_test.go
@@ -32,9 +32,9 @@
 						if i == jobs-1 {
 							j.DeadlineS, j.Priority = &due, "critical"
 						}
-						s.c.Step(JobRecordEvent{JobID: j.ID, Record: ledger.JobRecord{Job: j, AcceptedMS: s.now.Milliseconds()}, Version: 1}, s.now, s.now.Milliseconds())
+						s.core.Step(JobRecordEvent{JobID: j.ID, Record: ledger.JobRecord{Job: j, AcceptedMS: s.now.Milliseconds()}, Version: 1}, s.now, s.now.Milliseconds())
 					}
-					s.c.Step(JobRecordEvent{JobID: "job-0", Record: ledger.JobRecord{Job: newTestJob("job-0", 1, 1).CancelledSummary(), TerminalState: wire.JobCancelled}, Version: 2}, s.now, s.now.Milliseconds())
+					s.core.Step(JobRecordEvent{JobID: "job-0", Record: ledger.JobRecord{Job: newTestJob("job-0", 1, 1).CancelledSummary(), TerminalState: wire.JobCancelled}, Version: 2}, s.now, s.now.Milliseconds())
 				}
 				b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(jobs-1), "ns/edge")
 			})
--- a/internal/scheduler/dependencies_model_test.go
+++ b/internal/scheduler/dependencies_model_test.go
@@ -60,7 +60,7 @@
 }
 
 // runGraphHistory plays one history of graphs, ends, cancellations and takeovers.
-func runGraphHistory(t tester, r property.Chooser, steps int) {
+func runGraphHistory(t testingT, r property.Chooser, steps int) {
 	m := &graphModel{map[string][]string{}, map[string]bool{}, map[string]bool{}}
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
@@ -83,38 +83,38 @@
 			g.submit(j)
 		case k < 8:
 			if jobID := jobIDs[r.IntN(len(jobIDs))]; m.isReady(jobID) {
-				g.endCommands(CommandExecuted)
+				g.completeCommands(CommandExecuted)
 				g.finishTask("vm-1", jobID)
 				m.done[jobID] = true
 			}
 		case k < 9:
 			jobID := jobIDs[r.IntN(len(jobIDs))]
-			g.step(CancelRequest{JobID: jobID, ReplyTo: recipient("u")})
+			g.step(CancelRequest{JobID: jobID, ReplyTo: testRecipient("u")})
 			m.cancelled[jobID] = m.cancelled[jobID] || !m.done[jobID]
 		default:
 			g = startNextTerm(t, g, jobIDs)
 		}
-		g.endCommands(CommandExecuted)
+		g.completeCommands(CommandExecuted)
 		g.checkAgainstModel(m, jobIDs)
 	}
 }
 
 // changeLeader begins a new term from the job records that the last one has written, on a machine
 // that has restarted: what ran there starts again.
-func startNextTerm(t tester, g *harness, jobIDs []string) *harness {
+func startNextTerm(t testingT, g *harness, jobIDs []string) *harness {
 	t.Helper()
 	var s ledger.Snapshot
 	for _, jobID := range jobIDs {
-		record := ledger.JobRecord{Job: g.specs[jobID]}
-		if w, ok := g.writes[ledger.JobKey(jobID)]; ok {
+		record := ledger.JobRecord{Job: g.submittedJobs[jobID]}
+		if w, ok := g.writesByKey[ledger.JobKey(jobID)]; ok {
 			record = w.Value.(ledger.JobRecord)
 		}
 		s.Jobs = append(s.Jobs, ledger.SavedJob{ID: jobID, Version: 1, Record: record})
 	}
 	n := newHarness(t, s)
-	n.specs = g.specs
-	for jobID, w := range g.writes {
-		n.writes[jobID] = w
+	n.submittedJobs = g.submittedJobs
+	for jobID, w := range g.writesByKey {
+		n.writesByKey[jobID] = w
 	}
 	n.bringUp("vm-1")
 	return n
@@ -134,7 +134,7 @@
 		if got := g.jobStatus(jobID); !slices.Contains(want, got) {
 			g.t.Errorf("%s is %s, want %v", jobID, got, want)
 		}
-		j := g.c.jobs.list[g.c.jobs.indexByID[jobID]]
+		j := g.core.jobs.list[g.core.jobs.indexByID[jobID]]
 		if booked := j.progress.tasks != nil && !j.ended() && j.progress.allocated > 0; booked != m.isReady(jobID) {
 			g.t.Errorf("%s has a task on a machine: %v, ready: %v", jobID, booked, m.isReady(jobID))
 		}
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -23,8 +23,8 @@
 	g.t.Helper()
 	var tasks []wire.TaskStatus
 	there := false
-	for _, b := range g.c.machineNamed(machine).capacity.allocations {
-		t := taskIn(wire.Command{Task: g.c.jobs.taskName(b), Attempt: b.attempt}, wire.TaskRunning, "")
+	for _, b := range g.core.findOrAddMachine(machine).capacity.allocations {
+		t := newTaskStatus(wire.Command{Task: g.core.jobs.taskName(b), Attempt: b.attempt}, wire.TaskRunning, "")
 		if t.Task == jobID+"/0" {
 			t.Status, t.ExitReason, there = wire.TaskEnded, wire.ExitDone, true
 		}
@@ -37,11 +37,11 @@
 // takeStartedJobs lists the jobs whose tasks have been started since the last call.
 func (g *harness) takeStartedJobs() string {
 	var jobIDs []string
-	for _, o := range g.starts() {
+	for _, o := range g.startCommands() {
 		jobID := wire.JobIDOfTask(o.Task)
 		jobIDs = append(jobIDs, jobID)
 	}
-	g.endCommands(CommandExecuted)
+	g.completeCommands(CommandExecuted)
 	return strings.Join(jobIDs, " ")
 }
 
@@ -57,7 +57,7 @@
 		g.submit(newDependentJob("job-4", "job-2", "job-3"))
 		g.want("started at first", g.takeStartedJobs(), "job-1")
 		g.want("state of what waits", g.jobStatus("job-4"), wire.JobQueued)
-		g.want("demand for it", len(g.c.placement.sortedQueue()), 0)
+		g.want("demand for it", len(g.core.placement.sortedQueue()), 0)
 		g.holdWrites = true
 		g.finishTask("vm-1", "job-1")
 		g.want("started before the end is durable", g.takeStartedJobs(), "")
@@ -102,8 +102,8 @@
 		for i := range 10 {
 			g.submit(newDependentJob(fmt.Sprintf("job-2%d", i), "job-1"))
 		}
-		g.want("first in the queue", g.c.placement.sortedQueue()[0].id, "job-1")
-		g.want("in the queue", len(g.c.placement.sortedQueue()), 2)
+		g.want("first in the queue", g.core.placement.sortedQueue()[0].id, "job-1")
+		g.want("in the queue", len(g.core.placement.sortedQueue()), 2)
 	})
 	t.Run("a long chain and a wide fan", func(t *testing.T) {
 		g := newHarness(t, ledger.Snapshot{})
@@ -118,10 +118,10 @@
 			}
 			g.submit(newDependentJob(fmt.Sprintf("job-2%d", i), before))
 		}
-		g.step(CancelRequest{JobID: "job-0", ReplyTo: recipient("u")})
+		g.step(CancelRequest{JobID: "job-0", ReplyTo: testRecipient("u")})
 		g.want("the last of the fan", g.jobStatus(fmt.Sprintf("job-1%d", n-1)), wire.JobCancelled)
 		g.want("the last of the chain", g.jobStatus(fmt.Sprintf("job-2%d", n-1)), wire.JobCancelled)
-		g.want("what the ledger has of it", g.writes[fmt.Sprintf("job/job-2%d", n-1)].Value.(ledger.JobRecord).TerminalState, wire.JobCancelled)
+		g.want("what the ledger has of it", g.writesByKey[fmt.Sprintf("job/job-2%d", n-1)].Value.(ledger.JobRecord).TerminalState, wire.JobCancelled)
 	})
 }
 
@@ -139,14 +139,20 @@
 		want  string // the state of job-3, which depends on job-2, which depends on job-1
 	}{
 		// "" is decided by the record alone.
-		{"before it is durable", nil, func(g *harness) { g.holdWrites = true; g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")}) }, ""},
-		{"before that of the one between", nil, func(g *harness) { g.holdWrites = true; g.step(CancelRequest{JobID: "job-2", ReplyTo: recipient("u")}) }, ""},
-		{"once it is durable", nil, func(g *harness) { g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")}) }, wire.JobCancelled},
-		{"the one between", nil, func(g *harness) { g.step(CancelRequest{JobID: "job-2", ReplyTo: recipient("u")}) }, wire.JobCancelled},
-		{"the last alone", nil, func(g *harness) { g.step(CancelRequest{JobID: "job-3", ReplyTo: recipient("u")}) }, wire.JobCancelled},
+		{"before it is durable", nil, func(g *harness) {
+			g.holdWrites = true
+			g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+		}, ""},
+		{"before that of the one between", nil, func(g *harness) {
+			g.holdWrites = true
+			g.step(CancelRequest{JobID: "job-2", ReplyTo: testRecipient("u")})
+		}, ""},
+		{"once it is durable", nil, func(g *harness) { g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")}) }, wire.JobCancelled},
+		{"the one between", nil, func(g *harness) { g.step(CancelRequest{JobID: "job-2", ReplyTo: testRecipient("u")}) }, wire.JobCancelled},
+		{"the last alone", nil, func(g *harness) { g.step(CancelRequest{JobID: "job-3", ReplyTo: testRecipient("u")}) }, wire.JobCancelled},
 		{"done before", nil, func(g *harness) {
 			g.finishTask("vm-1", "job-1")
-			g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
+			g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 		}, wire.JobQueued},
 		{"the leader ended between its write and theirs", []ledger.SavedJob{open("job-3", "job-2"), open("job-2", "job-1"), cancelled}, nil, wire.JobCancelled},
 		{"submitted after it", []ledger.SavedJob{cancelled}, func(g *harness) {
@@ -158,7 +164,7 @@
 			g.submit(newDependentJob("job-6"))
 			g.submit(newDependentJob("job-7", "job-5", "job-6"))
 			g.submit(newDependentJob("job-8", "job-7", "job-3"))
-			g.step(CancelRequest{JobID: "job-5", ReplyTo: recipient("u")})
+			g.step(CancelRequest{JobID: "job-5", ReplyTo: testRecipient("u")})
 			g.want("what needs it", g.jobStatus("job-7"), wire.JobCancelled)
 			g.want("what needs that", g.jobStatus("job-8"), wire.JobCancelled)
 			g.want("what it was beside", g.jobStatus("job-6") != wire.JobCancelled, true)
@@ -166,20 +172,20 @@
 		{"both ways of a diamond", nil, func(g *harness) {
 			g.submit(newDependentJob("job-4", "job-1"))
 			g.submit(newDependentJob("job-9", "job-4", "job-2"))
-			g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
+			g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 			g.want("where the ways meet", g.jobStatus("job-9"), wire.JobCancelled)
 			g.want("the other way", g.jobStatus("job-4"), wire.JobCancelled)
 		}, wire.JobCancelled},
 		{"one way of a diamond", nil, func(g *harness) {
 			g.submit(newDependentJob("job-4", "job-1"))
 			g.submit(newDependentJob("job-9", "job-4", "job-2"))
-			g.step(CancelRequest{JobID: "job-4", ReplyTo: recipient("u")})
+			g.step(CancelRequest{JobID: "job-4", ReplyTo: testRecipient("u")})
 			g.want("where the ways meet", g.jobStatus("job-9"), wire.JobCancelled)
 		}, wire.JobQueued},
 		{"cancelled as its last task ends", nil, func(g *harness) {
 			g.holdWrites = true
 			g.finishTask("vm-1", "job-1")
-			g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
+			g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 			g.releaseWrites()
 			g.want("the one that was cancelled", g.jobStatus("job-1"), wire.JobDone)
 		}, wire.JobQueued},
@@ -193,19 +199,19 @@
 				g.submit(newDependentJob("job-1"))
 				g.submit(newDependentJob("job-2", "job-1"))
 				g.submit(newDependentJob("job-3", "job-2"))
-				g.endCommands(CommandExecuted)
+				g.completeCommands(CommandExecuted)
 			}
 			if c.play != nil {
 				c.play(g)
 			}
 			state := g.jobStatus("job-3")
-			if g.out[0].(UserReply).TerminalStatePending {
+			if g.recentEffects[0].(UserReply).TerminalStatePending {
 				state = ""
 			}
 			g.want("state of the last", state, c.want)
-			g.endCommands(CommandExecuted)
-			g.wait(time.Second)
-			for _, o := range g.starts() {
+			g.completeCommands(CommandExecuted)
+			g.advance(time.Second)
+			for _, o := range g.startCommands() {
 				if jobID := wire.JobIDOfTask(o.Task); jobID == "job-3" {
 					t.Errorf("%s was started", o.Task)
 				}
@@ -223,7 +229,7 @@
 	first.Priority = "idle"
 	g.submit(first)
 	g.submit(newDependentJob("job-2", "job-1"))
-	of := func(jobID string) *job { return g.c.jobs.list[g.c.jobs.indexByID[jobID]] }
+	of := func(jobID string) *job { return g.core.jobs.list[g.core.jobs.indexByID[jobID]] }
 	g.want("without an end", of("job-1").priority.class > of("job-2").priority.class, false)
 	g.want("its deadline", of("job-1").priority.deadline, noDeadline)
 	last := newDependentJob("job-3", "job-2")
@@ -237,11 +243,11 @@
 	g.want("due of the last", of("job-3").priority.deadline, 100*time.Second)
 	g.want("due of the one before", of("job-2").priority.deadline, 90*time.Second)
 	g.want("due of the first", of("job-1").priority.deadline, 80*time.Second)
-	g.want("first in the queue", g.c.placement.sortedQueue()[0].id, "job-1")
+	g.want("first in the queue", g.core.placement.sortedQueue()[0].id, "job-1")
 	g.want("rank of another job", of("job-7").priority.class, 2)
 	g.now += 3 * time.Minute
 	g.bringUp("vm-1")
-	g.endCommands(CommandExecuted)
+	g.completeCommands(CommandExecuted)
 	g.finishTask("vm-1", "job-1")
 	g.want("when the second became ready", of("job-2").priority.arrived, g.now)
 }
--- a/internal/scheduler/drain_plans.go
+++ b/internal/scheduler/drain_plans.go
@@ -174,7 +174,7 @@
 			cordoned = cordoned || p.rollout.IsCordoned(m.name)
 			kept = kept || p.rollout.IsReplacement(m.name)
 		}
-		m.eviction.kept = kept
+		m.eviction.rentedForPlan = kept
 		if m.eviction.cordoned != cordoned {
 			m.eviction.cordoned = cordoned
 			d.placement.markIndexStale(m)
--- a/internal/scheduler/durable_writes.go
+++ b/internal/scheduler/durable_writes.go
@@ -34,14 +34,14 @@
 	d.effects.emit(WriteLedger{Writes: []ledger.Write{w}})
 }
 
-// durable notes that tagged writes have become durable.
-func (d *durableWrites) durable(count int) {
+// markDurable notes that tagged writes have become durable.
+func (d *durableWrites) markDurable(count int) {
 	d.pending -= count
 	d.lastDurableAt = d.clock.now
 }
 
-// rejected notes that tagged writes were not carried out.
-func (d *durableWrites) rejected(count int) { d.pending -= count }
+// markRejected notes that tagged writes were not carried out.
+func (d *durableWrites) markRejected(count int) { d.pending -= count }
 
 // stalled tells whether writes are pending and none has become durable for a time.
 func (d *durableWrites) stalled(since time.Duration) bool {
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -105,7 +105,7 @@
 	// are larger than the key-value store allows by now.
 	WritesRejected struct{ Tags []ledger.Tag }
 	// ValueLimitChanged carries how many bytes a value may have from now on.
-	ValueLimitChanged struct{ ValueBytes int }
+	ValueLimitChanged struct{ MaxValueBytes int }
 
 	// PlanRequest creates a plan, with Spec, or sends a command to the plan of a name.
 	PlanRequest struct {
--- a/internal/scheduler/evictions.go
+++ b/internal/scheduler/evictions.go
@@ -44,7 +44,7 @@
 		}
 	case rollout.ReturnMachine:
 		if m := c.machines.find(a.Machine); m != nil && (m.state == machineDeleting || c.planViews.isEmpty(m)) {
-			c.returns.requestDelete(m, "drained")
+			c.scaleIns.requestDelete(m, "drained")
 		}
 	case rollout.RentReplacements:
 		c.replacements.rentReplacements(a)
--- a/internal/scheduler/evictions_test.go
+++ b/internal/scheduler/evictions_test.go
@@ -14,14 +14,14 @@
 
 // newDrainHarness begins a term that carries plans out, with one in the ledger unless it is
 // nil.
-func newDrainHarness(t tester, r *rollout.Record) *harness {
+func newDrainHarness(t testingT, r *rollout.Record) *harness {
 	operator := settings.Defaults()
 	operator.Rollouts = settings.Rollouts{Enabled: true, Budgets: rollout.Budgets{TeamDefault: rollout.Budget{Jobs: 1, Window: time.Second}}}
 	var s ledger.Snapshot
 	if r != nil {
 		s.Plans = []rollout.Record{*r}
 	}
-	return newHarnessAt(t, time.Hour, testConfig(operator, settings.Team{Name: "t"}), s)
+	return newHarnessWithConfig(t, time.Hour, testConfig(operator, settings.Team{Name: "t"}), s)
 }
 
 func newPlanRecord(phase rollout.Phase, batch ...string) *rollout.Record {
@@ -31,13 +31,13 @@
 
 // writtenPlan is the plan's record as it was last written.
 func (g *harness) writtenPlan() rollout.Record {
-	r, _ := g.writes[ledger.PlanKey("winter")].Value.(rollout.Record)
+	r, _ := g.writesByKey[ledger.PlanKey("winter")].Value.(rollout.Record)
 	return r
 }
 
 // requestPlan is what a command about a plan is answered.
 func (g *harness) requestPlan(e PlanRequest) error {
-	e.ReplyTo = recipient("operator")
+	e.ReplyTo = testRecipient("operator")
 	g.step(e)
 	a, ok := lastEffect[PlanReply](g)
 	if !ok {
@@ -51,12 +51,12 @@
 // lasted.
 func TestBatchMachineReturnedByEarlierLeader(t *testing.T) {
 	g := newDrainHarness(t, newPlanRecord(rollout.PhaseDraining, "vm-9"))
-	g.wait(10 * time.Second)
-	g.want("machines", len(g.c.machines.list), 0)
-	g.want("written before all can have been heard of", g.puts, 0)
-	g.wait(30 * time.Second)
+	g.advance(10 * time.Second)
+	g.want("machines", len(g.core.machines.list), 0)
+	g.want("written before all can have been heard of", g.writeCount, 0)
+	g.advance(30 * time.Second)
 	r := g.writtenPlan()
-	g.want("the plan", []any{r.Phase, r.Drained, len(g.c.machines.list)}, []any{rollout.PhaseFinished, 1, 0})
+	g.want("the plan", []any{r.Phase, r.Drained, len(g.core.machines.list)}, []any{rollout.PhaseFinished, 1, 0})
 }
 
 // TestPlanCommandsReplyWhenDurable: a plan that is created counts once it is written, and an
@@ -69,8 +69,8 @@
 	}
 	g.bringUp("vm-1")
 	g.holdWrites = true
-	g.step(PlanRequest{Spec: &spec, ReplyTo: recipient("operator")})
-	g.want("durable", g.c.plans.byName["winter"].rollout.IsDurable(), false)
+	g.step(PlanRequest{Spec: &spec, ReplyTo: testRecipient("operator")})
+	g.want("durable", g.core.plans.byName["winter"].rollout.IsDurable(), false)
 	g.releaseWrites()
 	answer, _ := lastEffect[PlanReply](g)
 	g.want("answer once durable", answer.Err, nil)
@@ -96,28 +96,28 @@
 	job := newTestJob("job-1", 1, 1)
 	job.CheckpointIntervalS, job.CheckpointDurationS, job.EstimatedRunS = 10, 7, 1000
 	g.submit(job)
-	o := g.starts()[0]
-	g.endCommands(CommandExecuted)
+	o := g.startCommands()[0]
+	g.completeCommands(CommandExecuted)
 	g.now += time.Minute
-	running := taskIn(o, wire.TaskRunning, "")
-	g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, running))
+	running := newTaskStatus(o, wire.TaskRunning, "")
+	g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, running))
 	spec := newPlanRecord(rollout.PhaseSelecting).Spec
 	g.want("begun", g.requestPlan(PlanRequest{Spec: &spec}), nil)
 	for range 4 {
-		g.wait(2 * time.Second)
+		g.advance(2 * time.Second)
 		g.acknowledge("vm-1", running)
 	}
 	g.holdWrites = true
 	for range 20 {
-		g.wait(2 * time.Second)
+		g.advance(2 * time.Second)
 		g.acknowledge("vm-1", running)
 	}
 	g.want("moves written, not durable", len(g.writtenPlan().Evictions), 1)
 	g.want("stops before that is durable", len(g.sentCommands), 0)
 	g.submit(newTestJob("job-2", 1, 1))
-	g.want("starts on a machine that is emptied", len(g.starts()), 0)
+	g.want("starts on a machine that is emptied", len(g.startCommands()), 0)
 	g.releaseWrites()
-	g.wait(time.Second)
+	g.advance(time.Second)
 	g.want("stops", len(g.sentCommands), 1)
 	stop := g.sentCommands[0].Request.Commands[0]
 	g.want("the stop", []any{stop.Verb, stop.Attempt, *stop.GracePeriodS}, []any{wire.VerbStop, o.Attempt, 7.0})
@@ -134,11 +134,11 @@
 		job := newTestJob(jobID, 1, 3)
 		job.CheckpointIntervalS, job.CheckpointDurationS, job.EstimatedRunS = 10, 1, 10000
 		g.submit(job)
-		running = append(running, taskIn(g.starts()[0], wire.TaskRunning, ""))
-		g.endCommands(CommandExecuted)
+		running = append(running, newTaskStatus(g.startCommands()[0], wire.TaskRunning, ""))
+		g.completeCommands(CommandExecuted)
 	}
 	machines := []string{"vm-1", "vm-2"}
-	if g.c.jobs.list[0].record.hosts[0].machine != g.c.machineNamed("vm-1").index {
+	if g.core.jobs.list[0].record.hosts[0].machine != g.core.findOrAddMachine("vm-1").index {
 		machines = []string{"vm-2", "vm-1"}
 	}
 	report := func() {
@@ -148,30 +148,30 @@
 	}
 	report()
 	for range 20 {
-		g.wait(2 * time.Second)
+		g.advance(2 * time.Second)
 		report()
 	}
 	g.sentCommands = nil
-	notice := g.heartbeatOf(machines[0], g.c.machineNamed(machines[0]).agent.FencingToken(), running[0])
+	notice := g.newHeartbeat(machines[0], g.core.findOrAddMachine(machines[0]).agent.FencingToken(), running[0])
 	seconds := 60.0
 	notice.TerminationNoticeS = &seconds
 	g.sendHeartbeat(notice)
 	stopped := running[0]
 	stopped.Status, stopped.ExitReason, stopped.CheckpointSaved = wire.TaskEnded, wire.ExitStopped, true
 	g.acknowledge(machines[0], stopped)
-	entries := g.c.disruptions.tracker.Disruptions(g.now)
+	entries := g.core.disruptions.tracker.Disruptions(g.now)
 	if len(entries) != 1 || entries[0].Job.ID != "job-1" || entries[0].Cause == rollout.CauseEviction {
 		t.Fatalf("%+v", entries)
 	}
 	g.sentCommands = nil
 	spec := rollout.Spec{Name: "winter", Machines: []string{machines[1]}, Canary: 1, Batch: 1, WaitS: 100, HealthS: 100}
 	g.want("begun", g.requestPlan(PlanRequest{Spec: &spec}), nil)
-	g.wait(3 * time.Second)
+	g.advance(3 * time.Second)
 	g.want("moves while the budget is used up", len(g.writtenPlan().Evictions), 0)
-	g.want("what it waits for", strings.Contains(strings.Join(g.c.plans.byName["winter"].rollout.WaitReasons(), " "), "room for it elsewhere"), true)
+	g.want("what it waits for", strings.Contains(strings.Join(g.core.plans.byName["winter"].rollout.WaitReasons(), " "), "room for it elsewhere"), true)
 	g.acknowledge(machines[1], running[1])
-	g.wait(28 * time.Second)
+	g.advance(28 * time.Second)
 	g.acknowledge(machines[1], running[1])
-	g.wait(4 * time.Second)
-	g.want("what it waits for in the end", strings.Join(g.c.plans.byName["winter"].rollout.WaitReasons(), " "), "job-2/0 on "+machines[1]+": the budget of team t: 1 of 1 jobs")
+	g.advance(4 * time.Second)
+	g.want("what it waits for in the end", strings.Join(g.core.plans.byName["winter"].rollout.WaitReasons(), " "), "job-2/0 on "+machines[1]+": the budget of team t: 1 of 1 jobs")
 }
--- a/internal/scheduler/failure_attribution_test.go
+++ b/internal/scheduler/failure_attribution_test.go
@@ -29,11 +29,11 @@
 				d := g.sentCommands[0]
 				g.sentCommands = g.sentCommands[1:]
 				g.step(CommandResult{CommandID: d.CommandID, Outcome: CommandExecuted})
-				g.sendHeartbeat(g.heartbeatOf(d.Machine, termToken, taskIn(d.Request.Commands[0], wire.TaskEnded, c.ends[0])))
+				g.sendHeartbeat(g.newHeartbeat(d.Machine, termToken, newTaskStatus(d.Request.Commands[0], wire.TaskEnded, c.ends[0])))
 				c.ends = c.ends[1:]
 			}
 			n := 0
-			for _, m := range g.c.machines.list {
+			for _, m := range g.core.machines.list {
 				if m.health.quarantined {
 					n++
 				}
--- a/internal/scheduler/fair_share.go
+++ b/internal/scheduler/fair_share.go
@@ -57,7 +57,7 @@
 	var best *machine
 	least := 0.0
 	for _, m := range p.machines.live {
-		if !m.indexed.schedulable || m.capacity.reserved || !j.allowsMachine(m.typ, m.zone, m.spot) || j.retry.failedOn[m.index] || !j.request.size.Within(m.capacity.total) {
+		if !m.indexed.schedulable || m.capacity.reserved || !j.allowsMachine(m.typeIndex, m.zone, m.spot) || j.retry.failedOn[m.index] || !j.request.size.Within(m.capacity.total) {
 			continue
 		}
 		if left := p.remainingWork(m); best == nil || left < least {
--- a/internal/scheduler/fair_share_test.go
+++ b/internal/scheduler/fair_share_test.go
@@ -50,18 +50,18 @@
 						}
 					}
 				}
-				g.endCommands(CommandExecuted)
+				g.completeCommands(CommandExecuted)
 			}
 			victim := c.victim()
 			for step := 0; g.now < c.within+time.Second && began < 0; step++ {
-				for g.c.jobs.list == nil || jobs < 2 || len(g.c.placement.sortedQueue()) < 3 {
+				for g.core.jobs.list == nil || jobs < 2 || len(g.core.placement.sortedQueue()) < 3 {
 					jobs++
 					g.submit(urgent(fmt.Sprintf("job-1%03d", jobs), 8, 1))
 				}
 				if step == 1 {
 					g.submit(victim)
 				}
-				g.wait(time.Second)
+				g.advance(time.Second)
 				collect()
 				// On each machine one task ends each second.
 				for i := range c.machines {
@@ -71,9 +71,9 @@
 						g.acknowledge(name)
 						continue
 					}
-					tasks := []wire.TaskStatus{taskIn(all[0], wire.TaskEnded, wire.ExitDone)}
+					tasks := []wire.TaskStatus{newTaskStatus(all[0], wire.TaskEnded, wire.ExitDone)}
 					for _, o := range all[1:] {
-						tasks = append(tasks, taskIn(o, wire.TaskRunning, ""))
+						tasks = append(tasks, newTaskStatus(o, wire.TaskRunning, ""))
 					}
 					running[name] = all[1:]
 					for _, o := range g.acknowledge(name, tasks...).Commands {
--- a/internal/scheduler/federation_test.go
+++ b/internal/scheduler/federation_test.go
@@ -26,7 +26,7 @@
 	if change != nil {
 		change(&o)
 	}
-	g := newHarnessWith(t, o, ledger.Snapshot{}, teams...)
+	g := newHarnessWithSettings(t, o, ledger.Snapshot{}, teams...)
 	g.bringUp("vm-1")
 	g.step(TransfersEnabled{})
 	return g
@@ -35,28 +35,28 @@
 // waitReporting lets time pass while the machine reports what it runs.
 func (g *harness) waitReporting(d time.Duration, machine string, tasks ...wire.TaskStatus) {
 	for end := g.now + d; g.now < end; {
-		g.wait(time.Second)
+		g.advance(time.Second)
 		g.acknowledge(machine, tasks...)
 	}
 }
 
-// fillMachine has a job take the whole machine for long and returns how it is reported.
+// applyToMachine has a job take the whole machine for long and returns how it is reported.
 func (g *harness) fillMachine(jobID string) []wire.TaskStatus {
 	j := newTestJob(jobID, 4, 1)
 	j.EstimatedRunS = 1000
 	g.submit(j)
 	var running []wire.TaskStatus
-	for _, o := range g.starts() {
-		running = append(running, taskIn(o, wire.TaskRunning, ""))
+	for _, o := range g.startCommands() {
+		running = append(running, newTaskStatus(o, wire.TaskRunning, ""))
 	}
-	g.endCommands(CommandExecuted)
+	g.completeCommands(CommandExecuted)
 	return running
 }
 
 // lastEffect returns the latest effect of a type.
 func lastEffect[E Effect](g *harness) (e E, ok bool) {
-	for i := len(g.others) - 1; i >= 0; i-- {
-		if e, ok = g.others[i].(E); ok {
+	for i := len(g.otherEffects) - 1; i >= 0; i-- {
+		if e, ok = g.otherEffects[i].(E); ok {
 			return e, true
 		}
 	}
@@ -131,7 +131,7 @@
 	running := g.fillMachine("job-1")
 	g.submit(tight("job-2"))
 	g.want("offered", len(g.offersAfterShortage(100, running)), 1)
-	g.want("its record", g.writes[ledger.DelegatedKey("job-2")].Value.(federation.DelegatedRecord).State, federation.Offered)
+	g.want("its record", g.writesByKey[ledger.DelegatedKey("job-2")].Value.(federation.DelegatedRecord).State, federation.Offered)
 	answer := func(o federation.Outcome, running int) {
 		g.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: o, Running: running}}})
 	}
@@ -139,15 +139,15 @@
 	g.want("told while it runs there", g.jobStatus("job-2"), wire.JobRunning)
 	g.bringUp("vm-2")
 	g.submit(tight("job-3"))
-	g.want("started within the limit of both cells", len(g.starts()), 1)
+	g.want("started within the limit of both cells", len(g.startCommands()), 1)
 	answer(federation.OutcomeDone, 0)
 	g.want("told in the end", g.jobStatus("job-2"), wire.JobDone)
-	g.wait(time.Second)
+	g.advance(time.Second)
 	if send, ok := lastEffect[SendTransfers](g); !ok || send.Messages[0].Kind != federation.Release {
 		t.Errorf("after the end: %+v", send)
 	}
 	answer(federation.OutcomeReleased, 0)
-	if w := g.writes[ledger.DelegatedKey("job-2")]; w.Value != nil {
+	if w := g.writesByKey[ledger.DelegatedKey("job-2")]; w.Value != nil {
 		t.Errorf("the record stays: %+v", w.Value)
 	}
 }
@@ -164,8 +164,8 @@
 		if silent {
 			g.step(TransferResult{Cell: "puno", Err: errUnreachable})
 		}
-		g.others = nil
-		g.step(CancelRequest{JobID: "job-2", ReplyTo: recipient("u")})
+		g.otherEffects = nil
+		g.step(CancelRequest{JobID: "job-2", ReplyTo: testRecipient("u")})
 		told, ok := lastEffect[UserReply](g)
 		g.want("told at once", ok, silent)
 		g.want("as unreachable", told.CellUnreachable, silent)
@@ -180,12 +180,12 @@
 	g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 1, Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}}},
 		Delegated: []ledger.SavedDelegated{{JobID: "job-1", Unknown: true}}}, settings.Team{Name: "t", CPUsMax: 1.5})
 	g.bringUp("vm-1")
-	g.want("started", len(g.starts()), 0)
+	g.want("started", len(g.startCommands()), 0)
 	g.submit(newTestJob("job-2", 1, 1))
-	g.want("started of the rest of the team's limit", len(g.starts()), 0)
+	g.want("started of the rest of the team's limit", len(g.startCommands()), 0)
 	g.submit(newTestJob("job-3", 1, 0.5))
-	g.want("started beside it", len(g.starts()), 1)
-	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
+	g.want("started beside it", len(g.startCommands()), 1)
+	g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 	told, _ := lastEffect[UserReply](g)
 	g.want("told as unreachable", told.CellUnreachable, true)
 	g.want("its state", g.jobStatus("job-1"), wire.JobQueued)
@@ -218,7 +218,7 @@
 			if c.before != nil {
 				c.before(g)
 			}
-			g.step(CapacityRequest{Origin: c.home, Cores: c.ask, ReplyTo: recipient("r")})
+			g.step(CapacityRequest{Origin: c.home, Cores: c.ask, ReplyTo: testRecipient("r")})
 			answer, _ := lastEffect[CapacityReply](g)
 			if answer.Cores != c.want || !strings.Contains(answer.Reason, c.why) || (answer.Cores == 0) != (answer.RetryAfter > 0) {
 				t.Errorf("%+v, want %v cores, %q", answer, c.want, c.why)
@@ -230,11 +230,11 @@
 // offerForeignJob is another cell's offer.
 func offerForeignJob(g *harness, jobID, job string) federation.Outcome {
 	m := federation.Message{Kind: federation.Offer, JobID: jobID, Epoch: 1, Body: &federation.OfferBody{Job: []byte(job), Cores: 1}}
-	g.step(TransferRequest{Origin: "puno", Messages: []federation.Message{m}, ReplyTo: recipient("r")})
+	g.step(TransferRequest{Origin: "puno", Messages: []federation.Message{m}, ReplyTo: testRecipient("r")})
 	if put, ok := lastEffect[WriteForeign](g); ok && put.Write.Key.JobID == jobID {
 		g.step(ForeignWriteResult{Write: put.Write, Job: put.Job, Version: 9})
 	}
-	g.step(TransferRequest{Origin: "puno", Messages: []federation.Message{{Kind: federation.Status, JobID: jobID, Epoch: 1}}, ReplyTo: recipient("r")})
+	g.step(TransferRequest{Origin: "puno", Messages: []federation.Message{{Kind: federation.Status, JobID: jobID, Epoch: 1}}, ReplyTo: testRecipient("r")})
 	answer, _ := lastEffect[TransferReply](g)
 	return answer.Answers[0].Outcome
 }
@@ -248,7 +248,7 @@
 	g.submit(newTestJob("job-1", 1, 1))
 	none := offerForeignJob(g, "job-80", fmt.Sprintf(described, "job-80", 1, "null", "[]"))
 	g.want("without a promise of room", none, federation.OutcomeRefused)
-	g.step(CapacityRequest{Origin: "puno", Cores: 3, ReplyTo: recipient("r")})
+	g.step(CapacityRequest{Origin: "puno", Cores: 3, ReplyTo: testRecipient("r")})
 	cases := []struct {
 		name, ref, job string
 		want           federation.Outcome
@@ -265,17 +265,17 @@
 	for _, c := range cases {
 		g.want(c.name, offerForeignJob(g, c.ref, c.job).String(), c.want.String())
 	}
-	g.step(StatusRequest{JobID: "job-87", ReplyTo: recipient("u")})
+	g.step(StatusRequest{JobID: "job-87", ReplyTo: testRecipient("u")})
 	told, _ := lastEffect[UserReply](g)
 	g.want("its state is told to users here", told.Known, false)
-	guest := g.c.jobs.list[g.c.jobs.indexByID["job-87"]]
-	g.want("it may leave", g.c.delegations.mayDelegate(guest), false)
+	guest := g.core.jobs.list[g.core.jobs.indexByID["job-87"]]
+	g.want("it may leave", g.core.delegations.mayDelegate(guest), false)
 	own := newTestJob("job-2", 4, 1)
 	own.Priority = "high"
 	guest.progress.allocated, guest.progress.waiting = 0, []int32{0} // as if it waited
 	g.submit(own)
 	var order []string
-	for _, j := range g.c.placement.sortedQueue() {
+	for _, j := range g.core.placement.sortedQueue() {
 		order = append(order, j.id)
 	}
 	g.want("the order of jobs of one priority", strings.Join(order, " "), "job-2 job-87")
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -108,7 +108,7 @@
 		return "it waits for jobs of its home"
 	}
 	// The record with the cell's name must fit, with room for its end.
-	if text, err := json.Marshal(spec); err != nil || len(text)+foreignRecordOverhead > f.cfg.ValueBytes {
+	if text, err := json.Marshal(spec); err != nil || len(text)+foreignRecordOverhead > f.cfg.MaxValueBytes {
 		return "its description is longer than can be recorded here"
 	}
 	if spec.Zone != nil {
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -14,31 +14,31 @@
 
 // harness drives a core by hand: a fake clock, and effects kept for inspection.
 type harness struct {
-	t            tester
-	c            *Core
-	now          time.Duration
-	seq          map[string]uint64
-	sentCommands []SendCommands // commands without a result
-	answered     []wire.Command // in responses to heartbeats, since the last call of endCommands
-	out          []Effect
-	others       []Effect // those that have no place above, from the beginning
+	t                testingT
+	core             *Core
+	now              time.Duration
+	sequences        map[string]uint64
+	sentCommands     []SendCommands // commands without a result
+	responseCommands []wire.Command // in responses to heartbeats, since the last call of completeCommands
+	recentEffects    []Effect
+	otherEffects     []Effect // those that have no place above, from the beginning
 	// holdWrites, while set, keeps ledger writes from becoming durable.
-	holdWrites bool
-	pending    []ledger.Tag
-	scaleOuts  []wire.ScaleOutRequest
-	deleted    []string
-	writes     map[string]ledger.Write // the last by key
-	puts       int                     // writes so far
-	specs      map[string]*wire.Job    // what was submitted
+	holdWrites      bool
+	pendingTags     []ledger.Tag
+	scaleOuts       []wire.ScaleOutRequest
+	deletedMachines []string
+	writesByKey     map[string]ledger.Write // the last by key
+	writeCount      int                     // writes so far
+	submittedJobs   map[string]*wire.Job    // what was submitted
 }
 
 const testTerm = 7
 
-// recipient stands for whoever waits for a reply.
-type recipient string
+// testRecipient stands for whoever waits for a reply.
+type testRecipient string
 
 // Deliver is not called: the harness reads the effects.
-func (recipient) Deliver(Effect) {}
+func (testRecipient) Deliver(Effect) {}
 
 // savedHosts and savedRanges are what the ledger holds of one job in one key.
 func savedHosts(machines ...string) []ledger.SavedHosts {
@@ -52,53 +52,53 @@
 	return []ledger.SavedRanges{{Key: "fin/job-1/0", Ranges: firstAndLast}}
 }
 
-// tester is a test or a property that fails.
-type tester interface {
+// testingT is a test or a property that fails.
+type testingT interface {
 	Helper()
 	Errorf(format string, args ...any)
 	Fatal(args ...any)
 }
 
-func newHarness(t tester, s ledger.Snapshot, teams ...settings.Team) *harness {
-	return newHarnessWith(t, settings.Defaults(), s, teams...)
+func newHarness(t testingT, s ledger.Snapshot, teams ...settings.Team) *harness {
+	return newHarnessWithSettings(t, settings.Defaults(), s, teams...)
 }
 
-func newHarnessWith(t tester, operator settings.Operator, s ledger.Snapshot, teams ...settings.Team) *harness {
+func newHarnessWithSettings(t testingT, operator settings.Operator, s ledger.Snapshot, teams ...settings.Team) *harness {
 	if len(teams) == 0 {
 		teams = []settings.Team{{Name: "t"}}
 	}
-	return newHarnessAt(t, 0, testConfig(operator, teams...), s)
+	return newHarnessWithConfig(t, 0, testConfig(operator, teams...), s)
 }
 
 func testConfig(operator settings.Operator, teams ...settings.Team) Config {
 	p := &settings.Platform{Facts: settings.Facts{ControllerCount: 3, Teams: teams,
 		Workers: settings.Workers{HeartbeatS: 3, LeaseS: 30, CancelS: 60}}}
-	return Config{Term: testTerm, Platform: p, Operator: operator, ValueBytes: 16 << 10}
+	return Config{Term: testTerm, Platform: p, Operator: operator, MaxValueBytes: 16 << 10}
 }
 
-func newHarnessAt(t tester, now time.Duration, cfg Config, s ledger.Snapshot) *harness {
-	g := &harness{now: now, t: t, seq: map[string]uint64{}, writes: map[string]ledger.Write{}, specs: map[string]*wire.Job{}}
+func newHarnessWithConfig(t testingT, now time.Duration, cfg Config, s ledger.Snapshot) *harness {
+	g := &harness{now: now, t: t, sequences: map[string]uint64{}, writesByKey: map[string]ledger.Write{}, submittedJobs: map[string]*wire.Job{}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	g.c = NewCore(cfg, s, now, now.Milliseconds(), log)
-	g.take(g.c.InitialEffects())
+	g.core = NewCore(cfg, s, now, now.Milliseconds(), log)
+	g.recordEffects(g.core.InitialEffects())
 	g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Types: true}, Types: []wire.MachineType{
 		{Name: "m4", CPUs: 4, MemGB: 16, CacheGB: 20, Price: 1, SpotPrice: 0.5, BootS: 40, Zones: []string{"a", "b"}}}}})
 	return g
 }
 
 func (g *harness) step(e Event) {
-	g.c.Step(e, g.now, g.now.Milliseconds())
-	g.take(g.c.Flush())
+	g.core.Step(e, g.now, g.now.Milliseconds())
+	g.recordEffects(g.core.Flush())
 }
 
-func (g *harness) take(effects []Effect) {
+func (g *harness) recordEffects(effects []Effect) {
 	var tags []ledger.Tag
 	for _, e := range effects {
 		switch e := e.(type) {
 		case WriteLedger:
 			for _, w := range e.Writes {
-				g.writes[w.Key] = w
-				g.puts++
+				g.writesByKey[w.Key] = w
+				g.writeCount++
 				if w.Tag != nil {
 					tags = append(tags, w.Tag)
 				}
@@ -109,19 +109,19 @@
 			if e.Call.ScaleOut != nil {
 				g.scaleOuts = append(g.scaleOuts, *e.Call.ScaleOut)
 			}
-			g.deleted = append(g.deleted, e.Call.Delete...)
+			g.deletedMachines = append(g.deletedMachines, e.Call.Delete...)
 		case HeartbeatReply:
-			g.out = append(g.out, e)
+			g.recentEffects = append(g.recentEffects, e)
 			if e.Response != nil {
-				g.answered = append(g.answered, e.Response.Commands...)
+				g.responseCommands = append(g.responseCommands, e.Response.Commands...)
 			}
 		default:
-			g.out = append(g.out, e)
-			g.others = append(g.others, e)
+			g.recentEffects = append(g.recentEffects, e)
+			g.otherEffects = append(g.otherEffects, e)
 		}
 	}
 	if g.holdWrites {
-		g.pending = append(g.pending, tags...)
+		g.pendingTags = append(g.pendingTags, tags...)
 	} else if len(tags) > 0 {
 		g.step(WritesDurable{tags})
 	}
@@ -130,29 +130,29 @@
 // releaseWrites makes the held writes durable.
 func (g *harness) releaseWrites() {
 	g.holdWrites = false
-	tags := g.pending
-	g.pending = nil
+	tags := g.pendingTags
+	g.pendingTags = nil
 	g.step(WritesDurable{tags})
 }
 
-// wait lets time pass, a tick at a time.
-func (g *harness) wait(d time.Duration) {
+// advance lets time pass, a tick at a time.
+func (g *harness) advance(d time.Duration) {
 	for end := g.now + d; g.now < end; {
 		g.now += 250 * time.Millisecond
 		g.step(Tick{})
 	}
 }
 
-func (g *harness) heartbeatOf(name string, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
-	g.seq[name]++
-	return &wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a", Spot: true}, AgentEpoch: 1, Sequence: g.seq[name], FencingToken: token, Tasks: tasks}
+func (g *harness) newHeartbeat(name string, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	g.sequences[name]++
+	return &wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a", Spot: true}, AgentEpoch: 1, Sequence: g.sequences[name], FencingToken: token, Tasks: tasks}
 }
 
 // sendHeartbeat sends a heartbeat and returns the response.
 func (g *harness) sendHeartbeat(r *wire.Heartbeat) *wire.HeartbeatResponse {
-	g.out = nil
-	g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: recipient("w")})
-	for _, e := range g.out {
+	g.recentEffects = nil
+	g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: testRecipient("w")})
+	for _, e := range g.recentEffects {
 		if a, ok := e.(HeartbeatReply); ok {
 			return a.Response
 		}
@@ -161,18 +161,18 @@
 	return nil
 }
 
-const termToken = testTerm << tokenBits
+const termToken = testTerm << termCounterBits
 
 // bringUp brings a machine up until it is schedulable.
 func (g *harness) bringUp(name string) {
-	g.sendHeartbeat(g.heartbeatOf(name, 0))
-	g.sendHeartbeat(g.heartbeatOf(name, termToken))
+	g.sendHeartbeat(g.newHeartbeat(name, 0))
+	g.sendHeartbeat(g.newHeartbeat(name, termToken))
 }
 
 // acknowledge has an agent show that it has received our latest token.
 func (g *harness) acknowledge(name string, tasks ...wire.TaskStatus) *wire.HeartbeatResponse {
-	m := g.c.machineNamed(name)
-	r := g.heartbeatOf(name, m.agent.FencingToken(), tasks...)
+	m := g.core.findOrAddMachine(name)
+	r := g.newHeartbeat(name, m.agent.FencingToken(), tasks...)
 	r.AgentEpoch = max(m.agent.Epoch(), 1)
 	return g.sendHeartbeat(r)
 }
@@ -182,13 +182,13 @@
 }
 
 func (g *harness) submit(j *wire.Job) {
-	g.specs[j.ID] = j
+	g.submittedJobs[j.ID] = j
 	g.step(JobRecordEvent{JobID: j.ID, Record: ledger.JobRecord{Job: j, AcceptedMS: g.now.Milliseconds()}, Version: 3})
 }
 
-// starts lists the starts in commands without a result and in responses.
-func (g *harness) starts() (orders []wire.Command) {
-	for _, o := range g.answered {
+// startCommands lists the starts in commands without a result and in responses.
+func (g *harness) startCommands() (orders []wire.Command) {
+	for _, o := range g.responseCommands {
 		if o.Verb == wire.VerbStart {
 			orders = append(orders, o)
 		}
@@ -203,20 +203,20 @@
 	return orders
 }
 
-// endCommands ends all commands that are on their way.
-func (g *harness) endCommands(outcome CommandOutcome) {
+// completeCommands ends all commands that are on their way.
+func (g *harness) completeCommands(outcome CommandOutcome) {
 	calls := g.sentCommands
-	g.sentCommands, g.answered = nil, nil
+	g.sentCommands, g.responseCommands = nil, nil
 	for _, d := range calls {
 		g.step(CommandResult{CommandID: d.CommandID, Outcome: outcome})
 	}
 }
 
-func taskIn(o wire.Command, status, why string) wire.TaskStatus {
+func newTaskStatus(o wire.Command, status, why string) wire.TaskStatus {
 	return wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: status, ExitReason: why}
 }
 
-func verbs(a *wire.HeartbeatResponse) string {
+func commandVerbs(a *wire.HeartbeatResponse) string {
 	s := ""
 	for _, o := range a.Commands {
 		s += o.Verb + " "
@@ -233,7 +233,7 @@
 
 // jobStatus asks for a job's state.
 func (g *harness) jobStatus(jobID string) string {
-	g.out = nil
-	g.step(StatusRequest{JobID: jobID, ReplyTo: recipient("u")})
-	return g.out[0].(UserReply).Status.Status
+	g.recentEffects = nil
+	g.step(StatusRequest{JobID: jobID, ReplyTo: testRecipient("u")})
+	return g.recentEffects[0].(UserReply).Status.Status
 }
--- a/internal/scheduler/heartbeat_responses_test.go
+++ b/internal/scheduler/heartbeat_responses_test.go
@@ -35,13 +35,13 @@
 			g.releaseWrites()
 		}, "answer with nothing, answer with nothing, command with start start start start "},
 		{"a new session", func(g *harness, _ func()) {
-			r := g.heartbeatOf("vm-1", termToken)
+			r := g.newHeartbeat("vm-1", termToken)
 			r.AgentEpoch = 2
-			g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: recipient("w")})
+			g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: testRecipient("w")})
 			g.releaseWrites()
 		}, "answer with nothing, answer with nothing"},
 		{"the machine is gone", func(g *harness, _ func()) {
-			g.c.removeMachine(g.c.machineNamed("vm-1"), "deleted")
+			g.core.removeMachine(g.core.findOrAddMachine("vm-1"), "deleted")
 			g.releaseWrites()
 		}, "no answer"},
 	}
@@ -50,21 +50,21 @@
 			g := newHarness(t, ledger.Snapshot{})
 			g.bringUp("vm-1")
 			g.submit(newTestJob("job-1", 4, 1))
-			first := g.starts()
-			g.endCommands(CommandExecuted)
+			first := g.startCommands()
+			g.completeCommands(CommandExecuted)
 			var ended []wire.TaskStatus
 			for _, o := range first {
-				ended = append(ended, taskIn(o, wire.TaskEnded, wire.ExitDone))
+				ended = append(ended, newTaskStatus(o, wire.TaskEnded, wire.ExitDone))
 			}
 			g.submit(newTestJob("job-2", 4, 1))
-			g.want("started on a full machine", len(g.starts()), 0)
+			g.want("started on a full machine", len(g.startCommands()), 0)
 
-			g.holdWrites, g.out = true, nil
+			g.holdWrites, g.recentEffects = true, nil
 			report := func() {
-				g.step(HeartbeatEvent{Heartbeat: g.heartbeatOf("vm-1", termToken, ended...), ReplyTo: recipient("w")})
+				g.step(HeartbeatEvent{Heartbeat: g.newHeartbeat("vm-1", termToken, ended...), ReplyTo: testRecipient("w")})
 			}
 			report()
-			g.want("answered at once", len(g.out), 0)
+			g.want("answered at once", len(g.recentEffects), 0)
 			c.then(g, report)
 			got := ""
 			add := func(s string) {
@@ -73,22 +73,22 @@
 				}
 				got += s
 			}
-			for _, e := range g.out {
+			for _, e := range g.recentEffects {
 				switch a := e.(HeartbeatReply); {
 				case a.Response == nil:
 					add("no answer")
 				case len(a.Response.Commands) == 0:
 					add("answer with nothing")
 				default:
-					add("answer with " + verbs(a.Response))
+					add("answer with " + commandVerbs(a.Response))
 				}
 			}
 			for _, d := range g.sentCommands {
-				add("command with " + verbs(&wire.HeartbeatResponse{Commands: d.Request.Commands}))
+				add("command with " + commandVerbs(&wire.HeartbeatResponse{Commands: d.Request.Commands}))
 			}
 			g.want("sent", got, c.want)
 			seen := map[string]bool{}
-			for _, o := range g.starts() {
+			for _, o := range g.startCommands() {
 				if seen[o.Task] {
 					t.Errorf("%s was started twice", o.Task)
 				}
@@ -105,21 +105,21 @@
 		again int // further starts
 	}{
 		{"the answer to a direct command proves nothing: ours may be on its way", func(g *harness, o wire.Command) {
-			g.step(CancelRequest{JobID: "job-9", ReplyTo: recipient("u")})
-			g.step(CommandResult{CommandID: g.sentCommands[0].CommandID, Outcome: CommandExecuted, Heartbeat: g.heartbeatOf("vm-1", termToken)})
+			g.step(CancelRequest{JobID: "job-9", ReplyTo: testRecipient("u")})
+			g.step(CommandResult{CommandID: g.sentCommands[0].CommandID, Outcome: CommandExecuted, Heartbeat: g.newHeartbeat("vm-1", termToken)})
 		}, 0},
 		{"a late copy of the report proves nothing", func(g *harness, o wire.Command) {
-			r := g.heartbeatOf("vm-1", termToken)
+			r := g.newHeartbeat("vm-1", termToken)
 			r.Sequence = 1
 			g.sendHeartbeat(r)
 		}, 0},
 		{"the next report without it gives it up", func(g *harness, o wire.Command) {
-			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken))
-			g.want("starts before it shows that it hears us", len(g.starts()), 0)
+			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken))
+			g.want("starts before it shows that it hears us", len(g.startCommands()), 0)
 			g.acknowledge("vm-1")
 		}, 1},
 		{"the next report with it confirms it", func(g *harness, o wire.Command) {
-			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskFetching, "")))
+			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskFetching, "")))
 		}, 0},
 	}
 	for _, c := range cases {
@@ -127,18 +127,18 @@
 			g := newHarness(t, ledger.Snapshot{})
 			g.bringUp("vm-1")
 			g.submit(newTestJob("job-9", 1, 3))
-			nine := g.starts()[0]
-			g.endCommands(CommandExecuted)
+			nine := g.startCommands()[0]
+			g.completeCommands(CommandExecuted)
 			g.submit(newTestJob("job-1", 8, 2)) // no room for it beside the other
-			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(nine, wire.TaskRunning, "")))
-			g.want("starts without room", len(g.starts()), 0)
+			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(nine, wire.TaskRunning, "")))
+			g.want("starts without room", len(g.startCommands()), 0)
 			// The first job's host is in the ledger, so its next start can be sent at once.
-			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(nine, wire.TaskEnded, wire.ExitStopped)))
-			g.want("starts in the answer", len(g.answered), 2) // a forget and the start
-			o := g.starts()[0]
-			g.answered = nil
+			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(nine, wire.TaskEnded, wire.ExitStopped)))
+			g.want("starts in the answer", len(g.responseCommands), 2) // a forget and the start
+			o := g.startCommands()[0]
+			g.responseCommands = nil
 			c.act(g, o)
-			g.want("further starts", len(g.starts()), c.again)
+			g.want("further starts", len(g.startCommands()), c.again)
 		})
 	}
 }
@@ -165,13 +165,13 @@
 			g.bringUp("vm-1")
 			g.submit(newTestJob("job-1", minForgetBatch+1, 0.25))
 			var ended []wire.TaskStatus
-			for _, o := range g.starts()[:minForgetBatch] {
-				ended = append(ended, taskIn(o, wire.TaskEnded, c.why))
+			for _, o := range g.startCommands()[:minForgetBatch] {
+				ended = append(ended, newTaskStatus(o, wire.TaskEnded, c.why))
 			}
-			g.endCommands(c.outcome)
+			g.completeCommands(c.outcome)
 			g.holdWrites = !c.durable
-			g.sendHeartbeat(g.heartbeatOf("vm-1", c.token, ended...))
-			got := verbs(g.sendHeartbeat(g.heartbeatOf("vm-1", c.token, ended...)))
+			g.sendHeartbeat(g.newHeartbeat("vm-1", c.token, ended...))
+			got := commandVerbs(g.sendHeartbeat(g.newHeartbeat("vm-1", c.token, ended...)))
 			g.want("forgotten", strings.Count(got, "forget"), c.want)
 		})
 	}
@@ -183,14 +183,14 @@
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 2, 1))
-	orders := g.starts()
-	g.endCommands(CommandExecuted)
-	done, runs := taskIn(orders[0], wire.TaskEnded, wire.ExitDone), taskIn(orders[1], wire.TaskRunning, "")
-	g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, done, runs))
-	g.want("alone", verbs(g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, done, runs))), "")
+	orders := g.startCommands()
+	g.completeCommands(CommandExecuted)
+	done, runs := newTaskStatus(orders[0], wire.TaskEnded, wire.ExitDone), newTaskStatus(orders[1], wire.TaskRunning, "")
+	g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, done, runs))
+	g.want("alone", commandVerbs(g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, done, runs))), "")
 	g.holdWrites = true // so that the start waits for the heartbeat
 	g.submit(newTestJob("job-2", 1, 1))
-	m := g.c.machineNamed("vm-1")
-	g.c.sendPlannedStarts(g.c.jobs.list[1], m)
-	g.want("with a start", verbs(g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, done, runs))), "start forget ")
+	m := g.core.findOrAddMachine("vm-1")
+	g.core.sendPlannedStarts(g.core.jobs.list[1], m)
+	g.want("with a start", commandVerbs(g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, done, runs))), "start forget ")
 }
--- a/internal/scheduler/heartbeats.go
+++ b/internal/scheduler/heartbeats.go
@@ -10,13 +10,13 @@
 
 func (c *Core) handleHeartbeat(e HeartbeatEvent) {
 	r := e.Heartbeat
-	if r.FencingToken>>tokenBits > c.term {
+	if r.FencingToken>>termCounterBits > c.term {
 		// A newer leader has sent this agent a token: we must not respond.
 		c.log.Info("agent has a token of a newer term", "machine", r.Machine, "fencing_token", r.FencingToken)
 		c.effects.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
 	}
-	m := c.machineNamed(r.Machine)
+	m := c.findOrAddMachine(r.Machine)
 	if m.state == machineGone {
 		c.effects.emit(HeartbeatReply{ReplyTo: e.ReplyTo})
 		return
@@ -61,7 +61,7 @@
 	if m.state == machineStarting {
 		m.state = machineUp
 		m.agent.RecordFirstHeartbeat(c.clock.now)
-		c.machineCameUp(m)
+		c.handleMachineUp(m)
 	}
 	c.updateDescription(m, r.Type, r.Zone, r.Spot, r.Address)
 	m.agent.RecordHeartbeat(c.clock.now)
@@ -73,7 +73,7 @@
 	m.agent.Acknowledge(r, c.clock.now)
 	m.commands.resolveUpToToken(m.agent.AcknowledgedToken())
 	if r.TerminationNoticeS != nil && m.rental.terminationAt == 0 {
-		m.rental.noticeTermination(c.clock.now + settings.Seconds(*r.TerminationNoticeS))
+		m.rental.setTermination(c.clock.now + settings.Seconds(*r.TerminationNoticeS))
 		c.log.Info("machine has a termination notice", "machine", m.name, "seconds", *r.TerminationNoticeS, "allocations", len(m.capacity.allocations))
 	}
 	if m.trusted(c.term) {
--- a/internal/scheduler/inherited_state.go
+++ b/internal/scheduler/inherited_state.go
@@ -11,12 +11,12 @@
 // inheritedState is the soft state of an earlier leader. It is used where this term knows
 // nothing better, and dropped when the term's beginning has passed.
 type inheritedState struct {
-	term      uint64
-	clock     *clock
-	types     *machineTypes
-	table     *machineTable
-	placement *placement
-	pools     *capacityPools
+	term         uint64
+	clock        *clock
+	types        *machineTypes
+	machineTable *machineTable
+	placement    *placement
+	pools        *capacityPools
 
 	machines   map[string]softstate.Machine
 	runningFor map[uint64]time.Duration // by attempt: how long before the term it began to run
@@ -24,7 +24,7 @@
 }
 
 func newInheritedState(c *Core) inheritedState {
-	return inheritedState{term: c.term, clock: &c.clock, types: &c.types, table: &c.machines, placement: &c.placement, pools: &c.pools}
+	return inheritedState{term: c.term, clock: &c.clock, types: &c.types, machineTable: &c.machines, placement: &c.placement, pools: &c.pools}
 }
 
 // restore takes the soft state of an earlier leader, before anything else is restored.
@@ -43,16 +43,16 @@
 	}
 }
 
-// drop drops the inherited soft state once the term's beginning has passed.
-func (i *inheritedState) drop() {
+// dropExpired drops the inherited soft state once the term's beginning has passed.
+func (i *inheritedState) dropExpired() {
 	if i.machines != nil && i.clock.now-i.clock.termStart > probePeriod {
 		i.machines, i.runningFor, i.estimates = nil, nil, softstate.Estimates{}
 	}
 }
 
-// fillMachine fills in what the inherited soft state says of a machine that is new to this
+// applyToMachine fills in what the inherited soft state says of a machine that is new to this
 // term. The cloud's list and its heartbeats overwrite that.
-func (i *inheritedState) fillMachine(m *machine) {
+func (i *inheritedState) applyToMachine(m *machine) {
 	h, ok := i.machines[m.name]
 	if !ok {
 		return
@@ -62,22 +62,22 @@
 		m.capacity.markUsed(i.clock.now - h.Idle)
 	}
 	for _, image := range h.Images {
-		m.capacity.inheritImage(i.placement.images.of(image.Name), image.GB)
+		m.capacity.inheritImage(i.placement.images.intern(image.Name), image.GB)
 	}
 }
 
-// fillType fills in what the inherited soft state says of a machine type that is new to this
+// applyToType fills in what the inherited soft state says of a machine type that is new to this
 // term.
-func (i *inheritedState) fillType(index int32) {
+func (i *inheritedState) applyToType(index int32) {
 	t := &i.types.list[index]
 	if seconds, ok := i.estimates.BootSeconds[t.Name]; ok {
-		t.inheritBoot(settings.Seconds(seconds))
+		t.inheritBootTime(settings.Seconds(seconds))
 	}
 	for _, o := range i.estimates.Pools {
 		if o.Type != t.Name {
 			continue
 		}
-		pool := i.pools.pool(autoscaler.CapacityPool{Type: index, Zone: i.table.zones.of(o.Zone), Spot: o.Spot})
+		pool := i.pools.state(autoscaler.CapacityPool{Type: index, Zone: i.machineTable.zones.intern(o.Zone), Spot: o.Spot})
 		pool.inherit(&o, i.clock.now)
 	}
 }
@@ -85,7 +85,7 @@
 // runningSince is since when an attempt has run that is seen running for the first time. known
 // is false if it began in an earlier term and no inherited soft state has it.
 func (i *inheritedState) runningSince(attempt uint64) (since time.Duration, known bool) {
-	if attempt>>tokenBits == i.term {
+	if attempt>>termCounterBits == i.term {
 		return i.clock.now, true
 	}
 	ran, ok := i.runningFor[attempt]
--- a/internal/scheduler/inspections.go
+++ b/internal/scheduler/inspections.go
@@ -48,10 +48,10 @@
 // handleInspectResult takes the status of an agent that was inspected. If that is older than the
 // newest heartbeat before the inspection, the agent has restarted.
 func (c *Core) handleInspectResult(e InspectResult) {
-	m := c.machineNamed(e.Machine)
+	m := c.findOrAddMachine(e.Machine)
 	c.agents.endInspection(m)
 	r := e.Heartbeat
-	if r == nil || r.Machine != m.name || m.state == machineGone || r.FencingToken>>tokenBits > c.term {
+	if r == nil || r.Machine != m.name || m.state == machineGone || r.FencingToken>>termCounterBits > c.term {
 		return
 	}
 	if agentstate.PositionOf(r).Before(m.contact.positionAtInspection) {
--- a/internal/scheduler/inspections_test.go
+++ b/internal/scheduler/inspections_test.go
@@ -25,15 +25,15 @@
 			g := newHarness(t, ledger.Snapshot{})
 			g.bringUp("vm-1")
 			g.submit(newTestJob("job-1", 1, 1))
-			o := g.starts()[0]
-			g.endCommands(CommandExecuted)
-			g.seq["vm-1"] = 40
-			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskRunning, "")))
-			again := *g.heartbeatOf("vm-1", 0)
+			o := g.startCommands()[0]
+			g.completeCommands(CommandExecuted)
+			g.sequences["vm-1"] = 40
+			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskRunning, "")))
+			again := *g.newHeartbeat("vm-1", 0)
 			again.Sequence = 1
 			g.sendHeartbeat(&again)
 			asked := 0
-			for _, e := range g.out {
+			for _, e := range g.recentEffects {
 				if _, ok := e.(InspectAgent); ok {
 					asked++
 				}
@@ -42,28 +42,28 @@
 			now := again
 			now.Sequence = c.says
 			if c.says > 40 {
-				now.FencingToken, now.Tasks = termToken, []wire.TaskStatus{taskIn(o, wire.TaskRunning, "")}
+				now.FencingToken, now.Tasks = termToken, []wire.TaskStatus{newTaskStatus(o, wire.TaskRunning, "")}
 			}
 			g.step(InspectResult{Machine: "vm-1", Heartbeat: &now})
-			g.seq["vm-1"] = c.says
+			g.sequences["vm-1"] = c.says
 			if c.says < 40 {
 				g.acknowledge("vm-1")
 			}
-			g.want("started anew", len(g.starts()), c.starts)
-			g.want("bookings", g.c.jobs.list[0].progress.allocated, 1)
+			g.want("started anew", len(g.startCommands()), c.starts)
+			g.want("bookings", g.core.jobs.list[0].progress.allocated, 1)
 			if c.starts == 0 {
 				return
 			}
 			// A heartbeat of the incarnation that has ended has a higher position than all from
 			// now on: by that the new attempt was missing, and the task was started on another
 			// machine as well.
-			n := g.starts()[0]
-			g.endCommands(CommandExecuted)
-			old := *g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskRunning, ""))
+			n := g.startCommands()[0]
+			g.completeCommands(CommandExecuted)
+			old := *g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskRunning, ""))
 			old.Sequence = 41
 			g.sendHeartbeat(&old)
-			g.want("bookings after an old report", g.c.jobs.list[0].progress.allocated, 1)
-			g.want("the new attempt", g.c.machineNamed("vm-1").allocation(n.Attempt) != nil, true)
+			g.want("bookings after an old report", g.core.jobs.list[0].progress.allocated, 1)
+			g.want("the new attempt", g.core.findOrAddMachine("vm-1").allocation(n.Attempt) != nil, true)
 		})
 	}
 }
@@ -73,40 +73,40 @@
 func TestInspectionsOfLateCopiesAreLimited(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	asked := func() (names []string) {
-		for _, e := range g.out {
+		for _, e := range g.recentEffects {
 			if i, ok := e.(InspectAgent); ok {
 				names = append(names, i.Machine)
 			}
 		}
-		g.out = nil
+		g.recentEffects = nil
 		return names
 	}
 	const machines = 100
 	name := func(i int) string { return fmt.Sprintf("vm-%d", i) }
 	copies := map[string]*wire.Heartbeat{}
 	for i := range machines {
-		copies[name(i)] = g.heartbeatOf(name(i), 0)
+		copies[name(i)] = g.newHeartbeat(name(i), 0)
 		g.bringUp(name(i))
-		g.sendHeartbeat(g.heartbeatOf(name(i), termToken))
+		g.sendHeartbeat(g.newHeartbeat(name(i), termToken))
 	}
-	g.out = nil
+	g.recentEffects = nil
 	for i := range machines {
-		g.step(HeartbeatEvent{Heartbeat: copies[name(i)], ReplyTo: recipient("w")})
+		g.step(HeartbeatEvent{Heartbeat: copies[name(i)], ReplyTo: testRecipient("w")})
 	}
 	at := asked()
 	g.want("asked at once", len(at), maxConcurrentInspections)
 	for _, n := range at {
-		g.step(InspectResult{Machine: n, Heartbeat: g.heartbeatOf(n, termToken)})
+		g.step(InspectResult{Machine: n, Heartbeat: g.newHeartbeat(n, termToken)})
 	}
 	count := 0
 	for range 60 {
-		g.wait(time.Second)
+		g.advance(time.Second)
 		g.acknowledge("vm-0")
-		g.out = nil
-		g.step(HeartbeatEvent{Heartbeat: copies["vm-0"], ReplyTo: recipient("w")})
+		g.recentEffects = nil
+		g.step(HeartbeatEvent{Heartbeat: copies["vm-0"], ReplyTo: testRecipient("w")})
 		for _, n := range asked() {
 			count++
-			g.step(InspectResult{Machine: n, Heartbeat: g.heartbeatOf(n, termToken)})
+			g.step(InspectResult{Machine: n, Heartbeat: g.newHeartbeat(n, termToken)})
 		}
 	}
 	if count < 1 || count > 5 {
@@ -119,12 +119,12 @@
 // heartbeat that acknowledges a token raised since then shows what it has.
 func TestStartDuringInspection(t *testing.T) {
 	executed := func(g *harness, id uint64, tasks ...wire.TaskStatus) {
-		result := *g.heartbeatOf("vm-1", termToken, tasks...)
+		result := *g.newHeartbeat("vm-1", termToken, tasks...)
 		result.Sequence = 2
 		g.step(CommandResult{CommandID: id, Outcome: CommandExecuted, Heartbeat: &result})
 	}
 	inspected := func(g *harness) {
-		result := *g.heartbeatOf("vm-1", 0)
+		result := *g.newHeartbeat("vm-1", 0)
 		result.Sequence = 1
 		g.step(InspectResult{Machine: "vm-1", Heartbeat: &result})
 	}
@@ -134,12 +134,12 @@
 		then  func(g *harness, o wire.Command, commandID uint64)
 	}{
 		{"a direct command, executed before the result", startByDirectCommand, func(g *harness, o wire.Command, commandID uint64) {
-			executed(g, commandID, taskIn(o, wire.TaskRunning, ""))
+			executed(g, commandID, newTaskStatus(o, wire.TaskRunning, ""))
 			inspected(g)
 		}},
 		{"a direct command, executed after the result", startByDirectCommand, func(g *harness, o wire.Command, commandID uint64) {
 			inspected(g)
-			executed(g, commandID, taskIn(o, wire.TaskRunning, ""))
+			executed(g, commandID, newTaskStatus(o, wire.TaskRunning, ""))
 		}},
 		{"a direct command without an answer", startByDirectCommand, func(g *harness, _ wire.Command, commandID uint64) {
 			g.step(CommandResult{CommandID: commandID, Outcome: CommandOutcomeUnknown})
@@ -152,9 +152,9 @@
 			t.Run(fmt.Sprintf("%s, the agent has it: %v", c.name, has), func(t *testing.T) {
 				g := newHarness(t, ledger.Snapshot{})
 				g.bringUp("vm-1")
-				g.seq["vm-1"] = 40
-				g.sendHeartbeat(g.heartbeatOf("vm-1", termToken))
-				reset := *g.heartbeatOf("vm-1", 0)
+				g.sequences["vm-1"] = 40
+				g.sendHeartbeat(g.newHeartbeat("vm-1", termToken))
+				reset := *g.newHeartbeat("vm-1", 0)
 				reset.Sequence = 1
 				g.sendHeartbeat(&reset)
 				o := c.start(g)
@@ -163,18 +163,18 @@
 				for _, command := range g.sentCommands {
 					commandID = command.CommandID
 				}
-				g.sentCommands, g.answered = nil, nil
+				g.sentCommands, g.responseCommands = nil, nil
 				c.then(g, o, commandID)
-				g.wait(time.Second)
-				g.want("starts while the agent may have it", len(g.starts()), 0)
-				g.seq["vm-1"] = 2
+				g.advance(time.Second)
+				g.want("starts while the agent may have it", len(g.startCommands()), 0)
+				g.sequences["vm-1"] = 2
 				var tasks []wire.TaskStatus
 				if has {
-					tasks = append(tasks, taskIn(o, wire.TaskRunning, ""))
+					tasks = append(tasks, newTaskStatus(o, wire.TaskRunning, ""))
 				}
 				g.acknowledge("vm-1", tasks...)
-				g.want("starts once the agent has shown what it has", len(g.starts()), map[bool]int{true: 0, false: 1}[has])
-				g.want("allocations", g.c.jobs.list[0].progress.allocated, 1)
+				g.want("starts once the agent has shown what it has", len(g.startCommands()), map[bool]int{true: 0, false: 1}[has])
+				g.want("allocations", g.core.jobs.list[0].progress.allocated, 1)
 			})
 		}
 	}
@@ -183,7 +183,7 @@
 // startByDirectCommand has a task started on vm-1 by a direct command.
 func startByDirectCommand(g *harness) wire.Command {
 	g.submit(newTestJob("job-1", 1, 1))
-	return g.starts()[0]
+	return g.startCommands()[0]
 }
 
 // startInNextResponse has a task started on vm-1 in the response to a heartbeat of the incarnation
@@ -191,11 +191,11 @@
 func startInNextResponse(g *harness) wire.Command {
 	g.holdWrites = true
 	g.submit(newTestJob("job-1", 1, 1))
-	g.seq["vm-1"] = 41
-	g.step(HeartbeatEvent{Heartbeat: g.heartbeatOf("vm-1", termToken), ReplyTo: recipient("w")})
+	g.sequences["vm-1"] = 41
+	g.step(HeartbeatEvent{Heartbeat: g.newHeartbeat("vm-1", termToken), ReplyTo: testRecipient("w")})
 	g.releaseWrites()
 	g.want("direct commands", len(g.sentCommands), 0)
-	return g.starts()[0]
+	return g.startCommands()[0]
 }
 
 // TestLeaseOfARestartedAgent guards against a task that runs twice: an agent was reset, executed a
@@ -207,16 +207,16 @@
 		t.Run(fmt.Sprintf("%d heartbeats after the inspection", heartbeatsAfter), func(t *testing.T) {
 			g := newHarness(t, ledger.Snapshot{})
 			g.bringUp("vm-1")
-			g.seq["vm-1"] = 40
-			g.wait(resetAt - silence)
-			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken))
+			g.sequences["vm-1"] = 40
+			g.advance(resetAt - silence)
+			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken))
 			o := startByDirectCommand(g)
-			g.wait(silence)
-			reset := *g.heartbeatOf("vm-1", 0)
+			g.advance(silence)
+			reset := *g.newHeartbeat("vm-1", 0)
 			reset.Sequence = 1
 			g.sendHeartbeat(&reset)
 			result := reset
-			result.Sequence, result.Tasks = 2, []wire.TaskStatus{taskIn(o, wire.TaskRunning, "")}
+			result.Sequence, result.Tasks = 2, []wire.TaskStatus{newTaskStatus(o, wire.TaskRunning, "")}
 			g.step(InspectResult{Machine: "vm-1", Heartbeat: &result})
 			for range heartbeatsAfter {
 				g.now += time.Second
@@ -236,12 +236,12 @@
 	const sinceHeartbeat = 10 * time.Second
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
-	g.seq["vm-1"] = 40
-	g.sendHeartbeat(g.heartbeatOf("vm-1", termToken))
+	g.sequences["vm-1"] = 40
+	g.sendHeartbeat(g.newHeartbeat("vm-1", termToken))
 	o := startByDirectCommand(g)
 	commandID := g.sentCommands[0].CommandID
 	g.now += sinceHeartbeat
-	result := *g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskRunning, ""))
+	result := *g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskRunning, ""))
 	result.Sequence = 1
 	g.step(CommandResult{CommandID: commandID, Outcome: CommandExecuted, Heartbeat: &result})
 	g.wantRestartOnlyAfterLease()
@@ -251,22 +251,22 @@
 // nothing: a task of vm-1 is started again after it and not before.
 func (g *harness) wantRestartOnlyAfterLease() {
 	g.t.Helper()
-	g.sentCommands, g.answered = nil, nil
+	g.sentCommands, g.responseCommands = nil, nil
 	for end := g.now + 30*time.Second; g.now < end; {
-		g.wait(time.Second)
+		g.advance(time.Second)
 		g.bringUpOrAcknowledge("vm-2")
 	}
-	g.want("starts within its lease", len(g.starts()), 0)
+	g.want("starts within its lease", len(g.startCommands()), 0)
 	for range 3 {
-		g.wait(time.Second)
+		g.advance(time.Second)
 		g.bringUpOrAcknowledge("vm-2")
 	}
-	g.want("starts after its lease", len(g.starts()), 1)
+	g.want("starts after its lease", len(g.startCommands()), 1)
 }
 
 // bringUpOrAcknowledge has another machine be up, and its agent send a heartbeat.
 func (g *harness) bringUpOrAcknowledge(name string) {
-	if g.seq[name] == 0 {
+	if g.sequences[name] == 0 {
 		g.bringUp(name)
 	}
 	g.acknowledge(name)
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -22,7 +22,7 @@
 		transfer: transfer{origin: rec.Origin, epoch: rec.TransferEpoch},
 	}
 	if rec.EndedMS > 0 {
-		j.end.markDurable(c.clock.ago(rec.EndedMS))
+		j.end.markDurable(c.clock.fromWallTime(rec.EndedMS))
 		j.end.confirm()
 	}
 	c.jobs.add(j)
@@ -30,7 +30,7 @@
 		return j
 	}
 	j.request = c.requestOf(rec.Job)
-	j.priority = priorityOf(rec.Job, c.clock.ago(rec.AcceptedMS))
+	j.priority = priorityOf(rec.Job, c.clock.fromWallTime(rec.AcceptedMS))
 	j.progress.initTasks(rec.Job.Tasks)
 	j.record.initHosts()
 	c.jobs.addActive(j)
@@ -39,9 +39,9 @@
 
 // requestOf resolves the names in a job's description.
 func (c *Core) requestOf(spec *wire.Job) request {
-	r := request{size: taskSize(spec), class: c.classIndex(spec.Class), image: c.placement.images.of(spec.Image), zone: -1, team: c.teams.Index(spec.Team)}
+	r := request{size: taskSize(spec), class: c.classIndex(spec.Class), image: c.placement.images.intern(spec.Image), zone: -1, team: c.teams.Index(spec.Team)}
 	if spec.Zone != nil {
-		r.zone = c.machines.zones.of(*spec.Zone)
+		r.zone = c.machines.zones.intern(*spec.Zone)
 	}
 	return r
 }
--- a/internal/scheduler/job_events_test.go
+++ b/internal/scheduler/job_events_test.go
@@ -11,20 +11,20 @@
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
-	o := g.starts()[0]
-	g.endCommands(CommandOutcomeUnknown)
-	g.holdWrites, g.out = true, nil
-	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
-	g.want("answers before it is durable", len(g.out), 0)
+	o := g.startCommands()[0]
+	g.completeCommands(CommandOutcomeUnknown)
+	g.holdWrites, g.recentEffects = true, nil
+	g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+	g.want("answers before it is durable", len(g.recentEffects), 0)
 	g.want("state before it is durable", g.jobStatus("job-1") == wire.JobCancelled, false)
-	g.out = nil
+	g.recentEffects = nil
 	g.releaseWrites()
-	g.want("the answer", g.out[0].(UserReply).Status.Status, wire.JobCancelled)
+	g.want("the answer", g.recentEffects[0].(UserReply).Status.Status, wire.JobCancelled)
 	// The start command arrives late, after the cancellation.
-	g.want("orders", verbs(g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskRunning, "")))), "stop ")
-	g.sendHeartbeat(g.heartbeatOf("vm-1", termToken+1, taskIn(o, wire.TaskEnded, wire.ExitStopped)))
+	g.want("orders", commandVerbs(g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskRunning, "")))), "stop ")
+	g.sendHeartbeat(g.newHeartbeat("vm-1", termToken+1, newTaskStatus(o, wire.TaskEnded, wire.ExitStopped)))
 	g.want("state", g.jobStatus("job-1"), wire.JobCancelled)
-	g.want("bookings left", g.c.jobs.list[0].progress.allocated, 0)
+	g.want("bookings left", g.core.jobs.list[0].progress.allocated, 0)
 }
 
 // TestCancelStopsTasksAtOnce: the write of a cancellation may be carried out and its answer
@@ -35,10 +35,10 @@
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 2, 1))
-	orders := g.starts()
-	g.endCommands(CommandExecuted)
-	g.holdWrites, g.out = true, nil
-	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
+	orders := g.startCommands()
+	g.completeCommands(CommandExecuted)
+	g.holdWrites, g.recentEffects = true, nil
+	g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 	stops := ""
 	for _, d := range g.sentCommands {
 		for _, o := range d.Request.Commands {
@@ -46,7 +46,7 @@
 		}
 	}
 	g.want("commands before it is durable", stops, "stop stop ")
-	for _, e := range g.out {
+	for _, e := range g.recentEffects {
 		if a, ok := e.(UserReply); ok {
 			t.Errorf("told %+v before it is durable", a)
 		}
@@ -55,7 +55,7 @@
 	g.bringUp("vm-2")
 	o := orders[0]
 	o.Attempt++
-	g.want("orders to another machine", verbs(g.sendHeartbeat(g.heartbeatOf("vm-2", termToken, taskIn(o, wire.TaskRunning, "")))), "stop ")
+	g.want("orders to another machine", commandVerbs(g.sendHeartbeat(g.newHeartbeat("vm-2", termToken, newTaskStatus(o, wire.TaskRunning, "")))), "stop ")
 }
 
 // TestStopThatOvertakesItsStartIsRepeated: a cancellation comes while the start is on its way in
@@ -65,39 +65,39 @@
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
-	start, o := g.sentCommands[0], g.starts()[0]
+	start, o := g.sentCommands[0], g.startCommands()[0]
 	g.sentCommands = nil
-	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
+	g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 	stop := g.sentCommands[0]
 	g.sentCommands = nil
-	g.step(CommandResult{CommandID: stop.CommandID, Outcome: CommandExecuted, Heartbeat: g.heartbeatOf("vm-1", termToken)})
+	g.step(CommandResult{CommandID: stop.CommandID, Outcome: CommandExecuted, Heartbeat: g.newHeartbeat("vm-1", termToken)})
 	g.want("the stop again, as the start may have come since", len(g.sentCommands), 1)
 	again := g.sentCommands[0]
 	g.sentCommands = nil
-	g.step(CommandResult{CommandID: again.CommandID, Outcome: CommandExecuted, Heartbeat: g.heartbeatOf("vm-1", termToken)})
+	g.step(CommandResult{CommandID: again.CommandID, Outcome: CommandExecuted, Heartbeat: g.newHeartbeat("vm-1", termToken)})
 	g.want("commands while the start is on its way for longer", len(g.sentCommands), 0)
-	g.step(CommandResult{CommandID: start.CommandID, Outcome: CommandExecuted, Heartbeat: g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskFetching, ""))})
+	g.step(CommandResult{CommandID: start.CommandID, Outcome: CommandExecuted, Heartbeat: g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskFetching, ""))})
 	g.want("the stop once the start was carried out", len(g.sentCommands) == 1 && g.sentCommands[0].Request.Commands[0].Verb == wire.VerbStop, true)
-	g.step(CommandResult{CommandID: g.sentCommands[0].CommandID, Outcome: CommandExecuted, Heartbeat: g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskEnded, wire.ExitStopped))})
-	g.want("bookings left", g.c.jobs.list[0].progress.allocated, 0)
+	g.step(CommandResult{CommandID: g.sentCommands[0].CommandID, Outcome: CommandExecuted, Heartbeat: g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskEnded, wire.ExitStopped))})
+	g.want("bookings left", g.core.jobs.list[0].progress.allocated, 0)
 }
 
 func TestCancelOfDoneJobReportsDone(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
-	o := g.starts()[0]
-	g.endCommands(CommandExecuted)
+	o := g.startCommands()[0]
+	g.completeCommands(CommandExecuted)
 	g.holdWrites = true
-	g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskEnded, wire.ExitDone)))
+	g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskEnded, wire.ExitDone)))
 	g.want("told before it is durable", g.jobStatus("job-1") == wire.JobDone, false)
 	// The key-value store may have the write while its answer is on its way, and another
 	// controller may have told a user: "queued" would contradict that.
-	g.want("sent to the record while it is being written", g.out[0].(UserReply).TerminalStatePending, true)
-	g.out = nil
-	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
+	g.want("sent to the record while it is being written", g.recentEffects[0].(UserReply).TerminalStatePending, true)
+	g.recentEffects = nil
+	g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 	g.releaseWrites()
-	g.want("the answer", g.out[0].(UserReply).Status.Status, wire.JobDone)
+	g.want("the answer", g.recentEffects[0].(UserReply).Status.Status, wire.JobDone)
 	g.want("told once it is durable", g.jobStatus("job-1"), wire.JobDone)
-	g.want("without a look at the record", g.out[0].(UserReply).TerminalStatePending, false)
+	g.want("without a look at the record", g.recentEffects[0].(UserReply).TerminalStatePending, false)
 }
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -189,7 +189,7 @@
 	for i, h := range hosts {
 		names[i] = t.machines.list[h.machine].name
 	}
-	return names[:ledger.CountFittingNames(names, t.cfg.ValueBytes)]
+	return names[:ledger.CountFittingNames(names, t.cfg.MaxValueBytes)]
 }
 
 // writeFinished writes the chunks in which a job has tasks that have ended since they were last
@@ -215,7 +215,7 @@
 	size := min(ledger.TasksPerChunk, j.progress.total-first)
 	done := func(i int) bool { return j.progress.tasks[first+i].state >= taskDone }
 	ranges := ledger.EncodeRanges(done, size)
-	if ranges.Size() <= t.cfg.ValueBytes {
+	if ranges.Size() <= t.cfg.MaxValueBytes {
 		key := ledger.FinishedTasksKey(j.id, chunk)
 		j.record.addFinishedKey(key)
 		t.writes.put(ledger.Write{Key: key, Value: ranges, Tag: finishedTag{j.index, ended}})
@@ -228,7 +228,7 @@
 		j.record.chunksInParts = map[int]bool{}
 	}
 	j.record.chunksInParts[chunk] = true
-	part := ledger.TasksPerPart(t.cfg.ValueBytes)
+	part := ledger.TasksPerPart(t.cfg.MaxValueBytes)
 	for from := 0; from < size; from += part {
 		to := min(from+part, size)
 		n, _ := slices.BinarySearch(ended, int32(first+to))
--- a/internal/scheduler/ledger_writes.go
+++ b/internal/scheduler/ledger_writes.go
@@ -16,7 +16,7 @@
 		tasks []int32
 	}
 	terminalTag    struct{ job int32 }
-	scaleOutTag    struct{ name string }
+	scaleOutTag    struct{ requestID string }
 	unreachableTag struct{ key string }
 	delegatedTag   struct {
 		jobID  string
@@ -32,8 +32,8 @@
 func (unreachableTag) IsTag() {}
 func (delegatedTag) IsTag()   {}
 
-// writeRejected has what was too large for a value written in smaller pieces.
-func (c *Core) writeRejected(tag ledger.Tag) {
+// handleRejectedWrite has what was too large for a value written in smaller pieces.
+func (c *Core) handleRejectedWrite(tag ledger.Tag) {
 	switch t := tag.(type) {
 	case hostTag:
 		c.jobs.requeueRejectedHosts(c.jobs.list[t.job])
@@ -44,7 +44,7 @@
 		c.log.Error("terminal job record exceeds the value limit", "job", j.id)
 		c.jobs.writeTerminal(j, writeUrgent)
 	case scaleOutTag:
-		c.log.Error("scale-out record exceeds the value limit", "request", t.name)
+		c.log.Error("scale-out record exceeds the value limit", "request", t.requestID)
 	case planTag:
 		c.plans.recordRejected(t)
 	case delegatedTag:
@@ -52,8 +52,8 @@
 	}
 }
 
-// writeDurable does what waits for a write to be durable.
-func (c *Core) writeDurable(tag ledger.Tag) {
+// handleDurableWrite does what waits for a write to be durable.
+func (c *Core) handleDurableWrite(tag ledger.Tag) {
 	switch t := tag.(type) {
 	case hostTag:
 		j := c.jobs.list[t.job]
@@ -67,7 +67,7 @@
 	case terminalTag:
 		c.handleTerminalDurable(c.jobs.list[t.job])
 	case scaleOutTag:
-		c.scaleOuts.recordDurable(t.name)
+		c.scaleOuts.recordDurable(t.requestID)
 	case unreachableTag:
 		c.handleUnreachableRecordWithdrawn(t.key)
 	case planTag:
@@ -78,18 +78,18 @@
 	}
 }
 
-// writesDurable notes that writes are durable, and does what waits for each.
-func (c *Core) writesDurable(e WritesDurable) {
-	c.writes.durable(len(e.Tags))
+// handleWritesDurable notes that writes are durable, and does what waits for each.
+func (c *Core) handleWritesDurable(e WritesDurable) {
+	c.writes.markDurable(len(e.Tags))
 	for _, tag := range e.Tags {
-		c.writeDurable(tag)
+		c.handleDurableWrite(tag)
 	}
 }
 
-// writesRejected notes that writes were not carried out, and replaces each.
-func (c *Core) writesRejected(e WritesRejected) {
-	c.writes.rejected(len(e.Tags))
+// handleWritesRejected notes that writes were not carried out, and replaces each.
+func (c *Core) handleWritesRejected(e WritesRejected) {
+	c.writes.markRejected(len(e.Tags))
 	for _, tag := range e.Tags {
-		c.writeRejected(tag)
+		c.handleRejectedWrite(tag)
 	}
 }
--- a/internal/scheduler/machine_table.go
+++ b/internal/scheduler/machine_table.go
@@ -11,7 +11,7 @@
 	list        []*machine
 	indexByName map[string]int32
 	live        []*machine // all that are not gone
-	zones       names
+	zones       nameTable
 }
 
 func newMachineTable() machineTable {
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -21,13 +21,13 @@
 // machine is one machine of this cell, kept in parts that are named after the part of the core
 // that owns them.
 type machine struct {
-	index    int32
-	name     string
-	typ      int32 // -1 while unknown
-	typeName string
-	zone     int32
-	spot     bool
-	state    machineState
+	index     int32
+	name      string
+	typeIndex int32 // -1 while unknown
+	typeName  string
+	zone      int32
+	spot      bool
+	state     machineState
 
 	agent    agentstate.State
 	contact  contact
@@ -52,15 +52,15 @@
 	lastDeleteRequest time.Duration
 }
 
-// noticeTermination notes when the cloud takes the machine away.
-func (r *rental) noticeTermination(at time.Duration) { r.terminationAt = at }
+// setTermination notes when the cloud takes the machine away.
+func (r *rental) setTermination(at time.Duration) { r.terminationAt = at }
 
-// rentedBy notes the scale-out that has rented the machine.
-func (r *rental) rentedBy(scaleOutID string) { r.scaleOutID = scaleOutID }
+// setScaleOut notes the scale-out that has rented the machine.
+func (r *rental) setScaleOut(scaleOutID string) { r.scaleOutID = scaleOutID }
 
-// wasListed notes that the cloud has listed the machine, and tells whether that was the first
+// recordListed notes that the cloud has listed the machine, and tells whether that was the first
 // time.
-func (r *rental) wasListed(rentedAt time.Duration) (first bool) {
+func (r *rental) recordListed(rentedAt time.Duration) (first bool) {
 	first = !r.listed
 	if first {
 		r.listed, r.rentedAt = true, rentedAt
@@ -68,15 +68,15 @@
 	return first
 }
 
-// missedListing notes that a list of the cloud may lack the machine, until it is found in it.
-func (r *rental) missedListing() {
+// countMissedListing notes that a list of the cloud may lack the machine, until it is found in it.
+func (r *rental) countMissedListing() {
 	if r.listed {
 		r.missedListings++
 	}
 }
 
-// foundInList notes that the newest list has the machine.
-func (r *rental) foundInList() { r.missedListings = 0 }
+// resetMissedListings notes that the newest list has the machine.
+func (r *rental) resetMissedListings() { r.missedListings = 0 }
 
 // machineRecord is what the ledger's records say of a machine.
 type machineRecord struct {
@@ -104,16 +104,16 @@
 	failedJobs  map[int32]bool // jobs with a task that failed on it, since a task last succeeded
 }
 
-// taskSucceeded forgets the failures: the machine can run tasks.
-func (h *machineHealth) taskSucceeded() { clear(h.failedJobs) }
+// clearFailures forgets the failures: the machine can run tasks.
+func (h *machineHealth) clearFailures() { clear(h.failedJobs) }
 
 // machineEviction is what plans that drain machines want of one.
 type machineEviction struct {
-	cordoned bool // a plan empties it: nothing starts on it
-	kept     bool // a plan has rented it for its present step
+	cordoned      bool // a plan empties it: nothing starts on it
+	rentedForPlan bool // a plan has rented it for its present step
 }
 
-type imageSlot struct {
+type cachedImage struct {
 	image int32
 	gb    float64
 }
@@ -127,20 +127,20 @@
 	return false
 }
 
-// machineNamed returns the machine of a name, and adds one that is new to this term.
-func (c *Core) machineNamed(name string) *machine {
+// findOrAddMachine returns the machine of a name, and adds one that is new to this term.
+func (c *Core) findOrAddMachine(name string) *machine {
 	if m := c.machines.find(name); m != nil {
 		return m
 	}
 	name = strings.Clone(name) // mostly a part of a heartbeat's body
-	m := &machine{index: int32(len(c.machines.list)), name: name, typ: -1, zone: -1,
-		agent:    agentstate.New(c.term<<tokenBits, c.clock.termStart+c.agents.lease),
+	m := &machine{index: int32(len(c.machines.list)), name: name, typeIndex: -1, zone: -1,
+		agent:    agentstate.New(c.term<<termCounterBits, c.clock.termStart+c.agents.lease),
 		commands: machineCommands{unresolvedStarts: map[uint64]uint64{}},
 		capacity: capacity{idleSince: c.clock.now},
 		indexed:  indexEntry{pool: -1},
 		rental:   rental{rentedAt: c.clock.now}}
 	c.machines.add(m)
-	c.inherited.fillMachine(m)
+	c.inherited.applyToMachine(m)
 	c.softState.machineChanged(m)
 	return m
 }
@@ -151,12 +151,12 @@
 		c.softState.machineChanged(m)
 	}
 	m.spot = spot
-	m.zone = c.machines.zones.of(zone)
+	m.zone = c.machines.zones.intern(zone)
 	if typ != m.typeName {
 		m.typeName = strings.Clone(typ)
 	}
-	if t, ok := c.types.indexByName[typ]; ok && m.typ != t {
-		m.typ = t
+	if t, ok := c.types.indexByName[typ]; ok && m.typeIndex != t {
+		m.typeIndex = t
 		m.capacity.setTotal(c.types.list[t].total)
 	}
 	c.placement.markIndexStale(m)
@@ -174,7 +174,7 @@
 	m.commands.resolveAllStarts()
 	c.resolveInDoubt(m, why)
 	c.placement.index.Remove(m.index)
-	c.scaleOuts.machineSeen(m)
+	c.scaleOuts.recordMachineSeen(m)
 	if m.recorded.namedByJobs > 0 {
 		m.recorded.setGone(true)
 		c.writes.put(ledger.Write{Key: ledger.GoneKey(m.name), Value: true})
@@ -182,12 +182,12 @@
 	c.placement.markNeeded()
 }
 
-// machineCameUp learns from a machine's first heartbeat.
-func (c *Core) machineCameUp(m *machine) {
+// handleMachineUp learns from a machine's first heartbeat.
+func (c *Core) handleMachineUp(m *machine) {
 	c.log.Info("machine is up", "machine", m.name, "seconds", (c.clock.now - m.rental.rentedAt).Seconds())
-	if m.typ >= 0 && m.rental.scaleOutID != "" {
-		c.types.list[m.typ].learnBoot(c.clock.now - m.rental.rentedAt)
+	if m.typeIndex >= 0 && m.rental.scaleOutID != "" {
+		c.types.list[m.typeIndex].observeBootTime(c.clock.now - m.rental.rentedAt)
 	}
-	c.scaleOuts.machineSeen(m)
+	c.scaleOuts.recordMachineSeen(m)
 	c.placement.markNeeded()
 }
--- a/internal/scheduler/parts_test.go
+++ b/internal/scheduler/parts_test.go
@@ -16,13 +16,13 @@
 // kept in a variable are not found.
 func TestPartsWriteOnlyTheirOwnFields(t *testing.T) {
 	fset := token.NewFileSet()
-	files := parseProduct(t, fset)
-	parts := partsOfCore(t, files)
+	files := parsePackage(t, fset)
+	parts := coreParts(t, files)
 	owners := map[string]bool{"Core": true}
 	for _, typ := range parts {
 		owners[typ] = true
 	}
-	eachWrite(files, func(method *ast.FuncDecl, path []string, at token.Pos) {
+	forEachWrite(files, func(method *ast.FuncDecl, path []string, at token.Pos) {
 		if !owners[receiverType(method)] || len(path) < 3 || path[0] != receiverName(method) || parts[path[1]] == "" {
 			return
 		}
@@ -30,9 +30,9 @@
 	})
 }
 
-// TestPartsReadOnlyThoseAboveThem: the parts of the core depend on each other in one direction.
-func TestPartsReadOnlyThoseAboveThem(t *testing.T) {
-	files := parseProduct(t, token.NewFileSet())
+// TestPartsReadOnlyPartsDeclaredBeforeThem: the parts of the core depend on each other in one direction.
+func TestPartsReadOnlyPartsDeclaredBeforeThem(t *testing.T) {
+	files := parsePackage(t, token.NewFileSet())
 	place := map[string]int{} // of a part in the core, by type
 	for i, field := range structFields(files, "Core") {
 		if typ, ok := field.Type.(*ast.Ident); ok {
@@ -40,7 +40,7 @@
 		}
 	}
 	found := 0
-	for _, part := range partsOfCore(t, files) {
+	for _, part := range coreParts(t, files) {
 		for _, field := range structFields(files, part) {
 			pointer, ok := field.Type.(*ast.StarExpr)
 			if !ok {
@@ -61,14 +61,14 @@
 	}
 }
 
-// ownersOfRecords are the parts of the core that may write the parts of a job or machine besides
+// recordOwners are the parts of the core that may write the parts of a job or machine besides
 // the methods of these themselves.
-var ownersOfRecords = map[string]string{
+var recordOwners = map[string]string{
 	"contact":         "agents",
 	"machineCommands": "commands",
 	"capacity":        "placement",
 	"indexEntry":      "placement",
-	"rental":          "machineReturns",
+	"rental":          "scaleInRequests",
 	"machineRecord":   "jobTable",
 	"machineHealth":   "placement",
 	"machineEviction": "drainPlans",
@@ -86,20 +86,20 @@
 // methods and by those of the part of the core that owns them.
 func TestRecordsAreWrittenByTheirOwners(t *testing.T) {
 	fset := token.NewFileSet()
-	files := parseProduct(t, fset)
+	files := parsePackage(t, fset)
 	records := fieldsOf(files, "job")
 	for name, typ := range fieldsOf(files, "machine") {
 		records[name] = typ
 	}
 	mediators := map[string]bool{"Core": true}
-	for _, typ := range partsOfCore(t, files) {
+	for _, typ := range coreParts(t, files) {
 		mediators[typ] = true
 	}
 	found := 0
-	eachWrite(files, func(method *ast.FuncDecl, path []string, at token.Pos) {
+	forEachWrite(files, func(method *ast.FuncDecl, path []string, at token.Pos) {
 		for i := 1; i < len(path)-1; i++ {
 			typ := records[path[i]]
-			owner := ownersOfRecords[typ]
+			owner := recordOwners[typ]
 			receiver := receiverType(method)
 			if owner == "" || i == 1 && path[0] == receiverName(method) && mediators[receiver] {
 				continue // not a part of a job or machine
@@ -115,9 +115,9 @@
 	}
 }
 
-// eachWrite calls f for each write in a method of this package, with the names on the way to what
+// forEachWrite calls f for each write in a method of this package, with the names on the way to what
 // is written.
-func eachWrite(files []*ast.File, f func(method *ast.FuncDecl, path []string, at token.Pos)) {
+func forEachWrite(files []*ast.File, f func(method *ast.FuncDecl, path []string, at token.Pos)) {
 	for _, file := range files {
 		for _, decl := range file.Decls {
 			method, ok := decl.(*ast.FuncDecl)
@@ -125,8 +125,8 @@
 				continue
 			}
 			ast.Inspect(method.Body, func(n ast.Node) bool {
-				for _, written := range writtenBy(n) {
-					f(method, pathOf(written), n.Pos())
+				for _, written := range assignedExprs(n) {
+					f(method, selectorPath(written), n.Pos())
 				}
 				return true
 			})
@@ -134,8 +134,8 @@
 	}
 }
 
-// parseProduct parses the files of this package apart from its tests.
-func parseProduct(t *testing.T, fset *token.FileSet) (files []*ast.File) {
+// parsePackage parses the files of this package apart from its tests.
+func parsePackage(t *testing.T, fset *token.FileSet) (files []*ast.File) {
 	t.Helper()
 	names, err := filepath.Glob("*.go")
 	if err != nil {
@@ -174,9 +174,9 @@
 	return ""
 }
 
-// partsOfCore lists the parts of the core, which are its fields of types of this package, with
+// coreParts lists the parts of the core, which are its fields of types of this package, with
 // their types.
-func partsOfCore(t *testing.T, files []*ast.File) map[string]string {
+func coreParts(t *testing.T, files []*ast.File) map[string]string {
 	t.Helper()
 	parts := fieldsOf(files, "Core")
 	delete(parts, "cfg")
@@ -211,8 +211,8 @@
 	return nil
 }
 
-// writtenBy lists the expressions that a statement assigns to.
-func writtenBy(n ast.Node) []ast.Expr {
+// assignedExprs lists the expressions that a statement assigns to.
+func assignedExprs(n ast.Node) []ast.Expr {
 	switch s := n.(type) {
 	case *ast.AssignStmt:
 		if s.Tok != token.DEFINE {
@@ -228,8 +228,8 @@
 	return nil
 }
 
-// pathOf lists the names in an expression A.B[...].C, nil for any other.
-func pathOf(e ast.Expr) []string {
+// selectorPath lists the names in an expression A.B[...].C, nil for any other.
+func selectorPath(e ast.Expr) []string {
 	var path []string
 	for {
 		switch x := e.(type) {
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -29,7 +29,7 @@
 	startOn func(j *job, m *machine)
 
 	needed bool // something has changed that may let waiting tasks start
-	images names
+	images nameTable
 
 	goal            slowfit.Goal
 	queueEmptySince time.Duration
@@ -138,7 +138,7 @@
 	n := j.progress.popWaiting()
 	b := c.allocate(m, j, n, c.attempts.nextAttempt(), purposeRun)
 	c.placement.refreshIndex(m)
-	if c.debug {
+	if c.debugEnabled {
 		c.log.Debug("task placed", "task", c.jobs.taskName(b), "attempt", b.attempt, "machine", m.name,
 			"goal", c.placement.goal.L, "share", b.share, "load", m.capacity.load, "image", m.hasImage(j.request.image))
 	}
@@ -152,7 +152,7 @@
 
 // fetchTime is how long a machine will need for a job's image.
 func (p *placement) fetchTime(j *job, m *machine) time.Duration {
-	rate := p.types.list[m.typ].FetchGBPerS
+	rate := p.types.list[m.typeIndex].FetchGBPerS
 	if m.hasImage(j.request.image) || rate <= 0 {
 		return 0
 	}
@@ -191,7 +191,7 @@
 	slots := make([]int, len(p.machines.zones.list))
 	best := int32(-1)
 	for _, m := range p.machines.live {
-		if m.indexed.schedulable && j.allowsMachine(m.typ, m.zone, m.spot) {
+		if m.indexed.schedulable && j.allowsMachine(m.typeIndex, m.zone, m.spot) {
 			slots[m.zone] += j.request.size.Slots(m.capacity.free)
 			if best < 0 || slots[m.zone] > slots[best] {
 				best = m.zone
--- a/internal/scheduler/placement_index.go
+++ b/internal/scheduler/placement_index.go
@@ -44,7 +44,7 @@
 		p.index.MarkUnschedulable(m.index)
 		return
 	}
-	key := poolKey{m.typ, m.zone, m.spot}
+	key := poolKey{m.typeIndex, m.zone, m.spot}
 	pool, ok := p.poolIndexByKey[key]
 	if !ok {
 		pool = int32(p.index.AddPool(m.capacity.total))
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -38,7 +38,7 @@
 				c.change(j)
 			}
 			g.submit(j)
-			g.want("starts", len(g.starts()), c.starts)
+			g.want("starts", len(g.startCommands()), c.starts)
 		})
 	}
 }
@@ -60,7 +60,7 @@
 	small := newTestJob("job-2", wire.MaxTasks, 0.01)
 	small.MemGB, small.Priority = 0, "high"
 	g.sentCommands = nil
-	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
+	g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 	g.submit(small)
 	g.want("commands for many starts", len(g.sentCommands) > 1, true)
 }
@@ -90,13 +90,13 @@
 				return j
 			}
 			g.submit(job("job-1", "here", 300))
-			o := g.starts()[0]
-			g.endCommands(CommandExecuted)
-			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskRunning, "")))
+			o := g.startCommands()[0]
+			g.completeCommands(CommandExecuted)
+			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskRunning, "")))
 			g.submit(job("job-2", "elsewhere", c.due))
 			g.submit(job("job-3", "here", 250))
-			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(o, wire.TaskEnded, wire.ExitDone)))
-			if s := g.starts(); len(s) != 1 || s[0].Task != c.first {
+			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskEnded, wire.ExitDone)))
+			if s := g.startCommands(); len(s) != 1 || s[0].Task != c.first {
 				t.Errorf("started %v, want %s", s, c.first)
 			}
 		})
--- a/internal/scheduler/plan_views.go
+++ b/internal/scheduler/plan_views.go
@@ -111,7 +111,7 @@
 // with gang scheduling, in its zone.
 func (v *planViews) hasCapacityElsewhere(from *machine, j *job) bool {
 	return slices.ContainsFunc(v.machines.live, func(m *machine) bool {
-		return m != from && v.agents.schedulable(m) && j.allowsMachine(m.typ, m.zone, m.spot) && j.request.size.Within(m.capacity.free) && (!j.spec.Gang || m.zone == from.zone)
+		return m != from && v.agents.schedulable(m) && j.allowsMachine(m.typeIndex, m.zone, m.spot) && j.request.size.Within(m.capacity.free) && (!j.spec.Gang || m.zone == from.zone)
 	})
 }
 
--- a/internal/scheduler/probes_test.go
+++ b/internal/scheduler/probes_test.go
@@ -18,15 +18,15 @@
 		starts int
 	}{
 		{"the answer is an echo", func(g *harness, d SendCommands) {
-			g.step(CommandResult{CommandID: d.CommandID, Outcome: CommandExecuted, Heartbeat: g.heartbeatOf("vm-1", d.Request.FencingToken)})
+			g.step(CommandResult{CommandID: d.CommandID, Outcome: CommandExecuted, Heartbeat: g.newHeartbeat("vm-1", d.Request.FencingToken)})
 		}, 1},
 		{"another session is tried once more", func(g *harness, d SendCommands) {
-			r := g.heartbeatOf("vm-1", 6<<tokenBits)
+			r := g.newHeartbeat("vm-1", 6<<termCounterBits)
 			r.AgentEpoch = 3
 			g.step(CommandResult{CommandID: d.CommandID, Outcome: CommandRejected, Heartbeat: r})
 			again := g.sentCommands[len(g.sentCommands)-1]
 			g.want("session", again.Request.AgentEpoch, 3)
-			r = g.heartbeatOf("vm-1", again.Request.FencingToken)
+			r = g.newHeartbeat("vm-1", again.Request.FencingToken)
 			r.AgentEpoch = 3
 			g.step(CommandResult{CommandID: again.CommandID, Outcome: CommandExecuted, Heartbeat: r})
 		}, 1},
@@ -45,7 +45,7 @@
 				t.Fatalf("probed with %+v, want vm-1 without orders", g.sentCommands)
 			}
 			c.answer(g, g.sentCommands[0])
-			g.want("starts", len(g.starts()), c.starts)
+			g.want("starts", len(g.startCommands()), c.starts)
 		})
 	}
 }
@@ -76,7 +76,7 @@
 			for len(g.sentCommands) > 0 && g.now < 8*time.Second {
 				most = max(most, len(g.sentCommands))
 				g.now += c.takes
-				g.endCommands(CommandExecuted)
+				g.completeCommands(CommandExecuted)
 			}
 			g.want("at most", most, c.most)
 		})
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -19,18 +19,18 @@
 		g.submit(j)
 	}
 	order := func() (jobIDs []string) {
-		for _, j := range g.c.placement.sortedQueue() {
+		for _, j := range g.core.placement.sortedQueue() {
 			jobIDs = append(jobIDs, j.id)
 		}
 		return jobIDs
 	}
 	g.want("order", order(), []string{"job-3", "job-4", "job-2", "job-1", "job-6", "job-5"})
-	g.step(CancelRequest{JobID: "job-5", ReplyTo: recipient("u")})
+	g.step(CancelRequest{JobID: "job-5", ReplyTo: testRecipient("u")})
 	g.want("order once nobody is late", order(), []string{"job-3", "job-6", "job-4", "job-2", "job-1"})
-	g.want("slack without a deadline", g.c.jobs.list[0].slack(0) == math.MaxInt64, true)
+	g.want("slack without a deadline", g.core.jobs.list[0].slack(0) == math.MaxInt64, true)
 	// Nobody comes last for ever.
-	g.wait(maxStartDelay - 2*time.Second)
+	g.advance(maxStartDelay - 2*time.Second)
 	g.submit(newTestJob("job-7", 1, 1))
-	g.wait(3 * time.Second)
+	g.advance(3 * time.Second)
 	g.want("order after four minutes", order(), []string{"job-3", "job-6", "job-4", "job-2", "job-1", "job-7"})
 }
--- a/internal/scheduler/renewal_model_test.go
+++ b/internal/scheduler/renewal_model_test.go
@@ -83,14 +83,14 @@
 
 // renewalHistory is one history.
 type renewalHistory struct {
-	t                   tester
+	t                   testingT
 	random              property.Chooser
 	harness             *harness
 	agents              []*modelAgent
 	jobIDs              []string
 	cancelledAt         map[string]time.Duration // when a job was reported as cancelled
-	heartbeats          map[recipient]*wire.Heartbeat
-	responses           map[recipient]*wire.HeartbeatResponse
+	heartbeats          map[testRecipient]*wire.Heartbeat
+	responses           map[testRecipient]*wire.HeartbeatResponse
 	delayedMessages     []func() // messages that are held up
 	heartbeatsDelivered int
 }
@@ -109,8 +109,8 @@
 	})
 }
 
-func runRenewalHistory(t tester, r property.Chooser, steps int) {
-	h := &renewalHistory{t: t, random: r, harness: newHarness(t, ledger.Snapshot{}), cancelledAt: map[string]time.Duration{}, heartbeats: map[recipient]*wire.Heartbeat{}, responses: map[recipient]*wire.HeartbeatResponse{}}
+func runRenewalHistory(t testingT, r property.Chooser, steps int) {
+	h := &renewalHistory{t: t, random: r, harness: newHarness(t, ledger.Snapshot{}), cancelledAt: map[string]time.Duration{}, heartbeats: map[testRecipient]*wire.Heartbeat{}, responses: map[testRecipient]*wire.HeartbeatResponse{}}
 	for k := range 4 {
 		h.agents = append(h.agents, &modelAgent{name: fmt.Sprintf("vm-%d", k+1), epoch: 1, knownAttempts: map[uint64]bool{}})
 	}
@@ -134,7 +134,7 @@
 		h.submitJob()
 	case k < 30 && len(h.jobIDs) > 0:
 		jobID := h.jobIDs[h.random.IntN(len(h.jobIDs))]
-		h.harness.step(CancelRequest{JobID: jobID, ReplyTo: recipient(jobID)})
+		h.harness.step(CancelRequest{JobID: jobID, ReplyTo: testRecipient(jobID)})
 	case k < 33 && len(h.delayedMessages) > 0:
 		at := h.random.IntN(len(h.delayedMessages))
 		message := h.delayedMessages[at]
@@ -151,14 +151,14 @@
 		}
 	case k < 37 && h.random.IntN(4) == 0:
 		h.changeLeader()
-	case k < 38 && h.random.IntN(4) == 0 && len(h.harness.deleted) > 0:
-		h.confirmDeletion(h.harness.deleted[h.random.IntN(len(h.harness.deleted))])
+	case k < 38 && h.random.IntN(4) == 0 && len(h.harness.deletedMachines) > 0:
+		h.confirmDeletion(h.harness.deletedMachines[h.random.IntN(len(h.harness.deletedMachines))])
 	}
 }
 
 // advanceTime lets up to three seconds pass.
 func (h *renewalHistory) advanceTime() {
-	h.harness.wait(time.Duration(1+h.random.IntN(12)) * 250 * time.Millisecond)
+	h.harness.advance(time.Duration(1+h.random.IntN(12)) * 250 * time.Millisecond)
 	for _, w := range h.agents {
 		if !w.hung {
 			w.expireLease(h.harness.now)
@@ -197,7 +197,7 @@
 // deliver brings a heartbeat to the core and returns the response, if it is sent at once.
 func (h *renewalHistory) deliver(report *wire.Heartbeat) *wire.HeartbeatResponse {
 	h.heartbeatsDelivered++
-	to := recipient(fmt.Sprint("report ", h.heartbeatsDelivered))
+	to := testRecipient(fmt.Sprint("report ", h.heartbeatsDelivered))
 	h.heartbeats[to] = report
 	h.harness.step(HeartbeatEvent{Heartbeat: report, ReplyTo: to})
 	h.checkEffects()
@@ -237,10 +237,10 @@
 // cancelled job can't be read any more.
 func (h *renewalHistory) changeLeader() {
 	records := map[string]any{}
-	for jobID, j := range h.harness.specs {
+	for jobID, j := range h.harness.submittedJobs {
 		records[ledger.JobKey(jobID)] = ledger.JobRecord{Job: j, AcceptedMS: 1}
 	}
-	for key, w := range h.harness.writes {
+	for key, w := range h.harness.writesByKey {
 		records[key] = w.Value
 	}
 	var entries []wire.Entry
@@ -262,7 +262,7 @@
 		}
 	}
 	cfg := testConfig(settings.Defaults(), settings.Team{Name: "t"})
-	cfg.Term = h.harness.c.term + 1
+	cfg.Term = h.harness.core.term + 1
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	snapshot := ledger.New(cfg.Term, nil, func() ledger.Limits { return ledger.Limits{} }, log).LoadEntries(entries, 1)
 	old := h.harness
@@ -272,19 +272,19 @@
 			h.delayedMessages = append(h.delayedMessages, func() { w.executeRequest(d.Request) })
 		}
 	}
-	h.harness = newHarnessAt(h.t, old.now, cfg, snapshot)
-	h.harness.specs = old.specs
-	for key, w := range old.writes {
-		if _, rewritten := h.harness.writes[key]; !rewritten {
-			h.harness.writes[key] = w
+	h.harness = newHarnessWithConfig(h.t, old.now, cfg, snapshot)
+	h.harness.submittedJobs = old.submittedJobs
+	for key, w := range old.writesByKey {
+		if _, rewritten := h.harness.writesByKey[key]; !rewritten {
+			h.harness.writesByKey[key] = w
 		}
 	}
 }
 
 // checkEffects takes the core's responses and checks them, and the agents, against the rules.
 func (h *renewalHistory) checkEffects() {
-	out := h.harness.out
-	h.harness.out = nil
+	out := h.harness.recentEffects
+	h.harness.recentEffects = nil
 	for _, e := range out {
 		switch e := e.(type) {
 		case UserReply:
@@ -292,7 +292,7 @@
 				h.cancelledAt[e.Status.ID] = h.harness.now
 			}
 		case HeartbeatReply:
-			if to, ok := e.ReplyTo.(recipient); ok && e.Response != nil {
+			if to, ok := e.ReplyTo.(testRecipient); ok && e.Response != nil {
 				h.responses[to] = e.Response
 				h.checkStops(h.heartbeats[to], e.Response)
 			}
--- a/internal/scheduler/replacements.go
+++ b/internal/scheduler/replacements.go
@@ -37,8 +37,8 @@
 	for _, name := range like {
 		m := r.machines.find(name)
 		switch {
-		case m != nil && m.typ >= 0 && m.zone >= 0:
-			counts[autoscaler.CapacityPool{Type: m.typ, Zone: m.zone, Spot: m.spot}]++
+		case m != nil && m.typeIndex >= 0 && m.zone >= 0:
+			counts[autoscaler.CapacityPool{Type: m.typeIndex, Zone: m.zone, Spot: m.spot}]++
 		case !r.disruptions.mayDisrupt():
 			return nil
 		}
@@ -61,10 +61,10 @@
 	requests := r.scaleOutsFor(a.RequestID, a.Replaced)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
 		w := requests[name]
-		if r.scaleOuts.byID[name] != nil || r.rented[name] != nil || r.clock.now < r.pools.pool(w.Pool).blockedUntil {
+		if r.scaleOuts.byID[name] != nil || r.rented[name] != nil || r.clock.now < r.pools.state(w.Pool).blockedUntil {
 			continue
 		}
-		r.scaleOuts.startNamed(name, w)
+		r.scaleOuts.startWithID(name, w)
 	}
 }
 
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -12,7 +12,7 @@
 func (c *Core) restore(s *ledger.Snapshot) {
 	c.inherited.restore(c.cfg.SoftState)
 	for _, name := range s.GoneMachines {
-		m := c.machineNamed(name)
+		m := c.findOrAddMachine(name)
 		m.state = machineGone
 		m.recorded.setGone(true)
 	}
@@ -72,7 +72,7 @@
 	for _, chunk := range chunks {
 		var machines []*machine
 		for _, name := range chunk.Machines {
-			machines = append(machines, c.machineNamed(name))
+			machines = append(machines, c.findOrAddMachine(name))
 		}
 		c.jobs.restoreHosts(j, chunk.Chunk, machines)
 	}
@@ -100,6 +100,6 @@
 func (c *Core) restoreScaleOut(r ledger.ScaleOutRecord) {
 	h := c.scaleOuts.restore(r)
 	if r.Machines != nil {
-		c.machinesRented(h, r.Machines)
+		c.recordRentedMachines(h, r.Machines)
 	}
 }
--- a/internal/scheduler/restore_test.go
+++ b/internal/scheduler/restore_test.go
@@ -15,7 +15,7 @@
 		return ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 2, 1)},
 			Hosts: savedHosts(hosts...), Finished: savedRanges(0, 0)}}}
 	}
-	old := wire.Command{Task: "job-1/1", Attempt: 6<<tokenBits | 1}
+	old := wire.Command{Task: "job-1/1", Attempt: 6<<termCounterBits | 1}
 	gone := saved("vm-1")
 	gone.GoneMachines = []string{"vm-1"}
 	cases := []struct {
@@ -28,22 +28,22 @@
 		{"what never had hosts is placed at once", saved(), func(g *harness) {}, 1},
 		{"an unseen task waits for its host", saved("vm-1"), func(g *harness) {}, 0},
 		{"a report without our token clears nothing", saved("vm-1"), func(g *harness) {
-			g.sendHeartbeat(g.heartbeatOf("vm-1", 6<<tokenBits))
+			g.sendHeartbeat(g.newHeartbeat("vm-1", 6<<termCounterBits))
 		}, 0},
 		{"an echo without the task clears it", saved("vm-1"), func(g *harness) { g.bringUp("vm-1") }, 1},
 		{"an echo with the task adopts it", saved("vm-1"), func(g *harness) {
-			g.sendHeartbeat(g.heartbeatOf("vm-1", termToken, taskIn(old, wire.TaskRunning, "")))
+			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(old, wire.TaskRunning, "")))
 		}, 0},
 		{"every host must be cleared", saved("vm-1", "vm-2"), func(g *harness) { g.bringUp("vm-1") }, 0},
 		{"a deletion clears it", saved("vm-1"), func(g *harness) {
 			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
 		}, 1},
 		{"not before the lease must be over", saved("vm-1"), func(g *harness) {
-			g.wait(30 * time.Second)
+			g.advance(30 * time.Second)
 			g.bringUp("vm-8")
 		}, 0},
 		{"the end of the lease clears it", saved("vm-1"), func(g *harness) {
-			g.wait(30500 * time.Millisecond)
+			g.advance(30500 * time.Millisecond)
 			g.bringUp("vm-8")
 		}, 1},
 	}
@@ -52,7 +52,7 @@
 			g := newHarness(t, c.ledger)
 			g.bringUp("vm-9")
 			c.act(g)
-			g.want("starts", len(g.starts()), c.starts)
+			g.want("starts", len(g.startCommands()), c.starts)
 			g.want("state", g.jobStatus("job-1") == wire.JobDone, false)
 		})
 	}
@@ -65,15 +65,15 @@
 			AcceptedMS: int64(i-30) * 10000, TerminalState: wire.JobDone, Tasks: 1, Done: 1, Class: "c", Cores: 8, RunS: 20}})
 	}
 	g := newHarness(t, s)
-	mean, _ := autoscaler.Demand(0, g.c.demand.byClass)
+	mean, _ := autoscaler.Demand(0, g.core.demand.byClass)
 	if mean < 13 || mean > 16 {
 		t.Errorf("mean demand %v cores, want about 16", mean)
 	}
 }
 
-// TestNothingIsForgotten: whatever becomes of nodes and machines, an accepted
+// TestAcceptedJobsAreNeverLost: whatever becomes of nodes and machines, an accepted
 // job is known and is taken up again.
-func TestNothingIsForgotten(t *testing.T) {
+func TestAcceptedJobsAreNeverLost(t *testing.T) {
 	rec := ledger.JobRecord{Job: newTestJob("job-1", 2, 1)}
 	cases := []struct {
 		name  string
@@ -85,7 +85,7 @@
 			g.step(JobRecordEvent{JobID: "job-1", Record: rec, Version: 3})
 		}},
 		{"all its machines are gone", ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec, Hosts: savedHosts("vm-7", "vm-8")}}}, func(g *harness) {
-			g.wait(31 * time.Second)
+			g.advance(31 * time.Second)
 		}},
 		{"its machines were deleted by an earlier leader", ledger.Snapshot{GoneMachines: []string{"vm-7"}, Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec, Hosts: savedHosts("vm-7")}}}, func(g *harness) {}},
 		{"told of twice", ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec}}}, func(g *harness) {
@@ -98,19 +98,19 @@
 			c.act(g)
 			g.want("state", g.jobStatus("job-1"), wire.JobQueued)
 			g.bringUp("vm-1")
-			g.want("starts", len(g.starts()), 2)
+			g.want("starts", len(g.startCommands()), 2)
 		})
 	}
 }
 
-// TestCancelledJobWhoseRangesAreStillThere: the leader ended between writing a
+// TestCancelledJobWithUndeletedFinishedRanges: the leader ended between writing a
 // job's cancellation and deleting its ranges. The next one counted the finished
 // tasks twice and ended on that, as did every one after it.
-func TestCancelledJobWhoseRangesAreStillThere(t *testing.T) {
+func TestCancelledJobWithUndeletedFinishedRanges(t *testing.T) {
 	rec := ledger.JobRecord{Job: newTestJob("job-1", 3, 1), TerminalState: wire.JobCancelled, Tasks: 3, Done: 2}
 	g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: rec, Hosts: savedHosts("vm-1"), Finished: savedRanges(0, 1)}}})
 	g.want("state", g.jobStatus("job-1"), wire.JobCancelled)
 	g.bringUp("vm-1")
-	g.want("starts", len(g.starts()), 0)
-	g.want("settled", g.c.jobs.list[0].end.cleanedUp, true)
+	g.want("starts", len(g.startCommands()), 0)
+	g.want("settled", g.core.jobs.list[0].end.cleanedUp, true)
 }
--- a/internal/scheduler/scale_in.go
+++ b/internal/scheduler/scale_in.go
@@ -12,9 +12,9 @@
 // minRental is how long a machine is charged for at least.
 const minRental = 60 * time.Second
 
-// machineReturns returns machines to the cloud: those that are broken, lost or not needed. It owns
+// scaleInRequests returns machines to the cloud: those that are broken, lost or not needed. It owns
 // the deletions to be requested, and writes the rental of a machine besides the methods of that.
-type machineReturns struct {
+type scaleInRequests struct {
 	cfg       *Config
 	term      uint64
 	clock     *clock
@@ -29,14 +29,14 @@
 	deletes []string // to be requested at the end of the step
 }
 
-func newMachineReturns(c *Core) machineReturns {
-	return machineReturns{cfg: &c.cfg, term: c.term, clock: &c.clock, log: c.log, effects: &c.effects, types: &c.types,
+func newScaleInRequests(c *Core) scaleInRequests {
+	return scaleInRequests{cfg: &c.cfg, term: c.term, clock: &c.clock, log: c.log, effects: &c.effects, types: &c.types,
 		machines: &c.machines, agents: &c.agents, placement: &c.placement, demand: &c.demand}
 }
 
 // requestDelete requests the deletion of a machine. It is gone only when the cloud says so;
 // until then the request is repeated now and then.
-func (r *machineReturns) requestDelete(m *machine, why string) {
+func (r *scaleInRequests) requestDelete(m *machine, why string) {
 	if m.state == machineDeleting && r.clock.now-m.rental.lastDeleteRequest < 10*time.Second {
 		return
 	}
@@ -46,9 +46,9 @@
 	r.deletes = append(r.deletes, m.name)
 }
 
-// flush requests the deletions of a step together, since the cloud's API allows few
+// sendDeletes requests the deletions of a step together, since the cloud's API allows few
 // calls.
-func (r *machineReturns) flush() {
+func (r *scaleInRequests) sendDeletes() {
 	for names := r.deletes; len(names) > 0; {
 		n := min(len(names), autoscaler.MaxDelete)
 		r.effects.emit(CallCloud{autoscaler.Call{Delete: slices.Clone(names[:n])}})
@@ -57,8 +57,8 @@
 	r.deletes = r.deletes[:0]
 }
 
-// returnUnneeded returns the machines that are broken, lost, or not needed any more.
-func (r *machineReturns) returnUnneeded() {
+// deleteUnneeded returns the machines that are broken, lost, or not needed any more.
+func (r *scaleInRequests) deleteUnneeded() {
 	cores := r.countCapacity()
 	headroom := r.demand.headroomCores()
 	waiting := r.placement.placeableWithinLimit()
@@ -84,7 +84,7 @@
 
 // countCapacity counts the cores to plan with, and notes how many machines should be sending
 // heartbeats and which zones seem to be cut off.
-func (r *machineReturns) countCapacity() (cores float64) {
+func (r *scaleInRequests) countCapacity() (cores float64) {
 	zones := make([]zoneCount, len(r.machines.zones.list))
 	var all zoneCount
 	for _, m := range r.machines.live {
@@ -110,18 +110,18 @@
 // that task from it now. One that is too small or not allowed for all of them is not: in a large
 // cell there is always something waiting. Nor is one that only tasks beyond their team's limit
 // would use.
-func (r *machineReturns) mayScaleIn(m *machine, waiting []*job) bool {
-	if m.state != machineUp || m.eviction.kept || len(m.capacity.allocations) > 0 || r.clock.now-m.rental.rentedAt < minRental || !m.trusted(r.term) {
+func (r *scaleInRequests) mayScaleIn(m *machine, waiting []*job) bool {
+	if m.state != machineUp || m.eviction.rentedForPlan || len(m.capacity.allocations) > 0 || r.clock.now-m.rental.rentedAt < minRental || !m.trusted(r.term) {
 		return false
 	}
 	return !slices.ContainsFunc(waiting, func(j *job) bool {
-		return j.allowsMachine(m.typ, m.zone, m.spot) && j.request.size.Within(m.capacity.total)
+		return j.allowsMachine(m.typeIndex, m.zone, m.spot) && j.request.size.Within(m.capacity.total)
 	})
 }
 
 // reasonToScaleIn tells why a machine is to be returned whether or not it is needed; "": there
 // is no reason.
-func (r *machineReturns) reasonToScaleIn(m *machine) string {
+func (r *scaleInRequests) reasonToScaleIn(m *machine) string {
 	unacknowledged := r.agents.unacknowledgedFor(m)
 	switch {
 	case m.state == machineDeleting:
@@ -151,11 +151,11 @@
 // reasonToStopBoot tells why a machine without a heartbeat so far is to be returned. One that an
 // earlier leader had up may be unreachable for a while: it has a lease's time for its first
 // heartbeat.
-func (r *machineReturns) reasonToStopBoot(m *machine, unacknowledged time.Duration) string {
+func (r *scaleInRequests) reasonToStopBoot(m *machine, unacknowledged time.Duration) string {
 	patience := unknownBootPatience
 	switch {
-	case m.typ >= 0:
-		patience = time.Duration(r.cfg.Operator.BootPatience * float64(settings.Seconds(r.types.list[m.typ].BootS)))
+	case m.typeIndex >= 0:
+		patience = time.Duration(r.cfg.Operator.BootPatience * float64(settings.Seconds(r.types.list[m.typeIndex].BootS)))
 	case unacknowledged < r.agents.lease:
 		return ""
 	}
--- a/internal/scheduler/scale_in_test.go
+++ b/internal/scheduler/scale_in_test.go
@@ -15,14 +15,14 @@
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 1, 4))
-	g.endCommands(CommandExecuted)
-	g.wait(14 * time.Second)
-	g.want("asked to delete", g.deleted, []string{"vm-1"})
+	g.completeCommands(CommandExecuted)
+	g.advance(14 * time.Second)
+	g.want("asked to delete", g.deletedMachines, []string{"vm-1"})
 	g.bringUp("vm-2")
-	g.want("starts before it is surely gone", len(g.starts()), 0)
-	g.wait(17 * time.Second) // its lease has expired
+	g.want("starts before it is surely gone", len(g.startCommands()), 0)
+	g.advance(17 * time.Second) // its lease has expired
 	g.bringUp("vm-3")
-	g.want("starts after", len(g.starts()), 1)
+	g.want("starts after", len(g.startCommands()), 1)
 }
 
 func TestWhichUnreachableMachinesAreDeleted(t *testing.T) {
@@ -41,7 +41,7 @@
 			g := newHarness(t, ledger.Snapshot{})
 			tell := func(zones map[string]string) {
 				for name, zone := range zones {
-					r := g.heartbeatOf(name, termToken)
+					r := g.newHeartbeat(name, termToken)
 					r.Zone = zone
 					g.sendHeartbeat(r)
 				}
@@ -49,29 +49,29 @@
 			tell(c.zones)
 			tell(c.talking)
 			for range 14 {
-				g.wait(time.Second)
+				g.advance(time.Second)
 				tell(c.talking)
 			}
-			g.want("deleted", len(g.deleted), c.deleted)
+			g.want("deleted", len(g.deletedMachines), c.deleted)
 		})
 	}
 }
 
-func TestMachinesThatComeBackOneByOneAfterACutAreNotDeleted(t *testing.T) {
+func TestMachinesThatReconnectAfterAPartitionAreNotDeleted(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	machines := []string{"vm-1", "vm-2", "vm-3", "vm-4"}
 	for _, name := range machines {
 		g.bringUp(name)
 	}
-	g.wait(14 * time.Second) // all are unreachable: we are cut off
+	g.advance(14 * time.Second) // all are unreachable: we are cut off
 	for _, name := range machines {
 		g.bringUp(name)
-		g.wait(time.Second)
+		g.advance(time.Second)
 	}
-	g.want("deleted", len(g.deleted), 0)
+	g.want("deleted", len(g.deletedMachines), 0)
 }
 
-func TestSilenceDuringASuspensionCountsForNothing(t *testing.T) {
+func TestSuspensionOfTheLeaderMakesNoAgentUnreachable(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
 	g.bringUp("vm-2")
@@ -80,14 +80,14 @@
 	g.step(Tick{})
 	g.bringUp("vm-2")
 	g.bringUp("vm-3")
-	g.wait(time.Second)
-	g.want("deleted", len(g.deleted), 0)
+	g.advance(time.Second)
+	g.want("deleted", len(g.deletedMachines), 0)
 }
 
 func TestUnreachableHostAfterAFailoverIsDeleted(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}})
-	g.wait(13 * time.Second)
-	g.want("asked to delete", g.deleted, []string{"vm-1"})
+	g.advance(13 * time.Second)
+	g.want("asked to delete", g.deletedMachines, []string{"vm-1"})
 }
 
 // TestIdleMachineThatWaitingTasksCanNotUseIsReturned: on a large site something
@@ -109,13 +109,13 @@
 			j := newTestJob("job-1", 1, 1)
 			c.change(j)
 			g.submit(j)
-			g.endCommands(CommandNotSent) // what fits waits as well: commands do not arrive there
+			g.completeCommands(CommandNotSent) // what fits waits as well: commands do not arrive there
 			for range 100 {
-				g.wait(time.Second)
+				g.advance(time.Second)
 				g.acknowledge("vm-1")
-				g.endCommands(CommandNotSent)
+				g.completeCommands(CommandNotSent)
 			}
-			g.want("returned", len(slices.Compact(g.deleted)), c.deleted)
+			g.want("returned", len(slices.Compact(g.deletedMachines)), c.deleted)
 		})
 	}
 }
@@ -127,7 +127,7 @@
 	for i := range 5 {
 		g.submit(newTestJob(fmt.Sprintf("job-%d", i+1), 8, 1))
 	}
-	g.wait(2 * time.Second)
+	g.advance(2 * time.Second)
 	machines := 0
 	for _, h := range g.scaleOuts {
 		machines += h.Count
@@ -136,19 +136,19 @@
 
 	g.bringUp("vm-1")
 	running := []wire.TaskStatus{}
-	for _, o := range g.starts() {
-		running = append(running, taskIn(o, wire.TaskRunning, ""))
+	for _, o := range g.startCommands() {
+		running = append(running, newTaskStatus(o, wire.TaskRunning, ""))
 	}
 	g.want("started within the limit", len(running), 4)
-	g.endCommands(CommandExecuted)
+	g.completeCommands(CommandExecuted)
 	g.bringUp("vm-2")
 	for range 100 {
-		g.wait(time.Second)
+		g.advance(time.Second)
 		g.acknowledge("vm-1", running...)
 		g.acknowledge("vm-2")
 	}
 	returned := map[string]bool{}
-	for _, name := range g.deleted {
+	for _, name := range g.deletedMachines {
 		returned[name] = true
 	}
 	g.want("the idle machine returned, the busy one not", fmt.Sprint(returned["vm-2"], returned["vm-1"]), "true false")
--- a/internal/scheduler/scale_out_test.go
+++ b/internal/scheduler/scale_out_test.go
@@ -19,14 +19,14 @@
 		t.Fatalf("repeated %v, want h6-1 only", g.scaleOuts)
 	}
 	g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{ScaleOut: &g.scaleOuts[0]}, Machines: []string{"vm-1", "vm-2"}}})
-	g.want("machines known", len(g.c.machines.live), 3)
+	g.want("machines known", len(g.core.machines.live), 3)
 }
 
 func TestScaleOutIsDurableBeforeItIsSent(t *testing.T) {
 	g := newHarness(t, ledger.Snapshot{})
 	g.holdWrites = true
 	g.submit(newTestJob("job-1", 1, 1))
-	g.wait(2 * time.Second)
+	g.advance(2 * time.Second)
 	g.want("hires before", len(g.scaleOuts), 0)
 	g.releaseWrites()
 	g.want("hires after", len(g.scaleOuts) > 0, true)
--- a/internal/scheduler/scale_test.go
+++ b/internal/scheduler/scale_test.go
@@ -22,25 +22,25 @@
 			j.Tasks, j.MemGB = 1, 16
 		}
 		g.submit(j)
-		for _, o := range g.starts() {
-			tasks[name] = append(tasks[name], taskIn(o, wire.TaskRunning, ""))
+		for _, o := range g.startCommands() {
+			tasks[name] = append(tasks[name], newTaskStatus(o, wire.TaskRunning, ""))
 		}
-		g.endCommands(CommandExecuted)
+		g.completeCommands(CommandExecuted)
 	}
 	for i := range 30 {
 		j := newTestJob(fmt.Sprintf("job-9%05d", i), 10, 2)
 		j.MemGB = 4
 		g.submit(j)
 	}
-	g.want("started without room", len(g.starts()), 0)
-	before := g.c.placement.index.NodesVisited()
+	g.want("started without room", len(g.startCommands()), 0)
+	before := g.core.placement.index.NodesVisited()
 	const reports = 50
 	for i := range reports {
 		name := fmt.Sprintf("vm-%06d", 1+2*i)
 		tasks[name][0].Status, tasks[name][0].ExitReason = wire.TaskEnded, wire.ExitDone
-		g.sendHeartbeat(g.heartbeatOf(name, termToken, tasks[name]...))
+		g.sendHeartbeat(g.newHeartbeat(name, termToken, tasks[name]...))
 	}
-	return (g.c.placement.index.NodesVisited() - before) / reports
+	return (g.core.placement.index.NodesVisited() - before) / reports
 }
 
 // TestWorkPerHeartbeatDoesNotGrow: in a full cell every heartbeat with an ended task had all
--- a/internal/scheduler/scaling_plan.go
+++ b/internal/scheduler/scaling_plan.go
@@ -29,7 +29,7 @@
 	pools     *capacityPools
 	demand    *learnedDemand
 	scaleOuts *scaleOutRequests
-	returns   *machineReturns
+	scaleIns  *scaleInRequests
 
 	nextPlan time.Duration
 }
@@ -37,7 +37,7 @@
 func newCapacityPlanner(c *Core) capacityPlanner {
 	return capacityPlanner{cfg: &c.cfg, term: c.term, clock: &c.clock, types: &c.types, estimates: &c.estimates,
 		teams: &c.teams, machines: &c.machines, agents: &c.agents, placement: &c.placement,
-		pools: &c.pools, demand: &c.demand, scaleOuts: &c.scaleOuts, returns: &c.returns}
+		pools: &c.pools, demand: &c.demand, scaleOuts: &c.scaleOuts, scaleIns: &c.scaleIns}
 }
 
 // planDue plans the capacity if that is due.
@@ -46,14 +46,14 @@
 		return
 	}
 	p.nextPlan = p.clock.now + planInterval
-	p.returns.returnUnneeded()
+	p.scaleIns.deleteUnneeded()
 	p.scaleOutMachines()
 }
 
 // scaleOutMachines requests what waiting tasks need and what is to be kept as headroom.
 func (p *capacityPlanner) scaleOutMachines() {
-	open := len(p.scaleOuts.open())
-	for _, w := range autoscaler.Plan(p.plan()) {
+	open := len(p.scaleOuts.awaitingResult())
+	for _, w := range autoscaler.Plan(p.planInput()) {
 		for ; w.Count > 0; w.Count -= autoscaler.MaxScaleOut {
 			if open >= maxOpenScaleOuts {
 				return
@@ -64,35 +64,35 @@
 	}
 }
 
-// plan describes the situation for which scale-outs are planned.
-func (p *capacityPlanner) plan() autoscaler.PlanInput {
-	s := autoscaler.PlanInput{MaxMachines: p.cfg.Operator.MaxMachines, HeadroomSizes: p.demand.headroomSizes(), Headroom: p.demand.headroomCores()}
-	p.planPools(&s)
-	p.planMachines(&s)
-	p.planScaleOuts(&s)
-	p.planWaiting(&s)
+// planInput describes the situation for which scale-outs are planned.
+func (p *capacityPlanner) planInput() autoscaler.PlanInput {
+	s := autoscaler.PlanInput{MaxMachines: p.cfg.Operator.MaxMachines, HeadroomSizes: p.demand.headroomSizes(), HeadroomCores: p.demand.headroomCores()}
+	p.addPools(&s)
+	p.addMachines(&s)
+	p.addScaleOuts(&s)
+	p.addQueued(&s)
 	return s
 }
 
-// planPools lists the machine types and the capacity pools that may be used.
-func (p *capacityPlanner) planPools(s *autoscaler.PlanInput) {
+// addPools lists the machine types and the capacity pools that may be used.
+func (p *capacityPlanner) addPools(s *autoscaler.PlanInput) {
 	for i := range p.types.list {
-		s.Types = append(s.Types, autoscaler.MachineType{Total: p.types.list[i].total, Boot: p.types.list[i].boot})
+		s.Types = append(s.Types, autoscaler.MachineType{Total: p.types.list[i].total, BootTime: p.types.list[i].bootTime})
 	}
 	for o, st := range p.pools.openPools() {
 		s.Pools = append(s.Pools, autoscaler.PricedPool{CapacityPool: o, Price: p.types.list[o.Type].price(o.Spot), MaxCount: st.maxCount()})
 	}
 }
 
-// planMachines counts the machines that are up or coming.
-func (p *capacityPlanner) planMachines(s *autoscaler.PlanInput) {
-	s.Machines += p.machines.count()
+// addMachines counts the machines that are up or coming.
+func (p *capacityPlanner) addMachines(s *autoscaler.PlanInput) {
+	s.MachineCount += p.machines.count()
 	for _, m := range p.machines.live {
 		if !p.agents.countsAsCapacity(m) {
 			continue
 		}
 		s.ProvisionedCores += m.capacity.total.CPUs
-		o := autoscaler.CapacityPool{Type: m.typ, Zone: m.zone, Spot: m.spot}
+		o := autoscaler.CapacityPool{Type: m.typeIndex, Zone: m.zone, Spot: m.spot}
 		if m.trusted(p.term) {
 			s.Running = append(s.Running, autoscaler.RunningMachine{CapacityPool: o, BusyCoreSeconds: p.placement.remainingWork(m)})
 		} else {
@@ -101,24 +101,24 @@
 	}
 }
 
-// planScaleOuts counts the machines of scale-outs without a result.
-func (p *capacityPlanner) planScaleOuts(s *autoscaler.PlanInput) {
-	for _, h := range p.scaleOuts.open() {
+// addScaleOuts counts the machines of scale-outs without a result.
+func (p *capacityPlanner) addScaleOuts(s *autoscaler.PlanInput) {
+	for _, h := range p.scaleOuts.awaitingResult() {
 		if h.pool.Type < 0 {
 			continue
 		}
 		total := p.types.list[h.pool.Type].total
-		for range h.saved.Request.Count {
+		for range h.record.Request.Count {
 			s.Pending = append(s.Pending, autoscaler.PendingMachine{CapacityPool: h.pool, Free: total})
 			s.ProvisionedCores += total.CPUs
-			s.Machines++
+			s.MachineCount++
 		}
 	}
 }
 
-// planWaiting lists the tasks that wait, in the order of the queue. What a team's limit leaves
+// addQueued lists the tasks that wait, in the order of the queue. What a team's limit leaves
 // is shared by all its waiting jobs.
-func (p *capacityPlanner) planWaiting(s *autoscaler.PlanInput) {
+func (p *capacityPlanner) addQueued(s *autoscaler.PlanInput) {
 	used := make([]quota.Units, p.teams.Len())
 	for i := range used {
 		used[i] = p.teams.Team(int32(i)).Allocated()
@@ -131,7 +131,7 @@
 			n = min(n, 1)
 		}
 		if n > 0 {
-			s.Queued = append(s.Queued, autoscaler.TaskGroup{Size: j.request.size, Count: n, Run: p.estimates.expectedRun(j), Slack: j.slack(p.clock.now),
+			s.Queued = append(s.Queued, autoscaler.TaskGroup{Size: j.request.size, Count: n, RunTime: p.estimates.expectedRun(j), Slack: j.slack(p.clock.now),
 				Allows: func(o autoscaler.CapacityPool) bool { return j.allowsMachine(o.Type, o.Zone, o.Spot) }})
 		}
 	}
@@ -139,14 +139,14 @@
 
 // canScaleOut tells whether machines are coming or could be requested.
 func (p *capacityPlanner) canScaleOut() bool {
-	if len(p.scaleOuts.open()) > 0 {
+	if len(p.scaleOuts.awaitingResult()) > 0 {
 		return true
 	}
-	if slices.ContainsFunc(p.machines.live, func(m *machine) bool { return m.state == machineStarting && m.typ >= 0 }) {
+	if slices.ContainsFunc(p.machines.live, func(m *machine) bool { return m.state == machineStarting && m.typeIndex >= 0 }) {
 		return true
 	}
 	if most := p.cfg.Operator.MaxMachines; most > 0 && p.machines.count() >= most {
 		return false
 	}
-	return p.pools.poolsOpen()
+	return p.pools.anyPoolOpen()
 }
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -18,19 +18,19 @@
 // simulation is a whole deployment on a fake clock, around a core: machines that execute
 // commands and send heartbeats, and users whose jobs keep them busy.
 type simulation struct {
-	c        *Core
-	now      time.Duration
-	machines []*simulatedMachine
-	at       map[string]*simulatedMachine
-	jobs     int
-	backlog  []Event // events that follow at once
-	counts   map[string]int
+	core           *Core
+	now            time.Duration
+	machines       []*simulatedMachine
+	machinesByName map[string]*simulatedMachine
+	jobs           int
+	pendingEvents  []Event // events that follow at once
+	counts         map[string]int
 }
 
 type simulatedMachine struct {
-	report wire.Heartbeat
-	ends   map[uint64]time.Duration
-	next   time.Duration // its next heartbeat
+	heartbeat       wire.Heartbeat
+	taskEndTimes    map[uint64]time.Duration
+	nextHeartbeatAt time.Duration // its next heartbeat
 }
 
 // Deliver is not called: the simulation reads the effects.
@@ -39,9 +39,9 @@
 func newSimulation(machines int) *simulation {
 	p := &settings.Platform{Facts: settings.Facts{ControllerCount: 3, Teams: []settings.Team{{Name: "t"}},
 		Workers: settings.Workers{HeartbeatS: 8, LeaseS: 36, CancelS: 56}, Objectives: []settings.Objective{{Kind: "wait", Class: "small", WithinS: 4}}}}
-	s := &simulation{at: map[string]*simulatedMachine{}, counts: map[string]int{}}
-	s.c = NewCore(Config{Term: testTerm, Platform: p, Operator: settings.Defaults()}, ledger.Snapshot{}, 0, 0, slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})))
-	s.take(s.c.InitialEffects())
+	s := &simulation{machinesByName: map[string]*simulatedMachine{}, counts: map[string]int{}}
+	s.core = NewCore(Config{Term: testTerm, Platform: p, Operator: settings.Defaults()}, ledger.Snapshot{}, 0, 0, slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})))
+	s.handleEffects(s.core.InitialEffects())
 	var types []wire.MachineType
 	for i, cpus := range []float64{4, 8, 32} {
 		types = append(types, wire.MachineType{Name: fmt.Sprintf("m%d", i), CPUs: cpus, MemGB: 4 * cpus, CacheGB: 50, FetchGBPerS: 0.5, Price: cpus, SpotPrice: cpus / 2, BootS: 40, Zones: []string{"a", "b", "c"}})
@@ -52,22 +52,22 @@
 		if i%20 >= 11 {
 			typ = 1 + i%20/19
 		}
-		m := &simulatedMachine{ends: map[uint64]time.Duration{}, next: time.Duration(i) * 8 * time.Second / time.Duration(machines)}
-		m.report = wire.Heartbeat{Machine: fmt.Sprintf("vm-%06d", i), Address: "10.1.0.1:9000", CapacityPool: wire.CapacityPool{Type: types[typ].Name, Zone: types[typ].Zones[i%3], Spot: i%4 > 0}, AgentEpoch: 1}
+		m := &simulatedMachine{taskEndTimes: map[uint64]time.Duration{}, nextHeartbeatAt: time.Duration(i) * 8 * time.Second / time.Duration(machines)}
+		m.heartbeat = wire.Heartbeat{Machine: fmt.Sprintf("vm-%06d", i), Address: "10.1.0.1:9000", CapacityPool: wire.CapacityPool{Type: types[typ].Name, Zone: types[typ].Zones[i%3], Spot: i%4 > 0}, AgentEpoch: 1}
 		s.machines = append(s.machines, m)
-		s.at[m.report.Machine] = m
+		s.machinesByName[m.heartbeat.Machine] = m
 	}
 	return s
 }
 
 func (s *simulation) step(e Event) {
-	s.c.Step(e, s.now, s.now.Milliseconds())
-	s.settle()
+	s.core.Step(e, s.now, s.now.Milliseconds())
+	s.flush()
 }
 
-func (s *simulation) settle() { s.take(s.c.Flush()) }
+func (s *simulation) flush() { s.handleEffects(s.core.Flush()) }
 
-func (s *simulation) take(effects []Effect) {
+func (s *simulation) handleEffects(effects []Effect) {
 	var tags []ledger.Tag
 	for _, e := range effects {
 		s.counts[fmt.Sprintf("%T", e)]++
@@ -85,51 +85,51 @@
 				}
 			}
 		case SendCommands:
-			m := s.at[e.Machine]
-			m.obey(s.now, e.Request.FencingToken, e.Request.Commands)
-			r := m.say()
-			s.backlog = append(s.backlog, CommandResult{CommandID: e.CommandID, Outcome: CommandExecuted, Heartbeat: &r})
+			m := s.machinesByName[e.Machine]
+			m.executeCommands(s.now, e.Request.FencingToken, e.Request.Commands)
+			r := m.newHeartbeat()
+			s.pendingEvents = append(s.pendingEvents, CommandResult{CommandID: e.CommandID, Outcome: CommandExecuted, Heartbeat: &r})
 		case HeartbeatReply:
 			if e.Response != nil {
-				e.ReplyTo.(*simulatedMachine).obey(s.now, e.Response.FencingToken, e.Response.Commands)
+				e.ReplyTo.(*simulatedMachine).executeCommands(s.now, e.Response.FencingToken, e.Response.Commands)
 			}
 		case CallCloud:
 			if e.Call.List {
-				s.backlog = append(s.backlog, CloudResult{autoscaler.Result{Call: e.Call}})
+				s.pendingEvents = append(s.pendingEvents, CloudResult{autoscaler.Result{Call: e.Call}})
 			}
 		}
 	}
 	if len(tags) > 0 {
-		s.backlog = append(s.backlog, WritesDurable{tags})
+		s.pendingEvents = append(s.pendingEvents, WritesDurable{tags})
 	}
 }
 
-func (m *simulatedMachine) say() wire.Heartbeat {
-	m.report.Sequence++
-	r := m.report
+func (m *simulatedMachine) newHeartbeat() wire.Heartbeat {
+	m.heartbeat.Sequence++
+	r := m.heartbeat
 	r.Tasks = append([]wire.TaskStatus(nil), r.Tasks...)
 	return r
 }
 
-func (m *simulatedMachine) obey(now time.Duration, token uint64, orders []wire.Command) {
-	if token > m.report.FencingToken {
-		m.report.FencingToken = token
-		m.next = min(m.next, now+500*time.Millisecond)
+func (m *simulatedMachine) executeCommands(now time.Duration, token uint64, orders []wire.Command) {
+	if token > m.heartbeat.FencingToken {
+		m.heartbeat.FencingToken = token
+		m.nextHeartbeatAt = min(m.nextHeartbeatAt, now+500*time.Millisecond)
 	}
 	for _, o := range orders {
 		switch o.Verb {
 		case wire.VerbStart:
-			m.report.Tasks = append(m.report.Tasks, wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: wire.TaskRunning})
-			m.ends[o.Attempt] = now + 10*time.Second + time.Duration(o.Attempt%7)*time.Second
+			m.heartbeat.Tasks = append(m.heartbeat.Tasks, wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: wire.TaskRunning})
+			m.taskEndTimes[o.Attempt] = now + 10*time.Second + time.Duration(o.Attempt%7)*time.Second
 		case wire.VerbForget:
-			for i := range m.report.Tasks {
-				if m.report.Tasks[i].Attempt == o.Attempt {
-					m.report.Tasks = append(m.report.Tasks[:i], m.report.Tasks[i+1:]...)
+			for i := range m.heartbeat.Tasks {
+				if m.heartbeat.Tasks[i].Attempt == o.Attempt {
+					m.heartbeat.Tasks = append(m.heartbeat.Tasks[:i], m.heartbeat.Tasks[i+1:]...)
 					break
 				}
 			}
 		}
-		m.next = min(m.next, now+500*time.Millisecond)
+		m.nextHeartbeatAt = min(m.nextHeartbeatAt, now+500*time.Millisecond)
 	}
 }
 
@@ -145,34 +145,34 @@
 			if s.jobs%10 == 0 {
 				j.Class, j.CPUs, j.MemGB, j.Priority, j.Tasks = "large", 8, 15, "standard", 60
 			}
-			s.c.Step(JobRecordEvent{JobID: j.ID, Record: ledger.JobRecord{Job: j, AcceptedMS: s.now.Milliseconds()}, Version: 3}, s.now, s.now.Milliseconds())
+			s.core.Step(JobRecordEvent{JobID: j.ID, Record: ledger.JobRecord{Job: j, AcceptedMS: s.now.Milliseconds()}, Version: 3}, s.now, s.now.Milliseconds())
 		}
 		for _, m := range s.machines {
-			for i := range m.report.Tasks {
-				t := &m.report.Tasks[i]
-				if t.Status == wire.TaskRunning && m.ends[t.Attempt] <= s.now {
+			for i := range m.heartbeat.Tasks {
+				t := &m.heartbeat.Tasks[i]
+				if t.Status == wire.TaskRunning && m.taskEndTimes[t.Attempt] <= s.now {
 					t.Status, t.ExitReason = wire.TaskEnded, wire.ExitDone
-					m.next = min(m.next, s.now+300*time.Millisecond)
+					m.nextHeartbeatAt = min(m.nextHeartbeatAt, s.now+300*time.Millisecond)
 				}
 			}
-			if m.next <= s.now {
-				m.next = s.now + 8*time.Second
-				r := m.say()
+			if m.nextHeartbeatAt <= s.now {
+				m.nextHeartbeatAt = s.now + 8*time.Second
+				r := m.newHeartbeat()
 				s.counts["reports"]++
-				s.c.Step(HeartbeatEvent{Heartbeat: &r, ReplyTo: m}, s.now, s.now.Milliseconds())
+				s.core.Step(HeartbeatEvent{Heartbeat: &r, ReplyTo: m}, s.now, s.now.Milliseconds())
 			}
 		}
 		if s.now%(250*time.Millisecond) == 0 {
-			s.c.Step(Tick{}, s.now, s.now.Milliseconds())
+			s.core.Step(Tick{}, s.now, s.now.Milliseconds())
 		}
-		s.settle()
-		for rounds := 0; len(s.backlog) > 0 && rounds < 20; rounds++ {
-			events := s.backlog
-			s.backlog = nil
+		s.flush()
+		for rounds := 0; len(s.pendingEvents) > 0 && rounds < 20; rounds++ {
+			events := s.pendingEvents
+			s.pendingEvents = nil
 			for _, e := range events {
-				s.c.Step(e, s.now, s.now.Milliseconds())
+				s.core.Step(e, s.now, s.now.Milliseconds())
 			}
-			s.settle()
+			s.flush()
 		}
 	}
 }
@@ -192,5 +192,5 @@
 	for _, k := range []string{"reports", "dispatch.Direct", "writes"} {
 		b.ReportMetric(float64(s.counts[k])/float64(b.N), k+"/s")
 	}
-	b.ReportMetric(float64(s.c.attempts.count), "starts")
+	b.ReportMetric(float64(s.core.attempts.count), "starts")
 }
--- a/internal/scheduler/soft_state.go
+++ b/internal/scheduler/soft_state.go
@@ -34,9 +34,9 @@
 	m.softStateVersion = s.version
 }
 
-// softStateRequested replies with what has changed since an earlier reply, the oldest change
+// handleRequest replies with what has changed since an earlier reply, the oldest change
 // first.
-func (s *softState) softStateRequested(e SoftStateRequest) {
+func (s *softState) handleRequest(e SoftStateRequest) {
 	var changed []*machine
 	for _, m := range s.machines.list {
 		if m.softStateVersion > e.Since && (m.state != machineGone || e.Since > 0) {
@@ -82,7 +82,7 @@
 		}
 	}
 	for i := range s.types.list {
-		if boot := s.types.list[i].boot.Seconds(); boot > 0 {
+		if boot := s.types.list[i].bootTime.Seconds(); boot > 0 {
 			l.BootSeconds[s.types.list[i].Name] = boot
 		}
 	}
@@ -91,7 +91,7 @@
 			continue
 		}
 		l.Pools = append(l.Pools, softstate.CapacityPool{Type: s.types.list[o.Type].Name, Zone: s.machines.zones.list[o.Zone], Spot: o.Spot,
-			BackoffLeft: max(0, st.blockedUntil-s.clock.now), Backoff: st.backoff, Filled: st.fillsRequests})
+			BackoffLeft: max(0, st.blockedUntil-s.clock.now), Backoff: st.backoff, Filled: st.consecutiveFills})
 	}
 	slices.SortFunc(l.Pools, comparePools)
 	return l
--- a/internal/scheduler/spending.go
+++ b/internal/scheduler/spending.go
@@ -13,7 +13,7 @@
 	booting   float64 // machines without a heartbeat so far
 	fetching  float64 // cores of tasks that wait for their image, or for the result of their start
 	running   float64 // cores of tasks that run
-	saving    float64 // cores of tasks that are being stopped
+	stopping  float64 // cores of tasks that are being stopped
 	partIdle  float64 // free cores of machines with tasks
 	idle      float64 // machines without tasks
 	returning float64 // machines whose deletion is requested
@@ -49,15 +49,15 @@
 
 // total is all that was spent.
 func (s *costs) total() float64 {
-	return s.booting + s.fetching + s.running + s.saving + s.partIdle + s.idle + s.returning
+	return s.booting + s.fetching + s.running + s.stopping + s.partIdle + s.idle + s.returning
 }
 
 // pricePerSecond is what a machine costs at present.
 func (s *spending) pricePerSecond(m *machine) float64 {
-	if m.typ < 0 {
+	if m.typeIndex < 0 {
 		return 0
 	}
-	return s.types.list[m.typ].price(m.spot) / secondsPerHour
+	return s.types.list[m.typeIndex].price(m.spot) / secondsPerHour
 }
 
 // accrue adds what the machines have cost since the last time.
@@ -73,7 +73,7 @@
 		case machineStarting:
 			s.spent.booting += cost
 		case machineUp:
-			s.divideCost(m, cost)
+			s.attributeCost(m, cost)
 		case machineDeleting:
 			s.spent.returning += cost
 		case machineGone:
@@ -84,8 +84,8 @@
 	}
 }
 
-// divideCost divides the cost of a machine that is up.
-func (s *spending) divideCost(m *machine, cost float64) {
+// attributeCost divides the cost of a machine that is up.
+func (s *spending) attributeCost(m *machine, cost float64) {
 	if len(m.capacity.allocations) == 0 || m.capacity.total.CPUs <= 0 {
 		s.spent.idle += cost
 		return
@@ -96,7 +96,7 @@
 		free -= share
 		switch {
 		case b.stopping:
-			s.spent.saving += share
+			s.spent.stopping += share
 		case b.status == wire.TaskRunning:
 			s.spent.running += share
 		default:
@@ -119,7 +119,7 @@
 func (s *spending) logAndReset() {
 	if spent := &s.spent; spent.total() > 0 {
 		s.log.Info("spending", "seconds", (s.clock.now - s.loggedAt).Seconds(), "total", spent.total(), "booting", spent.booting, "fetching", spent.fetching,
-			"running", spent.running, "saving", spent.saving, "part_idle", spent.partIdle, "idle", spent.idle, "returning", spent.returning, "lost", spent.lost, "machines", len(s.machines.live))
+			"running", spent.running, "saving", spent.stopping, "part_idle", spent.partIdle, "idle", spent.idle, "returning", spent.returning, "lost", spent.lost, "machines", len(s.machines.live))
 	}
 	s.spent, s.loggedAt = costs{}, s.clock.now
 }
--- a/internal/scheduler/spending_test.go
+++ b/internal/scheduler/spending_test.go
@@ -26,14 +26,14 @@
 		{"is being returned", machineDeleting, nil, costs{returning: 100}},
 		{"is gone", machineGone, nil, costs{}},
 		{"runs one task", machineUp, []func(j *job) *allocation{running}, costs{running: 25, partIdle: 75}},
-		{"does all at once", machineUp, []func(j *job) *allocation{running, fetching, stopping, running}, costs{running: 50, fetching: 25, saving: 25}},
+		{"does all at once", machineUp, []func(j *job) *allocation{running, fetching, stopping, running}, costs{running: 50, fetching: 25, stopping: 25}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
 			g := newHarness(t, ledger.Snapshot{})
 			g.bringUp("vm-1")
 			g.submit(newTestJob("job-000001", 1, 1))
-			c := g.c
+			c := g.core
 			m, j := c.machines.list[c.machines.indexByName["vm-1"]], c.jobs.list[0]
 			m.state, m.capacity.allocations = tc.state, nil
 			for _, ledgerWriter := range tc.bookings {
@@ -48,7 +48,7 @@
 				got, want float64
 			}{
 				{"booting", c.spending.spent.booting, tc.want.booting}, {"fetching", c.spending.spent.fetching, tc.want.fetching},
-				{"running", c.spending.spent.running, tc.want.running}, {"saving", c.spending.spent.saving, tc.want.saving},
+				{"running", c.spending.spent.running, tc.want.running}, {"saving", c.spending.spent.stopping, tc.want.stopping},
 				{"partly idle", c.spending.spent.partIdle, tc.want.partIdle}, {"idle", c.spending.spent.idle, tc.want.idle},
 				{"returning", c.spending.spent.returning, tc.want.returning},
 			} {
--- a/internal/scheduler/start_delivery_test.go
+++ b/internal/scheduler/start_delivery_test.go
@@ -32,11 +32,11 @@
 					starts.TakeSendable(commands)
 				}
 				g.sentCommands = nil
-				g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
+				g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 				sendable, forbidden := starts.TakeSendable(commands)
 				g.want("sent after the cancellation", len(sendable), c.sendable)
 				g.want("forbidden", len(forbidden), 0)
-				g.want("allocations", g.c.jobs.list[0].progress.allocated, c.allocated)
+				g.want("allocations", g.core.jobs.list[0].progress.allocated, c.allocated)
 				g.want("direct commands with stops", len(g.sentCommands), c.stops)
 				g.want("state", g.jobStatus("job-1"), wire.JobCancelled)
 			})
@@ -55,10 +55,10 @@
 func startInResponse(g *harness) (StartDeliveries, []wire.Command) {
 	g.holdWrites = true
 	g.submit(newTestJob("job-1", 1, 1))
-	g.out = nil
-	g.step(HeartbeatEvent{Heartbeat: g.heartbeatOf("vm-1", termToken), ReplyTo: recipient("w")})
+	g.recentEffects = nil
+	g.step(HeartbeatEvent{Heartbeat: g.newHeartbeat("vm-1", termToken), ReplyTo: testRecipient("w")})
 	g.releaseWrites()
-	for _, effect := range g.out {
+	for _, effect := range g.recentEffects {
 		if reply, ok := effect.(HeartbeatReply); ok && len(reply.Starts) > 0 {
 			return reply.Starts, reply.Response.Commands
 		}
@@ -74,11 +74,11 @@
 	g.bringUp("vm-1")
 	starts, commands := startInCommand(g)
 	starts.Defer()
-	g.step(CancelRequest{JobID: "job-1", ReplyTo: recipient("u")})
+	g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 	starts.TakeSendable(commands)
-	g.endCommands(CommandWithdrawn)
+	g.completeCommands(CommandWithdrawn)
 	g.submit(newTestJob("job-2", 1, 1))
-	g.want("starts of the next job", len(g.starts()), 1)
+	g.want("starts of the next job", len(g.startCommands()), 1)
 }
 
 // TestStartDeliveries guards the decision at the moment of sending: what was withdrawn stays, what
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -45,8 +45,8 @@
 	c.softState.machineChanged(m)
 	j.progress.markStarted()
 	m.capacity.markUsed(c.clock.now)
-	if j.spec != nil && m.typ >= 0 {
-		m.capacity.addImage(j.request.image, j.spec.ImageGB, c.types.list[m.typ].CacheGB)
+	if j.spec != nil && m.typeIndex >= 0 {
+		m.capacity.addImage(j.request.image, j.spec.ImageGB, c.types.list[m.typeIndex].CacheGB)
 	}
 }
 
@@ -118,7 +118,7 @@
 		if b != nil && b.runningSince > 0 && !b.runStartUnknown {
 			c.estimates.addRun(j, c.clock.now-b.runningSince)
 		}
-		m.health.taskSucceeded()
+		m.health.clearFailures()
 		c.completeTask(j, n)
 	case wire.ExitError:
 		c.placement.recordFailure(m, j, n, t.Attempt)
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -63,7 +63,7 @@
 		for i := range names {
 			names[i] = rest[i].name
 		}
-		n := ledger.CountFittingNames(names, a.cfg.ValueBytes-unreachableRecordOverhead)
+		n := ledger.CountFittingNames(names, a.cfg.MaxValueBytes-unreachableRecordOverhead)
 		a.writeUnreachableRecord(rest[:n])
 		rest = rest[n:]
 	}
@@ -113,7 +113,7 @@
 	for _, key := range slices.Sorted(maps.Keys(records)) {
 		var machines []*machine
 		for _, name := range records[key].Machines {
-			machines = append(machines, c.machineNamed(name))
+			machines = append(machines, c.findOrAddMachine(name))
 		}
 		c.agents.restoreUnreachableRecord(key, machines, records[key].LeaseExpiryMS)
 	}
--- a/internal/scheduler/unreachable_test.go
+++ b/internal/scheduler/unreachable_test.go
@@ -12,7 +12,7 @@
 
 // lastUnreachableRecord returns the unreachable-agent record that was last written, and its key.
 func (g *harness) lastUnreachableRecord() (string, *ledger.UnreachableRecord) {
-	for key, w := range g.writes {
+	for key, w := range g.writesByKey {
 		if r, ok := w.Value.(ledger.UnreachableRecord); ok && len(r.Machines) > 0 && strings.HasPrefix(key, ledger.UnreachableKey("")) {
 			return key, &r
 		}
@@ -22,7 +22,7 @@
 
 // responseCount counts the heartbeats that got a response.
 func (g *harness) responseCount() (n int) {
-	for _, e := range g.out {
+	for _, e := range g.recentEffects {
 		if a, ok := e.(HeartbeatReply); ok && a.Response != nil {
 			n++
 		}
@@ -37,13 +37,13 @@
 	g.bringUp("vm-1")
 	heard := g.now
 	g.submit(newTestJob("job-1", 1, 1))
-	o := g.starts()[0]
-	g.endCommands(CommandExecuted)
-	g.wait(5 * time.Second)
+	o := g.startCommands()[0]
+	g.completeCommands(CommandExecuted)
+	g.advance(5 * time.Second)
 	if _, r := g.lastUnreachableRecord(); r != nil {
 		t.Errorf("noted after 5 s: %+v", r)
 	}
-	g.wait(6 * time.Second)
+	g.advance(6 * time.Second)
 	key, r := g.lastUnreachableRecord()
 	if r == nil {
 		t.Fatal("not noted after 11 s")
@@ -51,23 +51,23 @@
 	if over := time.Duration(r.LeaseExpiryMS) * time.Millisecond; over < heard+30*time.Second || over > heard+31*time.Second || len(r.Machines) != 1 {
 		t.Errorf("noted %+v", r)
 	}
-	g.holdWrites, g.out = true, nil
+	g.holdWrites, g.recentEffects = true, nil
 	report := func() {
-		r := g.heartbeatOf("vm-1", g.c.machineNamed("vm-1").agent.FencingToken(), taskIn(o, wire.TaskRunning, ""))
-		g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: recipient("w")})
+		r := g.newHeartbeat("vm-1", g.core.findOrAddMachine("vm-1").agent.FencingToken(), newTaskStatus(o, wire.TaskRunning, ""))
+		g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: testRecipient("w")})
 	}
 	report()
 	g.want("answered before the note is withdrawn", g.responseCount(), 0)
 	// Not deleted: a late copy of the record's own write finds no key at first.
-	g.want("withdrawn", fmt.Sprint(g.writes[key].Value, g.writes[key].Urgent), "{0 []} true")
+	g.want("withdrawn", fmt.Sprint(g.writesByKey[key].Value, g.writesByKey[key].Urgent), "{0 []} true")
 	report()
 	g.releaseWrites()
 	g.want("answered afterwards", g.responseCount(), 2)
-	g.out = nil
+	g.recentEffects = nil
 	report()
 	g.want("answered from then on", g.responseCount(), 1)
 	g.want("its task goes on", g.jobStatus("job-1"), wire.JobRunning)
-	g.wait(11 * time.Second)
+	g.advance(11 * time.Second)
 	again, _ := g.lastUnreachableRecord()
 	g.want("the key of the next note", again, key)
 }
@@ -99,8 +99,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			g := newHarness(t, c.saved)
 			g.bringUp("vm-2")
-			for len(g.starts()) == 0 && g.now < time.Minute {
-				g.wait(250 * time.Millisecond)
+			for len(g.startCommands()) == 0 && g.now < time.Minute {
+				g.advance(250 * time.Millisecond)
 				g.acknowledge("vm-2")
 			}
 			if g.now < c.after || g.now > c.until {
@@ -111,16 +111,16 @@
 	t.Run("the machine is back before", func(t *testing.T) {
 		g := newHarness(t, saved(5*time.Second, "vm-1"))
 		g.bringUp("vm-2")
-		g.holdWrites, g.out = true, nil
-		old := wire.TaskStatus{Task: "job-1/0", Attempt: 6<<tokenBits | 1, Status: wire.TaskRunning}
-		g.step(HeartbeatEvent{Heartbeat: g.heartbeatOf("vm-1", 6<<tokenBits, old), ReplyTo: recipient("w")})
+		g.holdWrites, g.recentEffects = true, nil
+		old := wire.TaskStatus{Task: "job-1/0", Attempt: 6<<termCounterBits | 1, Status: wire.TaskRunning}
+		g.step(HeartbeatEvent{Heartbeat: g.newHeartbeat("vm-1", 6<<termCounterBits, old), ReplyTo: testRecipient("w")})
 		g.want("answered before the note is withdrawn", g.responseCount(), 0)
 		g.releaseWrites()
 		g.want("answered afterwards", g.responseCount(), 1)
 		g.acknowledge("vm-1", old)
-		g.wait(6 * time.Second)
+		g.advance(6 * time.Second)
 		g.want("its task goes on", g.jobStatus("job-1"), wire.JobRunning)
-		g.want("and is not started again", len(g.starts()), 0)
+		g.want("and is not started again", len(g.startCommands()), 0)
 	})
 }
 
@@ -140,30 +140,30 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			g := newHarness(t, c.saved)
-			g.wait(c.heard)
-			m := g.c.machineNamed("vm-1")
+			g.advance(c.heard)
+			m := g.core.findOrAddMachine("vm-1")
 			m.agent.SetAddress("10.1.0.1:9000")
-			g.c.commands.sendCommand(&commandInFlight{machine: m, agentEpoch: 2, fencingToken: m.agent.FencingToken()}, []wire.Command{})
-			g.take(g.c.Flush())
+			g.core.commands.sendCommand(&commandInFlight{machine: m, agentEpoch: 2, fencingToken: m.agent.FencingToken()}, []wire.Command{})
+			g.recordEffects(g.core.Flush())
 			probe := g.sentCommands[len(g.sentCommands)-1]
 			g.sentCommands = nil
-			r := g.heartbeatOf("vm-1", termToken)
+			r := g.newHeartbeat("vm-1", termToken)
 			r.AgentEpoch = 2
 			g.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandExecuted, Heartbeat: r})
 			g.submit(newTestJob("job-1", 1, 1))
-			g.want("started there", len(g.starts()), 1)
-			g.endCommands(CommandExecuted)
+			g.want("started there", len(g.startCommands()), 1)
+			g.completeCommands(CommandExecuted)
 			heard := g.now
 			for g.now < heard+28*time.Second {
-				g.wait(time.Second)
+				g.advance(time.Second)
 				g.acknowledge("vm-2")
 			}
-			g.want("started again within its lease", len(g.starts()), 0)
+			g.want("started again within its lease", len(g.startCommands()), 0)
 			for g.now < heard+33*time.Second {
-				g.wait(time.Second)
+				g.advance(time.Second)
 				g.acknowledge("vm-2")
 			}
-			g.want("started again after it", len(g.starts()), 1)
+			g.want("started again after it", len(g.startCommands()), 1)
 		})
 	}
 }
@@ -174,15 +174,15 @@
 	g := newHarness(t, ledger.Snapshot{})
 	g.bringUp("vm-1")
 	g.submit(newTestJob("job-1", 1, 1))
-	g.endCommands(CommandExecuted)
+	g.completeCommands(CommandExecuted)
 	g.holdWrites = true
 	g.submit(newTestJob("job-2", 1, 4)) // a scale-out, which waits for the ledger
-	g.wait(12 * time.Second)
+	g.advance(12 * time.Second)
 	if _, r := g.lastUnreachableRecord(); r != nil {
 		t.Errorf("noted in an outage: %+v", r)
 	}
 	g.releaseWrites()
-	g.wait(4 * time.Second)
+	g.advance(4 * time.Second)
 	if _, r := g.lastUnreachableRecord(); r == nil {
 		t.Error("not noted after the outage")
 	}
