--- a/internal/ledger/batching_property_test.go
+++ b/internal/ledger/batching_property_test.go
@@ -11,14 +11,14 @@
 	_ "leadproxy/internal/property" // fixes the seed
 )
 
-// ledgerStateMachine drives a ledger's steps by hand over a store that loses transactions, loses
-// their responses, or carries them out late, and keeps what every key must hold in the end.
+// ledgerStateMachine runs the steps of a ledger one by one against a store that loses requests and
+// responses and delays transactions. It tracks the value that each key must have in the end.
 type ledgerStateMachine struct {
 	ledger  *Ledger
 	store   *fakeStore
-	want    map[string]string // the last value of each key; missing: deleted
-	tags    int               // handed out so far
-	durable map[Tag]int       // how often each was handed back
+	want    map[string]string // last value of each key; no entry if deleted
+	tags    int               // number of tags assigned so far
+	durable map[Tag]int       // how often each tag was reported durable
 }
 
 func newLedgerStateMachine(t *rapid.T) *ledgerStateMachine {
@@ -27,7 +27,7 @@
 	return &ledgerStateMachine{newTestLedger(store, limits), store, map[string]string{}, 0, map[Tag]int{}}
 }
 
-// enqueue writes or deletes a key.
+// enqueue enqueues a write or a deletion of a random key.
 func (m *ledgerStateMachine) enqueue(t *rapid.T) {
 	key := fmt.Sprintf("host/%d", rapid.IntRange(0, 5).Draw(t, "key"))
 	m.tags++
@@ -42,55 +42,57 @@
 	}
 }
 
-// commit carries one transaction out, or whatever else its fate is.
-func (m *ledgerStateMachine) commit(t *rapid.T, fate string) {
+// commit sends the next transaction, which has the given outcome.
+func (m *ledgerStateMachine) commit(t *rapid.T, outcome string) {
 	if len(m.ledger.queue.pending) == 0 {
 		return
 	}
 	next := m.ledger.nextTransaction()
 	m.checkTransaction(t, next)
-	m.store.outcomes = fate
+	m.store.outcomes = outcome
 	o := m.ledger.committer.commitOnce(context.Background(), next)
 	m.store.outcomes = ""
 	settled, err := m.ledger.applyOutcome(context.Background(), o)
 	if err != nil || len(settled.rejected) > 0 {
-		t.Fatalf("settled with %v, rejected: %v", err, settled.rejected)
+		t.Fatalf("applying the outcome: error %v, rejected tags %v, want neither", err, settled.rejected)
 	}
 	for _, tag := range settled.durable {
 		m.durable[tag]++
 	}
 }
 
-// checkTransaction checks that a transaction has each key once and keeps to the limits.
+// checkTransaction checks that a transaction has at least one write, at most one per key, and
+// respects the limits.
 func (m *ledgerStateMachine) checkTransaction(t *rapid.T, next transaction) {
 	t.Helper()
 	keys, changes, limits := keysOf(next.writes), next.request.Changes, m.ledger.limits
 	distinct := slices.Compact(slices.Sorted(slices.Values(keys)))
 	if len(distinct) != len(keys) || len(changes) > limits.MaxChanges || len(keys) == 0 {
-		t.Fatalf("a transaction of %v with %d changes, of %d", keys, len(changes), limits.MaxChanges)
+		t.Fatalf("transaction of keys %v with %d changes, want distinct keys, at least one, and at most %d changes", keys, len(changes), limits.MaxChanges)
 	}
 	size := 0
 	for _, c := range changes {
 		size += len(c.Value)
 	}
 	if len(keys) > 1 && size > limits.TransactionBytes {
-		t.Fatalf("a transaction of %d keys has %d bytes", len(keys), size)
+		t.Fatalf("transaction of %d keys has %d bytes, more than the limit", len(keys), size)
 	}
 }
 
-// applyDelayed carries out a transaction that was held back.
+// applyDelayed applies a delayed transaction. It may stay in the list and be applied again later.
 func (m *ledgerStateMachine) applyDelayed(t *rapid.T) {
 	if len(m.store.delayedTransactions) == 0 {
 		return
 	}
-	k := rapid.IntRange(0, len(m.store.delayedTransactions)-1).Draw(t, "held")
-	m.store.apply(m.store.delayedTransactions[k])
-	if rapid.Bool().Draw(t, "once") {
-		m.store.delayedTransactions = slices.Delete(m.store.delayedTransactions, k, k+1)
+	i := rapid.IntRange(0, len(m.store.delayedTransactions)-1).Draw(t, "delayed")
+	m.store.apply(m.store.delayedTransactions[i])
+	if rapid.Bool().Draw(t, "applied only once") {
+		m.store.delayedTransactions = slices.Delete(m.store.delayedTransactions, i, i+1)
 	}
 }
 
-// finish commits what is left and compares.
+// finish commits all pending writes, applies all delayed transactions, and checks the tags and the
+// stored values.
 func (m *ledgerStateMachine) finish(t *rapid.T) {
 	for range 100 {
 		m.commit(t, "c")
@@ -98,7 +100,7 @@
 	m.store.applyDelayed()
 	for n := range m.tags {
 		if times := m.durable[numberTag(n+1)]; times != 1 {
-			t.Fatalf("tag %d was handed back %d times", n+1, times)
+			t.Fatalf("tag %d was reported durable %d times, want once", n+1, times)
 		}
 	}
 	for n := range 6 {
@@ -109,15 +111,15 @@
 	}
 }
 
-// TestBatchingKeepsLastWriteOfEachKey: whatever happens to the transactions and whenever
-// late ones arrive, each key ends with its last write, each tag is handed back once, and no
-// transaction exceeds its limits.
+// TestBatchingKeepsLastWriteOfEachKey checks, for any sequence of lost, delayed and repeated
+// transactions, that each key ends with its last write, each tag is reported durable exactly once,
+// and no transaction exceeds its limits.
 func TestBatchingKeepsLastWriteOfEachKey(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newLedgerStateMachine(t)
 		t.Repeat(map[string]func(*rapid.T){
 			"enqueue": m.enqueue,
-			"commit":  func(t *rapid.T) { m.commit(t, rapid.SampledFrom([]string{"c", "c", "l", "r", "h"}).Draw(t, "fate")) },
+			"commit":  func(t *rapid.T) { m.commit(t, rapid.SampledFrom([]string{"c", "c", "l", "r", "h"}).Draw(t, "outcome")) },
 			"release": m.applyDelayed,
 		})
 		m.finish(t)
--- a/internal/ledger/commit.go
+++ b/internal/ledger/commit.go
@@ -14,38 +14,40 @@
 
 // Store is the part of the key-value store that the ledger needs.
 type Store interface {
-	Get(ctx context.Context, p kvstore.Priority, key string) (wire.Entry, bool, error)
-	List(ctx context.Context, p kvstore.Priority, under, after string, limit int) (wire.EntryPage, error)
-	CompareAndSwap(ctx context.Context, p kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error)
+	Get(ctx context.Context, priority kvstore.Priority, key string) (wire.Entry, bool, error)
+	List(ctx context.Context, priority kvstore.Priority, under, after string, limit int) (wire.EntryPage, error)
+	CompareAndSwap(ctx context.Context, priority kvstore.Priority, request wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error)
 }
 
-// outcome is what came of a transaction.
+// outcome is the result of sending a transaction.
 type outcome struct {
 	transaction transaction
 	committed   bool
 	response    wire.CompareAndSwapResponse
 	err         error
-	// versions are those of the keys whose conditions failed, read afterwards.
+	// versions holds the versions of the keys whose conditions failed, read after the failure. A
+	// key whose version could not be read is missing.
 	versions map[string]uint64
 }
 
-// rejectedAlone tells whether the store rejects a write that was the only one of its
-// transaction.
+// rejectedAlone reports whether the store rejected a transaction with a single write, which is
+// then known to be the cause.
 func (o *outcome) rejectedAlone() bool {
 	return errors.Is(o.err, kvstore.ErrInvalidRequest) && len(o.transaction.writes) == 1
 }
 
-// committer carries out transactions. It has no state of the term.
+// committer sends transactions to the store. It holds no state of the term, so it can run
+// concurrently with the ledger.
 type committer struct {
 	store Store
 	log   *slog.Logger
 }
 
-// failureBackoff is how long the next transaction waits after one that failed.
+// failureBackoff is the delay between a failed transaction and the next one.
 const failureBackoff = 100 * time.Millisecond
 
-// commit carries out one transaction. If it fails, it waits before it returns, so that the
-// ledger accepts writes meanwhile.
+// commit sends one transaction. After a failure it waits for failureBackoff before it returns;
+// since it runs in a goroutine of its own, the ledger accepts writes meanwhile.
 func (c committer) commit(ctx context.Context, t transaction) outcome {
 	o := c.commitOnce(ctx, t)
 	if o.err != nil && !errors.Is(o.err, ErrLeadershipLost) {
@@ -55,8 +57,8 @@
 }
 
 // commitOnce sends one transaction once. If its conditions fail, an earlier transaction of
-// unknown outcome was carried out, or another controller has written a job record: it reads
-// the versions anew.
+// unknown outcome was applied, another controller has written a job record, or another term has
+// begun. It then reads the current versions of the keys whose conditions failed.
 func (c committer) commitOnce(ctx context.Context, t transaction) outcome {
 	o := outcome{transaction: t}
 	o.committed, o.response, o.err = c.store.CompareAndSwap(ctx, kvstore.PriorityLeader, t.request)
@@ -67,8 +69,8 @@
 	return o
 }
 
-// readVersions reads the versions of keys whose conditions failed. If the leader's key is
-// among them, the term is over.
+// readVersions reads the current versions of the keys whose conditions failed. If the leader key
+// is among them, it returns ErrLeadershipLost. A key that can't be read is left out.
 func (c committer) readVersions(ctx context.Context, failedKeys []string) (map[string]uint64, error) {
 	versions := map[string]uint64{}
 	for _, key := range failedKeys {
@@ -77,7 +79,7 @@
 		}
 		entry, _, err := c.store.Get(ctx, kvstore.PriorityLeader, key)
 		if err != nil {
-			c.log.Debug("reading the version of a ledger key failed", "key", key, "error", err)
+			c.log.Debug("failed to read the version of a ledger key", "key", key, "error", err)
 			continue
 		}
 		versions[key] = entry.Version
--- a/internal/ledger/compatibility_test.go
+++ b/internal/ledger/compatibility_test.go
@@ -10,8 +10,8 @@
 	"leadproxy/internal/wire"
 )
 
-// While a deployment is upgraded, this version and the one in production work on the
-// same ledger. These are records as production writes them, word for word.
+// During a rolling upgrade, this version and the production version use the same ledger. These are
+// records exactly as the production version writes them.
 const (
 	productionDescription = `{"ref":"job-000001","lane":"c","owner":"t","shape":"batch","urgency":"high","pieces":5,"vcpus":1.5,"gpus":0,"mem_gb":2,` +
 		`"bundle":"i","size_gb":0.5,"flavors":["m8"],"room":"a","together":false,"spread":false,"loaners":true,"guess_s":8,"snapshot_s":0,"flush_s":0,"due_s":90}`
@@ -24,11 +24,12 @@
 	productionHosts       = `["vm-000001","vm-000002"]`
 )
 
+// entry returns an entry of version 3.
 func entry(key, value string) wire.Entry {
 	return wire.Entry{Key: key, Value: json.RawMessage(value), Version: 3}
 }
 
-// TestDecodesProductionRecords: every kind of record.
+// TestDecodesProductionRecords decodes a record of every kind that the production version writes.
 func TestDecodesProductionRecords(t *testing.T) {
 	s := decodeSnapshot([]wire.Entry{
 		entry("job/job-000001", productionOpen), entry("job/job-000002", strings.Replace(productionCancelled, "job-000001", "job-000002", 1)), entry("job/job-000003", productionDone),
@@ -40,25 +41,25 @@
 	}
 	open, aborted, done := s.Jobs[0].Record, s.Jobs[1].Record, s.Jobs[2].Record
 	if open.TerminalState != "" || open.Job.Tasks != 5 || open.Job.DependsOn != nil || *open.Job.DeadlineS != 90 || open.AcceptedMS != 946684800123 {
-		t.Errorf("an open job: %+v", open)
+		t.Errorf("record of the unfinished job decoded as %+v", open)
 	}
 	if aborted.TerminalState != wire.JobCancelled || aborted.Done != 2 || aborted.Job.Team != "t" {
-		t.Errorf("a cancelled job: %+v", aborted)
+		t.Errorf("record of the cancelled job decoded as %+v", aborted)
 	}
 	if done.TerminalState != wire.JobDone || done.Cores != 7.5 || done.EndedMS != 0 {
-		t.Errorf("a job that is done: %+v", done)
+		t.Errorf("record of the finished job decoded as %+v", done)
 	}
 	finished := 0
 	s.Jobs[0].Finished[0].Ranges.Each(func(int) { finished++ })
 	if finished != 3 || len(s.Jobs[0].Hosts) != 1 || !reflect.DeepEqual(s.Jobs[0].Hosts[0].Machines, []string{"vm-000001", "vm-000002"}) {
-		t.Errorf("what is kept besides: %+v", s.Jobs[0])
+		t.Errorf("finished tasks and hosts decoded as %+v", s.Jobs[0])
 	}
 	if len(s.ScaleOuts) != 1 || s.ScaleOuts[0].Request.Count != 2 || len(s.GoneMachines) != 1 || s.Unreachable["silent/7-1"].LeaseExpiryMS != 946684800999 {
-		t.Errorf("scale-outs %+v, gone %v, unreachable %+v", s.ScaleOuts, s.GoneMachines, s.Unreachable)
+		t.Errorf("decoded scale-outs %+v, gone machines %v, unreachable records %+v", s.ScaleOuts, s.GoneMachines, s.Unreachable)
 	}
 }
 
-// The records as production knows them, with its own names of fields and its types.
+// Records as the production version declares them.
 type (
 	productionJob struct {
 		Ref         string   `json:"ref"`
@@ -95,57 +96,58 @@
 	}
 )
 
-// TestProductionDecodesRecords: without what production does not know, our records
-// are its own; what is new are fields that it ignores.
+// TestProductionDecodesRecords checks that the production version can decode the records of this
+// version: they differ at most by new fields, which it ignores.
 func TestProductionDecodesRecords(t *testing.T) {
 	zone, due := "a", 90.0
 	j := &wire.Job{ID: "job-000001", Class: "c", Team: "t", Kind: "batch", Priority: "high", Tasks: 5, CPUs: 1.5, MemGB: 2, Image: "i", ImageGB: 0.5,
 		Types: []string{"m8"}, Zone: &zone, Spot: true, EstimatedRunS: 8, DeadlineS: &due}
 	cases := []struct {
-		name     string
-		rec      JobRecord
-		same     string // as production would write it; "": it has something new
-		mayLack  string
-		isOpen   bool
-		terminal string
+		name         string
+		record       JobRecord
+		wantEncoding string // encoding by the production version; "" if the record has a new field
+		newField     string // the only field unknown to the production version, if any
+		wantJob      bool   // whether the record has a job description
+		wantTerminal string
 	}{
-		{"an open job", JobRecord{Job: j, AcceptedMS: 946684800123}, productionOpen, "", true, ""},
-		{"done", JobRecord{AcceptedMS: 946684800123, TerminalState: wire.JobDone, Tasks: 5, Done: 5, Class: "c", Team: "t", Cores: 7.5, RunS: 8.25, EndedMS: 946684801000}, "", "ended_ms", false, "done"},
-		{"cancelled", JobRecord{Job: j.CancelledSummary(), AcceptedMS: 946684800123, TerminalState: wire.JobCancelled, Tasks: 5, Done: 2, EndedMS: 946684801000}, "", "ended_ms", true, "aborted"},
-		{"one with dependencies", JobRecord{Job: &wire.Job{ID: "job-000002", Class: "c", Team: "t", Kind: "batch", Priority: "high", Tasks: 1, DependsOn: []string{"job-000001"}}}, "", "waits_on", true, ""},
+		{"unfinished job", JobRecord{Job: j, AcceptedMS: 946684800123}, productionOpen, "", true, ""},
+		{"finished job", JobRecord{AcceptedMS: 946684800123, TerminalState: wire.JobDone, Tasks: 5, Done: 5, Class: "c", Team: "t", Cores: 7.5, RunS: 8.25, EndedMS: 946684801000}, "", "ended_ms", false, "done"},
+		{"cancelled job", JobRecord{Job: j.CancelledSummary(), AcceptedMS: 946684800123, TerminalState: wire.JobCancelled, Tasks: 5, Done: 2, EndedMS: 946684801000}, "", "ended_ms", true, "aborted"},
+		{"job with dependencies", JobRecord{Job: &wire.Job{ID: "job-000002", Class: "c", Team: "t", Kind: "batch", Priority: "high", Tasks: 1, DependsOn: []string{"job-000001"}}}, "", "waits_on", true, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			b, err := json.Marshal(c.rec)
+			encoded, err := json.Marshal(c.record)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.same != "" && string(b) != c.same {
-				t.Errorf("written as %s, production writes %s", b, c.same)
+			if c.wantEncoding != "" && string(encoded) != c.wantEncoding {
+				t.Errorf("encoded as %s, want %s as in the production version", encoded, c.wantEncoding)
 			}
-			var old productionRecord
-			if err := json.Unmarshal(b, &old); err != nil {
-				t.Fatalf("production can't read %s: %v", b, err)
+			var decoded productionRecord
+			if err := json.Unmarshal(encoded, &decoded); err != nil {
+				t.Fatalf("production version can't decode %s: %v", encoded, err)
 			}
-			if old.Fate != c.terminal || (old.Job != nil) != c.isOpen || old.AcceptedMS != c.rec.AcceptedMS || old.Tasks != c.rec.Tasks {
-				t.Errorf("production reads %+v", old)
+			if decoded.Fate != c.wantTerminal || (decoded.Job != nil) != c.wantJob || decoded.AcceptedMS != c.record.AcceptedMS || decoded.Tasks != c.record.Tasks {
+				t.Errorf("production version decodes the record differently: %+v", decoded)
 			}
-			if old.Job != nil && (old.Job.Team != c.rec.Job.Team || old.Job.Tasks != c.rec.Job.Tasks || old.Job.CPUs != c.rec.Job.CPUs) {
-				t.Errorf("production reads the job as %+v", old.Job)
+			if decoded.Job != nil && (decoded.Job.Team != c.record.Job.Team || decoded.Job.Tasks != c.record.Job.Tasks || decoded.Job.CPUs != c.record.Job.CPUs) {
+				t.Errorf("production version decodes the job differently: %+v", decoded.Job)
 			}
-			// Nothing else is new.
-			d := json.NewDecoder(bytes.NewReader(b))
-			d.DisallowUnknownFields()
-			switch err := d.Decode(&old); {
-			case c.mayLack == "" && err != nil, c.mayLack != "" && (err == nil || !strings.Contains(err.Error(), c.mayLack)):
-				t.Errorf("production does not know: %v, want only %q", err, c.mayLack)
+			// No other field is unknown to the production version.
+			decoder := json.NewDecoder(bytes.NewReader(encoded))
+			decoder.DisallowUnknownFields()
+			switch err := decoder.Decode(&decoded); {
+			case c.newField == "" && err != nil, c.newField != "" && (err == nil || !strings.Contains(err.Error(), c.newField)):
+				t.Errorf("decoding without unknown fields: error %v, want one on field %q only", err, c.newField)
 			}
 		})
 	}
 }
 
-// TestFinishedTaskPartsMergeWithChunk: finished tasks in parts count together with what
-// the chunk's own key holds, and production takes none of their keys for a chunk's.
+// TestFinishedTaskPartsMergeWithChunk checks that the finished tasks of the parts of a chunk are
+// added to those under the chunk's own key, and that a part always fits into the value limit. The
+// keys of parts contain a dot, so that the production version doesn't mistake them for chunks.
 func TestFinishedTaskPartsMergeWithChunk(t *testing.T) {
 	s := decodeSnapshot([]wire.Entry{
 		entry("job/job-000001", productionOpen), entry("fin/job-000001/0", `[0,1]`), entry("fin/job-000001/0.0", `[0,2]`), entry("fin/job-000001/0.128", `[128,130]`),
@@ -155,20 +157,20 @@
 		t.Fatal(s.Malformed)
 	}
 	done := map[int]bool{}
-	for _, f := range s.Jobs[0].Finished {
-		f.Ranges.Each(func(i int) { done[f.Chunk*TasksPerChunk+i] = true })
+	for _, saved := range s.Jobs[0].Finished {
+		saved.Ranges.Each(func(i int) { done[saved.Chunk*TasksPerChunk+i] = true })
 	}
 	if len(done) != 6 || !done[130] || !done[2] {
-		t.Errorf("done: %v", done)
+		t.Errorf("finished tasks %v, want 6 including 2 and 130", done)
 	}
 	if len(s.Jobs[0].Hosts) != 2 || s.Jobs[0].Hosts[1].Machines[0] != "vm-2" {
-		t.Errorf("hosts: %+v", s.Jobs[0].Hosts)
+		t.Errorf("hosts %+v, want two chunks, the second with vm-2", s.Jobs[0].Hosts)
 	}
 	for _, limit := range []int{256, 1024, 2048, 16 << 10} {
-		n := TasksPerPart(limit)
-		worst := EncodeRanges(func(i int) bool { return i%2 == 0 && i >= TasksPerChunk-n }, TasksPerChunk)
-		if b, err := json.Marshal(worst); err != nil || len(b) > limit || len(b) > worst.Size() {
-			t.Errorf("a part of %d tasks takes %d bytes of %d, reckoned as %d: %v", n, len(b), limit, worst.Size(), err)
+		tasks := TasksPerPart(limit)
+		worst := EncodeRanges(func(i int) bool { return i%2 == 0 && i >= TasksPerChunk-tasks }, TasksPerChunk)
+		if encoded, err := json.Marshal(worst); err != nil || len(encoded) > limit || len(encoded) > worst.Size() {
+			t.Errorf("part of %d tasks takes %d bytes, limit %d, Size %d: %v", tasks, len(encoded), limit, worst.Size(), err)
 		}
 	}
 }
--- a/internal/ledger/decode.go
+++ b/internal/ledger/decode.go
@@ -10,8 +10,8 @@
 	"leadproxy/internal/wire"
 )
 
-// decodeSnapshot decodes the entries of the ledger's prefixes. Entries that can't be read are
-// listed in the snapshot.
+// decodeSnapshot decodes the entries of the ledger. Entries that can't be decoded are listed in
+// Snapshot.Malformed.
 func decodeSnapshot(entries []wire.Entry) Snapshot {
 	d := snapshotDecoder{Snapshot{Unreachable: map[string]UnreachableRecord{}}, map[string]*SavedJob{}}
 	for i := range entries {
@@ -22,7 +22,8 @@
 	return d.finish()
 }
 
-// decodeError is the error of a key that can't be read.
+// decodeError returns err itself if it is a *KeyError already, and otherwise the *KeyError of a key
+// that can't be decoded.
 func decodeError(key string, err error) *KeyError {
 	var keyError *KeyError
 	if errors.As(err, &keyError) {
@@ -31,14 +32,14 @@
 	return &KeyError{Op: OpDecode, Key: key, Err: err}
 }
 
-// snapshotDecoder builds a snapshot from entries that come in any order.
+// snapshotDecoder builds a snapshot from entries in any order.
 type snapshotDecoder struct {
 	snapshot Snapshot
 	jobs     map[string]*SavedJob
 }
 
-// decoders has a method for each prefix whose values are decoded. No prefix begins with
-// another one.
+// decoders lists the method that decodes the entries of each prefix. No prefix is a prefix of
+// another one, so at most one method applies to a key.
 var decoders = []struct {
 	prefix string
 	decode func(*snapshotDecoder, *wire.Entry) error
@@ -54,7 +55,7 @@
 	{foreignPrefix, (*snapshotDecoder).decodeForeign},
 }
 
-// decode adds one entry to the snapshot. Keys of other prefixes are passed over.
+// decode adds one entry to the snapshot. It ignores keys without a decoder, such as the fence.
 func (d *snapshotDecoder) decode(entry *wire.Entry) error {
 	for _, decoder := range decoders {
 		if strings.HasPrefix(entry.Key, decoder.prefix) {
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// ensureJob is a job of the snapshot, added if it is not there yet.
+// ensureJob returns the job with the given id, which it adds to the snapshot if it is missing.
 func (d *snapshotDecoder) ensureJob(id string) *SavedJob {
 	if d.jobs[id] == nil {
 		d.jobs[id] = &SavedJob{ID: id}
@@ -97,8 +98,8 @@
 	return nil
 }
 
-// decodeHosts reads a chunk of hosts. A job some of whose hosts can't be read may run on any
-// machine.
+// decodeHosts decodes a chunk of hosts. If it can't be decoded, the job's HostsUnknown is set,
+// because the job may then run on any machine.
 func (d *snapshotDecoder) decodeHosts(entry *wire.Entry) error {
 	key, err := parseChunkKey(entry.Key, hostsPrefix)
 	if err != nil {
@@ -140,7 +141,7 @@
 	return nil
 }
 
-// decodePlan reads a plan that drains machines. One that can't be read is not carried out.
+// decodePlan decodes a drain plan. A plan that can't be decoded is not executed.
 func (d *snapshotDecoder) decodePlan(entry *wire.Entry) error {
 	record, err := decodeValue[rollout.Record](entry)
 	if err != nil {
@@ -153,14 +154,16 @@
 	return nil
 }
 
-// decodeDelegated keeps the transfer also if its record can't be read.
+// decodeDelegated decodes a transfer to another cell. The transfer is added even if its record
+// can't be decoded.
 func (d *snapshotDecoder) decodeDelegated(entry *wire.Entry) error {
 	saved, err := decodeDelegated(entry)
 	d.snapshot.Delegated = append(d.snapshot.Delegated, saved)
 	return err
 }
 
-// decodeForeign keeps the transfer also if its record can't be read.
+// decodeForeign decodes a transfer from another cell. The transfer is added even if its record
+// can't be decoded.
 func (d *snapshotDecoder) decodeForeign(entry *wire.Entry) error {
 	key, err := parseForeignKey(entry.Key)
 	if err != nil {
@@ -171,8 +174,8 @@
 	return err
 }
 
-// finish returns the snapshot. All controllers get the jobs in one order, so that a replay
-// decides the same.
+// finish returns the snapshot. Its jobs are sorted, so that every controller sees them in the same
+// order and a replay makes the same decisions.
 func (d *snapshotDecoder) finish() Snapshot {
 	snapshot := d.snapshot
 	for _, job := range d.jobs {
@@ -183,7 +186,6 @@
 	return snapshot
 }
 
-// decodeValue decodes the value of an entry.
 func decodeValue[T any](entry *wire.Entry) (T, error) {
 	var value T
 	err := json.Unmarshal(entry.Value, &value)
--- a/internal/ledger/decode_bench_test.go
+++ b/internal/ledger/decode_bench_test.go
@@ -8,7 +8,7 @@
 	"leadproxy/internal/wire"
 )
 
-// BenchmarkDecodeSnapshot decodes what a new leader reads late in a day: two thousand jobs, a
+// BenchmarkDecodeSnapshot decodes the ledger that a new leader reads late in a day: 2,000 jobs, a
 // fifth of them unfinished.
 func BenchmarkDecodeSnapshot(b *testing.B) {
 	var entries []wire.Entry
--- a/internal/ledger/decode_test.go
+++ b/internal/ledger/decode_test.go
@@ -10,7 +10,7 @@
 	"leadproxy/internal/wire"
 )
 
-// malformedValues are values that no controller writes, by key.
+// malformedValues lists, by key, values that no controller writes.
 var malformedValues = map[string][]string{
 	"job/job-000009": {``, `null`, `7`, `[]`, `{}`, `{"job":7}`, `{"job":{"ref":"job-000009","pieces":0}}`, `{"job":{"ref":"job-000009","pieces":-1}}`,
 		`{"job":{"ref":"job-000009","pieces":1000000000000}}`, `{"job":{"ref":"job-000001","pieces":1}}`, `{"job":{"ref":"job-000009","pieces":1,"vcpus":-4}}`,
@@ -31,8 +31,8 @@
 	"hire/h7-1":                            {`7`, `{}`, `{"hire":{"hire":"h7-2","number":1}}`, `{"hire":{"hire":"h7-1","number":-1}}`, `{"hire":{"hire":"h7-1","number":1000}}`},
 }
 
-// TestMalformedKeyDoesNotAffectOtherKeys: one value that can't be read kept every
-// controller from leading, since no ledger was read without it.
+// TestMalformedKeyDoesNotAffectOtherKeys: a single value that couldn't be decoded kept every
+// controller from leading, since reading the ledger failed as a whole.
 func TestMalformedKeyDoesNotAffectOtherKeys(t *testing.T) {
 	for key, values := range malformedValues {
 		for _, value := range values {
@@ -47,29 +47,29 @@
 	}
 }
 
-// checkOneMalformed checks that a snapshot lacks one key alone, and what is assumed in its
-// place.
+// checkOneMalformed checks that only the given key is malformed, and what the snapshot assumes in
+// its place.
 func checkOneMalformed(t *testing.T, s *Snapshot, key string) {
 	t.Helper()
 	if len(s.Malformed) != 1 || s.Malformed[0].Key != key {
-		t.Errorf("malformed are %v", s.Malformed)
+		t.Errorf("malformed keys %v, want only the key under test", s.Malformed)
 	}
 	if len(s.Jobs) != 1 || s.Jobs[0].Record.Job == nil || len(s.Jobs[0].Finished) != 1 || len(s.Jobs[0].Hosts) != 1 || len(s.ScaleOuts) != 1 {
-		t.Errorf("what is left: %+v", s)
+		t.Errorf("other keys are affected: %+v", s)
 	}
 	if strings.HasPrefix(key, delegatedPrefix) && (len(s.Delegated) != 1 || !s.Delegated[0].Unknown) {
-		t.Errorf("the job is not recorded as delegated: %+v", s.Delegated)
+		t.Errorf("delegated jobs %+v, want one with Unknown set", s.Delegated)
 	}
 	if strings.HasPrefix(key, foreignPrefix+"b/") && (len(s.Foreign) != 1 || s.Foreign[0].Record.State != federation.ForeignRefused) {
-		t.Errorf("the transfer is not refused: %+v", s.Foreign)
+		t.Errorf("foreign jobs %+v, want one refused", s.Foreign)
 	}
 	if unknown := strings.HasPrefix(key, hostsPrefix) && len(key) < 20; s.Jobs[0].HostsUnknown != unknown {
-		t.Errorf("hosts unknown: %v", s.Jobs[0].HostsUnknown)
+		t.Errorf("HostsUnknown is %v, want it set only for malformed hosts of the job", s.Jobs[0].HostsUnknown)
 	}
 }
 
-// FuzzDecodeSnapshot: whatever a key holds, it is decoded or named as malformed, and what is
-// decoded is within the bounds that the scheduler relies on.
+// FuzzDecodeSnapshot checks that any entry is either decoded or listed as malformed, and that
+// decoded records are within the bounds that the scheduler relies on.
 func FuzzDecodeSnapshot(f *testing.F) {
 	for key, values := range malformedValues {
 		for _, value := range values {
@@ -83,21 +83,21 @@
 		s := decodeSnapshot([]wire.Entry{{Key: key, Value: json.RawMessage(value), Version: 1}})
 		for _, j := range s.Jobs {
 			if r := j.Record; r.Job != nil && (r.Job.Tasks < 1 || r.Job.Tasks > wire.MaxTasks || r.Job.ID != j.ID) {
-				t.Errorf("%+v", r)
+				t.Errorf("record is out of bounds: %+v", r)
 			}
-			for _, c := range j.Finished {
-				if c.Chunk < 0 || c.Chunk > wire.MaxTasks {
-					t.Errorf("chunk %d", c.Chunk)
+			for _, saved := range j.Finished {
+				if saved.Chunk < 0 || saved.Chunk > wire.MaxTasks {
+					t.Errorf("chunk %d of finished tasks is out of bounds", saved.Chunk)
 				}
-				c.Ranges.Each(func(i int) {
+				saved.Ranges.Each(func(i int) {
 					if i < 0 || i >= TasksPerChunk {
-						t.Errorf("task %d of a chunk", i)
+						t.Errorf("task %d is out of the bounds of a chunk", i)
 					}
 				})
 			}
-			for _, c := range j.Hosts {
-				if c.Chunk < 0 || c.Chunk > wire.MaxTasks {
-					t.Errorf("chunk %d", c.Chunk)
+			for _, saved := range j.Hosts {
+				if saved.Chunk < 0 || saved.Chunk > wire.MaxTasks {
+					t.Errorf("chunk %d of hosts is out of bounds", saved.Chunk)
 				}
 			}
 		}
--- a/internal/ledger/errors.go
+++ b/internal/ledger/errors.go
@@ -5,22 +5,22 @@
 	"fmt"
 )
 
-// ErrLeadershipLost ends a ledger whose term is over.
-var ErrLeadershipLost = errors.New("another term has begun")
+// ErrLeadershipLost is returned by Ledger.Run once another term has begun.
+var ErrLeadershipLost = errors.New("leadership lost: another term has begun")
 
-// Op is what was tried with a key.
+// Op is the operation on a key that failed.
 type Op string
 
-// The operations on keys that can fail.
+// Values of Op.
 const (
 	OpList   Op = "list"
 	OpDecode Op = "decode"
 	OpEncode Op = "encode"
 )
 
-// KeyError says what was tried with a key of the ledger, or with all keys of a prefix, and why
-// it failed. It concerns that key alone: no value in the key-value store may keep a controller
-// from leading.
+// KeyError is the failure of an operation on one key of the ledger, or on all keys of a prefix.
+// A key that can't be decoded affects that key alone: no value in the key-value store may keep a
+// controller from leading.
 type KeyError struct {
 	Op  Op
 	Key string
@@ -29,5 +29,5 @@
 
 func (e *KeyError) Error() string { return fmt.Sprintf("%s ledger key %s: %v", e.Op, e.Key, e.Err) }
 
-// Unwrap returns why it failed.
+// Unwrap returns the cause of the failure.
 func (e *KeyError) Unwrap() error { return e.Err }
--- a/internal/ledger/fake_store_test.go
+++ b/internal/ledger/fake_store_test.go
@@ -8,37 +8,38 @@
 	"leadproxy/internal/wire"
 )
 
-// What happens to a transaction in the fake store.
+// The outcomes of transactions in the fake store.
 const (
 	outcomeApplied        = 'c'
-	outcomeRequestLost    = 'l' // not carried out, outcome unknown
-	outcomeResponseLost   = 'r' // carried out, outcome unknown
-	outcomeDelayed        = 'h' // outcome unknown; kept, to be carried out later
+	outcomeRequestLost    = 'l' // not applied; the client sees an unknown outcome
+	outcomeResponseLost   = 'r' // applied; the client sees an unknown outcome
+	outcomeDelayed        = 'h' // kept, to be applied later; the client sees an unknown outcome
 	outcomeInvalidRequest = 'b'
 	outcomeLimitsLowered  = 'z'
 )
 
-// fakeStore is a key-value store whose transactions can be lost on either way or come late.
+// fakeStore is a key-value store that can lose requests and responses, and delay transactions.
 type fakeStore struct {
 	revision uint64
-	keys     map[string]uint64 // the versions
+	keys     map[string]uint64 // versions by key
 	values   map[string]string
-	// outcomes are of the coming transactions, one letter each. Further ones are carried out.
+	// outcomes holds the outcomes of the next transactions, one letter each. Later ones are
+	// applied.
 	outcomes            string
 	delayedTransactions []wire.CompareAndSwap
-	// rejectedKey, unless empty, is a key that the store finds malformed.
+	// rejectedKey, unless empty, is a key whose changes the store rejects as invalid.
 	rejectedKey string
-	// lock, unless nil, is taken by whoever reads or changes the rest. Waiting for a
-	// channel, unlike for a mutex, lets the time of a synctest bubble pass.
+	// lock, unless nil, guards the other fields. It is a channel, because time in a synctest
+	// bubble advances while a goroutine waits for a channel, but not while it waits for a mutex.
 	lock chan struct{}
 }
 
-// newFakeStore is a store whose leader key has a version, the term.
+// newFakeStore returns a store whose leader key has the term as its version.
 func newFakeStore(term uint64) *fakeStore {
 	return &fakeStore{revision: 9, keys: map[string]uint64{election.LeaderKey: term}, values: map[string]string{}}
 }
 
-// acquire takes the lock; the result releases it.
+// acquire acquires the lock, if there is one, and returns the function that releases it.
 func (f *fakeStore) acquire() (release func()) {
 	if f.lock == nil {
 		return func() {}
@@ -56,13 +57,13 @@
 	return wire.EntryPage{Revision: f.revision}, nil
 }
 
-func (f *fakeStore) CompareAndSwap(_ context.Context, _ kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
+func (f *fakeStore) CompareAndSwap(_ context.Context, _ kvstore.Priority, request wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
 	defer f.acquire()()
-	fate := byte(outcomeApplied)
+	outcome := byte(outcomeApplied)
 	if f.outcomes != "" {
-		fate, f.outcomes = f.outcomes[0], f.outcomes[1:]
+		outcome, f.outcomes = f.outcomes[0], f.outcomes[1:]
 	}
-	switch fate {
+	switch outcome {
 	case outcomeRequestLost:
 		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnknownOutcome
 	case outcomeInvalidRequest:
@@ -70,25 +71,25 @@
 	case outcomeLimitsLowered:
 		return false, wire.CompareAndSwapResponse{}, kvstore.ErrLimitsLowered
 	case outcomeDelayed:
-		f.delayedTransactions = append(f.delayedTransactions, t)
+		f.delayedTransactions = append(f.delayedTransactions, request)
 		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnknownOutcome
 	}
-	for _, c := range t.Changes {
+	for _, c := range request.Changes {
 		if f.rejectedKey != "" && c.Set == f.rejectedKey {
 			return false, wire.CompareAndSwapResponse{}, kvstore.ErrInvalidRequest
 		}
 	}
-	ok, response := f.apply(t)
-	if fate == outcomeResponseLost {
+	ok, response := f.apply(request)
+	if outcome == outcomeResponseLost {
 		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnknownOutcome
 	}
 	return ok, response, nil
 }
 
-// apply carries a transaction out if its conditions hold.
-func (f *fakeStore) apply(t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse) {
+// apply applies a transaction if its conditions hold.
+func (f *fakeStore) apply(request wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse) {
 	var failed []string
-	for _, c := range t.Conditions {
+	for _, c := range request.Conditions {
 		if f.keys[c.Key] != c.Version {
 			failed = append(failed, c.Key)
 		}
@@ -97,7 +98,7 @@
 		return false, wire.CompareAndSwapResponse{FailedKeys: failed}
 	}
 	f.revision++
-	for _, c := range t.Changes {
+	for _, c := range request.Changes {
 		if c.Delete != "" {
 			delete(f.keys, c.Delete)
 			delete(f.values, c.Delete)
@@ -108,9 +109,9 @@
 	return true, wire.CompareAndSwapResponse{Revision: f.revision}
 }
 
-// applyDelayed carries out all transactions that were held back.
+// applyDelayed applies all delayed transactions whose conditions still hold.
 func (f *fakeStore) applyDelayed() {
-	for _, t := range f.delayedTransactions {
-		f.apply(t)
+	for _, request := range f.delayedTransactions {
+		f.apply(request)
 	}
 }
--- a/internal/ledger/fence_test.go
+++ b/internal/ledger/fence_test.go
@@ -8,65 +8,66 @@
 	"leadproxy/internal/election"
 )
 
-// TestWritesThroughLossAndDelay: whatever happens to a transaction, its write is reported
-// durable once it is, and nothing late or of an ended term overwrites it.
+// TestWritesThroughLossAndDelay checks that a write is reported durable even if its transaction is
+// lost or delayed at first, and that neither a delayed transaction nor a write of an ended term
+// overwrites a later value.
 func TestWritesThroughLossAndDelay(t *testing.T) {
-	cases := []struct{ name, fates string }{
-		{"carried out", "c"},
+	cases := []struct{ name, outcomes string }{
+		{"applied at once", "c"},
 		{"request lost", "lc"},
 		{"response lost", "rc"},
-		{"held back", "hc"},
-		{"all of them", "lrhc"},
-		{"held back twice", "hhrlc"},
+		{"delayed", "hc"},
+		{"request lost, response lost, delayed", "lrhc"},
+		{"delayed twice, response lost, request lost", "hhrlc"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFakeStore(testTerm)
-				f.outcomes, f.keys["job/j"] = c.fates, 3
-				l := newTestLedger(f, Limits{MaxChanges: 4, TransactionBytes: 1 << 14})
+				store := newFakeStore(testTerm)
+				store.outcomes, store.keys["job/j"] = c.outcomes, 3
+				l := newTestLedger(store, Limits{MaxChanges: 4, TransactionBytes: 1 << 14})
 				ctx, cancel := startLedger(t, l)
 				defer cancel()
 				l.Put(ctx, []Write{{Key: "job/j", Value: "old", Version: 3, Tag: numberTag(1)}})
 				if tags := <-l.Durable; !reflect.DeepEqual(tags, []Tag{numberTag(1)}) {
-					t.Errorf("durable: %v", tags)
+					t.Errorf("durable tags %v, want only tag 1", tags)
 				}
 				l.Put(ctx, []Write{{Key: "job/j", Value: "new", Tag: numberTag(2)}})
 				<-l.Durable
-				// A copy that comes now must not bring the old value back.
-				f.applyDelayed()
-				if f.values["job/j"] != `"new"` {
-					t.Errorf("the key holds %s", f.values["job/j"])
+				// A delayed transaction must not restore the old value.
+				store.applyDelayed()
+				if store.values["job/j"] != `"new"` {
+					t.Errorf("key has value %s after a delayed transaction, want \"new\"", store.values["job/j"])
 				}
-				// Once another leader's key stands, nothing is written.
-				f.keys[election.LeaderKey] = 77
+				// Once the leader key belongs to another term, nothing is written.
+				store.keys[election.LeaderKey] = 77
 				l.Put(ctx, []Write{{Key: "job/j", Value: "late", Tag: numberTag(3)}})
 				synctest.Wait()
-				if f.values["job/j"] != `"new"` {
-					t.Errorf("written after the term: %s", f.values["job/j"])
+				if store.values["job/j"] != `"new"` {
+					t.Errorf("key has value %s after the term has ended, want \"new\"", store.values["job/j"])
 				}
 			})
 		})
 	}
 }
 
-// TestDelayedTransactionDoesNotRestoreDeletedKey: a transaction that created a key had no response,
-// was repeated, and the key has since been deleted. A copy that is carried out now
-// would find it missing, as it was, and bring back hosts or a scale-out that are long
-// settled.
+// TestDelayedTransactionDoesNotRestoreDeletedKey: a transaction that creates a key gets no
+// response and is repeated, and the key is deleted later. If the first transaction is applied only
+// then, the key is missing, as its condition requires, so that without the fence it would restore
+// the hosts of a finished job or a completed scale-out.
 func TestDelayedTransactionDoesNotRestoreDeletedKey(t *testing.T) {
-	cases := []struct{ name, fates string }{
-		{"held back once", "hc"},
-		{"held back twice", "hhc"},
-		{"held back, then both ways lost", "hlrc"},
-		{"response lost, then held back", "rhc"},
+	cases := []struct{ name, outcomes string }{
+		{"delayed once", "hc"},
+		{"delayed twice", "hhc"},
+		{"delayed, then request lost, then response lost", "hlrc"},
+		{"response lost, then delayed", "rhc"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				f := newFakeStore(testTerm)
-				f.outcomes = c.fates
-				l := newTestLedger(f, Limits{MaxChanges: 4, TransactionBytes: 1 << 14})
+				store := newFakeStore(testTerm)
+				store.outcomes = c.outcomes
+				l := newTestLedger(store, Limits{MaxChanges: 4, TransactionBytes: 1 << 14})
 				if _, err := l.Load(t.Context()); err != nil {
 					t.Fatal(err)
 				}
@@ -76,11 +77,11 @@
 					l.Put(ctx, []Write{{Key: "host/j/0", Value: value, Tag: numberTag(1)}})
 					<-l.Durable
 				}
-				f.applyDelayed()
-				if v, ok := f.values["host/j/0"]; ok {
-					t.Errorf("the key is back and holds %s", v)
+				store.applyDelayed()
+				if value, found := store.values["host/j/0"]; found {
+					t.Errorf("deleted key was restored with value %s", value)
 				}
-				// The moved fence does not hinder further writes.
+				// The changed fence does not prevent further writes.
 				l.Put(ctx, []Write{{Key: "host/k/0", Value: "hosts", Tag: numberTag(2)}})
 				<-l.Durable
 			})
--- a/internal/ledger/finished_tasks.go
+++ b/internal/ledger/finished_tasks.go
@@ -2,19 +2,19 @@
 
 import "strconv"
 
-// TasksPerChunk is how many tasks one key of finished ranges covers. The worst
-// case, every other task done, stays well below the least value limit.
+// TasksPerChunk is the number of tasks covered by one key of finished tasks. Even the largest
+// encoding, with every other task done, stays well below the smallest value limit of the store.
 const TasksPerChunk = 1024
 
-// The most bytes that the JSON of ranges takes: per task, when every other task is done, and
-// besides.
+// Upper bounds of the JSON size of ranges: per task, reached when every other task is done, and in
+// addition to the tasks.
 const (
 	maxRangeBytesPerTask = 5
 	rangesOverheadBytes  = 16
 )
 
-// TasksPerPart is how many tasks a part has so that its ranges fit a value of so many
-// bytes in the worst case, every other task done. It is a power of two.
+// TasksPerPart returns the number of tasks in a part such that its ranges fit into a value of
+// valueBytes bytes even in the worst case, with every other task done. It is a power of two.
 func TasksPerPart(valueBytes int) int {
 	tasks := TasksPerChunk
 	for tasks > 1 && tasks*maxRangeBytesPerTask+rangesOverheadBytes > valueBytes {
@@ -23,10 +23,11 @@
 	return tasks
 }
 
-// Ranges are finished tasks as pairs of first and last, relative to the chunk.
+// Ranges lists finished tasks as pairs of the first and the last task of each range, both
+// inclusive and relative to the first task of the chunk.
 type Ranges []int
 
-// EncodeRanges lists the ranges of finished tasks among the first count ones.
+// EncodeRanges returns the ranges of finished tasks among the tasks 0 to count-1 of a chunk.
 func EncodeRanges(finished func(task int) bool, count int) Ranges {
 	var ranges Ranges
 	for task := 0; task < count; task++ {
@@ -42,17 +43,17 @@
 	return ranges
 }
 
-// Each calls visit for every task in the ranges.
+// Each calls visit for every task in the ranges. Tasks beyond the chunk are ignored.
 func (r Ranges) Each(visit func(task int)) {
-	for k := 0; k+1 < len(r); k += 2 {
-		first, last := max(r[k], 0), min(r[k+1], TasksPerChunk-1)
+	for i := 0; i+1 < len(r); i += 2 {
+		first, last := max(r[i], 0), min(r[i+1], TasksPerChunk-1)
 		for task := first; task <= last; task++ {
 			visit(task)
 		}
 	}
 }
 
-// Size is how many bytes the JSON of the ranges takes.
+// Size returns an upper bound of the JSON size of ranges that are not empty.
 func (r Ranges) Size() int {
 	size := len("[]")
 	for _, number := range r {
--- a/internal/ledger/finished_tasks_test.go
+++ b/internal/ledger/finished_tasks_test.go
@@ -23,21 +23,22 @@
 		t.Run(c.name, func(t *testing.T) {
 			got := EncodeRanges(func(i int) bool { return c.done[i] == 'x' }, len(c.done))
 			if !reflect.DeepEqual(got, c.want) {
-				t.Errorf("%q gives %v, want %v", c.done, got, c.want)
+				t.Errorf("EncodeRanges of %q returned %v, want %v", c.done, got, c.want)
 			}
 			decoded := []byte(strings.Repeat(".", len(c.done)))
 			got.Each(func(i int) { decoded[i] = 'x' })
 			if string(decoded) != c.done {
-				t.Errorf("%v is decoded to %q, want %q", got, decoded, c.done)
+				t.Errorf("Each of %v visits %q, want %q", got, decoded, c.done)
 			}
 		})
 	}
 }
 
-// TestChunkFitsSmallestValueLimit: the ranges of a chunk stay below the least value limit of 16 KiB.
+// TestChunkFitsSmallestValueLimit checks that the largest encoding of a chunk, with every other task
+// done, stays well below the smallest value limit of 16 KiB.
 func TestChunkFitsSmallestValueLimit(t *testing.T) {
 	worst, err := json.Marshal(EncodeRanges(func(i int) bool { return i%2 == 0 }, TasksPerChunk))
 	if err != nil || len(worst) > 12<<10 {
-		t.Errorf("the worst chunk takes %d bytes", len(worst))
+		t.Errorf("largest chunk takes %d bytes, want at most 12 KiB", len(worst))
 	}
 }
--- a/internal/ledger/golden_test.go
+++ b/internal/ledger/golden_test.go
@@ -8,7 +8,7 @@
 	"leadproxy/internal/property"
 )
 
-// TestGoldenRecords compares every record with how it has to be stored.
+// TestGoldenRecords compares the stored form of every record with its golden file.
 func TestGoldenRecords(t *testing.T) {
 	records := map[string]any{
 		"job":    &JobRecord{},
@@ -25,7 +25,8 @@
 	})
 }
 
-// TestGoldenKeys compares the keys of the ledger.
+// TestGoldenKeys compares the keys of the ledger, and the sizes of chunks and parts, with their
+// golden file.
 func TestGoldenKeys(t *testing.T) {
 	property.CheckGoldenValues(t, "keys", map[string]any{
 		"prefixes":                        Prefixes(),
@@ -51,8 +52,8 @@
 	})
 }
 
-// TestGoldenTransaction compares the transaction of a term that moves the fence, writes one
-// key and deletes another.
+// TestGoldenTransaction compares a transaction that changes the fence, writes one key and deletes
+// another with its golden file.
 func TestGoldenTransaction(t *testing.T) {
 	limits := Limits{MaxChanges: 10, TransactionBytes: 1 << 20, ValueBytes: 16384}
 	l := New(7, nil, constantLimits(limits), discardLogger())
--- a/internal/ledger/keys.go
+++ b/internal/ledger/keys.go
@@ -10,7 +10,7 @@
 	"leadproxy/internal/wire"
 )
 
-// The prefixes of the keys.
+// Key prefixes of the ledger's records.
 const (
 	JobPrefix         = "job/"
 	finishedPrefix    = "fin/"
@@ -18,87 +18,89 @@
 	scaleOutPrefix    = "hire/"
 	gonePrefix        = "gone/"
 	unreachablePrefix = "silent/"
-	planPrefix        = "drain/" // plans that drain machines
-	transferPrefix    = "cell/"  // transfers, both ways
+	planPrefix        = "drain/" // drain plans
+	transferPrefix    = "cell/"  // transfers of delegated and foreign jobs
 	delegatedPrefix   = transferPrefix + "away/"
 	foreignPrefix     = transferPrefix + "guest/"
-	fenceKey          = "fence" // its version alone counts
+	fenceKey          = "fence" // only its version matters, not its value
 )
 
-// Prefixes are the prefixes of all keys that make up the ledger.
+// Prefixes returns the key prefixes that together cover the whole ledger.
 func Prefixes() []string {
 	return []string{JobPrefix, finishedPrefix, hostsPrefix, scaleOutPrefix, gonePrefix, unreachablePrefix, planPrefix, transferPrefix, fenceKey}
 }
 
-// JobKey is the key of a job's record.
+// JobKey returns the key of a job's record.
 func JobKey(jobID string) string { return JobPrefix + jobID }
 
-// FinishedTasksKey is the key of one chunk of a job's finished tasks.
+// FinishedTasksKey returns the key of one chunk of a job's finished tasks.
 func FinishedTasksKey(jobID string, chunk int) string {
 	return fmt.Sprintf("%s%s/%d", finishedPrefix, jobID, chunk)
 }
 
-// FinishedTasksPartKey is the key of the part of a chunk that begins with its task first. A
-// chunk whose ranges are more than a value may hold is written in parts. What the
-// chunk's own key holds besides stays true: a task that is done remains done.
+// FinishedTasksPartKey returns the key of the part of a chunk that starts at task first of the
+// chunk. A chunk whose ranges exceed the store's value limit is written in parts. An earlier
+// value under the chunk's own key stays valid, because a finished task remains finished.
 func FinishedTasksPartKey(jobID string, chunk, first int) string {
 	return fmt.Sprintf("%s.%d", FinishedTasksKey(jobID, chunk), first)
 }
 
-// HostsKey is the key of one chunk of the machines a job's tasks may be on.
+// HostsKey returns the key of one chunk of the machines that may run tasks of a job.
 func HostsKey(jobID string, chunk int) string {
 	return fmt.Sprintf("%s%s/%d", hostsPrefix, jobID, chunk)
 }
 
-// ScaleOutKey is the key of a scale-out's record.
+// ScaleOutKey returns the key of a scale-out's record.
 func ScaleOutKey(requestID string) string { return scaleOutPrefix + requestID }
 
-// GoneKey is the key that marks a machine as gone for good, so that a new leader need not
-// wait for a heartbeat of it. It is kept while an unfinished job names the machine as a host.
+// GoneKey returns the key that marks a machine as permanently gone, so that a new leader does
+// not wait for a heartbeat from it. The key is kept while an unfinished job lists the machine as
+// a host.
 func GoneKey(machine string) string { return gonePrefix + machine }
 
-// UnreachableKey is the key of a record of unreachable machines.
+// UnreachableKey returns the key of a record of unreachable machines.
 func UnreachableKey(name string) string { return unreachablePrefix + name }
 
-// PlanKey is the key of a plan that drains machines.
+// PlanKey returns the key of a drain plan's record.
 func PlanKey(name string) string { return planPrefix + name }
 
-// DelegatedKey is the key of the origin's record of a job's latest transfer.
+// DelegatedKey returns the key under which the origin records the latest transfer of a job.
 func DelegatedKey(jobID string) string { return delegatedPrefix + jobID }
 
-// ForeignKey is the key of the neighbour's record of a job's latest transfer.
+// ForeignKey returns the key under which the neighbour records the latest transfer of a job.
 func ForeignKey(key federation.ForeignKey) string {
 	return foreignPrefix + key.Origin + "/" + key.JobID
 }
 
-// parseForeignKey is the transfer that a key of the neighbour's records names.
+// parseForeignKey parses a key of the form that ForeignKey returns.
 func parseForeignKey(key string) (federation.ForeignKey, error) {
 	origin, jobID, found := strings.Cut(strings.TrimPrefix(key, foreignPrefix), "/")
 	if !found {
-		return federation.ForeignKey{}, errors.New("the key names no job")
+		return federation.ForeignKey{}, errors.New("key has no job id")
 	}
 	return federation.ForeignKey{Origin: origin, JobID: jobID}, nil
 }
 
-// chunkKey names one of a job's chunks.
+// chunkKey identifies one chunk of a job's finished tasks or hosts.
 type chunkKey struct {
 	jobID string
 	chunk int
 }
 
-// parseChunkKey reads the key of one of a job's chunks, or of a part of one.
+// parseChunkKey parses the key of a chunk, or of a part of one, below prefix. The chunk number
+// must be between 0 and wire.MaxTasks.
 func parseChunkKey(key, prefix string) (chunkKey, error) {
 	jobID, number, found := strings.Cut(strings.TrimPrefix(key, prefix), "/")
 	if !found {
-		return chunkKey{}, errors.New("the key has no chunk number")
+		return chunkKey{}, errors.New("key has no chunk number")
 	}
 	number, part, isPart := strings.Cut(number, ".")
 	if _, err := strconv.Atoi(part); isPart && err != nil {
-		return chunkKey{}, fmt.Errorf("parse the key's part number: %w", err)
+		return chunkKey{}, fmt.Errorf("parsing the part number of the key: %w", err)
 	}
 	chunk, err := strconv.Atoi(number)
 	if err != nil {
-		return chunkKey{}, fmt.Errorf("parse the key's chunk number: %w", err)
+		return chunkKey{}, fmt.Errorf("parsing the chunk number of the key: %w", err)
 	}
 	if chunk < 0 || chunk > wire.MaxTasks {
 		return chunkKey{}, fmt.Errorf("chunk number %d is out of range", chunk)
--- a/internal/ledger/ledger.go
+++ b/internal/ledger/ledger.go
@@ -8,11 +8,11 @@
 	"leadproxy/internal/transport"
 )
 
-// Ledger writes for one term of leadership. It commits waiting writes together, one
+// Ledger writes records during one term of leadership. It commits pending writes in batches, one
 // transaction at a time.
 type Ledger struct {
 	currentLimits func() Limits
-	limits        Limits // as last asked for
+	limits        Limits // result of the last call of currentLimits
 	log           *slog.Logger
 
 	queue        writeQueue
@@ -20,19 +20,20 @@
 	committer    committer
 
 	incoming chan []Write
-	// retries brings rejected writes back whose retry is due.
+	// retries receives rejected writes that are due for a retry.
 	retries chan *pendingWrite
-	// Durable hands back the tags of writes that are now durable.
+	// Durable delivers the tags of writes that are now durable.
 	Durable chan []Tag
-	// Rejected hands back the tags of writes whose values are larger than the lowered
-	// limits of the store. They are not carried out, nor retried.
+	// Rejected delivers the tags of writes whose values exceed the store's value limit after
+	// it was lowered. These writes are neither applied nor retried.
 	Rejected chan []Tag
 }
 
-// channelBufferSize is how many messages each of the ledger's channels buffers.
+// channelBufferSize is the number of messages that incoming, Durable and Rejected each buffer.
 const channelBufferSize = 64
 
-// New makes the ledger of a term, within limits that may change; Load, then Run.
+// New returns the ledger of a term. Call Load or LoadEntries first, then Run, which polls
+// currentLimits, because the limits of the store may change.
 func New(term uint64, store Store, currentLimits func() Limits, log *slog.Logger) *Ledger {
 	return &Ledger{
 		currentLimits: currentLimits,
@@ -48,7 +49,7 @@
 	}
 }
 
-// Put hands writes to the ledger. It gives up only with ctx.
+// Put submits writes to the ledger. It blocks while the buffer is full, until ctx ends.
 func (l *Ledger) Put(ctx context.Context, writes []Write) {
 	select {
 	case l.incoming <- writes:
@@ -56,7 +57,8 @@
 	}
 }
 
-// Run commits until ctx ends or the term is over.
+// Run commits writes until ctx ends, another term has begun (ErrLeadershipLost), or a value can't
+// be encoded (a *KeyError).
 func (l *Ledger) Run(ctx context.Context) error {
 	outcomes := make(chan outcome, 1)
 	committing := false
@@ -93,7 +95,8 @@
 	}
 }
 
-// sendChannel is a channel if there are tags to be sent on it, or else nil, which blocks.
+// sendChannel returns channel if there are tags to send on it. Otherwise it returns nil, on which a
+// send blocks forever, so that select ignores the case.
 func sendChannel(channel chan []Tag, tags []Tag) chan []Tag {
 	if len(tags) == 0 {
 		return nil
@@ -101,7 +104,7 @@
 	return channel
 }
 
-// enqueue queues writes.
+// enqueue encodes writes and queues them.
 func (l *Ledger) enqueue(writes []Write) error {
 	for i := range writes {
 		pending, err := writes[i].encode()
@@ -114,8 +117,9 @@
 	return nil
 }
 
-// startCommit begins the next transaction if one is due, and tells whether it did. If only
-// deferrable writes wait whose rate is used up, it sets budgetRefill to when they are due.
+// startCommit starts the next transaction if one is due, and reports whether it did. If only
+// deferrable writes are pending and their rate is used up, it resets budgetRefill to fire when
+// they are due.
 func (l *Ledger) startCommit(ctx context.Context, budgetRefill *time.Timer, outcomes chan<- outcome) bool {
 	if delay := l.queue.delay(l.limits, time.Now()); delay > 0 {
 		budgetRefill.Reset(delay)
@@ -129,20 +133,21 @@
 	return true
 }
 
-// nextTransaction takes writes from the queue into a transaction.
+// nextTransaction removes a batch of writes from the queue and builds a transaction from it.
 func (l *Ledger) nextTransaction() transaction {
 	writes := l.queue.takeBatch(l.limits, l.transactions.maxWrites(l.limits))
 	return l.transactions.build(writes)
 }
 
-// rejectedRetryDelay is how long a write waits that the store rejects by itself.
+// rejectedRetryDelay is the delay before the retry of a write that the store rejected even in a
+// transaction of its own.
 const rejectedRetryDelay = 10 * time.Second
 
-// retryLater has a write retried that the store rejects even by itself. It waits apart, so
-// that it holds up no other.
+// retryLater schedules the retry of a write that the store rejected even in a transaction of its
+// own. Until then the write is kept out of the queue, so that it doesn't block other writes.
 func (l *Ledger) retryLater(ctx context.Context, write *pendingWrite, reason error) {
 	l.queue.reject(write)
-	l.log.Error("ledger write rejected, retried later", "key", write.key, "error", reason)
+	l.log.Error("store rejected ledger write; retrying later", "key", write.key, "error", reason)
 	go func() {
 		transport.Pause(ctx, rejectedRetryDelay)
 		select {
--- a/internal/ledger/ledger_test.go
+++ b/internal/ledger/ledger_test.go
@@ -6,13 +6,14 @@
 	"testing/synctest"
 )
 
+// TestRunReturnsErrLeadershipLost runs a ledger while the leader key belongs to another term.
 func TestRunReturnsErrLeadershipLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakeStore(testTerm + 1)
-		l := newTestLedger(f, Limits{MaxChanges: 4, TransactionBytes: 1 << 14})
+		store := newFakeStore(testTerm + 1)
+		l := newTestLedger(store, Limits{MaxChanges: 4, TransactionBytes: 1 << 14})
 		go l.Put(t.Context(), []Write{{Key: "a", Value: 1}})
 		if err := l.Run(t.Context()); !errors.Is(err, ErrLeadershipLost) {
-			t.Errorf("ended with %v", err)
+			t.Errorf("Run returned %v, want ErrLeadershipLost", err)
 		}
 	})
 }
--- a/internal/ledger/limits.go
+++ b/internal/ledger/limits.go
@@ -2,20 +2,19 @@
 
 import "time"
 
-// Limits bounds one transaction, and the rate of those writes that can wait.
+// Limits bounds the size of one transaction and the rate of deferrable writes.
 type Limits struct {
-	MaxChanges       int
+	MaxChanges       int // maximum number of changed keys
 	TransactionBytes int
-	ValueBytes       int // most bytes of one value
-	// DeferrableRate is how many deferrable writes a second there may be; 0 means no
-	// bound. Under load there is always another finished task to write down, and
-	// together they would leave nothing of the store's rate for urgent writes and for
-	// submissions. What waits for its turn is written together with what comes after
-	// it.
+	ValueBytes       int // maximum size of one value; 0 means unlimited
+	// DeferrableRate is the maximum number of deferrable writes per second; 0 means
+	// unlimited. Under load there is always another finished task to record, and without a
+	// limit these writes would use up the store's rate, leaving none for urgent writes and
+	// submissions. Delayed writes are batched with later ones.
 	DeferrableRate float64
 }
 
-// burst is how many deferrable writes may go at once.
+// burst returns the capacity of the token bucket: how many deferrable writes may be sent at once.
 func (l Limits) burst() float64 { return max(1, min(l.DeferrableRate/2, float64(l.MaxChanges))) }
 
 // deferrableBudget is a token bucket that limits the rate of deferrable writes.
@@ -24,20 +23,20 @@
 	refilled time.Time
 }
 
-// refill adds the tokens of the time since it was last called. A new budget begins full.
+// refill adds the tokens accrued since the last call. The first call fills the bucket.
 func (b *deferrableBudget) refill(limits Limits, now time.Time) {
 	b.tokens = min(limits.burst(), b.tokens+limits.DeferrableRate*now.Sub(b.refilled).Seconds())
 	b.refilled = now
 }
 
-// available is how many writes the tokens pay for.
+// available returns how many writes the tokens allow now.
 func (b *deferrableBudget) available() int { return int(b.tokens) }
 
-// spend takes the tokens of some writes.
+// spend removes one token per write.
 func (b *deferrableBudget) spend(writes int) { b.tokens -= float64(writes) }
 
-// delay is how long it takes until the tokens pay for some writes, or for a burst if that is
-// less; 0 if they do now.
+// delay returns the time until there are enough tokens for the given number of writes, or for a
+// burst if that is fewer; 0 if there are enough now.
 func (b *deferrableBudget) delay(limits Limits, writes int) time.Duration {
 	needed := min(limits.burst(), float64(writes))
 	if needed == 0 || b.tokens >= needed {
--- a/internal/ledger/load.go
+++ b/internal/ledger/load.go
@@ -7,7 +7,7 @@
 	"leadproxy/internal/wire"
 )
 
-// Load reads the whole ledger.
+// Load reads the whole ledger from the store. The error is a *KeyError.
 func (l *Ledger) Load(ctx context.Context) (Snapshot, error) {
 	var entries []wire.Entry
 	var revision uint64
@@ -24,8 +24,8 @@
 	return l.LoadEntries(entries, revision), nil
 }
 
-// LoadEntries begins with the keys of the ledger as they were read, all of them at a revision
-// or later.
+// LoadEntries initializes the ledger from entries that were already read, all of them at the given
+// revision or later. Malformed entries are logged and listed in the snapshot.
 func (l *Ledger) LoadEntries(entries []wire.Entry, revision uint64) Snapshot {
 	for _, entry := range entries {
 		l.transactions.versions[entry.Key] = entry.Version
--- a/internal/ledger/outcome.go
+++ b/internal/ledger/outcome.go
@@ -7,19 +7,20 @@
 	"leadproxy/internal/kvstore"
 )
 
-// settledTags are the tags of writes about which the ledger has nothing more to do.
+// settledTags holds the tags of writes that the ledger has finished with.
 type settledTags struct {
 	durable  []Tag
-	rejected []Tag // their values are too large
+	rejected []Tag // values that exceed the lowered limit
 }
 
-func (s *settledTags) add(more settledTags) {
-	s.durable = append(s.durable, more.durable...)
-	s.rejected = append(s.rejected, more.rejected...)
+func (s *settledTags) add(other settledTags) {
+	s.durable = append(s.durable, other.durable...)
+	s.rejected = append(s.rejected, other.rejected...)
 }
 
-// applyOutcome takes what came of a transaction and returns the tags of what is settled by it.
-// The other writes go back into the queue. The only possible error is ErrLeadershipLost.
+// applyOutcome processes the outcome of a transaction and returns the tags of the writes that it
+// settles. Other writes go back into the queue, or are retried later. The only possible error is
+// ErrLeadershipLost.
 func (l *Ledger) applyOutcome(ctx context.Context, o outcome) (settledTags, error) {
 	switch {
 	case o.err == nil && o.committed:
@@ -37,7 +38,7 @@
 	return l.requeue(o), nil
 }
 
-// applyCommit takes note of a transaction that was carried out.
+// applyCommit processes a transaction that was applied: all its writes are durable.
 func (l *Ledger) applyCommit(o outcome) settledTags {
 	var settled settledTags
 	l.transactions.recordCommit(o.transaction, o.response.Revision)
@@ -48,7 +49,8 @@
 	return settled
 }
 
-// applyFailure draws the consequences of the error of a transaction, if it has one.
+// applyFailure reacts to the error of a transaction, if there is one. It does not requeue the
+// writes.
 func (l *Ledger) applyFailure(o outcome) {
 	writes := o.transaction.writes
 	switch {
@@ -58,14 +60,14 @@
 	case errors.Is(o.err, kvstore.ErrLimitsLowered):
 		l.limits = l.currentLimits()
 	case errors.Is(o.err, kvstore.ErrInvalidRequest):
-		l.queue.isolate(writes) // one of them is at fault
+		l.queue.isolate(writes) // at least one of them is invalid
 	case o.err != nil:
 		l.log.Debug("ledger transaction failed", "keys", len(writes), "error", o.err)
 	}
 }
 
-// requeue puts the writes of a transaction back that was not carried out. Values that exceed
-// limits which were lowered meanwhile are rejected instead.
+// requeue puts the writes of a failed transaction back into the queue. If it failed because the
+// store's limits were lowered, values that exceed the new limit are returned as rejected instead.
 func (l *Ledger) requeue(o outcome) settledTags {
 	var settled settledTags
 	limitsLowered := errors.Is(o.err, kvstore.ErrLimitsLowered)
--- a/internal/ledger/rejected_writes_test.go
+++ b/internal/ledger/rejected_writes_test.go
@@ -8,15 +8,16 @@
 	"time"
 )
 
-// TestLoweredLimitsRejectLargeValues: when the limits fall, what is too large by then is handed
-// back to be written in smaller pieces, and holds up nothing else.
+// TestLoweredLimitsRejectLargeValues checks that, when the store's limits are lowered, the tags of
+// values that are now too large are returned as rejected, so that the caller can write them in
+// smaller parts, and that other writes are not blocked.
 func TestLoweredLimitsRejectLargeValues(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakeStore(testTerm)
-		f.outcomes = string(outcomeLimitsLowered)
+		store := newFakeStore(testTerm)
+		store.outcomes = string(outcomeLimitsLowered)
 		limits := make(chan Limits, 1)
 		limits <- Limits{MaxChanges: 9, TransactionBytes: 1 << 14, ValueBytes: 100}
-		l := New(testTerm, f, func() Limits {
+		l := New(testTerm, store, func() Limits {
 			current := <-limits
 			defer func() { limits <- current }()
 			return current
@@ -28,29 +29,30 @@
 		<-limits
 		limits <- Limits{MaxChanges: 1, TransactionBytes: 1 << 14, ValueBytes: 20}
 		if tags := <-l.Rejected; !reflect.DeepEqual(tags, []Tag{numberTag(2)}) {
-			t.Errorf("handed back: %v", tags)
+			t.Errorf("rejected tags %v, want only tag 2", tags)
 		}
 		time.Sleep(time.Second)
 		synctest.Wait()
-		if len(f.values) != 2 || f.values["b"] != "" {
-			t.Errorf("written: %v", f.values)
+		if len(store.values) != 2 || store.values["b"] != "" {
+			t.Errorf("store has %v, want values of a and c only", store.values)
 		}
 	})
 }
 
-// TestRejectedWriteDoesNotBlockOthers: one of several writes is malformed to the store.
+// TestRejectedWriteDoesNotBlockOthers checks that, when the store rejects a transaction because of
+// one of its writes, the others are written nevertheless.
 func TestRejectedWriteDoesNotBlockOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		f := newFakeStore(testTerm)
-		f.outcomes, f.rejectedKey = string(outcomeInvalidRequest), "b"
-		l := newTestLedger(f, testLimits)
+		store := newFakeStore(testTerm)
+		store.outcomes, store.rejectedKey = string(outcomeInvalidRequest), "b"
+		l := newTestLedger(store, testLimits)
 		ctx, cancel := startLedger(t, l)
 		defer cancel()
 		l.Put(ctx, []Write{{Key: "a", Value: 1, Urgent: true}, {Key: "b", Value: 2, Urgent: true}, {Key: "c", Value: 3}})
 		time.Sleep(2 * time.Second)
 		synctest.Wait()
-		if f.values["a"] != "1" || f.values["c"] != "3" {
-			t.Errorf("written: %v", f.values)
+		if store.values["a"] != "1" || store.values["c"] != "3" {
+			t.Errorf("store has %v, want a and c written", store.values)
 		}
 		cancel()
 	})
--- a/internal/ledger/snapshot.go
+++ b/internal/ledger/snapshot.go
@@ -8,58 +8,60 @@
 	"leadproxy/internal/rollout"
 )
 
-// Snapshot is the whole ledger, read at the start of a term.
+// Snapshot is the content of the whole ledger, read at the start of a term.
 type Snapshot struct {
 	Jobs         []SavedJob
 	ScaleOuts    []ScaleOutRecord
 	GoneMachines []string
-	// Delegated and Foreign are the transfers.
+	// Delegated holds transfers of this cell's jobs to other cells, Foreign transfers of other
+	// cells' jobs to this one.
 	Delegated []SavedDelegated
 	Foreign   []SavedForeign
-	// Plans are the plans that drain machines.
+	// Plans holds the drain plans.
 	Plans []rollout.Record
-	// Unreachable is by the records' keys.
+	// Unreachable maps the key of each record of unreachable machines to the record.
 	Unreachable map[string]UnreachableRecord
-	// Revision is where a watch for further job records starts.
+	// Revision is the store's revision from which to watch for further job records.
 	Revision uint64
-	// Malformed are the keys that could not be read. What they held is not in the
+	// Malformed lists the keys that could not be decoded. Their values are missing from the
 	// snapshot.
 	Malformed []*KeyError
 }
 
-// SavedJob is a job as the ledger holds it.
+// SavedJob is a job as stored in the ledger.
 type SavedJob struct {
 	ID      string
 	Version uint64
 	Record  JobRecord
-	// Finished and Hosts are as they are kept, by chunk and part.
+	// Finished and Hosts have one element per stored key, that is per chunk or part of a chunk.
 	Finished []SavedRanges
 	Hosts    []SavedHosts
-	// HostsUnknown is set when some of its hosts could not be read.
+	// HostsUnknown is set if some of the hosts could not be decoded: any machine may run tasks of
+	// the job.
 	HostsUnknown bool
 }
 
-// SavedRanges is one key of finished tasks; the ranges count from the chunk's first
-// task.
+// SavedRanges is the content of one key of finished tasks. The ranges are relative to the first
+// task of the chunk.
 type SavedRanges struct {
 	Key    string
 	Chunk  int
 	Ranges Ranges
 }
 
-// SavedHosts is one key of hosts.
+// SavedHosts is the content of one key of hosts.
 type SavedHosts struct {
 	Key      string
 	Chunk    int
 	Machines []string
 }
 
-// sortHosts orders a job's hosts by chunk.
+// sortHosts sorts the hosts of a job by chunk.
 func (j *SavedJob) sortHosts() {
 	slices.SortFunc(j.Hosts, func(a, b SavedHosts) int { return cmp.Compare(a.Chunk, b.Chunk) })
 }
 
-// sortByAcceptance orders jobs by the time of their acceptance, then by id.
+// sortByAcceptance sorts jobs by the time at which they were accepted, then by id.
 func sortByAcceptance(jobs []SavedJob) {
 	sort.Slice(jobs, func(a, b int) bool {
 		first, second := &jobs[a], &jobs[b]
--- a/internal/ledger/transaction.go
+++ b/internal/ledger/transaction.go
@@ -9,24 +9,26 @@
 	"leadproxy/internal/wire"
 )
 
-// What a transaction takes on the wire besides keys and values, as an upper bound.
+// Upper bounds of the encoded size of a transaction besides its keys and values.
 const (
 	transactionOverheadBytes = 200
 	changeOverheadBytes      = 100
 )
 
-// batch gathers the writes of one transaction.
+// batch collects the writes of one transaction, within its limits.
 type batch struct {
 	writes    []*pendingWrite
-	isolated  bool // its one write goes alone
+	isolated  bool // its only write must not share a transaction
 	bytes     int
 	maxWrites int
 	maxBytes  int
 }
 
-// add adds a write if it fits. The first one always does.
+// add adds a write if the batch has space for it, and reports whether it did. It always accepts the
+// first write, whatever its size. An isolated write is accepted only by an empty batch, and no
+// other after it.
 func (b *batch) add(write *pendingWrite, isolated bool) bool {
-	size := len(write.value) + 2*len(write.key) + changeOverheadBytes // the key is in a condition too
+	size := len(write.value) + 2*len(write.key) + changeOverheadBytes // the key is part of a condition and of a change
 	if len(b.writes) > 0 && (b.isolated || isolated || b.bytes+size > b.maxBytes) {
 		return false
 	}
@@ -36,36 +38,39 @@
 	return true
 }
 
-// transaction is a request to the store with the writes that it carries.
+// transaction is a request to the store together with the writes that it contains.
 type transaction struct {
 	writes     []*pendingWrite
 	movesFence bool
 	request    wire.CompareAndSwap
 }
 
-// transactionBuilder makes the transactions of one term and owns the versions of all keys
-// that the leader writes. The fence is a key whose change makes every earlier transaction without
-// a response fail; it has nothing to do with the agents' fencing tokens. A late copy of an earlier transaction always fails its conditions:
-// each has the fence's version among them, and what follows a transaction of unknown outcome
-// moves the fence. Without it, a copy that creates a key would find the key as it was before,
-// missing, once it is deleted, and bring it back.
+// transactionBuilder builds the transactions of one term and tracks the versions of all keys that
+// the leader writes.
+//
+// Every transaction is conditional on the version of the fence, a key that has nothing to do with
+// the agents' fencing tokens. The transaction after one of unknown outcome changes the fence, so
+// that a late execution of the earlier one always fails its conditions. Without the fence, a late
+// transaction that creates a key would find its condition met if the key has been deleted in the
+// meantime, and would restore it.
 type transactionBuilder struct {
 	term     uint64
 	versions map[string]uint64
-	// outcomeUnknown is set when it isn't known whether the last transaction was carried
-	// out: the next one has to move the fence.
+	// outcomeUnknown is set when it is unknown whether the last transaction was applied. The
+	// next one must then change the fence.
 	outcomeUnknown bool
 }
 
-// maxWrites is how many writes the next transaction may carry.
+// maxWrites returns the maximum number of writes in the next transaction.
 func (b *transactionBuilder) maxWrites(limits Limits) int {
 	if b.outcomeUnknown {
-		return limits.MaxChanges - 1 // the fence takes one
+		return limits.MaxChanges - 1 // one change is the fence
 	}
 	return limits.MaxChanges
 }
 
-// build makes the transaction of some writes.
+// build returns the transaction for the given writes, conditional on the term, on the fence and on
+// the known versions of the written keys.
 func (b *transactionBuilder) build(writes []*pendingWrite) transaction {
 	t := transaction{writes: writes, movesFence: b.outcomeUnknown}
 	t.request.Conditions = []wire.Condition{{Key: election.LeaderKey, Version: b.term}, {Key: fenceKey, Version: b.versions[fenceKey]}}
@@ -79,7 +84,7 @@
 	return t
 }
 
-// change is the write as part of a transaction.
+// change returns the write as a change of a transaction.
 func (w *pendingWrite) change() wire.Change {
 	if w.value == nil {
 		return wire.Change{Delete: w.key}
@@ -87,15 +92,15 @@
 	return wire.Change{Set: w.key, Value: w.value}
 }
 
-// setVersionIfUnknown takes the version of a key that another controller has created, unless the
-// ledger knows one.
+// setVersionIfUnknown sets the version of a key that another controller has created. It has no
+// effect if the ledger knows a version of the key, or if version is 0.
 func (b *transactionBuilder) setVersionIfUnknown(key string, version uint64) {
 	if _, known := b.versions[key]; !known && version > 0 {
 		b.versions[key] = version
 	}
 }
 
-// recordCommit takes the revision at which a transaction was carried out.
+// recordCommit updates the known versions after a transaction was applied at a revision.
 func (b *transactionBuilder) recordCommit(t transaction, revision uint64) {
 	if t.movesFence {
 		b.versions[fenceKey], b.outcomeUnknown = revision, false
--- a/internal/ledger/transaction_test.go
+++ b/internal/ledger/transaction_test.go
@@ -13,42 +13,42 @@
 	}
 	first := l.nextTransaction()
 	if !reflect.DeepEqual(keysOf(first.writes), []string{"c", "a", "b"}) || string(first.writes[1].value) != "2" || len(first.request.Conditions) != 5 {
-		t.Errorf("transaction of %v, value of a %s, %d conditions", keysOf(first.writes), first.writes[1].value, len(first.request.Conditions))
+		t.Errorf("transaction of %v, value of a %s, %d conditions; want keys c, a, b, value 2 and 5 conditions", keysOf(first.writes), first.writes[1].value, len(first.request.Conditions))
 	}
 	if second := l.nextTransaction(); !reflect.DeepEqual(keysOf(second.writes), []string{"d"}) {
-		t.Errorf("second transaction of %v", keysOf(second.writes))
+		t.Errorf("second transaction of %v, want d only", keysOf(second.writes))
 	}
 }
 
-// TestUnknownOutcomeMovesFence: what follows a transaction of unknown outcome moves the
-// fence, once, and the fence's new version is a condition of all that comes later.
+// TestUnknownOutcomeMovesFence checks that the transaction after one of unknown outcome changes the
+// fence, once, and that the new version of the fence is a condition of all later transactions.
 func TestUnknownOutcomeMovesFence(t *testing.T) {
 	b := transactionBuilder{term: testTerm, versions: map[string]uint64{fenceKey: 3}, outcomeUnknown: true}
 	if got := b.maxWrites(testLimits); got != testLimits.MaxChanges-1 {
-		t.Errorf("room for %d writes, want one less than %d", got, testLimits.MaxChanges)
+		t.Errorf("at most %d writes, want one less than %d", got, testLimits.MaxChanges)
 	}
 	moving := b.build([]*pendingWrite{{key: "a", value: []byte("1")}, {key: "b"}})
 	if !moving.movesFence || moving.request.Changes[0].Set != fenceKey || len(moving.request.Changes) != 3 {
-		t.Errorf("the fence is not moved: %+v", moving.request)
+		t.Errorf("the fence is not changed, or other changes are missing: %+v", moving.request)
 	}
 	b.recordCommit(moving, 8)
 	next := b.build(nil)
 	if next.movesFence || len(next.request.Changes) > 0 || next.request.Conditions[1].Version != 8 {
-		t.Errorf("the fence is moved again, or its version is not known: %+v", next.request)
+		t.Errorf("the fence is changed again, or its new version is not a condition: %+v", next.request)
 	}
 	if b.versions["a"] != 8 || b.versions["b"] != 0 {
-		t.Errorf("versions %v", b.versions)
+		t.Errorf("versions %v, want 8 for a and none for b", b.versions)
 	}
 }
 
-// TestCallerVersionOnlyForUnknownKeys: the version that a caller saw counts only for a key that
-// the ledger has not read or written.
+// TestCallerVersionOnlyForUnknownKeys checks that the version that a caller saw is used only for a
+// key that the ledger has neither read nor written.
 func TestCallerVersionOnlyForUnknownKeys(t *testing.T) {
 	b := transactionBuilder{versions: map[string]uint64{"known": 4}}
 	b.setVersionIfUnknown("known", 2)
 	b.setVersionIfUnknown("new", 2)
 	b.setVersionIfUnknown("unseen", 0)
 	if !reflect.DeepEqual(b.versions, map[string]uint64{"known": 4, "new": 2}) {
-		t.Errorf("versions %v", b.versions)
+		t.Errorf("versions %v, want 4 for known, 2 for new and none for unseen", b.versions)
 	}
 }
--- a/internal/ledger/transfer_records.go
+++ b/internal/ledger/transfer_records.go
@@ -12,23 +12,23 @@
 	"leadproxy/internal/wire"
 )
 
-// SavedDelegated is a transfer as the origin's ledger holds it.
+// SavedDelegated is the transfer of a delegated job, as stored in the ledger of the origin.
 type SavedDelegated struct {
 	JobID  string
 	Record federation.DelegatedRecord
-	// Unknown is set when the record could not be read: the job may be anywhere.
+	// Unknown is set if the record could not be decoded: the job may run in any cell.
 	Unknown bool
 }
 
-// SavedForeign is a transfer as the neighbour's ledger holds it.
+// SavedForeign is the transfer of a foreign job, as stored in the ledger of the neighbour.
 type SavedForeign struct {
 	Key     federation.ForeignKey
 	Record  federation.ForeignRecord
 	Version uint64
 }
 
-// decodeDelegated reads a transfer of this cell's. A job whose record can't be read may run
-// elsewhere, so its transfer is returned as unknown together with the error.
+// decodeDelegated decodes the transfer of one of this cell's jobs. A job whose record can't be
+// decoded may run in another cell, so its transfer is returned as unknown together with the error.
 func decodeDelegated(entry *wire.Entry) (SavedDelegated, error) {
 	saved := SavedDelegated{JobID: strings.TrimPrefix(entry.Key, delegatedPrefix)}
 	err := json.Unmarshal(entry.Value, &saved.Record)
@@ -39,22 +39,23 @@
 	return saved, err
 }
 
-// checkDelegated finds what no controller can have written.
-func checkDelegated(r *federation.DelegatedRecord) error {
-	known := r.State == federation.Offered || r.State == federation.Accepted || r.State == federation.Returned
-	if r.Cell == "" || r.Epoch == 0 || !known {
-		return fmt.Errorf("epoch %d to cell %q in state %q", r.Epoch, r.Cell, r.State)
+// checkDelegated returns an error if no controller can have written the record.
+func checkDelegated(record *federation.DelegatedRecord) error {
+	known := record.State == federation.Offered || record.State == federation.Accepted || record.State == federation.Returned
+	if record.Cell == "" || record.Epoch == 0 || !known {
+		return fmt.Errorf("invalid transfer: epoch %d to cell %q in state %q", record.Epoch, record.Cell, record.State)
 	}
 	return nil
 }
 
-// decodeForeign reads the record of another cell's transfer. One that can't be read may have
-// been accepted, so it is returned as refused for all epochs together with the error.
+// decodeForeign decodes the transfer of another cell's job. A transfer whose record can't be
+// decoded may have been accepted, so it is returned as refused for all epochs, together with the
+// error.
 func decodeForeign(key federation.ForeignKey, entry *wire.Entry) (SavedForeign, error) {
 	saved := SavedForeign{Key: key, Version: entry.Version}
 	err := json.Unmarshal(entry.Value, &saved.Record)
 	if err == nil && saved.Record.Epoch == 0 {
-		err = errors.New("it has no epoch")
+		err = errors.New("transfer has no epoch")
 	}
 	if err != nil {
 		saved.Record = federation.ForeignRecord{Epoch: math.MaxUint64, State: federation.ForeignRefused}
--- a/internal/ledger/write_queue.go
+++ b/internal/ledger/write_queue.go
@@ -6,26 +6,28 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// Write is one change of a key.
+// Write sets or deletes one key.
 type Write struct {
 	Key   string
 	Value any // nil deletes the key
-	// Urgent writes go at once. The others are deferrable: their rate is limited.
+	// Urgent writes are sent immediately. The others are deferrable: their rate is limited by
+	// Limits.DeferrableRate.
 	Urgent bool
-	// Version is the key's version as the caller saw it, for keys that
-	// another controller has created; 0 when the ledger knows better.
+	// Version is the version that the caller saw of a key that another controller has created.
+	// It is ignored if the ledger knows a version of the key; 0 means unknown.
 	Version uint64
-	// Tag is handed back once the key holds this value or a later one.
+	// Tag, if not nil, is sent on Ledger.Durable once the key holds this value or a later one, or
+	// on Ledger.Rejected.
 	Tag Tag
 }
 
-// Tag tells a caller which of its writes an outcome concerns.
+// Tag identifies a write to its caller.
 type Tag interface {
-	// IsTag marks the caller's types.
+	// IsTag marks types as tags; it is not called.
 	IsTag()
 }
 
-// encode is the write as it waits.
+// encode returns the write with its value encoded. A failure is a *KeyError.
 func (w *Write) encode() (*pendingWrite, error) {
 	pending := &pendingWrite{key: w.Key, urgent: w.Urgent}
 	if w.Tag != nil {
@@ -42,27 +44,27 @@
 	return pending, nil
 }
 
-// pendingWrite is the latest value of a key that is still to be written. It answers for the
-// tags of the earlier values that it has replaced.
+// pendingWrite is the latest value of a key, not yet durable. It carries the tags of the earlier
+// values that it has replaced too.
 type pendingWrite struct {
 	key    string
-	value  json.RawMessage // nil deletes
+	value  json.RawMessage // nil deletes the key
 	tags   []Tag
 	urgent bool
 }
 
-// writeQueue holds the writes that wait for a transaction, at most one for each key.
+// writeQueue holds the writes that are not yet part of a transaction, at most one per key.
 type writeQueue struct {
 	pending map[string]*pendingWrite
-	// urgent and deferrable are the keys of pending writes in the order of their arrival.
-	// A key may stand in them whose write has gone; it is skipped.
+	// urgent and deferrable list the keys of pending writes in order of arrival. Keys whose
+	// write is no longer pending are skipped.
 	urgent     []string
 	deferrable []string
-	// rejected are writes that the store rejects even in a transaction of their own, by
-	// key. They are retried later, unless a later write replaces them.
+	// rejected holds, by key, the writes that the store rejected even in a transaction of their
+	// own. They are retried later, unless a later write of the key replaces them.
 	rejected map[string]*pendingWrite
-	// isolatedKeys were part of a transaction that the store rejected. Until it is known
-	// which of them is at fault, each goes in a transaction of its own.
+	// isolatedKeys holds the keys of transactions that the store rejected. Until each is
+	// committed, it is written in a transaction of its own, to find the one that is at fault.
 	isolatedKeys map[string]bool
 	budget       deferrableBudget
 }
@@ -71,7 +73,8 @@
 	return writeQueue{pending: map[string]*pendingWrite{}, rejected: map[string]*pendingWrite{}, isolatedKeys: map[string]bool{}}
 }
 
-// add queues a write, which replaces what waits for the same key.
+// add queues a write. It replaces a pending or rejected write of the same key and takes over its
+// tags.
 func (q *writeQueue) add(write *pendingWrite) {
 	if replaced := q.rejected[write.key]; replaced != nil {
 		delete(q.rejected, write.key)
@@ -83,7 +86,7 @@
 		return
 	}
 	if write.urgent && !waiting.urgent {
-		// The key moves to the urgent writes. The place that it leaves is skipped.
+		// The key is now urgent. Its entry in deferrable is skipped later.
 		waiting.urgent = true
 		q.urgent = append(q.urgent, write.key)
 	}
@@ -91,7 +94,7 @@
 	waiting.tags = append(waiting.tags, write.tags...)
 }
 
-// append queues a write of a key for which none waits.
+// append queues a write of a key that has no pending write.
 func (q *writeQueue) append(write *pendingWrite) {
 	q.pending[write.key] = write
 	if write.urgent {
@@ -101,8 +104,8 @@
 	}
 }
 
-// requeue puts a write back that was not carried out. If a later write has replaced it, that
-// one answers for its tags.
+// requeue puts back a write that was not applied. If a later write of the key is pending, that
+// one takes over its tags instead.
 func (q *writeQueue) requeue(write *pendingWrite) {
 	if later := q.pending[write.key]; later != nil {
 		later.tags = append(write.tags, later.tags...)
@@ -111,17 +114,17 @@
 	q.append(write)
 }
 
-// isolate has each of some writes go in a transaction of its own.
+// isolate makes each of the writes go into a transaction of its own.
 func (q *writeQueue) isolate(writes []*pendingWrite) {
 	for _, write := range writes {
 		q.isolatedKeys[write.key] = true
 	}
 }
 
-// reject sets a write aside that the store rejects even by itself.
+// reject sets aside a write that the store rejected even in a transaction of its own.
 func (q *writeQueue) reject(write *pendingWrite) { q.rejected[write.key] = write }
 
-// retry requeues a rejected write, unless it was replaced.
+// retry requeues a rejected write, unless a later write of the key has replaced it.
 func (q *writeQueue) retry(write *pendingWrite) {
 	if q.rejected[write.key] == write {
 		delete(q.rejected, write.key)
@@ -129,8 +132,8 @@
 	}
 }
 
-// delay is how long no transaction is due although writes wait: none of them is urgent, and
-// the deferrable ones have used up their rate.
+// delay returns the time until the next transaction is due: more than 0 only if no urgent write is
+// pending and the rate of the deferrable ones is used up.
 func (q *writeQueue) delay(limits Limits, now time.Time) time.Duration {
 	if limits.DeferrableRate == 0 {
 		return 0
@@ -142,7 +145,8 @@
 	return q.budget.delay(limits, len(q.pending))
 }
 
-// hasUrgent tells whether an urgent write waits. It drops keys whose writes have gone.
+// hasUrgent reports whether an urgent write is pending. It drops leading keys whose write is no
+// longer pending.
 func (q *writeQueue) hasUrgent() bool {
 	for len(q.urgent) > 0 && q.pending[q.urgent[0]] == nil {
 		q.urgent = q.urgent[1:]
@@ -150,8 +154,8 @@
 	return len(q.urgent) > 0
 }
 
-// takeBatch removes as many writes as one transaction may carry, urgent ones first, then
-// deferrable ones as far as their rate allows.
+// takeBatch removes and returns the writes of the next transaction, as many as fit: urgent ones
+// first, then deferrable ones as far as their rate allows.
 func (q *writeQueue) takeBatch(limits Limits, maxWrites int) []*pendingWrite {
 	b := batch{maxWrites: maxWrites, maxBytes: limits.TransactionBytes, bytes: transactionOverheadBytes}
 	q.urgent = q.fill(&b, q.urgent, maxWrites)
@@ -165,8 +169,8 @@
 	return b.writes
 }
 
-// fill moves writes from the front of a list of keys to a batch until that has so many, and
-// returns what is left of the list.
+// fill moves the writes of keys, in order, to a batch until the batch is full or has upTo writes.
+// It returns the remaining keys.
 func (q *writeQueue) fill(b *batch, keys []string, upTo int) []string {
 	for len(keys) > 0 && len(b.writes) < min(upTo, b.maxWrites) {
 		write := q.pending[keys[0]]
--- a/internal/wire/field_decoder.go
+++ b/internal/wire/field_decoder.go
@@ -51,11 +51,11 @@
 
 // boolean reads a truth value.
 func (d *fieldDecoder) boolean(field string) bool {
-	var flag bool
-	if !d.decode(field, &flag) {
+	var value bool
+	if !d.decode(field, &value) {
 		d.fail(field, "true or false")
 	}
-	return flag
+	return value
 }
 
 // amount reads a number from 0 on.
--- a/internal/wire/job_parser_test.go
+++ b/internal/wire/job_parser_test.go
@@ -126,9 +126,9 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		again, err := ParseJob(text)
-		if err != nil || again.ID != job.ID || again.Tasks != job.Tasks || again.CPUs != job.CPUs {
-			t.Errorf("%s reads as %+v, %v", text, again, err)
+		reparsed, err := ParseJob(text)
+		if err != nil || reparsed.ID != job.ID || reparsed.Tasks != job.Tasks || reparsed.CPUs != job.CPUs {
+			t.Errorf("%s reads as %+v, %v", text, reparsed, err)
 		}
 	})
 }
--- a/internal/wire/task_name.go
+++ b/internal/wire/task_name.go
@@ -17,7 +17,7 @@
 const taskNameSeparator = "/"
 
 // String is the name as it travels.
-func (n TaskName) String() string { return n.JobID + taskNameSeparator + strconv.Itoa(n.Index) }
+func (t TaskName) String() string { return t.JobID + taskNameSeparator + strconv.Itoa(t.Index) }
 
 // InvalidTaskNameError is the error of a text that names no task.
 type InvalidTaskNameError struct{ Name string }
