--- a/internal/scheduler/dependencies_model_test.go
+++ b/internal/scheduler/dependencies_model_test.go
@@ -121,8 +121,8 @@
 }
 
 // checkAgainstModel compares all jobs' states, and what is started, with the model.
-func (g *harness) checkAgainstModel(m *graphModel, jobIDs []string) {
-	g.t.Helper()
+func (h *harness) checkAgainstModel(m *graphModel, jobIDs []string) {
+	h.t.Helper()
 	for _, jobID := range jobIDs {
 		want := []string{wire.JobQueued, wire.JobRunning}
 		switch {
@@ -131,12 +131,12 @@
 		case m.isCancelled(jobID):
 			want = []string{wire.JobCancelled}
 		}
-		if got := g.jobStatus(jobID); !slices.Contains(want, got) {
-			g.t.Errorf("%s is %s, want %v", jobID, got, want)
+		if got := h.jobStatus(jobID); !slices.Contains(want, got) {
+			h.t.Errorf("%s is %s, want %v", jobID, got, want)
 		}
-		j := g.core.jobs.list[g.core.jobs.indexByID[jobID]]
+		j := h.core.jobs.list[h.core.jobs.indexByID[jobID]]
 		if booked := j.progress.tasks != nil && !j.ended() && j.progress.allocated > 0; booked != m.isReady(jobID) {
-			g.t.Errorf("%s has a task on a machine: %v, ready: %v", jobID, booked, m.isReady(jobID))
+			h.t.Errorf("%s has a task on a machine: %v, ready: %v", jobID, booked, m.isReady(jobID))
 		}
 	}
 }
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -19,29 +19,29 @@
 }
 
 // finishTask has a machine report the one task of a job as done.
-func (g *harness) finishTask(machine, jobID string) {
-	g.t.Helper()
+func (h *harness) finishTask(machine, jobID string) {
+	h.t.Helper()
 	var tasks []wire.TaskStatus
 	there := false
-	for _, b := range g.core.findOrAddMachine(machine).capacity.allocations {
-		t := newTaskStatus(wire.Command{Task: g.core.jobs.taskName(b), Attempt: b.attempt}, wire.TaskRunning, "")
+	for _, b := range h.core.findOrAddMachine(machine).capacity.allocations {
+		t := newTaskStatus(wire.Command{Task: h.core.jobs.taskName(b), Attempt: b.attempt}, wire.TaskRunning, "")
 		if t.Task == jobID+"/0" {
 			t.Status, t.ExitReason, there = wire.TaskEnded, wire.ExitDone, true
 		}
 		tasks = append(tasks, t)
 	}
-	g.want(jobID+" is on "+machine, there, true)
-	g.acknowledge(machine, tasks...)
+	h.want(jobID+" is on "+machine, there, true)
+	h.acknowledge(machine, tasks...)
 }
 
 // takeStartedJobs lists the jobs whose tasks have been started since the last call.
-func (g *harness) takeStartedJobs() string {
+func (h *harness) takeStartedJobs() string {
 	var jobIDs []string
-	for _, o := range g.startCommands() {
+	for _, o := range h.startCommands() {
 		jobID := wire.JobIDOfTask(o.Task)
 		jobIDs = append(jobIDs, jobID)
 	}
-	g.completeCommands(CommandExecuted)
+	h.completeCommands(CommandExecuted)
 	return strings.Join(jobIDs, " ")
 }
 
--- a/internal/scheduler/evictions_test.go
+++ b/internal/scheduler/evictions_test.go
@@ -30,16 +30,16 @@
 }
 
 // writtenPlan is the plan's record as it was last written.
-func (g *harness) writtenPlan() rollout.Record {
-	r, _ := g.writesByKey[ledger.PlanKey("winter")].Value.(rollout.Record)
+func (h *harness) writtenPlan() rollout.Record {
+	r, _ := h.writesByKey[ledger.PlanKey("winter")].Value.(rollout.Record)
 	return r
 }
 
 // requestPlan is what a command about a plan is answered.
-func (g *harness) requestPlan(e PlanRequest) error {
+func (h *harness) requestPlan(e PlanRequest) error {
 	e.ReplyTo = testRecipient("operator")
-	g.step(e)
-	a, ok := lastEffect[PlanReply](g)
+	h.step(e)
+	a, ok := lastEffect[PlanReply](h)
 	if !ok {
 		return errors.New("not answered")
 	}
--- a/internal/scheduler/federation_test.go
+++ b/internal/scheduler/federation_test.go
@@ -33,23 +33,23 @@
 }
 
 // waitReporting lets time pass while the machine reports what it runs.
-func (g *harness) waitReporting(d time.Duration, machine string, tasks ...wire.TaskStatus) {
-	for end := g.now + d; g.now < end; {
-		g.advance(time.Second)
-		g.acknowledge(machine, tasks...)
+func (h *harness) waitReporting(d time.Duration, machine string, tasks ...wire.TaskStatus) {
+	for end := h.now + d; h.now < end; {
+		h.advance(time.Second)
+		h.acknowledge(machine, tasks...)
 	}
 }
 
 // applyToMachine has a job take the whole machine for long and returns how it is reported.
-func (g *harness) fillMachine(jobID string) []wire.TaskStatus {
+func (h *harness) fillMachine(jobID string) []wire.TaskStatus {
 	j := newTestJob(jobID, 4, 1)
 	j.EstimatedRunS = 1000
-	g.submit(j)
+	h.submit(j)
 	var running []wire.TaskStatus
-	for _, o := range g.startCommands() {
+	for _, o := range h.startCommands() {
 		running = append(running, newTaskStatus(o, wire.TaskRunning, ""))
 	}
-	g.completeCommands(CommandExecuted)
+	h.completeCommands(CommandExecuted)
 	return running
 }
 
@@ -65,12 +65,12 @@
 
 // offersAfterShortage plays a shortage up to the neighbour's capacity offer and names the jobs that are
 // offered to it.
-func (g *harness) offersAfterShortage(room float64, running []wire.TaskStatus) (jobIDs []string) {
-	g.waitReporting(20*time.Second, "vm-1", running...)
-	if ask, ok := lastEffect[RequestCapacity](g); ok {
-		g.step(CapacityResult{Cell: ask.Cell, Cores: min(room, ask.Cores), For: 5 * time.Second})
+func (h *harness) offersAfterShortage(room float64, running []wire.TaskStatus) (jobIDs []string) {
+	h.waitReporting(20*time.Second, "vm-1", running...)
+	if ask, ok := lastEffect[RequestCapacity](h); ok {
+		h.step(CapacityResult{Cell: ask.Cell, Cores: min(room, ask.Cores), For: 5 * time.Second})
 	}
-	if send, ok := lastEffect[SendTransfers](g); ok {
+	if send, ok := lastEffect[SendTransfers](h); ok {
 		for _, m := range send.Messages {
 			jobIDs = append(jobIDs, fmt.Sprintf("%s %s/%d", m.Kind, m.JobID, m.Epoch))
 		}
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -86,114 +86,114 @@
 	return g
 }
 
-func (g *harness) step(e Event) {
-	g.core.Step(e, g.now, g.now.Milliseconds())
-	g.recordEffects(g.core.Flush())
+func (h *harness) step(e Event) {
+	h.core.Step(e, h.now, h.now.Milliseconds())
+	h.recordEffects(h.core.Flush())
 }
 
-func (g *harness) recordEffects(effects []Effect) {
+func (h *harness) recordEffects(effects []Effect) {
 	var tags []ledger.Tag
 	for _, e := range effects {
 		switch e := e.(type) {
 		case WriteLedger:
 			for _, w := range e.Writes {
-				g.writesByKey[w.Key] = w
-				g.writeCount++
+				h.writesByKey[w.Key] = w
+				h.writeCount++
 				if w.Tag != nil {
 					tags = append(tags, w.Tag)
 				}
 			}
 		case SendCommands:
-			g.sentCommands = append(g.sentCommands, e)
+			h.sentCommands = append(h.sentCommands, e)
 		case CallCloud:
 			if e.Call.ScaleOut != nil {
-				g.scaleOuts = append(g.scaleOuts, *e.Call.ScaleOut)
+				h.scaleOuts = append(h.scaleOuts, *e.Call.ScaleOut)
 			}
-			g.deletedMachines = append(g.deletedMachines, e.Call.Delete...)
+			h.deletedMachines = append(h.deletedMachines, e.Call.Delete...)
 		case HeartbeatReply:
-			g.recentEffects = append(g.recentEffects, e)
+			h.recentEffects = append(h.recentEffects, e)
 			if e.Response != nil {
-				g.responseCommands = append(g.responseCommands, e.Response.Commands...)
+				h.responseCommands = append(h.responseCommands, e.Response.Commands...)
 			}
 		default:
-			g.recentEffects = append(g.recentEffects, e)
-			g.otherEffects = append(g.otherEffects, e)
+			h.recentEffects = append(h.recentEffects, e)
+			h.otherEffects = append(h.otherEffects, e)
 		}
 	}
-	if g.holdWrites {
-		g.pendingTags = append(g.pendingTags, tags...)
+	if h.holdWrites {
+		h.pendingTags = append(h.pendingTags, tags...)
 	} else if len(tags) > 0 {
-		g.step(WritesDurable{tags})
+		h.step(WritesDurable{tags})
 	}
 }
 
 // releaseWrites makes the held writes durable.
-func (g *harness) releaseWrites() {
-	g.holdWrites = false
-	tags := g.pendingTags
-	g.pendingTags = nil
-	g.step(WritesDurable{tags})
+func (h *harness) releaseWrites() {
+	h.holdWrites = false
+	tags := h.pendingTags
+	h.pendingTags = nil
+	h.step(WritesDurable{tags})
 }
 
 // advance lets time pass, a tick at a time.
-func (g *harness) advance(d time.Duration) {
-	for end := g.now + d; g.now < end; {
-		g.now += 250 * time.Millisecond
-		g.step(Tick{})
+func (h *harness) advance(d time.Duration) {
+	for end := h.now + d; h.now < end; {
+		h.now += 250 * time.Millisecond
+		h.step(Tick{})
 	}
 }
 
-func (g *harness) newHeartbeat(name string, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
-	g.sequences[name]++
-	return &wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a", Spot: true}, AgentEpoch: 1, Sequence: g.sequences[name], FencingToken: token, Tasks: tasks}
+func (h *harness) newHeartbeat(name string, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
+	h.sequences[name]++
+	return &wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a", Spot: true}, AgentEpoch: 1, Sequence: h.sequences[name], FencingToken: token, Tasks: tasks}
 }
 
 // sendHeartbeat sends a heartbeat and returns the response.
-func (g *harness) sendHeartbeat(r *wire.Heartbeat) *wire.HeartbeatResponse {
-	g.recentEffects = nil
-	g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: testRecipient("w")})
-	for _, e := range g.recentEffects {
+func (h *harness) sendHeartbeat(r *wire.Heartbeat) *wire.HeartbeatResponse {
+	h.recentEffects = nil
+	h.step(HeartbeatEvent{Heartbeat: r, ReplyTo: testRecipient("w")})
+	for _, e := range h.recentEffects {
 		if a, ok := e.(HeartbeatReply); ok {
 			return a.Response
 		}
 	}
-	g.t.Fatal("the report was not answered")
+	h.t.Fatal("the report was not answered")
 	return nil
 }
 
 const termToken = testTerm << termCounterBits
 
 // bringUp brings a machine up until it is schedulable.
-func (g *harness) bringUp(name string) {
-	g.sendHeartbeat(g.newHeartbeat(name, 0))
-	g.sendHeartbeat(g.newHeartbeat(name, termToken))
+func (h *harness) bringUp(name string) {
+	h.sendHeartbeat(h.newHeartbeat(name, 0))
+	h.sendHeartbeat(h.newHeartbeat(name, termToken))
 }
 
 // acknowledge has an agent show that it has received our latest token.
-func (g *harness) acknowledge(name string, tasks ...wire.TaskStatus) *wire.HeartbeatResponse {
-	m := g.core.findOrAddMachine(name)
-	r := g.newHeartbeat(name, m.agent.FencingToken(), tasks...)
+func (h *harness) acknowledge(name string, tasks ...wire.TaskStatus) *wire.HeartbeatResponse {
+	m := h.core.findOrAddMachine(name)
+	r := h.newHeartbeat(name, m.agent.FencingToken(), tasks...)
 	r.AgentEpoch = max(m.agent.Epoch(), 1)
-	return g.sendHeartbeat(r)
+	return h.sendHeartbeat(r)
 }
 
 func newTestJob(jobID string, tasks int, cpus float64) *wire.Job {
 	return &wire.Job{ID: jobID, Class: "c", Team: "t", Kind: "batch", Priority: "standard", Tasks: tasks, CPUs: cpus, MemGB: 1, Image: "i", Spot: true, EstimatedRunS: 10}
 }
 
-func (g *harness) submit(j *wire.Job) {
-	g.submittedJobs[j.ID] = j
-	g.step(JobRecordEvent{JobID: j.ID, Record: ledger.JobRecord{Job: j, AcceptedMS: g.now.Milliseconds()}, Version: 3})
+func (h *harness) submit(j *wire.Job) {
+	h.submittedJobs[j.ID] = j
+	h.step(JobRecordEvent{JobID: j.ID, Record: ledger.JobRecord{Job: j, AcceptedMS: h.now.Milliseconds()}, Version: 3})
 }
 
 // startCommands lists the starts in commands without a result and in responses.
-func (g *harness) startCommands() (orders []wire.Command) {
-	for _, o := range g.responseCommands {
+func (h *harness) startCommands() (orders []wire.Command) {
+	for _, o := range h.responseCommands {
 		if o.Verb == wire.VerbStart {
 			orders = append(orders, o)
 		}
 	}
-	for _, d := range g.sentCommands {
+	for _, d := range h.sentCommands {
 		for _, o := range d.Request.Commands {
 			if o.Verb == wire.VerbStart {
 				orders = append(orders, o)
@@ -204,11 +204,11 @@
 }
 
 // completeCommands ends all commands that are on their way.
-func (g *harness) completeCommands(outcome CommandOutcome) {
-	calls := g.sentCommands
-	g.sentCommands, g.responseCommands = nil, nil
+func (h *harness) completeCommands(outcome CommandOutcome) {
+	calls := h.sentCommands
+	h.sentCommands, h.responseCommands = nil, nil
 	for _, d := range calls {
-		g.step(CommandResult{CommandID: d.CommandID, Outcome: outcome})
+		h.step(CommandResult{CommandID: d.CommandID, Outcome: outcome})
 	}
 }
 
@@ -224,16 +224,16 @@
 	return s
 }
 
-func (g *harness) want(what string, got, want any) {
-	g.t.Helper()
+func (h *harness) want(what string, got, want any) {
+	h.t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
-		g.t.Errorf("%s: %v, want %v", what, got, want)
+		h.t.Errorf("%s: %v, want %v", what, got, want)
 	}
 }
 
 // jobStatus asks for a job's state.
-func (g *harness) jobStatus(jobID string) string {
-	g.recentEffects = nil
-	g.step(StatusRequest{JobID: jobID, ReplyTo: testRecipient("u")})
-	return g.recentEffects[0].(UserReply).Status.Status
+func (h *harness) jobStatus(jobID string) string {
+	h.recentEffects = nil
+	h.step(StatusRequest{JobID: jobID, ReplyTo: testRecipient("u")})
+	return h.recentEffects[0].(UserReply).Status.Status
 }
--- a/internal/scheduler/inspections_test.go
+++ b/internal/scheduler/inspections_test.go
@@ -249,25 +249,25 @@
 
 // wantRestartOnlyAfterLease lets a lease pass, which begins now, in which vm-2 can take tasks and vm-1 says
 // nothing: a task of vm-1 is started again after it and not before.
-func (g *harness) wantRestartOnlyAfterLease() {
-	g.t.Helper()
-	g.sentCommands, g.responseCommands = nil, nil
-	for end := g.now + 30*time.Second; g.now < end; {
-		g.advance(time.Second)
-		g.bringUpOrAcknowledge("vm-2")
+func (h *harness) wantRestartOnlyAfterLease() {
+	h.t.Helper()
+	h.sentCommands, h.responseCommands = nil, nil
+	for end := h.now + 30*time.Second; h.now < end; {
+		h.advance(time.Second)
+		h.bringUpOrAcknowledge("vm-2")
 	}
-	g.want("starts within its lease", len(g.startCommands()), 0)
+	h.want("starts within its lease", len(h.startCommands()), 0)
 	for range 3 {
-		g.advance(time.Second)
-		g.bringUpOrAcknowledge("vm-2")
+		h.advance(time.Second)
+		h.bringUpOrAcknowledge("vm-2")
 	}
-	g.want("starts after its lease", len(g.startCommands()), 1)
+	h.want("starts after its lease", len(h.startCommands()), 1)
 }
 
 // bringUpOrAcknowledge has another machine be up, and its agent send a heartbeat.
-func (g *harness) bringUpOrAcknowledge(name string) {
-	if g.sequences[name] == 0 {
-		g.bringUp(name)
+func (h *harness) bringUpOrAcknowledge(name string) {
+	if h.sequences[name] == 0 {
+		h.bringUp(name)
 	}
-	g.acknowledge(name)
+	h.acknowledge(name)
 }
--- a/internal/scheduler/unreachable_test.go
+++ b/internal/scheduler/unreachable_test.go
@@ -11,8 +11,8 @@
 )
 
 // lastUnreachableRecord returns the unreachable-agent record that was last written, and its key.
-func (g *harness) lastUnreachableRecord() (string, *ledger.UnreachableRecord) {
-	for key, w := range g.writesByKey {
+func (h *harness) lastUnreachableRecord() (string, *ledger.UnreachableRecord) {
+	for key, w := range h.writesByKey {
 		if r, ok := w.Value.(ledger.UnreachableRecord); ok && len(r.Machines) > 0 && strings.HasPrefix(key, ledger.UnreachableKey("")) {
 			return key, &r
 		}
@@ -21,8 +21,8 @@
 }
 
 // responseCount counts the heartbeats that got a response.
-func (g *harness) responseCount() (n int) {
-	for _, e := range g.recentEffects {
+func (h *harness) responseCount() (n int) {
+	for _, e := range h.recentEffects {
 		if a, ok := e.(HeartbeatReply); ok && a.Response != nil {
 			n++
 		}
