--- a/internal/wire/cloud.go
+++ b/internal/wire/cloud.go
@@ -1,19 +1,19 @@
 package wire
 
-// CapacityPool is what the cloud rents machines from: one machine type in one zone, spot or
-// on demand.
+// CapacityPool identifies a pool of machines that the cloud rents out: one machine type in one
+// zone, spot or on demand.
 type CapacityPool struct {
 	Type string `json:"flavor"`
 	Zone string `json:"room"`
 	Spot bool   `json:"loaners"`
 }
 
-// MachineTypes lists the machine types that the cloud rents.
+// MachineTypes lists the machine types that the cloud offers.
 type MachineTypes struct {
 	Types []MachineType `json:"flavors"`
 }
 
-// MachineType is the size, price and boot time of one type of machine.
+// MachineType describes the size, price and boot time of one machine type.
 type MachineType struct {
 	Name        string   `json:"name"`
 	CPUs        float64  `json:"vcpus"`
@@ -27,15 +27,15 @@
 	Zones       []string `json:"rooms"`
 }
 
-// ScaleOutRequest asks the cloud for machines of a pool. The cloud carries out each request id
-// once.
+// ScaleOutRequest requests Count machines of a pool. It is idempotent: the cloud executes each
+// request id once.
 type ScaleOutRequest struct {
 	RequestID string `json:"hire"`
 	CapacityPool
 	Count int `json:"number"`
 }
 
-// MachineNames names machines, in the response to a scale-out and in a deletion.
+// MachineNames lists machines, in the response to a scale-out and in a deletion request.
 type MachineNames struct {
 	Names []string `json:"hosts"`
 }
@@ -43,7 +43,7 @@
 // MachineList is one page of the cloud's list of rented machines.
 type MachineList struct {
 	Machines []ListedMachine `json:"hosts"`
-	More     bool            `json:"has_next"`
+	More     bool            `json:"has_next"` // there are further pages
 }
 
 // ListedMachine is one machine in the cloud's list.
@@ -52,10 +52,10 @@
 	Address string `json:"address"`
 	CapacityPool
 	Status string  `json:"status"`
-	AgeS   float64 `json:"held_s"`
+	AgeS   float64 `json:"held_s"` // seconds since the machine was rented
 }
 
-// The states of a machine in the list.
+// Values of ListedMachine.Status.
 const (
 	MachineBooting = "booting"
 	MachineRunning = "running"
--- a/internal/wire/command.go
+++ b/internal/wire/command.go
@@ -1,6 +1,6 @@
 package wire
 
-// Command tells a worker to start, stop or forget a task.
+// Command instructs an agent to start, stop or forget a task.
 type Command struct {
 	Verb         string   `json:"verb"`
 	Task         string   `json:"piece"`
@@ -8,15 +8,15 @@
 	GracePeriodS *float64 `json:"wind_down_s,omitempty"`
 }
 
-// The verbs of commands.
+// Values of Command.Verb.
 const (
 	VerbStart  = "start"
 	VerbStop   = "stop"
 	VerbForget = "forget"
 )
 
-// CommandRequest carries commands to a worker outside of its heartbeats. The worker responds
-// with a heartbeat.
+// CommandRequest sends commands to an agent outside of its heartbeats. The agent responds with a
+// heartbeat.
 type CommandRequest struct {
 	FencingToken uint64    `json:"baton"`
 	AgentEpoch   uint64    `json:"tenure"`
--- a/internal/wire/doc.go
+++ b/internal/wire/doc.go
@@ -1,5 +1,5 @@
-// Package wire holds the messages of the protocols as they travel, and the checks on what
-// comes in: the users' job interface, the workers' heartbeats and commands, the cloud, and the
-// key-value store. The names that the protocol gives its fields and values stand in this
-// package's tags and constants and nowhere else. The package does no I/O.
+// Package wire defines the encoded messages of the protocols, and parses and validates incoming
+// ones: the job API, the agents' heartbeats and commands, the cloud API, and the key-value store.
+// The protocols' names of fields and values occur only in this package's tags and constants. The
+// package does no I/O.
 package wire
--- a/internal/wire/fields.go
+++ b/internal/wire/fields.go
@@ -1,7 +1,7 @@
 package wire
 
-// The names on the wire of the fields that are checked one by one, and named in errors.
-// They are the same as in the tags.
+// Names of the fields that are validated individually, as encoded and as named in errors. They
+// equal the names in the struct tags.
 const (
 	fieldJobID               = "ref"
 	fieldClass               = "lane"
@@ -33,11 +33,11 @@
 	fieldTaskStatus         = "status"
 )
 
-// InvalidFieldError says which field of a message breaks the protocol, and what was wanted.
+// InvalidFieldError reports a field of a message that violates the protocol.
 type InvalidFieldError struct {
-	// Field is the field's name on the wire.
+	// Field is the encoded name of the field.
 	Field string
-	// Requirement completes "the field must ...".
+	// Requirement completes the sentence "the field must ...".
 	Requirement string
 }
 
--- a/internal/wire/golden_test.go
+++ b/internal/wire/golden_test.go
@@ -6,7 +6,7 @@
 	"leadproxy/internal/property"
 )
 
-// TestGoldenMessages compares every message with how it has to travel.
+// TestGoldenMessages compares the encoding of every message with its golden file.
 func TestGoldenMessages(t *testing.T) {
 	messages := map[string]any{
 		"submission":          &Job{},
@@ -41,8 +41,8 @@
 	}
 }
 
-// TestGoldenConstants compares the words of the protocols, and the bounds that its users
-// meet.
+// TestGoldenConstants compares the constants of the protocols, and the bounds that are visible to
+// their users, with their golden file.
 func TestGoldenConstants(t *testing.T) {
 	property.CheckGoldenValues(t, "constants", map[string]any{
 		"job queued":              JobQueued,
--- a/internal/wire/heartbeat.go
+++ b/internal/wire/heartbeat.go
@@ -1,7 +1,7 @@
 package wire
 
-// Heartbeat is a worker's periodic report of its machine, its tasks and the highest fencing
-// token that it has seen.
+// Heartbeat is an agent's periodic report on its machine, its tasks and the highest fencing token
+// that it has seen.
 type Heartbeat struct {
 	Machine string `json:"host"`
 	Address string `json:"address"`
@@ -22,7 +22,7 @@
 	CheckpointSaved bool   `json:"stored"`
 }
 
-// The states of a task on a machine.
+// Values of TaskStatus.Status.
 const (
 	TaskFetching      = "fetching"
 	TaskRunning       = "running"
@@ -30,7 +30,7 @@
 	TaskEnded         = "ended"
 )
 
-// The reasons why a task ended.
+// Values of TaskStatus.ExitReason, the reason why a task has ended.
 const (
 	ExitDone       = "done"
 	ExitStopped    = "stopped"
@@ -40,13 +40,14 @@
 	ExitNoSuchTask = "no_such"
 )
 
-// HeartbeatResponse renews a worker's lease and carries commands.
+// HeartbeatResponse renews an agent's lease and contains commands for it.
 type HeartbeatResponse struct {
 	FencingToken uint64    `json:"baton"`
 	Commands     []Command `json:"orders"`
 }
 
-// Redirect sends a worker to another controller.
+// Redirect tells an agent to send its heartbeats to another controller: Leader, or any other
+// controller if Leader is empty.
 type Redirect struct {
 	Leader string `json:"boss,omitempty"`
 }
--- a/internal/wire/heartbeat_parser.go
+++ b/internal/wire/heartbeat_parser.go
@@ -8,8 +8,10 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// ParseHeartbeat reads a worker's heartbeat. What it returns shares the body's memory:
-// the body must not change afterwards, and what is kept for long is to be cloned.
+// ParseHeartbeat parses and validates an agent's heartbeat. Strings in the result share the memory
+// of body: body must not be modified afterwards, and strings that are kept for long should be
+// cloned. The error is an *InvalidFieldError, an *InvalidTaskNameError, or one that says why the
+// body is not a JSON object of the right form.
 func ParseHeartbeat(body []byte) (*Heartbeat, error) {
 	var heartbeat Heartbeat
 	if err := parseObject(body, &heartbeat, json.ZeroCopy); err != nil {
@@ -26,7 +28,7 @@
 	return &heartbeat, nil
 }
 
-// checkMachine checks what a heartbeat says of its machine.
+// checkMachine validates the fields that concern the machine and its agent.
 func (h *Heartbeat) checkMachine() error {
 	switch {
 	case h.Machine == "" || len(h.Machine) > maxNameLength:
@@ -43,8 +45,9 @@
 	return nil
 }
 
-// check checks one task of a heartbeat. A state that this version doesn't know still occupies
-// its machine, so it is taken as it is; refusing the heartbeat would cost the worker its lease.
+// check validates one task of a heartbeat. It accepts a status that this version doesn't know, since
+// such a task still occupies resources of its machine, and rejecting the heartbeat would cost the
+// agent its lease.
 func (t *TaskStatus) check() error {
 	if _, err := ParseTaskName(t.Task); err != nil {
 		return err
@@ -56,8 +59,8 @@
 	return nil
 }
 
-// internOrClone returns a text without the memory of the body that it was read from: one of the
-// constants if it equals one, or else a copy.
+// internOrClone returns a string equal to text that doesn't share its memory, so that the body it was
+// parsed from can be freed: one of the constants if one is equal, otherwise a copy.
 func internOrClone(text string, constants ...string) string {
 	for _, constant := range constants {
 		if text == constant {
--- a/internal/wire/job.go
+++ b/internal/wire/job.go
@@ -5,16 +5,16 @@
 	"strings"
 )
 
-// MaxTasks is the largest number of tasks of a job.
+// MaxTasks is the maximum number of tasks of a job.
 const MaxTasks = 100000
 
-// kindBatch is the only kind of job.
+// kindBatch is the only supported value of Job.Kind.
 const kindBatch = "batch"
 
-// priorities has the most urgent first.
+// priorities lists the values of Job.Priority, from the most to the least urgent.
 var priorities = []string{"critical", "high", "standard", "idle"}
 
-// Job is a job as its user submits it.
+// Job is the description of a job, as submitted by its user.
 type Job struct {
 	ID                  string   `json:"ref"`
 	Class               string   `json:"lane"`
@@ -36,20 +36,20 @@
 	CheckpointIntervalS float64  `json:"snapshot_s"`
 	CheckpointDurationS float64  `json:"flush_s"`
 	DeadlineS           *float64 `json:"due_s"`
-	// DependsOn names the jobs that have to be done before any task of this one
-	// starts, each once.
+	// DependsOn lists, without duplicates, the ids of the jobs that must be done before any
+	// task of this one starts.
 	DependsOn []string `json:"waits_on,omitempty"`
 }
 
-// CancelledSummary is what is kept of the description of a cancelled job: a new leader
-// charges the job's team for tasks that are not yet known to have stopped.
+// CancelledSummary returns the part of the description that is kept for a cancelled job. A new
+// leader needs it to charge the job's team for tasks that are not yet known to have stopped.
 func (j *Job) CancelledSummary() *Job {
 	return &Job{ID: j.ID, Class: j.Class, Team: j.Team, Kind: j.Kind, Priority: j.Priority, Tasks: j.Tasks,
 		CPUs: j.CPUs, GPUs: j.GPUs, MemGB: j.MemGB, Gang: j.Gang, Spread: j.Spread, Spot: j.Spot, EstimatedRunS: j.EstimatedRunS}
 }
 
-// PriorityClass is the job's priority as a number, 0 the most urgent. An unknown priority
-// comes after all others.
+// PriorityClass returns the job's priority as a number, with 0 the most urgent. An unknown priority
+// ranks after all others.
 func (j *Job) PriorityClass() int {
 	if class := slices.Index(priorities, j.Priority); class >= 0 {
 		return class
@@ -57,16 +57,16 @@
 	return len(priorities)
 }
 
-// PriorityName is the priority of a class. Classes out of range count as the nearest one.
+// PriorityName returns the name of a priority class. A class out of range counts as the nearest one.
 func PriorityName(class int) string { return priorities[min(max(class, 0), len(priorities)-1)] }
 
-// The form of a job id: a prefix and decimal digits.
+// A job id is jobIDPrefix followed by 1 to maxJobIDDigits decimal digits.
 const (
 	jobIDPrefix    = "job-"
 	maxJobIDDigits = 32
 )
 
-// ValidJobID tells whether a text has the form of a job id.
+// ValidJobID reports whether text has the form of a job id.
 func ValidJobID(text string) bool {
 	digits, found := strings.CutPrefix(text, jobIDPrefix)
 	return found && len(digits) <= maxJobIDDigits && isDigits(digits)
--- a/internal/wire/job_parser.go
+++ b/internal/wire/job_parser.go
@@ -7,30 +7,30 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// The largest texts and amounts that a submission may hold.
+// Maximum string lengths, in bytes, and maximum amounts in a submission.
 const (
 	maxNameLength  = 200
-	maxEnumLength  = 40
+	maxEnumLength  = 40 // kind and priority
 	maxImageLength = 1000
-	maxDevices     = 1e6 // cores, or GPUs
+	maxDevices     = 1e6 // CPU cores or GPUs per task
 	maxGB          = 1e9
 	maxSeconds     = 1e9
 )
 
-// InvalidJobError says why a submission can't be read.
+// InvalidJobError reports why a submission is invalid.
 type InvalidJobError struct {
-	// JobID is the id that the submission names, empty unless it is well-formed. With
-	// it a job that was accepted before is recognised in spite of the fault.
+	// JobID is the job id in the submission, or empty if it is missing or malformed. It serves
+	// to recognize a job that was accepted before, even though this submission is invalid.
 	JobID string
 	Err   error
 }
 
 func (e *InvalidJobError) Error() string { return e.Err.Error() }
 
-// Unwrap returns the fault, an *InvalidFieldError if it lies in one field.
+// Unwrap returns the cause, an *InvalidFieldError if a single field is invalid.
 func (e *InvalidJobError) Unwrap() error { return e.Err }
 
-// ParseJob reads a submission. The error is an *InvalidJobError.
+// ParseJob parses and validates a submission. The error is an *InvalidJobError.
 func ParseJob(body []byte) (*Job, error) {
 	var fields map[string]json.RawMessage
 	if err := parseObject(body, &fields, 0); err != nil {
@@ -56,7 +56,7 @@
 	return nil, invalid
 }
 
-// decodeNames reads the names of the job, its class and its team, and its priority.
+// decodeNames decodes the job's id, class, team, kind and priority.
 func (j *Job) decodeNames(d *fieldDecoder) {
 	j.ID = d.text(fieldJobID, maxNameLength)
 	d.require(ValidJobID(j.ID), fieldJobID, "job- and digits")
@@ -68,7 +68,7 @@
 	d.require(j.PriorityClass() < len(priorities), fieldPriority, "one of "+strings.Join(priorities, ", "))
 }
 
-// decodeResources reads how many tasks there are and what each takes.
+// decodeResources decodes the number of tasks, and the resources and image of each.
 func (j *Job) decodeResources(d *fieldDecoder) {
 	j.Tasks = d.integer(fieldTasks, 1, MaxTasks)
 	j.CPUs = d.amount(fieldCPUs, maxDevices)
@@ -78,7 +78,7 @@
 	j.ImageGB = d.amount(fieldImageGB, maxGB)
 }
 
-// decodePlacement reads where the tasks may run, and how they lie to each other.
+// decodePlacement decodes the constraints on where the tasks may run.
 func (j *Job) decodePlacement(d *fieldDecoder) {
 	d.optional(fieldTypes, &j.Types, "a list of machine types, or null")
 	d.require(j.Types == nil || len(j.Types) > 0, fieldTypes, "a list of at least one machine type, or null")
@@ -88,7 +88,7 @@
 	j.Spot = d.boolean(fieldSpot)
 }
 
-// decodeTimes reads how long the tasks take, and by when they should be done.
+// decodeTimes decodes the estimated run time, the checkpoint times and the deadline.
 func (j *Job) decodeTimes(d *fieldDecoder) {
 	j.EstimatedRunS = d.amount(fieldEstimatedRunS, maxSeconds)
 	j.CheckpointIntervalS = d.amount(fieldCheckpointIntervalS, maxSeconds)
--- a/internal/wire/job_responses.go
+++ b/internal/wire/job_responses.go
@@ -1,7 +1,7 @@
 package wire
 
-// JobStatus is the response to a status query: the job's state, and how many of its tasks are
-// done and running.
+// JobStatus is the response to a status query: the job's state and the numbers of its tasks that
+// are done and running.
 type JobStatus struct {
 	ID      string `json:"ref"`
 	Status  string `json:"status"`
@@ -15,7 +15,7 @@
 	Status string `json:"status"`
 }
 
-// The states of a job.
+// Values of JobStatus.Status and JobResponse.Status.
 const (
 	JobQueued    = "queued"
 	JobRunning   = "running"
--- a/internal/wire/object.go
+++ b/internal/wire/object.go
@@ -8,10 +8,11 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// MaxBodyBytes is the largest request body that is taken.
+// MaxBodyBytes is the maximum size of a request body.
 const MaxBodyBytes = 64 << 10
 
-// parseObject reads the one JSON object that a body must be.
+// parseObject decodes a body that must consist of exactly one JSON object, apart from trailing white
+// space. It accepts null too, which leaves into unchanged, so callers must check required fields.
 func parseObject(body []byte, into any, flags json.ParseFlags) error {
 	trailing, err := json.Parse(body, into, flags)
 	if err != nil {
--- a/internal/wire/responses_test.go
+++ b/internal/wire/responses_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// FuzzResponses: whatever the key-value store, the cloud, workers and controllers respond is
-// read or refused.
+// FuzzResponses checks that any response of the key-value store, the cloud, agents and controllers
+// is either rejected, or decoded into a message that can be encoded.
 func FuzzResponses(f *testing.F) {
 	for _, body := range []string{
 		`{"epoch":433,"news":[{"set":"c/9","data":{"a":1},"stamp":433},{"delete":"c/d","stamp":432}]}`,
@@ -22,7 +22,7 @@
 				continue
 			}
 			if _, err := json.Marshal(into); err != nil {
-				t.Errorf("%T can't be written again: %v", into, err)
+				t.Errorf("%T can't be encoded after decoding: %v", into, err)
 			}
 		}
 	})
--- a/internal/wire/task_name_test.go
+++ b/internal/wire/task_name_test.go
@@ -10,10 +10,10 @@
 		t.Run(name, func(t *testing.T) {
 			parsed, err := ParseTaskName(name)
 			if (err == nil) != want {
-				t.Errorf("error %v, want it accepted: %v", err, want)
+				t.Errorf("error %v, want accepted: %v", err, want)
 			}
 			if err == nil && parsed.String() != name {
-				t.Errorf("written as %s", parsed)
+				t.Errorf("String of the parsed name returned %s, want the name itself", parsed)
 			}
 		})
 	}
