--- a/internal/scheduler/cloud_results.go
+++ b/internal/scheduler/cloud_results.go
@@ -82,12 +82,12 @@
 // recordRentedMachines records the machines of a scale-out.
 func (c *Core) recordRentedMachines(h *scaleOutRequest, machines []string) {
 	h.markResolved()
-	c.replacements.recordRented(h.record.Request.RequestID, machines)
+	c.replacements.recordRented(h.ledgerRecord.Request.RequestID, machines)
 	for _, name := range machines {
 		m := c.findOrAddMachine(name)
-		m.rental.setScaleOut(h.record.Request.RequestID)
+		m.rental.setScaleOut(h.ledgerRecord.Request.RequestID)
 		if m.state == machineStarting {
-			c.updateDescription(m, h.record.Request.Type, h.record.Request.Zone, h.record.Request.Spot, "")
+			c.updateDescription(m, h.ledgerRecord.Request.Type, h.ledgerRecord.Request.Zone, h.ledgerRecord.Request.Spot, "")
 		}
 		if m.state == machineStarting && !m.rental.listed {
 			h.awaitMachine(name)
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -34,7 +34,7 @@
 
 // scaleOutRequest is one request for machines, by this leader or an earlier one.
 type scaleOutRequest struct {
-	record         ledger.ScaleOutRecord // its record in the ledger
+	ledgerRecord   ledger.ScaleOutRecord // its record in the ledger
 	pool           autoscaler.CapacityPool
 	unseenMachines map[string]bool
 	awaitsResult   bool // the cloud's result is still needed
@@ -62,15 +62,15 @@
 // often it is sent.
 func (s *scaleOutRequests) startWithID(name string, w autoscaler.PlannedScaleOut) {
 	t := s.types.list[w.Pool.Type]
-	h := &scaleOutRequest{pool: w.Pool, awaitsResult: true, record: ledger.ScaleOutRecord{Request: wire.ScaleOutRequest{
+	h := &scaleOutRequest{pool: w.Pool, awaitsResult: true, ledgerRecord: ledger.ScaleOutRecord{Request: wire.ScaleOutRequest{
 		RequestID: name, CapacityPool: wire.CapacityPool{Type: t.Name, Zone: s.machines.zones.list[w.Pool.Zone], Spot: w.Pool.Spot}, Count: min(w.Count, autoscaler.MaxScaleOut)}}}
 	s.add(h)
-	s.log.Info("scaling out", "request", name, "type", t.Name, "zone", h.record.Request.Zone, "spot", w.Pool.Spot, "count", h.record.Request.Count, "reason", w.Reason)
-	s.writes.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.record, Urgent: true, Tag: scaleOutTag{name}})
+	s.log.Info("scaling out", "request", name, "type", t.Name, "zone", h.ledgerRecord.Request.Zone, "spot", w.Pool.Spot, "count", h.ledgerRecord.Request.Count, "reason", w.Reason)
+	s.writes.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.ledgerRecord, Urgent: true, Tag: scaleOutTag{name}})
 }
 
 // add notes a scale-out.
-func (s *scaleOutRequests) add(h *scaleOutRequest) { s.byID[h.record.Request.RequestID] = h }
+func (s *scaleOutRequests) add(h *scaleOutRequest) { s.byID[h.ledgerRecord.Request.RequestID] = h }
 
 // recordDurable sends a scale-out once its record is durable.
 func (s *scaleOutRequests) recordDurable(name string) {
@@ -82,7 +82,7 @@
 // send requests the machines of a scale-out.
 func (s *scaleOutRequests) send(h *scaleOutRequest) {
 	h.sent = true
-	request := h.record.Request
+	request := h.ledgerRecord.Request
 	s.effects.emit(CallCloud{autoscaler.Call{ScaleOut: &request}})
 }
 
@@ -109,7 +109,7 @@
 // restore adds an earlier leader's scale-out. One whose result is not in its record is repeated
 // under its own name, to learn its machines.
 func (s *scaleOutRequests) restore(r ledger.ScaleOutRecord) *scaleOutRequest {
-	h := &scaleOutRequest{record: r, pool: autoscaler.CapacityPool{Type: -1, Zone: s.machines.zones.intern(r.Request.Zone), Spot: r.Request.Spot}}
+	h := &scaleOutRequest{ledgerRecord: r, pool: autoscaler.CapacityPool{Type: -1, Zone: s.machines.zones.intern(r.Request.Zone), Spot: r.Request.Spot}}
 	s.add(h)
 	if r.Machines == nil {
 		h.awaitsResult = true
@@ -136,8 +136,8 @@
 
 // remove forgets a scale-out and has its record deleted.
 func (s *scaleOutRequests) remove(h *scaleOutRequest) {
-	delete(s.byID, h.record.Request.RequestID)
-	s.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.record.Request.RequestID)})
+	delete(s.byID, h.ledgerRecord.Request.RequestID)
+	s.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.ledgerRecord.Request.RequestID)})
 }
 
 // handleResult takes the result of a scale-out, and tells whether it has rented machines.
@@ -148,7 +148,7 @@
 	}
 	h.sent = false
 	pool := s.pools.state(h.pool)
-	request := &h.record.Request
+	request := &h.ledgerRecord.Request
 	switch {
 	case r.Err == nil:
 		s.log.Info("scale-out result", "request", request.RequestID, "machines", r.Machines, "wanted", request.Count)
@@ -157,12 +157,12 @@
 		} else {
 			pool.recordFilled()
 		}
-		h.record.Machines = r.Machines
+		h.ledgerRecord.Machines = r.Machines
 		if len(r.Machines) == 0 {
 			s.remove(h)
 			return nil, false
 		}
-		s.writes.put(ledger.Write{Key: ledger.ScaleOutKey(request.RequestID), Value: h.record})
+		s.writes.put(ledger.Write{Key: ledger.ScaleOutKey(request.RequestID), Value: h.ledgerRecord})
 		return h, true
 	case errors.Is(r.Err, autoscaler.ErrNoCapacity):
 		s.log.Info("scale-out refused: no capacity", "request", request.RequestID, "type", request.Type, "zone", request.Zone, "spot", request.Spot)
--- a/internal/scheduler/scaling_plan.go
+++ b/internal/scheduler/scaling_plan.go
@@ -108,7 +108,7 @@
 			continue
 		}
 		total := p.types.list[h.pool.Type].total
-		for range h.record.Request.Count {
+		for range h.ledgerRecord.Request.Count {
 			s.Pending = append(s.Pending, autoscaler.PendingMachine{CapacityPool: h.pool, Free: total})
 			s.ProvisionedCores += total.CPUs
 			s.MachineCount++
