--- a/internal/ledger/transaction.go
+++ b/internal/ledger/transaction.go
@@ -49,15 +49,15 @@
 // the leader writes.
 //
 // Every transaction is conditional on the version of the fence, a key that has nothing to do with
-// the agents' fencing tokens. The transaction after one of unknown outcome changes the fence, so
-// that a late execution of the earlier one always fails its conditions. Without the fence, a late
-// transaction that creates a key would find its condition met if the key has been deleted in the
-// meantime, and would restore it.
+// the agents' fencing tokens. The transaction after one of unknown outcome moves the fence, that is,
+// writes it to change its version, so that a late execution of the earlier one always fails its
+// conditions. Without the fence, a late transaction that creates a key would find its condition met
+// if the key has been deleted in the meantime, and would restore it.
 type transactionBuilder struct {
 	term     uint64
 	versions map[string]uint64
 	// outcomeUnknown is set when it is unknown whether the last transaction was applied. The
-	// next one must then change the fence.
+	// next one must then move the fence.
 	outcomeUnknown bool
 }
 
--- a/internal/wire/heartbeat_parser.go
+++ b/internal/wire/heartbeat_parser.go
@@ -59,8 +59,8 @@
 	return nil
 }
 
-// internOrClone returns a string equal to text that doesn't share its memory, so that the body it was
-// parsed from can be freed: one of the constants if one is equal, otherwise a copy.
+// internOrClone returns a string equal to text that doesn't share its memory, so that the body that
+// text was parsed from can be freed: one of the constants if one is equal, otherwise a copy.
 func internOrClone(text string, constants ...string) string {
 	for _, constant := range constants {
 		if text == constant {
--- a/internal/wire/job_parser_test.go
+++ b/internal/wire/job_parser_test.go
@@ -100,8 +100,8 @@
 	}
 }
 
-// FuzzParseJob checks that any job that is accepted is within the bounds that the rest of the service
-// relies on, and is the same after it is encoded in its record and parsed again.
+// FuzzParseJob checks that any job that is accepted is within the bounds that the rest of the
+// service relies on, and is the same after it is encoded in its record and parsed again.
 func FuzzParseJob(f *testing.F) {
 	for _, body := range []string{sampleJob, `{}`, `null`, `[]`, `{"ref":"job-1"}`, `{"ref":"job-000412","pieces":1e99}`, `{"waits_on":["job-1","job-1"]}`} {
 		f.Add([]byte(body))
