--- a/internal/rollout/commands.go
+++ b/internal/rollout/commands.go
@@ -14,25 +14,26 @@
 	Pause  Command = "pause"
 	Resume Command = "resume"
 	Abort  Command = "abort"
-	Allow  Command = "allow" // a job may lose its progress
-	Skip   Command = "skip"  // a machine is left out
+	Allow  Command = "allow" // lets a job lose its progress
+	Skip   Command = "skip"  // leaves a machine out
 )
 
-// ErrInvalidCommand means that a plan can't carry out a command.
+// ErrInvalidCommand means that a plan cannot carry out a command.
 var ErrInvalidCommand = errors.New("the plan does not take that")
 
-// pausedByOperator and endedByOperator are reasons in a plan's record.
+// Reasons in the record of a plan.
 const (
 	pausedByOperator = "paused by an operator"
 	endedByOperator  = "aborted by an operator"
 )
 
-// Apply carries out a command. It takes effect once the record is durable.
+// Apply applies a command to the record. The command takes effect once the record is durable. The
+// argument names the job of an allow or the machine of a skip.
 func (c *Controller) Apply(command Command, argument string, wallMS int64) error {
 	if c.record.Phase.Ended() {
 		return fmt.Errorf("%w: it is %s", ErrInvalidCommand, c.record.Phase)
 	}
-	c.waitReasons = nil // the next step finds them again
+	c.waitReasons = nil // the next step determines them again
 	switch command {
 	case Pause:
 		c.record.Paused, c.record.Reason = true, pausedByOperator
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// addName adds the job or machine that a command names to a list of the record.
+// addName adds a job or machine to one of the lists of the record.
 func (c *Controller) addName(list *[]string, command Command, name string) error {
 	if name == "" {
 		return fmt.Errorf("%w: %s of what?", ErrInvalidCommand, command)
--- a/internal/rollout/controller.go
+++ b/internal/rollout/controller.go
@@ -7,43 +7,44 @@
 	"time"
 )
 
-// Controller is the controller of one plan. Each change of its record is made durable before any
-// action that depends on it is returned.
+// Controller advances one plan. Each change of the record is made durable before Step returns an
+// action that depends on it.
 type Controller struct {
 	record      Record
 	disruptions *DisruptionTracker
-	// generation counts the changes of the record; durable is the generation that is stored.
+	// generation counts the changes of the record, and durable is the latest generation that is
+	// stored.
 	generation, durable uint64
 	waitReasons         []string
 }
 
-// NewController returns the controller of a plan, which continues from its record. The recorded
-// evictions count as disruptions again. isDone reports whether a task has finished
-// meanwhile: its agent will not report it again, so the disruption would not end by that.
-func NewController(r Record, disruptions *DisruptionTracker, isDone func(jobID string, task int) bool, now time.Duration, wallMS int64) *Controller {
-	for _, e := range r.Evictions {
-		ago := max(0, time.Duration(wallMS-e.StartedMS)*time.Millisecond)
-		disruptions.TaskDisrupted(Job{e.JobID, e.Team, e.Class}, e.Task, time.Duration(e.LostProgressMS)*time.Millisecond, CauseEviction, now-ago)
-		if isDone(e.JobID, e.Task) {
-			disruptions.TaskFinished(e.JobID, e.Task)
+// NewController returns a controller that continues a plan from its record. It records the
+// evictions of the record as disruptions. isDone reports whether a task has finished meanwhile:
+// its agent will not report such a task again, so its disruption has to be ended here.
+func NewController(record Record, disruptions *DisruptionTracker, isDone func(jobID string, task int) bool, now time.Duration, wallMS int64) *Controller {
+	for _, eviction := range record.Evictions {
+		ago := max(0, time.Duration(wallMS-eviction.StartedMS)*time.Millisecond)
+		disruptions.TaskDisrupted(Job{eviction.JobID, eviction.Team, eviction.Class}, eviction.Task, time.Duration(eviction.LostProgressMS)*time.Millisecond, CauseEviction, now-ago)
+		if isDone(eviction.JobID, eviction.Task) {
+			disruptions.TaskFinished(eviction.JobID, eviction.Task)
 		}
 	}
-	return &Controller{record: r, disruptions: disruptions}
+	return &Controller{record: record, disruptions: disruptions}
 }
 
-// Start has the record of a new plan written.
+// Start requests that the record of a new plan is written.
 func (c *Controller) Start() { c.recordChanged() }
 
 // Record returns the plan's record and its generation.
 func (c *Controller) Record() (Record, uint64) { return c.record, c.generation }
 
-// MarkDurable notes that a generation of the record is durable.
+// MarkDurable records that a generation of the record is durable.
 func (c *Controller) MarkDurable(generation uint64) { c.durable = max(c.durable, generation) }
 
 // IsDurable reports whether the latest record is durable.
 func (c *Controller) IsDurable() bool { return c.durable == c.generation }
 
-// WaitReasons returns the conditions that the plan waits for, for operators.
+// WaitReasons returns what the plan waits for, for operators.
 func (c *Controller) WaitReasons() []string { return c.waitReasons }
 
 // IsCordoned reports whether the plan cordons a machine.
@@ -54,24 +55,24 @@
 	return (c.record.Phase == PhaseDraining || c.record.Phase == PhaseChecking) && slices.Contains(c.record.Batch, machine)
 }
 
-// IsReplacement reports whether a machine is a replacement for the current batch, which must not be
-// returned although nothing runs there yet.
+// IsReplacement reports whether a machine is a replacement for the current batch. It must not be
+// returned even while it is idle.
 func (c *Controller) IsReplacement(machine string) bool {
 	return !c.record.Phase.Ended() && slices.Contains(c.record.Replacements, machine)
 }
 
-// recordChanged has the record written.
+// recordChanged marks the record as changed, so that it is written.
 func (c *Controller) recordChanged() { c.generation++ }
 
-func (c *Controller) enterPhase(p Phase, wallMS int64) {
-	c.record.Phase, c.record.PhaseMS = p, wallMS
+func (c *Controller) enterPhase(phase Phase, wallMS int64) {
+	c.record.Phase, c.record.PhaseMS = phase, wallMS
 	c.recordChanged()
 }
 
-// end ends the plan, which lifts its cordons.
-func (c *Controller) end(p Phase, reason string, wallMS int64) {
+// end ends the plan. This lifts its cordons.
+func (c *Controller) end(phase Phase, reason string, wallMS int64) {
 	c.record.Reason, c.record.Batch, c.record.Replacements, c.record.ScaleOutRequestID = reason, nil, nil, ""
-	c.enterPhase(p, wallMS)
+	c.enterPhase(phase, wallMS)
 }
 
 // addWaitReason adds a condition that the plan waits for.
@@ -79,14 +80,14 @@
 	c.waitReasons = append(c.waitReasons, fmt.Sprintf(format, args...))
 }
 
-// phaseDuration is the time since the phase began.
+// phaseDuration returns the time since the current phase began.
 func (c *Controller) phaseDuration(v *View) time.Duration {
 	return max(0, time.Duration(v.WallMS-c.record.PhaseMS)*time.Millisecond)
 }
 
-// Step continues the plan as far as possible and returns the actions to carry out. The
-// disruptions' Tick must have been called for this time. If the record has changed, no actions are returned:
-// the same step is taken again once the record is durable.
+// Step advances the plan as far as possible and returns the actions to carry out. The Tick method
+// of the disruption tracker must have been called for the same time. If the record has changed,
+// Step returns no actions: the same step is repeated once the record is durable.
 func (c *Controller) Step(v *View) []Action {
 	c.waitReasons = nil
 	if c.record.Phase.Ended() {
@@ -110,7 +111,7 @@
 	return actions
 }
 
-// stepPhase takes the step of the current phase.
+// stepPhase advances the current phase.
 func (c *Controller) stepPhase(v *View) []Action {
 	switch c.record.Phase {
 	case PhaseSelecting:
@@ -125,7 +126,7 @@
 	return nil
 }
 
-// dropPastEvictions drops the evictions from the record whose disruptions count no longer.
+// dropPastEvictions removes the evictions from the record whose disruptions no longer count.
 func (c *Controller) dropPastEvictions() {
 	before := len(c.record.Evictions)
 	c.record.Evictions = slices.DeleteFunc(slices.Clone(c.record.Evictions), func(e EvictionRecord) bool { return !c.disruptions.isRecorded(e.JobID) })
@@ -134,11 +135,12 @@
 	}
 }
 
-// pauseAtDeadline pauses the plan once its deadline is over. After it is resumed, it has none.
+// pauseAtDeadline pauses the plan when its deadline has passed. A plan that is resumed after that
+// has no deadline.
 func (c *Controller) pauseAtDeadline(v *View) {
 	deadline := seconds(c.record.Spec.DeadlineS)
-	age := time.Duration(v.WallMS-c.record.CreatedMS) * time.Millisecond
-	if deadline <= 0 || c.record.Paused || age <= deadline {
+	elapsed := time.Duration(v.WallMS-c.record.CreatedMS) * time.Millisecond
+	if deadline <= 0 || c.record.Paused || elapsed <= deadline {
 		return
 	}
 	c.record.Paused, c.record.Reason = true, "the plan's deadline is over"
--- a/internal/rollout/disruptions.go
+++ b/internal/rollout/disruptions.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// Cause is the reason for which a task lost its machine.
+// Cause is the reason why a task lost its machine.
 type Cause string
 
-// CauseEviction is the cause of voluntary disruptions, the evictions by plans. All others are involuntary.
+// CauseEviction is the cause of voluntary disruptions: evictions by plans. All other causes are
+// involuntary.
 const CauseEviction Cause = "move"
 
-// disruption is the disruption of one job: from the moment when a task loses its machine until
-// all its tasks have regained the progress that they lost.
+// disruption is the disruption of one job. It lasts from the loss of the first task's machine
+// until all tasks have regained the progress that they lost.
 type disruption struct {
 	job     Job
 	started time.Duration
-	// tasks are those that have not regained their lost progress.
+	// tasks has the tasks that have not regained their lost progress, by index.
 	tasks map[int]*disruptedTask
-	// cause is that of the first task.
+	// cause is the cause that started the disruption.
 	cause   Cause
 	ongoing bool
 }
@@ -32,8 +33,8 @@
 	runningSince time.Duration // if running
 }
 
-// DisruptionTracker tracks the disrupted jobs and compares them with the budgets. Voluntary and
-// involuntary disruptions are recorded in it, and only voluntary ones are ever refused.
+// DisruptionTracker tracks the disrupted jobs and checks evictions against the budgets.
+// Involuntary disruptions use up the budgets as well, but only evictions are refused.
 type DisruptionTracker struct {
 	budgets Budgets
 	jobs    map[string]*disruption
@@ -44,7 +45,8 @@
 	return &DisruptionTracker{budgets: b, jobs: map[string]*disruption{}}
 }
 
-// TaskDisrupted records that a task of a job has lost its machine, and progress that took a time to make.
+// TaskDisrupted records that a task of a job has lost its machine. lostProgress is the run time
+// that has to be repeated.
 func (t *DisruptionTracker) TaskDisrupted(j Job, index int, lostProgress time.Duration, cause Cause, now time.Duration) {
 	d := t.jobs[j.ID]
 	if d == nil {
@@ -60,7 +62,8 @@
 	d.tasks[index] = &disruptedTask{lostProgress: lostProgress}
 }
 
-// TaskRunning records that a task runs, from now on if it did not before.
+// TaskRunning records that a task runs. If it was not running before, it regains its lost progress
+// from now on.
 func (t *DisruptionTracker) TaskRunning(jobID string, index int, now time.Duration) {
 	d := t.jobs[jobID]
 	if d == nil {
@@ -71,7 +74,7 @@
 	}
 }
 
-// TaskFinished records that a task has finished and has no progress to regain any more.
+// TaskFinished records that a task has finished. It has no more progress to regain.
 func (t *DisruptionTracker) TaskFinished(jobID string, index int) {
 	if d := t.jobs[jobID]; d != nil {
 		delete(d.tasks, index)
@@ -87,15 +90,14 @@
 	}
 }
 
-// endIfRegained ends a disruption of which no task is left.
+// endIfRegained ends the disruption if all tasks have regained their progress.
 func (d *disruption) endIfRegained() {
 	if len(d.tasks) == 0 {
 		d.ongoing = false
 	}
 }
 
-// Tick ends the disruptions whose progress is regained, and forgets those that do not count any
-// more.
+// Tick ends the disruptions whose progress is regained, and drops those that no longer count.
 func (t *DisruptionTracker) Tick(now time.Duration) {
 	for jobID, d := range t.jobs {
 		for index, task := range d.tasks {
@@ -110,26 +112,28 @@
 	}
 }
 
-// counts reports whether a disruption still counts for one of its groups.
+// counts reports whether a disruption still counts for any of its groups.
 func (t *DisruptionTracker) counts(d *disruption, now time.Duration) bool {
 	return slices.ContainsFunc(d.job.groups(), func(g Group) bool { return t.countsFor(d, g, now) })
 }
 
+// countsFor reports whether a disruption counts for a group: it is ongoing or started within the
+// window of the budget.
 func (t *DisruptionTracker) countsFor(d *disruption, g Group, now time.Duration) bool {
 	budget, ok := t.budgets.budgetOf(g)
 	return d.ongoing || ok && now-d.started < budget.Window
 }
 
-// isRecorded reports whether a job's disruption still counts, as of the last tick.
+// isRecorded reports whether a job's disruption counted at the last Tick.
 func (t *DisruptionTracker) isRecorded(jobID string) bool { return t.jobs[jobID] != nil }
 
-// isDisrupted reports whether a job is disrupted now.
+// isDisrupted reports whether the disruption of a job is ongoing.
 func (t *DisruptionTracker) isDisrupted(jobID string) bool {
 	d := t.jobs[jobID]
 	return d != nil && d.ongoing
 }
 
-// disruptedJobs is the number of jobs that count for a group.
+// disruptedJobs returns the number of jobs that count as disrupted for a group.
 func (t *DisruptionTracker) disruptedJobs(g Group, now time.Duration) int {
 	count := 0
 	for _, d := range t.jobs {
@@ -140,10 +144,10 @@
 	return count
 }
 
-// checkBudgets returns a BudgetError if the budgets do not allow to evict a task of a job.
-// running is the number of running jobs of a group. A job that is already disrupted does not
-// count against itself; but where lost machines have disrupted more jobs than the budget allows,
-// none of these is evicted on top of that.
+// checkBudgets returns a BudgetError if the budgets do not allow evicting a task of a job. running
+// returns the number of running jobs of a group. A job that counts as disrupted already does not
+// count against itself. But if lost machines have disrupted more jobs than the budget allows, none
+// of these jobs may be evicted in addition.
 func (t *DisruptionTracker) checkBudgets(j Job, running func(Group) int, now time.Duration) error {
 	for _, g := range j.groups() {
 		budget, ok := t.budgets.budgetOf(g)
@@ -161,7 +165,7 @@
 	return nil
 }
 
-// Disruption is a disrupted job as operators see it.
+// Disruption is the disruption of a job, for operators.
 type Disruption struct {
 	Job   Job
 	Cause Cause
@@ -169,11 +173,11 @@
 	Duration time.Duration
 	// Tasks is the number of tasks that have not regained their lost progress.
 	Tasks int
-	// Ongoing is false for a disruption that has ended and still counts.
+	// Ongoing is false if the disruption has ended but still counts.
 	Ongoing bool
 }
 
-// Disruptions lists the jobs that count, the oldest disruption first.
+// Disruptions returns the disruptions that count, the oldest first.
 func (t *DisruptionTracker) Disruptions(now time.Duration) []Disruption {
 	var all []Disruption
 	for _, jobID := range slices.Sorted(maps.Keys(t.jobs)) {
--- a/internal/rollout/doc.go
+++ b/internal/rollout/doc.go
@@ -1,4 +1,4 @@
-// Package rollout controls how machines are drained and replaced in steps, within disruption
-// budgets: which jobs may be disrupted at a time, and the phases of a plan. It is pure: the
-// caller passes the time and the events, and carries out the actions that are returned.
+// Package rollout drains and replaces machines in steps. Disruption budgets limit how many jobs of
+// a team or class may be disrupted at a time. The package does no I/O: the caller passes the time
+// and the events, makes the records durable and carries out the returned actions.
 package rollout
--- a/internal/rollout/evictions.go
+++ b/internal/rollout/evictions.go
@@ -6,21 +6,21 @@
 	"time"
 )
 
-// The times by which evictions are decided.
+// Time limits for the decision whether a task is evicted.
 const (
-	// finishSoonThreshold is the expected run time up to which a task is left to finish.
+	// finishSoonThreshold is the expected remaining run time up to which a task is left to finish.
 	finishSoonThreshold = 30 * time.Second
-	// negligibleProgress may be lost without waiting for the task to finish.
+	// negligibleProgress is how much progress may be lost without waiting for the task to finish.
 	negligibleProgress = 5 * time.Second
-	// capacityWait is how long an eviction waits for capacity on another machine. After
-	// that the task is evicted, and waits for a machine to be rented.
+	// capacityWait is how long an eviction waits for capacity on another machine. After that the
+	// task is evicted anyway and waits for a machine to be rented.
 	capacityWait = 30 * time.Second
-	// evictionOverhead is the time that an eviction takes of a job's slack, in addition to the
+	// evictionOverhead is the time that an eviction takes from a job's slack, in addition to the
 	// lost progress.
 	evictionOverhead = 30 * time.Second
 )
 
-// drainMachine evicts the tasks of a machine as far as they may be evicted now.
+// drainMachine evicts the tasks of a machine that may be evicted now.
 func (c *Controller) drainMachine(v *View, m *Machine) []Action {
 	var actions []Action
 	for i := range m.Tasks {
@@ -30,7 +30,8 @@
 			continue
 		}
 		if c.evictionRecorded(m.Name, t) {
-			// Counted again: an earlier leader may have recorded it, and the task ran on.
+			// Tracked again: an earlier leader may have recorded the eviction, and the task has
+			// run on since.
 			c.disruptions.TaskDisrupted(t.Job, t.Index, t.LostProgress, CauseEviction, v.Now)
 			actions = append(actions, EvictTask{Machine: m.Name, JobID: t.Job.ID, Task: t.Index})
 			continue
@@ -47,15 +48,15 @@
 	return actions
 }
 
-// evictionRecorded reports whether the record has the eviction of a task from a machine.
+// evictionRecorded reports whether the record contains the eviction of a task from a machine.
 func (c *Controller) evictionRecorded(machine string, t *Task) bool {
 	return slices.ContainsFunc(c.record.Evictions, func(e EvictionRecord) bool {
 		return e.JobID == t.Job.ID && e.Task == t.Index && e.Machine == machine
 	})
 }
 
-// recordEviction records the disruption and a task's eviction. The task is stopped once the
-// record is durable.
+// recordEviction adds a task's eviction to the record and to the disruptions. The task is stopped
+// once the record is durable.
 func (c *Controller) recordEviction(v *View, m *Machine, t *Task) {
 	c.disruptions.TaskDisrupted(t.Job, t.Index, t.LostProgress, CauseEviction, v.Now)
 	c.record.Evictions = append(slices.Clone(c.record.Evictions), EvictionRecord{
@@ -70,20 +71,20 @@
 	c.recordChanged()
 }
 
-// evictionObstacle is the reason for which a task may not be evicted now; "" if it may.
+// evictionObstacle returns why a task may not be evicted now, or "" if it may.
 func (c *Controller) evictionObstacle(v *View, t *Task) string {
 	waited := c.phaseDuration(v)
-	patience := seconds(c.record.Spec.WaitS) - waited
-	patient := patience > 0
-	allowed := slices.Contains(c.record.Allowed, t.Job.ID)
+	remainingWait := seconds(c.record.Spec.WaitS) - waited
+	waiting := remainingWait > 0
+	lossAllowed := slices.Contains(c.record.Allowed, t.Job.ID)
 	switch {
-	case t.RemainingRun <= finishSoonThreshold && patient:
+	case t.RemainingRun <= finishSoonThreshold && waiting:
 		return "it ends soon"
-	case t.LostProgress > negligibleProgress && !allowed && patient:
-		return fmt.Sprintf("it can't save its progress and is left to end for %s", patience.Round(time.Second))
-	case t.LostProgress > negligibleProgress && !allowed:
+	case t.LostProgress > negligibleProgress && !lossAllowed && waiting:
+		return fmt.Sprintf("it can't save its progress and is left to end for %s", remainingWait.Round(time.Second))
+	case t.LostProgress > negligibleProgress && !lossAllowed:
 		return "it can't save its progress: allow the job, skip the machine, or abort"
-	case t.missesDeadline() && patient && !allowed:
+	case t.missesDeadline() && waiting && !lossAllowed:
 		return "its job's deadline, or that of one that waits for it, is near"
 	case !t.FitsElsewhere && waited < capacityWait:
 		return "there is no room for it elsewhere yet"
--- a/internal/rollout/golden_test.go
+++ b/internal/rollout/golden_test.go
@@ -6,14 +6,16 @@
 	"leadproxy/internal/property"
 )
 
-// TestGoldenRecords compares the encoding of a plan's record with the stored one.
+// TestGoldenRecords compares the encoding of a plan's record with the golden files, since records
+// outlive controllers.
 func TestGoldenRecords(t *testing.T) {
 	property.CheckGolden(t, "plan", &Record{})
 	property.CheckGolden(t, "plan_request", &Spec{})
 	property.CheckGolden(t, "plan_move", &EvictionRecord{})
 }
 
-// TestGoldenConstants compares the constants that are stored or that operators use.
+// TestGoldenConstants compares the constants that are stored or that operators use with the golden
+// file.
 func TestGoldenConstants(t *testing.T) {
 	property.CheckGoldenValues(t, "constants", map[string]any{
 		"phase choosing":        PhaseSelecting,
--- a/internal/rollout/model_test.go
+++ b/internal/rollout/model_test.go
@@ -12,9 +12,10 @@
 	"leadproxy/internal/property"
 )
 
-// The model is a cluster: machines with tasks of two teams' jobs, plans that drain them, and a
-// leader that fails at any moment, with or without its last write. It has the actual state: what
-// runs where, and which jobs have tasks that have not regained their progress.
+// The model simulates a cluster: machines with tasks of the jobs of two teams, plans that drain
+// them, and a leader that may fail at any moment, with or without its last write. It keeps the
+// actual state, independently of the code under test: which task runs where, and which jobs have
+// tasks that have not regained their progress.
 
 const (
 	modelWindow = 10 * time.Second
@@ -29,17 +30,17 @@
 type modelTask struct {
 	job     Job
 	index   int
-	machine string // "": it waits
-	// ran is the run time that is not lost, left is what remains.
+	machine string // "" while the task waits
+	// progress is the run time that is not lost, and remaining the run time that is left.
 	progress, remaining time.Duration
 	checkpoints         bool
-	// disrupted means that it has lost its machine and has not regained lostProgress yet, and
-	// evicted that this was by a plan.
+	// disrupted means that the task has lost its machine and has not regained lostProgress yet.
+	// evicted means that a plan caused this.
 	disrupted, evicted bool
 	lostProgress       time.Duration
 }
 
-// unsavedProgress is the progress that the task would lose by losing its machine now.
+// unsavedProgress returns the progress that the task would lose if it lost its machine now.
 func (t *modelTask) unsavedProgress() time.Duration {
 	if t.checkpoints {
 		return 0
@@ -51,33 +52,34 @@
 	t      *rapid.T
 	random property.RapidChooser
 	now    time.Duration
-	// machines are those that exist; true: replacements that a plan rented.
+	// machines has the existing machines. The value is true for replacements that a plan has
+	// rented.
 	machines map[string]bool
 	tasks    []*modelTask
-	rented   map[string][]string // by request
+	rented   map[string][]string // by request ID
 
 	disruptions *DisruptionTracker
 	plans       map[string]*Controller
 	durable     map[string]Record
-	// leaderSince is when the current leader began.
+	// leaderSince is when the term of the current leader began.
 	leaderSince time.Duration
 }
 
-// groupsOf are the groups whose budgets hold for a job. It is written apart from Job.groups, which
-// is under test.
+// groupsOf returns the groups whose budgets apply to a job. It duplicates Job.groups, which is
+// under test.
 func groupsOf(j Job) []Group { return []Group{TeamGroup(j.Team), ClassGroup(j.Class)} }
 
 func (m *model) runningJobs(g Group) int {
 	jobs := map[string]bool{}
-	for _, t := range m.tasks {
-		if t.machine != "" && slices.Contains(groupsOf(t.job), g) {
-			jobs[t.job.ID] = true
+	for _, task := range m.tasks {
+		if task.machine != "" && slices.Contains(groupsOf(task.job), g) {
+			jobs[task.job.ID] = true
 		}
 	}
 	return len(jobs)
 }
 
-// evictedJobs are the jobs of a group that are in fact disrupted by evictions.
+// evictedJobs returns the jobs of a group that are actually disrupted by evictions.
 func (m *model) evictedJobs(g Group) map[string]bool {
 	jobs := map[string]bool{}
 	for _, t := range m.tasks {
@@ -88,7 +90,8 @@
 	return jobs
 }
 
-// loseMachine takes a task off its machine.
+// loseMachine removes a task from its machine. For an eviction, it checks that the actual number
+// of disrupted jobs keeps to the budgets.
 func (m *model) loseMachine(t *modelTask, cause Cause) {
 	lost := t.unsavedProgress()
 	t.machine, t.disrupted, t.evicted = "", true, cause == CauseEviction
@@ -100,13 +103,13 @@
 	}
 	for _, g := range groupsOf(t.job) {
 		budget, ok := m.disruptions.budgets.budgetOf(g)
-		if n := len(m.evictedJobs(g)); ok && n > max(1, budget.limit(m.runningJobs(g)+n)) {
-			m.t.Fatalf("%s: %d jobs are disrupted by evictions", g, n)
+		if evicted := len(m.evictedJobs(g)); ok && evicted > max(1, budget.limit(m.runningJobs(g)+evicted)) {
+			m.t.Fatalf("%s: %d jobs are disrupted by evictions, more than the budget", g, evicted)
 		}
 	}
 }
 
-// machine is a machine as the plans see it.
+// machine returns the view of a machine.
 func (m *model) machine(name string) Machine {
 	if _, exists := m.machines[name]; !exists {
 		return Machine{Name: name, Gone: true}
@@ -121,8 +124,8 @@
 	return machine
 }
 
-func (m *model) view(r *Controller) *View {
-	record, _ := r.Record()
+func (m *model) view(plan *Controller) *View {
+	record, _ := plan.Record()
 	v := &View{Now: m.now, WallMS: m.now.Milliseconds(), MayDisrupt: m.now-m.leaderSince >= modelWindow, RunningJobs: m.runningJobs, Rented: m.rented[record.ScaleOutRequestID]}
 	for _, name := range slices.Sorted(maps.Keys(m.machines)) {
 		if !m.machines[name] && !slices.Contains(record.Batch, name) {
@@ -139,7 +142,8 @@
 	return v
 }
 
-// step takes a step of each plan and carries out its actions.
+// step steps each plan and carries out its actions. It checks that a plan that does not advance
+// has a wait reason.
 func (m *model) step() {
 	m.disruptions.Tick(m.now)
 	for _, name := range slices.Sorted(maps.Keys(m.plans)) {
@@ -149,14 +153,14 @@
 		}
 		record, _ := plan.Record()
 		if !record.Phase.Ended() && plan.IsDurable() && len(plan.WaitReasons()) == 0 && record.Phase != PhaseDraining {
-			m.t.Fatalf("plan %s is %s and waits for nothing", name, record.Phase)
+			m.t.Fatalf("plan %s in phase %s has no wait reason", name, record.Phase)
 		}
 	}
 }
 
 func (m *model) carryOut(plan *Controller, action Action) {
 	if !plan.IsDurable() {
-		m.t.Fatal("an action is returned before the record is durable")
+		m.t.Fatal("an action was returned before the record was durable")
 	}
 	switch a := action.(type) {
 	case EvictTask:
@@ -168,7 +172,7 @@
 	case ReturnMachine:
 		machine := m.machine(a.Machine)
 		if len(machine.Tasks) > 0 || machine.Gone || m.machines[a.Machine] {
-			m.t.Fatalf("%s is returned: %+v", a.Machine, machine)
+			m.t.Fatalf("machine %s was returned although it is not an empty drained machine: %+v", a.Machine, machine)
 		}
 		delete(m.machines, a.Machine)
 	case RentReplacements:
@@ -192,7 +196,7 @@
 	}
 }
 
-// failOver begins the term of a new leader, from the durable records.
+// failOver starts the term of a new leader, which continues from the durable records.
 func (m *model) failOver() {
 	m.disruptions, m.leaderSince = NewDisruptionTracker(modelBudgets()), m.now
 	for _, name := range slices.Sorted(maps.Keys(m.durable)) {
@@ -209,20 +213,20 @@
 	return !slices.ContainsFunc(m.tasks, func(t *modelTask) bool { return t.job.ID == jobID && t.index == task })
 }
 
-// tick lets a second pass: tasks run and finish, and waiting ones are placed.
+// tick advances the time by one tick: tasks run and finish, and waiting tasks are placed.
 func (m *model) tick() {
 	m.now += modelTick
-	open := slices.DeleteFunc(slices.Sorted(maps.Keys(m.machines)), m.cordoned)
-	if len(open) == 0 { // the autoscaler rents a machine for waiting tasks
-		open = []string{fmt.Sprintf("extra-%d", m.now/modelTick)}
-		m.machines[open[0]] = true
+	schedulable := slices.DeleteFunc(slices.Sorted(maps.Keys(m.machines)), m.cordoned)
+	if len(schedulable) == 0 { // the autoscaler rents a machine for waiting tasks
+		schedulable = []string{fmt.Sprintf("extra-%d", m.now/modelTick)}
+		m.machines[schedulable[0]] = true
 	}
 	var unfinished []*modelTask
 	for _, t := range m.tasks {
 		if t.machine != "" {
 			m.run(t)
 		} else {
-			t.machine, t.progress = open[m.random.IntN(len(open))], 0
+			t.machine, t.progress = schedulable[m.random.IntN(len(schedulable))], 0
 			m.disruptions.TaskRunning(t.job.ID, t.index, m.now)
 		}
 		if t.remaining > 0 {
@@ -234,7 +238,7 @@
 	m.tasks = unfinished
 }
 
-// run lets a task run for a tick.
+// run advances a task by one tick.
 func (m *model) run(t *modelTask) {
 	t.progress, t.remaining = t.progress+modelTick, t.remaining-modelTick
 	if t.disrupted && t.progress >= t.lostProgress {
@@ -242,7 +246,7 @@
 	}
 }
 
-// crash has a machine fail, unless there are too few.
+// crash removes a random machine, unless fewer than three are left.
 func (m *model) crash() {
 	names := slices.Sorted(maps.Keys(m.machines))
 	if len(names) < 3 {
@@ -257,7 +261,7 @@
 	}
 }
 
-// pauseOrResume has the operator pause or resume each plan.
+// pauseOrResume pauses or resumes each plan at random.
 func (m *model) pauseOrResume() {
 	for _, name := range slices.Sorted(maps.Keys(m.plans)) {
 		command := []Command{Pause, Resume}[m.random.IntN(2)]
@@ -307,10 +311,10 @@
 	return true
 }
 
-// randomStep lets one random thing happen.
+// randomStep applies one random event.
 func (m *model) randomStep() {
 	switch m.random.IntN(12) {
-	case 0: // the leader's last write is lost with it
+	case 0: // the leader fails before its last write is durable
 		m.failOver()
 	case 1:
 		m.save()
@@ -326,7 +330,7 @@
 	}
 }
 
-// resumeAndAllowAll has the operator resume each plan and allow all jobs to lose their progress.
+// resumeAndAllowAll resumes each plan and allows all jobs to lose their progress.
 func (m *model) resumeAndAllowAll() {
 	for _, plan := range m.plans {
 		if !plan.record.Phase.Ended() {
@@ -340,9 +344,10 @@
 	}
 }
 
-// TestRollouts: evictions never exceed a budget, nothing is done before it is recorded, and no
-// machine is returned with a task on it. Once there are no more failures and the operator allows
-// jobs to lose their progress, every plan ends with all its machines gone.
+// TestRollouts checks with random events that evictions never exceed a budget, that no action
+// precedes its durable record, and that no machine is returned while it has a task. Once there are
+// no more failures and all jobs may lose their progress, every plan must end with all its machines
+// drained.
 func TestRollouts(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(t)
@@ -363,19 +368,19 @@
 	})
 }
 
-// checkEnded checks that every plan has ended and that those which did not fail have drained all
-// machines.
+// checkEnded checks that every plan has ended, and that the plans that did not fail have drained
+// all machines.
 func (m *model) checkEnded() {
 	for name, plan := range m.plans {
 		if !plan.record.Phase.Ended() {
-			m.t.Fatalf("plan %s has not ended: %s, %v", name, plan.record.Phase, plan.WaitReasons())
+			m.t.Fatalf("plan %s has not ended: phase %s, wait reasons %v", name, plan.record.Phase, plan.WaitReasons())
 		}
 		if plan.record.Phase == PhaseFailed {
 			continue // a replacement has crashed
 		}
 		for machine, isReplacement := range m.machines {
 			if !isReplacement {
-				m.t.Fatalf("plan %s is %s, and machine %s exists", name, plan.record.Phase, machine)
+				m.t.Fatalf("plan %s has ended in phase %s, but machine %s still exists", name, plan.record.Phase, machine)
 			}
 		}
 	}
--- a/internal/rollout/phases.go
+++ b/internal/rollout/phases.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// ScaleOutRequestPrefix begins the names of the requests for replacements.
+// ScaleOutRequestPrefix is the prefix of the request IDs of scale-outs for replacements.
 const ScaleOutRequestPrefix = "drain-"
 
 // selectBatch selects the machines of the next batch: those on which the least progress would be
@@ -69,11 +69,12 @@
 	return []Action{RentReplacements{RequestID: c.record.ScaleOutRequestID, Replaced: c.record.Batch}}
 }
 
+// endFailedReplacement ends the plan because a replacement has failed.
 func (c *Controller) endFailedReplacement(m Replacement, v *View) {
 	c.end(PhaseFailed, "replacement "+m.Name+" has failed", v.WallMS)
 }
 
-// drainBatch evicts the tasks of the batch's machines and returns those that are empty.
+// drainBatch evicts the tasks of the machines of the batch and returns the empty machines.
 func (c *Controller) drainBatch(v *View) []Action {
 	var actions []Action
 	drained := 0
@@ -99,8 +100,8 @@
 	return nil
 }
 
-// checkHealth ends the step once its evicted jobs are no longer disrupted and its replacements
-// are healthy.
+// checkHealth ends the step once no evicted job is disrupted any more and all replacements are
+// healthy.
 func (c *Controller) checkHealth(v *View) {
 	for _, e := range c.record.Evictions {
 		if c.disruptions.isDisrupted(e.JobID) {
--- a/internal/rollout/record_test.go
+++ b/internal/rollout/record_test.go
@@ -5,11 +5,12 @@
 	"testing"
 )
 
-// TestRecordCheck: records that no controller of this version can have written are refused.
+// TestRecordCheck checks that records are refused that no controller of this version can have
+// written.
 func TestRecordCheck(t *testing.T) {
-	for _, wrong := range []Record{{}, {Version: RecordVersion, Phase: "waiting"}, {Version: RecordVersion, Phase: PhaseSelecting, Spec: Spec{Name: "x"}}} {
-		if err := wrong.Check("w"); !errors.Is(err, ErrInvalidRecord) {
-			t.Errorf("%+v: %v", wrong, err)
+	for _, record := range []Record{{}, {Version: RecordVersion, Phase: "waiting"}, {Version: RecordVersion, Phase: PhaseSelecting, Spec: Spec{Name: "x"}}} {
+		if err := record.Check("w"); !errors.Is(err, ErrInvalidRecord) {
+			t.Errorf("%+v: %v, want ErrInvalidRecord", record, err)
 		}
 	}
 }
--- a/internal/rollout/spec.go
+++ b/internal/rollout/spec.go
@@ -2,48 +2,48 @@
 
 import "slices"
 
-// The bounds of a plan.
+// The limits of a plan.
 const (
-	maxSelectedMachines = 200 // machines that are selected by name
-	maxBatch            = 100 // machines of a batch, so that the record fits a value of the store
-	maxEvictions        = 60  // evictions of a record
-	maxOverrides        = 40  // jobs that are allowed, and machines that are skipped
+	maxSelectedMachines = 200 // machines selected by name
+	maxBatch            = 100 // machines in a batch, so that the record fits into a value of the store
+	maxEvictions        = 60  // evictions in a record
+	maxOverrides        = 40  // entries each of the allowed jobs and of the skipped machines
 )
 
-// Spec is a plan as an operator writes it. Its selection and steps never change once the plan is
-// accepted.
+// Spec is a plan as an operator specifies it. The selection and the steps never change once the
+// plan is accepted.
 type Spec struct {
 	Name string `json:"name"`
-	// Zones, Types and Machines select machines, which must match all lists that are given.
+	// Zones, Types and Machines select machines. A machine must match every list that is given.
 	Zones    []string `json:"zones,omitempty"`
 	Types    []string `json:"types,omitempty"`
 	Machines []string `json:"machines,omitempty"`
-	// Canary is the number of machines of the first step; 0: like the others. The others take
-	// Batch machines or, if that is 0, a Share of the remaining ones.
+	// Canary is the number of machines of the first step; 0 means the same as for the other steps.
+	// These take Batch machines or, if Share is not 0, that fraction of the remaining machines.
 	Canary int     `json:"canary"`
 	Batch  int     `json:"batch,omitempty"`
 	Share  float64 `json:"share,omitempty"`
-	// Surge has replacements rented before the machines of a step are drained.
+	// Surge means that replacements are rented before the machines of a step are drained.
 	Surge bool `json:"surge,omitempty"`
 	// WaitS is how long a task that can't be evicted without losing progress is left to finish
-	// before the operator is asked.
+	// before an operator has to decide.
 	WaitS float64 `json:"wait_s"`
-	// CheckS is how long replacements must have been healthy.
+	// CheckS is how long replacements must have been healthy before the machines are drained.
 	CheckS float64 `json:"check_s"`
 	// HealthS is how long a step may take until its jobs and replacements are healthy.
 	HealthS float64 `json:"health_s"`
-	// DeadlineS is how long the plan may take; 0: it has no deadline.
+	// DeadlineS is how long the plan may take before it is paused; 0 means no deadline.
 	DeadlineS float64 `json:"deadline_s,omitempty"`
 }
 
-// Selects reports whether the plan selects a machine, provided that it was rented before the plan
-// was created.
+// Selects reports whether the plan selects a machine. The caller checks that the machine was
+// rented before the plan was created.
 func (s *Spec) Selects(name, machineType, zone string) bool {
 	matches := func(names []string, name string) bool { return names == nil || slices.Contains(names, name) }
 	return matches(s.Zones, zone) && matches(s.Types, machineType) && matches(s.Machines, name)
 }
 
-// batchSize is how many of the remaining machines a step takes; steps are counted from 0.
+// batchSize returns how many of the remaining machines a step takes. Steps are counted from 0.
 func (s *Spec) batchSize(step, remaining int) int {
 	size := s.Batch
 	switch {
--- a/internal/rollout/spec_parser.go
+++ b/internal/rollout/spec_parser.go
@@ -11,20 +11,20 @@
 	"leadproxy/internal/inifile"
 )
 
-// ErrInvalidPlan means that a plan can't be carried out as it is written.
+// ErrInvalidPlan means that a plan cannot be carried out as specified.
 var ErrInvalidPlan = errors.New("invalid plan")
 
 var planName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,38}[a-z0-9])?$`)
 
-// maxSeconds bounds the durations of a plan.
+// maxSeconds is the maximum of the durations of a plan.
 const maxSeconds = 1e7
 
-// defaultSpec has the values of the keys that a plan leaves out.
+// defaultSpec returns the values of the keys that a plan omits.
 func defaultSpec() Spec {
 	return Spec{Canary: 1, Batch: 1, WaitS: 600, CheckS: 15, HealthS: 600}
 }
 
-// specParser parses a plan's text and collects the errors in it.
+// specParser parses the text of a plan and collects the errors in it.
 type specParser struct {
 	spec Spec
 	errs []error
@@ -34,7 +34,8 @@
 	p.errs = append(p.errs, fmt.Errorf("%w: "+format, append([]any{ErrInvalidPlan}, args...)...))
 }
 
-// ParseSpec reads a plan's text, an INI file with the section [plan].
+// ParseSpec parses a plan, which is an INI file with the section [plan]. The error joins all
+// errors found; each wraps ErrInvalidPlan.
 func ParseSpec(text string) (Spec, error) {
 	file, err := ini.LoadSources(ini.LoadOptions{}, []byte(text))
 	if err != nil {
@@ -68,21 +69,22 @@
 		"health_s":   durationSeconds(&spec.HealthS),
 		"deadline_s": durationSeconds(&spec.DeadlineS),
 	})
-	for _, r := range refusals {
-		p.addError("%s = %q: must be %s", r.Key, r.Value, r.Want)
+	for _, refusal := range refusals {
+		p.addError("%s = %q: must be %s", refusal.Key, refusal.Value, refusal.Want)
 	}
 }
 
-// durationSeconds reads a duration that the record keeps in seconds.
-func durationSeconds(into *float64) inifile.KeyReader {
-	reader := inifile.Number(into, 0, maxSeconds)
+// durationSeconds returns a reader for a duration in seconds.
+func durationSeconds(seconds *float64) inifile.KeyReader {
+	reader := inifile.Number(seconds, 0, maxSeconds)
 	reader.Want = fmt.Sprintf("a number of seconds from 0 to %.0f", float64(maxSeconds))
 	return reader
 }
 
-// batch reads a number of machines, or a share of them in percent.
-func batch(into *Spec) inifile.KeyReader {
-	number := inifile.Integer(&into.Batch, 1, maxBatch)
+// batch returns a reader for the batch size: a number of machines, or a percentage of the
+// remaining ones.
+func batch(spec *Spec) inifile.KeyReader {
+	number := inifile.Integer(&spec.Batch, 1, maxBatch)
 	return inifile.KeyReader{
 		Want: number.Want + ", or more than 0% and at most 100%",
 		Read: func(value string) bool {
@@ -90,13 +92,13 @@
 			if !ok {
 				return number.Read(value)
 			}
-			into.Batch, into.Share = 0, percent/100
+			spec.Batch, spec.Share = 0, percent/100
 			return true
 		},
 	}
 }
 
-// validate refuses values that contradict each other.
+// validate adds errors for missing values and for values that contradict each other.
 func (p *specParser) validate() {
 	spec := &p.spec
 	if !planName.MatchString(spec.Name) {
--- a/internal/rollout/view.go
+++ b/internal/rollout/view.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// View is the state of the cluster as a plan needs it.
+// View is the state of the cluster that a plan needs for a step.
 type View struct {
-	// Now is the time by a monotonic clock, WallMS the time of day.
+	// Now is the monotonic time, and WallMS the wall clock time.
 	Now    time.Duration
 	WallMS int64
 	// MayDisrupt means that jobs may be disrupted: the leader knows the disruptions that earlier
 	// leaders may have caused.
 	MayDisrupt bool
-	// Candidates are the machines that the plan selects, without those of the batch.
+	// Candidates has the machines that the plan selects, except for those of the batch. It is
+	// needed only in PhaseSelecting.
 	Candidates []Machine
 	Batch      []Machine
-	// Rented are the machines that the request for replacements has brought; nil before that.
+	// Rented has the machines that were rented as replacements. It is nil until all requests
+	// for them have completed.
 	Rented       []string
 	Replacements []Replacement
-	// RunningJobs is the number of running jobs of a group.
+	// RunningJobs returns the number of running jobs of a group.
 	RunningJobs func(Group) int
 }
 
@@ -24,13 +26,14 @@
 type Machine struct {
 	Name  string
 	Tasks []Task
-	// Empty is proven: the machine has no task, and no start command can still take effect.
+	// Empty means that it is proven that the machine has no task and that no start command can
+	// still take effect there.
 	Empty bool
-	// Gone means that the machine does not exist any more.
+	// Gone means that the machine no longer exists.
 	Gone bool
 }
 
-// lostProgress is the progress that all tasks of the machine would lose.
+// lostProgress returns the progress that all tasks of the machine together would lose.
 func (m *Machine) lostProgress() time.Duration {
 	var sum time.Duration
 	for _, t := range m.Tasks {
@@ -43,27 +46,27 @@
 type Task struct {
 	Job   Job
 	Index int
-	// RemainingRun is the time for which it is expected to run on, and LostProgress the progress that it would
-	// lose by an eviction now.
+	// RemainingRun is the expected remaining run time, and LostProgress the progress that an
+	// eviction now would lose.
 	RemainingRun, LostProgress time.Duration
-	// Slack is the time by which the job may be delayed without it or a job that depends on it
-	// missing a deadline.
+	// Slack is how much the job may be delayed before it or a job that depends on it misses its
+	// deadline.
 	Slack    time.Duration
 	Stopping bool
-	// FitsElsewhere means that another machine has the capacity for it.
+	// FitsElsewhere means that another machine has free capacity for the task.
 	FitsElsewhere bool
 }
 
-// Replacement is a machine that was rented before those of the batch are drained.
+// Replacement is a machine that was rented before the machines of the batch are drained.
 type Replacement struct {
 	Name string
-	// HealthyFor is the time for which it has been up without a fault; 0 before it is up.
+	// HealthyFor is how long the machine has been up without a fault; 0 if it is not up yet.
 	HealthyFor time.Duration
 	Failed     bool
 }
 
-// Action is an action that the caller has to carry out. It may be returned again until its effect
-// shows in the view, so carrying it out must be idempotent.
+// Action is an action that the caller has to carry out. The same action may be returned again
+// until its effect shows in the view, so carrying it out must be idempotent.
 type Action interface{ isAction() }
 
 func (EvictTask) isAction()        {}
@@ -72,15 +75,15 @@
 
 // The actions.
 type (
-	// EvictTask stops a task after it has saved a checkpoint, if it can.
+	// EvictTask stops a task. The task saves a checkpoint first if it can.
 	EvictTask struct {
 		Machine, JobID string
 		Task           int
 	}
 	// ReturnMachine returns an empty machine.
 	ReturnMachine struct{ Machine string }
-	// RentReplacements rents a replacement for each machine of a list. The request's name is used for
-	// one scale-out only.
+	// RentReplacements rents one replacement for each machine of Replaced. A request ID is used
+	// for one scale-out only.
 	RentReplacements struct {
 		RequestID string
 		Replaced  []string
--- a/internal/scheduler/capacity_offers.go
+++ b/internal/scheduler/capacity_offers.go
@@ -9,13 +9,14 @@
 
 // The lifetimes of capacity offers and refusals.
 const (
-	// offerLifetime is how long an offer of capacity stands.
+	// offerLifetime is how long an offer of capacity is valid.
 	offerLifetime = 5 * time.Second
-	// refusalRetryAfter is after how long a cell that was refused room may ask again.
+	// refusalRetryAfter is how long a cell has to wait after a refusal before it requests capacity
+	// or offers the job again.
 	refusalRetryAfter = 5 * time.Second
 )
 
-// capacityOffers offers capacity to other cells. It owns what is offered to each.
+// capacityOffers offers capacity to other cells. It owns the outstanding offers.
 type capacityOffers struct {
 	clock      *clock
 	effects    *effects
@@ -34,37 +35,39 @@
 		pools: &c.pools, demand: &c.demand, neighbours: &c.neighbours, credits: map[string]*credit{}}
 }
 
-// credit is capacity that was offered to another cell.
+// credit is the unused part of an offer to another cell.
 type credit struct {
 	cores  float64
 	expiry time.Duration
 }
 
-// handleCapacityRequest offers capacity to another cell, or says when to request it again.
-func (o *capacityOffers) handleCapacityRequest(e CapacityRequest) {
-	answer := CapacityReply{ReplyTo: e.ReplyTo, RetryAfter: refusalRetryAfter}
-	n, ok := o.neighbours.cells.Find(e.Origin)
+// handleCapacityRequest answers a capacity request of another cell with an offer, or with a reason
+// and the time after which to retry.
+func (o *capacityOffers) handleCapacityRequest(request CapacityRequest) {
+	reply := CapacityReply{ReplyTo: request.ReplyTo, RetryAfter: refusalRetryAfter}
+	cell, ok := o.neighbours.cells.Find(request.Origin)
 	switch {
 	case !ok:
-		answer.Reason = "cell " + e.Origin + " is not a neighbour"
-	case n.Draining:
-		answer.Reason = "the relation is being drained"
+		reply.Reason = "cell " + request.Origin + " is not a neighbour"
+	case cell.Draining:
+		reply.Reason = "the relation is being drained"
 	case !o.neighbours.transfersEnabled:
-		answer.Reason = "not all controllers here know transfers"
+		reply.Reason = "not all controllers here know transfers"
 	default:
-		delete(o.credits, e.Origin) // the new offer replaces it
-		answer.Cores = max(0, min(e.Cores, o.offerableCores(n)))
-		if answer.Cores <= 0 {
-			answer.Reason = "no room beyond this cell's own work"
+		delete(o.credits, request.Origin) // the new offer replaces it
+		reply.Cores = max(0, min(request.Cores, o.offerableCores(cell)))
+		if reply.Cores <= 0 {
+			reply.Reason = "no room beyond this cell's own work"
 			break
 		}
-		answer.For, answer.RetryAfter = offerLifetime, 0
-		o.credits[e.Origin] = &credit{cores: answer.Cores, expiry: o.clock.now + offerLifetime}
+		reply.For, reply.RetryAfter = offerLifetime, 0
+		o.credits[request.Origin] = &credit{cores: reply.Cores, expiry: o.clock.now + offerLifetime}
 	}
-	o.effects.emit(answer)
+	o.effects.emit(reply)
 }
 
-// useCredit takes cores from what is offered to a cell, and tells whether that was enough.
+// useCredit deducts cores from the offer to a cell. It returns false and deducts nothing if the
+// offer has expired or is too small.
 func (o *capacityOffers) useCredit(origin string, cores float64) bool {
 	credit := o.credits[origin]
 	if credit == nil || o.clock.now >= credit.expiry || cores > credit.cores {
@@ -74,14 +77,15 @@
 	return true
 }
 
-// offerableCores is how many cores may be offered to a cell: those that are free or could be
-// rented, less what this cell's own waiting work takes, its headroom, what is guaranteed to its
-// teams and what is offered or accepted already.
-func (o *capacityOffers) offerableCores(n settings.Neighbour) float64 {
-	room := o.pools.scalableCores()
+// offerableCores returns how many cores may be offered to a cell: the free ones and those that
+// could be rented, minus the demand of this cell's waiting tasks, its headroom, the unused
+// guarantees of its teams and the outstanding offers. The total for one cell is bounded by the
+// settings.
+func (o *capacityOffers) offerableCores(cell settings.Neighbour) float64 {
+	cores := o.pools.scalableCores()
 	for _, m := range o.machines.live {
 		if m.indexed.schedulable && !m.capacity.reserved {
-			room += m.capacity.free.CPUs
+			cores += m.capacity.free.CPUs
 		}
 	}
 	fromOrigin, inUse := 0.0, 0.0
@@ -89,20 +93,20 @@
 		if j.ended() || j.blocked() {
 			continue
 		}
-		room -= j.request.size.CPUs * float64(len(j.progress.waiting))
-		if j.transfer.origin == n.Name {
+		cores -= j.request.size.CPUs * float64(len(j.progress.waiting))
+		if j.transfer.origin == cell.Name {
 			fromOrigin += j.totalCores()
 		}
 		inUse += j.request.size.CPUs * float64(j.progress.allocated)
 	}
-	room -= max(0, o.demand.headroomCores()-inUse)
+	cores -= max(0, o.demand.headroomCores()-inUse)
 	for i := range o.teams.Len() {
-		room -= o.teams.Team(int32(i)).UnusedGuarantee()
+		cores -= o.teams.Team(int32(i)).UnusedGuarantee()
 	}
 	for _, credit := range o.credits {
 		if o.clock.now < credit.expiry {
-			room -= credit.cores
+			cores -= credit.cores
 		}
 	}
-	return min(room, n.MaxOfferedCores-fromOrigin)
+	return min(cores, cell.MaxOfferedCores-fromOrigin)
 }
--- a/internal/scheduler/delegated_jobs.go
+++ b/internal/scheduler/delegated_jobs.go
@@ -9,19 +9,19 @@
 	"leadproxy/internal/wire"
 )
 
-// This file has what follows for jobs that are delegated already.
+// This file handles jobs that are already delegated.
 
-// restore takes the transfers over from the ledger, after the jobs.
+// restore restores the transfers from the ledger. The jobs must have been restored before.
 func (d *delegations) restore(saved []ledger.SavedDelegated) {
 	for _, saved := range saved {
-		at, known := d.jobs.indexByID[saved.JobID]
+		index, known := d.jobs.indexByID[saved.JobID]
 		var j *job
 		if known {
-			j = d.jobs.list[at]
+			j = d.jobs.list[index]
 		}
 		if saved.Unknown {
 			if known {
-				j.transfer.setDelegated(true) // until an operator has mended the record
+				j.transfer.setDelegated(true) // until an operator has repaired the record
 			}
 			continue
 		}
@@ -39,10 +39,10 @@
 	}
 }
 
-// offerBody is the body of a job's offer; nil if it can't be encoded.
+// offerBody returns the body of the offer of a job, or nil if the job cannot be encoded.
 func (d *delegations) offerBody(j *job) *federation.OfferBody {
 	spec := *j.spec
-	spec.DependsOn = nil // they are done, or it could not leave
+	spec.DependsOn = nil // they are done: a blocked job is not delegated
 	spec.Priority = wire.PriorityName(j.priority.class)
 	if j.priority.deadline != noDeadline {
 		due := (j.priority.deadline - d.clock.fromWallTime(j.record.acceptedMS)).Seconds()
@@ -56,11 +56,11 @@
 	return &federation.OfferBody{Job: text, Cores: j.totalCores(), AcceptedMS: j.record.acceptedMS, Repeatable: d.neighbours.cells.Repeatable[j.spec.Class]}
 }
 
-// totalCores is what all tasks of a job take together.
+// totalCores returns the cores of all tasks of a job.
 func (j *job) totalCores() float64 { return j.request.size.CPUs * float64(j.progress.total) }
 
-// apply carries out an effect of the origin side of the transfers that concerns no other part's
-// decisions.
+// apply carries out an effect of the origin side of the transfers. EndJob is handled by the core,
+// because it also concerns the job table.
 func (d *delegations) apply(effect federation.OriginEffect) {
 	switch e := effect.(type) {
 	case federation.SaveDelegated:
@@ -77,49 +77,49 @@
 	}
 }
 
-// returnJob has a job wait in its origin cell again.
-func (d *delegations) returnJob(id string) {
-	at, ok := d.jobs.indexByID[id]
+// returnJob puts a job back into the queue of this cell.
+func (d *delegations) returnJob(jobID string) {
+	index, ok := d.jobs.indexByID[jobID]
 	if !ok {
 		return
 	}
-	d.jobs.list[at].transfer.setDelegated(false)
+	d.jobs.list[index].transfer.setDelegated(false)
 	d.placement.markNeeded()
 }
 
-// cancel begins the cancellation of a job where another cell may run it, and tells whether none
-// may.
+// cancel starts the cancellation of a job that another cell may run. It reports whether the job
+// can be cancelled at once because no other cell may run it.
 func (d *delegations) cancel(j *job) (immediate bool) {
 	immediate = d.transfers.Cancel(j.id, d.clock.now)
 	return immediate && !j.transfer.delegated
 }
 
-// awaitCancellation has a user wait until the cell that runs a job has its cancellation durably.
-// Where the cell does not respond, the user is told at once to try again.
-func (d *delegations) awaitCancellation(j *job, to Recipient) {
+// awaitCancellation delays the answer to a user until the cell that runs the job has stored the
+// cancellation durably. If that cell is unreachable, the user is told at once to retry.
+func (d *delegations) awaitCancellation(j *job, replyTo Recipient) {
 	n := d.neighbours.find(d.transfers.Cell(j.id))
 	if n == nil || n.unreachable {
-		d.effects.emit(UserReply{ReplyTo: to, Known: true, CellUnreachable: true})
+		d.effects.emit(UserReply{ReplyTo: replyTo, Known: true, CellUnreachable: true})
 	} else {
-		j.end.addRecipient(to)
+		j.end.addRecipient(replyTo)
 	}
 }
 
-// refuseCancellations has users who wait for a cell that no longer responds try again.
+// refuseCancellations tells the users who wait for cancellations at an unreachable cell to retry.
 func (d *delegations) refuseCancellations(n *neighbour) {
 	for _, id := range d.transfers.JobsAt(n.Name) {
-		at, ok := d.jobs.indexByID[id]
-		if !ok || d.jobs.list[at].ended() {
+		index, ok := d.jobs.indexByID[id]
+		if !ok || d.jobs.list[index].ended() {
 			continue
 		}
-		j := d.jobs.list[at]
-		for _, to := range j.end.takeRecipients() {
-			d.effects.emit(UserReply{ReplyTo: to, Known: true, CellUnreachable: true})
+		j := d.jobs.list[index]
+		for _, replyTo := range j.end.takeRecipients() {
+			d.effects.emit(UserReply{ReplyTo: replyTo, Known: true, CellUnreachable: true})
 		}
 	}
 }
 
-// logWaiting logs now and then how many jobs wait for neighbours that do not respond.
+// logWaiting periodically logs how many jobs wait for each unreachable neighbour.
 func (d *delegations) logWaiting() {
 	for _, n := range d.neighbours.list {
 		if !n.waitingLogDue(d.clock.now) {
@@ -131,20 +131,20 @@
 	}
 }
 
-// uncertainUse is what each team's tasks may use on machines that have sent no heartbeat in this
-// term, and in other cells.
+// uncertainUse returns, by team, the resources that tasks may use without being counted as
+// allocated: on machines that have sent no heartbeat in this term, and in other cells.
 func (d *delegations) uncertainUse() []quota.Units {
 	use := make([]quota.Units, d.teams.Len())
 	transfers := !d.transfers.Idle()
 	for _, j := range d.jobs.active {
 		if len(j.record.inDoubtHosts) > 0 && j.end.state != wire.JobDone {
-			n := j.progress.total - j.progress.done - j.progress.allocated
-			use[j.request.team] = use[j.request.team].Plus(quota.UnitsOf(j.request.size).Times(max(n, 0)))
+			tasks := j.progress.total - j.progress.done - j.progress.allocated
+			use[j.request.team] = use[j.request.team].Plus(quota.UnitsOf(j.request.size).Times(max(tasks, 0)))
 		}
 		unreadable := j.transfer.delegated && !d.transfers.Delegated(j.id)
 		if unreadable || transfers && d.transfers.MayRunRemotely(j.id) {
-			// All of its tasks may run there at once, also if its transfer's record can't
-			// be read.
+			// All of its tasks may run in the other cell at once. That includes a job whose
+			// transfer record can't be read.
 			use[j.request.team] = use[j.request.team].Plus(quota.UnitsOf(j.request.size).Times(j.progress.total))
 		}
 	}
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -10,11 +10,11 @@
 	"leadproxy/internal/settings"
 )
 
-// forwardingInterval is how often the queue is searched for jobs to be delegated.
+// forwardingInterval is the interval between searches of the queue for jobs to delegate.
 const forwardingInterval = time.Second
 
 // delegations decides which jobs are delegated to other cells, when, and to which. It owns the
-// origin side of the transfers and alone writes which jobs other cells may run.
+// origin side of the transfers, and only it sets whether another cell may run a job.
 type delegations struct {
 	clock      *clock
 	log        *slog.Logger
@@ -46,8 +46,9 @@
 	}
 }
 
-// reclaimAfter tells when a repeatable job is reclaimed from a cell. One that the settings no
-// longer name is treated as the strictest.
+// reclaimAfter returns a function that maps a cell to the time without an answer after which a
+// repeatable job is reclaimed from it. For a cell that is no longer in the settings it returns 0:
+// jobs are never reclaimed from it, which is the strictest setting.
 func reclaimAfter(cells settings.Cells) func(cell string) time.Duration {
 	return func(cell string) time.Duration {
 		n, ok := cells.Find(cell)
@@ -58,7 +59,8 @@
 	}
 }
 
-// forwardingDue tells whether the queue is to be searched for jobs to be delegated.
+// forwardingDue reports whether the queue is to be searched now for jobs to delegate. If so, it
+// schedules the next search.
 func (d *delegations) forwardingDue() bool {
 	if !d.neighbours.cells.DelegateJobs || !d.neighbours.transfersEnabled || d.clock.now < d.nextForwarding {
 		return false
@@ -67,8 +69,8 @@
 	return true
 }
 
-// forward delegates jobs to neighbours that have room for them while this cell is short of it:
-// jobs are expected to be late, and no machines can be had.
+// forward delegates jobs to neighbours that have offered capacity. It does so only after a
+// shortage has lasted: jobs are expected to be late, and no machine can be rented.
 func (d *delegations) forward(canScaleOut func() bool) {
 	late := d.expectedLateJobs()
 	if !d.shortage.Observe(d.clock.now, len(late) > 0 && !canScaleOut()) {
@@ -78,26 +80,27 @@
 	for _, j := range late {
 		wanted += j.totalCores()
 	}
-	choice := d.delegationInput()
-	d.requestCapacity(choice, wanted)
+	input := d.delegationInput()
+	d.requestCapacity(input, wanted)
 	for _, j := range late {
-		if !choice.hasCredit() {
+		if !input.hasCredit() {
 			break
 		}
-		d.delegate(j, choice)
+		d.delegate(j, input)
 	}
 }
 
-// mayDelegate tells whether a job can run in another cell: whole, never started anywhere,
-// of this cell, and not bound to a zone of it.
+// mayDelegate reports whether a job may run in another cell. It must be a job of this cell of
+// which no task has ever been allocated or started anywhere, and must not be bound to a zone or to
+// a reserved machine here.
 func (d *delegations) mayDelegate(j *job) bool {
 	neverStarted := !j.progress.startedOnce && j.progress.allocated == 0 && len(j.record.hosts) == 0 && j.progress.done == 0
 	boundHere := j.transfer.origin != "" || j.request.zone >= 0 || j.placement.reservedMachine != nil
 	return j.placeable(d.clock.now) && neverStarted && !boundHere && !j.suspect() && d.transfers.MayBegin(j.id)
 }
 
-// expectedLate tells whether a job that begins after a wait misses its deadline or,
-// without one, waits longer than it may.
+// expectedLate reports whether a job that starts after a wait would miss its deadline or, without
+// a deadline, would have waited longer than the settings allow.
 func (d *delegations) expectedLate(j *job, wait time.Duration) bool {
 	if j.priority.deadline == noDeadline {
 		return d.clock.now-j.priority.arrived+wait > d.neighbours.cells.MaxWait
@@ -105,41 +108,43 @@
 	return d.clock.now+wait+d.estimates.expectedRun(j) > j.priority.deadline
 }
 
-// delegationInput is the situation by which jobs are delegated.
+// delegationInput is the input of the decisions which jobs to delegate where.
 type delegationInput struct {
-	cells      []federation.Cell // the neighbours, in order of preference
-	usedByTeam []quota.Units     // by team, in all cells
+	cells      []federation.Cell // the neighbours, in the order of preference of the settings
+	usedByTeam []quota.Units     // in all cells, by team index
 }
 
-// delegationInput describes the neighbours and what the teams use at present.
+// delegationInput returns the present state of the neighbours and the present use of each team. If
+// nothing is delegated, it also resets the selector.
 func (d *delegations) delegationInput() *delegationInput {
-	o := &delegationInput{cells: make([]federation.Cell, len(d.neighbours.list)), usedByTeam: d.uncertainUse()}
-	for i := range o.usedByTeam {
-		o.usedByTeam[i] = o.usedByTeam[i].Plus(d.teams.Team(int32(i)).Allocated())
+	input := &delegationInput{cells: make([]federation.Cell, len(d.neighbours.list)), usedByTeam: d.uncertainUse()}
+	for i := range input.usedByTeam {
+		input.usedByTeam[i] = input.usedByTeam[i].Plus(d.teams.Team(int32(i)).Allocated())
 	}
 	idle := true
 	for i, n := range d.neighbours.list {
 		jobs, cores := d.delegatedTo(n)
 		idle = idle && jobs == 0
-		o.cells[i] = federation.Cell{Capacity: n.MaxCores, Used: cores, Jobs: n.MaxJobs - jobs}
+		input.cells[i] = federation.Cell{Capacity: n.MaxCores, Used: cores, Jobs: n.MaxJobs - jobs}
 		if d.clock.now < n.creditExpiry && !n.Draining {
-			o.cells[i].Credit = n.credit
+			input.cells[i].Credit = n.credit
 		}
 	}
 	if idle {
 		d.selector.Reset()
 	}
-	return o
+	return input
 }
 
-// hasCredit tells whether some neighbour has offered capacity.
-func (o *delegationInput) hasCredit() bool {
-	return slices.ContainsFunc(o.cells, func(cell federation.Cell) bool { return cell.Credit > 0 })
+// hasCredit reports whether any neighbour has offered capacity that is not used yet.
+func (i *delegationInput) hasCredit() bool {
+	return slices.ContainsFunc(i.cells, func(cell federation.Cell) bool { return cell.Credit > 0 })
 }
 
-// expectedLateJobs lists, in the order of the queue, the jobs that may be delegated and whose
-// wait here is expected to be too long: what is ahead of them, and left of what runs, shared by
-// all cores. A job that is delegated is ahead of none.
+// expectedLateJobs returns the jobs that may be delegated and whose expected wait here is too
+// long, in the order of the queue. The expected wait is the remaining work of running tasks plus
+// the work queued ahead of the job, divided by the cores of all machines. Jobs in the result do
+// not add to the wait of later ones.
 func (d *delegations) expectedLateJobs() []*job {
 	cores, ahead := 0.0, 0.0
 	for _, m := range d.machines.live {
@@ -163,50 +168,52 @@
 	return late
 }
 
-// requestCapacity requests an offer of capacity from the neighbours.
-func (d *delegations) requestCapacity(choice *delegationInput, cores float64) {
+// requestCapacity requests up to the given number of cores from each neighbour that may still take
+// jobs and whose offer does not cover them already.
+func (d *delegations) requestCapacity(input *delegationInput, cores float64) {
 	for i, n := range d.neighbours.list {
-		cell := choice.cells[i]
-		free := min(cores, cell.Capacity-cell.Used)
-		if n.Draining || n.capacityRequested || d.clock.now < n.nextCapacityRequest || cell.Jobs <= 0 || free <= 0 || cell.Credit >= free {
+		cell := input.cells[i]
+		wanted := min(cores, cell.Capacity-cell.Used)
+		if n.Draining || n.capacityRequested || d.clock.now < n.nextCapacityRequest || cell.Jobs <= 0 || wanted <= 0 || cell.Credit >= wanted {
 			continue
 		}
-		d.neighbours.requestCapacity(n, free)
+		d.neighbours.requestCapacity(n, wanted)
 	}
 }
 
-// delegatedTo is what is delegated to a cell: jobs, and their cores.
+// delegatedTo returns the number of unfinished jobs that a neighbour may run, and their cores.
 func (d *delegations) delegatedTo(n *neighbour) (jobs int, cores float64) {
 	for _, id := range d.transfers.JobsAt(n.Name) {
-		if at, ok := d.jobs.indexByID[id]; ok && !d.jobs.list[at].ended() {
+		if index, ok := d.jobs.indexByID[id]; ok && !d.jobs.list[index].ended() {
 			jobs++
-			cores += d.jobs.list[at].totalCores()
+			cores += d.jobs.list[index].totalCores()
 		}
 	}
 	return jobs, cores
 }
 
-// delegate begins the transfer of a job to the neighbour that the choice names, if its
-// team's limit leaves room for all of it: tasks in other cells count there as well.
-func (d *delegations) delegate(j *job, o *delegationInput) {
-	if d.teams.Team(j.request.team).AdditionalTasks(j.request.size, o.usedByTeam[j.request.team]) < j.progress.total {
+// delegate starts the transfer of a job to the neighbour that the selector chooses. It does
+// nothing if the team's limit does not allow all tasks of the job, counting its tasks in other
+// cells, or if no neighbour can take the job.
+func (d *delegations) delegate(j *job, input *delegationInput) {
+	if d.teams.Team(j.request.team).AdditionalTasks(j.request.size, input.usedByTeam[j.request.team]) < j.progress.total {
 		return
 	}
 	for i, n := range d.neighbours.list {
-		o.cells[i].Excluded = n.refusedJobs[j.id]
+		input.cells[i].Excluded = n.refusedJobs[j.id]
 	}
-	at := d.selector.Select(o.cells, j.totalCores())
-	if at < 0 {
+	index := d.selector.Select(input.cells, j.totalCores())
+	if index < 0 {
 		return
 	}
 	body := d.offerBody(j)
 	if body == nil {
 		return
 	}
-	n, cell := d.neighbours.list[at], &o.cells[at]
+	n, cell := d.neighbours.list[index], &input.cells[index]
 	n.useCredit(j.totalCores())
 	cell.Credit, cell.Used, cell.Jobs = n.credit, cell.Used+j.totalCores(), cell.Jobs-1
-	o.usedByTeam[j.request.team] = o.usedByTeam[j.request.team].Plus(quota.UnitsOf(j.request.size).Times(j.progress.total))
+	input.usedByTeam[j.request.team] = input.usedByTeam[j.request.team].Plus(quota.UnitsOf(j.request.size).Times(j.progress.total))
 	j.transfer.delegated = true
 	d.transfers.Begin(j.id, n.Name, body, d.clock.now, d.clock.wallMS)
 	d.log.Info("job delegated to a neighbour", "job", j.id, "cell", n.Name, "cores", j.totalCores(), "waited_s", (d.clock.now - j.priority.arrived).Seconds(), "share", j.totalCores()/n.MaxCores)
--- a/internal/scheduler/drain_plans.go
+++ b/internal/scheduler/drain_plans.go
@@ -12,15 +12,15 @@
 	"leadproxy/internal/rollout"
 )
 
-// planStepInterval is how often plans advance.
+// planStepInterval is the interval between steps of the plans.
 const planStepInterval = time.Second
 
-// maxEndedPlans is how many plans that have ended are kept for operators.
+// maxEndedPlans is how many ended plans are kept for operators to inspect.
 const maxEndedPlans = 20
 
-// drainPlans are the plans of a term that drain machines; without an account of disruptions there
-// are none. It owns the plans and alone writes which machines are cordoned or kept for them. What
-// they decide is in package rollout.
+// drainPlans holds the plans that drain machines. There are none unless the settings enable
+// draining. It owns the plans, and only it sets which machines are cordoned or kept for them.
+// Package rollout decides what the plans do.
 type drainPlans struct {
 	term        uint64
 	clock       *clock
@@ -35,7 +35,7 @@
 
 	byName   map[string]*plan
 	nextStep time.Duration
-	rotation int // which plan advances first
+	rotation int // offset of the plan that is stepped first, so that each plan gets its turn
 }
 
 func newDrainPlans(c *Core) drainPlans {
@@ -43,27 +43,27 @@
 		machines: &c.machines, placement: &c.placement, disruptions: &c.disruptions, views: &c.planViews}
 }
 
-// plan is one plan under way.
+// plan is a plan and the state of writing its record.
 type plan struct {
 	rollout           *rollout.Controller
-	writtenGeneration uint64 // the generation that is being written
+	writtenGeneration uint64 // the latest generation of the record that was submitted for writing
 	waiters           []planWaiter
-	recordTooLong     bool // its record does not fit a value
+	recordTooLong     bool // the record exceeds the value limit of the store
 }
 
-// planWaiter waits for a generation of a plan's record to be durable.
+// planWaiter is an operator who waits until a generation of a plan's record is durable.
 type planWaiter struct {
 	generation uint64
 	to         Recipient
 }
 
-// planTag marks the write of a plan's record.
+// planTag identifies the write of a plan's record.
 type planTag struct {
 	name       string
 	generation uint64
 }
 
-// IsTag marks it for the ledger.
+// IsTag implements the tag interface of the ledger.
 func (planTag) IsTag() {}
 
 // The errors of commands about plans.
@@ -73,20 +73,22 @@
 	errPlanExists       = errors.New("there is a plan of that name")
 )
 
-// restore continues the plans of the ledger, after the jobs and machines.
+// restore restores the plans from the ledger. The jobs and machines must have been restored
+// before.
 func (d *drainPlans) restore(records []rollout.Record) {
 	d.disruptions.enable()
 	if !d.disruptions.enabled() {
 		return
 	}
 	d.byName = map[string]*plan{}
-	for _, r := range records {
-		d.byName[r.Spec.Name] = &plan{rollout: rollout.NewController(r, d.disruptions.tracker, d.jobs.taskIsDone, d.clock.now, d.clock.wallMS)}
+	for _, record := range records {
+		d.byName[record.Spec.Name] = &plan{rollout: rollout.NewController(record, d.disruptions.tracker, d.jobs.taskIsDone, d.clock.now, d.clock.wallMS)}
 	}
 	d.updateCordons()
 }
 
-// takeDue tells whether the plans are to be advanced now, and in which order.
+// takeDue returns the names of the plans in the order in which to step them, and whether a step is
+// due. If so, it schedules the next step and rotates the order.
 func (d *drainPlans) takeDue() (names []string, due bool) {
 	if !d.disruptions.enabled() || d.clock.now < d.nextStep {
 		return nil, false
@@ -101,13 +103,13 @@
 	return names, true
 }
 
-// names lists the plans in the order of their creation.
+// names returns the names of the plans in the order of their creation.
 func (d *drainPlans) names() []string {
 	names := slices.Collect(maps.Keys(d.byName))
 	slices.SortFunc(names, func(a, b string) int {
-		x, _ := d.byName[a].rollout.Record()
-		y, _ := d.byName[b].rollout.Record()
-		return cmp.Or(cmp.Compare(x.CreatedMS, y.CreatedMS), cmp.Compare(a, b))
+		recordA, _ := d.byName[a].rollout.Record()
+		recordB, _ := d.byName[b].rollout.Record()
+		return cmp.Or(cmp.Compare(recordA.CreatedMS, recordB.CreatedMS), cmp.Compare(a, b))
 	})
 	return names
 }
@@ -122,31 +124,32 @@
 	d.writes.put(ledger.Write{Key: ledger.PlanKey(name), Value: record, Urgent: true, Tag: planTag{name, generation}})
 }
 
-// recordDurable notes that a plan's record is durable. Who waits for that gets the reply, and the
-// actions that it allows come with the next step.
-func (d *drainPlans) recordDurable(t planTag) {
-	p := d.byName[t.name]
+// recordDurable handles that a plan's record has become durable. It answers the operators who wait
+// for that, and has the plans stepped soon, since the plan may now act on the record.
+func (d *drainPlans) recordDurable(tag planTag) {
+	p := d.byName[tag.name]
 	if p == nil {
 		return
 	}
-	p.rollout.MarkDurable(t.generation)
-	var still []planWaiter
-	for _, w := range p.waiters {
-		if w.generation > t.generation {
-			still = append(still, w)
+	p.rollout.MarkDurable(tag.generation)
+	var remaining []planWaiter
+	for _, waiter := range p.waiters {
+		if waiter.generation > tag.generation {
+			remaining = append(remaining, waiter)
 			continue
 		}
-		d.effects.emit(PlanReply{ReplyTo: w.to})
+		d.effects.emit(PlanReply{ReplyTo: waiter.to})
 	}
-	p.waiters = still
+	p.waiters = remaining
 	d.nextStep = 0
 }
 
-// deleteOldPlans forgets plans that have ended, the oldest ones first.
+// deleteOldPlans deletes the oldest of the plans that have ended, except for the latest
+// maxEndedPlans. A plan whose evictions still count is kept.
 func (d *drainPlans) deleteOldPlans() {
 	var ended []string
 	for _, name := range d.names() {
-		if r, _ := d.byName[name].rollout.Record(); r.Phase.Ended() && len(r.Evictions) == 0 && d.byName[name].rollout.IsDurable() {
+		if record, _ := d.byName[name].rollout.Record(); record.Phase.Ended() && len(record.Evictions) == 0 && d.byName[name].rollout.IsDurable() {
 			ended = append(ended, name)
 		}
 	}
@@ -156,25 +159,26 @@
 	}
 }
 
-// recordRejected notes that a plan's record does not fit a value: the plan does not advance until
-// it is aborted.
-func (d *drainPlans) recordRejected(t planTag) {
-	if p := d.byName[t.name]; p != nil {
+// recordRejected handles that a plan's record exceeds the value limit of the store. The plan does
+// not advance until an operator aborts it: every command writes the record again, and abort makes
+// it shorter.
+func (d *drainPlans) recordRejected(tag planTag) {
+	if p := d.byName[tag.name]; p != nil {
 		p.recordTooLong = true
-		d.log.Error("plan record exceeds the value limit", "plan", t.name)
+		d.log.Error("plan record exceeds the value limit", "plan", tag.name)
 	}
 }
 
-// updateCordons has nothing start on the machines that plans empty, and keeps those that they have
-// rented.
+// updateCordons cordons the machines that plans drain, so that nothing starts there, and marks the
+// replacements that must not be returned while they are idle.
 func (d *drainPlans) updateCordons() {
 	for _, m := range d.machines.live {
-		cordoned, kept := false, false
+		cordoned, isReplacement := false, false
 		for _, p := range d.byName {
 			cordoned = cordoned || p.rollout.IsCordoned(m.name)
-			kept = kept || p.rollout.IsReplacement(m.name)
+			isReplacement = isReplacement || p.rollout.IsReplacement(m.name)
 		}
-		m.eviction.rentedForPlan = kept
+		m.eviction.rentedForPlan = isReplacement
 		if m.eviction.cordoned != cordoned {
 			m.eviction.cordoned = cordoned
 			d.placement.markIndexStale(m)
--- a/internal/scheduler/evictions.go
+++ b/internal/scheduler/evictions.go
@@ -6,10 +6,11 @@
 	"leadproxy/internal/rollout"
 )
 
-// This file advances the plans that drain machines, and carries out their actions. What they decide
-// is in package rollout.
+// This file steps the plans that drain machines and carries out their actions. Package rollout
+// decides what they do.
 
-// advancePlans advances all plans, beginning with another one each time.
+// advancePlans steps all plans if that is due. Each time another plan comes first, because plans
+// share the disruption budgets.
 func (c *Core) advancePlans() {
 	names, due := c.plans.takeDue()
 	if !due {
@@ -22,12 +23,13 @@
 	c.plans.deleteOldPlans()
 }
 
-// advancePlan advances one plan: its actions are carried out, or its record is written first.
+// advancePlan steps one plan. It carries out the actions that the plan returns, and writes the
+// record if it has changed.
 func (c *Core) advancePlan(name string) {
 	p := c.plans.byName[name]
 	before, _ := p.rollout.Record()
-	for _, act := range p.rollout.Step(c.planViews.build(p)) {
-		c.applyPlanAction(act)
+	for _, action := range p.rollout.Step(c.planViews.build(p)) {
+		c.applyPlanAction(action)
 	}
 	c.plans.save(name, p)
 	if after, _ := p.rollout.Record(); after.Phase != before.Phase || after.Paused != before.Paused {
@@ -35,9 +37,10 @@
 	}
 }
 
-// applyPlanAction carries out an action of a plan.
-func (c *Core) applyPlanAction(act rollout.Action) {
-	switch a := act.(type) {
+// applyPlanAction carries out an action of a plan. Actions are repeated until their effect shows,
+// so each is idempotent.
+func (c *Core) applyPlanAction(action rollout.Action) {
+	switch a := action.(type) {
 	case rollout.EvictTask:
 		if m := c.machines.find(a.Machine); m != nil {
 			c.evictTask(m, a.JobID, int32(a.Task))
@@ -51,19 +54,19 @@
 	}
 }
 
-// evictTask has a task stopped, after it has saved its progress if it can.
-func (c *Core) evictTask(m *machine, id string, n int32) {
-	for _, b := range slices.Clone(m.capacity.allocations) {
-		j := c.jobs.list[b.job]
-		if j.id != id || b.task != n || b.stopping || j.spec == nil {
+// evictTask stops a task of a machine. The grace period lets it save a checkpoint if it can.
+func (c *Core) evictTask(m *machine, jobID string, task int32) {
+	for _, alloc := range slices.Clone(m.capacity.allocations) {
+		j := c.jobs.list[alloc.job]
+		if j.id != jobID || alloc.task != task || alloc.stopping || j.spec == nil {
 			continue
 		}
-		b.evictedByPlan = true
+		alloc.evictedByPlan = true
 		grace := 0.0
 		if j.spec.CheckpointIntervalS > 0 {
 			grace = j.spec.CheckpointDurationS
 		}
-		c.log.Info("task evicted by a plan", "task", c.jobs.taskName(b), "machine", m.name, "grace_s", grace)
-		c.stopAllocation(m, b, grace)
+		c.log.Info("task evicted by a plan", "task", c.jobs.taskName(alloc), "machine", m.name, "grace_s", grace)
+		c.stopAllocation(m, alloc, grace)
 	}
 }
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -6,10 +6,10 @@
 	"leadproxy/internal/wire"
 )
 
-// This file connects the parts of the federation with each other and with the jobs: neighbours,
-// delegations, capacity offers and foreign jobs. The protocol is in package federation.
+// This file connects neighbours, delegations, capacity offers and foreign jobs with each other and
+// with the job table. Package federation implements the transfer protocol.
 
-// handleFederationEvent takes the events of transfers.
+// handleFederationEvent handles the events of transfers between cells.
 func (c *Core) handleFederationEvent(event Event) {
 	switch e := event.(type) {
 	case TransferResult:
@@ -29,14 +29,16 @@
 	}
 }
 
-// restoreTransfers takes the transfers over from the ledger, after the jobs.
-func (c *Core) restoreTransfers(s *ledger.Snapshot) {
-	c.delegations.restore(s.Delegated)
-	c.foreign.restore(s.Foreign)
+// restoreTransfers restores the transfers from the ledger. The jobs must have been restored
+// before.
+func (c *Core) restoreTransfers(snapshot *ledger.Snapshot) {
+	c.delegations.restore(snapshot.Delegated)
+	c.foreign.restore(snapshot.Foreign)
 	c.applyOriginEffects()
 }
 
-// advanceTransfers does what follows for transfers from the passing of time.
+// advanceTransfers does the time-driven work of transfers: repeated messages, timeouts, logging
+// and the periodic search for jobs to delegate.
 func (c *Core) advanceTransfers() {
 	if len(c.neighbours.list) == 0 && c.delegations.transfers.Idle() {
 		return
@@ -50,13 +52,15 @@
 	c.neighbours.sendQueuedMessages()
 }
 
-// forwardJobs delegates jobs to neighbours while this cell is short of room.
+// forwardJobs delegates jobs to neighbours if this cell has been short of capacity for long
+// enough.
 func (c *Core) forwardJobs() {
 	c.delegations.forward(c.planner.canScaleOut)
 	c.applyOriginEffects()
 }
 
-// applyOriginEffects carries out the effects of the origin side of the transfers.
+// applyOriginEffects carries out the effects of the origin side of the transfers, including those
+// that follow from ending a job.
 func (c *Core) applyOriginEffects() {
 	transfers := c.delegations.transfers
 	for effects := transfers.TakeEffects(); len(effects) > 0; effects = transfers.TakeEffects() {
@@ -70,7 +74,8 @@
 	}
 }
 
-// sendOriginEffects carries out the effects of the origin side, and sends the messages among them.
+// sendOriginEffects carries out the effects of the origin side and sends the messages queued by
+// them.
 func (c *Core) sendOriginEffects() {
 	c.applyOriginEffects()
 	c.neighbours.sendQueuedMessages()
@@ -79,72 +84,74 @@
 // applyForeignEffects carries out the effects of the executing side of the transfers.
 func (c *Core) applyForeignEffects() {
 	for _, effect := range c.foreign.transfers.TakeEffects() {
-		switch e := effect.(type) {
+		switch effect := effect.(type) {
 		case federation.WriteForeign:
-			c.foreign.writeRecord(e)
+			c.foreign.writeRecord(effect)
 		case federation.CancelForeign:
-			if at, ok := c.jobs.indexByID[e.JobID]; ok && !c.jobs.list[at].ended() {
-				c.cancelJob(c.jobs.list[at])
+			if index, ok := c.jobs.indexByID[effect.JobID]; ok && !c.jobs.list[index].ended() {
+				c.cancelJob(c.jobs.list[index])
 			}
 		case federation.TraceForeign:
-			c.transferSteps.trace(e.Step)
+			c.transferSteps.trace(effect.Step)
 		}
 	}
 }
 
-// handleTransferResult takes the outcome of an exchange.
-func (c *Core) handleTransferResult(e TransferResult) {
-	n := c.neighbours.find(e.Cell)
-	if n == nil {
+// handleTransferResult handles the result of an exchange with a neighbour.
+func (c *Core) handleTransferResult(result TransferResult) {
+	neighbour := c.neighbours.find(result.Cell)
+	if neighbour == nil {
 		return
 	}
-	if c.neighbours.endExchange(n, e.Err) {
-		c.delegations.refuseCancellations(n)
+	if c.neighbours.endExchange(neighbour, result.Err) {
+		c.delegations.refuseCancellations(neighbour)
 	}
-	for _, a := range e.Answers {
-		c.delegations.transfers.HandleAnswer(e.Cell, a, c.clock.now)
-		n.applyAnswer(a, c.clock.now)
+	for _, answer := range result.Answers {
+		c.delegations.transfers.HandleAnswer(result.Cell, answer, c.clock.now)
+		neighbour.applyAnswer(answer, c.clock.now)
 	}
 	c.sendOriginEffects()
 }
 
-// handleCapacityResult takes a neighbour's reply to a capacity request.
-func (c *Core) handleCapacityResult(e CapacityResult) {
-	n := c.neighbours.find(e.Cell)
-	if n == nil || !c.neighbours.endCapacityRequest(n, e) {
+// handleCapacityResult handles the result of a capacity request, and delegates jobs at once if
+// cores were offered: an offer is short-lived.
+func (c *Core) handleCapacityResult(result CapacityResult) {
+	n := c.neighbours.find(result.Cell)
+	if n == nil || !c.neighbours.endCapacityRequest(n, result) {
 		return
 	}
 	c.forwardJobs()
 	c.neighbours.sendQueuedMessages()
 }
 
-// handleTransferRequest replies to another cell's messages.
-func (c *Core) handleTransferRequest(e TransferRequest) {
-	answers := c.foreign.handleMessages(e.Origin, e.Messages)
+// handleTransferRequest answers the messages of another cell.
+func (c *Core) handleTransferRequest(request TransferRequest) {
+	answers := c.foreign.handleMessages(request.Origin, request.Messages)
 	c.applyForeignEffects()
-	c.effects.emit(TransferReply{ReplyTo: e.ReplyTo, Answers: answers})
+	c.effects.emit(TransferReply{ReplyTo: request.ReplyTo, Answers: answers})
 }
 
-// handleForeignWriteResult takes the result of a write of a foreign job.
-func (c *Core) handleForeignWriteResult(e ForeignWriteResult) {
-	if e.Job != nil && !e.JobExists {
-		c.handleJobRecord(JobRecordEvent{JobID: e.Write.Key.JobID, Record: *e.Job, Version: e.Version})
+// handleForeignWriteResult handles the result of writing a transfer record of a foreign job. If
+// the job's own record was written with it, the job is added to the job table.
+func (c *Core) handleForeignWriteResult(result ForeignWriteResult) {
+	if result.Job != nil && !result.JobExists {
+		c.handleJobRecord(JobRecordEvent{JobID: result.Write.Key.JobID, Record: *result.Job, Version: result.Version})
 	}
-	c.foreign.recordWritten(e)
+	c.foreign.recordWritten(result)
 	c.applyForeignEffects()
 }
 
-// endDelegatedJob writes the end of a job that another cell has run, or that was cancelled while
-// it was delegated.
-func (c *Core) endDelegatedJob(e federation.EndJob) {
-	at, ok := c.jobs.indexByID[e.JobID]
+// endDelegatedJob ends a job that another cell has finished, or that was cancelled while it was
+// delegated.
+func (c *Core) endDelegatedJob(end federation.EndJob) {
+	index, ok := c.jobs.indexByID[end.JobID]
 	if !ok {
 		return
 	}
-	j := c.jobs.list[at]
+	j := c.jobs.list[index]
 	switch {
 	case j.ended():
-	case e.Cancelled:
+	case end.Cancelled:
 		c.cancelJob(j)
 	default:
 		j.progress.markAllDone()
@@ -152,31 +159,32 @@
 	}
 }
 
-// cancelDelegated begins the cancellation of a job that is delegated, or that another cell may
-// still run. It is confirmed when that cell has it durably.
-func (c *Core) cancelDelegated(j *job, to Recipient) {
+// cancelDelegated starts the cancellation of a job that is delegated or may still run in another
+// cell. The user is answered once that cell has stored the cancellation durably.
+func (c *Core) cancelDelegated(j *job, replyTo Recipient) {
 	if !j.transfer.delegated {
-		c.stopTasks(j) // it was reclaimed and runs here as well
+		c.stopTasks(j) // reclaimed: it runs here as well
 	}
-	c.delegations.awaitCancellation(j, to)
+	c.delegations.awaitCancellation(j, replyTo)
 	c.sendOriginEffects()
 }
 
-// localJobs is what the executing side of the transfers needs from the core.
+// localJobs gives the executing side of the transfers access to the jobs of the core.
 type localJobs struct{ *Core }
 
-// ForeignJobState is the state of a foreign job.
+// ForeignJobState returns the state of a foreign job, or false if no job of that origin and ID is
+// known here.
 func (c localJobs) ForeignJobState(key federation.ForeignKey) (federation.JobState, bool) {
-	at, ok := c.jobs.indexByID[key.JobID]
-	if !ok || c.jobs.list[at].transfer.origin != key.Origin {
+	index, ok := c.jobs.indexByID[key.JobID]
+	if !ok || c.jobs.list[index].transfer.origin != key.Origin {
 		return federation.JobState{}, false
 	}
-	j := c.jobs.list[at]
+	j := c.jobs.list[index]
 	status := c.jobStatus(j)
 	return federation.JobState{Over: j.end.durable, Cancelled: j.end.state == wire.JobCancelled, Done: status.Done, Running: status.Running}, true
 }
 
-// Admit tells whether an offered job is accepted now, and else why not.
-func (c localJobs) Admit(origin, id string, body *federation.OfferBody) federation.Refusal {
-	return c.foreign.admit(origin, id, body)
+// Admit decides whether an offered job is accepted. The zero Refusal means that it is.
+func (c localJobs) Admit(origin, jobID string, body *federation.OfferBody) federation.Refusal {
+	return c.foreign.admit(origin, jobID, body)
 }
--- a/internal/scheduler/federation_events.go
+++ b/internal/scheduler/federation_events.go
@@ -9,7 +9,7 @@
 
 // The events of transfers between cells.
 type (
-	// TransferResult is the outcome of an exchange with a neighbour.
+	// TransferResult is the result of an exchange with a neighbour.
 	TransferResult struct {
 		Cell    string
 		Answers []federation.Answer
@@ -24,13 +24,13 @@
 		Reason     string
 		Err        error
 	}
-	// TransferRequest are another cell's messages.
+	// TransferRequest has the messages of another cell.
 	TransferRequest struct {
 		Origin   string
 		Messages []federation.Message
 		ReplyTo  Recipient
 	}
-	// CapacityRequest is another cell's question for room.
+	// CapacityRequest is a request of another cell for an offer of capacity.
 	CapacityRequest struct {
 		Origin  string
 		Cores   float64
@@ -41,18 +41,18 @@
 		Write   federation.WriteForeign
 		Job     *ledger.JobRecord
 		Version uint64
-		// JobExists: nothing was written, since there is a job of that name.
+		// JobExists means that nothing was written, because a job with that ID exists.
 		JobExists bool
 	}
-	// TransfersEnabled is the event that every controller of this cell knows transfers.
+	// TransfersEnabled means that every controller of this cell supports transfers.
 	TransfersEnabled struct{}
-	// TransferListRequest is an operator's question.
+	// TransferListRequest is an operator's request for the list of transfers.
 	TransferListRequest struct{ ReplyTo Recipient }
 )
 
 // The effects of transfers between cells.
 type (
-	// SendTransfers sends messages to a neighbour. TransferResult follows.
+	// SendTransfers sends messages to a neighbour. A TransferResult follows.
 	SendTransfers struct {
 		Cell     string
 		Messages []federation.Message
@@ -75,9 +75,9 @@
 		RetryAfter time.Duration
 		Reason     string
 	}
-	// WriteForeign writes a foreign job's transfer record, and with Job the job's record as
-	// well, if neither key has changed. A ForeignWriteResult follows once the outcome is
-	// certain.
+	// WriteForeign writes the transfer record of a foreign job and, if Job is set, the job's
+	// record with it. Nothing is written if either key has changed. A ForeignWriteResult follows
+	// once the outcome is certain.
 	WriteForeign struct {
 		Write federation.WriteForeign
 		Job   *ledger.JobRecord
@@ -94,20 +94,20 @@
 	}
 )
 
-// ForeignView is a transfer as operators see it at the neighbour.
+// ForeignView is the state of a transfer at the executing cell, for operators.
 type ForeignView struct {
 	Key    federation.ForeignKey
 	Record federation.ForeignRecord
 	State  federation.JobState
 }
 
-// CellView is a neighbour as operators see it.
+// CellView is the state of a neighbour, for operators.
 type CellView struct {
 	Name         string
 	Draining     bool
 	Unreachable  bool
-	Jobs         int
-	Cores        float64
-	Credit       float64
-	ForeignCores float64
+	Jobs         int     // jobs of this cell that it may run
+	Cores        float64 // of these jobs
+	Credit       float64 // unused cores of its latest offer
+	ForeignCores float64 // of its jobs that this cell runs
 }
--- a/internal/scheduler/federation_test.go
+++ b/internal/scheduler/federation_test.go
@@ -13,26 +13,26 @@
 	"leadproxy/internal/wire"
 )
 
-// errUnreachable is the result of an exchange that a neighbour did not answer.
+// errUnreachable is the error of an exchange that a neighbour did not answer.
 var errUnreachable = errors.New("the neighbour does not answer")
 
-// newCellHarness is a stage of cell "lima" with neighbour "puno", whose only machine of four
-// cores is up and the last that there may be.
-func newCellHarness(t *testing.T, change func(o *settings.Operator), teams ...settings.Team) *harness {
-	o := settings.Defaults()
-	o.MaxMachines = 1
-	o.Cells = settings.Cells{Name: "lima", DelegateJobs: true, ShortageFor: 5 * time.Second, MaxWait: 10 * time.Second, Repeatable: map[string]bool{},
+// newCellHarness returns a harness for cell "lima" with neighbour "puno". Its only machine has
+// four cores and is up, and the settings allow no further machine.
+func newCellHarness(t *testing.T, change func(operator *settings.Operator), teams ...settings.Team) *harness {
+	operator := settings.Defaults()
+	operator.MaxMachines = 1
+	operator.Cells = settings.Cells{Name: "lima", DelegateJobs: true, ShortageFor: 5 * time.Second, MaxWait: 10 * time.Second, Repeatable: map[string]bool{},
 		Neighbours: []settings.Neighbour{{Name: "puno", MaxJobs: 5, MaxCores: 40, MaxOfferedCores: 12, ReclaimAfter: time.Minute}}}
 	if change != nil {
-		change(&o)
+		change(&operator)
 	}
-	g := newHarnessWithSettings(t, o, ledger.Snapshot{}, teams...)
-	g.bringUp("vm-1")
-	g.step(TransfersEnabled{})
-	return g
+	h := newHarnessWithSettings(t, operator, ledger.Snapshot{}, teams...)
+	h.bringUp("vm-1")
+	h.step(TransfersEnabled{})
+	return h
 }
 
-// waitReporting lets time pass while the machine reports what it runs.
+// waitReporting advances the time while the machine sends heartbeats with its tasks.
 func (h *harness) waitReporting(d time.Duration, machine string, tasks ...wire.TaskStatus) {
 	for end := h.now + d; h.now < end; {
 		h.advance(time.Second)
@@ -40,243 +40,245 @@
 	}
 }
 
-// applyToMachine has a job take the whole machine for long and returns how it is reported.
+// fillMachine submits a job that takes the whole machine for long, and returns the status of its
+// running tasks.
 func (h *harness) fillMachine(jobID string) []wire.TaskStatus {
 	j := newTestJob(jobID, 4, 1)
 	j.EstimatedRunS = 1000
 	h.submit(j)
 	var running []wire.TaskStatus
-	for _, o := range h.startCommands() {
-		running = append(running, newTaskStatus(o, wire.TaskRunning, ""))
+	for _, start := range h.startCommands() {
+		running = append(running, newTaskStatus(start, wire.TaskRunning, ""))
 	}
 	h.completeCommands(CommandExecuted)
 	return running
 }
 
-// lastEffect returns the latest effect of a type.
-func lastEffect[E Effect](g *harness) (e E, ok bool) {
-	for i := len(g.otherEffects) - 1; i >= 0; i-- {
-		if e, ok = g.otherEffects[i].(E); ok {
-			return e, true
+// lastEffect returns the latest effect of a type, or false if there is none.
+func lastEffect[E Effect](h *harness) (effect E, ok bool) {
+	for i := len(h.otherEffects) - 1; i >= 0; i-- {
+		if effect, ok = h.otherEffects[i].(E); ok {
+			return effect, true
 		}
 	}
-	return e, false
+	return effect, false
 }
 
-// offersAfterShortage plays a shortage up to the neighbour's capacity offer and names the jobs that are
-// offered to it.
-func (h *harness) offersAfterShortage(room float64, running []wire.TaskStatus) (jobIDs []string) {
+// offersAfterShortage simulates a shortage and a neighbour that offers up to offeredCores. It
+// returns the messages that are sent to the neighbour then.
+func (h *harness) offersAfterShortage(offeredCores float64, running []wire.TaskStatus) (messages []string) {
 	h.waitReporting(20*time.Second, "vm-1", running...)
-	if ask, ok := lastEffect[RequestCapacity](h); ok {
-		h.step(CapacityResult{Cell: ask.Cell, Cores: min(room, ask.Cores), For: 5 * time.Second})
+	if request, ok := lastEffect[RequestCapacity](h); ok {
+		h.step(CapacityResult{Cell: request.Cell, Cores: min(offeredCores, request.Cores), For: 5 * time.Second})
 	}
 	if send, ok := lastEffect[SendTransfers](h); ok {
 		for _, m := range send.Messages {
-			jobIDs = append(jobIDs, fmt.Sprintf("%s %s/%d", m.Kind, m.JobID, m.Epoch))
+			messages = append(messages, fmt.Sprintf("%s %s/%d", m.Kind, m.JobID, m.Epoch))
 		}
 	}
-	return jobIDs
+	return messages
 }
 
-// TestDelegation: which jobs leave a cell that is short of room.
+// TestDelegation checks which jobs a cell that is short of capacity delegates.
 func TestDelegation(t *testing.T) {
 	zone := "a"
 	cases := []struct {
-		name   string
-		change func(o *settings.Operator)
-		job    func(j *wire.Job)
-		room   float64
-		want   string
+		name         string
+		change       func(operator *settings.Operator)
+		changeJob    func(j *wire.Job)
+		offeredCores float64
+		want         string
 	}{
-		{"one that waits too long", nil, nil, 100, "offer job-2/1"},
-		{"more than the room that was offered", nil, nil, 1, ""},
-		{"nobody has room", nil, nil, 0, ""},
+		{"waits too long", nil, nil, 100, "offer job-2/1"},
+		{"needs more than the offer", nil, nil, 1, ""},
+		{"empty offer", nil, nil, 0, ""},
 		{"bound to a zone", nil, func(j *wire.Job) { j.Zone = &zone }, 100, ""},
-		{"waits for another one", nil, func(j *wire.Job) { j.DependsOn = []string{"job-1"} }, 100, ""},
-		{"more than may be away", func(o *settings.Operator) { o.Cells.Neighbours[0].MaxCores = 1 }, nil, 100, ""},
-		{"no jobs may be away", func(o *settings.Operator) { o.Cells.Neighbours[0].MaxJobs = 0 }, nil, 100, ""},
-		{"the relation is being drained", func(o *settings.Operator) { o.Cells.Neighbours[0].Draining = true }, nil, 100, ""},
-		{"spilling is off", func(o *settings.Operator) { o.Cells.DelegateJobs = false }, nil, 100, ""},
-		{"machines can be hired", func(o *settings.Operator) { o.MaxMachines = 0 }, nil, 100, ""},
-		{"it may wait for longer", func(o *settings.Operator) { o.Cells.MaxWait = time.Hour }, nil, 100, ""},
-		{"its deadline is far", nil, func(j *wire.Job) { j.DeadlineS = secondsPtr(7200) }, 100, ""},
-		{"its deadline is near", func(o *settings.Operator) { o.Cells.MaxWait = time.Hour }, func(j *wire.Job) { j.DeadlineS = secondsPtr(60) }, 100, "offer job-2/1"},
-		{"its team's limit leaves too little", nil, func(j *wire.Job) { j.Team = "tight" }, 100, ""},
+		{"has an unfinished dependency", nil, func(j *wire.Job) { j.DependsOn = []string{"job-1"} }, 100, ""},
+		{"exceeds the cores that may be delegated", func(operator *settings.Operator) { operator.Cells.Neighbours[0].MaxCores = 1 }, nil, 100, ""},
+		{"no jobs may be delegated", func(operator *settings.Operator) { operator.Cells.Neighbours[0].MaxJobs = 0 }, nil, 100, ""},
+		{"the neighbour is being drained", func(operator *settings.Operator) { operator.Cells.Neighbours[0].Draining = true }, nil, 100, ""},
+		{"delegation is disabled", func(operator *settings.Operator) { operator.Cells.DelegateJobs = false }, nil, 100, ""},
+		{"machines can be rented", func(operator *settings.Operator) { operator.MaxMachines = 0 }, nil, 100, ""},
+		{"within the maximum wait", func(operator *settings.Operator) { operator.Cells.MaxWait = time.Hour }, nil, 100, ""},
+		{"its deadline is far off", nil, func(j *wire.Job) { j.DeadlineS = secondsPtr(7200) }, 100, ""},
+		{"its deadline is near", func(operator *settings.Operator) { operator.Cells.MaxWait = time.Hour }, func(j *wire.Job) { j.DeadlineS = secondsPtr(60) }, 100, "offer job-2/1"},
+		{"exceeds the limit of its team", nil, func(j *wire.Job) { j.Team = "tight" }, 100, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newCellHarness(t, c.change, settings.Team{Name: "t"}, settings.Team{Name: "tight", CPUsMax: 1})
-			running := g.fillMachine("job-1")
+			h := newCellHarness(t, c.change, settings.Team{Name: "t"}, settings.Team{Name: "tight", CPUsMax: 1})
+			running := h.fillMachine("job-1")
 			j := newTestJob("job-2", 2, 1)
-			if c.job != nil {
-				c.job(j)
+			if c.changeJob != nil {
+				c.changeJob(j)
 			}
-			g.submit(j)
-			g.want("offered", strings.Join(g.offersAfterShortage(c.room, running), ", "), c.want)
+			h.submit(j)
+			h.want("messages to the neighbour", strings.Join(h.offersAfterShortage(c.offeredCores, running), ", "), c.want)
 		})
 	}
 }
 
 func secondsPtr(s float64) *float64 { return &s }
 
-// TestDelegatedJob follows a job through the neighbour to its end: it is charged to its team,
-// never placed here, and has ended when its end is durable here.
+// TestDelegatedJob checks a delegated job up to its end: it counts against its team's limit, is
+// never placed here, and has ended once its terminal state is durable here.
 func TestDelegatedJob(t *testing.T) {
-	g := newCellHarness(t, nil, settings.Team{Name: "t"}, settings.Team{Name: "tight", CPUsMax: 3})
+	h := newCellHarness(t, nil, settings.Team{Name: "t"}, settings.Team{Name: "tight", CPUsMax: 3})
 	tight := func(jobID string) *wire.Job {
 		j := newTestJob(jobID, 2, 1)
 		j.Team = "tight"
 		return j
 	}
-	running := g.fillMachine("job-1")
-	g.submit(tight("job-2"))
-	g.want("offered", len(g.offersAfterShortage(100, running)), 1)
-	g.want("its record", g.writesByKey[ledger.DelegatedKey("job-2")].Value.(federation.DelegatedRecord).State, federation.Offered)
-	answer := func(o federation.Outcome, running int) {
-		g.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: o, Running: running}}})
+	running := h.fillMachine("job-1")
+	h.submit(tight("job-2"))
+	h.want("number of offers", len(h.offersAfterShortage(100, running)), 1)
+	h.want("state of the transfer record", h.writesByKey[ledger.DelegatedKey("job-2")].Value.(federation.DelegatedRecord).State, federation.Offered)
+	answer := func(outcome federation.Outcome, running int) {
+		h.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: outcome, Running: running}}})
 	}
 	answer(federation.OutcomeAccepted, 2)
-	g.want("told while it runs there", g.jobStatus("job-2"), wire.JobRunning)
-	g.bringUp("vm-2")
-	g.submit(tight("job-3"))
-	g.want("started within the limit of both cells", len(g.startCommands()), 1)
+	h.want("job status while it runs at the neighbour", h.jobStatus("job-2"), wire.JobRunning)
+	h.bringUp("vm-2")
+	h.submit(tight("job-3"))
+	h.want("tasks started within the team limit over both cells", len(h.startCommands()), 1)
 	answer(federation.OutcomeDone, 0)
-	g.want("told in the end", g.jobStatus("job-2"), wire.JobDone)
-	g.advance(time.Second)
-	if send, ok := lastEffect[SendTransfers](g); !ok || send.Messages[0].Kind != federation.Release {
-		t.Errorf("after the end: %+v", send)
+	h.want("job status after its end", h.jobStatus("job-2"), wire.JobDone)
+	h.advance(time.Second)
+	if send, ok := lastEffect[SendTransfers](h); !ok || send.Messages[0].Kind != federation.Release {
+		t.Errorf("messages after the end: %+v, want a release", send)
 	}
 	answer(federation.OutcomeReleased, 0)
-	if w := g.writesByKey[ledger.DelegatedKey("job-2")]; w.Value != nil {
-		t.Errorf("the record stays: %+v", w.Value)
+	if write := h.writesByKey[ledger.DelegatedKey("job-2")]; write.Value != nil {
+		t.Errorf("transfer record after the release: %+v, want none", write.Value)
 	}
 }
 
-// TestCancelOfADelegatedJob: the cancellation of a delegated job is confirmed when the neighbour
-// has it, and refused at once while that does not respond.
+// TestCancelOfADelegatedJob checks that the cancellation of a delegated job is confirmed once the
+// neighbour has stored it, and refused at once while the neighbour is unreachable.
 func TestCancelOfADelegatedJob(t *testing.T) {
-	for _, silent := range []bool{false, true} {
-		g := newCellHarness(t, nil)
-		running := g.fillMachine("job-1")
-		g.submit(newTestJob("job-2", 1, 1))
-		g.offersAfterShortage(100, running)
-		g.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: federation.OutcomeAccepted}}})
-		if silent {
-			g.step(TransferResult{Cell: "puno", Err: errUnreachable})
+	for _, unreachable := range []bool{false, true} {
+		h := newCellHarness(t, nil)
+		running := h.fillMachine("job-1")
+		h.submit(newTestJob("job-2", 1, 1))
+		h.offersAfterShortage(100, running)
+		h.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: federation.OutcomeAccepted}}})
+		if unreachable {
+			h.step(TransferResult{Cell: "puno", Err: errUnreachable})
 		}
-		g.otherEffects = nil
-		g.step(CancelRequest{JobID: "job-2", ReplyTo: testRecipient("u")})
-		told, ok := lastEffect[UserReply](g)
-		g.want("told at once", ok, silent)
-		g.want("as unreachable", told.CellUnreachable, silent)
-		g.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: federation.OutcomeCancelled}}})
-		g.want("in the end", g.jobStatus("job-2"), wire.JobCancelled)
+		h.otherEffects = nil
+		h.step(CancelRequest{JobID: "job-2", ReplyTo: testRecipient("u")})
+		reply, ok := lastEffect[UserReply](h)
+		h.want("immediate reply", ok, unreachable)
+		h.want("reply that the cell is unreachable", reply.CellUnreachable, unreachable)
+		h.step(TransferResult{Cell: "puno", Answers: []federation.Answer{{JobID: "job-2", Epoch: 1, Outcome: federation.OutcomeCancelled}}})
+		h.want("job status after the answer", h.jobStatus("job-2"), wire.JobCancelled)
 	}
 }
 
-// TestUnknownTransfer: a job whose transfer's record can't be read may run elsewhere. It
-// was not started here, but its cancellation was confirmed.
+// TestUnknownTransfer: a job whose transfer record can't be read may run in another cell. It was
+// rightly not started here, but its cancellation was confirmed although it might still have run.
 func TestUnknownTransfer(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 1, Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}}},
+	h := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 1, Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}}},
 		Delegated: []ledger.SavedDelegated{{JobID: "job-1", Unknown: true}}}, settings.Team{Name: "t", CPUsMax: 1.5})
-	g.bringUp("vm-1")
-	g.want("started", len(g.startCommands()), 0)
-	g.submit(newTestJob("job-2", 1, 1))
-	g.want("started of the rest of the team's limit", len(g.startCommands()), 0)
-	g.submit(newTestJob("job-3", 1, 0.5))
-	g.want("started beside it", len(g.startCommands()), 1)
-	g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
-	told, _ := lastEffect[UserReply](g)
-	g.want("told as unreachable", told.CellUnreachable, true)
-	g.want("its state", g.jobStatus("job-1"), wire.JobQueued)
+	h.bringUp("vm-1")
+	h.want("started tasks of the job", len(h.startCommands()), 0)
+	h.submit(newTestJob("job-2", 1, 1))
+	h.want("started tasks beyond the rest of the team limit", len(h.startCommands()), 0)
+	h.submit(newTestJob("job-3", 1, 0.5))
+	h.want("started tasks within the rest of the team limit", len(h.startCommands()), 1)
+	h.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+	reply, _ := lastEffect[UserReply](h)
+	h.want("reply that the cell is unreachable", reply.CellUnreachable, true)
+	h.want("job status", h.jobStatus("job-1"), wire.JobQueued)
 }
 
-// TestCapacityOffers: the capacity that another cell is offered.
+// TestCapacityOffers checks how much capacity is offered to another cell.
 func TestCapacityOffers(t *testing.T) {
 	cases := []struct {
 		name   string
-		change func(o *settings.Operator)
+		change func(operator *settings.Operator)
 		teams  []settings.Team
-		before func(g *harness)
-		home   string
-		ask    float64
+		before func(h *harness)
+		origin string
+		cores  float64
 		want   float64
-		why    string
+		reason string
 	}{
-		{"what is free", nil, nil, nil, "puno", 100, 4, ""},
-		{"no more than asked for", nil, nil, nil, "puno", 1, 1, ""},
-		{"what could be hired as well, up to what may be lent", func(o *settings.Operator) { o.MaxMachines = 9 }, nil, nil, "puno", 100, 12, ""},
-		{"a stranger", nil, nil, nil, "cusco", 100, 0, "not a neighbour"},
-		{"a relation that is being drained", func(o *settings.Operator) { o.Cells.Neighbours[0].Draining = true }, nil, nil, "puno", 100, 0, "drained"},
-		{"nothing is lent", func(o *settings.Operator) { o.Cells.Neighbours[0].MaxOfferedCores = 0 }, nil, nil, "puno", 100, 0, "own work"},
-		{"this cell's own work waits", nil, nil, func(g *harness) { g.fillMachine("job-1"); g.submit(newTestJob("job-2", 1, 1)) }, "puno", 100, 0, "own work"},
-		{"what is guaranteed to a team", nil, []settings.Team{{Name: "t"}, {Name: "sure", CPUs: 3}}, nil, "puno", 100, 1, ""},
+		{"free cores", nil, nil, nil, "puno", 100, 4, ""},
+		{"no more than requested", nil, nil, nil, "puno", 1, 1, ""},
+		{"cores that could be rented, up to the maximum offer", func(operator *settings.Operator) { operator.MaxMachines = 9 }, nil, nil, "puno", 100, 12, ""},
+		{"unknown origin", nil, nil, nil, "cusco", 100, 0, "not a neighbour"},
+		{"neighbour that is being drained", func(operator *settings.Operator) { operator.Cells.Neighbours[0].Draining = true }, nil, nil, "puno", 100, 0, "drained"},
+		{"maximum offer of zero", func(operator *settings.Operator) { operator.Cells.Neighbours[0].MaxOfferedCores = 0 }, nil, nil, "puno", 100, 0, "own work"},
+		{"waiting tasks of this cell", nil, nil, func(h *harness) { h.fillMachine("job-1"); h.submit(newTestJob("job-2", 1, 1)) }, "puno", 100, 0, "own work"},
+		{"cores guaranteed to a team", nil, []settings.Team{{Name: "t"}, {Name: "sure", CPUs: 3}}, nil, "puno", 100, 1, ""},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newCellHarness(t, c.change, c.teams...)
+			h := newCellHarness(t, c.change, c.teams...)
 			if c.before != nil {
-				c.before(g)
+				c.before(h)
 			}
-			g.step(CapacityRequest{Origin: c.home, Cores: c.ask, ReplyTo: testRecipient("r")})
-			answer, _ := lastEffect[CapacityReply](g)
-			if answer.Cores != c.want || !strings.Contains(answer.Reason, c.why) || (answer.Cores == 0) != (answer.RetryAfter > 0) {
-				t.Errorf("%+v, want %v cores, %q", answer, c.want, c.why)
+			h.step(CapacityRequest{Origin: c.origin, Cores: c.cores, ReplyTo: testRecipient("r")})
+			reply, _ := lastEffect[CapacityReply](h)
+			if reply.Cores != c.want || !strings.Contains(reply.Reason, c.reason) || (reply.Cores == 0) != (reply.RetryAfter > 0) {
+				t.Errorf("%+v, want %v cores and reason %q", reply, c.want, c.reason)
 			}
 		})
 	}
 }
 
-// offerForeignJob is another cell's offer.
-func offerForeignJob(g *harness, jobID, job string) federation.Outcome {
-	m := federation.Message{Kind: federation.Offer, JobID: jobID, Epoch: 1, Body: &federation.OfferBody{Job: []byte(job), Cores: 1}}
-	g.step(TransferRequest{Origin: "puno", Messages: []federation.Message{m}, ReplyTo: testRecipient("r")})
-	if put, ok := lastEffect[WriteForeign](g); ok && put.Write.Key.JobID == jobID {
-		g.step(ForeignWriteResult{Write: put.Write, Job: put.Job, Version: 9})
+// offerForeignJob offers a job of another cell, completes the write that follows, and returns the
+// outcome.
+func offerForeignJob(h *harness, jobID, description string) federation.Outcome {
+	m := federation.Message{Kind: federation.Offer, JobID: jobID, Epoch: 1, Body: &federation.OfferBody{Job: []byte(description), Cores: 1}}
+	h.step(TransferRequest{Origin: "puno", Messages: []federation.Message{m}, ReplyTo: testRecipient("r")})
+	if put, ok := lastEffect[WriteForeign](h); ok && put.Write.Key.JobID == jobID {
+		h.step(ForeignWriteResult{Write: put.Write, Job: put.Job, Version: 9})
 	}
-	g.step(TransferRequest{Origin: "puno", Messages: []federation.Message{{Kind: federation.Status, JobID: jobID, Epoch: 1}}, ReplyTo: testRecipient("r")})
-	answer, _ := lastEffect[TransferReply](g)
-	return answer.Answers[0].Outcome
+	h.step(TransferRequest{Origin: "puno", Messages: []federation.Message{{Kind: federation.Status, JobID: jobID, Epoch: 1}}, ReplyTo: testRecipient("r")})
+	reply, _ := lastEffect[TransferReply](h)
+	return reply.Answers[0].Outcome
 }
 
-// TestForeignJobs: which offers are accepted. A foreign job runs after this cell's own jobs, is
-// unknown to users here, and is not delegated further.
+// TestForeignJobs checks which offers are accepted. A foreign job is placed after this cell's own
+// jobs of the same priority, is not visible to users here, and is not delegated further.
 func TestForeignJobs(t *testing.T) {
 	const described = `{"ref":"%s","lane":"c","owner":"t","shape":"batch","urgency":"high","pieces":1,"vcpus":%v,"gpus":0,"mem_gb":1,"bundle":"i","size_gb":1,
 		"flavors":null,"room":%s,"together":false,"spread":false,"loaners":true,"guess_s":9,"snapshot_s":0,"flush_s":0,"due_s":60,"waits_on":%s}`
-	g := newCellHarness(t, nil)
-	g.submit(newTestJob("job-1", 1, 1))
-	none := offerForeignJob(g, "job-80", fmt.Sprintf(described, "job-80", 1, "null", "[]"))
-	g.want("without a promise of room", none, federation.OutcomeRefused)
-	g.step(CapacityRequest{Origin: "puno", Cores: 3, ReplyTo: testRecipient("r")})
+	h := newCellHarness(t, nil)
+	h.submit(newTestJob("job-1", 1, 1))
+	outcome := offerForeignJob(h, "job-80", fmt.Sprintf(described, "job-80", 1, "null", "[]"))
+	h.want("offer without credit", outcome, federation.OutcomeRefused)
+	h.step(CapacityRequest{Origin: "puno", Cores: 3, ReplyTo: testRecipient("r")})
 	cases := []struct {
-		name, ref, job string
-		want           federation.Outcome
+		name, jobID, description string
+		want                     federation.Outcome
 	}{
-		{"a name that is known here", "job-1", fmt.Sprintf(described, "job-1", 1, "null", "[]"), federation.OutcomeRefused},
-		{"another job's description", "job-81", fmt.Sprintf(described, "job-82", 1, "null", "[]"), federation.OutcomeRefused},
-		{"what is no job", "job-83", `{"ref":"job-83"}`, federation.OutcomeRefused},
+		{"job ID that exists here", "job-1", fmt.Sprintf(described, "job-1", 1, "null", "[]"), federation.OutcomeRefused},
+		{"description of another job", "job-81", fmt.Sprintf(described, "job-82", 1, "null", "[]"), federation.OutcomeRefused},
+		{"invalid description", "job-83", `{"ref":"job-83"}`, federation.OutcomeRefused},
 		{"bound to a zone", "job-84", fmt.Sprintf(described, "job-84", 1, `"a"`, "[]"), federation.OutcomeRefused},
-		{"waits for a job of its home", "job-85", fmt.Sprintf(described, "job-85", 1, "null", `["job-1"]`), federation.OutcomeRefused},
-		{"fits no machine", "job-86", fmt.Sprintf(described, "job-86", 64, "null", "[]"), federation.OutcomeRefused},
-		{"within the promise", "job-87", fmt.Sprintf(described, "job-87", 2, "null", "[]"), federation.OutcomeAccepted},
-		{"beyond it", "job-88", fmt.Sprintf(described, "job-88", 2, "null", "[]"), federation.OutcomeRefused},
+		{"has a dependency at its origin", "job-85", fmt.Sprintf(described, "job-85", 1, "null", `["job-1"]`), federation.OutcomeRefused},
+		{"fits no machine type", "job-86", fmt.Sprintf(described, "job-86", 64, "null", "[]"), federation.OutcomeRefused},
+		{"within the credit", "job-87", fmt.Sprintf(described, "job-87", 2, "null", "[]"), federation.OutcomeAccepted},
+		{"beyond the credit", "job-88", fmt.Sprintf(described, "job-88", 2, "null", "[]"), federation.OutcomeRefused},
 	}
 	for _, c := range cases {
-		g.want(c.name, offerForeignJob(g, c.ref, c.job).String(), c.want.String())
+		h.want(c.name, offerForeignJob(h, c.jobID, c.description).String(), c.want.String())
 	}
-	g.step(StatusRequest{JobID: "job-87", ReplyTo: testRecipient("u")})
-	told, _ := lastEffect[UserReply](g)
-	g.want("its state is told to users here", told.Known, false)
-	guest := g.core.jobs.list[g.core.jobs.indexByID["job-87"]]
-	g.want("it may leave", g.core.delegations.mayDelegate(guest), false)
-	own := newTestJob("job-2", 4, 1)
-	own.Priority = "high"
-	guest.progress.allocated, guest.progress.waiting = 0, []int32{0} // as if it waited
-	g.submit(own)
+	h.step(StatusRequest{JobID: "job-87", ReplyTo: testRecipient("u")})
+	reply, _ := lastEffect[UserReply](h)
+	h.want("visible to users here", reply.Known, false)
+	foreign := h.core.jobs.list[h.core.jobs.indexByID["job-87"]]
+	h.want("may be delegated further", h.core.delegations.mayDelegate(foreign), false)
+	ownJob := newTestJob("job-2", 4, 1)
+	ownJob.Priority = "high"
+	foreign.progress.allocated, foreign.progress.waiting = 0, []int32{0} // so that it waits in the queue
+	h.submit(ownJob)
 	var order []string
-	for _, j := range g.core.placement.sortedQueue() {
+	for _, j := range h.core.placement.sortedQueue() {
 		order = append(order, j.id)
 	}
-	g.want("the order of jobs of one priority", strings.Join(order, " "), "job-2 job-87")
+	h.want("queue order within one priority", strings.Join(order, " "), "job-2 job-87")
 }
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -33,52 +33,53 @@
 		jobs: &c.jobs, neighbours: &c.neighbours, offers: &c.offers, transfers: federation.NewForeignJobs(localJobs{c})}
 }
 
-// restore takes the transfers over from the ledger.
+// restore restores the transfers from the ledger.
 func (f *foreignJobs) restore(saved []ledger.SavedForeign) {
-	for _, g := range saved {
-		f.transfers.Restore(g.Key, g.Record, g.Version)
+	for _, record := range saved {
+		f.transfers.Restore(record.Key, record.Record, record.Version)
 	}
 }
 
-// handleMessages takes the messages of another cell, and returns the answers.
+// handleMessages handles the messages of another cell and returns one answer for each.
 func (f *foreignJobs) handleMessages(origin string, messages []federation.Message) []federation.Answer {
 	answers := make([]federation.Answer, 0, len(messages))
 	for _, m := range messages {
-		a := f.transfers.HandleMessage(origin, m, f.clock.wallMS)
-		if a.Temporary {
-			a.RetryAfter = refusalRetryAfter
+		answer := f.transfers.HandleMessage(origin, m, f.clock.wallMS)
+		if answer.Temporary {
+			answer.RetryAfter = refusalRetryAfter
 		}
-		answers = append(answers, a)
+		answers = append(answers, answer)
 	}
 	return answers
 }
 
-// recordWritten takes the result of a write of a transfer's record.
-func (f *foreignJobs) recordWritten(e ForeignWriteResult) {
-	f.transfers.RecordWritten(e.Write.Key, e.Write.Record, e.Version, e.JobExists, f.clock.wallMS)
+// recordWritten handles the result of writing a transfer record.
+func (f *foreignJobs) recordWritten(result ForeignWriteResult) {
+	f.transfers.RecordWritten(result.Write.Key, result.Write.Record, result.Version, result.JobExists, f.clock.wallMS)
 }
 
-// writeRecord writes a foreign job's transfer record, with the job's own if it is accepted.
-func (f *foreignJobs) writeRecord(e federation.WriteForeign) {
-	put := WriteForeign{Write: e}
-	if e.Body != nil {
-		spec, err := wire.ParseJob(e.Body.Job)
+// writeRecord writes the transfer record of a foreign job. If the job is accepted, its own record
+// is written with it.
+func (f *foreignJobs) writeRecord(write federation.WriteForeign) {
+	effect := WriteForeign{Write: write}
+	if write.Body != nil {
+		spec, err := wire.ParseJob(write.Body.Job)
 		if err != nil {
-			f.log.Error("accepted foreign job malformed", "job", e.Key.JobID, "error", err)
+			f.log.Error("accepted foreign job malformed", "job", write.Key.JobID, "error", err)
 			return
 		}
-		put.Job = &ledger.JobRecord{Job: spec, AcceptedMS: e.Body.AcceptedMS, Origin: e.Key.Origin, TransferEpoch: e.Record.Epoch}
+		effect.Job = &ledger.JobRecord{Job: spec, AcceptedMS: write.Body.AcceptedMS, Origin: write.Key.Origin, TransferEpoch: write.Record.Epoch}
 	}
-	f.effects.emit(put)
+	f.effects.emit(effect)
 }
 
-// admit tells whether an offered job is accepted now, and else why not.
-func (f *foreignJobs) admit(origin, id string, body *federation.OfferBody) federation.Refusal {
-	n, ok := f.neighbours.cells.Find(origin)
+// admit decides whether an offered job is accepted. The zero Refusal means that it is.
+func (f *foreignJobs) admit(origin, jobID string, body *federation.OfferBody) federation.Refusal {
+	cell, ok := f.neighbours.cells.Find(origin)
 	switch {
-	case !ok || n.MaxOfferedCores <= 0:
+	case !ok || cell.MaxOfferedCores <= 0:
 		return federation.Refusal{Reason: "nothing is lent to cell " + origin}
-	case n.Draining:
+	case cell.Draining:
 		return federation.Refusal{Reason: "the relation is being drained"}
 	case !f.neighbours.transfersEnabled:
 		return federation.Refusal{Reason: "not all controllers here know transfers", Temporary: true}
@@ -87,7 +88,7 @@
 	if err != nil {
 		return federation.Refusal{Reason: "the job can't be read: " + err.Error()}
 	}
-	if reason := f.refusalReason(id, spec); reason != "" {
+	if reason := f.refusalReason(jobID, spec); reason != "" {
 		return federation.Refusal{Reason: reason}
 	}
 	if cores := spec.CPUs * float64(spec.Tasks); !f.offers.useCredit(origin, cores) {
@@ -96,18 +97,18 @@
 	return federation.Refusal{}
 }
 
-// refusalReason tells why a job of another cell can't run here at all; "": it can.
-func (f *foreignJobs) refusalReason(id string, spec *wire.Job) (reason string) {
-	if spec.ID != id {
+// refusalReason returns why a job of another cell can never run here, or "" if it can.
+func (f *foreignJobs) refusalReason(jobID string, spec *wire.Job) (reason string) {
+	if spec.ID != jobID {
 		return "the offer describes another job"
 	}
-	if _, known := f.jobs.indexByID[id]; known {
+	if _, known := f.jobs.indexByID[jobID]; known {
 		return "a job of this name is known here"
 	}
 	if len(spec.DependsOn) > 0 {
 		return "it waits for jobs of its home"
 	}
-	// The record with the cell's name must fit, with room for its end.
+	// The record must fit with the name of the origin, also after its terminal state is added.
 	if text, err := json.Marshal(spec); err != nil || len(text)+foreignRecordOverhead > f.cfg.MaxValueBytes {
 		return "its description is longer than can be recorded here"
 	}
@@ -125,5 +126,6 @@
 	return ""
 }
 
-// foreignRecordOverhead is the size of a record besides the description, its end included.
+// foreignRecordOverhead is the maximum size in bytes of a job record apart from the description,
+// including its terminal state.
 const foreignRecordOverhead = 320
--- a/internal/scheduler/neighbours.go
+++ b/internal/scheduler/neighbours.go
@@ -8,16 +8,16 @@
 	"leadproxy/internal/settings"
 )
 
-// neighbourTable is what this cell knows of its neighbours. It owns them and the exchanges with
-// them; a neighbour's fields are written by its own methods and those of the table.
+// neighbourTable holds the state of the neighbouring cells and of the exchanges with them. The
+// fields of a neighbour are written only by its own methods and by those of the table.
 type neighbourTable struct {
 	clock   *clock
 	log     *slog.Logger
 	effects *effects
 
 	cells settings.Cells
-	list  []*neighbour // in order of preference
-	// transfersEnabled tells whether every controller of this cell knows transfers.
+	list  []*neighbour // in the order of preference of the settings
+	// transfersEnabled is true once every controller of this cell supports transfers.
 	transfersEnabled bool
 }
 
@@ -29,31 +29,33 @@
 	return t
 }
 
-// neighbour is what the origin cell knows of another cell.
+// neighbour is the state that this cell keeps about another cell.
 type neighbour struct {
 	settings.Neighbour
-	outbox              []federation.Message // the newest for each job
-	exchanging          bool                 // an exchange is under way
-	unreachable         bool                 // the last exchange was not answered
-	capacityRequested   bool                 // a capacity request is under way
-	nextCapacityRequest time.Duration        // when the next one may be sent
-	credit              float64              // cores that it has offered and that are not used yet
-	creditExpiry        time.Duration        // when its offer expires
-	refusedJobs         map[string]bool      // jobs that it can't run, as it has said in this term
-	waitingLoggedAt     time.Duration        // when it was last logged that jobs wait for it
-	noCapacityReason    string               // why it last had no capacity
+	outbox              []federation.Message // queued messages, at most one per job
+	exchanging          bool                 // an exchange is in flight
+	unreachable         bool                 // the last exchange failed
+	capacityRequested   bool                 // a capacity request is in flight
+	nextCapacityRequest time.Duration        // earliest time of the next capacity request
+	credit              float64              // unused cores of its latest offer
+	creditExpiry        time.Duration        // when that offer expires
+	refusedJobs         map[string]bool      // jobs that it has permanently refused in this term
+	waitingLoggedAt     time.Duration        // when waiting jobs or a change of reachability were last logged
+	noCapacityReason    string               // why its latest offer was empty
 }
 
-// maxExchangeMessages bounds the messages of one exchange, and maxExchangeBytes the jobs in it.
+// The bounds of one exchange.
 const (
 	maxExchangeMessages = 256
-	maxExchangeBytes    = 1 << 20
+	// maxExchangeBytes bounds the total size of the job descriptions. A single larger one is sent
+	// alone.
+	maxExchangeBytes = 1 << 20
 )
 
-// enableTransfers notes that every controller of this cell knows transfers.
+// enableTransfers records that every controller of this cell supports transfers.
 func (t *neighbourTable) enableTransfers() { t.transfersEnabled = true }
 
-// find returns the neighbour of a name; nil if the settings do not name it.
+// find returns the neighbour with the given name, or nil if the settings do not list it.
 func (t *neighbourTable) find(cell string) *neighbour {
 	for _, n := range t.list {
 		if n.Name == cell {
@@ -63,12 +65,12 @@
 	return nil
 }
 
-// queueMessage has a message leave with the next exchange. A newer one about the same job
-// replaces it.
+// queueMessage queues a message for the next exchange with a cell. It replaces a queued message
+// about the same job.
 func (t *neighbourTable) queueMessage(cell string, m federation.Message) {
 	n := t.find(cell)
 	if n == nil {
-		return // the settings no longer name it
+		return // no longer in the settings
 	}
 	for i := range n.outbox {
 		if n.outbox[i].JobID == m.JobID {
@@ -79,8 +81,8 @@
 	n.outbox = append(n.outbox, m)
 }
 
-// sendQueuedMessages sends the queued messages. One exchange with each neighbour is under way at a
-// time; what is queued meanwhile is sent with the next.
+// sendQueuedMessages starts an exchange with each neighbour that has queued messages. At most one
+// exchange per neighbour is in flight; messages queued meanwhile are sent with the next one.
 func (t *neighbourTable) sendQueuedMessages() {
 	for _, n := range t.list {
 		if n.exchanging || len(n.outbox) == 0 {
@@ -93,7 +95,7 @@
 	}
 }
 
-// batchSize is how many of the queued messages are sent in one exchange.
+// batchSize returns the number of queued messages to send in the next exchange.
 func (n *neighbour) batchSize() int {
 	bytes := 0
 	for i, m := range n.outbox {
@@ -107,8 +109,8 @@
 	return len(n.outbox)
 }
 
-// endExchange notes that an exchange has ended, and tells whether the neighbour has become
-// unreachable with it.
+// endExchange records the result of an exchange and reports whether the neighbour has just become
+// unreachable.
 func (t *neighbourTable) endExchange(n *neighbour, err error) (lost bool) {
 	n.exchanging = false
 	unreachable := err != nil
@@ -124,49 +126,51 @@
 	return unreachable
 }
 
-// applyAnswer notes what an answer says of the neighbour's capacity.
-func (n *neighbour) applyAnswer(a federation.Answer, now time.Duration) {
+// applyAnswer updates the credit and the refused jobs from an answer. A temporary refusal also
+// postpones the next capacity request.
+func (n *neighbour) applyAnswer(answer federation.Answer, now time.Duration) {
 	switch {
-	case a.Outcome != federation.OutcomeRefused:
-	case a.Temporary:
-		n.nextCapacityRequest, n.credit = max(n.nextCapacityRequest, now+a.RetryAfter), 0
+	case answer.Outcome != federation.OutcomeRefused:
+	case answer.Temporary:
+		n.nextCapacityRequest, n.credit = max(n.nextCapacityRequest, now+answer.RetryAfter), 0
 	default:
-		n.refusedJobs[a.JobID] = true
+		n.refusedJobs[answer.JobID] = true
 	}
 }
 
-// capacityRequestInterval is the least time between two capacity requests to a neighbour.
+// capacityRequestInterval is the minimum interval between capacity requests to one neighbour.
 const capacityRequestInterval = 2 * time.Second
 
-// requestCapacity requests an offer of capacity.
+// requestCapacity sends a capacity request for a number of cores to a neighbour.
 func (t *neighbourTable) requestCapacity(n *neighbour, cores float64) {
 	n.capacityRequested = true
 	t.effects.emit(RequestCapacity{Cell: n.Name, Cores: cores})
 }
 
-// endCapacityRequest takes a neighbour's reply to a capacity request, and tells whether it has
-// offered any.
-func (t *neighbourTable) endCapacityRequest(n *neighbour, e CapacityResult) (offered bool) {
+// endCapacityRequest records the result of a capacity request and reports whether the neighbour
+// has offered any cores.
+func (t *neighbourTable) endCapacityRequest(n *neighbour, result CapacityResult) (offered bool) {
 	n.capacityRequested = false
-	n.nextCapacityRequest = t.clock.now + max(capacityRequestInterval, e.RetryAfter)
-	if e.Err != nil {
-		t.log.Debug("capacity request failed", "cell", n.Name, "error", e.Err)
+	n.nextCapacityRequest = t.clock.now + max(capacityRequestInterval, result.RetryAfter)
+	if result.Err != nil {
+		t.log.Debug("capacity request failed", "cell", n.Name, "error", result.Err)
 		return false
 	}
-	n.credit, n.creditExpiry = e.Cores, t.clock.now+e.For
-	if n.noCapacityReason != e.Reason {
-		n.noCapacityReason = e.Reason
-		if e.Reason != "" {
-			t.log.Info("neighbour offers no capacity", "cell", n.Name, "reason", e.Reason, "retry_after_s", e.RetryAfter.Seconds())
+	n.credit, n.creditExpiry = result.Cores, t.clock.now+result.For
+	if n.noCapacityReason != result.Reason {
+		n.noCapacityReason = result.Reason
+		if result.Reason != "" {
+			t.log.Info("neighbour offers no capacity", "cell", n.Name, "reason", result.Reason, "retry_after_s", result.RetryAfter.Seconds())
 		}
 	}
-	return e.Cores > 0
+	return result.Cores > 0
 }
 
-// useCredit takes cores from the neighbour's offer.
+// useCredit deducts cores from the credit.
 func (n *neighbour) useCredit(cores float64) { n.credit -= cores }
 
-// waitingLogDue tells whether it is to be logged that jobs wait for the neighbour.
+// waitingLogDue reports whether the jobs that wait for this unreachable neighbour are to be logged
+// now. If so, it starts the next interval.
 func (n *neighbour) waitingLogDue(now time.Duration) bool {
 	if !n.unreachable || now-n.waitingLoggedAt < waitingLogInterval {
 		return false
@@ -175,5 +179,6 @@
 	return true
 }
 
-// waitingLogInterval is how often that is logged.
+// waitingLogInterval is the interval at which jobs that wait for an unreachable neighbour are
+// logged.
 const waitingLogInterval = 30 * time.Second
--- a/internal/scheduler/plan_requests.go
+++ b/internal/scheduler/plan_requests.go
@@ -6,42 +6,44 @@
 	"leadproxy/internal/rollout"
 )
 
-// PlanStatus is a plan as operators see it.
+// PlanStatus is the state of a plan, for operators.
 type PlanStatus struct {
 	Record      rollout.Record
 	WaitReasons []string
 }
 
-// handleRequest creates or steers a plan. The reply follows when its record is durable.
-func (d *drainPlans) handleRequest(e PlanRequest) {
+// handleRequest creates a plan or applies a command to one. It replies once the plan's record is
+// durable, and at once on failure.
+func (d *drainPlans) handleRequest(request PlanRequest) {
 	var err error
-	name := e.Name
+	name := request.Name
 	switch {
 	case !d.disruptions.enabled():
 		err = errDrainingDisabled
-	case e.Spec != nil:
-		name = e.Spec.Name
-		err = d.create(*e.Spec)
+	case request.Spec != nil:
+		name = request.Spec.Name
+		err = d.create(*request.Spec)
 	case d.byName[name] == nil:
 		err = fmt.Errorf("%w: %q", errNoPlan, name)
 	default:
-		err = d.byName[name].rollout.Apply(e.Command, e.Argument, d.clock.wallMS)
+		err = d.byName[name].rollout.Apply(request.Command, request.Argument, d.clock.wallMS)
 	}
 	if err != nil {
-		d.effects.emit(PlanReply{ReplyTo: e.ReplyTo, Err: err})
+		d.effects.emit(PlanReply{ReplyTo: request.ReplyTo, Err: err})
 		return
 	}
 	p := d.byName[name]
 	p.recordTooLong = false
 	d.save(name, p)
 	if p.rollout.IsDurable() {
-		d.effects.emit(PlanReply{ReplyTo: e.ReplyTo})
+		d.effects.emit(PlanReply{ReplyTo: request.ReplyTo})
 		return
 	}
-	p.waiters = append(p.waiters, planWaiter{p.writtenGeneration, e.ReplyTo})
+	p.waiters = append(p.waiters, planWaiter{p.writtenGeneration, request.ReplyTo})
 }
 
-// create begins a plan whose machines no other plan has.
+// create starts a new plan. It fails if the name exists, if no machine is selected, or if another
+// plan that has not ended selects one of the machines.
 func (d *drainPlans) create(spec rollout.Spec) error {
 	if d.byName[spec.Name] != nil {
 		return fmt.Errorf("%w: %q", errPlanExists, spec.Name)
@@ -54,7 +56,7 @@
 		}
 		selected++
 		for _, name := range names {
-			if r, _ := d.byName[name].rollout.Record(); !r.Phase.Ended() && d.views.selects(&r, m) {
+			if otherRecord, _ := d.byName[name].rollout.Record(); !otherRecord.Phase.Ended() && d.views.selects(&otherRecord, m) {
 				return fmt.Errorf("%w: machine %s is in plan %q already", rollout.ErrInvalidPlan, m.name, name)
 			}
 		}
@@ -69,20 +71,20 @@
 	return nil
 }
 
-// handleListRequest lists the plans and the jobs that count as disrupted.
-func (d *drainPlans) handleListRequest(e PlanListRequest) {
-	list := PlanListReply{ReplyTo: e.ReplyTo, Term: d.term}
+// handleListRequest lists the plans and the disrupted jobs.
+func (d *drainPlans) handleListRequest(request PlanListRequest) {
+	reply := PlanListReply{ReplyTo: request.ReplyTo, Term: d.term}
 	if d.disruptions.enabled() {
 		for _, name := range d.names() {
 			p := d.byName[name]
-			r, _ := p.rollout.Record()
-			waits := p.rollout.WaitReasons()
+			record, _ := p.rollout.Record()
+			waitReasons := p.rollout.WaitReasons()
 			if p.recordTooLong {
-				waits = []string{"its record takes more than the state service lets a value hold"}
+				waitReasons = []string{"its record takes more than the state service lets a value hold"}
 			}
-			list.Plans = append(list.Plans, PlanStatus{r, waits})
+			reply.Plans = append(reply.Plans, PlanStatus{record, waitReasons})
 		}
-		list.Disrupted = d.disruptions.tracker.Disruptions(d.clock.now)
+		reply.Disrupted = d.disruptions.tracker.Disruptions(d.clock.now)
 	}
-	d.effects.emit(list)
+	d.effects.emit(reply)
 }
--- a/internal/scheduler/plan_views.go
+++ b/internal/scheduler/plan_views.go
@@ -6,7 +6,7 @@
 	"leadproxy/internal/rollout"
 )
 
-// planViews describes the present state to plans that drain machines. It owns nothing.
+// planViews builds the views of the present state that plans decide by. It owns nothing.
 type planViews struct {
 	term         uint64
 	clock        *clock
@@ -23,33 +23,33 @@
 		machines: &c.machines, agents: &c.agents, disruptions: &c.disruptions, replacements: &c.replacements}
 }
 
-// capacityKey is a job whose tasks are to leave a zone: whether there is room for one is determined
-// once a step.
+// capacityKey identifies a job whose tasks are to leave a zone. For each one, it is determined
+// once per view whether another machine has the capacity for a task.
 type capacityKey struct{ job, zone int32 }
 
-// build describes the present state to a plan.
+// build returns the view of the present state for a plan.
 func (v *planViews) build(p *plan) *rollout.View {
-	r, _ := p.rollout.Record()
-	room := map[capacityKey]bool{}
+	record, _ := p.rollout.Record()
+	hasCapacity := map[capacityKey]bool{}
 	view := &rollout.View{Now: v.clock.now, WallMS: v.clock.wallMS, MayDisrupt: v.disruptions.mayDisrupt(), RunningJobs: v.jobs.runningJobCounter()}
-	if r.Phase == rollout.PhaseSelecting {
+	if record.Phase == rollout.PhaseSelecting {
 		for _, m := range v.machines.live {
-			if v.selects(&r, m) {
-				view.Candidates = append(view.Candidates, v.machineView(m, room))
+			if v.selects(&record, m) {
+				view.Candidates = append(view.Candidates, v.machineView(m, hasCapacity))
 			}
 		}
 	}
-	for _, name := range r.Batch {
+	for _, name := range record.Batch {
 		if m := v.machines.find(name); m != nil {
-			view.Batch = append(view.Batch, v.machineView(m, room))
+			view.Batch = append(view.Batch, v.machineView(m, hasCapacity))
 		} else {
 			view.Batch = append(view.Batch, rollout.Machine{Name: name, Gone: view.MayDisrupt})
 		}
 	}
-	if r.ScaleOutRequestID != "" {
-		view.Rented = v.replacements.rentedForPlan(&r)
+	if record.ScaleOutRequestID != "" {
+		view.Rented = v.replacements.rentedForPlan(&record)
 	}
-	for _, name := range r.Replacements {
+	for _, name := range record.Replacements {
 		if m := v.machines.find(name); m != nil {
 			view.Replacements = append(view.Replacements, v.replacementView(m))
 		} else {
@@ -59,67 +59,68 @@
 	return view
 }
 
-// selects tells whether a machine is one of a plan's: it matches, and was rented before the plan
-// was made.
-func (v *planViews) selects(r *rollout.Record, m *machine) bool {
+// selects reports whether a plan selects a machine: it matches the specification and was rented
+// before the plan was created.
+func (v *planViews) selects(record *rollout.Record, m *machine) bool {
 	if m.state == machineGone || m.state == machineDeleting || m.zone < 0 {
 		return false
 	}
 	rentedMS := v.clock.wallMS - (v.clock.now - m.rental.rentedAt).Milliseconds()
-	return rentedMS <= r.CreatedMS && r.Spec.Selects(m.name, m.typeName, v.machines.zones.list[m.zone])
+	return rentedMS <= record.CreatedMS && record.Spec.Selects(m.name, m.typeName, v.machines.zones.list[m.zone])
 }
 
-// isEmpty tells whether a machine is proved to run nothing, and nothing that was sent there
-// may still start.
+// isEmpty reports whether it is proven that a machine runs no task and that no start command sent
+// to it can still take effect.
 func (v *planViews) isEmpty(m *machine) bool {
 	runsNothing := m.trusted(v.term) && len(m.capacity.allocations) == 0 && len(m.recorded.inDoubtJobs) == 0
 	return runsNothing && m.commands.idle()
 }
 
-// machineView is a machine as a plan sees it.
-func (v *planViews) machineView(m *machine, room map[capacityKey]bool) rollout.Machine {
-	out := rollout.Machine{Name: m.name, Empty: v.isEmpty(m), Gone: m.state == machineGone}
+// machineView returns the view of a machine.
+func (v *planViews) machineView(m *machine, hasCapacity map[capacityKey]bool) rollout.Machine {
+	view := rollout.Machine{Name: m.name, Empty: v.isEmpty(m), Gone: m.state == machineGone}
 	if m.state == machineDeleting && len(m.capacity.allocations) == 0 {
-		out.Empty = true
+		view.Empty = true
 	}
-	for _, b := range m.capacity.allocations {
-		if j := v.jobs.list[b.job]; j.spec != nil && !j.ended() {
-			out.Tasks = append(out.Tasks, v.taskView(m, j, b, room))
+	for _, alloc := range m.capacity.allocations {
+		if j := v.jobs.list[alloc.job]; j.spec != nil && !j.ended() {
+			view.Tasks = append(view.Tasks, v.taskView(m, j, alloc, hasCapacity))
 		}
 	}
-	return out
+	return view
 }
 
-// taskView is a task as a plan sees it.
-func (v *planViews) taskView(m *machine, j *job, b *allocation, room map[capacityKey]bool) rollout.Task {
+// taskView returns the view of a task. A task that outlives its estimate is expected to run for at
+// least a quarter of it.
+func (v *planViews) taskView(m *machine, j *job, alloc *allocation, hasCapacity map[capacityKey]bool) rollout.Task {
 	key := capacityKey{j.index, m.zone}
-	if _, known := room[key]; !known {
-		room[key] = v.hasCapacityElsewhere(m, j)
+	if _, known := hasCapacity[key]; !known {
+		hasCapacity[key] = v.hasCapacityElsewhere(m, j)
 	}
-	t := rollout.Task{Job: rolloutJob(j), Index: int(b.task), RemainingRun: v.estimates.expectedRun(j), Slack: j.slack(v.clock.now), Stopping: b.stopping, FitsElsewhere: room[key]}
-	if b.runningSince > 0 {
-		ran := v.clock.now - b.runningSince
-		t.RemainingRun = max(t.RemainingRun-ran, t.RemainingRun/4)
+	view := rollout.Task{Job: rolloutJob(j), Index: int(alloc.task), RemainingRun: v.estimates.expectedRun(j), Slack: j.slack(v.clock.now), Stopping: alloc.stopping, FitsElsewhere: hasCapacity[key]}
+	if alloc.runningSince > 0 {
+		ran := v.clock.now - alloc.runningSince
+		view.RemainingRun = max(view.RemainingRun-ran, view.RemainingRun/4)
 		if j.spec.CheckpointIntervalS <= 0 {
-			t.LostProgress = ran
+			view.LostProgress = ran
 		}
 	}
-	return t
+	return view
 }
 
-// hasCapacityElsewhere tells whether there is room for a job's task on another machine now; for a job
-// with gang scheduling, in its zone.
+// hasCapacityElsewhere reports whether another machine can run a task of a job now; for a
+// gang-scheduled job, a machine of the same zone.
 func (v *planViews) hasCapacityElsewhere(from *machine, j *job) bool {
 	return slices.ContainsFunc(v.machines.live, func(m *machine) bool {
 		return m != from && v.agents.schedulable(m) && j.allowsMachine(m.typeIndex, m.zone, m.spot) && j.request.size.Within(m.capacity.free) && (!j.spec.Gang || m.zone == from.zone)
 	})
 }
 
-// replacementView is a machine that was rented for a plan, as the plan sees it.
+// replacementView returns the view of a machine that was rented as a replacement.
 func (v *planViews) replacementView(m *machine) rollout.Replacement {
-	r := rollout.Replacement{Name: m.name, Failed: m.state == machineGone || m.state == machineDeleting || m.health.quarantined}
+	view := rollout.Replacement{Name: m.name, Failed: m.state == machineGone || m.state == machineDeleting || m.health.quarantined}
 	if v.agents.schedulable(m) && m.agent.EpochSeenAt() > 0 {
-		r.HealthyFor = max(1, v.clock.now-m.agent.EpochSeenAt())
+		view.HealthyFor = max(1, v.clock.now-m.agent.EpochSeenAt())
 	}
-	return r
+	return view
 }
--- a/internal/scheduler/replacements.go
+++ b/internal/scheduler/replacements.go
@@ -10,8 +10,8 @@
 	"leadproxy/internal/rollout"
 )
 
-// replacements rents machines in place of those that plans drain. It owns which machines were
-// rented for them.
+// replacements rents machines that replace those that plans drain. It owns the record of which
+// machines were rented by which request.
 type replacements struct {
 	clock       *clock
 	types       *machineTypes
@@ -20,7 +20,7 @@
 	scaleOuts   *scaleOutRequests
 	disruptions *disruptionMonitor
 
-	// rented are the machines of scale-outs for replacements, by request.
+	// rented has the machines of the completed scale-outs for replacements, by request ID.
 	rented map[string][]string
 }
 
@@ -29,12 +29,13 @@
 		scaleOuts: &c.scaleOuts, disruptions: &c.disruptions}
 }
 
-// scaleOutsFor are the scale-outs for a plan's replacements: one for each kind of machine, in
-// parts of the size that the cloud accepts. They are none until all of the machines are known: a
-// request that is made once for fewer machines can't be extended later.
-func (r *replacements) scaleOutsFor(request string, like []string) map[string]autoscaler.PlannedScaleOut {
+// scaleOutsFor returns the scale-outs for a plan's replacements by request ID: one or more per
+// capacity pool, each of at most the size that the cloud accepts. It returns nil until all of the
+// replaced machines are known, because a request that was made for fewer machines can't be
+// extended later.
+func (r *replacements) scaleOutsFor(requestID string, replaced []string) map[string]autoscaler.PlannedScaleOut {
 	counts := map[autoscaler.CapacityPool]int{}
-	for _, name := range like {
+	for _, name := range replaced {
 		m := r.machines.find(name)
 		switch {
 		case m != nil && m.typeIndex >= 0 && m.zone >= 0:
@@ -44,31 +45,32 @@
 		}
 	}
 	requests := map[string]autoscaler.PlannedScaleOut{}
-	for offer, n := range counts {
-		for part := 0; n > 0; part++ {
-			count := min(n, autoscaler.MaxScaleOut)
-			name := fmt.Sprintf("%s-%s-%s-%t-%d", request, r.types.list[offer.Type].Name, r.machines.zones.list[offer.Zone], offer.Spot, part)
-			requests[name] = autoscaler.PlannedScaleOut{Pool: offer, Count: count, Reason: "to replace machines that are drained"}
-			n -= count
+	for pool, remaining := range counts {
+		for part := 0; remaining > 0; part++ {
+			count := min(remaining, autoscaler.MaxScaleOut)
+			name := fmt.Sprintf("%s-%s-%s-%t-%d", requestID, r.types.list[pool.Type].Name, r.machines.zones.list[pool.Zone], pool.Spot, part)
+			requests[name] = autoscaler.PlannedScaleOut{Pool: pool, Count: count, Reason: "to replace machines that are drained"}
+			remaining -= count
 		}
 	}
 	return requests
 }
 
-// rentReplacements rents replacements. A request that the cloud has refused is repeated under its
-// name when the pool may be used again.
-func (r *replacements) rentReplacements(a rollout.RentReplacements) {
-	requests := r.scaleOutsFor(a.RequestID, a.Replaced)
+// rentReplacements starts the scale-outs of an action. A scale-out that the cloud has refused is
+// repeated under the same request ID once the back-off of its pool has ended.
+func (r *replacements) rentReplacements(action rollout.RentReplacements) {
+	requests := r.scaleOutsFor(action.RequestID, action.Replaced)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
-		w := requests[name]
-		if r.scaleOuts.byID[name] != nil || r.rented[name] != nil || r.clock.now < r.pools.state(w.Pool).blockedUntil {
+		scaleOut := requests[name]
+		if r.scaleOuts.byID[name] != nil || r.rented[name] != nil || r.clock.now < r.pools.state(scaleOut.Pool).blockedUntil {
 			continue
 		}
-		r.scaleOuts.startWithID(name, w)
+		r.scaleOuts.startWithID(name, scaleOut)
 	}
 }
 
-// rentedForPlan lists the machines of a plan's scale-outs, once all have a result.
+// rentedForPlan returns the machines of a plan's scale-outs, or nil until all of them have
+// completed.
 func (r *replacements) rentedForPlan(record *rollout.Record) (machines []string) {
 	requests := r.scaleOutsFor(record.ScaleOutRequestID, record.Batch)
 	for _, name := range slices.Sorted(maps.Keys(requests)) {
@@ -80,13 +82,14 @@
 	return machines
 }
 
-// recordRented records the machines of a scale-out, if it may be a plan's.
-func (r *replacements) recordRented(request string, machines []string) {
-	if !strings.HasPrefix(request, rollout.ScaleOutRequestPrefix) {
+// recordRented records the machines of a completed scale-out if its request ID may be that of a
+// plan.
+func (r *replacements) recordRented(requestID string, machines []string) {
+	if !strings.HasPrefix(requestID, rollout.ScaleOutRequestPrefix) {
 		return
 	}
 	if r.rented == nil {
 		r.rented = map[string][]string{}
 	}
-	r.rented[request] = machines
+	r.rented[requestID] = machines
 }
--- a/internal/scheduler/transfer_steps.go
+++ b/internal/scheduler/transfer_steps.go
@@ -2,15 +2,15 @@
 
 import "leadproxy/internal/federation"
 
-// TransferCounter names a counter of transfers' steps.
+// TransferCounter identifies a counter of transfer steps.
 type TransferCounter struct {
-	Cell string // the other one
-	// Outbound is set for jobs of this cell.
+	Cell string // the other cell
+	// Outbound is true for jobs of this cell and false for foreign jobs.
 	Outbound bool
 	Step     string
 }
 
-// transferSteps counts the steps of transfers and has them traced. It owns the counts.
+// transferSteps counts, logs and traces the steps of transfers. It owns the counts.
 type transferSteps struct {
 	effects *effects
 
@@ -21,12 +21,12 @@
 	return transferSteps{effects: &c.effects, counts: map[TransferCounter]int{}}
 }
 
-// trace counts a step and has it logged and traced.
-func (s *transferSteps) trace(n federation.TransferStep) {
-	count := TransferCounter{Cell: n.Cell, Outbound: true, Step: n.Step}
-	if n.Origin != "" {
-		count = TransferCounter{Cell: n.Origin, Step: n.Step}
+// trace counts a step and emits the effect that logs and traces it.
+func (s *transferSteps) trace(step federation.TransferStep) {
+	counter := TransferCounter{Cell: step.Cell, Outbound: true, Step: step.Step}
+	if step.Origin != "" {
+		counter = TransferCounter{Cell: step.Origin, Step: step.Step}
 	}
-	s.counts[count]++
-	s.effects.emit(TraceTransfer{n})
+	s.counts[counter]++
+	s.effects.emit(TraceTransfer{step})
 }
