--- a/internal/autoscaler/calls.go
+++ b/internal/autoscaler/calls.go
@@ -7,21 +7,21 @@
 	"leadproxy/internal/wire"
 )
 
-// Call is one request to the cloud; one of its first fields is set.
+// Call is one request to the cloud. Exactly one of ScaleOut, Delete, List and Types is set.
 type Call struct {
 	ScaleOut *wire.ScaleOutRequest
 	Delete   []string
 	List     bool
 	Types    bool
-	// MaySend is asked right before the call leaves: it may have waited for the cloud's rate. Nil: it
-	// may always be sent.
+	// MaySend is called right before the call is sent, because the call may have waited for the
+	// rate limit and no longer be allowed. Nil means that it may always be sent.
 	MaySend func() bool
 }
 
-// withheld tells whether the call must not leave any more.
+// withheld reports whether the call must no longer be sent.
 func (c *Call) withheld() bool { return c.MaySend != nil && !c.MaySend() }
 
-// callPriority orders calls by urgency.
+// callPriority is the urgency of a call.
 type callPriority int
 
 // The priorities, the most urgent first.
@@ -29,10 +29,10 @@
 	priorityDelete callPriority = iota
 	priorityScaleOut
 	priorityRead
-	priorityCount // how many there are
+	priorityCount // the number of priorities
 )
 
-// priority is the call's.
+// priority returns the urgency of the call.
 func (c *Call) priority() callPriority {
 	switch {
 	case c.Delete != nil:
@@ -46,26 +46,26 @@
 // Result is the outcome of a call.
 type Result struct {
 	Call     Call
-	Err      error // nil, or one that wraps an outcome
+	Err      error // nil, or an error that wraps one of the outcomes below
 	Machines []string
 	List     []wire.ListedMachine
 	Types    []wire.MachineType
 }
 
-// The outcomes besides success.
+// The outcomes of a call besides success.
 var (
 	ErrNoCapacity     = errors.New("the cloud has no capacity for this")
 	ErrNotExecuted    = errors.New("the cloud did not carry out the call")
 	ErrUnknownOutcome = errors.New("outcome of the cloud call is unknown")
 )
 
-// CallError says which call to the cloud failed, with which outcome and why.
+// CallError describes a failed call to the cloud. It wraps the outcome and the cause.
 type CallError struct {
 	Method, Path string
-	// Outcome is ErrNoCapacity, ErrNotExecuted or ErrUnknownOutcome, or nil if there was
-	// no call.
+	// Outcome is ErrNoCapacity, ErrNotExecuted or ErrUnknownOutcome, or nil if the request could
+	// not be built.
 	Outcome error
-	// Cause is nil if the outcome says it all.
+	// Cause is the underlying error, or nil if there is none besides the outcome.
 	Cause error
 }
 
@@ -77,7 +77,7 @@
 	return text
 }
 
-// Unwrap returns the outcome and the cause.
+// Unwrap returns the outcome and the cause, as far as they are set.
 func (e *CallError) Unwrap() []error {
 	var errs []error
 	for _, err := range []error{e.Outcome, e.Cause} {
@@ -88,9 +88,9 @@
 	return errs
 }
 
-// The protocol's bounds on one call.
+// The cloud protocol's limits on one call, in machines.
 const (
 	MaxScaleOut = 50
 	MaxDelete   = 100
-	maxList     = 500
+	maxList     = 500 // per page
 )
--- a/internal/autoscaler/client.go
+++ b/internal/autoscaler/client.go
@@ -9,40 +9,41 @@
 	"leadproxy/internal/wire"
 )
 
-// The sizes of the client's channels, and its connections to the cloud.
+// The sizes of the client's channels and of its connection pool.
 const (
 	callBuffer     = 256
 	resultBuffer   = 64
 	maxConnections = 8
 )
 
-// Client is the actor that makes the calls, in order of urgency: deletions,
-// scale-outs, then reads.
+// Client makes the calls to the cloud within a rate limit, in order of urgency: deletions,
+// scale-outs, then reads. Results arrive on Results.
 type Client struct {
 	baseURL        string
 	http           *http.Client
-	callsPerSecond float64 // calls a second
+	callsPerSecond float64
 	calls          chan Call
 	Results        chan Result
 }
 
-// NewClient makes a client with a share of the cloud's rate; Run starts it.
-func NewClient(n transport.Network, addr string, rate float64) *Client {
+// NewClient returns a client of the cloud at addr. rate is this controller's share of the cloud's
+// rate limit, in calls per second. The client makes calls only while Run runs.
+func NewClient(network transport.Network, addr string, rate float64) *Client {
 	return &Client{
 		baseURL:        "http://" + addr,
-		http:           transport.NewClient(n, maxConnections),
+		http:           transport.NewClient(network, maxConnections),
 		callsPerSecond: rate,
 		calls:          make(chan Call, callBuffer),
 		Results:        make(chan Result, resultBuffer),
 	}
 }
 
-// interval is the time from one call to the next.
+// interval returns the minimum time between the starts of two calls.
 func (c *Client) interval() time.Duration {
 	return time.Duration(float64(time.Second) / c.callsPerSecond)
 }
 
-// Submit hands a call over; it gives up only with ctx.
+// Submit queues a call. It blocks while the channel is full, until ctx ends.
 func (c *Client) Submit(ctx context.Context, call Call) {
 	select {
 	case c.calls <- call:
@@ -50,16 +51,16 @@
 	}
 }
 
-// callQueue holds calls that wait for the rate, by priority.
+// callQueue holds the calls that wait for the rate limit, by priority.
 type callQueue [priorityCount][]Call
 
-// push appends a call to those of its priority.
+// push appends a call to the calls of its priority.
 func (q *callQueue) push(call Call) {
 	priority := call.priority()
 	q[priority] = append(q[priority], call)
 }
 
-// isEmpty tells whether no call waits.
+// isEmpty reports whether no call waits.
 func (q *callQueue) isEmpty() bool {
 	for _, calls := range q {
 		if len(calls) > 0 {
@@ -69,7 +70,7 @@
 	return true
 }
 
-// pop removes the most urgent call of a queue that is not empty.
+// pop removes and returns the oldest of the most urgent calls. The queue must not be empty.
 func (q *callQueue) pop() Call {
 	for priority, calls := range q {
 		if len(calls) > 0 {
@@ -104,7 +105,7 @@
 	}
 }
 
-// execute makes one call and hands its result over.
+// execute makes one call and sends its result to Results.
 func (c *Client) execute(ctx context.Context, call Call) {
 	result := Result{Call: call}
 	switch {
--- a/internal/autoscaler/doc.go
+++ b/internal/autoscaler/doc.go
@@ -1,4 +1,5 @@
-// Package autoscaler is the client of the cloud, the estimate of demand and the planner of
-// scale-out. The client's goroutine owns the cloud's rate budget. Plan, which decides what to
-// rent, and DemandEstimator are pure. Scale-in is decided by the scheduler.
+// Package autoscaler contains the client of the cloud's API, the demand estimator and the scale-out
+// planner. The client's goroutine owns this controller's share of the cloud's rate limit. Plan,
+// which decides what to rent, and DemandEstimator do no I/O and read no clock. Scale-in is decided
+// by package scheduler.
 package autoscaler
--- a/internal/autoscaler/plan_input.go
+++ b/internal/autoscaler/plan_input.go
@@ -6,22 +6,22 @@
 	"leadproxy/internal/slowfit"
 )
 
-// CapacityPool is what machines are rented from: a type, in a zone, spot or on demand. Types
-// and zones are the caller's indices.
+// CapacityPool identifies what machines are rented from: a type in a zone, spot or on demand. Type
+// and Zone are indices assigned by the caller.
 type CapacityPool struct {
 	Type, Zone int32
 	Spot       bool
 }
 
-// PricedPool is a pool at its present price per hour.
+// PricedPool is a pool with its current price.
 type PricedPool struct {
 	CapacityPool
-	Price float64
-	// MaxCount is how many may be requested at once; 0: one call's worth.
+	Price float64 // per machine and hour
+	// MaxCount is the number of machines that may be requested at once. 0 means MaxScaleOut.
 	MaxCount int
 }
 
-// maxCount is how many may be requested at once.
+// maxCount returns the number of machines that may be requested at once.
 func (p *PricedPool) maxCount() int {
 	if p.MaxCount == 0 {
 		return MaxScaleOut
@@ -29,7 +29,7 @@
 	return p.MaxCount
 }
 
-// MachineType is a machine type as planning sees it.
+// MachineType is the part of a machine type that planning uses.
 type MachineType struct {
 	Total    slowfit.Size
 	BootTime time.Duration
@@ -44,71 +44,71 @@
 // RunningMachine is a machine that is up.
 type RunningMachine struct {
 	CapacityPool
-	// BusyCoreSeconds is the core-seconds that are left of what runs there.
+	// BusyCoreSeconds is the remaining work of the tasks on the machine, in core-seconds.
 	BusyCoreSeconds float64
 }
 
-// spotPool is the pool with the same machines as spot ones.
+// spotPool returns the spot pool of the same type and zone.
 func (p CapacityPool) spotPool() CapacityPool { return CapacityPool{p.Type, p.Zone, true} }
 
-// TaskGroup is a number of equal tasks that no present machine has room for.
+// TaskGroup is a number of equal queued tasks that no current machine has the free resources for.
 type TaskGroup struct {
 	Size    slowfit.Size
 	Count   int
 	RunTime time.Duration
-	Slack   time.Duration // how long it may wait and still end in time
+	Slack   time.Duration // how long its tasks may wait and still meet the deadline
 	Allows  func(CapacityPool) bool
 }
 
-// PlanInput is what a plan is made from.
+// PlanInput is the input of Plan.
 type PlanInput struct {
 	Types            []MachineType
 	Pools            []PricedPool
 	Running          []RunningMachine
 	Pending          []PendingMachine
 	Queued           []TaskGroup // in the order of the queue
-	ProvisionedCores float64     // of all machines, running and pending
-	MachineCount     int
-	MaxMachines      int     // 0: no bound
-	HeadroomCores    float64 // cores worth keeping, with spot machines
-	// HeadroomSizes are what the headroom should hold, the most wanted first. A later
-	// one counts only when no pool suits those before.
+	ProvisionedCores float64     // of all running and pending machines
+	MachineCount     int         // all machines that count against MaxMachines
+	MaxMachines      int         // 0 for no limit
+	HeadroomCores    float64     // cores to keep provisioned, with spot machines
+	// HeadroomSizes are the task sizes that the headroom should hold, the most important first.
+	// A later one is used only if no pool suits the earlier ones.
 	HeadroomSizes []slowfit.Size
 }
 
-// PlannedScaleOut is a decision to rent machines.
+// PlannedScaleOut is a decision to rent machines from a pool.
 type PlannedScaleOut struct {
 	Pool   CapacityPool
 	Count  int
 	Reason string
 }
 
-// slots is how many tasks of a size a machine of a pool holds.
-func (s *PlanInput) slots(pool CapacityPool, size slowfit.Size) int {
-	return size.Slots(s.Types[pool.Type].Total)
+// slots returns the number of tasks of a size that fit on an empty machine of a pool.
+func (p *PlanInput) slots(pool CapacityPool, size slowfit.Size) int {
+	return size.Slots(p.Types[pool.Type].Total)
 }
 
-// suits tells whether the machines of a pool can run the tasks of a group.
-func (s *PlanInput) suits(pool CapacityPool, g *TaskGroup) bool {
-	return g.Allows(pool) && s.slots(pool, g.Size) > 0
+// suits reports whether the machines of a pool can run the tasks of a group.
+func (p *PlanInput) suits(pool CapacityPool, group *TaskGroup) bool {
+	return group.Allows(pool) && p.slots(pool, group.Size) > 0
 }
 
-// minPendingShare is the least share of a pending machine's cores that counts, however long it
-// takes to boot.
+// minPendingShare is the smallest share of a pending machine's cores that counts as available,
+// however long the machine takes to boot.
 const minPendingShare = 0.2
 
-// availableCores is how many cores the running and pending machines that suit a group have for
-// it, on the mean, within so many seconds.
-func (s *PlanInput) availableCores(g *TaskGroup, seconds float64) float64 {
+// availableCores returns the cores that running and pending machines have available for a group, on
+// average over the given number of seconds from now.
+func (p *PlanInput) availableCores(group *TaskGroup, seconds float64) float64 {
 	cores := 0.0
-	for _, m := range s.Running {
-		if s.suits(m.CapacityPool, g) {
-			cores += max(0, s.Types[m.Type].Total.CPUs-m.BusyCoreSeconds/seconds)
+	for _, m := range p.Running {
+		if p.suits(m.CapacityPool, group) {
+			cores += max(0, p.Types[m.Type].Total.CPUs-m.BusyCoreSeconds/seconds)
 		}
 	}
-	for _, m := range s.Pending {
-		if s.suits(m.CapacityPool, g) {
-			machineType := s.Types[m.Type]
+	for _, m := range p.Pending {
+		if p.suits(m.CapacityPool, group) {
+			machineType := p.Types[m.Type]
 			cores += machineType.Total.CPUs * max(minPendingShare, 1-machineType.BootTime.Seconds()/2/seconds)
 		}
 	}
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -8,9 +8,9 @@
 	"leadproxy/internal/slowfit"
 )
 
-// Plan decides which machines to rent: for each group of queued tasks the pool with the least
-// price per task, as far as pending machines don't have room for it; then the
-// cheapest cores up to the learned demand.
+// Plan decides which machines to rent. Tasks in the queue that don't fit on pending machines get
+// machines from the pool with the lowest price per task. After that, it rents the cheapest cores up
+// to the headroom for the learned demand.
 func Plan(input PlanInput) []PlannedScaleOut {
 	p := planner{PlanInput: &input, scaleOuts: map[CapacityPool]*PlannedScaleOut{}, machinesLeft: math.MaxInt32}
 	if input.MaxMachines > 0 {
@@ -27,18 +27,18 @@
 	return plan
 }
 
-// planner is a plan in the making.
+// planner is the state of a plan while it is computed.
 type planner struct {
 	*PlanInput
 	scaleOuts map[CapacityPool]*PlannedScaleOut
-	order     []CapacityPool // of the scale-outs
-	// machinesLeft is how many more machines there may be.
+	order     []CapacityPool // keys of scaleOuts in the order in which they were added
+	// machinesLeft is the number of machines that may still be rented.
 	machinesLeft int
-	// queuedCoreSeconds is the work of the groups planned so far.
+	// queuedCoreSeconds is the work of the groups planned so far, including the current one.
 	queuedCoreSeconds float64
 }
 
-// requested is how many machines of a pool the plan has.
+// requested returns the number of machines of a pool in the plan.
 func (p *planner) requested(pool CapacityPool) int {
 	if p.scaleOuts[pool] == nil {
 		return 0
@@ -58,41 +58,41 @@
 }
 
 // planGroup plans machines for a group of tasks.
-func (p *planner) planGroup(g *TaskGroup) {
-	p.queuedCoreSeconds += float64(g.Count) * g.Size.CPUs * g.RunTime.Seconds()
-	tasks := p.assignToPending(g)
+func (p *planner) planGroup(group *TaskGroup) {
+	p.queuedCoreSeconds += float64(group.Count) * group.Size.CPUs * group.RunTime.Seconds()
+	tasks := p.assignToPending(group)
 	for tasks > 0 {
-		s := p.groupScaleOut(g, tasks)
-		machines := min(s.machines, p.machinesLeft)
+		scaleOut := p.groupScaleOut(group, tasks)
+		machines := min(scaleOut.machines, p.machinesLeft)
 		if machines <= 0 {
 			return
 		}
-		p.request(s.pool, machines, fmt.Sprintf("%d tasks queued", g.Count))
-		p.addPending(s.pool, machines, g.Size, tasks)
-		tasks -= max(s.tasksCovered, 1)
+		p.request(scaleOut.pool, machines, fmt.Sprintf("%d tasks queued", group.Count))
+		p.addPending(scaleOut.pool, machines, group.Size, tasks)
+		tasks -= max(scaleOut.tasksCovered, 1)
 	}
 }
 
-// assignToPending gives a group the room of pending machines, and returns how many of its
-// tasks have none.
-func (p *planner) assignToPending(g *TaskGroup) int {
-	tasks := g.Count
+// assignToPending assigns tasks of a group to the free resources of pending machines, and returns the
+// number of tasks that did not fit.
+func (p *planner) assignToPending(group *TaskGroup) int {
+	tasks := group.Count
 	for i := range p.Pending {
 		if tasks == 0 {
 			break
 		}
 		machine := &p.Pending[i]
-		if !g.Size.Within(machine.Free) || !g.Allows(machine.CapacityPool) {
+		if !group.Size.Within(machine.Free) || !group.Allows(machine.CapacityPool) {
 			continue
 		}
-		assigned := min(tasks, g.Size.Slots(machine.Free))
-		machine.Free = machine.Free.Minus(g.Size.Times(float64(assigned)))
+		assigned := min(tasks, group.Size.Slots(machine.Free))
+		machine.Free = machine.Free.Minus(group.Size.Times(float64(assigned)))
 		tasks -= assigned
 	}
 	return tasks
 }
 
-// addPending counts planned machines as pending, with tasks of a size on them.
+// addPending adds planned machines to the pending ones, with tasks of the given size assigned to them.
 func (p *planner) addPending(pool CapacityPool, machines int, size slowfit.Size, tasks int) {
 	total := p.Types[pool.Type].Total
 	slots := size.Slots(total)
@@ -103,8 +103,8 @@
 	}
 }
 
-// planHeadroom plans the cheapest cores up to the learned demand. It takes one pool a plan:
-// how many machines that has shows in the cloud's response.
+// planHeadroom plans the cheapest cores up to the headroom. It uses one pool per plan, because only
+// the cloud's response shows how many machines that pool has.
 func (p *planner) planHeadroom() {
 	missingCores := p.HeadroomCores - p.ProvisionedCores
 	for _, size := range p.HeadroomSizes {
@@ -124,60 +124,64 @@
 	}
 }
 
-// groupScaleOut is what to rent for a group of tasks; no machines if nothing.
+// groupScaleOut is the machines to rent for a group of tasks. machines is 0 if there are none.
 type groupScaleOut struct {
 	pool     CapacityPool
 	machines int
-	// tasksCovered is how many of the tasks need no further machines then.
+	// tasksCovered is the number of tasks that need no further machines.
 	tasksCovered int
 }
 
-// groupScaleOut decides what to rent for those of a group's tasks that have no room.
-func (p *planner) groupScaleOut(g *TaskGroup, tasks int) groupScaleOut {
-	spotIfAllowed := func(pool CapacityPool) bool { return g.Allows(pool) && (pool.Spot || !g.Allows(pool.spotPool())) }
-	if best, found := p.cheapest(g.Size, tasks, spotIfAllowed); found {
-		return p.sizeScaleOut(g, &best, tasks, tasks)
+// groupScaleOut decides which machines to rent for the tasks of a group that don't fit on pending
+// machines.
+func (p *planner) groupScaleOut(group *TaskGroup, tasks int) groupScaleOut {
+	spotIfAllowed := func(pool CapacityPool) bool {
+		return group.Allows(pool) && (pool.Spot || !group.Allows(pool.spotPool()))
 	}
-	// On-demand machines cost a multiple. They are rented when the running and pending
-	// ones would not get through in time, and as many as make up for that.
-	best, found := p.cheapest(g.Size, tasks, g.Allows)
+	if best, found := p.cheapest(group.Size, tasks, spotIfAllowed); found {
+		return p.sizeScaleOut(group, &best, tasks, tasks)
+	}
+	// On-demand machines cost a multiple of spot machines. They are rented only if the running and
+	// pending machines would not finish the tasks in time, and only as many as are missing.
+	best, found := p.cheapest(group.Size, tasks, group.Allows)
 	if !found {
 		return groupScaleOut{}
 	}
-	late := p.lateTasks(g, p.Types[best.Type].BootTime)
+	late := p.lateTasks(group, p.Types[best.Type].BootTime)
 	if late == 0 {
 		return groupScaleOut{}
 	}
-	return p.sizeScaleOut(g, &best, tasks, min(tasks, late))
+	return p.sizeScaleOut(group, &best, tasks, min(tasks, late))
 }
 
-// lateWaitBootTimes is how long, in boot times of a new machine, tasks may wait that no new machine
-// would bring in on time.
+// lateWaitBootTimes is the longest wait of tasks that would be late even on a new machine, in boot
+// times of that machine.
 const lateWaitBootTimes = 4
 
-// lateTasks is how many tasks' worth of cores the running and pending machines lack to get
-// through a group, and those before it, in time.
-func (p *planner) lateTasks(g *TaskGroup, boot time.Duration) int {
-	seconds := g.Slack.Seconds()
-	if g.Slack < boot {
-		// No new machine brings these in on time. They still should not wait without
-		// end.
+// lateTasks returns the number of tasks of a group for which the running and pending machines lack
+// the cores to finish the group and all groups before it in time.
+func (p *planner) lateTasks(group *TaskGroup, boot time.Duration) int {
+	seconds := group.Slack.Seconds()
+	if group.Slack < boot {
+		// These tasks would be late even on a new machine. They still must not wait
+		// indefinitely.
 		seconds = lateWaitBootTimes * boot.Seconds()
 	}
-	missingCores := p.queuedCoreSeconds/seconds - p.availableCores(g, seconds)
+	missingCores := p.queuedCoreSeconds/seconds - p.availableCores(group, seconds)
 	if missingCores <= 0 {
 		return 0
 	}
-	const minCores = 1e-3 // of a task, so that the division has a bound
-	return int(math.Ceil(missingCores / max(g.Size.CPUs, minCores)))
+	const minCores = 1e-3 // lower bound of a task's cores, to keep the quotient finite
+	return int(math.Ceil(missingCores / max(group.Size.CPUs, minCores)))
 }
 
-// sizeScaleOut decides how many machines of a pool to rent so that some of the tasks get room.
-// Tasks shorter than a boot are mostly served by turnover before a new machine is up.
-func (p *planner) sizeScaleOut(g *TaskGroup, pool *PricedPool, tasks, wanted int) groupScaleOut {
+// sizeScaleOut decides how many machines of a pool to rent for the wanted ones of a group's tasks. Of
+// tasks shorter than the boot of a new machine it counts only a share, because most of them will run
+// on existing machines, as other tasks end there, before a new machine is up.
+func (p *planner) sizeScaleOut(group *TaskGroup, pool *PricedPool, tasks, wanted int) groupScaleOut {
 	boot := p.Types[pool.Type].BootTime
-	notTurnedOver := min(1, g.RunTime.Seconds()/max(boot.Seconds(), 1))
-	slots := p.slots(pool.CapacityPool, g.Size)
+	notTurnedOver := min(1, group.RunTime.Seconds()/max(boot.Seconds(), 1))
+	slots := p.slots(pool.CapacityPool, group.Size)
 	needed := (int(math.Ceil(float64(wanted)*notTurnedOver)) + slots - 1) / slots
 	machines := min(needed, pool.maxCount()-p.requested(pool.CapacityPool))
 	if machines == needed {
@@ -186,13 +190,13 @@
 	return groupScaleOut{pool: pool.CapacityPool, machines: machines, tasksCovered: int(float64(machines*slots) / notTurnedOver)}
 }
 
-// expectedLifetime is how long a machine is assumed to be of use once it is up, for
-// weighing its boot time.
+// expectedLifetime is the assumed time that a machine is used once it is up. Boot times are weighed
+// against it.
 const expectedLifetime = 3 * time.Minute
 
-// cheapest finds the pool with the least price per task slot. Slots beyond
-// the number of tasks count for nothing, nor do pools of which the plan has
-// all that may be requested.
+// cheapest returns the allowed pool with the lowest price per task slot. Slots beyond the number of
+// tasks don't count. Pools whose maximum is already in the plan are skipped. It returns false if no
+// pool is left.
 func (p *planner) cheapest(size slowfit.Size, tasks int, allows func(CapacityPool) bool) (PricedPool, bool) {
 	var best PricedPool
 	least := math.Inf(1)
@@ -201,7 +205,7 @@
 		if slots == 0 || p.requested(pool.CapacityPool) >= pool.maxCount() || !allows(pool.CapacityPool) {
 			continue
 		}
-		// Booting is paid for as well: a type that is up sooner is worth more.
+		// Boot time is charged as well, so a type that boots faster costs less.
 		bootCost := 1 + p.Types[pool.Type].BootTime.Seconds()/expectedLifetime.Seconds()
 		if cost := pool.Price * bootCost / float64(min(slots, max(tasks, 1))); cost < least {
 			best, least = pool, cost
--- a/internal/autoscaler/requests.go
+++ b/internal/autoscaler/requests.go
@@ -16,27 +16,27 @@
 	"leadproxy/internal/wire"
 )
 
-// callTimeout is how long one call may take.
+// callTimeout is the longest time that one call may take.
 const callTimeout = 5 * time.Second
 
-// noCapacityText is what the cloud's response has when it is out of machines.
+// noCapacityText is contained in the cloud's response when it has no machines of the pool left.
 const noCapacityText = "no capacity"
 
-// Types reads the machine types once, outside of the queue.
+// Types reads the machine types immediately. A direct call bypasses the queue and the rate limit.
 func (c *Client) Types(ctx context.Context) ([]wire.MachineType, error) {
 	var response wire.MachineTypes
 	err := c.do(ctx, http.MethodGet, "/flavors", nil, &response)
 	return response.Types, err
 }
 
-// scaleOutRequest asks for machines and returns the names of those that the cloud gave.
+// scaleOut requests machines and returns the names of those that were rented, which may be fewer.
 func (c *Client) scaleOut(ctx context.Context, request *wire.ScaleOutRequest) ([]string, error) {
 	var response wire.MachineNames
 	err := c.do(ctx, http.MethodPost, "/machines", request, &response)
 	return response.Names, err
 }
 
-// list reads all pages of the list of machines.
+// list returns all pages of the list of machines. It pauses between pages to keep the rate limit.
 func (c *Client) list(ctx context.Context) ([]wire.ListedMachine, error) {
 	var machines []wire.ListedMachine
 	after := ""
@@ -54,13 +54,13 @@
 			return machines, nil
 		}
 		after = page.Machines[len(page.Machines)-1].Name
-		// Further pages count against the rate as well.
+		// Each further page counts against the rate limit as well.
 		transport.Pause(ctx, c.interval())
 	}
 }
 
-// do makes one call and decodes the response, unless response is nil. The error is a
-// *CallError.
+// do makes one call and decodes the response body into response, unless that is nil. Errors are of
+// type *CallError.
 func (c *Client) do(ctx context.Context, method, path string, body, response any) error {
 	failure := func(outcome, cause error) error {
 		return &CallError{Method: method, Path: path, Outcome: outcome, Cause: cause}
@@ -96,7 +96,7 @@
 	return nil
 }
 
-// outcomeOf is the outcome of a call that had no response.
+// outcomeOf returns the outcome of a call that failed without a response.
 func outcomeOf(err error) error {
 	if transport.NotSent(err) {
 		return ErrNotExecuted
@@ -104,7 +104,7 @@
 	return ErrUnknownOutcome
 }
 
-// newRequest is the HTTP request of a call; a nil body sends none.
+// newRequest builds the HTTP request of a call. A nil body sends none.
 func (c *Client) newRequest(ctx context.Context, method, path string, body any) (*http.Request, error) {
 	var payload []byte
 	if body != nil {
--- a/internal/scheduler/capacity_pools.go
+++ b/internal/scheduler/capacity_pools.go
@@ -8,15 +8,15 @@
 	"leadproxy/internal/softstate"
 )
 
-// The limits of the use of a capacity pool.
+// Limits on requests to one capacity pool.
 const (
 	minPoolBackoff  = 8 * time.Second
 	maxPoolBackoff  = 30 * time.Second
-	maxCallsPerPool = 4 // for one capacity pool at once
+	maxCallsPerPool = 4 // scale-out calls at once
 )
 
-// capacityPools tells which capacity pools of the cloud may be used. It owns the state of each
-// pool: its back-off and how many machines may be requested at once.
+// capacityPools tracks which capacity pools of the cloud may be used. It owns the state of each
+// pool: its back-off and the number of machines that may be requested at once.
 type capacityPools struct {
 	cfg      *Config
 	clock    *clock
@@ -31,59 +31,59 @@
 		states: map[autoscaler.CapacityPool]*poolState{}}
 }
 
-// poolState is what the latest requests have shown of a pool.
+// poolState is the result of the latest requests to a pool.
 type poolState struct {
 	blockedUntil     time.Duration
 	backoff          time.Duration
-	consecutiveFills int // scale-outs in a row that were filled
+	consecutiveFills int // scale-outs filled completely since the last refusal or partial fill
 }
 
-// maxCount is how many machines of a pool may be requested at once: one call's worth at first,
-// more once the cloud has filled some.
-func (o *poolState) maxCount() int {
-	return min(1+o.consecutiveFills, maxCallsPerPool) * autoscaler.MaxScaleOut
+// maxCount returns the number of machines of the pool that may be requested at once: one call's
+// worth at first, and one more for each scale-out in a row that was filled completely.
+func (s *poolState) maxCount() int {
+	return min(1+s.consecutiveFills, maxCallsPerPool) * autoscaler.MaxScaleOut
 }
 
-// extendBackoff stops the use of a pool for a while, longer each time, after the cloud has refused it or
-// filled a request in part.
-func (o *poolState) extendBackoff(now time.Duration) {
-	if now < o.blockedUntil {
-		return // several scale-outs in one pool were on their way
+// extendBackoff blocks the pool for an exponentially growing time after the cloud has refused a
+// request or filled it in part.
+func (s *poolState) extendBackoff(now time.Duration) {
+	if now < s.blockedUntil {
+		return // several scale-outs from the pool were in flight; they count as one failure
 	}
-	o.backoff = min(max(o.backoff*2, minPoolBackoff), maxPoolBackoff)
-	o.blockedUntil = now + o.backoff
-	o.consecutiveFills = 0
+	s.backoff = min(max(s.backoff*2, minPoolBackoff), maxPoolBackoff)
+	s.blockedUntil = now + s.backoff
+	s.consecutiveFills = 0
 }
 
-// recordFilled notes that a request was filled.
-func (o *poolState) recordFilled() {
-	o.backoff = 0
-	o.consecutiveFills++
+// recordFilled records that the cloud filled a request completely.
+func (s *poolState) recordFilled() {
+	s.backoff = 0
+	s.consecutiveFills++
 }
 
-// inherit takes over what an earlier leader knew of the pool.
-func (o *poolState) inherit(pool *softstate.CapacityPool, now time.Duration) {
-	o.blockedUntil = now + min(pool.BackoffLeft, maxPoolBackoff)
-	o.backoff = min(pool.Backoff, maxPoolBackoff)
-	o.consecutiveFills = pool.Filled
+// inherit sets the state of the pool to that of an earlier leader.
+func (s *poolState) inherit(pool *softstate.CapacityPool, now time.Duration) {
+	s.blockedUntil = now + min(pool.BackoffLeft, maxPoolBackoff)
+	s.backoff = min(pool.Backoff, maxPoolBackoff)
+	s.consecutiveFills = pool.Filled
 }
 
-// state returns the state of a pool, which may be new.
-func (p *capacityPools) state(o autoscaler.CapacityPool) *poolState {
-	if p.states[o] == nil {
-		p.states[o] = &poolState{}
+// state returns the state of a pool, and adds one if the pool is new.
+func (p *capacityPools) state(pool autoscaler.CapacityPool) *poolState {
+	if p.states[pool] == nil {
+		p.states[pool] = &poolState{}
 	}
-	return p.states[o]
+	return p.states[pool]
 }
 
-// openPools are the capacity pools of the cloud without a recent refusal.
+// openPools iterates over the capacity pools of the cloud that are not in back-off.
 func (p *capacityPools) openPools() iter.Seq2[autoscaler.CapacityPool, *poolState] {
 	return func(yield func(autoscaler.CapacityPool, *poolState) bool) {
 		for i := range p.types.list {
-			for _, z := range p.types.list[i].zones {
+			for _, zone := range p.types.list[i].zones {
 				for _, spot := range []bool{true, false} {
-					o := autoscaler.CapacityPool{Type: int32(i), Zone: z, Spot: spot}
-					if st := p.state(o); p.clock.now >= st.blockedUntil && !yield(o, st) {
+					pool := autoscaler.CapacityPool{Type: int32(i), Zone: zone, Spot: spot}
+					if state := p.state(pool); p.clock.now >= state.blockedUntil && !yield(pool, state) {
 						return
 					}
 				}
@@ -92,7 +92,7 @@
 	}
 }
 
-// anyPoolOpen tells whether there is a capacity pool without a recent refusal.
+// anyPoolOpen reports whether any capacity pool is not in back-off.
 func (p *capacityPools) anyPoolOpen() bool {
 	for range p.openPools() {
 		return true
@@ -100,9 +100,10 @@
 	return false
 }
 
-// scalableCores is what the cloud may still give.
+// scalableCores returns an upper estimate of the cores that scale-out could still add: machines of
+// the largest type up to the operator's limit, or one call's worth if there is no limit.
 func (p *capacityPools) scalableCores() float64 {
-	most := p.cfg.Operator.MaxMachines
+	limit := p.cfg.Operator.MaxMachines
 	if len(p.types.list) == 0 || !p.anyPoolOpen() {
 		return 0
 	}
@@ -110,8 +111,8 @@
 	for i := range p.types.list {
 		largest = max(largest, p.types.list[i].total.CPUs)
 	}
-	if most == 0 {
+	if limit == 0 {
 		return largest * autoscaler.MaxScaleOut
 	}
-	return largest * float64(max(0, most-p.machines.count()))
+	return largest * float64(max(0, limit-p.machines.count()))
 }
--- a/internal/scheduler/clock.go
+++ b/internal/scheduler/clock.go
@@ -2,15 +2,15 @@
 
 import "time"
 
-// clock is the time of the present event, and the times of the term that other times are
-// compared with. Only Step and the tick write it.
+// clock holds the time of the current event, and reference times of the term. Only Step and tick
+// update it.
 type clock struct {
 	now    time.Duration // the controller's monotonic time
-	wallMS int64         // time of day in ms at now
+	wallMS int64         // Unix time in milliseconds at now
 
 	termStart    time.Duration
 	lastTick     time.Duration
-	tickingSince time.Duration // since when ticks have come without a break
+	tickingSince time.Duration // end of the last pause between ticks longer than maxTickInterval
 }
 
 func newClock(now time.Duration, wallMS int64) clock {
@@ -18,21 +18,22 @@
 }
 
 // set moves the clock to the time of an event.
-func (k *clock) set(now time.Duration, wallMS int64) { k.now, k.wallMS = now, wallMS }
+func (c *clock) set(now time.Duration, wallMS int64) { c.now, c.wallMS = now, wallMS }
 
-// maxTickInterval is how far apart two ticks are at most while this process is running normally.
+// maxTickInterval is the longest time between two ticks while this process runs normally.
 const maxTickInterval = 2 * time.Second
 
-// tick notes a tick. After a longer pause this process was suspended, or starved: that it
-// received nothing meanwhile is no fault of the senders.
-func (k *clock) tick() {
-	if k.now-k.lastTick > maxTickInterval {
-		k.tickingSince = k.now
+// tick records a tick. After a pause longer than maxTickInterval this process was suspended or
+// starved of CPU time, so that heartbeats missed during the pause don't count against the agents.
+func (c *clock) tick() {
+	if c.now-c.lastTick > maxTickInterval {
+		c.tickingSince = c.now
 	}
-	k.lastTick = k.now
+	c.lastTick = c.now
 }
 
-// fromWallTime is the monotonic time of a moment in the past, given by the time of day in ms.
-func (k *clock) fromWallTime(ms int64) time.Duration {
-	return k.now - max(0, time.Duration(k.wallMS-ms)*time.Millisecond)
+// fromWallTime converts a Unix time in milliseconds to monotonic time. A time in the future counts
+// as now.
+func (c *clock) fromWallTime(ms int64) time.Duration {
+	return c.now - max(0, time.Duration(c.wallMS-ms)*time.Millisecond)
 }
--- a/internal/scheduler/cloud_reads.go
+++ b/internal/scheduler/cloud_reads.go
@@ -7,14 +7,14 @@
 	"leadproxy/internal/autoscaler"
 )
 
-// How often the cloud is read.
+// The intervals between reads of the cloud.
 const (
 	typesInterval = 30 * time.Second
 	listInterval  = 4 * time.Second
 )
 
-// cloudReads requests the machine types and the list of machines from the cloud, one request of
-// each kind at a time. It owns when the next ones are due. Methods of Core take what is read.
+// cloudReads requests the machine types and the list of machines from the cloud, with at most one
+// request of each kind in flight. It only schedules the requests; methods of Core apply the results.
 type cloudReads struct {
 	clock   *clock
 	log     *slog.Logger
@@ -30,7 +30,7 @@
 	return cloudReads{clock: &c.clock, log: c.log, effects: &c.effects}
 }
 
-// requestDue requests what is due to be read.
+// requestDue sends the requests that are due.
 func (r *cloudReads) requestDue() {
 	if !r.typesInFlight && r.clock.now >= r.nextTypes {
 		r.typesInFlight = true
@@ -42,25 +42,25 @@
 	}
 }
 
-// finishTypesRequest notes that a request for the machine types has ended, and tells whether it
-// has succeeded.
+// finishTypesRequest schedules the next request for the machine types after one has ended, sooner
+// after a failure, and reports whether it succeeded.
 func (r *cloudReads) finishTypesRequest(err error) (succeeded bool) {
 	r.typesInFlight = false
 	r.nextTypes = r.clock.now + typesInterval
 	if err != nil {
-		r.log.Debug("reading the machine types failed", "error", err)
+		r.log.Debug("failed to read the machine types from the cloud", "error", err)
 		r.nextTypes = r.clock.now + time.Second
 	}
 	return err == nil
 }
 
-// finishListRequest notes that a request for the list of machines has ended, and tells whether it
-// has succeeded.
+// finishListRequest schedules the next request for the list of machines after one has ended, and
+// reports whether it succeeded.
 func (r *cloudReads) finishListRequest(err error) (succeeded bool) {
 	r.listInFlight = false
 	r.nextList = r.clock.now + listInterval
 	if err != nil {
-		r.log.Debug("listing the machines failed", "error", err)
+		r.log.Debug("failed to read the list of machines from the cloud", "error", err)
 	}
 	return err == nil
 }
--- a/internal/scheduler/cloud_results.go
+++ b/internal/scheduler/cloud_results.go
@@ -6,29 +6,31 @@
 	"leadproxy/internal/wire"
 )
 
-// handleCloudResult takes the result of a call to the cloud.
-func (c *Core) handleCloudResult(r autoscaler.Result) {
+// handleCloudResult applies the result of a call to the cloud. A deletion removes its machines only
+// if it succeeded; requestDelete repeats the others.
+func (c *Core) handleCloudResult(result autoscaler.Result) {
 	switch {
-	case r.Call.ScaleOut != nil:
-		c.handleScaleOutResult(r)
-	case r.Call.Delete != nil:
-		for _, name := range r.Call.Delete {
-			if m := c.findOrAddMachine(name); r.Err == nil {
+	case result.Call.ScaleOut != nil:
+		c.handleScaleOutResult(result)
+	case result.Call.Delete != nil:
+		for _, name := range result.Call.Delete {
+			if m := c.findOrAddMachine(name); result.Err == nil {
 				c.removeMachine(m, "deleted")
 			}
 		}
-	case r.Call.Types:
-		if c.cloudReads.finishTypesRequest(r.Err) {
-			c.updateTypes(r.Types)
+	case result.Call.Types:
+		if c.cloudReads.finishTypesRequest(result.Err) {
+			c.updateTypes(result.Types)
 		}
-	case r.Call.List:
-		if c.cloudReads.finishListRequest(r.Err) {
-			c.updateMachines(r.List)
+	case result.Call.List:
+		if c.cloudReads.finishListRequest(result.Err) {
+			c.updateMachines(result.List)
 		}
 	}
 }
 
-// updateTypes takes the machine types of the cloud.
+// updateTypes applies the machine types read from the cloud. When a type is new, machines of it and
+// jobs that may use it are updated.
 func (c *Core) updateTypes(types []wire.MachineType) {
 	for _, t := range types {
 		i, isNew := c.types.findOrAdd(t)
@@ -50,55 +52,57 @@
 	}
 }
 
-// updateMachines takes the cloud's list of machines.
+// updateMachines reconciles the known machines with the cloud's list. Absence from the list does
+// not remove a machine, and the list describes a machine only while its type is unknown.
 func (c *Core) updateMachines(list []wire.ListedMachine) {
 	for _, m := range c.machines.live {
 		m.rental.countMissedListing()
 	}
 	for i := range list {
-		l := &list[i]
-		m := c.findOrAddMachine(l.Name)
+		listed := &list[i]
+		m := c.findOrAddMachine(listed.Name)
 		if m.state == machineGone {
 			continue
 		}
-		if m.rental.recordListed(c.clock.now - settings.Seconds(l.AgeS)) {
+		if m.rental.recordListed(c.clock.now - settings.Seconds(listed.AgeS)) {
 			c.scaleOuts.recordMachineSeen(m)
 		}
 		if m.typeName == "" {
-			c.updateDescription(m, l.Type, l.Zone, l.Spot, l.Address)
+			c.updateDescription(m, listed.Type, listed.Zone, listed.Spot, listed.Address)
 		}
 		m.rental.resetMissedListings()
-		if l.Status == wire.MachineRunning && settings.Seconds(l.AgeS) > c.clock.now-c.clock.termStart {
+		if listed.Status == wire.MachineRunning && settings.Seconds(listed.AgeS) > c.clock.now-c.clock.termStart {
 			c.agents.probe(m)
 		}
-		if l.Status == wire.MachineFailed {
-			// It has stopped on its own, and all on it with it.
+		if listed.Status == wire.MachineFailed {
+			// The machine has stopped, and with it all its tasks. It must still be deleted.
 			c.scaleIns.requestDelete(m, "failed")
 			c.removeMachine(m, "listed as failed")
 		}
 	}
 }
 
-// recordRentedMachines records the machines of a scale-out.
-func (c *Core) recordRentedMachines(h *scaleOutRequest, machines []string) {
-	h.markResolved()
-	c.replacements.recordRented(h.ledgerRecord.Request.RequestID, machines)
+// recordRentedMachines records the machines that a scale-out has rented. The scale-out is kept until
+// all of them are known from the cloud's list or a heartbeat.
+func (c *Core) recordRentedMachines(scaleOut *scaleOutRequest, machines []string) {
+	scaleOut.markResolved()
+	c.replacements.recordRented(scaleOut.ledgerRecord.Request.RequestID, machines)
 	for _, name := range machines {
 		m := c.findOrAddMachine(name)
-		m.rental.setScaleOut(h.ledgerRecord.Request.RequestID)
+		m.rental.setScaleOut(scaleOut.ledgerRecord.Request.RequestID)
 		if m.state == machineStarting {
-			c.updateDescription(m, h.ledgerRecord.Request.Type, h.ledgerRecord.Request.Zone, h.ledgerRecord.Request.Spot, "")
+			c.updateDescription(m, scaleOut.ledgerRecord.Request.Type, scaleOut.ledgerRecord.Request.Zone, scaleOut.ledgerRecord.Request.Spot, "")
 		}
 		if m.state == machineStarting && !m.rental.listed {
-			h.awaitMachine(name)
+			scaleOut.awaitMachine(name)
 		}
 	}
-	c.scaleOuts.removeIfAllSeen(h)
+	c.scaleOuts.removeIfAllSeen(scaleOut)
 }
 
-// handleScaleOutResult takes the result of a scale-out.
-func (c *Core) handleScaleOutResult(r autoscaler.Result) {
-	if h, rented := c.scaleOuts.handleResult(r); rented {
-		c.recordRentedMachines(h, r.Machines)
+// handleScaleOutResult applies the result of a scale-out.
+func (c *Core) handleScaleOutResult(result autoscaler.Result) {
+	if scaleOut, rented := c.scaleOuts.handleResult(result); rented {
+		c.recordRentedMachines(scaleOut, result.Machines)
 	}
 }
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -1,8 +1,9 @@
-// Package scheduler decides what the leader does: which machines exist, what runs on them, what
-// waits, and which commands follow. Its core is a deterministic step from a state, an event and
-// a time to effects, without I/O. Package dispatch carries the effects out.
+// Package scheduler implements the leader's decisions: which machines to rent and return, which
+// tasks to place on them, which jobs stay queued, and which commands to send to agents. The core is
+// a deterministic state machine: a step takes an event and a time, updates the state and produces
+// effects. It does no I/O; package dispatch carries the effects out.
 //
-// A newcomer begins with Core and its parts, and with Step, which shows the events of each part.
+// Start reading at Core, which lists the parts, and at Step, which lists the events by part.
 package scheduler
 
 import (
@@ -16,73 +17,75 @@
 	"leadproxy/internal/softstate"
 )
 
-// Config is the configuration of one term.
+// Config configures the core for one term.
 type Config struct {
 	Term     uint64
 	Platform *settings.Platform
 	Operator settings.Operator
-	// MaxValueBytes is how many bytes a value may have.
+	// MaxValueBytes is the largest size of a value in the key-value store, in bytes.
 	MaxValueBytes int
-	// SoftState is what an earlier leader held in memory; nil: none is known.
+	// SoftState is the in-memory state of an earlier leader; nil if none was received.
 	SoftState *softstate.View
 }
 
-// termCounterBits is the room that a fencing token and an attempt leave for the counter within one
-// term.
+// termCounterBits is the number of low-order bits of a fencing token or an attempt number that hold
+// a counter within one term. The higher bits hold the term.
 const termCounterBits = 24
 
-// Core is the leader's state for one term. Step is its only entry. Its state lies in parts: each
-// has a type of its own, whose methods alone write its fields, and names the parts that it reads
-// among its fields. A part reads only those that stand above it here. What concerns several parts
-// is a method of Core.
+// Core is the leader's state for one term. Events enter through Step only. The state is divided
+// into parts. Each part has its own type; only that type's methods write its fields, and its pointer
+// fields list the other parts that it reads. A part reads only parts declared above it in Core.
+// Logic that concerns several parts is in methods of Core.
 type Core struct {
 	cfg Config
 	log *slog.Logger
-	// debugEnabled spares the cost of log lines for each task that nobody reads.
+	// debugEnabled reports whether debug lines are logged. Log calls made once per task check it,
+	// so that their arguments aren't evaluated for nothing.
 	debugEnabled bool
 	term         uint64
 
-	clock   clock         // the time of the present event
-	effects effects       // of the present step
-	writes  durableWrites // to the ledger
+	clock   clock         // time of the current event
+	effects effects       // effects of the current step
+	writes  durableWrites // pending writes to the ledger
 
-	types         machineTypes      // of the cloud
-	classes       classTable        // of jobs
-	estimates     runEstimates      // of run times, learned
-	teams         quota.Teams       // and their quotas
+	types         machineTypes      // machine types of the cloud
+	classes       classTable        // job classes
+	estimates     runEstimates      // learned run times
+	teams         quota.Teams       // teams and their quotas
 	machines      machineTable      // all machines
 	jobs          jobTable          // all jobs, their dependencies and their records
-	cancellations cancellationWatch // of the tasks of cancelled jobs
-
-	commands      commands          // to agents, and the responses to their heartbeats
-	agents        agents            // whether they can be reached
-	attempts      attempts          // their numbers
-	placement     placement         // which task runs where, and when
-	cloudReads    cloudReads        // of machine types and machines
-	pools         capacityPools     // of the cloud, and their back-off
-	demand        learnedDemand     // from recent jobs
+	cancellations cancellationWatch // tasks of cancelled jobs
+
+	commands      commands          // commands to agents, and responses to heartbeats
+	agents        agents            // reachability of agents
+	attempts      attempts          // attempt numbers
+	placement     placement         // placement of tasks on machines
+	cloudReads    cloudReads        // reads of machine types and machines
+	pools         capacityPools     // capacity pools of the cloud and their back-off
+	demand        learnedDemand     // demand learned from recent jobs
 	scaleOuts     scaleOutRequests  // machines being rented
 	scaleIns      scaleInRequests   // machines being returned
-	planner       capacityPlanner   // of capacity
-	spending      spending          // what the machines cost
+	planner       capacityPlanner   // scale-out and scale-in planning
+	spending      spending          // cost of the machines
 	inherited     inheritedState    // soft state of an earlier leader
-	softState     softState         // passed on to standbys
+	softState     softState         // soft state replicated to standbys
 	neighbours    neighbourTable    // other cells, and the exchanges with them
-	transferSteps transferSteps     // counts of what happens to forwarded jobs
+	transferSteps transferSteps     // counts of the steps of forwarded jobs
 	delegations   delegations       // jobs that other cells run
-	offers        capacityOffers    // of room to other cells
-	foreign       foreignJobs       // of other cells
-	disruptions   disruptionMonitor // of jobs
-	replacements  replacements      // of machines that are drained
-	planViews     planViews         // of the present state, for plans
-	plans         drainPlans        // that drain machines
+	offers        capacityOffers    // free capacity offered to other cells
+	foreign       foreignJobs       // jobs of other cells
+	disruptions   disruptionMonitor // disruptions of jobs
+	replacements  replacements      // replacements of drained machines
+	planViews     planViews         // views of the current state for drain plans
+	plans         drainPlans        // plans that drain machines
 }
 
-// NewCore starts a term from what the ledger holds. now is the controller's monotonic
-// time, wall the time of day in ms.
-func NewCore(cfg Config, s ledger.Snapshot, now time.Duration, wall int64, log *slog.Logger) *Core {
+// NewCore creates the core of a new term and restores its state from a ledger snapshot. now is the
+// controller's monotonic time, wallMS the Unix time in milliseconds. InitialEffects returns the
+// effects of the restore.
+func NewCore(cfg Config, s ledger.Snapshot, now time.Duration, wallMS int64, log *slog.Logger) *Core {
 	c := &Core{cfg: cfg, log: log, debugEnabled: log.Enabled(context.Background(), slog.LevelDebug), term: cfg.Term}
-	c.clock = newClock(now, wall)
+	c.clock = newClock(now, wallMS)
 	c.writes = newDurableWrites(c)
 	c.types = newMachineTypes()
 	c.teams = quota.NewTeams(cfg.Platform.Facts.Teams)
@@ -116,8 +119,8 @@
 	return c
 }
 
-// Step takes one event. Its effects follow together with those of other events that came with it,
-// when the caller ends the step.
+// Step applies one event to the state. wallMS is the Unix time in milliseconds. The effects
+// accumulate until the caller calls Flush, which may follow several events.
 func (c *Core) Step(event Event, now time.Duration, wallMS int64) {
 	c.clock.set(now, wallMS)
 	switch e := event.(type) {
@@ -149,7 +152,7 @@
 	case ValueLimitChanged:
 		c.cfg.MaxValueBytes = e.MaxValueBytes
 
-	// Operators with plans that drain machines, and standbys.
+	// Drain plans of operators, and standbys.
 	case PlanRequest:
 		c.plans.handleRequest(e)
 	case PlanListRequest:
@@ -165,11 +168,11 @@
 	}
 }
 
-// NeedsPlacement tells whether tasks are to be placed at the end of the step.
+// NeedsPlacement reports whether the next Flush runs a placement pass.
 func (c *Core) NeedsPlacement() bool { return c.placement.needed }
 
-// Flush ends one or more steps: it places what can be placed and returns all effects. Under load
-// many events share one placement.
+// Flush completes one or more steps: it places queued tasks if needed, and returns the accumulated
+// effects in order. Under load many events share one placement pass.
 func (c *Core) Flush() []Effect {
 	if c.placement.needed {
 		c.placement.placeQueuedTasks(c.delegations.uncertainUse())
@@ -178,19 +181,20 @@
 	return c.effects.take()
 }
 
-// InitialEffects returns the effects of NewCore.
+// InitialEffects returns the effects of NewCore. It is called once, before the first Step.
 func (c *Core) InitialEffects() []Effect {
 	return c.effects.take()
 }
 
-// tick does what follows from the passing of time alone.
+// tick does the work that is due by time alone: expired leases, ended back-offs, retries and
+// periodic planning.
 func (c *Core) tick() {
 	c.clock.tick()
 	c.spending.accrue()
 	for _, m := range c.machines.live {
 		c.expireLease(m)
 		if m.indexed.schedulable != c.agents.schedulable(m) {
-			// Its agent has become unreachable, or it is no longer avoided.
+			// Its agent became unreachable, or the period in which it was avoided has ended.
 			c.placement.markIndexStale(m)
 			c.placement.markNeeded()
 		}
@@ -211,11 +215,12 @@
 	c.placement.lowerGoal()
 }
 
-// UnresolvedHosts is how many machines may still run what an earlier leader started there.
+// UnresolvedHosts returns the number of machines that may still run tasks started by an earlier
+// leader and not yet reported.
 func (c *Core) UnresolvedHosts() int { return c.machines.unresolvedHosts() }
 
-// MachineCount is how many machines this term knows, up or coming.
+// MachineCount returns the number of known machines that are starting, up or being deleted.
 func (c *Core) MachineCount() int { return c.machines.count() }
 
-// JobCount is how many jobs this term knows.
+// JobCount returns the number of jobs known in this term, including ended ones.
 func (c *Core) JobCount() int { return len(c.jobs.list) }
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -11,7 +11,8 @@
 	"leadproxy/internal/slowfit"
 )
 
-// learnedDemand is the demand that recent jobs have shown. It owns the estimators and the sizes.
+// learnedDemand estimates the demand from the arrivals of recent jobs. It owns the estimators by
+// class and team, and the most demanded task sizes.
 type learnedDemand struct {
 	cfg       *Config
 	clock     *clock
@@ -20,8 +21,8 @@
 	teams     *quota.Teams
 
 	byClass       []autoscaler.DemandEstimator
-	limitedByTeam []autoscaler.DemandEstimator // only of teams with a limit
-	sizes         []weightedSize               // the one with most core-seconds first
+	limitedByTeam []autoscaler.DemandEstimator // used only for teams with a CPU limit
+	sizes         []weightedSize               // in order of decreasing weight
 }
 
 func newLearnedDemand(c *Core) learnedDemand {
@@ -29,17 +30,18 @@
 		limitedByTeam: make([]autoscaler.DemandEstimator, c.teams.Len())}
 }
 
-// addClass makes room for the demand of a class.
+// addClass adds an estimator for a new class.
 func (d *learnedDemand) addClass() { d.byClass = append(d.byClass, autoscaler.DemandEstimator{}) }
 
-// observeArrival learns from a job that has just come in.
+// observeArrival adds the arrival of a job to the demand.
 func (d *learnedDemand) observeArrival(j *job) {
 	cores := j.request.size.CPUs * float64(j.progress.total)
 	d.learnArrival(j.request.class, j.request.team, j.priority.arrived, cores, d.estimates.expectedRun(j).Seconds())
 	d.addSize(j.request.size, cores*j.spec.EstimatedRunS, d.classes.objectives[j.request.class].wait > 0)
 }
 
-// learnArrival learns the demand from one job.
+// learnArrival adds one job to the estimators: the cores that all its tasks use together, and the
+// run time of a task in seconds.
 func (d *learnedDemand) learnArrival(class, team int32, at time.Duration, cores, seconds float64) {
 	d.byClass[class].ObserveArrival(at, cores, seconds)
 	if _, limited := d.teams.Team(team).CPULimit(); limited {
@@ -47,36 +49,38 @@
 	}
 }
 
-// weightedSize is a task size with its share of the recent demand.
+// weightedSize is a task size, weighted by the recent demand for it.
 type weightedSize struct {
 	size             slowfit.Size
-	weight           float64
-	hasWaitObjective bool // some class of that size has an objective on waiting
+	weight           float64 // core-seconds, decayed with each arrival
+	hasWaitObjective bool    // a class with tasks of the size has an objective on waiting time
 }
 
-// maxSizes bounds the sizes that are remembered.
+// maxSizes limits the number of task sizes that are tracked.
 const maxSizes = 16
 
+// addSize adds weight to a task size, and decays the weights of all others. Beyond maxSizes the size
+// with the least weight is dropped.
 func (d *learnedDemand) addSize(size slowfit.Size, weight float64, wait bool) {
-	at := -1
+	index := -1
 	for i := range d.sizes {
 		d.sizes[i].weight *= 0.98
 		if d.sizes[i].size == size {
-			at = i
+			index = i
 		}
 	}
-	if at < 0 {
-		at = len(d.sizes)
+	if index < 0 {
+		index = len(d.sizes)
 		d.sizes = append(d.sizes, weightedSize{size: size})
 	}
-	d.sizes[at].weight += weight
-	d.sizes[at].hasWaitObjective = d.sizes[at].hasWaitObjective || wait
+	d.sizes[index].weight += weight
+	d.sizes[index].hasWaitObjective = d.sizes[index].hasWaitObjective || wait
 	slices.SortStableFunc(d.sizes, func(x, y weightedSize) int { return cmp.Compare(y.weight, x.weight) })
 	d.sizes = d.sizes[:min(len(d.sizes), maxSizes)]
 }
 
-// headroomSizes are the sizes that the headroom should hold: the heaviest of the
-// demand, then those of classes that must not wait.
+// headroomSizes returns the task sizes that the headroom should hold: the one in highest demand,
+// then those of classes with an objective on waiting time.
 func (d *learnedDemand) headroomSizes() []slowfit.Size {
 	var out []slowfit.Size
 	for i, s := range d.sizes {
@@ -87,8 +91,8 @@
 	return out
 }
 
-// headroomCores are the cores that the learned demand makes worth keeping. A team's demand
-// beyond its limit does not count.
+// headroomCores returns the cores to keep provisioned for the learned demand: its mean plus the
+// operator's multiple of its standard deviation. A team's demand beyond its limit does not count.
 func (d *learnedDemand) headroomCores() float64 {
 	spread := d.cfg.Operator.HeadroomSpread
 	mean, deviation := autoscaler.Demand(d.clock.now, d.byClass)
--- a/internal/scheduler/durable_writes.go
+++ b/internal/scheduler/durable_writes.go
@@ -6,14 +6,13 @@
 	"leadproxy/internal/ledger"
 )
 
-// durableWrites counts the writes to the ledger whose durability something waits for. It alone
-// writes its fields.
+// durableWrites writes to the ledger, and counts the tagged writes that are not durable yet.
 type durableWrites struct {
 	clock   *clock
 	effects *effects
 
-	// pending is how many tagged writes are not durable yet, and lastDurableAt when one
-	// last became so, or none was pending.
+	// pending is the number of tagged writes that are not durable yet. lastDurableAt is when one
+	// last became durable, or when the first was written after none was pending.
 	pending       int
 	lastDurableAt time.Duration
 }
@@ -22,7 +21,7 @@
 	return durableWrites{clock: &c.clock, effects: &c.effects}
 }
 
-// put writes to the ledger. A write with a tag is answered with WritesDurable or
+// put writes to the ledger. The outcome of a write with a tag arrives as WritesDurable or
 // WritesRejected.
 func (d *durableWrites) put(w ledger.Write) {
 	if w.Tag != nil {
@@ -34,16 +33,16 @@
 	d.effects.emit(WriteLedger{Writes: []ledger.Write{w}})
 }
 
-// markDurable notes that tagged writes have become durable.
+// markDurable records that a number of tagged writes have become durable.
 func (d *durableWrites) markDurable(count int) {
 	d.pending -= count
 	d.lastDurableAt = d.clock.now
 }
 
-// markRejected notes that tagged writes were not carried out.
+// markRejected records that a number of tagged writes were not carried out.
 func (d *durableWrites) markRejected(count int) { d.pending -= count }
 
-// stalled tells whether writes are pending and none has become durable for a time.
-func (d *durableWrites) stalled(since time.Duration) bool {
-	return d.pending > 0 && d.clock.now-d.lastDurableAt > since
+// stalled reports whether writes are pending and none has become durable for longer than timeout.
+func (d *durableWrites) stalled(timeout time.Duration) bool {
+	return d.pending > 0 && d.clock.now-d.lastDurableAt > timeout
 }
--- a/internal/scheduler/events.go
+++ b/internal/scheduler/events.go
@@ -8,7 +8,7 @@
 	"leadproxy/internal/wire"
 )
 
-// Event is what happened outside the core.
+// Event is an input of Core.Step: a request, a result or a tick.
 type Event interface{ isEvent() }
 
 // Users and their jobs.
@@ -33,7 +33,7 @@
 func (WritesRejected) isEvent()    {}
 func (ValueLimitChanged) isEvent() {}
 
-// Operators with plans that drain machines, and standbys.
+// Drain plans of operators, and standbys.
 
 func (PlanRequest) isEvent()      {}
 func (PlanListRequest) isEvent()  {}
@@ -53,16 +53,16 @@
 func (TransfersEnabled) isEvent()    {}
 func (TransferListRequest) isEvent() {}
 
-// Recipient is who gets the reply to a heartbeat, a status request or a cancellation.
+// Recipient receives the reply to a request.
 type Recipient interface {
-	// Deliver takes the reply. It does not block.
-	Deliver(answer Effect)
+	// Deliver passes on the reply. It must not block.
+	Deliver(reply Effect)
 }
 
-// The events, by the part of the core that they concern; those of other cells are in
-// federation_events.go.
+// The events, grouped as in Step. Those of other cells are in federation_events.go.
 type (
-	// JobRecordEvent carries a job record, from a controller that accepted it or from the watch.
+	// JobRecordEvent carries a job record, from a controller that accepted the job or from the
+	// watch on the key-value store. The same record may arrive from both.
 	JobRecordEvent struct {
 		JobID   string
 		Record  ledger.JobRecord
@@ -73,41 +73,42 @@
 		JobID   string
 		ReplyTo Recipient
 	}
-	// StatusRequest is a user's question.
+	// StatusRequest is a user's request for the status of a job.
 	StatusRequest struct {
 		JobID   string
 		ReplyTo Recipient
 	}
 
-	// HeartbeatEvent is an agent's heartbeat, which needs a response.
+	// HeartbeatEvent is an agent's heartbeat. It is answered with a HeartbeatReply.
 	HeartbeatEvent struct {
 		Heartbeat *wire.Heartbeat
 		ReplyTo   Recipient
 	}
-	// CommandResult is the outcome of a direct command.
+	// CommandResult is the outcome of a SendCommands effect.
 	CommandResult struct {
 		CommandID uint64
 		Outcome   CommandOutcome
-		Heartbeat *wire.Heartbeat // with CommandExecuted and CommandRejected
+		Heartbeat *wire.Heartbeat // set with CommandExecuted and CommandRejected
 	}
-	// InspectResult is an agent's present status, requested by an inspection.
+	// InspectResult is an agent's current status, the result of an InspectAgent effect.
 	InspectResult struct {
 		Machine   string
-		Heartbeat *wire.Heartbeat // nil: no response
+		Heartbeat *wire.Heartbeat // nil if the agent did not respond
 	}
 
-	// CloudResult is the outcome of a cloud call.
+	// CloudResult is the outcome of a CallCloud effect.
 	CloudResult struct{ Result autoscaler.Result }
 
 	// WritesDurable carries the tags of writes that have become durable.
 	WritesDurable struct{ Tags []ledger.Tag }
-	// WritesRejected carries the tags of writes that were not carried out, since their values
-	// are larger than the key-value store allows by now.
+	// WritesRejected carries the tags of writes that were not carried out, because their values
+	// exceed the key-value store's limit, which was lowered meanwhile.
 	WritesRejected struct{ Tags []ledger.Tag }
-	// ValueLimitChanged carries how many bytes a value may have from now on.
+	// ValueLimitChanged carries the new largest size of a value in the key-value store, in bytes.
 	ValueLimitChanged struct{ MaxValueBytes int }
 
-	// PlanRequest creates a plan, with Spec, or sends a command to the plan of a name.
+	// PlanRequest creates a drain plan if Spec is set, and otherwise sends a command to the plan
+	// with the given name.
 	PlanRequest struct {
 		Spec     *rollout.Spec
 		Name     string
@@ -115,32 +116,32 @@
 		Argument string
 		ReplyTo  Recipient
 	}
-	// PlanListRequest is an operator's request for the plans.
+	// PlanListRequest is an operator's request for the list of drain plans.
 	PlanListRequest struct{ ReplyTo Recipient }
-	// SoftStateRequest is a standby's request for what has changed in memory since an earlier
-	// reply; 0: all.
+	// SoftStateRequest is a standby's request for the soft state that changed after version
+	// Since, the UpTo of an earlier reply. Since 0 requests all of it.
 	SoftStateRequest struct {
 		Since   uint64
 		ReplyTo Recipient
 	}
 
-	// Tick comes a few times a second.
+	// Tick arrives a few times per second. Work that is due by time alone is done then.
 	Tick struct{}
 )
 
-// CommandOutcome is the outcome of a direct command.
+// CommandOutcome is the outcome of a SendCommands effect.
 type CommandOutcome int
 
-// The outcomes of a direct command.
+// The outcomes of a SendCommands effect.
 const (
-	CommandOutcomeUnknown CommandOutcome = iota // it may act now or much later
-	CommandExecuted                             // executed
-	CommandRejected                             // nothing executed
-	CommandNotSent                              // never left this process
-	CommandWithdrawn                            // all of it was withdrawn before it left this process
+	CommandOutcomeUnknown CommandOutcome = iota // the agent may execute it now or much later
+	CommandExecuted                             // the agent executed it
+	CommandRejected                             // the agent executed none of it
+	CommandNotSent                              // it never left this process
+	CommandWithdrawn                            // all its commands were withdrawn before it left this process
 )
 
-// Effect is what the caller has to carry out after steps.
+// Effect is an action that the core's caller carries out after Flush.
 type Effect interface{ isEffect() }
 
 func (HeartbeatReply) isEffect()   {}
@@ -167,18 +168,18 @@
 	// HeartbeatReply is the response to an agent's heartbeat.
 	HeartbeatReply struct {
 		ReplyTo  Recipient
-		Response *wire.HeartbeatResponse // nil: this controller can't respond as the leader
-		Starts   StartDeliveries         // of the starts in the response
+		Response *wire.HeartbeatResponse // nil if this controller can't respond as the leader
+		Starts   StartDeliveries         // delivery state of the starts in the response
 	}
-	// SendCommands is a command to be sent directly to an agent.
+	// SendCommands sends commands directly to an agent, not in a heartbeat response.
 	SendCommands struct {
 		CommandID uint64
 		Machine   string
 		Address   string
 		Request   wire.CommandRequest
-		Starts    StartDeliveries // of the starts in the request
+		Starts    StartDeliveries // delivery state of the starts in the request
 	}
-	// InspectAgent requests an agent's present status.
+	// InspectAgent requests an agent's current status.
 	InspectAgent struct {
 		Machine string
 		Address string
@@ -190,36 +191,36 @@
 		ReplyTo Recipient
 		Known   bool
 		Status  wire.JobStatus
-		// TerminalStatePending: the job's end is being written. The key-value store may have it
-		// already, and another controller may have told a user: only a fresh read is as new as
-		// that.
+		// TerminalStatePending reports that the write of the job's terminal state is not
+		// confirmed. The key-value store may hold it already, and another controller may have
+		// returned it to a user, so the recipient must read the store to be as up to date.
 		TerminalStatePending bool
-		// CellUnreachable: another cell may run the job and does not respond.
+		// CellUnreachable reports that the job may run in another cell that does not respond.
 		CellUnreachable bool
 	}
 	// CallCloud makes a call to the cloud.
 	CallCloud struct{ Call autoscaler.Call }
-	// SoftStateReply is the reply to a standby. With More there is more to be requested.
+	// SoftStateReply is the reply to a standby.
 	SoftStateReply struct {
 		ReplyTo   Recipient
 		Term      uint64
 		Machines  []softstate.Machine
 		Estimates softstate.Estimates
-		UpTo      uint64
-		More      bool
+		UpTo      uint64 // version that the reply covers, the Since of the next request
+		More      bool   // further changes are available now
 	}
-	// PlanReply is the reply to a command about a plan, once it is durable or refused.
+	// PlanReply is the reply to a PlanRequest, sent once its change is durable or refused.
 	PlanReply struct {
 		ReplyTo Recipient
 		Err     error
 	}
-	// PlanListReply lists the plans and the jobs that count as disrupted.
+	// PlanListReply lists the drain plans and the jobs that count as disrupted.
 	PlanListReply struct {
 		ReplyTo   Recipient
 		Term      uint64
 		Plans     []PlanStatus
 		Disrupted []rollout.Disruption
 	}
-	// ResignLeadership has this controller resign, so that another term begins.
+	// ResignLeadership makes this controller resign, so that a new term begins.
 	ResignLeadership struct{}
 )
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -71,19 +71,19 @@
 }
 
 func testConfig(operator settings.Operator, teams ...settings.Team) Config {
-	p := &settings.Platform{Facts: settings.Facts{ControllerCount: 3, Teams: teams,
+	platform := &settings.Platform{Facts: settings.Facts{ControllerCount: 3, Teams: teams,
 		Workers: settings.Workers{HeartbeatS: 3, LeaseS: 30, CancelS: 60}}}
-	return Config{Term: testTerm, Platform: p, Operator: operator, MaxValueBytes: 16 << 10}
+	return Config{Term: testTerm, Platform: platform, Operator: operator, MaxValueBytes: 16 << 10}
 }
 
 func newHarnessWithConfig(t testingT, now time.Duration, cfg Config, s ledger.Snapshot) *harness {
-	g := &harness{now: now, t: t, sequences: map[string]uint64{}, writesByKey: map[string]ledger.Write{}, submittedJobs: map[string]*wire.Job{}}
+	h := &harness{now: now, t: t, sequences: map[string]uint64{}, writesByKey: map[string]ledger.Write{}, submittedJobs: map[string]*wire.Job{}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	g.core = NewCore(cfg, s, now, now.Milliseconds(), log)
-	g.recordEffects(g.core.InitialEffects())
-	g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Types: true}, Types: []wire.MachineType{
+	h.core = NewCore(cfg, s, now, now.Milliseconds(), log)
+	h.recordEffects(h.core.InitialEffects())
+	h.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Types: true}, Types: []wire.MachineType{
 		{Name: "m4", CPUs: 4, MemGB: 16, CacheGB: 20, Price: 1, SpotPrice: 0.5, BootS: 40, Zones: []string{"a", "b"}}}}})
-	return g
+	return h
 }
 
 func (h *harness) step(e Event) {
@@ -149,12 +149,12 @@
 }
 
 // sendHeartbeat sends a heartbeat and returns the response.
-func (h *harness) sendHeartbeat(r *wire.Heartbeat) *wire.HeartbeatResponse {
+func (h *harness) sendHeartbeat(heartbeat *wire.Heartbeat) *wire.HeartbeatResponse {
 	h.recentEffects = nil
-	h.step(HeartbeatEvent{Heartbeat: r, ReplyTo: testRecipient("w")})
+	h.step(HeartbeatEvent{Heartbeat: heartbeat, ReplyTo: testRecipient("w")})
 	for _, e := range h.recentEffects {
-		if a, ok := e.(HeartbeatReply); ok {
-			return a.Response
+		if reply, ok := e.(HeartbeatReply); ok {
+			return reply.Response
 		}
 	}
 	h.t.Fatal("the report was not answered")
@@ -172,13 +172,13 @@
 // acknowledge has an agent show that it has received our latest token.
 func (h *harness) acknowledge(name string, tasks ...wire.TaskStatus) *wire.HeartbeatResponse {
 	m := h.core.findOrAddMachine(name)
-	r := h.newHeartbeat(name, m.agent.FencingToken(), tasks...)
-	r.AgentEpoch = max(m.agent.Epoch(), 1)
-	return h.sendHeartbeat(r)
+	heartbeat := h.newHeartbeat(name, m.agent.FencingToken(), tasks...)
+	heartbeat.AgentEpoch = max(m.agent.Epoch(), 1)
+	return h.sendHeartbeat(heartbeat)
 }
 
-func newTestJob(jobID string, tasks int, cpus float64) *wire.Job {
-	return &wire.Job{ID: jobID, Class: "c", Team: "t", Kind: "batch", Priority: "standard", Tasks: tasks, CPUs: cpus, MemGB: 1, Image: "i", Spot: true, EstimatedRunS: 10}
+func newTestJob(id string, tasks int, cpus float64) *wire.Job {
+	return &wire.Job{ID: id, Class: "c", Team: "t", Kind: "batch", Priority: "standard", Tasks: tasks, CPUs: cpus, MemGB: 1, Image: "i", Spot: true, EstimatedRunS: 10}
 }
 
 func (h *harness) submit(j *wire.Job) {
@@ -187,41 +187,41 @@
 }
 
 // startCommands lists the starts in commands without a result and in responses.
-func (h *harness) startCommands() (orders []wire.Command) {
-	for _, o := range h.responseCommands {
-		if o.Verb == wire.VerbStart {
-			orders = append(orders, o)
+func (h *harness) startCommands() (starts []wire.Command) {
+	for _, command := range h.responseCommands {
+		if command.Verb == wire.VerbStart {
+			starts = append(starts, command)
 		}
 	}
-	for _, d := range h.sentCommands {
-		for _, o := range d.Request.Commands {
-			if o.Verb == wire.VerbStart {
-				orders = append(orders, o)
+	for _, sent := range h.sentCommands {
+		for _, command := range sent.Request.Commands {
+			if command.Verb == wire.VerbStart {
+				starts = append(starts, command)
 			}
 		}
 	}
-	return orders
+	return starts
 }
 
 // completeCommands ends all commands that are on their way.
 func (h *harness) completeCommands(outcome CommandOutcome) {
-	calls := h.sentCommands
+	sent := h.sentCommands
 	h.sentCommands, h.responseCommands = nil, nil
-	for _, d := range calls {
-		h.step(CommandResult{CommandID: d.CommandID, Outcome: outcome})
+	for _, sent := range sent {
+		h.step(CommandResult{CommandID: sent.CommandID, Outcome: outcome})
 	}
 }
 
-func newTaskStatus(o wire.Command, status, why string) wire.TaskStatus {
-	return wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: status, ExitReason: why}
+func newTaskStatus(command wire.Command, status, why string) wire.TaskStatus {
+	return wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Status: status, ExitReason: why}
 }
 
-func commandVerbs(a *wire.HeartbeatResponse) string {
-	s := ""
-	for _, o := range a.Commands {
-		s += o.Verb + " "
+func commandVerbs(response *wire.HeartbeatResponse) string {
+	verbs := ""
+	for _, command := range response.Commands {
+		verbs += command.Verb + " "
 	}
-	return s
+	return verbs
 }
 
 func (h *harness) want(what string, got, want any) {
--- a/internal/scheduler/ledger_writes.go
+++ b/internal/scheduler/ledger_writes.go
@@ -5,26 +5,32 @@
 	"leadproxy/internal/ledger"
 )
 
-// The tags of ledger writes.
+// The tags of ledger writes. Each identifies what its write has made durable.
 type (
+	// hostTag is the tag of the hosts [from, to) of a job.
 	hostTag struct {
 		job      int32
 		from, to int
 	}
+	// finishedTag is the tag of finished tasks of a job.
 	finishedTag struct {
 		job   int32
 		tasks []int32
 	}
-	terminalTag    struct{ job int32 }
-	scaleOutTag    struct{ requestID string }
+	// terminalTag is the tag of the terminal state of a job.
+	terminalTag struct{ job int32 }
+	// scaleOutTag is the tag of the record of a scale-out.
+	scaleOutTag struct{ requestID string }
+	// unreachableTag is the tag of the withdrawal of an unreachable-agent record.
 	unreachableTag struct{ key string }
-	delegatedTag   struct {
+	// delegatedTag is the tag of the record of a job delegated to another cell.
+	delegatedTag struct {
 		jobID  string
 		record federation.DelegatedRecord
 	}
 )
 
-// IsTag marks the tags for the ledger.
+// IsTag implements ledger.Tag.
 func (hostTag) IsTag()        {}
 func (finishedTag) IsTag()    {}
 func (terminalTag) IsTag()    {}
@@ -32,7 +38,9 @@
 func (unreachableTag) IsTag() {}
 func (delegatedTag) IsTag()   {}
 
-// handleRejectedWrite has what was too large for a value written in smaller pieces.
+// handleRejectedWrite handles a write whose value was too large. Hosts and finished tasks are written
+// again, split into smaller values. The rejection of a terminal job record, a scale-out record or a
+// transfer record is logged as an error.
 func (c *Core) handleRejectedWrite(tag ledger.Tag) {
 	switch t := tag.(type) {
 	case hostTag:
@@ -52,7 +60,7 @@
 	}
 }
 
-// handleDurableWrite does what waits for a write to be durable.
+// handleDurableWrite continues the operation that was waiting for a write to become durable.
 func (c *Core) handleDurableWrite(tag ledger.Tag) {
 	switch t := tag.(type) {
 	case hostTag:
@@ -61,8 +69,8 @@
 			c.sendPlannedStarts(j, c.machines.list[host])
 		}
 	case finishedTag:
-		for _, n := range t.tasks {
-			c.jobs.list[t.job].progress.markTaskDurable(n)
+		for _, task := range t.tasks {
+			c.jobs.list[t.job].progress.markTaskDurable(task)
 		}
 	case terminalTag:
 		c.handleTerminalDurable(c.jobs.list[t.job])
@@ -78,7 +86,8 @@
 	}
 }
 
-// handleWritesDurable notes that writes are durable, and does what waits for each.
+// handleWritesDurable records that writes are durable, and continues the operations that were
+// waiting for them.
 func (c *Core) handleWritesDurable(e WritesDurable) {
 	c.writes.markDurable(len(e.Tags))
 	for _, tag := range e.Tags {
@@ -86,7 +95,7 @@
 	}
 }
 
-// handleWritesRejected notes that writes were not carried out, and replaces each.
+// handleWritesRejected records that writes were not carried out, and handles each of them.
 func (c *Core) handleWritesRejected(e WritesRejected) {
 	c.writes.markRejected(len(e.Tags))
 	for _, tag := range e.Tags {
--- a/internal/scheduler/ledger_writes_test.go
+++ b/internal/scheduler/ledger_writes_test.go
@@ -10,60 +10,60 @@
 )
 
 func TestHostIsDurableBeforeTheFirstStart(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.bringUp("vm-1")
-	g.holdWrites = true
-	g.submit(newTestJob("job-1", 2, 1))
-	g.want("starts while the host is not durable", len(g.startCommands()), 0)
-	g.releaseWrites()
-	g.want("starts once it is", len(g.startCommands()), 2)
+	h := newHarness(t, ledger.Snapshot{})
+	h.bringUp("vm-1")
+	h.holdWrites = true
+	h.submit(newTestJob("job-1", 2, 1))
+	h.want("starts while the host is not durable", len(h.startCommands()), 0)
+	h.releaseWrites()
+	h.want("starts once it is", len(h.startCommands()), 2)
 }
 
 // TestWritesOfAStepAreBatched: a step that adds many machines and many ended tasks to a job
 // writes each of its keys once, with all of them, and every machine still gets its starts only
 // when it is in the ledger.
 func TestWritesOfAStepAreBatched(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
+	h := newHarness(t, ledger.Snapshot{})
 	const machines = ledger.HostsPerChunk + 50
 	for i := range machines {
-		g.bringUp(fmt.Sprintf("vm-%03d", i))
+		h.bringUp(fmt.Sprintf("vm-%03d", i))
 	}
-	g.holdWrites = true
-	clear(g.writesByKey)
-	puts := g.writeCount
-	g.submit(newTestJob("job-1", 4*machines, 1))
-	g.want("writes for all machines", g.writeCount-puts, 2)
-	g.want("hosts in the first", len(g.writesByKey["host/job-1/0"].Value.([]string)), ledger.HostsPerChunk)
-	g.want("hosts in the second", len(g.writesByKey["host/job-1/1"].Value.([]string)), 50)
-	g.want("started before that is durable", len(g.startCommands()), 0)
-	g.releaseWrites()
+	h.holdWrites = true
+	clear(h.writesByKey)
+	writesBefore := h.writeCount
+	h.submit(newTestJob("job-1", 4*machines, 1))
+	h.want("writes for all machines", h.writeCount-writesBefore, 2)
+	h.want("hosts in the first", len(h.writesByKey["host/job-1/0"].Value.([]string)), ledger.HostsPerChunk)
+	h.want("hosts in the second", len(h.writesByKey["host/job-1/1"].Value.([]string)), 50)
+	h.want("started before that is durable", len(h.startCommands()), 0)
+	h.releaseWrites()
 	tasks := map[string][]wire.TaskStatus{}
-	for _, d := range g.sentCommands {
-		for _, o := range d.Request.Commands {
-			tasks[d.Machine] = append(tasks[d.Machine], newTaskStatus(o, wire.TaskEnded, wire.ExitDone))
+	for _, sent := range h.sentCommands {
+		for _, command := range sent.Request.Commands {
+			tasks[sent.Machine] = append(tasks[sent.Machine], newTaskStatus(command, wire.TaskEnded, wire.ExitDone))
 		}
 	}
-	g.want("started then", len(g.startCommands()), 4*machines)
-	g.completeCommands(CommandExecuted)
+	h.want("started then", len(h.startCommands()), 4*machines)
+	h.completeCommands(CommandExecuted)
 
-	g.holdWrites = true
-	puts = g.writeCount
+	h.holdWrites = true
+	writesBefore = h.writeCount
 	for _, name := range []string{"vm-001", "vm-002", "vm-003"} {
-		g.core.Step(HeartbeatEvent{Heartbeat: g.newHeartbeat(name, termToken, tasks[name]...), ReplyTo: testRecipient("w")}, g.now, g.now.Milliseconds())
+		h.core.Step(HeartbeatEvent{Heartbeat: h.newHeartbeat(name, termToken, tasks[name]...), ReplyTo: testRecipient("w")}, h.now, h.now.Milliseconds())
 	}
-	g.recordEffects(g.core.Flush())
-	g.want("writes for the ended tasks of three machines", g.writeCount-puts, 1)
-	for _, o := range g.responseCommands {
-		g.want("ordered before that is durable", o.Verb, "nothing")
+	h.recordEffects(h.core.Flush())
+	h.want("writes for the ended tasks of three machines", h.writeCount-writesBefore, 1)
+	for _, command := range h.responseCommands {
+		h.want("ordered before that is durable", command.Verb, "nothing")
 	}
-	g.releaseWrites()
-	n := 0
-	for _, k := range g.core.jobs.list[0].progress.tasks {
-		if k.state == taskDurable {
-			n++
+	h.releaseWrites()
+	durable := 0
+	for _, task := range h.core.jobs.list[0].progress.tasks {
+		if task.state == taskDurable {
+			durable++
 		}
 	}
-	g.want("durable", n, 12)
+	h.want("durable", durable, 12)
 }
 
 // TestWritesAreSplitBelowTheValueLimit: when the key-value store takes small values only, finished tasks, hosts and
@@ -71,37 +71,37 @@
 // them all.
 func TestWritesAreSplitBelowTheValueLimit(t *testing.T) {
 	const limit, tasks, machines = 1024, 600, 150
-	g := newHarness(t, ledger.Snapshot{})
+	h := newHarness(t, ledger.Snapshot{})
 	for i := range machines {
-		g.bringUp(fmt.Sprintf("vm-%06d", i))
+		h.bringUp(fmt.Sprintf("vm-%06d", i))
 	}
-	g.submit(newTestJob("job-1", tasks, 1))
-	g.completeCommands(CommandExecuted)
-	hosts := g.writesByKey["host/job-1/0"]
-	g.want("hosts in one key at first", len(hosts.Value.([]string)), machines)
-	g.step(ValueLimitChanged{MaxValueBytes: limit})
+	h.submit(newTestJob("job-1", tasks, 1))
+	h.completeCommands(CommandExecuted)
+	hosts := h.writesByKey["host/job-1/0"]
+	h.want("hosts in one key at first", len(hosts.Value.([]string)), machines)
+	h.step(ValueLimitChanged{MaxValueBytes: limit})
 	// The write was not carried out: all of it is written in pieces.
-	j := g.core.jobs.list[0]
+	j := h.core.jobs.list[0]
 	for i := range j.record.hosts {
 		j.record.hosts[i].durable = false
 	}
-	clear(g.writesByKey)
-	g.step(WritesRejected{Tags: []ledger.Tag{hosts.Tag}})
+	clear(h.writesByKey)
+	h.step(WritesRejected{Tags: []ledger.Tag{hosts.Tag}})
 	for i := 0; i < machines; i++ {
 		name := fmt.Sprintf("vm-%06d", i)
-		var reports []wire.TaskStatus
-		for _, b := range g.core.findOrAddMachine(name).capacity.allocations {
+		var statuses []wire.TaskStatus
+		for _, alloc := range h.core.findOrAddMachine(name).capacity.allocations {
 			status, why := wire.TaskRunning, ""
-			if b.task%2 == 0 {
+			if alloc.task%2 == 0 {
 				status, why = wire.TaskEnded, wire.ExitDone
 			}
-			reports = append(reports, newTaskStatus(wire.Command{Task: g.core.jobs.taskName(b), Attempt: b.attempt}, status, why))
+			statuses = append(statuses, newTaskStatus(wire.Command{Task: h.core.jobs.taskName(alloc), Attempt: alloc.attempt}, status, why))
 		}
-		g.acknowledge(name, reports...)
+		h.acknowledge(name, statuses...)
 	}
 	saved := ledger.SavedJob{ID: "job-1", Record: ledger.JobRecord{Job: j.spec}}
 	found := map[string]bool{}
-	for key, w := range g.writesByKey {
+	for key, w := range h.writesByKey {
 		switch v := w.Value.(type) {
 		case []string:
 			var chunk int
@@ -124,20 +124,20 @@
 			saved.Finished = append(saved.Finished, ledger.SavedRanges{Key: key, Ranges: v})
 		}
 	}
-	g.want("hosts in all pieces", len(found), machines)
-	n := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{saved}})
-	g.want("done for a new leader", n.core.jobs.list[0].progress.done, tasks/2)
-	g.want("its hosts", len(n.core.jobs.list[0].record.hosts), machines)
+	h.want("hosts in all pieces", len(found), machines)
+	successor := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{saved}})
+	h.want("done for a new leader", successor.core.jobs.list[0].progress.done, tasks/2)
+	h.want("its hosts", len(successor.core.jobs.list[0].record.hosts), machines)
 	// All of it is deleted with the job.
-	n.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
-	n.advance(40 * time.Second)
+	successor.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+	successor.advance(40 * time.Second)
 	for _, h := range saved.Hosts {
-		if w, ok := n.writesByKey[h.Key]; !ok || w.Value != nil {
+		if w, ok := successor.writesByKey[h.Key]; !ok || w.Value != nil {
 			t.Errorf("%s is not deleted", h.Key)
 		}
 	}
 	for _, f := range saved.Finished {
-		if w, ok := n.writesByKey[f.Key]; !ok || w.Value != nil {
+		if w, ok := successor.writesByKey[f.Key]; !ok || w.Value != nil {
 			t.Errorf("%s is not deleted", f.Key)
 		}
 	}
--- a/internal/scheduler/machine_table.go
+++ b/internal/scheduler/machine_table.go
@@ -6,11 +6,11 @@
 	"leadproxy/internal/ledger"
 )
 
-// machineTable holds all machines of the term, the live ones, and the names of their zones.
+// machineTable holds all machines known in this term, and the names of their zones.
 type machineTable struct {
-	list        []*machine
+	list        []*machine // by index, including those that are gone
 	indexByName map[string]int32
-	live        []*machine // all that are not gone
+	live        []*machine // machines that dropGone has not removed
 	zones       nameTable
 }
 
@@ -18,16 +18,16 @@
 	return machineTable{indexByName: map[string]int32{}}
 }
 
-// add adds a new machine, whose index follows the last one.
+// add appends a new machine. Its index must be the length of the list.
 func (t *machineTable) add(m *machine) {
 	t.indexByName[m.name] = m.index
 	t.list = append(t.list, m)
 	t.live = append(t.live, m)
 }
 
-// find returns a machine that this term knows, or nil. One of an earlier leader's that is not
-// known once jobs may be disrupted is gone: the cloud's list has been read since, and a lease
-// has passed.
+// find returns the machine with the given name, or nil if this term doesn't know it. By the time
+// that jobs may be disrupted, a machine of an earlier leader that is still unknown is gone: the
+// cloud's list has been read since, and a lease has passed.
 func (t *machineTable) find(name string) *machine {
 	if i, ok := t.indexByName[name]; ok {
 		return t.list[i]
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// count is how many machines there are, up or coming.
+// count returns the number of machines that are not gone.
 func (t *machineTable) count() (n int) {
 	for _, m := range t.live {
 		if m.state != machineGone {
@@ -45,7 +45,8 @@
 	return n
 }
 
-// unresolvedHosts counts the machines that may still run what an earlier leader started there.
+// unresolvedHosts returns the number of machines that may still run unreported tasks started by an
+// earlier leader.
 func (t *machineTable) unresolvedHosts() int {
 	n := 0
 	for _, m := range t.live {
@@ -56,8 +57,8 @@
 	return n
 }
 
-// dropGone removes machines that are gone from the live ones. The record that one is gone is
-// deleted once no job names it as a host.
+// dropGone removes machines that are gone from the live list. One with a record in the ledger stays
+// until no job names it as a host; then the record is deleted.
 func (t *machineTable) dropGone(writes *durableWrites) {
 	t.live = slices.DeleteFunc(t.live, func(m *machine) bool {
 		switch {
--- a/internal/scheduler/machine_types.go
+++ b/internal/scheduler/machine_types.go
@@ -8,7 +8,7 @@
 	"leadproxy/internal/wire"
 )
 
-// machineTypes are the machine types of the cloud, in the order in which they became known.
+// machineTypes holds the machine types of the cloud, in the order in which they became known.
 type machineTypes struct {
 	list        []machineType
 	indexByName map[string]int32
@@ -16,7 +16,7 @@
 
 func newMachineTypes() machineTypes { return machineTypes{indexByName: map[string]int32{}} }
 
-// findOrAdd returns the index of a type, which may be new.
+// findOrAdd returns the index of a type, and adds the type if it is new.
 func (t *machineTypes) findOrAdd(typ wire.MachineType) (index int32, isNew bool) {
 	if i, known := t.indexByName[typ.Name]; known {
 		return i, false
@@ -32,10 +32,10 @@
 	wire.MachineType
 	total    slowfit.Size
 	zones    []int32
-	bootTime time.Duration // learned
+	bootTime time.Duration // moving average of observed boots; at first what the cloud states
 }
 
-// update takes what the cloud says of the type at present.
+// update replaces the description of the type by the cloud's current one.
 func (t *machineType) update(typ wire.MachineType, zones *nameTable) {
 	t.MachineType = typ
 	t.total = slowfit.Size{CPUs: typ.CPUs, GPUs: typ.GPUs, MemGB: typ.MemGB}
@@ -45,13 +45,15 @@
 	}
 }
 
-// observeBootTime learns from the boot of a machine of the type.
-func (t *machineType) observeBootTime(took time.Duration) { t.bootTime += (took - t.bootTime) / 4 }
+// observeBootTime adds the boot time of a machine of the type to the moving average.
+func (t *machineType) observeBootTime(bootTime time.Duration) {
+	t.bootTime += (bootTime - t.bootTime) / 4
+}
 
-// inheritBootTime takes over what an earlier leader had learned.
-func (t *machineType) inheritBootTime(boot time.Duration) { t.bootTime = boot }
+// inheritBootTime sets the boot time to what an earlier leader had learned.
+func (t *machineType) inheritBootTime(bootTime time.Duration) { t.bootTime = bootTime }
 
-// price is what a machine of the type costs per hour at present.
+// price returns the current price of a machine of the type, per hour.
 func (t *machineType) price(spot bool) float64 {
 	if spot {
 		return t.SpotPrice
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -8,24 +8,24 @@
 	"leadproxy/internal/scheduler/agentstate"
 )
 
-// The states of a machine.
+// machineState is the state of a machine.
 type machineState uint8
 
 const (
-	machineStarting machineState = iota // rented or listed, without a heartbeat yet
-	machineUp                           // sends heartbeats
-	machineDeleting                     // its deletion is requested
-	machineGone
+	machineStarting machineState = iota // rented or listed by the cloud, no heartbeat received yet
+	machineUp                           // has sent a heartbeat
+	machineDeleting                     // deletion requested from the cloud
+	machineGone                         // no longer exists
 )
 
-// machine is one machine of this cell, kept in parts that are named after the part of the core
-// that owns them.
+// machine is a machine of this cell. Its state is divided into parts, each written by its own
+// methods and by the part of Core that owns it.
 type machine struct {
 	index     int32
 	name      string
-	typeIndex int32 // -1 while unknown
+	typeIndex int32 // index in machineTypes, -1 while unknown
 	typeName  string
-	zone      int32
+	zone      int32 // index in machineTable.zones, -1 while unknown
 	spot      bool
 	state     machineState
 
@@ -39,27 +39,27 @@
 	health   machineHealth
 	eviction machineEviction
 
-	softStateVersion uint64 // the version of the soft state with its last change
+	softStateVersion uint64 // version of the soft state at its last change
 }
 
-// rental is what is known of a machine's rental from the cloud.
+// rental is the state of a machine's rental from the cloud.
 type rental struct {
-	rentedAt          time.Duration // when it began, as far as known
-	scaleOutID        string
+	rentedAt          time.Duration // start of the rental, estimated until the cloud has listed the machine
+	scaleOutID        string        // request ID of the scale-out that rented it, "" if unknown
 	listed            bool          // the cloud has listed it
-	missedListings    int           // lists in a row without it, though it was listed before
-	terminationAt     time.Duration // when the cloud takes it away; 0: no notice
+	missedListings    int           // consecutive lists without it since it was last listed
+	terminationAt     time.Duration // announced termination by the cloud, 0 without a notice
 	lastDeleteRequest time.Duration
 }
 
-// setTermination notes when the cloud takes the machine away.
+// setTermination records when the cloud will terminate the machine.
 func (r *rental) setTermination(at time.Duration) { r.terminationAt = at }
 
-// setScaleOut notes the scale-out that has rented the machine.
+// setScaleOut records the request ID of the scale-out that rented the machine.
 func (r *rental) setScaleOut(scaleOutID string) { r.scaleOutID = scaleOutID }
 
-// recordListed notes that the cloud has listed the machine, and tells whether that was the first
-// time.
+// recordListed records that the cloud lists the machine. It reports whether that is the first time,
+// and only then takes the start of the rental.
 func (r *rental) recordListed(rentedAt time.Duration) (first bool) {
 	first = !r.listed
 	if first {
@@ -68,53 +68,55 @@
 	return first
 }
 
-// countMissedListing notes that a list of the cloud may lack the machine, until it is found in it.
+// countMissedListing counts a list of the cloud as one without the machine, if an earlier one had
+// it. The caller calls resetMissedListings for the machines that the list contains.
 func (r *rental) countMissedListing() {
 	if r.listed {
 		r.missedListings++
 	}
 }
 
-// resetMissedListings notes that the newest list has the machine.
+// resetMissedListings records that the newest list of the cloud contains the machine.
 func (r *rental) resetMissedListings() { r.missedListings = 0 }
 
-// machineRecord is what the ledger's records say of a machine.
+// machineRecord is what the ledger holds about a machine.
 type machineRecord struct {
-	gone        bool    // the ledger has a record that it is gone
-	namedByJobs int     // jobs whose records name it as a host
-	inDoubtJobs []int32 // jobs that may have unseen tasks on it, started by an earlier leader
+	gone        bool    // the ledger has a record that the machine is gone
+	namedByJobs int     // number of jobs whose records name it as a host
+	inDoubtJobs []int32 // jobs that may have unreported tasks on it, started by an earlier leader
 }
 
-// setGone notes whether the ledger has a record that the machine is gone.
+// setGone sets whether the ledger has a record that the machine is gone.
 func (r *machineRecord) setGone(gone bool) { r.gone = gone }
 
-// addInDoubt notes that a job may have unseen tasks on the machine.
+// addInDoubt adds a job that may have unreported tasks on the machine.
 func (r *machineRecord) addInDoubt(job int32) { r.inDoubtJobs = append(r.inDoubtJobs, job) }
 
-// takeInDoubt removes and returns the jobs that may have unseen tasks on the machine.
+// takeInDoubt removes and returns the jobs that may have unreported tasks on the machine.
 func (r *machineRecord) takeInDoubt() []int32 {
 	jobs := r.inDoubtJobs
 	r.inDoubtJobs = nil
 	return jobs
 }
 
-// machineHealth is what failures say of a machine.
+// machineHealth tracks the task failures attributed to a machine.
 type machineHealth struct {
 	quarantined bool
-	failedJobs  map[int32]bool // jobs with a task that failed on it, since a task last succeeded
+	failedJobs  map[int32]bool // jobs with a task that failed on it since the last success
 }
 
-// clearFailures forgets the failures: the machine can run tasks.
+// clearFailures resets the failures after a task has succeeded on the machine.
 func (h *machineHealth) clearFailures() { clear(h.failedJobs) }
 
-// machineEviction is what plans that drain machines want of one.
+// machineEviction is how drain plans affect a machine.
 type machineEviction struct {
-	cordoned      bool // a plan empties it: nothing starts on it
-	rentedForPlan bool // a plan has rented it for its present step
+	cordoned      bool // a plan drains it: no task starts on it
+	rentedForPlan bool // rented by a plan for its current step: not returned when idle
 }
 
+// cachedImage is an image in a machine's cache.
 type cachedImage struct {
-	image int32
+	image int32 // index in placement.images
 	gb    float64
 }
 
@@ -127,12 +129,13 @@
 	return false
 }
 
-// findOrAddMachine returns the machine of a name, and adds one that is new to this term.
+// findOrAddMachine returns the machine with the given name, and adds it if this term doesn't know
+// it yet.
 func (c *Core) findOrAddMachine(name string) *machine {
 	if m := c.machines.find(name); m != nil {
 		return m
 	}
-	name = strings.Clone(name) // mostly a part of a heartbeat's body
+	name = strings.Clone(name) // usually a substring of a heartbeat's body, which it would keep in memory
 	m := &machine{index: int32(len(c.machines.list)), name: name, typeIndex: -1, zone: -1,
 		agent:    agentstate.New(c.term<<termCounterBits, c.clock.termStart+c.agents.lease),
 		commands: machineCommands{unresolvedStarts: map[uint64]uint64{}},
@@ -145,7 +148,8 @@
 	return m
 }
 
-// updateDescription takes in what a heartbeat or the cloud's list says of a machine.
+// updateDescription updates a machine's type, zone, spot flag and address from a heartbeat, the
+// cloud's list or a scale-out. An empty address leaves the known one.
 func (c *Core) updateDescription(m *machine, typ, zone string, spot bool, address string) {
 	if m.agent.SetAddress(address) {
 		c.softState.machineChanged(m)
@@ -162,7 +166,8 @@
 	c.placement.markIndexStale(m)
 }
 
-// removeMachine notes that a machine, with all on it, no longer exists.
+// removeMachine marks a machine as gone, with all tasks on it. While jobs name it as a host, the
+// ledger keeps a record that it is gone, so that a later leader doesn't wait for its lease.
 func (c *Core) removeMachine(m *machine, why string) {
 	if m.state == machineGone {
 		return
@@ -182,7 +187,7 @@
 	c.placement.markNeeded()
 }
 
-// handleMachineUp learns from a machine's first heartbeat.
+// handleMachineUp handles a machine's first heartbeat.
 func (c *Core) handleMachineUp(m *machine) {
 	c.log.Info("machine is up", "machine", m.name, "seconds", (c.clock.now - m.rental.rentedAt).Seconds())
 	if m.typeIndex >= 0 && m.rental.scaleOutID != "" {
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -7,54 +7,55 @@
 	"leadproxy/internal/wire"
 )
 
-// restore takes a term's state over from the ledger and from what an earlier leader held in
-// memory. Jobs come after machines that are gone, and all that refers to jobs after those.
-func (c *Core) restore(s *ledger.Snapshot) {
+// restore builds the term's state from the ledger snapshot and the soft state of an earlier leader.
+// The order matters: gone machines are restored before the jobs that name them, and everything that
+// refers to jobs after the jobs.
+func (c *Core) restore(snapshot *ledger.Snapshot) {
 	c.inherited.restore(c.cfg.SoftState)
-	for _, name := range s.GoneMachines {
+	for _, name := range snapshot.GoneMachines {
 		m := c.findOrAddMachine(name)
 		m.state = machineGone
 		m.recorded.setGone(true)
 	}
-	for i := range s.Jobs {
-		c.restoreJob(&s.Jobs[i])
+	for i := range snapshot.Jobs {
+		c.restoreJob(&snapshot.Jobs[i])
 	}
 	c.restoreDependencies()
-	for _, h := range s.ScaleOuts {
-		c.restoreScaleOut(h)
+	for _, scaleOut := range snapshot.ScaleOuts {
+		c.restoreScaleOut(scaleOut)
 	}
-	c.restoreUnreachableRecords(s.Unreachable)
-	c.restoreTransfers(s)
-	c.plans.restore(s.Plans)
+	c.restoreUnreachableRecords(snapshot.Unreachable)
+	c.restoreTransfers(snapshot)
+	c.plans.restore(snapshot.Plans)
 	c.agents.probeInheritedAddresses()
 }
 
-// restoreJob takes a job from the ledger at the start of a term.
-func (c *Core) restoreJob(s *ledger.SavedJob) {
-	if s.Record.Job == nil && s.Record.TerminalState == "" {
-		// Ranges or hosts whose job record is missing: records are never
-		// deleted, so there is nothing that could run.
-		c.log.Error("ledger has keys of a job without a record", "job", s.ID)
+// restoreJob restores a job from the ledger.
+func (c *Core) restoreJob(saved *ledger.SavedJob) {
+	if saved.Record.Job == nil && saved.Record.TerminalState == "" {
+		// There are finished ranges or hosts, but no job record. Job records are never deleted,
+		// so no task of such a job can be running.
+		c.log.Error("ledger has keys of a job without a record", "job", saved.ID)
 		return
 	}
-	j := c.newJob(s.ID, s.Record, s.Version)
-	if s.Record.Class != "" {
-		accepted := c.clock.now - time.Duration(c.clock.wallMS-s.Record.AcceptedMS)*time.Millisecond
-		c.demand.learnArrival(c.classIndex(s.Record.Class), c.teams.Index(s.Record.Team), accepted, s.Record.Cores, s.Record.RunS)
+	j := c.newJob(saved.ID, saved.Record, saved.Version)
+	if saved.Record.Class != "" {
+		accepted := c.clock.now - time.Duration(c.clock.wallMS-saved.Record.AcceptedMS)*time.Millisecond
+		c.demand.learnArrival(c.classIndex(saved.Record.Class), c.teams.Index(saved.Record.Team), accepted, saved.Record.Cores, saved.Record.RunS)
 	}
 	if j.spec == nil {
-		// It is done; an earlier leader was stopped while it tidied up.
-		c.jobs.deleteRestoredKeys(s)
+		// The job has ended; an earlier leader ended before it had deleted all its keys.
+		c.jobs.deleteRestoredKeys(saved)
 		return
 	}
-	c.jobs.restoreFinished(j, s)
-	c.restoreHosts(j, s.Hosts)
-	if s.HostsUnknown {
-		// Its tasks may be on unknown machines. Agents that live send heartbeats within a lease,
-		// and what the others ran has ended by then.
+	c.jobs.restoreFinished(j, saved)
+	c.restoreHosts(j, saved.Hosts)
+	if saved.HostsUnknown {
+		// Its tasks may run on unknown machines. Within one lease, running agents send a heartbeat,
+		// and all others have ended their tasks.
 		j.retry.delayUntil(c.clock.now + c.agents.lease)
 	}
-	if !hasDependencies(&s.Record) && j.transfer.origin == "" {
+	if !hasDependencies(&saved.Record) && j.transfer.origin == "" {
 		c.demand.observeArrival(j)
 	}
 	switch {
@@ -66,8 +67,9 @@
 	c.placement.markNeeded()
 }
 
-// restoreHosts notes the machines that a job's tasks may be on. Until each has sent a heartbeat,
-// or must have ended them, unseen tasks are neither placed again nor counted as free.
+// restoreHosts restores the machines that a job's tasks may run on. Until each of them has sent a
+// heartbeat or its lease has expired, the job's unreported tasks are not placed again, and the
+// resources they may use do not count as free.
 func (c *Core) restoreHosts(j *job, chunks []ledger.SavedHosts) {
 	for _, chunk := range chunks {
 		var machines []*machine
@@ -78,11 +80,11 @@
 	}
 }
 
-// resolveInDoubt resolves what an earlier leader started on a machine: its agent has listed all
-// that runs, or all of it has ended.
+// resolveInDoubt marks the tasks that an earlier leader started on a machine as resolved: either
+// its agent has listed all running tasks, or all of them have ended.
 func (c *Core) resolveInDoubt(m *machine, why string) {
 	if len(m.recorded.inDoubtJobs) > 0 {
-		c.log.Debug("earlier starts on a machine are resolved", "machine", m.name, "reason", why, "jobs", len(m.recorded.inDoubtJobs), "after", (c.clock.now - c.clock.termStart).Seconds())
+		c.log.Debug("starts of an earlier leader on a machine are resolved", "machine", m.name, "reason", why, "jobs", len(m.recorded.inDoubtJobs), "after", (c.clock.now - c.clock.termStart).Seconds())
 	}
 	for _, i := range m.recorded.takeInDoubt() {
 		j := c.jobs.list[i]
@@ -96,10 +98,10 @@
 	}
 }
 
-// restoreScaleOut continues an earlier leader's scale-out.
-func (c *Core) restoreScaleOut(r ledger.ScaleOutRecord) {
-	h := c.scaleOuts.restore(r)
-	if r.Machines != nil {
-		c.recordRentedMachines(h, r.Machines)
+// restoreScaleOut restores a scale-out of an earlier leader and continues it.
+func (c *Core) restoreScaleOut(record ledger.ScaleOutRecord) {
+	scaleOut := c.scaleOuts.restore(record)
+	if record.Machines != nil {
+		c.recordRentedMachines(scaleOut, record.Machines)
 	}
 }
--- a/internal/scheduler/scalability_test.go
+++ b/internal/scheduler/scalability_test.go
@@ -12,35 +12,35 @@
 // half of memory, lets jobs wait that need a little of both, and counts the nodes of the index
 // that are visited for heartbeats with ended tasks.
 func indexVisitsPerHeartbeat(t *testing.T, machines int) int {
-	g := newHarness(t, ledger.Snapshot{})
+	h := newHarness(t, ledger.Snapshot{})
 	tasks := map[string][]wire.TaskStatus{}
 	for i := range machines {
 		name := fmt.Sprintf("vm-%06d", i)
-		g.bringUp(name)
+		h.bringUp(name)
 		j := newTestJob(fmt.Sprintf("job-%d", i+1), 4, 1)
 		if i%2 == 0 {
 			j.Tasks, j.MemGB = 1, 16
 		}
-		g.submit(j)
-		for _, o := range g.startCommands() {
-			tasks[name] = append(tasks[name], newTaskStatus(o, wire.TaskRunning, ""))
+		h.submit(j)
+		for _, command := range h.startCommands() {
+			tasks[name] = append(tasks[name], newTaskStatus(command, wire.TaskRunning, ""))
 		}
-		g.completeCommands(CommandExecuted)
+		h.completeCommands(CommandExecuted)
 	}
 	for i := range 30 {
 		j := newTestJob(fmt.Sprintf("job-9%05d", i), 10, 2)
 		j.MemGB = 4
-		g.submit(j)
+		h.submit(j)
 	}
-	g.want("started without room", len(g.startCommands()), 0)
-	before := g.core.placement.index.NodesVisited()
-	const reports = 50
-	for i := range reports {
+	h.want("started without room", len(h.startCommands()), 0)
+	before := h.core.placement.index.NodesVisited()
+	const heartbeats = 50
+	for i := range heartbeats {
 		name := fmt.Sprintf("vm-%06d", 1+2*i)
 		tasks[name][0].Status, tasks[name][0].ExitReason = wire.TaskEnded, wire.ExitDone
-		g.sendHeartbeat(g.newHeartbeat(name, termToken, tasks[name]...))
+		h.sendHeartbeat(h.newHeartbeat(name, termToken, tasks[name]...))
 	}
-	return (g.core.placement.index.NodesVisited() - before) / reports
+	return (h.core.placement.index.NodesVisited() - before) / heartbeats
 }
 
 // TestWorkPerHeartbeatDoesNotGrow: in a full cell every heartbeat with an ended task had all
--- a/internal/scheduler/scale_in.go
+++ b/internal/scheduler/scale_in.go
@@ -9,11 +9,11 @@
 	"leadproxy/internal/settings"
 )
 
-// minRental is how long a machine is charged for at least.
+// minRental is the minimum time that the cloud charges for a machine.
 const minRental = 60 * time.Second
 
-// scaleInRequests returns machines to the cloud: those that are broken, lost or not needed. It owns
-// the deletions to be requested, and writes the rental of a machine besides the methods of that.
+// scaleInRequests returns machines to the cloud that are broken, lost or not needed. It owns the
+// deletions to be requested, and also writes a machine's rental.
 type scaleInRequests struct {
 	cfg       *Config
 	term      uint64
@@ -26,7 +26,7 @@
 	placement *placement
 	demand    *learnedDemand
 
-	deletes []string // to be requested at the end of the step
+	deletes []string // machines whose deletion is requested at the end of the step
 }
 
 func newScaleInRequests(c *Core) scaleInRequests {
@@ -34,8 +34,8 @@
 		machines: &c.machines, agents: &c.agents, placement: &c.placement, demand: &c.demand}
 }
 
-// requestDelete requests the deletion of a machine. It is gone only when the cloud says so;
-// until then the request is repeated now and then.
+// requestDelete requests the deletion of a machine at the end of the step. The machine is gone only
+// when the cloud confirms that; until then the request is repeated, at most every 10 seconds.
 func (r *scaleInRequests) requestDelete(m *machine, why string) {
 	if m.state == machineDeleting && r.clock.now-m.rental.lastDeleteRequest < 10*time.Second {
 		return
@@ -46,18 +46,18 @@
 	r.deletes = append(r.deletes, m.name)
 }
 
-// sendDeletes requests the deletions of a step together, since the cloud's API allows few
-// calls.
+// sendDeletes requests the deletions of a step in as few calls as possible, because the cloud limits
+// the rate of calls.
 func (r *scaleInRequests) sendDeletes() {
 	for names := r.deletes; len(names) > 0; {
-		n := min(len(names), autoscaler.MaxDelete)
-		r.effects.emit(CallCloud{autoscaler.Call{Delete: slices.Clone(names[:n])}})
-		names = names[n:]
+		count := min(len(names), autoscaler.MaxDelete)
+		r.effects.emit(CallCloud{autoscaler.Call{Delete: slices.Clone(names[:count])}})
+		names = names[count:]
 	}
 	r.deletes = r.deletes[:0]
 }
 
-// deleteUnneeded returns the machines that are broken, lost, or not needed any more.
+// deleteUnneeded requests the deletion of machines that are broken, lost or no longer needed.
 func (r *scaleInRequests) deleteUnneeded() {
 	cores := r.countCapacity()
 	headroom := r.demand.headroomCores()
@@ -82,8 +82,9 @@
 	}
 }
 
-// countCapacity counts the cores to plan with, and notes how many machines should be sending
-// heartbeats and which zones seem to be cut off.
+// countCapacity returns the cores that count as capacity. It also counts the expected and the
+// unreachable agents of each zone, from which agents detects zones that are cut off. A machine
+// that is missing from two lists in a row is not counted as unreachable: it is probably gone.
 func (r *scaleInRequests) countCapacity() (cores float64) {
 	zones := make([]zoneCount, len(r.machines.zones.list))
 	var all zoneCount
@@ -105,11 +106,11 @@
 	return cores
 }
 
-// mayScaleIn tells whether an idle machine may be returned at all: its least rental has passed
-// and no waiting task could use it. One that some waiting task could use is kept, whatever keeps
-// that task from it now. One that is too small or not allowed for all of them is not: in a large
-// cell there is always something waiting. Nor is one that only tasks beyond their team's limit
-// would use.
+// mayScaleIn reports whether an idle machine may be returned: its minimum rental has passed, and no
+// job in waiting could use it. A machine that a waiting task could use is kept, whatever prevents
+// the task from starting there now. One that is too small or not allowed for all waiting tasks is
+// returned, because in a large cell some tasks always wait. waiting excludes tasks beyond their
+// team's limit, which therefore keep no machine.
 func (r *scaleInRequests) mayScaleIn(m *machine, waiting []*job) bool {
 	if m.state != machineUp || m.eviction.rentedForPlan || len(m.capacity.allocations) > 0 || r.clock.now-m.rental.rentedAt < minRental || !m.trusted(r.term) {
 		return false
@@ -119,15 +120,15 @@
 	})
 }
 
-// reasonToScaleIn tells why a machine is to be returned whether or not it is needed; "": there
-// is no reason.
+// reasonToScaleIn returns the reason to return a machine even if it is needed, or "" if there is
+// none.
 func (r *scaleInRequests) reasonToScaleIn(m *machine) string {
 	unacknowledged := r.agents.unacknowledgedFor(m)
 	switch {
 	case m.state == machineDeleting:
 		return "not yet known to be gone"
 	case r.agents.heartbeatExpected(m) && unacknowledged > r.agents.unreachableTimeout() && m.rental.missedListings >= 2:
-		// Absence from the list proves nothing, but its deletion will.
+		// Absence from the list does not prove that the machine is gone, but its deletion does.
 		return "unreachable and not listed any more"
 	case r.agents.heartbeatExpected(m) && unacknowledged > 4*r.agents.heartbeatInterval && !r.agents.zonePartitioned(m):
 		return "unreachable"
@@ -145,12 +146,12 @@
 	return ""
 }
 
-// unknownBootPatience is how long a machine of an unknown type may boot.
+// unknownBootPatience is the longest boot of a machine of an unknown type.
 const unknownBootPatience = 90 * time.Second
 
-// reasonToStopBoot tells why a machine without a heartbeat so far is to be returned. One that an
-// earlier leader had up may be unreachable for a while: it has a lease's time for its first
-// heartbeat.
+// reasonToStopBoot returns the reason to return a machine that has sent no heartbeat in this term, or
+// "" if there is none. A machine that was up under an earlier leader may be unreachable for a
+// while, so no machine is returned until one lease has passed in this term.
 func (r *scaleInRequests) reasonToStopBoot(m *machine, unacknowledged time.Duration) string {
 	patience := unknownBootPatience
 	switch {
--- a/internal/scheduler/scale_in_test.go
+++ b/internal/scheduler/scale_in_test.go
@@ -12,17 +12,17 @@
 )
 
 func TestUnreachableMachine(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.bringUp("vm-1")
-	g.submit(newTestJob("job-1", 1, 4))
-	g.completeCommands(CommandExecuted)
-	g.advance(14 * time.Second)
-	g.want("asked to delete", g.deletedMachines, []string{"vm-1"})
-	g.bringUp("vm-2")
-	g.want("starts before it is surely gone", len(g.startCommands()), 0)
-	g.advance(17 * time.Second) // its lease has expired
-	g.bringUp("vm-3")
-	g.want("starts after", len(g.startCommands()), 1)
+	h := newHarness(t, ledger.Snapshot{})
+	h.bringUp("vm-1")
+	h.submit(newTestJob("job-1", 1, 4))
+	h.completeCommands(CommandExecuted)
+	h.advance(14 * time.Second)
+	h.want("asked to delete", h.deletedMachines, []string{"vm-1"})
+	h.bringUp("vm-2")
+	h.want("starts before it is surely gone", len(h.startCommands()), 0)
+	h.advance(17 * time.Second) // its lease has expired
+	h.bringUp("vm-3")
+	h.want("starts after", len(h.startCommands()), 1)
 }
 
 func TestWhichUnreachableMachinesAreDeleted(t *testing.T) {
@@ -38,56 +38,56 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newHarness(t, ledger.Snapshot{})
-			tell := func(zones map[string]string) {
+			h := newHarness(t, ledger.Snapshot{})
+			sendHeartbeats := func(zones map[string]string) {
 				for name, zone := range zones {
-					r := g.newHeartbeat(name, termToken)
-					r.Zone = zone
-					g.sendHeartbeat(r)
+					heartbeat := h.newHeartbeat(name, termToken)
+					heartbeat.Zone = zone
+					h.sendHeartbeat(heartbeat)
 				}
 			}
-			tell(c.zones)
-			tell(c.talking)
+			sendHeartbeats(c.zones)
+			sendHeartbeats(c.talking)
 			for range 14 {
-				g.advance(time.Second)
-				tell(c.talking)
+				h.advance(time.Second)
+				sendHeartbeats(c.talking)
 			}
-			g.want("deleted", len(g.deletedMachines), c.deleted)
+			h.want("deleted", len(h.deletedMachines), c.deleted)
 		})
 	}
 }
 
 func TestMachinesThatReconnectAfterAPartitionAreNotDeleted(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
+	h := newHarness(t, ledger.Snapshot{})
 	machines := []string{"vm-1", "vm-2", "vm-3", "vm-4"}
 	for _, name := range machines {
-		g.bringUp(name)
+		h.bringUp(name)
 	}
-	g.advance(14 * time.Second) // all are unreachable: we are cut off
+	h.advance(14 * time.Second) // all are unreachable: we are cut off
 	for _, name := range machines {
-		g.bringUp(name)
-		g.advance(time.Second)
+		h.bringUp(name)
+		h.advance(time.Second)
 	}
-	g.want("deleted", len(g.deletedMachines), 0)
+	h.want("deleted", len(h.deletedMachines), 0)
 }
 
 func TestSuspensionOfTheLeaderMakesNoAgentUnreachable(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.bringUp("vm-1")
-	g.bringUp("vm-2")
-	g.bringUp("vm-3")
-	g.now += 20 * time.Second // no ticks: the leader was suspended
-	g.step(Tick{})
-	g.bringUp("vm-2")
-	g.bringUp("vm-3")
-	g.advance(time.Second)
-	g.want("deleted", len(g.deletedMachines), 0)
+	h := newHarness(t, ledger.Snapshot{})
+	h.bringUp("vm-1")
+	h.bringUp("vm-2")
+	h.bringUp("vm-3")
+	h.now += 20 * time.Second // no ticks: the leader was suspended
+	h.step(Tick{})
+	h.bringUp("vm-2")
+	h.bringUp("vm-3")
+	h.advance(time.Second)
+	h.want("deleted", len(h.deletedMachines), 0)
 }
 
 func TestUnreachableHostAfterAFailoverIsDeleted(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}})
-	g.advance(13 * time.Second)
-	g.want("asked to delete", g.deletedMachines, []string{"vm-1"})
+	h := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}})
+	h.advance(13 * time.Second)
+	h.want("asked to delete", h.deletedMachines, []string{"vm-1"})
 }
 
 // TestIdleMachineThatWaitingTasksCanNotUseIsReturned: on a large site something
@@ -104,18 +104,18 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			g := newHarness(t, ledger.Snapshot{})
-			g.bringUp("vm-1")
+			h := newHarness(t, ledger.Snapshot{})
+			h.bringUp("vm-1")
 			j := newTestJob("job-1", 1, 1)
 			c.change(j)
-			g.submit(j)
-			g.completeCommands(CommandNotSent) // what fits waits as well: commands do not arrive there
+			h.submit(j)
+			h.completeCommands(CommandNotSent) // what fits waits as well: commands do not arrive there
 			for range 100 {
-				g.advance(time.Second)
-				g.acknowledge("vm-1")
-				g.completeCommands(CommandNotSent)
+				h.advance(time.Second)
+				h.acknowledge("vm-1")
+				h.completeCommands(CommandNotSent)
 			}
-			g.want("returned", len(slices.Compact(g.deletedMachines)), c.deleted)
+			h.want("returned", len(slices.Compact(h.deletedMachines)), c.deleted)
 		})
 	}
 }
@@ -123,33 +123,33 @@
 // TestBeyondTheLimitNothingIsRentedOrKept: tasks beyond their team's limit cause no scale-out,
 // however many jobs they are in, and keep no machine.
 func TestBeyondTheLimitNothingIsRentedOrKept(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUsMax: 4})
+	h := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUsMax: 4})
 	for i := range 5 {
-		g.submit(newTestJob(fmt.Sprintf("job-%d", i+1), 8, 1))
+		h.submit(newTestJob(fmt.Sprintf("job-%d", i+1), 8, 1))
 	}
-	g.advance(2 * time.Second)
+	h.advance(2 * time.Second)
 	machines := 0
-	for _, h := range g.scaleOuts {
+	for _, h := range h.scaleOuts {
 		machines += h.Count
 	}
-	g.want("hired for 4 cores of 40", machines, 1)
+	h.want("hired for 4 cores of 40", machines, 1)
 
-	g.bringUp("vm-1")
+	h.bringUp("vm-1")
 	running := []wire.TaskStatus{}
-	for _, o := range g.startCommands() {
-		running = append(running, newTaskStatus(o, wire.TaskRunning, ""))
+	for _, command := range h.startCommands() {
+		running = append(running, newTaskStatus(command, wire.TaskRunning, ""))
 	}
-	g.want("started within the limit", len(running), 4)
-	g.completeCommands(CommandExecuted)
-	g.bringUp("vm-2")
+	h.want("started within the limit", len(running), 4)
+	h.completeCommands(CommandExecuted)
+	h.bringUp("vm-2")
 	for range 100 {
-		g.advance(time.Second)
-		g.acknowledge("vm-1", running...)
-		g.acknowledge("vm-2")
+		h.advance(time.Second)
+		h.acknowledge("vm-1", running...)
+		h.acknowledge("vm-2")
 	}
 	returned := map[string]bool{}
-	for _, name := range g.deletedMachines {
+	for _, name := range h.deletedMachines {
 		returned[name] = true
 	}
-	g.want("the idle machine returned, the busy one not", fmt.Sprint(returned["vm-2"], returned["vm-1"]), "true false")
+	h.want("the idle machine returned, the busy one not", fmt.Sprint(returned["vm-2"], returned["vm-1"]), "true false")
 }
--- a/internal/scheduler/scale_out.go
+++ b/internal/scheduler/scale_out.go
@@ -11,8 +11,8 @@
 	"leadproxy/internal/wire"
 )
 
-// scaleOutRequests rents machines. It owns the scale-outs that are under way or whose machines are
-// not all known from elsewhere, and keeps their records in the ledger.
+// scaleOutRequests rents machines. It owns the scale-outs that await a result or whose machines are
+// not all known yet from the cloud's list or a heartbeat, and keeps their records in the ledger.
 type scaleOutRequests struct {
 	term     uint64
 	clock    *clock
@@ -24,7 +24,7 @@
 	pools    *capacityPools
 
 	byID  map[string]*scaleOutRequest
-	count uint64 // of names given out in this term
+	count uint64 // number of request IDs assigned in this term
 }
 
 func newScaleOutRequests(c *Core) scaleOutRequests {
@@ -34,145 +34,149 @@
 
 // scaleOutRequest is one request for machines, by this leader or an earlier one.
 type scaleOutRequest struct {
-	ledgerRecord   ledger.ScaleOutRecord // its record in the ledger
-	pool           autoscaler.CapacityPool
-	unseenMachines map[string]bool
-	awaitsResult   bool // the cloud's result is still needed
-	sent           bool
-	retryAt        time.Duration
+	ledgerRecord   ledger.ScaleOutRecord   // as in the ledger
+	pool           autoscaler.CapacityPool // Type is -1 if restored
+	unseenMachines map[string]bool         // rented machines known from the result only; nil before it
+	awaitsResult   bool                    // the cloud's result is still needed
+	sent           bool                    // a call is in flight
+	retryAt        time.Duration           // after an unknown outcome; 0 if there was none
 }
 
-// markResolved notes that the cloud's result is known.
-func (h *scaleOutRequest) markResolved() {
-	h.awaitsResult = false
-	h.unseenMachines = map[string]bool{}
+// markResolved records that the cloud's result is known.
+func (s *scaleOutRequest) markResolved() {
+	s.awaitsResult = false
+	s.unseenMachines = map[string]bool{}
 }
 
-// awaitMachine keeps the scale-out until a machine of it is known from elsewhere.
-func (h *scaleOutRequest) awaitMachine(name string) { h.unseenMachines[name] = true }
+// awaitMachine keeps the scale-out until the machine is known from the cloud's list or a heartbeat.
+func (s *scaleOutRequest) awaitMachine(name string) { s.unseenMachines[name] = true }
 
-// start rents machines under a new name.
-func (s *scaleOutRequests) start(w autoscaler.PlannedScaleOut) {
+// start rents machines under a new request ID.
+func (s *scaleOutRequests) start(planned autoscaler.PlannedScaleOut) {
 	s.count++
-	// The name embeds the term, so that no other leader ever uses it.
-	s.startWithID(fmt.Sprintf("h%d-%d", s.term, s.count), w)
+	// The ID contains the term, so that no other leader ever uses the same one.
+	s.startWithID(fmt.Sprintf("h%d-%d", s.term, s.count), planned)
 }
 
-// startWithID rents machines under a name. The cloud accepts each name once, however
-// often it is sent.
-func (s *scaleOutRequests) startWithID(name string, w autoscaler.PlannedScaleOut) {
-	t := s.types.list[w.Pool.Type]
-	h := &scaleOutRequest{pool: w.Pool, awaitsResult: true, ledgerRecord: ledger.ScaleOutRecord{Request: wire.ScaleOutRequest{
-		RequestID: name, CapacityPool: wire.CapacityPool{Type: t.Name, Zone: s.machines.zones.list[w.Pool.Zone], Spot: w.Pool.Spot}, Count: min(w.Count, autoscaler.MaxScaleOut)}}}
-	s.add(h)
-	s.log.Info("scaling out", "request", name, "type", t.Name, "zone", h.ledgerRecord.Request.Zone, "spot", w.Pool.Spot, "count", h.ledgerRecord.Request.Count, "reason", w.Reason)
-	s.writes.put(ledger.Write{Key: ledger.ScaleOutKey(name), Value: h.ledgerRecord, Urgent: true, Tag: scaleOutTag{name}})
+// startWithID rents machines under a given request ID, once the record of the scale-out is durable.
+// The cloud carries out each request ID once, however often it is sent.
+func (s *scaleOutRequests) startWithID(id string, planned autoscaler.PlannedScaleOut) {
+	machineType := s.types.list[planned.Pool.Type]
+	scaleOut := &scaleOutRequest{pool: planned.Pool, awaitsResult: true, ledgerRecord: ledger.ScaleOutRecord{Request: wire.ScaleOutRequest{
+		RequestID: id, CapacityPool: wire.CapacityPool{Type: machineType.Name, Zone: s.machines.zones.list[planned.Pool.Zone], Spot: planned.Pool.Spot}, Count: min(planned.Count, autoscaler.MaxScaleOut)}}}
+	s.add(scaleOut)
+	s.log.Info("scaling out", "request", id, "type", machineType.Name, "zone", scaleOut.ledgerRecord.Request.Zone, "spot", planned.Pool.Spot, "count", scaleOut.ledgerRecord.Request.Count, "reason", planned.Reason)
+	s.writes.put(ledger.Write{Key: ledger.ScaleOutKey(id), Value: scaleOut.ledgerRecord, Urgent: true, Tag: scaleOutTag{id}})
 }
 
-// add notes a scale-out.
-func (s *scaleOutRequests) add(h *scaleOutRequest) { s.byID[h.ledgerRecord.Request.RequestID] = h }
+// add adds a scale-out.
+func (s *scaleOutRequests) add(scaleOut *scaleOutRequest) {
+	s.byID[scaleOut.ledgerRecord.Request.RequestID] = scaleOut
+}
 
-// recordDurable sends a scale-out once its record is durable.
-func (s *scaleOutRequests) recordDurable(name string) {
-	if h := s.byID[name]; h != nil && h.awaitsResult && !h.sent {
-		s.send(h)
+// recordDurable sends a scale-out whose record has become durable.
+func (s *scaleOutRequests) recordDurable(id string) {
+	if scaleOut := s.byID[id]; scaleOut != nil && scaleOut.awaitsResult && !scaleOut.sent {
+		s.send(scaleOut)
 	}
 }
 
 // send requests the machines of a scale-out.
-func (s *scaleOutRequests) send(h *scaleOutRequest) {
-	h.sent = true
-	request := h.ledgerRecord.Request
+func (s *scaleOutRequests) send(scaleOut *scaleOutRequest) {
+	scaleOut.sent = true
+	request := scaleOut.ledgerRecord.Request
 	s.effects.emit(CallCloud{autoscaler.Call{ScaleOut: &request}})
 }
 
-// awaitingResult lists the scale-outs whose result is still needed.
+// awaitingResult returns the scale-outs whose result is still needed, in no particular order.
 func (s *scaleOutRequests) awaitingResult() []*scaleOutRequest {
 	var out []*scaleOutRequest
-	for _, h := range s.byID {
-		if h.awaitsResult {
-			out = append(out, h)
+	for _, scaleOut := range s.byID {
+		if scaleOut.awaitsResult {
+			out = append(out, scaleOut)
 		}
 	}
 	return out
 }
 
-// retryDue sends again the scale-outs of unknown outcome whose retry is due.
+// retryDue repeats the scale-outs of unknown outcome whose retry is due.
 func (s *scaleOutRequests) retryDue() {
-	for _, h := range s.byID {
-		if h.awaitsResult && !h.sent && h.retryAt > 0 && s.clock.now >= h.retryAt {
-			s.send(h)
+	for _, scaleOut := range s.byID {
+		if scaleOut.awaitsResult && !scaleOut.sent && scaleOut.retryAt > 0 && s.clock.now >= scaleOut.retryAt {
+			s.send(scaleOut)
 		}
 	}
 }
 
-// restore adds an earlier leader's scale-out. One whose result is not in its record is repeated
-// under its own name, to learn its machines.
-func (s *scaleOutRequests) restore(r ledger.ScaleOutRecord) *scaleOutRequest {
-	h := &scaleOutRequest{ledgerRecord: r, pool: autoscaler.CapacityPool{Type: -1, Zone: s.machines.zones.intern(r.Request.Zone), Spot: r.Request.Spot}}
-	s.add(h)
-	if r.Machines == nil {
-		h.awaitsResult = true
-		s.send(h)
+// restore adds an earlier leader's scale-out. If its record has no result, it is repeated under the
+// same request ID, which returns its machines without renting others.
+func (s *scaleOutRequests) restore(record ledger.ScaleOutRecord) *scaleOutRequest {
+	scaleOut := &scaleOutRequest{ledgerRecord: record, pool: autoscaler.CapacityPool{Type: -1, Zone: s.machines.zones.intern(record.Request.Zone), Spot: record.Request.Spot}}
+	s.add(scaleOut)
+	if record.Machines == nil {
+		scaleOut.awaitsResult = true
+		s.send(scaleOut)
 	}
-	return h
+	return scaleOut
 }
 
-// recordMachineSeen notes that a machine is known from the list or from its agent, so that its
-// scale-out need not be kept for it.
+// recordMachineSeen records that a machine is known from the cloud's list or a heartbeat, so that its
+// scale-out is no longer needed to find it.
 func (s *scaleOutRequests) recordMachineSeen(m *machine) {
-	if h := s.byID[m.rental.scaleOutID]; h != nil && h.unseenMachines != nil {
-		delete(h.unseenMachines, m.name)
-		s.removeIfAllSeen(h)
+	if scaleOut := s.byID[m.rental.scaleOutID]; scaleOut != nil && scaleOut.unseenMachines != nil {
+		delete(scaleOut.unseenMachines, m.name)
+		s.removeIfAllSeen(scaleOut)
 	}
 }
 
-// removeIfAllSeen drops a scale-out once all its machines are known from elsewhere.
-func (s *scaleOutRequests) removeIfAllSeen(h *scaleOutRequest) {
-	if len(h.unseenMachines) == 0 {
-		s.remove(h)
+// removeIfAllSeen removes a scale-out if all its machines are known from the cloud's list or a
+// heartbeat.
+func (s *scaleOutRequests) removeIfAllSeen(scaleOut *scaleOutRequest) {
+	if len(scaleOut.unseenMachines) == 0 {
+		s.remove(scaleOut)
 	}
 }
 
-// remove forgets a scale-out and has its record deleted.
-func (s *scaleOutRequests) remove(h *scaleOutRequest) {
-	delete(s.byID, h.ledgerRecord.Request.RequestID)
-	s.writes.put(ledger.Write{Key: ledger.ScaleOutKey(h.ledgerRecord.Request.RequestID)})
+// remove removes a scale-out and deletes its record.
+func (s *scaleOutRequests) remove(scaleOut *scaleOutRequest) {
+	delete(s.byID, scaleOut.ledgerRecord.Request.RequestID)
+	s.writes.put(ledger.Write{Key: ledger.ScaleOutKey(scaleOut.ledgerRecord.Request.RequestID)})
 }
 
-// handleResult takes the result of a scale-out, and tells whether it has rented machines.
-func (s *scaleOutRequests) handleResult(r autoscaler.Result) (h *scaleOutRequest, rented bool) {
-	h = s.byID[r.Call.ScaleOut.RequestID]
-	if h == nil || !h.awaitsResult {
+// handleResult applies the result of a scale-out and reports whether it has rented machines. A result
+// that is no longer needed is ignored.
+func (s *scaleOutRequests) handleResult(result autoscaler.Result) (scaleOut *scaleOutRequest, rented bool) {
+	scaleOut = s.byID[result.Call.ScaleOut.RequestID]
+	if scaleOut == nil || !scaleOut.awaitsResult {
 		return nil, false
 	}
-	h.sent = false
-	pool := s.pools.state(h.pool)
-	request := &h.ledgerRecord.Request
+	scaleOut.sent = false
+	pool := s.pools.state(scaleOut.pool)
+	request := &scaleOut.ledgerRecord.Request
 	switch {
-	case r.Err == nil:
-		s.log.Info("scale-out result", "request", request.RequestID, "machines", r.Machines, "wanted", request.Count)
-		if len(r.Machines) < request.Count {
+	case result.Err == nil:
+		s.log.Info("scale-out result", "request", request.RequestID, "machines", result.Machines, "wanted", request.Count)
+		if len(result.Machines) < request.Count {
 			pool.extendBackoff(s.clock.now)
 		} else {
 			pool.recordFilled()
 		}
-		h.ledgerRecord.Machines = r.Machines
-		if len(r.Machines) == 0 {
-			s.remove(h)
+		scaleOut.ledgerRecord.Machines = result.Machines
+		if len(result.Machines) == 0 {
+			s.remove(scaleOut)
 			return nil, false
 		}
-		s.writes.put(ledger.Write{Key: ledger.ScaleOutKey(request.RequestID), Value: h.ledgerRecord})
-		return h, true
-	case errors.Is(r.Err, autoscaler.ErrNoCapacity):
+		s.writes.put(ledger.Write{Key: ledger.ScaleOutKey(request.RequestID), Value: scaleOut.ledgerRecord})
+		return scaleOut, true
+	case errors.Is(result.Err, autoscaler.ErrNoCapacity):
 		s.log.Info("scale-out refused: no capacity", "request", request.RequestID, "type", request.Type, "zone", request.Zone, "spot", request.Spot)
 		pool.extendBackoff(s.clock.now)
-		h.awaitsResult = false
-		s.remove(h)
+		scaleOut.awaitsResult = false
+		s.remove(scaleOut)
 	default:
-		// It may have been carried out. Only the same name is safe to repeat.
-		s.log.Info("scale-out result unknown, will retry", "request", request.RequestID, "error", r.Err)
-		h.retryAt = s.clock.now + time.Second
+		// The cloud may have carried out the request. Only the same request ID is safe to repeat.
+		s.log.Info("scale-out result unknown, will retry", "request", request.RequestID, "error", result.Err)
+		scaleOut.retryAt = s.clock.now + time.Second
 	}
 	return nil, false
 }
--- a/internal/scheduler/scaling_plan.go
+++ b/internal/scheduler/scaling_plan.go
@@ -8,14 +8,14 @@
 	"leadproxy/internal/scheduler/quota"
 )
 
-// The interval and limit of the capacity plan.
+// Bounds on capacity planning.
 const (
 	planInterval     = 500 * time.Millisecond
-	maxOpenScaleOuts = 8
+	maxOpenScaleOuts = 8 // scale-outs that await a result at once
 )
 
-// capacityPlanner plans the capacity at an interval: it has unneeded machines returned and those
-// that waiting tasks and the headroom need requested. It owns only when it plans next.
+// capacityPlanner periodically returns machines that are not needed, and rents machines for queued
+// tasks and headroom. It owns only the time of its next plan.
 type capacityPlanner struct {
 	cfg       *Config
 	term      uint64
@@ -40,7 +40,7 @@
 		pools: &c.pools, demand: &c.demand, scaleOuts: &c.scaleOuts, scaleIns: &c.scaleIns}
 }
 
-// planDue plans the capacity if that is due.
+// planDue plans scale-in and scale-out if planInterval has passed and the machine types are known.
 func (p *capacityPlanner) planDue() {
 	if p.clock.now < p.nextPlan || len(p.types.list) == 0 {
 		return
@@ -50,94 +50,94 @@
 	p.scaleOutMachines()
 }
 
-// scaleOutMachines requests what waiting tasks need and what is to be kept as headroom.
+// scaleOutMachines rents machines for queued tasks and headroom.
 func (p *capacityPlanner) scaleOutMachines() {
 	open := len(p.scaleOuts.awaitingResult())
-	for _, w := range autoscaler.Plan(p.planInput()) {
-		for ; w.Count > 0; w.Count -= autoscaler.MaxScaleOut {
+	for _, planned := range autoscaler.Plan(p.planInput()) {
+		for ; planned.Count > 0; planned.Count -= autoscaler.MaxScaleOut {
 			if open >= maxOpenScaleOuts {
 				return
 			}
-			p.scaleOuts.start(w)
+			p.scaleOuts.start(planned)
 			open++
 		}
 	}
 }
 
-// planInput describes the situation for which scale-outs are planned.
+// planInput builds the input for planning scale-outs from the current state.
 func (p *capacityPlanner) planInput() autoscaler.PlanInput {
-	s := autoscaler.PlanInput{MaxMachines: p.cfg.Operator.MaxMachines, HeadroomSizes: p.demand.headroomSizes(), HeadroomCores: p.demand.headroomCores()}
-	p.addPools(&s)
-	p.addMachines(&s)
-	p.addScaleOuts(&s)
-	p.addQueued(&s)
-	return s
+	input := autoscaler.PlanInput{MaxMachines: p.cfg.Operator.MaxMachines, HeadroomSizes: p.demand.headroomSizes(), HeadroomCores: p.demand.headroomCores()}
+	p.addPools(&input)
+	p.addMachines(&input)
+	p.addScaleOuts(&input)
+	p.addQueued(&input)
+	return input
 }
 
-// addPools lists the machine types and the capacity pools that may be used.
-func (p *capacityPlanner) addPools(s *autoscaler.PlanInput) {
+// addPools adds the machine types, and the capacity pools that are not in back-off.
+func (p *capacityPlanner) addPools(input *autoscaler.PlanInput) {
 	for i := range p.types.list {
-		s.Types = append(s.Types, autoscaler.MachineType{Total: p.types.list[i].total, BootTime: p.types.list[i].bootTime})
+		input.Types = append(input.Types, autoscaler.MachineType{Total: p.types.list[i].total, BootTime: p.types.list[i].bootTime})
 	}
-	for o, st := range p.pools.openPools() {
-		s.Pools = append(s.Pools, autoscaler.PricedPool{CapacityPool: o, Price: p.types.list[o.Type].price(o.Spot), MaxCount: st.maxCount()})
+	for pool, state := range p.pools.openPools() {
+		input.Pools = append(input.Pools, autoscaler.PricedPool{CapacityPool: pool, Price: p.types.list[pool.Type].price(pool.Spot), MaxCount: state.maxCount()})
 	}
 }
 
-// addMachines counts the machines that are up or coming.
-func (p *capacityPlanner) addMachines(s *autoscaler.PlanInput) {
-	s.MachineCount += p.machines.count()
+// addMachines adds the machines that are up or starting.
+func (p *capacityPlanner) addMachines(input *autoscaler.PlanInput) {
+	input.MachineCount += p.machines.count()
 	for _, m := range p.machines.live {
 		if !p.agents.countsAsCapacity(m) {
 			continue
 		}
-		s.ProvisionedCores += m.capacity.total.CPUs
-		o := autoscaler.CapacityPool{Type: m.typeIndex, Zone: m.zone, Spot: m.spot}
+		input.ProvisionedCores += m.capacity.total.CPUs
+		pool := autoscaler.CapacityPool{Type: m.typeIndex, Zone: m.zone, Spot: m.spot}
 		if m.trusted(p.term) {
-			s.Running = append(s.Running, autoscaler.RunningMachine{CapacityPool: o, BusyCoreSeconds: p.placement.remainingWork(m)})
+			input.Running = append(input.Running, autoscaler.RunningMachine{CapacityPool: pool, BusyCoreSeconds: p.placement.remainingWork(m)})
 		} else {
-			s.Pending = append(s.Pending, autoscaler.PendingMachine{CapacityPool: o, Free: m.capacity.free})
+			input.Pending = append(input.Pending, autoscaler.PendingMachine{CapacityPool: pool, Free: m.capacity.free})
 		}
 	}
 }
 
-// addScaleOuts counts the machines of scale-outs without a result.
-func (p *capacityPlanner) addScaleOuts(s *autoscaler.PlanInput) {
-	for _, h := range p.scaleOuts.awaitingResult() {
-		if h.pool.Type < 0 {
+// addScaleOuts adds the machines of scale-outs without a result.
+func (p *capacityPlanner) addScaleOuts(input *autoscaler.PlanInput) {
+	for _, scaleOut := range p.scaleOuts.awaitingResult() {
+		if scaleOut.pool.Type < 0 {
 			continue
 		}
-		total := p.types.list[h.pool.Type].total
-		for range h.ledgerRecord.Request.Count {
-			s.Pending = append(s.Pending, autoscaler.PendingMachine{CapacityPool: h.pool, Free: total})
-			s.ProvisionedCores += total.CPUs
-			s.MachineCount++
+		total := p.types.list[scaleOut.pool.Type].total
+		for range scaleOut.ledgerRecord.Request.Count {
+			input.Pending = append(input.Pending, autoscaler.PendingMachine{CapacityPool: scaleOut.pool, Free: total})
+			input.ProvisionedCores += total.CPUs
+			input.MachineCount++
 		}
 	}
 }
 
-// addQueued lists the tasks that wait, in the order of the queue. What a team's limit leaves
-// is shared by all its waiting jobs.
-func (p *capacityPlanner) addQueued(s *autoscaler.PlanInput) {
+// addQueued adds the queued tasks in the order of the queue. A team's jobs share what its limit
+// leaves. A suspect job counts with one task only.
+func (p *capacityPlanner) addQueued(input *autoscaler.PlanInput) {
 	used := make([]quota.Units, p.teams.Len())
 	for i := range used {
 		used[i] = p.teams.Team(int32(i)).Allocated()
 	}
 	for _, j := range p.placement.sortedQueue() {
 		p.placement.resolveTypes(j)
-		n := min(len(j.progress.waiting), p.teams.Team(j.request.team).AdditionalTasks(j.request.size, used[j.request.team]))
-		used[j.request.team] = used[j.request.team].Plus(quota.UnitsOf(j.request.size).Times(n))
+		count := min(len(j.progress.waiting), p.teams.Team(j.request.team).AdditionalTasks(j.request.size, used[j.request.team]))
+		used[j.request.team] = used[j.request.team].Plus(quota.UnitsOf(j.request.size).Times(count))
 		if j.suspect() {
-			n = min(n, 1)
+			count = min(count, 1)
 		}
-		if n > 0 {
-			s.Queued = append(s.Queued, autoscaler.TaskGroup{Size: j.request.size, Count: n, RunTime: p.estimates.expectedRun(j), Slack: j.slack(p.clock.now),
-				Allows: func(o autoscaler.CapacityPool) bool { return j.allowsMachine(o.Type, o.Zone, o.Spot) }})
+		if count > 0 {
+			input.Queued = append(input.Queued, autoscaler.TaskGroup{Size: j.request.size, Count: count, RunTime: p.estimates.expectedRun(j), Slack: j.slack(p.clock.now),
+				Allows: func(pool autoscaler.CapacityPool) bool { return j.allowsMachine(pool.Type, pool.Zone, pool.Spot) }})
 		}
 	}
 }
 
-// canScaleOut tells whether machines are coming or could be requested.
+// canScaleOut reports whether machines are starting or could be requested.
 func (p *capacityPlanner) canScaleOut() bool {
 	if len(p.scaleOuts.awaitingResult()) > 0 {
 		return true
@@ -145,7 +145,7 @@
 	if slices.ContainsFunc(p.machines.live, func(m *machine) bool { return m.state == machineStarting && m.typeIndex >= 0 }) {
 		return true
 	}
-	if most := p.cfg.Operator.MaxMachines; most > 0 && p.machines.count() >= most {
+	if limit := p.cfg.Operator.MaxMachines; limit > 0 && p.machines.count() >= limit {
 		return false
 	}
 	return p.pools.anyPoolOpen()
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -37,10 +37,10 @@
 func (m *simulatedMachine) Deliver(Effect) {}
 
 func newSimulation(machines int) *simulation {
-	p := &settings.Platform{Facts: settings.Facts{ControllerCount: 3, Teams: []settings.Team{{Name: "t"}},
+	platform := &settings.Platform{Facts: settings.Facts{ControllerCount: 3, Teams: []settings.Team{{Name: "t"}},
 		Workers: settings.Workers{HeartbeatS: 8, LeaseS: 36, CancelS: 56}, Objectives: []settings.Objective{{Kind: "wait", Class: "small", WithinS: 4}}}}
 	s := &simulation{machinesByName: map[string]*simulatedMachine{}, counts: map[string]int{}}
-	s.core = NewCore(Config{Term: testTerm, Platform: p, Operator: settings.Defaults()}, ledger.Snapshot{}, 0, 0, slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})))
+	s.core = NewCore(Config{Term: testTerm, Platform: platform, Operator: settings.Defaults()}, ledger.Snapshot{}, 0, 0, slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})))
 	s.handleEffects(s.core.InitialEffects())
 	var types []wire.MachineType
 	for i, cpus := range []float64{4, 8, 32} {
@@ -87,8 +87,8 @@
 		case SendCommands:
 			m := s.machinesByName[e.Machine]
 			m.executeCommands(s.now, e.Request.FencingToken, e.Request.Commands)
-			r := m.newHeartbeat()
-			s.pendingEvents = append(s.pendingEvents, CommandResult{CommandID: e.CommandID, Outcome: CommandExecuted, Heartbeat: &r})
+			heartbeat := m.newHeartbeat()
+			s.pendingEvents = append(s.pendingEvents, CommandResult{CommandID: e.CommandID, Outcome: CommandExecuted, Heartbeat: &heartbeat})
 		case HeartbeatReply:
 			if e.Response != nil {
 				e.ReplyTo.(*simulatedMachine).executeCommands(s.now, e.Response.FencingToken, e.Response.Commands)
@@ -106,24 +106,24 @@
 
 func (m *simulatedMachine) newHeartbeat() wire.Heartbeat {
 	m.heartbeat.Sequence++
-	r := m.heartbeat
-	r.Tasks = append([]wire.TaskStatus(nil), r.Tasks...)
-	return r
+	heartbeat := m.heartbeat
+	heartbeat.Tasks = append([]wire.TaskStatus(nil), heartbeat.Tasks...)
+	return heartbeat
 }
 
-func (m *simulatedMachine) executeCommands(now time.Duration, token uint64, orders []wire.Command) {
+func (m *simulatedMachine) executeCommands(now time.Duration, token uint64, commands []wire.Command) {
 	if token > m.heartbeat.FencingToken {
 		m.heartbeat.FencingToken = token
 		m.nextHeartbeatAt = min(m.nextHeartbeatAt, now+500*time.Millisecond)
 	}
-	for _, o := range orders {
-		switch o.Verb {
+	for _, command := range commands {
+		switch command.Verb {
 		case wire.VerbStart:
-			m.heartbeat.Tasks = append(m.heartbeat.Tasks, wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: wire.TaskRunning})
-			m.taskEndTimes[o.Attempt] = now + 10*time.Second + time.Duration(o.Attempt%7)*time.Second
+			m.heartbeat.Tasks = append(m.heartbeat.Tasks, wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Status: wire.TaskRunning})
+			m.taskEndTimes[command.Attempt] = now + 10*time.Second + time.Duration(command.Attempt%7)*time.Second
 		case wire.VerbForget:
 			for i := range m.heartbeat.Tasks {
-				if m.heartbeat.Tasks[i].Attempt == o.Attempt {
+				if m.heartbeat.Tasks[i].Attempt == command.Attempt {
 					m.heartbeat.Tasks = append(m.heartbeat.Tasks[:i], m.heartbeat.Tasks[i+1:]...)
 					break
 				}
@@ -157,9 +157,9 @@
 			}
 			if m.nextHeartbeatAt <= s.now {
 				m.nextHeartbeatAt = s.now + 8*time.Second
-				r := m.newHeartbeat()
+				heartbeat := m.newHeartbeat()
 				s.counts["reports"]++
-				s.core.Step(HeartbeatEvent{Heartbeat: &r, ReplyTo: m}, s.now, s.now.Milliseconds())
+				s.core.Step(HeartbeatEvent{Heartbeat: &heartbeat, ReplyTo: m}, s.now, s.now.Milliseconds())
 			}
 		}
 		if s.now%(250*time.Millisecond) == 0 {
@@ -189,8 +189,8 @@
 		s.run(time.Second, 300)
 	}
 	b.StopTimer()
-	for _, k := range []string{"reports", "dispatch.Direct", "writes"} {
-		b.ReportMetric(float64(s.counts[k])/float64(b.N), k+"/s")
+	for _, key := range []string{"reports", "dispatch.Direct", "writes"} {
+		b.ReportMetric(float64(s.counts[key])/float64(b.N), key+"/s")
 	}
 	b.ReportMetric(float64(s.core.attempts.count), "starts")
 }
--- a/internal/scheduler/soft_state.go
+++ b/internal/scheduler/soft_state.go
@@ -7,7 +7,8 @@
 	"leadproxy/internal/softstate"
 )
 
-// softState passes on to standbys what this leader holds in memory. It owns the version of that.
+// softState replicates to standbys the state that this leader holds in memory only. It owns the
+// version of that state.
 type softState struct {
 	term      uint64
 	clock     *clock
@@ -20,7 +21,7 @@
 	placement *placement
 	pools     *capacityPools
 
-	version uint64 // counts the changes of machines that are passed on
+	version uint64 // number of changes to machines so far
 }
 
 func newSoftState(c *Core) softState {
@@ -28,14 +29,14 @@
 		jobs: &c.jobs, machines: &c.machines, placement: &c.placement, pools: &c.pools}
 }
 
-// machineChanged notes that the soft state of a machine has changed.
+// machineChanged records a change of a machine's soft state.
 func (s *softState) machineChanged(m *machine) {
 	s.version++
 	m.softStateVersion = s.version
 }
 
-// handleRequest replies with what has changed since an earlier reply, the oldest change
-// first.
+// handleRequest replies with the machines that have changed since an earlier reply, the oldest
+// change first, and with all learned estimates. A first request gets no machines that are gone.
 func (s *softState) handleRequest(e SoftStateRequest) {
 	var changed []*machine
 	for _, m := range s.machines.list {
@@ -56,50 +57,50 @@
 	s.effects.emit(reply)
 }
 
-// machineSoftState is the soft state of a machine.
+// machineSoftState returns the soft state of a machine.
 func (s *softState) machineSoftState(m *machine) softstate.Machine {
-	h := softstate.Machine{Name: m.name, Gone: m.state == machineGone, Address: m.agent.Address(), AgentEpoch: m.agent.Epoch(), FencingToken: m.agent.FencingToken(),
+	state := softstate.Machine{Name: m.name, Gone: m.state == machineGone, Address: m.agent.Address(), AgentEpoch: m.agent.Epoch(), FencingToken: m.agent.FencingToken(),
 		SinceHeartbeat: max(0, s.clock.now-m.agent.LastHeartbeat()), Idle: max(0, s.clock.now-m.capacity.idleSince)}
 	for _, i := range m.capacity.images {
-		h.Images = append(h.Images, softstate.Image{Name: s.placement.images.list[i.image], GB: i.gb})
+		state.Images = append(state.Images, softstate.Image{Name: s.placement.images.list[i.image], GB: i.gb})
 	}
-	for _, b := range m.capacity.allocations {
-		k := softstate.Allocation{Task: s.jobs.taskName(b), Attempt: b.attempt}
-		if b.runningSince > 0 {
-			k.Running = s.clock.now - b.runningSince
+	for _, alloc := range m.capacity.allocations {
+		allocation := softstate.Allocation{Task: s.jobs.taskName(alloc), Attempt: alloc.attempt}
+		if alloc.runningSince > 0 {
+			allocation.Running = s.clock.now - alloc.runningSince
 		}
-		h.Allocations = append(h.Allocations, k)
+		state.Allocations = append(state.Allocations, allocation)
 	}
-	return h
+	return state
 }
 
-// learnedEstimates is what this term has learned.
+// learnedEstimates returns the estimates learned in this term, with the pools in a fixed order.
 func (s *softState) learnedEstimates() softstate.Estimates {
-	l := softstate.Estimates{RunRatios: map[string]float64{}, BootSeconds: map[string]float64{}}
+	estimates := softstate.Estimates{RunRatios: map[string]float64{}, BootSeconds: map[string]float64{}}
 	for class, ratio := range s.estimates.runRatios {
 		if ratio > 0 {
-			l.RunRatios[s.classes.names.list[class]] = ratio
+			estimates.RunRatios[s.classes.names.list[class]] = ratio
 		}
 	}
 	for i := range s.types.list {
 		if boot := s.types.list[i].bootTime.Seconds(); boot > 0 {
-			l.BootSeconds[s.types.list[i].Name] = boot
+			estimates.BootSeconds[s.types.list[i].Name] = boot
 		}
 	}
-	for o, st := range s.pools.states {
-		if o.Type < 0 || o.Zone < 0 || *st == (poolState{}) {
+	for pool, state := range s.pools.states {
+		if pool.Type < 0 || pool.Zone < 0 || *state == (poolState{}) {
 			continue
 		}
-		l.Pools = append(l.Pools, softstate.CapacityPool{Type: s.types.list[o.Type].Name, Zone: s.machines.zones.list[o.Zone], Spot: o.Spot,
-			BackoffLeft: max(0, st.blockedUntil-s.clock.now), Backoff: st.backoff, Filled: st.consecutiveFills})
+		estimates.Pools = append(estimates.Pools, softstate.CapacityPool{Type: s.types.list[pool.Type].Name, Zone: s.machines.zones.list[pool.Zone], Spot: pool.Spot,
+			BackoffLeft: max(0, state.blockedUntil-s.clock.now), Backoff: state.backoff, Filled: state.consecutiveFills})
 	}
-	slices.SortFunc(l.Pools, comparePools)
-	return l
+	slices.SortFunc(estimates.Pools, comparePools)
+	return estimates
 }
 
 func comparePools(a, b softstate.CapacityPool) int {
-	spot := func(o softstate.CapacityPool) int {
-		if o.Spot {
+	spot := func(pool softstate.CapacityPool) int {
+		if pool.Spot {
 			return 1
 		}
 		return 0
--- a/internal/scheduler/spending.go
+++ b/internal/scheduler/spending.go
@@ -7,20 +7,20 @@
 	"leadproxy/internal/wire"
 )
 
-// costs is what the machines cost over an interval, divided by what they were doing,
-// in the cloud's currency. What a machine costs is charged by cores to what uses them.
+// costs is the cost of the machines over an interval, in the cloud's currency, by use. The cost of a
+// machine that is up is attributed to its tasks in proportion to their cores.
 type costs struct {
-	booting   float64 // machines without a heartbeat so far
-	fetching  float64 // cores of tasks that wait for their image, or for the result of their start
+	booting   float64 // machines that have sent no heartbeat yet
+	fetching  float64 // cores of tasks that wait for their image or for the result of their start
 	running   float64 // cores of tasks that run
 	stopping  float64 // cores of tasks that are being stopped
 	partIdle  float64 // free cores of machines with tasks
 	idle      float64 // machines without tasks
 	returning float64 // machines whose deletion is requested
-	lost      float64 // of running: what tasks had run that have to run again
+	lost      float64 // part of running: work of tasks that have to run again
 }
 
-// spending is what the machines have cost since it was last logged.
+// spending accumulates the cost of the machines since it was last logged.
 type spending struct {
 	clock    *clock
 	log      *slog.Logger
@@ -29,7 +29,7 @@
 	machines *machineTable
 
 	spent        costs
-	accruedUntil time.Duration // as far as that is reckoned
+	accruedUntil time.Duration // end of the interval that spent covers
 	loggedAt     time.Duration
 }
 
@@ -38,8 +38,7 @@
 		accruedUntil: c.clock.now, loggedAt: c.clock.now}
 }
 
-// The intervals of the accounting: how often the cost of all machines is added, and how often it
-// is logged.
+// The intervals at which the cost of all machines is added up and logged.
 const (
 	spendingInterval    = time.Second
 	spendingLogInterval = 30 * time.Second
@@ -47,12 +46,12 @@
 
 const secondsPerHour = 3600
 
-// total is all that was spent.
+// total returns the sum of all uses. lost is contained in running.
 func (s *costs) total() float64 {
 	return s.booting + s.fetching + s.running + s.stopping + s.partIdle + s.idle + s.returning
 }
 
-// pricePerSecond is what a machine costs at present.
+// pricePerSecond returns the current price of a machine per second, 0 if its type is unknown.
 func (s *spending) pricePerSecond(m *machine) float64 {
 	if m.typeIndex < 0 {
 		return 0
@@ -60,7 +59,7 @@
 	return s.types.list[m.typeIndex].price(m.spot) / secondsPerHour
 }
 
-// accrue adds what the machines have cost since the last time.
+// accrue adds the cost of the machines since the last call, at most once per spendingInterval.
 func (s *spending) accrue() {
 	if s.clock.now-s.accruedUntil < spendingInterval {
 		return
@@ -84,20 +83,20 @@
 	}
 }
 
-// attributeCost divides the cost of a machine that is up.
+// attributeCost attributes the cost of a machine that is up to its tasks and its free cores.
 func (s *spending) attributeCost(m *machine, cost float64) {
 	if len(m.capacity.allocations) == 0 || m.capacity.total.CPUs <= 0 {
 		s.spent.idle += cost
 		return
 	}
 	free := cost
-	for _, b := range m.capacity.allocations {
-		share := cost * s.jobs.list[b.job].request.size.CPUs / m.capacity.total.CPUs
+	for _, alloc := range m.capacity.allocations {
+		share := cost * s.jobs.list[alloc.job].request.size.CPUs / m.capacity.total.CPUs
 		free -= share
 		switch {
-		case b.stopping:
+		case alloc.stopping:
 			s.spent.stopping += share
-		case b.status == wire.TaskRunning:
+		case alloc.status == wire.TaskRunning:
 			s.spent.running += share
 		default:
 			s.spent.fetching += share
@@ -106,16 +105,16 @@
 	s.spent.partIdle += max(free, 0)
 }
 
-// addLostWork counts what a task had run that has to run again.
-func (s *spending) addLostWork(m *machine, b *allocation) {
-	j := s.jobs.list[b.job]
-	if b.runningSince == 0 || m.capacity.total.CPUs <= 0 || j.ended() {
+// addLostWork adds the cost of the work of a task that has to run again.
+func (s *spending) addLostWork(m *machine, alloc *allocation) {
+	j := s.jobs.list[alloc.job]
+	if alloc.runningSince == 0 || m.capacity.total.CPUs <= 0 || j.ended() {
 		return
 	}
-	s.spent.lost += s.pricePerSecond(m) * j.request.size.CPUs / m.capacity.total.CPUs * (s.clock.now - b.runningSince).Seconds()
+	s.spent.lost += s.pricePerSecond(m) * j.request.size.CPUs / m.capacity.total.CPUs * (s.clock.now - alloc.runningSince).Seconds()
 }
 
-// logAndReset logs what was spent, and begins anew.
+// logAndReset logs the accumulated costs, if there are any, and resets them.
 func (s *spending) logAndReset() {
 	if spent := &s.spent; spent.total() > 0 {
 		s.log.Info("spending", "seconds", (s.clock.now - s.loggedAt).Seconds(), "total", spent.total(), "booting", spent.booting, "fetching", spent.fetching,
--- a/internal/scheduler/spending_test.go
+++ b/internal/scheduler/spending_test.go
@@ -30,27 +30,27 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			g := newHarness(t, ledger.Snapshot{})
-			g.bringUp("vm-1")
-			g.submit(newTestJob("job-000001", 1, 1))
-			c := g.core
-			m, j := c.machines.list[c.machines.indexByName["vm-1"]], c.jobs.list[0]
+			h := newHarness(t, ledger.Snapshot{})
+			h.bringUp("vm-1")
+			h.submit(newTestJob("job-000001", 1, 1))
+			core := h.core
+			m, j := core.machines.list[core.machines.indexByName["vm-1"]], core.jobs.list[0]
 			m.state, m.capacity.allocations = tc.state, nil
-			for _, ledgerWriter := range tc.bookings {
-				m.capacity.allocations = append(m.capacity.allocations, ledgerWriter(j))
+			for _, newAllocation := range tc.bookings {
+				m.capacity.allocations = append(m.capacity.allocations, newAllocation(j))
 			}
-			c.spending.spent, c.spending.accruedUntil, c.spending.loggedAt = costs{}, c.clock.now, c.clock.now
-			c.clock.now += 10 * time.Second
-			c.spending.accrue()
-			unit := c.spending.pricePerSecond(m) * 10 / 100
+			core.spending.spent, core.spending.accruedUntil, core.spending.loggedAt = costs{}, core.clock.now, core.clock.now
+			core.clock.now += 10 * time.Second
+			core.spending.accrue()
+			unit := core.spending.pricePerSecond(m) * 10 / 100
 			for _, part := range []struct {
 				name      string
 				got, want float64
 			}{
-				{"booting", c.spending.spent.booting, tc.want.booting}, {"fetching", c.spending.spent.fetching, tc.want.fetching},
-				{"running", c.spending.spent.running, tc.want.running}, {"saving", c.spending.spent.stopping, tc.want.stopping},
-				{"partly idle", c.spending.spent.partIdle, tc.want.partIdle}, {"idle", c.spending.spent.idle, tc.want.idle},
-				{"returning", c.spending.spent.returning, tc.want.returning},
+				{"booting", core.spending.spent.booting, tc.want.booting}, {"fetching", core.spending.spent.fetching, tc.want.fetching},
+				{"running", core.spending.spent.running, tc.want.running}, {"saving", core.spending.spent.stopping, tc.want.stopping},
+				{"partly idle", core.spending.spent.partIdle, tc.want.partIdle}, {"idle", core.spending.spent.idle, tc.want.idle},
+				{"returning", core.spending.spent.returning, tc.want.returning},
 			} {
 				if unit == 0 || math.Abs(part.got/unit-part.want) > 1e-6 {
 					t.Errorf("%s: %v of the cost, want %v", part.name, part.got/unit, part.want)
