--- a/internal/scheduler/attempts_test.go
+++ b/internal/scheduler/attempts_test.go
@@ -8,26 +8,27 @@
 	"leadproxy/internal/ledger"
 )
 
-// TestAttemptsOfATermAreBounded: the counter of attempts overflowed into the term, and numbers
-// came twice. The leader resigns in time, and nothing is started beyond the bound.
+// TestAttemptsOfATermAreBounded guards against attempt numbers that are assigned twice because the
+// counter overflows into the term. The leader resigns before that, and starts nothing beyond the
+// bound.
 func TestAttemptsOfATermAreBounded(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.bringUp("vm-1")
-	ends := func() bool { return slices.Contains(g.recentEffects, Effect(ResignLeadership{})) }
-	g.advance(time.Second)
-	g.want("given up at the start", ends(), false)
-	g.core.attempts.count = maxAttempts - attemptReserve
-	g.advance(time.Second)
-	g.want("given up when few are left", ends(), true)
+	h := newHarness(t, ledger.Snapshot{})
+	h.bringUp("vm-1")
+	resigned := func() bool { return slices.Contains(h.recentEffects, Effect(ResignLeadership{})) }
+	h.advance(time.Second)
+	h.want("resigned at the start", resigned(), false)
+	h.core.attempts.count = maxAttempts - attemptReserve
+	h.advance(time.Second)
+	h.want("resigned with attemptReserve numbers left", resigned(), true)
 
-	g.core.attempts.count = maxAttempts - 2
-	g.submit(newTestJob("job-1", 4, 1))
-	orders := g.startCommands()
-	g.want("started with two left", len(orders), 2)
-	for _, o := range orders {
-		g.want("the term of an attempt", o.Attempt>>termCounterBits, uint64(testTerm))
+	h.core.attempts.count = maxAttempts - 2
+	h.submit(newTestJob("job-1", 4, 1))
+	starts := h.startCommands()
+	h.want("starts with two numbers left", len(starts), 2)
+	for _, start := range starts {
+		h.want("term of an attempt", start.Attempt>>termCounterBits, uint64(testTerm))
 	}
-	g.completeCommands(CommandExecuted)
-	g.submit(newTestJob("job-2", 1, 1))
-	g.want("started with none left", len(g.startCommands()), 0)
+	h.completeCommands(CommandExecuted)
+	h.submit(newTestJob("job-2", 1, 1))
+	h.want("starts with no numbers left", len(h.startCommands()), 0)
 }
--- a/internal/scheduler/command_results.go
+++ b/internal/scheduler/command_results.go
@@ -6,104 +6,106 @@
 	"leadproxy/internal/scheduler/agentstate"
 )
 
-// startSuspension is how long a machine that commands don't reach gets no new tasks.
+// startSuspension is how long nothing is started on a machine after a command did not reach it.
 const startSuspension = 4 * time.Second
 
-// removeInFlight returns a command whose result has arrived, or nil when it is not known.
-func (q *commands) removeInFlight(id uint64) *commandInFlight {
-	command := q.inFlight[id]
+// removeInFlight removes the command with the given id and returns it, or nil if it is not in
+// flight.
+func (c *commands) removeInFlight(id uint64) *commandInFlight {
+	command := c.inFlight[id]
 	if command != nil {
-		delete(q.inFlight, id)
+		delete(c.inFlight, id)
 		command.machine.commands.inFlight--
 	}
 	return command
 }
 
-// discardSendPositions notes that the agent of a machine has restarted. The commands that are still on their
-// way show nothing new by that.
-func (q *commands) discardSendPositions(m *machine) {
-	for _, command := range q.inFlight {
+// discardSendPositions clears the positions with which a machine's in-flight commands were sent. It
+// is called once the agent's restart is known, so that their results don't report the same restart
+// again.
+func (c *commands) discardSendPositions(m *machine) {
+	for _, command := range c.inFlight {
 		if command.machine == m {
 			command.positionWhenSent = agentstate.HeartbeatPosition{}
 		}
 	}
 }
 
-// handleCommandResult takes the result of a direct command.
-func (c *Core) handleCommandResult(e CommandResult) {
-	command := c.commands.removeInFlight(e.CommandID)
+// handleCommandResult processes the result of a direct command.
+func (c *Core) handleCommandResult(result CommandResult) {
+	command := c.commands.removeInFlight(result.CommandID)
 	if command == nil {
 		return
 	}
-	if e.Outcome == CommandWithdrawn {
-		return // its allocations were released as it was withdrawn
+	if result.Outcome == CommandWithdrawn {
+		return // its allocations were released when it was withdrawn
 	}
 	m := command.machine
 	if command.probe {
-		defer c.agents.handleProbeResult(command, e.Outcome)
+		defer c.agents.handleProbeResult(command, result.Outcome)
 	}
 	if m.state == machineGone {
 		return
 	}
-	if command.addressFromSoftState && (e.Outcome == CommandOutcomeUnknown || e.Outcome == CommandNotSent) {
-		c.agents.dropInheritedAddress(m) // the inherited address is wrong, or old: that says nothing about the machine
+	if command.addressFromSoftState && (result.Outcome == CommandOutcomeUnknown || result.Outcome == CommandNotSent) {
+		c.agents.dropInheritedAddress(m) // the address is wrong or outdated, which says nothing about the machine
 		return
 	}
-	if e.Outcome == CommandOutcomeUnknown || e.Outcome == CommandNotSent {
-		// Its heartbeats may still arrive, but starts don't: it is avoided for a while, or the
-		// same tasks would be placed there again and again.
+	if result.Outcome == CommandOutcomeUnknown || result.Outcome == CommandNotSent {
+		// Heartbeats may still arrive from the machine while starts don't reach it. Without a
+		// suspension the same tasks would be placed there again and again.
 		m.commands.suspendStarts(c.clock.now + startSuspension)
 		c.markUnacknowledged(m)
 	}
-	switch e.Outcome {
+	switch result.Outcome {
 	case CommandOutcomeUnknown:
 		c.commands.handleUnknownOutcome(command)
 		return
 	case CommandNotSent, CommandRejected:
-		c.commands.resolveStarts(command, func(b *allocation) { c.releaseAndRequeue(m, b) })
-		if e.Outcome == CommandRejected && !command.probe {
-			c.log.Info("direct command refused", "machine", m.name, "fencing_token", command.fencingToken, "agent_epoch", command.agentEpoch)
+		c.commands.resolveStarts(command, func(alloc *allocation) { c.releaseAndRequeue(m, alloc) })
+		if result.Outcome == CommandRejected && !command.probe {
+			c.log.Info("agent rejected a direct command", "machine", m.name, "fencing_token", command.fencingToken, "agent_epoch", command.agentEpoch)
 		}
 	case CommandExecuted:
-		c.commands.resolveStarts(command, func(b *allocation) { b.state = allocationConfirmed })
+		c.commands.resolveStarts(command, func(alloc *allocation) { alloc.state = allocationConfirmed })
 	}
-	if e.Heartbeat != nil && e.Heartbeat.Machine == m.name && e.Heartbeat.FencingToken>>termCounterBits <= c.term {
-		// The agent made it after the command was sent. So if it is older than what was known then,
-		// its sender has restarted.
-		if agentstate.PositionOf(e.Heartbeat).Before(command.positionWhenSent) {
-			c.handleAgentRestart(m, e.Heartbeat)
+	if result.Heartbeat != nil && result.Heartbeat.Machine == m.name && result.Heartbeat.FencingToken>>termCounterBits <= c.term {
+		// The agent created this status after the command was sent. If it is older than the newest
+		// heartbeat known then, the agent has restarted.
+		if agentstate.PositionOf(result.Heartbeat).Before(command.positionWhenSent) {
+			c.handleAgentRestart(m, result.Heartbeat)
 		}
-		c.applyHeartbeat(m, e.Heartbeat, fromCommandResult)
+		c.applyHeartbeat(m, result.Heartbeat, fromCommandResult)
 	}
-	if e.Outcome == CommandExecuted {
-		c.commands.repeatStops(command, e.Heartbeat)
+	if result.Outcome == CommandExecuted {
+		c.commands.repeatStops(command, result.Heartbeat)
 	}
 }
 
-// handleUnknownOutcome keeps the allocations of a command for which it is not known whether it
-// was executed. The token is higher now: once the agent has acknowledged it, the command can't
-// be executed any more, and an attempt that is missing then will never run.
-func (q *commands) handleUnknownOutcome(command *commandInFlight) {
+// handleUnknownOutcome keeps the allocations of a command that may or may not have been executed.
+// The token has been raised since: once the agent has acknowledged the raised token, it rejects the
+// command, and an attempt that is missing then will never run.
+func (c *commands) handleUnknownOutcome(command *commandInFlight) {
 	m := command.machine
 	if m.agent.Epoch() != command.agentEpoch {
-		return // it can only be refused
+		return // the agent's epoch has changed: it can only reject the command
 	}
-	for _, a := range command.startedAttempts {
-		if _, ok := m.commands.unresolvedStarts[a]; ok {
-			m.commands.unresolvedStarts[a] = command.fencingToken + 1
+	for _, attempt := range command.startedAttempts {
+		if _, ok := m.commands.unresolvedStarts[attempt]; ok {
+			m.commands.unresolvedStarts[attempt] = command.fencingToken + 1
 		}
 	}
-	q.log.Debug("direct command result unknown", "machine", m.name, "starts", len(command.startedAttempts), "fencing_token", m.agent.FencingToken())
+	c.log.Debug("result of a direct command is unknown", "machine", m.name, "starts", len(command.startedAttempts), "fencing_token", m.agent.FencingToken())
 }
 
-// resolveStarts resolves the starts of a command whose outcome is known, and calls f for the
-// allocations that still wait for it.
-func (q *commands) resolveStarts(command *commandInFlight, f func(b *allocation)) {
+// resolveStarts marks the starts of a command whose outcome is known as resolved, and calls resolve
+// for the allocations that are still waiting for that outcome.
+func (c *commands) resolveStarts(command *commandInFlight, resolve func(alloc *allocation)) {
 	m := command.machine
-	for _, a := range command.startedAttempts {
-		delete(m.commands.unresolvedStarts, a)
-		if b := m.allocation(a); b != nil && b.state == allocationSent {
-			f(b)
+	for _, attempt := range command.startedAttempts {
+		delete(m.commands.unresolvedStarts, attempt)
+		if alloc := m.allocation(attempt); alloc != nil && alloc.state == allocationSent {
+			resolve(alloc)
 		}
 	}
 }
--- a/internal/scheduler/command_results_test.go
+++ b/internal/scheduler/command_results_test.go
@@ -9,101 +9,106 @@
 	"leadproxy/internal/wire"
 )
 
+// TestMachineThatCommandsDoNotReachIsAvoidedForAWhile: a machine that one command did not reach
+// gets no starts for startSuspension, even if its agent acknowledges the raised token meanwhile.
 func TestMachineThatCommandsDoNotReachIsAvoidedForAWhile(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.bringUp("vm-1")
-	g.submit(newTestJob("job-1", 1, 1))
-	g.completeCommands(CommandNotSent)
-	g.want("starts at once", len(g.startCommands()), 0)
-	g.acknowledge("vm-1")
-	g.want("starts after an echo", len(g.startCommands()), 0)
-	g.advance(5 * time.Second)
-	g.want("starts later", len(g.startCommands()), 1)
+	h := newHarness(t, ledger.Snapshot{})
+	h.bringUp("vm-1")
+	h.submit(newTestJob("job-1", 1, 1))
+	h.completeCommands(CommandNotSent)
+	h.want("starts right after the failed command", len(h.startCommands()), 0)
+	h.acknowledge("vm-1")
+	h.want("starts after the acknowledgement", len(h.startCommands()), 0)
+	h.advance(5 * time.Second)
+	h.want("starts after the suspension", len(h.startCommands()), 1)
 }
 
-// TestOneLostCommandDoesNotMakeAMachineUnreachable: a machine that one command did not reach
-// gets no work until its agent acknowledges a higher token, but is not given up at once.
+// TestOneLostCommandDoesNotMakeAMachineUnreachable: a machine that one command did not reach gets
+// no starts until its agent acknowledges a higher token, but is not deleted because of that alone.
 func TestOneLostCommandDoesNotMakeAMachineUnreachable(t *testing.T) {
 	for _, outcome := range []CommandOutcome{CommandOutcomeUnknown, CommandNotSent} {
-		g := newHarness(t, ledger.Snapshot{})
+		h := newHarness(t, ledger.Snapshot{})
 		for _, name := range []string{"vm-1", "vm-2", "vm-3"} {
-			g.bringUp(name)
+			h.bringUp(name)
 		}
 		for range 30 {
-			g.advance(time.Second)
+			h.advance(time.Second)
 			for _, name := range []string{"vm-1", "vm-2", "vm-3"} {
-				g.acknowledge(name)
+				h.acknowledge(name)
 			}
 		}
-		g.submit(newTestJob("job-1", 1, 4))
-		g.completeCommands(outcome)
-		g.want("open before the echo", g.core.agents.schedulable(g.core.machines.list[0]), false)
-		g.advance(time.Second)
-		g.want("deleted", len(g.deletedMachines), 0)
+		h.submit(newTestJob("job-1", 1, 4))
+		h.completeCommands(outcome)
+		h.want("schedulable before the acknowledgement", h.core.agents.schedulable(h.core.machines.list[0]), false)
+		h.advance(time.Second)
+		h.want("deleted machines", len(h.deletedMachines), 0)
 	}
 }
 
+// TestStartOfUnknownOutcome guards against a task that runs twice or never: after a start of
+// unknown outcome the task is started again only once it is certain that the first start will not
+// run.
 func TestStartOfUnknownOutcome(t *testing.T) {
 	cases := []struct {
-		name  string
-		act   func(g *harness, o wire.Command)
-		again int // further starts
+		name          string
+		event         func(h *harness, start wire.Command)
+		furtherStarts int
 	}{
-		{"stays booked while the token is not echoed", func(g *harness, o wire.Command) {
-			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken))
+		{"kept while the raised token is not acknowledged", func(h *harness, start wire.Command) {
+			h.sendHeartbeat(h.newHeartbeat("vm-1", termToken))
 		}, 0},
-		{"is given up once a raised token is echoed without it", func(g *harness, o wire.Command) {
-			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken+1))
+		{"released once the raised token is acknowledged without it", func(h *harness, start wire.Command) {
+			h.sendHeartbeat(h.newHeartbeat("vm-1", termToken+1))
 		}, 1},
-		{"stands when the echo shows it", func(g *harness, o wire.Command) {
-			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken+1, newTaskStatus(o, wire.TaskRunning, "")))
+		{"confirmed by the acknowledging heartbeat", func(h *harness, start wire.Command) {
+			h.sendHeartbeat(h.newHeartbeat("vm-1", termToken+1, newTaskStatus(start, wire.TaskRunning, "")))
 		}, 0},
-		{"is given up with the session", func(g *harness, o wire.Command) {
-			r := g.newHeartbeat("vm-1", termToken)
-			r.AgentEpoch = 2
-			g.sendHeartbeat(r)
-			g.acknowledge("vm-1")
+		{"released when a new agent epoch begins", func(h *harness, start wire.Command) {
+			heartbeat := h.newHeartbeat("vm-1", termToken)
+			heartbeat.AgentEpoch = 2
+			h.sendHeartbeat(heartbeat)
+			h.acknowledge("vm-1")
 		}, 1},
-		{"is not given up for a silent machine within its lease", func(g *harness, o wire.Command) {
-			g.bringUp("vm-2")
-			g.advance(6 * time.Second)
+		{"kept while its machine sends nothing within its lease", func(h *harness, start wire.Command) {
+			h.bringUp("vm-2")
+			h.advance(6 * time.Second)
 		}, 0},
-		{"is given up when the machine is deleted", func(g *harness, o wire.Command) {
-			g.bringUp("vm-2")
-			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
+		{"released when its machine is deleted", func(h *harness, start wire.Command) {
+			h.bringUp("vm-2")
+			h.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
 		}, 1},
-		{"is kept when the deletion's outcome is unknown", func(g *harness, o wire.Command) {
-			g.bringUp("vm-2")
-			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}, Err: autoscaler.ErrUnknownOutcome}})
+		{"kept when the outcome of the deletion is unknown", func(h *harness, start wire.Command) {
+			h.bringUp("vm-2")
+			h.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}, Err: autoscaler.ErrUnknownOutcome}})
 		}, 0},
-		{"is given up when the machine is listed as failed", func(g *harness, o wire.Command) {
-			g.bringUp("vm-2")
-			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}, List: []wire.ListedMachine{{Name: "vm-1", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a"}, Status: wire.MachineFailed}}}})
+		{"released when its machine is listed as failed", func(h *harness, start wire.Command) {
+			h.bringUp("vm-2")
+			h.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}, List: []wire.ListedMachine{{Name: "vm-1", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a"}, Status: wire.MachineFailed}}}})
 		}, 1},
-		{"absence from the list proves nothing", func(g *harness, o wire.Command) {
-			g.bringUp("vm-2")
-			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}}})
+		{"kept when its machine is absent from the list", func(h *harness, start wire.Command) {
+			h.bringUp("vm-2")
+			h.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{List: true}}})
 		}, 0},
-		{"a stale report proves nothing", func(g *harness, o wire.Command) {
-			r := g.newHeartbeat("vm-1", termToken+1)
-			r.Sequence = 1
-			g.sendHeartbeat(r)
+		{"kept after a stale heartbeat without it", func(h *harness, start wire.Command) {
+			heartbeat := h.newHeartbeat("vm-1", termToken+1)
+			heartbeat.Sequence = 1
+			h.sendHeartbeat(heartbeat)
 		}, 0},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			g := newHarness(t, ledger.Snapshot{})
-			g.bringUp("vm-1")
-			g.submit(newTestJob("job-1", 1, 1))
-			first := g.startCommands()[0]
-			g.completeCommands(CommandOutcomeUnknown)
-			g.want("token", g.sendHeartbeat(g.newHeartbeat("vm-1", termToken)).FencingToken, uint64(termToken+1))
-			c.act(g, first)
-			g.advance(startSuspension + time.Second/2)
-			again := g.startCommands()
-			g.want("further starts", len(again), c.again)
-			if len(again) > 0 && again[0].Attempt == first.Attempt {
-				t.Error("an attempt was used again")
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t, ledger.Snapshot{})
+			h.bringUp("vm-1")
+			h.submit(newTestJob("job-1", 1, 1))
+			first := h.startCommands()[0]
+			h.completeCommands(CommandOutcomeUnknown)
+			h.want("token", h.sendHeartbeat(h.newHeartbeat("vm-1", termToken)).FencingToken, uint64(termToken+1))
+			test.event(h, first)
+			h.advance(startSuspension + time.Second/2)
+			further := h.startCommands()
+			h.want("further starts", len(further), test.furtherStarts)
+			if len(further) > 0 && further[0].Attempt == first.Attempt {
+				t.Error("the attempt number of the first start is reused")
 			}
 		})
 	}
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -9,21 +9,21 @@
 	"leadproxy/internal/wire"
 )
 
-// commands is what is on its way to agents: the commands of the present step, those whose result
-// is not known yet, and the responses to heartbeats that are still open.
+// commands is the part of the core that holds what is to be sent to agents: the commands of the
+// present step, those in flight, and the heartbeat responses not sent yet.
 type commands struct {
 	term    uint64
 	clock   *clock
 	log     *slog.Logger
 	effects *effects
 	jobs    *jobTable
-	// cancellations counts the stops.
+	// cancellations counts the stops of cancelled tasks.
 	cancellations *cancellationWatch
 
-	pendingResponses        []pendingResponse // of this step
-	responsesAwaitingWrites []pendingResponse // that wait for starts to be durable
-	responsesToUnreachable  []pendingResponse // to machines with an unreachable-agent record
-	machinesWithCommands    []*machine        // with commands of this step
+	pendingResponses        []pendingResponse // sent at the end of this step
+	responsesAwaitingWrites []pendingResponse // held until the starts for their machines are durable
+	responsesToUnreachable  []pendingResponse // held until the unreachable-agent records of their machines are withdrawn
+	machinesWithCommands    []*machine        // have commands to be sent at the end of this step
 	inFlight                map[uint64]*commandInFlight
 	lastCommandID           uint64
 }
@@ -33,18 +33,23 @@
 		inFlight: map[uint64]*commandInFlight{}}
 }
 
-// machineCommands is what is on its way to the agent of one machine.
+// machineCommands is what is to be sent to the agent of one machine, or is in flight to it.
 type machineCommands struct {
-	pending          []wire.Command
-	inFlight         int
-	unresolvedStarts map[uint64]uint64 // starts that may yet be executed: attempt -> token that rules it out
-	responseNumber   int               // the response that is open for it, from 1; 0: none
-	// heldHeartbeat is the heartbeat whose response waits for starts to be durable.
+	pending  []wire.Command
+	inFlight int // direct commands without a result
+	// unresolvedStarts are the starts that may still be executed: by attempt, the token whose
+	// acknowledgement rules that out.
+	unresolvedStarts map[uint64]uint64
+	// responseNumber is the 1-based index in pendingResponses of the response that carries the
+	// commands; 0: there is none.
+	responseNumber int
+	// heldHeartbeat is the heartbeat whose response is held until starts are durable; nil: there is
+	// none.
 	heldHeartbeat *wire.Heartbeat
-	noStartsUntil time.Duration // until then nothing is started on it: commands do not arrive
+	noStartsUntil time.Duration // nothing is started on the machine until then: a command did not reach it
 }
 
-// resolveUpToToken resolves the starts that an agent can't execute any more once it has
+// resolveUpToToken resolves the starts that the agent can't execute any more because it has
 // acknowledged a token.
 func (m *machineCommands) resolveUpToToken(acknowledged uint64) {
 	for attempt, token := range m.unresolvedStarts {
@@ -54,31 +59,33 @@
 	}
 }
 
-// resolveAllStarts resolves all starts: none can be executed any more.
+// resolveAllStarts resolves all starts. It is called when none of them can be executed any more.
 func (m *machineCommands) resolveAllStarts() { clear(m.unresolvedStarts) }
 
-// addUnresolvedStart notes that a start may yet be executed.
+// addUnresolvedStart records that a start may still be executed, and that no token rules it out
+// yet.
 func (m *machineCommands) addUnresolvedStart(attempt uint64) {
 	m.unresolvedStarts[attempt] = math.MaxUint64
 }
 
-// resolveAllOnToken has all starts resolved once a token is acknowledged: from then on the agent
-// refuses commands with an earlier one.
+// resolveAllOnToken sets all starts to be resolved once token is acknowledged: from then on the
+// agent rejects commands with a lower one.
 func (m *machineCommands) resolveAllOnToken(token uint64) {
 	for attempt := range m.unresolvedStarts {
 		m.unresolvedStarts[attempt] = token
 	}
 }
 
-// idle tells whether nothing is on its way to the machine that may start a task there.
+// idle reports whether no command or response that may start a task on the machine is pending, held
+// or in flight.
 func (m *machineCommands) idle() bool {
 	return len(m.unresolvedStarts) == 0 && len(m.pending) == 0 && m.heldHeartbeat == nil
 }
 
-// suspendStarts keeps new tasks from the machine for a time.
+// suspendStarts keeps new tasks from being placed on the machine until the given time.
 func (m *machineCommands) suspendStarts(until time.Duration) { m.noStartsUntil = until }
 
-// dropPending drops the commands that were not sent yet.
+// dropPending discards the commands that have not been sent.
 func (m *machineCommands) dropPending() { m.pending = nil }
 
 // commandInFlight is a command whose result is not known yet.
@@ -86,42 +93,44 @@
 	machine              *machine
 	agentEpoch           uint64
 	fencingToken         uint64
-	positionWhenSent     agentstate.HeartbeatPosition // the newest heartbeat as it was sent
+	positionWhenSent     agentstate.HeartbeatPosition // of the newest heartbeat known when it was sent
 	startedAttempts      []uint64
-	startDeliveries      StartDeliveries // of startedAttempts
+	startDeliveries      StartDeliveries // of startedAttempts, in the same order
 	stoppedAttempts      []uint64
 	probe                bool
-	sentAt               time.Duration // of a probe
-	addressFromSoftState bool          // a probe to an address that only inherited soft state names
+	sentAt               time.Duration // set for probes only
+	addressFromSoftState bool          // a probe to an address known only from inherited soft state
 }
 
-func (q *commands) queueStart(j *job, m *machine, b *allocation) {
-	b.state = allocationQueued
-	b.start.forbidWhen(&j.end.cancellationConfirmed)
-	q.queueCommand(m, wire.Command{Verb: wire.VerbStart, Task: q.jobs.taskName(b), Attempt: b.attempt})
+// queueStart queues the start of an allocated task. It is no longer sent once the cancellation of
+// its job is confirmed.
+func (c *commands) queueStart(j *job, m *machine, alloc *allocation) {
+	alloc.state = allocationQueued
+	alloc.start.forbidWhen(&j.end.cancellationConfirmed)
+	c.queueCommand(m, wire.Command{Verb: wire.VerbStart, Task: c.jobs.taskName(alloc), Attempt: alloc.attempt})
 }
 
-// withdrawUnsentStart withdraws the start of an allocation that is being released, if it has not left
-// this controller. Nothing is in doubt about it then.
-func (q *commands) withdrawUnsentStart(m *machine, b *allocation) {
-	if !b.withdrawStart() {
+// withdrawUnsentStart withdraws the start of an allocation that is being released, if it has not
+// left this controller. Such a start is resolved: it will never be executed.
+func (c *commands) withdrawUnsentStart(m *machine, alloc *allocation) {
+	if !alloc.withdrawStart() {
 		return
 	}
-	delete(m.commands.unresolvedStarts, b.attempt)
-	q.log.Debug("start withdrawn before it was sent", "machine", m.name, "task", q.jobs.taskName(b), "attempt", b.attempt)
+	delete(m.commands.unresolvedStarts, alloc.attempt)
+	c.log.Debug("start withdrawn before it was sent", "machine", m.name, "task", c.jobs.taskName(alloc), "attempt", alloc.attempt)
 }
 
-// queueCommand has a command sent to a machine at the end of the step.
-func (q *commands) queueCommand(m *machine, o wire.Command) {
+// queueCommand queues a command that is sent to a machine at the end of the step.
+func (c *commands) queueCommand(m *machine, command wire.Command) {
 	if len(m.commands.pending) == 0 {
-		q.machinesWithCommands = append(q.machinesWithCommands, m)
+		c.machinesWithCommands = append(c.machinesWithCommands, m)
 	}
-	m.commands.pending = append(m.commands.pending, o)
+	m.commands.pending = append(m.commands.pending, command)
 }
 
-// finishStep ends a step: it writes what is new about jobs, sends the open responses, and
-// turns the commands that don't travel with one into direct commands, each well below the
-// protocol's bound on a body.
+// finishStep ends a step: it writes the changed job records, sends the pending responses, and sends
+// the commands that no response carries as direct commands, each well below the protocol's bound on
+// a body.
 func (c *Core) finishStep() {
 	c.jobs.writeJobs()
 	c.commands.releaseHeldResponses()
@@ -130,58 +139,59 @@
 	c.scaleIns.sendDeletes()
 }
 
-// sendPendingCommands sends the commands that don't travel with a response.
-func (q *commands) sendPendingCommands() {
-	for _, m := range q.machinesWithCommands {
+// sendPendingCommands sends the commands that no response carries as direct commands.
+func (c *commands) sendPendingCommands() {
+	for _, m := range c.machinesWithCommands {
 		if m.commands.heldHeartbeat != nil {
-			continue // they are sent with its response
+			continue // its commands are sent with the held response
 		}
 		batch := m.commands.pending
 		m.commands.pending = nil
 		for len(batch) > 0 {
-			n := min(len(batch), maxCommandsPerResponse)
-			q.sendBatch(m, batch[:n])
-			batch = batch[n:]
+			count := min(len(batch), maxCommandsPerResponse)
+			c.sendBatch(m, batch[:count])
+			batch = batch[count:]
 		}
 	}
-	clear(q.machinesWithCommands)
-	q.machinesWithCommands = q.machinesWithCommands[:0]
+	clear(c.machinesWithCommands)
+	c.machinesWithCommands = c.machinesWithCommands[:0]
 }
 
-// sendBatch sends the commands of a machine that fit one direct command.
-func (q *commands) sendBatch(m *machine, batch []wire.Command) {
-	command := &commandInFlight{machine: m, agentEpoch: m.agent.Epoch(), fencingToken: m.agent.FencingToken()}
+// sendBatch sends commands to a machine in one direct command. Starts whose allocations were
+// released since they were queued are left out.
+func (c *commands) sendBatch(m *machine, batch []wire.Command) {
+	inFlight := &commandInFlight{machine: m, agentEpoch: m.agent.Epoch(), fencingToken: m.agent.FencingToken()}
 	kept := make([]wire.Command, 0, len(batch))
-	for _, o := range batch {
-		switch o.Verb {
+	for _, command := range batch {
+		switch command.Verb {
 		case wire.VerbStop:
-			command.stoppedAttempts = append(command.stoppedAttempts, o.Attempt)
+			inFlight.stoppedAttempts = append(inFlight.stoppedAttempts, command.Attempt)
 		case wire.VerbStart:
-			b := m.allocation(o.Attempt)
-			if b == nil {
-				continue // released since
+			alloc := m.allocation(command.Attempt)
+			if alloc == nil {
+				continue // released since it was queued
 			}
-			b.state = allocationSent
-			// Until the command's outcome is known, or a raised token rules it out, this start
-			// may be executed at any time.
-			m.commands.addUnresolvedStart(o.Attempt)
-			command.startedAttempts = append(command.startedAttempts, o.Attempt)
-			command.startDeliveries = append(command.startDeliveries, &b.start)
+			alloc.state = allocationSent
+			// The start may be executed at any time until the command's outcome is known or a
+			// raised token rules it out.
+			m.commands.addUnresolvedStart(command.Attempt)
+			inFlight.startedAttempts = append(inFlight.startedAttempts, command.Attempt)
+			inFlight.startDeliveries = append(inFlight.startDeliveries, &alloc.start)
 		}
-		kept = append(kept, o)
+		kept = append(kept, command)
 	}
 	if len(kept) > 0 {
-		q.sendCommand(command, kept)
+		c.sendCommand(inFlight, kept)
 	}
 }
 
-// sendCommand sends a direct command and keeps it until its result arrives.
-func (q *commands) sendCommand(command *commandInFlight, batch []wire.Command) {
+// sendCommand sends a direct command and records it as in flight until its result arrives.
+func (c *commands) sendCommand(command *commandInFlight, batch []wire.Command) {
 	m := command.machine
-	q.lastCommandID++
+	c.lastCommandID++
 	command.positionWhenSent = m.agent.Position()
 	m.commands.inFlight++
-	q.inFlight[q.lastCommandID] = command
-	q.effects.emit(SendCommands{CommandID: q.lastCommandID, Machine: m.name, Address: m.agent.Address(), Starts: command.startDeliveries,
+	c.inFlight[c.lastCommandID] = command
+	c.effects.emit(SendCommands{CommandID: c.lastCommandID, Machine: m.name, Address: m.agent.Address(), Starts: command.startDeliveries,
 		Request: wire.CommandRequest{FencingToken: command.fencingToken, AgentEpoch: command.agentEpoch, Commands: batch}})
 }
--- a/internal/scheduler/commands_test.go
+++ b/internal/scheduler/commands_test.go
@@ -2,11 +2,13 @@
 
 import "testing"
 
+// TestStartsAreRuledOutByTokens: a start of unknown outcome stays unresolved until the agent has
+// acknowledged the token that rules it out.
 func TestStartsAreRuledOutByTokens(t *testing.T) {
 	m := machineCommands{unresolvedStarts: map[uint64]uint64{1: 8, 2: 9}}
 	m.resolveUpToToken(8)
 	if _, left := m.unresolvedStarts[1]; left || len(m.unresolvedStarts) != 1 {
-		t.Errorf("left after token 8: %v", m.unresolvedStarts)
+		t.Errorf("unresolved after token 8: %v, want attempt 2 only", m.unresolvedStarts)
 	}
 	m.resolveAllOnToken(12)
 	m.resolveUpToToken(11)
@@ -15,6 +17,6 @@
 	}
 	m.resolveAllStarts()
 	if len(m.unresolvedStarts) != 0 {
-		t.Errorf("left: %v", m.unresolvedStarts)
+		t.Errorf("unresolved after resolveAllStarts: %v, want none", m.unresolvedStarts)
 	}
 }
--- a/internal/scheduler/heartbeat_responses.go
+++ b/internal/scheduler/heartbeat_responses.go
@@ -7,205 +7,212 @@
 	"leadproxy/internal/wire"
 )
 
-// pendingResponse is the response to a heartbeat. It is sent at the end of the step so that starts
-// decided in it travel along.
+// pendingResponse is a response to a heartbeat that has not been sent. It is sent at the end of the
+// step so that it carries the starts decided in the step.
 type pendingResponse struct {
 	replyTo   Recipient
 	machine   *machine
 	heartbeat *wire.Heartbeat
-	// stale: the heartbeat is older than what is known of its agent.
+	// stale is set for a stale heartbeat (see State.IsStale), and once a newer one has arrived: the
+	// response then gets no commands but the required stops.
 	stale bool
-	// holdUntil is when a response that waits for starts to become durable is sent without them; 0:
-	// it has not waited.
+	// holdUntil is when a response held for starts to become durable is sent without them; 0: it
+	// has not been held.
 	holdUntil time.Duration
 }
 
-// attachCommandsToNextResponse has the next response that is opened carry the commands for a
-// machine. It is called for the newest heartbeat of its agent.
-func (q *commands) attachCommandsToNextResponse(m *machine) {
+// attachCommandsToNextResponse makes the response that is queued next carry the commands for a
+// machine. It is called for the newest heartbeat of the machine's agent.
+func (c *commands) attachCommandsToNextResponse(m *machine) {
 	if m.commands.heldHeartbeat != nil {
-		// Its agent has given up the response to an earlier one.
+		// The agent no longer waits for the response to the earlier heartbeat.
 		m.commands.heldHeartbeat = nil
 		if len(m.commands.pending) > 0 {
-			q.machinesWithCommands = append(q.machinesWithCommands, m)
+			c.machinesWithCommands = append(c.machinesWithCommands, m)
 		}
 	}
-	m.commands.responseNumber = len(q.pendingResponses) + 1
+	m.commands.responseNumber = len(c.pendingResponses) + 1
 }
 
-// queueResponse opens a response, which is sent at the end of the step.
-func (q *commands) queueResponse(a pendingResponse) {
-	q.pendingResponses = append(q.pendingResponses, a)
+// queueResponse queues a response that is sent at the end of the step.
+func (c *commands) queueResponse(pending pendingResponse) {
+	c.pendingResponses = append(c.pendingResponses, pending)
 }
 
-// queueResponsesToUnreachable opens the responses to machines that had unreachable-agent records.
-func (q *commands) queueResponsesToUnreachable() {
-	held := q.responsesToUnreachable
-	q.responsesToUnreachable = nil
-	for _, a := range held {
-		if !a.stale {
-			a.machine.commands.responseNumber = len(q.pendingResponses) + 1
+// queueResponsesToUnreachable queues the responses that were held because of unreachable-agent
+// records. Those whose machines still have one are held again by sendResponses.
+func (c *commands) queueResponsesToUnreachable() {
+	held := c.responsesToUnreachable
+	c.responsesToUnreachable = nil
+	for _, pending := range held {
+		if !pending.stale {
+			pending.machine.commands.responseNumber = len(c.pendingResponses) + 1
 		}
-		q.queueResponse(a)
+		c.queueResponse(pending)
 	}
 }
 
-// maxResponseHold is how long a response waits for starts whose host is being written. That mostly takes
-// a tenth of it; otherwise the starts would follow in a direct command, which costs as much as
-// several heartbeats.
+// maxResponseHold is how long a response is held for starts whose host is being written to the
+// ledger. The write mostly takes a tenth of this. Without the hold the starts would follow in a
+// direct command, which costs as much as several heartbeats.
 const maxResponseHold = 400 * time.Millisecond
 
-// holdForWrites holds a response while starts for its machine wait for a write.
-func (q *commands) holdForWrites(a pendingResponse) bool {
-	m := a.machine
-	if a.holdUntil > 0 || !m.trusted(q.term) || !m.hasPlannedStarts() {
+// holdForWrites holds a response while starts for its machine wait for a ledger write, and reports
+// whether it does. A response is held at most once.
+func (c *commands) holdForWrites(pending pendingResponse) bool {
+	m := pending.machine
+	if pending.holdUntil > 0 || !m.trusted(c.term) || !m.hasPlannedStarts() {
 		return false
 	}
-	a.holdUntil = q.clock.now + maxResponseHold
-	m.commands.responseNumber, m.commands.heldHeartbeat = 0, a.heartbeat
-	q.responsesAwaitingWrites = append(q.responsesAwaitingWrites, a)
+	pending.holdUntil = c.clock.now + maxResponseHold
+	m.commands.responseNumber, m.commands.heldHeartbeat = 0, pending.heartbeat
+	c.responsesAwaitingWrites = append(c.responsesAwaitingWrites, pending)
 	return true
 }
 
-// hasPlannedStarts tells whether starts for a machine wait for a write.
+// hasPlannedStarts reports whether starts for the machine wait for a ledger write.
 func (m *machine) hasPlannedStarts() bool {
-	return slices.ContainsFunc(m.capacity.allocations, func(b *allocation) bool { return b.state == allocationPlanned })
+	return slices.ContainsFunc(m.capacity.allocations, func(alloc *allocation) bool { return alloc.state == allocationPlanned })
 }
 
-// releaseHeldResponses opens the held responses that need not wait any longer. One whose agent has
-// sent a newer heartbeat since is sent without commands.
-func (q *commands) releaseHeldResponses() {
-	keep := q.responsesAwaitingWrites[:0]
-	for _, a := range q.responsesAwaitingWrites {
-		m := a.machine
-		if m.commands.heldHeartbeat == a.heartbeat {
-			if q.clock.now < a.holdUntil && m.state != machineGone && m.hasPlannedStarts() {
-				keep = append(keep, a)
+// releaseHeldResponses queues the responses held for writes that need not wait any longer. If the
+// agent has sent a newer heartbeat meanwhile, the response is marked as stale.
+func (c *commands) releaseHeldResponses() {
+	keep := c.responsesAwaitingWrites[:0]
+	for _, pending := range c.responsesAwaitingWrites {
+		m := pending.machine
+		if m.commands.heldHeartbeat == pending.heartbeat {
+			if c.clock.now < pending.holdUntil && m.state != machineGone && m.hasPlannedStarts() {
+				keep = append(keep, pending)
 				continue
 			}
 			m.commands.heldHeartbeat = nil
-			m.commands.responseNumber = len(q.pendingResponses) + 1
+			m.commands.responseNumber = len(c.pendingResponses) + 1
 			if len(m.commands.pending) > 0 {
-				q.machinesWithCommands = append(q.machinesWithCommands, m) // for what does not fit the response
+				c.machinesWithCommands = append(c.machinesWithCommands, m) // for the commands that don't fit the response
 			}
 		} else {
-			a.stale = true
+			pending.stale = true
 		}
-		q.queueResponse(a)
+		c.queueResponse(pending)
 	}
-	clear(q.responsesAwaitingWrites[len(keep):])
-	q.responsesAwaitingWrites = keep
+	clear(c.responsesAwaitingWrites[len(keep):])
+	c.responsesAwaitingWrites = keep
 }
 
-// sendResponses responds to the heartbeats of this step. Only the newest heartbeat of a machine
-// gets commands.
-func (q *commands) sendResponses() {
-	for i, a := range q.pendingResponses {
-		m := a.machine
+// sendResponses sends the pending responses. Only the response to the newest heartbeat of a machine
+// carries more commands than the required stops.
+func (c *commands) sendResponses() {
+	for i, pending := range c.pendingResponses {
+		m := pending.machine
 		if m.state == machineGone {
-			q.effects.emit(HeartbeatReply{ReplyTo: a.replyTo})
+			c.effects.emit(HeartbeatReply{ReplyTo: pending.replyTo})
 			continue
 		}
-		if q.holdForUnreachable(a) || m.commands.responseNumber == i+1 && q.holdForWrites(a) {
+		if c.holdForUnreachable(pending) || m.commands.responseNumber == i+1 && c.holdForWrites(pending) {
 			continue
 		}
-		// A response renews the agent's lease, whatever it commands and however little its
-		// heartbeat is believed. So none is sent without the stops of what must not run.
+		// A response renews the agent's lease, whatever commands it has and even if its heartbeat
+		// is not trusted. So each one contains the stops of all tasks that must not run.
 		trust := untrustedHeartbeat
-		if !a.stale && m.commands.responseNumber == i+1 && m.trusted(q.term) {
+		if !pending.stale && m.commands.responseNumber == i+1 && m.trusted(c.term) {
 			trust = trustedHeartbeat
 		}
-		list := q.requiredStops(m, a.heartbeat, trust)
+		list := c.requiredStops(m, pending.heartbeat, trust)
 		var starts StartDeliveries
 		if trust == trustedHeartbeat {
-			list, starts = q.appendForgetsAndPending(m, a.heartbeat, list)
+			list, starts = c.appendForgetsAndPending(m, pending.heartbeat, list)
 		}
-		answer := &wire.HeartbeatResponse{FencingToken: m.agent.FencingToken(), Commands: list}
+		response := &wire.HeartbeatResponse{FencingToken: m.agent.FencingToken(), Commands: list}
 		if m.commands.responseNumber == i+1 {
 			m.commands.responseNumber = 0
 		}
-		q.effects.emit(HeartbeatReply{ReplyTo: a.replyTo, Response: answer, Starts: starts})
+		c.effects.emit(HeartbeatReply{ReplyTo: pending.replyTo, Response: response, Starts: starts})
 	}
-	clear(q.pendingResponses)
-	q.pendingResponses = q.pendingResponses[:0]
+	clear(c.pendingResponses)
+	c.pendingResponses = c.pendingResponses[:0]
 }
 
-// appendPendingCommands adds a machine's pending commands to the response to its heartbeat, as far as
-// they fit. Unlike a direct command, a response is never executed late: the agent's next
-// heartbeat shows what became of it.
-func (q *commands) appendPendingCommands(m *machine, r *wire.Heartbeat, list []wire.Command) ([]wire.Command, StartDeliveries) {
+// appendPendingCommands appends a machine's pending commands to the list for the response to its
+// heartbeat, as far as they fit. Unlike a direct command, a response is never executed late: the
+// agent's next heartbeat shows whether its commands were executed. A heartbeat of another epoch
+// than the agent's present one gets none.
+func (c *commands) appendPendingCommands(m *machine, heartbeat *wire.Heartbeat, list []wire.Command) ([]wire.Command, StartDeliveries) {
 	var starts StartDeliveries
-	if r.AgentEpoch != m.agent.Epoch() {
+	if heartbeat.AgentEpoch != m.agent.Epoch() {
 		return list, starts
 	}
 	for len(m.commands.pending) > 0 && len(list) < maxCommandsPerResponse {
-		o := m.commands.pending[0]
+		command := m.commands.pending[0]
 		m.commands.pending = m.commands.pending[1:]
-		if o.Verb == wire.VerbStart {
-			b := m.allocation(o.Attempt)
-			if b == nil {
-				continue // released since
+		if command.Verb == wire.VerbStart {
+			alloc := m.allocation(command.Attempt)
+			if alloc == nil {
+				continue // released since it was queued
 			}
-			b.state, b.responseSequence = allocationSent, r.Sequence
-			starts = append(starts, &b.start)
+			alloc.state, alloc.responseSequence = allocationSent, heartbeat.Sequence
+			starts = append(starts, &alloc.start)
 		}
-		list = append(list, o)
+		list = append(list, command)
 	}
 	return list, starts
 }
 
-// minForgetBatch is how many finished tasks are forgotten together. An agent sends a heartbeat at
-// once when its tasks change, so each forget by itself costs another heartbeat, a third of all
-// in a large cell. It waits for a command that changes the tasks anyway, or for others like it.
+// minForgetBatch is how many successful tasks are forgotten together. An agent sends a heartbeat as
+// soon as its tasks change, so separate forgets cost one heartbeat each, a third of all heartbeats
+// in a large cell. They are sent with another command that changes the tasks anyway, or once there
+// are this many.
 const minForgetBatch = 8
 
-// appendForgetsAndPending adds to the stops of a believed heartbeat the other commands of its response:
-// which ended tasks the agent may drop, and the machine's pending commands.
-func (q *commands) appendForgetsAndPending(m *machine, r *wire.Heartbeat, list []wire.Command) ([]wire.Command, StartDeliveries) {
-	var done []wire.Command
-	for i := range r.Tasks {
-		if len(list)+len(done) >= maxCommandsPerResponse {
+// appendForgetsAndPending appends to the stops for a trusted heartbeat the other commands of its
+// response: the forgets of ended tasks, and the machine's pending commands. The deliveries are
+// those of the starts in the list.
+func (c *commands) appendForgetsAndPending(m *machine, heartbeat *wire.Heartbeat, list []wire.Command) ([]wire.Command, StartDeliveries) {
+	var forgetDone []wire.Command
+	for i := range heartbeat.Tasks {
+		if len(list)+len(forgetDone) >= maxCommandsPerResponse {
 			break
 		}
-		t := &r.Tasks[i]
-		if t.Status != wire.TaskEnded || !q.mayForget(m, t) {
+		task := &heartbeat.Tasks[i]
+		if task.Status != wire.TaskEnded || !c.mayForget(m, task) {
 			continue
 		}
-		forget := wire.Command{Verb: wire.VerbForget, Task: t.Task, Attempt: t.Attempt}
-		if t.ExitReason == wire.ExitDone {
-			done = append(done, forget)
+		forget := wire.Command{Verb: wire.VerbForget, Task: task.Task, Attempt: task.Attempt}
+		if task.ExitReason == wire.ExitDone {
+			forgetDone = append(forgetDone, forget)
 		} else {
 			list = append(list, forget)
 		}
 	}
-	list, starts := q.appendPendingCommands(m, r, list)
-	if len(list) > 0 || len(done) >= minForgetBatch {
-		list = append(list, done...)
+	list, starts := c.appendPendingCommands(m, heartbeat, list)
+	if len(list) > 0 || len(forgetDone) >= minForgetBatch {
+		list = append(list, forgetDone...)
 	}
 	return list, starts
 }
 
-// mayForget tells whether an agent may drop an ended attempt: not while a copy of its start may
-// still arrive, since the agent would run it again, and not before its end is in the ledger.
-func (q *commands) mayForget(m *machine, t *wire.TaskStatus) bool {
-	if _, unresolved := m.commands.unresolvedStarts[t.Attempt]; unresolved {
+// mayForget reports whether an agent may forget an ended attempt: not while a copy of its start may
+// still arrive, since the agent would run it again, and a successful one not before its end is in
+// the ledger.
+func (c *commands) mayForget(m *machine, task *wire.TaskStatus) bool {
+	if _, unresolved := m.commands.unresolvedStarts[task.Attempt]; unresolved {
 		return false
 	}
-	found := q.jobs.findTask(m, t)
+	found := c.jobs.findTask(m, task)
 	j := found.job
-	if j == nil || t.ExitReason != wire.ExitDone || j.end.durable {
+	if j == nil || task.ExitReason != wire.ExitDone || j.end.durable {
 		return true
 	}
 	return int(found.index) < len(j.progress.tasks) && j.progress.tasks[found.index].state == taskDurable
 }
 
-// holdForUnreachable holds the response to a machine with an unreachable-agent record until that
-// is withdrawn.
-func (q *commands) holdForUnreachable(a pendingResponse) bool {
-	if a.machine.contact.unreachableRecord == nil {
+// holdForUnreachable holds the response to a machine with an unreachable-agent record until the
+// record is withdrawn, and reports whether it does.
+func (c *commands) holdForUnreachable(pending pendingResponse) bool {
+	if pending.machine.contact.unreachableRecord == nil {
 		return false
 	}
-	a.machine.commands.responseNumber = 0
-	q.responsesToUnreachable = append(q.responsesToUnreachable, a)
+	pending.machine.commands.responseNumber = 0
+	c.responsesToUnreachable = append(c.responsesToUnreachable, pending)
 	return true
 }
--- a/internal/scheduler/heartbeat_responses_test.go
+++ b/internal/scheduler/heartbeat_responses_test.go
@@ -8,64 +8,64 @@
 	"leadproxy/internal/wire"
 )
 
-// TestResponsesWaitForStarts: starts that a heartbeat made room for travel with its response,
-// once their host is in the ledger; a direct command after each response was half of what a
-// leader sent in a burst. A response that waits is sent all the same, and no start travels in
-// two messages, nor with a response that its agent has given up.
+// TestResponsesWaitForStarts: the starts that a heartbeat frees resources for are sent with its
+// response, once their host is in the ledger. When each response was followed by a direct command,
+// these were half of what a leader sent in a burst. A held response is always sent in the end, and
+// no start is sent in two messages, or with a response that the agent no longer waits for.
 func TestResponsesWaitForStarts(t *testing.T) {
 	cases := []struct {
-		name string
-		then func(g *harness, report func())
-		want string // responses with their commands, and direct commands
+		name  string
+		event func(h *harness, sendHeartbeat func())
+		want  string // responses with their commands, and direct commands
 	}{
-		{"durable soon", func(g *harness, _ func()) { g.releaseWrites() }, "answer with start start start start forget forget forget forget "},
-		{"durable late", func(g *harness, _ func()) {
-			g.now += maxResponseHold
-			g.step(Tick{})
-			g.releaseWrites()
-		}, "answer with nothing, command with start start start start "},
-		{"the worker has given it up", func(g *harness, report func()) {
-			report()
-			g.releaseWrites()
-		}, "answer with nothing, answer with start start start start forget forget forget forget "},
-		{"given up and late", func(g *harness, report func()) {
-			report()
-			g.now += maxResponseHold
-			g.step(Tick{})
-			g.releaseWrites()
-		}, "answer with nothing, answer with nothing, command with start start start start "},
-		{"a new session", func(g *harness, _ func()) {
-			r := g.newHeartbeat("vm-1", termToken)
-			r.AgentEpoch = 2
-			g.step(HeartbeatEvent{Heartbeat: r, ReplyTo: testRecipient("w")})
-			g.releaseWrites()
-		}, "answer with nothing, answer with nothing"},
-		{"the machine is gone", func(g *harness, _ func()) {
-			g.core.removeMachine(g.core.findOrAddMachine("vm-1"), "deleted")
-			g.releaseWrites()
-		}, "no answer"},
+		{"host durable before maxResponseHold", func(h *harness, _ func()) { h.releaseWrites() }, "response with start start start start forget forget forget forget "},
+		{"host durable after maxResponseHold", func(h *harness, _ func()) {
+			h.now += maxResponseHold
+			h.step(Tick{})
+			h.releaseWrites()
+		}, "response without commands, command with start start start start "},
+		{"agent sends a newer heartbeat", func(h *harness, sendHeartbeat func()) {
+			sendHeartbeat()
+			h.releaseWrites()
+		}, "response without commands, response with start start start start forget forget forget forget "},
+		{"agent sends a newer heartbeat, and host durable after maxResponseHold", func(h *harness, sendHeartbeat func()) {
+			sendHeartbeat()
+			h.now += maxResponseHold
+			h.step(Tick{})
+			h.releaseWrites()
+		}, "response without commands, response without commands, command with start start start start "},
+		{"a new agent epoch begins", func(h *harness, _ func()) {
+			heartbeat := h.newHeartbeat("vm-1", termToken)
+			heartbeat.AgentEpoch = 2
+			h.step(HeartbeatEvent{Heartbeat: heartbeat, ReplyTo: testRecipient("w")})
+			h.releaseWrites()
+		}, "response without commands, response without commands"},
+		{"the machine is gone", func(h *harness, _ func()) {
+			h.core.removeMachine(h.core.findOrAddMachine("vm-1"), "deleted")
+			h.releaseWrites()
+		}, "no response"},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			g := newHarness(t, ledger.Snapshot{})
-			g.bringUp("vm-1")
-			g.submit(newTestJob("job-1", 4, 1))
-			first := g.startCommands()
-			g.completeCommands(CommandExecuted)
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t, ledger.Snapshot{})
+			h.bringUp("vm-1")
+			h.submit(newTestJob("job-1", 4, 1))
+			first := h.startCommands()
+			h.completeCommands(CommandExecuted)
 			var ended []wire.TaskStatus
-			for _, o := range first {
-				ended = append(ended, newTaskStatus(o, wire.TaskEnded, wire.ExitDone))
+			for _, start := range first {
+				ended = append(ended, newTaskStatus(start, wire.TaskEnded, wire.ExitDone))
 			}
-			g.submit(newTestJob("job-2", 4, 1))
-			g.want("started on a full machine", len(g.startCommands()), 0)
+			h.submit(newTestJob("job-2", 4, 1))
+			h.want("starts on a full machine", len(h.startCommands()), 0)
 
-			g.holdWrites, g.recentEffects = true, nil
-			report := func() {
-				g.step(HeartbeatEvent{Heartbeat: g.newHeartbeat("vm-1", termToken, ended...), ReplyTo: testRecipient("w")})
+			h.holdWrites, h.recentEffects = true, nil
+			sendHeartbeat := func() {
+				h.step(HeartbeatEvent{Heartbeat: h.newHeartbeat("vm-1", termToken, ended...), ReplyTo: testRecipient("w")})
 			}
-			report()
-			g.want("answered at once", len(g.recentEffects), 0)
-			c.then(g, report)
+			sendHeartbeat()
+			h.want("responses at once", len(h.recentEffects), 0)
+			test.event(h, sendHeartbeat)
 			got := ""
 			add := func(s string) {
 				if got != "" {
@@ -73,124 +73,128 @@
 				}
 				got += s
 			}
-			for _, e := range g.recentEffects {
-				switch a := e.(HeartbeatReply); {
-				case a.Response == nil:
-					add("no answer")
-				case len(a.Response.Commands) == 0:
-					add("answer with nothing")
+			for _, effect := range h.recentEffects {
+				switch reply := effect.(HeartbeatReply); {
+				case reply.Response == nil:
+					add("no response")
+				case len(reply.Response.Commands) == 0:
+					add("response without commands")
 				default:
-					add("answer with " + commandVerbs(a.Response))
+					add("response with " + commandVerbs(reply.Response))
 				}
 			}
-			for _, d := range g.sentCommands {
-				add("command with " + commandVerbs(&wire.HeartbeatResponse{Commands: d.Request.Commands}))
+			for _, sent := range h.sentCommands {
+				add("command with " + commandVerbs(&wire.HeartbeatResponse{Commands: sent.Request.Commands}))
 			}
-			g.want("sent", got, c.want)
-			seen := map[string]bool{}
-			for _, o := range g.startCommands() {
-				if seen[o.Task] {
-					t.Errorf("%s was started twice", o.Task)
+			h.want("sent", got, test.want)
+			started := map[string]bool{}
+			for _, start := range h.startCommands() {
+				if started[start.Task] {
+					t.Errorf("%s was started twice", start.Task)
 				}
-				seen[o.Task] = true
+				started[start.Task] = true
 			}
 		})
 	}
 }
 
+// TestStartInAResponse guards against a task that runs twice: a start sent in a response is only
+// known to be lost once the agent's next heartbeat does not list its attempt.
 func TestStartInAResponse(t *testing.T) {
 	cases := []struct {
-		name  string
-		act   func(g *harness, o wire.Command)
-		again int // further starts
+		name          string
+		event         func(h *harness, start wire.Command)
+		furtherStarts int
 	}{
-		{"the answer to a direct command proves nothing: ours may be on its way", func(g *harness, o wire.Command) {
-			g.step(CancelRequest{JobID: "job-9", ReplyTo: testRecipient("u")})
-			g.step(CommandResult{CommandID: g.sentCommands[0].CommandID, Outcome: CommandExecuted, Heartbeat: g.newHeartbeat("vm-1", termToken)})
+		{"kept after the result of a direct command: the response may still be in flight", func(h *harness, start wire.Command) {
+			h.step(CancelRequest{JobID: "job-9", ReplyTo: testRecipient("u")})
+			h.step(CommandResult{CommandID: h.sentCommands[0].CommandID, Outcome: CommandExecuted, Heartbeat: h.newHeartbeat("vm-1", termToken)})
 		}, 0},
-		{"a late copy of the report proves nothing", func(g *harness, o wire.Command) {
-			r := g.newHeartbeat("vm-1", termToken)
-			r.Sequence = 1
-			g.sendHeartbeat(r)
+		{"kept after a late copy of the heartbeat", func(h *harness, start wire.Command) {
+			heartbeat := h.newHeartbeat("vm-1", termToken)
+			heartbeat.Sequence = 1
+			h.sendHeartbeat(heartbeat)
 		}, 0},
-		{"the next report without it gives it up", func(g *harness, o wire.Command) {
-			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken))
-			g.want("starts before it shows that it hears us", len(g.startCommands()), 0)
-			g.acknowledge("vm-1")
+		{"released after the next heartbeat without it", func(h *harness, start wire.Command) {
+			h.sendHeartbeat(h.newHeartbeat("vm-1", termToken))
+			h.want("starts before the agent acknowledges the raised token", len(h.startCommands()), 0)
+			h.acknowledge("vm-1")
 		}, 1},
-		{"the next report with it confirms it", func(g *harness, o wire.Command) {
-			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskFetching, "")))
+		{"confirmed by the next heartbeat with it", func(h *harness, start wire.Command) {
+			h.sendHeartbeat(h.newHeartbeat("vm-1", termToken, newTaskStatus(start, wire.TaskFetching, "")))
 		}, 0},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			g := newHarness(t, ledger.Snapshot{})
-			g.bringUp("vm-1")
-			g.submit(newTestJob("job-9", 1, 3))
-			nine := g.startCommands()[0]
-			g.completeCommands(CommandExecuted)
-			g.submit(newTestJob("job-1", 8, 2)) // no room for it beside the other
-			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(nine, wire.TaskRunning, "")))
-			g.want("starts without room", len(g.startCommands()), 0)
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t, ledger.Snapshot{})
+			h.bringUp("vm-1")
+			h.submit(newTestJob("job-9", 1, 3))
+			runningStart := h.startCommands()[0]
+			h.completeCommands(CommandExecuted)
+			h.submit(newTestJob("job-1", 8, 2)) // does not fit beside the task of job-9
+			h.sendHeartbeat(h.newHeartbeat("vm-1", termToken, newTaskStatus(runningStart, wire.TaskRunning, "")))
+			h.want("starts without free resources", len(h.startCommands()), 0)
 			// The first job's host is in the ledger, so its next start can be sent at once.
-			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(nine, wire.TaskEnded, wire.ExitStopped)))
-			g.want("starts in the answer", len(g.responseCommands), 2) // a forget and the start
-			o := g.startCommands()[0]
-			g.responseCommands = nil
-			c.act(g, o)
-			g.want("further starts", len(g.startCommands()), c.again)
+			h.sendHeartbeat(h.newHeartbeat("vm-1", termToken, newTaskStatus(runningStart, wire.TaskEnded, wire.ExitStopped)))
+			h.want("commands in the response", len(h.responseCommands), 2) // a forget and the start
+			start := h.startCommands()[0]
+			h.responseCommands = nil
+			test.event(h, start)
+			h.want("further starts", len(h.startCommands()), test.furtherStarts)
 		})
 	}
 }
 
+// TestForget guards against lost ends and repeated runs: an agent must not forget an ended task
+// before a successful end is in the ledger, nor while a copy of the start may still arrive.
 func TestForget(t *testing.T) {
 	cases := []struct {
-		name    string
-		outcome CommandOutcome
-		token   uint64
-		why     string
-		durable bool
-		want    int
+		name       string
+		outcome    CommandOutcome
+		token      uint64
+		exitReason string
+		durable    bool
+		want       int
 	}{
 		{"ends in the ledger", CommandExecuted, termToken, wire.ExitDone, true, minForgetBatch},
-		{"ends not yet in the ledger", CommandExecuted, termToken, wire.ExitDone, false, 0},
-		{"while the starts may still be repeated", CommandOutcomeUnknown, termToken, wire.ExitDone, true, 0},
-		{"once the raised token is echoed", CommandOutcomeUnknown, termToken + 1, wire.ExitDone, true, minForgetBatch},
+		{"ends not in the ledger yet", CommandExecuted, termToken, wire.ExitDone, false, 0},
+		{"starts that may still be executed again", CommandOutcomeUnknown, termToken, wire.ExitDone, true, 0},
+		{"starts ruled out by the acknowledgement of the raised token", CommandOutcomeUnknown, termToken + 1, wire.ExitDone, true, minForgetBatch},
 		{"failures", CommandExecuted, termToken, wire.ExitError, true, minForgetBatch},
-		{"failures whose starts may still be repeated", CommandOutcomeUnknown, termToken, wire.ExitError, true, 0},
+		{"failures whose starts may still be executed again", CommandOutcomeUnknown, termToken, wire.ExitError, true, 0},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			g := newHarness(t, ledger.Snapshot{})
-			g.bringUp("vm-1")
-			g.submit(newTestJob("job-1", minForgetBatch+1, 0.25))
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t, ledger.Snapshot{})
+			h.bringUp("vm-1")
+			h.submit(newTestJob("job-1", minForgetBatch+1, 0.25))
 			var ended []wire.TaskStatus
-			for _, o := range g.startCommands()[:minForgetBatch] {
-				ended = append(ended, newTaskStatus(o, wire.TaskEnded, c.why))
+			for _, start := range h.startCommands()[:minForgetBatch] {
+				ended = append(ended, newTaskStatus(start, wire.TaskEnded, test.exitReason))
 			}
-			g.completeCommands(c.outcome)
-			g.holdWrites = !c.durable
-			g.sendHeartbeat(g.newHeartbeat("vm-1", c.token, ended...))
-			got := commandVerbs(g.sendHeartbeat(g.newHeartbeat("vm-1", c.token, ended...)))
-			g.want("forgotten", strings.Count(got, "forget"), c.want)
+			h.completeCommands(test.outcome)
+			h.holdWrites = !test.durable
+			h.sendHeartbeat(h.newHeartbeat("vm-1", test.token, ended...))
+			got := commandVerbs(h.sendHeartbeat(h.newHeartbeat("vm-1", test.token, ended...)))
+			h.want("forgets in the response", strings.Count(got, "forget"), test.want)
 		})
 	}
 }
 
-// TestForgetTravelsWithOtherCommands: a done task by itself is not worth the heartbeat that
-// forgetting it causes, but travels along with a start.
+// TestForgetTravelsWithOtherCommands: the forget of a single successful task is not sent alone,
+// since it would cause an extra heartbeat, but together with a start.
 func TestForgetTravelsWithOtherCommands(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.bringUp("vm-1")
-	g.submit(newTestJob("job-1", 2, 1))
-	orders := g.startCommands()
-	g.completeCommands(CommandExecuted)
-	done, runs := newTaskStatus(orders[0], wire.TaskEnded, wire.ExitDone), newTaskStatus(orders[1], wire.TaskRunning, "")
-	g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, done, runs))
-	g.want("alone", commandVerbs(g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, done, runs))), "")
-	g.holdWrites = true // so that the start waits for the heartbeat
-	g.submit(newTestJob("job-2", 1, 1))
-	m := g.core.findOrAddMachine("vm-1")
-	g.core.sendPlannedStarts(g.core.jobs.list[1], m)
-	g.want("with a start", commandVerbs(g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, done, runs))), "start forget ")
+	h := newHarness(t, ledger.Snapshot{})
+	h.bringUp("vm-1")
+	h.submit(newTestJob("job-1", 2, 1))
+	starts := h.startCommands()
+	h.completeCommands(CommandExecuted)
+	done, running := newTaskStatus(starts[0], wire.TaskEnded, wire.ExitDone), newTaskStatus(starts[1], wire.TaskRunning, "")
+	h.sendHeartbeat(h.newHeartbeat("vm-1", termToken, done, running))
+	h.want("commands without a start", commandVerbs(h.sendHeartbeat(h.newHeartbeat("vm-1", termToken, done, running))), "")
+	h.holdWrites = true // the start waits for the write, and is sent with the next response
+	h.submit(newTestJob("job-2", 1, 1))
+	m := h.core.findOrAddMachine("vm-1")
+	h.core.sendPlannedStarts(h.core.jobs.list[1], m)
+	h.want("commands with a start", commandVerbs(h.sendHeartbeat(h.newHeartbeat("vm-1", termToken, done, running))), "start forget ")
 }
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -10,155 +10,158 @@
 )
 
 // TestMachineThatDoesNotReceiveResponses: a machine whose heartbeats arrive, but which receives
-// neither responses nor commands, gets no new work, keeps its allocations until their tasks have
-// surely ended, and is replaced.
+// neither responses nor commands, gets no new tasks, keeps its allocations until their tasks have
+// certainly ended, and is replaced.
 func TestMachineThatDoesNotReceiveResponses(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.bringUp("vm-1")
-	g.bringUp("vm-2")
-	g.bringUp("vm-3")
-	g.submit(newTestJob("job-1", 1, 4))
-	first := g.startCommands()[0]
-	g.completeCommands(CommandExecuted)
-	deaf := termToken
-	tell := func(d time.Duration) {
-		for end := g.now + d; g.now < end; {
-			g.advance(time.Second)
-			r := g.newHeartbeat("vm-1", uint64(deaf), newTaskStatus(first, wire.TaskRunning, ""))
-			g.sendHeartbeat(r)
-			g.acknowledge("vm-2")
-			g.acknowledge("vm-3")
+	h := newHarness(t, ledger.Snapshot{})
+	h.bringUp("vm-1")
+	h.bringUp("vm-2")
+	h.bringUp("vm-3")
+	h.submit(newTestJob("job-1", 1, 4))
+	first := h.startCommands()[0]
+	h.completeCommands(CommandExecuted)
+	lastReceived := termToken
+	advance := func(d time.Duration) {
+		for end := h.now + d; h.now < end; {
+			h.advance(time.Second)
+			heartbeat := h.newHeartbeat("vm-1", uint64(lastReceived), newTaskStatus(first, wire.TaskRunning, ""))
+			h.sendHeartbeat(heartbeat)
+			h.acknowledge("vm-2")
+			h.acknowledge("vm-3")
 		}
 	}
-	tell(19 * time.Second) // a quarter of a lease until it is raised, two rounds to wait
-	g.want("deaf machine is closed", g.core.machines.list[0].indexed.schedulable, false)
-	g.submit(newTestJob("job-2", 2, 4))
-	for _, d := range g.sentCommands {
-		if d.Machine == "vm-1" {
-			t.Error("new work for a machine that does not hear")
+	advance(19 * time.Second) // a quarter of a lease until the token is raised, and two heartbeat intervals
+	h.want("machine without responses is schedulable", h.core.machines.list[0].indexed.schedulable, false)
+	h.submit(newTestJob("job-2", 2, 4))
+	for _, sent := range h.sentCommands {
+		if sent.Machine == "vm-1" {
+			t.Error("a command was sent to a machine that does not receive responses")
 		}
 	}
-	g.want("its task stays booked", g.core.jobs.list[0].progress.allocated, 1)
-	tell(6 * time.Second)
-	g.want("asked to delete", g.deletedMachines, []string{"vm-1"})
-	g.want("its task stays booked until then", g.core.jobs.list[0].progress.allocated, 1)
-	g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
-	g.want("and waits again afterwards", len(g.core.jobs.list[0].progress.waiting), 1)
+	h.want("allocations of its job", h.core.jobs.list[0].progress.allocated, 1)
+	advance(6 * time.Second)
+	h.want("machines requested to be deleted", h.deletedMachines, []string{"vm-1"})
+	h.want("allocations of its job before the deletion", h.core.jobs.list[0].progress.allocated, 1)
+	h.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
+	h.want("waiting tasks after the deletion", len(h.core.jobs.list[0].progress.waiting), 1)
 }
 
-// TestLateCopiesOfHeartbeats: a copy that arrives seconds or more than a lease late revives no
-// machine, frees or doubles no allocation, renews no lease and resolves no host in doubt.
+// TestLateCopiesOfHeartbeats: a copy of a heartbeat that arrives late, by seconds or by more than a
+// lease, revives no machine, releases or duplicates no allocation, renews no lease and resolves no
+// host whose tasks are in doubt.
 func TestLateCopiesOfHeartbeats(t *testing.T) {
-	running := func(g *harness) wire.Command {
-		g.bringUp("vm-1")
-		g.submit(newTestJob("job-1", 1, 1))
-		o := g.startCommands()[0]
-		g.completeCommands(CommandExecuted)
-		return o
+	running := func(h *harness) wire.Command {
+		h.bringUp("vm-1")
+		h.submit(newTestJob("job-1", 1, 1))
+		start := h.startCommands()[0]
+		h.completeCommands(CommandExecuted)
+		return start
 	}
 	cases := []struct {
 		name string
-		act  func(g *harness)
+		run  func(h *harness)
 	}{
-		{"within the term: it frees nothing and renews nothing", func(g *harness) {
-			g.bringUp("vm-1")
-			old := *g.newHeartbeat("vm-1", termToken)
-			g.sendHeartbeat(&old)
-			o := running(g)
-			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskRunning, "")))
-			over := g.core.machines.list[0].agent.LeaseExpiry()
-			g.advance(8 * time.Second)
-			g.sendHeartbeat(&old)
-			g.want("bookings", g.core.jobs.list[0].progress.allocated, 1)
-			g.want("the end of the lease", g.core.machines.list[0].agent.LeaseExpiry(), over)
+		{"copy from within the term: no allocation released and no lease renewed", func(h *harness) {
+			h.bringUp("vm-1")
+			old := *h.newHeartbeat("vm-1", termToken)
+			h.sendHeartbeat(&old)
+			start := running(h)
+			h.sendHeartbeat(h.newHeartbeat("vm-1", termToken, newTaskStatus(start, wire.TaskRunning, "")))
+			expiry := h.core.machines.list[0].agent.LeaseExpiry()
+			h.advance(8 * time.Second)
+			h.sendHeartbeat(&old)
+			h.want("allocations", h.core.jobs.list[0].progress.allocated, 1)
+			h.want("lease expiry", h.core.machines.list[0].agent.LeaseExpiry(), expiry)
 		}},
-		{"after its lease: what it lists is over", func(g *harness) {
-			o := running(g)
-			held := *g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskRunning, "")) // not seen before
-			g.advance(31 * time.Second)
-			g.want("bookings once the lease is over", g.core.jobs.list[0].progress.allocated, 0)
-			if a := g.sendHeartbeat(&held); a != nil {
-				t.Errorf("a session that is over is kept alive with %v", a)
+		{"copy after the lease has expired: its tasks have ended", func(h *harness) {
+			start := running(h)
+			held := *h.newHeartbeat("vm-1", termToken, newTaskStatus(start, wire.TaskRunning, "")) // not received before
+			h.advance(31 * time.Second)
+			h.want("allocations after the lease has expired", h.core.jobs.list[0].progress.allocated, 0)
+			if response := h.sendHeartbeat(&held); response != nil {
+				t.Errorf("an epoch that has ended gets the response %v, want none", response)
 			}
-			g.want("bookings after the copy", g.core.jobs.list[0].progress.allocated, 0)
-			g.bringUp("vm-2")
-			g.want("starts elsewhere", len(g.startCommands()), 1)
+			h.want("allocations after the copy", h.core.jobs.list[0].progress.allocated, 0)
+			h.bringUp("vm-2")
+			h.want("starts on another machine", len(h.startCommands()), 1)
 		}},
-		{"after its machine was deleted", func(g *harness) {
-			o := running(g)
-			held := *g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskRunning, ""))
-			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
-			if a := g.sendHeartbeat(&held); a != nil {
-				t.Errorf("answered with %v", a)
+		{"copy after the machine was deleted", func(h *harness) {
+			start := running(h)
+			held := *h.newHeartbeat("vm-1", termToken, newTaskStatus(start, wire.TaskRunning, ""))
+			h.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
+			if response := h.sendHeartbeat(&held); response != nil {
+				t.Errorf("got the response %v, want none", response)
 			}
-			g.want("bookings", g.core.jobs.list[0].progress.allocated, 0)
-			g.want("state", g.core.machines.list[0].state, machineGone)
+			h.want("allocations", h.core.jobs.list[0].progress.allocated, 0)
+			h.want("machine state", h.core.machines.list[0].state, machineGone)
 		}},
-		{"from before a takeover: it ends no doubt and books nothing", func(g *harness) {
+		{"copy from before the term: nothing in doubt resolved and nothing allocated", func(h *harness) {
 			saved := ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}}
-			g2 := newHarness(t, saved)
-			g2.bringUp("vm-9")
+			h2 := newHarness(t, saved)
+			h2.bringUp("vm-9")
 			old := wire.Command{Task: "job-1/0", Attempt: 6<<termCounterBits | 1}
-			g2.sendHeartbeat(g2.newHeartbeat("vm-1", 6<<termCounterBits, newTaskStatus(old, wire.TaskRunning, "")))
-			g2.want("bookings", g2.core.jobs.list[0].progress.allocated, 0)
-			g2.want("starts", len(g2.startCommands()), 0)
-			g2.want("orders: it may run there after all", len(g2.responseCommands), 0)
-			g2.sendHeartbeat(g2.newHeartbeat("vm-1", termToken))
-			g2.want("starts after an echo", len(g2.startCommands()), 1)
+			h2.sendHeartbeat(h2.newHeartbeat("vm-1", 6<<termCounterBits, newTaskStatus(old, wire.TaskRunning, "")))
+			h2.want("allocations", h2.core.jobs.list[0].progress.allocated, 0)
+			h2.want("starts", len(h2.startCommands()), 0)
+			h2.want("commands to a machine on which the task may be running", len(h2.responseCommands), 0)
+			h2.sendHeartbeat(h2.newHeartbeat("vm-1", termToken))
+			h2.want("starts after the acknowledgement", len(h2.startCommands()), 1)
 		}},
-		{"from an earlier session", func(g *harness) {
-			o := running(g)
-			held := *g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskRunning, ""))
-			r := g.newHeartbeat("vm-1", termToken)
-			r.AgentEpoch = 2
-			g.sendHeartbeat(r)
-			g.acknowledge("vm-1")
-			n := g.core.jobs.list[0].progress.allocated
-			g.sendHeartbeat(&held)
-			g.want("bookings", g.core.jobs.list[0].progress.allocated, n)
-			g.want("session", g.core.machines.list[0].agent.Epoch(), 2)
+		{"copy from an earlier epoch", func(h *harness) {
+			start := running(h)
+			held := *h.newHeartbeat("vm-1", termToken, newTaskStatus(start, wire.TaskRunning, ""))
+			heartbeat := h.newHeartbeat("vm-1", termToken)
+			heartbeat.AgentEpoch = 2
+			h.sendHeartbeat(heartbeat)
+			h.acknowledge("vm-1")
+			allocated := h.core.jobs.list[0].progress.allocated
+			h.sendHeartbeat(&held)
+			h.want("allocations", h.core.jobs.list[0].progress.allocated, allocated)
+			h.want("agent epoch", h.core.machines.list[0].agent.Epoch(), 2)
 		}},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) { c.act(newHarness(t, ledger.Snapshot{})) })
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) { test.run(newHarness(t, ledger.Snapshot{})) })
 	}
 }
 
-// TestHeartbeatOfAnIncarnationBeforeOurTerm: an agent restarted just before our term began, and
-// counts from the beginning. A late heartbeat of its earlier incarnation, which we never saw,
-// has higher numbers and an older token: it does not show what runs there.
+// TestHeartbeatOfAnIncarnationBeforeOurTerm: an agent restarted just before the term began, and its
+// sequence numbers start at 1 again. A late heartbeat of its earlier incarnation, which this leader
+// has not seen, has a higher sequence number and an older token: its task list must not be used.
 func TestHeartbeatOfAnIncarnationBeforeOurTerm(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.bringUp("vm-1")
-	g.submit(newTestJob("job-1", 1, 1))
-	g.startCommands()
-	g.completeCommands(CommandExecuted)
-	old := *g.newHeartbeat("vm-1", (testTerm-1)<<termCounterBits)
+	h := newHarness(t, ledger.Snapshot{})
+	h.bringUp("vm-1")
+	h.submit(newTestJob("job-1", 1, 1))
+	h.startCommands()
+	h.completeCommands(CommandExecuted)
+	old := *h.newHeartbeat("vm-1", (testTerm-1)<<termCounterBits)
 	old.Sequence = 90
-	g.sendHeartbeat(&old)
-	g.want("bookings after it", g.core.jobs.list[0].progress.allocated, 1)
-	g.want("started elsewhere", len(g.startCommands()), 0)
-	// Its agent may truly have restarted with higher numbers: it sends the same again with the
-	// token that the response has.
-	again := *g.newHeartbeat("vm-1", g.core.findOrAddMachine("vm-1").agent.FencingToken())
+	h.sendHeartbeat(&old)
+	h.want("allocations after the late heartbeat", h.core.jobs.list[0].progress.allocated, 1)
+	h.want("starts after the late heartbeat", len(h.startCommands()), 0)
+	// The agent may also have restarted in fact, with higher numbers. It then sends the same status
+	// with the token from the response.
+	again := *h.newHeartbeat("vm-1", h.core.findOrAddMachine("vm-1").agent.FencingToken())
 	again.Sequence = 91
-	g.sendHeartbeat(&again)
-	g.want("started anew", len(g.startCommands()), 1)
+	h.sendHeartbeat(&again)
+	h.want("starts after the acknowledgement", len(h.startCommands()), 1)
 }
 
+// TestMachineIsUsedOnlyOnceItAcknowledgesOurToken guards against tasks started twice: until an
+// agent acknowledges this term's token, it may still execute commands of an earlier leader.
 func TestMachineIsUsedOnlyOnceItAcknowledgesOurToken(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.submit(newTestJob("job-1", 1, 1))
-	// Its token may be an earlier leader's, whose commands can still arrive.
-	g.want("token told", g.sendHeartbeat(g.newHeartbeat("vm-1", 6<<termCounterBits)).FencingToken, uint64(termToken))
-	g.want("starts before the echo", len(g.startCommands()), 0)
-	g.sendHeartbeat(g.newHeartbeat("vm-1", termToken))
-	g.want("starts after the echo", len(g.startCommands()), 1)
+	h := newHarness(t, ledger.Snapshot{})
+	h.submit(newTestJob("job-1", 1, 1))
+	// The token is an earlier leader's, whose commands can still arrive.
+	h.want("token in the response", h.sendHeartbeat(h.newHeartbeat("vm-1", 6<<termCounterBits)).FencingToken, uint64(termToken))
+	h.want("starts before the acknowledgement", len(h.startCommands()), 0)
+	h.sendHeartbeat(h.newHeartbeat("vm-1", termToken))
+	h.want("starts after the acknowledgement", len(h.startCommands()), 1)
 }
 
 func TestHeartbeatOfANewerTermIsRefused(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	if a := g.sendHeartbeat(g.newHeartbeat("vm-1", (testTerm+1)<<termCounterBits)); a != nil {
-		t.Errorf("answered with %v", a)
+	h := newHarness(t, ledger.Snapshot{})
+	if response := h.sendHeartbeat(h.newHeartbeat("vm-1", (testTerm+1)<<termCounterBits)); response != nil {
+		t.Errorf("got the response %v, want none", response)
 	}
 }
--- a/internal/scheduler/leases.go
+++ b/internal/scheduler/leases.go
@@ -1,21 +1,22 @@
 package scheduler
 
-// expireLease does what follows for a machine from the passing of time.
+// expireLease ends the agent's epoch and releases the machine's allocations once the agent's lease
+// has certainly expired.
 func (c *Core) expireLease(m *machine) {
 	if m.state == machineGone || !m.agent.LeaseExpired(c.clock.now, c.agents.lease) {
 		return
 	}
-	// Its agent has had no response for a whole lease: whatever it ran has ended.
+	// The agent has received no response for a whole lease: all its tasks have ended.
 	if len(m.recorded.inDoubtJobs) > 0 {
 		c.resolveInDoubt(m, "its lease has expired")
 	}
-	// This holds as well while a deletion is requested and not confirmed.
+	// This also applies to a machine whose deletion is requested and not confirmed.
 	if len(m.capacity.allocations) > 0 {
 		c.log.Info("machine lost: its lease has expired", "machine", m.name, "allocations", len(m.capacity.allocations))
 		c.releaseLostAllocations(m, "its lease has expired")
 	}
-	// Starts for that epoch are refused from now on, and whatever a late copy of its heartbeats
-	// lists has ended as well.
+	// The agent rejects starts for that epoch from now on, and the tasks in a late copy of one of
+	// its heartbeats have ended as well.
 	m.commands.resolveAllStarts()
 	m.agent.EndEpoch()
 }
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -6,16 +6,16 @@
 	"leadproxy/internal/wire"
 )
 
-// A new leader can use a machine, and resolve what an earlier leader started there, only once
-// its agent has acknowledged the new token. Waiting for heartbeats takes as long as the agents
-// take to find the new leader, up to a heartbeat interval and more. So machines that the cloud
-// lists as running are probed: a direct command without content carries the token there, and its
-// result is the acknowledgement.
+// A new leader can use a machine, and resolve what an earlier leader started there, only once the
+// machine's agent has acknowledged the new term's token. With heartbeats alone that takes as long
+// as the agents need to find the new leader, which can be more than a heartbeat interval. So the
+// leader probes the machines that the cloud lists as running: it sends an empty direct command with
+// the token, whose result is the acknowledgement.
 
-// The bounds of the probes in flight. A probe costs as much as several heartbeats, and probing
-// all machines at once held up a small controller for seconds, with heartbeats that would have
-// had the same result. So there are few at first, one more for each whose result comes soon, and
-// fewer again when results come late.
+// The bounds on concurrent probes. A probe costs as much as several heartbeats, and probing all
+// machines at once delayed a small controller for seconds, including the heartbeats that would have
+// had the same result. So the limit starts low, grows by one with each result that arrives within
+// fastProbeLatency, and is halved by each one that takes slowProbeLatency or more.
 const (
 	minConcurrentProbes = 4
 	maxConcurrentProbes = 64
@@ -23,18 +23,19 @@
 	slowProbeLatency    = 500 * time.Millisecond
 )
 
-// probes are the machines that are to be probed, and how many of them may be at once.
+// probes are the machines waiting to be probed, and the probes in flight with their present limit.
 type probes struct {
 	waiting  []*machine
 	inFlight int
 	limit    int
 }
 
-// probePeriod is how long after the beginning of a term machines are probed. What is unreachable
-// then is treated as unreachable.
+// probePeriod is how long after the beginning of a term machines are probed. Agents that are not
+// reached within it are treated as unreachable.
 const probePeriod = 20 * time.Second
 
-// probe sends the agent of a machine of an earlier term our token.
+// probe queues a probe of a machine whose agent has not acknowledged this term's token. It does
+// nothing if the agent was probed before or its address is not known.
 func (a *agents) probe(m *machine) {
 	if m.contact.probesSent > 0 || m.trusted(a.term) || m.agent.Address() == "" || a.clock.now-a.clock.termStart > probePeriod {
 		return
@@ -44,6 +45,7 @@
 	a.sendProbes()
 }
 
+// sendProbes sends waiting probes up to the limit.
 func (a *agents) sendProbes() {
 	for len(a.probes.waiting) > 0 && a.probes.inFlight < a.probes.limit {
 		m := a.probes.waiting[0]
@@ -64,14 +66,14 @@
 	}
 }
 
-// handleProbeResult follows up on a probe: one that named the wrong epoch is repeated once with the
-// right one.
+// handleProbeResult adjusts the limit to the latency of a probe, and sends further ones. A probe
+// that the agent rejected, because it named the wrong epoch, is repeated once with the right one.
 func (a *agents) handleProbeResult(command *commandInFlight, outcome CommandOutcome) {
 	m := command.machine
 	a.probes.inFlight--
 	switch took := a.clock.now - command.sentAt; {
 	case outcome == CommandOutcomeUnknown || outcome == CommandNotSent:
-		// It says something about that machine only.
+		// A failure is no sign of load on this controller: it concerns that machine only.
 	case took <= fastProbeLatency:
 		a.probes.limit = min(a.probes.limit+1, maxConcurrentProbes)
 	case took >= slowProbeLatency:
@@ -84,8 +86,8 @@
 	a.sendProbes()
 }
 
-// probeInheritedAddresses probes the machines that the ledger names at their inherited addresses, without
-// waiting for the cloud's list.
+// probeInheritedAddresses probes the machines whose addresses are known from inherited soft state,
+// without waiting for the cloud's list.
 func (a *agents) probeInheritedAddresses() {
 	for _, m := range a.machines.live {
 		if m.agent.AddressInherited() {
@@ -94,8 +96,8 @@
 	}
 }
 
-// dropInheritedAddress drops the inherited address of a machine. The cloud's list or its next
-// heartbeat has the present one.
+// dropInheritedAddress discards the inherited address of a machine, at which no agent was reached,
+// and allows another probe. The cloud's list or the next heartbeat has the present address.
 func (a *agents) dropInheritedAddress(m *machine) {
 	m.agent.DropInherited()
 	m.contact.probesSent = 0
--- a/internal/scheduler/renewal_model_test.go
+++ b/internal/scheduler/renewal_model_test.go
@@ -20,19 +20,19 @@
 	"leadproxy/internal/wire"
 )
 
-// Agents by the protocol alone, a core, and between them messages that are lost, late and
-// doubled. Whatever happens, a response that an agent may take for a renewal of its lease has
-// the stops of all tasks in its heartbeat that are reported to users as cancelled, and none of
-// those is there cancel_s later. The tests of single cases above came from what had been seen to
-// break; this one searches for what has not.
+// This model test runs a core with agents that implement only the protocol, and loses, delays and
+// duplicates the messages between them. Its invariants: a response that may renew an agent's lease
+// contains the stops of all tasks in its heartbeat whose jobs were reported to users as cancelled,
+// and none of these tasks is still running cancel_s later. TestEveryResponseStopsCancelledTasks has
+// the single cases in which that failed; this test searches for others.
 
-// The times of the model's agents; those of testConfig.
+// The model's agents use the times of testConfig.
 const (
 	modelLease  = 30 * time.Second
 	modelCancel = 60 * time.Second
 )
 
-// modelAgent is an agent as the protocol defines it.
+// modelAgent is an agent that implements the protocol and nothing else.
 type modelAgent struct {
 	name                          string
 	epoch, sequence, fencingToken uint64
@@ -42,212 +42,219 @@
 	hung                          bool
 }
 
-func (w *modelAgent) nextHeartbeat() *wire.Heartbeat {
-	w.sequence++
-	return &wire.Heartbeat{Machine: w.name, Address: w.name + ":9000", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a", Spot: true},
-		AgentEpoch: w.epoch, Sequence: w.sequence, FencingToken: w.fencingToken, Tasks: slices.Clone(w.tasks)}
+// nextHeartbeat returns a heartbeat with the agent's present tasks and the next sequence number.
+func (a *modelAgent) nextHeartbeat() *wire.Heartbeat {
+	a.sequence++
+	return &wire.Heartbeat{Machine: a.name, Address: a.name + ":9000", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a", Spot: true},
+		AgentEpoch: a.epoch, Sequence: a.sequence, FencingToken: a.fencingToken, Tasks: slices.Clone(a.tasks)}
 }
 
-func (w *modelAgent) execute(orders []wire.Command) {
-	for _, o := range orders {
-		at := slices.IndexFunc(w.tasks, func(t wire.TaskStatus) bool { return t.Attempt == o.Attempt })
+// execute executes the commands of a response or a direct command. A start of a known attempt and
+// the stop of an unknown one are ignored.
+func (a *modelAgent) execute(commands []wire.Command) {
+	for _, command := range commands {
+		i := slices.IndexFunc(a.tasks, func(task wire.TaskStatus) bool { return task.Attempt == command.Attempt })
 		switch {
-		case o.Verb == wire.VerbStart && !w.knownAttempts[o.Attempt]:
-			w.knownAttempts[o.Attempt] = true
-			w.tasks = append(w.tasks, wire.TaskStatus{Task: o.Task, Attempt: o.Attempt, Status: wire.TaskRunning})
-		case o.Verb == wire.VerbStop && at >= 0 && w.tasks[at].Status != wire.TaskEnded:
-			w.tasks[at].Status, w.tasks[at].ExitReason = wire.TaskEnded, wire.ExitStopped
-		case o.Verb == wire.VerbForget && at >= 0 && w.tasks[at].Status == wire.TaskEnded:
-			w.tasks = slices.Delete(w.tasks, at, at+1)
-			delete(w.knownAttempts, o.Attempt)
+		case command.Verb == wire.VerbStart && !a.knownAttempts[command.Attempt]:
+			a.knownAttempts[command.Attempt] = true
+			a.tasks = append(a.tasks, wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Status: wire.TaskRunning})
+		case command.Verb == wire.VerbStop && i >= 0 && a.tasks[i].Status != wire.TaskEnded:
+			a.tasks[i].Status, a.tasks[i].ExitReason = wire.TaskEnded, wire.ExitStopped
+		case command.Verb == wire.VerbForget && i >= 0 && a.tasks[i].Status == wire.TaskEnded:
+			a.tasks = slices.Delete(a.tasks, i, i+1)
+			delete(a.knownAttempts, command.Attempt)
 		}
 	}
 }
 
-// executeRequest carries a direct command out, or refuses it.
-func (w *modelAgent) executeRequest(c wire.CommandRequest) CommandOutcome {
-	if c.FencingToken < w.fencingToken || c.AgentEpoch != w.epoch {
+// executeRequest executes a direct command, or rejects it for its token or epoch.
+func (a *modelAgent) executeRequest(request wire.CommandRequest) CommandOutcome {
+	if request.FencingToken < a.fencingToken || request.AgentEpoch != a.epoch {
 		return CommandRejected
 	}
-	w.fencingToken = c.FencingToken
-	w.execute(c.Commands)
+	a.fencingToken = request.FencingToken
+	a.execute(request.Commands)
 	return CommandExecuted
 }
 
-// expireLease ends the epoch if no response has renewed its lease for so long.
-func (w *modelAgent) expireLease(now time.Duration) {
-	if now-w.leaseRenewedAt > modelLease {
-		w.epoch, w.sequence, w.leaseRenewedAt, w.tasks, w.knownAttempts = w.epoch+1, 0, now, nil, map[uint64]bool{}
+// expireLease begins a new epoch, without tasks, if no response has renewed the lease for
+// modelLease.
+func (a *modelAgent) expireLease(now time.Duration) {
+	if now-a.leaseRenewedAt > modelLease {
+		a.epoch, a.sequence, a.leaseRenewedAt, a.tasks, a.knownAttempts = a.epoch+1, 0, now, nil, map[uint64]bool{}
 	}
 }
 
-// renewalHistory is one history.
+// renewalHistory is one run of the model test.
 type renewalHistory struct {
 	t                   testingT
 	random              property.Chooser
 	harness             *harness
 	agents              []*modelAgent
 	jobIDs              []string
-	cancelledAt         map[string]time.Duration // when a job was reported as cancelled
+	cancelledAt         map[string]time.Duration // by job ID: when users were told that it is cancelled
 	heartbeats          map[testRecipient]*wire.Heartbeat
 	responses           map[testRecipient]*wire.HeartbeatResponse
-	delayedMessages     []func() // messages that are held up
+	delayedMessages     []func() // each delivers a message that has been delayed
 	heartbeatsDelivered int
 }
 
-// TestRenewalsStopCancelledTasks plays histories from fixed seeds.
+// TestRenewalsStopCancelledTasks runs the model with fixed seeds.
 func TestRenewalsStopCancelledTasks(t *testing.T) {
 	for seed := range uint64(300) {
 		runRenewalHistory(t, rand.New(rand.NewPCG(seed, 17)), 250)
 	}
 }
 
-// TestRenewalsProperty has rapid search for a short history that breaks a rule.
+// TestRenewalsProperty lets rapid search for a short history that violates an invariant.
 func TestRenewalsProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		runRenewalHistory(t, property.RapidChooser{T: t}, rapid.IntRange(30, 120).Draw(t, "steps"))
 	})
 }
 
-func runRenewalHistory(t testingT, r property.Chooser, steps int) {
-	h := &renewalHistory{t: t, random: r, harness: newHarness(t, ledger.Snapshot{}), cancelledAt: map[string]time.Duration{}, heartbeats: map[testRecipient]*wire.Heartbeat{}, responses: map[testRecipient]*wire.HeartbeatResponse{}}
-	for k := range 4 {
-		h.agents = append(h.agents, &modelAgent{name: fmt.Sprintf("vm-%d", k+1), epoch: 1, knownAttempts: map[uint64]bool{}})
+// runRenewalHistory performs random actions and checks the invariants after each one.
+func runRenewalHistory(t testingT, random property.Chooser, steps int) {
+	history := &renewalHistory{t: t, random: random, harness: newHarness(t, ledger.Snapshot{}), cancelledAt: map[string]time.Duration{}, heartbeats: map[testRecipient]*wire.Heartbeat{}, responses: map[testRecipient]*wire.HeartbeatResponse{}}
+	for i := range 4 {
+		history.agents = append(history.agents, &modelAgent{name: fmt.Sprintf("vm-%d", i+1), epoch: 1, knownAttempts: map[uint64]bool{}})
 	}
 	for range steps {
-		h.performRandomAction()
-		h.checkEffects()
+		history.performRandomAction()
+		history.checkEffects()
 	}
 }
 
-// performRandomAction has one thing happen.
-func (h *renewalHistory) performRandomAction() {
-	w := h.agents[h.random.IntN(len(h.agents))]
-	switch k := h.random.IntN(40); {
-	case k < 14:
-		h.sendHeartbeatOf(w)
-	case k < 20:
-		h.finishRandomCommand()
-	case k < 24:
-		h.advanceTime()
-	case k < 27:
-		h.submitJob()
-	case k < 30 && len(h.jobIDs) > 0:
-		jobID := h.jobIDs[h.random.IntN(len(h.jobIDs))]
-		h.harness.step(CancelRequest{JobID: jobID, ReplyTo: testRecipient(jobID)})
-	case k < 33 && len(h.delayedMessages) > 0:
-		at := h.random.IntN(len(h.delayedMessages))
-		message := h.delayedMessages[at]
-		h.delayedMessages = slices.Delete(h.delayedMessages, at, at+1)
+// performRandomAction performs one action, chosen at random: a message, time that passes, a request
+// of a user, a fault of an agent, a change of the leader or the deletion of a machine.
+func (r *renewalHistory) performRandomAction() {
+	agent := r.agents[r.random.IntN(len(r.agents))]
+	switch action := r.random.IntN(40); {
+	case action < 14:
+		r.sendHeartbeatOf(agent)
+	case action < 20:
+		r.finishRandomCommand()
+	case action < 24:
+		r.advanceTime()
+	case action < 27:
+		r.submitJob()
+	case action < 30 && len(r.jobIDs) > 0:
+		jobID := r.jobIDs[r.random.IntN(len(r.jobIDs))]
+		r.harness.step(CancelRequest{JobID: jobID, ReplyTo: testRecipient(jobID)})
+	case action < 33 && len(r.delayedMessages) > 0:
+		i := r.random.IntN(len(r.delayedMessages))
+		message := r.delayedMessages[i]
+		r.delayedMessages = slices.Delete(r.delayedMessages, i, i+1)
 		message()
-	case k < 35:
-		w.hung = !w.hung
-	case k < 36:
-		for i := range w.tasks {
-			if w.tasks[i].Status == wire.TaskRunning {
-				w.tasks[i].Status, w.tasks[i].ExitReason = wire.TaskEnded, wire.ExitDone
+	case action < 35:
+		agent.hung = !agent.hung
+	case action < 36:
+		for i := range agent.tasks {
+			if agent.tasks[i].Status == wire.TaskRunning {
+				agent.tasks[i].Status, agent.tasks[i].ExitReason = wire.TaskEnded, wire.ExitDone
 				break
 			}
 		}
-	case k < 37 && h.random.IntN(4) == 0:
-		h.changeLeader()
-	case k < 38 && h.random.IntN(4) == 0 && len(h.harness.deletedMachines) > 0:
-		h.confirmDeletion(h.harness.deletedMachines[h.random.IntN(len(h.harness.deletedMachines))])
+	case action < 37 && r.random.IntN(4) == 0:
+		r.changeLeader()
+	case action < 38 && r.random.IntN(4) == 0 && len(r.harness.deletedMachines) > 0:
+		r.confirmDeletion(r.harness.deletedMachines[r.random.IntN(len(r.harness.deletedMachines))])
 	}
 }
 
-// advanceTime lets up to three seconds pass.
-func (h *renewalHistory) advanceTime() {
-	h.harness.advance(time.Duration(1+h.random.IntN(12)) * 250 * time.Millisecond)
-	for _, w := range h.agents {
-		if !w.hung {
-			w.expireLease(h.harness.now)
+// advanceTime advances the clock by up to three seconds.
+func (r *renewalHistory) advanceTime() {
+	r.harness.advance(time.Duration(1+r.random.IntN(12)) * 250 * time.Millisecond)
+	for _, agent := range r.agents {
+		if !agent.hung {
+			agent.expireLease(r.harness.now)
 		}
 	}
 }
 
-func (h *renewalHistory) submitJob() {
-	j := newTestJob(fmt.Sprintf("job-%06d", len(h.jobIDs)), 1+h.random.IntN(3), 1)
-	h.jobIDs = append(h.jobIDs, j.ID)
-	h.harness.submit(j)
+func (r *renewalHistory) submitJob() {
+	j := newTestJob(fmt.Sprintf("job-%06d", len(r.jobIDs)), 1+r.random.IntN(3), 1)
+	r.jobIDs = append(r.jobIDs, j.ID)
+	r.harness.submit(j)
 }
 
-// sendHeartbeatOf has an agent send a heartbeat. It or its response may be lost, and a copy may come
-// late.
-func (h *renewalHistory) sendHeartbeatOf(w *modelAgent) {
-	if w.hung {
+// sendHeartbeatOf sends a heartbeat of an agent. The heartbeat or its response may be lost, and a
+// copy of the heartbeat may arrive late.
+func (r *renewalHistory) sendHeartbeatOf(agent *modelAgent) {
+	if agent.hung {
 		return
 	}
-	w.expireLease(h.harness.now)
-	sent, report := h.harness.now, w.nextHeartbeat()
-	if h.random.IntN(5) == 0 {
-		h.delayedMessages = append(h.delayedMessages, func() { h.deliver(report) })
+	agent.expireLease(r.harness.now)
+	sentAt, heartbeat := r.harness.now, agent.nextHeartbeat()
+	if r.random.IntN(5) == 0 {
+		r.delayedMessages = append(r.delayedMessages, func() { r.deliver(heartbeat) })
 	}
-	if h.random.IntN(8) == 0 {
+	if r.random.IntN(8) == 0 {
 		return
 	}
-	answer := h.deliver(report)
-	if answer == nil || h.random.IntN(8) == 0 || answer.FencingToken < w.fencingToken {
+	response := r.deliver(heartbeat)
+	if response == nil || r.random.IntN(8) == 0 || response.FencingToken < agent.fencingToken {
 		return
 	}
-	w.fencingToken, w.leaseRenewedAt = answer.FencingToken, sent
-	w.execute(answer.Commands)
+	agent.fencingToken, agent.leaseRenewedAt = response.FencingToken, sentAt
+	agent.execute(response.Commands)
 }
 
-// deliver brings a heartbeat to the core and returns the response, if it is sent at once.
-func (h *renewalHistory) deliver(report *wire.Heartbeat) *wire.HeartbeatResponse {
-	h.heartbeatsDelivered++
-	to := testRecipient(fmt.Sprint("report ", h.heartbeatsDelivered))
-	h.heartbeats[to] = report
-	h.harness.step(HeartbeatEvent{Heartbeat: report, ReplyTo: to})
-	h.checkEffects()
-	return h.responses[to]
+// deliver passes a heartbeat to the core and returns the response, or nil if none is sent at once.
+func (r *renewalHistory) deliver(heartbeat *wire.Heartbeat) *wire.HeartbeatResponse {
+	r.heartbeatsDelivered++
+	replyTo := testRecipient(fmt.Sprint("heartbeat ", r.heartbeatsDelivered))
+	r.heartbeats[replyTo] = heartbeat
+	r.harness.step(HeartbeatEvent{Heartbeat: heartbeat, ReplyTo: replyTo})
+	r.checkEffects()
+	return r.responses[replyTo]
 }
 
-// finishRandomCommand has a command on its way carried out, lost, or held up.
-func (h *renewalHistory) finishRandomCommand() {
-	if len(h.harness.sentCommands) == 0 {
+// finishRandomCommand picks a direct command in flight, which is executed, lost or delayed.
+func (r *renewalHistory) finishRandomCommand() {
+	if len(r.harness.sentCommands) == 0 {
 		return
 	}
-	at := h.random.IntN(len(h.harness.sentCommands))
-	d := h.harness.sentCommands[at]
-	h.harness.sentCommands = slices.Delete(h.harness.sentCommands, at, at+1)
-	i := slices.IndexFunc(h.agents, func(w *modelAgent) bool { return w.name == d.Machine })
-	if i < 0 || h.agents[i].hung || h.random.IntN(3) == 0 {
-		if i >= 0 && h.random.IntN(2) == 0 {
-			w := h.agents[i]
-			h.delayedMessages = append(h.delayedMessages, func() { w.executeRequest(d.Request) })
+	index := r.random.IntN(len(r.harness.sentCommands))
+	sent := r.harness.sentCommands[index]
+	r.harness.sentCommands = slices.Delete(r.harness.sentCommands, index, index+1)
+	i := slices.IndexFunc(r.agents, func(agent *modelAgent) bool { return agent.name == sent.Machine })
+	if i < 0 || r.agents[i].hung || r.random.IntN(3) == 0 {
+		if i >= 0 && r.random.IntN(2) == 0 {
+			agent := r.agents[i]
+			r.delayedMessages = append(r.delayedMessages, func() { agent.executeRequest(sent.Request) })
 		}
-		h.harness.step(CommandResult{CommandID: d.CommandID, Outcome: CommandOutcomeUnknown})
+		r.harness.step(CommandResult{CommandID: sent.CommandID, Outcome: CommandOutcomeUnknown})
 		return
 	}
-	w := h.agents[i]
-	h.harness.step(CommandResult{CommandID: d.CommandID, Outcome: w.executeRequest(d.Request), Heartbeat: w.nextHeartbeat()})
+	agent := r.agents[i]
+	r.harness.step(CommandResult{CommandID: sent.CommandID, Outcome: agent.executeRequest(sent.Request), Heartbeat: agent.nextHeartbeat()})
 }
 
-// confirmDeletion has the cloud delete a machine at last.
-func (h *renewalHistory) confirmDeletion(name string) {
-	h.agents = slices.DeleteFunc(h.agents, func(w *modelAgent) bool { return w.name == name && len(h.agents) > 2 })
-	if !slices.ContainsFunc(h.agents, func(w *modelAgent) bool { return w.name == name }) {
-		h.harness.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{name}}}})
+// confirmDeletion lets the cloud delete a machine whose deletion was requested, unless it is one of
+// the last two.
+func (r *renewalHistory) confirmDeletion(name string) {
+	r.agents = slices.DeleteFunc(r.agents, func(agent *modelAgent) bool { return agent.name == name && len(r.agents) > 2 })
+	if !slices.ContainsFunc(r.agents, func(agent *modelAgent) bool { return agent.name == name }) {
+		r.harness.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{name}}}})
 	}
 }
 
-// changeLeader begins a new term from what the ledger holds. Now and then the record of a
-// cancelled job can't be read any more.
-func (h *renewalHistory) changeLeader() {
+// changeLeader starts a new term from the contents of the ledger. The record of a cancelled job may
+// have become unreadable. Direct commands of the earlier leader may still arrive.
+func (r *renewalHistory) changeLeader() {
 	records := map[string]any{}
-	for jobID, j := range h.harness.submittedJobs {
+	for jobID, j := range r.harness.submittedJobs {
 		records[ledger.JobKey(jobID)] = ledger.JobRecord{Job: j, AcceptedMS: 1}
 	}
-	for key, w := range h.harness.writesByKey {
-		records[key] = w.Value
+	for key, write := range r.harness.writesByKey {
+		records[key] = write.Value
 	}
 	var entries []wire.Entry
 	for key, value := range records {
 		text, err := json.Marshal(value)
 		if err != nil {
-			h.t.Fatal(err)
+			r.t.Fatal(err)
 		}
 		if value != nil {
 			entries = append(entries, wire.Entry{Key: key, Value: text, Version: 1})
@@ -255,74 +262,77 @@
 	}
 	slices.SortFunc(entries, func(a, b wire.Entry) int { return strings.Compare(a.Key, b.Key) })
 	for i := range entries {
-		for _, jobID := range h.jobIDs {
-			if _, cancelled := h.cancelledAt[jobID]; cancelled && entries[i].Key == ledger.JobKey(jobID) && h.random.IntN(10) == 0 {
+		for _, jobID := range r.jobIDs {
+			if _, cancelled := r.cancelledAt[jobID]; cancelled && entries[i].Key == ledger.JobKey(jobID) && r.random.IntN(10) == 0 {
 				entries[i].Value = []byte("[]")
 			}
 		}
 	}
 	cfg := testConfig(settings.Defaults(), settings.Team{Name: "t"})
-	cfg.Term = h.harness.core.term + 1
+	cfg.Term = r.harness.core.term + 1
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
 	snapshot := ledger.New(cfg.Term, nil, func() ledger.Limits { return ledger.Limits{} }, log).LoadEntries(entries, 1)
-	old := h.harness
-	for _, d := range old.sentCommands {
-		if i := slices.IndexFunc(h.agents, func(w *modelAgent) bool { return w.name == d.Machine }); i >= 0 {
-			w := h.agents[i]
-			h.delayedMessages = append(h.delayedMessages, func() { w.executeRequest(d.Request) })
+	previous := r.harness
+	for _, sent := range previous.sentCommands {
+		if i := slices.IndexFunc(r.agents, func(agent *modelAgent) bool { return agent.name == sent.Machine }); i >= 0 {
+			agent := r.agents[i]
+			r.delayedMessages = append(r.delayedMessages, func() { agent.executeRequest(sent.Request) })
 		}
 	}
-	h.harness = newHarnessWithConfig(h.t, old.now, cfg, snapshot)
-	h.harness.submittedJobs = old.submittedJobs
-	for key, w := range old.writesByKey {
-		if _, rewritten := h.harness.writesByKey[key]; !rewritten {
-			h.harness.writesByKey[key] = w
+	r.harness = newHarnessWithConfig(r.t, previous.now, cfg, snapshot)
+	r.harness.submittedJobs = previous.submittedJobs
+	for key, write := range previous.writesByKey {
+		if _, rewritten := r.harness.writesByKey[key]; !rewritten {
+			r.harness.writesByKey[key] = write
 		}
 	}
 }
 
-// checkEffects takes the core's responses and checks them, and the agents, against the rules.
-func (h *renewalHistory) checkEffects() {
-	out := h.harness.recentEffects
-	h.harness.recentEffects = nil
-	for _, e := range out {
-		switch e := e.(type) {
+// checkEffects takes the core's recent effects, responds to its inspections, and checks the
+// invariants on its responses and on the tasks of all agents that are not hung.
+func (r *renewalHistory) checkEffects() {
+	effects := r.harness.recentEffects
+	r.harness.recentEffects = nil
+	for _, effect := range effects {
+		switch effect := effect.(type) {
 		case UserReply:
-			if _, known := h.cancelledAt[e.Status.ID]; !known && e.Status.Status == wire.JobCancelled {
-				h.cancelledAt[e.Status.ID] = h.harness.now
+			if _, known := r.cancelledAt[effect.Status.ID]; !known && effect.Status.Status == wire.JobCancelled {
+				r.cancelledAt[effect.Status.ID] = r.harness.now
 			}
 		case HeartbeatReply:
-			if to, ok := e.ReplyTo.(testRecipient); ok && e.Response != nil {
-				h.responses[to] = e.Response
-				h.checkStops(h.heartbeats[to], e.Response)
+			if replyTo, ok := effect.ReplyTo.(testRecipient); ok && effect.Response != nil {
+				r.responses[replyTo] = effect.Response
+				r.checkStops(r.heartbeats[replyTo], effect.Response)
 			}
 		case InspectAgent:
-			for _, w := range h.agents {
-				if w.name == e.Machine && !w.hung {
-					h.harness.step(InspectResult{Machine: w.name, Heartbeat: w.nextHeartbeat()})
+			for _, agent := range r.agents {
+				if agent.name == effect.Machine && !agent.hung {
+					r.harness.step(InspectResult{Machine: agent.name, Heartbeat: agent.nextHeartbeat()})
 				}
 			}
 		}
 	}
-	for _, w := range h.agents {
-		for _, t := range w.tasks {
-			jobID := wire.JobIDOfTask(t.Task)
-			if told, cancelled := h.cancelledAt[jobID]; cancelled && !w.hung && t.Status != wire.TaskEnded && h.harness.now-told > modelCancel {
-				h.t.Errorf("%s is on %s %s after its job was told as cancelled", t.Task, w.name, h.harness.now-told)
+	for _, agent := range r.agents {
+		for _, task := range agent.tasks {
+			jobID := wire.JobIDOfTask(task.Task)
+			if cancelledAt, cancelled := r.cancelledAt[jobID]; cancelled && !agent.hung && task.Status != wire.TaskEnded && r.harness.now-cancelledAt > modelCancel {
+				r.t.Errorf("%s is still on %s %s after its job was reported as cancelled", task.Task, agent.name, r.harness.now-cancelledAt)
 			}
 		}
 	}
 }
 
 // checkStops checks that a response has the stops that its heartbeat requires.
-func (h *renewalHistory) checkStops(report *wire.Heartbeat, answer *wire.HeartbeatResponse) {
-	for _, t := range report.Tasks {
-		jobID := wire.JobIDOfTask(t.Task)
-		if _, cancelled := h.cancelledAt[jobID]; !cancelled || t.Status == wire.TaskEnded {
+func (r *renewalHistory) checkStops(heartbeat *wire.Heartbeat, response *wire.HeartbeatResponse) {
+	for _, task := range heartbeat.Tasks {
+		jobID := wire.JobIDOfTask(task.Task)
+		if _, cancelled := r.cancelledAt[jobID]; !cancelled || task.Status == wire.TaskEnded {
 			continue
 		}
-		if !slices.ContainsFunc(answer.Commands, func(o wire.Command) bool { return o.Verb == wire.VerbStop && o.Attempt == t.Attempt }) {
-			h.t.Errorf("%s renewed without the stop of %s: %+v", report.Machine, t.Task, answer.Commands)
+		if !slices.ContainsFunc(response.Commands, func(command wire.Command) bool {
+			return command.Verb == wire.VerbStop && command.Attempt == task.Attempt
+		}) {
+			r.t.Errorf("the response to %s does not stop %s of a cancelled job: %+v", heartbeat.Machine, task.Task, response.Commands)
 		}
 	}
 }
--- a/internal/scheduler/required_stops.go
+++ b/internal/scheduler/required_stops.go
@@ -6,87 +6,90 @@
 	"leadproxy/internal/wire"
 )
 
-// heartbeatTrust tells whether the list of tasks in a heartbeat is believed.
+// heartbeatTrust is whether the task list of a heartbeat is known to be up to date.
 type heartbeatTrust int
 
-// What a list of tasks is worth.
 const (
-	untrustedHeartbeat heartbeatTrust = iota // it may be a copy from before, of any age
+	untrustedHeartbeat heartbeatTrust = iota // it may be an old copy, of any age
 	trustedHeartbeat                         // it is the agent's newest, and the agent has acknowledged the term's token
 )
 
-// requiredStops lists the stops that the response to a heartbeat must contain: those of the
-// tasks in it that must not run. It decides that for every response, since each renews the
-// agent's lease. That a heartbeat may be an old copy is no reason to leave one out: stopping an
-// attempt that is no longer there does nothing.
-func (q *commands) requiredStops(m *machine, r *wire.Heartbeat, trust heartbeatTrust) []wire.Command {
+// requiredStops returns the stops that the response to a heartbeat must contain: those of the tasks
+// in the heartbeat that must not run. Every response needs them, since each renews the agent's
+// lease. They are not left out for a heartbeat that may be an old copy, since stopping an attempt
+// that no longer exists has no effect.
+func (c *commands) requiredStops(m *machine, heartbeat *wire.Heartbeat, trust heartbeatTrust) []wire.Command {
 	stops := []wire.Command{}
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		if t.Status == wire.TaskEnded || len(stops) >= maxCommandsPerResponse {
-			continue // what is left is stopped in the responses to the next heartbeats
+	for i := range heartbeat.Tasks {
+		task := &heartbeat.Tasks[i]
+		if task.Status == wire.TaskEnded || len(stops) >= maxCommandsPerResponse {
+			continue // the remaining tasks are stopped in the responses to later heartbeats
 		}
-		if grace, must := q.mustStop(m, t, trust); must {
-			q.cancellations.countStop(m, t)
-			stops = append(stops, stopCommand(t.Task, t.Attempt, grace))
+		if gracePeriodS, must := c.mustStop(m, task, trust); must {
+			c.cancellations.countStop(m, task)
+			stops = append(stops, stopCommand(task.Task, task.Attempt, gracePeriodS))
 		}
 	}
 	return stops
 }
 
-// mustStop tells whether a task that an agent reports as alive must not run, and how long it may
-// take to save its progress.
-func (q *commands) mustStop(m *machine, t *wire.TaskStatus, trust heartbeatTrust) (grace float64, must bool) {
-	found := q.jobs.findTask(m, t)
+// mustStop reports whether a task that an agent reports as alive must not run, and the grace period
+// in seconds in which it may save a checkpoint.
+func (c *commands) mustStop(m *machine, task *wire.TaskStatus, trust heartbeatTrust) (gracePeriodS float64, must bool) {
+	found := c.jobs.findTask(m, task)
 	switch {
 	case found.job == nil:
-		// Whatever an earlier leader started has a job record in the ledger. If no job is
-		// found, its record can't be read and may be of a cancelled job: it is stopped.
+		// All tasks that an earlier leader started have a job record in the ledger. If no job is
+		// found, the record can't be read, and the job may have been cancelled: the task is
+		// stopped.
 		return 0, true
 	case found.job.ended():
-		return 0, true // its progress is of no use
+		return 0, true // a checkpoint is of no use to a job that has ended
 	case found.allocation == nil:
-		// What has no allocation, in a heartbeat that may be an old copy, is not judged yet.
+		// A task without an allocation must not run. But an old copy of a heartbeat does not show
+		// that it runs, so the decision waits for a trusted heartbeat.
 		return 0, trust == trustedHeartbeat
 	}
 	return found.allocation.gracePeriodS, found.allocation.stopping
 }
 
-func stopCommand(task string, attempt uint64, grace float64) wire.Command {
-	return wire.Command{Verb: wire.VerbStop, Task: task, Attempt: attempt, GracePeriodS: &grace}
+// stopCommand returns the command that stops an attempt.
+func stopCommand(task string, attempt uint64, gracePeriodS float64) wire.Command {
+	return wire.Command{Verb: wire.VerbStop, Task: task, Attempt: attempt, GracePeriodS: &gracePeriodS}
 }
 
-// repeatStops sends stops again that an agent may have ignored. A start and its stop that are
-// sent one after the other, in two commands or in a response and a command, arrive in any order,
-// and an agent ignores the stop of an attempt that it does not know yet: the start was executed
-// after its stop, and the task ran until the agent's next heartbeat was answered.
-func (q *commands) repeatStops(command *commandInFlight, r *wire.Heartbeat) {
+// repeatStops resends stops that an agent may have ignored, once the result of a command is known.
+// A start and a later stop of the same attempt in separate messages can arrive in any order, and an
+// agent ignores the stop of an attempt that it does not know yet. Without the repetition such a
+// start was executed after its stop, and the task ran until the response to the agent's next
+// heartbeat.
+func (c *commands) repeatStops(command *commandInFlight, heartbeat *wire.Heartbeat) {
 	m := command.machine
-	if r == nil || r.Machine != m.name || r.AgentEpoch != m.agent.Epoch() {
+	if heartbeat == nil || heartbeat.Machine != m.name || heartbeat.AgentEpoch != m.agent.Epoch() {
 		return
 	}
 	for _, attempt := range command.startedAttempts {
-		if b := m.allocation(attempt); b != nil && b.stopping && listsLiveAttempt(r, attempt) {
-			q.queueStop(m, b)
+		if alloc := m.allocation(attempt); alloc != nil && alloc.stopping && listsLiveAttempt(heartbeat, attempt) {
+			c.queueStop(m, alloc)
 		}
 	}
 	for _, attempt := range command.stoppedAttempts {
-		b := m.allocation(attempt)
-		if b != nil && b.stopping && b.state == allocationSent && !b.stopRepeated && !listsLiveAttempt(r, attempt) {
-			b.stopRepeated = true
-			q.queueStop(m, b)
+		alloc := m.allocation(attempt)
+		if alloc != nil && alloc.stopping && alloc.state == allocationSent && !alloc.stopRepeated && !listsLiveAttempt(heartbeat, attempt) {
+			alloc.stopRepeated = true
+			c.queueStop(m, alloc)
 		}
 	}
 }
 
-// queueStop queues the stop of an allocated attempt.
-func (q *commands) queueStop(m *machine, b *allocation) {
-	q.queueCommand(m, stopCommand(q.jobs.taskName(b), b.attempt, b.gracePeriodS))
+// queueStop queues the stop of an allocated attempt, with the allocation's grace period.
+func (c *commands) queueStop(m *machine, alloc *allocation) {
+	c.queueCommand(m, stopCommand(c.jobs.taskName(alloc), alloc.attempt, alloc.gracePeriodS))
 }
 
-// listsLiveAttempt tells whether a heartbeat lists an attempt that has not ended.
-func listsLiveAttempt(r *wire.Heartbeat, attempt uint64) bool {
-	return slices.ContainsFunc(r.Tasks, func(t wire.TaskStatus) bool {
-		return t.Attempt == attempt && t.Status != wire.TaskEnded
+// listsLiveAttempt reports whether a heartbeat lists an attempt as not ended.
+func listsLiveAttempt(heartbeat *wire.Heartbeat, attempt uint64) bool {
+	return slices.ContainsFunc(heartbeat.Tasks, func(task wire.TaskStatus) bool {
+		return task.Attempt == attempt && task.Status != wire.TaskEnded
 	})
 }
--- a/internal/scheduler/start_delivery_test.go
+++ b/internal/scheduler/start_delivery_test.go
@@ -7,82 +7,83 @@
 	"leadproxy/internal/wire"
 )
 
-// TestStartIsWithdrawnUntilSent guards against starts that are sent after their job's cancellation:
-// a start that waits, in a response or for a direct command, never leaves then and its room is free
-// at once; one that has left is stopped.
+// TestStartIsWithdrawnUntilSent guards against starts that are sent after the cancellation of their
+// job. A start that is waiting to be sent, in a response or a direct command, is never sent, and
+// its allocation is released at once. One that was sent is stopped.
 func TestStartIsWithdrawnUntilSent(t *testing.T) {
 	cases := []struct {
 		name      string
 		sent      bool // before the cancellation
-		sendable  int  // commands that leave after it
+		sendable  int  // commands that may be sent after the cancellation
 		allocated int
 		stops     int
 	}{
-		{"it waits", false, 0, 0, 0},
-		{"it has left", true, 1, 1, 1},
+		{"start is waiting", false, 0, 0, 0},
+		{"start was sent", true, 1, 1, 1},
 	}
-	for _, c := range cases {
-		for name, deliver := range map[string]func(g *harness) (StartDeliveries, []wire.Command){"command": startInCommand, "response": startInResponse} {
-			t.Run(c.name+" in a "+name, func(t *testing.T) {
-				g := newHarness(t, ledger.Snapshot{})
-				g.bringUp("vm-1")
-				starts, commands := deliver(g)
+	for _, test := range cases {
+		for name, deliver := range map[string]func(h *harness) (StartDeliveries, []wire.Command){"command": startInCommand, "response": startInResponse} {
+			t.Run(test.name+" in a "+name, func(t *testing.T) {
+				h := newHarness(t, ledger.Snapshot{})
+				h.bringUp("vm-1")
+				starts, commands := deliver(h)
 				starts.Defer()
-				if c.sent {
+				if test.sent {
 					starts.TakeSendable(commands)
 				}
-				g.sentCommands = nil
-				g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+				h.sentCommands = nil
+				h.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 				sendable, forbidden := starts.TakeSendable(commands)
-				g.want("sent after the cancellation", len(sendable), c.sendable)
-				g.want("forbidden", len(forbidden), 0)
-				g.want("allocations", g.core.jobs.list[0].progress.allocated, c.allocated)
-				g.want("direct commands with stops", len(g.sentCommands), c.stops)
-				g.want("state", g.jobStatus("job-1"), wire.JobCancelled)
+				h.want("commands sent after the cancellation", len(sendable), test.sendable)
+				h.want("forbidden starts", len(forbidden), 0)
+				h.want("allocations", h.core.jobs.list[0].progress.allocated, test.allocated)
+				h.want("direct commands with stops", len(h.sentCommands), test.stops)
+				h.want("job status", h.jobStatus("job-1"), wire.JobCancelled)
 			})
 		}
 	}
 }
 
-// startInCommand has a task of job-1 started by a direct command.
-func startInCommand(g *harness) (StartDeliveries, []wire.Command) {
-	g.submit(newTestJob("job-1", 1, 1))
-	effect := g.sentCommands[0]
+// startInCommand submits job-1 and returns the direct command with the start of its task.
+func startInCommand(h *harness) (StartDeliveries, []wire.Command) {
+	h.submit(newTestJob("job-1", 1, 1))
+	effect := h.sentCommands[0]
 	return effect.Starts, effect.Request.Commands
 }
 
-// startInResponse has a task of job-1 started in the response to a heartbeat.
-func startInResponse(g *harness) (StartDeliveries, []wire.Command) {
-	g.holdWrites = true
-	g.submit(newTestJob("job-1", 1, 1))
-	g.recentEffects = nil
-	g.step(HeartbeatEvent{Heartbeat: g.newHeartbeat("vm-1", termToken), ReplyTo: testRecipient("w")})
-	g.releaseWrites()
-	for _, effect := range g.recentEffects {
+// startInResponse submits job-1 and returns the commands of the heartbeat response with the start
+// of its task.
+func startInResponse(h *harness) (StartDeliveries, []wire.Command) {
+	h.holdWrites = true
+	h.submit(newTestJob("job-1", 1, 1))
+	h.recentEffects = nil
+	h.step(HeartbeatEvent{Heartbeat: h.newHeartbeat("vm-1", termToken), ReplyTo: testRecipient("w")})
+	h.releaseWrites()
+	for _, effect := range h.recentEffects {
 		if reply, ok := effect.(HeartbeatReply); ok && len(reply.Starts) > 0 {
 			return reply.Starts, reply.Response.Commands
 		}
 	}
-	g.t.Fatal("no response carries the start")
+	h.t.Fatal("no response carries the start")
 	return nil, nil
 }
 
-// TestWithdrawnCommandDoesNotSuspendStarts guards against a machine that is avoided because a command to
-// it was withdrawn: it says nothing about the machine, which takes the next start at once.
+// TestWithdrawnCommandDoesNotSuspendStarts: a withdrawn command does not show that its machine
+// can't be reached, so the next task is started there at once.
 func TestWithdrawnCommandDoesNotSuspendStarts(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.bringUp("vm-1")
-	starts, commands := startInCommand(g)
+	h := newHarness(t, ledger.Snapshot{})
+	h.bringUp("vm-1")
+	starts, commands := startInCommand(h)
 	starts.Defer()
-	g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+	h.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 	starts.TakeSendable(commands)
-	g.completeCommands(CommandWithdrawn)
-	g.submit(newTestJob("job-2", 1, 1))
-	g.want("starts of the next job", len(g.startCommands()), 1)
+	h.completeCommands(CommandWithdrawn)
+	h.submit(newTestJob("job-2", 1, 1))
+	h.want("starts of the next job", len(h.startCommands()), 1)
 }
 
-// TestStartDeliveries guards the decision at the moment of sending: what was withdrawn stays, what
-// the core failed to withdraw is held back and reported, and other commands are not affected.
+// TestStartDeliveries: when commands are sent, withdrawn starts are left out, starts that the core
+// failed to withdraw are held back and reported, and other commands are not affected.
 func TestStartDeliveries(t *testing.T) {
 	stop, start := wire.Command{Verb: wire.VerbStop, Attempt: 1}, wire.Command{Verb: wire.VerbStart, Attempt: 2}
 	cases := []struct {
@@ -103,25 +104,25 @@
 			job.confirm()
 		}, 1, 1},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			var delivery StartDelivery
 			job := jobEnd{state: wire.JobCancelled}
 			delivery.forbidWhen(&job.cancellationConfirmed)
-			c.prepare(&delivery, &job)
+			test.prepare(&delivery, &job)
 			sendable, forbidden := StartDeliveries{&delivery}.TakeSendable([]wire.Command{stop, start})
-			if len(sendable) != c.sendable || len(forbidden) != c.forbidden {
-				t.Errorf("sendable %v, forbidden %v", sendable, forbidden)
+			if len(sendable) != test.sendable || len(forbidden) != test.forbidden {
+				t.Errorf("wrong numbers of commands: sendable %v, forbidden %v", sendable, forbidden)
 			}
-			if delivery.withdraw() == (c.sendable == 2) {
-				t.Error("a start that was sent counts as withdrawn, or the other way round")
+			if delivery.withdraw() == (test.sendable == 2) {
+				t.Error("withdraw reports true for a start that was sent, or false for one that was not")
 			}
 		})
 	}
 }
 
 // TestStartIsEitherSentOrWithdrawn guards against a start that is sent although the core counts it
-// as withdrawn: of the two, called at the same moment, exactly one succeeds.
+// as withdrawn: of a concurrent send and withdrawal exactly one succeeds.
 func TestStartIsEitherSentOrWithdrawn(t *testing.T) {
 	for range 2000 {
 		var delivery StartDelivery
@@ -130,7 +131,7 @@
 		go func() { sent <- delivery.decideSend() == sendAllowed }()
 		withdrawn := delivery.withdraw()
 		if <-sent == withdrawn {
-			t.Fatalf("sent and withdrawn are both %v", withdrawn)
+			t.Fatalf("sent and withdrawn are both %v, want exactly one", withdrawn)
 		}
 	}
 }
--- a/internal/scheduler/task_reports.go
+++ b/internal/scheduler/task_reports.go
@@ -2,46 +2,46 @@
 
 import "leadproxy/internal/wire"
 
-// reconcileTasks brings the allocations of a machine in line with a fresh heartbeat, or with the
-// result of a direct command.
-func (c *Core) reconcileTasks(m *machine, r *wire.Heartbeat, source statusSource) {
+// reconcileTasks updates the allocations of a machine from the task list of a trusted heartbeat or
+// command result.
+func (c *Core) reconcileTasks(m *machine, heartbeat *wire.Heartbeat, source statusSource) {
 	c.agents.countHeartbeat()
-	for i := range r.Tasks {
-		t := &r.Tasks[i]
-		found := c.jobs.findTask(m, t)
-		j, n, b := found.job, found.index, found.allocation
+	for i := range heartbeat.Tasks {
+		task := &heartbeat.Tasks[i]
+		found := c.jobs.findTask(m, task)
+		j, index, alloc := found.job, found.index, found.allocation
 		if j == nil {
-			continue // the response stops it, see mustStop
+			continue // the response stops the task, see mustStop
 		}
-		if t.Status == wire.TaskEnded {
-			c.handleAttemptEnd(m, j, n, b, t)
+		if task.Status == wire.TaskEnded {
+			c.handleAttemptEnd(m, j, index, alloc, task)
 			continue
 		}
-		if b == nil {
-			if b = c.adoptTask(m, j, n, t); b == nil {
+		if alloc == nil {
+			if alloc = c.adoptTask(m, j, index, task); alloc == nil {
 				continue
 			}
-			if b.stopping && source == fromCommandResult {
-				c.commands.queueStop(m, b) // no response that could carry it is sent there
+			if alloc.stopping && source == fromCommandResult {
+				c.commands.queueStop(m, alloc) // a command result gets no response that could carry the stop
 			}
 		}
-		b.state, b.lastHeartbeatSeen = allocationConfirmed, c.agents.heartbeatsProcessed
-		if t.Status != b.status {
-			c.updateTaskStatus(m, j, b, t.Status)
+		alloc.state, alloc.lastHeartbeatSeen = allocationConfirmed, c.agents.heartbeatsProcessed
+		if task.Status != alloc.status {
+			c.updateTaskStatus(m, j, alloc, task.Status)
 		}
 	}
-	c.releaseMissing(m, r, source)
+	c.releaseMissing(m, heartbeat, source)
 }
 
-// updateTaskStatus notes that a task's status differs from that in the last heartbeat.
-func (c *Core) updateTaskStatus(m *machine, j *job, b *allocation, status string) {
-	b.status = status
+// updateTaskStatus records a task's status when it differs from that in the last heartbeat.
+func (c *Core) updateTaskStatus(m *machine, j *job, alloc *allocation, status string) {
+	alloc.status = status
 	if status != wire.TaskRunning {
 		return
 	}
-	since, known := c.inherited.runningSince(b.attempt)
-	b.runningSince, b.runStartUnknown = since, !known
-	c.disruptions.recordRunning(b)
+	since, known := c.inherited.runningSince(alloc.attempt)
+	alloc.runningSince, alloc.runStartUnknown = since, !known
+	c.disruptions.recordRunning(alloc)
 	c.softState.machineChanged(m)
 	j.progress.markStarted()
 	m.capacity.markUsed(c.clock.now)
@@ -50,88 +50,90 @@
 	}
 }
 
-// releaseMissing frees the allocations whose attempts a machine no longer has, or never will.
-func (c *Core) releaseMissing(m *machine, r *wire.Heartbeat, source statusSource) {
-	for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
-		b := m.capacity.allocations[k]
-		if b.lastHeartbeatSeen == c.agents.heartbeatsProcessed {
+// releaseMissing releases the allocations whose attempts are missing from the heartbeat being
+// reconciled, if they can't be executed any more.
+func (c *Core) releaseMissing(m *machine, heartbeat *wire.Heartbeat, source statusSource) {
+	for i := len(m.capacity.allocations) - 1; i >= 0; i-- {
+		alloc := m.capacity.allocations[i]
+		if alloc.lastHeartbeatSeen == c.agents.heartbeatsProcessed {
 			continue
 		}
-		_, unresolved := m.commands.unresolvedStarts[b.attempt]
+		_, unresolved := m.commands.unresolvedStarts[alloc.attempt]
 		switch {
-		case b.state <= allocationQueued, unresolved:
-			// Not sent yet, or it may still be executed.
-		case b.state == allocationSent && b.responseSequence > 0 && (source == fromCommandResult || r.Sequence <= b.responseSequence):
-			// The response that carries its start may still be on its way: the agent's next
-			// heartbeat is sent only after it, or after it is given up.
+		case alloc.state <= allocationQueued, unresolved:
+			// The start was not sent yet, or may still be executed.
+		case alloc.state == allocationSent && alloc.responseSequence > 0 && (source == fromCommandResult || heartbeat.Sequence <= alloc.responseSequence):
+			// The response that carries the start may still be in flight. The agent sends its next
+			// heartbeat only after receiving the response or ceasing to wait for it.
 		default:
-			// Either a start whose outcome was unknown and which a raised token has ruled out,
-			// or an attempt that the agent no longer knows.
-			if b.state == allocationSent && b.responseSequence > 0 {
+			// Either the outcome of the start was unknown and a raised token has ruled it out, or
+			// the agent no longer knows the attempt.
+			if alloc.state == allocationSent && alloc.responseSequence > 0 {
 				c.markUnacknowledged(m)
 			}
-			c.log.Info("attempt is missing on its machine", "machine", m.name, "task", c.jobs.taskName(b), "attempt", b.attempt, "confirmed", b.state == allocationConfirmed)
-			c.releaseAndRequeue(m, b)
+			c.log.Info("attempt is missing on its machine", "machine", m.name, "task", c.jobs.taskName(alloc), "attempt", alloc.attempt, "confirmed", alloc.state == allocationConfirmed)
+			c.releaseAndRequeue(m, alloc)
 		}
 	}
 }
 
-// adoptTask allocates room for a task that an earlier leader has started, or returns nil when it
-// must not run.
-func (c *Core) adoptTask(m *machine, j *job, n int32, t *wire.TaskStatus) *allocation {
+// adoptTask allocates resources for a task that an earlier leader has started. It returns nil if
+// the task must not run.
+func (c *Core) adoptTask(m *machine, j *job, index int32, task *wire.TaskStatus) *allocation {
 	if j.spec == nil || j.progress.tasks == nil {
-		return nil // ended, and cleaned up here
+		return nil // the job has ended and is cleaned up
 	}
-	ts := &j.progress.tasks[n]
+	jobTask := &j.progress.tasks[index]
 	if j.ended() {
-		// It counts for its team until it is gone.
-		return c.allocate(m, j, n, t.Attempt, purposeUntilEnded)
+		// The task counts towards its team's quota until it has ended.
+		return c.allocate(m, j, index, task.Attempt, purposeUntilEnded)
 	}
-	if ts.state != taskWaiting {
-		c.log.Error("task running where it is not allocated", "machine", m.name, "task", t.Task, "attempt", t.Attempt, "state", ts.state)
+	if jobTask.state != taskWaiting {
+		c.log.Error("task running without an allocation on its machine", "machine", m.name, "task", task.Task, "attempt", task.Attempt, "state", jobTask.state)
 		return nil
 	}
-	j.progress.removeWaiting(n)
-	b := c.allocate(m, j, n, t.Attempt, purposeRun)
+	j.progress.removeWaiting(index)
+	alloc := c.allocate(m, j, index, task.Attempt, purposeRun)
 	if _, ok := j.record.hostIndexByMachine[m.index]; !ok {
 		c.jobs.addHost(j, m)
 	}
-	return b
+	return alloc
 }
 
-// handleAttemptEnd resolves an attempt that its agent reports as ended.
-func (c *Core) handleAttemptEnd(m *machine, j *job, n int32, b *allocation, t *wire.TaskStatus) {
-	if b == nil && (t.ExitReason != wire.ExitDone || j.progress.tasks == nil || j.ended() || j.progress.tasks[n].state != taskWaiting) {
-		return // resolved before
+// handleAttemptEnd processes the end of an attempt that its agent reports: it frees the allocation,
+// and the task either has ended or is requeued. alloc is nil if there is no allocation.
+func (c *Core) handleAttemptEnd(m *machine, j *job, index int32, alloc *allocation, task *wire.TaskStatus) {
+	if alloc == nil && (task.ExitReason != wire.ExitDone || j.progress.tasks == nil || j.ended() || j.progress.tasks[index].state != taskWaiting) {
+		return // processed before
 	}
-	if b != nil {
-		if t.ExitReason != wire.ExitDone && !t.CheckpointSaved {
-			c.spending.addLostWork(m, b)
+	if alloc != nil {
+		if task.ExitReason != wire.ExitDone && !task.CheckpointSaved {
+			c.spending.addLostWork(m, alloc)
 		}
-		if t.ExitReason == wire.ExitStopped {
-			c.disruptions.recordDisruption(m, b, t.CheckpointSaved, "it was stopped")
+		if task.ExitReason == wire.ExitStopped {
+			c.disruptions.recordDisruption(m, alloc, task.CheckpointSaved, "it was stopped")
 		}
-		c.deallocate(m, b)
+		c.deallocate(m, alloc)
 	}
-	switch t.ExitReason {
+	switch task.ExitReason {
 	case wire.ExitDone:
-		if b != nil && b.runningSince > 0 && !b.runStartUnknown {
-			c.estimates.addRun(j, c.clock.now-b.runningSince)
+		if alloc != nil && alloc.runningSince > 0 && !alloc.runStartUnknown {
+			c.estimates.addRun(j, c.clock.now-alloc.runningSince)
 		}
 		m.health.clearFailures()
-		c.completeTask(j, n)
+		c.completeTask(j, index)
 	case wire.ExitError:
-		c.placement.recordFailure(m, j, n, t.Attempt)
-		c.placement.requeueTask(j, n)
+		c.placement.recordFailure(m, j, index, task.Attempt)
+		c.placement.requeueTask(j, index)
 	case wire.ExitNoSuchTask:
-		// The users' upload of the description is not there yet.
+		// The user has not uploaded the task's description yet.
 		c.placement.extendBackoff(j)
-		c.placement.requeueTask(j, n)
+		c.placement.requeueTask(j, index)
 	case wire.ExitNoCapacity, wire.ExitInUse:
-		c.log.Info("start refused", "machine", m.name, "task", t.Task, "attempt", t.Attempt, "reason", t.ExitReason)
+		c.log.Info("agent rejected a start", "machine", m.name, "task", task.Task, "attempt", task.Attempt, "reason", task.ExitReason)
 		c.placement.extendBackoff(j)
-		c.placement.requeueTask(j, n)
+		c.placement.requeueTask(j, index)
 	default:
-		c.placement.requeueTask(j, n)
+		c.placement.requeueTask(j, index)
 	}
 }
--- a/internal/scheduler/task_stops.go
+++ b/internal/scheduler/task_stops.go
@@ -7,69 +7,73 @@
 	"leadproxy/internal/wire"
 )
 
-// stopAllocation stops an attempt. One whose start was never sent, or is withdrawn before it is, is
-// simply released.
-func (c *Core) stopAllocation(m *machine, b *allocation, grace float64) {
-	if b.state <= allocationQueued || b.withdrawStart() {
-		c.releaseAndRequeue(m, b)
+// stopAllocation stops an attempt, with a grace period in seconds for saving a checkpoint. If the
+// start was not sent, or can still be withdrawn, the allocation is released at once.
+func (c *Core) stopAllocation(m *machine, alloc *allocation, gracePeriodS float64) {
+	if alloc.state <= allocationQueued || alloc.withdrawStart() {
+		c.releaseAndRequeue(m, alloc)
 		return
 	}
-	b.stopping, b.gracePeriodS = true, grace
-	c.commands.queueStop(m, b)
+	alloc.stopping, alloc.gracePeriodS = true, gracePeriodS
+	c.commands.queueStop(m, alloc)
 }
 
-// stopTasks stops all tasks of a job, also those that are being stopped already and have a grace
-// period for their checkpoint: it may be longer than cancel_s allows.
+// stopTasks stops all tasks of a job without a grace period, including those that are already being
+// stopped with one: it may be longer than cancel_s allows.
 func (c *Core) stopTasks(j *job) {
 	if j.progress.allocated == 0 {
 		return
 	}
 	for _, m := range c.machines.live {
-		for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
-			if b := m.capacity.allocations[k]; b.job == j.index && (!b.stopping || b.gracePeriodS > 0) {
+		for i := len(m.capacity.allocations) - 1; i >= 0; i-- {
+			if alloc := m.capacity.allocations[i]; alloc.job == j.index && (!alloc.stopping || alloc.gracePeriodS > 0) {
 				c.cancellations.countDue()
-				c.stopAllocation(m, b, 0)
+				c.stopAllocation(m, alloc, 0)
 			}
 		}
 	}
 }
 
-// sendPlannedStarts sends the starts that waited for their host to be durable.
+// sendPlannedStarts queues the starts of a job on a machine once that host is durable in the job's
+// record. If the machine is not schedulable any more or the job has ended, their allocations are
+// released.
 func (c *Core) sendPlannedStarts(j *job, m *machine) {
-	for _, b := range slices.Clone(m.capacity.allocations) {
+	for _, alloc := range slices.Clone(m.capacity.allocations) {
 		switch {
-		case b.job != j.index || b.state != allocationPlanned:
+		case alloc.job != j.index || alloc.state != allocationPlanned:
 		case c.agents.schedulable(m) && !j.ended():
-			c.commands.queueStart(j, m, b)
+			c.commands.queueStart(j, m, alloc)
 		default:
-			c.stopAllocation(m, b, 0)
+			c.stopAllocation(m, alloc, 0)
 		}
 	}
 }
 
-// evictBeforeTermination stops what can save its progress on a machine that the cloud will take
-// away.
+// evictBeforeTermination stops tasks on a machine with a termination notice: those that can save a
+// checkpoint in time, with the remaining time as grace period, and those that can neither do that
+// nor are likely to finish in time.
 func (c *Core) evictBeforeTermination(m *machine) {
-	left := m.rental.terminationAt - c.clock.now
-	for k := len(m.capacity.allocations) - 1; k >= 0; k-- {
-		b := m.capacity.allocations[k]
-		j := c.jobs.list[b.job]
-		if b.stopping || j.spec == nil {
+	timeLeft := m.rental.terminationAt - c.clock.now
+	for i := len(m.capacity.allocations) - 1; i >= 0; i-- {
+		alloc := m.capacity.allocations[i]
+		j := c.jobs.list[alloc.job]
+		if alloc.stopping || j.spec == nil {
 			continue
 		}
-		if b.state <= allocationQueued {
-			c.stopAllocation(m, b, 0)
+		if alloc.state <= allocationQueued {
+			c.stopAllocation(m, alloc, 0)
 			continue
 		}
-		save := settings.Seconds(j.spec.CheckpointDurationS)
-		if j.spec.CheckpointIntervalS > 0 && save < left {
-			c.stopAllocation(m, b, max(left.Seconds(), j.spec.CheckpointDurationS))
+		checkpointDuration := settings.Seconds(j.spec.CheckpointDurationS)
+		if j.spec.CheckpointIntervalS > 0 && checkpointDuration < timeLeft {
+			c.stopAllocation(m, alloc, max(timeLeft.Seconds(), j.spec.CheckpointDurationS))
 			continue
 		}
-		// It can't save. It is left running only if it may well end in time.
-		if ran := c.clock.now - b.runningSince; b.status == wire.TaskRunning && c.estimates.expectedRun(j)-ran < left {
+		// The task can't save a checkpoint in time. It keeps running only if it is expected to
+		// finish before the termination.
+		if ran := c.clock.now - alloc.runningSince; alloc.status == wire.TaskRunning && c.estimates.expectedRun(j)-ran < timeLeft {
 			continue
 		}
-		c.stopAllocation(m, b, 0)
+		c.stopAllocation(m, alloc, 0)
 	}
 }
