--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -7,168 +7,172 @@
 	"leadproxy/internal/slowfit"
 )
 
-// The states of an allocation.
+// allocationState is the progress of an allocation from placement to confirmation by the agent.
 type allocationState uint8
 
 const (
-	allocationPlanned   allocationState = iota // waits for its host to be durable
-	allocationQueued                           // its start leaves with the end of this step
-	allocationSent                             // a start is on its way, or its outcome is unknown
+	allocationPlanned   allocationState = iota // its host record is not durable yet
+	allocationQueued                           // its start is sent at the end of this step
+	allocationSent                             // its start is in flight, or the outcome of its start is unknown
 	allocationConfirmed                        // the agent has executed the start, or reported the task
 )
 
-// allocation is room taken on a machine for one attempt of a task.
+// allocation is the resources reserved on a machine for one attempt of a task.
 type allocation struct {
-	job, task int32
+	job, task int32 // indices
 	zone      int32
 	attempt   uint64
 	state     allocationState
 	// responseSequence is the sequence number of the heartbeat whose response carried the start;
-	// 0: a direct command did. Only a later heartbeat shows that it was not executed.
+	// 0 if a direct command carried it. Only a later heartbeat can show that the start was not
+	// executed.
 	responseSequence  uint64
-	lastHeartbeatSeen uint64 // number of the last processed heartbeat that listed it
-	status            string // as in the last heartbeat
-	share             float64
-	phase             uint32
-	runningSince      time.Duration // when it began to run, or was first seen running
-	// runStartUnknown: it was running before it was first seen, and it is not known for how
-	// long.
+	lastHeartbeatSeen uint64        // number of the last processed heartbeat that listed the attempt
+	status            string        // task status in the last heartbeat
+	share             float64       // load of the task on the machine, as SLOW-FIT counts it
+	phase             uint32        // phase of the SLOW-FIT goal in which share was added to the load
+	runningSince      time.Duration // when the task started to run or was first reported running; 0: neither yet
+	// runStartUnknown is set when the task was already running when this leader first saw it
+	// and its start time is unknown, so its run time can't be measured.
 	runStartUnknown bool
-	stopping        bool
-	gracePeriodS    float64
-	evictedByPlan   bool // a plan has it stopped
-	// stopRepeated: its stop may have come before its start, and was sent again.
+	stopping        bool    // the task is being stopped
+	gracePeriodS    float64 // seconds that the stop allows for a checkpoint
+	evictedByPlan   bool    // a drain plan has stopped the task
+	// stopRepeated is set once the stop has been sent again, because the first one may have
+	// reached the agent before the start.
 	stopRepeated bool
-	// start is the delivery of its start, which can be withdrawn until it is sent.
+	// start tracks the delivery of the start, which can be withdrawn until it is sent.
 	start StartDelivery
 }
 
-// withdrawStart withdraws the start, and tells whether that came in time: it never leaves this
-// controller then.
-func (b *allocation) withdrawStart() bool { return b.state == allocationSent && b.start.withdraw() }
+// withdrawStart withdraws the start and reports whether it did so in time. After true, the start
+// never leaves this controller.
+func (a *allocation) withdrawStart() bool { return a.state == allocationSent && a.start.withdraw() }
 
-// capacity is the room of one machine, what takes it, and the images it holds.
+// capacity is the resources of one machine, the allocations on them, and the images in its cache.
 type capacity struct {
 	total       slowfit.Size
 	free        slowfit.Size
-	load        float64 // of the present phase of the SLOW-FIT goal
+	load        float64 // load added in the current phase of the SLOW-FIT goal
 	phase       uint32
 	allocations []*allocation
 	idleSince   time.Duration
-	images      []cachedImage // the least recently used one first
-	reserved    bool          // kept free for one job's first task
+	images      []cachedImage // least recently used first
+	reserved    bool          // reserved for the first task of one job
 }
 
+// allocation returns the allocation of an attempt on the machine, or nil.
 func (m *machine) allocation(attempt uint64) *allocation {
-	for _, b := range m.capacity.allocations {
-		if b.attempt == attempt {
-			return b
+	for _, alloc := range m.capacity.allocations {
+		if alloc.attempt == attempt {
+			return alloc
 		}
 	}
 	return nil
 }
 
-// addImage notes that the machine holds an image, and drops the least recently used ones beyond
-// its cache.
-func (m *capacity) addImage(image int32, gb, cache float64) {
-	for i, s := range m.images {
-		if s.image == image {
-			copy(m.images[i:], m.images[i+1:])
-			m.images[len(m.images)-1] = s
+// addImage records that the machine's cache holds an image, now the most recently used one, and
+// evicts the least recently used images while the total exceeds the cache size. Sizes are in GB.
+func (c *capacity) addImage(image int32, gb, cache float64) {
+	for i, slot := range c.images {
+		if slot.image == image {
+			copy(c.images[i:], c.images[i+1:])
+			c.images[len(c.images)-1] = slot
 			return
 		}
 	}
-	m.images = append(m.images, cachedImage{image, gb})
+	c.images = append(c.images, cachedImage{image, gb})
 	sum := 0.0
-	for _, s := range m.images {
-		sum += s.gb
+	for _, slot := range c.images {
+		sum += slot.gb
 	}
-	for len(m.images) > 1 && sum > cache {
-		sum -= m.images[0].gb
-		m.images = m.images[1:]
+	for len(c.images) > 1 && sum > cache {
+		sum -= c.images[0].gb
+		c.images = c.images[1:]
 	}
 }
 
-// inheritImage adds an image that the soft state of an earlier leader names.
-func (m *capacity) inheritImage(image int32, gb float64) {
-	m.images = append(m.images, cachedImage{image, gb})
+// inheritImage adds an image that an earlier leader's soft state lists for the machine.
+func (c *capacity) inheritImage(image int32, gb float64) {
+	c.images = append(c.images, cachedImage{image, gb})
 }
 
-// setTotal takes the room of the machine's type, once that is known or has changed.
-func (m *capacity) setTotal(total slowfit.Size) {
-	used := m.total.Minus(m.free)
-	m.total = total
-	m.free = total.Minus(used)
+// setTotal sets the machine's total resources when its type becomes known or changes. Resources in
+// use stay in use.
+func (c *capacity) setTotal(total slowfit.Size) {
+	used := c.total.Minus(c.free)
+	c.total = total
+	c.free = total.Minus(used)
 }
 
-// markUsed notes when the machine was last used.
-func (m *capacity) markUsed(at time.Duration) { m.idleSince = at }
+// markUsed records when the machine was last in use.
+func (c *capacity) markUsed(at time.Duration) { c.idleSince = at }
 
-// allocationPurpose is what room is allocated for.
+// allocationPurpose is the reason why resources are reserved.
 type allocationPurpose int
 
-// The purposes of an allocation.
 const (
 	purposeRun        allocationPurpose = iota // the task is to run
-	purposeUntilEnded                          // its job has ended, and the room is taken until the task has
+	purposeUntilEnded                          // the job has ended; the resources stay reserved until the task has too
 )
 
-// allocate takes room on a machine.
-func (c *Core) allocate(m *machine, j *job, n int32, attempt uint64, purpose allocationPurpose) *allocation {
-	b := c.placement.reserveResources(m, j, n, attempt, purpose)
+// allocate reserves resources on a machine for an attempt of a job's task.
+func (c *Core) allocate(m *machine, j *job, taskIndex int32, attempt uint64, purpose allocationPurpose) *allocation {
+	alloc := c.placement.reserveResources(m, j, taskIndex, attempt, purpose)
 	c.softState.machineChanged(m)
-	return b
+	return alloc
 }
 
-// deallocate frees an allocation's room. A job that has ended may be cleaned up then.
-func (c *Core) deallocate(m *machine, b *allocation) {
-	c.placement.releaseResources(m, b)
+// deallocate releases an allocation's resources. If that was the last allocation of a job that has
+// ended, the job is cleaned up.
+func (c *Core) deallocate(m *machine, alloc *allocation) {
+	c.placement.releaseResources(m, alloc)
 	c.softState.machineChanged(m)
-	c.jobs.cleanUp(c.jobs.list[b.job])
+	c.jobs.cleanUp(c.jobs.list[alloc.job])
 }
 
-// reserveResources adds an allocation to its machine, its job, its class and its team.
-func (p *placement) reserveResources(m *machine, j *job, n int32, attempt uint64, purpose allocationPurpose) *allocation {
-	b := &allocation{job: j.index, task: n, zone: m.zone, attempt: attempt, share: j.request.size.Share(m.capacity.total)}
-	b.stopping = purpose == purposeUntilEnded // mustStop stops it in the next response
-	if math.IsInf(b.share, 1) {
-		b.share = 0
+// reserveResources adds an allocation to its machine, job, class and team.
+func (p *placement) reserveResources(m *machine, j *job, taskIndex int32, attempt uint64, purpose allocationPurpose) *allocation {
+	alloc := &allocation{job: j.index, task: taskIndex, zone: m.zone, attempt: attempt, share: j.request.size.Share(m.capacity.total)}
+	alloc.stopping = purpose == purposeUntilEnded // mustStop adds the stop to the next heartbeat response
+	if math.IsInf(alloc.share, 1) {
+		alloc.share = 0
 	}
-	j.progress.addAllocation(n, purpose)
-	p.adjustZoneCount(j, b.zone, 1)
+	j.progress.addAllocation(taskIndex, purpose)
+	p.adjustZoneCount(j, alloc.zone, 1)
 	p.classes.addAllocated(j.request.class, j.request.size.CPUs)
 	p.teams.Team(j.request.team).Allocate(j.request.size)
 	m.capacity.free = m.capacity.free.Minus(j.request.size)
 	if m.capacity.phase != p.goal.Phase {
 		m.capacity.phase, m.capacity.load = p.goal.Phase, 0
 	}
-	b.phase = m.capacity.phase
-	m.capacity.load += b.share
-	m.capacity.allocations = append(m.capacity.allocations, b)
+	alloc.phase = m.capacity.phase
+	m.capacity.load += alloc.share
+	m.capacity.allocations = append(m.capacity.allocations, alloc)
 	m.capacity.idleSince = p.clock.now
 	p.markIndexStale(m)
-	return b
+	return alloc
 }
 
-// releaseResources removes an allocation.
-func (p *placement) releaseResources(m *machine, b *allocation) {
-	for k, o := range m.capacity.allocations {
-		if o == b {
-			m.capacity.allocations = append(m.capacity.allocations[:k], m.capacity.allocations[k+1:]...)
+// releaseResources removes an allocation from its machine, job, class and team.
+func (p *placement) releaseResources(m *machine, alloc *allocation) {
+	for i, other := range m.capacity.allocations {
+		if other == alloc {
+			m.capacity.allocations = append(m.capacity.allocations[:i], m.capacity.allocations[i+1:]...)
 			break
 		}
 	}
-	j := p.jobs.list[b.job]
+	j := p.jobs.list[alloc.job]
 	j.progress.removeAllocation()
-	p.adjustZoneCount(j, b.zone, -1)
+	p.adjustZoneCount(j, alloc.zone, -1)
 	p.classes.removeAllocated(j.request.class, j.request.size.CPUs)
 	p.teams.Team(j.request.team).Deallocate(j.request.size)
 	if len(m.capacity.allocations) == 0 {
 		m.capacity.free, m.capacity.load = m.capacity.total, 0
 	} else {
 		m.capacity.free = m.capacity.free.Plus(j.request.size)
-		if b.phase == m.capacity.phase {
-			m.capacity.load = max(0, m.capacity.load-b.share)
+		if alloc.phase == m.capacity.phase {
+			m.capacity.load = max(0, m.capacity.load-alloc.share)
 		}
 	}
 	m.capacity.idleSince = p.clock.now
@@ -176,22 +180,23 @@
 	p.needed = true
 }
 
-// releaseAndRequeue frees an allocation's room and has its task wait again. A start that has not been sent yet
-// is never sent then.
-func (c *Core) releaseAndRequeue(m *machine, b *allocation) {
-	c.commands.withdrawUnsentStart(m, b)
-	c.spending.addLostWork(m, b)
-	c.disruptions.recordDisruption(m, b, false, "its machine is lost")
-	c.deallocate(m, b)
-	c.placement.requeueTask(c.jobs.list[b.job], b.task)
+// releaseAndRequeue releases an allocation whose task no longer runs and requeues the task. A start
+// that has not been sent yet is withdrawn and never sent.
+func (c *Core) releaseAndRequeue(m *machine, alloc *allocation) {
+	c.commands.withdrawUnsentStart(m, alloc)
+	c.spending.addLostWork(m, alloc)
+	c.disruptions.recordDisruption(m, alloc, false, "its machine is lost")
+	c.deallocate(m, alloc)
+	c.placement.requeueTask(c.jobs.list[alloc.job], alloc.task)
 }
 
-// releaseLostAllocations frees all of a machine whose tasks are certainly gone.
+// releaseLostAllocations releases all allocations of a machine on which no task can be running any
+// more, and drops its pending commands.
 func (c *Core) releaseLostAllocations(m *machine, why string) {
 	for len(m.capacity.allocations) > 0 {
-		b := m.capacity.allocations[len(m.capacity.allocations)-1]
-		c.log.Debug("task lost with its machine", "machine", m.name, "task", c.jobs.taskName(b), "reason", why)
-		c.releaseAndRequeue(m, b)
+		alloc := m.capacity.allocations[len(m.capacity.allocations)-1]
+		c.log.Debug("task lost with its machine", "machine", m.name, "task", c.jobs.taskName(alloc), "reason", why)
+		c.releaseAndRequeue(m, alloc)
 	}
 	m.commands.dropPending()
 }
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -9,56 +9,57 @@
 	"leadproxy/internal/wire"
 )
 
-// A job may name others that have to be done before any of its tasks starts. Package depgraph
-// holds the graph; this file connects it with the jobs and their records.
+// A job may depend on other jobs: none of its tasks starts before all of them are done. Package
+// depgraph holds the graph; this file connects it with the jobs and their records.
 //
-// A predecessor counts as done only once its record says so durably: until then a new leader may
-// run its last task again. One that this leader has not seen yet, since another controller has
-// just accepted it, counts as unfinished.
+// A predecessor counts as done only once its record with that state is durable: until then a new
+// leader may run its last task again. A predecessor that this leader does not know yet, because
+// another controller has just accepted it, counts as unfinished.
 //
-// An unfinished job with a cancelled ancestor is cancelled. That follows from durable facts
-// alone: a record says cancelled or done, never first one and then the other, and a job whose
-// ancestor never ends never starts. So it holds from the moment in which the ancestor's record
-// is durable, whoever leads and whichever controller is asked; the dependents' own records
-// follow when there are writes for them.
-
-// blocked tells whether a job waits for others, or is delegated to another cell. It takes no
-// part of its team's guarantee, is in no queue, and has no machines rented for it.
+// An unfinished job with a cancelled ancestor is cancelled. This follows from durable state alone:
+// a record's terminal state, done or cancelled, never changes, and a job whose ancestor never ends
+// never starts. So the job is cancelled from the moment at which the ancestor's record is durable,
+// whichever controller leads and whichever one is asked. The records of the dependents are written
+// later, when write capacity permits.
+
+// blocked reports whether a job waits for its dependencies or is delegated to another cell. A
+// blocked job does not count towards its team's guarantee, is not queued, and has no machines
+// rented for it.
 func (j *job) blocked() bool { return j.dependencies.Unfinished() > 0 || j.transfer.delegated }
 
-// isDone tells whether a job is done, by its durable record.
+// isDone reports whether the durable record of a job has the state done.
 func (j *job) isDone() bool { return j.end.durable && j.end.state == wire.JobDone }
 
-// isCancelled tells whether a job is cancelled, by its durable record.
+// isCancelled reports whether the durable record of a job has the state cancelled.
 func (j *job) isCancelled() bool { return j.end.durable && j.end.state == wire.JobCancelled }
 
-// linkJob brings a new job into the graph, as a job that depends on others and as one that
-// others depend on. It returns the jobs that no longer wait for any.
+// linkJob links a new job to its predecessors, and to the known jobs that depend on it. It returns
+// the dependents that have no unfinished predecessor left.
 func (t *jobTable) linkJob(j *job) (ready []*job) {
 	if j.spec != nil && !j.ended() {
 		for _, id := range j.spec.DependsOn {
-			if at, ok := t.indexByID[id]; ok {
-				p := t.list[at]
-				t.graph.AddDependency(&j.dependencies, &p.dependencies, p.isDone())
+			if index, ok := t.indexByID[id]; ok {
+				predecessor := t.list[index]
+				t.graph.AddDependency(&j.dependencies, &predecessor.dependencies, predecessor.isDone())
 			} else {
 				t.graph.AddUnknownDependency(&j.dependencies, id)
 			}
 		}
 	}
-	for _, at := range t.graph.Resolve(j.id, &j.dependencies, j.isDone()) {
-		if dependent := t.list[at]; !dependent.blocked() && !dependent.ended() {
+	for _, index := range t.graph.Resolve(j.id, &j.dependencies, j.isDone()) {
+		if dependent := t.list[index]; !dependent.blocked() && !dependent.ended() {
 			ready = append(ready, dependent)
 		}
 	}
 	return ready
 }
 
-// checkDependencies does what follows for a job that has been linked: it may be cancelled with
-// an ancestor, or raise the priority of those that it waits for.
+// checkDependencies is called once a job has been linked. It cancels the job if a predecessor is
+// cancelled; otherwise it raises the priority of the job's predecessors where needed.
 func (c *Core) checkDependencies(j *job) {
-	for _, at := range j.dependencies.Predecessors() {
-		if p := c.jobs.list[at]; p.isCancelled() {
-			c.cancelDependent(j, p)
+	for _, index := range j.dependencies.Predecessors() {
+		if predecessor := c.jobs.list[index]; predecessor.isCancelled() {
+			c.cancelDependent(j, predecessor)
 			return
 		}
 	}
@@ -70,22 +71,24 @@
 	}
 }
 
-// firstUnfinishedDependency names the first job that another one waits for, for the log.
+// firstUnfinishedDependency returns the ID of the first unfinished job that a job depends on, for
+// the log.
 func (t *jobTable) firstUnfinishedDependency(j *job) string {
 	for _, id := range j.spec.DependsOn {
-		at, ok := t.indexByID[id]
+		index, ok := t.indexByID[id]
 		if !ok {
 			return id + " (not seen yet)"
 		}
-		if p := t.list[at]; !p.end.durable {
+		if predecessor := t.list[index]; !predecessor.end.durable {
 			return id
 		}
 	}
 	return ""
 }
 
-// raisePredecessorPriorities gives the jobs that a job depends on, directly or through others, at least its
-// priority, and a deadline that leaves it time to meet its own. It tells whether any was raised.
+// raisePredecessorPriorities raises all jobs that a job depends on, directly or transitively, to at
+// least its priority class, and gives them a deadline that leaves the job enough time to meet its
+// own. It reports whether any of them was raised.
 func (t *jobTable) raisePredecessorPriorities(j *job) (raised bool) {
 	todo := []*job{j}
 	for len(todo) > 0 {
@@ -94,50 +97,53 @@
 		if due != noDeadline {
 			due -= t.estimates.expectedRun(j)
 		}
-		for _, at := range j.dependencies.Predecessors() {
-			p := t.list[at]
-			if p.ended() || p.spec == nil || p.priority.class <= j.priority.class && p.priority.deadline <= due {
+		for _, index := range j.dependencies.Predecessors() {
+			predecessor := t.list[index]
+			if predecessor.ended() || predecessor.spec == nil || predecessor.priority.class <= j.priority.class && predecessor.priority.deadline <= due {
 				continue
 			}
-			p.priority.class, p.priority.deadline = min(p.priority.class, j.priority.class), min(p.priority.deadline, due)
+			predecessor.priority.class, predecessor.priority.deadline = min(predecessor.priority.class, j.priority.class), min(predecessor.priority.deadline, due)
 			raised = true
-			todo = append(todo, p)
+			todo = append(todo, predecessor)
 		}
 	}
 	return raised
 }
 
-// raisePriorityFromDependents raises a job that became known late, as those that depend on it require.
-func (t *jobTable) raisePriorityFromDependents(p *job) (raised bool) {
-	for _, at := range p.dependencies.Dependents() {
-		raised = t.raisePredecessorPriorities(t.list[at]) || raised
+// raisePriorityFromDependents raises the priority of a job that became known after jobs that depend
+// on it. It reports whether any priority was raised.
+func (t *jobTable) raisePriorityFromDependents(j *job) (raised bool) {
+	for _, index := range j.dependencies.Dependents() {
+		raised = t.raisePredecessorPriorities(t.list[index]) || raised
 	}
 	return raised
 }
 
-// releaseDependents has a job's dependents wait for one less, or cancels them with it, once its
-// end is durable.
-func (c *Core) releaseDependents(p *job) {
-	for _, at := range c.jobs.graph.TakeDependents(&p.dependencies) {
-		j := c.jobs.list[at]
-		if p.end.state == wire.JobCancelled {
-			c.cancelDependent(j, p)
+// releaseDependents is called once the terminal state of a job is durable. It cancels the job's
+// dependents if the job is cancelled; otherwise it marks those ready that waited only for this job.
+func (c *Core) releaseDependents(j *job) {
+	for _, index := range c.jobs.graph.TakeDependents(&j.dependencies) {
+		dependent := c.jobs.list[index]
+		if j.end.state == wire.JobCancelled {
+			c.cancelDependent(dependent, j)
 			continue
 		}
-		if c.jobs.graph.FinishPredecessor(&j.dependencies) && !j.ended() {
-			c.markReady(j, c.clock.now)
+		if c.jobs.graph.FinishPredecessor(&dependent.dependencies) && !dependent.ended() {
+			c.markReady(dependent, c.clock.now)
 		}
 	}
 }
 
-// linkDependencies brings a new job into the graph. Jobs that waited only for it may run.
+// linkDependencies adds a new job to the graph and marks the dependents ready that waited only for
+// it.
 func (c *Core) linkDependencies(j *job) {
 	for _, ready := range c.jobs.linkJob(j) {
 		c.markReady(ready, c.clock.now)
 	}
 }
 
-// markReady has a job's wait, and the demand for it, count from a moment on.
+// markReady makes a job eligible for placement. Its waiting time and the demand for it count from
+// the given time.
 func (c *Core) markReady(j *job, at time.Duration) {
 	j.priority.setArrival(at)
 	c.demand.observeArrival(j)
@@ -145,12 +151,12 @@
 	c.log.Debug("job dependencies are done", "job", j.id, "tasks", j.progress.total)
 }
 
-// cancelDependent cancels a job since one that it depends on is cancelled.
-func (c *Core) cancelDependent(j, p *job) {
+// cancelDependent cancels a job because one of its predecessors is cancelled.
+func (c *Core) cancelDependent(j, predecessor *job) {
 	if j.end.durable {
 		return
 	}
-	c.log.Debug("job cancelled with a dependency", "job", j.id, "dependency", p.id)
+	c.log.Debug("job cancelled with a dependency", "job", j.id, "dependency", predecessor.id)
 	if !j.ended() {
 		j.end.decide(wire.JobCancelled)
 		c.jobs.writeTerminal(j, writeDeferred)
@@ -158,10 +164,11 @@
 	c.handleTerminalDurable(j)
 }
 
-// terminalStatePending tells whether the key-value store may know more of a job's end than this
-// leader does: its own end is being written, or the cancellation of one that it depends on,
-// directly or through others. That write may have been carried out and its answer lost;
-// another controller may then have read it and told a user, and "queued" would contradict that.
+// terminalStatePending reports whether the key-value store may already hold a terminal state of the
+// job that this leader does not know to be durable: the job's own terminal state is being written,
+// or the cancellation of one of its ancestors is. The write may have been applied and its response
+// lost. If another controller then read the record and told the user, answering "queued" would
+// contradict that.
 func (t *jobTable) terminalStatePending(j *job) bool {
 	if j.end.durable {
 		return false
@@ -170,30 +177,30 @@
 		return true
 	}
 	if len(t.cancelling) == 0 {
-		return false // as nearly always: no walk through the ancestors is needed
+		return false // the usual case: the ancestors need not be visited
 	}
-	return t.graph.AnyAncestor(&j.dependencies, func(at int32) depgraph.Visit {
+	return t.graph.AnyAncestor(&j.dependencies, func(index int32) depgraph.Visit {
 		switch {
-		case t.list[at].end.durable:
+		case t.list[index].end.durable:
 			return depgraph.Skip
-		case t.cancelling[at]:
+		case t.cancelling[index]:
 			return depgraph.Found
 		}
 		return depgraph.Continue
 	})
 }
 
-// readySince is when the last of a restored job's predecessors was done.
+// readySince returns when the last predecessor of a restored job ended, or when the job arrived if
+// that was later, but never a time in the future.
 func (t *jobTable) readySince(j *job) time.Duration {
 	last := j.priority.arrived
-	for _, at := range j.dependencies.Predecessors() {
-		last = max(last, t.list[at].end.at)
+	for _, index := range j.dependencies.Predecessors() {
+		last = max(last, t.list[index].end.at)
 	}
 	return min(last, t.clock.now)
 }
 
-// restoreDependencies builds the graph from what the ledger holds, before anything is
-// started.
+// restoreDependencies builds the graph from the jobs in the ledger, before any task is started.
 func (c *Core) restoreDependencies() {
 	for _, j := range c.jobs.list {
 		c.linkDependencies(j)
@@ -209,5 +216,7 @@
 	}
 }
 
-// hasDependencies tells whether the record of a job names others that it depends on.
-func hasDependencies(rec *ledger.JobRecord) bool { return rec.Job != nil && len(rec.Job.DependsOn) > 0 }
+// hasDependencies reports whether a job record lists jobs that the job depends on.
+func hasDependencies(record *ledger.JobRecord) bool {
+	return record.Job != nil && len(record.Job.DependsOn) > 0
+}
--- a/internal/scheduler/dependencies_bench_test.go
+++ b/internal/scheduler/dependencies_bench_test.go
@@ -8,11 +8,11 @@
 	"leadproxy/internal/wire"
 )
 
-// BenchmarkDependents is the cost per edge of jobs that depend on others: to add them, to raise
-// their priority by a last job with a deadline, and to release or cancel them with the first
-// one. The figure must not grow with the shape's size.
+// BenchmarkDependents measures the cost per dependency of adding dependent jobs, of raising their
+// priority through a last job with a deadline, and of cancelling them with the first job. The cost
+// per dependency must not grow with the size of the graph.
 func BenchmarkDependents(b *testing.B) {
-	shapes := map[string]func(i int) (needs []string){
+	shapes := map[string]func(i int) (dependsOn []string){
 		"chain": func(i int) []string { return []string{fmt.Sprintf("job-%d", i-1)} },
 		"fan":   func(int) []string { return []string{"job-0"} },
 	}
@@ -21,20 +21,20 @@
 			b.Run(fmt.Sprintf("%s/%d", shape, jobs), func(b *testing.B) {
 				for range b.N {
 					b.StopTimer()
-					s := newSimulation(1)
+					simulation := newSimulation(1)
 					b.StartTimer()
-					due := 1e6
+					deadline := 1e6
 					for i := range jobs {
-						j := newTestJob(fmt.Sprintf("job-%d", i), 1, 1)
+						job := newTestJob(fmt.Sprintf("job-%d", i), 1, 1)
 						if i > 0 {
-							j.DependsOn = shapes[shape](i)
+							job.DependsOn = shapes[shape](i)
 						}
 						if i == jobs-1 {
-							j.DeadlineS, j.Priority = &due, "critical"
+							job.DeadlineS, job.Priority = &deadline, "critical"
 						}
-						s.core.Step(JobRecordEvent{JobID: j.ID, Record: ledger.JobRecord{Job: j, AcceptedMS: s.now.Milliseconds()}, Version: 1}, s.now, s.now.Milliseconds())
+						simulation.core.Step(JobRecordEvent{JobID: job.ID, Record: ledger.JobRecord{Job: job, AcceptedMS: simulation.now.Milliseconds()}, Version: 1}, simulation.now, simulation.now.Milliseconds())
 					}
-					s.core.Step(JobRecordEvent{JobID: "job-0", Record: ledger.JobRecord{Job: newTestJob("job-0", 1, 1).CancelledSummary(), TerminalState: wire.JobCancelled}, Version: 2}, s.now, s.now.Milliseconds())
+					simulation.core.Step(JobRecordEvent{JobID: "job-0", Record: ledger.JobRecord{Job: newTestJob("job-0", 1, 1).CancelledSummary(), TerminalState: wire.JobCancelled}, Version: 2}, simulation.now, simulation.now.Milliseconds())
 				}
 				b.ReportMetric(float64(b.Elapsed().Nanoseconds())/float64(b.N)/float64(jobs-1), "ns/edge")
 			})
--- a/internal/scheduler/dependencies_model_test.go
+++ b/internal/scheduler/dependencies_model_test.go
@@ -13,37 +13,38 @@
 	"leadproxy/internal/wire"
 )
 
-// graphModel is the protocol's definition of dependent jobs in the plainest form: everything is
-// computed again from all jobs each time.
+// graphModel is the specification of dependent jobs in its simplest form: it recomputes everything
+// from all jobs each time.
 type graphModel struct {
 	dependsOn map[string][]string
 	done      map[string]bool
-	cancelled map[string]bool // by their own users
+	cancelled map[string]bool // jobs cancelled by their users
 }
 
-func (m *graphModel) anyAncestor(jobID string, is func(jobID string) bool) bool {
-	for _, p := range m.dependsOn[jobID] {
-		if is(p) || m.anyAncestor(p, is) {
+// anyAncestor reports whether matches holds for an ancestor of a job.
+func (m *graphModel) anyAncestor(jobID string, matches func(jobID string) bool) bool {
+	for _, predecessor := range m.dependsOn[jobID] {
+		if matches(predecessor) || m.anyAncestor(predecessor, matches) {
 			return true
 		}
 	}
 	return false
 }
 
-// isCancelled tells whether a job is cancelled, by its user or with an ancestor.
+// isCancelled reports whether a job is cancelled, by its user or with an ancestor.
 func (m *graphModel) isCancelled(jobID string) bool {
-	own := func(r string) bool { return m.cancelled[r] }
-	return !m.done[jobID] && (own(jobID) || m.anyAncestor(jobID, own))
+	cancelledByUser := func(jobID string) bool { return m.cancelled[jobID] }
+	return !m.done[jobID] && (cancelledByUser(jobID) || m.anyAncestor(jobID, cancelledByUser))
 }
 
-// isReady tells whether a job's tasks may start.
+// isReady reports whether a job's tasks may start.
 func (m *graphModel) isReady(jobID string) bool {
-	return !m.done[jobID] && !m.isCancelled(jobID) && !m.anyAncestor(jobID, func(r string) bool { return !m.done[r] })
+	return !m.done[jobID] && !m.isCancelled(jobID) && !m.anyAncestor(jobID, func(jobID string) bool { return !m.done[jobID] })
 }
 
-// TestGraphAgreesWithTheModel submits random graphs, ends and cancels jobs at random, and begins
-// new terms from the ledger in between. The core starts just what the model says is ready, and
-// reports every job's state as the model does.
+// TestGraphAgreesWithTheModel submits random graphs, finishes and cancels jobs at random, and
+// starts new terms from the ledger in between. The core must start exactly the jobs that are ready
+// in the model, and report the same state of every job.
 func TestGraphAgreesWithTheModel(t *testing.T) {
 	for seed := range uint64(40) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -59,84 +60,85 @@
 	})
 }
 
-// runGraphHistory plays one history of graphs, ends, cancellations and takeovers.
-func runGraphHistory(t testingT, r property.Chooser, steps int) {
-	m := &graphModel{map[string][]string{}, map[string]bool{}, map[string]bool{}}
-	g := newHarness(t, ledger.Snapshot{})
-	g.bringUp("vm-1")
+// runGraphHistory runs one history of submissions, completions, cancellations and leader changes.
+func runGraphHistory(t testingT, random property.Chooser, steps int) {
+	model := &graphModel{map[string][]string{}, map[string]bool{}, map[string]bool{}}
+	h := newHarness(t, ledger.Snapshot{})
+	h.bringUp("vm-1")
 	var jobIDs []string
 	for step := range steps {
-		switch k := r.IntN(10); {
-		case k < 5 || len(jobIDs) < 3:
+		switch action := random.IntN(10); {
+		case action < 5 || len(jobIDs) < 3:
 			jobID := fmt.Sprintf("job-%03d", step)
 			j := newTestJob(jobID, 1, 0.01)
-			j.MemGB = 0.01 // the machine has room for all
-			for range r.IntN(4) {
+			j.MemGB = 0.01 // all jobs fit on the machine
+			for range random.IntN(4) {
 				if len(jobIDs) > 0 {
-					j.DependsOn = append(j.DependsOn, jobIDs[r.IntN(len(jobIDs))])
+					j.DependsOn = append(j.DependsOn, jobIDs[random.IntN(len(jobIDs))])
 				}
 			}
 			slices.Sort(j.DependsOn)
 			j.DependsOn = slices.Compact(j.DependsOn)
 			jobIDs = append(jobIDs, jobID)
-			m.dependsOn[jobID] = j.DependsOn
-			g.submit(j)
-		case k < 8:
-			if jobID := jobIDs[r.IntN(len(jobIDs))]; m.isReady(jobID) {
-				g.completeCommands(CommandExecuted)
-				g.finishTask("vm-1", jobID)
-				m.done[jobID] = true
+			model.dependsOn[jobID] = j.DependsOn
+			h.submit(j)
+		case action < 8:
+			if jobID := jobIDs[random.IntN(len(jobIDs))]; model.isReady(jobID) {
+				h.completeCommands(CommandExecuted)
+				h.finishTask("vm-1", jobID)
+				model.done[jobID] = true
 			}
-		case k < 9:
-			jobID := jobIDs[r.IntN(len(jobIDs))]
-			g.step(CancelRequest{JobID: jobID, ReplyTo: testRecipient("u")})
-			m.cancelled[jobID] = m.cancelled[jobID] || !m.done[jobID]
+		case action < 9:
+			jobID := jobIDs[random.IntN(len(jobIDs))]
+			h.step(CancelRequest{JobID: jobID, ReplyTo: testRecipient("u")})
+			model.cancelled[jobID] = model.cancelled[jobID] || !model.done[jobID]
 		default:
-			g = startNextTerm(t, g, jobIDs)
+			h = startNextTerm(t, h, jobIDs)
 		}
-		g.completeCommands(CommandExecuted)
-		g.checkAgainstModel(m, jobIDs)
+		h.completeCommands(CommandExecuted)
+		h.checkAgainstModel(model, jobIDs)
 	}
 }
 
-// changeLeader begins a new term from the job records that the last one has written, on a machine
-// that has restarted: what ran there starts again.
-func startNextTerm(t testingT, g *harness, jobIDs []string) *harness {
+// startNextTerm starts a new term from the job records that the last term wrote. The machine has
+// restarted, so that the tasks that ran there start again.
+func startNextTerm(t testingT, h *harness, jobIDs []string) *harness {
 	t.Helper()
-	var s ledger.Snapshot
+	var snapshot ledger.Snapshot
 	for _, jobID := range jobIDs {
-		record := ledger.JobRecord{Job: g.submittedJobs[jobID]}
-		if w, ok := g.writesByKey[ledger.JobKey(jobID)]; ok {
-			record = w.Value.(ledger.JobRecord)
+		record := ledger.JobRecord{Job: h.submittedJobs[jobID]}
+		if write, ok := h.writesByKey[ledger.JobKey(jobID)]; ok {
+			record = write.Value.(ledger.JobRecord)
 		}
-		s.Jobs = append(s.Jobs, ledger.SavedJob{ID: jobID, Version: 1, Record: record})
+		snapshot.Jobs = append(snapshot.Jobs, ledger.SavedJob{ID: jobID, Version: 1, Record: record})
 	}
-	n := newHarness(t, s)
-	n.submittedJobs = g.submittedJobs
-	for jobID, w := range g.writesByKey {
-		n.writesByKey[jobID] = w
+	next := newHarness(t, snapshot)
+	next.submittedJobs = h.submittedJobs
+	for jobID, write := range h.writesByKey {
+		next.writesByKey[jobID] = write
 	}
-	n.bringUp("vm-1")
-	return n
+	next.bringUp("vm-1")
+	return next
 }
 
-// checkAgainstModel compares all jobs' states, and what is started, with the model.
-func (h *harness) checkAgainstModel(m *graphModel, jobIDs []string) {
+// checkAgainstModel compares the state of all jobs, and which of them have tasks placed, with the
+// model.
+func (h *harness) checkAgainstModel(model *graphModel, jobIDs []string) {
 	h.t.Helper()
 	for _, jobID := range jobIDs {
 		want := []string{wire.JobQueued, wire.JobRunning}
 		switch {
-		case m.done[jobID]:
+		case model.done[jobID]:
 			want = []string{wire.JobDone}
-		case m.isCancelled(jobID):
+		case model.isCancelled(jobID):
 			want = []string{wire.JobCancelled}
 		}
 		if got := h.jobStatus(jobID); !slices.Contains(want, got) {
-			h.t.Errorf("%s is %s, want %v", jobID, got, want)
+			h.t.Errorf("state of %s: %s, want one of %v", jobID, got, want)
 		}
 		j := h.core.jobs.list[h.core.jobs.indexByID[jobID]]
-		if booked := j.progress.tasks != nil && !j.ended() && j.progress.allocated > 0; booked != m.isReady(jobID) {
-			h.t.Errorf("%s has a task on a machine: %v, ready: %v", jobID, booked, m.isReady(jobID))
+		if hasAllocation := j.progress.tasks != nil && !j.ended() && j.progress.allocated > 0; hasAllocation != model.isReady(jobID) {
+			h.t.Errorf("%s has a task placed: %v, want %v", jobID, hasAllocation, model.isReady(jobID))
 		}
 	}
 }
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -11,243 +11,244 @@
 	"leadproxy/internal/wire"
 )
 
-// newDependentJob is a job of one task that waits for others.
-func newDependentJob(jobID string, others ...string) *wire.Job {
+// newDependentJob returns a job with one task that depends on other jobs.
+func newDependentJob(jobID string, dependsOn ...string) *wire.Job {
 	j := newTestJob(jobID, 1, 1)
-	j.DependsOn = others
+	j.DependsOn = dependsOn
 	return j
 }
 
-// finishTask has a machine report the one task of a job as done.
+// finishTask has an agent report that the only task of a job is done.
 func (h *harness) finishTask(machine, jobID string) {
 	h.t.Helper()
 	var tasks []wire.TaskStatus
-	there := false
-	for _, b := range h.core.findOrAddMachine(machine).capacity.allocations {
-		t := newTaskStatus(wire.Command{Task: h.core.jobs.taskName(b), Attempt: b.attempt}, wire.TaskRunning, "")
-		if t.Task == jobID+"/0" {
-			t.Status, t.ExitReason, there = wire.TaskEnded, wire.ExitDone, true
+	found := false
+	for _, alloc := range h.core.findOrAddMachine(machine).capacity.allocations {
+		status := newTaskStatus(wire.Command{Task: h.core.jobs.taskName(alloc), Attempt: alloc.attempt}, wire.TaskRunning, "")
+		if status.Task == jobID+"/0" {
+			status.Status, status.ExitReason, found = wire.TaskEnded, wire.ExitDone, true
 		}
-		tasks = append(tasks, t)
+		tasks = append(tasks, status)
 	}
-	h.want(jobID+" is on "+machine, there, true)
+	h.want(jobID+" has a task on "+machine, found, true)
 	h.acknowledge(machine, tasks...)
 }
 
-// takeStartedJobs lists the jobs whose tasks have been started since the last call.
+// takeStartedJobs returns the IDs of the jobs whose tasks have been started since the last call, and
+// marks the commands as executed.
 func (h *harness) takeStartedJobs() string {
 	var jobIDs []string
-	for _, o := range h.startCommands() {
-		jobID := wire.JobIDOfTask(o.Task)
+	for _, start := range h.startCommands() {
+		jobID := wire.JobIDOfTask(start.Task)
 		jobIDs = append(jobIDs, jobID)
 	}
 	h.completeCommands(CommandExecuted)
 	return strings.Join(jobIDs, " ")
 }
 
-// TestDependents: nothing of a job starts before all its dependencies are durably done; until
-// then it is queued and does not count for its team's limit.
+// TestDependents: no task of a job starts before all jobs that it depends on are durably done. Until
+// then the job is queued and does not count towards its team's limit or guarantee.
 func TestDependents(t *testing.T) {
 	t.Run("a diamond", func(t *testing.T) {
-		g := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUsMax: 2})
-		g.bringUp("vm-1")
-		g.submit(newDependentJob("job-1"))
-		g.submit(newDependentJob("job-2", "job-1"))
-		g.submit(newDependentJob("job-3", "job-1"))
-		g.submit(newDependentJob("job-4", "job-2", "job-3"))
-		g.want("started at first", g.takeStartedJobs(), "job-1")
-		g.want("state of what waits", g.jobStatus("job-4"), wire.JobQueued)
-		g.want("demand for it", len(g.core.placement.sortedQueue()), 0)
-		g.holdWrites = true
-		g.finishTask("vm-1", "job-1")
-		g.want("started before the end is durable", g.takeStartedJobs(), "")
-		g.releaseWrites()
-		g.want("started after it", g.takeStartedJobs(), "job-2 job-3")
-		g.finishTask("vm-1", "job-2")
-		g.want("started after one of two", g.takeStartedJobs(), "")
-		g.finishTask("vm-1", "job-3")
-		g.want("started at last", g.takeStartedJobs(), "job-4")
-		g.finishTask("vm-1", "job-4")
-		g.want("state at last", g.jobStatus("job-4"), wire.JobDone)
+		h := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUsMax: 2})
+		h.bringUp("vm-1")
+		h.submit(newDependentJob("job-1"))
+		h.submit(newDependentJob("job-2", "job-1"))
+		h.submit(newDependentJob("job-3", "job-1"))
+		h.submit(newDependentJob("job-4", "job-2", "job-3"))
+		h.want("started at first", h.takeStartedJobs(), "job-1")
+		h.want("state of a job that waits", h.jobStatus("job-4"), wire.JobQueued)
+		h.want("jobs in the queue", len(h.core.placement.sortedQueue()), 0)
+		h.holdWrites = true
+		h.finishTask("vm-1", "job-1")
+		h.want("started before the end is durable", h.takeStartedJobs(), "")
+		h.releaseWrites()
+		h.want("started once the end is durable", h.takeStartedJobs(), "job-2 job-3")
+		h.finishTask("vm-1", "job-2")
+		h.want("started after one of two predecessors", h.takeStartedJobs(), "")
+		h.finishTask("vm-1", "job-3")
+		h.want("started after both predecessors", h.takeStartedJobs(), "job-4")
+		h.finishTask("vm-1", "job-4")
+		h.want("state of the last job", h.jobStatus("job-4"), wire.JobDone)
 	})
-	t.Run("a predecessor that is done already, and one seen later", func(t *testing.T) {
-		g := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-0", Record: ledger.JobRecord{TerminalState: wire.JobDone, Tasks: 1, Done: 1}}}})
-		g.bringUp("vm-1")
-		g.submit(newDependentJob("job-2", "job-0", "job-1"))
-		g.want("started", g.takeStartedJobs(), "")
-		g.submit(newDependentJob("job-1"))
-		g.want("started", g.takeStartedJobs(), "job-1")
-		g.finishTask("vm-1", "job-1")
-		g.want("started", g.takeStartedJobs(), "job-2")
+	t.Run("one predecessor is done already, one becomes known later", func(t *testing.T) {
+		h := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-0", Record: ledger.JobRecord{TerminalState: wire.JobDone, Tasks: 1, Done: 1}}}})
+		h.bringUp("vm-1")
+		h.submit(newDependentJob("job-2", "job-0", "job-1"))
+		h.want("started while job-1 is unknown", h.takeStartedJobs(), "")
+		h.submit(newDependentJob("job-1"))
+		h.want("started once job-1 is known", h.takeStartedJobs(), "job-1")
+		h.finishTask("vm-1", "job-1")
+		h.want("started once job-1 is done", h.takeStartedJobs(), "job-2")
 	})
-	t.Run("a predecessor whose end is seen first", func(t *testing.T) {
-		g := newHarness(t, ledger.Snapshot{})
-		g.bringUp("vm-1")
-		g.submit(newDependentJob("job-2", "job-1"))
-		g.submit(newDependentJob("job-4", "job-3"))
-		g.step(JobRecordEvent{JobID: "job-1", Record: ledger.JobRecord{TerminalState: wire.JobDone, Tasks: 1, Done: 1}, Version: 4})
-		g.step(JobRecordEvent{JobID: "job-3", Record: ledger.JobRecord{Job: newDependentJob("job-3"), TerminalState: wire.JobCancelled}, Version: 4})
-		g.want("started", g.takeStartedJobs(), "job-2")
-		g.want("state of the other", g.jobStatus("job-4"), wire.JobCancelled)
+	t.Run("the end of a predecessor is seen before its submission", func(t *testing.T) {
+		h := newHarness(t, ledger.Snapshot{})
+		h.bringUp("vm-1")
+		h.submit(newDependentJob("job-2", "job-1"))
+		h.submit(newDependentJob("job-4", "job-3"))
+		h.step(JobRecordEvent{JobID: "job-1", Record: ledger.JobRecord{TerminalState: wire.JobDone, Tasks: 1, Done: 1}, Version: 4})
+		h.step(JobRecordEvent{JobID: "job-3", Record: ledger.JobRecord{Job: newDependentJob("job-3"), TerminalState: wire.JobCancelled}, Version: 4})
+		h.want("started after a predecessor that is done", h.takeStartedJobs(), "job-2")
+		h.want("state of the job with a cancelled predecessor", h.jobStatus("job-4"), wire.JobCancelled)
 	})
-	t.Run("a guarantee", func(t *testing.T) {
-		// Both teams need all of the one machine. A job that waits for its dependencies does not
-		// count for the first team's demand, so its guarantee covers the rest.
-		g := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUs: 4}, settings.Team{Name: "u"})
+	t.Run("blocked jobs do not count towards the guarantee", func(t *testing.T) {
+		// Both teams need all of the one machine. Jobs that wait for their dependencies do not
+		// count towards the first team's demand, so its guarantee covers the remaining job.
+		h := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUs: 4}, settings.Team{Name: "u"})
 		other := newTestJob("job-9", 4, 1)
 		other.Team, other.Priority = "u", "critical"
-		g.submit(other)
+		h.submit(other)
 		first := newTestJob("job-1", 4, 1)
-		g.submit(first)
+		h.submit(first)
 		for i := range 10 {
-			g.submit(newDependentJob(fmt.Sprintf("job-2%d", i), "job-1"))
+			h.submit(newDependentJob(fmt.Sprintf("job-2%d", i), "job-1"))
 		}
-		g.want("first in the queue", g.core.placement.sortedQueue()[0].id, "job-1")
-		g.want("in the queue", len(g.core.placement.sortedQueue()), 2)
+		h.want("first in the queue", h.core.placement.sortedQueue()[0].id, "job-1")
+		h.want("jobs in the queue", len(h.core.placement.sortedQueue()), 2)
 	})
-	t.Run("a long chain and a wide fan", func(t *testing.T) {
-		g := newHarness(t, ledger.Snapshot{})
-		g.bringUp("vm-1")
-		const n = 3000
-		g.submit(newDependentJob("job-0"))
-		for i := range n {
-			g.submit(newDependentJob(fmt.Sprintf("job-1%d", i), "job-0"))
-			before := "job-0"
+	t.Run("cancellation of a long chain and a wide fan", func(t *testing.T) {
+		h := newHarness(t, ledger.Snapshot{})
+		h.bringUp("vm-1")
+		const length = 3000
+		h.submit(newDependentJob("job-0"))
+		for i := range length {
+			h.submit(newDependentJob(fmt.Sprintf("job-1%d", i), "job-0"))
+			predecessor := "job-0"
 			if i > 0 {
-				before = fmt.Sprintf("job-2%d", i-1)
+				predecessor = fmt.Sprintf("job-2%d", i-1)
 			}
-			g.submit(newDependentJob(fmt.Sprintf("job-2%d", i), before))
+			h.submit(newDependentJob(fmt.Sprintf("job-2%d", i), predecessor))
 		}
-		g.step(CancelRequest{JobID: "job-0", ReplyTo: testRecipient("u")})
-		g.want("the last of the fan", g.jobStatus(fmt.Sprintf("job-1%d", n-1)), wire.JobCancelled)
-		g.want("the last of the chain", g.jobStatus(fmt.Sprintf("job-2%d", n-1)), wire.JobCancelled)
-		g.want("what the ledger has of it", g.writesByKey[fmt.Sprintf("job/job-2%d", n-1)].Value.(ledger.JobRecord).TerminalState, wire.JobCancelled)
+		h.step(CancelRequest{JobID: "job-0", ReplyTo: testRecipient("u")})
+		h.want("state of the last job of the fan", h.jobStatus(fmt.Sprintf("job-1%d", length-1)), wire.JobCancelled)
+		h.want("state of the last job of the chain", h.jobStatus(fmt.Sprintf("job-2%d", length-1)), wire.JobCancelled)
+		h.want("its terminal state in the ledger", h.writesByKey[fmt.Sprintf("job/job-2%d", length-1)].Value.(ledger.JobRecord).TerminalState, wire.JobCancelled)
 	})
 }
 
-// TestDependentsOfACancelledJob: they count as cancelled from the moment in which that of their
-// ancestor is durable, without writes of their own, and stay so.
+// TestDependentsOfACancelledJob: the dependents of a cancelled job count as cancelled from the
+// moment at which its record is durable, before their own records are written, and remain so.
 func TestDependentsOfACancelledJob(t *testing.T) {
-	open := func(jobID string, needs ...string) ledger.SavedJob {
-		return ledger.SavedJob{ID: jobID, Version: 3, Record: ledger.JobRecord{Job: newDependentJob(jobID, needs...), AcceptedMS: 1}}
+	unfinished := func(jobID string, dependsOn ...string) ledger.SavedJob {
+		return ledger.SavedJob{ID: jobID, Version: 3, Record: ledger.JobRecord{Job: newDependentJob(jobID, dependsOn...), AcceptedMS: 1}}
 	}
 	cancelled := ledger.SavedJob{ID: "job-1", Version: 3, Record: ledger.JobRecord{Job: newDependentJob("job-1").CancelledSummary(), TerminalState: wire.JobCancelled}}
 	cases := []struct {
 		name  string
 		saved []ledger.SavedJob
-		play  func(g *harness)
+		act   func(h *harness)
 		want  string // the state of job-3, which depends on job-2, which depends on job-1
 	}{
-		// "" is decided by the record alone.
-		{"before it is durable", nil, func(g *harness) {
-			g.holdWrites = true
-			g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+		// "" means that the terminal state is pending: the record alone decides.
+		{"the cancellation of job-1 is not durable yet", nil, func(h *harness) {
+			h.holdWrites = true
+			h.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 		}, ""},
-		{"before that of the one between", nil, func(g *harness) {
-			g.holdWrites = true
-			g.step(CancelRequest{JobID: "job-2", ReplyTo: testRecipient("u")})
+		{"the cancellation of job-2 is not durable yet", nil, func(h *harness) {
+			h.holdWrites = true
+			h.step(CancelRequest{JobID: "job-2", ReplyTo: testRecipient("u")})
 		}, ""},
-		{"once it is durable", nil, func(g *harness) { g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")}) }, wire.JobCancelled},
-		{"the one between", nil, func(g *harness) { g.step(CancelRequest{JobID: "job-2", ReplyTo: testRecipient("u")}) }, wire.JobCancelled},
-		{"the last alone", nil, func(g *harness) { g.step(CancelRequest{JobID: "job-3", ReplyTo: testRecipient("u")}) }, wire.JobCancelled},
-		{"done before", nil, func(g *harness) {
-			g.finishTask("vm-1", "job-1")
-			g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+		{"the cancellation of job-1 is durable", nil, func(h *harness) { h.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")}) }, wire.JobCancelled},
+		{"the cancellation of job-2 is durable", nil, func(h *harness) { h.step(CancelRequest{JobID: "job-2", ReplyTo: testRecipient("u")}) }, wire.JobCancelled},
+		{"job-3 itself is cancelled", nil, func(h *harness) { h.step(CancelRequest{JobID: "job-3", ReplyTo: testRecipient("u")}) }, wire.JobCancelled},
+		{"job-1 was done before the cancellation", nil, func(h *harness) {
+			h.finishTask("vm-1", "job-1")
+			h.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 		}, wire.JobQueued},
-		{"the leader ended between its write and theirs", []ledger.SavedJob{open("job-3", "job-2"), open("job-2", "job-1"), cancelled}, nil, wire.JobCancelled},
-		{"submitted after it", []ledger.SavedJob{cancelled}, func(g *harness) {
-			g.submit(newDependentJob("job-2", "job-1"))
-			g.submit(newDependentJob("job-3", "job-2"))
+		{"the leader failed after the record of job-1 and before those of its dependents", []ledger.SavedJob{unfinished("job-3", "job-2"), unfinished("job-2", "job-1"), cancelled}, nil, wire.JobCancelled},
+		{"the dependents are submitted after the cancellation", []ledger.SavedJob{cancelled}, func(h *harness) {
+			h.submit(newDependentJob("job-2", "job-1"))
+			h.submit(newDependentJob("job-3", "job-2"))
 		}, wire.JobCancelled},
-		{"one of several ancestors, the others run on", nil, func(g *harness) {
-			g.submit(newDependentJob("job-5"))
-			g.submit(newDependentJob("job-6"))
-			g.submit(newDependentJob("job-7", "job-5", "job-6"))
-			g.submit(newDependentJob("job-8", "job-7", "job-3"))
-			g.step(CancelRequest{JobID: "job-5", ReplyTo: testRecipient("u")})
-			g.want("what needs it", g.jobStatus("job-7"), wire.JobCancelled)
-			g.want("what needs that", g.jobStatus("job-8"), wire.JobCancelled)
-			g.want("what it was beside", g.jobStatus("job-6") != wire.JobCancelled, true)
+		{"another graph: one of several ancestors is cancelled", nil, func(h *harness) {
+			h.submit(newDependentJob("job-5"))
+			h.submit(newDependentJob("job-6"))
+			h.submit(newDependentJob("job-7", "job-5", "job-6"))
+			h.submit(newDependentJob("job-8", "job-7", "job-3"))
+			h.step(CancelRequest{JobID: "job-5", ReplyTo: testRecipient("u")})
+			h.want("state of a dependent", h.jobStatus("job-7"), wire.JobCancelled)
+			h.want("state of a dependent of that", h.jobStatus("job-8"), wire.JobCancelled)
+			h.want("the other predecessor goes on", h.jobStatus("job-6") != wire.JobCancelled, true)
 		}, wire.JobQueued},
-		{"both ways of a diamond", nil, func(g *harness) {
-			g.submit(newDependentJob("job-4", "job-1"))
-			g.submit(newDependentJob("job-9", "job-4", "job-2"))
-			g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
-			g.want("where the ways meet", g.jobStatus("job-9"), wire.JobCancelled)
-			g.want("the other way", g.jobStatus("job-4"), wire.JobCancelled)
+		{"a diamond is cancelled at its top", nil, func(h *harness) {
+			h.submit(newDependentJob("job-4", "job-1"))
+			h.submit(newDependentJob("job-9", "job-4", "job-2"))
+			h.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+			h.want("state of the job at the bottom", h.jobStatus("job-9"), wire.JobCancelled)
+			h.want("state of the other branch", h.jobStatus("job-4"), wire.JobCancelled)
 		}, wire.JobCancelled},
-		{"one way of a diamond", nil, func(g *harness) {
-			g.submit(newDependentJob("job-4", "job-1"))
-			g.submit(newDependentJob("job-9", "job-4", "job-2"))
-			g.step(CancelRequest{JobID: "job-4", ReplyTo: testRecipient("u")})
-			g.want("where the ways meet", g.jobStatus("job-9"), wire.JobCancelled)
+		{"one branch of a diamond is cancelled", nil, func(h *harness) {
+			h.submit(newDependentJob("job-4", "job-1"))
+			h.submit(newDependentJob("job-9", "job-4", "job-2"))
+			h.step(CancelRequest{JobID: "job-4", ReplyTo: testRecipient("u")})
+			h.want("state of the job at the bottom", h.jobStatus("job-9"), wire.JobCancelled)
 		}, wire.JobQueued},
-		{"cancelled as its last task ends", nil, func(g *harness) {
-			g.holdWrites = true
-			g.finishTask("vm-1", "job-1")
-			g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
-			g.releaseWrites()
-			g.want("the one that was cancelled", g.jobStatus("job-1"), wire.JobDone)
+		{"job-1 is cancelled while its completion is being written", nil, func(h *harness) {
+			h.holdWrites = true
+			h.finishTask("vm-1", "job-1")
+			h.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+			h.releaseWrites()
+			h.want("state of job-1", h.jobStatus("job-1"), wire.JobDone)
 		}, wire.JobQueued},
-		{"a takeover without it", []ledger.SavedJob{open("job-3", "job-2"), open("job-2", "job-1"), open("job-1")}, nil, wire.JobQueued},
+		{"a leader change without a cancellation", []ledger.SavedJob{unfinished("job-3", "job-2"), unfinished("job-2", "job-1"), unfinished("job-1")}, nil, wire.JobQueued},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			g := newHarness(t, ledger.Snapshot{Jobs: c.saved})
-			g.bringUp("vm-1")
-			if c.saved == nil {
-				g.submit(newDependentJob("job-1"))
-				g.submit(newDependentJob("job-2", "job-1"))
-				g.submit(newDependentJob("job-3", "job-2"))
-				g.completeCommands(CommandExecuted)
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t, ledger.Snapshot{Jobs: test.saved})
+			h.bringUp("vm-1")
+			if test.saved == nil {
+				h.submit(newDependentJob("job-1"))
+				h.submit(newDependentJob("job-2", "job-1"))
+				h.submit(newDependentJob("job-3", "job-2"))
+				h.completeCommands(CommandExecuted)
 			}
-			if c.play != nil {
-				c.play(g)
+			if test.act != nil {
+				test.act(h)
 			}
-			state := g.jobStatus("job-3")
-			if g.recentEffects[0].(UserReply).TerminalStatePending {
+			state := h.jobStatus("job-3")
+			if h.recentEffects[0].(UserReply).TerminalStatePending {
 				state = ""
 			}
-			g.want("state of the last", state, c.want)
-			g.completeCommands(CommandExecuted)
-			g.advance(time.Second)
-			for _, o := range g.startCommands() {
-				if jobID := wire.JobIDOfTask(o.Task); jobID == "job-3" {
-					t.Errorf("%s was started", o.Task)
+			h.want("state of job-3", state, test.want)
+			h.completeCommands(CommandExecuted)
+			h.advance(time.Second)
+			for _, start := range h.startCommands() {
+				if jobID := wire.JobIDOfTask(start.Task); jobID == "job-3" {
+					t.Errorf("%s was started, want no start of job-3", start.Task)
 				}
 			}
 		})
 	}
 }
 
-// TestPredecessorsInheritPriority: a job is as urgent as any that depends on it, and in time
-// for its deadline; waits count from when it is ready.
+// TestPredecessorsInheritPriority: a job is at least as urgent as every job that depends on it, its
+// deadline leaves these enough time for theirs, and its waiting time counts from when it is ready.
 func TestPredecessorsInheritPriority(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.submit(newTestJob("job-7", 1, 1))
+	h := newHarness(t, ledger.Snapshot{})
+	h.submit(newTestJob("job-7", 1, 1))
 	first := newDependentJob("job-1")
 	first.Priority = "idle"
-	g.submit(first)
-	g.submit(newDependentJob("job-2", "job-1"))
-	of := func(jobID string) *job { return g.core.jobs.list[g.core.jobs.indexByID[jobID]] }
-	g.want("without an end", of("job-1").priority.class > of("job-2").priority.class, false)
-	g.want("its deadline", of("job-1").priority.deadline, noDeadline)
+	h.submit(first)
+	h.submit(newDependentJob("job-2", "job-1"))
+	job := func(jobID string) *job { return h.core.jobs.list[h.core.jobs.indexByID[jobID]] }
+	h.want("predecessor less urgent than its dependent", job("job-1").priority.class > job("job-2").priority.class, false)
+	h.want("deadline before a dependent has one", job("job-1").priority.deadline, noDeadline)
 	last := newDependentJob("job-3", "job-2")
 	last.Priority = "critical"
-	due := 100.0
-	last.DeadlineS = &due
-	g.submit(last)
+	deadline := 100.0
+	last.DeadlineS = &deadline
+	h.submit(last)
 	for _, jobID := range []string{"job-1", "job-2", "job-3"} {
-		g.want("rank of "+jobID, of(jobID).priority.class, 0)
+		h.want("priority class of "+jobID, job(jobID).priority.class, 0)
 	}
-	g.want("due of the last", of("job-3").priority.deadline, 100*time.Second)
-	g.want("due of the one before", of("job-2").priority.deadline, 90*time.Second)
-	g.want("due of the first", of("job-1").priority.deadline, 80*time.Second)
-	g.want("first in the queue", g.core.placement.sortedQueue()[0].id, "job-1")
-	g.want("rank of another job", of("job-7").priority.class, 2)
-	g.now += 3 * time.Minute
-	g.bringUp("vm-1")
-	g.completeCommands(CommandExecuted)
-	g.finishTask("vm-1", "job-1")
-	g.want("when the second became ready", of("job-2").priority.arrived, g.now)
+	h.want("deadline of the last job", job("job-3").priority.deadline, 100*time.Second)
+	h.want("deadline of its predecessor", job("job-2").priority.deadline, 90*time.Second)
+	h.want("deadline of the first job", job("job-1").priority.deadline, 80*time.Second)
+	h.want("first in the queue", h.core.placement.sortedQueue()[0].id, "job-1")
+	h.want("priority class of an unrelated job", job("job-7").priority.class, 2)
+	h.now += 3 * time.Minute
+	h.bringUp("vm-1")
+	h.completeCommands(CommandExecuted)
+	h.finishTask("vm-1", "job-1")
+	h.want("arrival of the second job", job("job-2").priority.arrived, h.now)
 }
--- a/internal/scheduler/depgraph/graph.go
+++ b/internal/scheduler/depgraph/graph.go
@@ -1,114 +1,113 @@
-// Package depgraph is the dependency graph of jobs: which jobs each one depends on, which ones
-// depend on it, and on how many unfinished jobs it still waits. A job that is named but not known
+// Package depgraph holds the dependency graph of jobs: for each job its predecessors, its
+// dependents, and the number of unfinished jobs that it waits for. A predecessor that is not known
 // yet counts as unfinished.
 package depgraph
 
 import "slices"
 
-// Node is the place of one job in the graph. Its index is the job's own.
+// Node is a job in the graph. Its index equals that of the job.
 type Node struct {
 	index        int32
-	unfinished   int32   // predecessors that are unfinished, known or not
-	predecessors []int32 // known jobs that it depends on
-	dependents   []int32 // jobs that depend on it, as long as it is unfinished
+	unfinished   int32   // unfinished predecessors, known or not
+	predecessors []int32 // known jobs that the job depends on
+	dependents   []int32 // jobs that wait for the job; empty once it has finished
 }
 
-// Unfinished is how many unfinished jobs the node's job waits for.
+// Unfinished returns the number of unfinished jobs that the node waits for.
 func (n *Node) Unfinished() int { return int(n.unfinished) }
 
-// Predecessors are the known jobs that the node's job depends on. The caller does not change
-// them.
+// Predecessors returns the known jobs that the node depends on. The caller must not modify them.
 func (n *Node) Predecessors() []int32 { return n.predecessors }
 
-// Dependents are the jobs that wait for the node's job. The caller does not change them.
+// Dependents returns the jobs that wait for the node. The caller must not modify them.
 func (n *Node) Dependents() []int32 { return n.dependents }
 
 // Graph holds the nodes of all jobs by index. The zero value is an empty graph.
 type Graph struct {
 	nodes   []*Node
-	awaited map[string][]int32 // by id: the jobs that depend on a job which is not known yet
+	awaited map[string][]int32 // by ID of an unknown job: the jobs that depend on it
 }
 
-// Add adds the node of a new job, which lies in the job. Jobs are added in the order of their
-// indices.
-func (g *Graph) Add(n *Node) {
-	n.index = int32(len(g.nodes))
-	g.nodes = append(g.nodes, n)
+// Add adds the node of a new job and sets its index. Jobs are added in the order of their indices.
+// The graph keeps the pointer to the node.
+func (g *Graph) Add(node *Node) {
+	node.index = int32(len(g.nodes))
+	g.nodes = append(g.nodes, node)
 }
 
-// AddDependency notes that one job depends on another known one, which may be finished already.
-func (g *Graph) AddDependency(n, predecessor *Node, finished bool) {
-	n.predecessors = append(n.predecessors, predecessor.index)
+// AddDependency adds a dependency on a known job, which may have finished already.
+func (g *Graph) AddDependency(node, predecessor *Node, finished bool) {
+	node.predecessors = append(node.predecessors, predecessor.index)
 	if finished {
 		return
 	}
-	n.unfinished++
-	predecessor.dependents = append(predecessor.dependents, n.index)
+	node.unfinished++
+	predecessor.dependents = append(predecessor.dependents, node.index)
 }
 
-// AddUnknownDependency notes that a job depends on one that is not known yet.
-func (g *Graph) AddUnknownDependency(n *Node, id string) {
+// AddUnknownDependency adds a dependency on a job that is not known yet. Resolve completes it.
+func (g *Graph) AddUnknownDependency(node *Node, id string) {
 	if g.awaited == nil {
 		g.awaited = map[string][]int32{}
 	}
-	n.unfinished++
-	g.awaited[id] = append(g.awaited[id], n.index)
+	node.unfinished++
+	g.awaited[id] = append(g.awaited[id], node.index)
 }
 
-// Resolve links the jobs that await the id of a job to its node, now that it is known, and
+// Resolve links the jobs that depend on the given ID to its node, now that the job is known, and
 // returns them.
 func (g *Graph) Resolve(id string, predecessor *Node, finished bool) []int32 {
 	waiting := g.awaited[id]
 	delete(g.awaited, id)
 	for _, index := range waiting {
-		n := g.nodes[index]
-		n.unfinished-- // counted while the predecessor was not known
-		g.AddDependency(n, predecessor, finished)
+		node := g.nodes[index]
+		node.unfinished-- // undoes the count of AddUnknownDependency
+		g.AddDependency(node, predecessor, finished)
 	}
 	return waiting
 }
 
-// TakeDependents removes and returns the jobs that wait for a job which has finished or was
-// cancelled.
-func (g *Graph) TakeDependents(n *Node) []int32 {
-	dependents := n.dependents
-	n.dependents = nil
+// TakeDependents removes and returns the dependents of a job that has finished or was cancelled.
+func (g *Graph) TakeDependents(node *Node) []int32 {
+	dependents := node.dependents
+	node.dependents = nil
 	return dependents
 }
 
-// FinishPredecessor notes that a job waits for one less, and tells whether that was the last.
-func (g *Graph) FinishPredecessor(n *Node) (last bool) {
-	n.unfinished--
-	return n.unfinished == 0
+// FinishPredecessor records that one predecessor of the node has finished. It reports whether that
+// was the last unfinished one.
+func (g *Graph) FinishPredecessor(node *Node) (last bool) {
+	node.unfinished--
+	return node.unfinished == 0
 }
 
-// Visit is what a walk through the ancestors does at one of them.
+// Visit is the decision of a visitor at an ancestor.
 type Visit int
 
-// What a walk does.
 const (
-	Continue Visit = iota // visit its predecessors as well
-	Skip                  // leave its predecessors out
-	Found                 // end the walk
+	Continue Visit = iota // continue with its predecessors
+	Skip                  // do not follow its predecessors
+	Found                 // stop the traversal
 )
 
-// AnyAncestor walks through the jobs that a job depends on, directly or through others, each at
-// most once unless it is skipped, and tells whether one of them is found.
-func (g *Graph) AnyAncestor(n *Node, visit func(index int32) Visit) bool {
+// AnyAncestor visits the jobs that the node depends on, directly or transitively, and reports
+// whether visit returned Found for one of them. A job is visited at most once, unless visit returns
+// Skip for it.
+func (g *Graph) AnyAncestor(node *Node, visit func(index int32) Visit) bool {
 	seen := map[int32]bool{}
-	todo := slices.Clone(n.predecessors)
-	for len(todo) > 0 {
-		at := todo[len(todo)-1]
-		todo = todo[:len(todo)-1]
-		if seen[at] {
+	pending := slices.Clone(node.predecessors)
+	for len(pending) > 0 {
+		index := pending[len(pending)-1]
+		pending = pending[:len(pending)-1]
+		if seen[index] {
 			continue
 		}
-		switch visit(at) {
+		switch visit(index) {
 		case Found:
 			return true
 		case Continue:
-			seen[at] = true
-			todo = append(todo, g.nodes[at].predecessors...)
+			seen[index] = true
+			pending = append(pending, g.nodes[index].predecessors...)
 		case Skip:
 		}
 	}
--- a/internal/scheduler/estimates.go
+++ b/internal/scheduler/estimates.go
@@ -2,16 +2,16 @@
 
 import "time"
 
-// runEstimates learns how far the run times of each class differ from the estimates of the jobs'
-// owners.
+// runEstimates learns, per job class, the ratio of actual run times to the estimates that the jobs'
+// owners gave.
 type runEstimates struct {
-	runRatios []float64 // by class, of run times to estimates; 0: not learned yet
+	runRatios []float64 // by class: run time divided by estimate; 0: no run observed yet
 }
 
-// addClass makes room for a class.
+// addClass adds a class without observed runs.
 func (e *runEstimates) addClass() { e.runRatios = append(e.runRatios, 0) }
 
-// addRatio takes the ratio of one run.
+// addRatio adds the ratio of one run, limited to 0.1 to 10, to the moving average of a class.
 func (e *runEstimates) addRatio(class int32, ratio float64) {
 	ratio = min(max(ratio, 0.1), 10)
 	if old := e.runRatios[class]; old > 0 {
@@ -20,7 +20,7 @@
 	e.runRatios[class] = ratio
 }
 
-// ratio is what is learned of a class; 1 as long as nothing is.
+// ratio returns the learned ratio of a class, 1 if no run has been observed.
 func (e *runEstimates) ratio(class int32) float64 {
 	if r := e.runRatios[class]; r > 0 {
 		return r
@@ -28,15 +28,17 @@
 	return 1
 }
 
-// addRun learns how true the owners' estimates of a class are.
-func (e *runEstimates) addRun(j *job, took time.Duration) {
+// addRun compares the duration of a run with the owner's estimate. Jobs without an estimate are
+// ignored.
+func (e *runEstimates) addRun(j *job, duration time.Duration) {
 	if j.spec == nil || j.spec.EstimatedRunS <= 0 {
 		return
 	}
-	e.addRatio(j.request.class, took.Seconds()/j.spec.EstimatedRunS)
+	e.addRatio(j.request.class, duration.Seconds()/j.spec.EstimatedRunS)
 }
 
-// expectedRun is how long a task of a job is expected to run.
+// expectedRun returns how long a task of a job is expected to run: the owner's estimate, corrected
+// by the learned ratio of the class.
 func (e *runEstimates) expectedRun(j *job) time.Duration {
 	return time.Duration(j.spec.EstimatedRunS * e.ratio(j.request.class) * float64(time.Second))
 }
--- a/internal/scheduler/failure_attribution.go
+++ b/internal/scheduler/failure_attribution.go
@@ -6,7 +6,8 @@
 	"leadproxy/internal/wire"
 )
 
-// extendBackoff lets a job wait a little before its next start, longer each time.
+// extendBackoff delays the next start of a job's tasks. The delay doubles each time, from 500 ms up
+// to 15 s. While the job is still in back-off, nothing changes.
 func (p *placement) extendBackoff(j *job) {
 	if p.clock.now < j.retry.notBefore {
 		return
@@ -15,28 +16,30 @@
 	j.retry.notBefore = p.clock.now + j.retry.backoff
 }
 
-// quarantineThreshold is how many different jobs must fail on a machine, with no success
-// between, before it counts as faulty; suspectThreshold on how many machines a job
-// that never succeeded must fail before it is taken for the faulty one.
 const (
+	// quarantineThreshold is how many different jobs must fail on a machine, without a success
+	// in between, before the machine is quarantined.
 	quarantineThreshold = 2
-	suspectThreshold    = 3
+	// suspectThreshold is how many machines a job must fail on, without any task done, before
+	// the job itself is considered faulty.
+	suspectThreshold = 3
 )
 
-// suspect tells whether the job rather than its machines is at fault.
+// suspect reports whether the job, rather than the machines it failed on, is considered faulty.
 func (j *job) suspect() bool {
 	return j.progress.done == 0 && len(j.retry.failedOn) >= suspectThreshold
 }
 
-// recordFailure attributes a failure to the machine or to the job.
-func (p *placement) recordFailure(m *machine, j *job, n int32, attempt uint64) {
+// recordFailure attributes a task failure to the machine or to the job. It quarantines the machine
+// when enough jobs have failed on it, or at once when the job has succeeded before.
+func (p *placement) recordFailure(m *machine, j *job, taskIndex int32, attempt uint64) {
 	if j.retry.failedOn == nil {
 		j.retry.failedOn = map[int32]bool{}
 	}
 	j.retry.failedOn[m.index] = true
-	p.log.Info("task failed", "machine", m.name, "task", wire.TaskName{JobID: j.id, Index: int(n)}.String(), "attempt", attempt, "machines", len(j.retry.failedOn))
+	p.log.Info("task failed", "machine", m.name, "task", wire.TaskName{JobID: j.id, Index: int(taskIndex)}.String(), "attempt", attempt, "machines", len(j.retry.failedOn))
 	if j.suspect() {
-		// It is tried again now and then until its user cancels it.
+		// A suspect job is retried with back-off until its user cancels it.
 		p.extendBackoff(j)
 		return
 	}
@@ -49,16 +52,18 @@
 	}
 }
 
-// recordSuccess notes a success of a job: its earlier failures were the machines' fault.
+// recordSuccess records that a task of a job succeeded. The job's earlier failures are therefore
+// attributed to the machines, which are quarantined.
 func (p *placement) recordSuccess(j *job) {
-	for i := range j.retry.failedOn {
-		if m := p.machines.list[i]; m.health.failedJobs[j.index] {
+	for machineIndex := range j.retry.failedOn {
+		if m := p.machines.list[machineIndex]; m.health.failedJobs[j.index] {
 			p.quarantine(m)
 		}
 	}
 	j.retry.backoff = 0
 }
 
+// quarantine excludes a machine from placement. Tasks that run on it continue.
 func (p *placement) quarantine(m *machine) {
 	if m.health.quarantined || m.state == machineGone {
 		return
@@ -68,7 +73,7 @@
 	p.log.Info("machine quarantined: tasks fail on it", "machine", m.name, "jobs", len(m.health.failedJobs), "allocations", len(m.capacity.allocations))
 }
 
-// endBackoffs has the jobs placed whose delay has passed.
+// endBackoffs makes the jobs whose back-off has expired eligible for placement.
 func (p *placement) endBackoffs() {
 	for _, j := range p.jobs.active {
 		if j.retry.notBefore > 0 && p.clock.now >= j.retry.notBefore {
--- a/internal/scheduler/failure_attribution_test.go
+++ b/internal/scheduler/failure_attribution_test.go
@@ -11,34 +11,34 @@
 func TestFailureAttribution(t *testing.T) {
 	cases := []struct {
 		name       string
-		ends       []string // how the starts of one job end on vm-1, vm-2, ...
+		ends       []string // how attempts of one job end on vm-1, vm-2, ...
 		quarantine int
 	}{
-		{"one failure alone blames nobody", []string{wire.ExitError}, 0},
-		{"a success elsewhere blames the machine", []string{wire.ExitError, wire.ExitDone}, 1},
-		{"a job that fails everywhere blames no machine", []string{wire.ExitError, wire.ExitError, wire.ExitError}, 0},
+		{"a single failure quarantines no machine", []string{wire.ExitError}, 0},
+		{"a success elsewhere quarantines the machine of the failure", []string{wire.ExitError, wire.ExitDone}, 1},
+		{"a job that fails everywhere quarantines no machine", []string{wire.ExitError, wire.ExitError, wire.ExitError}, 0},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			g := newHarness(t, ledger.Snapshot{})
-			for i := range c.ends {
-				g.bringUp(fmt.Sprintf("vm-%d", i+1))
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t, ledger.Snapshot{})
+			for i := range test.ends {
+				h.bringUp(fmt.Sprintf("vm-%d", i+1))
 			}
-			g.submit(newTestJob("job-1", 2, 3)) // two tasks, one fits on each machine
-			for len(c.ends) > 0 {
-				d := g.sentCommands[0]
-				g.sentCommands = g.sentCommands[1:]
-				g.step(CommandResult{CommandID: d.CommandID, Outcome: CommandExecuted})
-				g.sendHeartbeat(g.newHeartbeat(d.Machine, termToken, newTaskStatus(d.Request.Commands[0], wire.TaskEnded, c.ends[0])))
-				c.ends = c.ends[1:]
+			h.submit(newTestJob("job-1", 2, 3)) // two tasks, each machine has capacity for one
+			for len(test.ends) > 0 {
+				sent := h.sentCommands[0]
+				h.sentCommands = h.sentCommands[1:]
+				h.step(CommandResult{CommandID: sent.CommandID, Outcome: CommandExecuted})
+				h.sendHeartbeat(h.newHeartbeat(sent.Machine, termToken, newTaskStatus(sent.Request.Commands[0], wire.TaskEnded, test.ends[0])))
+				test.ends = test.ends[1:]
 			}
-			n := 0
-			for _, m := range g.core.machines.list {
+			quarantined := 0
+			for _, m := range h.core.machines.list {
 				if m.health.quarantined {
-					n++
+					quarantined++
 				}
 			}
-			g.want("machines quarantined", n, c.quarantine)
+			h.want("machines quarantined", quarantined, test.quarantine)
 		})
 	}
 }
--- a/internal/scheduler/fair_share.go
+++ b/internal/scheduler/fair_share.go
@@ -8,24 +8,25 @@
 	"leadproxy/internal/scheduler/quota"
 )
 
-// Priority and slack alone would let a lasting overload of urgent work starve
-// the rest, and a job whose tasks are large wait for ever while small ones fill
-// every gap. Two bounded exceptions precede the order of the queue:
+// If only priority and slack decided, a sustained overload of urgent work would starve all other
+// jobs, and a job with large tasks would wait forever while small tasks fill every gap. Two bounded
+// exceptions are therefore placed before the sorted queue:
 //
-//   - Ageing: the first task of a job that has waited agedAfter is placed first, that of the
-//     oldest job before others. Where it fits nowhere, the machine that will be
-//     free soonest is reserved for it. This costs one task for each such job,
-//     and never more than one of reservedMachinesDivisor machines.
-//   - Shares: a class, and a team, with tasks that wait is entitled to a part of the
-//     open cores. All classes together are entitled to a guaranteedShare, and all teams.
+//   - Ageing: the first task of a job that has waited for agedAfter is placed first, the oldest
+//     job before the others. If the task fits on no machine, the machine with the least remaining
+//     work is reserved for it. This costs one task per such job, and at most one in
+//     reservedMachinesDivisor machines is reserved.
+//   - Fair share: each class and each team with unfinished jobs is entitled to a part of the
+//     schedulable cores. All classes together are entitled to guaranteedShare of them, and so
+//     are all teams together.
 const (
-	maxStartDelay           = 4 * time.Minute // when every job should have begun
-	agedAfter               = maxStartDelay / 4
-	reservedMachinesDivisor = 16
-	guaranteedShare         = 0.25
+	maxStartDelay           = 4 * time.Minute   // by when every job should have started
+	agedAfter               = maxStartDelay / 4 // waiting time after which a job is placed first
+	reservedMachinesDivisor = 16                // at most 1/16 of the machines, but always one, may be reserved
+	guaranteedShare         = 0.25              // fraction of the schedulable cores
 )
 
-// placeAged starts the first tasks of jobs that have waited too long.
+// placeAged places the first task of each job that has waited longer than agedAfter.
 func (p *placement) placeAged(queue []*job, uncertain []quota.Units) {
 	p.placeReserved(uncertain)
 	var aged []*job
@@ -42,48 +43,48 @@
 	}
 }
 
-// reservationInterval is the least time between two searches for a machine to reserve for a job.
+// reservationInterval is the minimum time between two searches for a machine to reserve for one job.
 const reservationInterval = time.Second
 
-// reserveMachine keeps the machine free for a job's first task on which the least is left
-// to do.
+// reserveMachine reserves a machine for a job's first task: of the suitable machines, the one with
+// the least remaining work.
 func (p *placement) reserveMachine(j *job) {
-	enough := len(p.reservingJobs) > 0 && len(p.reservingJobs) >= len(p.machines.live)/reservedMachinesDivisor
-	triedJustNow := j.placement.reservationTriedAt > 0 && p.clock.now-j.placement.reservationTriedAt < reservationInterval
-	if enough || triedJustNow {
+	limitReached := len(p.reservingJobs) > 0 && len(p.reservingJobs) >= len(p.machines.live)/reservedMachinesDivisor
+	triedRecently := j.placement.reservationTriedAt > 0 && p.clock.now-j.placement.reservationTriedAt < reservationInterval
+	if limitReached || triedRecently {
 		return
 	}
 	j.placement.reservationTriedAt = p.clock.now
 	var best *machine
-	least := 0.0
+	leastWork := 0.0
 	for _, m := range p.machines.live {
 		if !m.indexed.schedulable || m.capacity.reserved || !j.allowsMachine(m.typeIndex, m.zone, m.spot) || j.retry.failedOn[m.index] || !j.request.size.Within(m.capacity.total) {
 			continue
 		}
-		if left := p.remainingWork(m); best == nil || left < least {
-			best, least = m, left
+		if work := p.remainingWork(m); best == nil || work < leastWork {
+			best, leastWork = m, work
 		}
 	}
 	if best == nil {
 		return
 	}
-	p.log.Info("machine reserved for a job that has waited long", "machine", best.name, "job", j.id, "waited_s", (p.clock.now - j.priority.arrived).Seconds(), "core_seconds_left", least)
+	p.log.Info("machine reserved for a job that has waited long", "machine", best.name, "job", j.id, "waited_s", (p.clock.now - j.priority.arrived).Seconds(), "core_seconds_left", leastWork)
 	best.capacity.reserved, j.placement.reservedMachine = true, best
 	p.reservingJobs = append(p.reservingJobs, j)
 	p.refreshIndex(best)
 }
 
-// placeReserved starts the first task of each job whose reserved machine has become free enough,
-// there and without asking SLOW-FIT, and ends reservations without a purpose.
+// placeReserved starts the first task of each job whose reserved machine has enough free resources,
+// on that machine and without consulting SLOW-FIT. It ends reservations that are no longer needed.
 func (p *placement) placeReserved(uncertain []quota.Units) {
 	p.reservingJobs = slices.DeleteFunc(p.reservingJobs, func(j *job) bool {
 		m := j.placement.reservedMachine
-		waits := !j.progress.startedOnce && j.progress.allocated == 0 && j.placeable(p.clock.now)
-		if waits && m.indexed.schedulable && !j.request.size.Within(m.capacity.free) {
+		stillWaiting := !j.progress.startedOnce && j.progress.allocated == 0 && j.placeable(p.clock.now)
+		if stillWaiting && m.indexed.schedulable && !j.request.size.Within(m.capacity.free) {
 			return false
 		}
 		m.capacity.reserved, j.placement.reservedMachine = false, nil
-		if waits && m.indexed.schedulable && p.withinTeamLimit(j, uncertain) {
+		if stillWaiting && m.indexed.schedulable && p.withinTeamLimit(j, uncertain) {
 			p.startOn(j, m)
 		}
 		p.refreshIndex(m)
@@ -91,8 +92,8 @@
 	})
 }
 
-// placeUnderserved starts tasks of classes and teams that have less than their share
-// of the open cores.
+// placeUnderserved starts tasks of classes and teams that use less than their guaranteed part of the
+// schedulable cores.
 func (p *placement) placeUnderserved(queue []*job, uncertain []quota.Units) {
 	classes, teams := map[int32]bool{}, map[int32]bool{}
 	for _, j := range p.jobs.active {
@@ -103,18 +104,18 @@
 	if len(classes) < 2 && len(teams) < 2 {
 		return
 	}
-	part := guaranteedShare * p.openCores
+	guaranteedCores := guaranteedShare * p.openCores
 	for _, j := range queue {
 		p.placeJob(j, uncertain, func(int) bool {
-			class := p.classes.allocatedCores[j.request.class]+j.request.size.CPUs <= part/float64(len(classes))
-			team := p.teams.Team(j.request.team).Allocated().Cores()+j.request.size.CPUs <= part/float64(len(teams))
-			return class || team
+			classEntitled := p.classes.allocatedCores[j.request.class]+j.request.size.CPUs <= guaranteedCores/float64(len(classes))
+			teamEntitled := p.teams.Team(j.request.team).Allocated().Cores()+j.request.size.CPUs <= guaranteedCores/float64(len(teams))
+			return classEntitled || teamEntitled
 		})
 	}
 }
 
-// The age buckets of jobs that have not waited long.
+// The age buckets of jobs that have waited less than maxStartDelay, see ageBucket.
 const (
-	ageInTime = 1
-	ageLate   = 2
+	ageInTime = 1 // can meet its deadline or has none
+	ageLate   = 2 // is expected to miss its deadline
 )
--- a/internal/scheduler/fair_share_test.go
+++ b/internal/scheduler/fair_share_test.go
@@ -11,8 +11,8 @@
 	"leadproxy/internal/wire"
 )
 
-// TestUrgentWorkDoesNotStarveOthers: urgent work that never ends must leave room for the
-// other class, the other team and a job of large tasks to begin.
+// TestUrgentWorkDoesNotStarveOthers: under a continuous load of urgent small tasks, a job of another
+// class or team, and a job with a large task, must still start within their bound.
 func TestUrgentWorkDoesNotStarveOthers(t *testing.T) {
 	urgent := func(jobID string, tasks int, cpus float64) *wire.Job {
 		j := newTestJob(jobID, tasks, cpus)
@@ -25,74 +25,74 @@
 		victim   func() *wire.Job
 		within   time.Duration
 	}{
-		{"another class has its share", 8, func() *wire.Job { return newTestJob("job-9", 1, 1) }, 20 * time.Second},
-		{"a large task begins though small ones fill every gap", 2, func() *wire.Job { return newTestJob("job-9", 1, 4) }, maxStartDelay},
-		{"another team has its share", 8, func() *wire.Job {
+		{"a job of another class", 8, func() *wire.Job { return newTestJob("job-9", 1, 1) }, 20 * time.Second},
+		{"a large task while small ones fill every gap", 2, func() *wire.Job { return newTestJob("job-9", 1, 4) }, maxStartDelay},
+		{"a less urgent job of another team", 8, func() *wire.Job {
 			j := urgent("job-9", 1, 1)
 			j.Team, j.Priority = "t2", "idle"
 			return j
 		}, 20 * time.Second},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			g := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t"}, settings.Team{Name: "t2"})
-			for i := range c.machines {
-				g.bringUp(fmt.Sprintf("vm-%d", i))
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t"}, settings.Team{Name: "t2"})
+			for i := range test.machines {
+				h.bringUp(fmt.Sprintf("vm-%d", i))
 			}
 			running := map[string][]wire.Command{}
-			began := time.Duration(-1)
+			startedAt := time.Duration(-1)
 			jobs := 0
-			collect := func() {
-				for _, d := range g.sentCommands {
-					for _, o := range d.Request.Commands {
-						if o.Verb == wire.VerbStart {
-							running[d.Machine] = append(running[d.Machine], o)
+			collectStarts := func() {
+				for _, sent := range h.sentCommands {
+					for _, command := range sent.Request.Commands {
+						if command.Verb == wire.VerbStart {
+							running[sent.Machine] = append(running[sent.Machine], command)
 						}
 					}
 				}
-				g.completeCommands(CommandExecuted)
+				h.completeCommands(CommandExecuted)
 			}
-			victim := c.victim()
-			for step := 0; g.now < c.within+time.Second && began < 0; step++ {
-				for g.core.jobs.list == nil || jobs < 2 || len(g.core.placement.sortedQueue()) < 3 {
+			victim := test.victim()
+			for step := 0; h.now < test.within+time.Second && startedAt < 0; step++ {
+				for h.core.jobs.list == nil || jobs < 2 || len(h.core.placement.sortedQueue()) < 3 {
 					jobs++
-					g.submit(urgent(fmt.Sprintf("job-1%03d", jobs), 8, 1))
+					h.submit(urgent(fmt.Sprintf("job-1%03d", jobs), 8, 1))
 				}
 				if step == 1 {
-					g.submit(victim)
+					h.submit(victim)
 				}
-				g.advance(time.Second)
-				collect()
-				// On each machine one task ends each second.
-				for i := range c.machines {
+				h.advance(time.Second)
+				collectStarts()
+				// On each machine one task ends per second.
+				for i := range test.machines {
 					name := fmt.Sprintf("vm-%d", i)
-					all := running[name]
-					if len(all) == 0 {
-						g.acknowledge(name)
+					commands := running[name]
+					if len(commands) == 0 {
+						h.acknowledge(name)
 						continue
 					}
-					tasks := []wire.TaskStatus{newTaskStatus(all[0], wire.TaskEnded, wire.ExitDone)}
-					for _, o := range all[1:] {
-						tasks = append(tasks, newTaskStatus(o, wire.TaskRunning, ""))
+					tasks := []wire.TaskStatus{newTaskStatus(commands[0], wire.TaskEnded, wire.ExitDone)}
+					for _, command := range commands[1:] {
+						tasks = append(tasks, newTaskStatus(command, wire.TaskRunning, ""))
 					}
-					running[name] = all[1:]
-					for _, o := range g.acknowledge(name, tasks...).Commands {
-						if o.Verb == wire.VerbStart {
-							running[name] = append(running[name], o)
+					running[name] = commands[1:]
+					for _, command := range h.acknowledge(name, tasks...).Commands {
+						if command.Verb == wire.VerbStart {
+							running[name] = append(running[name], command)
 						}
 					}
-					collect()
+					collectStarts()
 				}
-				for _, all := range running {
-					for _, o := range all {
-						if strings.HasPrefix(o.Task, "job-9/") {
-							began = g.now
+				for _, commands := range running {
+					for _, command := range commands {
+						if strings.HasPrefix(command.Task, "job-9/") {
+							startedAt = h.now
 						}
 					}
 				}
 			}
-			if began < 0 {
-				t.Errorf("not begun within %s", c.within)
+			if startedAt < 0 {
+				t.Errorf("job-9 did not start within %s", test.within)
 			}
 		})
 	}
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -10,17 +10,18 @@
 	"leadproxy/internal/wire"
 )
 
+// jobHost is a machine that a job's tasks have been placed on.
 type jobHost struct {
 	machine int32
-	durable bool
+	durable bool // the host record in the ledger is durable
 }
 
-// job is a job in the leader's memory, kept in parts. Once it has ended and is cleaned up, the
-// tasks and hosts are nil.
+// job is a job in the leader's memory, split into parts by owner. Once it has ended and is cleaned
+// up, its tasks and hosts are nil.
 type job struct {
 	index int32
 	id    string
-	spec  *wire.Job // nil: done, and only its record is left
+	spec  *wire.Job // nil: the job is done and its record no longer holds the description
 
 	request      request
 	priority     priority
@@ -33,74 +34,71 @@
 	transfer     transfer
 }
 
-// request is what a job's description asks for, by the indices of the names in it.
+// request is what a job's description requests, with names resolved to indices.
 type request struct {
 	size  slowfit.Size // of one task
 	team  int32
 	class int32
 	image int32
 	zone  int32   // -1: any
-	types []int32 // nil: not resolved yet, or any
+	types []int32 // nil: not resolved yet, or any type is allowed
 }
 
-// priority is what orders a job among others. Class and deadline are its own, or those of a job
-// that depends on it where that is more urgent.
+// priority determines a job's position in the queue. Class and deadline are the job's own, or those
+// inherited from a dependent where these are more urgent.
 type priority struct {
-	class    int
-	deadline time.Duration // never without a deadline
-	arrived  time.Duration
+	class    int           // priority class, 0 is the most urgent
+	deadline time.Duration // noDeadline if there is none
+	arrived  time.Duration // when the job's waiting time started
 }
 
-// jobPlacement is what placement keeps of a job.
+// jobPlacement is the placement state of a job.
 type jobPlacement struct {
-	// For a job that must stay in one zone or be spread: its tasks by zone, and which zone
-	// was last found best.
-	tasksByZone      []int
-	gangZoneChosenAt time.Duration
-	gangZone         int32
+	tasksByZone      []int         // only for gang and spread jobs: allocated tasks by zone
+	gangZoneChosenAt time.Duration // when gangZone was chosen; 0: never
+	gangZone         int32         // the zone last chosen for a gang without tasks; -1: none
 
-	reservedMachine    *machine      // kept free for its first task
-	reservationTriedAt time.Duration // when such a machine was last searched for
+	reservedMachine    *machine      // reserved for the job's first task, or nil
+	reservationTriedAt time.Duration // when a machine to reserve was last searched for; 0: never
 
-	imageOnly bool // for now it is placed only on machines with its image
+	imageOnly bool // the job may currently be placed only on machines that have its image
 }
 
-// retry is what delays the next start of a job, and where its tasks have failed.
+// retry is the retry state of a job: its back-off and the machines on which its tasks failed.
 type retry struct {
-	notBefore time.Duration
-	backoff   time.Duration
-	failedOn  map[int32]bool
+	notBefore time.Duration  // no task starts before this time; 0: not delayed
+	backoff   time.Duration  // last back-off delay
+	failedOn  map[int32]bool // by machine index
 }
 
-// jobRecord is what the ledger holds of a job, and what is still to be written.
+// jobRecord tracks what the ledger holds of a job and what remains to be written.
 type jobRecord struct {
 	version    uint64
 	acceptedMS int64
 
 	hosts              []jobHost
-	hostIndexByMachine map[int32]int // by machine: its place in hosts
-	hostsWritten       int           // how many of them have been written, or are being
-	hostChunks         []int         // the first hosts of the keys that hold them
-	inDoubtHosts       map[int32]bool
+	hostIndexByMachine map[int32]int  // by machine: its index in hosts
+	hostsWritten       int            // how many of hosts have been written or are being written
+	hostChunks         []int          // for each key with hosts: the index in hosts of its first one
+	inDoubtHosts       map[int32]bool // machines on which an earlier leader may have started tasks not seen yet
 
-	finishedKeys   map[string]bool // the keys of finished tasks
-	chunksInParts  map[int]bool    // the chunks of finished tasks that are written in parts
+	finishedKeys   map[string]bool // keys that hold finished tasks
+	chunksInParts  map[int]bool    // chunks of finished tasks that are written in parts
 	unwrittenTasks []int32         // tasks that have ended and are not written yet
-	queuedForWrite bool
+	queuedForWrite bool            // the job is in jobTable.unwritten
 }
 
-// transfer is a job's place in the federation of cells.
+// transfer is the state of a job's transfer between cells.
 type transfer struct {
-	// origin is the cell that forwarded the job to this one, "" for a job of this cell, and
-	// epoch the number of its transfer.
-	origin    string
-	epoch     uint64
-	delegated bool // another cell may run this job of ours
+	origin    string // the cell that delegated the job to this one; "": the job is this cell's own
+	epoch     uint64 // number of the transfer from origin
+	delegated bool   // another cell may run this job
 }
 
+// ended reports whether the terminal state of the job is decided. It may not be durable yet.
 func (j *job) ended() bool { return j.end.state != "" }
 
-// placeable tells whether waiting tasks may be started now.
+// placeable reports whether waiting tasks of the job may be started now.
 func (j *job) placeable(now time.Duration) bool {
 	return !j.ended() && !j.blocked() && len(j.progress.waiting) > 0 && len(j.record.inDoubtHosts) == 0 && now >= j.retry.notBefore
 }
@@ -108,7 +106,8 @@
 // noDeadline is the deadline of a job without one.
 const noDeadline = time.Duration(math.MaxInt64)
 
-// slack is the time left until the deadline beyond the estimated run.
+// slack returns the time until the deadline minus the owner's estimate of the run time, or
+// noDeadline.
 func (j *job) slack(now time.Duration) time.Duration {
 	if j.priority.deadline == noDeadline {
 		return noDeadline
@@ -116,22 +115,22 @@
 	return j.priority.deadline - now - settings.Seconds(j.spec.EstimatedRunS)
 }
 
-// taskSize is what one task of a job takes of its machine.
-func taskSize(s *wire.Job) slowfit.Size {
-	return slowfit.Size{CPUs: s.CPUs, GPUs: s.GPUs, MemGB: s.MemGB}
+// taskSize returns the resources that one task of a job takes on its machine.
+func taskSize(spec *wire.Job) slowfit.Size {
+	return slowfit.Size{CPUs: spec.CPUs, GPUs: spec.GPUs, MemGB: spec.MemGB}
 }
 
-// setArrival has the wait of the job count from a time on.
+// setArrival sets the time from which the job's waiting time counts.
 func (p *priority) setArrival(at time.Duration) { p.arrived = at }
 
-// clearTypes has the types resolved again, since there are new ones.
+// clearTypes causes the machine types to be resolved again, after new types became known.
 func (r *request) clearTypes() { r.types = nil }
 
-// delayUntil keeps the job's tasks from starting until a time.
+// delayUntil keeps the job's tasks from starting before a time.
 func (r *retry) delayUntil(at time.Duration) { r.notBefore = at }
 
-// clearFailures drops where tasks have failed.
+// clearFailures discards the machines on which tasks of the job have failed.
 func (r *retry) clearFailures() { r.failedOn = nil }
 
-// setDelegated notes whether another cell may run the job.
+// setDelegated records whether another cell may run the job.
 func (t *transfer) setDelegated(delegated bool) { t.delegated = delegated }
--- a/internal/scheduler/job_end.go
+++ b/internal/scheduler/job_end.go
@@ -7,39 +7,39 @@
 	"leadproxy/internal/wire"
 )
 
-// jobEnd is the terminal state of a job, and what remains to be done about it.
+// jobEnd is the terminal state of a job and the progress of the work that it requires.
 type jobEnd struct {
-	state string // decided, being written or durable
-	// at is when it became durable, or was decided if that was before this term.
+	state string // "" until it is decided; it may not be durable yet
+	// at is when the state became durable, or when it was decided if that was in an earlier term.
 	at        time.Duration
-	replyTo   []Recipient // who waits for it to be durable
+	replyTo   []Recipient // users to answer once the state is durable
 	durable   bool
-	cleanedUp bool // all that a terminal state requires is done
-	// cancellationConfirmed: users may have been told that the job is cancelled. Other goroutines
-	// read it before they send a start.
+	cleanedUp bool // all work that follows from the state is done
+	// cancellationConfirmed is set once users may have been told that the job is cancelled. Other
+	// goroutines read it before they send a start.
 	cancellationConfirmed atomic.Bool
-	overdueLogged         bool // its tasks may have run past the bound of a cancellation
+	overdueLogged         bool // tasks past the cancellation bound have been logged
 }
 
 // decide sets the terminal state.
 func (e *jobEnd) decide(state string) { e.state = state }
 
-// markDurable notes when the terminal state became durable.
+// markDurable records when the terminal state became durable.
 func (e *jobEnd) markDurable(at time.Duration) { e.durable, e.at = true, at }
 
-// confirm publishes that users may be told of the terminal state. The starts that have not been sent
-// are withdrawn by then.
+// confirm publishes to other goroutines that users may be told of a cancellation. It must be called
+// after all starts that have not been sent yet are withdrawn.
 func (e *jobEnd) confirm() { e.cancellationConfirmed.Store(e.state == wire.JobCancelled) }
 
-// addRecipient has someone told when the terminal state is durable.
+// addRecipient adds a user to be answered once the terminal state is durable.
 func (e *jobEnd) addRecipient(to Recipient) { e.replyTo = append(e.replyTo, to) }
 
-// takeRecipients removes and returns those who wait for the terminal state.
+// takeRecipients removes and returns the users that wait for the terminal state.
 func (e *jobEnd) takeRecipients() []Recipient {
 	recipients := e.replyTo
 	e.replyTo = nil
 	return recipients
 }
 
-// markOverdueLogged notes that the job's overdue tasks are logged.
+// markOverdueLogged records that the job's overdue tasks have been logged.
 func (e *jobEnd) markOverdueLogged() { e.overdueLogged = true }
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -8,36 +8,36 @@
 	"leadproxy/internal/wire"
 )
 
-// newJob adds a job of a record to the job table.
-func (c *Core) newJob(id string, rec ledger.JobRecord, version uint64) *job {
+// newJob creates a job from its ledger record and adds it to the job table.
+func (c *Core) newJob(id string, record ledger.JobRecord, version uint64) *job {
 	j := &job{
 		index:    int32(len(c.jobs.list)),
 		id:       id,
-		spec:     rec.Job,
+		spec:     record.Job,
 		request:  request{zone: -1},
 		priority: priority{deadline: noDeadline},
-		progress: progress{total: rec.Tasks, done: rec.Done},
-		end:      jobEnd{state: rec.TerminalState, durable: rec.TerminalState != "", cleanedUp: rec.Job == nil},
-		record:   jobRecord{version: version, acceptedMS: rec.AcceptedMS},
-		transfer: transfer{origin: rec.Origin, epoch: rec.TransferEpoch},
+		progress: progress{total: record.Tasks, done: record.Done},
+		end:      jobEnd{state: record.TerminalState, durable: record.TerminalState != "", cleanedUp: record.Job == nil},
+		record:   jobRecord{version: version, acceptedMS: record.AcceptedMS},
+		transfer: transfer{origin: record.Origin, epoch: record.TransferEpoch},
 	}
-	if rec.EndedMS > 0 {
-		j.end.markDurable(c.clock.fromWallTime(rec.EndedMS))
+	if record.EndedMS > 0 {
+		j.end.markDurable(c.clock.fromWallTime(record.EndedMS))
 		j.end.confirm()
 	}
 	c.jobs.add(j)
-	if rec.Job == nil {
+	if record.Job == nil {
 		return j
 	}
-	j.request = c.requestOf(rec.Job)
-	j.priority = priorityOf(rec.Job, c.clock.fromWallTime(rec.AcceptedMS))
-	j.progress.initTasks(rec.Job.Tasks)
+	j.request = c.requestOf(record.Job)
+	j.priority = priorityOf(record.Job, c.clock.fromWallTime(record.AcceptedMS))
+	j.progress.initTasks(record.Job.Tasks)
 	j.record.initHosts()
 	c.jobs.addActive(j)
 	return j
 }
 
-// requestOf resolves the names in a job's description.
+// requestOf resolves the names in a job's description to indices.
 func (c *Core) requestOf(spec *wire.Job) request {
 	r := request{size: taskSize(spec), class: c.classIndex(spec.Class), image: c.placement.images.intern(spec.Image), zone: -1, team: c.teams.Index(spec.Team)}
 	if spec.Zone != nil {
@@ -46,7 +46,7 @@
 	return r
 }
 
-// priorityOf is the priority of a job by its own description.
+// priorityOf returns the priority that a job's own description gives it.
 func priorityOf(spec *wire.Job, arrived time.Duration) priority {
 	p := priority{class: spec.PriorityClass(), deadline: noDeadline, arrived: arrived}
 	if spec.DeadlineS != nil {
@@ -55,16 +55,17 @@
 	return p
 }
 
-// handleJobRecord takes a job's record, which may be known already.
-func (c *Core) handleJobRecord(e JobRecordEvent) *job {
-	if i, ok := c.jobs.indexByID[e.JobID]; ok {
-		return c.jobs.list[i]
+// handleJobRecord adds the job of a record and returns it. A job that is already known is returned
+// unchanged.
+func (c *Core) handleJobRecord(event JobRecordEvent) *job {
+	if index, ok := c.jobs.indexByID[event.JobID]; ok {
+		return c.jobs.list[index]
 	}
-	j := c.newJob(e.JobID, e.Record, e.Version)
+	j := c.newJob(event.JobID, event.Record, event.Version)
 	j.progress.rebuildWaiting()
 	c.linkDependencies(j)
 	if j.end.durable {
-		// Its end was written while this leader had not seen it yet.
+		// The terminal state was written before this leader saw the job.
 		c.releaseDependents(j)
 	}
 	switch {
@@ -84,7 +85,7 @@
 	return j
 }
 
-// finishJob decides a job's terminal state and writes it. Users are told when it is durable.
+// finishJob sets a job's terminal state and writes it. Users are told once it is durable.
 func (c *Core) finishJob(j *job, terminal string) {
 	j.end.decide(terminal)
 	c.disruptions.recordJobFinished(j)
@@ -94,10 +95,12 @@
 	c.jobs.writeTerminal(j, writeUrgent)
 }
 
-// handleTerminalDurable does what follows once a job's terminal state is durable.
+// handleTerminalDurable is called when a job's terminal state has become durable: it answers the
+// users that wait for it, stops the job's tasks, releases or cancels its dependents, and cleans the
+// job up.
 func (c *Core) handleTerminalDurable(j *job) {
 	if j.end.durable {
-		return // it followed from another job's end before its own record was written
+		return // it was cancelled with a predecessor before its own record was written
 	}
 	j.end.markDurable(c.clock.now)
 	c.jobs.removeCancelling(j)
@@ -115,55 +118,58 @@
 	c.applyOriginEffects()
 }
 
-// completeTask notes that a task has completed.
-func (c *Core) completeTask(j *job, n int32) {
-	if j.ended() || j.progress.tasks[n].state >= taskDone {
+// completeTask records that a task has completed. When it was the job's last one, the job is done.
+func (c *Core) completeTask(j *job, taskIndex int32) {
+	if j.ended() || j.progress.tasks[taskIndex].state >= taskDone {
 		return
 	}
-	j.progress.markTaskDone(n)
-	c.disruptions.recordTaskFinished(j, n)
+	j.progress.markTaskDone(taskIndex)
+	c.disruptions.recordTaskFinished(j, taskIndex)
 	c.placement.recordSuccess(j)
 	if j.progress.done == j.progress.total {
 		c.finishJob(j, wire.JobDone)
 		return
 	}
-	c.jobs.queueFinishedTasks(j, n)
+	c.jobs.queueFinishedTasks(j, taskIndex)
 }
 
-// requeueTask makes a task wait again.
-func (p *placement) requeueTask(j *job, n int32) {
-	if !j.ended() && j.progress.requeue(n) {
+// requeueTask returns an allocated task to the waiting ones, unless its job has ended.
+func (p *placement) requeueTask(j *job, taskIndex int32) {
+	if !j.ended() && j.progress.requeue(taskIndex) {
 		p.needed = true
 	}
 }
 
-// handleCancelRequest begins the cancellation of a job.
-func (c *Core) handleCancelRequest(e CancelRequest) {
-	i, ok := c.jobs.indexByID[e.JobID]
-	if !ok || c.jobs.list[i].transfer.origin != "" {
-		c.effects.emit(UserReply{ReplyTo: e.ReplyTo})
+// handleCancelRequest cancels a job at its user's request. The user is answered once the job's
+// terminal state is durable. A job of another cell can be cancelled only there, and counts as
+// unknown.
+func (c *Core) handleCancelRequest(event CancelRequest) {
+	index, ok := c.jobs.indexByID[event.JobID]
+	if !ok || c.jobs.list[index].transfer.origin != "" {
+		c.effects.emit(UserReply{ReplyTo: event.ReplyTo})
 		return
 	}
-	j := c.jobs.list[i]
+	j := c.jobs.list[index]
 	if j.end.durable {
-		c.effects.emit(UserReply{ReplyTo: e.ReplyTo, Known: true, Status: c.jobStatus(j)})
+		c.effects.emit(UserReply{ReplyTo: event.ReplyTo, Known: true, Status: c.jobStatus(j)})
 		return
 	}
-	// A job whose transfer's record can't be read counts as delegated to an unknown cell.
+	// A job whose transfer record can't be read is treated as delegated to an unknown cell.
 	if !j.ended() && !c.delegations.cancel(j) {
-		c.cancelDelegated(j, e.ReplyTo)
+		c.cancelDelegated(j, event.ReplyTo)
 		return
 	}
-	j.end.addRecipient(e.ReplyTo)
+	j.end.addRecipient(event.ReplyTo)
 	if !j.ended() {
 		c.log.Debug("cancelling job", "job", j.id)
 		c.cancelJob(j)
 	}
 }
 
-// cancelJob cancels a job. Its tasks are stopped now, not when that is durable: the write may be
-// carried out and its answer lost, other controllers read it and tell the user, and we learn of
-// it only after an outage. What its tasks do from here on is of no use.
+// cancelJob cancels a job. It stops the job's tasks at once, not only when the cancellation is
+// durable: the write may be applied and its response lost, so that other controllers read it and
+// tell the user while this leader learns of it only after an outage. Whatever the tasks do from now
+// on is wasted.
 func (c *Core) cancelJob(j *job) {
 	c.finishJob(j, wire.JobCancelled)
 	c.stopTasks(j)
--- a/internal/scheduler/job_events_test.go
+++ b/internal/scheduler/job_events_test.go
@@ -7,97 +7,104 @@
 	"leadproxy/internal/wire"
 )
 
+// TestCancelIsReportedOnlyWhenDurableAndLateStartsAreStopped: a user must not be told of a
+// cancellation before it is durable, since a new leader that does not see it would run the job. A
+// start that reaches the agent after the cancellation is stopped by the response to the next
+// heartbeat.
 func TestCancelIsReportedOnlyWhenDurableAndLateStartsAreStopped(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.bringUp("vm-1")
-	g.submit(newTestJob("job-1", 1, 1))
-	o := g.startCommands()[0]
-	g.completeCommands(CommandOutcomeUnknown)
-	g.holdWrites, g.recentEffects = true, nil
-	g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
-	g.want("answers before it is durable", len(g.recentEffects), 0)
-	g.want("state before it is durable", g.jobStatus("job-1") == wire.JobCancelled, false)
-	g.recentEffects = nil
-	g.releaseWrites()
-	g.want("the answer", g.recentEffects[0].(UserReply).Status.Status, wire.JobCancelled)
-	// The start command arrives late, after the cancellation.
-	g.want("orders", commandVerbs(g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskRunning, "")))), "stop ")
-	g.sendHeartbeat(g.newHeartbeat("vm-1", termToken+1, newTaskStatus(o, wire.TaskEnded, wire.ExitStopped)))
-	g.want("state", g.jobStatus("job-1"), wire.JobCancelled)
-	g.want("bookings left", g.core.jobs.list[0].progress.allocated, 0)
+	h := newHarness(t, ledger.Snapshot{})
+	h.bringUp("vm-1")
+	h.submit(newTestJob("job-1", 1, 1))
+	command := h.startCommands()[0]
+	h.completeCommands(CommandOutcomeUnknown)
+	h.holdWrites, h.recentEffects = true, nil
+	h.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+	h.want("replies before the cancellation is durable", len(h.recentEffects), 0)
+	h.want("reported as cancelled before it is durable", h.jobStatus("job-1") == wire.JobCancelled, false)
+	h.recentEffects = nil
+	h.releaseWrites()
+	h.want("state in the reply", h.recentEffects[0].(UserReply).Status.Status, wire.JobCancelled)
+	// The agent executes the start only after the cancellation.
+	h.want("commands in the response", commandVerbs(h.sendHeartbeat(h.newHeartbeat("vm-1", termToken, newTaskStatus(command, wire.TaskRunning, "")))), "stop ")
+	h.sendHeartbeat(h.newHeartbeat("vm-1", termToken+1, newTaskStatus(command, wire.TaskEnded, wire.ExitStopped)))
+	h.want("state", h.jobStatus("job-1"), wire.JobCancelled)
+	h.want("allocations left", h.core.jobs.list[0].progress.allocated, 0)
 }
 
-// TestCancelStopsTasksAtOnce: the write of a cancellation may be carried out and its answer
-// lost. Other controllers then tell the user, while the leader, in an outage that begins at that
-// moment, keeps responding to agents and learns of it only minutes later. So the tasks are
-// stopped when the cancellation is requested.
+// TestCancelStopsTasksAtOnce: the write of a cancellation may be applied and its response lost.
+// Other controllers then tell the user, while the leader, in an outage that begins at that moment,
+// keeps responding to agents and learns of the write only minutes later. The tasks must therefore
+// be stopped when the cancellation is requested.
 func TestCancelStopsTasksAtOnce(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.bringUp("vm-1")
-	g.submit(newTestJob("job-1", 2, 1))
-	orders := g.startCommands()
-	g.completeCommands(CommandExecuted)
-	g.holdWrites, g.recentEffects = true, nil
-	g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+	h := newHarness(t, ledger.Snapshot{})
+	h.bringUp("vm-1")
+	h.submit(newTestJob("job-1", 2, 1))
+	starts := h.startCommands()
+	h.completeCommands(CommandExecuted)
+	h.holdWrites, h.recentEffects = true, nil
+	h.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 	stops := ""
-	for _, d := range g.sentCommands {
-		for _, o := range d.Request.Commands {
-			stops += o.Verb + " "
+	for _, sent := range h.sentCommands {
+		for _, command := range sent.Request.Commands {
+			stops += command.Verb + " "
 		}
 	}
-	g.want("commands before it is durable", stops, "stop stop ")
-	for _, e := range g.recentEffects {
-		if a, ok := e.(UserReply); ok {
-			t.Errorf("told %+v before it is durable", a)
+	h.want("commands before the cancellation is durable", stops, "stop stop ")
+	for _, effect := range h.recentEffects {
+		if reply, ok := effect.(UserReply); ok {
+			t.Errorf("reply %+v before the cancellation is durable, want none", reply)
 		}
 	}
-	// A task that is found only now is not taken up either.
-	g.bringUp("vm-2")
-	o := orders[0]
-	o.Attempt++
-	g.want("orders to another machine", commandVerbs(g.sendHeartbeat(g.newHeartbeat("vm-2", termToken, newTaskStatus(o, wire.TaskRunning, "")))), "stop ")
+	// A running task that is discovered only now is not adopted either.
+	h.bringUp("vm-2")
+	command := starts[0]
+	command.Attempt++
+	h.want("commands to another machine", commandVerbs(h.sendHeartbeat(h.newHeartbeat("vm-2", termToken, newTaskStatus(command, wire.TaskRunning, "")))), "stop ")
 }
 
-// TestStopThatOvertakesItsStartIsRepeated: a cancellation comes while the start is on its way in
-// another command, and the stop is executed first, which the agent ignores. The task began after
-// the cancellation was confirmed, and ran until the next heartbeat.
+// TestStopThatOvertakesItsStartIsRepeated: a job is cancelled while a start is in flight in another
+// command, and the agent executes the stop first. It ignores the stop of an unknown attempt, so the
+// task started after the cancellation was confirmed and ran until the next heartbeat. The stop must
+// be repeated.
 func TestStopThatOvertakesItsStartIsRepeated(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.bringUp("vm-1")
-	g.submit(newTestJob("job-1", 1, 1))
-	start, o := g.sentCommands[0], g.startCommands()[0]
-	g.sentCommands = nil
-	g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
-	stop := g.sentCommands[0]
-	g.sentCommands = nil
-	g.step(CommandResult{CommandID: stop.CommandID, Outcome: CommandExecuted, Heartbeat: g.newHeartbeat("vm-1", termToken)})
-	g.want("the stop again, as the start may have come since", len(g.sentCommands), 1)
-	again := g.sentCommands[0]
-	g.sentCommands = nil
-	g.step(CommandResult{CommandID: again.CommandID, Outcome: CommandExecuted, Heartbeat: g.newHeartbeat("vm-1", termToken)})
-	g.want("commands while the start is on its way for longer", len(g.sentCommands), 0)
-	g.step(CommandResult{CommandID: start.CommandID, Outcome: CommandExecuted, Heartbeat: g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskFetching, ""))})
-	g.want("the stop once the start was carried out", len(g.sentCommands) == 1 && g.sentCommands[0].Request.Commands[0].Verb == wire.VerbStop, true)
-	g.step(CommandResult{CommandID: g.sentCommands[0].CommandID, Outcome: CommandExecuted, Heartbeat: g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskEnded, wire.ExitStopped))})
-	g.want("bookings left", g.core.jobs.list[0].progress.allocated, 0)
+	h := newHarness(t, ledger.Snapshot{})
+	h.bringUp("vm-1")
+	h.submit(newTestJob("job-1", 1, 1))
+	start, command := h.sentCommands[0], h.startCommands()[0]
+	h.sentCommands = nil
+	h.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+	stop := h.sentCommands[0]
+	h.sentCommands = nil
+	h.step(CommandResult{CommandID: stop.CommandID, Outcome: CommandExecuted, Heartbeat: h.newHeartbeat("vm-1", termToken)})
+	h.want("the stop is repeated, since the start may have arrived since", len(h.sentCommands), 1)
+	repeatedStop := h.sentCommands[0]
+	h.sentCommands = nil
+	h.step(CommandResult{CommandID: repeatedStop.CommandID, Outcome: CommandExecuted, Heartbeat: h.newHeartbeat("vm-1", termToken)})
+	h.want("commands while the start is still in flight", len(h.sentCommands), 0)
+	h.step(CommandResult{CommandID: start.CommandID, Outcome: CommandExecuted, Heartbeat: h.newHeartbeat("vm-1", termToken, newTaskStatus(command, wire.TaskFetching, ""))})
+	h.want("the stop is sent once the start has been executed", len(h.sentCommands) == 1 && h.sentCommands[0].Request.Commands[0].Verb == wire.VerbStop, true)
+	h.step(CommandResult{CommandID: h.sentCommands[0].CommandID, Outcome: CommandExecuted, Heartbeat: h.newHeartbeat("vm-1", termToken, newTaskStatus(command, wire.TaskEnded, wire.ExitStopped))})
+	h.want("allocations left", h.core.jobs.list[0].progress.allocated, 0)
 }
 
+// TestCancelOfDoneJobReportsDone: a cancellation that arrives while a job's completion is being
+// written must not replace the state done.
 func TestCancelOfDoneJobReportsDone(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.bringUp("vm-1")
-	g.submit(newTestJob("job-1", 1, 1))
-	o := g.startCommands()[0]
-	g.completeCommands(CommandExecuted)
-	g.holdWrites = true
-	g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskEnded, wire.ExitDone)))
-	g.want("told before it is durable", g.jobStatus("job-1") == wire.JobDone, false)
-	// The key-value store may have the write while its answer is on its way, and another
-	// controller may have told a user: "queued" would contradict that.
-	g.want("sent to the record while it is being written", g.recentEffects[0].(UserReply).TerminalStatePending, true)
-	g.recentEffects = nil
-	g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
-	g.releaseWrites()
-	g.want("the answer", g.recentEffects[0].(UserReply).Status.Status, wire.JobDone)
-	g.want("told once it is durable", g.jobStatus("job-1"), wire.JobDone)
-	g.want("without a look at the record", g.recentEffects[0].(UserReply).TerminalStatePending, false)
+	h := newHarness(t, ledger.Snapshot{})
+	h.bringUp("vm-1")
+	h.submit(newTestJob("job-1", 1, 1))
+	command := h.startCommands()[0]
+	h.completeCommands(CommandExecuted)
+	h.holdWrites = true
+	h.sendHeartbeat(h.newHeartbeat("vm-1", termToken, newTaskStatus(command, wire.TaskEnded, wire.ExitDone)))
+	h.want("reported as done before it is durable", h.jobStatus("job-1") == wire.JobDone, false)
+	// The key-value store may have applied the write while its response is in flight, and another
+	// controller may have told a user: answering "queued" would contradict that.
+	h.want("the record decides while it is being written", h.recentEffects[0].(UserReply).TerminalStatePending, true)
+	h.recentEffects = nil
+	h.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+	h.releaseWrites()
+	h.want("state in the reply", h.recentEffects[0].(UserReply).Status.Status, wire.JobDone)
+	h.want("state once it is durable", h.jobStatus("job-1"), wire.JobDone)
+	h.want("the record decides once it is durable", h.recentEffects[0].(UserReply).TerminalStatePending, false)
 }
--- a/internal/scheduler/job_progress.go
+++ b/internal/scheduler/job_progress.go
@@ -1,13 +1,13 @@
 package scheduler
 
-// The states of a task.
+// taskState is the state of one task of a job.
 type taskState uint8
 
 const (
 	taskWaiting taskState = iota
 	taskAllocated
-	taskDone    // its end is decided here
-	taskDurable // its end is in the ledger
+	taskDone    // completed, but not durable yet
+	taskDurable // completed, and recorded in the ledger
 )
 
 type task struct{ state taskState }
@@ -15,20 +15,20 @@
 // progress is the state of a job's tasks.
 type progress struct {
 	tasks       []task
-	waiting     []int32 // indices of waiting tasks, the last one is placed first
+	waiting     []int32 // indices of waiting tasks; the last one is placed next
 	total       int
 	done        int
-	allocated   int
-	startedOnce bool // some task of it has been seen running, or is done
+	allocated   int  // allocations, also those kept until a task of an ended job has stopped
+	startedOnce bool // some task has been reported running or is done
 }
 
-// initTasks makes room for the states of a job's tasks.
+// initTasks allocates the states of a job's tasks, all waiting.
 func (p *progress) initTasks(tasks int) {
 	p.total = tasks
 	p.tasks = make([]task, tasks)
 }
 
-// rebuildWaiting lists the waiting tasks, the lowest number to be placed first.
+// rebuildWaiting lists the waiting tasks, so that the lowest index is placed first.
 func (p *progress) rebuildWaiting() {
 	p.waiting = make([]int32, 0, max(0, len(p.tasks)-p.done))
 	for i := len(p.tasks) - 1; i >= 0; i-- {
@@ -41,78 +41,82 @@
 // popWaiting removes and returns the waiting task that is placed next.
 func (p *progress) popWaiting() int32 {
 	last := len(p.waiting) - 1
-	n := p.waiting[last]
+	taskIndex := p.waiting[last]
 	p.waiting = p.waiting[:last]
-	return n
+	return taskIndex
 }
 
 // removeWaiting removes a task from the waiting ones.
-func (p *progress) removeWaiting(n int32) {
-	for k, w := range p.waiting {
-		if w == n {
-			p.waiting = append(p.waiting[:k], p.waiting[k+1:]...)
+func (p *progress) removeWaiting(taskIndex int32) {
+	for i, waiting := range p.waiting {
+		if waiting == taskIndex {
+			p.waiting = append(p.waiting[:i], p.waiting[i+1:]...)
 			return
 		}
 	}
 }
 
-// clearWaiting has none wait any more.
+// clearWaiting removes all waiting tasks, once the job has ended.
 func (p *progress) clearWaiting() { p.waiting = nil }
 
-// requeue has an allocated task wait again, and tells whether it was allocated.
-func (p *progress) requeue(n int32) bool {
-	if p.tasks[n].state != taskAllocated {
+// requeue returns an allocated task to the waiting ones. It reports whether the task was allocated.
+func (p *progress) requeue(taskIndex int32) bool {
+	if p.tasks[taskIndex].state != taskAllocated {
 		return false
 	}
-	p.tasks[n].state = taskWaiting
-	p.waiting = append(p.waiting, n)
+	p.tasks[taskIndex].state = taskWaiting
+	p.waiting = append(p.waiting, taskIndex)
 	return true
 }
 
-// addAllocation counts an allocation. The task's state stays if its job has ended.
-func (p *progress) addAllocation(n int32, purpose allocationPurpose) {
+// addAllocation counts a new allocation. The task becomes allocated only if it is to run, not if its
+// job has ended.
+func (p *progress) addAllocation(taskIndex int32, purpose allocationPurpose) {
 	if purpose == purposeRun {
-		p.tasks[n].state = taskAllocated
+		p.tasks[taskIndex].state = taskAllocated
 	}
 	p.allocated++
 }
 
-// removeAllocation counts the end of an allocation.
+// removeAllocation counts the release of an allocation.
 func (p *progress) removeAllocation() { p.allocated-- }
 
-// markStarted notes that some task has been seen running.
+// markStarted records that some task has been reported running.
 func (p *progress) markStarted() { p.startedOnce = true }
 
-// markTaskDone notes that a task has completed.
-func (p *progress) markTaskDone(n int32) {
-	if p.tasks[n].state == taskWaiting {
-		p.removeWaiting(n)
+// markTaskDone records that a task has completed.
+func (p *progress) markTaskDone(taskIndex int32) {
+	if p.tasks[taskIndex].state == taskWaiting {
+		p.removeWaiting(taskIndex)
 	}
-	p.tasks[n].state = taskDone
+	p.tasks[taskIndex].state = taskDone
 	p.done++
 	p.startedOnce = true
 }
 
-// markTaskDurable notes that the end of a task is in the ledger.
-func (p *progress) markTaskDurable(n int32) {
-	if p.tasks != nil && p.tasks[n].state == taskDone {
-		p.tasks[n].state = taskDurable
+// markTaskDurable records that the ledger holds the completion of a task. It does nothing once the
+// job is cleaned up.
+func (p *progress) markTaskDurable(taskIndex int32) {
+	if p.tasks != nil && p.tasks[taskIndex].state == taskDone {
+		p.tasks[taskIndex].state = taskDurable
 	}
 }
 
 // markAllDone counts all tasks as done.
 func (p *progress) markAllDone() { p.done = p.total }
 
-// restoreFinished notes that a task's end is in the ledger, and tells whether that is new.
-func (p *progress) restoreFinished(n int) bool {
-	if n >= len(p.tasks) || p.tasks[n].state == taskDurable {
+// restoreFinished marks a task that the ledger lists as completed. It reports false for a task that
+// was marked before or is out of range.
+func (p *progress) restoreFinished(taskIndex int) bool {
+	if taskIndex >= len(p.tasks) || p.tasks[taskIndex].state == taskDurable {
 		return false
 	}
-	p.tasks[n].state = taskDurable
+	p.tasks[taskIndex].state = taskDurable
 	return true
 }
 
-// restore completes what is known of the tasks by the ledger.
+// restore completes the state of the tasks once all finished ones have been restored from the
+// ledger.
 func (p *progress) restore(finished int, hasHosts bool) {
 	p.done = max(p.done, finished)
 	p.rebuildWaiting()
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -8,10 +8,10 @@
 	"leadproxy/internal/wire"
 )
 
-// initHosts makes room for the hosts of a job that has not ended.
+// initHosts prepares the host index of a job that has not ended.
 func (r *jobRecord) initHosts() { r.hostIndexByMachine = map[int32]int{} }
 
-// addFinishedKey notes a key of finished tasks.
+// addFinishedKey records that a key holds finished tasks of the job.
 func (r *jobRecord) addFinishedKey(key string) {
 	if r.finishedKeys == nil {
 		r.finishedKeys = map[string]bool{}
@@ -19,7 +19,7 @@
 	r.finishedKeys[key] = true
 }
 
-// deleteKeys deletes what the ledger holds of a finished job besides its record.
+// deleteKeys deletes all ledger keys of an ended job except its record.
 func (t *jobTable) deleteKeys(j *job) {
 	var writes []ledger.Write
 	for chunk := range j.record.hostChunks {
@@ -33,8 +33,8 @@
 	}
 }
 
-// addHost notes that a job's tasks may be on a machine. That is written at the end of the step,
-// and durable before the first start there.
+// addHost records that a job's tasks may run on a machine. The record is written at the end of the
+// step and must be durable before the first start is sent there.
 func (t *jobTable) addHost(j *job, m *machine) {
 	j.record.hostIndexByMachine[m.index] = len(j.record.hosts)
 	j.record.hosts = append(j.record.hosts, jobHost{machine: m.index})
@@ -42,24 +42,25 @@
 	t.queueWrite(j)
 }
 
-// markHostsDurable notes that the hosts of a write are durable, and returns those that were not before.
-func (t *jobTable) markHostsDurable(j *job, written hostTag) (machines []int32) {
+// markHostsDurable marks the hosts of a completed write as durable. It returns the machines of those
+// that were not durable before.
+func (t *jobTable) markHostsDurable(j *job, tag hostTag) (machines []int32) {
 	if j.record.hosts == nil {
 		return nil
 	}
-	for i := written.from; i < written.to; i++ {
-		if h := &j.record.hosts[i]; !h.durable {
-			h.durable = true
-			machines = append(machines, h.machine)
+	for i := tag.from; i < tag.to; i++ {
+		if host := &j.record.hosts[i]; !host.durable {
+			host.durable = true
+			machines = append(machines, host.machine)
 		}
 	}
 	return machines
 }
 
-// requeueRejectedHosts has a job's hosts written again, since they were too many for a value. What is
-// durable keeps its key; what comes after it begins a new one.
+// requeueRejectedHosts writes a job's hosts again after a write was rejected as larger than the
+// value limit. Durable hosts keep their key; the first host that is not durable starts a new one.
 func (t *jobTable) requeueRejectedHosts(j *job) {
-	first := slices.IndexFunc(j.record.hosts, func(h jobHost) bool { return !h.durable })
+	first := slices.IndexFunc(j.record.hosts, func(host jobHost) bool { return !host.durable })
 	if first < 0 {
 		return
 	}
@@ -69,7 +70,7 @@
 	t.queueWrite(j)
 }
 
-// queueFinishedTasks has the end of tasks written at the end of the step.
+// queueFinishedTasks queues completed tasks to be written at the end of the step.
 func (t *jobTable) queueFinishedTasks(j *job, tasks ...int32) {
 	if j.progress.tasks != nil {
 		j.record.unwrittenTasks = append(j.record.unwrittenTasks, tasks...)
@@ -77,35 +78,36 @@
 	}
 }
 
-// deleteRestoredKeys deletes what an earlier leader has left of a job that is done.
-func (t *jobTable) deleteRestoredKeys(s *ledger.SavedJob) {
-	for _, h := range s.Hosts {
-		t.writes.put(ledger.Write{Key: h.Key})
+// deleteRestoredKeys deletes the keys that an earlier leader left behind of a job that is done.
+func (t *jobTable) deleteRestoredKeys(saved *ledger.SavedJob) {
+	for _, hosts := range saved.Hosts {
+		t.writes.put(ledger.Write{Key: hosts.Key})
 	}
-	for _, f := range s.Finished {
-		t.writes.put(ledger.Write{Key: f.Key})
+	for _, finished := range saved.Finished {
+		t.writes.put(ledger.Write{Key: finished.Key})
 	}
 }
 
-// restoreFinished takes the finished tasks of a job from the ledger.
-func (t *jobTable) restoreFinished(j *job, s *ledger.SavedJob) {
-	finished := 0
-	for _, f := range s.Finished {
-		j.record.addFinishedKey(f.Key)
-		f.Ranges.Each(func(i int) {
-			if j.progress.restoreFinished(f.Chunk*ledger.TasksPerChunk + i) {
-				finished++
+// restoreFinished restores the finished tasks of a job from the ledger.
+func (t *jobTable) restoreFinished(j *job, saved *ledger.SavedJob) {
+	count := 0
+	for _, ranges := range saved.Finished {
+		j.record.addFinishedKey(ranges.Key)
+		ranges.Ranges.Each(func(i int) {
+			if j.progress.restoreFinished(ranges.Chunk*ledger.TasksPerChunk + i) {
+				count++
 			}
 		})
 	}
-	// A cancelled job's record has the count as well, and the ranges may be there still: counted
-	// twice they were more than its tasks, and no controller could begin a term.
-	j.progress.restore(finished, len(s.Hosts) > 0)
+	// The record of a cancelled job holds the count too, and the ranges may not be deleted yet.
+	// Adding both gave more finished tasks than the job has, and no controller could begin a term.
+	j.progress.restore(count, len(saved.Hosts) > 0)
 }
 
-// restoreHosts takes the hosts of one key from the ledger.
+// restoreHosts restores the hosts of a job from one ledger key. Machines that may still exist are in
+// doubt until the job's tasks there are known.
 func (t *jobTable) restoreHosts(j *job, chunk int, machines []*machine) {
-	// A key that is missing, as its deletion was under way, keeps its number.
+	// A key that is missing because its deletion had started keeps its chunk number.
 	for len(j.record.hostChunks) <= chunk {
 		j.record.hostChunks = append(j.record.hostChunks, len(j.record.hosts))
 	}
@@ -124,7 +126,7 @@
 	}
 }
 
-// addInDoubt notes that the job may have unseen tasks on a machine.
+// addInDoubt records that the job may have tasks on a machine that this leader has not seen yet.
 func (r *jobRecord) addInDoubt(machine int32) {
 	if r.inDoubtHosts == nil {
 		r.inDoubtHosts = map[int32]bool{}
@@ -132,16 +134,16 @@
 	r.inDoubtHosts[machine] = true
 }
 
-// resolveInDoubt notes that the job's tasks on a machine are known, and tells whether it was the
-// last one in doubt.
+// resolveInDoubt records that the job's tasks on a machine are known. It reports whether no machine
+// is left in doubt.
 func (r *jobRecord) resolveInDoubt(machine int32) (last bool) {
 	delete(r.inDoubtHosts, machine)
 	return len(r.inDoubtHosts) == 0
 }
 
-// queueWrite has what is new about a job written at the end of the step: a burst adds dozens of
-// machines and ended tasks to one job in a step, and each by itself would be written with all
-// that came before it.
+// queueWrite queues a job for writeJobs at the end of the step. A burst adds dozens of hosts and
+// finished tasks to one job in a single step; written one at a time, each would rewrite all entries
+// before it.
 func (t *jobTable) queueWrite(j *job) {
 	if !j.record.queuedForWrite {
 		j.record.queuedForWrite = true
@@ -149,7 +151,7 @@
 	}
 }
 
-// writeJobs writes what is new about jobs.
+// writeJobs writes the new hosts and finished tasks of all queued jobs.
 func (t *jobTable) writeJobs() {
 	for _, j := range t.unwritten {
 		j.record.queuedForWrite = false
@@ -162,38 +164,39 @@
 	t.unwritten = t.unwritten[:0]
 }
 
-// writeHosts writes the chunks in which a job has new hosts.
+// writeHosts writes the chunks that hold new hosts of a job.
 func (t *jobTable) writeHosts(j *job) {
 	for from := j.record.hostsWritten; from < len(j.record.hosts); {
-		first, names := 0, []string(nil)
-		if n := len(j.record.hostChunks); n > 0 {
-			first = j.record.hostChunks[n-1]
-			names = t.hostNamesForChunk(j, first)
+		chunkStart, names := 0, []string(nil)
+		if chunks := len(j.record.hostChunks); chunks > 0 {
+			chunkStart = j.record.hostChunks[chunks-1]
+			names = t.hostNamesForChunk(j, chunkStart)
 		}
-		if first+len(names) <= from {
-			// There is none, or the last one is full.
+		if chunkStart+len(names) <= from {
+			// There is no chunk yet, or the last one is full.
 			j.record.hostChunks = append(j.record.hostChunks, from)
-			first, names = from, t.hostNamesForChunk(j, from)
+			chunkStart, names = from, t.hostNamesForChunk(j, from)
 		}
-		to := first + len(names)
+		to := chunkStart + len(names)
 		t.writes.put(ledger.Write{Key: ledger.HostsKey(j.id, len(j.record.hostChunks)-1), Value: names, Urgent: true, Tag: hostTag{j.index, from, to}})
 		from = to
 	}
 	j.record.hostsWritten = len(j.record.hosts)
 }
 
-// hostNamesForChunk names the hosts of a job, from one of them on, that go into one key.
+// hostNamesForChunk returns the names of a job's hosts from index first on, as many as fit into one
+// key.
 func (t *jobTable) hostNamesForChunk(j *job, first int) []string {
 	hosts := j.record.hosts[first:min(first+ledger.HostsPerChunk, len(j.record.hosts))]
 	names := make([]string, len(hosts))
-	for i, h := range hosts {
-		names[i] = t.machines.list[h.machine].name
+	for i, host := range hosts {
+		names[i] = t.machines.list[host.machine].name
 	}
 	return names[:ledger.CountFittingNames(names, t.cfg.MaxValueBytes)]
 }
 
-// writeFinished writes the chunks in which a job has tasks that have ended since they were last
-// written. The record of a job that has ended replaces them.
+// writeFinished writes the chunks that hold newly finished tasks of a job. An ended job has none
+// written: its record replaces them.
 func (t *jobTable) writeFinished(j *job) {
 	ended := j.record.unwrittenTasks
 	j.record.unwrittenTasks = nil
@@ -203,13 +206,14 @@
 	slices.Sort(ended)
 	for len(ended) > 0 {
 		chunk := int(ended[0]) / ledger.TasksPerChunk
-		n, _ := slices.BinarySearch(ended, int32((chunk+1)*ledger.TasksPerChunk))
-		t.writeFinishedChunk(j, chunk, ended[:n])
-		ended = ended[n:]
+		count, _ := slices.BinarySearch(ended, int32((chunk+1)*ledger.TasksPerChunk))
+		t.writeFinishedChunk(j, chunk, ended[:count])
+		ended = ended[count:]
 	}
 }
 
-// writeFinishedChunk writes the finished tasks of one chunk, some of which are new.
+// writeFinishedChunk writes the finished tasks of one chunk. ended lists the new ones, in order. A
+// chunk that exceeds the value limit is written in parts.
 func (t *jobTable) writeFinishedChunk(j *job, chunk int, ended []int32) {
 	first := chunk * ledger.TasksPerChunk
 	size := min(ledger.TasksPerChunk, j.progress.total-first)
@@ -221,9 +225,9 @@
 		t.writes.put(ledger.Write{Key: key, Value: ranges, Tag: finishedTag{j.index, ended}})
 		return
 	}
-	// It has to be written in parts; all of them the first time, since the chunk's
-	// own key may not hold what has ended since it was last written.
-	all := !j.record.chunksInParts[chunk]
+	// The first time, all parts are written: the chunk's own key may lack tasks that have
+	// finished since it was last written.
+	rewriteAll := !j.record.chunksInParts[chunk]
 	if j.record.chunksInParts == nil {
 		j.record.chunksInParts = map[int]bool{}
 	}
@@ -231,33 +235,32 @@
 	part := ledger.TasksPerPart(t.cfg.MaxValueBytes)
 	for from := 0; from < size; from += part {
 		to := min(from+part, size)
-		n, _ := slices.BinarySearch(ended, int32(first+to))
+		count, _ := slices.BinarySearch(ended, int32(first+to))
 		ranges := ledger.EncodeRanges(func(i int) bool { return i >= from && done(i) }, to)
-		if len(ranges) > 0 && (all || n > 0) {
+		if len(ranges) > 0 && (rewriteAll || count > 0) {
 			key := ledger.FinishedTasksPartKey(j.id, chunk, from)
 			j.record.addFinishedKey(key)
-			w := ledger.Write{Key: key, Value: ranges}
-			if n > 0 {
-				w.Tag = finishedTag{j.index, ended[:n]}
+			write := ledger.Write{Key: key, Value: ranges}
+			if count > 0 {
+				write.Tag = finishedTag{j.index, ended[:count]}
 			}
-			t.writes.put(w)
+			t.writes.put(write)
 		}
-		ended = ended[n:]
+		ended = ended[count:]
 	}
 }
 
-// writePriority tells whether somebody waits for a write.
+// writePriority is the urgency of a write.
 type writePriority int
 
-// The priorities of a write.
 const (
-	writeUrgent   writePriority = iota
-	writeDeferred               // when there is time for it
+	writeUrgent   writePriority = iota // a user or a dependent job waits for it
+	writeDeferred                      // written when write capacity permits
 )
 
-// writeTerminal writes a job's terminal state.
-func (t *jobTable) writeTerminal(j *job, order writePriority) {
-	rec := ledger.JobRecord{
+// writeTerminal writes a job's record with its terminal state.
+func (t *jobTable) writeTerminal(j *job, priority writePriority) {
+	record := ledger.JobRecord{
 		AcceptedMS:    j.record.acceptedMS,
 		EndedMS:       t.clock.wallMS,
 		TerminalState: j.end.state,
@@ -267,14 +270,14 @@
 		TransferEpoch: j.transfer.epoch,
 	}
 	if j.end.state == wire.JobCancelled {
-		// What a new leader needs stays: the use of tasks that it has not yet seen end counts
-		// for the team. The whole description may be more than fits by now.
-		rec.Job = j.spec.CancelledSummary()
+		// The summary keeps what a new leader needs: tasks that it has not yet seen end still
+		// count towards the team's use. The full description may exceed the value limit by now.
+		record.Job = j.spec.CancelledSummary()
 	} else if j.transfer.origin == "" {
-		// Later leaders learn the demand from it.
-		rec.Class, rec.Team = j.spec.Class, j.spec.Team
-		rec.Cores = j.totalCores()
-		rec.RunS = t.estimates.expectedRun(j).Seconds()
+		// Later leaders learn the demand from these fields.
+		record.Class, record.Team = j.spec.Class, j.spec.Team
+		record.Cores = j.totalCores()
+		record.RunS = t.estimates.expectedRun(j).Seconds()
 	}
-	t.writes.put(ledger.Write{Key: ledger.JobKey(j.id), Value: rec, Urgent: order == writeUrgent, Version: j.record.version, Tag: terminalTag{j.index}})
+	t.writes.put(ledger.Write{Key: ledger.JobKey(j.id), Value: record, Urgent: priority == writeUrgent, Version: j.record.version, Tag: terminalTag{j.index}})
 }
--- a/internal/scheduler/job_table.go
+++ b/internal/scheduler/job_table.go
@@ -8,7 +8,7 @@
 	"leadproxy/internal/wire"
 )
 
-// jobTable holds the jobs of the term and the dependency graph among them.
+// jobTable holds all jobs of the term and the dependency graph between them.
 type jobTable struct {
 	cfg       *Config
 	clock     *clock
@@ -19,10 +19,10 @@
 
 	list       []*job
 	indexByID  map[string]int32
-	active     []*job // jobs that are not cleaned up
+	active     []*job // jobs that have not been cleaned up
 	graph      depgraph.Graph
 	cancelling map[int32]bool // jobs whose cancellation is being written
-	unwritten  []*job         // with something new for the ledger
+	unwritten  []*job         // jobs with hosts or finished tasks to be written
 }
 
 func newJobTable(c *Core) jobTable {
@@ -30,65 +30,68 @@
 		indexByID: map[string]int32{}, cancelling: map[int32]bool{}}
 }
 
-// add adds a new job, whose index follows the last one.
+// add adds a new job, whose index must follow the last one.
 func (t *jobTable) add(j *job) {
 	t.graph.Add(&j.dependencies)
 	t.indexByID[j.id] = j.index
 	t.list = append(t.list, j)
 }
 
-// addActive counts a job among those that need attention.
+// addActive adds a job to those that are not cleaned up yet.
 func (t *jobTable) addActive(j *job) { t.active = append(t.active, j) }
 
-// addCancelling notes that a job's cancellation is being written.
+// addCancelling records that the cancellation of a job is being written.
 func (t *jobTable) addCancelling(j *job) { t.cancelling[j.index] = true }
 
-// removeCancelling notes that it is durable.
+// removeCancelling records that the cancellation of a job is durable.
 func (t *jobTable) removeCancelling(j *job) { delete(t.cancelling, j.index) }
 
-// anyWaiting tells whether some task could be placed if there were room.
+// anyWaiting reports whether any task waits only for free resources or its team's quota.
 func (t *jobTable) anyWaiting() bool {
 	return slices.ContainsFunc(t.active, func(j *job) bool { return j.placeable(t.clock.now) })
 }
 
-func (t *jobTable) taskName(b *allocation) string {
-	return wire.TaskName{JobID: t.list[b.job].id, Index: int(b.task)}.String()
+// taskName returns the name of an allocation's task, as agents and logs use it.
+func (t *jobTable) taskName(alloc *allocation) string {
+	return wire.TaskName{JobID: t.list[alloc.job].id, Index: int(alloc.task)}.String()
 }
 
-// reportedTask is the task of an entry in a heartbeat.
+// reportedTask is what this leader knows about a task in a heartbeat.
 type reportedTask struct {
-	job        *job // nil: not known
+	job        *job // nil: unknown
 	index      int32
-	allocation *allocation // nil: there is none for the attempt
+	allocation *allocation // nil: the attempt has none
 }
 
-// findTask finds the task of an entry in a heartbeat.
+// findTask looks up the task of a heartbeat entry, by its attempt and otherwise by its name.
 func (t *jobTable) findTask(m *machine, status *wire.TaskStatus) reportedTask {
-	if b := m.allocation(status.Attempt); b != nil {
-		return reportedTask{t.list[b.job], b.task, b}
+	if alloc := m.allocation(status.Attempt); alloc != nil {
+		return reportedTask{t.list[alloc.job], alloc.task, alloc}
 	}
 	name, err := wire.ParseTaskName(status.Task)
-	at, known := t.indexByID[name.JobID]
-	if err != nil || !known || t.list[at].spec != nil && name.Index >= t.list[at].progress.total {
+	index, known := t.indexByID[name.JobID]
+	if err != nil || !known || t.list[index].spec != nil && name.Index >= t.list[index].progress.total {
 		return reportedTask{}
 	}
-	return reportedTask{job: t.list[at], index: int32(name.Index)}
+	return reportedTask{job: t.list[index], index: int32(name.Index)}
 }
 
-// taskIsDone tells whether a task has ended.
-func (t *jobTable) taskIsDone(id string, n int) bool {
-	i, ok := t.indexByID[id]
+// taskIsDone reports whether a task has completed. Tasks of unknown and ended jobs, and tasks out of
+// range, count as completed.
+func (t *jobTable) taskIsDone(jobID string, taskIndex int) bool {
+	index, ok := t.indexByID[jobID]
 	if !ok {
 		return true
 	}
-	j := t.list[i]
-	return j.ended() || n >= len(j.progress.tasks) || j.progress.tasks[n].state >= taskDone
+	j := t.list[index]
+	return j.ended() || taskIndex >= len(j.progress.tasks) || j.progress.tasks[taskIndex].state >= taskDone
 }
 
-// runningJobCounter counts the running jobs of a group, once for all who ask in a step.
+// runningJobCounter returns a function that counts the running jobs of a group. All groups are
+// counted at its first call, so it must not be kept beyond the current step.
 func (t *jobTable) runningJobCounter() func(rollout.Group) int {
 	var counts map[rollout.Group]int
-	return func(g rollout.Group) int {
+	return func(group rollout.Group) int {
 		if counts == nil {
 			counts = map[rollout.Group]int{}
 			for _, j := range t.active {
@@ -98,27 +101,27 @@
 				}
 			}
 		}
-		return counts[g]
+		return counts[group]
 	}
 }
 
-// cleanUp drops what is kept for a job that has ended, once it has nothing on any machine any
-// more.
+// cleanUp releases the state of an ended job once its terminal state is durable and no task of it
+// can be on any machine.
 func (t *jobTable) cleanUp(j *job) {
 	if !j.end.durable || j.end.cleanedUp || j.progress.allocated > 0 || len(j.record.inDoubtHosts) > 0 {
 		return
 	}
 	j.end.cleanedUp = true
 	t.deleteKeys(j)
-	for _, h := range j.record.hosts {
-		m := t.machines.list[h.machine]
+	for _, host := range j.record.hosts {
+		m := t.machines.list[host.machine]
 		m.recorded.namedByJobs--
 	}
 	j.progress.tasks, j.record.hosts, j.record.hostIndexByMachine, j.record.hostChunks, j.record.finishedKeys = nil, nil, nil, nil, nil
 	j.retry.clearFailures()
 }
 
-// removeCleanedUp removes jobs that need no more attention from the active ones.
+// removeCleanedUp removes cleaned-up jobs from the active ones.
 func (t *jobTable) removeCleanedUp() {
 	t.active = slices.DeleteFunc(t.active, func(j *job) bool { return j.end.cleanedUp })
 }
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -11,9 +11,9 @@
 	"leadproxy/internal/wire"
 )
 
-// placement decides where tasks run and in which order, by the quotas of teams, the objectives of
-// classes, the SLOW-FIT goal and index, and the reservations. It alone writes its fields, the
-// placement of a job, and the index entry of a machine.
+// placement decides where tasks run and in which order, by team quotas, class objectives, the
+// SLOW-FIT goal and index, and reservations. Only placement writes its fields, the placement state
+// of a job, and the index entry of a machine.
 type placement struct {
 	clock     *clock
 	log       *slog.Logger
@@ -25,20 +25,20 @@
 	machines  *machineTable
 	agents    *agents
 	attempts  *attempts
-	// startOn allocates room for the next task of a job on a machine and has it started.
+	// startOn reserves resources for the next task of a job on a machine and starts it there.
 	startOn func(j *job, m *machine)
 
-	needed bool // something has changed that may let waiting tasks start
+	needed bool // a change may allow waiting tasks to start
 	images nameTable
 
 	goal            slowfit.Goal
 	queueEmptySince time.Duration
 	index           slowfit.Index
-	pools           []poolKey // by the index's numbers
+	pools           []poolKey // by pool number of the index
 	poolIndexByKey  map[poolKey]int32
-	staleMachines   []*machine // to be brought up to date in the index
-	openCores       float64    // of the machines in the index
-	reservingJobs   []*job     // jobs for which a machine is kept free
+	staleMachines   []*machine // machines whose index entry must be refreshed
+	openCores       float64    // cores of all schedulable machines
+	reservingJobs   []*job     // jobs with a reserved machine
 }
 
 func newPlacement(c *Core) placement {
@@ -47,13 +47,14 @@
 		poolIndexByKey: map[poolKey]int32{}, goal: slowfit.Goal{C: c.cfg.Operator.SlowFitC}}
 }
 
-// markNeeded has tasks placed at the end of the step, since something has changed that may let
-// waiting ones start.
+// markNeeded schedules a placement at the end of the step, after a change that may allow waiting
+// tasks to start.
 func (p *placement) markNeeded() { p.needed = true }
 
-// placeQueuedTasks starts what can be started: first the jobs that have waited too long and those with less
-// than their share (fair_share.go), then all jobs in the order of the queue; each task where
-// SLOW-FIT puts it.
+// placeQueuedTasks starts all tasks that can be started: first those of jobs that have waited too
+// long and of classes and teams below their share (fair_share.go), then all jobs in queue order.
+// SLOW-FIT chooses the machine of each task. uncertain is, by team, what its tasks may use on
+// machines without a heartbeat in this term and in other cells.
 func (p *placement) placeQueuedTasks(uncertain []quota.Units) {
 	p.needed = false
 	for _, m := range p.staleMachines {
@@ -73,11 +74,11 @@
 	}
 }
 
-// placePriorityClass starts what it can of the jobs of one priority. In a full cell each piece
-// of room that becomes free would be taken by the job that is first in the queue, mostly on a
-// machine without its image, and a tenth of all cores waited for images. So those jobs that can
-// wait are first placed only on machines that have their image, and another of the same priority
-// may precede them there.
+// placePriorityClass starts tasks of the jobs of one priority class. In a full cell, the first job
+// in the queue would take each piece of capacity that becomes free, mostly on a machine without its
+// image, and a tenth of all cores waited for images. Jobs that can afford to wait are therefore
+// first placed only on machines that have their image; other jobs of the same priority may overtake
+// them on other machines.
 func (p *placement) placePriorityClass(queue []*job, uncertain []quota.Units) {
 	if len(queue) > 1 {
 		for _, j := range queue {
@@ -91,22 +92,23 @@
 	}
 }
 
-// allowsMachine tells whether a job's rules let its tasks run on a machine, apart from gang scheduling
-// and spreading.
+// allowsMachine reports whether the constraints in the job's description allow its tasks on a
+// machine of the given type, zone and spot kind. Gang scheduling and spreading are checked
+// elsewhere.
 func (j *job) allowsMachine(typ, zone int32, spot bool) bool {
 	return (j.request.types == nil || slices.Contains(j.request.types, typ)) && (j.request.zone < 0 || j.request.zone == zone) && (j.spec.Spot || !spot)
 }
 
-// withinTeamLimit tells whether a job's team may have one more of its tasks.
+// withinTeamLimit reports whether the quota of a job's team allows one more task of the job.
 func (p *placement) withinTeamLimit(j *job, uncertain []quota.Units) bool {
 	return p.teams.Team(j.request.team).AllowsAnother(j.request.size, uncertain[j.request.team])
 }
 
-// placeJob starts what it can of a job's waiting tasks, as long as more, unless nil, allows, and
-// returns how many.
-func (p *placement) placeJob(j *job, uncertain []quota.Units, more func(placed int) bool) (placed int) {
-	// Most of what waits in a full cell, or for its team's limit, can't be placed: that must
-	// show before any machine is examined.
+// placeJob starts waiting tasks of a job while mayPlaceMore, unless nil, allows, and returns how
+// many it started.
+func (p *placement) placeJob(j *job, uncertain []quota.Units, mayPlaceMore func(placed int) bool) (placed int) {
+	// Most waiting tasks of a full cell or of a team at its limit can't be placed. That must be
+	// detected before any machine is examined.
 	if len(j.progress.waiting) == 0 || !p.attempts.hasAttemptsLeft() || p.index.Infeasible(j.request.size) || !p.withinTeamLimit(j, uncertain) {
 		return 0
 	}
@@ -115,15 +117,15 @@
 	if j.spec.Gang {
 		onlyZone = p.gangZone(j)
 	}
-	for len(j.progress.waiting) > 0 && p.attempts.hasAttemptsLeft() && (more == nil || more(placed)) {
+	for len(j.progress.waiting) > 0 && p.attempts.hasAttemptsLeft() && (mayPlaceMore == nil || mayPlaceMore(placed)) {
 		if j.suspect() && j.progress.allocated > 0 || !p.withinTeamLimit(j, uncertain) {
-			return placed // a suspect job is tried one task at a time
+			return placed // a suspect job runs one task at a time
 		}
-		at := p.chooseMachine(j, onlyZone)
-		if at < 0 {
+		machineIndex := p.chooseMachine(j, onlyZone)
+		if machineIndex < 0 {
 			return placed
 		}
-		m := p.machines.list[at]
+		m := p.machines.list[machineIndex]
 		p.startOn(j, m)
 		placed++
 		if onlyZone < 0 && j.spec.Gang {
@@ -133,33 +135,34 @@
 	return placed
 }
 
-// startOn allocates room for a job's next task on a machine and has it started there.
+// startOn reserves resources for a job's next task on a machine and starts it there.
 func (c *Core) startOn(j *job, m *machine) {
-	n := j.progress.popWaiting()
-	b := c.allocate(m, j, n, c.attempts.nextAttempt(), purposeRun)
+	taskIndex := j.progress.popWaiting()
+	alloc := c.allocate(m, j, taskIndex, c.attempts.nextAttempt(), purposeRun)
 	c.placement.refreshIndex(m)
 	if c.debugEnabled {
-		c.log.Debug("task placed", "task", c.jobs.taskName(b), "attempt", b.attempt, "machine", m.name,
-			"goal", c.placement.goal.L, "share", b.share, "load", m.capacity.load, "image", m.hasImage(j.request.image))
+		c.log.Debug("task placed", "task", c.jobs.taskName(alloc), "attempt", alloc.attempt, "machine", m.name,
+			"goal", c.placement.goal.L, "share", alloc.share, "load", m.capacity.load, "image", m.hasImage(j.request.image))
 	}
 	if _, ok := j.record.hostIndexByMachine[m.index]; !ok {
 		c.jobs.addHost(j, m)
 	}
 	if j.record.hosts[j.record.hostIndexByMachine[m.index]].durable {
-		c.commands.queueStart(j, m, b)
+		c.commands.queueStart(j, m, alloc)
 	}
 }
 
-// fetchTime is how long a machine will need for a job's image.
+// fetchTime estimates how long a machine will take to fetch a job's image; 0 if the machine has it
+// or its type has no fetch rate.
 func (p *placement) fetchTime(j *job, m *machine) time.Duration {
 	rate := p.types.list[m.typeIndex].FetchGBPerS
 	if m.hasImage(j.request.image) || rate <= 0 {
 		return 0
 	}
-	// Images that are fetched at the same time share the rate.
+	// Images that are fetched at the same time share the fetch rate.
 	fetching := 1
-	for _, b := range m.capacity.allocations {
-		if o := p.jobs.list[b.job]; b.status != wire.TaskRunning && o.request.image != j.request.image && !m.hasImage(o.request.image) {
+	for _, alloc := range m.capacity.allocations {
+		if other := p.jobs.list[alloc.job]; alloc.status != wire.TaskRunning && other.request.image != j.request.image && !m.hasImage(other.request.image) {
 			fetching++
 			break
 		}
@@ -167,42 +170,45 @@
 	return settings.Seconds(float64(fetching) * j.spec.ImageGB / rate)
 }
 
-// imageFetchPending tells whether a machine is about to fetch an image for some task.
+// imageFetchPending reports whether a machine has a task with the image that is not running yet, so
+// that the machine will fetch the image.
 func (p *placement) imageFetchPending(m *machine, image int32) bool {
-	for _, b := range m.capacity.allocations {
-		if b.status != wire.TaskRunning && p.jobs.list[b.job].request.image == image {
+	for _, alloc := range m.capacity.allocations {
+		if alloc.status != wire.TaskRunning && p.jobs.list[alloc.job].request.image == image {
 			return true
 		}
 	}
 	return false
 }
 
-// gangZone chooses the zone for a job that must stay in one: where it is, or else where the most
-// of it fits now. That examines all machines, so it holds for a while.
+// gangZone chooses the zone of a job whose tasks must all run in one zone: the zone in which it
+// already has tasks, or else the one with free resources for the most of them; -1 if there is none.
+// The search examines all machines, so its result is kept for one second.
 func (p *placement) gangZone(j *job) int32 {
-	for z, n := range j.placement.tasksByZone {
-		if n > 0 {
-			return int32(z)
+	for zone, tasks := range j.placement.tasksByZone {
+		if tasks > 0 {
+			return int32(zone)
 		}
 	}
 	if j.placement.gangZoneChosenAt > 0 && p.clock.now-j.placement.gangZoneChosenAt < time.Second {
 		return j.placement.gangZone
 	}
 	slots := make([]int, len(p.machines.zones.list))
-	best := int32(-1)
+	bestZone := int32(-1)
 	for _, m := range p.machines.live {
 		if m.indexed.schedulable && j.allowsMachine(m.typeIndex, m.zone, m.spot) {
 			slots[m.zone] += j.request.size.Slots(m.capacity.free)
-			if best < 0 || slots[m.zone] > slots[best] {
-				best = m.zone
+			if bestZone < 0 || slots[m.zone] > slots[bestZone] {
+				bestZone = m.zone
 			}
 		}
 	}
-	j.placement.gangZoneChosenAt, j.placement.gangZone = p.clock.now, best
-	return best
+	j.placement.gangZoneChosenAt, j.placement.gangZone = p.clock.now, bestZone
+	return bestZone
 }
 
-// adjustZoneCount counts a job's tasks by zone as they come and go.
+// adjustZoneCount adds change to the number of a job's tasks in a zone. Only gang and spread jobs
+// are counted.
 func (p *placement) adjustZoneCount(j *job, zone int32, change int) {
 	if zone < 0 || j.spec == nil || !j.spec.Gang && !j.spec.Spread {
 		return
@@ -213,8 +219,8 @@
 	j.placement.tasksByZone[zone] += change
 }
 
-// spreadLimitReached tells whether a job that must be spread may have no more tasks in
-// a zone.
+// spreadLimitReached reports whether a spread job may have no more tasks in a zone, which is when
+// half of them are there.
 func (j *job) spreadLimitReached(zone int32) bool {
 	return j.spec.Spread && int(zone) < len(j.placement.tasksByZone) && j.placement.tasksByZone[zone] >= (j.progress.total+1)/2
 }
--- a/internal/scheduler/placement_goal.go
+++ b/internal/scheduler/placement_goal.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// goalLowerDelay is how long nothing must have waited before the goal falls.
+// goalLowerDelay is how long no task must have waited before the SLOW-FIT goal is lowered.
 const goalLowerDelay = 5 * time.Second
 
-// lowerGoal lets the goal fall after a burst, since in the paper it never does and would stop
-// limiting anything. The mean load of the machines stands for the optimum: no placement brings
-// the busiest one below that.
+// lowerGoal lowers the SLOW-FIT goal after a burst. In the paper the goal never falls, and after a
+// burst it would no longer limit anything. The mean load of the machines is used as a lower bound of
+// the optimum: under no placement is the load of the busiest machine lower than that.
 func (p *placement) lowerGoal() {
 	if p.jobs.anyWaiting() {
 		p.queueEmptySince = p.clock.now
@@ -17,21 +17,21 @@
 		return
 	}
 	p.queueEmptySince = p.clock.now
-	load, n := 0.0, 0
+	totalLoad, schedulable := 0.0, 0
 	for _, m := range p.machines.live {
 		if p.agents.schedulable(m) {
-			n++
-			for _, b := range m.capacity.allocations {
-				load += b.share
+			schedulable++
+			for _, alloc := range m.capacity.allocations {
+				totalLoad += alloc.share
 			}
 		}
 	}
-	if n > 0 {
-		before := p.goal.L
-		p.goal.Lower(load / float64(n))
-		if p.goal.L != before {
+	if schedulable > 0 {
+		previous := p.goal.L
+		p.goal.Lower(totalLoad / float64(schedulable))
+		if p.goal.L != previous {
 			p.index.ResetLoads()
-			p.log.Debug("placement goal lowered", "from", before, "to", p.goal.L, "mean_load", load/float64(n))
+			p.log.Debug("placement goal lowered", "from", previous, "to", p.goal.L, "mean_load", totalLoad/float64(schedulable))
 		}
 	}
 }
--- a/internal/scheduler/placement_index.go
+++ b/internal/scheduler/placement_index.go
@@ -8,21 +8,21 @@
 	"leadproxy/internal/slowfit"
 )
 
-// poolKey is what machines of one pool of the index have in common.
+// poolKey is what all machines of one pool of the index have in common.
 type poolKey struct {
 	typ, zone int32
 	spot      bool
 }
 
-// indexEntry is what the index holds of one machine.
+// indexEntry is a machine's entry in the SLOW-FIT index.
 type indexEntry struct {
-	pool        int32 // -1: none yet
+	pool        int32 // pool number; -1: in no pool yet
 	schedulable bool
-	cores       float64 // of it in the open cores
-	stale       bool    // it is to be brought up to date
+	cores       float64 // its contribution to placement.openCores
+	stale       bool    // the machine is in placement.staleMachines
 }
 
-// markIndexStale notes that the index may no longer show a machine as it is.
+// markIndexStale queues a machine's index entry to be refreshed before the next placement.
 func (p *placement) markIndexStale(m *machine) {
 	if !m.indexed.stale {
 		m.indexed.stale = true
@@ -30,7 +30,7 @@
 	}
 }
 
-// refreshIndex brings the index up to date for a machine.
+// refreshIndex brings the index entry of a machine up to date.
 func (p *placement) refreshIndex(m *machine) {
 	m.indexed.stale = false
 	m.indexed.schedulable = p.agents.schedulable(m)
@@ -60,81 +60,82 @@
 		load = 0
 	}
 	var tags uint64
-	for _, s := range m.capacity.images {
-		tags |= imageTag(s.image)
+	for _, slot := range m.capacity.images {
+		tags |= imageTag(slot.image)
 	}
-	for _, b := range m.capacity.allocations {
-		tags |= imageTag(p.jobs.list[b.job].request.image)
+	for _, alloc := range m.capacity.allocations {
+		tags |= imageTag(p.jobs.list[alloc.job].request.image)
 	}
 	p.index.Update(m.index, m.capacity.free, load, tags)
 }
 
-// imageTag is the index's tag of an image. Several images may share one.
+// imageTag returns the index tag of an image, one of 64 bits. Different images may share a tag.
 func imageTag(image int32) uint64 { return 1 << (image % 64) }
 
-// chooseMachine has SLOW-FIT choose the machine for a job's next task. A class with an objective on
-// waiting is first placed only on machines on which its image would be ready in time, if one of
-// those has room: a slower machine that must fetch the image first would miss the objective by
-// that alone.
+// chooseMachine returns the machine that SLOW-FIT chooses for a job's next task, or -1. Tasks of a
+// class with a wait objective are first placed only on machines on which their image would be ready
+// in time: on a slower machine that must fetch the image first, the fetch alone would miss the
+// objective.
 func (p *placement) chooseMachine(j *job, onlyZone int32) int32 {
 	base := p.placementRequest(j, onlyZone)
 	if j.placement.imageOnly {
 		withImage := base
 		withImage.AllowedTag = base.PreferredTag
-		withImage.Allowed = func(i int32) bool { return base.Preferred(i) && (base.Allowed == nil || base.Allowed(i)) }
+		withImage.Allowed = func(machineIndex int32) bool {
+			return base.Preferred(machineIndex) && (base.Allowed == nil || base.Allowed(machineIndex))
+		}
 		return p.index.Place(&p.goal, &withImage)
 	}
 	if maxWait := p.classes.objectives[j.request.class].wait; maxWait > 0 {
 		inTime := base
-		inTime.Allowed = func(i int32) bool {
-			m := p.machines.list[i]
-			return p.fetchTime(j, m) <= maxWait && (base.Allowed == nil || base.Allowed(i))
+		inTime.Allowed = func(machineIndex int32) bool {
+			m := p.machines.list[machineIndex]
+			return p.fetchTime(j, m) <= maxWait && (base.Allowed == nil || base.Allowed(machineIndex))
 		}
 		if !p.imageFetchableWithin(j, maxWait) {
 			inTime.AllowedTag = imageTag(j.request.image)
 		}
-		if found := p.index.Place(&p.goal, &inTime); found >= 0 {
-			return found
+		if machineIndex := p.index.Place(&p.goal, &inTime); machineIndex >= 0 {
+			return machineIndex
 		}
 	}
 	return p.index.Place(&p.goal, &base)
 }
 
-// imageFetchableWithin tells whether a job's image can be fetched within a time by
-// some type of machine.
+// imageFetchableWithin reports whether some machine type can fetch a job's image within a time.
 func (p *placement) imageFetchableWithin(j *job, within time.Duration) bool {
 	return slices.ContainsFunc(p.types.list, func(t machineType) bool {
 		return t.FetchGBPerS <= 0 || settings.Seconds(j.spec.ImageGB/t.FetchGBPerS) <= within
 	})
 }
 
-// placementRequest is a job's next task as SLOW-FIT sees it. Merit tells equally slow machines apart: a
-// class with an objective on waiting prefers machines with its image, since a fetch counts as
-// waiting; other work prefers spot machines, so that dearer ones become empty and can be
-// returned.
+// placementRequest describes a job's next task to SLOW-FIT. The bonuses choose between equally slow
+// machines. A class with a wait objective prefers machines with its image, since a fetch counts as
+// waiting. All other jobs prefer spot machines, so that the more expensive ones become empty and
+// can be returned.
 func (p *placement) placementRequest(j *job, onlyZone int32) slowfit.Request {
-	cheap, image := 2, 1
+	spotBonus, imageBonus := 2, 1
 	if p.classes.objectives[j.request.class].wait > 0 {
-		cheap, image = 1, 2
+		spotBonus, imageBonus = 1, 2
 	}
-	w := slowfit.Request{Task: j.request.size, PreferredBonus: image, PreferredTag: imageTag(j.request.image),
+	request := slowfit.Request{Task: j.request.size, PreferredBonus: imageBonus, PreferredTag: imageTag(j.request.image),
 		Pool: func(pool int) (bool, int) {
-			k := p.pools[pool]
-			if !j.allowsMachine(k.typ, k.zone, k.spot) || onlyZone >= 0 && k.zone != onlyZone || j.spreadLimitReached(k.zone) {
+			key := p.pools[pool]
+			if !j.allowsMachine(key.typ, key.zone, key.spot) || onlyZone >= 0 && key.zone != onlyZone || j.spreadLimitReached(key.zone) {
 				return false, 0
 			}
-			if k.spot {
-				return true, cheap
+			if key.spot {
+				return true, spotBonus
 			}
 			return true, 0
 		},
-		Preferred: func(i int32) bool {
-			m := p.machines.list[i]
+		Preferred: func(machineIndex int32) bool {
+			m := p.machines.list[machineIndex]
 			return m.hasImage(j.request.image) || p.imageFetchPending(m, j.request.image)
 		},
 	}
 	if len(j.retry.failedOn) > 0 && !j.suspect() {
-		w.Allowed = func(i int32) bool { return !j.retry.failedOn[i] }
+		request.Allowed = func(machineIndex int32) bool { return !j.retry.failedOn[machineIndex] }
 	}
-	return w
+	return request
 }
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -12,7 +12,7 @@
 )
 
 func TestPlacementConstraints(t *testing.T) {
-	unseen := ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-9", Record: ledger.JobRecord{Job: newTestJob("job-9", 1, 1)}, Hosts: savedHosts("vm-7")}}}
+	inDoubt := ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-9", Record: ledger.JobRecord{Job: newTestJob("job-9", 1, 1)}, Hosts: savedHosts("vm-7")}}}
 	cases := []struct {
 		name   string
 		saved  ledger.Snapshot
@@ -21,83 +21,83 @@
 		starts int
 	}{
 		{"no limit", ledger.Snapshot{}, settings.Team{Name: "t"}, nil, 4},
-		{"the team's limit", ledger.Snapshot{}, settings.Team{Name: "t", CPUsMax: 2}, nil, 2},
-		{"tasks that an earlier leader may have started count", unseen, settings.Team{Name: "t", CPUsMax: 2}, nil, 1},
-		{"a type that is not there", ledger.Snapshot{}, settings.Team{Name: "t"}, func(j *wire.Job) { j.Types = []string{"m8"} }, 0},
-		{"another zone", ledger.Snapshot{}, settings.Team{Name: "t"}, func(j *wire.Job) { z := "b"; j.Zone = &z }, 0},
-		{"no spot machine", ledger.Snapshot{}, settings.Team{Name: "t"}, func(j *wire.Job) { j.Spot = false }, 0},
-		{"half of the tasks in one zone", ledger.Snapshot{}, settings.Team{Name: "t"}, func(j *wire.Job) { j.Spread = true }, 2},
-		{"all in one zone", ledger.Snapshot{}, settings.Team{Name: "t"}, func(j *wire.Job) { j.Gang = true }, 4},
+		{"team limit", ledger.Snapshot{}, settings.Team{Name: "t", CPUsMax: 2}, nil, 2},
+		{"tasks that an earlier leader may have started count towards the limit", inDoubt, settings.Team{Name: "t", CPUsMax: 2}, nil, 1},
+		{"no machine of the required type", ledger.Snapshot{}, settings.Team{Name: "t"}, func(j *wire.Job) { j.Types = []string{"m8"} }, 0},
+		{"no machine in the required zone", ledger.Snapshot{}, settings.Team{Name: "t"}, func(j *wire.Job) { z := "b"; j.Zone = &z }, 0},
+		{"spot machines not allowed", ledger.Snapshot{}, settings.Team{Name: "t"}, func(j *wire.Job) { j.Spot = false }, 0},
+		{"spread: at most half of the tasks in one zone", ledger.Snapshot{}, settings.Team{Name: "t"}, func(j *wire.Job) { j.Spread = true }, 2},
+		{"gang: all tasks in one zone", ledger.Snapshot{}, settings.Team{Name: "t"}, func(j *wire.Job) { j.Gang = true }, 4},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			g := newHarness(t, c.saved, c.team)
-			g.bringUp("vm-1")
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t, test.saved, test.team)
+			h.bringUp("vm-1")
 			j := newTestJob("job-1", 4, 1)
-			if c.change != nil {
-				c.change(j)
+			if test.change != nil {
+				test.change(j)
 			}
-			g.submit(j)
-			g.want("starts", len(g.startCommands()), c.starts)
+			h.submit(j)
+			h.want("starts", len(h.startCommands()), test.starts)
 		})
 	}
 }
 
 func TestJobWithMaxTasks(t *testing.T) {
-	g := newHarness(t, ledger.Snapshot{})
-	g.bringUp("vm-1")
-	g.submit(newTestJob("job-1", wire.MaxTasks, 0.01))
+	h := newHarness(t, ledger.Snapshot{})
+	h.bringUp("vm-1")
+	h.submit(newTestJob("job-1", wire.MaxTasks, 0.01))
 	started := 0
-	for _, d := range g.sentCommands {
-		body, err := json.Marshal(d.Request)
+	for _, sent := range h.sentCommands {
+		body, err := json.Marshal(sent.Request)
 		if err != nil || len(body) > wire.MaxBodyBytes {
 			t.Errorf("a command takes %d bytes: %v", len(body), err)
 		}
-		started += len(d.Request.Commands)
+		started += len(sent.Request.Commands)
 	}
-	// 4 cores hold 400 tasks, but 16 GB only 16.
-	g.want("starts", started, 16)
+	// 4 cores would fit 400 tasks, but 16 GB of memory fit only 16.
+	h.want("starts", started, 16)
 	small := newTestJob("job-2", wire.MaxTasks, 0.01)
 	small.MemGB, small.Priority = 0, "high"
-	g.sentCommands = nil
-	g.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
-	g.submit(small)
-	g.want("commands for many starts", len(g.sentCommands) > 1, true)
+	h.sentCommands = nil
+	h.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
+	h.submit(small)
+	h.want("the starts are split into several commands", len(h.sentCommands) > 1, true)
 }
 
-// TestFreeCapacityGoesToJobWithCachedImage: among jobs of one priority, one that has
-// time to spare leaves a machine to another whose image is on it, and one that
-// has none does not.
+// TestFreeCapacityGoesToJobWithCachedImage: within one priority class, a job with enough slack
+// leaves a machine to another job whose image the machine has. A job that is short of time does
+// not.
 func TestFreeCapacityGoesToJobWithCachedImage(t *testing.T) {
 	cases := []struct {
 		name  string
-		due   float64 // of the job that is first in the queue
+		due   float64 // deadline of the first job in the queue, in seconds
 		first string
 	}{
-		{"the first can wait", 200, "job-3/0"},
-		{"the first is short of time", 25, "job-2/0"},
-		{"the first is late anyway", 5, "job-3/0"},
+		{"the first job has enough slack", 200, "job-3/0"},
+		{"the first job is short of time", 25, "job-2/0"},
+		{"the first job will be late anyway", 5, "job-3/0"},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			g := newHarness(t, ledger.Snapshot{})
-			g.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Types: true}, Types: []wire.MachineType{
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
+			h := newHarness(t, ledger.Snapshot{})
+			h.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Types: true}, Types: []wire.MachineType{
 				{Name: "m4", CPUs: 4, MemGB: 16, CacheGB: 20, FetchGBPerS: 0.1, Price: 1, SpotPrice: 0.5, BootS: 40, Zones: []string{"a", "b"}}}}})
-			g.bringUp("vm-1")
-			job := func(jobID, image string, due float64) *wire.Job {
+			h.bringUp("vm-1")
+			job := func(jobID, image string, deadline float64) *wire.Job {
 				j := newTestJob(jobID, 1, 4)
-				j.Image, j.ImageGB, j.DeadlineS = image, 1, &due
+				j.Image, j.ImageGB, j.DeadlineS = image, 1, &deadline
 				return j
 			}
-			g.submit(job("job-1", "here", 300))
-			o := g.startCommands()[0]
-			g.completeCommands(CommandExecuted)
-			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskRunning, "")))
-			g.submit(job("job-2", "elsewhere", c.due))
-			g.submit(job("job-3", "here", 250))
-			g.sendHeartbeat(g.newHeartbeat("vm-1", termToken, newTaskStatus(o, wire.TaskEnded, wire.ExitDone)))
-			if s := g.startCommands(); len(s) != 1 || s[0].Task != c.first {
-				t.Errorf("started %v, want %s", s, c.first)
+			h.submit(job("job-1", "here", 300))
+			first := h.startCommands()[0]
+			h.completeCommands(CommandExecuted)
+			h.sendHeartbeat(h.newHeartbeat("vm-1", termToken, newTaskStatus(first, wire.TaskRunning, "")))
+			h.submit(job("job-2", "elsewhere", test.due))
+			h.submit(job("job-3", "here", 250))
+			h.sendHeartbeat(h.newHeartbeat("vm-1", termToken, newTaskStatus(first, wire.TaskEnded, wire.ExitDone)))
+			if starts := h.startCommands(); len(starts) != 1 || starts[0].Task != test.first {
+				t.Errorf("started %v, want %s", starts, test.first)
 			}
 		})
 	}
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -9,24 +9,25 @@
 	"leadproxy/internal/settings"
 )
 
-// mayWaitForImage tells whether a job has time to let others precede it: more than fetching its
-// image would take, or none at all any more.
+// mayWaitForImage reports whether a job can afford that other jobs overtake it: it has no deadline,
+// or more slack than twice the slowest fetch of its image, or it will be late anyway.
 func (p *placement) mayWaitForImage(j *job) bool {
 	if j.priority.deadline == noDeadline {
 		return true
 	}
 	slack := j.priority.deadline - p.clock.now - p.estimates.expectedRun(j)
-	slowest := time.Duration(0)
+	slowestFetch := time.Duration(0)
 	for i := range p.types.list {
 		if t := &p.types.list[i]; t.FetchGBPerS > 0 {
-			slowest = max(slowest, settings.Seconds(j.spec.ImageGB/t.FetchGBPerS))
+			slowestFetch = max(slowestFetch, settings.Seconds(j.spec.ImageGB/t.FetchGBPerS))
 		}
 	}
-	return slack < 0 || slack > 2*slowest
+	return slack < 0 || slack > 2*slowestFetch
 }
 
-// sortedQueue returns the jobs with tasks to place, in order: teams within their guarantee, priority,
-// age, the least work where some are late already, the time that is left.
+// sortedQueue returns the jobs with tasks to place, sorted by: teams within their guarantee first,
+// priority class, age bucket, own jobs before foreign ones, least work first if some job of the
+// class is late, and slack.
 func (p *placement) sortedQueue() []*job {
 	var queue []*job
 	demand := make([]quota.Units, p.teams.Len())
@@ -38,18 +39,17 @@
 			queue = append(queue, j)
 		}
 	}
-	contended := map[int]bool{} // by priority class: some job is late already
+	contended := map[int]bool{} // by priority class: some job is expected to be late
 	for _, j := range queue {
 		contended[j.priority.class] = contended[j.priority.class] || p.ageBucket(j) == ageLate
 	}
-	// A team whose unfinished jobs all fit within its guarantee need not wait
-	// for other teams.
+	// A team whose unfinished jobs all fit within its guarantee does not wait for other teams.
 	withinGuarantee := func(j *job) bool {
 		return p.teams.Team(j.request.team).WithinGuarantee(demand[j.request.team])
 	}
 	slices.SortStableFunc(queue, func(a, b *job) int {
-		if sa, sb := withinGuarantee(a), withinGuarantee(b); sa != sb {
-			if sa {
+		if aWithin, bWithin := withinGuarantee(a), withinGuarantee(b); aWithin != bWithin {
+			if aWithin {
 				return -1
 			}
 			return 1
@@ -66,7 +66,7 @@
 	return queue
 }
 
-// foreignJobsLast has this cell's own jobs precede those of other cells.
+// foreignJobsLast orders this cell's own jobs before jobs delegated by other cells.
 func foreignJobsLast(a, b *job) int {
 	switch {
 	case (a.transfer.origin == "") == (b.transfer.origin == ""):
@@ -77,7 +77,8 @@
 	return 1
 }
 
-// resolveTypes maps the type names that a job allows, once types are known.
+// resolveTypes resolves the machine type names in a job's description. Unknown names are left out
+// until clearTypes is called.
 func (p *placement) resolveTypes(j *job) {
 	if j.spec.Types == nil || j.request.types != nil {
 		return
@@ -90,9 +91,9 @@
 	}
 }
 
-// ageBucket orders jobs of one priority: first those that have waited longer than any job
-// should, the longest first, so that each is placed in the end; then those that can meet their
-// deadline; then those that can't any more.
+// ageBucket orders jobs of one priority class. First come those that have waited for maxStartDelay
+// or more, the longest first, so that every job is placed eventually; then those that can meet
+// their deadline; then those that no longer can.
 func (p *placement) ageBucket(j *job) time.Duration {
 	switch age := p.clock.now - j.priority.arrived; {
 	case age >= maxStartDelay:
@@ -103,15 +104,15 @@
 	return ageInTime
 }
 
-// queuedWork is what a job's waiting tasks need, in core-seconds. Where there is not room for
-// all, as in the first minutes of a day, by slack alone one large job makes many small ones
-// late; the least work first leaves fewer late. As long as all that wait can be in time, the
-// time that is left decides.
+// queuedWork returns the expected work of a job's waiting tasks, in core-seconds. When there is not
+// enough capacity for all jobs, as in the first minutes of a day, ordering by slack alone lets one
+// large job make many small ones late; ordering by least work first leaves fewer late. As long as
+// all waiting jobs can meet their deadlines, slack decides.
 func (p *placement) queuedWork(j *job) float64 {
 	return float64(len(j.progress.waiting)) * j.request.size.CPUs * p.estimates.expectedRun(j).Seconds()
 }
 
-// placeableWithinLimit lists the jobs with tasks that their teams' limits let run.
+// placeableWithinLimit returns the queued jobs whose team's quota allows at least one more task.
 func (p *placement) placeableWithinLimit() []*job {
 	return slices.DeleteFunc(p.sortedQueue(), func(j *job) bool {
 		team := p.teams.Team(j.request.team)
@@ -119,20 +120,20 @@
 	})
 }
 
-// remainingWork is the core-seconds that are expected to be left of a machine's tasks.
+// remainingWork returns the expected remaining work of a machine's tasks, in core-seconds.
 func (p *placement) remainingWork(m *machine) float64 {
-	sum := 0.0
-	for _, b := range m.capacity.allocations {
-		j := p.jobs.list[b.job]
+	total := 0.0
+	for _, alloc := range m.capacity.allocations {
+		j := p.jobs.list[alloc.job]
 		if j.spec == nil {
 			continue
 		}
-		left := p.estimates.expectedRun(j)
-		if b.runningSince > 0 {
-			// One that has outrun its estimate is expected to run for some time more.
-			left = max(left-(p.clock.now-b.runningSince), left/4)
+		remaining := p.estimates.expectedRun(j)
+		if alloc.runningSince > 0 {
+			// A task that has exceeded its estimate is expected to run for another quarter of it.
+			remaining = max(remaining-(p.clock.now-alloc.runningSince), remaining/4)
 		}
-		sum += j.request.size.CPUs * left.Seconds()
+		total += j.request.size.CPUs * remaining.Seconds()
 	}
-	return sum
+	return total
 }
--- a/internal/scheduler/quota/quota.go
+++ b/internal/scheduler/quota/quota.go
@@ -1,5 +1,5 @@
-// Package quota counts what the teams of a cell may use, what is guaranteed to them, and what
-// their tasks use.
+// Package quota holds the resource quotas of a cell's teams, their guarantees and limits, and counts
+// what the teams' tasks use.
 package quota
 
 import (
@@ -9,123 +9,125 @@
 	"leadproxy/internal/slowfit"
 )
 
-// unitsPerCore is how many units one core, or one GPU, is counted as. Sums of units are exact,
-// whatever the order of their parts.
+// unitsPerCore is the number of units per core or GPU. Units are integers, so that sums do not
+// depend on the order of addition.
 const unitsPerCore = 1e6
 
-// roundingError is what a size may be off by, in units, without being rounded up to the next one.
+// roundingError is the floating-point error, in units, that does not round a size up to the next
+// unit.
 const roundingError = 1e-3
 
-// Units counts resources exactly.
+// Units is an exact amount of CPUs and GPUs.
 type Units struct{ cpus, gpus int64 }
 
-// UnitsOf is what a size takes.
-func UnitsOf(s slowfit.Size) Units {
-	return Units{int64(math.Ceil(s.CPUs*unitsPerCore - roundingError)), int64(math.Ceil(s.GPUs*unitsPerCore - roundingError))}
+// UnitsOf returns the amount that a size takes, rounded up.
+func UnitsOf(size slowfit.Size) Units {
+	return Units{int64(math.Ceil(size.CPUs*unitsPerCore - roundingError)), int64(math.Ceil(size.GPUs*unitsPerCore - roundingError))}
 }
 
-// unitsFromSettings is an amount from the settings.
+// unitsFromSettings converts an amount of cores and GPUs in the settings, rounded down.
 func unitsFromSettings(cpus, gpus float64) Units {
 	return Units{int64(cpus * unitsPerCore), int64(gpus * unitsPerCore)}
 }
 
-// Plus is the sum of two amounts.
-func (u Units) Plus(o Units) Units { return Units{u.cpus + o.cpus, u.gpus + o.gpus} }
+// Plus returns the sum of two amounts.
+func (u Units) Plus(other Units) Units { return Units{u.cpus + other.cpus, u.gpus + other.gpus} }
 
-// Minus is the difference of two amounts.
-func (u Units) Minus(o Units) Units { return Units{u.cpus - o.cpus, u.gpus - o.gpus} }
+// Minus returns the difference of two amounts.
+func (u Units) Minus(other Units) Units { return Units{u.cpus - other.cpus, u.gpus - other.gpus} }
 
-// Times is a multiple of an amount.
+// Times returns the amount multiplied by n.
 func (u Units) Times(n int) Units { return Units{u.cpus * int64(n), u.gpus * int64(n)} }
 
-// Cores is an amount of CPUs in cores.
+// Cores returns the CPUs of an amount in cores.
 func (u Units) Cores() float64 { return float64(u.cpus) / unitsPerCore }
 
-// IsZero tells whether an amount has neither CPUs nor GPUs.
+// IsZero reports whether an amount has neither CPUs nor GPUs.
 func (u Units) IsZero() bool { return u == Units{} }
 
-// atMost tells whether no resource of an amount exceeds another amount's.
-func (u Units) atMost(o Units) bool { return u.cpus <= o.cpus && u.gpus <= o.gpus }
+// atMost reports whether neither the CPUs nor the GPUs of u exceed those of the other amount.
+func (u Units) atMost(other Units) bool { return u.cpus <= other.cpus && u.gpus <= other.gpus }
 
-// Team is the quota of one team, and what its tasks use.
+// Team is the quota of one team and the resources that its tasks use.
 type Team struct {
 	guarantee Units
 	limit     Units // a resource that is zero has no limit
 	allocated Units
 }
 
-// Allocated is what all allocations of the team's tasks take, whatever their state.
+// Allocated returns what all allocations of the team take, in whatever state they are.
 func (t *Team) Allocated() Units { return t.allocated }
 
-// Allocate notes a new allocation.
+// Allocate adds a new allocation.
 func (t *Team) Allocate(size slowfit.Size) { t.allocated = t.allocated.Plus(UnitsOf(size)) }
 
-// Deallocate notes that an allocation has ended.
+// Deallocate subtracts an allocation that has been released.
 func (t *Team) Deallocate(size slowfit.Size) { t.allocated = t.allocated.Minus(UnitsOf(size)) }
 
-// CPULimit is the team's limit in cores, if it has one.
+// CPULimit returns the team's limit in cores and whether it has one.
 func (t *Team) CPULimit() (cores float64, limited bool) { return t.limit.Cores(), t.limit.cpus > 0 }
 
-// UnusedGuarantee is how many of its guaranteed cores the team does not use.
+// UnusedGuarantee returns the guaranteed cores that the team does not use, at least 0.
 func (t *Team) UnusedGuarantee() float64 { return max(0, t.guarantee.Minus(t.allocated).Cores()) }
 
-// WithinGuarantee tells whether the team has a guarantee that covers a demand.
+// WithinGuarantee reports whether the team has a guarantee and a demand does not exceed it.
 func (t *Team) WithinGuarantee(demand Units) bool {
 	return (t.guarantee.cpus > 0 || t.guarantee.gpus > 0) && demand.atMost(t.guarantee)
 }
 
-// Allows tells whether the team's limit allows so much use.
+// Allows reports whether a total use is within the team's limit.
 func (t *Team) Allows(use Units) bool {
 	return (t.limit.cpus == 0 || use.cpus <= t.limit.cpus) && (t.limit.gpus == 0 || use.gpus <= t.limit.gpus)
 }
 
-// AllowsAnother tells whether the team may have one more task of a size, besides what its tasks
-// may use unseen.
+// AllowsAnother reports whether the limit allows one more task of a size, in addition to the
+// allocations and to uncertain, what its tasks may use without the leader seeing it.
 func (t *Team) AllowsAnother(size slowfit.Size, uncertain Units) bool {
 	return t.Allows(t.allocated.Plus(uncertain).Plus(UnitsOf(size)))
 }
 
-// AdditionalTasks is how many more tasks of a size the team's limit allows while the team uses so much.
+// AdditionalTasks returns how many more tasks of a size the limit allows when the team uses the
+// given amount; math.MaxInt32 without a limit.
 func (t *Team) AdditionalTasks(size slowfit.Size, used Units) int {
 	need := UnitsOf(size)
-	n := math.MaxInt32
+	tasks := math.MaxInt32
 	if t.limit.cpus > 0 && need.cpus > 0 {
-		n = min(n, int((t.limit.cpus-used.cpus)/need.cpus))
+		tasks = min(tasks, int((t.limit.cpus-used.cpus)/need.cpus))
 	}
 	if t.limit.gpus > 0 && need.gpus > 0 {
-		n = min(n, int((t.limit.gpus-used.gpus)/need.gpus))
+		tasks = min(tasks, int((t.limit.gpus-used.gpus)/need.gpus))
 	}
-	return max(n, 0)
+	return max(tasks, 0)
 }
 
-// Teams are the quotas of all teams by index. The last one is for jobs of teams that the settings
-// no longer name: it has neither a guarantee nor a limit.
+// Teams holds the quotas of all teams by index. The last entry stands for teams that the settings no
+// longer name; it has neither a guarantee nor a limit.
 type Teams struct {
 	list        []Team
 	indexByName map[string]int32
 }
 
-// NewTeams takes the quotas from the settings.
+// NewTeams returns the quotas of the teams in the settings.
 func NewTeams(teams []settings.Team) Teams {
-	q := Teams{indexByName: map[string]int32{}}
-	for _, t := range teams {
-		q.indexByName[t.Name] = int32(len(q.list))
-		q.list = append(q.list, Team{guarantee: unitsFromSettings(t.CPUs, t.GPUs), limit: unitsFromSettings(t.CPUsMax, t.GPUsMax)})
+	quotas := Teams{indexByName: map[string]int32{}}
+	for _, team := range teams {
+		quotas.indexByName[team.Name] = int32(len(quotas.list))
+		quotas.list = append(quotas.list, Team{guarantee: unitsFromSettings(team.CPUs, team.GPUs), limit: unitsFromSettings(team.CPUsMax, team.GPUsMax)})
 	}
-	q.list = append(q.list, Team{})
-	return q
+	quotas.list = append(quotas.list, Team{})
+	return quotas
 }
 
-// Index is the index of a team.
-func (q *Teams) Index(name string) int32 {
-	if i, ok := q.indexByName[name]; ok {
-		return i
+// Index returns the index of a team. Teams that the settings do not name share the last index.
+func (t *Teams) Index(name string) int32 {
+	if index, ok := t.indexByName[name]; ok {
+		return index
 	}
-	return int32(len(q.list)) - 1
+	return int32(len(t.list)) - 1
 }
 
-// Len is the number of indices.
-func (q *Teams) Len() int { return len(q.list) }
+// Len returns the number of indices.
+func (t *Teams) Len() int { return len(t.list) }
 
-// Team is the team of an index.
-func (q *Teams) Team(index int32) *Team { return &q.list[index] }
+// Team returns the quota of the team at an index.
+func (t *Teams) Team(index int32) *Team { return &t.list[index] }
--- a/internal/scheduler/quota/quota_test.go
+++ b/internal/scheduler/quota/quota_test.go
@@ -33,18 +33,18 @@
 }
 
 func TestIndexOfAnUnknownTeam(t *testing.T) {
-	q := testTeams()
-	if got := q.Index("limited"); got != 2 {
+	teams := testTeams()
+	if got := teams.Index("limited"); got != 2 {
 		t.Errorf("index of a known team: %d, want 2", got)
 	}
-	unknown := q.Index("gone")
-	if int(unknown) != q.Len()-1 {
-		t.Errorf("index of an unknown team: %d, want the last of %d", unknown, q.Len())
+	unknown := teams.Index("gone")
+	if int(unknown) != teams.Len()-1 {
+		t.Errorf("index of an unknown team: %d, want the last of %d", unknown, teams.Len())
 	}
-	if !q.Team(unknown).AllowsAnother(slowfit.Size{CPUs: 1e6}, Units{}) {
+	if !teams.Team(unknown).AllowsAnother(slowfit.Size{CPUs: 1e6}, Units{}) {
 		t.Error("an unknown team has a limit")
 	}
-	if q.Team(unknown).WithinGuarantee(Units{}) {
+	if teams.Team(unknown).WithinGuarantee(Units{}) {
 		t.Error("an unknown team has a guarantee")
 	}
 }
@@ -60,25 +60,25 @@
 		{"none used", 0, 0, true},
 		{"one is left", 3, 0, true},
 		{"all allocated", 4, 0, false},
-		{"the rest may be used unseen", 2, 2, false},
-		{"one is left beside what may be used unseen", 2, 1, true},
+		{"the rest is uncertain use", 2, 2, false},
+		{"one is left besides the uncertain use", 2, 1, true},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			q := testTeams()
-			team := q.Team(q.Index("limited"))
+			teams := testTeams()
+			team := teams.Team(teams.Index("limited"))
 			for range test.allocated {
 				team.Allocate(one)
 			}
 			if got := team.AllowsAnother(one, UnitsOf(one).Times(test.uncertain)); got != test.want {
-				t.Errorf("another task is allowed: %t, want %t", got, test.want)
+				t.Errorf("another task allowed: %t, want %t", got, test.want)
 			}
 		})
 	}
 }
 
 func TestLimitOfEachResource(t *testing.T) {
-	q := testTeams()
-	team := q.Team(q.Index("limited"))
+	teams := testTeams()
+	team := teams.Team(teams.Index("limited"))
 	if !team.AllowsAnother(slowfit.Size{CPUs: 4, GPUs: 2}, Units{}) {
 		t.Error("a task of the whole limit is not allowed")
 	}
@@ -88,13 +88,13 @@
 	if cores, limited := team.CPULimit(); cores != 4 || !limited {
 		t.Errorf("limit of cores: %v, %t, want 4, true", cores, limited)
 	}
-	if _, limited := q.Team(q.Index("free")).CPULimit(); limited {
+	if _, limited := teams.Team(teams.Index("free")).CPULimit(); limited {
 		t.Error("a team without a limit is limited")
 	}
 }
 
 func TestAdditionalTasks(t *testing.T) {
-	q := testTeams()
+	teams := testTeams()
 	for _, test := range []struct {
 		name string
 		team string
@@ -106,25 +106,25 @@
 		{"by CPUs", "limited", slowfit.Size{CPUs: 1}, slowfit.Size{CPUs: 1}, 3},
 		{"by GPUs", "limited", slowfit.Size{CPUs: 1, GPUs: 1}, slowfit.Size{}, 2},
 		{"a part of a task is left", "limited", slowfit.Size{CPUs: 1.5}, slowfit.Size{CPUs: 1}, 2},
-		{"more is used than the limit", "limited", slowfit.Size{CPUs: 1}, slowfit.Size{CPUs: 6}, 0},
+		{"use exceeds the limit", "limited", slowfit.Size{CPUs: 1}, slowfit.Size{CPUs: 6}, 0},
 	} {
 		t.Run(test.name, func(t *testing.T) {
-			if got := q.Team(q.Index(test.team)).AdditionalTasks(test.size, UnitsOf(test.used)); got != test.want {
-				t.Errorf("room for %d tasks, want %d", got, test.want)
+			if got := teams.Team(teams.Index(test.team)).AdditionalTasks(test.size, UnitsOf(test.used)); got != test.want {
+				t.Errorf("%d additional tasks, want %d", got, test.want)
 			}
 		})
 	}
 }
 
 func TestGuarantee(t *testing.T) {
-	q := testTeams()
-	team := q.Team(q.Index("guaranteed"))
+	teams := testTeams()
+	team := teams.Team(teams.Index("guaranteed"))
 	for _, test := range []struct {
 		name   string
 		demand slowfit.Size
 		want   bool
 	}{
-		{"all of it", slowfit.Size{CPUs: 8, GPUs: 1}, true},
+		{"demand equals the guarantee", slowfit.Size{CPUs: 8, GPUs: 1}, true},
 		{"too many CPUs", slowfit.Size{CPUs: 8.1}, false},
 		{"too many GPUs", slowfit.Size{CPUs: 1, GPUs: 2}, false},
 	} {
@@ -137,8 +137,8 @@
 }
 
 func TestUnusedGuarantee(t *testing.T) {
-	q := testTeams()
-	team := q.Team(q.Index("guaranteed"))
+	teams := testTeams()
+	team := teams.Team(teams.Index("guaranteed"))
 	size := slowfit.Size{CPUs: 3}
 	for _, want := range []float64{8, 5, 2, 0} {
 		if got := team.UnusedGuarantee(); got != want {
@@ -149,6 +149,6 @@
 	team.Deallocate(size)
 	team.Deallocate(size)
 	if got := team.UnusedGuarantee(); got != 2 {
-		t.Errorf("unused after two have ended: %v, want 2", got)
+		t.Errorf("unused after two allocations have been released: %v, want 2", got)
 	}
 }
--- a/internal/scheduler/user_requests.go
+++ b/internal/scheduler/user_requests.go
@@ -4,49 +4,52 @@
 	"leadproxy/internal/wire"
 )
 
-func (c *Core) handleStatusRequest(e StatusRequest) {
-	i, ok := c.jobs.indexByID[e.JobID]
-	if !ok || c.jobs.list[i].transfer.origin != "" {
-		c.effects.emit(UserReply{ReplyTo: e.ReplyTo}) // users have access to a job in its origin cell alone
+// handleStatusRequest answers a user's request for the state of a job. A job of another cell counts
+// as unknown.
+func (c *Core) handleStatusRequest(event StatusRequest) {
+	index, ok := c.jobs.indexByID[event.JobID]
+	if !ok || c.jobs.list[index].transfer.origin != "" {
+		c.effects.emit(UserReply{ReplyTo: event.ReplyTo}) // users can access a job only in its origin cell
 		return
 	}
-	j := c.jobs.list[i]
-	c.effects.emit(UserReply{ReplyTo: e.ReplyTo, Known: true, Status: c.jobStatus(j), TerminalStatePending: c.jobs.terminalStatePending(j)})
+	j := c.jobs.list[index]
+	c.effects.emit(UserReply{ReplyTo: event.ReplyTo, Known: true, Status: c.jobStatus(j), TerminalStatePending: c.jobs.terminalStatePending(j)})
 }
 
-// jobStatus is what users may know of a job: a terminal state only once it is durable.
+// jobStatus returns a job's state as users may see it: a terminal state only once it is durable.
 func (c *Core) jobStatus(j *job) wire.JobStatus {
-	s := wire.JobStatus{ID: j.id, Status: wire.JobQueued, Done: j.progress.done}
+	status := wire.JobStatus{ID: j.id, Status: wire.JobQueued, Done: j.progress.done}
 	switch {
 	case j.end.durable:
-		s.Status = j.end.state
+		status.Status = j.end.state
 		if j.end.state == wire.JobDone {
-			s.Done = j.progress.total
+			status.Done = j.progress.total
 		}
 	default:
 		if j.transfer.delegated {
-			s.Done, s.Running = c.delegations.transfers.Progress(j.id)
+			status.Done, status.Running = c.delegations.transfers.Progress(j.id)
 		} else if j.progress.tasks != nil {
-			s.Running = c.runningTasks(j)
+			status.Running = c.runningTasks(j)
 		}
-		if s.Running > 0 {
-			s.Status = wire.JobRunning
+		if status.Running > 0 {
+			status.Status = wire.JobRunning
 		}
 	}
-	return s
+	return status
 }
 
+// runningTasks returns how many tasks of a job the latest heartbeats report as running.
 func (c *Core) runningTasks(j *job) int {
-	n := 0
+	running := 0
 	if j.progress.allocated == 0 {
 		return 0
 	}
-	for _, h := range j.record.hosts {
-		for _, b := range c.machines.list[h.machine].capacity.allocations {
-			if b.job == j.index && b.status == wire.TaskRunning {
-				n++
+	for _, host := range j.record.hosts {
+		for _, alloc := range c.machines.list[host.machine].capacity.allocations {
+			if alloc.job == j.index && alloc.status == wire.TaskRunning {
+				running++
 			}
 		}
 	}
-	return n
+	return running
 }
