--- a/internal/controller/heartbeat_handler.go
+++ b/internal/controller/heartbeat_handler.go
@@ -177,7 +177,7 @@
 func (h *heartbeatHandler) response(term uint64, reply scheduler.HeartbeatReply, err error) jobapi.Response {
 	var response wire.HeartbeatResponse
 	if err == nil {
-		response, err = h.guard.Response(term, reply)
+		response, err = h.guard.FilterResponse(term, reply)
 	}
 	switch {
 	case err == nil:
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -21,7 +21,7 @@
 // fails or ctx ends.
 func (c *components) serve(ctx context.Context, public, internal net.Listener) error {
 	router := httprouter.New()
-	c.jobs.Routes(router)
+	c.jobs.RegisterRoutes(router)
 	router.POST("/v1/report", c.heartbeats.serve)
 	grpcServer := peers.NewServer(peers.ServerConfig{
 		Jobs: c.jobs, Heartbeats: c.heartbeats, GrantExtension: c.elector.GrantExtension, DirectHeartbeats: c.heartbeats.direct.countWithin,
--- a/internal/dispatch/cloud_calls_test.go
+++ b/internal/dispatch/cloud_calls_test.go
@@ -12,19 +12,19 @@
 	"leadproxy/internal/transport"
 )
 
-// leadershipUntilLost leads until it is set to false.
-type leadershipUntilLost struct{ leads atomic.Bool }
+// fakeLeadership leads until it is set to false.
+type fakeLeadership struct{ leads atomic.Bool }
 
-func (l *leadershipUntilLost) IsLeader(uint64) bool { return l.leads.Load() }
+func (l *fakeLeadership) IsLeader(uint64) bool { return l.leads.Load() }
 
-// TestCloudCallWaitsPastTheTerm guards against a deletion that was decided in the term, waited for
+// TestCloudCallNotSentAfterTermEnds guards against a deletion that was decided in the term, waited for
 // the cloud's rate, and left after the term: the machine may be the next leader's by then.
-func TestCloudCallWaitsPastTheTerm(t *testing.T) {
+func TestCloudCallNotSentAfterTermEnds(t *testing.T) {
 	const interval = 300 * time.Millisecond // between two calls
 	var received atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { received.Add(1) }))
 	defer server.Close()
-	leadership := &leadershipUntilLost{}
+	leadership := &fakeLeadership{}
 	leadership.leads.Store(true)
 	term := newTestTerm(t)
 	term.guard = NewSendGuard(leadership, term.log)
--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -34,9 +34,9 @@
 	if !maySend() {
 		return scheduler.CommandNotSent, nil
 	}
-	request := workerRequest{address: effect.Address, method: http.MethodPost, path: "/commands"}
+	request := agentRequest{address: effect.Address, method: http.MethodPost, path: "/commands"}
 	request.encode = func() ([]byte, error) { return d.encodeCommands(term, effect) }
-	response, err := d.commandPool.call(ctx, request, maySend)
+	response, err := d.agentConnections.call(ctx, request, maySend)
 	d.countUnanswered(response, err)
 	switch {
 	case errors.Is(err, errWithdrawn):
@@ -59,19 +59,19 @@
 
 // encodeCommands makes the body of a direct command of what may leave at this moment.
 func (d *Dispatcher) encodeCommands(term uint64, effect scheduler.SendCommands) ([]byte, error) {
-	request, err := d.guard.DirectCommands(term, effect)
+	request, err := d.guard.FilterCommandRequest(term, effect)
 	if err != nil {
 		return nil, err
 	}
 	return json.Marshal(request)
 }
 
-// always is for requests that may be sent at any time.
-func always() bool { return true }
+// alwaysAllowed is for requests that may be sent at any time.
+func alwaysAllowed() bool { return true }
 
 // countUnanswered counts the commands in a row that no worker has answered. A command that
 // was held back because the term is over, or withdrawn, is none of them.
-func (d *Dispatcher) countUnanswered(response workerResponse, err error) {
+func (d *Dispatcher) countUnanswered(response agentResponse, err error) {
 	switch {
 	case !response.sent && (errors.Is(err, ErrNotLeader) || errors.Is(err, errWithdrawn)):
 	case err != nil:
@@ -92,12 +92,12 @@
 	return scheduler.CommandOutcomeUnknown
 }
 
-// inspectWorker asks a worker for its state and passes the response to the core. Reading
+// inspectAgent asks a worker for its state and passes the response to the core. Reading
 // does no harm, so it takes no leadership check.
-func (d *Dispatcher) inspectWorker(ctx context.Context, effect scheduler.InspectAgent) {
+func (d *Dispatcher) inspectAgent(ctx context.Context, effect scheduler.InspectAgent) {
 	result := scheduler.InspectResult{Machine: effect.Machine}
-	request := workerRequest{address: effect.Address, method: http.MethodGet, path: "/inspect"}
-	response, err := d.commandPool.call(ctx, request, always)
+	request := agentRequest{address: effect.Address, method: http.MethodGet, path: "/inspect"}
+	response, err := d.agentConnections.call(ctx, request, alwaysAllowed)
 	switch {
 	case err != nil:
 		d.log.Debug("worker inspection failed", "machine", effect.Machine, "error", err)
--- a/internal/dispatch/command_pool.go
+++ b/internal/dispatch/connection_pool.go
@@ -19,10 +19,10 @@
 // idleTimeout is how long an unused connection is kept open.
 const idleTimeout = time.Minute
 
-// commandPool sends commands to workers. Opening a connection costs several times as much
+// connectionPool sends commands to workers. Opening a connection costs several times as much
 // as a command, so connections are kept open between two commands as far as there are
 // sockets. The idle ones are owned by the goroutine that executes run.
-type commandPool struct {
+type connectionPool struct {
 	network  transport.Network
 	limits   ConnectionLimits
 	inFlight chan struct{} // semaphore: one element for each command in flight
@@ -44,8 +44,8 @@
 	connection *transport.Conn
 }
 
-func newCommandPool(network transport.Network, limits ConnectionLimits) *commandPool {
-	return &commandPool{
+func newConnectionPool(network transport.Network, limits ConnectionLimits) *connectionPool {
+	return &connectionPool{
 		network:  network,
 		limits:   limits,
 		inFlight: make(chan struct{}, limits.MaxInFlight),
@@ -57,7 +57,7 @@
 }
 
 // run keeps idle connections until ctx ends.
-func (p *commandPool) run(ctx context.Context) {
+func (p *connectionPool) run(ctx context.Context) {
 	defer close(p.stopped)
 	idle := idleConnections{}
 	defer idle.trimTo(0)
@@ -80,7 +80,7 @@
 }
 
 // maxIdle is how many idle connections may be kept at the moment.
-func (p *commandPool) maxIdle() int {
+func (p *connectionPool) maxIdle() int {
 	if p.limits.SocketsScarce() {
 		return p.limits.MaxIdleWhenScarce
 	}
@@ -88,7 +88,7 @@
 }
 
 // trimIdle closes the idle connections beyond MaxIdleWhenScarce.
-func (p *commandPool) trimIdle() {
+func (p *connectionPool) trimIdle() {
 	select {
 	case p.trim <- struct{}{}:
 	case <-p.stopped:
@@ -139,8 +139,8 @@
 	delete(c, address)
 }
 
-// workerRequest is an HTTP request to a worker.
-type workerRequest struct {
+// agentRequest is an HTTP request to a worker.
+type agentRequest struct {
 	address string
 	method  string
 	path    string
@@ -150,9 +150,9 @@
 	encode func() ([]byte, error)
 }
 
-// workerResponse is what came of a workerRequest. With sent false, no part of the request
+// agentResponse is what came of a agentRequest. With sent false, no part of the request
 // has left this process; with sent true and an error, the outcome is unknown.
-type workerResponse struct {
+type agentResponse struct {
 	sent   bool
 	status int
 	body   []byte
@@ -161,36 +161,36 @@
 // call sends one request to a worker and waits for the response. maySend is checked once
 // the connection is open, right before the request is sent: opening may have taken longer
 // than the leader's lease.
-func (p *commandPool) call(ctx context.Context, request workerRequest, maySend func() bool) (workerResponse, error) {
+func (p *connectionPool) call(ctx context.Context, request agentRequest, maySend func() bool) (agentResponse, error) {
 	select {
 	case p.inFlight <- struct{}{}:
 		defer func() { <-p.inFlight }()
 	case <-ctx.Done():
-		return workerResponse{}, ctx.Err()
+		return agentResponse{}, ctx.Err()
 	}
 	deadline := time.Now().Add(commandTimeout)
-	connection, err := p.connection(ctx, request.address)
+	connection, err := p.acquireConnection(ctx, request.address)
 	if err != nil {
-		return workerResponse{}, err
+		return agentResponse{}, err
 	}
-	defer p.keep(ctx, request.address, connection)
+	defer p.releaseConnection(ctx, request.address, connection)
 	if err := connection.Open(ctx, dialTimeout); err != nil {
-		return workerResponse{}, err
+		return agentResponse{}, err
 	}
 	if !maySend() {
-		return workerResponse{}, ErrNotLeader
+		return agentResponse{}, ErrNotLeader
 	}
 	if request.encode != nil {
 		if request.body, err = request.encode(); err != nil {
-			return workerResponse{}, err
+			return agentResponse{}, err
 		}
 	}
 	response, err := connection.Do(deadline, transport.Request{Method: request.method, Path: request.path, Body: request.body})
-	return workerResponse{sent: true, status: response.Status, body: response.Body}, err
+	return agentResponse{sent: true, status: response.Status, body: response.Body}, err
 }
 
-// connection returns an idle connection to an address, or a new one that is not open yet.
-func (p *commandPool) connection(ctx context.Context, address string) (*transport.Conn, error) {
+// acquireConnection returns an idle connection to an address, or a new one that is not open yet.
+func (p *connectionPool) acquireConnection(ctx context.Context, address string) (*transport.Conn, error) {
 	request := acquireRequest{address: address, reply: make(chan *transport.Conn, 1)}
 	select {
 	case p.acquire <- request:
@@ -203,8 +203,8 @@
 	return transport.NewConn(p.network, address), nil
 }
 
-// keep gives a connection back for the next command, if it is still open.
-func (p *commandPool) keep(ctx context.Context, address string, connection *transport.Conn) {
+// releaseConnection gives a connection back for the next command, if it is still open.
+func (p *connectionPool) releaseConnection(ctx context.Context, address string, connection *transport.Conn) {
 	if !connection.IsOpen() {
 		return
 	}
--- a/internal/dispatch/command_pool_test.go
+++ b/internal/dispatch/connection_pool_test.go
@@ -12,8 +12,8 @@
 	"leadproxy/internal/transport"
 )
 
-// startWorkers starts HTTP servers that accept every command. opened counts their connections.
-func startWorkers(t *testing.T, count int) (addresses []string, opened *atomic.Int64) {
+// startAgents starts HTTP servers that accept every command. opened counts their connections.
+func startAgents(t *testing.T, count int) (addresses []string, opened *atomic.Int64) {
 	t.Helper()
 	opened = &atomic.Int64{}
 	for range count {
@@ -30,16 +30,16 @@
 	return addresses, opened
 }
 
-func commandTo(address string) workerRequest {
-	return workerRequest{address: address, method: http.MethodPost, path: "/commands", body: []byte("{}")}
+func newCommandRequest(address string) agentRequest {
+	return agentRequest{address: address, method: http.MethodPost, path: "/commands", body: []byte("{}")}
 }
 
 // TestIdleConnectionLimits: connections are kept between commands as far as there are
 // sockets, and no further.
 func TestIdleConnectionLimits(t *testing.T) {
-	workers, opened := startWorkers(t, 4)
+	workers, opened := startAgents(t, 4)
 	var scarce atomic.Bool
-	pool := newCommandPool(transport.TCP{}, ConnectionLimits{MaxInFlight: 2, MaxIdle: 3, MaxIdleWhenScarce: 1, SocketsScarce: scarce.Load})
+	pool := newConnectionPool(transport.TCP{}, ConnectionLimits{MaxInFlight: 2, MaxIdle: 3, MaxIdleWhenScarce: 1, SocketsScarce: scarce.Load})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go pool.run(ctx)
@@ -47,7 +47,7 @@
 		t.Helper()
 		before := opened.Load()
 		for _, address := range workers {
-			response, err := pool.call(ctx, commandTo(address), func() bool { return true })
+			response, err := pool.call(ctx, newCommandRequest(address), func() bool { return true })
 			if response.status != http.StatusOK || !response.sent || err != nil {
 				t.Errorf("%s: %d %v %v", name, response.status, response.sent, err)
 			}
@@ -66,12 +66,12 @@
 // TestCommandIsNotSentPastTheTerm: once the connection is open, the leadership is checked
 // again before anything is sent.
 func TestCommandIsNotSentPastTheTerm(t *testing.T) {
-	workers, _ := startWorkers(t, 1)
-	pool := newCommandPool(transport.TCP{}, ConnectionLimits{MaxInFlight: 2, MaxIdle: 3, MaxIdleWhenScarce: 1, SocketsScarce: func() bool { return false }})
+	workers, _ := startAgents(t, 1)
+	pool := newConnectionPool(transport.TCP{}, ConnectionLimits{MaxInFlight: 2, MaxIdle: 3, MaxIdleWhenScarce: 1, SocketsScarce: func() bool { return false }})
 	ctx, cancel := context.WithCancel(t.Context())
 	defer cancel()
 	go pool.run(ctx)
-	response, err := pool.call(ctx, commandTo(workers[0]), func() bool { return false })
+	response, err := pool.call(ctx, newCommandRequest(workers[0]), func() bool { return false })
 	if response.sent || !errors.Is(err, ErrNotLeader) {
 		t.Errorf("sent %v, error %v", response.sent, err)
 	}
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -65,14 +65,14 @@
 // Dispatcher gives the other parts of a controller access to the scheduler's core. It runs
 // one core for each term that this controller leads, and rejects requests in between.
 type Dispatcher struct {
-	config      Config
-	log         *slog.Logger
-	elector     *election.Elector
-	store       *kvstore.Client
-	started     time.Time
-	guard       *SendGuard
-	commandPool *commandPool
-	mailboxes   mailboxes
+	config           Config
+	log              *slog.Logger
+	elector          *election.Elector
+	store            *kvstore.Client
+	started          time.Time
+	guard            *SendGuard
+	agentConnections *connectionPool
+	mailboxes        mailboxes
 	// expectedMachines is how many machines should be sending heartbeats to this leader.
 	expectedMachines atomic.Int64
 	// unansweredCommands is how many commands in a row no worker has answered.
@@ -82,28 +82,28 @@
 // NewDispatcher makes a dispatcher; Run starts it.
 func NewDispatcher(config Config) *Dispatcher {
 	return &Dispatcher{
-		config:      config,
-		log:         config.Log,
-		elector:     config.Elector,
-		store:       config.Store,
-		started:     time.Now(),
-		guard:       NewSendGuard(config.Elector, config.Log),
-		commandPool: newCommandPool(config.Network, config.Connections),
-		mailboxes:   newMailboxes(),
+		config:           config,
+		log:              config.Log,
+		elector:          config.Elector,
+		store:            config.Store,
+		started:          time.Now(),
+		guard:            NewSendGuard(config.Elector, config.Log),
+		agentConnections: newConnectionPool(config.Network, config.Connections),
+		mailboxes:        newMailboxes(),
 	}
 }
 
-// clocks reads the monotonic time and the time of day at one moment. Lease expiry is
+// readClocks reads the monotonic time and the time of day at one moment. Lease expiry is
 // converted from the one to the other: if the process stood still between two readings,
 // leases would be found expired too early.
-func (d *Dispatcher) clocks() (now time.Duration, wallMS int64) {
+func (d *Dispatcher) readClocks() (now time.Duration, wallMS int64) {
 	t := time.Now()
 	return t.Sub(d.started), t.UnixMilli()
 }
 
 // CloseIdleConnections closes the idle connections to workers beyond those that are kept
 // while sockets are scarce.
-func (d *Dispatcher) CloseIdleConnections() { d.commandPool.trimIdle() }
+func (d *Dispatcher) CloseIdleConnections() { d.agentConnections.trimIdle() }
 
 // UnansweredCommands is how many commands in a row no worker has answered.
 func (d *Dispatcher) UnansweredCommands() int { return int(d.unansweredCommands.Load()) }
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -22,13 +22,13 @@
 			effect.Starts.Defer()
 			go t.sendCommands(ctx, t.number, effect)
 		case scheduler.InspectAgent:
-			go t.inspectWorker(ctx, effect)
+			go t.inspectAgent(ctx, effect)
 		case scheduler.ResignLeadership:
 			t.elector.Resign(t.number)
 		case scheduler.SendTransfers:
 			go t.sendTransfers(ctx, effect)
 		case scheduler.RequestCapacity:
-			go t.askCapacity(ctx, effect)
+			go t.requestCapacity(ctx, effect)
 		case scheduler.WriteForeign:
 			go t.writeForeignRecord(ctx, effect)
 		case scheduler.TraceTransfer:
--- a/internal/dispatch/event_loop.go
+++ b/internal/dispatch/event_loop.go
@@ -23,7 +23,7 @@
 		t.applyBatch(ctx, event, &throttle)
 		began := time.Now()
 		effects := t.core.Flush()
-		throttle.placed(began, time.Since(began))
+		throttle.recordPlacement(began, time.Since(began))
 		t.expectedMachines.Store(int64(t.core.ExpectedAgents()))
 		t.executeEffects(ctx, effects)
 		t.recordFailover(effects)
@@ -56,7 +56,7 @@
 	if _, isTick := event.(scheduler.Tick); isTick && !t.elector.IsLeader(t.number) {
 		return
 	}
-	now, wall := t.clocks()
+	now, wall := t.readClocks()
 	t.core.Step(event, now, wall)
 }
 
@@ -64,9 +64,9 @@
 // controllers know transfers between cells.
 func (t *term) updateCapabilities() {
 	size := t.maxValueBytes()
-	now, wall := t.clocks()
-	if size != t.valueBytes {
-		t.valueBytes = size
+	now, wall := t.readClocks()
+	if size != t.coreValueLimit {
+		t.coreValueLimit = size
 		t.core.Step(scheduler.ValueLimitChanged{MaxValueBytes: size}, now, wall)
 	}
 	if !t.transfersEnabled && t.config.TransfersSupported() {
--- a/internal/dispatch/federation.go
+++ b/internal/dispatch/federation.go
@@ -53,8 +53,8 @@
 	t.postEvent(ctx, scheduler.TransferResult{Cell: effect.Cell, Answers: answers, Err: err})
 }
 
-// askCapacity asks another cell for capacity and passes its offer to the core.
-func (t *term) askCapacity(ctx context.Context, effect scheduler.RequestCapacity) {
+// requestCapacity asks another cell for capacity and passes its offer to the core.
+func (t *term) requestCapacity(ctx context.Context, effect scheduler.RequestCapacity) {
 	offer, err := t.config.Neighbours.AskCapacity(ctx, effect.Cell, effect.Cores)
 	t.postEvent(ctx, scheduler.CapacityResult{
 		Cell: effect.Cell, Cores: offer.Cores, For: offer.For, RetryAfter: offer.RetryAfter, Reason: offer.Reason, Err: err,
--- a/internal/dispatch/foreign_records.go
+++ b/internal/dispatch/foreign_records.go
@@ -23,17 +23,17 @@
 
 // Errors of a write of a foreign job's record.
 var (
-	// errTermOver: the leader's key has changed, so this term may write nothing more.
-	errTermOver = errors.New("the term is over")
-	// errForeignChanged: the record's key was written by another transaction.
-	errForeignChanged = errors.New("the key of the foreign job's record has changed")
+	// errTermEnded: the leader's key has changed, so this term may write nothing more.
+	errTermEnded = errors.New("the term is over")
+	// errForeignRecordChanged: the record's key was written by another transaction.
+	errForeignRecordChanged = errors.New("the key of the foreign job's record has changed")
 )
 
 // writeForeignRecord writes the record of a job of another cell by compare-and-swap, again
 // and again until the outcome is certain or the term is over.
 func (t *term) writeForeignRecord(ctx context.Context, effect scheduler.WriteForeign) {
 	job := effect.Write.Key.JobID
-	transaction, err := t.foreignTransaction(effect)
+	transaction, err := t.newForeignTransaction(effect)
 	if err != nil {
 		t.log.Error("foreign job record encoding failed", "job", job, "error", err)
 		return
@@ -44,7 +44,7 @@
 			t.postEvent(ctx, result)
 			return
 		}
-		if errors.Is(err, errTermOver) {
+		if errors.Is(err, errTermEnded) {
 			return
 		}
 		t.log.Debug("foreign job record write failed, retrying", "job", job, "error", err)
@@ -52,7 +52,7 @@
 	}
 }
 
-// tryForeignWrite tries the write once. An error other than errTermOver means that its
+// tryForeignWrite tries the write once. An error other than errTermEnded means that its
 // outcome is not certain yet.
 func (t *term) tryForeignWrite(ctx context.Context, effect scheduler.WriteForeign, transaction wire.CompareAndSwap) (scheduler.ForeignWriteResult, error) {
 	swapped, response, err := t.store.CompareAndSwap(ctx, kvstore.PriorityLeader, transaction)
@@ -62,14 +62,14 @@
 	case swapped:
 		return scheduler.ForeignWriteResult{Write: effect.Write, Job: effect.Job, Version: response.Revision}, nil
 	case slices.Contains(response.FailedKeys, election.LeaderKey):
-		return scheduler.ForeignWriteResult{}, errTermOver
+		return scheduler.ForeignWriteResult{}, errTermEnded
 	}
-	return t.rereadForeignRecord(ctx, effect)
+	return t.resolveForeignWrite(ctx, effect)
 }
 
-// foreignTransaction is the transaction of such a write. A late copy of it finds the
+// newForeignTransaction is the transaction of such a write. A late copy of it finds the
 // record's key changed, and that key is never deleted.
-func (t *term) foreignTransaction(effect scheduler.WriteForeign) (wire.CompareAndSwap, error) {
+func (t *term) newForeignTransaction(effect scheduler.WriteForeign) (wire.CompareAndSwap, error) {
 	key := ledger.ForeignKey(effect.Write.Key)
 	value, err := json.Marshal(effect.Write.Record)
 	if err != nil {
@@ -92,9 +92,9 @@
 	return transaction, nil
 }
 
-// rereadForeignRecord finds the outcome of a write whose conditions failed: an earlier try
+// resolveForeignWrite finds the outcome of a write whose conditions failed: an earlier try
 // of it was carried out, or there is a job of that name.
-func (t *term) rereadForeignRecord(ctx context.Context, effect scheduler.WriteForeign) (scheduler.ForeignWriteResult, error) {
+func (t *term) resolveForeignWrite(ctx context.Context, effect scheduler.WriteForeign) (scheduler.ForeignWriteResult, error) {
 	entry, found, err := t.store.Get(ctx, kvstore.PriorityLeader, ledger.ForeignKey(effect.Write.Key))
 	if err != nil {
 		return scheduler.ForeignWriteResult{}, err
@@ -106,5 +106,5 @@
 	if entry.Version == effect.Write.Version && effect.Job != nil {
 		return scheduler.ForeignWriteResult{Write: effect.Write, Job: effect.Job, JobExists: true}, nil
 	}
-	return scheduler.ForeignWriteResult{}, errForeignChanged
+	return scheduler.ForeignWriteResult{}, errForeignRecordChanged
 }
--- a/internal/dispatch/heartbeats.go
+++ b/internal/dispatch/heartbeats.go
@@ -10,7 +10,7 @@
 // Heartbeat has the core answer a worker's heartbeat. What the reply holds may be sent only after
 // the SendGuard has passed it.
 func (d *Dispatcher) Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) (scheduler.HeartbeatReply, error) {
-	reply, err := ask[scheduler.HeartbeatReply](ctx, d.mailboxes.heartbeats, func(replyTo scheduler.Recipient) scheduler.Event {
+	reply, err := askCore[scheduler.HeartbeatReply](ctx, d.mailboxes.heartbeats, func(replyTo scheduler.Recipient) scheduler.Event {
 		return scheduler.HeartbeatEvent{Heartbeat: heartbeat, ReplyTo: replyTo}
 	})
 	if err != nil {
--- a/internal/dispatch/requests.go
+++ b/internal/dispatch/requests.go
@@ -27,8 +27,8 @@
 	caller caller
 }
 
-// eventFor makes the event of a request whose reply goes to a recipient.
-type eventFor func(replyTo scheduler.Recipient) scheduler.Event
+// eventBuilder makes the event of a request whose reply goes to a recipient.
+type eventBuilder func(replyTo scheduler.Recipient) scheduler.Event
 
 // outcome is what came of a request that expects a reply of type R.
 type outcome[R scheduler.Effect] struct {
@@ -74,16 +74,16 @@
 	}
 }
 
-// ask has the core answer a request of a mailbox. While this controller runs no term, the
+// askCore has the core answer a request of a mailbox. While this controller runs no term, the
 // error is ErrNotLeader.
-func ask[R scheduler.Effect](ctx context.Context, mailbox chan<- request, event eventFor) (R, error) {
+func askCore[R scheduler.Effect](ctx context.Context, mailbox chan<- request, event eventBuilder) (R, error) {
 	pending := newPendingReply[R]()
 	return sendAndWait(ctx, mailbox, request{event: event(pending), caller: pending}, pending)
 }
 
 // askLeader has the core answer a request with the priority of internal events, if this
 // controller leads. The reply is valid only if the term still holds as it arrives.
-func askLeader[R scheduler.Effect](ctx context.Context, d *Dispatcher, event eventFor) (R, error) {
+func askLeader[R scheduler.Effect](ctx context.Context, d *Dispatcher, event eventBuilder) (R, error) {
 	var none R
 	view := d.elector.View()
 	if !view.IsLeader(time.Now()) {
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -9,8 +9,8 @@
 	"leadproxy/internal/wire"
 )
 
-// TestAsk: a request ends with the core's reply, an error, or its context.
-func TestAsk(t *testing.T) {
+// TestAskCore: a request ends with the core's reply, an error, or its context.
+func TestAskCore(t *testing.T) {
 	refused := errors.New("refused")
 	cases := []struct {
 		name    string
@@ -29,7 +29,7 @@
 			defer cancel()
 			mailbox := make(chan request, 1)
 			go func() { c.respond(<-mailbox, cancel) }()
-			reply, err := ask[scheduler.UserReply](ctx, mailbox, func(replyTo scheduler.Recipient) scheduler.Event {
+			reply, err := askCore[scheduler.UserReply](ctx, mailbox, func(replyTo scheduler.Recipient) scheduler.Event {
 				return scheduler.StatusRequest{ReplyTo: replyTo}
 			})
 			if reply.Known != c.known || !errors.Is(err, c.err) {
--- a/internal/dispatch/rollout_plans.go
+++ b/internal/dispatch/rollout_plans.go
@@ -9,16 +9,16 @@
 
 // CreatePlan begins a rollout plan, if this controller leads.
 func (d *Dispatcher) CreatePlan(ctx context.Context, spec rollout.Spec) error {
-	return d.requestPlan(ctx, scheduler.PlanRequest{Spec: &spec})
+	return d.sendPlanRequest(ctx, scheduler.PlanRequest{Spec: &spec})
 }
 
 // SteerPlan gives a command to a rollout plan, if this controller leads.
 func (d *Dispatcher) SteerPlan(ctx context.Context, name string, command rollout.Command, argument string) error {
-	return d.requestPlan(ctx, scheduler.PlanRequest{Name: name, Command: command, Argument: argument})
+	return d.sendPlanRequest(ctx, scheduler.PlanRequest{Name: name, Command: command, Argument: argument})
 }
 
-// requestPlan waits until a request about a plan is durable or refused.
-func (d *Dispatcher) requestPlan(ctx context.Context, request scheduler.PlanRequest) error {
+// sendPlanRequest waits until a request about a plan is durable or refused.
+func (d *Dispatcher) sendPlanRequest(ctx context.Context, request scheduler.PlanRequest) error {
 	reply, err := askLeader[scheduler.PlanReply](ctx, d, func(replyTo scheduler.Recipient) scheduler.Event {
 		request.ReplyTo = replyTo
 		return request
--- a/internal/dispatch/send_guard.go
+++ b/internal/dispatch/send_guard.go
@@ -26,9 +26,9 @@
 // decision can wait for a batch, a connection or its turn, and what it rested on can end
 // meanwhile.
 type SendGuard struct {
-	elector   Leadership
-	log       *slog.Logger
-	forbidden atomic.Int64 // starts that should have been withdrawn
+	elector         Leadership
+	log             *slog.Logger
+	forbiddenStarts atomic.Int64 // starts that should have been withdrawn
 }
 
 // Leadership tells whether this controller leads.
@@ -52,38 +52,38 @@
 	return true
 }
 
-// Response returns what may leave now of the response to a heartbeat, or ErrNotLeader past the end
+// FilterResponse returns what may leave now of the response to a heartbeat, or ErrNotLeader past the end
 // of the term.
-func (g *SendGuard) Response(term uint64, reply scheduler.HeartbeatReply) (wire.HeartbeatResponse, error) {
+func (g *SendGuard) FilterResponse(term uint64, reply scheduler.HeartbeatReply) (wire.HeartbeatResponse, error) {
 	if !g.elector.IsLeader(term) {
 		return wire.HeartbeatResponse{}, ErrNotLeader
 	}
-	sendable := g.sendable(term, reply.Response.Commands, reply.Starts)
+	sendable := g.takeSendable(term, reply.Response.Commands, reply.Starts)
 	if len(sendable) > 0 {
 		g.logAction(term, "heartbeat response")
 	}
 	return wire.HeartbeatResponse{FencingToken: reply.Response.FencingToken, Commands: sendable}, nil
 }
 
-// DirectCommands returns what may leave now of the direct commands to a worker: ErrNotLeader past
+// FilterCommandRequest returns what may leave now of the direct commands to a worker: ErrNotLeader past
 // the end of the term, errWithdrawn if no command is left.
-func (g *SendGuard) DirectCommands(term uint64, effect scheduler.SendCommands) (wire.CommandRequest, error) {
+func (g *SendGuard) FilterCommandRequest(term uint64, effect scheduler.SendCommands) (wire.CommandRequest, error) {
 	if !g.elector.IsLeader(term) {
 		return wire.CommandRequest{}, ErrNotLeader
 	}
 	request := effect.Request
-	request.Commands = g.sendable(term, request.Commands, effect.Starts)
+	request.Commands = g.takeSendable(term, request.Commands, effect.Starts)
 	if len(request.Commands) == 0 && len(effect.Request.Commands) > 0 {
 		return wire.CommandRequest{}, errWithdrawn
 	}
 	return request, nil
 }
 
-// sendable returns the commands whose starts were not withdrawn. They count as sent from then on.
-func (g *SendGuard) sendable(term uint64, commands []wire.Command, starts scheduler.StartDeliveries) []wire.Command {
+// takeSendable returns the commands whose starts were not withdrawn. They count as sent from then on.
+func (g *SendGuard) takeSendable(term uint64, commands []wire.Command, starts scheduler.StartDeliveries) []wire.Command {
 	sendable, forbidden := starts.TakeSendable(commands)
 	for _, start := range forbidden {
-		g.log.Error(MessageForbiddenStart, "leader_term", term, "task", start.Task, "attempt", start.Attempt, "count", g.forbidden.Add(1))
+		g.log.Error(MessageForbiddenStart, "leader_term", term, "task", start.Task, "attempt", start.Attempt, "count", g.forbiddenStarts.Add(1))
 	}
 	if len(starts) > 0 && g.log.Enabled(context.Background(), slog.LevelDebug) {
 		g.logStarts(term, sendable)
--- a/internal/dispatch/soft_state.go
+++ b/internal/dispatch/soft_state.go
@@ -24,8 +24,8 @@
 // has in memory.
 const softStateTimeout = 100 * time.Millisecond
 
-// viewSoftState returns the soft state for a term that begins, or nil.
-func (d *Dispatcher) viewSoftState(ctx context.Context, term uint64) *softstate.View {
+// loadSoftState returns the soft state for a term that begins, or nil.
+func (d *Dispatcher) loadSoftState(ctx context.Context, term uint64) *softstate.View {
 	if d.config.SoftState == nil {
 		return nil
 	}
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -19,8 +19,8 @@
 	cloud   *autoscaler.Client
 	ticker  *time.Ticker
 	timings failoverTimings
-	// valueBytes is the largest size of a value that the core knows.
-	valueBytes int
+	// coreValueLimit is the largest size of a value that the core knows.
+	coreValueLimit int
 	// transfersEnabled: the core knows that all controllers support transfers.
 	transfersEnabled bool
 }
@@ -33,8 +33,8 @@
 	// minTransactionChanges is what a transaction of the ledger must hold: a write, and
 	// the fence.
 	minTransactionChanges = 2
-	// deferrablePart is the part of the leader's writes, as a divisor, for those that can wait.
-	deferrablePart = 4
+	// deferrableDivisor is the part of the leader's writes, as a divisor, for those that can wait.
+	deferrableDivisor = 4
 	// leaderCloudShare is the share of the cloud's request rate that the leader uses. The
 	// rest is for the controllers' reads of machine types.
 	leaderCloudShare = 0.85
@@ -69,15 +69,15 @@
 	go cloud.Run(ctx)
 	go d.watchJobs(ctx, snapshot.Revision)
 
-	softState := d.viewSoftState(ctx, number)
-	now, wall := d.clocks()
+	softState := d.loadSoftState(ctx, number)
+	now, wall := d.readClocks()
 	valueBytes := d.maxValueBytes()
 	config := scheduler.Config{
 		Term: number, Platform: d.config.Platform, Operator: d.config.Operator,
 		MaxValueBytes: valueBytes, SoftState: softState,
 	}
 	t := &term{
-		Dispatcher: d, number: number, ledger: ledgerWriter, cloud: cloud, timings: timings, valueBytes: valueBytes,
+		Dispatcher: d, number: number, ledger: ledgerWriter, cloud: cloud, timings: timings, coreValueLimit: valueBytes,
 		core:   scheduler.NewCore(config, snapshot, now, wall, d.log),
 		ticker: time.NewTicker(tickInterval),
 	}
@@ -95,7 +95,7 @@
 		MaxChanges:       max(minTransactionChanges, min(store.MaxChanges, int(writesPerSecond))),
 		TransactionBytes: maxTransactionBytes,
 		ValueBytes:       store.MaxValueBytes,
-		DeferrableRate:   writesPerSecond / deferrablePart,
+		DeferrableRate:   writesPerSecond / deferrableDivisor,
 	}
 }
 
--- a/internal/dispatch/term_lifecycle.go
+++ b/internal/dispatch/term_lifecycle.go
@@ -15,7 +15,7 @@
 
 // Run serves one term after the other until ctx ends.
 func (d *Dispatcher) Run(ctx context.Context) {
-	go d.commandPool.run(ctx)
+	go d.agentConnections.run(ctx)
 	var current *runningTerm
 	defer func() { current.end() }()
 	for {
@@ -72,19 +72,21 @@
 // The shares of the key-value store's request rate. All together stay below the whole, also
 // while a new leader reads the ledger.
 const (
-	soleLeaderShare = 0.9
-	clusterShare    = 0.75 // of a leader that has followers
-	followersShare  = 0.2  // of all followers together
+	soleLeaderShare          = 0.9
+	leaderWithFollowersShare = 0.75 // of a leader that has followers
+	allFollowersShare        = 0.2  // of all followers together
 )
 
 // FollowerShare is the share of the key-value store's request rate for a controller that
 // does not lead.
-func FollowerShare(controllers int) float64 { return followersShare / float64(max(controllers-1, 1)) }
+func FollowerShare(controllers int) float64 {
+	return allFollowersShare / float64(max(controllers-1, 1))
+}
 
 // leaderShare is the share for the leader.
 func leaderShare(controllers int) float64 {
 	if controllers <= 1 {
 		return soleLeaderShare
 	}
-	return clusterShare
+	return leaderWithFollowersShare
 }
--- a/internal/dispatch/user_requests.go
+++ b/internal/dispatch/user_requests.go
@@ -21,21 +21,21 @@
 
 // Status returns a job's state.
 func (d *Dispatcher) Status(ctx context.Context, job string) (wire.JobStatus, error) {
-	return d.askForUser(ctx, func(replyTo scheduler.Recipient) scheduler.Event {
+	return d.sendUserRequest(ctx, func(replyTo scheduler.Recipient) scheduler.Event {
 		return scheduler.StatusRequest{JobID: job, ReplyTo: replyTo}
 	})
 }
 
 // Cancel has a job cancelled and waits until that is durable.
 func (d *Dispatcher) Cancel(ctx context.Context, job string) (wire.JobStatus, error) {
-	return d.askForUser(ctx, func(replyTo scheduler.Recipient) scheduler.Event {
+	return d.sendUserRequest(ctx, func(replyTo scheduler.Recipient) scheduler.Event {
 		return scheduler.CancelRequest{JobID: job, ReplyTo: replyTo}
 	})
 }
 
-// askForUser has the core answer a user's request, after all else that waits.
-func (d *Dispatcher) askForUser(ctx context.Context, event eventFor) (wire.JobStatus, error) {
-	reply, err := ask[scheduler.UserReply](ctx, d.mailboxes.userRequests, event)
+// sendUserRequest has the core answer a user's request, after all else that waits.
+func (d *Dispatcher) sendUserRequest(ctx context.Context, event eventBuilder) (wire.JobStatus, error) {
+	reply, err := askCore[scheduler.UserReply](ctx, d.mailboxes.userRequests, event)
 	switch {
 	case err != nil:
 		return wire.JobStatus{}, err
@@ -49,9 +49,9 @@
 	return reply.Status, nil
 }
 
-// JobCreated passes a job record to the core before the watch does. The watch brings it
+// NotifyJobCreated passes a job record to the core before the watch does. The watch brings it
 // too, so it is dropped rather than waited for.
-func (d *Dispatcher) JobCreated(record scheduler.JobRecordEvent) {
+func (d *Dispatcher) NotifyJobCreated(record scheduler.JobRecordEvent) {
 	select {
 	case d.mailboxes.internalEvents <- record:
 	default:
--- a/internal/jobapi/admission.go
+++ b/internal/jobapi/admission.go
@@ -40,17 +40,17 @@
 func (s *Service) checkFeasibility(job *wire.Job) Response {
 	team, ok := s.teams[job.Team]
 	if !ok {
-		return problem(http.StatusUnprocessableEntity, "team %q is not known", job.Team)
+		return errorResponse(http.StatusUnprocessableEntity, "team %q is not known", job.Team)
 	}
 	if team.CPUsMax > 0 && job.CPUs > team.CPUsMax || team.GPUsMax > 0 && job.GPUs > team.GPUsMax {
-		return problem(http.StatusUnprocessableEntity, "one task needs more than the limit of team %q", job.Team)
+		return errorResponse(http.StatusUnprocessableEntity, "one task needs more than the limit of team %q", job.Team)
 	}
 	types, ok := s.MachineTypes()
 	if !ok {
 		return retryLater(http.StatusServiceUnavailable, 1, "the machine types are not known yet")
 	}
 	if !slices.ContainsFunc(types, func(machine wire.MachineType) bool { return taskFits(job, &machine) }) {
-		return problem(http.StatusUnprocessableEntity, "a task fits no machine type that the job allows")
+		return errorResponse(http.StatusUnprocessableEntity, "a task fits no machine type that the job allows")
 	}
 	return Response{}
 }
--- a/internal/jobapi/cancellations.go
+++ b/internal/jobapi/cancellations.go
@@ -72,12 +72,12 @@
 	case errors.Is(err, errNoRecord):
 		return jobNotFound
 	case errors.Is(err, errMalformedRecord):
-		return problem(http.StatusInternalServerError, "the job's record can't be read")
+		return errorResponse(http.StatusInternalServerError, "the job's record can't be read")
 	case err != nil:
 		return storeUnavailable
 	case stored.record.Origin != "":
-		return problem(http.StatusNotFound, "there is no such job of this cell")
+		return errorResponse(http.StatusNotFound, "there is no such job of this cell")
 	}
-	s.Dispatcher.JobCreated(scheduler.JobRecordEvent{JobID: jobID, Record: stored.record, Version: stored.version})
+	s.Dispatcher.NotifyJobCreated(scheduler.JobRecordEvent{JobID: jobID, Record: stored.record, Version: stored.version})
 	return Response{}
 }
--- a/internal/jobapi/dependencies.go
+++ b/internal/jobapi/dependencies.go
@@ -17,9 +17,9 @@
 // errTooManyAncestors: whether a job is cancelled with one that it depends on can't be found.
 var errTooManyAncestors = errors.New("the job depends on more jobs than can be read")
 
-// notUpgraded asks a user to repeat the submission once all controllers know jobs that
+// dependenciesUnsupported asks a user to repeat the submission once all controllers know jobs that
 // depend on others: one that does not would start them at once.
-var notUpgraded = retryLater(http.StatusServiceUnavailable, 3, "not all controllers are known to have been upgraded to jobs that wait for others")
+var dependenciesUnsupported = retryLater(http.StatusServiceUnavailable, 3, "not all controllers are known to have been upgraded to jobs that wait for others")
 
 // dependencyCheck is the outcome of the check of the jobs that a job depends on.
 type dependencyCheck struct {
@@ -35,9 +35,9 @@
 	case len(job.DependsOn) == 0:
 		return dependencyCheck{}
 	case !s.PipelinesSupported():
-		return dependencyCheck{rejection: notUpgraded}
+		return dependencyCheck{rejection: dependenciesUnsupported}
 	case slices.Contains(job.DependsOn, job.ID):
-		return dependencyCheck{rejection: problem(http.StatusUnprocessableEntity, "waits_on names the job itself")}
+		return dependencyCheck{rejection: errorResponse(http.StatusUnprocessableEntity, "waits_on names the job itself")}
 	}
 	var check dependencyCheck
 	lookups := s.lookUpDependencies(ctx, job.DependsOn, localOnly)
@@ -49,7 +49,7 @@
 			// Another one may not exist for certain, but the user repeats the submission.
 			check.rejection = storeUnavailable
 		case notAccepted && check.rejection.IsZero():
-			check.rejection = problem(http.StatusUnprocessableEntity, "waits_on names %s, which was never accepted", lookup.jobID)
+			check.rejection = errorResponse(http.StatusUnprocessableEntity, "waits_on names %s, which was never accepted", lookup.jobID)
 		}
 		check.cancelled = check.cancelled || lookup.state == wire.JobCancelled
 	}
--- a/internal/jobapi/fakes_test.go
+++ b/internal/jobapi/fakes_test.go
@@ -20,20 +20,20 @@
 
 // fakeStore holds job records; while down it refuses everything.
 type fakeStore struct {
-	records map[string]ledger.JobRecord
-	down    bool
-	busy    bool // there are no writes left
-	// unserved is set while the store does not serve this controller: a request hangs
+	records     map[string]ledger.JobRecord
+	unavailable bool
+	overloaded  bool // there are no writes left
+	// partitioned is set while the store does not serve this controller: a request hangs
 	// until its user gives up.
-	unserved bool
+	partitioned bool
 }
 
 func (f *fakeStore) Get(ctx context.Context, _ kvstore.Priority, key string) (wire.Entry, bool, error) {
-	if f.unserved {
+	if f.partitioned {
 		<-ctx.Done()
 		return wire.Entry{}, false, kvstore.ErrUnknownOutcome
 	}
-	if f.down {
+	if f.unavailable {
 		return wire.Entry{}, false, kvstore.ErrUnavailable
 	}
 	rec, ok := f.records[key]
@@ -41,21 +41,21 @@
 	return wire.Entry{Key: key, Value: value, Version: 3}, ok, err
 }
 
-func (f *fakeStore) Serving() bool { return !f.unserved }
+func (f *fakeStore) Serving() bool { return !f.partitioned }
 
 func (f *fakeStore) Limits() kvstore.Limits {
 	return kvstore.Limits{MaxChanges: 8, MaxValueBytes: 16 << 10, WriteRPS: 40}
 }
 
 func (f *fakeStore) CompareAndSwap(ctx context.Context, _ kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
-	if f.unserved {
+	if f.partitioned {
 		<-ctx.Done()
 		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnknownOutcome
 	}
-	if f.down {
+	if f.unavailable {
 		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnavailable
 	}
-	if f.busy {
+	if f.overloaded {
 		return false, wire.CompareAndSwapResponse{}, kvstore.ErrOverloaded
 	}
 	for _, c := range t.Conditions {
@@ -96,7 +96,7 @@
 	return wire.JobStatus{}, dispatch.ErrNotLeader
 }
 
-func (fakeDispatcher) JobCreated(scheduler.JobRecordEvent) {}
+func (fakeDispatcher) NotifyJobCreated(scheduler.JobRecordEvent) {}
 
 // newTestService makes the service of controller n1, which does not lead, for one team and
 // one machine type.
--- a/internal/jobapi/forwarding.go
+++ b/internal/jobapi/forwarding.go
@@ -17,24 +17,24 @@
 	return s.Peers.Ask(ctx, controller, request)
 }
 
-// forwardWhileUnserved forwards a request at once while the key-value store does not serve
+// forwardUnlessServing forwards a request at once while the key-value store does not serve
 // this controller: behind a partition that drops packets, finding that out anew takes
 // seconds for each request. The zero response means that it is to be served here: the store
 // serves this controller, or no other one answers. In the latter case the request becomes
 // LocalOnly.
-func (s *Service) forwardWhileUnserved(ctx context.Context, request *Request) Response {
+func (s *Service) forwardUnlessServing(ctx context.Context, request *Request) Response {
 	if request.LocalOnly || s.Store.Serving() {
 		return Response{}
 	}
-	response := s.forwardOr(ctx, *request, Response{})
+	response := s.forwardOrFallBack(ctx, *request, Response{})
 	request.LocalOnly = true
 	return response
 }
 
-// forwardOr returns another controller's response to a request that this one can't serve,
+// forwardOrFallBack returns another controller's response to a request that this one can't serve,
 // as when the key-value store refuses this controller alone. If none of them can serve it,
 // or the request is LocalOnly, the response is otherwise.
-func (s *Service) forwardOr(ctx context.Context, request Request, otherwise Response) Response {
+func (s *Service) forwardOrFallBack(ctx context.Context, request Request, otherwise Response) Response {
 	if request.LocalOnly {
 		return otherwise
 	}
@@ -42,7 +42,7 @@
 		if ctx.Err() != nil {
 			break
 		}
-		if response, err := s.askPeer(ctx, forwardTimeout, controller, request); err == nil && served(response) {
+		if response, err := s.askPeer(ctx, forwardTimeout, controller, request); err == nil && isServed(response) {
 			return response
 		}
 	}
@@ -66,7 +66,7 @@
 	return order
 }
 
-// served reports whether another controller could serve a request.
-func served(response Response) bool {
+// isServed reports whether another controller could serve a request.
+func isServed(response Response) bool {
 	return response.Status < http.StatusInternalServerError && response.Status != http.StatusTooManyRequests
 }
--- a/internal/jobapi/forwarding_test.go
+++ b/internal/jobapi/forwarding_test.go
@@ -22,7 +22,7 @@
 				if answers {
 					peers.response = &other
 				}
-				s := newTestService(t, &fakeStore{unserved: true}, peers, nil)
+				s := newTestService(t, &fakeStore{partitioned: true}, peers, nil)
 				ctx, cancel := context.WithTimeout(t.Context(), 4*time.Second)
 				began := time.Now()
 				a := s.Handle(ctx, Request{Kind: k, JobID: "job-1", Body: body})
--- a/internal/jobapi/group_commit.go
+++ b/internal/jobapi/group_commit.go
@@ -33,13 +33,13 @@
 const (
 	// maxQueued bounds the records that wait for a batch.
 	maxQueued = 256
-	// contendedQueue is from how many waiting records on they probably come faster than
+	// contentionThreshold is from how many waiting records on they probably come faster than
 	// they can be written.
-	contendedQueue = 4
+	contentionThreshold = 4
 	// maxTransactionBytes keeps a transaction below the store's 64 KiB.
 	maxTransactionBytes = 48 << 10
-	// lastRecordBytes is the room that the last record of a transaction may need.
-	lastRecordBytes = 4 << 10
+	// lastRecordReserve is the room that the last record of a transaction may need.
+	lastRecordReserve = 4 << 10
 	// recordOverhead is what a record takes in a transaction besides its value and, twice,
 	// its key.
 	recordOverhead = 100
@@ -51,8 +51,8 @@
 	commitTimeout = 2 * time.Second
 )
 
-// creation is one record that waits for its creation.
-type creation struct {
+// pendingCreation is one record that waits for its creation.
+type pendingCreation struct {
 	key    string
 	value  json.RawMessage
 	result chan creationResult // has room for one
@@ -67,23 +67,23 @@
 // groupCommit creates job records, those that wait at the same time in one transaction.
 type groupCommit struct {
 	store          Store
-	share          float64 // of the store's writes
+	writeShare     float64 // of the store's writes
 	maxRecordBytes int
-	queue          chan *creation
-	waiting        atomic.Int64 // callers of create
+	queue          chan *pendingCreation
+	waitingCallers atomic.Int64 // callers of create
 }
 
 func newGroupCommit(store Store, share float64, maxRecordBytes int) *groupCommit {
-	return &groupCommit{store: store, share: share, maxRecordBytes: maxRecordBytes, queue: make(chan *creation, maxQueued)}
+	return &groupCommit{store: store, writeShare: share, maxRecordBytes: maxRecordBytes, queue: make(chan *pendingCreation, maxQueued)}
 }
 
 // contended reports whether many records wait for their creation.
-func (c *groupCommit) contended() bool { return c.waiting.Load() >= contendedQueue }
+func (c *groupCommit) contended() bool { return c.waitingCallers.Load() >= contentionThreshold }
 
 // maxBatch is how many records go into one transaction.
 func (c *groupCommit) maxBatch() int {
 	limits := c.store.Limits()
-	return max(1, min(limits.MaxChanges, int(limits.WriteRPS*c.share)))
+	return max(1, min(limits.MaxChanges, int(limits.WriteRPS*c.writeShare)))
 }
 
 // create creates a job's record and returns its version. If there is one already, the error
@@ -96,9 +96,9 @@
 	if len(value)+terminalStateBytes > c.maxRecordBytes {
 		return 0, errRecordTooLong
 	}
-	c.waiting.Add(1)
-	defer c.waiting.Add(-1)
-	waiting := &creation{key: ledger.JobKey(jobID), value: value, result: make(chan creationResult, 1)}
+	c.waitingCallers.Add(1)
+	defer c.waitingCallers.Add(-1)
+	waiting := &pendingCreation{key: ledger.JobKey(jobID), value: value, result: make(chan creationResult, 1)}
 	select {
 	case c.queue <- waiting:
 	default:
@@ -117,18 +117,18 @@
 	for {
 		select {
 		case first := <-c.queue:
-			go c.commit(ctx, c.gather(first))
+			go c.commit(ctx, c.gatherBatch(first))
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// gather makes a batch of a record and of those that wait already.
-func (c *groupCommit) gather(first *creation) []*creation {
-	batch := []*creation{first}
+// gatherBatch makes a batch of a record and of those that wait already.
+func (c *groupCommit) gatherBatch(first *pendingCreation) []*pendingCreation {
+	batch := []*pendingCreation{first}
 	size := len(first.value)
-	for limit := c.maxBatch(); len(batch) < limit && size < maxTransactionBytes-lastRecordBytes; {
+	for limit := c.maxBatch(); len(batch) < limit && size < maxTransactionBytes-lastRecordReserve; {
 		select {
 		case next := <-c.queue:
 			batch = append(batch, next)
@@ -142,7 +142,7 @@
 
 // commit creates a batch of records. Those that exist already are reported as such, and the
 // rest is tried once more without them.
-func (c *groupCommit) commit(ctx context.Context, batch []*creation) {
+func (c *groupCommit) commit(ctx context.Context, batch []*pendingCreation) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
 	for len(batch) > 0 {
@@ -165,9 +165,9 @@
 			return
 		}
 		if created {
-			batch = attempt.succeeded(response.Revision)
+			batch = attempt.reportCreated(response.Revision)
 		} else {
-			batch = attempt.conflicted(response.FailedKeys)
+			batch = attempt.reportExisting(response.FailedKeys)
 		}
 	}
 }
@@ -175,18 +175,18 @@
 // commitAttempt is one try to create the records of a batch.
 type commitAttempt struct {
 	transaction wire.CompareAndSwap
-	included    []*creation
-	// repeated are records of a key that another record of the batch has. They find that
+	included    []*pendingCreation
+	// duplicates are records of a key that another record of the batch has. They find that
 	// one when they are tried.
-	repeated []*creation
+	duplicates []*pendingCreation
 }
 
-func newCommitAttempt(batch []*creation) *commitAttempt {
+func newCommitAttempt(batch []*pendingCreation) *commitAttempt {
 	attempt := &commitAttempt{}
 	seen := map[string]bool{}
 	for _, waiting := range batch {
 		if seen[waiting.key] {
-			attempt.repeated = append(attempt.repeated, waiting)
+			attempt.duplicates = append(attempt.duplicates, waiting)
 			continue
 		}
 		seen[waiting.key] = true
@@ -197,19 +197,19 @@
 	return attempt
 }
 
-// succeeded reports the version of the records that were created. It returns what is still
+// reportCreated reports the version of the records that were created. It returns what is still
 // to be tried.
-func (a *commitAttempt) succeeded(version uint64) []*creation {
+func (a *commitAttempt) reportCreated(version uint64) []*pendingCreation {
 	for _, waiting := range a.included {
 		waiting.result <- creationResult{version: version}
 	}
-	return a.repeated
+	return a.duplicates
 }
 
-// conflicted reports the records that exist already, for which nothing was created. It
+// reportExisting reports the records that exist already, for which nothing was created. It
 // returns what is still to be tried.
-func (a *commitAttempt) conflicted(existing []string) []*creation {
-	again := a.repeated
+func (a *commitAttempt) reportExisting(existing []string) []*pendingCreation {
+	again := a.duplicates
 	for _, waiting := range a.included {
 		if slices.Contains(existing, waiting.key) {
 			waiting.result <- creationResult{err: errRecordExists}
--- a/internal/jobapi/group_commit_test.go
+++ b/internal/jobapi/group_commit_test.go
@@ -54,9 +54,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			store := &fakeStore{records: map[string]ledger.JobRecord{}}
 			commits := newGroupCommit(store, 1, 1024)
-			var batch []*creation
+			var batch []*pendingCreation
 			for _, id := range c.ids {
-				batch = append(batch, &creation{key: ledger.JobKey(id), value: json.RawMessage(`{}`), result: make(chan creationResult, 1)})
+				batch = append(batch, &pendingCreation{key: ledger.JobKey(id), value: json.RawMessage(`{}`), result: make(chan creationResult, 1)})
 			}
 			commits.commit(t.Context(), batch)
 			created := 0
--- a/internal/jobapi/http.go
+++ b/internal/jobapi/http.go
@@ -24,18 +24,18 @@
 	cancelRequestTimeout = 4500 * time.Millisecond
 )
 
-// Routes adds the users' paths to a router.
-func (s *Service) Routes(router *httprouter.Router) {
+// RegisterRoutes adds the users' paths to a router.
+func (s *Service) RegisterRoutes(router *httprouter.Router) {
 	slots := make(chan struct{}, maxConcurrentRequests)
 	router.POST("/v2/runs", s.handler(Submit, submitTimeout, slots))
 	router.GET("/v2/runs/:id", s.handler(Status, statusTimeout, slots))
 	router.POST("/v2/runs/:id/cancel", s.handler(Cancel, cancelRequestTimeout, slots))
 	router.GET("/healthz", s.serveHealth)
 	router.NotFound = http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		Write(w, problem(http.StatusNotFound, "there is nothing at this path"))
+		Write(w, errorResponse(http.StatusNotFound, "there is nothing at this path"))
 	})
 	router.MethodNotAllowed = http.HandlerFunc(func(w http.ResponseWriter, httpRequest *http.Request) {
-		Write(w, problem(http.StatusMethodNotAllowed, "%s is not a method of this path", httpRequest.Method))
+		Write(w, errorResponse(http.StatusMethodNotAllowed, "%s is not a method of this path", httpRequest.Method))
 	})
 	router.RedirectTrailingSlash, router.RedirectFixedPath = false, false
 }
@@ -54,7 +54,7 @@
 		defer cancel()
 		body, err := ReadBody(w, httpRequest)
 		if err != nil {
-			Write(w, problem(http.StatusBadRequest, "%s", err))
+			Write(w, errorResponse(http.StatusBadRequest, "%s", err))
 			return
 		}
 		request := Request{Kind: kind, JobID: params.ByName("id")}
@@ -68,15 +68,15 @@
 // serveHealth responds to the health checks of the load balancer.
 func (s *Service) serveHealth(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if s.Healthy != nil && !s.Healthy() {
-		Write(w, problem(http.StatusServiceUnavailable, "this node reaches neither the state service nor another node"))
+		Write(w, errorResponse(http.StatusServiceUnavailable, "this node reaches neither the state service nor another node"))
 		return
 	}
 	Write(w, Response{Status: http.StatusOK, Body: []byte(`{"status":"ok"}`)})
 }
 
-// preallocatedBody is up to where the room for a body is allocated at once. A longer one gets
+// maxPreallocatedBytes is up to where the room for a body is allocated at once. A longer one gets
 // its room as it comes: thousands of slow senders must not hold what they only announce.
-const preallocatedBody = 4 << 10
+const maxPreallocatedBytes = 4 << 10
 
 // Errors of reading a request's body.
 var (
@@ -86,7 +86,7 @@
 
 // ReadBody reads a request's body up to the protocol's limit.
 func ReadBody(w http.ResponseWriter, request *http.Request) ([]byte, error) {
-	if n := request.ContentLength; n > 0 && n <= preallocatedBody {
+	if n := request.ContentLength; n > 0 && n <= maxPreallocatedBytes {
 		// The usual case, many hundred times a second: one allocation of the right size.
 		body := make([]byte, n)
 		if _, err := io.ReadFull(request.Body, body); err != nil {
--- a/internal/jobapi/http_test.go
+++ b/internal/jobapi/http_test.go
@@ -88,7 +88,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			store := &fakeStore{down: c.down, busy: c.busy, records: map[string]ledger.JobRecord{
+			store := &fakeStore{unavailable: c.down, overloaded: c.busy, records: map[string]ledger.JobRecord{
 				"job/job-3": {Origin: "lima", TransferEpoch: 1, TerminalState: wire.JobDone, Tasks: 1, Done: 1},
 				"job/job-7": {TerminalState: wire.JobDone, Tasks: 2, Done: 2}, "job/job-8": {Job: &wire.Job{ID: "job-8", Tasks: 1}},
 				"job/job-6":  {TerminalState: wire.JobCancelled, Job: &wire.Job{ID: "job-6", Tasks: 1}},
@@ -108,7 +108,7 @@
 				config.MachineTypes = func() ([]wire.MachineType, bool) { return types, !c.untyped }
 			})
 			router := httprouter.New()
-			s.Routes(router)
+			s.RegisterRoutes(router)
 			w := httptest.NewRecorder()
 			router.ServeHTTP(w, httptest.NewRequest(c.method, c.path, strings.NewReader(c.body)))
 			if w.Code != c.status || !strings.Contains(w.Body.String(), c.says) {
--- a/internal/jobapi/idempotency.go
+++ b/internal/jobapi/idempotency.go
@@ -20,14 +20,14 @@
 	if err != nil {
 		return Response{}
 	}
-	return s.repeatedResponse(ctx, request, stored.record)
+	return s.duplicateSubmissionResponse(ctx, request, stored.record)
 }
 
-// repeatedResponse responds to a repeated submission of an accepted job, whose record was
+// duplicateSubmissionResponse responds to a repeated submission of an accepted job, whose record was
 // read since the request came.
-func (s *Service) repeatedResponse(ctx context.Context, request Request, record ledger.JobRecord) Response {
+func (s *Service) duplicateSubmissionResponse(ctx context.Context, request Request, record ledger.JobRecord) Response {
 	if record.Origin != "" {
-		return problem(http.StatusUnprocessableEntity, "a job of this name runs here for cell %s", record.Origin)
+		return errorResponse(http.StatusUnprocessableEntity, "a job of this name runs here for cell %s", record.Origin)
 	}
 	if record.TerminalState == "" {
 		if status, err := s.statusFromLeader(ctx, request.JobID, request.LocalOnly); err == nil {
--- a/internal/jobapi/response.go
+++ b/internal/jobapi/response.go
@@ -28,14 +28,14 @@
 	return Response{Status: status, Body: encoded}
 }
 
-// problem makes an error response.
-func problem(status int, format string, args ...any) Response {
+// errorResponse makes an error response.
+func errorResponse(status int, format string, args ...any) Response {
 	return JSON(status, wire.ErrorResponse{Error: fmt.Sprintf(format, args...)})
 }
 
 // retryLater makes an error response that asks the user to repeat the request.
 func retryLater(status, seconds int, reason string) Response {
-	response := problem(status, "%s", reason)
+	response := errorResponse(status, "%s", reason)
 	response.RetryAfter = seconds
 	return response
 }
@@ -45,5 +45,5 @@
 	tooManySubmissions = retryLater(http.StatusTooManyRequests, 2, "more submissions are coming than can be recorded")
 	tooManyRequests    = retryLater(http.StatusTooManyRequests, 2, "too many requests are being served")
 	storeUnavailable   = retryLater(http.StatusServiceUnavailable, 1, "the state service can't be reached at the moment")
-	jobNotFound        = problem(http.StatusNotFound, "there is no such job")
+	jobNotFound        = errorResponse(http.StatusNotFound, "there is no such job")
 )
--- a/internal/jobapi/service.go
+++ b/internal/jobapi/service.go
@@ -48,7 +48,7 @@
 type Dispatcher interface {
 	Status(ctx context.Context, job string) (wire.JobStatus, error)
 	Cancel(ctx context.Context, job string) (wire.JobStatus, error)
-	JobCreated(record scheduler.JobRecordEvent)
+	NotifyJobCreated(record scheduler.JobRecordEvent)
 }
 
 // MachineTypes returns the machine types, and whether they are known yet.
@@ -101,5 +101,5 @@
 	case Cancel:
 		return s.cancel(ctx, request)
 	}
-	return problem(http.StatusBadRequest, "unknown kind of request")
+	return errorResponse(http.StatusBadRequest, "unknown kind of request")
 }
--- a/internal/jobapi/status.go
+++ b/internal/jobapi/status.go
@@ -31,7 +31,7 @@
 	if status, err := s.statusFromLeader(ctx, request.JobID, request.LocalOnly); err == nil {
 		return JSON(http.StatusOK, status)
 	}
-	if response := s.forwardWhileUnserved(ctx, &request); !response.IsZero() {
+	if response := s.forwardUnlessServing(ctx, &request); !response.IsZero() {
 		return response
 	}
 	status, err := s.statusFromRecords(ctx, request.JobID)
@@ -39,7 +39,7 @@
 	case errors.Is(err, errNoRecord):
 		return jobNotFound
 	case err != nil:
-		return s.forwardOr(ctx, request, storeUnavailable)
+		return s.forwardOrFallBack(ctx, request, storeUnavailable)
 	}
 	return JSON(http.StatusOK, status)
 }
--- a/internal/jobapi/submissions.go
+++ b/internal/jobapi/submissions.go
@@ -18,13 +18,13 @@
 	var invalid *wire.InvalidJobError
 	if errors.As(err, &invalid) && invalid.JobID != "" {
 		request.JobID = invalid.JobID
-		return s.reject(ctx, request, admission{rejection: problem(http.StatusBadRequest, "%s", err)})
+		return s.reject(ctx, request, admission{rejection: errorResponse(http.StatusBadRequest, "%s", err)})
 	}
 	if err != nil {
-		return problem(http.StatusBadRequest, "%s", err)
+		return errorResponse(http.StatusBadRequest, "%s", err)
 	}
 	request.JobID = job.ID
-	if response := s.forwardWhileUnserved(ctx, &request); !response.IsZero() {
+	if response := s.forwardUnlessServing(ctx, &request); !response.IsZero() {
 		return response
 	}
 	admission := s.checkAdmission(ctx, job, request.LocalOnly)
@@ -38,7 +38,7 @@
 			return response
 		}
 	}
-	return s.record(ctx, request, job, admission.initialStatus)
+	return s.recordJob(ctx, request, job, admission.initialStatus)
 }
 
 // reject responds to a submission that can't be accepted. A job that was accepted before
@@ -47,29 +47,29 @@
 	stored, err := s.readRecord(ctx, request.JobID)
 	switch {
 	case err == nil:
-		return s.repeatedResponse(ctx, request, stored.record)
+		return s.duplicateSubmissionResponse(ctx, request, stored.record)
 	case admission.undecided:
-		return s.forwardOr(ctx, request, storeUnavailable)
+		return s.forwardOrFallBack(ctx, request, storeUnavailable)
 	case !errors.Is(err, errNoRecord) && admission.rejection.Status != http.StatusServiceUnavailable:
-		return s.forwardOr(ctx, request, storeUnavailable)
+		return s.forwardOrFallBack(ctx, request, storeUnavailable)
 	}
 	return admission.rejection
 }
 
-// record writes the record of a new job and responds to its submission.
-func (s *Service) record(ctx context.Context, request Request, job *wire.Job, status string) Response {
+// recordJob writes the record of a new job and responds to its submission.
+func (s *Service) recordJob(ctx context.Context, request Request, job *wire.Job, status string) Response {
 	record := ledger.JobRecord{Job: job, AcceptedMS: time.Now().UnixMilli()}
 	version, err := s.commits.create(ctx, job.ID, record)
 	if err != nil {
-		return s.notRecorded(ctx, request, err)
+		return s.handleRecordFailure(ctx, request, err)
 	}
 	s.Log.Debug("submission recorded", "job", job.ID, "class", job.Class, "tasks", job.Tasks)
-	s.Dispatcher.JobCreated(scheduler.JobRecordEvent{JobID: job.ID, Record: record, Version: version})
+	s.Dispatcher.NotifyJobCreated(scheduler.JobRecordEvent{JobID: job.ID, Record: record, Version: version})
 	return JSON(http.StatusCreated, wire.JobResponse{ID: job.ID, Status: status})
 }
 
-// notRecorded responds to a submission whose record could not be created.
-func (s *Service) notRecorded(ctx context.Context, request Request, err error) Response {
+// handleRecordFailure responds to a submission whose record could not be created.
+func (s *Service) handleRecordFailure(ctx context.Context, request Request, err error) Response {
 	if errors.Is(err, errQueueFull) || errors.Is(err, kvstore.ErrOverloaded) {
 		if response := s.idempotentResponse(ctx, request); !response.IsZero() {
 			return response
@@ -77,18 +77,18 @@
 	}
 	switch {
 	case errors.Is(err, errRecordTooLong):
-		return problem(http.StatusBadRequest, "%s", err)
+		return errorResponse(http.StatusBadRequest, "%s", err)
 	case errors.Is(err, errQueueFull):
 		return tooManySubmissions
 	case errors.Is(err, kvstore.ErrOverloaded):
 		// Another controller may have some of its share of the rate left.
-		return s.forwardOr(ctx, request, tooManySubmissions)
+		return s.forwardOrFallBack(ctx, request, tooManySubmissions)
 	case errors.Is(err, errRecordExists):
 		if response := s.idempotentResponse(ctx, request); !response.IsZero() {
 			return response
 		}
-		return s.forwardOr(ctx, request, storeUnavailable)
+		return s.forwardOrFallBack(ctx, request, storeUnavailable)
 	}
 	s.Log.Debug("submission not recorded", "job", request.JobID, "error", err)
-	return s.forwardOr(ctx, request, storeUnavailable)
+	return s.forwardOrFallBack(ctx, request, storeUnavailable)
 }
