--- a/internal/scheduler/fair_share.go
+++ b/internal/scheduler/fair_share.go
@@ -104,7 +104,7 @@
 	if len(classes) < 2 && len(teams) < 2 {
 		return
 	}
-	guaranteedCores := guaranteedShare * p.openCores
+	guaranteedCores := guaranteedShare * p.schedulableCores
 	for _, j := range queue {
 		p.placeJob(j, uncertain, func(int) bool {
 			classEntitled := p.classes.allocatedCores[j.request.class]+j.request.size.CPUs <= guaranteedCores/float64(len(classes))
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -31,14 +31,14 @@
 	needed bool // a change may allow waiting tasks to start
 	images nameTable
 
-	goal            slowfit.Goal
-	queueEmptySince time.Duration
-	index           slowfit.Index
-	pools           []poolKey // by pool number of the index
-	poolIndexByKey  map[poolKey]int32
-	staleMachines   []*machine // machines whose index entry must be refreshed
-	openCores       float64    // cores of all schedulable machines
-	reservingJobs   []*job     // jobs with a reserved machine
+	goal             slowfit.Goal
+	queueEmptySince  time.Duration
+	index            slowfit.Index
+	poolKeys         []poolKey // by pool number of the index
+	poolIndexByKey   map[poolKey]int32
+	staleMachines    []*machine // machines whose index entry must be refreshed
+	schedulableCores float64    // cores of all schedulable machines
+	reservingJobs    []*job     // jobs with a reserved machine
 }
 
 func newPlacement(c *Core) placement {
--- a/internal/scheduler/placement_index.go
+++ b/internal/scheduler/placement_index.go
@@ -10,15 +10,15 @@
 
 // poolKey is what all machines of one pool of the index have in common.
 type poolKey struct {
-	typ, zone int32
-	spot      bool
+	typeIndex, zone int32
+	spot            bool
 }
 
 // indexEntry is a machine's entry in the SLOW-FIT index.
 type indexEntry struct {
 	pool        int32 // pool number; -1: in no pool yet
 	schedulable bool
-	cores       float64 // its contribution to placement.openCores
+	cores       float64 // its contribution to placement.schedulableCores
 	stale       bool    // the machine is in placement.staleMachines
 }
 
@@ -34,11 +34,11 @@
 func (p *placement) refreshIndex(m *machine) {
 	m.indexed.stale = false
 	m.indexed.schedulable = p.agents.schedulable(m)
-	p.openCores -= m.indexed.cores
+	p.schedulableCores -= m.indexed.cores
 	m.indexed.cores = 0
 	if m.indexed.schedulable {
 		m.indexed.cores = m.capacity.total.CPUs
-		p.openCores += m.indexed.cores
+		p.schedulableCores += m.indexed.cores
 	}
 	if !m.indexed.schedulable || m.capacity.reserved {
 		p.index.MarkUnschedulable(m.index)
@@ -49,7 +49,7 @@
 	if !ok {
 		pool = int32(p.index.AddPool(m.capacity.total))
 		p.poolIndexByKey[key] = pool
-		p.pools = append(p.pools, key)
+		p.poolKeys = append(p.poolKeys, key)
 	}
 	if m.indexed.pool != pool {
 		p.index.Add(m.index, int(pool))
@@ -120,8 +120,8 @@
 	}
 	request := slowfit.Request{Task: j.request.size, PreferredBonus: imageBonus, PreferredTag: imageTag(j.request.image),
 		Pool: func(pool int) (bool, int) {
-			key := p.pools[pool]
-			if !j.allowsMachine(key.typ, key.zone, key.spot) || onlyZone >= 0 && key.zone != onlyZone || j.spreadLimitReached(key.zone) {
+			key := p.poolKeys[pool]
+			if !j.allowsMachine(key.typeIndex, key.zone, key.spot) || onlyZone >= 0 && key.zone != onlyZone || j.spreadLimitReached(key.zone) {
 				return false, 0
 			}
 			if key.spot {
