--- a/internal/rollout/disruptions.go
+++ b/internal/rollout/disruptions.go
@@ -46,7 +46,8 @@
 }
 
 // TaskDisrupted records that a task of a job has lost its machine. lostProgress is the run time
-// that has to be repeated.
+// that has to be repeated. If the task is disrupted already, the larger loss counts, and it has to
+// regain the progress from the start.
 func (t *DisruptionTracker) TaskDisrupted(j Job, index int, lostProgress time.Duration, cause Cause, now time.Duration) {
 	d := t.jobs[j.ID]
 	if d == nil {
--- a/internal/rollout/phases.go
+++ b/internal/rollout/phases.go
@@ -40,7 +40,8 @@
 	c.enterPhase(PhaseDraining, v.WallMS)
 }
 
-// scaleOutRequest rents the replacements and waits until they are healthy.
+// scaleOut rents the replacements and waits until they are healthy. It ends the plan if one of
+// them fails or if they are not healthy within HealthS.
 func (c *Controller) scaleOut(v *View) []Action {
 	if len(c.record.Replacements) == 0 && len(v.Rented) > 0 {
 		c.record.Replacements = slices.Clone(v.Rented)
--- a/internal/rollout/record.go
+++ b/internal/rollout/record.go
@@ -78,11 +78,11 @@
 		return fmt.Errorf("%w: unknown phase %q", ErrInvalidRecord, r.Phase)
 	}
 	if r.Spec.Name != name || r.Step < 0 || r.Drained < 0 {
-		return fmt.Errorf("%w: plan %q, step %d, %d machines drained", ErrInvalidRecord, r.Spec.Name, r.Step, r.Drained)
+		return fmt.Errorf("%w: plan %q, step %d, %d machines drained: the name must match the key and the counts must not be negative", ErrInvalidRecord, r.Spec.Name, r.Step, r.Drained)
 	}
 	for _, eviction := range r.Evictions {
 		if eviction.Task < 0 || eviction.LostProgressMS < 0 {
-			return fmt.Errorf("%w: eviction of task %d of job %s", ErrInvalidRecord, eviction.Task, eviction.JobID)
+			return fmt.Errorf("%w: negative task index or lost progress in the eviction of task %d of job %s", ErrInvalidRecord, eviction.Task, eviction.JobID)
 		}
 	}
 	return nil
--- a/internal/scheduler/capacity_offers.go
+++ b/internal/scheduler/capacity_offers.go
@@ -27,7 +27,7 @@
 	demand     *learnedDemand
 	neighbours *neighbourTable
 
-	credits map[string]*credit
+	credits map[string]*credit // by the name of the cell
 }
 
 func newCapacityOffers(c *Core) capacityOffers {
--- a/internal/scheduler/delegated_jobs.go
+++ b/internal/scheduler/delegated_jobs.go
@@ -12,8 +12,8 @@
 // This file handles jobs that are already delegated.
 
 // restore restores the transfers from the ledger. The jobs must have been restored before.
-func (d *delegations) restore(saved []ledger.SavedDelegated) {
-	for _, saved := range saved {
+func (d *delegations) restore(records []ledger.SavedDelegated) {
+	for _, saved := range records {
 		index, known := d.jobs.indexByID[saved.JobID]
 		var j *job
 		if known {
--- a/internal/scheduler/neighbours.go
+++ b/internal/scheduler/neighbours.go
@@ -111,7 +111,7 @@
 
 // endExchange records the result of an exchange and reports whether the neighbour has just become
 // unreachable.
-func (t *neighbourTable) endExchange(n *neighbour, err error) (lost bool) {
+func (t *neighbourTable) endExchange(n *neighbour, err error) (becameUnreachable bool) {
 	n.exchanging = false
 	unreachable := err != nil
 	if unreachable == n.unreachable {
--- a/internal/scheduler/plan_views.go
+++ b/internal/scheduler/plan_views.go
@@ -27,7 +27,9 @@
 // once per view whether another machine has the capacity for a task.
 type capacityKey struct{ job, zone int32 }
 
-// build returns the view of the present state for a plan.
+// build returns the view of the present state for a plan. A machine of the record that is not
+// known in this term counts as gone or failed only once MayDisrupt is true: before that, earlier
+// leaders' machines may not be known yet.
 func (v *planViews) build(p *plan) *rollout.View {
 	record, _ := p.rollout.Record()
 	hasCapacity := map[capacityKey]bool{}
