--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -81,7 +81,7 @@
 	case m.contact.unreachableRecord != nil, m.agent.Unacknowledged(), a.clock.now-m.agent.LastAcknowledged() >= a.unreachableTimeout():
 		return false // its agent may not receive responses
 	case a.clock.now < m.commands.noStartsUntil:
-		return false // a command did not reach its agent a moment ago
+		return false // a recent command may not have reached its agent
 	case m.eviction.cordoned, m.health.quarantined, m.rental.terminationAt != 0:
 		return false // cordoned by a drain plan, quarantined because tasks fail on it, or about to be reclaimed
 	}
--- a/internal/scheduler/command_results.go
+++ b/internal/scheduler/command_results.go
@@ -6,7 +6,8 @@
 	"leadproxy/internal/scheduler/agentstate"
 )
 
-// startSuspension is how long nothing is started on a machine after a command did not reach it.
+// startSuspension is how long nothing is started on a machine after a command was not sent, or its
+// outcome is unknown.
 const startSuspension = 4 * time.Second
 
 // removeInFlight removes the command with the given id and returns it, or nil if it is not in
@@ -48,7 +49,8 @@
 		return
 	}
 	if command.addressFromSoftState && (result.Outcome == CommandOutcomeUnknown || result.Outcome == CommandNotSent) {
-		c.agents.dropInheritedAddress(m) // the address is wrong or outdated, which says nothing about the machine
+		// The address is wrong or outdated. That does not show that the machine can't be reached.
+		c.agents.dropInheritedAddress(m)
 		return
 	}
 	if result.Outcome == CommandOutcomeUnknown || result.Outcome == CommandNotSent {
--- a/internal/scheduler/commands.go
+++ b/internal/scheduler/commands.go
@@ -46,7 +46,9 @@
 	// heldHeartbeat is the heartbeat whose response is held until starts are durable; nil: there is
 	// none.
 	heldHeartbeat *wire.Heartbeat
-	noStartsUntil time.Duration // nothing is started on the machine until then: a command did not reach it
+	// noStartsUntil is until when nothing is started on the machine, because a command may not have
+	// reached it.
+	noStartsUntil time.Duration
 }
 
 // resolveUpToToken resolves the starts that the agent can't execute any more because it has
--- a/internal/scheduler/heartbeats_test.go
+++ b/internal/scheduler/heartbeats_test.go
@@ -50,7 +50,7 @@
 // lease, revives no machine, releases or duplicates no allocation, renews no lease and resolves no
 // host whose tasks are in doubt.
 func TestLateCopiesOfHeartbeats(t *testing.T) {
-	running := func(h *harness) wire.Command {
+	startTask := func(h *harness) wire.Command {
 		h.bringUp("vm-1")
 		h.submit(newTestJob("job-1", 1, 1))
 		start := h.startCommands()[0]
@@ -65,7 +65,7 @@
 			h.bringUp("vm-1")
 			old := *h.newHeartbeat("vm-1", termToken)
 			h.sendHeartbeat(&old)
-			start := running(h)
+			start := startTask(h)
 			h.sendHeartbeat(h.newHeartbeat("vm-1", termToken, newTaskStatus(start, wire.TaskRunning, "")))
 			expiry := h.core.machines.list[0].agent.LeaseExpiry()
 			h.advance(8 * time.Second)
@@ -74,11 +74,11 @@
 			h.want("lease expiry", h.core.machines.list[0].agent.LeaseExpiry(), expiry)
 		}},
 		{"copy after the lease has expired: its tasks have ended", func(h *harness) {
-			start := running(h)
-			held := *h.newHeartbeat("vm-1", termToken, newTaskStatus(start, wire.TaskRunning, "")) // not received before
+			start := startTask(h)
+			delayed := *h.newHeartbeat("vm-1", termToken, newTaskStatus(start, wire.TaskRunning, "")) // not received before
 			h.advance(31 * time.Second)
 			h.want("allocations after the lease has expired", h.core.jobs.list[0].progress.allocated, 0)
-			if response := h.sendHeartbeat(&held); response != nil {
+			if response := h.sendHeartbeat(&delayed); response != nil {
 				t.Errorf("an epoch that has ended gets the response %v, want none", response)
 			}
 			h.want("allocations after the copy", h.core.jobs.list[0].progress.allocated, 0)
@@ -86,10 +86,10 @@
 			h.want("starts on another machine", len(h.startCommands()), 1)
 		}},
 		{"copy after the machine was deleted", func(h *harness) {
-			start := running(h)
-			held := *h.newHeartbeat("vm-1", termToken, newTaskStatus(start, wire.TaskRunning, ""))
+			start := startTask(h)
+			delayed := *h.newHeartbeat("vm-1", termToken, newTaskStatus(start, wire.TaskRunning, ""))
 			h.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
-			if response := h.sendHeartbeat(&held); response != nil {
+			if response := h.sendHeartbeat(&delayed); response != nil {
 				t.Errorf("got the response %v, want none", response)
 			}
 			h.want("allocations", h.core.jobs.list[0].progress.allocated, 0)
@@ -108,14 +108,14 @@
 			h2.want("starts after the acknowledgement", len(h2.startCommands()), 1)
 		}},
 		{"copy from an earlier epoch", func(h *harness) {
-			start := running(h)
-			held := *h.newHeartbeat("vm-1", termToken, newTaskStatus(start, wire.TaskRunning, ""))
+			start := startTask(h)
+			delayed := *h.newHeartbeat("vm-1", termToken, newTaskStatus(start, wire.TaskRunning, ""))
 			heartbeat := h.newHeartbeat("vm-1", termToken)
 			heartbeat.AgentEpoch = 2
 			h.sendHeartbeat(heartbeat)
 			h.acknowledge("vm-1")
 			allocated := h.core.jobs.list[0].progress.allocated
-			h.sendHeartbeat(&held)
+			h.sendHeartbeat(&delayed)
 			h.want("allocations", h.core.jobs.list[0].progress.allocated, allocated)
 			h.want("agent epoch", h.core.machines.list[0].agent.Epoch(), 2)
 		}},
--- a/internal/scheduler/inspections_test.go
+++ b/internal/scheduler/inspections_test.go
@@ -119,12 +119,12 @@
 // the inspection it executes a start that the inspection's result does not list yet. Only a
 // heartbeat that acknowledges a token raised since then shows which tasks the agent has.
 func TestStartDuringInspection(t *testing.T) {
-	executed := func(h *harness, id uint64, tasks ...wire.TaskStatus) {
+	deliverCommandResult := func(h *harness, id uint64, tasks ...wire.TaskStatus) {
 		result := *h.newHeartbeat("vm-1", termToken, tasks...)
 		result.Sequence = 2
 		h.step(CommandResult{CommandID: id, Outcome: CommandExecuted, Heartbeat: &result})
 	}
-	inspected := func(h *harness) {
+	deliverInspectResult := func(h *harness) {
 		result := *h.newHeartbeat("vm-1", 0)
 		result.Sequence = 1
 		h.step(InspectResult{Machine: "vm-1", Heartbeat: &result})
@@ -135,18 +135,18 @@
 		results func(h *harness, start wire.Command, commandID uint64)
 	}{
 		{"direct command, executed before the inspection's result", startByDirectCommand, func(h *harness, start wire.Command, commandID uint64) {
-			executed(h, commandID, newTaskStatus(start, wire.TaskRunning, ""))
-			inspected(h)
+			deliverCommandResult(h, commandID, newTaskStatus(start, wire.TaskRunning, ""))
+			deliverInspectResult(h)
 		}},
 		{"direct command, executed after the inspection's result", startByDirectCommand, func(h *harness, start wire.Command, commandID uint64) {
-			inspected(h)
-			executed(h, commandID, newTaskStatus(start, wire.TaskRunning, ""))
+			deliverInspectResult(h)
+			deliverCommandResult(h, commandID, newTaskStatus(start, wire.TaskRunning, ""))
 		}},
 		{"direct command of unknown outcome", startByDirectCommand, func(h *harness, _ wire.Command, commandID uint64) {
 			h.step(CommandResult{CommandID: commandID, Outcome: CommandOutcomeUnknown})
-			inspected(h)
+			deliverInspectResult(h)
 		}},
-		{"response to a heartbeat", startInNextResponse, func(h *harness, _ wire.Command, _ uint64) { inspected(h) }},
+		{"response to a heartbeat", startInNextResponse, func(h *harness, _ wire.Command, _ uint64) { deliverInspectResult(h) }},
 	}
 	for _, test := range cases {
 		for _, executesStart := range []bool{true, false} {
--- a/internal/scheduler/probes.go
+++ b/internal/scheduler/probes.go
@@ -35,7 +35,7 @@
 const probePeriod = 20 * time.Second
 
 // probe queues a probe of a machine whose agent has not acknowledged this term's token. It does
-// nothing if the agent was probed before or its address is not known.
+// nothing if the agent was probed before, its address is not known or probePeriod has passed.
 func (a *agents) probe(m *machine) {
 	if m.contact.probesSent > 0 || m.trusted(a.term) || m.agent.Address() == "" || a.clock.now-a.clock.termStart > probePeriod {
 		return
