--- a/internal/scheduler/evictions_test.go
+++ b/internal/scheduler/evictions_test.go
@@ -36,7 +36,7 @@
 	return record
 }
 
-// sendPlanRequest sends a request about a plan and returns the error of the reply.
+// requestPlan sends a request about a plan and returns the error of the reply.
 func (h *harness) requestPlan(request PlanRequest) error {
 	request.ReplyTo = testRecipient("operator")
 	h.step(request)
