--- a/internal/scheduler/allocations.go
+++ b/internal/scheduler/allocations.go
@@ -73,28 +73,28 @@
 
 // addImage records that the machine's cache holds an image, now the most recently used one, and
 // evicts the least recently used images while the total exceeds the cache size. Sizes are in GB.
-func (c *capacity) addImage(image int32, gb, cache float64) {
-	for i, slot := range c.images {
-		if slot.image == image {
+func (c *capacity) addImage(image int32, sizeGB, cacheGB float64) {
+	for i, cached := range c.images {
+		if cached.image == image {
 			copy(c.images[i:], c.images[i+1:])
-			c.images[len(c.images)-1] = slot
+			c.images[len(c.images)-1] = cached
 			return
 		}
 	}
-	c.images = append(c.images, cachedImage{image, gb})
-	sum := 0.0
-	for _, slot := range c.images {
-		sum += slot.gb
+	c.images = append(c.images, cachedImage{image, sizeGB})
+	totalGB := 0.0
+	for _, cached := range c.images {
+		totalGB += cached.gb
 	}
-	for len(c.images) > 1 && sum > cache {
-		sum -= c.images[0].gb
+	for len(c.images) > 1 && totalGB > cacheGB {
+		totalGB -= c.images[0].gb
 		c.images = c.images[1:]
 	}
 }
 
 // inheritImage adds an image that an earlier leader's soft state lists for the machine.
-func (c *capacity) inheritImage(image int32, gb float64) {
-	c.images = append(c.images, cachedImage{image, gb})
+func (c *capacity) inheritImage(image int32, sizeGB float64) {
+	c.images = append(c.images, cachedImage{image, sizeGB})
 }
 
 // setTotal sets the machine's total resources when its type becomes known or changes. Resources in
--- a/internal/scheduler/dependencies.go
+++ b/internal/scheduler/dependencies.go
@@ -90,21 +90,21 @@
 // least its priority class, and gives them a deadline that leaves the job enough time to meet its
 // own. It reports whether any of them was raised.
 func (t *jobTable) raisePredecessorPriorities(j *job) (raised bool) {
-	todo := []*job{j}
-	for len(todo) > 0 {
-		j, todo = todo[len(todo)-1], todo[:len(todo)-1]
-		due := j.priority.deadline
-		if due != noDeadline {
-			due -= t.estimates.expectedRun(j)
+	pending := []*job{j}
+	for len(pending) > 0 {
+		j, pending = pending[len(pending)-1], pending[:len(pending)-1]
+		deadline := j.priority.deadline
+		if deadline != noDeadline {
+			deadline -= t.estimates.expectedRun(j)
 		}
 		for _, index := range j.dependencies.Predecessors() {
 			predecessor := t.list[index]
-			if predecessor.ended() || predecessor.spec == nil || predecessor.priority.class <= j.priority.class && predecessor.priority.deadline <= due {
+			if predecessor.ended() || predecessor.spec == nil || predecessor.priority.class <= j.priority.class && predecessor.priority.deadline <= deadline {
 				continue
 			}
-			predecessor.priority.class, predecessor.priority.deadline = min(predecessor.priority.class, j.priority.class), min(predecessor.priority.deadline, due)
+			predecessor.priority.class, predecessor.priority.deadline = min(predecessor.priority.class, j.priority.class), min(predecessor.priority.deadline, deadline)
 			raised = true
-			todo = append(todo, predecessor)
+			pending = append(pending, predecessor)
 		}
 	}
 	return raised
--- a/internal/scheduler/depgraph/graph_test.go
+++ b/internal/scheduler/depgraph/graph_test.go
@@ -106,9 +106,9 @@
 		random := rand.New(rand.NewPCG(seed, 1))
 		dependsOn := make([][]int, jobs) // by job; a job depends only on jobs with a lower number
 		for i := range dependsOn {
-			for p := range i {
+			for predecessor := range i {
 				if random.IntN(3) == 0 {
-					dependsOn[i] = append(dependsOn[i], p)
+					dependsOn[i] = append(dependsOn[i], predecessor)
 				}
 			}
 		}
@@ -141,11 +141,11 @@
 func (m *jobModel) addJob(job int) {
 	node := addNode(&m.graph)
 	m.nodes[job], m.jobByNode = node, append(m.jobByNode, job)
-	for _, p := range m.dependsOn[job] {
-		if known := m.nodes[p]; known != nil {
-			m.graph.AddDependency(node, known, m.finished[p])
+	for _, predecessor := range m.dependsOn[job] {
+		if known := m.nodes[predecessor]; known != nil {
+			m.graph.AddDependency(node, known, m.finished[predecessor])
 		} else {
-			m.graph.AddUnknownDependency(node, fmt.Sprint(p))
+			m.graph.AddUnknownDependency(node, fmt.Sprint(predecessor))
 		}
 	}
 	m.graph.Resolve(fmt.Sprint(job), node, false)
@@ -180,8 +180,8 @@
 	m.t.Helper()
 	for job, node := range m.nodes {
 		want := 0
-		for _, p := range m.dependsOn[job] {
-			if !m.finished[p] {
+		for _, predecessor := range m.dependsOn[job] {
+			if !m.finished[predecessor] {
 				want++
 			}
 		}
--- a/internal/scheduler/failure_attribution_test.go
+++ b/internal/scheduler/failure_attribution_test.go
@@ -8,6 +8,8 @@
 	"leadproxy/internal/wire"
 )
 
+// TestFailureAttribution: a machine on which a task failed is quarantined once the same job
+// succeeds on another machine, but not when the job itself may be at fault.
 func TestFailureAttribution(t *testing.T) {
 	cases := []struct {
 		name       string
--- a/internal/scheduler/job.go
+++ b/internal/scheduler/job.go
@@ -10,10 +10,10 @@
 	"leadproxy/internal/wire"
 )
 
-// jobHost is a machine that a job's tasks have been placed on.
+// jobHost is a machine that tasks of a job may be running on.
 type jobHost struct {
-	machine int32
-	durable bool // the host record in the ledger is durable
+	machine int32 // machine index
+	durable bool  // the host record in the ledger is durable
 }
 
 // job is a job in the leader's memory, split into parts by owner. Once it has ended and is cleaned
--- a/internal/scheduler/job_records.go
+++ b/internal/scheduler/job_records.go
@@ -254,7 +254,7 @@
 type writePriority int
 
 const (
-	writeUrgent   writePriority = iota // a user or a dependent job waits for it
+	writeUrgent   writePriority = iota // a user or another job waits for it
 	writeDeferred                      // written when write capacity permits
 )
 
--- a/internal/scheduler/placement.go
+++ b/internal/scheduler/placement.go
@@ -28,11 +28,11 @@
 	// startOn reserves resources for the next task of a job on a machine and starts it there.
 	startOn func(j *job, m *machine)
 
-	needed bool // a change may allow waiting tasks to start
-	images nameTable
+	needed bool      // a change may allow waiting tasks to start
+	images nameTable // image names by index
 
 	goal             slowfit.Goal
-	queueEmptySince  time.Duration
+	queueEmptySince  time.Duration // when a task last waited or the goal was last lowered
 	index            slowfit.Index
 	poolKeys         []poolKey // by pool number of the index
 	poolIndexByKey   map[poolKey]int32
@@ -95,8 +95,8 @@
 // allowsMachine reports whether the constraints in the job's description allow its tasks on a
 // machine of the given type, zone and spot kind. Gang scheduling and spreading are checked
 // elsewhere.
-func (j *job) allowsMachine(typ, zone int32, spot bool) bool {
-	return (j.request.types == nil || slices.Contains(j.request.types, typ)) && (j.request.zone < 0 || j.request.zone == zone) && (j.spec.Spot || !spot)
+func (j *job) allowsMachine(typeIndex, zone int32, spot bool) bool {
+	return (j.request.types == nil || slices.Contains(j.request.types, typeIndex)) && (j.request.zone < 0 || j.request.zone == zone) && (j.spec.Spot || !spot)
 }
 
 // withinTeamLimit reports whether the quota of a job's team allows one more task of the job.
--- a/internal/scheduler/placement_goal_test.go
+++ b/internal/scheduler/placement_goal_test.go
@@ -8,6 +8,8 @@
 	"leadproxy/internal/wire"
 )
 
+// TestGoalFallsAfterABurst: the SLOW-FIT goal keeps the high value of a burst while the machine is
+// full, and falls once nothing runs or waits.
 func TestGoalFallsAfterABurst(t *testing.T) {
 	h := newHarness(t, ledger.Snapshot{})
 	h.bringUp("vm-1")
--- a/internal/scheduler/placement_index.go
+++ b/internal/scheduler/placement_index.go
@@ -60,8 +60,8 @@
 		load = 0
 	}
 	var tags uint64
-	for _, slot := range m.capacity.images {
-		tags |= imageTag(slot.image)
+	for _, cached := range m.capacity.images {
+		tags |= imageTag(cached.image)
 	}
 	for _, alloc := range m.capacity.allocations {
 		tags |= imageTag(p.jobs.list[alloc.job].request.image)
--- a/internal/scheduler/placement_test.go
+++ b/internal/scheduler/placement_test.go
@@ -11,6 +11,8 @@
 	"leadproxy/internal/wire"
 )
 
+// TestPlacementConstraints: how many of a job's four tasks start on a single spot machine in zone a,
+// depending on the team's limit and the constraints in the job's description.
 func TestPlacementConstraints(t *testing.T) {
 	inDoubt := ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-9", Record: ledger.JobRecord{Job: newTestJob("job-9", 1, 1)}, Hosts: savedHosts("vm-7")}}}
 	cases := []struct {
@@ -43,6 +45,8 @@
 	}
 }
 
+// TestJobWithMaxTasks: a job with the maximum number of tasks starts as many as fit, and its start
+// commands are split so that no request body exceeds the maximum size.
 func TestJobWithMaxTasks(t *testing.T) {
 	h := newHarness(t, ledger.Snapshot{})
 	h.bringUp("vm-1")
@@ -70,9 +74,9 @@
 // not.
 func TestFreeCapacityGoesToJobWithCachedImage(t *testing.T) {
 	cases := []struct {
-		name  string
-		due   float64 // deadline of the first job in the queue, in seconds
-		first string
+		name     string
+		deadline float64 // of the first job in the queue, in seconds
+		first    string  // the task that starts
 	}{
 		{"the first job has enough slack", 200, "job-3/0"},
 		{"the first job is short of time", 25, "job-2/0"},
@@ -93,7 +97,7 @@
 			first := h.startCommands()[0]
 			h.completeCommands(CommandExecuted)
 			h.sendHeartbeat(h.newHeartbeat("vm-1", termToken, newTaskStatus(first, wire.TaskRunning, "")))
-			h.submit(job("job-2", "elsewhere", test.due))
+			h.submit(job("job-2", "elsewhere", test.deadline))
 			h.submit(job("job-3", "here", 250))
 			h.sendHeartbeat(h.newHeartbeat("vm-1", termToken, newTaskStatus(first, wire.TaskEnded, wire.ExitDone)))
 			if starts := h.startCommands(); len(starts) != 1 || starts[0].Task != test.first {
--- a/internal/scheduler/queue.go
+++ b/internal/scheduler/queue.go
@@ -85,8 +85,8 @@
 	}
 	j.request.types = []int32{}
 	for _, name := range j.spec.Types {
-		if t, ok := p.types.indexByName[name]; ok {
-			j.request.types = append(j.request.types, t)
+		if typeIndex, ok := p.types.indexByName[name]; ok {
+			j.request.types = append(j.request.types, typeIndex)
 		}
 	}
 }
--- a/internal/scheduler/queue_test.go
+++ b/internal/scheduler/queue_test.go
@@ -9,6 +9,8 @@
 	"leadproxy/internal/wire"
 )
 
+// TestOrderOfTheQueue: jobs are sorted by priority class, age and slack, and by the least work first
+// only while some job of the class is late.
 func TestOrderOfTheQueue(t *testing.T) {
 	withDeadline := func(j *wire.Job, seconds float64) *wire.Job { j.DeadlineS = &seconds; return j }
 	high := newTestJob("job-3", 1, 4)
--- a/internal/scheduler/quota/quota.go
+++ b/internal/scheduler/quota/quota.go
@@ -13,8 +13,8 @@
 // depend on the order of addition.
 const unitsPerCore = 1e6
 
-// roundingError is the floating-point error, in units, that does not round a size up to the next
-// unit.
+// roundingError is by how much, in units, floating-point error may lift a size above a whole unit
+// without the size being rounded up to the next one.
 const roundingError = 1e-3
 
 // Units is an exact amount of CPUs and GPUs.
