--- a/internal/autoscaler/demand_test.go
+++ b/internal/autoscaler/demand_test.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
+// TestDemand checks the estimate for jobs of 8 cores and 20 s that arrive every 10 s or all at once.
 func TestDemand(t *testing.T) {
 	cases := []struct {
 		name     string
-		arrivals int           // negative: so many at once
-		at       time.Duration // when the demand is estimated, after the last arrival
-		mean     float64
+		arrivals int           // if negative, the number of jobs that arrive all at once
+		at       time.Duration // time of the estimate after the last arrival
+		mean     float64       // expected cores
 	}{
-		{"too few to tell", 2, 0, 0},
+		{"too few arrivals", 2, 0, 0},
 		{"eight cores for 20 s every 10 s", 600, 0, 16},
-		{"the present gap is not yet long", 600, 20 * time.Second, 16},
-		{"a long gap counts as what it is", 600, 40 * time.Second, 8},
-		{"a first crowd is not taken for a rate", -4, 15 * time.Second, 4 * 160 / 60.0},
+		{"the current gap is twice the mean", 600, 20 * time.Second, 16},
+		{"a longer current gap lowers the rate", 600, 40 * time.Second, 8},
+		{"a backlog at the start is not taken for a rate", -4, 15 * time.Second, 4 * 160 / 60.0},
 		{"a quiet period ends the demand", 600, 61 * time.Second, 0},
 	}
 	for _, c := range cases {
--- a/internal/autoscaler/planner.go
+++ b/internal/autoscaler/planner.go
@@ -160,12 +160,12 @@
 
 // lateTasks returns the number of tasks of a group for which the running and pending machines lack
 // the cores to finish the group and all groups before it in time.
-func (p *planner) lateTasks(group *TaskGroup, boot time.Duration) int {
+func (p *planner) lateTasks(group *TaskGroup, bootTime time.Duration) int {
 	seconds := group.Slack.Seconds()
-	if group.Slack < boot {
+	if group.Slack < bootTime {
 		// These tasks would be late even on a new machine. They still must not wait
 		// indefinitely.
-		seconds = lateWaitBootTimes * boot.Seconds()
+		seconds = lateWaitBootTimes * bootTime.Seconds()
 	}
 	missingCores := p.queuedCoreSeconds/seconds - p.availableCores(group, seconds)
 	if missingCores <= 0 {
@@ -175,19 +175,20 @@
 	return int(math.Ceil(missingCores / max(group.Size.CPUs, minCores)))
 }
 
-// sizeScaleOut decides how many machines of a pool to rent for the wanted ones of a group's tasks. Of
-// tasks shorter than the boot of a new machine it counts only a share, because most of them will run
-// on existing machines, as other tasks end there, before a new machine is up.
+// sizeScaleOut decides how many machines of a pool to rent for wanted tasks of a group; tasks is the
+// number of all its tasks without resources. Tasks that run shorter than a new machine boots count
+// only in part, because most of them start on existing machines, as other tasks end there, before
+// the new machine is up.
 func (p *planner) sizeScaleOut(group *TaskGroup, pool *PricedPool, tasks, wanted int) groupScaleOut {
-	boot := p.Types[pool.Type].BootTime
-	notTurnedOver := min(1, group.RunTime.Seconds()/max(boot.Seconds(), 1))
+	bootTime := p.Types[pool.Type].BootTime
+	newMachineShare := min(1, group.RunTime.Seconds()/max(bootTime.Seconds(), 1))
 	slots := p.slots(pool.CapacityPool, group.Size)
-	needed := (int(math.Ceil(float64(wanted)*notTurnedOver)) + slots - 1) / slots
+	needed := (int(math.Ceil(float64(wanted)*newMachineShare)) + slots - 1) / slots
 	machines := min(needed, pool.maxCount()-p.requested(pool.CapacityPool))
 	if machines == needed {
 		return groupScaleOut{pool: pool.CapacityPool, machines: machines, tasksCovered: tasks}
 	}
-	return groupScaleOut{pool: pool.CapacityPool, machines: machines, tasksCovered: int(float64(machines*slots) / notTurnedOver)}
+	return groupScaleOut{pool: pool.CapacityPool, machines: machines, tasksCovered: int(float64(machines*slots) / newMachineShare)}
 }
 
 // expectedLifetime is the assumed time that a machine is used once it is up. Boot times are weighed
--- a/internal/autoscaler/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -30,23 +30,23 @@
 		{"pending machines are used first", PlanInput{
 			Pending: []PendingMachine{{CapacityPool: large, Free: types[1].Total}},
 			Queued:  []TaskGroup{{Size: fourCores, Count: 5, RunTime: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: small, Count: 1}}},
-		{"a pending machine that the job may not use is not used", PlanInput{
+		{"a pending machine that the job may not use is ignored", PlanInput{
 			Pending: []PendingMachine{{CapacityPool: small, Free: types[0].Total}},
 			Queued:  []TaskGroup{{Size: fourCores, Count: 1, RunTime: time.Minute, Allows: func(o CapacityPool) bool { return !o.Spot }}}}, []PlannedScaleOut{{Pool: onDemand, Count: 1}}},
 		{"no on-demand machines while the running ones suffice", PlanInput{Running: []RunningMachine{{CapacityPool: large}}, Pools: pools[2:],
 			Queued: []TaskGroup{{Size: fourCores, Count: 8, RunTime: time.Minute, Slack: 3 * time.Minute, Allows: anyPool}}}, nil},
-		{"on-demand machines make up for what would be late", PlanInput{Running: []RunningMachine{{CapacityPool: large}}, Pools: pools[2:],
+		{"on-demand machines are rented for the tasks that would be late", PlanInput{Running: []RunningMachine{{CapacityPool: large}}, Pools: pools[2:],
 			Queued: []TaskGroup{{Size: fourCores, Count: 8, RunTime: time.Minute, Slack: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: onDemand, Count: 4}}},
-		{"short tasks are partly left to turnover", PlanInput{
+		{"short tasks are partly left to existing machines", PlanInput{
 			Queued: []TaskGroup{{Size: fourCores, Count: 8, RunTime: 10 * time.Second, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 1}}},
-		{"what exceeds one pool's maximum comes from the next", PlanInput{Pools: []PricedPool{{large, 3, 1}, {small, 1, 2}, {onDemand, 3, 0}},
+		{"tasks beyond one pool's maximum use the next pool", PlanInput{Pools: []PricedPool{{large, 3, 1}, {small, 1, 2}, {onDemand, 3, 0}},
 			Queued: []TaskGroup{{Size: fourCores, Count: 8, RunTime: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 1}, {Pool: small, Count: 2}}},
-		{"more than a call's worth from a pool with a larger maximum", PlanInput{Pools: []PricedPool{{large, 3, 200}},
+		{"more than one call's worth from a pool with a larger maximum", PlanInput{Pools: []PricedPool{{large, 3, 200}},
 			Queued: []TaskGroup{{Size: fourCores, Count: 480, RunTime: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 120}}},
-		{"the bound on machines holds", PlanInput{MaxMachines: 3, MachineCount: 2,
+		{"the limit on machines", PlanInput{MaxMachines: 3, MachineCount: 2,
 			Queued: []TaskGroup{{Size: fourCores, Count: 80, RunTime: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: large, Count: 1}}},
 		{"headroom up to the learned demand", PlanInput{ProvisionedCores: 4, HeadroomCores: 12, HeadroomSizes: []slowfit.Size{fourCores}}, []PlannedScaleOut{{Pool: small, Count: 2}}},
-		{"a size that no pool holds leaves the choice to the next", PlanInput{HeadroomCores: 4, HeadroomSizes: []slowfit.Size{{CPUs: 99}, fourCores}}, []PlannedScaleOut{{Pool: small, Count: 1}}},
+		{"headroom for the next size if no pool holds the first", PlanInput{HeadroomCores: 4, HeadroomSizes: []slowfit.Size{{CPUs: 99}, fourCores}}, []PlannedScaleOut{{Pool: small, Count: 1}}},
 		{"enough headroom", PlanInput{ProvisionedCores: 12, HeadroomCores: 12, HeadroomSizes: []slowfit.Size{fourCores}}, nil},
 	}
 	for _, c := range cases {
--- a/internal/scheduler/core_parts_test.go
+++ b/internal/scheduler/core_parts_test.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-// TestPartsWriteOnlyTheirOwnFields: a field of a part of the core is written by the methods of
-// that part alone, so that its type shows all that can change it. Writes through a pointer that was
-// kept in a variable are not found.
+// TestPartsWriteOnlyTheirOwnFields checks that only the methods of a part of Core write the fields of
+// that part, so that its type shows everything that can change it. Writes through a pointer that was
+// stored in a variable aren't found.
 func TestPartsWriteOnlyTheirOwnFields(t *testing.T) {
 	fset := token.NewFileSet()
 	files := parsePackage(t, fset)
@@ -30,10 +30,11 @@
 	})
 }
 
-// TestPartsReadOnlyPartsDeclaredBeforeThem: the parts of the core depend on each other in one direction.
+// TestPartsReadOnlyPartsDeclaredBeforeThem checks that the parts of Core depend on each other in one
+// direction only.
 func TestPartsReadOnlyPartsDeclaredBeforeThem(t *testing.T) {
 	files := parsePackage(t, token.NewFileSet())
-	place := map[string]int{} // of a part in the core, by type
+	place := map[string]int{} // position of a part in Core, from 1, by type
 	for i, field := range structFields(files, "Core") {
 		if typ, ok := field.Type.(*ast.Ident); ok {
 			place[typ.Name] = i + 1
@@ -52,17 +53,17 @@
 			}
 			found++
 			if place[read.Name] >= place[part] {
-				t.Errorf("part %s reads %s, which does not stand above it", part, read.Name)
+				t.Errorf("part %s reads %s, which is not declared above it", part, read.Name)
 			}
 		}
 	}
 	if found < 20 {
-		t.Errorf("only %d parts are read by others", found)
+		t.Errorf("%d references between parts found, want at least 20", found)
 	}
 }
 
-// recordOwners are the parts of the core that may write the parts of a job or machine besides
-// the methods of these themselves.
+// recordOwners maps the type of each part of a job or a machine to the part of Core that may write it,
+// besides its own methods.
 var recordOwners = map[string]string{
 	"contact":         "agents",
 	"machineCommands": "commands",
@@ -82,8 +83,8 @@
 	"transfer":        "delegations",
 }
 
-// TestRecordsAreWrittenByTheirOwners: the parts of a job and of a machine are written by their own
-// methods and by those of the part of the core that owns them.
+// TestRecordsAreWrittenByTheirOwners checks that the parts of a job and of a machine are written only by
+// their own methods and by those of the part of Core that owns them.
 func TestRecordsAreWrittenByTheirOwners(t *testing.T) {
 	fset := token.NewFileSet()
 	files := parsePackage(t, fset)
@@ -111,12 +112,12 @@
 		}
 	})
 	if found < 20 {
-		t.Errorf("only %d writes found", found)
+		t.Errorf("%d writes found, want at least 20", found)
 	}
 }
 
-// forEachWrite calls f for each write in a method of this package, with the names on the way to what
-// is written.
+// forEachWrite calls f for each write in a method of this package, with the selector path of the
+// expression that is written.
 func forEachWrite(files []*ast.File, f func(method *ast.FuncDecl, path []string, at token.Pos)) {
 	for _, file := range files {
 		for _, decl := range file.Decls {
@@ -134,7 +135,7 @@
 	}
 }
 
-// parsePackage parses the files of this package apart from its tests.
+// parsePackage parses the files of this package except its tests.
 func parsePackage(t *testing.T, fset *token.FileSet) (files []*ast.File) {
 	t.Helper()
 	names, err := filepath.Glob("*.go")
@@ -154,7 +155,7 @@
 	return files
 }
 
-// receiverType names the type of a method's receiver.
+// receiverType returns the name of the type of a method's receiver.
 func receiverType(method *ast.FuncDecl) string {
 	typ := method.Recv.List[0].Type
 	if pointer, ok := typ.(*ast.StarExpr); ok {
@@ -166,7 +167,7 @@
 	return ""
 }
 
-// receiverName names a method's receiver.
+// receiverName returns the name of a method's receiver.
 func receiverName(method *ast.FuncDecl) string {
 	if names := method.Recv.List[0].Names; len(names) > 0 {
 		return names[0].Name
@@ -174,19 +175,19 @@
 	return ""
 }
 
-// coreParts lists the parts of the core, which are its fields of types of this package, with
-// their types.
+// coreParts returns the parts of Core, which are its fields with types of this package, and their
+// types.
 func coreParts(t *testing.T, files []*ast.File) map[string]string {
 	t.Helper()
 	parts := fieldsOf(files, "Core")
 	delete(parts, "cfg")
 	if len(parts) < 10 {
-		t.Fatalf("only %d parts found: %v", len(parts), parts)
+		t.Fatalf("%d parts found, want at least 10: %v", len(parts), parts)
 	}
 	return parts
 }
 
-// fieldsOf lists the fields of a struct that have types of this package, with these.
+// fieldsOf returns the fields of a struct that have types of this package, and these types.
 func fieldsOf(files []*ast.File, structName string) map[string]string {
 	fields := map[string]string{}
 	for _, field := range structFields(files, structName) {
@@ -199,7 +200,7 @@
 	return fields
 }
 
-// structFields lists the fields of a struct in their order.
+// structFields returns the fields of a struct in order, or nil if there is no such struct.
 func structFields(files []*ast.File, structName string) []*ast.Field {
 	for _, file := range files {
 		if declared := file.Scope.Lookup(structName); declared != nil {
@@ -211,7 +212,7 @@
 	return nil
 }
 
-// assignedExprs lists the expressions that a statement assigns to.
+// assignedExprs returns the expressions that a node assigns to, increments, deletes from or clears.
 func assignedExprs(n ast.Node) []ast.Expr {
 	switch s := n.(type) {
 	case *ast.AssignStmt:
@@ -228,7 +229,7 @@
 	return nil
 }
 
-// selectorPath lists the names in an expression A.B[...].C, nil for any other.
+// selectorPath returns the names in an expression A.B[...].C, and nil for any other expression.
 func selectorPath(e ast.Expr) []string {
 	var path []string
 	for {
--- a/internal/scheduler/demand.go
+++ b/internal/scheduler/demand.go
@@ -61,7 +61,7 @@
 
 // addSize adds weight to a task size, and decays the weights of all others. Beyond maxSizes the size
 // with the least weight is dropped.
-func (d *learnedDemand) addSize(size slowfit.Size, weight float64, wait bool) {
+func (d *learnedDemand) addSize(size slowfit.Size, weight float64, hasWaitObjective bool) {
 	index := -1
 	for i := range d.sizes {
 		d.sizes[i].weight *= 0.98
@@ -74,7 +74,7 @@
 		d.sizes = append(d.sizes, weightedSize{size: size})
 	}
 	d.sizes[index].weight += weight
-	d.sizes[index].hasWaitObjective = d.sizes[index].hasWaitObjective || wait
+	d.sizes[index].hasWaitObjective = d.sizes[index].hasWaitObjective || hasWaitObjective
 	slices.SortStableFunc(d.sizes, func(x, y weightedSize) int { return cmp.Compare(y.weight, x.weight) })
 	d.sizes = d.sizes[:min(len(d.sizes), maxSizes)]
 }
@@ -99,9 +99,9 @@
 	variance, capped := deviation*deviation, 0.0
 	for i := range d.teams.Len() {
 		if limit, limited := d.teams.Team(int32(i)).CPULimit(); limited {
-			m, deviation := autoscaler.Demand(d.clock.now, d.limitedByTeam[i:i+1])
-			mean, variance = mean-m, variance-deviation*deviation
-			capped += min(m+spread*deviation, limit)
+			teamMean, deviation := autoscaler.Demand(d.clock.now, d.limitedByTeam[i:i+1])
+			mean, variance = mean-teamMean, variance-deviation*deviation
+			capped += min(teamMean+spread*deviation, limit)
 		}
 	}
 	return max(mean, 0) + spread*math.Sqrt(max(variance, 0)) + capped
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -12,35 +12,36 @@
 	"leadproxy/internal/wire"
 )
 
-// harness drives a core by hand: a fake clock, and effects kept for inspection.
+// harness drives a core in tests. It has a fake clock, carries out ledger writes and keeps all other
+// effects for inspection.
 type harness struct {
 	t                testingT
 	core             *Core
 	now              time.Duration
-	sequences        map[string]uint64
-	sentCommands     []SendCommands // commands without a result
-	responseCommands []wire.Command // in responses to heartbeats, since the last call of completeCommands
-	recentEffects    []Effect
-	otherEffects     []Effect // those that have no place above, from the beginning
+	sequences        map[string]uint64 // last heartbeat sequence number by machine
+	sentCommands     []SendCommands    // direct commands without a result
+	responseCommands []wire.Command    // commands in heartbeat responses since the last call of completeCommands
+	recentEffects    []Effect          // replies and other effects since the last request
+	otherEffects     []Effect          // all effects so far that have no field of their own
 	// holdWrites, while set, keeps ledger writes from becoming durable.
 	holdWrites      bool
-	pendingTags     []ledger.Tag
+	pendingTags     []ledger.Tag // tags of the writes held by holdWrites
 	scaleOuts       []wire.ScaleOutRequest
-	deletedMachines []string
-	writesByKey     map[string]ledger.Write // the last by key
-	writeCount      int                     // writes so far
-	submittedJobs   map[string]*wire.Job    // what was submitted
+	deletedMachines []string                // machines whose deletion was requested
+	writesByKey     map[string]ledger.Write // latest write of each key
+	writeCount      int                     // number of writes so far
+	submittedJobs   map[string]*wire.Job    // jobs passed to submit, by ID
 }
 
 const testTerm = 7
 
-// testRecipient stands for whoever waits for a reply.
+// testRecipient is the recipient of replies in tests.
 type testRecipient string
 
-// Deliver is not called: the harness reads the effects.
+// Deliver does nothing: the harness reads the effects instead.
 func (testRecipient) Deliver(Effect) {}
 
-// savedHosts and savedRanges are what the ledger holds of one job in one key.
+// savedHosts returns the hosts of a job as the ledger saves them in one key.
 func savedHosts(machines ...string) []ledger.SavedHosts {
 	if len(machines) == 0 {
 		return nil
@@ -48,11 +49,13 @@
 	return []ledger.SavedHosts{{Chunk: 0, Machines: machines}}
 }
 
+// savedRanges returns the finished tasks of job-1 as the ledger saves them in one key: the first and
+// the last task of each range.
 func savedRanges(firstAndLast ...int) []ledger.SavedRanges {
 	return []ledger.SavedRanges{{Key: "fin/job-1/0", Ranges: firstAndLast}}
 }
 
-// testingT is a test or a property that fails.
+// testingT is implemented by *testing.T and *rapid.T.
 type testingT interface {
 	Helper()
 	Errorf(format string, args ...any)
@@ -91,6 +94,8 @@
 	h.recordEffects(h.core.Flush())
 }
 
+// recordEffects records effects for inspection, and reports the writes among them as durable unless
+// holdWrites is set.
 func (h *harness) recordEffects(effects []Effect) {
 	var tags []ledger.Tag
 	for _, e := range effects {
@@ -135,7 +140,7 @@
 	h.step(WritesDurable{tags})
 }
 
-// advance lets time pass, a tick at a time.
+// advance advances the clock by d, with a tick every 250 ms.
 func (h *harness) advance(d time.Duration) {
 	for end := h.now + d; h.now < end; {
 		h.now += 250 * time.Millisecond
@@ -143,6 +148,7 @@
 	}
 }
 
+// newHeartbeat returns the next heartbeat of a machine of type m4, which acknowledges a fencing token.
 func (h *harness) newHeartbeat(name string, token uint64, tasks ...wire.TaskStatus) *wire.Heartbeat {
 	h.sequences[name]++
 	return &wire.Heartbeat{Machine: name, Address: "10.1.0.1:9000", CapacityPool: wire.CapacityPool{Type: "m4", Zone: "a", Spot: true}, AgentEpoch: 1, Sequence: h.sequences[name], FencingToken: token, Tasks: tasks}
@@ -157,19 +163,20 @@
 			return reply.Response
 		}
 	}
-	h.t.Fatal("the report was not answered")
+	h.t.Fatal("the heartbeat got no response")
 	return nil
 }
 
+// termToken is the first fencing token of the term.
 const termToken = testTerm << termCounterBits
 
-// bringUp brings a machine up until it is schedulable.
+// bringUp sends the heartbeats after which a new machine is schedulable.
 func (h *harness) bringUp(name string) {
 	h.sendHeartbeat(h.newHeartbeat(name, 0))
 	h.sendHeartbeat(h.newHeartbeat(name, termToken))
 }
 
-// acknowledge has an agent show that it has received our latest token.
+// acknowledge sends a heartbeat of an agent that acknowledges its latest fencing token.
 func (h *harness) acknowledge(name string, tasks ...wire.TaskStatus) *wire.HeartbeatResponse {
 	m := h.core.findOrAddMachine(name)
 	heartbeat := h.newHeartbeat(name, m.agent.FencingToken(), tasks...)
@@ -186,7 +193,7 @@
 	h.step(JobRecordEvent{JobID: j.ID, Record: ledger.JobRecord{Job: j, AcceptedMS: h.now.Milliseconds()}, Version: 3})
 }
 
-// startCommands lists the starts in commands without a result and in responses.
+// startCommands returns the starts in heartbeat responses and in direct commands without a result.
 func (h *harness) startCommands() (starts []wire.Command) {
 	for _, command := range h.responseCommands {
 		if command.Verb == wire.VerbStart {
@@ -203,7 +210,8 @@
 	return starts
 }
 
-// completeCommands ends all commands that are on their way.
+// completeCommands reports the same outcome for all direct commands in flight, and forgets the
+// commands sent so far.
 func (h *harness) completeCommands(outcome CommandOutcome) {
 	sent := h.sentCommands
 	h.sentCommands, h.responseCommands = nil, nil
@@ -212,10 +220,12 @@
 	}
 }
 
+// newTaskStatus returns the status that an agent reports for the task of a command.
 func newTaskStatus(command wire.Command, status, why string) wire.TaskStatus {
 	return wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Status: status, ExitReason: why}
 }
 
+// commandVerbs returns the verbs of the commands in a response, each followed by a space.
 func commandVerbs(response *wire.HeartbeatResponse) string {
 	verbs := ""
 	for _, command := range response.Commands {
@@ -224,6 +234,7 @@
 	return verbs
 }
 
+// want fails the test if got and want differ when formatted. what describes the value.
 func (h *harness) want(what string, got, want any) {
 	h.t.Helper()
 	if fmt.Sprint(got) != fmt.Sprint(want) {
@@ -231,7 +242,7 @@
 	}
 }
 
-// jobStatus asks for a job's state.
+// jobStatus requests and returns the status of a job.
 func (h *harness) jobStatus(jobID string) string {
 	h.recentEffects = nil
 	h.step(StatusRequest{JobID: jobID, ReplyTo: testRecipient("u")})
--- a/internal/scheduler/inherited_state.go
+++ b/internal/scheduler/inherited_state.go
@@ -74,12 +74,12 @@
 	if seconds, ok := i.estimates.BootSeconds[t.Name]; ok {
 		t.inheritBootTime(settings.Seconds(seconds))
 	}
-	for _, o := range i.estimates.Pools {
-		if o.Type != t.Name {
+	for _, inherited := range i.estimates.Pools {
+		if inherited.Type != t.Name {
 			continue
 		}
-		pool := i.pools.state(autoscaler.CapacityPool{Type: index, Zone: i.machineTable.zones.intern(o.Zone), Spot: o.Spot})
-		pool.inherit(&o, i.clock.now)
+		pool := i.pools.state(autoscaler.CapacityPool{Type: index, Zone: i.machineTable.zones.intern(inherited.Zone), Spot: inherited.Spot})
+		pool.inherit(&inherited, i.clock.now)
 	}
 }
 
--- a/internal/scheduler/ledger_writes_test.go
+++ b/internal/scheduler/ledger_writes_test.go
@@ -9,19 +9,21 @@
 	"leadproxy/internal/wire"
 )
 
+// TestHostIsDurableBeforeTheFirstStart guards against a start that a new leader can't know of: a
+// machine gets a job's first start only when the ledger names it as a host of the job.
 func TestHostIsDurableBeforeTheFirstStart(t *testing.T) {
 	h := newHarness(t, ledger.Snapshot{})
 	h.bringUp("vm-1")
 	h.holdWrites = true
 	h.submit(newTestJob("job-1", 2, 1))
-	h.want("starts while the host is not durable", len(h.startCommands()), 0)
+	h.want("starts before the host is durable", len(h.startCommands()), 0)
 	h.releaseWrites()
-	h.want("starts once it is", len(h.startCommands()), 2)
+	h.want("starts after the host is durable", len(h.startCommands()), 2)
 }
 
-// TestWritesOfAStepAreBatched: a step that adds many machines and many ended tasks to a job
-// writes each of its keys once, with all of them, and every machine still gets its starts only
-// when it is in the ledger.
+// TestWritesOfAStepAreBatched checks that a step that adds many machines or many ended tasks to a job
+// writes each of the job's keys once, with all of them. Written one by one, each write would repeat
+// all that came before it. Starts still follow only when their machines are durable in the ledger.
 func TestWritesOfAStepAreBatched(t *testing.T) {
 	h := newHarness(t, ledger.Snapshot{})
 	const machines = ledger.HostsPerChunk + 50
@@ -33,9 +35,9 @@
 	writesBefore := h.writeCount
 	h.submit(newTestJob("job-1", 4*machines, 1))
 	h.want("writes for all machines", h.writeCount-writesBefore, 2)
-	h.want("hosts in the first", len(h.writesByKey["host/job-1/0"].Value.([]string)), ledger.HostsPerChunk)
-	h.want("hosts in the second", len(h.writesByKey["host/job-1/1"].Value.([]string)), 50)
-	h.want("started before that is durable", len(h.startCommands()), 0)
+	h.want("hosts in the first key", len(h.writesByKey["host/job-1/0"].Value.([]string)), ledger.HostsPerChunk)
+	h.want("hosts in the second key", len(h.writesByKey["host/job-1/1"].Value.([]string)), 50)
+	h.want("starts before the hosts are durable", len(h.startCommands()), 0)
 	h.releaseWrites()
 	tasks := map[string][]wire.TaskStatus{}
 	for _, sent := range h.sentCommands {
@@ -43,7 +45,7 @@
 			tasks[sent.Machine] = append(tasks[sent.Machine], newTaskStatus(command, wire.TaskEnded, wire.ExitDone))
 		}
 	}
-	h.want("started then", len(h.startCommands()), 4*machines)
+	h.want("starts after the hosts are durable", len(h.startCommands()), 4*machines)
 	h.completeCommands(CommandExecuted)
 
 	h.holdWrites = true
@@ -54,7 +56,7 @@
 	h.recordEffects(h.core.Flush())
 	h.want("writes for the ended tasks of three machines", h.writeCount-writesBefore, 1)
 	for _, command := range h.responseCommands {
-		h.want("ordered before that is durable", command.Verb, "nothing")
+		h.want("command before the ended tasks are durable", command.Verb, "nothing")
 	}
 	h.releaseWrites()
 	durable := 0
@@ -63,12 +65,12 @@
 			durable++
 		}
 	}
-	h.want("durable", durable, 12)
+	h.want("durable tasks", durable, 12)
 }
 
-// TestWritesAreSplitBelowTheValueLimit: when the key-value store takes small values only, finished tasks, hosts and
-// unreachable-agent records are written in pieces, also what is rejected, and a new leader reads
-// them all.
+// TestWritesAreSplitBelowTheValueLimit checks that finished tasks and hosts are split into several
+// values after the key-value store has lowered its limit, including a write that it rejected, that a
+// new leader reads all of them, and that they are deleted with the job.
 func TestWritesAreSplitBelowTheValueLimit(t *testing.T) {
 	const limit, tasks, machines = 1024, 600, 150
 	h := newHarness(t, ledger.Snapshot{})
@@ -78,9 +80,9 @@
 	h.submit(newTestJob("job-1", tasks, 1))
 	h.completeCommands(CommandExecuted)
 	hosts := h.writesByKey["host/job-1/0"]
-	h.want("hosts in one key at first", len(hosts.Value.([]string)), machines)
+	h.want("hosts in one key before the limit is lowered", len(hosts.Value.([]string)), machines)
 	h.step(ValueLimitChanged{MaxValueBytes: limit})
-	// The write was not carried out: all of it is written in pieces.
+	// The write was rejected, so all its hosts are written again in smaller values.
 	j := h.core.jobs.list[0]
 	for i := range j.record.hosts {
 		j.record.hosts[i].durable = false
@@ -114,31 +116,31 @@
 				found[name] = true
 			}
 			if size > limit {
-				t.Errorf("%s takes %d bytes", key, size)
+				t.Errorf("%s takes %d bytes, more than the limit", key, size)
 			}
 			saved.Hosts = append(saved.Hosts, ledger.SavedHosts{Key: key, Chunk: chunk, Machines: v})
 		case ledger.Ranges:
 			if v.Size() > limit {
-				t.Errorf("%s takes %d bytes", key, v.Size())
+				t.Errorf("%s takes %d bytes, more than the limit", key, v.Size())
 			}
 			saved.Finished = append(saved.Finished, ledger.SavedRanges{Key: key, Ranges: v})
 		}
 	}
-	h.want("hosts in all pieces", len(found), machines)
+	h.want("hosts in all values", len(found), machines)
 	successor := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{saved}})
-	h.want("done for a new leader", successor.core.jobs.list[0].progress.done, tasks/2)
-	h.want("its hosts", len(successor.core.jobs.list[0].record.hosts), machines)
-	// All of it is deleted with the job.
+	h.want("finished tasks of a new leader", successor.core.jobs.list[0].progress.done, tasks/2)
+	h.want("hosts of a new leader", len(successor.core.jobs.list[0].record.hosts), machines)
+	// All keys are deleted with the job.
 	successor.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 	successor.advance(40 * time.Second)
-	for _, h := range saved.Hosts {
-		if w, ok := successor.writesByKey[h.Key]; !ok || w.Value != nil {
-			t.Errorf("%s is not deleted", h.Key)
+	for _, hosts := range saved.Hosts {
+		if w, ok := successor.writesByKey[hosts.Key]; !ok || w.Value != nil {
+			t.Errorf("%s is not deleted", hosts.Key)
 		}
 	}
-	for _, f := range saved.Finished {
-		if w, ok := successor.writesByKey[f.Key]; !ok || w.Value != nil {
-			t.Errorf("%s is not deleted", f.Key)
+	for _, finished := range saved.Finished {
+		if w, ok := successor.writesByKey[finished.Key]; !ok || w.Value != nil {
+			t.Errorf("%s is not deleted", finished.Key)
 		}
 	}
 }
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -120,9 +120,10 @@
 	gb    float64
 }
 
+// hasImage reports whether the machine has an image in its cache.
 func (m *machine) hasImage(image int32) bool {
-	for _, s := range m.capacity.images {
-		if s.image == image {
+	for _, cached := range m.capacity.images {
+		if cached.image == image {
 			return true
 		}
 	}
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -21,8 +21,8 @@
 		c.restoreJob(&snapshot.Jobs[i])
 	}
 	c.restoreDependencies()
-	for _, scaleOut := range snapshot.ScaleOuts {
-		c.restoreScaleOut(scaleOut)
+	for _, record := range snapshot.ScaleOuts {
+		c.restoreScaleOut(record)
 	}
 	c.restoreUnreachableRecords(snapshot.Unreachable)
 	c.restoreTransfers(snapshot)
@@ -44,7 +44,7 @@
 		c.demand.learnArrival(c.classIndex(saved.Record.Class), c.teams.Index(saved.Record.Team), accepted, saved.Record.Cores, saved.Record.RunS)
 	}
 	if j.spec == nil {
-		// The job has ended; an earlier leader ended before it had deleted all its keys.
+		// The job has ended; an earlier leader stopped before it had deleted all its keys.
 		c.jobs.deleteRestoredKeys(saved)
 		return
 	}
--- a/internal/scheduler/restore_test.go
+++ b/internal/scheduler/restore_test.go
@@ -10,6 +10,9 @@
 	"leadproxy/internal/wire"
 )
 
+// TestFailover checks when a new leader starts a task that an earlier leader may have started: only
+// when each host of the job has listed its tasks, is gone, or must have ended them by its lease. A
+// start any earlier could run the task twice.
 func TestFailover(t *testing.T) {
 	saved := func(hosts ...string) ledger.Snapshot {
 		return ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 2, 1)},
@@ -24,25 +27,25 @@
 		act    func(h *harness)
 		starts int
 	}{
-		{"a host that the ledger says is gone needs no waiting", goneHost, func(h *harness) {}, 1},
-		{"what never had hosts is placed at once", saved(), func(h *harness) {}, 1},
-		{"an unseen task waits for its host", saved("vm-1"), func(h *harness) {}, 0},
-		{"a report without our token clears nothing", saved("vm-1"), func(h *harness) {
+		{"the ledger records that the host is gone", goneHost, func(h *harness) {}, 1},
+		{"the job never had a host", saved(), func(h *harness) {}, 1},
+		{"the host has sent no heartbeat", saved("vm-1"), func(h *harness) {}, 0},
+		{"a heartbeat with a token of an earlier term resolves nothing", saved("vm-1"), func(h *harness) {
 			h.sendHeartbeat(h.newHeartbeat("vm-1", 6<<termCounterBits))
 		}, 0},
-		{"an echo without the task clears it", saved("vm-1"), func(h *harness) { h.bringUp("vm-1") }, 1},
-		{"an echo with the task adopts it", saved("vm-1"), func(h *harness) {
+		{"a heartbeat with the current token and without the task resolves it", saved("vm-1"), func(h *harness) { h.bringUp("vm-1") }, 1},
+		{"a heartbeat with the current token and with the task", saved("vm-1"), func(h *harness) {
 			h.sendHeartbeat(h.newHeartbeat("vm-1", termToken, newTaskStatus(oldStart, wire.TaskRunning, "")))
 		}, 0},
-		{"every host must be cleared", saved("vm-1", "vm-2"), func(h *harness) { h.bringUp("vm-1") }, 0},
-		{"a deletion clears it", saved("vm-1"), func(h *harness) {
+		{"one of two hosts is resolved", saved("vm-1", "vm-2"), func(h *harness) { h.bringUp("vm-1") }, 0},
+		{"the host is deleted", saved("vm-1"), func(h *harness) {
 			h.step(CloudResult{autoscaler.Result{Call: autoscaler.Call{Delete: []string{"vm-1"}}}})
 		}, 1},
-		{"not before the lease must be over", saved("vm-1"), func(h *harness) {
+		{"the host's lease may not have expired", saved("vm-1"), func(h *harness) {
 			h.advance(30 * time.Second)
 			h.bringUp("vm-8")
 		}, 0},
-		{"the end of the lease clears it", saved("vm-1"), func(h *harness) {
+		{"the host's lease has expired", saved("vm-1"), func(h *harness) {
 			h.advance(30500 * time.Millisecond)
 			h.bringUp("vm-8")
 		}, 1},
@@ -53,11 +56,13 @@
 			h.bringUp("vm-9")
 			c.act(h)
 			h.want("starts", len(h.startCommands()), c.starts)
-			h.want("state", h.jobStatus("job-1") == wire.JobDone, false)
+			h.want("the job is done", h.jobStatus("job-1") == wire.JobDone, false)
 		})
 	}
 }
 
+// TestANewLeaderLearnsTheDemandFromFinishedJobs checks that a new leader estimates the demand from the
+// records of finished jobs, instead of returning machines until it has seen enough arrivals.
 func TestANewLeaderLearnsTheDemandFromFinishedJobs(t *testing.T) {
 	var s ledger.Snapshot
 	for i := range 30 {
@@ -71,8 +76,8 @@
 	}
 }
 
-// TestAcceptedJobsAreNeverLost: whatever becomes of nodes and machines, an accepted
-// job is known and is taken up again.
+// TestAcceptedJobsAreNeverLost checks that a leader knows an accepted job and starts its tasks,
+// whichever controllers and machines have failed in the meantime.
 func TestAcceptedJobsAreNeverLost(t *testing.T) {
 	record := ledger.JobRecord{Job: newTestJob("job-1", 2, 1)}
 	cases := []struct {
@@ -80,15 +85,15 @@
 		saved ledger.Snapshot
 		act   func(h *harness)
 	}{
-		{"its node died right after the write, before this term", ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: record}}}, func(h *harness) {}},
-		{"accepted during the takeover: only the watch tells of it", ledger.Snapshot{}, func(h *harness) {
+		{"the controller that accepted it crashed before this term", ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: record}}}, func(h *harness) {}},
+		{"accepted after the snapshot, received from the watch only", ledger.Snapshot{}, func(h *harness) {
 			h.step(JobRecordEvent{JobID: "job-1", Record: record, Version: 3})
 		}},
 		{"all its machines are gone", ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: record, Hosts: savedHosts("vm-7", "vm-8")}}}, func(h *harness) {
 			h.advance(31 * time.Second)
 		}},
 		{"its machines were deleted by an earlier leader", ledger.Snapshot{GoneMachines: []string{"vm-7"}, Jobs: []ledger.SavedJob{{ID: "job-1", Record: record, Hosts: savedHosts("vm-7")}}}, func(h *harness) {}},
-		{"told of twice", ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: record}}}, func(h *harness) {
+		{"in the snapshot and received from the watch", ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: record}}}, func(h *harness) {
 			h.step(JobRecordEvent{JobID: "job-1", Record: record, Version: 3})
 		}},
 	}
@@ -96,21 +101,21 @@
 		t.Run(c.name, func(t *testing.T) {
 			h := newHarness(t, c.saved)
 			c.act(h)
-			h.want("state", h.jobStatus("job-1"), wire.JobQueued)
+			h.want("job status", h.jobStatus("job-1"), wire.JobQueued)
 			h.bringUp("vm-1")
 			h.want("starts", len(h.startCommands()), 2)
 		})
 	}
 }
 
-// TestCancelledJobWithUndeletedFinishedRanges: the leader ended between writing a
-// job's cancellation and deleting its ranges. The next one counted the finished
-// tasks twice and ended on that, as did every one after it.
+// TestCancelledJobWithUndeletedFinishedRanges guards against a crash at the start of each term: an
+// earlier leader stopped between writing a job's cancellation and deleting its finished ranges, and
+// every later leader counted the finished tasks twice and crashed on that.
 func TestCancelledJobWithUndeletedFinishedRanges(t *testing.T) {
 	record := ledger.JobRecord{Job: newTestJob("job-1", 3, 1), TerminalState: wire.JobCancelled, Tasks: 3, Done: 2}
 	h := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: record, Hosts: savedHosts("vm-1"), Finished: savedRanges(0, 1)}}})
-	h.want("state", h.jobStatus("job-1"), wire.JobCancelled)
+	h.want("job status", h.jobStatus("job-1"), wire.JobCancelled)
 	h.bringUp("vm-1")
 	h.want("starts", len(h.startCommands()), 0)
-	h.want("settled", h.core.jobs.list[0].end.cleanedUp, true)
+	h.want("cleaned up", h.core.jobs.list[0].end.cleanedUp, true)
 }
--- a/internal/scheduler/scalability_test.go
+++ b/internal/scheduler/scalability_test.go
@@ -8,9 +8,9 @@
 	"leadproxy/internal/wire"
 )
 
-// indexVisitsPerHeartbeat fills a cell of so many machines, half of them short of cores and
-// half of memory, lets jobs wait that need a little of both, and counts the nodes of the index
-// that are visited for heartbeats with ended tasks.
+// indexVisitsPerHeartbeat fills a cell, half of whose machines are short of cores and half of memory,
+// queues jobs that need some of both, and sends heartbeats with an ended task. It returns the
+// average number of index nodes visited per heartbeat.
 func indexVisitsPerHeartbeat(t *testing.T, machines int) int {
 	h := newHarness(t, ledger.Snapshot{})
 	tasks := map[string][]wire.TaskStatus{}
@@ -32,7 +32,7 @@
 		j.MemGB = 4
 		h.submit(j)
 	}
-	h.want("started without room", len(h.startCommands()), 0)
+	h.want("starts without free resources", len(h.startCommands()), 0)
 	before := h.core.placement.index.NodesVisited()
 	const heartbeats = 50
 	for i := range heartbeats {
@@ -43,11 +43,12 @@
 	return (h.core.placement.index.NodesVisited() - before) / heartbeats
 }
 
-// TestWorkPerHeartbeatDoesNotGrow: in a full cell every heartbeat with an ended task had all
-// machines examined for each waiting job, which took more than a controller has.
+// TestWorkPerHeartbeatDoesNotGrow guards against a leader that is overloaded in a large cell: in a full
+// cell, every heartbeat with an ended task caused a scan of all machines for each waiting job, which
+// took more CPU time than a controller has.
 func TestWorkPerHeartbeatDoesNotGrow(t *testing.T) {
 	small, large := indexVisitsPerHeartbeat(t, 128), indexVisitsPerHeartbeat(t, 2048)
 	if large > 4*max(small, 10) {
-		t.Errorf("a report costs %d looks with 128 machines and %d with 2048", small, large)
+		t.Errorf("a heartbeat visits %d index nodes with 128 machines and %d with 2048, want at most 4 times as many", small, large)
 	}
 }
--- a/internal/scheduler/scale_in_test.go
+++ b/internal/scheduler/scale_in_test.go
@@ -11,30 +11,35 @@
 	"leadproxy/internal/wire"
 )
 
+// TestUnreachableMachine checks that an unreachable machine is deleted, and that its task is started
+// elsewhere only when its lease has expired.
 func TestUnreachableMachine(t *testing.T) {
 	h := newHarness(t, ledger.Snapshot{})
 	h.bringUp("vm-1")
 	h.submit(newTestJob("job-1", 1, 4))
 	h.completeCommands(CommandExecuted)
 	h.advance(14 * time.Second)
-	h.want("asked to delete", h.deletedMachines, []string{"vm-1"})
+	h.want("requested deletions", h.deletedMachines, []string{"vm-1"})
 	h.bringUp("vm-2")
-	h.want("starts before it is surely gone", len(h.startCommands()), 0)
-	h.advance(17 * time.Second) // its lease has expired
+	h.want("starts before the lease has expired", len(h.startCommands()), 0)
+	h.advance(17 * time.Second) // the lease of vm-1 has expired
 	h.bringUp("vm-3")
-	h.want("starts after", len(h.startCommands()), 1)
+	h.want("starts after the lease has expired", len(h.startCommands()), 1)
 }
 
+// TestWhichUnreachableMachinesAreDeleted guards against the deletion of machines that run but can't be
+// reached: if a whole zone or most machines become unreachable at once, a network partition is more
+// likely than their failure.
 func TestWhichUnreachableMachinesAreDeleted(t *testing.T) {
 	cases := []struct {
-		name    string
-		zones   map[string]string // of the machines that become unreachable
-		talking map[string]string // of the others
-		deleted int
+		name        string
+		unreachable map[string]string // zone by machine that becomes unreachable
+		reachable   map[string]string // zone by machine that stays reachable
+		deleted     int
 	}{
-		{"some of a zone", map[string]string{"vm-1": "a", "vm-2": "b"}, map[string]string{"vm-3": "a", "vm-4": "b", "vm-5": "a"}, 2},
-		{"a whole zone may be cut off", map[string]string{"vm-1": "a", "vm-2": "a"}, map[string]string{"vm-3": "b", "vm-4": "b", "vm-5": "b"}, 0},
-		{"most machines: rather we are cut off", map[string]string{"vm-1": "a", "vm-2": "b", "vm-3": "a"}, map[string]string{"vm-4": "b", "vm-5": "a"}, 0},
+		{"some machines of each zone", map[string]string{"vm-1": "a", "vm-2": "b"}, map[string]string{"vm-3": "a", "vm-4": "b", "vm-5": "a"}, 2},
+		{"a whole zone, which may be partitioned", map[string]string{"vm-1": "a", "vm-2": "a"}, map[string]string{"vm-3": "b", "vm-4": "b", "vm-5": "b"}, 0},
+		{"most machines, so this controller may be partitioned", map[string]string{"vm-1": "a", "vm-2": "b", "vm-3": "a"}, map[string]string{"vm-4": "b", "vm-5": "a"}, 0},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -46,24 +51,26 @@
 					h.sendHeartbeat(heartbeat)
 				}
 			}
-			sendHeartbeats(c.zones)
-			sendHeartbeats(c.talking)
+			sendHeartbeats(c.unreachable)
+			sendHeartbeats(c.reachable)
 			for range 14 {
 				h.advance(time.Second)
-				sendHeartbeats(c.talking)
+				sendHeartbeats(c.reachable)
 			}
 			h.want("deleted", len(h.deletedMachines), c.deleted)
 		})
 	}
 }
 
+// TestMachinesThatReconnectAfterAPartitionAreNotDeleted checks that machines that become reachable one
+// by one after a partition aren't deleted while the others are still unreachable.
 func TestMachinesThatReconnectAfterAPartitionAreNotDeleted(t *testing.T) {
 	h := newHarness(t, ledger.Snapshot{})
 	machines := []string{"vm-1", "vm-2", "vm-3", "vm-4"}
 	for _, name := range machines {
 		h.bringUp(name)
 	}
-	h.advance(14 * time.Second) // all are unreachable: we are cut off
+	h.advance(14 * time.Second) // all machines are unreachable: this controller is partitioned
 	for _, name := range machines {
 		h.bringUp(name)
 		h.advance(time.Second)
@@ -71,6 +78,8 @@
 	h.want("deleted", len(h.deletedMachines), 0)
 }
 
+// TestSuspensionOfTheLeaderMakesNoAgentUnreachable checks that machines aren't deleted for heartbeats
+// that the leader missed while it was suspended.
 func TestSuspensionOfTheLeaderMakesNoAgentUnreachable(t *testing.T) {
 	h := newHarness(t, ledger.Snapshot{})
 	h.bringUp("vm-1")
@@ -84,23 +93,25 @@
 	h.want("deleted", len(h.deletedMachines), 0)
 }
 
+// TestUnreachableHostAfterAFailoverIsDeleted checks that a new leader deletes a host that has sent no
+// heartbeat in its term.
 func TestUnreachableHostAfterAFailoverIsDeleted(t *testing.T) {
 	h := newHarness(t, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Record: ledger.JobRecord{Job: newTestJob("job-1", 1, 1)}, Hosts: savedHosts("vm-1")}}})
 	h.advance(13 * time.Second)
-	h.want("asked to delete", h.deletedMachines, []string{"vm-1"})
+	h.want("requested deletions", h.deletedMachines, []string{"vm-1"})
 }
 
-// TestIdleMachineThatWaitingTasksCanNotUseIsReturned: on a large site something
-// always waits, and it kept every idle machine.
+// TestIdleMachineThatWaitingTasksCanNotUseIsReturned guards against idle machines that are kept forever:
+// in a large cell some tasks always wait, and any waiting task kept every idle machine.
 func TestIdleMachineThatWaitingTasksCanNotUseIsReturned(t *testing.T) {
 	cases := []struct {
 		name    string
 		change  func(j *wire.Job)
 		deleted int
 	}{
-		{"the task fits it", func(j *wire.Job) { j.CPUs = 3 }, 0},
-		{"the task is too large for it", func(j *wire.Job) { j.CPUs = 8 }, 1},
-		{"the task may not use it", func(j *wire.Job) { j.Spot = false }, 1},
+		{"the task fits", func(j *wire.Job) { j.CPUs = 3 }, 0},
+		{"the task is too large", func(j *wire.Job) { j.CPUs = 8 }, 1},
+		{"the task may not use spot machines", func(j *wire.Job) { j.Spot = false }, 1},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -109,7 +120,7 @@
 			j := newTestJob("job-1", 1, 1)
 			c.change(j)
 			h.submit(j)
-			h.completeCommands(CommandNotSent) // what fits waits as well: commands do not arrive there
+			h.completeCommands(CommandNotSent) // commands don't arrive, so that a task that fits waits as well
 			for range 100 {
 				h.advance(time.Second)
 				h.acknowledge("vm-1")
@@ -120,8 +131,8 @@
 	}
 }
 
-// TestBeyondTheLimitNothingIsRentedOrKept: tasks beyond their team's limit cause no scale-out,
-// however many jobs they are in, and keep no machine.
+// TestBeyondTheLimitNothingIsRentedOrKept checks that tasks beyond their team's limit cause no
+// scale-out, in however many jobs they are, and keep no idle machine.
 func TestBeyondTheLimitNothingIsRentedOrKept(t *testing.T) {
 	h := newHarness(t, ledger.Snapshot{}, settings.Team{Name: "t", CPUsMax: 4})
 	for i := range 5 {
@@ -129,17 +140,17 @@
 	}
 	h.advance(2 * time.Second)
 	machines := 0
-	for _, h := range h.scaleOuts {
-		machines += h.Count
+	for _, scaleOut := range h.scaleOuts {
+		machines += scaleOut.Count
 	}
-	h.want("hired for 4 cores of 40", machines, 1)
+	h.want("machines requested for 4 of 40 cores", machines, 1)
 
 	h.bringUp("vm-1")
 	running := []wire.TaskStatus{}
 	for _, command := range h.startCommands() {
 		running = append(running, newTaskStatus(command, wire.TaskRunning, ""))
 	}
-	h.want("started within the limit", len(running), 4)
+	h.want("starts within the limit", len(running), 4)
 	h.completeCommands(CommandExecuted)
 	h.bringUp("vm-2")
 	for range 100 {
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -15,25 +15,26 @@
 	"leadproxy/internal/wire"
 )
 
-// simulation is a whole deployment on a fake clock, around a core: machines that execute
-// commands and send heartbeats, and users whose jobs keep them busy.
+// simulation simulates a deployment around a core, on a fake clock: machines that execute commands and
+// send heartbeats, and users whose jobs keep the machines busy.
 type simulation struct {
 	core           *Core
 	now            time.Duration
 	machines       []*simulatedMachine
 	machinesByName map[string]*simulatedMachine
-	jobs           int
-	pendingEvents  []Event // events that follow at once
-	counts         map[string]int
+	jobs           int            // number of jobs submitted so far
+	pendingEvents  []Event        // events to process before time advances
+	counts         map[string]int // by type of effect, and by other names
 }
 
+// simulatedMachine is a machine and its agent.
 type simulatedMachine struct {
-	heartbeat       wire.Heartbeat
-	taskEndTimes    map[uint64]time.Duration
-	nextHeartbeatAt time.Duration // its next heartbeat
+	heartbeat       wire.Heartbeat           // the latest heartbeat
+	taskEndTimes    map[uint64]time.Duration // by attempt
+	nextHeartbeatAt time.Duration
 }
 
-// Deliver is not called: the simulation reads the effects.
+// Deliver does nothing: the simulation reads the effects instead.
 func (m *simulatedMachine) Deliver(Effect) {}
 
 func newSimulation(machines int) *simulation {
@@ -67,6 +68,7 @@
 
 func (s *simulation) flush() { s.handleEffects(s.core.Flush()) }
 
+// handleEffects carries out effects. Results of commands, writes and cloud calls become pending events.
 func (s *simulation) handleEffects(effects []Effect) {
 	var tags []ledger.Tag
 	for _, e := range effects {
@@ -104,6 +106,7 @@
 	}
 }
 
+// newHeartbeat returns the machine's next heartbeat.
 func (m *simulatedMachine) newHeartbeat() wire.Heartbeat {
 	m.heartbeat.Sequence++
 	heartbeat := m.heartbeat
@@ -111,6 +114,8 @@
 	return heartbeat
 }
 
+// executeCommands executes commands. Like an agent, the machine sends a heartbeat soon after commands or
+// a higher fencing token.
 func (m *simulatedMachine) executeCommands(now time.Duration, token uint64, commands []wire.Command) {
 	if token > m.heartbeat.FencingToken {
 		m.heartbeat.FencingToken = token
@@ -133,7 +138,7 @@
 	}
 }
 
-// run plays a time in steps of 50 ms, with so many tasks submitted a second.
+// run simulates the time d in steps of 50 ms, with the given number of tasks submitted per second.
 func (s *simulation) run(d time.Duration, tasks int) {
 	const step = 50 * time.Millisecond
 	for end := s.now + d; s.now < end; s.now += step {
@@ -177,8 +182,8 @@
 	}
 }
 
-// BenchmarkBusySecond is what the core does in a second of a large deployment in
-// a burst: 1,400 machines, a few hundred tasks begun and ended.
+// BenchmarkBusySecond measures one second of the core in a large deployment under load: 1,400 machines,
+// and a few hundred tasks started and ended per second.
 func BenchmarkBusySecond(b *testing.B) {
 	s := newSimulation(1400)
 	s.run(40*time.Second, 300)
--- a/internal/scheduler/soft_state.go
+++ b/internal/scheduler/soft_state.go
@@ -61,15 +61,15 @@
 func (s *softState) machineSoftState(m *machine) softstate.Machine {
 	state := softstate.Machine{Name: m.name, Gone: m.state == machineGone, Address: m.agent.Address(), AgentEpoch: m.agent.Epoch(), FencingToken: m.agent.FencingToken(),
 		SinceHeartbeat: max(0, s.clock.now-m.agent.LastHeartbeat()), Idle: max(0, s.clock.now-m.capacity.idleSince)}
-	for _, i := range m.capacity.images {
-		state.Images = append(state.Images, softstate.Image{Name: s.placement.images.list[i.image], GB: i.gb})
+	for _, cached := range m.capacity.images {
+		state.Images = append(state.Images, softstate.Image{Name: s.placement.images.list[cached.image], GB: cached.gb})
 	}
 	for _, alloc := range m.capacity.allocations {
-		allocation := softstate.Allocation{Task: s.jobs.taskName(alloc), Attempt: alloc.attempt}
+		saved := softstate.Allocation{Task: s.jobs.taskName(alloc), Attempt: alloc.attempt}
 		if alloc.runningSince > 0 {
-			allocation.Running = s.clock.now - alloc.runningSince
+			saved.Running = s.clock.now - alloc.runningSince
 		}
-		state.Allocations = append(state.Allocations, allocation)
+		state.Allocations = append(state.Allocations, saved)
 	}
 	return state
 }
--- a/internal/scheduler/soft_state_test.go
+++ b/internal/scheduler/soft_state_test.go
@@ -11,11 +11,11 @@
 	"leadproxy/internal/wire"
 )
 
-// inheritedAttempt is one that the leader before has started.
+// inheritedAttempt is an attempt started by an earlier leader.
 const inheritedAttempt = 5<<termCounterBits | 3
 
-// newInheritingHarness begins a term an hour after its process, with what the ledger holds of
-// job-1, whose only task may be on vm-1.
+// newInheritingHarness returns a harness whose term begins an hour after the start of its process. The
+// ledger holds job-1, whose only task may run on vm-1.
 func newInheritingHarness(t testingT, view *softstate.View) *harness {
 	record := ledger.JobRecord{Job: newTestJob("job-1", 1, 1), AcceptedMS: time.Hour.Milliseconds()}
 	cfg := testConfig(settings.Defaults(), settings.Team{Name: "t"})
@@ -23,6 +23,7 @@
 	return newHarnessWithConfig(t, time.Hour, cfg, ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 3, Record: record, Hosts: savedHosts("vm-1")}}})
 }
 
+// newSoftStateView returns a view of the soft state of term 5.
 func newSoftStateView(machines ...softstate.Machine) *softstate.View {
 	view := &softstate.View{Term: 5, Machines: map[string]softstate.Machine{}}
 	for _, m := range machines {
@@ -34,49 +35,51 @@
 var inheritedMachine = softstate.Machine{Name: "vm-1", Address: "10.1.0.1:9000", AgentEpoch: 2,
 	Allocations: []softstate.Allocation{{Task: "job-1/0", Attempt: inheritedAttempt, Running: 20 * time.Second}}}
 
-// newInheritedHeartbeat is the heartbeat of vm-1 while the task runs there.
+// newInheritedHeartbeat returns a heartbeat of vm-1 that lists the inherited attempt with a status.
 func newInheritedHeartbeat(h *harness, token uint64, status, why string) *wire.Heartbeat {
 	heartbeat := h.newHeartbeat("vm-1", token, wire.TaskStatus{Task: "job-1/0", Attempt: inheritedAttempt, Status: status, ExitReason: why})
 	heartbeat.AgentEpoch = 2
 	return heartbeat
 }
 
-// TestInheritedMachinesAreProbedAtOnce: the addresses of the ledger's machines are known before
-// the cloud's list, and the result resolves what an earlier leader has started.
+// TestInheritedMachinesAreProbedAtOnce checks that a new leader takes the addresses of hosts from the
+// inherited soft state and probes them before it has the cloud's list, and that the result of the
+// probe resolves the starts of the earlier leader.
 func TestInheritedMachinesAreProbedAtOnce(t *testing.T) {
 	h := newInheritingHarness(t, newSoftStateView(inheritedMachine, softstate.Machine{Name: "vm-9", Address: "10.1.0.9:9000", AgentEpoch: 1}))
-	h.want("machines", len(h.core.machines.list), 1) // inherited soft state alone makes none
+	h.want("machines", len(h.core.machines.list), 1) // inherited soft state adds no machine
 	h.want("probes", len(h.sentCommands), 1)
 	probe := h.sentCommands[0]
 	h.want("the probe", []any{probe.Address, probe.Request.AgentEpoch, probe.Request.FencingToken, len(probe.Request.Commands)}, []any{"10.1.0.1:9000", uint64(2), uint64(termToken), 0})
-	h.want("unsettled", h.core.UnresolvedHosts(), 1)
+	h.want("unresolved hosts", h.core.UnresolvedHosts(), 1)
 	h.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandExecuted, Heartbeat: newInheritedHeartbeat(h, termToken, wire.TaskRunning, "")})
-	h.want("unsettled after its answer", h.core.UnresolvedHosts(), 0)
-	h.want("bookings", h.core.jobs.list[0].progress.allocated, 1)
+	h.want("unresolved hosts after the result", h.core.UnresolvedHosts(), 0)
+	h.want("allocations", h.core.jobs.list[0].progress.allocated, 1)
 }
 
-// TestHeartbeatOverridesInheritedSoftState: the task that inherited soft state names is not on
-// its machine, and is placed like any other; the machine has another address, and is not avoided
-// for that.
+// TestHeartbeatOverridesInheritedSoftState checks that a heartbeat overrides wrong inherited soft state:
+// a task that isn't on the machine is placed like any other, and a machine whose inherited address
+// was wrong isn't avoided.
 func TestHeartbeatOverridesInheritedSoftState(t *testing.T) {
 	h := newInheritingHarness(t, newSoftStateView(inheritedMachine))
 	probe := h.sentCommands[0]
 	h.sentCommands = nil
 	h.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandNotSent})
 	m := h.core.findOrAddMachine("vm-1")
-	h.want("address, shunned, doubted", []any{m.agent.Address(), m.commands.noStartsUntil, m.agent.Unacknowledged()}, []any{"", time.Duration(0), false})
-	h.want("bookings by the hint", h.core.jobs.list[0].progress.allocated, 0)
+	h.want("address, avoided until, unacknowledged", []any{m.agent.Address(), m.commands.noStartsUntil, m.agent.Unacknowledged()}, []any{"", time.Duration(0), false})
+	h.want("allocations from inherited soft state", h.core.jobs.list[0].progress.allocated, 0)
 	for _, token := range []uint64{0, termToken} {
 		heartbeat := h.newHeartbeat("vm-1", token)
 		heartbeat.Address = "10.1.0.7:9000"
 		h.sendHeartbeat(heartbeat)
 	}
-	h.want("address by its report", m.agent.Address(), "10.1.0.7:9000")
+	h.want("address from the heartbeat", m.agent.Address(), "10.1.0.7:9000")
 	h.want("starts", len(h.startCommands()), 1)
 }
 
-// TestRunTimesAreInherited: a task that ran before the term is learned from with the time in the
-// inherited soft state, and not at all without: it seemed as short as the term.
+// TestRunTimesAreInherited guards against learning too short run times after a failover: the run time of
+// a task that ran before the term includes the time in the inherited soft state, and without that
+// is not learned from at all.
 func TestRunTimesAreInherited(t *testing.T) {
 	for _, inherited := range []bool{true, false} {
 		var view *softstate.View
@@ -96,8 +99,8 @@
 	}
 }
 
-// TestSoftStateIsInherited: the next term knows what one term has learned; what has changed
-// since is passed on alone, in parts if it is much.
+// TestSoftStateIsInherited checks that a new leader has the estimates of the earlier one, and that a
+// standby gets only the machines changed since its last request, in several replies if there are many.
 func TestSoftStateIsInherited(t *testing.T) {
 	h := newInheritingHarness(t, nil)
 	for i := range softstate.MaxChanges {
@@ -113,13 +116,13 @@
 	}
 	first := requestSoftState(0)
 	second := requestSoftState(first.UpTo)
-	h.want("parts", []any{len(first.Machines), first.More, len(second.Machines), second.More}, []any{softstate.MaxChanges, true, 1, false})
-	h.want("what has changed since", len(requestSoftState(second.UpTo).Machines), 0)
+	h.want("machines and More of both replies", []any{len(first.Machines), first.More, len(second.Machines), second.More}, []any{softstate.MaxChanges, true, 1, false})
+	h.want("changed machines since the last reply", len(requestSoftState(second.UpTo).Machines), 0)
 	h.core.softState.machineChanged(h.core.findOrAddMachine("vm-1"))
-	h.want("after a change", requestSoftState(second.UpTo).Machines[0].Name, "vm-1")
+	h.want("changed machine after a change", requestSoftState(second.UpTo).Machines[0].Name, "vm-1")
 	successor := newInheritingHarness(t, &softstate.View{Term: 5, Machines: map[string]softstate.Machine{"vm-1": {Name: "vm-1"}}, Estimates: first.Estimates})
 	successor.step(SoftStateRequest{ReplyTo: testRecipient("s")})
 	if got := successor.otherEffects[len(successor.otherEffects)-1].(SoftStateReply).Estimates; !reflect.DeepEqual(got.BootSeconds, first.Estimates.BootSeconds) {
-		t.Errorf("learned %+v, told %+v", got, first.Estimates)
+		t.Errorf("inherited %+v, want %+v", got, first.Estimates)
 	}
 }
--- a/internal/scheduler/spending_test.go
+++ b/internal/scheduler/spending_test.go
@@ -9,24 +9,24 @@
 	"leadproxy/internal/wire"
 )
 
-// TestSpendingIsDividedByUse: the cost of a machine is charged to what it does, and all of it is
-// charged to something.
+// TestSpendingIsDividedByUse checks that the cost of a machine is attributed to its uses, and that the
+// shares add up to all of it.
 func TestSpendingIsDividedByUse(t *testing.T) {
 	running := func(j *job) *allocation { return &allocation{job: j.index, status: wire.TaskRunning} }
 	fetching := func(j *job) *allocation { return &allocation{job: j.index, status: wire.TaskFetching} }
 	stopping := func(j *job) *allocation { return &allocation{job: j.index, status: wire.TaskRunning, stopping: true} }
 	cases := []struct {
-		name     string
-		state    machineState
-		bookings []func(j *job) *allocation // of one core each, on four
-		want     costs                      // in hundredths of what the machine costs
+		name        string
+		state       machineState
+		allocations []func(j *job) *allocation // of one core each, on a machine with four cores
+		want        costs                      // in percent of the machine's cost
 	}{
-		{"boots", machineStarting, nil, costs{booting: 100}},
-		{"has nothing to do", machineUp, nil, costs{idle: 100}},
-		{"is being returned", machineDeleting, nil, costs{returning: 100}},
-		{"is gone", machineGone, nil, costs{}},
-		{"runs one task", machineUp, []func(j *job) *allocation{running}, costs{running: 25, partIdle: 75}},
-		{"does all at once", machineUp, []func(j *job) *allocation{running, fetching, stopping, running}, costs{running: 50, fetching: 25, stopping: 25}},
+		{"booting", machineStarting, nil, costs{booting: 100}},
+		{"idle", machineUp, nil, costs{idle: 100}},
+		{"being deleted", machineDeleting, nil, costs{returning: 100}},
+		{"gone", machineGone, nil, costs{}},
+		{"one running task", machineUp, []func(j *job) *allocation{running}, costs{running: 25, partIdle: 75}},
+		{"running, fetching and stopping tasks", machineUp, []func(j *job) *allocation{running, fetching, stopping, running}, costs{running: 50, fetching: 25, stopping: 25}},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
@@ -36,7 +36,7 @@
 			core := h.core
 			m, j := core.machines.list[core.machines.indexByName["vm-1"]], core.jobs.list[0]
 			m.state, m.capacity.allocations = tc.state, nil
-			for _, newAllocation := range tc.bookings {
+			for _, newAllocation := range tc.allocations {
 				m.capacity.allocations = append(m.capacity.allocations, newAllocation(j))
 			}
 			core.spending.spent, core.spending.accruedUntil, core.spending.loggedAt = costs{}, core.clock.now, core.clock.now
@@ -53,7 +53,7 @@
 				{"returning", core.spending.spent.returning, tc.want.returning},
 			} {
 				if unit == 0 || math.Abs(part.got/unit-part.want) > 1e-6 {
-					t.Errorf("%s: %v of the cost, want %v", part.name, part.got/unit, part.want)
+					t.Errorf("%s: %v percent of the cost, want %v", part.name, part.got/unit, part.want)
 				}
 			}
 		})
