--- a/internal/cells/transfer_list.go
+++ b/internal/cells/transfer_list.go
@@ -53,7 +53,7 @@
 		Cancelling: view.Cancelling,
 		Repeatable: view.Record.Repeatable,
 		SinceMs:    view.Record.SinceMS,
-		HeardMs:    view.LastAnswer.Milliseconds(),
+		HeardMs:    view.SinceLastAnswer.Milliseconds(),
 		Done:       int32(view.Done),
 		Running:    int32(view.Running),
 	}
@@ -74,9 +74,9 @@
 // foreignJobState is the state of a foreign job in the words that operators see.
 func foreignState(view scheduler.ForeignView) string {
 	switch {
-	case view.State.Over && view.State.Cancelled:
+	case view.State.Ended && view.State.Cancelled:
 		return "aborted, not released"
-	case view.State.Over:
+	case view.State.Ended:
 		return "done, not released"
 	}
 	return string(view.Record.State)
--- a/internal/federation/cell_selector.go
+++ b/internal/federation/cell_selector.go
@@ -8,8 +8,8 @@
 	Capacity, Used float64
 	// Credit is the offered capacity that is not used yet, in cores.
 	Credit float64
-	// Jobs is how many more jobs may be delegated to it.
-	Jobs int
+	// RemainingJobs is how many more jobs may be delegated to it.
+	RemainingJobs int
 	// Excluded: it has refused this job, or an earlier epoch may still run there.
 	Excluded bool
 }
@@ -28,12 +28,12 @@
 // NewCellSelector makes a selector with the constant c of SLOW-FIT.
 func NewCellSelector(c float64) *CellSelector { return &CellSelector{goal: slowfit.Goal{C: c}} }
 
-// rounding absorbs the rounding of sums of decimal amounts.
-const rounding = 1e-6
+// tolerance absorbs the rounding of sums of decimal amounts.
+const tolerance = 1e-6
 
 // hasCapacity tells whether a job of so many cores keeps to the hard bounds of the cell.
 func (c *Cell) hasCapacity(cores float64) bool {
-	return !c.Excluded && c.Jobs > 0 && cores <= c.Credit+rounding && c.Used+cores <= c.Capacity+rounding
+	return !c.Excluded && c.RemainingJobs > 0 && cores <= c.Credit+tolerance && c.Used+cores <= c.Capacity+tolerance
 }
 
 // Select returns the index of the neighbour for a job of so many cores, or -1. The neighbours have
@@ -76,7 +76,7 @@
 	c.ignoredCores[i] = min(c.ignoredCores[i], cell.Used)
 	share := cores / cell.Capacity
 	load := (cell.Used - c.ignoredCores[i]) / cell.Capacity
-	return share <= c.goal.L+rounding && load+share <= c.goal.C*c.goal.L+rounding
+	return share <= c.goal.L+tolerance && load+share <= c.goal.C*c.goal.L+tolerance
 }
 
 // Reset starts with a new goal. It is called when nothing is delegated.
--- a/internal/federation/cell_selector_test.go
+++ b/internal/federation/cell_selector_test.go
@@ -9,7 +9,7 @@
 // The cases are worked out by hand from section 4 of the paper, with cells for machines.
 func TestSelect(t *testing.T) {
 	cell := func(capacity, used, credit float64) Cell {
-		return Cell{Capacity: capacity, Used: used, Credit: credit, Jobs: 10}
+		return Cell{Capacity: capacity, Used: used, Credit: credit, RemainingJobs: 10}
 	}
 	cases := []struct {
 		name  string
@@ -25,7 +25,7 @@
 		{"none is assignable: L doubles and earlier load counts as zero", 0.05, []Cell{cell(100, 25, 50)}, 8, 0, 0.1},
 		{"no credit", 1, []Cell{cell(100, 0, 4)}, 8, -1, 1},
 		{"no capacity left", 1, []Cell{cell(100, 95, 50)}, 8, -1, 1},
-		{"excluded", 1, []Cell{{Capacity: 100, Credit: 100, Jobs: 1, Excluded: true}}, 8, -1, 1},
+		{"excluded", 1, []Cell{{Capacity: 100, Credit: 100, RemainingJobs: 1, Excluded: true}}, 8, -1, 1},
 		{"too many jobs", 1, []Cell{{Capacity: 100, Credit: 100}}, 8, -1, 1},
 		{"no neighbours", 0, nil, 8, -1, 0},
 	}
@@ -49,7 +49,7 @@
 		cells := make([]Cell, rapid.IntRange(1, 4).Draw(t, "cells"))
 		for i := range cells {
 			cells[i].Capacity = float64(rapid.IntRange(1, 200).Draw(t, "capacity"))
-			cells[i].Jobs = 1000
+			cells[i].RemainingJobs = 1000
 		}
 		type delegated struct {
 			cell  int
@@ -76,7 +76,7 @@
 				}
 				cells[at].Used += cores
 				jobs = append(jobs, delegated{at, cores})
-				if selector.goal.L > 2+rounding {
+				if selector.goal.L > 2+tolerance {
 					t.Fatalf("L is %v where no total can exceed 1", selector.goal.L)
 				}
 			},
--- a/internal/federation/delegated_jobs.go
+++ b/internal/federation/delegated_jobs.go
@@ -44,7 +44,7 @@
 	}
 	// ReturnJob has the origin run the job again.
 	ReturnJob struct{ JobID string }
-	// EndJob has the origin write the job's terminal state. JobOver has to be called once
+	// EndJob has the origin write the job's terminal state. JobEnded has to be called once
 	// that is durable.
 	EndJob struct {
 		JobID     string
@@ -79,10 +79,10 @@
 	body   *OfferBody
 	// cancelling: the job's user has requested its cancellation.
 	cancelling     bool
-	jobOver        bool          // the origin's record of the job has its terminal state
+	jobEnded       bool          // the origin's record of the job has its terminal state
 	remoteRunEnded bool          // the neighbour's run of a reclaimed job has ended
 	startedAt      time.Duration // of the transfer, as far as this leader knows
-	lastAnswer     time.Duration // when the last answer of this epoch came
+	lastAnswerAt   time.Duration // when the last answer of this epoch came
 	nextMessageAt  time.Duration // when the next message is due
 	tasksDone      int
 	tasksRunning   int
@@ -123,7 +123,7 @@
 // Restore adds a transfer of an earlier leader, whose last message may or may not have been
 // sent. over tells whether the origin's record of the job has its terminal state.
 func (h *DelegatedJobs) Restore(jobID string, record DelegatedRecord, body *OfferBody, over bool, now time.Duration) {
-	t := &transfer{jobID: jobID, record: record, body: body, jobOver: over, startedAt: now, lastAnswer: now, nextMessageAt: now}
+	t := &transfer{jobID: jobID, record: record, body: body, jobEnded: over, startedAt: now, lastAnswerAt: now, nextMessageAt: now}
 	h.transfers[jobID] = t
 	switch {
 	case record.State == Returned && record.Cleanup:
@@ -161,7 +161,7 @@
 		epoch = old.record.Epoch + 1
 	}
 	record := DelegatedRecord{Cell: cell, Epoch: epoch, State: Offered, SinceMS: wallMS, Repeatable: body.Repeatable}
-	t := &transfer{jobID: jobID, record: record, body: body, startedAt: now, lastAnswer: now}
+	t := &transfer{jobID: jobID, record: record, body: body, startedAt: now, lastAnswerAt: now}
 	h.transfers[jobID] = t
 	h.save(t)
 	h.trace(t, StepPlanned, "")
@@ -175,7 +175,7 @@
 	}
 	switch {
 	case t.phase == phasePlanned:
-		t.phase, t.nextMessageAt, t.lastAnswer, t.startedAt = phaseOffering, now, now, now
+		t.phase, t.nextMessageAt, t.lastAnswerAt, t.startedAt = phaseOffering, now, now, now
 		h.Tick(now)
 	case t.phase == phaseReturning && t.record.Cleanup:
 		t.phase, t.nextMessageAt = phaseCleaning, now
@@ -262,7 +262,7 @@
 	}
 	limit := h.reclaimAfter(t.record.Cell)
 	waits := t.phase == phaseOffering || t.phase == phaseRevoking || t.phase == phaseRunning
-	if !waits || t.cancelling || !t.record.Repeatable || limit <= 0 || now-t.lastAnswer < limit {
+	if !waits || t.cancelling || !t.record.Repeatable || limit <= 0 || now-t.lastAnswerAt < limit {
 		return
 	}
 	h.trace(t, StepReclaimed, "the neighbour did not answer and the class is repeatable")
@@ -283,7 +283,7 @@
 	if t == nil || t.record.Cell != cell || t.record.Epoch != a.Epoch {
 		return
 	}
-	t.lastAnswer = now
+	t.lastAnswerAt = now
 	switch t.phase {
 	case phaseOffering, phaseRevoking, phaseRunning:
 		h.handleOpenAnswer(t, a, now)
@@ -334,7 +334,7 @@
 func (h *DelegatedJobs) handleCleanupAnswer(t *transfer, a Answer) {
 	switch a.Outcome {
 	case OutcomeDone, OutcomeCancelled:
-		t.remoteRunEnded, t.nextMessageAt = true, t.lastAnswer
+		t.remoteRunEnded, t.nextMessageAt = true, t.lastAnswerAt
 		return
 	case OutcomeRefused, OutcomeRevoked, OutcomeReleased, OutcomeStale:
 	default:
@@ -342,7 +342,7 @@
 	}
 	h.trace(t, StepCleaned, a.Outcome.String())
 	t.record.Cleanup = false
-	if t.jobOver {
+	if t.jobEnded {
 		h.drop(t)
 		return
 	}
@@ -369,13 +369,13 @@
 	return false
 }
 
-// JobOver is called when the origin's record of a job has its terminal state.
-func (h *DelegatedJobs) JobOver(jobID string, now time.Duration) {
+// JobEnded is called when the origin's record of a job has its terminal state.
+func (h *DelegatedJobs) JobEnded(jobID string, now time.Duration) {
 	t := h.transfers[jobID]
 	if t == nil {
 		return
 	}
-	t.jobOver = true
+	t.jobEnded = true
 	switch t.phase {
 	case phaseEnding:
 		t.phase, t.nextMessageAt = phaseReleasing, now
--- a/internal/federation/delegated_status.go
+++ b/internal/federation/delegated_status.go
@@ -8,9 +8,9 @@
 	Record     DelegatedRecord
 	Phase      string
 	Cancelling bool
-	// LastAnswer is how long ago the neighbour answered last.
-	LastAnswer    time.Duration
-	Done, Running int
+	// SinceLastAnswer is how long ago the neighbour answered last.
+	SinceLastAnswer time.Duration
+	Done, Running   int
 }
 
 // List returns the transfers that are not closed.
@@ -20,21 +20,21 @@
 		if t.phase == phaseClosed {
 			continue
 		}
-		views = append(views, DelegatedView{JobID: t.jobID, Record: t.record, Phase: phaseNames[t.phase], Cancelling: t.cancelling, LastAnswer: now - t.lastAnswer, Done: t.tasksDone, Running: t.tasksRunning})
+		views = append(views, DelegatedView{JobID: t.jobID, Record: t.record, Phase: phaseNames[t.phase], Cancelling: t.cancelling, SinceLastAnswer: now - t.lastAnswerAt, Done: t.tasksDone, Running: t.tasksRunning})
 	}
 	return views
 }
 
-// Cell returns the neighbour of a job's latest transfer; "": there is none.
-func (h *DelegatedJobs) Cell(jobID string) string {
+// NeighbourOf returns the neighbour of a job's latest transfer; "": there is none.
+func (h *DelegatedJobs) NeighbourOf(jobID string) string {
 	if t := h.transfers[jobID]; t != nil {
 		return t.record.Cell
 	}
 	return ""
 }
 
-// JobsAt returns the jobs that a neighbour may run, in order.
-func (h *DelegatedJobs) JobsAt(cell string) []string {
+// JobsAtNeighbour returns the jobs that a neighbour may run, in order.
+func (h *DelegatedJobs) JobsAtNeighbour(cell string) []string {
 	var jobIDs []string
 	for _, t := range h.sorted() {
 		if t.record.Cell == cell && t.mayRunRemotely() {
--- a/internal/federation/foreign_jobs.go
+++ b/internal/federation/foreign_jobs.go
@@ -35,9 +35,9 @@
 
 // JobState is the state of a job that the neighbour has accepted.
 type JobState struct {
-	// Over: its terminal state is durable. Cancelled tells which one.
-	Over, Cancelled bool
-	Done, Running   int
+	// Ended: its terminal state is durable. Cancelled tells which one.
+	Ended, Cancelled bool
+	Done, Running    int
 }
 
 // LocalJobs looks up the jobs that the neighbour has accepted.
@@ -158,7 +158,7 @@
 	switch {
 	case !known:
 		a.Outcome = OutcomePending // its record was written but not read yet
-	case !job.Over:
+	case !job.Ended:
 		a.Outcome = OutcomeAccepted
 		if m.Kind == Cancel {
 			f.trace(key, m.Epoch, StepCancelling, "requested by the origin")
@@ -178,7 +178,7 @@
 // nothing is decided: the origin has to end that one first.
 func (f *ForeignJobs) decide(key ForeignKey, entry *foreignJob, m Message, wallMS int64, a *Answer) {
 	if entry.record.State == ForeignAccepted {
-		if job, known := f.localJobs.ForeignJobState(key); !known || !job.Over {
+		if job, known := f.localJobs.ForeignJobState(key); !known || !job.Ended {
 			a.Outcome, a.Reason = OutcomePending, "an earlier epoch of the job still runs here"
 			return
 		}
--- a/internal/federation/model_test.go
+++ b/internal/federation/model_test.go
@@ -23,30 +23,30 @@
 
 // modelJob is the true state of one job.
 type modelJob struct {
-	ref        string
-	repeatable bool
-	wanted     bool            // its user has requested its cancellation
-	begun      map[string]bool // cells in which it has been started
-	completed  map[string]bool // cells in which it has run to its end
+	jobID           string
+	repeatable      bool
+	cancelRequested bool            // its user has requested its cancellation
+	startedIn       map[string]bool // cells in which it has been started
+	completedIn     map[string]bool // cells in which it has run to its end
 }
 
 // originWrite is a pending write of the origin's leader: of a transfer, or of a job's terminal state.
 type originWrite struct {
-	ref    string
-	record *DelegatedRecord // nil: see below
-	drop   bool
-	end    string // of the job
+	jobID         string
+	record        *DelegatedRecord // nil: see below
+	drop          bool
+	terminalState string // of the job
 }
 
 // originCell is the origin: its durable state, and its present leader.
 type originCell struct {
-	delegated map[string]DelegatedRecord
-	ends      map[string]string // of jobs, durable
-	started   map[string]bool   // durable before the first start
+	delegated      map[string]DelegatedRecord
+	terminalStates map[string]string // of jobs, durable
+	started        map[string]bool   // durable before the first start
 	// The leader's.
-	jobs    *DelegatedJobs
-	decided map[string]string
-	writes  []originWrite
+	jobs          *DelegatedJobs
+	decidedStates map[string]string
+	writes        []originWrite
 }
 
 // neighbourWrite is a pending write of a neighbour's leader.
@@ -54,25 +54,25 @@
 
 // neighbourCell is a neighbour: its durable state, and its present leader.
 type neighbourCell struct {
-	name     string
-	admits   bool
-	records  map[ForeignKey]ForeignRecord
-	versions map[ForeignKey]uint64
-	revision uint64
-	jobs     map[string]*OfferBody
-	own      map[string]bool // jobs of its own users, by the same names
-	ends     map[string]string
+	name           string
+	admitsOffers   bool
+	records        map[ForeignKey]ForeignRecord
+	versions       map[ForeignKey]uint64
+	revision       uint64
+	jobs           map[string]*OfferBody
+	localJobs      map[string]bool // jobs of its own users, by the same names
+	terminalStates map[string]string
 	// The leader's.
-	foreign *ForeignJobs
-	writes  []neighbourWrite
-	cancel  map[string]bool // cancellations being written
+	foreign              *ForeignJobs
+	writes               []neighbourWrite
+	pendingCancellations map[string]bool // cancellations being written
 }
 
 // packet is a message or an answer in flight.
 type packet struct {
-	cell    string // the neighbour
-	message *Message
-	answer  *Answer
+	neighbour string // the neighbour
+	message   *Message
+	answer    *Answer
 }
 
 // failer is a test or a property.
@@ -80,83 +80,83 @@
 	Fatalf(format string, args ...any)
 }
 
-type world struct {
-	t          failer
-	now        time.Duration
-	jobs       map[string]*modelJob
-	refs       []string
-	origin     *originCell
-	neighbours map[string]*neighbourCell
-	cells      []string
-	packets    []packet
+type transferModel struct {
+	t              failer
+	now            time.Duration
+	jobs           map[string]*modelJob
+	jobIDs         []string
+	origin         *originCell
+	neighbours     map[string]*neighbourCell
+	neighbourNames []string
+	packets        []packet
 }
 
-func newWorld(t failer) *world {
-	w := &world{t: t, jobs: map[string]*modelJob{}, neighbours: map[string]*neighbourCell{}, cells: []string{"b", "c"}}
-	w.origin = &originCell{delegated: map[string]DelegatedRecord{}, ends: map[string]string{}, started: map[string]bool{}}
+func newTransferModel(t failer) *transferModel {
+	w := &transferModel{t: t, jobs: map[string]*modelJob{}, neighbours: map[string]*neighbourCell{}, neighbourNames: []string{"b", "c"}}
+	w.origin = &originCell{delegated: map[string]DelegatedRecord{}, terminalStates: map[string]string{}, started: map[string]bool{}}
 	for i := range modelJobs {
 		jobID := fmt.Sprintf("job-%d", i)
-		w.refs = append(w.refs, jobID)
-		w.jobs[jobID] = &modelJob{ref: jobID, repeatable: i == 0, begun: map[string]bool{}, completed: map[string]bool{}}
+		w.jobIDs = append(w.jobIDs, jobID)
+		w.jobs[jobID] = &modelJob{jobID: jobID, repeatable: i == 0, startedIn: map[string]bool{}, completedIn: map[string]bool{}}
 	}
-	for _, name := range w.cells {
-		w.neighbours[name] = &neighbourCell{name: name, admits: true, records: map[ForeignKey]ForeignRecord{}, versions: map[ForeignKey]uint64{}, jobs: map[string]*OfferBody{}, own: map[string]bool{}, ends: map[string]string{}}
-		w.lead(w.neighbours[name])
+	for _, name := range w.neighbourNames {
+		w.neighbours[name] = &neighbourCell{name: name, admitsOffers: true, records: map[ForeignKey]ForeignRecord{}, versions: map[ForeignKey]uint64{}, jobs: map[string]*OfferBody{}, localJobs: map[string]bool{}, terminalStates: map[string]string{}}
+		w.startNeighbourTerm(w.neighbours[name])
 	}
-	w.leadOrigin()
+	w.startOriginTerm()
 	return w
 }
 
 // --- the origin ---
 
-func (w *world) body(jobID string) *OfferBody {
+func (w *transferModel) offerBody(jobID string) *OfferBody {
 	return &OfferBody{Job: []byte(jobID), Cores: 1, Repeatable: w.jobs[jobID].repeatable}
 }
 
-// leadOrigin begins a term of the origin.
-func (w *world) leadOrigin() {
+// startOriginTerm begins a term of the origin.
+func (w *transferModel) startOriginTerm() {
 	h := w.origin
 	h.jobs = NewDelegatedJobs(func(string) time.Duration { return reclaimAfterModel })
-	h.decided, h.writes = map[string]string{}, nil
-	for jobID, end := range h.ends {
-		h.decided[jobID] = end
+	h.decidedStates, h.writes = map[string]string{}, nil
+	for jobID, end := range h.terminalStates {
+		h.decidedStates[jobID] = end
 	}
-	for _, jobID := range w.refs {
+	for _, jobID := range w.jobIDs {
 		if record, ok := h.delegated[jobID]; ok {
-			h.jobs.Restore(jobID, record, w.body(jobID), h.ends[jobID] != "", w.now)
+			h.jobs.Restore(jobID, record, w.offerBody(jobID), h.terminalStates[jobID] != "", w.now)
 		}
 	}
 	w.applyOriginEffects()
 }
 
 // applyOriginEffects applies the effects of the origin's leader.
-func (w *world) applyOriginEffects() {
+func (w *transferModel) applyOriginEffects() {
 	for effects := w.origin.jobs.TakeEffects(); len(effects) > 0; effects = w.origin.jobs.TakeEffects() {
 		for _, effect := range effects {
 			switch e := effect.(type) {
 			case SaveDelegated:
-				w.origin.writes = append(w.origin.writes, originWrite{ref: e.JobID, record: &e.Record})
+				w.origin.writes = append(w.origin.writes, originWrite{jobID: e.JobID, record: &e.Record})
 			case DropDelegated:
-				w.origin.writes = append(w.origin.writes, originWrite{ref: e.JobID, drop: true})
+				w.origin.writes = append(w.origin.writes, originWrite{jobID: e.JobID, drop: true})
 			case Send:
-				w.packets = append(w.packets, packet{cell: e.Cell, message: &e.Message})
+				w.packets = append(w.packets, packet{neighbour: e.Cell, message: &e.Message})
 			case EndJob:
-				w.decide(e.JobID, map[bool]string{true: "aborted", false: "done"}[e.Cancelled])
+				w.writeTerminalState(e.JobID, map[bool]string{true: "aborted", false: "done"}[e.Cancelled])
 			}
 		}
 	}
 }
 
-// decide has the origin's leader write a job's terminal state.
-func (w *world) decide(jobID, end string) {
-	if w.origin.decided[jobID] == "" {
-		w.origin.decided[jobID] = end
-		w.origin.writes = append(w.origin.writes, originWrite{ref: jobID, end: end})
+// writeTerminalState has the origin's leader write a job's terminal state.
+func (w *transferModel) writeTerminalState(jobID, end string) {
+	if w.origin.decidedStates[jobID] == "" {
+		w.origin.decidedStates[jobID] = end
+		w.origin.writes = append(w.origin.writes, originWrite{jobID: jobID, terminalState: end})
 	}
 }
 
 // writeOrigin applies the first pending write of the origin.
-func (w *world) writeOrigin() {
+func (w *transferModel) writeOrigin() {
 	if len(w.origin.writes) == 0 {
 		return
 	}
@@ -165,42 +165,42 @@
 	w.applyOriginWrite(write)
 	switch {
 	case write.record != nil:
-		w.origin.jobs.RecordSaved(write.ref, *write.record, w.now)
-	case write.end != "":
-		w.origin.jobs.JobOver(write.ref, w.now)
+		w.origin.jobs.RecordSaved(write.jobID, *write.record, w.now)
+	case write.terminalState != "":
+		w.origin.jobs.JobEnded(write.jobID, w.now)
 	}
 	w.applyOriginEffects()
 }
 
 // applyOriginWrite makes a write durable, and checks what users may be told from then on.
-func (w *world) applyOriginWrite(write originWrite) {
-	jobID := write.ref
+func (w *transferModel) applyOriginWrite(write originWrite) {
+	jobID := write.jobID
 	switch {
 	case write.record != nil:
 		w.origin.delegated[jobID] = *write.record
 	case write.drop:
 		delete(w.origin.delegated, jobID)
 	default:
-		w.told(jobID, write.end)
+		w.recordTerminalState(jobID, write.terminalState)
 	}
 }
 
-// told checks a final answer as it becomes durable.
-func (w *world) told(jobID, end string) {
+// recordTerminalState checks a final answer as it becomes durable.
+func (w *transferModel) recordTerminalState(jobID, end string) {
 	j := w.jobs[jobID]
-	if old := w.origin.ends[jobID]; old != "" && old != end {
+	if old := w.origin.terminalStates[jobID]; old != "" && old != end {
 		w.t.Fatalf("%s: told %s after %s", jobID, end, old)
 	}
-	w.origin.ends[jobID] = end
-	if end == "done" && len(j.completed) == 0 {
+	w.origin.terminalStates[jobID] = end
+	if end == "done" && len(j.completedIn) == 0 {
 		w.t.Fatalf("%s is told as done and has not run to its end", jobID)
 	}
-	if end == "aborted" && !j.wanted {
+	if end == "aborted" && !j.cancelRequested {
 		w.t.Fatalf("%s is told as cancelled and nobody asked for it", jobID)
 	}
 	if end == "aborted" {
-		for _, cell := range w.cells {
-			if g := w.neighbours[cell]; g.jobs[jobID] != nil && g.ends[jobID] == "" {
+		for _, cell := range w.neighbourNames {
+			if g := w.neighbours[cell]; g.jobs[jobID] != nil && g.terminalStates[jobID] == "" {
 				w.t.Fatalf("%s is told as cancelled while it can run in %s", jobID, cell)
 			}
 		}
@@ -209,66 +209,66 @@
 
 // crashOrigin ends the origin's leader. Some of its writes, in their order, are applied before the
 // next one reads.
-func (w *world) crashOrigin(t *rapid.T) {
+func (w *transferModel) crashOrigin(t *rapid.T) {
 	for range rapid.IntRange(0, len(w.origin.writes)).Draw(t, "writes carried out") {
 		w.applyOriginWrite(w.origin.writes[0])
 		w.origin.writes = w.origin.writes[1:]
 	}
-	w.leadOrigin()
+	w.startOriginTerm()
 }
 
 // startAtOrigin starts a job at the origin if its leader may.
-func (w *world) startAtOrigin(jobID string) {
-	if w.origin.decided[jobID] == "" && !w.origin.jobs.Delegated(jobID) {
+func (w *transferModel) startAtOrigin(jobID string) {
+	if w.origin.decidedStates[jobID] == "" && !w.origin.jobs.Delegated(jobID) {
 		w.origin.started[jobID] = true
-		w.starts(jobID, "origin")
+		w.recordStart(jobID, "origin")
 	}
 }
 
 // finishAtOrigin completes a job that runs at the origin.
-func (w *world) finishAtOrigin(jobID string) {
-	if w.jobs[jobID].begun["origin"] && w.origin.decided[jobID] == "" && !w.origin.jobs.Delegated(jobID) {
-		w.jobs[jobID].completed["origin"] = true
-		w.decide(jobID, "done")
+func (w *transferModel) finishAtOrigin(jobID string) {
+	if w.jobs[jobID].startedIn["origin"] && w.origin.decidedStates[jobID] == "" && !w.origin.jobs.Delegated(jobID) {
+		w.jobs[jobID].completedIn["origin"] = true
+		w.writeTerminalState(jobID, "done")
 	}
 }
 
-// starts records that a job runs in a cell, and checks that it may.
-func (w *world) starts(jobID, cell string) {
+// recordStart records that a job runs in a cell, and checks that it may.
+func (w *transferModel) recordStart(jobID, cell string) {
 	j := w.jobs[jobID]
-	j.begun[cell] = true
-	if !j.repeatable && len(j.begun) > 1 {
-		w.t.Fatalf("%s may run only once and was started in %v", jobID, j.begun)
+	j.startedIn[cell] = true
+	if !j.repeatable && len(j.startedIn) > 1 {
+		w.t.Fatalf("%s may run only once and was started in %v", jobID, j.startedIn)
 	}
-	if w.origin.ends[jobID] == "aborted" {
+	if w.origin.terminalStates[jobID] == "aborted" {
 		w.t.Fatalf("%s starts in %s after it was told as cancelled", jobID, cell)
 	}
 }
 
 // delegate begins a transfer if the origin's leader may.
-func (w *world) delegate(jobID, cell string) {
+func (w *transferModel) delegate(jobID, cell string) {
 	h := w.origin
-	if h.decided[jobID] == "" && !h.started[jobID] && !h.jobs.Delegated(jobID) && h.jobs.MayBegin(jobID) {
-		h.jobs.Begin(jobID, cell, w.body(jobID), w.now, w.now.Milliseconds())
+	if h.decidedStates[jobID] == "" && !h.started[jobID] && !h.jobs.Delegated(jobID) && h.jobs.MayBegin(jobID) {
+		h.jobs.Begin(jobID, cell, w.offerBody(jobID), w.now, w.now.Milliseconds())
 		w.applyOriginEffects()
 	}
 }
 
 // cancel is a user's request to cancel a job.
-func (w *world) cancel(jobID string) {
-	w.jobs[jobID].wanted = true
-	if w.origin.decided[jobID] == "" && w.origin.jobs.Cancel(jobID, w.now) {
-		w.decide(jobID, "aborted")
+func (w *transferModel) cancel(jobID string) {
+	w.jobs[jobID].cancelRequested = true
+	if w.origin.decidedStates[jobID] == "" && w.origin.jobs.Cancel(jobID, w.now) {
+		w.writeTerminalState(jobID, "aborted")
 	}
 	w.applyOriginEffects()
 }
 
 // --- neighbours ---
 
-// lead begins a term of a neighbour.
-func (w *world) lead(g *neighbourCell) {
+// startNeighbourTerm begins a term of a neighbour.
+func (w *transferModel) startNeighbourTerm(g *neighbourCell) {
 	g.foreign = NewForeignJobs(modelLocalJobs{g})
-	g.writes, g.cancel = nil, map[string]bool{}
+	g.writes, g.pendingCancellations = nil, map[string]bool{}
 	for key, record := range g.records {
 		g.foreign.Restore(key, record, g.versions[key])
 	}
@@ -279,30 +279,30 @@
 
 // ForeignJobState returns the state of a job.
 func (g modelLocalJobs) ForeignJobState(key ForeignKey) (JobState, bool) {
-	return JobState{Over: g.ends[key.JobID] != "", Cancelled: g.ends[key.JobID] == "aborted"}, g.jobs[key.JobID] != nil
+	return JobState{Ended: g.terminalStates[key.JobID] != "", Cancelled: g.terminalStates[key.JobID] == "aborted"}, g.jobs[key.JobID] != nil
 }
 
 // Admit accepts an offer if the test allows it.
 func (g modelLocalJobs) Admit(string, string, *OfferBody) Refusal {
-	if g.admits {
+	if g.admitsOffers {
 		return Refusal{}
 	}
 	return Refusal{Reason: "full", Temporary: true}
 }
 
-func (w *world) applyForeignEffects(g *neighbourCell) {
+func (w *transferModel) applyForeignEffects(g *neighbourCell) {
 	for _, effect := range g.foreign.TakeEffects() {
 		switch e := effect.(type) {
 		case WriteForeign:
 			g.writes = append(g.writes, neighbourWrite{e})
 		case CancelForeign:
-			g.cancel[e.JobID] = true
+			g.pendingCancellations[e.JobID] = true
 		}
 	}
 }
 
 // writeNeighbour applies a pending write of a neighbour's leader.
-func (w *world) writeNeighbour(g *neighbourCell, at int) {
+func (w *transferModel) writeNeighbour(g *neighbourCell, at int) {
 	write := g.writes[at].effect
 	g.writes = slices.Delete(g.writes, at, at+1)
 	exists, ok := w.applyNeighbourWrite(g, write)
@@ -312,11 +312,11 @@
 	}
 }
 
-func (w *world) applyNeighbourWrite(g *neighbourCell, write WriteForeign) (exists, ok bool) {
+func (w *transferModel) applyNeighbourWrite(g *neighbourCell, write WriteForeign) (exists, ok bool) {
 	if g.versions[write.Key] != write.Version {
 		return false, false
 	}
-	if write.Body != nil && (g.jobs[write.Key.JobID] != nil || g.own[write.Key.JobID]) {
+	if write.Body != nil && (g.jobs[write.Key.JobID] != nil || g.localJobs[write.Key.JobID]) {
 		return true, false
 	}
 	g.revision++
@@ -328,53 +328,53 @@
 }
 
 // crashNeighbour ends a neighbour's leader.
-func (w *world) crashNeighbour(t *rapid.T, g *neighbourCell) {
+func (w *transferModel) crashNeighbour(t *rapid.T, g *neighbourCell) {
 	for len(g.writes) > 0 {
 		if rapid.Bool().Draw(t, "write carried out") {
 			w.applyNeighbourWrite(g, g.writes[0].effect)
 		}
 		g.writes = g.writes[1:]
 	}
-	w.lead(g)
+	w.startNeighbourTerm(g)
 }
 
 // startForeign and finishForeign run an accepted job; cancelForeign ends one.
-func (w *world) startForeign(g *neighbourCell, jobID string) {
-	if g.jobs[jobID] != nil && g.ends[jobID] == "" {
-		w.starts(jobID, g.name)
+func (w *transferModel) startForeign(g *neighbourCell, jobID string) {
+	if g.jobs[jobID] != nil && g.terminalStates[jobID] == "" {
+		w.recordStart(jobID, g.name)
 	}
 }
 
-func (w *world) finishForeign(g *neighbourCell, jobID string) {
-	if w.jobs[jobID].begun[g.name] && g.jobs[jobID] != nil && g.ends[jobID] == "" {
-		w.jobs[jobID].completed[g.name] = true
-		g.ends[jobID] = "done"
+func (w *transferModel) finishForeign(g *neighbourCell, jobID string) {
+	if w.jobs[jobID].startedIn[g.name] && g.jobs[jobID] != nil && g.terminalStates[jobID] == "" {
+		w.jobs[jobID].completedIn[g.name] = true
+		g.terminalStates[jobID] = "done"
 	}
 }
 
-func (w *world) cancelForeign(g *neighbourCell, jobID string) {
-	if g.cancel[jobID] && g.jobs[jobID] != nil && g.ends[jobID] == "" {
-		g.ends[jobID] = "aborted"
+func (w *transferModel) cancelForeign(g *neighbourCell, jobID string) {
+	if g.pendingCancellations[jobID] && g.jobs[jobID] != nil && g.terminalStates[jobID] == "" {
+		g.terminalStates[jobID] = "aborted"
 	}
-	delete(g.cancel, jobID)
+	delete(g.pendingCancellations, jobID)
 }
 
 // --- the network ---
 
 // deliver delivers a packet.
-func (w *world) deliver(p packet) {
+func (w *transferModel) deliver(p packet) {
 	if p.message == nil {
-		w.origin.jobs.HandleAnswer(p.cell, *p.answer, w.now)
+		w.origin.jobs.HandleAnswer(p.neighbour, *p.answer, w.now)
 		w.applyOriginEffects()
 		return
 	}
-	g := w.neighbours[p.cell]
+	g := w.neighbours[p.neighbour]
 	answer := g.foreign.HandleMessage("a", *p.message, w.now.Milliseconds())
 	w.applyForeignEffects(g)
-	w.packets = append(w.packets, packet{cell: p.cell, answer: &answer})
+	w.packets = append(w.packets, packet{neighbour: p.neighbour, answer: &answer})
 }
 
-func (w *world) pass(d time.Duration) {
+func (w *transferModel) advanceTime(d time.Duration) {
 	w.now += d
 	w.origin.jobs.Tick(w.now)
 	w.applyOriginEffects()
@@ -382,35 +382,37 @@
 
 // --- the property ---
 
-func (w *world) ref(t *rapid.T) string { return rapid.SampledFrom(w.refs).Draw(t, "job") }
-func (w *world) cell(t *rapid.T) *neighbourCell {
-	return w.neighbours[rapid.SampledFrom(w.cells).Draw(t, "cell")]
+func (w *transferModel) drawJobID(t *rapid.T) string {
+	return rapid.SampledFrom(w.jobIDs).Draw(t, "job")
+}
+func (w *transferModel) drawNeighbour(t *rapid.T) *neighbourCell {
+	return w.neighbours[rapid.SampledFrom(w.neighbourNames).Draw(t, "cell")]
 }
 
 // actions are the events that may occur at any moment. rapid draws the first names in their order
 // more often, so renaming one changes what the model finds: check with the mutants.
-func (w *world) actions() map[string]func(*rapid.T) {
+func (w *transferModel) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"propose transfer": func(t *rapid.T) { w.delegate(w.ref(t), w.cell(t).name) },
+		"propose transfer": func(t *rapid.T) { w.delegate(w.drawJobID(t), w.drawNeighbour(t).name) },
 		"write origin":     func(*rapid.T) { w.writeOrigin() },
 		"write origin 2":   func(*rapid.T) { w.writeOrigin() },
 		"crash origin":     w.crashOrigin,
-		"start origin":     func(t *rapid.T) { w.startAtOrigin(w.ref(t)) },
-		"finish origin":    func(t *rapid.T) { w.finishAtOrigin(w.ref(t)) },
-		"cancel":           func(t *rapid.T) { w.cancel(w.ref(t)) },
-		"admission":        func(t *rapid.T) { w.cell(t).admits = rapid.Bool().Draw(t, "admits") },
-		"crash neighbour":  func(t *rapid.T) { w.crashNeighbour(t, w.cell(t)) },
-		"start foreign":    func(t *rapid.T) { w.startForeign(w.cell(t), w.ref(t)) },
-		"finish foreign":   func(t *rapid.T) { w.finishForeign(w.cell(t), w.ref(t)) },
-		"cancel foreign":   func(t *rapid.T) { w.cancelForeign(w.cell(t), w.ref(t)) },
+		"start origin":     func(t *rapid.T) { w.startAtOrigin(w.drawJobID(t)) },
+		"finish origin":    func(t *rapid.T) { w.finishAtOrigin(w.drawJobID(t)) },
+		"cancel":           func(t *rapid.T) { w.cancel(w.drawJobID(t)) },
+		"admission":        func(t *rapid.T) { w.drawNeighbour(t).admitsOffers = rapid.Bool().Draw(t, "admits") },
+		"crash neighbour":  func(t *rapid.T) { w.crashNeighbour(t, w.drawNeighbour(t)) },
+		"start foreign":    func(t *rapid.T) { w.startForeign(w.drawNeighbour(t), w.drawJobID(t)) },
+		"finish foreign":   func(t *rapid.T) { w.finishForeign(w.drawNeighbour(t), w.drawJobID(t)) },
+		"cancel foreign":   func(t *rapid.T) { w.cancelForeign(w.drawNeighbour(t), w.drawJobID(t)) },
 		"write neighbour": func(t *rapid.T) {
-			if g := w.cell(t); len(g.writes) > 0 {
+			if g := w.drawNeighbour(t); len(g.writes) > 0 {
 				w.writeNeighbour(g, rapid.IntRange(0, len(g.writes)-1).Draw(t, "write"))
 			}
 		},
 		"own job": func(t *rapid.T) {
-			if g, jobID := w.cell(t), w.ref(t); g.jobs[jobID] == nil {
-				g.own[jobID] = true
+			if g, jobID := w.drawNeighbour(t), w.drawJobID(t); g.jobs[jobID] == nil {
+				g.localJobs[jobID] = true
 			}
 		},
 		"deliver": func(t *rapid.T) { w.deliverSome(t, 8) },
@@ -422,13 +424,13 @@
 			}
 		},
 		"time": func(t *rapid.T) {
-			w.pass(time.Duration(rapid.SampledFrom([]int{100, 300, 1000, 9000, 21000}).Draw(t, "ms")) * time.Millisecond)
+			w.advanceTime(time.Duration(rapid.SampledFrom([]int{100, 300, 1000, 9000, 21000}).Draw(t, "ms")) * time.Millisecond)
 		},
 	}
 }
 
 // deliverSome delivers some packets, copies of which may be delivered again later.
-func (w *world) deliverSome(t *rapid.T, most int) {
+func (w *transferModel) deliverSome(t *rapid.T, most int) {
 	for range rapid.IntRange(1, most).Draw(t, "packets") {
 		if len(w.packets) == 0 {
 			return
@@ -443,7 +445,7 @@
 }
 
 // deliverNewest delivers the packet that was sent last, which is the usual case.
-func (w *world) deliverNewest(*rapid.T) {
+func (w *transferModel) deliverNewest(*rapid.T) {
 	if n := len(w.packets); n > 0 {
 		p := w.packets[n-1]
 		w.packets = w.packets[:n-1]
@@ -451,8 +453,8 @@
 	}
 }
 
-// carry delivers all packets and applies all writes.
-func (w *world) carry() {
+// deliverAndWriteAll delivers all packets and applies all writes.
+func (w *transferModel) deliverAndWriteAll() {
 	packets := w.packets
 	w.packets = nil
 	for _, p := range packets {
@@ -461,37 +463,37 @@
 	for len(w.origin.writes) > 0 {
 		w.writeOrigin()
 	}
-	for _, cell := range w.cells {
+	for _, cell := range w.neighbourNames {
 		for g := w.neighbours[cell]; len(g.writes) > 0; {
 			w.writeNeighbour(g, 0)
 		}
 	}
 }
 
-// settle ends all faults and lets everything complete.
-func (w *world) settle() {
+// runWithoutFaults ends all faults and lets everything complete.
+func (w *transferModel) runWithoutFaults() {
 	for range 400 {
-		w.carry()
-		for _, cell := range w.cells {
+		w.deliverAndWriteAll()
+		for _, cell := range w.neighbourNames {
 			g := w.neighbours[cell]
-			for _, jobID := range w.refs {
+			for _, jobID := range w.jobIDs {
 				w.cancelForeign(g, jobID)
 				w.startForeign(g, jobID)
-				if !w.jobs[jobID].wanted {
+				if !w.jobs[jobID].cancelRequested {
 					w.finishForeign(g, jobID)
 				}
 			}
 		}
-		w.settleOrigin()
-		w.pass(RetryInterval)
+		w.advanceOriginJobs()
+		w.advanceTime(RetryInterval)
 	}
 }
 
-// settleOrigin completes the origin's jobs and has users repeat their cancellations. A job whose
+// advanceOriginJobs completes the origin's jobs and has users repeat their cancellations. A job whose
 // cancellation is requested never completes by itself.
-func (w *world) settleOrigin() {
-	for _, jobID := range w.refs {
-		if w.jobs[jobID].wanted {
+func (w *transferModel) advanceOriginJobs() {
+	for _, jobID := range w.jobIDs {
+		if w.jobs[jobID].cancelRequested {
 			w.cancel(jobID)
 			continue
 		}
@@ -500,18 +502,18 @@
 	}
 }
 
-// settled checks what must hold in the end.
-func (w *world) settled() {
-	for _, jobID := range w.refs {
-		if w.origin.ends[jobID] == "" {
+// checkFinalState checks what must hold in the end.
+func (w *transferModel) checkFinalState() {
+	for _, jobID := range w.jobIDs {
+		if w.origin.terminalStates[jobID] == "" {
 			w.t.Fatalf("%s has no final answer: %s", jobID, w.describe(jobID))
 		}
 		if record, ok := w.origin.delegated[jobID]; ok {
 			w.t.Fatalf("%s: the origin still has the record %+v: %s", jobID, record, w.describe(jobID))
 		}
-		for _, cell := range w.cells {
+		for _, cell := range w.neighbourNames {
 			g := w.neighbours[cell]
-			if g.jobs[jobID] != nil && g.ends[jobID] == "" {
+			if g.jobs[jobID] != nil && g.terminalStates[jobID] == "" {
 				w.t.Fatalf("%s is open in %s: %s", jobID, cell, w.describe(jobID))
 			}
 			if g.records[ForeignKey{"a", jobID}].State == ForeignAccepted {
@@ -521,12 +523,12 @@
 	}
 }
 
-func (w *world) describe(jobID string) string {
-	text := fmt.Sprintf("decided %q, writes %v", w.origin.decided[jobID], w.origin.writes)
+func (w *transferModel) describe(jobID string) string {
+	text := fmt.Sprintf("decided %q, writes %v", w.origin.decidedStates[jobID], w.origin.writes)
 	if tr := w.origin.jobs.transfers[jobID]; tr != nil {
 		text += fmt.Sprintf(", %s of epoch %d to %s, cancelling %v", phaseNames[tr.phase], tr.record.Epoch, tr.record.Cell, tr.cancelling)
 	}
-	for _, cell := range w.cells {
+	for _, cell := range w.neighbourNames {
 		if r, ok := w.neighbours[cell].records[ForeignKey{"a", jobID}]; ok {
 			text += fmt.Sprintf(", %s has %+v", cell, r)
 		}
@@ -539,24 +541,24 @@
 // are over once the faults end.
 func TestTransferModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(t)
+		w := newTransferModel(t)
 		t.Repeat(w.actions())
 		w.t = t
-		w.settle()
-		w.settled()
+		w.runWithoutFaults()
+		w.checkFinalState()
 	})
 }
 
-// flush lets everything proceed for a while, without completing a job.
-func (w *world) flush() {
+// exchangeMessages lets everything proceed for a while, without completing a job.
+func (w *transferModel) exchangeMessages() {
 	for range 8 {
-		w.carry()
-		for _, cell := range w.cells {
-			for _, jobID := range w.refs {
+		w.deliverAndWriteAll()
+		for _, cell := range w.neighbourNames {
+			for _, jobID := range w.jobIDs {
 				w.cancelForeign(w.neighbours[cell], jobID)
 			}
 		}
-		w.pass(RetryInterval)
+		w.advanceTime(RetryInterval)
 	}
 }
 
@@ -564,10 +566,10 @@
 // later offered to the same one again. The outcome of the first transfer there does not affect the
 // second.
 func TestTransferReclaimedTwice(t *testing.T) {
-	w := newWorld(t)
-	jobID := w.refs[0]
+	w := newTransferModel(t)
+	jobID := w.jobIDs[0]
 	w.delegate(jobID, "b")
-	w.flush()
+	w.exchangeMessages()
 	if w.origin.delegated[jobID].State != Accepted {
 		t.Fatalf("not accepted: %s", w.describe(jobID))
 	}
@@ -575,19 +577,19 @@
 	w.now += reclaimAfterModel + time.Second
 	w.origin.jobs.Tick(w.now)
 	w.applyOriginEffects()
-	w.flush() // the origin reclaims it, the neighbour cancels it
-	if w.origin.jobs.Delegated(jobID) || w.neighbours["b"].ends[jobID] != "aborted" {
+	w.exchangeMessages() // the origin reclaims it, the neighbour cancels it
+	if w.origin.jobs.Delegated(jobID) || w.neighbours["b"].terminalStates[jobID] != "aborted" {
 		t.Fatalf("not reclaimed: %s", w.describe(jobID))
 	}
-	w.flush() // and releases it
+	w.exchangeMessages() // and releases it
 	w.delegate(jobID, "b")
 	if !w.origin.jobs.Delegated(jobID) {
 		t.Fatalf("not offered again: %s", w.describe(jobID))
 	}
-	w.flush()
-	w.settle()
-	w.settled()
-	if w.origin.ends[jobID] != "done" || !w.jobs[jobID].completed["origin"] {
-		t.Errorf("%s: %s", w.origin.ends[jobID], w.describe(jobID))
+	w.exchangeMessages()
+	w.runWithoutFaults()
+	w.checkFinalState()
+	if w.origin.terminalStates[jobID] != "done" || !w.jobs[jobID].completedIn["origin"] {
+		t.Errorf("%s: %s", w.origin.terminalStates[jobID], w.describe(jobID))
 	}
 }
--- a/internal/federation/mutants_test.go
+++ b/internal/federation/mutants_test.go
@@ -13,7 +13,7 @@
 // transfers of one job, to whichever cell.
 var mutants = []property.Mutant{
 	{Name: "an answer of another epoch counts", File: "delegated_jobs.go", From: "|| t.record.Epoch != a.Epoch {", To: "{"},
-	{Name: "the offer is sent before the record is durable", File: "delegated_jobs.go", From: "body: body, startedAt: now, lastAnswer: now}\n	h.transfers[jobID] = t", To: "body: body, startedAt: now, lastAnswer: now, phase: phaseOffering}\n	h.transfers[jobID] = t"},
+	{Name: "the offer is sent before the record is durable", File: "delegated_jobs.go", From: "body: body, startedAt: now, lastAnswerAt: now}\n	h.transfers[jobID] = t", To: "body: body, startedAt: now, lastAnswerAt: now, phase: phaseOffering}\n	h.transfers[jobID] = t"},
 	{Name: "the job returns before that is durable", File: "delegated_jobs.go", From: "	h.save(t)\n}\n\n// HandleAnswer", To: "	h.save(t)\n	t.phase = phaseClosed\n}\n\n// HandleAnswer"},
 	{Name: "a job that is not repeatable is reclaimed", File: "delegated_jobs.go", From: "!t.record.Repeatable || ", To: ""},
 	{Name: "an unanswered offer counts as refused", File: "delegated_jobs.go", From: "t.phase, t.nextMessageAt = phaseRevoking, now\n		h.trace(t, StepRevoking, \"the offer was not answered in time\")", To: "h.closeEpoch(t, false)"},
--- a/internal/federation/shortage.go
+++ b/internal/federation/shortage.go
@@ -9,8 +9,8 @@
 	MinDuration time.Duration
 	active      bool
 	// contradicted: the observations since then contradict active.
-	contradicted bool
-	since        time.Duration
+	contradicted      bool
+	contradictedSince time.Duration
 }
 
 // Observe takes an observation and tells whether there is a shortage.
@@ -19,8 +19,8 @@
 	case short == s.active:
 		s.contradicted = false
 	case !s.contradicted:
-		s.contradicted, s.since = true, now
-	case now-s.since >= s.MinDuration:
+		s.contradicted, s.contradictedSince = true, now
+	case now-s.contradictedSince >= s.MinDuration:
 		s.active, s.contradicted = short, false
 	}
 	return s.active
--- a/internal/scheduler/delegated_jobs.go
+++ b/internal/scheduler/delegated_jobs.go
@@ -97,7 +97,7 @@
 // awaitCancellation delays the answer to a user until the cell that runs the job has stored the
 // cancellation durably. If that cell is unreachable, the user is told at once to retry.
 func (d *delegations) awaitCancellation(j *job, replyTo Recipient) {
-	n := d.neighbours.find(d.transfers.Cell(j.id))
+	n := d.neighbours.find(d.transfers.NeighbourOf(j.id))
 	if n == nil || n.unreachable {
 		d.effects.emit(UserReply{ReplyTo: replyTo, Known: true, CellUnreachable: true})
 	} else {
@@ -107,7 +107,7 @@
 
 // refuseCancellations tells the users who wait for cancellations at an unreachable cell to retry.
 func (d *delegations) refuseCancellations(n *neighbour) {
-	for _, id := range d.transfers.JobsAt(n.Name) {
+	for _, id := range d.transfers.JobsAtNeighbour(n.Name) {
 		index, ok := d.jobs.indexByID[id]
 		if !ok || d.jobs.list[index].ended() {
 			continue
--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -125,7 +125,7 @@
 	for i, n := range d.neighbours.list {
 		jobs, cores := d.delegatedTo(n)
 		idle = idle && jobs == 0
-		input.cells[i] = federation.Cell{Capacity: n.MaxCores, Used: cores, Jobs: n.MaxJobs - jobs}
+		input.cells[i] = federation.Cell{Capacity: n.MaxCores, Used: cores, RemainingJobs: n.MaxJobs - jobs}
 		if d.clock.now < n.creditExpiry && !n.Draining {
 			input.cells[i].Credit = n.credit
 		}
@@ -174,7 +174,7 @@
 	for i, n := range d.neighbours.list {
 		cell := input.cells[i]
 		wanted := min(cores, cell.Capacity-cell.Used)
-		if n.Draining || n.capacityRequested || d.clock.now < n.nextCapacityRequest || cell.Jobs <= 0 || wanted <= 0 || cell.Credit >= wanted {
+		if n.Draining || n.capacityRequested || d.clock.now < n.nextCapacityRequest || cell.RemainingJobs <= 0 || wanted <= 0 || cell.Credit >= wanted {
 			continue
 		}
 		d.neighbours.requestCapacity(n, wanted)
@@ -183,7 +183,7 @@
 
 // delegatedTo returns the number of unfinished jobs that a neighbour may run, and their cores.
 func (d *delegations) delegatedTo(n *neighbour) (jobs int, cores float64) {
-	for _, id := range d.transfers.JobsAt(n.Name) {
+	for _, id := range d.transfers.JobsAtNeighbour(n.Name) {
 		if index, ok := d.jobs.indexByID[id]; ok && !d.jobs.list[index].ended() {
 			jobs++
 			cores += d.jobs.list[index].totalCores()
@@ -212,7 +212,7 @@
 	}
 	n, cell := d.neighbours.list[index], &input.cells[index]
 	n.useCredit(j.totalCores())
-	cell.Credit, cell.Used, cell.Jobs = n.credit, cell.Used+j.totalCores(), cell.Jobs-1
+	cell.Credit, cell.Used, cell.RemainingJobs = n.credit, cell.Used+j.totalCores(), cell.RemainingJobs-1
 	input.usedByTeam[j.request.team] = input.usedByTeam[j.request.team].Plus(quota.UnitsOf(j.request.size).Times(j.progress.total))
 	j.transfer.delegated = true
 	d.transfers.Begin(j.id, n.Name, body, d.clock.now, d.clock.wallMS)
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -181,7 +181,7 @@
 	}
 	j := c.jobs.list[index]
 	status := c.jobStatus(j)
-	return federation.JobState{Over: j.end.durable, Cancelled: j.end.state == wire.JobCancelled, Done: status.Done, Running: status.Running}, true
+	return federation.JobState{Ended: j.end.durable, Cancelled: j.end.state == wire.JobCancelled, Done: status.Done, Running: status.Running}, true
 }
 
 // Admit decides whether an offered job is accepted. The zero Refusal means that it is.
--- a/internal/scheduler/job_events.go
+++ b/internal/scheduler/job_events.go
@@ -114,7 +114,7 @@
 	c.placement.markNeeded()
 	c.releaseDependents(j)
 	c.jobs.cleanUp(j)
-	c.delegations.transfers.JobOver(j.id, c.clock.now)
+	c.delegations.transfers.JobEnded(j.id, c.clock.now)
 	c.applyOriginEffects()
 }
 
--- a/internal/scheduler/placement_index.go
+++ b/internal/scheduler/placement_index.go
@@ -119,7 +119,7 @@
 		spotBonus, imageBonus = 1, 2
 	}
 	request := slowfit.Request{Task: j.request.size, PreferredBonus: imageBonus, PreferredTag: imageTag(j.request.image),
-		Pool: func(pool int) (bool, int) {
+		ScorePool: func(pool int) (bool, int) {
 			key := p.poolKeys[pool]
 			if !j.allowsMachine(key.typeIndex, key.zone, key.spot) || onlyZone >= 0 && key.zone != onlyZone || j.spreadLimitReached(key.zone) {
 				return false, 0
--- a/internal/slowfit/goal_test.go
+++ b/internal/slowfit/goal_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestFall(t *testing.T) {
+func TestGoalLower(t *testing.T) {
 	cases := []struct {
 		name              string
 		l, busiest, wantL float64
--- a/internal/slowfit/index.go
+++ b/internal/slowfit/index.go
@@ -83,15 +83,15 @@
 // towards the goal, and its tags: bits of which a Request may ask for one.
 func (x *Index) Update(machine int32, free Size, load float64, tags uint64) {
 	at := x.locations[machine]
-	x.pools[at.pool].set(int(at.leaf), node{free, load, tags})
-	x.infeasible.forget(free)
+	x.pools[at.pool].setLeaf(int(at.leaf), node{free, load, tags})
+	x.infeasible.removeWithin(free)
 }
 
 // MarkUnschedulable reports that a machine takes no tasks.
 func (x *Index) MarkUnschedulable(machine int32) {
 	if x.contains(machine) {
 		at := x.locations[machine]
-		x.pools[at.pool].set(int(at.leaf), unschedulable)
+		x.pools[at.pool].setLeaf(int(at.leaf), unschedulable)
 	}
 }
 
--- a/internal/slowfit/index_test.go
+++ b/internal/slowfit/index_test.go
@@ -21,8 +21,8 @@
 func TestIndexAgreesWithTheScan(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 2))
 	for round := range 60 {
-		h := newHistory(t, r, round, taskScales[round%len(taskScales)], goalFactors[round/3%len(goalFactors)])
-		h.play(400)
+		h := newIndexHarness(t, r, round, taskScales[round%len(taskScales)], goalFactors[round/3%len(goalFactors)])
+		h.run(400)
 	}
 }
 
@@ -31,7 +31,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		machines, steps := rapid.IntRange(0, 20).Draw(t, "machines"), rapid.IntRange(50, 300).Draw(t, "steps")
 		scale, factor := rapid.SampledFrom(taskScales).Draw(t, "scale"), rapid.SampledFrom(goalFactors).Draw(t, "c")
-		newHistory(t, property.RapidChooser{T: t}, machines, scale, factor).play(steps)
+		newIndexHarness(t, property.RapidChooser{T: t}, machines, scale, factor).run(steps)
 	})
 }
 
@@ -40,31 +40,31 @@
 	Fatalf(format string, args ...any)
 }
 
-// history is a cluster whose machines come, go and fill up. Each placement of the index is
+// indexHarness is a cluster whose machines come, go and fill up. Each placement of the index is
 // compared with the scan's.
-type history struct {
+type indexHarness struct {
 	t        failer
-	r        property.Chooser
+	chooser  property.Chooser
 	scale    float64
 	index    *Index
 	goal     Goal // the index's
 	scanGoal Goal
-	groups   []machineGroup // by pool
-	machines []historyMachine
+	pools    []poolAttributes // by pool
+	machines []harnessMachine
 }
 
-// machineGroup is what the machines of a pool have in common.
-type machineGroup struct {
+// poolAttributes is what the machines of a pool have in common.
+type poolAttributes struct {
 	size Size
 	zone int
 	spot bool
 }
 
-// historyMachine is a machine of a history.
-type historyMachine struct {
+// harnessMachine is a machine of a history.
+type harnessMachine struct {
 	scannedMachine
-	group       int
-	image       uint64 // its tags
+	pool        int
+	tags        uint64 // its tags
 	schedulable bool
 	phase       uint32 // to which its load belongs
 }
@@ -72,35 +72,35 @@
 // minMachines is how many machines every history has.
 const minMachines = 3
 
-func newHistory(t failer, r property.Chooser, moreMachines int, scale, factor float64) *history {
-	h := &history{t: t, r: r, scale: scale, index: &Index{}, goal: Goal{C: factor}, scanGoal: Goal{C: factor}}
+func newIndexHarness(t failer, r property.Chooser, moreMachines int, scale, factor float64) *indexHarness {
+	h := &indexHarness{t: t, chooser: r, scale: scale, index: &Index{}, goal: Goal{C: factor}, scanGoal: Goal{C: factor}}
 	for _, size := range []Size{{4, 0, 16}, {8, 0, 32}, {8, 2, 32}, {32, 0, 128}} {
 		for zone := range 2 {
 			for _, spot := range []bool{true, false} {
 				h.index.AddPool(size)
-				h.groups = append(h.groups, machineGroup{size, zone, spot})
+				h.pools = append(h.pools, poolAttributes{size, zone, spot})
 			}
 		}
 	}
 	for range minMachines + moreMachines {
-		h.join()
+		h.addMachine()
 	}
 	return h
 }
 
-// join adds a machine of some group.
-func (h *history) join() {
-	group := h.r.IntN(len(h.groups))
-	size := h.groups[group].size
+// addMachine adds a machine of some group.
+func (h *indexHarness) addMachine() {
+	group := h.chooser.IntN(len(h.pools))
+	size := h.pools[group].size
 	number := len(h.machines)
 	h.index.Add(int32(number), group)
-	h.machines = append(h.machines, historyMachine{
-		scannedMachine: scannedMachine{Total: size, Free: size, Index: number}, group: group, image: uint64(h.r.IntN(8)), schedulable: true})
-	h.update(number)
+	h.machines = append(h.machines, harnessMachine{
+		scannedMachine: scannedMachine{Total: size, Free: size, Index: number}, pool: group, tags: uint64(h.chooser.IntN(8)), schedulable: true})
+	h.updateIndex(number)
 }
 
-// update passes the state of a machine to the index.
-func (h *history) update(number int) {
+// updateIndex passes the state of a machine to the index.
+func (h *indexHarness) updateIndex(number int) {
 	m := &h.machines[number]
 	if !m.schedulable {
 		h.index.MarkUnschedulable(int32(number))
@@ -109,62 +109,62 @@
 	if m.phase != h.goal.Phase {
 		m.phase, m.Load = h.goal.Phase, 0
 	}
-	h.index.Update(int32(number), m.Free, m.Load, m.image)
+	h.index.Update(int32(number), m.Free, m.Load, m.tags)
 }
 
-// play changes the cluster and places a task, for so many steps.
-func (h *history) play(steps int) {
+// run changes the cluster and places a task, for so many steps.
+func (h *indexHarness) run(steps int) {
 	for step := range steps {
 		h.changeMachine()
-		h.place(step, h.task())
-		h.lowerGoal()
+		h.placeTask(step, h.drawTaskSize())
+		h.lowerGoalsSometimes()
 	}
 }
 
 // changeMachine has something happen to a machine, or nothing.
-func (h *history) changeMachine() {
-	switch h.r.IntN(12) {
+func (h *indexHarness) changeMachine() {
+	switch h.chooser.IntN(12) {
 	case 0: // all its tasks end
-		i := h.r.IntN(len(h.machines))
+		i := h.chooser.IntN(len(h.machines))
 		h.machines[i].Free, h.machines[i].Load = h.machines[i].Total, 0
-		h.update(i)
+		h.updateIndex(i)
 	case 1:
-		i := h.r.IntN(len(h.machines))
+		i := h.chooser.IntN(len(h.machines))
 		h.machines[i].schedulable = !h.machines[i].schedulable
-		h.update(i)
+		h.updateIndex(i)
 	case 2:
-		i := h.r.IntN(len(h.machines))
-		h.machines[i].image = uint64(h.r.IntN(8))
-		h.update(i)
+		i := h.chooser.IntN(len(h.machines))
+		h.machines[i].tags = uint64(h.chooser.IntN(8))
+		h.updateIndex(i)
 	case 3:
-		h.join()
+		h.addMachine()
 	}
 }
 
-// task is the size of the next task.
-func (h *history) task() Size {
-	task := Size{CPUs: h.scale * float64(1+h.r.IntN(8)), MemGB: h.scale * float64(1+h.r.IntN(12))}
-	if h.r.IntN(6) == 0 {
+// drawTaskSize is the size of the next task.
+func (h *indexHarness) drawTaskSize() Size {
+	task := Size{CPUs: h.scale * float64(1+h.chooser.IntN(8)), MemGB: h.scale * float64(1+h.chooser.IntN(12))}
+	if h.chooser.IntN(6) == 0 {
 		task.GPUs = 1
 	}
 	return task
 }
 
-// request draws where a task may go, and which machines it prefers.
-func (h *history) request(task Size) Request {
+// drawRequest draws where a task may go, and which machines it prefers.
+func (h *indexHarness) drawRequest(task Size) Request {
 	const anyZone = 2
-	zone, spotOnly, excluded, tag := h.r.IntN(3), h.r.IntN(3) == 0, h.r.IntN(len(h.machines)), uint64(1)<<h.r.IntN(3)
-	tagRequired := h.r.IntN(4) == 0
-	request := Request{Task: task, PreferredBonus: 1 + h.r.IntN(2), PreferredTag: tag,
-		Pool: func(pool int) (bool, int) {
-			group, score := h.groups[pool], 0
+	zone, spotOnly, excluded, tag := h.chooser.IntN(3), h.chooser.IntN(3) == 0, h.chooser.IntN(len(h.machines)), uint64(1)<<h.chooser.IntN(3)
+	tagRequired := h.chooser.IntN(4) == 0
+	request := Request{Task: task, PreferredBonus: 1 + h.chooser.IntN(2), PreferredTag: tag,
+		ScorePool: func(pool int) (bool, int) {
+			group, score := h.pools[pool], 0
 			if group.spot {
 				score = 1
 			}
 			return (zone == anyZone || group.zone == zone) && (!spotOnly || group.spot), score
 		},
-		Preferred: func(m int32) bool { return h.machines[m].image&tag != 0 },
-		Allowed:   func(m int32) bool { return int(m) != excluded && (!tagRequired || h.machines[m].image&tag != 0) },
+		Preferred: func(m int32) bool { return h.machines[m].tags&tag != 0 },
+		Allowed:   func(m int32) bool { return int(m) != excluded && (!tagRequired || h.machines[m].tags&tag != 0) },
 	}
 	if tagRequired {
 		request.AllowedTag = tag
@@ -172,11 +172,11 @@
 	return request
 }
 
-// place places a task by the index and by the scan, which must agree on the machine and the
+// placeTask places a task by the index and by the scan, which must agree on the machine and the
 // goal.
-func (h *history) place(step int, task Size) {
-	request := h.request(task)
-	want := h.scan(&request)
+func (h *indexHarness) placeTask(step int, task Size) {
+	request := h.drawRequest(task)
+	want := h.placeByScan(&request)
 	got := h.index.Place(&h.goal, &request)
 	if got != want || h.goal != h.scanGoal {
 		h.t.Fatalf("%d machines, step %d: the index says %d with %+v, the scan %d with %+v", len(h.machines), step, got, h.goal, want, h.scanGoal)
@@ -190,11 +190,11 @@
 		m.phase, m.Load = h.goal.Phase, 0
 	}
 	m.Load += task.Share(m.Total)
-	h.update(int(got))
+	h.updateIndex(int(got))
 }
 
-// scan is the machine that the scan places a task on, or -1.
-func (h *history) scan(request *Request) int32 {
+// placeByScan is the machine that the scan places a task on, or -1.
+func (h *indexHarness) placeByScan(request *Request) int32 {
 	var schedulable []scannedMachine
 	for i, m := range h.machines {
 		if !m.schedulable {
@@ -204,7 +204,7 @@
 		if m.phase != h.scanGoal.Phase {
 			seen.Load = 0
 		}
-		allowed, score := request.Pool(m.group)
+		allowed, score := request.ScorePool(m.pool)
 		seen.Allowed, seen.Score = allowed && request.Allowed(int32(i)), score
 		if request.Preferred(int32(i)) {
 			seen.Score += request.PreferredBonus
@@ -217,9 +217,9 @@
 	return -1
 }
 
-// lowerGoal lowers both goals now and then.
-func (h *history) lowerGoal() {
-	if h.r.IntN(60) != 0 {
+// lowerGoalsSometimes lowers both goals now and then.
+func (h *indexHarness) lowerGoalsSometimes() {
+	if h.chooser.IntN(60) != 0 {
 		return
 	}
 	phase := h.goal.Phase
--- a/internal/slowfit/infeasible.go
+++ b/internal/slowfit/infeasible.go
@@ -23,7 +23,7 @@
 	}
 }
 
-// forget drops the sizes that go into what a machine has free.
-func (s *infeasibleSizes) forget(free Size) {
+// removeWithin drops the sizes that go into what a machine has free.
+func (s *infeasibleSizes) removeWithin(free Size) {
 	s.sizes = slices.DeleteFunc(s.sizes, func(size Size) bool { return size.Within(free) })
 }
--- a/internal/slowfit/place.go
+++ b/internal/slowfit/place.go
@@ -5,9 +5,9 @@
 // Request is a task as placement sees it.
 type Request struct {
 	Task Size
-	// Pool tells whether the task may use a pool's machines, and their score:
+	// ScorePool tells whether the task may use a pool's machines, and their score:
 	// it breaks ties between equally slow machines, before their order does.
-	Pool func(pool int) (allowed bool, score int)
+	ScorePool func(pool int) (allowed bool, score int)
 	// Preferred, unless nil, accepts machines that have PreferredBonus more score. All that
 	// it accepts carry the tag PreferredTag.
 	Preferred      func(machine int32) bool
@@ -22,8 +22,8 @@
 // accepts tells whether the task may use a machine.
 func (r *Request) accepts(machine int32) bool { return r.Allowed == nil || r.Allowed(machine) }
 
-// hasFavourites tells whether some machines have more score than others of their pool.
-func (r *Request) hasFavourites() bool { return r.Preferred != nil && r.PreferredBonus > 0 }
+// hasPreference tells whether some machines have more score than others of their pool.
+func (r *Request) hasPreference() bool { return r.Preferred != nil && r.PreferredBonus > 0 }
 
 // loadBounds are what makes a machine assignable: the most load of the task on it, and its most
 // total load with the task.
@@ -43,10 +43,10 @@
 		return noMachine
 	}
 	if g.L == 0 {
-		if !x.hasRoom(r) {
+		if !x.hasCapacityFor(r) {
 			return noMachine
 		}
-		if g.L = x.fastestShare(r.Task); g.L == 0 {
+		if g.L = x.shareOnFastestMachine(r.Task); g.L == 0 {
 			// The task takes nothing of any resource.
 			return x.find(r, unbounded)
 		}
@@ -55,7 +55,7 @@
 		if machine := x.find(r, g.bounds()); machine != noMachine {
 			return machine
 		}
-		if !roomIsKnown && !x.hasRoom(r) {
+		if !roomIsKnown && !x.hasCapacityFor(r) {
 			return noMachine
 		}
 		roomIsKnown = true
@@ -64,21 +64,21 @@
 	}
 }
 
-// hasRoom tells whether some machine has room for a task, whatever its load. If no machine at
+// hasCapacityFor tells whether some machine has room for a task, whatever its load. If no machine at
 // all has, it remembers the task's size.
-func (x *Index) hasRoom(r *Request) bool {
+func (x *Index) hasCapacityFor(r *Request) bool {
 	if x.find(r, unbounded) != noMachine {
 		return true
 	}
-	if !x.hasRoomAnywhere(r.Task) {
+	if !x.hasCapacityAnywhere(r.Task) {
 		x.infeasible.add(r.Task)
 	}
 	return false
 }
 
-// hasRoomAnywhere tells whether some machine has room for a task, be it one that the job may
+// hasCapacityAnywhere tells whether some machine has room for a task, be it one that the job may
 // not use.
-func (x *Index) hasRoomAnywhere(task Size) bool {
+func (x *Index) hasCapacityAnywhere(task Size) bool {
 	for _, p := range x.pools {
 		q := query{pool: p, task: task, maxLoad: math.Inf(1), visited: &x.nodesVisited}
 		if p.schedulable > 0 && q.firstLeaf(root) != noLeaf {
@@ -88,9 +88,9 @@
 	return false
 }
 
-// fastestShare is a task's load on the fastest schedulable machine that can carry it
+// shareOnFastestMachine is a task's load on the fastest schedulable machine that can carry it
 // at all.
-func (x *Index) fastestShare(task Size) float64 {
+func (x *Index) shareOnFastestMachine(task Size) float64 {
 	for k := len(x.poolsBySpeed) - 1; k >= 0; k-- {
 		p := x.pools[x.poolsBySpeed[k]]
 		if share := task.Share(p.total); p.schedulable > 0 && !math.IsInf(share, 1) {
@@ -103,8 +103,8 @@
 // find names the slowest assignable machine that has room.
 func (x *Index) find(r *Request, bounds loadBounds) int32 {
 	for from := 0; from < len(x.poolsBySpeed); {
-		to := x.endOfSpeed(from)
-		if machine := x.findAmong(r, x.poolsBySpeed[from:to], bounds); machine != noMachine {
+		to := x.endOfEqualSpeed(from)
+		if machine := x.findInPools(r, x.poolsBySpeed[from:to], bounds); machine != noMachine {
 			return machine
 		}
 		from = to
@@ -112,8 +112,8 @@
 	return noMachine
 }
 
-// endOfSpeed is where, in poolsBySpeed, the pools end that are as slow as the one at from.
-func (x *Index) endOfSpeed(from int) int {
+// endOfEqualSpeed is where, in poolsBySpeed, the pools end that are as slow as the one at from.
+func (x *Index) endOfEqualSpeed(from int) int {
 	slowest := x.pools[x.poolsBySpeed[from]].total
 	to := from + 1
 	for to < len(x.poolsBySpeed) && slowest.compareSpeed(x.pools[x.poolsBySpeed[to]].total) == 0 {
@@ -122,8 +122,8 @@
 	return to
 }
 
-// findAmong is find for pools of machines of one speed.
-func (x *Index) findAmong(r *Request, pools []int, bounds loadBounds) int32 {
+// findInPools is find for pools of machines of one speed.
+func (x *Index) findInPools(r *Request, pools []int, bounds loadBounds) int32 {
 	best := candidate{machine: noMachine}
 	for _, number := range pools {
 		p := x.pools[number]
@@ -134,7 +134,7 @@
 		if share > bounds.task+tolerance || math.IsInf(share, 1) {
 			continue
 		}
-		allowed, score := r.Pool(number)
+		allowed, score := r.ScorePool(number)
 		if !allowed {
 			continue
 		}
--- a/internal/slowfit/place_bench_test.go
+++ b/internal/slowfit/place_bench_test.go
@@ -32,7 +32,7 @@
 	vacate()
 	goal := Goal{C: 5}
 	request := Request{Task: Size{CPUs: 1, MemGB: 2}, PreferredBonus: 2, PreferredTag: 1,
-		Pool:      func(pool int) (bool, int) { return true, pool % 2 },
+		ScorePool: func(pool int) (bool, int) { return true, pool % 2 },
 		Preferred: func(machine int32) bool { return machine%2 == 1 },
 	}
 	b.ReportAllocs()
--- a/internal/slowfit/pool.go
+++ b/internal/slowfit/pool.go
@@ -54,12 +54,12 @@
 	leaf = len(p.machines)
 	p.machines = append(p.machines, machine)
 	p.ranks = append(p.ranks, rank)
-	p.set(leaf, unschedulable)
+	p.setLeaf(leaf, unschedulable)
 	return leaf
 }
 
-// set replaces a leaf and the nodes above it.
-func (p *pool) set(leaf int, n node) {
+// setLeaf replaces a leaf and the nodes above it.
+func (p *pool) setLeaf(leaf int, n node) {
 	at := p.leaves + leaf
 	if before, after := p.nodes[at].isSchedulable(), n.isSchedulable(); before && !after {
 		p.schedulable--
--- a/internal/slowfit/query.go
+++ b/internal/slowfit/query.go
@@ -21,7 +21,7 @@
 // improve has a candidate replaced by the first machine of the pool that has room, if that is
 // better. Machines that the request favours come before the others.
 func (q *query) improve(best *candidate, r *Request, score int) {
-	if r.hasFavourites() && best.canImprove(score+r.PreferredBonus) {
+	if r.hasPreference() && best.canImprove(score+r.PreferredBonus) {
 		favourites := *q
 		favourites.tags |= r.PreferredTag
 		favourites.accepts = func(machine int32) bool { return r.Preferred(machine) && r.accepts(machine) }
--- a/internal/slowfit/size_test.go
+++ b/internal/slowfit/size_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-func TestSizes(t *testing.T) {
+func TestShareAndSlots(t *testing.T) {
 	total := Size{CPUs: 8, GPUs: 0, MemGB: 32}
 	cases := []struct {
 		name  string
