--- a/internal/dispatch/cloud_calls_test.go
+++ b/internal/dispatch/cloud_calls_test.go
@@ -12,15 +12,16 @@
 	"leadproxy/internal/transport"
 )
 
-// fakeLeadership leads until it is set to false.
+// fakeLeadership implements Leadership. It leads in every term while leads is true.
 type fakeLeadership struct{ leads atomic.Bool }
 
 func (l *fakeLeadership) IsLeader(uint64) bool { return l.leads.Load() }
 
-// TestCloudCallNotSentAfterTermEnds guards against a deletion that was decided in the term, waited for
-// the cloud's rate, and left after the term: the machine may be the next leader's by then.
+// TestCloudCallNotSentAfterTermEnds guards against a deletion that was decided during the term,
+// waited for the rate limit of the cloud's API and was sent after the term had ended. The machine
+// may belong to the next leader by then.
 func TestCloudCallNotSentAfterTermEnds(t *testing.T) {
-	const interval = 300 * time.Millisecond // between two calls
+	const interval = 300 * time.Millisecond // between two calls to the cloud
 	var received atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { received.Add(1) }))
 	defer server.Close()
@@ -35,13 +36,13 @@
 		term.callCloud(t.Context(), autoscaler.Call{Delete: []string{machine}})
 	}
 	if first := <-term.cloud.Results; first.Err != nil {
-		t.Errorf("a call in the term: %v", first.Err)
+		t.Errorf("call during the term failed: %v", first.Err)
 	}
 	leadership.leads.Store(false)
 	if second := <-term.cloud.Results; !errors.Is(second.Err, autoscaler.ErrNotExecuted) {
-		t.Errorf("a call that waited past the term: %v, want %v", second.Err, autoscaler.ErrNotExecuted)
+		t.Errorf("call that waited until the term had ended: error %v, want %v", second.Err, autoscaler.ErrNotExecuted)
 	}
 	if n := received.Load(); n != 1 {
-		t.Errorf("the cloud received %d calls, want 1", n)
+		t.Errorf("cloud received %d calls, want 1", n)
 	}
 }
--- a/internal/dispatch/commands.go
+++ b/internal/dispatch/commands.go
@@ -12,24 +12,25 @@
 	"leadproxy/internal/wire"
 )
 
-// commandTimeout bounds a command to a worker, dialTimeout opening the connection for it.
-// The outcome of what is slower is learned from the worker's heartbeats.
+// commandTimeout bounds a request to an agent once it occupies a slot in flight, and dialTimeout
+// the opening of the connection within that time. The outcome of a command that takes longer is
+// learned from the agent's heartbeats.
 const (
 	commandTimeout = 2 * time.Second
 	dialTimeout    = time.Second
 )
 
-// sendCommands sends commands to a worker and passes their outcome to the core.
+// sendCommands sends commands to an agent and posts their outcome to the core.
 func (d *Dispatcher) sendCommands(ctx context.Context, term uint64, effect scheduler.SendCommands) {
 	result := scheduler.CommandResult{CommandID: effect.CommandID}
 	result.Outcome, result.Heartbeat = d.postCommands(ctx, term, effect)
 	d.postEvent(ctx, result)
 }
 
-// postCommands sends commands to a worker. The heartbeat is the worker's response, nil if
-// there is none that can be read.
+// postCommands sends commands to an agent in a POST request. The returned heartbeat is the agent's
+// response, or nil if there is none or it is malformed.
 func (d *Dispatcher) postCommands(ctx context.Context, term uint64, effect scheduler.SendCommands) (scheduler.CommandOutcome, *wire.Heartbeat) {
-	// Past the lease another leader may act: no command leaves here.
+	// After the lease has expired, another leader may act, so no command may be sent.
 	maySend := func() bool { return d.guard.MayAct(term, "command") }
 	if !maySend() {
 		return scheduler.CommandNotSent, nil
@@ -57,7 +58,8 @@
 	return outcome, heartbeat
 }
 
-// encodeCommands makes the body of a direct command of what may leave at this moment.
+// encodeCommands returns the request body with those commands that may be sent now. The error is
+// ErrNotLeader or errWithdrawn if nothing may be sent.
 func (d *Dispatcher) encodeCommands(term uint64, effect scheduler.SendCommands) ([]byte, error) {
 	request, err := d.guard.FilterCommandRequest(term, effect)
 	if err != nil {
@@ -66,11 +68,11 @@
 	return json.Marshal(request)
 }
 
-// alwaysAllowed is for requests that may be sent at any time.
+// alwaysAllowed is the maySend function of requests that need no leadership.
 func alwaysAllowed() bool { return true }
 
-// countUnanswered counts the commands in a row that no worker has answered. A command that
-// was held back because the term is over, or withdrawn, is none of them.
+// countUnanswered counts consecutive commands that no agent has answered. A command that was not
+// sent because the term has ended or because it was withdrawn does not count.
 func (d *Dispatcher) countUnanswered(response agentResponse, err error) {
 	switch {
 	case !response.sent && (errors.Is(err, ErrNotLeader) || errors.Is(err, errWithdrawn)):
@@ -81,7 +83,7 @@
 	}
 }
 
-// commandOutcome is what the status of a worker's response says about the commands.
+// commandOutcome returns the outcome of commands from the status code of the agent's response.
 func commandOutcome(status int) scheduler.CommandOutcome {
 	switch status {
 	case http.StatusOK:
@@ -92,18 +94,18 @@
 	return scheduler.CommandOutcomeUnknown
 }
 
-// inspectAgent asks a worker for its state and passes the response to the core. Reading
-// does no harm, so it takes no leadership check.
+// inspectAgent requests an agent's status and posts the response to the core. The request only
+// reads, so it needs no leadership check.
 func (d *Dispatcher) inspectAgent(ctx context.Context, effect scheduler.InspectAgent) {
 	result := scheduler.InspectResult{Machine: effect.Machine}
 	request := agentRequest{address: effect.Address, method: http.MethodGet, path: "/inspect"}
 	response, err := d.agentConnections.call(ctx, request, alwaysAllowed)
 	switch {
 	case err != nil:
-		d.log.Debug("worker inspection failed", "machine", effect.Machine, "error", err)
+		d.log.Debug("agent inspection failed", "machine", effect.Machine, "error", err)
 	case response.status == http.StatusOK:
 		if result.Heartbeat, err = wire.ParseHeartbeat(response.body); err != nil {
-			d.log.Info("worker inspection response malformed", "machine", effect.Machine, "error", err)
+			d.log.Info("agent inspection response malformed", "machine", effect.Machine, "error", err)
 		}
 	}
 	d.postEvent(ctx, result)
--- a/internal/dispatch/connection_pool.go
+++ b/internal/dispatch/connection_pool.go
@@ -7,38 +7,38 @@
 	"leadproxy/internal/transport"
 )
 
-// ConnectionLimits bounds the connections to workers.
+// ConnectionLimits bounds the connections to agents.
 type ConnectionLimits struct {
-	MaxInFlight int // commands in flight at once
-	// MaxIdle is how many connections are kept open between two commands,
-	// MaxIdleWhenScarce how many while SocketsScarce reports that sockets are short.
+	MaxInFlight int // maximum number of requests in flight
+	// MaxIdle is the maximum number of idle connections that are kept open, and
+	// MaxIdleWhenScarce the maximum while SocketsScarce returns true.
 	MaxIdle, MaxIdleWhenScarce int
 	SocketsScarce              func() bool
 }
 
-// idleTimeout is how long an unused connection is kept open.
+// idleTimeout is how long an idle connection is kept open.
 const idleTimeout = time.Minute
 
-// connectionPool sends commands to workers. Opening a connection costs several times as much
-// as a command, so connections are kept open between two commands as far as there are
-// sockets. The idle ones are owned by the goroutine that executes run.
+// connectionPool sends HTTP requests to agents. Opening a connection costs several times as much
+// as a command, so connections are kept open and reused, within the limits on sockets. The idle
+// connections are owned by the goroutine that executes run.
 type connectionPool struct {
 	network  transport.Network
 	limits   ConnectionLimits
-	inFlight chan struct{} // semaphore: one element for each command in flight
+	inFlight chan struct{} // semaphore: one element for each request in flight
 	acquire  chan acquireRequest
 	release  chan idleConnection
 	trim     chan struct{}
-	stopped  chan struct{} // closed as run returns
+	stopped  chan struct{} // closed when run returns
 }
 
-// acquireRequest asks for an idle connection to an address; the reply is nil if there is none.
+// acquireRequest requests an idle connection to an address. The reply is nil if there is none.
 type acquireRequest struct {
 	address string
-	reply   chan *transport.Conn // has room for one
+	reply   chan *transport.Conn // buffered, so that run never blocks
 }
 
-// idleConnection is an open connection that is given back after a command.
+// idleConnection is an open connection that is returned to the pool after a request.
 type idleConnection struct {
 	address    string
 	connection *transport.Conn
@@ -56,7 +56,8 @@
 	}
 }
 
-// run keeps idle connections until ctx ends.
+// run manages the idle connections until ctx ends, and then closes them. Without it, call and
+// trimIdle block.
 func (p *connectionPool) run(ctx context.Context) {
 	defer close(p.stopped)
 	idle := idleConnections{}
@@ -79,7 +80,7 @@
 	}
 }
 
-// maxIdle is how many idle connections may be kept at the moment.
+// maxIdle returns how many idle connections may currently be kept.
 func (p *connectionPool) maxIdle() int {
 	if p.limits.SocketsScarce() {
 		return p.limits.MaxIdleWhenScarce
@@ -87,7 +88,7 @@
 	return p.limits.MaxIdle
 }
 
-// trimIdle closes the idle connections beyond MaxIdleWhenScarce.
+// trimIdle closes idle connections until at most MaxIdleWhenScarce are left.
 func (p *connectionPool) trimIdle() {
 	select {
 	case p.trim <- struct{}{}:
@@ -95,72 +96,72 @@
 	}
 }
 
-// idleConnections holds the idle connections by address, one for each.
+// idleConnections holds at most one idle connection per address, keyed by address.
 type idleConnections map[string]*transport.Conn
 
 // take removes the connection to an address and returns it, or nil if there is none.
-func (c idleConnections) take(address string) *transport.Conn {
-	connection := c[address]
-	delete(c, address)
+func (idle idleConnections) take(address string) *transport.Conn {
+	connection := idle[address]
+	delete(idle, address)
 	return connection
 }
 
-// add keeps a connection, or closes it if there is one to that address or there are limit
-// of them already.
-func (c idleConnections) add(returned idleConnection, limit int) {
-	if c[returned.address] != nil || len(c) >= limit {
+// add keeps a connection. If there already is one to its address, or if limit connections are kept,
+// it closes the connection instead.
+func (idle idleConnections) add(returned idleConnection, limit int) {
+	if idle[returned.address] != nil || len(idle) >= limit {
 		returned.connection.Close()
 		return
 	}
-	c[returned.address] = returned.connection
+	idle[returned.address] = returned.connection
 }
 
-// trimTo closes connections until at most limit are left.
-func (c idleConnections) trimTo(limit int) {
-	for address := range c {
-		if len(c) <= limit {
+// trimTo closes arbitrary connections until at most limit are left.
+func (idle idleConnections) trimTo(limit int) {
+	for address := range idle {
+		if len(idle) <= limit {
 			return
 		}
-		c.closeOne(address)
+		idle.closeOne(address)
 	}
 }
 
 // closeExpired closes the connections that have been idle for longer than idleTimeout.
-func (c idleConnections) closeExpired() {
-	for address, connection := range c {
+func (idle idleConnections) closeExpired() {
+	for address, connection := range idle {
 		if time.Since(connection.IdleSince()) > idleTimeout {
-			c.closeOne(address)
+			idle.closeOne(address)
 		}
 	}
 }
 
-func (c idleConnections) closeOne(address string) {
-	c[address].Close()
-	delete(c, address)
+func (idle idleConnections) closeOne(address string) {
+	idle[address].Close()
+	delete(idle, address)
 }
 
-// agentRequest is an HTTP request to a worker.
+// agentRequest is an HTTP request to an agent.
 type agentRequest struct {
 	address string
 	method  string
 	path    string
 	body    []byte
-	// encode, unless nil, makes the body right before the request is sent. After an error nothing is
-	// sent.
+	// encode, unless nil, returns the body. It is called immediately before the request is
+	// sent, and nothing is sent if it fails.
 	encode func() ([]byte, error)
 }
 
-// agentResponse is what came of a agentRequest. With sent false, no part of the request
-// has left this process; with sent true and an error, the outcome is unknown.
+// agentResponse is the result of an agentRequest. If sent is false, no part of the request has left
+// this process. If sent is true and call returned an error, the outcome is unknown.
 type agentResponse struct {
 	sent   bool
 	status int
 	body   []byte
 }
 
-// call sends one request to a worker and waits for the response. maySend is checked once
-// the connection is open, right before the request is sent: opening may have taken longer
-// than the leader's lease.
+// call sends one request to an agent and waits for the response. It checks maySend when the
+// connection is open, immediately before it sends the request, because opening the connection may
+// have taken longer than the leader's lease. If maySend returns false, the error is ErrNotLeader.
 func (p *connectionPool) call(ctx context.Context, request agentRequest, maySend func() bool) (agentResponse, error) {
 	select {
 	case p.inFlight <- struct{}{}:
@@ -189,7 +190,7 @@
 	return agentResponse{sent: true, status: response.Status, body: response.Body}, err
 }
 
-// acquireConnection returns an idle connection to an address, or a new one that is not open yet.
+// acquireConnection returns an idle connection to the address, or a new one that is not open yet.
 func (p *connectionPool) acquireConnection(ctx context.Context, address string) (*transport.Conn, error) {
 	request := acquireRequest{address: address, reply: make(chan *transport.Conn, 1)}
 	select {
@@ -203,7 +204,7 @@
 	return transport.NewConn(p.network, address), nil
 }
 
-// releaseConnection gives a connection back for the next command, if it is still open.
+// releaseConnection returns a connection to the pool for reuse if it is still open.
 func (p *connectionPool) releaseConnection(ctx context.Context, address string, connection *transport.Conn) {
 	if !connection.IsOpen() {
 		return
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -1,6 +1,6 @@
-// Package dispatch runs the scheduler's core for the terms that this controller leads: it
-// passes heartbeats, user requests and results of I/O to the core as events, and executes
-// the effects that follow. Its goroutine owns the core; everybody else sends it messages.
+// Package dispatch runs the scheduler's core during the terms in which this controller leads. It
+// passes heartbeats, user requests and results of I/O to the core as events, and executes the
+// effects that the core returns. One goroutine owns the core; all others send it messages.
 package dispatch
 
 import (
@@ -19,10 +19,10 @@
 	"leadproxy/internal/transport"
 )
 
-// ErrNotLeader means that this controller runs no term, or that its term has ended.
+// ErrNotLeader means that this controller is not the leader, or that its term has ended.
 var ErrNotLeader = errors.New("this controller does not lead")
 
-// Config is what a dispatcher needs of the other parts of a controller.
+// Config contains the dependencies and settings of a Dispatcher.
 type Config struct {
 	Network     transport.Network
 	Platform    *settings.Platform
@@ -32,14 +32,16 @@
 	Connections ConnectionLimits
 	Log         *slog.Logger
 
-	// PipelinesSupported reports whether all controllers run a version that reads what
-	// this one writes.
+	// PipelinesSupported reports whether all controllers support job dependencies, and thus can
+	// read every record that this one writes.
 	PipelinesSupported func() bool
-	// TransfersSupported reports whether all controllers know transfers between cells.
+	// TransfersSupported reports whether all controllers support transfers between cells.
 	TransfersSupported func() bool
-	// Standby has a copy of the ledger for a term that begins here; nil: there is none.
+	// Standby has a replica of the ledger for a term that begins on this controller. It is nil
+	// if the controller keeps none.
 	Standby Standby
-	// SoftState has what an earlier leader held in memory; nil: there is nothing.
+	// SoftState has the replicated soft state of an earlier leader. It is nil if the controller
+	// keeps none.
 	SoftState SoftStateViewer
 	// Neighbours calls the leaders of other cells.
 	Neighbours Neighbours
@@ -47,23 +49,24 @@
 	TraceTransfer func(federation.TransferStep)
 }
 
-// Standby keeps a copy of the ledger.
+// Standby keeps a replica of the ledger.
 type Standby interface {
-	// Promote returns the view that a term may decide on, or why there is none.
+	// Promote returns a view of the ledger that is complete for the term, or an error if the
+	// replica can't be used.
 	Promote(ctx context.Context, term uint64) (standby.View, error)
-	// Release ends the use of the view: the term is over.
+	// Release ends the use of the view at the end of the term.
 	Release()
 }
 
-// SoftStateViewer keeps the soft state that a leader has replicated to the controllers that
-// may lead next.
+// SoftStateViewer keeps the soft state that the leader replicates to the controllers that may lead
+// next.
 type SoftStateViewer interface {
-	// View returns the soft state for a term that begins here.
+	// View returns the soft state for a term that begins on this controller.
 	View(ctx context.Context, term uint64) softstate.View
 }
 
-// Dispatcher gives the other parts of a controller access to the scheduler's core. It runs
-// one core for each term that this controller leads, and rejects requests in between.
+// Dispatcher gives the other parts of a controller access to the scheduler's core. It runs one core
+// for each term that this controller leads, and rejects requests with ErrNotLeader between terms.
 type Dispatcher struct {
 	config           Config
 	log              *slog.Logger
@@ -73,13 +76,14 @@
 	guard            *SendGuard
 	agentConnections *connectionPool
 	mailboxes        mailboxes
-	// expectedMachines is how many machines should be sending heartbeats to this leader.
+	// expectedMachines is the number of machines whose agents should be sending heartbeats to
+	// this leader.
 	expectedMachines atomic.Int64
-	// unansweredCommands is how many commands in a row no worker has answered.
+	// unansweredCommands is the number of consecutive commands that no agent has answered.
 	unansweredCommands atomic.Int64
 }
 
-// NewDispatcher makes a dispatcher; Run starts it.
+// NewDispatcher returns a dispatcher. Call Run to start it.
 func NewDispatcher(config Config) *Dispatcher {
 	return &Dispatcher{
 		config:           config,
@@ -93,21 +97,21 @@
 	}
 }
 
-// readClocks reads the monotonic time and the time of day at one moment. Lease expiry is
-// converted from the one to the other: if the process stood still between two readings,
-// leases would be found expired too early.
+// readClocks returns the monotonic time since the start and the time of day, from a single clock
+// reading. Lease expiry is converted from one to the other: if the process were suspended between
+// two separate readings, leases would be considered expired too early.
 func (d *Dispatcher) readClocks() (now time.Duration, wallMS int64) {
-	t := time.Now()
-	return t.Sub(d.started), t.UnixMilli()
+	current := time.Now()
+	return current.Sub(d.started), current.UnixMilli()
 }
 
-// CloseIdleConnections closes the idle connections to workers beyond those that are kept
-// while sockets are scarce.
+// CloseIdleConnections closes idle connections to agents down to the number that is kept while
+// sockets are scarce.
 func (d *Dispatcher) CloseIdleConnections() { d.agentConnections.trimIdle() }
 
-// UnansweredCommands is how many commands in a row no worker has answered.
+// UnansweredCommands returns the number of consecutive commands that no agent has answered.
 func (d *Dispatcher) UnansweredCommands() int { return int(d.unansweredCommands.Load()) }
 
-// ExpectedMachines is how many machines should be sending heartbeats to this controller as
-// the leader.
+// ExpectedMachines returns the number of machines whose agents should be sending heartbeats to this
+// controller. It is 0 while this controller is not the leader.
 func (d *Dispatcher) ExpectedMachines() int { return int(d.expectedMachines.Load()) }
--- a/internal/dispatch/effects.go
+++ b/internal/dispatch/effects.go
@@ -8,8 +8,8 @@
 	"leadproxy/internal/scheduler"
 )
 
-// executeEffects executes what the core has decided: replies at once, I/O in the background,
-// and all writes of the ledger together.
+// executeEffects executes effects of the core: it delivers replies immediately, starts I/O in the
+// background, and submits all ledger writes together.
 func (t *term) executeEffects(ctx context.Context, effects []scheduler.Effect) {
 	var writes []ledger.Write
 	for _, effect := range effects {
@@ -45,7 +45,7 @@
 	}
 }
 
-// deliverReply passes a reply to the caller who waits for it.
+// deliverReply delivers a reply to the caller that waits for it.
 func deliverReply(effect scheduler.Effect) {
 	switch reply := effect.(type) {
 	case scheduler.UserReply:
@@ -65,8 +65,10 @@
 	}
 }
 
-// callCloud makes a call to the cloud if the term still holds, also as the call leaves. A suspended
-// leader that deletes machines would take them from its successor; the core tries again later.
+// callCloud submits a call to the cloud's API. Leadership is checked here and again immediately
+// before the call is sent: a leader that was suspended and then deletes machines would take them
+// from its successor. If the check fails, the core receives autoscaler.ErrNotExecuted and retries
+// later.
 func (t *term) callCloud(ctx context.Context, call autoscaler.Call) {
 	call.MaySend = func() bool { return t.guard.MayAct(t.number, "cloud call") }
 	if !call.MaySend() {
--- a/internal/dispatch/event_loop.go
+++ b/internal/dispatch/event_loop.go
@@ -7,11 +7,11 @@
 	"leadproxy/internal/scheduler"
 )
 
-// maxBatchEvents bounds the events that share one placement.
+// maxBatchEvents is the maximum number of events that share one placement.
 const maxBatchEvents = 256
 
-// run applies events to the core and executes the effects until ctx ends. Callers whose
-// requests wait then get no reply from this term.
+// run applies events to the core and executes its effects until ctx ends. Requests that are still
+// pending then get no reply from this term.
 func (t *term) run(ctx context.Context) {
 	var throttle placementThrottle
 	for {
@@ -30,9 +30,9 @@
 	}
 }
 
-// applyBatch applies an event to the core, and with it those that wait already or come
-// before the next placement is due: under load many events share one placement, and one
-// heartbeat response carries all that follows from them.
+// applyBatch applies an event to the core, followed by those that are already queued or that arrive
+// before the next placement is due. Under load many events thus share one placement, and one
+// heartbeat response carries all commands that result from them.
 func (t *term) applyBatch(ctx context.Context, event scheduler.Event, throttle *placementThrottle) {
 	var placementDue <-chan time.Time
 	for n, ok := 1, true; ok; n++ {
@@ -49,9 +49,9 @@
 	}
 }
 
-// applyEvent applies one event to the core. While the leadership is suspended, another leader may
-// have begun: actions that follow from passing time alone, such as writing off unreachable
-// machines, must not be taken then.
+// applyEvent applies one event to the core. Ticks are dropped while this controller is not certain
+// to be the leader: another leader may have been elected, so actions that depend on time alone,
+// such as declaring unreachable machines lost, must not be taken.
 func (t *term) applyEvent(event scheduler.Event) {
 	if _, isTick := event.(scheduler.Tick); isTick && !t.elector.IsLeader(t.number) {
 		return
@@ -60,8 +60,8 @@
 	t.core.Step(event, now, wall)
 }
 
-// updateCapabilities passes a change of the largest size of a value to the core, and that all
-// controllers know transfers between cells.
+// updateCapabilities notifies the core when the maximum size of a value changes, and once when all
+// controllers support transfers between cells.
 func (t *term) updateCapabilities() {
 	size := t.maxValueBytes()
 	now, wall := t.readClocks()
@@ -75,16 +75,16 @@
 	}
 }
 
-// maxValueBytes is how many bytes a value of the ledger may have. What an older version
-// can't read, such as finished tasks in parts, is written only if the value has no
-// place otherwise, or if no controller of that version can run any more; then there is
-// nothing to be rewritten when the limits fall.
+// maxValueBytes returns the maximum size of a ledger value in bytes. Formats that an older version
+// can't read, such as finished tasks in parts, are written only if a value does not fit otherwise,
+// or when no controller of that version can be running any more. From then on the announced lower
+// limits apply as well, so that nothing has to be rewritten when the limits are lowered.
 func (d *Dispatcher) maxValueBytes() int {
 	size := d.store.Limits().MaxValueBytes
 	if d.config.PipelinesSupported() {
 		size = min(size, d.config.Platform.Facts.Store.LeastValueBytes())
 	}
-	// The store may count a value as it keeps it, with more between its parts than
-	// this controller writes.
+	// The store may measure a value in its own encoding, with more separators between the
+	// elements than this controller writes, so an eighth is kept in reserve.
 	return size - size/8
 }
--- a/internal/dispatch/foreign_records.go
+++ b/internal/dispatch/foreign_records.go
@@ -18,19 +18,19 @@
 	"leadproxy/internal/wire"
 )
 
-// foreignRetryInterval is how long to wait after a write whose outcome is unknown.
+// foreignRetryInterval is the delay before a write whose outcome is unknown is retried.
 const foreignRetryInterval = 200 * time.Millisecond
 
-// Errors of a write of a foreign job's record.
+// Errors of writing the record of a foreign job.
 var (
-	// errTermEnded: the leader's key has changed, so this term may write nothing more.
-	errTermEnded = errors.New("the term is over")
-	// errForeignRecordChanged: the record's key was written by another transaction.
-	errForeignRecordChanged = errors.New("the key of the foreign job's record has changed")
+	// errTermEnded: the leader key has changed, so this term must not write any more.
+	errTermEnded = errors.New("leadership term has ended")
+	// errForeignRecordChanged: another transaction has written the record's key.
+	errForeignRecordChanged = errors.New("record of the foreign job was changed by another transaction")
 )
 
-// writeForeignRecord writes the record of a job of another cell by compare-and-swap, again
-// and again until the outcome is certain or the term is over.
+// writeForeignRecord writes the record of a foreign job by compare-and-swap. It retries until the
+// outcome is certain, which it posts to the core, or until the term has ended.
 func (t *term) writeForeignRecord(ctx context.Context, effect scheduler.WriteForeign) {
 	job := effect.Write.Key.JobID
 	transaction, err := t.newForeignTransaction(effect)
@@ -52,8 +52,8 @@
 	}
 }
 
-// tryForeignWrite tries the write once. An error other than errTermEnded means that its
-// outcome is not certain yet.
+// tryForeignWrite attempts the write once. An error other than errTermEnded means that the outcome
+// is not certain yet.
 func (t *term) tryForeignWrite(ctx context.Context, effect scheduler.WriteForeign, transaction wire.CompareAndSwap) (scheduler.ForeignWriteResult, error) {
 	swapped, response, err := t.store.CompareAndSwap(ctx, kvstore.PriorityLeader, transaction)
 	switch {
@@ -67,13 +67,14 @@
 	return t.resolveForeignWrite(ctx, effect)
 }
 
-// newForeignTransaction is the transaction of such a write. A late copy of it finds the
-// record's key changed, and that key is never deleted.
+// newForeignTransaction returns the transaction that writes a foreign job's record and, if the job
+// is accepted, the job record. A copy of it that the store executes late has no effect: it finds
+// the version of the record's key changed, and that key is never deleted.
 func (t *term) newForeignTransaction(effect scheduler.WriteForeign) (wire.CompareAndSwap, error) {
 	key := ledger.ForeignKey(effect.Write.Key)
 	value, err := json.Marshal(effect.Write.Record)
 	if err != nil {
-		return wire.CompareAndSwap{}, fmt.Errorf("foreign record: %w", err)
+		return wire.CompareAndSwap{}, fmt.Errorf("encode the record of the foreign job: %w", err)
 	}
 	transaction := wire.CompareAndSwap{
 		Conditions: []wire.Condition{{Key: election.LeaderKey, Version: t.number}, {Key: key, Version: effect.Write.Version}},
@@ -84,7 +85,7 @@
 	}
 	record, err := json.Marshal(effect.Job)
 	if err != nil {
-		return wire.CompareAndSwap{}, fmt.Errorf("job record: %w", err)
+		return wire.CompareAndSwap{}, fmt.Errorf("encode the job record: %w", err)
 	}
 	jobKey := ledger.JobKey(effect.Write.Key.JobID)
 	transaction.Conditions = append(transaction.Conditions, wire.Condition{Key: jobKey})
@@ -92,8 +93,9 @@
 	return transaction, nil
 }
 
-// resolveForeignWrite finds the outcome of a write whose conditions failed: an earlier try
-// of it was carried out, or there is a job of that name.
+// resolveForeignWrite determines the outcome of a write whose conditions failed: either an earlier
+// attempt succeeded, or a job with that ID already exists. Otherwise the error is
+// errForeignRecordChanged.
 func (t *term) resolveForeignWrite(ctx context.Context, effect scheduler.WriteForeign) (scheduler.ForeignWriteResult, error) {
 	entry, found, err := t.store.Get(ctx, kvstore.PriorityLeader, ledger.ForeignKey(effect.Write.Key))
 	if err != nil {
--- a/internal/dispatch/heartbeats.go
+++ b/internal/dispatch/heartbeats.go
@@ -7,8 +7,9 @@
 	"leadproxy/internal/wire"
 )
 
-// Heartbeat has the core answer a worker's heartbeat. What the reply holds may be sent only after
-// the SendGuard has passed it.
+// Heartbeat passes an agent's heartbeat to the core and returns the reply. The caller must filter
+// the reply through SendGuard.FilterResponse immediately before sending it. The error is
+// ErrNotLeader if this controller is not the leader.
 func (d *Dispatcher) Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) (scheduler.HeartbeatReply, error) {
 	reply, err := askCore[scheduler.HeartbeatReply](ctx, d.mailboxes.heartbeats, func(replyTo scheduler.Recipient) scheduler.Event {
 		return scheduler.HeartbeatEvent{Heartbeat: heartbeat, ReplyTo: replyTo}
@@ -19,8 +20,8 @@
 	return heartbeatReply(reply)
 }
 
-// HeartbeatAsync has the core answer a worker's heartbeat through respond, once, or never if
-// the term ends meanwhile. respond must not wait.
+// HeartbeatAsync passes an agent's heartbeat to the core, which replies by calling respond. respond
+// is called at most once, and never if the term ends first. It must not block.
 func (d *Dispatcher) HeartbeatAsync(ctx context.Context, heartbeat *wire.Heartbeat, respond func(scheduler.HeartbeatReply, error)) {
 	callback := heartbeatCallback(respond)
 	select {
@@ -29,17 +30,17 @@
 	}
 }
 
-// heartbeatCallback is a caller that is called with the outcome of a heartbeat.
+// heartbeatCallback is a caller whose function receives the outcome of a heartbeat.
 type heartbeatCallback func(scheduler.HeartbeatReply, error)
 
-// Deliver takes the reply of the core.
+// Deliver implements scheduler.Recipient.
 func (respond heartbeatCallback) Deliver(effect scheduler.Effect) { respond(heartbeatReply(effect)) }
 
-// Reject takes an error in place of a reply.
+// Reject implements caller.
 func (respond heartbeatCallback) Reject(err error) { respond(scheduler.HeartbeatReply{}, err) }
 
-// heartbeatReply is the core's reply to a heartbeat. Without a response, the core can't answer as the
-// leader.
+// heartbeatReply converts an effect to the reply to a heartbeat. The error is ErrNotLeader if the
+// reply contains no response, which means that the core can't answer as the leader.
 func heartbeatReply(effect scheduler.Effect) (scheduler.HeartbeatReply, error) {
 	if reply, ok := effect.(scheduler.HeartbeatReply); ok && reply.Response != nil {
 		return reply, nil
--- a/internal/dispatch/job_watch.go
+++ b/internal/dispatch/job_watch.go
@@ -15,15 +15,16 @@
 )
 
 const (
-	// watchTimeout is how long one request of the watch waits for changes.
+	// watchTimeout bounds how long one watch request waits for changes.
 	watchTimeout = 20 * time.Second
-	// watchRetryInterval is how long to wait after a request has failed.
+	// watchRetryInterval is the delay before a failed request is retried.
 	watchRetryInterval = 200 * time.Millisecond
-	// listPageSize is how many job records are read at once.
+	// listPageSize is the number of job records per page of a listing.
 	listPageSize = 1000
 )
 
-// watchJobs passes job records to the core as controllers create them.
+// watchJobs watches the key-value store after a revision and posts the job records that any
+// controller creates to the core, until ctx ends.
 func (d *Dispatcher) watchJobs(ctx context.Context, revision uint64) {
 	for ctx.Err() == nil {
 		changes, err := d.store.Watch(ctx, ledger.JobPrefix, revision, watchTimeout)
@@ -44,8 +45,8 @@
 	}
 }
 
-// rereadJobs passes all job records to the core when the watch has fallen too far behind.
-// It returns the revision from which the watch continues.
+// rereadJobs posts all job records to the core. It is called when the store no longer keeps the
+// changes that the watch needs, and returns the revision from which the watch continues.
 func (d *Dispatcher) rereadJobs(ctx context.Context) uint64 {
 	revision, after := uint64(0), ""
 	for ctx.Err() == nil {
@@ -68,6 +69,7 @@
 	return revision
 }
 
+// postJobRecord posts a job record to the core. A malformed one is logged and skipped.
 func (d *Dispatcher) postJobRecord(ctx context.Context, key string, value json.RawMessage, version uint64) {
 	job := strings.TrimPrefix(key, ledger.JobPrefix)
 	record, err := ledger.DecodeJobRecord(job, value)
--- a/internal/dispatch/mailboxes.go
+++ b/internal/dispatch/mailboxes.go
@@ -7,16 +7,16 @@
 	"leadproxy/internal/scheduler"
 )
 
-// mailboxes hold what waits for the core, by priority: first heartbeats of workers, then
-// events that decisions depend on, then requests of users. Each is bounded; a sender waits
-// for room until its context ends.
+// mailboxes are the queues of events for the core, in order of priority: heartbeats of agents,
+// events that decisions depend on, and user requests. Each queue is bounded. Unless stated
+// otherwise, a sender to a full queue blocks until its context ends.
 type mailboxes struct {
 	heartbeats     chan request
 	internalEvents chan scheduler.Event
 	userRequests   chan request
 }
 
-// The capacities of the mailboxes.
+// Capacities of the mailboxes, in events.
 const (
 	heartbeatCapacity     = 256
 	internalEventCapacity = 512
@@ -31,7 +31,8 @@
 	}
 }
 
-// postEvent passes an internal event to the core. It gives up only with ctx.
+// postEvent queues an internal event for the core. It blocks while the mailbox is full, until ctx
+// ends; the event is then dropped.
 func (d *Dispatcher) postEvent(ctx context.Context, event scheduler.Event) {
 	select {
 	case d.mailboxes.internalEvents <- event:
@@ -39,12 +40,12 @@
 	}
 }
 
-// pollEvent takes the waiting event of the highest priority. The result is false if none
-// waits.
+// pollEvent receives the pending event of the highest priority without blocking. It returns false
+// if no event is pending.
 //
-// A select with a default and one without can't share their cases, and an adapter between
-// them would cost an allocation for each event: so pollEvent and waitForEvent each list all
-// sources. TestEventSources checks that they know the same ones.
+// pollEvent and waitForEvent each list all event sources, because a select with a default case and
+// one without can't share cases, and an adapter would cost an allocation per event.
+// TestEventSources checks that both list the same sources.
 func (t *term) pollEvent() (scheduler.Event, bool) {
 	select {
 	case request := <-t.mailboxes.heartbeats:
@@ -74,8 +75,8 @@
 	return nil, false
 }
 
-// waitForEvent takes the waiting event of the highest priority, or waits for the next one.
-// The result is false as ctx ends or the deadline passes; a nil deadline never does.
+// waitForEvent receives the pending event of the highest priority, or waits for the next event. It
+// returns false when ctx ends or deadline is ready. A nil deadline is never ready.
 func (t *term) waitForEvent(ctx context.Context, deadline <-chan time.Time) (scheduler.Event, bool) {
 	if ctx.Err() != nil {
 		return nil, false
--- a/internal/dispatch/mailboxes_test.go
+++ b/internal/dispatch/mailboxes_test.go
@@ -14,7 +14,7 @@
 	"leadproxy/internal/transport"
 )
 
-// testTerm is a term with event sources and no core; the test makes its ticks.
+// testTerm is a term with all event sources but without a core. The test sends its ticks.
 type testTerm struct {
 	*term
 	ticks chan time.Time
@@ -32,12 +32,12 @@
 	}}
 }
 
-// eventSources lists all sources of events, those of higher priority first.
+// eventSources lists all sources of events, in order of priority. 1 is the highest.
 var eventSources = []struct {
 	name     string
 	priority int
-	fill     func(t *testTerm)
-	is       func(event scheduler.Event) bool
+	send     func(t *testTerm)
+	matches  func(event scheduler.Event) bool
 }{
 	{"heartbeats", 1, func(t *testTerm) { t.mailboxes.heartbeats <- request{event: scheduler.HeartbeatEvent{}} },
 		func(e scheduler.Event) bool { _, ok := e.(scheduler.HeartbeatEvent); return ok }},
@@ -55,20 +55,20 @@
 		func(e scheduler.Event) bool { _, ok := e.(scheduler.StatusRequest); return ok }},
 }
 
-// TestEventSources: polling and waiting both receive from every source.
+// TestEventSources checks that pollEvent and waitForEvent both receive from every source.
 func TestEventSources(t *testing.T) {
 	for _, source := range eventSources {
 		t.Run(source.name+" polled", func(t *testing.T) {
 			term := newTestTerm(t)
 			if event, ok := term.pollEvent(); ok {
-				t.Errorf("polled %T while nothing waits", event)
+				t.Errorf("polled %T, want no event before one was sent", event)
 			}
-			source.fill(term)
-			if event, ok := term.pollEvent(); !ok || !source.is(event) {
-				t.Errorf("polled %T, %v", event, ok)
+			source.send(term)
+			if event, ok := term.pollEvent(); !ok || !source.matches(event) {
+				t.Errorf("polled %T, %v, want an event of this source", event, ok)
 			}
 		})
-		t.Run(source.name+" waited for", func(t *testing.T) {
+		t.Run(source.name+" awaited", func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				term := newTestTerm(t)
 				events := make(chan scheduler.Event, 1)
@@ -76,50 +76,51 @@
 					event, _ := term.waitForEvent(t.Context(), nil)
 					events <- event
 				}()
-				synctest.Wait() // polling has found nothing
-				source.fill(term)
-				if event := <-events; !source.is(event) {
-					t.Errorf("waited for %T", event)
+				synctest.Wait() // pollEvent has found no event, waitForEvent blocks
+				source.send(term)
+				if event := <-events; !source.matches(event) {
+					t.Errorf("received %T, want an event of this source", event)
 				}
 			})
 		})
 	}
 }
 
-// TestEventPriority: of all that waits, an event of a higher priority comes first.
+// TestEventPriority checks that pending events are received in order of priority.
 func TestEventPriority(t *testing.T) {
 	term := newTestTerm(t)
 	for i := len(eventSources) - 1; i >= 0; i-- {
-		eventSources[i].fill(term)
+		eventSources[i].send(term)
 	}
 	last := 0
 	for range eventSources {
 		event, ok := term.waitForEvent(t.Context(), nil)
 		if !ok {
-			t.Fatal("an event is missing")
+			t.Fatal("no event, want one per source")
 		}
 		for _, source := range eventSources {
-			if !source.is(event) {
+			if !source.matches(event) {
 				continue
 			}
 			if source.priority < last {
-				t.Errorf("%s came after priority %d", source.name, last)
+				t.Errorf("%s received after an event of priority %d", source.name, last)
 			}
 			last = source.priority
 		}
 	}
 }
 
-// TestWaitForEventEnds: waiting ends with the context and at the deadline.
+// TestWaitForEventEnds checks that waiting ends at the deadline and when the context ends, in the
+// latter case even if an event is pending.
 func TestWaitForEventEnds(t *testing.T) {
 	term := newTestTerm(t)
 	if event, ok := term.waitForEvent(t.Context(), alreadyDue); ok {
-		t.Errorf("%T past the deadline", event)
+		t.Errorf("received %T after the deadline, want no event", event)
 	}
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	term.mailboxes.internalEvents <- scheduler.JobRecordEvent{}
 	if event, ok := term.waitForEvent(ctx, nil); ok {
-		t.Errorf("%T past the end of the context", event)
+		t.Errorf("received %T after the context ended, want no event", event)
 	}
 }
--- a/internal/dispatch/placement_throttle.go
+++ b/internal/dispatch/placement_throttle.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// placementThrottle keeps placement from taking more than a quarter of the time: on a full
-// cluster with a long queue, a placement after each event took more than the processor
-// has, and heartbeats went unanswered.
+// placementThrottle limits placement to a quarter of the time, unless maxPlacementRest shortens the
+// pauses. On a full cluster with a long queue, placement after every event took more processor time
+// than was available, and heartbeats were not answered.
 type placementThrottle struct{ nextDue time.Time }
 
 const (
-	// placementRestFactor is how long to rest after a placement, as a multiple of its duration.
+	// placementRestFactor is the pause after a placement, as a multiple of its duration.
 	placementRestFactor = 3
-	// maxPlacementRest bounds how long a heartbeat waits for a placement.
+	// maxPlacementRest bounds that pause, and thus how long a heartbeat waits for a placement.
 	maxPlacementRest = 100 * time.Millisecond
 )
 
-// recordPlacement notes a placement and how long it took.
+// recordPlacement schedules the next placement after one that began at the given time.
 func (p *placementThrottle) recordPlacement(began time.Time, took time.Duration) {
 	p.nextDue = began.Add(took + min(placementRestFactor*took, maxPlacementRest))
 }
 
-// nextPlacement returns a channel that is ready as the next placement is due.
+// nextPlacement returns a channel that is ready when the next placement is due.
 func (p *placementThrottle) nextPlacement() <-chan time.Time {
 	if wait := time.Until(p.nextDue); wait > 0 {
 		return time.After(wait)
@@ -27,7 +27,7 @@
 	return alreadyDue
 }
 
-// alreadyDue is always ready.
+// alreadyDue is a channel that is always ready.
 var alreadyDue = func() <-chan time.Time {
 	c := make(chan time.Time)
 	close(c)
--- a/internal/dispatch/requests_test.go
+++ b/internal/dispatch/requests_test.go
@@ -9,7 +9,7 @@
 	"leadproxy/internal/wire"
 )
 
-// TestAskCore: a request ends with the core's reply, an error, or its context.
+// TestAskCore checks that a request ends with the core's reply, with an error, or with its context.
 func TestAskCore(t *testing.T) {
 	refused := errors.New("refused")
 	cases := []struct {
@@ -18,10 +18,10 @@
 		known   bool
 		err     error
 	}{
-		{"a reply", func(r request, _ context.CancelFunc) { r.caller.Deliver(scheduler.UserReply{Known: true}) }, true, nil},
-		{"no term", func(r request, _ context.CancelFunc) { r.caller.Reject(refused) }, false, refused},
-		{"a reply to another request", func(r request, _ context.CancelFunc) { r.caller.Deliver(scheduler.PlanReply{}) }, false, errUnexpectedReply},
-		{"no reply", func(_ request, cancel context.CancelFunc) { cancel() }, false, context.Canceled},
+		{"matching reply", func(request request, _ context.CancelFunc) { request.caller.Deliver(scheduler.UserReply{Known: true}) }, true, nil},
+		{"rejected between terms", func(request request, _ context.CancelFunc) { request.caller.Reject(refused) }, false, refused},
+		{"reply of another type", func(request request, _ context.CancelFunc) { request.caller.Deliver(scheduler.PlanReply{}) }, false, errUnexpectedReply},
+		{"context cancelled before a reply", func(_ request, cancel context.CancelFunc) { cancel() }, false, context.Canceled},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -39,17 +39,18 @@
 	}
 }
 
-// TestUserReplies: the core's reply about a job becomes a state or a typed error.
+// TestUserReplies checks that the core's reply about a job is converted to a status or to the
+// matching error.
 func TestUserReplies(t *testing.T) {
 	cases := []struct {
 		name  string
 		reply scheduler.UserReply
 		err   error
 	}{
-		{"known", scheduler.UserReply{Known: true, Status: wire.JobStatus{ID: "job-1"}}, nil},
-		{"unknown", scheduler.UserReply{}, ErrJobUnknown},
-		{"its end is being written", scheduler.UserReply{Known: true, TerminalStatePending: true}, ErrTerminalStatePending},
-		{"in a cell that does not answer", scheduler.UserReply{Known: true, CellUnreachable: true}, ErrCellUnreachable},
+		{"known job", scheduler.UserReply{Known: true, Status: wire.JobStatus{ID: "job-1"}}, nil},
+		{"unknown job", scheduler.UserReply{}, ErrJobUnknown},
+		{"terminal state pending", scheduler.UserReply{Known: true, TerminalStatePending: true}, ErrTerminalStatePending},
+		{"unreachable cell", scheduler.UserReply{Known: true, CellUnreachable: true}, ErrCellUnreachable},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -57,25 +58,26 @@
 			go func() { (<-d.mailboxes.userRequests).caller.Deliver(c.reply) }()
 			status, err := d.Status(t.Context(), "job-1")
 			if status.ID != c.reply.Status.ID || !errors.Is(err, c.err) {
-				t.Errorf("%+v, error %v, want %v", status, err, c.err)
+				t.Errorf("status %+v, error %v, want the reply's job and error %v", status, err, c.err)
 			}
 		})
 	}
 }
 
-// TestHeartbeatWithoutResponse: a reply without a response means that this controller can't
-// answer as the leader, whether the caller waits or is called back.
+// TestHeartbeatWithoutResponse checks that a reply without a response, with which the core says
+// that it can't answer as the leader, becomes ErrNotLeader both for a caller that waits and for a
+// callback.
 func TestHeartbeatWithoutResponse(t *testing.T) {
 	d := &Dispatcher{mailboxes: newMailboxes()}
 	answer := func() { (<-d.mailboxes.heartbeats).caller.Deliver(scheduler.HeartbeatReply{}) }
 	go answer()
 	if _, err := d.Heartbeat(t.Context(), &wire.Heartbeat{}); !errors.Is(err, ErrNotLeader) {
-		t.Errorf("waiting: %v", err)
+		t.Errorf("Heartbeat: error %v, want ErrNotLeader", err)
 	}
 	outcome := make(chan error, 1)
 	d.HeartbeatAsync(t.Context(), &wire.Heartbeat{}, func(_ scheduler.HeartbeatReply, err error) { outcome <- err })
 	answer()
 	if err := <-outcome; !errors.Is(err, ErrNotLeader) {
-		t.Errorf("called back: %v", err)
+		t.Errorf("HeartbeatAsync: error %v, want ErrNotLeader", err)
 	}
 }
--- a/internal/dispatch/send_guard.go
+++ b/internal/dispatch/send_guard.go
@@ -10,50 +10,50 @@
 	"leadproxy/internal/wire"
 )
 
-// MessageLeaderAction is the log message of a leader as it does something that only a
-// leader may do.
+// MessageLeaderAction is the log message of an action that only the leader may take.
 const MessageLeaderAction = "leader action"
 
-// MessageForbiddenStart is logged as an error when a start of a job whose cancellation was
-// confirmed was about to leave the controller. It must never happen: the core withdraws such
-// starts before.
+// MessageForbiddenStart is logged as an error when the start of a task was about to be sent
+// although the cancellation of its job had been confirmed. This must never happen, because the core
+// withdraws such starts before it confirms the cancellation.
 const MessageForbiddenStart = "start of a cancelled job was about to be sent"
 
-// errWithdrawn means that all commands of a message were withdrawn before it was sent.
+// errWithdrawn means that all commands of a request were withdrawn before it was sent.
 var errWithdrawn = errors.New("all commands were withdrawn")
 
-// SendGuard decides, right before something leaves this controller, whether it still may: a
-// decision can wait for a batch, a connection or its turn, and what it rested on can end
-// meanwhile.
+// SendGuard decides, immediately before commands or calls are sent, whether they may still be sent.
+// A decision of the core may have waited for a batch, a connection or a rate limiter, and its
+// preconditions may no longer hold.
 type SendGuard struct {
 	elector         Leadership
 	log             *slog.Logger
-	forbiddenStarts atomic.Int64 // starts that should have been withdrawn
+	forbiddenStarts atomic.Int64 // number of starts that should have been withdrawn
 }
 
-// Leadership tells whether this controller leads.
+// Leadership is the part of the elector that SendGuard uses. IsLeader reports whether this
+// controller is certain to be the leader in the given term.
 type Leadership interface {
 	IsLeader(term uint64) bool
 }
 
-// NewSendGuard makes a guard for a controller.
-func NewSendGuard(elector Leadership, log *slog.Logger) *SendGuard {
-	return &SendGuard{elector: elector, log: log}
+// NewSendGuard returns the send guard of a controller.
+func NewSendGuard(leadership Leadership, log *slog.Logger) *SendGuard {
+	return &SendGuard{elector: leadership, log: log}
 }
 
-// MayAct reports whether this controller still leads a term. It is called right before an action
-// that only the leader may take.
+// MayAct reports whether this controller still leads in the given term. Call it immediately before
+// an action that only the leader may take. It logs the action.
 func (g *SendGuard) MayAct(term uint64, action string) bool {
 	if !g.elector.IsLeader(term) {
-		g.log.Debug("action dropped: not the leader any more", "leader_term", term, "action", action)
+		g.log.Debug("action dropped because the term has ended or the lease has expired", "leader_term", term, "action", action)
 		return false
 	}
 	g.logAction(term, action)
 	return true
 }
 
-// FilterResponse returns what may leave now of the response to a heartbeat, or ErrNotLeader past the end
-// of the term.
+// FilterResponse returns the response to a heartbeat with those commands that may be sent now. The
+// error is ErrNotLeader if the term has ended.
 func (g *SendGuard) FilterResponse(term uint64, reply scheduler.HeartbeatReply) (wire.HeartbeatResponse, error) {
 	if !g.elector.IsLeader(term) {
 		return wire.HeartbeatResponse{}, ErrNotLeader
@@ -65,8 +65,8 @@
 	return wire.HeartbeatResponse{FencingToken: reply.Response.FencingToken, Commands: sendable}, nil
 }
 
-// FilterCommandRequest returns what may leave now of the direct commands to a worker: ErrNotLeader past
-// the end of the term, errWithdrawn if no command is left.
+// FilterCommandRequest returns a request to an agent with those commands that may be sent now. The
+// error is ErrNotLeader if the term has ended, and errWithdrawn if all commands were withdrawn.
 func (g *SendGuard) FilterCommandRequest(term uint64, effect scheduler.SendCommands) (wire.CommandRequest, error) {
 	if !g.elector.IsLeader(term) {
 		return wire.CommandRequest{}, ErrNotLeader
@@ -79,7 +79,8 @@
 	return request, nil
 }
 
-// takeSendable returns the commands whose starts were not withdrawn. They count as sent from then on.
+// takeSendable returns the commands without those starts that were withdrawn. The remaining starts
+// count as sent and can't be withdrawn any more.
 func (g *SendGuard) takeSendable(term uint64, commands []wire.Command, starts scheduler.StartDeliveries) []wire.Command {
 	sendable, forbidden := starts.TakeSendable(commands)
 	for _, start := range forbidden {
@@ -91,7 +92,7 @@
 	return sendable
 }
 
-// logStarts logs the starts that leave: their decision may be a while ago.
+// logStarts logs the starts that are being sent, which may be some time after they were decided.
 func (g *SendGuard) logStarts(term uint64, sent []wire.Command) {
 	for _, command := range sent {
 		if command.Verb == wire.VerbStart {
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -10,7 +10,7 @@
 	"leadproxy/internal/transport"
 )
 
-// term is one term of leadership. Its fields belong to the goroutine that executes lead.
+// term is one term of leadership. The goroutine that executes lead owns its fields.
 type term struct {
 	*Dispatcher
 	number  uint64
@@ -19,31 +19,34 @@
 	cloud   *autoscaler.Client
 	ticker  *time.Ticker
 	timings failoverTimings
-	// coreValueLimit is the largest size of a value that the core knows.
+	// coreValueLimit is the maximum size of a value, in bytes, that was last passed to the
+	// core.
 	coreValueLimit int
-	// transfersEnabled: the core knows that all controllers support transfers.
+	// transfersEnabled is set once the core was notified that all controllers support
+	// transfers.
 	transfersEnabled bool
 }
 
 const (
-	// tickInterval is how often the core gets a tick, by which it learns that time passes.
+	// tickInterval is the interval of the ticks by which the core observes that time passes.
 	tickInterval = 250 * time.Millisecond
-	// maxTransactionBytes keeps a transaction of the ledger below the store's 64 KiB.
+	// maxTransactionBytes keeps a ledger transaction below the store's limit of 64 KiB.
 	maxTransactionBytes = 48 << 10
-	// minTransactionChanges is what a transaction of the ledger must hold: a write, and
-	// the fence.
+	// minTransactionChanges allows for the changes that every ledger transaction needs: one
+	// write and the fence.
 	minTransactionChanges = 2
-	// deferrableDivisor is the part of the leader's writes, as a divisor, for those that can wait.
+	// deferrableDivisor is the divisor of the leader's write rate that yields the rate of
+	// deferrable writes.
 	deferrableDivisor = 4
-	// leaderCloudShare is the share of the cloud's request rate that the leader uses. The
-	// rest is for the controllers' reads of machine types.
+	// leaderCloudShare is the leader's share of the request rate of the cloud's API. The rest
+	// is for the reads of machine types by all controllers.
 	leaderCloudShare = 0.85
-	// ledgerRetryInterval is how long to wait after the ledger could not be read.
+	// ledgerRetryInterval is the delay before a failed read of the ledger is retried.
 	ledgerRetryInterval = 200 * time.Millisecond
 )
 
-// lead leads for one term: it learns the ledger, builds the core and steps it until ctx ends or the
-// ledger's writer stops, which it does when another term has begun.
+// lead runs one term of leadership. It restores the ledger, creates the core and runs it until ctx
+// ends or until the ledger writer stops, which it does when another term has begun.
 func (d *Dispatcher) lead(ctx context.Context, number uint64) {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -59,7 +62,8 @@
 	timings.ledgerKnown = time.Now()
 	go func() {
 		if err := ledgerWriter.Run(ctx); err != nil && ctx.Err() == nil {
-			// Without its ledger the term can decide nothing, whatever becomes of its lease.
+			// Without a ledger writer the term can't make decisions durable, even while
+			// its lease is valid.
 			d.log.Info("ledger writer stopped", "leader_term", number, "error", err)
 			d.elector.Resign(number)
 			cancel()
@@ -87,7 +91,8 @@
 	t.run(ctx)
 }
 
-// ledgerLimits bounds the ledger's transactions by what the key-value store accepts now.
+// ledgerLimits returns the limits of the ledger's transactions, from the current limits of the
+// key-value store.
 func (d *Dispatcher) ledgerLimits() ledger.Limits {
 	store := d.store.Limits()
 	writesPerSecond := store.WriteRPS * leaderShare(d.config.Platform.Facts.ControllerCount)
@@ -99,7 +104,8 @@
 	}
 }
 
-// readLedger reads the whole ledger, again and again until it succeeds or ctx ends.
+// readLedger reads the whole ledger from the key-value store and retries until it succeeds. It
+// returns false if ctx ended first.
 func (d *Dispatcher) readLedger(ctx context.Context, ledgerWriter *ledger.Ledger, number uint64) (ledger.Snapshot, bool) {
 	for ctx.Err() == nil {
 		snapshot, err := ledgerWriter.Load(ctx)
--- a/internal/dispatch/term_lifecycle.go
+++ b/internal/dispatch/term_lifecycle.go
@@ -6,20 +6,22 @@
 	"leadproxy/internal/election"
 )
 
-// runningTerm is the term that this controller leads at the moment.
+// runningTerm is the term in which this controller currently leads.
 type runningTerm struct {
 	number uint64
 	cancel context.CancelFunc
-	done   chan struct{} // closed as the term has ended
+	done   chan struct{} // closed when the term has ended
 }
 
-// Run serves one term after the other until ctx ends.
+// Run runs each term in which this controller leads, one at a time, until ctx ends. Between terms
+// it rejects requests.
 func (d *Dispatcher) Run(ctx context.Context) {
 	go d.agentConnections.run(ctx)
 	var current *runningTerm
 	defer func() { current.end() }()
 	for {
-		// A running term reads the mailboxes; without one they are emptied here.
+		// A running term reads the mailboxes. Between terms they are drained here; the nil
+		// channels of the zero value are never ready.
 		var unread mailboxes
 		if current == nil {
 			unread = d.mailboxes
@@ -38,8 +40,9 @@
 	}
 }
 
-// changeTerm ends the current term and starts the one that a view of the election names,
-// unless that is the same one.
+// changeTerm applies a view of the election. It ends the current term, unless the view has this
+// controller elected in that term, and starts a new one if this controller is elected. It returns
+// the running term, or nil if there is none.
 func (d *Dispatcher) changeTerm(ctx context.Context, current *runningTerm, view *election.View) *runningTerm {
 	if view.Elected && current != nil && current.number == view.Term {
 		return current
@@ -60,7 +63,7 @@
 	return next
 }
 
-// end ends the term and waits until it has ended. On nil it does nothing.
+// end cancels the term and waits until it has ended. It does nothing on a nil receiver.
 func (r *runningTerm) end() {
 	if r == nil {
 		return
@@ -69,21 +72,22 @@
 	<-r.done
 }
 
-// The shares of the key-value store's request rate. All together stay below the whole, also
-// while a new leader reads the ledger.
+// Shares of the key-value store's request rate. Their sum stays below 1, also while a new leader
+// reads the ledger.
 const (
 	soleLeaderShare          = 0.9
-	leaderWithFollowersShare = 0.75 // of a leader that has followers
+	leaderWithFollowersShare = 0.75 // of a leader with followers
 	allFollowersShare        = 0.2  // of all followers together
 )
 
-// FollowerShare is the share of the key-value store's request rate for a controller that
-// does not lead.
+// FollowerShare returns the share of the key-value store's request rate of one follower, given the
+// number of controllers.
 func FollowerShare(controllers int) float64 {
 	return allFollowersShare / float64(max(controllers-1, 1))
 }
 
-// leaderShare is the share for the leader.
+// leaderShare returns the leader's share of the key-value store's request rate, given the number of
+// controllers.
 func leaderShare(controllers int) float64 {
 	if controllers <= 1 {
 		return soleLeaderShare
--- a/internal/dispatch/user_requests.go
+++ b/internal/dispatch/user_requests.go
@@ -8,34 +8,36 @@
 	"leadproxy/internal/wire"
 )
 
-// Errors of users' requests.
+// Errors of user requests.
 var (
-	// ErrJobUnknown means that the core has no job of that name.
-	ErrJobUnknown = errors.New("the job is not known to the leader")
-	// ErrTerminalStatePending means that the job's terminal state is being written: only a
-	// fresh read of its record can tell whether the job has ended.
-	ErrTerminalStatePending = errors.New("the job's terminal state is being written")
-	// ErrCellUnreachable means that the job may run in another cell, which does not answer.
+	// ErrJobUnknown means that the core has no job with that ID.
+	ErrJobUnknown = errors.New("job is not known to the leader")
+	// ErrTerminalStatePending means that the job's terminal state is being written. Whether the
+	// job has ended is known only from a fresh read of its record.
+	ErrTerminalStatePending = errors.New("terminal state of the job is being written")
+	// ErrCellUnreachable means that the job may run in another cell, which does not respond.
+	// Its text is part of an HTTP response.
 	ErrCellUnreachable = errors.New("the cell that may run the job does not answer")
 )
 
-// Status returns a job's state.
+// Status returns the status of a job.
 func (d *Dispatcher) Status(ctx context.Context, job string) (wire.JobStatus, error) {
 	return d.sendUserRequest(ctx, func(replyTo scheduler.Recipient) scheduler.Event {
 		return scheduler.StatusRequest{JobID: job, ReplyTo: replyTo}
 	})
 }
 
-// Cancel has a job cancelled and waits until that is durable.
+// Cancel cancels a job and returns its status when the cancellation is durable.
 func (d *Dispatcher) Cancel(ctx context.Context, job string) (wire.JobStatus, error) {
 	return d.sendUserRequest(ctx, func(replyTo scheduler.Recipient) scheduler.Event {
 		return scheduler.CancelRequest{JobID: job, ReplyTo: replyTo}
 	})
 }
 
-// sendUserRequest has the core answer a user's request, after all else that waits.
-func (d *Dispatcher) sendUserRequest(ctx context.Context, event eventBuilder) (wire.JobStatus, error) {
-	reply, err := askCore[scheduler.UserReply](ctx, d.mailboxes.userRequests, event)
+// sendUserRequest sends a user's request to the core, with the lowest priority, and waits for the
+// reply.
+func (d *Dispatcher) sendUserRequest(ctx context.Context, newEvent eventBuilder) (wire.JobStatus, error) {
+	reply, err := askCore[scheduler.UserReply](ctx, d.mailboxes.userRequests, newEvent)
 	switch {
 	case err != nil:
 		return wire.JobStatus{}, err
@@ -49,8 +51,8 @@
 	return reply.Status, nil
 }
 
-// NotifyJobCreated passes a job record to the core before the watch does. The watch brings it
-// too, so it is dropped rather than waited for.
+// NotifyJobCreated posts the record of a new job to the core without waiting for the watch. If the
+// mailbox is full, the record is dropped, because the watch delivers it too.
 func (d *Dispatcher) NotifyJobCreated(record scheduler.JobRecordEvent) {
 	select {
 	case d.mailboxes.internalEvents <- record:
--- a/internal/jobapi/admission.go
+++ b/internal/jobapi/admission.go
@@ -8,17 +8,19 @@
 	"leadproxy/internal/wire"
 )
 
-// admission is the outcome of the checks of a submission before its job is recorded.
+// admission is the result of checking a submission before its job is recorded.
 type admission struct {
-	rejection Response // zero: the job can be accepted
-	// undecided: another controller may be able to read the jobs that this one depends on.
+	rejection Response // zero if the job can be accepted
+	// undecided means that this controller could not read the jobs on which this one depends,
+	// and that another controller may be able to.
 	undecided bool
-	// initialStatus is the state of the job from its first moment on: cancelled if a job
-	// that it depends on is. That follows from what is durable.
+	// initialStatus is the job's status as soon as it is recorded: cancelled if one of its
+	// dependencies is cancelled, and queued otherwise. It follows from durable records.
 	initialStatus string
 }
 
-// checkAdmission checks whether a job can be accepted.
+// checkAdmission checks whether a job can be accepted: whether it can ever run, and whether all of
+// its dependencies were accepted.
 func (s *Service) checkAdmission(ctx context.Context, job *wire.Job, localOnly bool) admission {
 	if rejection := s.checkFeasibility(job); !rejection.IsZero() {
 		return admission{rejection: rejection}
@@ -35,8 +37,8 @@
 	return result
 }
 
-// checkFeasibility rejects a job that can never run, or of which that can't be decided yet.
-// The zero response is no rejection.
+// checkFeasibility rejects a job that can never run, or whose feasibility can't be decided yet
+// because the machine types are unknown. It returns the zero response if the job is feasible.
 func (s *Service) checkFeasibility(job *wire.Job) Response {
 	team, ok := s.teams[job.Team]
 	if !ok {
@@ -55,7 +57,8 @@
 	return Response{}
 }
 
-// taskFits reports whether a task of a job fits a machine of a type that the job allows.
+// taskFits reports whether a task of the job fits on a machine of the given type, and whether the
+// job allows that type and one of its zones.
 func taskFits(job *wire.Job, machine *wire.MachineType) bool {
 	switch {
 	case job.CPUs > machine.CPUs || job.GPUs > machine.GPUs || job.MemGB > machine.MemGB:
--- a/internal/jobapi/cancellations.go
+++ b/internal/jobapi/cancellations.go
@@ -11,10 +11,10 @@
 	"leadproxy/internal/wire"
 )
 
-// cancelTimeout bounds a cancellation, also one that another controller carries out.
+// cancelTimeout bounds a cancellation, including one that is forwarded to another controller.
 const cancelTimeout = 4 * time.Second
 
-// cancel has the leader cancel a job and responds once that is durable.
+// cancel has the leader cancel a job and responds when the cancellation is durable.
 func (s *Service) cancel(ctx context.Context, request Request) Response {
 	if !wire.ValidJobID(request.JobID) {
 		return jobNotFound
@@ -40,13 +40,13 @@
 	case err != nil:
 		return retryLater(http.StatusServiceUnavailable, 1, "the cancellation could not be recorded")
 	}
-	// The state that the dispatcher returns here is durable.
+	// The status that the dispatcher returns is durable.
 	s.Log.Debug("cancellation answered", "job", request.JobID, "status", status.Status, "leader_term", view.Term)
 	return JSON(http.StatusOK, wire.JobResponse{ID: request.JobID, Status: status.Status})
 }
 
-// cancelAtLeader forwards a cancellation to the leader. Without one, a job that has ended
-// can still be answered for.
+// cancelAtLeader forwards a cancellation to the leader. If the leader is unknown or does not
+// respond, a job that has already ended is answered from its record.
 func (s *Service) cancelAtLeader(ctx context.Context, leader string, request Request) Response {
 	if !request.LocalOnly && leader != "" && leader != s.Platform.Name {
 		if response, err := s.askPeer(ctx, cancelTimeout, leader, request); err == nil {
@@ -58,14 +58,15 @@
 	case errors.Is(err, errNoRecord):
 		return jobNotFound
 	case err == nil && status.Status != wire.JobQueued:
-		s.Log.Debug("cancellation answered by the job's record", "job", request.JobID, "status", status.Status)
+		s.Log.Debug("cancellation answered from the job's record", "job", request.JobID, "status", status.Status)
 		return JSON(http.StatusOK, wire.JobResponse{ID: request.JobID, Status: status.Status})
 	}
 	return retryLater(http.StatusServiceUnavailable, 1, "no controller leads at the moment")
 }
 
-// announceRecord passes the record of a job to this controller's dispatcher, for one so new
-// that the dispatcher has not seen it. The zero response is no rejection.
+// announceRecord reads the record of a job that this controller's dispatcher does not know yet, and
+// passes it to the dispatcher. It returns the zero response on success, and an error response if
+// the job does not exist or its record can't be read.
 func (s *Service) announceRecord(ctx context.Context, jobID string) Response {
 	stored, err := s.readRecord(ctx, jobID)
 	switch {
--- a/internal/jobapi/dependencies.go
+++ b/internal/jobapi/dependencies.go
@@ -10,26 +10,29 @@
 	"leadproxy/internal/wire"
 )
 
-// maxAncestors bounds how many records are read to find the state of a job that depends on
-// others, where the leader can't be asked.
+// maxAncestors bounds how many records are read to determine the state of a job with dependencies
+// when the leader can't be asked.
 const maxAncestors = 64
 
-// errTooManyAncestors: whether a job is cancelled with one that it depends on can't be found.
-var errTooManyAncestors = errors.New("the job depends on more jobs than can be read")
+// errTooManyAncestors means that a job has more than maxAncestors ancestors, so that it can't be
+// determined whether one of them is cancelled.
+var errTooManyAncestors = errors.New("job has too many ancestors to read")
 
-// dependenciesUnsupported asks a user to repeat the submission once all controllers know jobs that
-// depend on others: one that does not would start them at once.
+// dependenciesUnsupported is the response to a submission with dependencies while not all
+// controllers are known to support them. A controller without that support would start the job
+// immediately.
 var dependenciesUnsupported = retryLater(http.StatusServiceUnavailable, 3, "not all controllers are known to have been upgraded to jobs that wait for others")
 
-// dependencyCheck is the outcome of the check of the jobs that a job depends on.
+// dependencyCheck is the result of checking a job's dependencies.
 type dependencyCheck struct {
-	rejection Response // zero: none
-	// cancelled: one of them is, and the job with it as soon as it is accepted.
+	rejection Response // zero if there is none
+	// cancelled means that a dependency is cancelled, so that the job is cancelled as soon as
+	// it is accepted.
 	cancelled bool
 }
 
-// checkDependencies rejects a job that depends on one that was never accepted, or of which
-// that can't be read at the moment.
+// checkDependencies rejects a job with a dependency that was never accepted, or whose status can't
+// be read at the moment.
 func (s *Service) checkDependencies(ctx context.Context, job *wire.Job, localOnly bool) dependencyCheck {
 	switch {
 	case len(job.DependsOn) == 0:
@@ -46,7 +49,8 @@
 		notAccepted := errors.Is(lookup.err, errNoRecord)
 		switch {
 		case lookup.err != nil && !notAccepted:
-			// Another one may not exist for certain, but the user repeats the submission.
+			// This takes precedence over a dependency that certainly does not exist:
+			// the user repeats the submission and learns of that one then.
 			check.rejection = storeUnavailable
 		case notAccepted && check.rejection.IsZero():
 			check.rejection = errorResponse(http.StatusUnprocessableEntity, "waits_on names %s, which was never accepted", lookup.jobID)
@@ -56,14 +60,15 @@
 	return check
 }
 
-// dependencyLookup is the state of a job that another one depends on.
+// dependencyLookup is the result of reading the state of one dependency.
 type dependencyLookup struct {
 	jobID string
 	state string
-	err   error // errNoRecord: it was never accepted
+	err   error // errNoRecord if the job was never accepted
 }
 
-// lookUpDependencies finds the states of jobs at once. They come in any order.
+// lookUpDependencies reads the states of jobs concurrently. It sends one result per job, in any
+// order.
 func (s *Service) lookUpDependencies(ctx context.Context, jobs []string, localOnly bool) <-chan dependencyLookup {
 	lookups := make(chan dependencyLookup, len(jobs))
 	for _, jobID := range jobs {
@@ -78,9 +83,9 @@
 	return lookups
 }
 
-// recordedState is the state of a job by its record and those of its ancestors: an open job
-// is cancelled when one that it depends on, directly or through others, is, and else
-// called queued.
+// recordedState returns the state of a job according to its record and those of its ancestors. A
+// job without a terminal state is cancelled if one of its direct or indirect dependencies is
+// cancelled, and is reported as queued otherwise.
 func (s *Service) recordedState(ctx context.Context, record *ledger.JobRecord) (string, error) {
 	switch {
 	case record.TerminalState != "":
@@ -98,8 +103,8 @@
 	return wire.JobQueued, nil
 }
 
-// anyAncestorCancelled reports whether one of the jobs, or one that these depend on, is
-// cancelled. What comes before a job that is done does not count any more.
+// anyAncestorCancelled reports whether one of the jobs or one of their ancestors is cancelled. The
+// ancestors of a job that is done do not count.
 func (s *Service) anyAncestorCancelled(ctx context.Context, jobs []string) (bool, error) {
 	visited := map[string]bool{}
 	for pending := slices.Clone(jobs); len(pending) > 0; {
--- a/internal/jobapi/fakes_test.go
+++ b/internal/jobapi/fakes_test.go
@@ -18,13 +18,13 @@
 	"leadproxy/internal/wire"
 )
 
-// fakeStore holds job records; while down it refuses everything.
+// fakeStore is a key-value store that contains only job records.
 type fakeStore struct {
 	records     map[string]ledger.JobRecord
-	unavailable bool
-	overloaded  bool // there are no writes left
-	// partitioned is set while the store does not serve this controller: a request hangs
-	// until its user gives up.
+	unavailable bool // all requests fail with ErrUnavailable
+	overloaded  bool // writes fail with ErrOverloaded
+	// partitioned simulates a partition from the store: requests block until their context
+	// ends.
 	partitioned bool
 }
 
@@ -36,8 +36,8 @@
 	if f.unavailable {
 		return wire.Entry{}, false, kvstore.ErrUnavailable
 	}
-	rec, ok := f.records[key]
-	value, err := json.Marshal(rec)
+	record, ok := f.records[key]
+	value, err := json.Marshal(record)
 	return wire.Entry{Key: key, Value: value, Version: 3}, ok, err
 }
 
@@ -47,7 +47,7 @@
 	return kvstore.Limits{MaxChanges: 8, MaxValueBytes: 16 << 10, WriteRPS: 40}
 }
 
-func (f *fakeStore) CompareAndSwap(ctx context.Context, _ kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
+func (f *fakeStore) CompareAndSwap(ctx context.Context, _ kvstore.Priority, transaction wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
 	if f.partitioned {
 		<-ctx.Done()
 		return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnknownOutcome
@@ -58,22 +58,23 @@
 	if f.overloaded {
 		return false, wire.CompareAndSwapResponse{}, kvstore.ErrOverloaded
 	}
-	for _, c := range t.Conditions {
-		if _, ok := f.records[c.Key]; ok {
-			return false, wire.CompareAndSwapResponse{FailedKeys: []string{c.Key}}, nil
+	for _, condition := range transaction.Conditions {
+		if _, ok := f.records[condition.Key]; ok {
+			return false, wire.CompareAndSwapResponse{FailedKeys: []string{condition.Key}}, nil
 		}
 	}
-	for _, c := range t.Changes {
-		var rec ledger.JobRecord
-		if err := json.Unmarshal(c.Value, &rec); err != nil {
+	for _, change := range transaction.Changes {
+		var record ledger.JobRecord
+		if err := json.Unmarshal(change.Value, &record); err != nil {
 			return false, wire.CompareAndSwapResponse{}, err
 		}
-		f.records[c.Set] = rec
+		f.records[change.Set] = record
 	}
 	return true, wire.CompareAndSwapResponse{Revision: 9}, nil
 }
 
-// fakePeers gives one response to every request that is forwarded, or none.
+// fakePeers has one other controller, which responds to every forwarded request with response. If
+// it is nil, the controller does not respond.
 type fakePeers struct{ response *Response }
 
 func (f *fakePeers) Ask(context.Context, string, Request) (Response, error) {
@@ -85,7 +86,7 @@
 
 func (f *fakePeers) Names() []string { return []string{"n2"} }
 
-// fakeDispatcher belongs to a controller that does not lead.
+// fakeDispatcher is the dispatcher of a follower.
 type fakeDispatcher struct{}
 
 func (fakeDispatcher) Status(context.Context, string) (wire.JobStatus, error) {
@@ -98,8 +99,8 @@
 
 func (fakeDispatcher) NotifyJobCreated(scheduler.JobRecordEvent) {}
 
-// newTestService makes the service of controller n1, which does not lead, for one team and
-// one machine type.
+// newTestService returns the service of controller n1, a follower, with one team and one machine
+// type. change, unless nil, modifies the configuration.
 func newTestService(t *testing.T, store Store, peers Peers, change func(config *Config)) *Service {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
--- a/internal/jobapi/forwarding.go
+++ b/internal/jobapi/forwarding.go
@@ -7,21 +7,21 @@
 	"time"
 )
 
-// forwardTimeout is how long to wait for each controller that a request is forwarded to.
+// forwardTimeout bounds the wait for each controller to which a request is forwarded.
 const forwardTimeout = 800 * time.Millisecond
 
-// askPeer has another controller respond to a request.
+// askPeer forwards a request to another controller and returns its response.
 func (s *Service) askPeer(ctx context.Context, timeout time.Duration, controller string, request Request) (Response, error) {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
 	return s.Peers.Ask(ctx, controller, request)
 }
 
-// forwardUnlessServing forwards a request at once while the key-value store does not serve
-// this controller: behind a partition that drops packets, finding that out anew takes
-// seconds for each request. The zero response means that it is to be served here: the store
-// serves this controller, or no other one answers. In the latter case the request becomes
-// LocalOnly.
+// forwardUnlessServing forwards a request immediately while the key-value store does not serve this
+// controller. Behind a partition that drops packets, each request would otherwise spend seconds on
+// detecting that. The zero response means that this controller must serve the request itself,
+// because the store serves this controller or because no other one can serve the request. In the
+// latter case the request becomes LocalOnly.
 func (s *Service) forwardUnlessServing(ctx context.Context, request *Request) Response {
 	if request.LocalOnly || s.Store.Serving() {
 		return Response{}
@@ -32,11 +32,11 @@
 }
 
 // forwardOrFallBack returns another controller's response to a request that this one can't serve,
-// as when the key-value store refuses this controller alone. If none of them can serve it,
-// or the request is LocalOnly, the response is otherwise.
-func (s *Service) forwardOrFallBack(ctx context.Context, request Request, otherwise Response) Response {
+// for example because the key-value store refuses only this controller. It returns fallback if no
+// other controller can serve the request, or if the request is LocalOnly.
+func (s *Service) forwardOrFallBack(ctx context.Context, request Request, fallback Response) Response {
 	if request.LocalOnly {
-		return otherwise
+		return fallback
 	}
 	for _, controller := range s.forwardingOrder() {
 		if ctx.Err() != nil {
@@ -46,11 +46,11 @@
 			return response
 		}
 	}
-	return otherwise
+	return fallback
 }
 
-// forwardingOrder lists the other controllers, the leader first: it is the one that has
-// surely reached the key-value store.
+// forwardingOrder returns the names of the other controllers, the leader first, because the leader
+// must have reached the key-value store.
 func (s *Service) forwardingOrder() []string {
 	others := s.Peers.Names()
 	leader := s.Elector.View().Leader
@@ -66,7 +66,7 @@
 	return order
 }
 
-// isServed reports whether another controller could serve a request.
+// isServed reports whether a response of another controller means that it could serve the request.
 func isServed(response Response) bool {
 	return response.Status < http.StatusInternalServerError && response.Status != http.StatusTooManyRequests
 }
--- a/internal/jobapi/group_commit.go
+++ b/internal/jobapi/group_commit.go
@@ -14,80 +14,83 @@
 	"leadproxy/internal/wire"
 )
 
-// Store is the part of the key-value store's client that the job API needs.
+// Store is the part of the key-value store's client that the job API uses.
 type Store interface {
 	Get(ctx context.Context, p kvstore.Priority, key string) (wire.Entry, bool, error)
 	CompareAndSwap(ctx context.Context, p kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error)
 	Limits() kvstore.Limits
-	// Serving reports whether the store serves this controller.
+	// Serving reports whether the store currently serves this controller.
 	Serving() bool
 }
 
-// Errors of creating a job's record.
+// Errors of creating a job record. The text of errRecordTooLong is part of an HTTP response.
 var (
-	errQueueFull     = errors.New("too many submissions are waiting")
+	errQueueFull     = errors.New("queue of submissions is full")
 	errRecordTooLong = errors.New("the job's description is longer than can be recorded")
-	errRecordExists  = errors.New("the job has a record already")
+	errRecordExists  = errors.New("job already has a record")
 )
 
 const (
-	// maxQueued bounds the records that wait for a batch.
+	// maxQueued is the maximum number of records that wait for a batch.
 	maxQueued = 256
-	// contentionThreshold is from how many waiting records on they probably come faster than
-	// they can be written.
+	// contentionThreshold is the number of waiting records from which on submissions probably
+	// arrive faster than they can be written.
 	contentionThreshold = 4
-	// maxTransactionBytes keeps a transaction below the store's 64 KiB.
+	// maxTransactionBytes keeps a transaction below the store's limit of 64 KiB.
 	maxTransactionBytes = 48 << 10
-	// lastRecordReserve is the room that the last record of a transaction may need.
+	// lastRecordReserve is the size in bytes that is reserved for the last record of a
+	// transaction, because a record is added before its size is checked.
 	lastRecordReserve = 4 << 10
-	// recordOverhead is what a record takes in a transaction besides its value and, twice,
-	// its key.
+	// recordOverhead is the size in bytes of a record in a transaction, without its value and
+	// its key, which occurs twice.
 	recordOverhead = 100
-	// terminalStateBytes is what a job's end may add to its record: the terminal state,
-	// two counts and the time of day. A record that fits without it could never be ended.
+	// terminalStateBytes is the maximum size in bytes by which the end of a job enlarges its
+	// record: the terminal state, two counts and the time of day. A record that only fits
+	// without them could never be ended.
 	terminalStateBytes = 96
-	// commitTimeout is how long a batch is tried: the user has to learn in time that it
-	// failed, or another controller to try.
+	// commitTimeout bounds the attempts to commit a batch. It leaves time to forward the
+	// submission to another controller, or to tell the user that it failed.
 	commitTimeout = 2 * time.Second
 )
 
-// pendingCreation is one record that waits for its creation.
+// pendingCreation is a record that waits to be created.
 type pendingCreation struct {
 	key    string
 	value  json.RawMessage
-	result chan creationResult // has room for one
+	result chan creationResult // buffered, so that commit never blocks
 }
 
-// creationResult is the version of the record that was created, or why it was not.
+// creationResult is the version of a created record, or the error if it was not created.
 type creationResult struct {
 	version uint64
 	err     error
 }
 
-// groupCommit creates job records, those that wait at the same time in one transaction.
+// groupCommit creates job records. Records that wait at the same time are created in one
+// transaction.
 type groupCommit struct {
 	store          Store
-	writeShare     float64 // of the store's writes
+	writeShare     float64 // this controller's share of the store's write rate, up to 1
 	maxRecordBytes int
 	queue          chan *pendingCreation
-	waitingCallers atomic.Int64 // callers of create
+	waitingCallers atomic.Int64 // number of callers of create
 }
 
 func newGroupCommit(store Store, share float64, maxRecordBytes int) *groupCommit {
 	return &groupCommit{store: store, writeShare: share, maxRecordBytes: maxRecordBytes, queue: make(chan *pendingCreation, maxQueued)}
 }
 
-// contended reports whether many records wait for their creation.
+// contended reports whether at least contentionThreshold records wait to be created.
 func (c *groupCommit) contended() bool { return c.waitingCallers.Load() >= contentionThreshold }
 
-// maxBatch is how many records go into one transaction.
+// maxBatch returns the maximum number of records in one transaction.
 func (c *groupCommit) maxBatch() int {
 	limits := c.store.Limits()
 	return max(1, min(limits.MaxChanges, int(limits.WriteRPS*c.writeShare)))
 }
 
-// create creates a job's record and returns its version. If there is one already, the error
-// is errRecordExists.
+// create creates a job record and returns its version. The error is errRecordExists if the job has
+// one already.
 func (c *groupCommit) create(ctx context.Context, jobID string, record ledger.JobRecord) (uint64, error) {
 	value, err := json.Marshal(record)
 	if err != nil {
@@ -98,21 +101,21 @@
 	}
 	c.waitingCallers.Add(1)
 	defer c.waitingCallers.Add(-1)
-	waiting := &pendingCreation{key: ledger.JobKey(jobID), value: value, result: make(chan creationResult, 1)}
+	creation := &pendingCreation{key: ledger.JobKey(jobID), value: value, result: make(chan creationResult, 1)}
 	select {
-	case c.queue <- waiting:
+	case c.queue <- creation:
 	default:
 		return 0, errQueueFull
 	}
 	select {
-	case result := <-waiting.result:
+	case result := <-creation.result:
 		return result.version, result.err
 	case <-ctx.Done():
 		return 0, ctx.Err()
 	}
 }
 
-// run commits the records that wait, in batches, until ctx ends.
+// run commits waiting records in batches until ctx ends.
 func (c *groupCommit) run(ctx context.Context) {
 	for {
 		select {
@@ -124,7 +127,7 @@
 	}
 }
 
-// gatherBatch makes a batch of a record and of those that wait already.
+// gatherBatch returns a batch of the given record and others that are already waiting.
 func (c *groupCommit) gatherBatch(first *pendingCreation) []*pendingCreation {
 	batch := []*pendingCreation{first}
 	size := len(first.value)
@@ -140,8 +143,8 @@
 	return batch
 }
 
-// commit creates a batch of records. Those that exist already are reported as such, and the
-// rest is tried once more without them.
+// commit creates the records of a batch and reports the result of each. If some of them already
+// exist, it retries without these.
 func (c *groupCommit) commit(ctx context.Context, batch []*pendingCreation) {
 	ctx, cancel := context.WithTimeout(ctx, commitTimeout)
 	defer cancel()
@@ -155,12 +158,13 @@
 			return
 		}
 		if errors.Is(err, kvstore.ErrUnknownOutcome) && ctx.Err() == nil {
-			// Creating is safe to repeat: what was carried out then exists.
+			// Creating records is safe to repeat: if the transaction was executed, they
+			// exist.
 			continue
 		}
 		if err != nil {
-			for _, waiting := range batch {
-				waiting.result <- creationResult{err: err}
+			for _, creation := range batch {
+				creation.result <- creationResult{err: err}
 			}
 			return
 		}
@@ -172,50 +176,51 @@
 	}
 }
 
-// commitAttempt is one try to create the records of a batch.
+// commitAttempt is one attempt to create the records of a batch.
 type commitAttempt struct {
 	transaction wire.CompareAndSwap
 	included    []*pendingCreation
-	// duplicates are records of a key that another record of the batch has. They find that
-	// one when they are tried.
+	// duplicates are records with the same key as an included record. They are attempted
+	// afterwards, and then find that record.
 	duplicates []*pendingCreation
 }
 
+// newCommitAttempt returns an attempt that includes the first record of each key in the batch.
 func newCommitAttempt(batch []*pendingCreation) *commitAttempt {
 	attempt := &commitAttempt{}
 	seen := map[string]bool{}
-	for _, waiting := range batch {
-		if seen[waiting.key] {
-			attempt.duplicates = append(attempt.duplicates, waiting)
+	for _, creation := range batch {
+		if seen[creation.key] {
+			attempt.duplicates = append(attempt.duplicates, creation)
 			continue
 		}
-		seen[waiting.key] = true
-		attempt.included = append(attempt.included, waiting)
-		attempt.transaction.Conditions = append(attempt.transaction.Conditions, wire.Condition{Key: waiting.key})
-		attempt.transaction.Changes = append(attempt.transaction.Changes, wire.Change{Set: waiting.key, Value: waiting.value})
+		seen[creation.key] = true
+		attempt.included = append(attempt.included, creation)
+		attempt.transaction.Conditions = append(attempt.transaction.Conditions, wire.Condition{Key: creation.key})
+		attempt.transaction.Changes = append(attempt.transaction.Changes, wire.Change{Set: creation.key, Value: creation.value})
 	}
 	return attempt
 }
 
-// reportCreated reports the version of the records that were created. It returns what is still
-// to be tried.
+// reportCreated reports the version of the included records, which were created. It returns the
+// records that are still to be attempted.
 func (a *commitAttempt) reportCreated(version uint64) []*pendingCreation {
-	for _, waiting := range a.included {
-		waiting.result <- creationResult{version: version}
+	for _, creation := range a.included {
+		creation.result <- creationResult{version: version}
 	}
 	return a.duplicates
 }
 
-// reportExisting reports the records that exist already, for which nothing was created. It
-// returns what is still to be tried.
+// reportExisting reports errRecordExists for the included records whose keys already exist, because
+// of which the attempt created nothing. It returns the records that are still to be attempted.
 func (a *commitAttempt) reportExisting(existing []string) []*pendingCreation {
-	again := a.duplicates
-	for _, waiting := range a.included {
-		if slices.Contains(existing, waiting.key) {
-			waiting.result <- creationResult{err: errRecordExists}
+	remaining := a.duplicates
+	for _, creation := range a.included {
+		if slices.Contains(existing, creation.key) {
+			creation.result <- creationResult{err: errRecordExists}
 			continue
 		}
-		again = append(again, waiting)
+		remaining = append(remaining, creation)
 	}
-	return again
+	return remaining
 }
--- a/internal/jobapi/http.go
+++ b/internal/jobapi/http.go
@@ -13,18 +13,18 @@
 	"leadproxy/internal/wire"
 )
 
-// maxConcurrentRequests bounds the users' requests that are being served; beyond it they are
-// turned away at once, so that workers' heartbeats keep their room.
+// maxConcurrentRequests bounds the user requests that are served at the same time. Further requests
+// are rejected immediately, so that enough resources are left for agents' heartbeats.
 const maxConcurrentRequests = 200
 
-// How long a request may take. The clients give up a little later.
+// Timeouts of user requests. Those of the clients are slightly longer.
 const (
 	submitTimeout        = 4500 * time.Millisecond
 	statusTimeout        = 1800 * time.Millisecond
 	cancelRequestTimeout = 4500 * time.Millisecond
 )
 
-// RegisterRoutes adds the users' paths to a router.
+// RegisterRoutes registers the paths of the users' HTTP interface with a router.
 func (s *Service) RegisterRoutes(router *httprouter.Router) {
 	slots := make(chan struct{}, maxConcurrentRequests)
 	router.POST("/v2/runs", s.handler(Submit, submitTimeout, slots))
@@ -40,7 +40,8 @@
 	router.RedirectTrailingSlash, router.RedirectFixedPath = false, false
 }
 
-// handler serves requests of a kind, as long as there is a free slot, each within a time.
+// handler returns a handler that serves requests of one kind, each within the timeout. A request is
+// rejected if no slot is free.
 func (s *Service) handler(kind Kind, timeout time.Duration, slots chan struct{}) httprouter.Handle {
 	return func(w http.ResponseWriter, httpRequest *http.Request, params httprouter.Params) {
 		select {
@@ -65,7 +66,7 @@
 	}
 }
 
-// serveHealth responds to the health checks of the load balancer.
+// serveHealth responds to health checks of the load balancer.
 func (s *Service) serveHealth(w http.ResponseWriter, _ *http.Request, _ httprouter.Params) {
 	if s.Healthy != nil && !s.Healthy() {
 		Write(w, errorResponse(http.StatusServiceUnavailable, "this node reaches neither the state service nor another node"))
@@ -74,21 +75,23 @@
 	Write(w, Response{Status: http.StatusOK, Body: []byte(`{"status":"ok"}`)})
 }
 
-// maxPreallocatedBytes is up to where the room for a body is allocated at once. A longer one gets
-// its room as it comes: thousands of slow senders must not hold what they only announce.
+// maxPreallocatedBytes is the maximum announced length, in bytes, for which the buffer of a body is
+// allocated at once. For longer bodies the buffer grows as data arrives, so that thousands of slow
+// senders do not occupy memory for data that they have only announced.
 const maxPreallocatedBytes = 4 << 10
 
-// Errors of reading a request's body.
+// Errors of reading a request's body. Their texts are part of HTTP responses.
 var (
 	errBodyTooLong    = errors.New("the body is longer than 64 KiB")
 	errBodyUnreadable = errors.New("the body could not be read")
 )
 
-// ReadBody reads a request's body up to the protocol's limit.
+// ReadBody reads the body of a request, of at most wire.MaxBodyBytes.
 func ReadBody(w http.ResponseWriter, request *http.Request) ([]byte, error) {
-	if n := request.ContentLength; n > 0 && n <= maxPreallocatedBytes {
-		// The usual case, many hundred times a second: one allocation of the right size.
-		body := make([]byte, n)
+	if length := request.ContentLength; length > 0 && length <= maxPreallocatedBytes {
+		// The common case, several hundred times per second: a single allocation of the
+		// exact size.
+		body := make([]byte, length)
 		if _, err := io.ReadFull(request.Body, body); err != nil {
 			return nil, errBodyUnreadable
 		}
@@ -105,7 +108,7 @@
 	return body, nil
 }
 
-// Write sends a response.
+// Write writes a response to the client. An error of the connection is ignored.
 func Write(w http.ResponseWriter, response Response) {
 	w.Header().Set("Content-Type", "application/json")
 	if response.RetryAfter > 0 {
@@ -113,6 +116,6 @@
 	}
 	w.WriteHeader(response.Status)
 	if _, err := w.Write(response.Body); err != nil {
-		return // the client has gone
+		return // the client has disconnected
 	}
 }
--- a/internal/jobapi/idempotency.go
+++ b/internal/jobapi/idempotency.go
@@ -8,14 +8,15 @@
 	"leadproxy/internal/wire"
 )
 
-// A submission may be repeated, as when its response was lost. The job's name identifies it:
-// a repetition gets the state of the job that was accepted and changes nothing.
+// Submissions are idempotent, because a user repeats one whose response was lost. The job ID
+// identifies the submission: a repeated one returns the status of the accepted job and changes
+// nothing.
 
-// idempotentResponse responds to a submission if its job is recorded already. The zero
-// response means that it is not, or that this can't be read.
+// idempotentResponse responds to a submission whose job is already recorded. It returns the zero
+// response if the job has no record, or if the record can't be read.
 func (s *Service) idempotentResponse(ctx context.Context, request Request) Response {
-	// The record and not the dispatcher: it does not know jobs that are new, as most are,
-	// and it may be busy.
+	// The record is read instead of asking the dispatcher, which does not know new jobs, as
+	// most are, and may be busy.
 	stored, err := s.readRecord(ctx, request.JobID)
 	if err != nil {
 		return Response{}
@@ -23,8 +24,8 @@
 	return s.duplicateSubmissionResponse(ctx, request, stored.record)
 }
 
-// duplicateSubmissionResponse responds to a repeated submission of an accepted job, whose record was
-// read since the request came.
+// duplicateSubmissionResponse responds to a repeated submission of an accepted job. The record must
+// have been read after the request arrived.
 func (s *Service) duplicateSubmissionResponse(ctx context.Context, request Request, record ledger.JobRecord) Response {
 	if record.Origin != "" {
 		return errorResponse(http.StatusUnprocessableEntity, "a job of this name runs here for cell %s", record.Origin)
--- a/internal/jobapi/records.go
+++ b/internal/jobapi/records.go
@@ -9,26 +9,27 @@
 	"leadproxy/internal/ledger"
 )
 
-// Errors of reading a job's record.
+// Errors of reading a job record.
 var (
-	// errNoRecord: the job was never accepted.
-	errNoRecord = errors.New("there is no record of the job")
-	// errMalformedRecord: the record is of no form that this version knows.
-	errMalformedRecord = errors.New("the record of the job is malformed")
+	// errNoRecord means that the job was never accepted.
+	errNoRecord = errors.New("job has no record")
+	// errMalformedRecord means that this version can't decode the record.
+	errMalformedRecord = errors.New("job record is malformed")
 )
 
-// storedRecord is a job's record in the key-value store.
+// storedRecord is a job record in the key-value store, and the version of its key.
 type storedRecord struct {
 	record  ledger.JobRecord
 	version uint64
 }
 
-// readRecord reads a job's record from the key-value store.
+// readRecord reads a job record from the key-value store. The error is errNoRecord if there is
+// none, and wraps errMalformedRecord if it can't be decoded.
 func (s *Service) readRecord(ctx context.Context, jobID string) (storedRecord, error) {
 	entry, found, err := s.Store.Get(ctx, kvstore.PriorityRead, ledger.JobKey(jobID))
 	switch {
 	case err != nil:
-		return storedRecord{}, fmt.Errorf("reading the record of job %s: %w", jobID, err)
+		return storedRecord{}, fmt.Errorf("read the record of job %s: %w", jobID, err)
 	case !found:
 		return storedRecord{}, errNoRecord
 	}
--- a/internal/jobapi/response.go
+++ b/internal/jobapi/response.go
@@ -9,17 +9,17 @@
 	"leadproxy/internal/wire"
 )
 
-// Response is what a user gets.
+// Response is the response to a user request.
 type Response struct {
-	Status     int
+	Status     int // HTTP status code
 	Body       []byte
-	RetryAfter int // seconds; 0: none
+	RetryAfter int // value of the Retry-After header in seconds; 0: no header
 }
 
-// IsZero reports that there is no response.
+// IsZero reports whether r is the zero value, which stands for no response.
 func (r Response) IsZero() bool { return r.Status == 0 }
 
-// JSON makes a response of a value.
+// JSON returns a response whose body is the JSON encoding of a value.
 func JSON(status int, body any) Response {
 	encoded, err := json.Marshal(body)
 	if err != nil {
@@ -28,19 +28,19 @@
 	return Response{Status: status, Body: encoded}
 }
 
-// errorResponse makes an error response.
+// errorResponse returns a response with a formatted error message.
 func errorResponse(status int, format string, args ...any) Response {
 	return JSON(status, wire.ErrorResponse{Error: fmt.Sprintf(format, args...)})
 }
 
-// retryLater makes an error response that asks the user to repeat the request.
+// retryLater returns an error response that tells the user to retry after some seconds.
 func retryLater(status, seconds int, reason string) Response {
 	response := errorResponse(status, "%s", reason)
 	response.RetryAfter = seconds
 	return response
 }
 
-// Responses that are the same for every request.
+// Responses that do not depend on the request.
 var (
 	tooManySubmissions = retryLater(http.StatusTooManyRequests, 2, "more submissions are coming than can be recorded")
 	tooManyRequests    = retryLater(http.StatusTooManyRequests, 2, "too many requests are being served")
--- a/internal/jobapi/status.go
+++ b/internal/jobapi/status.go
@@ -13,17 +13,17 @@
 	"leadproxy/internal/wire"
 )
 
-// How long to wait for the leader's answer about a job, from this controller and from
-// another one.
+// Timeouts of status queries to the leader: to the dispatcher of this controller, and to another
+// controller.
 const (
 	dispatcherTimeout   = time.Second
 	leaderStatusTimeout = 700 * time.Millisecond
 )
 
-// errLeaderUnavailable: the leader can't be asked, or has not answered.
-var errLeaderUnavailable = errors.New("the leader can't be asked")
+// errLeaderUnavailable means that the leader can't be asked, or has not returned a status.
+var errLeaderUnavailable = errors.New("leader is not available")
 
-// status responds with the state of a job.
+// status responds with the status of a job.
 func (s *Service) status(ctx context.Context, request Request) Response {
 	if !wire.ValidJobID(request.JobID) {
 		return jobNotFound
@@ -44,8 +44,9 @@
 	return JSON(http.StatusOK, status)
 }
 
-// statusFromLeader asks the leader about a job, be it this controller or another one.
-// Another controller's answer counts also if it has read the job's record itself.
+// statusFromLeader asks the leader, which may be this controller, for the status of a job. The
+// answer of another controller is also accepted if that controller has read it from the job's
+// record.
 func (s *Service) statusFromLeader(ctx context.Context, jobID string, localOnly bool) (wire.JobStatus, error) {
 	if status, err := s.statusFromDispatcher(ctx, jobID); err == nil {
 		return status, nil
@@ -59,19 +60,19 @@
 		return wire.JobStatus{}, err
 	}
 	if response.Status != http.StatusOK {
-		return wire.JobStatus{}, fmt.Errorf("status %d of controller %s: %w", response.Status, leader, errLeaderUnavailable)
+		return wire.JobStatus{}, fmt.Errorf("status code %d from controller %s: %w", response.Status, leader, errLeaderUnavailable)
 	}
 	var status wire.JobStatus
 	if err := json.Unmarshal(response.Body, &status); err != nil {
-		return wire.JobStatus{}, fmt.Errorf("response of controller %s: %w", leader, err)
+		return wire.JobStatus{}, fmt.Errorf("malformed response from controller %s: %w", leader, err)
 	}
 	return status, nil
 }
 
-// statusFromDispatcher asks this controller's dispatcher, if it leads. The answer counts
-// only while the term does, and not while the job's terminal state is being written: a
-// leader that is slow to learn of its own write would say "queued" of a job that another
-// controller has read as done.
+// statusFromDispatcher asks the dispatcher of this controller, if it leads. It fails if the term
+// has ended meanwhile, or while the job's terminal state is being written: a leader that learns
+// late that its write succeeded would report a job as queued that another controller has already
+// read as done.
 func (s *Service) statusFromDispatcher(ctx context.Context, jobID string) (wire.JobStatus, error) {
 	view := s.Elector.View()
 	if !view.IsLeader(time.Now()) {
@@ -89,15 +90,15 @@
 	return status, nil
 }
 
-// statusFromRecords finds a job's state by its record and those of its ancestors alone. The
-// error is errNoRecord if this cell has accepted no such job.
+// statusFromRecords determines the status of a job only from its record and those of its ancestors.
+// The error is errNoRecord if this cell has not accepted the job from a user.
 func (s *Service) statusFromRecords(ctx context.Context, jobID string) (wire.JobStatus, error) {
 	stored, err := s.readRecord(ctx, jobID)
 	if err != nil {
 		return wire.JobStatus{}, err
 	}
 	if stored.record.Origin != "" {
-		return wire.JobStatus{}, errNoRecord // users ask the job's origin cell alone
+		return wire.JobStatus{}, errNoRecord // users query only the origin cell
 	}
 	state, err := s.recordedState(ctx, &stored.record)
 	if err != nil {
--- a/internal/jobapi/submissions.go
+++ b/internal/jobapi/submissions.go
@@ -12,7 +12,7 @@
 	"leadproxy/internal/wire"
 )
 
-// submit accepts a job, or responds why it does not.
+// submit accepts a job, or responds why it is rejected.
 func (s *Service) submit(ctx context.Context, request Request) Response {
 	job, err := wire.ParseJob(request.Body)
 	var invalid *wire.InvalidJobError
@@ -27,36 +27,36 @@
 	if response := s.forwardUnlessServing(ctx, &request); !response.IsZero() {
 		return response
 	}
-	admission := s.checkAdmission(ctx, job, request.LocalOnly)
-	if !admission.rejection.IsZero() {
-		return s.reject(ctx, request, admission)
+	decision := s.checkAdmission(ctx, job, request.LocalOnly)
+	if !decision.rejection.IsZero() {
+		return s.reject(ctx, request, decision)
 	}
 	if s.commits.contended() {
-		// Users who were turned away repeat what may be recorded already. That
-		// would take of the writes of which there are too few.
+		// Users repeat submissions that were rejected under load, and their jobs may
+		// already be recorded. Reading the record first saves writes, which are scarce now.
 		if response := s.idempotentResponse(ctx, request); !response.IsZero() {
 			return response
 		}
 	}
-	return s.recordJob(ctx, request, job, admission.initialStatus)
+	return s.recordJob(ctx, request, job, decision.initialStatus)
 }
 
-// reject responds to a submission that can't be accepted. A job that was accepted before
-// stays accepted, whatever is wrong with its submission now.
-func (s *Service) reject(ctx context.Context, request Request, admission admission) Response {
+// reject responds to a submission that can't be accepted. A job that was accepted earlier stays
+// accepted, even if this submission of it is invalid.
+func (s *Service) reject(ctx context.Context, request Request, decision admission) Response {
 	stored, err := s.readRecord(ctx, request.JobID)
 	switch {
 	case err == nil:
 		return s.duplicateSubmissionResponse(ctx, request, stored.record)
-	case admission.undecided:
+	case decision.undecided:
 		return s.forwardOrFallBack(ctx, request, storeUnavailable)
-	case !errors.Is(err, errNoRecord) && admission.rejection.Status != http.StatusServiceUnavailable:
+	case !errors.Is(err, errNoRecord) && decision.rejection.Status != http.StatusServiceUnavailable:
 		return s.forwardOrFallBack(ctx, request, storeUnavailable)
 	}
-	return admission.rejection
+	return decision.rejection
 }
 
-// recordJob writes the record of a new job and responds to its submission.
+// recordJob creates the record of a new job and responds to its submission.
 func (s *Service) recordJob(ctx context.Context, request Request, job *wire.Job, status string) Response {
 	record := ledger.JobRecord{Job: job, AcceptedMS: time.Now().UnixMilli()}
 	version, err := s.commits.create(ctx, job.ID, record)
@@ -68,7 +68,7 @@
 	return JSON(http.StatusCreated, wire.JobResponse{ID: job.ID, Status: status})
 }
 
-// handleRecordFailure responds to a submission whose record could not be created.
+// handleRecordFailure responds to a submission whose record was not created because of err.
 func (s *Service) handleRecordFailure(ctx context.Context, request Request, err error) Response {
 	if errors.Is(err, errQueueFull) || errors.Is(err, kvstore.ErrOverloaded) {
 		if response := s.idempotentResponse(ctx, request); !response.IsZero() {
@@ -81,7 +81,7 @@
 	case errors.Is(err, errQueueFull):
 		return tooManySubmissions
 	case errors.Is(err, kvstore.ErrOverloaded):
-		// Another controller may have some of its share of the rate left.
+		// Another controller may not have used up its share of the request rate.
 		return s.forwardOrFallBack(ctx, request, tooManySubmissions)
 	case errors.Is(err, errRecordExists):
 		if response := s.idempotentResponse(ctx, request); !response.IsZero() {
