--- a/internal/dispatch/send_guard.go
+++ b/internal/dispatch/send_guard.go
@@ -25,7 +25,7 @@
 // A decision of the core may have waited for a batch, a connection or a rate limiter, and its
 // preconditions may no longer hold.
 type SendGuard struct {
-	elector         Leadership
+	leadership      Leadership
 	log             *slog.Logger
 	forbiddenStarts atomic.Int64 // number of starts that should have been withdrawn
 }
@@ -38,13 +38,13 @@
 
 // NewSendGuard returns the send guard of a controller.
 func NewSendGuard(leadership Leadership, log *slog.Logger) *SendGuard {
-	return &SendGuard{elector: leadership, log: log}
+	return &SendGuard{leadership: leadership, log: log}
 }
 
 // MayAct reports whether this controller still leads in the given term. Call it immediately before
 // an action that only the leader may take. It logs the action.
 func (g *SendGuard) MayAct(term uint64, action string) bool {
-	if !g.elector.IsLeader(term) {
+	if !g.leadership.IsLeader(term) {
 		g.log.Debug("action dropped because the term has ended or the lease has expired", "leader_term", term, "action", action)
 		return false
 	}
@@ -55,7 +55,7 @@
 // FilterResponse returns the response to a heartbeat with those commands that may be sent now. The
 // error is ErrNotLeader if the term has ended.
 func (g *SendGuard) FilterResponse(term uint64, reply scheduler.HeartbeatReply) (wire.HeartbeatResponse, error) {
-	if !g.elector.IsLeader(term) {
+	if !g.leadership.IsLeader(term) {
 		return wire.HeartbeatResponse{}, ErrNotLeader
 	}
 	sendable := g.takeSendable(term, reply.Response.Commands, reply.Starts)
@@ -68,7 +68,7 @@
 // FilterCommandRequest returns a request to an agent with those commands that may be sent now. The
 // error is ErrNotLeader if the term has ended, and errWithdrawn if all commands were withdrawn.
 func (g *SendGuard) FilterCommandRequest(term uint64, effect scheduler.SendCommands) (wire.CommandRequest, error) {
-	if !g.elector.IsLeader(term) {
+	if !g.leadership.IsLeader(term) {
 		return wire.CommandRequest{}, ErrNotLeader
 	}
 	request := effect.Request
