--- a/internal/controller/agent_failures_test.go
+++ b/internal/controller/agent_failures_test.go
@@ -69,7 +69,7 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			runScenario(t, clusterPlan{runTime: longRunning(30 * time.Second)}, func(c *cluster) {
+			runScenario(t, clusterConfig{runTime: longRunning(30 * time.Second)}, func(c *cluster) {
 				jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
 				c.awaitRunning(15)
 				workers := c.cloud.Workers()
@@ -95,7 +95,7 @@
 // the new leader again and again, while the machine hangs within its lease. What it
 // lacks is not over.
 func TestHeartbeatFromEarlierTerm(t *testing.T) {
-	runScenario(t, clusterPlan{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
+	runScenario(t, clusterConfig{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
 		c.submitJobs(0, 1, time.Second, func(_ int, j *wire.Job) { j.Tasks = 20 })
 		c.awaitRunning(20)
 		c.await("the first job's end", 2*time.Minute, func() bool { _, done := c.checker.TaskCounts("job-000000"); return done == 20 })
@@ -129,8 +129,8 @@
 // once, while writes lag, and the leader ends: what was written of the scale-out and of the
 // hosts may have no answer yet.
 func TestFastBootsDuringFailover(t *testing.T) {
-	runWithSeeds(t, clusterPlan{bootTime: time.Second, runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
-		c.state.SetDelay(700 * time.Millisecond)
+	runWithSeeds(t, clusterConfig{bootTime: time.Second, runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
+		c.store.SetDelay(700 * time.Millisecond)
 		c.writeFaults.Store(c.randomFaults(0.3, fake.Delayed, 2*time.Second, 8*time.Second))
 		c.scaleOutFaults.Store(c.randomFaults(0.3, fake.ResponseLost, 0, 0))
 		c.submitJobs(0, 8, 200*time.Millisecond, func(_ int, j *wire.Job) { j.Tasks = 6 })
@@ -141,7 +141,7 @@
 			}
 		}
 		time.Sleep(10 * time.Second)
-		c.state.SetDelay(0)
+		c.store.SetDelay(0)
 		c.writeFaults.Store(nil)
 		c.scaleOutFaults.Store(nil)
 	})
@@ -152,7 +152,7 @@
 func TestDelayedCommands(t *testing.T) {
 	for _, fault := range []fake.FaultKind{fake.Delayed, fake.ResponseLost, fake.RequestLost, fake.Duplicated} {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
-			runScenario(t, clusterPlan{runTime: longRunning(30 * time.Second)}, func(c *cluster) {
+			runScenario(t, clusterConfig{runTime: longRunning(30 * time.Second)}, func(c *cluster) {
 				c.commandsDelayed = true
 				c.commandFaults.Store(c.randomFaults(0.5, fault, 2*time.Second, 15*time.Second))
 				jobs := c.submitJobs(0, 12, 300*time.Millisecond, nil)
@@ -181,9 +181,9 @@
 // while commands still reach them.
 func TestUnreachableMachines(t *testing.T) {
 	for _, lasts := range []time.Duration{6 * time.Second, agentLease - 2*time.Second, agentLease + 5*time.Second} {
-		for name, away := range unreachableBy {
+		for name, away := range unreachableModes {
 			t.Run(fmt.Sprint(name, lasts), func(t *testing.T) {
-				runScenario(t, clusterPlan{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
+				runScenario(t, clusterConfig{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
 					c.submitJobs(0, 10, 200*time.Millisecond, nil)
 					c.awaitRunning(20)
 					workers := everyOther(c.cloud.Workers())
@@ -209,7 +209,7 @@
 func TestOutboundCutMachines(t *testing.T) {
 	for _, lasts := range []time.Duration{8 * time.Second, agentLease + 4*time.Second, cancelLimit + 10*time.Second} {
 		t.Run(fmt.Sprint(lasts), func(t *testing.T) {
-			runScenario(t, clusterPlan{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
+			runScenario(t, clusterConfig{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
 				jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
 				c.awaitRunning(20)
 				workers := c.cloud.Workers()
@@ -234,7 +234,7 @@
 // Commands are not held up here: a worker that has lost the fencing tokens it saw
 // executes every command, however old, and no controller can help that.
 func TestMachineReboots(t *testing.T) {
-	runWithSeeds(t, clusterPlan{runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
+	runWithSeeds(t, clusterConfig{runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		jobs := c.submitJobs(0, 12, 300*time.Millisecond, nil)
 		c.awaitRunning(15)
 		for _, w := range c.cloud.Workers() {
@@ -264,27 +264,27 @@
 	for _, leads := range []bool{true, false} {
 		for _, hold := range []bool{true, false} {
 			t.Run(fmt.Sprint(leads, hold), func(t *testing.T) {
-				runScenario(t, clusterPlan{runTime: longRunning(50 * time.Second)}, func(c *cluster) {
+				runScenario(t, clusterConfig{runTime: longRunning(50 * time.Second)}, func(c *cluster) {
 					jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
 					c.awaitRunning(20)
 					in := c.leader()
 					if !leads {
 						in = c.follower()
 					}
-					zone := c.nodes[in].platform.Zone
+					zone := c.controllers[in].platform.Zone
 					cut := func(do func(a, b string)) {
-						do(c.name(in), "state")
-						do(c.name(in), "cloud")
-						do(c.name(in), "users")
-						for i := range c.nodes {
+						do(c.controllerName(in), "state")
+						do(c.controllerName(in), "cloud")
+						do(c.controllerName(in), "users")
+						for i := range c.controllers {
 							if i != in {
-								do(c.name(in), c.name(i))
+								do(c.controllerName(in), c.controllerName(i))
 							}
 						}
 						for _, w := range c.cloud.Workers() {
-							for i, n := range c.nodes {
+							for i, n := range c.controllers {
 								if (n.platform.Zone == zone) != (w.Zone() == zone) {
-									do(w.Name(), c.name(i))
+									do(w.Name(), c.controllerName(i))
 								}
 							}
 						}
--- a/internal/controller/assembly.go
+++ b/internal/controller/assembly.go
@@ -57,7 +57,7 @@
 func assemble(ctx context.Context, level int, n transport.Network, p *settings.Platform, op settings.Operator, log *slog.Logger) (*components, error) {
 	facts := p.Facts
 	c := &components{platform: p, log: log, sockets: divideSockets(facts.Resources)}
-	c.connections = &connectionTracker{hangUpAbove: int64(c.sockets.hangUpAbove), scarceAbove: int64(c.sockets.scarceAbove)}
+	c.connections = &connectionTracker{closeAbove: int64(c.sockets.closeAbove), scarceAbove: int64(c.sockets.scarceAbove)}
 	rate := dispatch.FollowerShare(facts.ControllerCount)
 	store := kvstore.New(ctx, n, p.Services.Store, facts.Store, rate, log)
 	c.elector = election.New(p.Name, op, store, log)
@@ -77,17 +77,17 @@
 		leaderTransfer: leadertransfer.NewServer(n, p, c.elector, c.followers.standby, c.followers.softState, log),
 		softState:      softstate.NewServer(c.dispatcher, others.Names(), log),
 	}
-	types := watchTypes(ctx, autoscaler.NewClient(n, p.Services.Cloud, facts.Cloud.RPS), log)
+	types := watchMachineTypes(ctx, autoscaler.NewClient(n, p.Services.Cloud, facts.Cloud.RPS), log)
 	c.health = &healthMonitor{storeServing: store.Serving, peers: others, log: log}
 	c.jobs = jobapi.New(ctx, jobapi.Config{
 		Platform: p, Elector: c.elector, Store: store, Dispatcher: c.dispatcher, Peers: others, MachineTypes: types,
-		StoreShare: rate, PipelinesSupported: c.supports(capability.Pipelines), Healthy: c.health.Healthy, Log: log,
+		StoreShare: rate, PipelinesSupported: c.capabilityCheck(capability.Pipelines), Healthy: c.health.Healthy, Log: log,
 	})
 	c.heartbeats = newHeartbeatHandler(ctx, p.Name, c.elector, c.dispatcher, others, c.connections, log)
 	c.reachability = &reachabilityMonitor{
 		elector:             c.elector,
-		directHeartbeats:    c.heartbeats.direct,
-		forwardedHeartbeats: c.heartbeats.forwarded,
+		directHeartbeats:    c.heartbeats.directHeartbeats,
+		forwardedHeartbeats: c.heartbeats.forwardedHeartbeats,
 		expectedMachines:    c.dispatcher.ExpectedMachines,
 		unansweredCommands:  c.dispatcher.UnansweredCommands,
 		heartbeatInterval:   settings.Seconds(facts.Workers.HeartbeatS),
@@ -97,8 +97,8 @@
 	return c, nil
 }
 
-// supports returns a check whether all controllers have announced a level of capabilities.
-func (c *components) supports(level int) func() bool {
+// capabilityCheck returns a check whether all controllers have announced a level of capabilities.
+func (c *components) capabilityCheck(level int) func() bool {
 	return func() bool { return c.capabilities.AllSupport(level) }
 }
 
@@ -131,8 +131,8 @@
 		Connections: dispatch.ConnectionLimits{
 			MaxInFlight: c.sockets.commands, MaxIdle: c.sockets.idle, MaxIdleWhenScarce: c.sockets.idleWhenScarce, SocketsScarce: c.connections.scarce,
 		},
-		PipelinesSupported: c.supports(capability.Pipelines),
-		TransfersSupported: c.supports(capability.Transfers),
+		PipelinesSupported: c.capabilityCheck(capability.Pipelines),
+		TransfersSupported: c.capabilityCheck(capability.Transfers),
 		Neighbours:         neighbours,
 		TraceTransfer:      tracer.RecordStep,
 	}
--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -20,8 +20,8 @@
 // httpClient is a worker or a user that costs as little as possible, so that what is measured
 // is the controller: a connection, a prepared request, a response that is skipped.
 type httpClient struct {
-	conn net.Conn
-	in   *bufio.Reader
+	conn   net.Conn
+	reader *bufio.Reader
 }
 
 func newHTTPClient(b *testing.B, addr string) *httpClient {
@@ -37,7 +37,7 @@
 	if _, err := fmt.Fprintf(v.conn, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body); err != nil {
 		b.Fatal(err)
 	}
-	resp, err := http.ReadResponse(v.in, nil)
+	resp, err := http.ReadResponse(v.reader, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
--- a/internal/controller/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -23,11 +23,11 @@
 		2900 * time.Millisecond, 3 * time.Second, 3100 * time.Millisecond, 3300 * time.Millisecond, 3600 * time.Millisecond, 4 * time.Second, 5 * time.Second, 6 * time.Second} {
 		for _, then := range []string{"", "kill", "cut", "hang", "lost"} {
 			t.Run(fmt.Sprint(gap, then), func(t *testing.T) {
-				runScenario(t, clusterPlan{runTime: longRunning(100 * time.Second)}, func(c *cluster) {
+				runScenario(t, clusterConfig{runTime: longRunning(100 * time.Second)}, func(c *cluster) {
 					jobs := c.submitJobs(0, 8, 300*time.Millisecond, nil)
 					c.awaitRunning(10)
 					lead := c.leader()
-					c.state.SetRefused(c.name(lead), true)
+					c.store.SetRefused(c.controllerName(lead), true)
 					if then == "lost" {
 						c.writeFaults.Store(c.randomFaults(1, fake.ResponseLost, 0, 0))
 					}
@@ -37,7 +37,7 @@
 						c.users.Cancel(j)
 					}
 					time.Sleep(gap)
-					c.state.SetOutage(true)
+					c.store.SetOutage(true)
 					c.writeFaults.Store(nil)
 					switch now := c.leader(); then {
 					case "kill": // and back at once
@@ -56,9 +56,9 @@
 						w.SetHung(false)
 					}
 					time.Sleep(cancelLimit)
-					c.state.SetRefused(c.name(lead), false)
-					c.state.SetOutage(false)
-					for i := range c.nodes {
+					c.store.SetRefused(c.controllerName(lead), false)
+					c.store.SetOutage(false)
+					for i := range c.controllers {
 						c.reconnect(i)
 					}
 				})
@@ -67,31 +67,31 @@
 	}
 }
 
-// TestCancelThenOutageWithSlowState: the key-value store refuses the leader alone and is so slow with
+// TestCancelThenOutageWithSlowStore: the key-value store refuses the leader alone and is so slow with
 // the others that they grant extensions of the lease, since they can't distinguish that from an
 // outage; then one of them wins the election, and users cancel through it, while
 // half of the workers reach the former leader only. Either it stops responding to them,
 // or no other controller confirms a cancellation. And it must not take long until one does.
-func TestCancelThenOutageWithSlowState(t *testing.T) {
+func TestCancelThenOutageWithSlowStore(t *testing.T) {
 	for _, slow := range []time.Duration{250 * time.Millisecond, 350 * time.Millisecond, 600 * time.Millisecond, 900 * time.Millisecond} {
 		t.Run(fmt.Sprint(slow), func(t *testing.T) {
-			runScenario(t, clusterPlan{runTime: longRunning(100 * time.Second)}, func(c *cluster) {
+			runScenario(t, clusterConfig{runTime: longRunning(100 * time.Second)}, func(c *cluster) {
 				jobs := c.submitJobs(0, 8, 300*time.Millisecond, nil)
 				c.awaitRunning(20)
 				lead := c.leader()
 				workers := everyOther(c.cloud.Workers())
 				for _, w := range workers {
-					for i := range c.nodes {
+					for i := range c.controllers {
 						if i != lead {
-							c.net.Partition(w.Name(), c.name(i), false)
+							c.net.Partition(w.Name(), c.controllerName(i), false)
 						}
 					}
 				}
-				c.state.SetDelay(slow)
-				c.state.SetRefused(c.name(lead), true)
+				c.store.SetDelay(slow)
+				c.store.SetRefused(c.controllerName(lead), true)
 				began := time.Now()
 				for _, j := range everyOther(jobs) {
-					for c.users.CancelAt((lead+1)%len(c.nodes), j) == false && time.Since(began) < time.Minute {
+					for c.users.CancelAt((lead+1)%len(c.controllers), j) == false && time.Since(began) < time.Minute {
 						time.Sleep(500 * time.Millisecond)
 					}
 				}
@@ -99,11 +99,11 @@
 					t.Errorf("cancellations took %s", took)
 				}
 				time.Sleep(cancelLimit + 10*time.Second)
-				c.state.SetDelay(0)
-				c.state.SetRefused(c.name(lead), false)
+				c.store.SetDelay(0)
+				c.store.SetRefused(c.controllerName(lead), false)
 				for _, w := range workers {
-					for i := range c.nodes {
-						c.net.Heal(w.Name(), c.name(i))
+					for i := range c.controllers {
+						c.net.Heal(w.Name(), c.controllerName(i))
 					}
 				}
 			})
@@ -116,7 +116,7 @@
 // for all, and the leader keeps its term by the extensions that all have granted, for longer than
 // cancel_s, without ever learning that its write was carried out.
 func TestCancelConfirmedByRecord(t *testing.T) {
-	runScenario(t, clusterPlan{runTime: longRunning(100 * time.Second)}, func(c *cluster) {
+	runScenario(t, clusterConfig{runTime: longRunning(100 * time.Second)}, func(c *cluster) {
 		jobs := c.submitJobs(0, 8, 300*time.Millisecond, nil)
 		c.awaitRunning(10)
 		for k, j := range everyOther(jobs) {
@@ -138,17 +138,17 @@
 			c.users.QueryEverywhere(j.ID, j)
 		}
 		time.Sleep(200 * time.Millisecond)
-		c.state.SetOutage(true)
+		c.store.SetOutage(true)
 		c.writeFaults.Store(nil)
 		time.Sleep(cancelLimit + 20*time.Second)
-		c.state.SetOutage(false)
+		c.store.SetOutage(false)
 	})
 }
 
 // TestCancelAtLastTask: a cancellation, a question or a repeated submission meets
 // the end of a job's last task, with no other fault.
 func TestCancelAtLastTask(t *testing.T) {
-	runWithSeeds(t, clusterPlan{runTime: func(string) time.Duration { return 4 * time.Second }}, func(c *cluster, r *rand.Rand) {
+	runWithSeeds(t, clusterConfig{runTime: func(string) time.Duration { return 4 * time.Second }}, func(c *cluster, r *rand.Rand) {
 		c.submitJobs(0, 1, 20*time.Second, nil) // machines are up then
 		for k := range 30 {
 			j := fake.NewJob(fmt.Sprintf("job-%06d", 10+k), 1, nil)
@@ -167,12 +167,12 @@
 // TestCancelAtOnce: users cancel a job in the moment in which it is accepted,
 // through other controllers, and query and repeat the requests everywhere.
 func TestCancelAtOnce(t *testing.T) {
-	runWithSeeds(t, clusterPlan{}, func(c *cluster, r *rand.Rand) {
+	runWithSeeds(t, clusterConfig{}, func(c *cluster, r *rand.Rand) {
 		for k := range 30 {
 			j := fake.NewJob(fmt.Sprintf("job-%06d", k), 2, nil)
 			c.users.Submit(j)
 			time.Sleep(randomDuration(r, 0, 12*time.Millisecond))
-			for i := range c.nodes {
+			for i := range c.controllers {
 				c.users.Go(func() { c.users.Call(i, fake.RequestCancel, j.ID, nil) })
 			}
 			c.users.QueryEverywhere(j.ID, j)
@@ -189,7 +189,7 @@
 // TestCancelDuringLeaderChange: jobs are cancelled in the seconds in which one
 // controller's work changes hands.
 func TestCancelDuringLeaderChange(t *testing.T) {
-	runWithSeeds(t, clusterPlan{runTime: longRunning(60 * time.Second)}, func(c *cluster, r *rand.Rand) {
+	runWithSeeds(t, clusterConfig{runTime: longRunning(60 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		jobs := c.submitJobs(0, 16, 200*time.Millisecond, nil)
 		c.awaitRunning(20)
 		c.users.Go(func() {
@@ -201,10 +201,10 @@
 		time.Sleep(500 * time.Millisecond)
 		c.restart(c.leader(), 800*time.Millisecond)
 		time.Sleep(4 * time.Second)
-		c.state.SetRefused(c.name(max(c.leader(), 0)), true)
+		c.store.SetRefused(c.controllerName(max(c.leader(), 0)), true)
 		time.Sleep(5 * time.Second)
-		for i := range c.nodes {
-			c.state.SetRefused(c.name(i), false)
+		for i := range c.controllers {
+			c.store.SetRefused(c.controllerName(i), false)
 		}
 	})
 }
--- a/internal/controller/cancelled_tasks_test.go
+++ b/internal/controller/cancelled_tasks_test.go
@@ -15,8 +15,8 @@
 // Tasks of cancelled jobs on machines that the stop did not reach. Whoever answers such a
 // machine renews its lease, and must have it stop them with that same answer.
 
-// untilCancelled has all jobs but pipelines run until they are cancelled.
-func untilCancelled(task string) time.Duration {
+// runUntilCancelled has all jobs but pipelines run until they are cancelled.
+func runUntilCancelled(task string) time.Duration {
 	if strings.HasPrefix(task, "job-0") {
 		return time.Hour
 	}
@@ -43,7 +43,7 @@
 		hang time.Duration
 	}{{defaultTimings, 15 * time.Second}, {rareHeartbeats, 33 * time.Second}} {
 		t.Run(fmt.Sprint(q.pace.heartbeat), func(t *testing.T) {
-			runScenario(t, clusterPlan{runTime: untilCancelled, timings: q.pace}, func(c *cluster) {
+			runScenario(t, clusterConfig{runTime: runUntilCancelled, timings: q.pace}, func(c *cluster) {
 				jobs := c.submitJobs(0, 8, 300*time.Millisecond, func(_ int, j *wire.Job) { j.CPUs = 4 })
 				c.awaitRunning(20)
 				// Not most machines and no whole zone: that would be taken for a cut, and
@@ -92,7 +92,7 @@
 func TestCancelledDuringSeriesOfLeaders(t *testing.T) {
 	for _, lasts := range []time.Duration{4 * time.Second, 5 * time.Second, 6 * time.Second, 7 * time.Second, 8 * time.Second} {
 		t.Run(fmt.Sprint(lasts), func(t *testing.T) {
-			runScenario(t, clusterPlan{runTime: untilCancelled, timings: rareHeartbeats}, func(c *cluster) {
+			runScenario(t, clusterConfig{runTime: runUntilCancelled, timings: rareHeartbeats}, func(c *cluster) {
 				jobs := c.submitJobs(0, 8, 300*time.Millisecond, func(_ int, j *wire.Job) { j.CPUs = 4 })
 				c.awaitRunning(20)
 				c.commandFaults.Store(c.randomFaults(1, fake.RequestLost, 0, 0))
@@ -117,22 +117,22 @@
 // Evidence: in 6 of 6 plays all tasks were there when the test ended, each response having
 // renewed the lease without a stop.
 func TestCancelledJobWhoseRecordIsDamaged(t *testing.T) {
-	runScenario(t, clusterPlan{runTime: untilCancelled}, func(c *cluster) {
+	runScenario(t, clusterConfig{runTime: runUntilCancelled}, func(c *cluster) {
 		job := c.submitJobs(0, 1, time.Second, nil)[0]
 		c.awaitRunning(1)
 		c.commandFaults.Store(c.randomFaults(1, fake.RequestLost, 0, 0))
 		c.users.Cancel(job)
 		key := ledger.JobKey(job.ID)
-		c.await("the cancellation recorded", 10*time.Second, func() bool { return strings.Contains(string(c.state.Value(key)), wire.JobCancelled) })
-		whole := string(c.state.Value(key))
+		c.await("the cancellation recorded", 10*time.Second, func() bool { return strings.Contains(string(c.store.Value(key)), wire.JobCancelled) })
+		whole := string(c.store.Value(key))
 		c.kill(c.leader())
-		c.state.Put(key, "[]")
+		c.store.Put(key, "[]")
 		time.Sleep(cancelLimit + 10*time.Second)
 		if on, _ := c.checker.TaskCounts(job.ID); on > 0 {
 			t.Errorf("%d of its tasks run on", on)
 		}
 		c.commandFaults.Store(nil)
-		c.state.Put(key, whole) // an operator mends it, and the next leader tidies up
+		c.store.Put(key, whole) // an operator mends it, and the next leader tidies up
 		c.startAll()
 		c.restart(c.leader(), time.Second)
 	})
--- a/internal/controller/cluster_end_test.go
+++ b/internal/controller/cluster_end_test.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// endFaults records that there are no faults from now on.
-func (c *cluster) endFaults() {
+// markFaultsEnded records that there are no faults from now on.
+func (c *cluster) markFaultsEnded() {
 	<-c.faultFreeSince
 	c.faultFreeSince <- time.Now()
 }
@@ -11,16 +11,16 @@
 // finish ends a test: with the faults over, all that was accepted has to be
 // served, and the ledger to be tidied up.
 func (c *cluster) finish() {
-	c.endFaults()
-	c.awaitAllServed()
+	c.markFaultsEnded()
+	c.awaitAllJobsEnded()
 	c.users.Wait()
 	c.await("all tasks gone", time.Minute, func() bool { on, _ := c.checker.TaskCounts(""); return on == 0 })
 	c.awaitLedgerCleanup()
 	c.reportViolations()
 }
 
-// awaitAllServed waits until all that was accepted is done or cancelled.
-func (c *cluster) awaitAllServed() {
+// awaitAllJobsEnded waits until all that was accepted is done or cancelled.
+func (c *cluster) awaitAllJobsEnded() {
 	c.t.Helper()
 	c.await("all jobs over", 6*time.Minute, func() bool { return len(c.checker.OpenJobs()) == 0 })
 	if open := c.checker.OpenJobs(); len(open) > 0 {
@@ -32,7 +32,7 @@
 func (c *cluster) awaitLedgerCleanup() {
 	c.t.Helper()
 	c.await("the ledger tidied up", time.Minute, func() bool {
-		return c.state.Count("fin/")+c.state.Count("host/")+c.state.Count("cell/away/") == 0
+		return c.store.Count("fin/")+c.store.Count("host/")+c.store.Count("cell/away/") == 0
 	})
 }
 
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -8,8 +8,8 @@
 	"leadproxy/internal/fake"
 )
 
-// onPath injects a fault that may be set into the requests of one path.
-func onPath(path string, trouble *atomic.Pointer[fake.FaultInjector]) fake.FaultInjector {
+// faultOnPath injects a fault that may be set into the requests of one path.
+func faultOnPath(path string, trouble *atomic.Pointer[fake.FaultInjector]) fake.FaultInjector {
 	return func(from string, r *http.Request) fake.InjectedFault {
 		if f := trouble.Load(); f != nil && r.URL.Path == path && r.Method == http.MethodPost {
 			return (*f)(from, r)
--- a/internal/controller/cluster_processes_test.go
+++ b/internal/controller/cluster_processes_test.go
@@ -13,7 +13,7 @@
 
 // start starts a controller's process.
 func (c *cluster) start(i int) {
-	n := c.nodes[i]
+	n := c.controllers[i]
 	ctx, cancel := context.WithCancel(context.Background())
 	n.host, n.cancel, n.done = c.net.Host(n.platform.Name), cancel, make(chan struct{})
 	handler := slog.Handler(slog.DiscardHandler)
@@ -37,7 +37,7 @@
 
 // kill ends a controller's process: from that moment on nothing of it is delivered.
 func (c *cluster) kill(i int) {
-	n := c.nodes[i]
+	n := c.controllers[i]
 	if n.cancel == nil {
 		return
 	}
@@ -56,7 +56,7 @@
 
 // startAll starts all controllers that are down.
 func (c *cluster) startAll() {
-	for i, n := range c.nodes {
+	for i, n := range c.controllers {
 		if n.cancel == nil {
 			c.start(i)
 		}
@@ -68,10 +68,10 @@
 	var h struct {
 		Node string `json:"node"`
 	}
-	if value := c.state.Value(election.LeaderKey); value == nil || json.Unmarshal(value, &h) != nil {
+	if value := c.store.Value(election.LeaderKey); value == nil || json.Unmarshal(value, &h) != nil {
 		return -1
 	}
-	for i, n := range c.nodes {
+	for i, n := range c.controllers {
 		if n.platform.Name == h.Node {
 			return i
 		}
@@ -82,7 +82,7 @@
 // follower is some controller that does not lead and is up.
 func (c *cluster) follower() int {
 	l := c.leader()
-	for i, n := range c.nodes {
+	for i, n := range c.controllers {
 		if i != l && n.cancel != nil {
 			return i
 		}
@@ -90,23 +90,23 @@
 	return -1
 }
 
-func (c *cluster) name(i int) string { return c.nodes[i].platform.Name }
+func (c *cluster) controllerName(i int) string { return c.controllers[i].platform.Name }
 
 // isolate cuts a controller from all others. With hold, what they send is delivered when
 // the connection is back, and else it is refused.
 func (c *cluster) isolate(i int, hold bool) {
-	for k := range c.nodes {
+	for k := range c.controllers {
 		if k != i {
-			c.net.Partition(c.name(i), c.name(k), hold)
+			c.net.Partition(c.controllerName(i), c.controllerName(k), hold)
 		}
 	}
 }
 
 // reconnect ends the isolation of a controller.
 func (c *cluster) reconnect(i int) {
-	for k := range c.nodes {
+	for k := range c.controllers {
 		if k != i {
-			c.net.Heal(c.name(i), c.name(k))
+			c.net.Heal(c.controllerName(i), c.controllerName(k))
 		}
 	}
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -24,13 +24,13 @@
 type cluster struct {
 	t             *testing.T
 	net           *fake.Network
-	state         *fake.KVStore
+	store         *fake.KVStore
 	cloud         *fake.Cloud
 	checker       *fake.Checker
-	nodes         []*controllerProcess
+	controllers   []*controllerProcess
 	users         *fake.Users
 	operator      settings.Operator
-	prefix        string // of its hosts' names
+	namePrefix    string // of its hosts' names
 	leaderActions *leaderActionChecker
 	// The faults of writes to the key-value store, commands, scale-outs, and deletions.
 	writeFaults, commandFaults, scaleOutFaults, deleteFaults atomic.Pointer[fake.FaultInjector]
@@ -40,8 +40,8 @@
 	faultFreeSince chan time.Time
 }
 
-// cellPlan is what one cell of several is made of.
-type cellPlan struct {
+// cellConfig is what one cell of several is made of.
+type cellConfig struct {
 	name     string
 	net      *fake.Network
 	checker  *fake.Checker
@@ -49,8 +49,8 @@
 	ownsJob  func(jobID string) bool // its users' jobs
 }
 
-// clusterPlan is what a cluster is made of. Zero values stand for the usual.
-type clusterPlan struct {
+// clusterConfig is what a cluster is made of. Zero values stand for the usual.
+type clusterConfig struct {
 	bootTime        time.Duration
 	maxMachines     int // the most there may be
 	teamLimits      map[string]float64
@@ -68,7 +68,7 @@
 	// slow by as much.
 	clockDrift float64
 	// cell, unless nil, is the cell of several that this cluster is.
-	cell        *cellPlan
+	cell        *cellConfig
 	oldVersions int // controllers that begin with the version before announcements
 	// ledger is what the key-value store holds at first.
 	ledger  map[string]string
@@ -104,7 +104,7 @@
 
 // runScenario runs a scenario on a cluster of its own and then checks that all
 // that was accepted is served, with the faults over.
-func runScenario(t *testing.T, p clusterPlan, scenario func(c *cluster)) {
+func runScenario(t *testing.T, p clusterConfig, scenario func(c *cluster)) {
 	t.Parallel()
 	for _, name := range []string{"jobs", "pipelines", "standby"} {
 		q := p
@@ -115,11 +115,11 @@
 
 // runScenarioOnce plays a scenario once; with pipelines, users also submit jobs that wait
 // for others all the time. With a standby, controllers take over on what they have followed.
-func runScenarioOnce(t *testing.T, p clusterPlan, pipelines bool, scenario func(c *cluster)) {
+func runScenarioOnce(t *testing.T, p clusterConfig, pipelines bool, scenario func(c *cluster)) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, p)
-		for i := range len(c.nodes) - p.notStarted {
+		for i := range len(c.controllers) - p.notStarted {
 			c.start(i)
 		}
 		c.await("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
@@ -130,7 +130,7 @@
 		scenario(c)
 		stop()
 		c.finish()
-		for i := range c.nodes {
+		for i := range c.controllers {
 			c.kill(i)
 		}
 		time.Sleep(5 * time.Second) // what is still being connected gives up
@@ -138,7 +138,7 @@
 }
 
 // newCluster makes a cluster whose controllers are not started yet.
-func newCluster(t *testing.T, p clusterPlan) *cluster {
+func newCluster(t *testing.T, p clusterConfig) *cluster {
 	t.Helper()
 	p.setDefaults()
 	c := &cluster{t: t, leaderActions: newLeaderActionChecker(t), faultFreeSince: make(chan time.Time, 1), operator: settings.Defaults()}
@@ -148,30 +148,30 @@
 		c.net = fake.NewNetwork(t)
 		c.checker = newChecker(t, p.timings.cancel, p.teamLimits)
 	} else {
-		c.net, c.checker, c.operator, c.prefix, ownsJob = p.cell.net, p.cell.checker, p.cell.operator, p.cell.name+"-", p.cell.ownsJob
+		c.net, c.checker, c.operator, c.namePrefix, ownsJob = p.cell.net, p.cell.checker, p.cell.operator, p.cell.name+"-", p.cell.ownsJob
 	}
 	c.operator.Standby.Follow, c.operator.Standby.SoftState = p.standby, p.standby
 	if p.budgets != nil {
 		c.operator.Rollouts = settings.Rollouts{Enabled: true, Budgets: *p.budgets}
 	}
-	c.state = fake.NewKVStore(t, c.net.Host(c.prefix+"state"), c.prefix+"state:1", onPath("/txn", &c.writeFaults))
-	c.state.SetClockDrift(p.clockDrift)
+	c.store = fake.NewKVStore(t, c.net.Host(c.namePrefix+"state"), c.namePrefix+"state:1", faultOnPath("/txn", &c.writeFaults))
+	c.store.SetClockDrift(p.clockDrift)
 	for key, value := range p.ledger {
-		c.state.Put(key, value)
+		c.store.Put(key, value)
 	}
-	c.nodes = newControllers(p, c.prefix)
+	c.controllers = newControllers(p, c.namePrefix)
 	var addresses []string
-	for _, n := range c.nodes {
+	for _, n := range c.controllers {
 		addresses = append(addresses, n.platform.PublicAddr)
 	}
-	c.users = fake.NewUsers(t, c.net.Host(c.prefix+"users"), addresses, c.checker, p.seed)
+	c.users = fake.NewUsers(t, c.net.Host(c.namePrefix+"users"), addresses, c.checker, p.seed)
 	c.cloud = c.newCloud(p)
-	go c.keepChecking(ownsJob)
+	go c.checkInvariantsPeriodically(ownsJob)
 	return c
 }
 
 // setDefaults fills in what a plan leaves open.
-func (p *clusterPlan) setDefaults() {
+func (p *clusterConfig) setDefaults() {
 	p.bootTime = cmp.Or(p.bootTime, 5*time.Second)
 	p.maxMachines = cmp.Or(p.maxMachines, 12)
 	p.writesPerSecond = cmp.Or(p.writesPerSecond, 100)
@@ -185,7 +185,7 @@
 var clusterZones = []string{"a", "b", "c"}
 
 // newControllers makes the controllers, one in each zone, which know each other.
-func newControllers(p clusterPlan, prefix string) (nodes []*controllerProcess) {
+func newControllers(p clusterConfig, prefix string) (nodes []*controllerProcess) {
 	for i, zone := range clusterZones {
 		name := fmt.Sprintf("%sn%d", prefix, i)
 		level := capability.CurrentLevel
@@ -206,7 +206,7 @@
 }
 
 // facts are the settings that all controllers have in common.
-func (p *clusterPlan) facts() settings.Facts {
+func (p *clusterConfig) facts() settings.Facts {
 	facts := settings.Facts{ControllerCount: len(clusterZones), Zones: clusterZones, ClockErrorMS: 5,
 		Workers:   settings.Workers{HeartbeatS: p.timings.heartbeat.Seconds(), LeaseS: p.timings.lease.Seconds(), CancelS: p.timings.cancel.Seconds()},
 		Store:     settings.StoreLimits{RPS: 2 * p.writesPerSecond, WriteRPS: p.writesPerSecond, ValueKB: 16, TxnOps: 32, Next: p.nextLimits},
@@ -219,26 +219,26 @@
 }
 
 // newCloud makes the cloud, whose workers know the controllers that the plan names.
-func (c *cluster) newCloud(p clusterPlan) *fake.Cloud {
+func (c *cluster) newCloud(p clusterConfig) *fake.Cloud {
 	var known []fake.ControllerAddress
-	for i, n := range c.nodes {
+	for i, n := range c.controllers {
 		if p.reportTo == nil || slices.Contains(p.reportTo, i) {
 			known = append(known, fake.ControllerAddress{Name: n.platform.Name, Addr: n.platform.PublicAddr})
 		}
 	}
-	return fake.NewCloud(c.t, c.net.Host(c.prefix+"cloud"), c.prefix+"cloud:1", fake.CloudConfig{
-		NamePrefix: c.prefix + "vm-",
+	return fake.NewCloud(c.t, c.net.Host(c.namePrefix+"cloud"), c.namePrefix+"cloud:1", fake.CloudConfig{
+		NamePrefix: c.namePrefix + "vm-",
 		Types:      []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: clusterZones}},
 		BootTime:   p.bootTime, ListLag: 2 * time.Second, MaxMachines: p.maxMachines,
 		Worker: fake.WorkerConfig{Controllers: known, HeartbeatInterval: p.timings.heartbeat, Lease: p.timings.lease + time.Duration(p.clockDrift*float64(p.timings.lease)), ImageFetchTime: 500 * time.Millisecond,
-			RunTime: p.runTime, Checker: c.checker, CommandFaults: onPath("/commands", &c.commandFaults)},
-		Faults:  firstFault(onPath("/machines", &c.scaleOutFaults), onPath("/machines/delete", &c.deleteFaults)),
+			RunTime: p.runTime, Checker: c.checker, CommandFaults: faultOnPath("/commands", &c.commandFaults)},
+		Faults:  firstFault(faultOnPath("/machines", &c.scaleOutFaults), faultOnPath("/machines/delete", &c.deleteFaults)),
 		NewHost: func(name string) (transport.Network, string) { return c.net.Host(name), name + ":9000" },
 	})
 }
 
-// keepChecking has the rules checked as long as the test runs.
-func (c *cluster) keepChecking(ownsJob func(jobID string) bool) {
+// checkInvariantsPeriodically has the rules checked as long as the test runs.
+func (c *cluster) checkInvariantsPeriodically(ownsJob func(jobID string) bool) {
 	for c.t.Context().Err() == nil {
 		transport.Pause(c.t.Context(), 2*time.Second)
 		since := <-c.faultFreeSince
--- a/internal/controller/federated_cells_test.go
+++ b/internal/controller/federated_cells_test.go
@@ -30,12 +30,12 @@
 	checker *fake.Checker
 	names   []string
 	cells   map[string]*cluster
-	// mustForward are the cells some of whose jobs must have run elsewhere in the end.
-	mustForward []string
+	// mustDelegate are the cells some of whose jobs must have run elsewhere in the end.
+	mustDelegate []string
 }
 
-// federationPlan is what the cells are made of.
-type federationPlan struct {
+// federationConfig is what the cells are made of.
+type federationConfig struct {
 	names       []string
 	maxMachines map[string]int      // by cell; 12 where not named
 	neighbours  map[string][]string // by cell; all others where not named
@@ -56,10 +56,10 @@
 	return func(jobID string) bool { return strings.HasPrefix(jobID, prefix) }
 }
 
-// operatorOf are the settings of a cell's controllers.
-func (p *federationPlan) operatorOf(cell string) settings.Operator {
+// operatorSettings are the settings of a cell's controllers.
+func (p *federationConfig) operatorSettings(cell string) settings.Operator {
 	o := settings.Defaults()
-	o.MaxMachines = p.maxMachinesOf(cell)
+	o.MaxMachines = p.maxMachinesIn(cell)
 	o.Cells.Name, o.Cells.DelegateJobs = cell, true
 	o.Cells.ShortageFor, o.Cells.MaxWait = 3*time.Second, 10*time.Second
 	o.Cells.Repeatable = map[string]bool{repeatableClass: true}
@@ -78,30 +78,30 @@
 	return o
 }
 
-func (p *federationPlan) maxMachinesOf(cell string) int {
+func (p *federationConfig) maxMachinesIn(cell string) int {
 	if n, ok := p.maxMachines[cell]; ok {
 		return n
 	}
 	return 12
 }
 
-func newFederation(t *testing.T, p federationPlan) *federatedCells {
+func newFederation(t *testing.T, p federationConfig) *federatedCells {
 	f := &federatedCells{t: t, net: fake.NewNetwork(t), checker: newChecker(t, cancelLimit, p.teamLimits), names: p.names, cells: map[string]*cluster{}}
 	for _, name := range p.names {
-		cell := &cellPlan{name: name, net: f.net, checker: f.checker, operator: p.operatorOf(name), ownsJob: f.ownsJob(name)}
-		f.cells[name] = newCluster(t, clusterPlan{maxMachines: p.maxMachinesOf(name), teamLimits: p.teamLimits, oldVersions: p.oldVersions[name], runTime: p.runTime, seed: p.seed, standby: p.standby, cell: cell})
+		cell := &cellConfig{name: name, net: f.net, checker: f.checker, operator: p.operatorSettings(name), ownsJob: f.ownsJob(name)}
+		f.cells[name] = newCluster(t, clusterConfig{maxMachines: p.maxMachinesIn(name), teamLimits: p.teamLimits, oldVersions: p.oldVersions[name], runTime: p.runTime, seed: p.seed, standby: p.standby, cell: cell})
 	}
 	return f
 }
 
 // runFederationScenario plays a scenario and then checks that all that was accepted is
 // served, once, and that no transfer is left.
-func runFederationScenario(t *testing.T, p federationPlan, scenario func(f *federatedCells)) {
+func runFederationScenario(t *testing.T, p federationConfig, scenario func(f *federatedCells)) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		f := newFederation(t, p)
 		for _, c := range f.cells {
-			for i := range c.nodes {
+			for i := range c.controllers {
 				c.start(i)
 			}
 		}
@@ -117,25 +117,25 @@
 func (f *federatedCells) finish() {
 	origin := f.cells[f.names[0]]
 	for _, c := range f.cells {
-		c.endFaults()
+		c.markFaultsEnded()
 	}
-	origin.awaitAllServed()
+	origin.awaitAllJobsEnded()
 	for _, c := range f.cells {
 		c.users.Wait()
 	}
 	origin.await("all tasks gone", time.Minute, func() bool { on, _ := f.checker.TaskCounts(""); return on == 0 })
 	for name, c := range f.cells {
 		c.awaitLedgerCleanup()
-		c.await("transfers released in "+name, 30*time.Second, func() bool { return len(f.foreignJobs(name, federation.ForeignAccepted)) == 0 })
+		c.await("transfers released in "+name, 30*time.Second, func() bool { return len(f.foreignJobKeys(name, federation.ForeignAccepted)) == 0 })
 	}
-	for _, name := range f.mustForward {
-		if len(f.forwardedJobs(name)) == 0 {
+	for _, name := range f.mustDelegate {
+		if len(f.delegatedJobIDs(name)) == 0 {
 			f.t.Errorf("no job of %s was accepted elsewhere", name)
 		}
 	}
 	origin.reportViolations()
 	for _, c := range f.cells {
-		for i := range c.nodes {
+		for i := range c.controllers {
 			c.kill(i)
 		}
 	}
@@ -157,9 +157,9 @@
 	return jobs
 }
 
-// foreignJobs lists the transfers of a neighbour that are in a state.
-func (f *federatedCells) foreignJobs(cell string, state federation.ForeignState) (keys []string) {
-	for key, value := range f.entries(cell, "cell/guest/") {
+// foreignJobKeys lists the transfers of a neighbour that are in a state.
+func (f *federatedCells) foreignJobKeys(cell string, state federation.ForeignState) (keys []string) {
+	for key, value := range f.storeEntries(cell, "cell/guest/") {
 		var r federation.ForeignRecord
 		if err := json.Unmarshal(value, &r); err != nil {
 			f.t.Errorf("%s: %v", key, err)
@@ -172,10 +172,10 @@
 	return keys
 }
 
-// entries are the keys of a cell under a prefix, with what they hold.
-func (f *federatedCells) entries(cell, prefix string) map[string]json.RawMessage {
+// storeEntries are the keys of a cell under a prefix, with what they hold.
+func (f *federatedCells) storeEntries(cell, prefix string) map[string]json.RawMessage {
 	values := map[string]json.RawMessage{}
-	for _, e := range f.cells[cell].state.History() {
+	for _, e := range f.cells[cell].store.History() {
 		switch {
 		case strings.HasPrefix(e.Set, prefix):
 			values[e.Set] = e.Value
@@ -186,11 +186,11 @@
 	return values
 }
 
-// forwardedJobs lists the jobs that another cell has accepted from one.
-func (f *federatedCells) forwardedJobs(origin string) []string {
+// delegatedJobIDs lists the jobs that another cell has accepted from one.
+func (f *federatedCells) delegatedJobIDs(origin string) []string {
 	jobIDs := map[string]bool{}
 	for _, c := range f.names {
-		for _, e := range f.cells[c].state.History() {
+		for _, e := range f.cells[c].store.History() {
 			if jobID, ok := strings.CutPrefix(e.Set, "cell/guest/"+origin+"/"); ok && strings.Contains(string(e.Value), string(federation.ForeignAccepted)) {
 				jobIDs[jobID] = true
 			}
@@ -203,7 +203,7 @@
 func (f *federatedCells) awaitDelegated(origin string, state federation.DelegatedState) (jobID, cell string) {
 	f.t.Helper()
 	f.awaitPrecisely("a transfer that is "+string(state), func() bool {
-		for key, value := range f.entries(origin, "cell/away/") {
+		for key, value := range f.storeEntries(origin, "cell/away/") {
 			var r federation.DelegatedRecord
 			if json.Unmarshal(value, &r) == nil && r.State == state {
 				jobID, cell = strings.TrimPrefix(key, "cell/away/"), r.Cell
@@ -237,28 +237,28 @@
 
 // eachLink calls do for each pair of controllers of two cells.
 func (f *federatedCells) eachLink(a, b string, do func(x, y string)) {
-	for _, x := range f.cells[a].nodes {
-		for _, y := range f.cells[b].nodes {
+	for _, x := range f.cells[a].controllers {
+		for _, y := range f.cells[b].controllers {
 			do(x.platform.Name, y.platform.Name)
 		}
 	}
 }
 
-// twoCells is a small cell beside one with room.
-func twoCells() federationPlan {
-	return federationPlan{names: []string{"a", "b"}, maxMachines: map[string]int{"a": 2}, runTime: func(string) time.Duration { return 12 * time.Second }}
+// twoCellConfig is a small cell beside one with room.
+func twoCellConfig() federationConfig {
+	return federationConfig{names: []string{"a", "b"}, maxMachines: map[string]int{"a": 2}, runTime: func(string) time.Duration { return 12 * time.Second }}
 }
 
-// expectForwarding has the end of the scenario check that jobs were forwarded at all.
-func (f *federatedCells) expectForwarding(origin string) {
-	f.mustForward = append(f.mustForward, origin)
+// expectDelegation has the end of the scenario check that jobs were forwarded at all.
+func (f *federatedCells) expectDelegation(origin string) {
+	f.mustDelegate = append(f.mustDelegate, origin)
 }
 
 // loseRequests loses what one cell's controllers send to the other's for a while.
 func (f *federatedCells) loseRequests(from, to string) {
 	f.awaitDelegated("a", federation.Accepted)
-	for _, x := range f.cells[from].nodes {
-		for _, y := range f.cells[to].nodes {
+	for _, x := range f.cells[from].controllers {
+		for _, y := range f.cells[to].controllers {
 			f.net.PartitionOneWay(x.platform.Name, y.platform.Name)
 		}
 	}
@@ -266,13 +266,13 @@
 	f.heal(from, to)
 }
 
-// restartWith restarts all controllers, one after the other, with other settings.
-func (f *federatedCells) restartWith(change func(o *settings.Operator)) {
+// restartAllWith restarts all controllers, one after the other, with other settings.
+func (f *federatedCells) restartAllWith(change func(o *settings.Operator)) {
 	for _, name := range f.names {
 		c := f.cells[name]
 		c.operator.Cells.Neighbours = slices.Clone(c.operator.Cells.Neighbours)
 		change(&c.operator)
-		for i := range c.nodes {
+		for i := range c.controllers {
 			c.restart(i, 2*time.Second)
 			time.Sleep(3 * time.Second)
 		}
--- a/internal/controller/federation_measure_test.go
+++ b/internal/controller/federation_measure_test.go
@@ -18,11 +18,11 @@
 // The measured load: one cell is asked for more than it has for five minutes, the others
 // for less. docs/operations-federation.md has the command.
 const (
-	measuredFor       = 5 * time.Minute
+	measuredDuration  = 5 * time.Minute
 	overloadInterval  = 2 * time.Second // jobs of 8 cores for 20 s: 80 cores of the 64 there are
 	lightLoadInterval = 5 * time.Second // 32 of 96
-	meanRun           = 20 * time.Second
-	measuredDue       = 90.0 // seconds
+	meanRunTime       = 20 * time.Second
+	measuredDeadline  = 90.0 // seconds
 	measuredSeeds     = 5
 )
 
@@ -32,14 +32,14 @@
 		jobID := wire.JobIDOfTask(task)
 		h := fnv.New64a()
 		fmt.Fprint(h, seed, jobID)
-		return meanRun/2 + time.Duration(rand.New(rand.NewPCG(h.Sum64(), 1)).Int64N(int64(meanRun)))
+		return meanRunTime/2 + time.Duration(rand.New(rand.NewPCG(h.Sum64(), 1)).Int64N(int64(meanRunTime)))
 	}
 }
 
 // cellMeasurements is what one cell's users saw.
 type cellMeasurements struct {
-	waits, ends []float64 // seconds to the start of the last task, and to the end
-	late, jobs  int
+	waitTimes, completionTimes []float64 // seconds to the start of the last task, and to the end
+	late, jobs                 int
 }
 
 func percentile(values []float64, share float64) float64 {
@@ -55,13 +55,13 @@
 func measureLoad(t *testing.T, seed uint64, spilling bool) (seen map[string]*cellMeasurements, spilled int) {
 	seen = map[string]*cellMeasurements{}
 	synctest.Test(t, func(t *testing.T) {
-		p := federationPlan{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 8}, runTime: jobRunTime(seed), seed: seed}
+		p := federationConfig{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 8}, runTime: jobRunTime(seed), seed: seed}
 		f := newFederation(t, p)
 		submitted := make(chan map[string]time.Time, 1)
 		submitted <- map[string]time.Time{}
 		for _, c := range f.cells {
 			c.operator.Cells.DelegateJobs = spilling
-			for i := range c.nodes {
+			for i := range c.controllers {
 				c.start(i)
 			}
 		}
@@ -73,9 +73,9 @@
 			}
 			random := rand.New(rand.NewPCG(seed, uint64(i)))
 			f.cells["a"].users.Go(func() {
-				for k, end := 0, time.Now().Add(measuredFor); time.Now().Before(end); k++ {
-					due := measuredDue
-					j := fake.NewJob(f.jobID(name, k), 4, func(j *wire.Job) { j.CPUs, j.EstimatedRunS, j.DeadlineS = 2, meanRun.Seconds(), &due })
+				for k, end := 0, time.Now().Add(measuredDuration); time.Now().Before(end); k++ {
+					due := measuredDeadline
+					j := fake.NewJob(f.jobID(name, k), 4, func(j *wire.Job) { j.CPUs, j.EstimatedRunS, j.DeadlineS = 2, meanRunTime.Seconds(), &due })
 					at := <-submitted
 					at[j.ID] = time.Now()
 					submitted <- at
@@ -86,7 +86,7 @@
 		}
 		f.cells["a"].users.Wait()
 		f.finish()
-		spilled = len(f.forwardedJobs("a"))
+		spilled = len(f.delegatedJobIDs("a"))
 		starts, ends := map[string]time.Time{}, map[string]time.Time{}
 		for _, run := range f.checker.TaskRuns() {
 			jobID := wire.JobIDOfTask(run.Task)
@@ -107,9 +107,9 @@
 				}
 				m := seen[name]
 				m.jobs++
-				m.waits = append(m.waits, starts[jobID].Sub(at).Seconds())
-				m.ends = append(m.ends, ends[jobID].Sub(at).Seconds())
-				if ends[jobID].Sub(at).Seconds() > measuredDue {
+				m.waitTimes = append(m.waitTimes, starts[jobID].Sub(at).Seconds())
+				m.completionTimes = append(m.completionTimes, ends[jobID].Sub(at).Seconds())
+				if ends[jobID].Sub(at).Seconds() > measuredDeadline {
 					m.late++
 				}
 			}
@@ -131,7 +131,7 @@
 					elsewhere = spilled
 				}
 				t.Logf("| %d | %v | %s | %d | %d | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.1f%% |", seed+1, spilling, name, m.jobs, elsewhere,
-					percentile(m.waits, 0.5), percentile(m.waits, 0.9), percentile(m.waits, 0.99), percentile(m.ends, 0.5), percentile(m.ends, 0.9), percentile(m.ends, 0.99),
+					percentile(m.waitTimes, 0.5), percentile(m.waitTimes, 0.9), percentile(m.waitTimes, 0.99), percentile(m.completionTimes, 0.5), percentile(m.completionTimes, 0.9), percentile(m.completionTimes, 0.99),
 					100*float64(m.late)/float64(m.jobs))
 			}
 		}
--- a/internal/controller/federation_test.go
+++ b/internal/controller/federation_test.go
@@ -15,14 +15,14 @@
 
 // TestOverflow: an overloaded cell's jobs run at its neighbours as well, and none twice.
 func TestOverflow(t *testing.T) {
-	p := federationPlan{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 2}, runTime: func(string) time.Duration { return 12 * time.Second }}
+	p := federationConfig{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 2}, runTime: func(string) time.Duration { return 12 * time.Second }}
 	runFederationScenario(t, p, func(f *federatedCells) {
 		f.overload("a", 16, nil)
-		f.expectForwarding("a")
-		f.cells["a"].awaitAllServed()
-		for _, jobID := range f.forwardedJobs("a") {
+		f.expectDelegation("a")
+		f.cells["a"].awaitAllJobsEnded()
+		for _, jobID := range f.delegatedJobIDs("a") {
 			for _, cell := range []string{"b", "c"} {
-				for _, change := range f.cells[cell].state.History() {
+				for _, change := range f.cells[cell].store.History() {
 					if change.Set == ledger.DelegatedKey(jobID) {
 						t.Errorf("%s is forwarded again by %s", jobID, cell)
 					}
@@ -45,7 +45,7 @@
 	"the origin's leader ends after the result": func(f *federatedCells) {
 		f.awaitDelegated("a", federation.Accepted)
 		f.awaitPrecisely("a result at the neighbour", func() bool {
-			for _, value := range f.entries("b", ledger.JobPrefix) {
+			for _, value := range f.storeEntries("b", ledger.JobPrefix) {
 				if rec, err := ledger.DecodeJobRecord("", value); err == nil && rec.Origin == "a" && rec.TerminalState != "" {
 					return true
 				}
@@ -56,12 +56,12 @@
 	},
 	"the origin cell loses its key-value store": func(f *federatedCells) {
 		f.awaitDelegated("a", federation.Accepted)
-		f.cells["a"].state.SetOutage(true)
+		f.cells["a"].store.SetOutage(true)
 		time.Sleep(25 * time.Second)
-		f.cells["a"].state.SetOutage(false)
+		f.cells["a"].store.SetOutage(false)
 	},
 	"the neighbour accepts and its answer is lost": func(f *federatedCells) {
-		f.awaitPrecisely("an accept", func() bool { return len(f.foreignJobs("b", federation.ForeignAccepted)) > 0 })
+		f.awaitPrecisely("an accept", func() bool { return len(f.foreignJobKeys("b", federation.ForeignAccepted)) > 0 })
 		f.partition("a", "b", false)
 		time.Sleep(20 * time.Second)
 		f.heal("a", "b")
@@ -89,7 +89,7 @@
 	"the origin is back as a new set of processes": func(f *federatedCells) {
 		f.awaitDelegated("a", federation.Accepted)
 		origin := f.cells["a"]
-		for i := range origin.nodes {
+		for i := range origin.controllers {
 			origin.kill(i)
 		}
 		time.Sleep(25 * time.Second)
@@ -97,7 +97,7 @@
 	},
 	"the neighbour ends and is back": func(f *federatedCells) {
 		f.awaitDelegated("a", federation.Accepted)
-		for i := range f.cells["b"].nodes {
+		for i := range f.cells["b"].controllers {
 			f.cells["b"].kill(i)
 		}
 		time.Sleep(30 * time.Second)
@@ -126,14 +126,14 @@
 func TestOverflowFaults(t *testing.T) {
 	for name, trouble := range federationFaults {
 		t.Run(name, func(t *testing.T) {
-			runFederationScenario(t, twoCells(), func(f *federatedCells) {
+			runFederationScenario(t, twoCellConfig(), func(f *federatedCells) {
 				f.cells["a"].users.Go(func() { trouble(f) })
 				jobs := f.overload("a", 14, nil)
 				for _, j := range jobs[8:11] {
 					f.cells["a"].users.Cancel(j)
 				}
 				f.cells["a"].users.Wait()
-				f.expectForwarding("a")
+				f.expectDelegation("a")
 			})
 		})
 	}
@@ -146,7 +146,7 @@
 		"crossing the accept": func(f *federatedCells) string {
 			jobID, _ := f.awaitDelegated("a", federation.Offered)
 			f.awaitPrecisely("its guest", func() bool {
-				return f.cells["b"].state.Value(ledger.ForeignKey(federation.ForeignKey{Origin: "a", JobID: jobID})) != nil
+				return f.cells["b"].store.Value(ledger.ForeignKey(federation.ForeignKey{Origin: "a", JobID: jobID})) != nil
 			})
 			return jobID
 		},
@@ -159,14 +159,14 @@
 	}
 	for name, moment := range moments {
 		t.Run(name, func(t *testing.T) {
-			runFederationScenario(t, twoCells(), func(f *federatedCells) {
+			runFederationScenario(t, twoCellConfig(), func(f *federatedCells) {
 				origin := f.cells["a"]
 				origin.users.Go(func() {
 					jobID := moment(f)
 					origin.users.Cancel(f.checker.Job(jobID))
 				})
 				f.overload("a", 10, nil)
-				f.expectForwarding("a")
+				f.expectDelegation("a")
 			})
 		})
 	}
@@ -175,7 +175,7 @@
 // TestOverflowCancelUnreachable: while the cell that may run a job can't be reached, its
 // cancellation gets 503 at once; it is confirmed when it can.
 func TestOverflowCancelUnreachable(t *testing.T) {
-	runFederationScenario(t, twoCells(), func(f *federatedCells) {
+	runFederationScenario(t, twoCellConfig(), func(f *federatedCells) {
 		origin := f.cells["a"]
 		origin.users.Go(func() {
 			jobID, _ := f.awaitDelegated("a", federation.Accepted)
@@ -198,14 +198,14 @@
 // TestOverflowReclaimed: a repeatable job is reclaimed from a neighbour that is cut off,
 // a strict one waits until its state is known.
 func TestOverflowReclaimed(t *testing.T) {
-	runFederationScenario(t, twoCells(), func(f *federatedCells) {
+	runFederationScenario(t, twoCellConfig(), func(f *federatedCells) {
 		origin := f.cells["a"]
 		origin.users.Go(func() {
 			f.awaitDelegated("a", federation.Accepted)
 			time.Sleep(5 * time.Second)
 			f.partition("a", "b", false)
 			time.Sleep(60 * time.Second)
-			for key, value := range f.entries("a", "cell/away/") {
+			for key, value := range f.storeEntries("a", "cell/away/") {
 				var r federation.DelegatedRecord
 				if err := json.Unmarshal(value, &r); err != nil || r.Repeatable != (r.State == federation.Returned) {
 					t.Errorf("%s after a minute without the neighbour: %s", key, value)
@@ -218,20 +218,20 @@
 				j.Class = repeatableClass
 			}
 		})
-		f.expectForwarding("a")
+		f.expectDelegation("a")
 	})
 }
 
 // TestOverflowBothOverloaded: cells that are both full offer each other nothing that goes back
 // and forth.
 func TestOverflowBothOverloaded(t *testing.T) {
-	p := twoCells()
+	p := twoCellConfig()
 	p.maxMachines["b"] = 2
 	runFederationScenario(t, p, func(f *federatedCells) {
 		f.cells["b"].users.Go(func() { f.overload("b", 12, nil) })
 		f.overload("a", 12, nil)
 		for _, c := range f.names {
-			for key := range f.entries(c, "cell/away/") {
+			for key := range f.storeEntries(c, "cell/away/") {
 				if !f.ownsJob(c)(strings.TrimPrefix(key, "cell/away/")) {
 					t.Errorf("%s: a guest of %s travels on", key, c)
 				}
@@ -243,12 +243,12 @@
 // TestOverflowRing: three cells, each of which knows the next alone, one overloaded and its
 // neighbour full as well.
 func TestOverflowRing(t *testing.T) {
-	p := federationPlan{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 2, "b": 4}, runTime: func(string) time.Duration { return 12 * time.Second },
+	p := federationConfig{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 2, "b": 4}, runTime: func(string) time.Duration { return 12 * time.Second },
 		neighbours: map[string][]string{"a": {"b"}, "b": {"c"}, "c": {"a"}}}
 	runFederationScenario(t, p, func(f *federatedCells) {
 		f.cells["b"].users.Go(func() { f.overload("b", 10, nil) })
 		f.overload("a", 12, nil)
-		if n := len(f.entries("c", "cell/guest/a/")); n > 0 {
+		if n := len(f.storeEntries("c", "cell/guest/a/")); n > 0 {
 			t.Errorf("%d jobs of a have come to c, which it does not know", n)
 		}
 	})
@@ -257,11 +257,11 @@
 // TestOverflowOldVersion: a cell in which an older version may be up accepts nothing, and
 // offers nothing.
 func TestOverflowOldVersion(t *testing.T) {
-	p := twoCells()
+	p := twoCellConfig()
 	p.oldVersions = map[string]int{"b": 1}
 	runFederationScenario(t, p, func(f *federatedCells) {
 		f.overload("a", 8, nil)
-		if n := f.cells["b"].state.Count("cell/"); n > 0 {
+		if n := f.cells["b"].store.Count("cell/"); n > 0 {
 			t.Errorf("%d transfers with a controller of the old version up", n)
 		}
 	})
@@ -269,11 +269,11 @@
 
 // TestOverflowTeamLimit: a team's limit in the origin cell holds for its tasks in both cells together.
 func TestOverflowTeamLimit(t *testing.T) {
-	p := twoCells()
+	p := twoCellConfig()
 	p.teamLimits = map[string]float64{"tight": 24}
 	runFederationScenario(t, p, func(f *federatedCells) {
 		f.overload("a", 14, func(_ int, j *wire.Job) { j.Team = "tight" })
-		f.expectForwarding("a")
+		f.expectDelegation("a")
 	})
 }
 
@@ -281,17 +281,17 @@
 // controllers restarted one after the other, as the operators' page has it. What is away
 // comes to its end, and nothing leaves or comes any more.
 func TestOverflowDrained(t *testing.T) {
-	runFederationScenario(t, twoCells(), func(f *federatedCells) {
+	runFederationScenario(t, twoCellConfig(), func(f *federatedCells) {
 		f.cells["a"].users.Go(func() { f.overload("a", 24, nil) })
 		f.awaitDelegated("a", federation.Accepted)
-		f.restartWith(func(o *settings.Operator) { o.Cells.Neighbours[0].Draining = true })
-		f.cells["a"].await("no job away", 2*time.Minute, func() bool { return f.cells["a"].state.Count("cell/away/") == 0 })
-		f.cells["b"].await("no guest", time.Minute, func() bool { return len(f.foreignJobs("b", federation.ForeignAccepted)) == 0 })
-		drained := len(f.forwardedJobs("a"))
-		f.restartWith(func(o *settings.Operator) { o.Cells = settings.Cells{} })
+		f.restartAllWith(func(o *settings.Operator) { o.Cells.Neighbours[0].Draining = true })
+		f.cells["a"].await("no job away", 2*time.Minute, func() bool { return f.cells["a"].store.Count("cell/away/") == 0 })
+		f.cells["b"].await("no guest", time.Minute, func() bool { return len(f.foreignJobKeys("b", federation.ForeignAccepted)) == 0 })
+		drained := len(f.delegatedJobIDs("a"))
+		f.restartAllWith(func(o *settings.Operator) { o.Cells = settings.Cells{} })
 		f.cells["a"].users.Go(func() { f.overload("a", 40, func(k int, j *wire.Job) { j.ID = f.jobID("a", 100+k) }) })
 		f.cells["a"].users.Wait()
-		if n := len(f.forwardedJobs("a")); drained == 0 || n != drained {
+		if n := len(f.delegatedJobIDs("a")); drained == 0 || n != drained {
 			t.Errorf("%d jobs ran elsewhere before the relation was drained, %d in the end", drained, n)
 		}
 	})
--- a/internal/controller/heartbeat_handler.go
+++ b/internal/controller/heartbeat_handler.go
@@ -38,22 +38,22 @@
 // term; other controllers forward them to the leader, and its responses back, and redirect
 // the workers to it when they can't.
 type heartbeatHandler struct {
-	node        string
-	elector     *election.Elector
-	guard       *dispatch.SendGuard
-	dispatcher  heartbeatDispatcher
-	peers       heartbeatForwarder
-	log         *slog.Logger
-	connections *connectionTracker
-	redirector  *redirector
-	direct      *recentCounter // heartbeats that have come straight here
-	forwarded   *recentCounter // heartbeats that other controllers have forwarded here
+	node                string
+	elector             *election.Elector
+	sendGuard           *dispatch.SendGuard
+	dispatcher          heartbeatDispatcher
+	peers               heartbeatForwarder
+	log                 *slog.Logger
+	connections         *connectionTracker
+	redirector          *redirector
+	directHeartbeats    *recentCounter // heartbeats that have come straight here
+	forwardedHeartbeats *recentCounter // heartbeats that other controllers have forwarded here
 }
 
 func newHeartbeatHandler(ctx context.Context, node string, e *election.Elector, dispatcher heartbeatDispatcher, peers heartbeatForwarder, connections *connectionTracker, log *slog.Logger) *heartbeatHandler {
 	h := &heartbeatHandler{
 		node: node, elector: e, dispatcher: dispatcher, peers: peers, log: log, connections: connections,
-		guard: dispatch.NewSendGuard(e, log), redirector: newRedirector(), direct: newRecentCounter(), forwarded: newRecentCounter(),
+		sendGuard: dispatch.NewSendGuard(e, log), redirector: newRedirector(), directHeartbeats: newRecentCounter(), forwardedHeartbeats: newRecentCounter(),
 	}
 	go h.redirector.run(ctx)
 	return h
@@ -69,7 +69,7 @@
 	ticker := time.NewTicker(connectInterval)
 	defer ticker.Stop()
 	for {
-		if leader := h.otherLeader(); leader != "" {
+		if leader := h.remoteLeader(); leader != "" {
 			h.peers.Connect(ctx, leader)
 		}
 		select {
@@ -80,8 +80,8 @@
 	}
 }
 
-// otherLeader names the leader if it is known and another controller.
-func (h *heartbeatHandler) otherLeader() string {
+// remoteLeader names the leader if it is known and another controller.
+func (h *heartbeatHandler) remoteLeader() string {
 	if view := h.elector.View(); view.Leader != h.node {
 		return view.Leader
 	}
@@ -92,23 +92,23 @@
 func (h *heartbeatHandler) serve(w http.ResponseWriter, request *http.Request, _ httprouter.Params) {
 	body, err := jobapi.ReadBody(w, request)
 	if err != nil {
-		jobapi.Write(w, problem(http.StatusBadRequest, err.Error()))
+		jobapi.Write(w, errorResponse(http.StatusBadRequest, err.Error()))
 		return
 	}
-	h.direct.increment()
+	h.directHeartbeats.increment()
 	response := h.handle(request.Context(), body)
-	h.connections.hangUpIfCrowded(w)
+	h.connections.requestCloseIfCrowded(w)
 	jobapi.Write(w, response)
 }
 
 // handle responds to a heartbeat that a worker has sent here.
 func (h *heartbeatHandler) handle(ctx context.Context, body []byte) jobapi.Response {
-	if leader := h.otherLeader(); leader != "" {
+	if leader := h.remoteLeader(); leader != "" {
 		return h.forward(ctx, leader, body)
 	}
 	heartbeat, err := wire.ParseHeartbeat(body)
 	if err != nil {
-		return h.malformed(err)
+		return h.rejectMalformed(err)
 	}
 	return h.respondAsLeader(ctx, heartbeat)
 }
@@ -134,7 +134,7 @@
 func (h *heartbeatHandler) respondAsLeader(ctx context.Context, heartbeat *wire.Heartbeat) jobapi.Response {
 	view := h.elector.View()
 	if !view.IsLeader(time.Now()) {
-		return redirectTo(h.otherLeader())
+		return redirectTo(h.remoteLeader())
 	}
 	open := int(h.connections.open.Load())
 	if target := h.redirector.target(ctx, heartbeat.Machine, open, h.dispatcher.ExpectedMachines()); target != "" {
@@ -143,24 +143,24 @@
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
 	reply, err := h.dispatcher.Heartbeat(ctx, heartbeat)
-	return h.response(view.Term, reply, err)
+	return h.makeResponse(view.Term, reply, err)
 }
 
 // ReceiveForwarded responds to a heartbeat that another controller has forwarded here.
 func (h *heartbeatHandler) ReceiveForwarded(ctx context.Context, body []byte, respond func(response func() jobapi.Response)) {
 	heartbeat, err := wire.ParseHeartbeat(body)
 	if err != nil {
-		respond(func() jobapi.Response { return h.malformed(err) })
+		respond(func() jobapi.Response { return h.rejectMalformed(err) })
 		return
 	}
-	h.forwarded.increment()
+	h.forwardedHeartbeats.increment()
 	view := h.elector.View()
 	if !view.IsLeader(time.Now()) {
-		respond(func() jobapi.Response { return redirectTo(h.otherLeader()) })
+		respond(func() jobapi.Response { return redirectTo(h.remoteLeader()) })
 		return
 	}
 	h.dispatcher.HeartbeatAsync(ctx, heartbeat, func(reply scheduler.HeartbeatReply, err error) {
-		respond(func() jobapi.Response { return h.response(view.Term, reply, err) })
+		respond(func() jobapi.Response { return h.makeResponse(view.Term, reply, err) })
 	})
 }
 
@@ -169,33 +169,33 @@
 	h.redirector.addForwarder(ctx, node)
 }
 
-// response makes the response to a worker of the dispatcher's reply, which may have waited. It is
+// makeResponse makes the response to a worker of the dispatcher's reply, which may have waited. It is
 // called right before the response is sent: past the term's end another leader may have begun, and
 // a 200 would keep the worker here; a start may have been withdrawn. A response that another
 // controller forwards reaches the worker a little later than that. It still renews the agent's
 // lease only from when the heartbeat was sent, within our term.
-func (h *heartbeatHandler) response(term uint64, reply scheduler.HeartbeatReply, err error) jobapi.Response {
+func (h *heartbeatHandler) makeResponse(term uint64, reply scheduler.HeartbeatReply, err error) jobapi.Response {
 	var response wire.HeartbeatResponse
 	if err == nil {
-		response, err = h.guard.FilterResponse(term, reply)
+		response, err = h.sendGuard.FilterResponse(term, reply)
 	}
 	switch {
 	case err == nil:
 		return jobapi.JSON(http.StatusOK, response)
 	case errors.Is(err, dispatch.ErrNotLeader):
-		return redirectTo(h.otherLeader())
+		return redirectTo(h.remoteLeader())
 	}
-	return problem(http.StatusServiceUnavailable, "the leader is not ready")
+	return errorResponse(http.StatusServiceUnavailable, "the leader is not ready")
 }
 
-// malformed responds to a body that is no heartbeat.
-func (h *heartbeatHandler) malformed(err error) jobapi.Response {
+// rejectMalformed responds to a body that is no heartbeat.
+func (h *heartbeatHandler) rejectMalformed(err error) jobapi.Response {
 	h.log.Info("malformed heartbeat", "error", err)
-	return problem(http.StatusBadRequest, err.Error())
+	return errorResponse(http.StatusBadRequest, err.Error())
 }
 
-// problem makes an error response.
-func problem(status int, text string) jobapi.Response {
+// errorResponse makes an error response.
+func errorResponse(status int, text string) jobapi.Response {
 	return jobapi.JSON(status, wire.ErrorResponse{Error: text})
 }
 
--- a/internal/controller/heartbeat_handler_test.go
+++ b/internal/controller/heartbeat_handler_test.go
@@ -47,7 +47,7 @@
 	}{
 		{"the leader's response is passed on", fakeForwarder{response: jobapi.JSON(200, wire.HeartbeatResponse{FencingToken: 7})}, 200, `{"baton":7,"orders":null}`, 0},
 		{"a controller that does not lead any more", fakeForwarder{response: redirectTo("n2")}, 421, `{"boss":"n2"}`, 0},
-		{"a malformed heartbeat", fakeForwarder{response: problem(400, "x")}, 400, `{"error":"x"}`, 0},
+		{"a malformed heartbeat", fakeForwarder{response: errorResponse(400, "x")}, 400, `{"error":"x"}`, 0},
 		{"no stream: the worker is redirected to the leader", fakeForwarder{err: peers.ErrNoStream}, 421, `{"boss":"n1"}`, 0},
 		{"a leader that is silent", fakeForwarder{}, 421, `{}`, heartbeatTimeout},
 	}
@@ -82,9 +82,9 @@
 	return scheduler.HeartbeatReply{Response: &wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{{Verb: wire.VerbStart, Task: "job-1/0", Attempt: 1}}}}, nil
 }
 
-// TestNoResponsePastTheTerm: a controller that is not in its term redirects workers, with no
+// TestNoResponseAfterTermEnd: a controller that is not in its term redirects workers, with no
 // commands, so that they find another controller before their leases end.
-func TestNoResponsePastTheTerm(t *testing.T) {
+func TestNoResponseAfterTermEnd(t *testing.T) {
 	e := election.New("n1", settings.Operator{LeaderLease: time.Second}, nil, discardLog)
 	handler := newHeartbeatHandler(t.Context(), "n1", e, termUnawareDispatcher{}, nil, &connectionTracker{}, discardLog)
 	body := []byte(`{"host":"vm-1","address":"10.1.0.1:9000","flavor":"m","room":"a","tenure":1,"tick":4,"baton":0,"pieces":[]}`)
@@ -105,5 +105,5 @@
 	}
 	// The term may end between the dispatcher's answer and its writing.
 	answer, err := termUnawareDispatcher{}.Heartbeat(t.Context(), nil)
-	check("decided in the term, written past it", handler.response(1, answer, err))
+	check("decided in the term, written past it", handler.makeResponse(1, answer, err))
 }
--- a/internal/controller/largest_cluster_test.go
+++ b/internal/controller/largest_cluster_test.go
@@ -17,7 +17,7 @@
 func TestLargestCluster(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, clusterPlan{maxMachines: largestCluster, reportTo: []int{0}, writesPerSecond: 400, runTime: longRunning(40 * time.Second)})
+		c := newCluster(t, clusterConfig{maxMachines: largestCluster, reportTo: []int{0}, writesPerSecond: 400, runTime: longRunning(40 * time.Second)})
 		c.start(1) // the only candidate so far
 		c.await("a leader", 20*time.Second, func() bool { return c.leader() == 1 })
 		c.start(0)
@@ -29,7 +29,7 @@
 		c.await("another leader", 20*time.Second, func() bool { return c.leader() != 1 && c.leader() >= 0 })
 		c.start(1)
 		c.finish()
-		for i := range c.nodes {
+		for i := range c.controllers {
 			c.kill(i)
 		}
 		time.Sleep(5 * time.Second)
--- a/internal/controller/leader_actions_test.go
+++ b/internal/controller/leader_actions_test.go
@@ -15,18 +15,18 @@
 // (Time alone orders them: a search for a linearization would find no other order.)
 type leaderActionChecker struct {
 	t      *testing.T
-	latest chan leaderAction // holds the latest one of the newest term
+	newest chan leaderAction // holds the latest one of the newest term
 }
 
 // leaderAction is the latest action of a term.
 type leaderAction struct {
-	term uint64
-	at   time.Time
+	term     uint64
+	loggedAt time.Time
 }
 
 func newLeaderActionChecker(t *testing.T) *leaderActionChecker {
-	d := &leaderActionChecker{t: t, latest: make(chan leaderAction, 1)}
-	d.latest <- leaderAction{}
+	d := &leaderActionChecker{t: t, newest: make(chan leaderAction, 1)}
+	d.newest <- leaderAction{}
 	return d
 }
 
@@ -43,13 +43,13 @@
 			return true
 		}
 		term := a.Value.Uint64()
-		newest := <-d.latest
+		newest := <-d.newest
 		if term < newest.term {
-			d.t.Errorf("term %d acts at %s, term %d has done so at %s", term, r.Time, newest.term, newest.at)
+			d.t.Errorf("term %d acts at %s, term %d has done so at %s", term, r.Time, newest.term, newest.loggedAt)
 		} else {
 			newest = leaderAction{term, r.Time}
 		}
-		d.latest <- newest
+		d.newest <- newest
 		return false
 	})
 	return nil
--- a/internal/controller/leader_transfer_test.go
+++ b/internal/controller/leader_transfer_test.go
@@ -12,14 +12,14 @@
 // TestLeadershipTransfer: the leadership moves to the controller that is named, within a
 // second, while jobs run, and is refused where no standby is complete.
 func TestLeadershipTransfer(t *testing.T) {
-	runScenario(t, clusterPlan{runTime: longRunning(20 * time.Second)}, func(c *cluster) {
+	runScenario(t, clusterConfig{runTime: longRunning(20 * time.Second)}, func(c *cluster) {
 		operator := c.net.Host("operator")
 		c.submitJobs(0, 4, time.Second, nil)
 		time.Sleep(3 * time.Second)
 		for range 4 {
 			was := c.leader()
-			to := (was + 1) % len(c.nodes)
-			reply, err := leadertransfer.RequestTransfer(c.t.Context(), operator, c.nodes[0].platform, c.name(to))
+			to := (was + 1) % len(c.controllers)
+			reply, err := leadertransfer.RequestTransfer(c.t.Context(), operator, c.controllers[0].platform, c.controllerName(to))
 			if !c.operator.Standby.Follow {
 				if err == nil || !strings.Contains(err.Error(), "has no standby") {
 					t.Errorf("without standbys: %v, %v", reply, err)
@@ -40,10 +40,10 @@
 	})
 }
 
-// TestStandbyApartFromLeader: standbys that can't reach the leader follow all the same, and
+// TestStandbyPartitionedFromLeader: standbys that can't reach the leader follow all the same, and
 // one of them leads on its copy when the leader ends.
-func TestStandbyApartFromLeader(t *testing.T) {
-	runScenarioOnce(t, clusterPlan{standby: true}, false, func(c *cluster) {
+func TestStandbyPartitionedFromLeader(t *testing.T) {
+	runScenarioOnce(t, clusterConfig{standby: true}, false, func(c *cluster) {
 		was := c.leader()
 		c.isolate(was, false)
 		c.submitJobs(0, 6, time.Second, nil)
@@ -60,7 +60,7 @@
 // standbyTable is the state of the standbys, as an operator sees it.
 func (c *cluster) standbyTable() string {
 	var table bytes.Buffer
-	if err := leadertransfer.WriteStatus(c.t.Context(), &table, c.net.Host("operator"), c.nodes[0].platform); err != nil {
+	if err := leadertransfer.WriteStatus(c.t.Context(), &table, c.net.Host("operator"), c.controllers[0].platform); err != nil {
 		c.t.Error(err)
 	}
 	return table.String()
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -19,18 +19,18 @@
 // TestLeaderRestarts: leaders end and restart, all controllers end, and one returns,
 // also within a second.
 func TestLeaderRestarts(t *testing.T) {
-	runWithSeeds(t, clusterPlan{runTime: longRunning(40 * time.Second)}, func(c *cluster, r *rand.Rand) {
+	runWithSeeds(t, clusterConfig{runTime: longRunning(40 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		c.submitJobs(0, 10, 300*time.Millisecond, nil)
 		for range 3 {
 			c.restart(c.leader(), randomDuration(r, 50*time.Millisecond, time.Second))
 			time.Sleep(randomDuration(r, 100*time.Millisecond, 6*time.Second))
 			c.await("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
 		}
-		for i := range c.nodes {
+		for i := range c.controllers {
 			c.kill(i)
 		}
 		time.Sleep(randomDuration(r, 100*time.Millisecond, time.Second))
-		c.start(r.IntN(len(c.nodes)))
+		c.start(r.IntN(len(c.controllers)))
 		time.Sleep(randomDuration(r, 4*time.Second, 10*time.Second))
 		c.startAll()
 		c.submitJobs(100, 4, 300*time.Millisecond, nil)
@@ -41,16 +41,16 @@
 func TestAllControllersDown(t *testing.T) {
 	for _, away := range []time.Duration{agentLease - time.Second, agentLease + time.Second, 2 * agentLease} {
 		t.Run(fmt.Sprint(away), func(t *testing.T) {
-			runScenario(t, clusterPlan{runTime: longRunning(50 * time.Second)}, func(c *cluster) {
+			runScenario(t, clusterConfig{runTime: longRunning(50 * time.Second)}, func(c *cluster) {
 				jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
 				c.awaitRunning(10)
 				c.users.Cancel(jobs[0])
 				time.Sleep(100 * time.Millisecond)
-				for i := range c.nodes {
+				for i := range c.controllers {
 					c.kill(i)
 				}
 				time.Sleep(away)
-				for i := range c.nodes {
+				for i := range c.controllers {
 					c.start(i)
 				}
 			})
@@ -58,27 +58,27 @@
 	}
 }
 
-// TestTenLeaders: leaders change ten times in two minutes, also inside an
+// TestTenLeaderChanges: leaders change ten times in two minutes, also inside an
 // outage.
-func TestTenLeaders(t *testing.T) {
-	runWithSeeds(t, clusterPlan{runTime: longRunning(50 * time.Second)}, func(c *cluster, r *rand.Rand) {
+func TestTenLeaderChanges(t *testing.T) {
+	runWithSeeds(t, clusterConfig{runTime: longRunning(50 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
 		for k := range 10 {
 			if l := c.leader(); l >= 0 {
 				c.restart(l, randomDuration(r, 100*time.Millisecond, 4*time.Second))
 			}
 			if k == 4 {
-				c.state.SetOutage(true)
+				c.store.SetOutage(true)
 			}
 			if k == 6 {
-				c.state.SetOutage(false)
+				c.store.SetOutage(false)
 			}
 			if k%3 == 0 {
 				c.users.Cancel(jobs[k])
 			}
 			time.Sleep(randomDuration(r, 2*time.Second, 12*time.Second))
 		}
-		c.state.SetOutage(false)
+		c.store.SetOutage(false)
 	})
 }
 
@@ -89,18 +89,18 @@
 	for _, hold := range []bool{false, true} {
 		for _, lasts := range []time.Duration{5 * time.Second, agentLease + 3*time.Second, cancelLimit + 15*time.Second} {
 			t.Run(fmt.Sprint(hold, lasts), func(t *testing.T) {
-				runScenario(t, clusterPlan{runTime: longRunning(80 * time.Second)}, func(c *cluster) {
+				runScenario(t, clusterConfig{runTime: longRunning(80 * time.Second)}, func(c *cluster) {
 					jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
 					c.awaitRunning(20)
 					lead := c.leader()
-					c.net.Partition(c.name(lead), "state", hold)
+					c.net.Partition(c.controllerName(lead), "state", hold)
 					c.isolate(lead, hold)
 					c.awaitNewTerm()
 					for _, j := range everyOther(jobs) {
 						c.users.Cancel(j)
 					}
 					time.Sleep(lasts)
-					c.net.Heal(c.name(lead), "state")
+					c.net.Heal(c.controllerName(lead), "state")
 					c.reconnect(lead)
 				})
 			})
@@ -111,7 +111,7 @@
 // TestTasksEndFarApart: the tasks of jobs of two or three end far apart, across a
 // change of leader.
 func TestTasksEndFarApart(t *testing.T) {
-	runWithSeeds(t, clusterPlan{maxMachines: 2, runTime: longRunning(40 * time.Second)}, func(c *cluster, r *rand.Rand) {
+	runWithSeeds(t, clusterConfig{maxMachines: 2, runTime: longRunning(40 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		// Too little room for all of a job at once.
 		c.submitJobs(0, 5, 200*time.Millisecond, func(k int, j *wire.Job) { j.Tasks, j.CPUs = 2+k%2, 5 })
 		time.Sleep(randomDuration(r, 10*time.Second, 50*time.Second))
@@ -134,7 +134,7 @@
 		"gone/vm-900002": `true`, "silent/7-1": `{"over_ms":946684800500,"machines":["vm-900001"]}`, "silent/7-2": `{"over_ms":0,"machines":[]}`,
 		"hire/h7-1": `{"hire":{"hire":"h7-1","flavor":"m8","room":"a","loaners":true,"number":2}}`,
 	}
-	runScenario(t, clusterPlan{ledger: ledger}, func(c *cluster) {
+	runScenario(t, clusterConfig{ledger: ledger}, func(c *cluster) {
 		for _, jobID := range []string{"job-800001", "job-800002", "job-800003"} {
 			c.checker.RecordSubmission(fake.NewJob(jobID, 5, nil), true)
 		}
@@ -176,7 +176,7 @@
 		return &f
 	}
 	const ok = fake.NoFault
-	runScenario(t, clusterPlan{runTime: func(task string) time.Duration {
+	runScenario(t, clusterConfig{runTime: func(task string) time.Duration {
 		if strings.HasPrefix(task, "job-000003/") {
 			return time.Hour
 		}
@@ -194,11 +194,11 @@
 		time.Sleep(5 * time.Second)
 		c.start(lead)
 		c.await("more tasks done", 60*time.Second, func() bool { _, done := c.checker.TaskCounts(""); return done > 30 })
-		for i := range c.nodes {
+		for i := range c.controllers {
 			c.kill(i)
 		}
 		time.Sleep(6 * time.Second)
-		for i := range c.nodes {
+		for i := range c.controllers {
 			c.start(i)
 		}
 	})
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -16,7 +16,7 @@
 
 // TestNoFailures: without faults all is served, and what can't be is refused.
 func TestNoFailures(t *testing.T) {
-	runScenario(t, clusterPlan{}, func(c *cluster) {
+	runScenario(t, clusterConfig{}, func(c *cluster) {
 		c.submitJobs(0, 6, time.Second, nil)
 		c.users.SendInvalid()
 		time.Sleep(30 * time.Second)
@@ -31,7 +31,7 @@
 // TestManySmallJobs: one-task jobs come four a second for minutes, a quarter of
 // them cancelled, which wants more writes than a small key-value store takes.
 func TestManySmallJobs(t *testing.T) {
-	runScenario(t, clusterPlan{writesPerSecond: 30, runTime: func(string) time.Duration { return 5 * time.Second }}, func(c *cluster) {
+	runScenario(t, clusterConfig{writesPerSecond: 30, runTime: func(string) time.Duration { return 5 * time.Second }}, func(c *cluster) {
 		for k := range 480 {
 			j := fake.NewJob(fmt.Sprintf("job-%06d", k), 1, nil)
 			c.users.Submit(j)
@@ -52,8 +52,8 @@
 
 // TestOverload: there is more work than room, urgent and not, over slow links.
 func TestOverload(t *testing.T) {
-	runScenario(t, clusterPlan{maxMachines: 4, runTime: longRunning(25 * time.Second)}, func(c *cluster) {
-		c.state.SetDelay(300 * time.Millisecond)
+	runScenario(t, clusterConfig{maxMachines: 4, runTime: longRunning(25 * time.Second)}, func(c *cluster) {
+		c.store.SetDelay(300 * time.Millisecond)
 		c.commandsDelayed = true
 		c.commandFaults.Store(c.randomFaults(0.2, fake.ResponseLost, 0, 0))
 		jobs := c.submitJobs(0, 24, 300*time.Millisecond, func(k int, j *wire.Job) {
@@ -63,7 +63,7 @@
 		c.users.Cancel(jobs[3])
 		time.Sleep(30 * time.Second)
 		c.kill(c.leader())
-		c.state.SetDelay(0)
+		c.store.SetDelay(0)
 		c.commandFaults.Store(nil)
 		time.Sleep(time.Minute)
 		c.startAll()
@@ -74,9 +74,9 @@
 // machines are cut off, hang or can't be asked, and the leader changes: what frees
 // room in the limit must surely be gone.
 func TestTeamLimitDuringFailover(t *testing.T) {
-	for name, away := range unreachableBy {
+	for name, away := range unreachableModes {
 		t.Run(name, func(t *testing.T) {
-			runScenario(t, clusterPlan{teamLimits: map[string]float64{"tight": 12, "open": 24}, runTime: longRunning(60 * time.Second)}, func(c *cluster) {
+			runScenario(t, clusterConfig{teamLimits: map[string]float64{"tight": 12, "open": 24}, runTime: longRunning(60 * time.Second)}, func(c *cluster) {
 				jobs := c.submitJobs(0, 12, 200*time.Millisecond, func(k int, j *wire.Job) {
 					j.Tasks, j.Team = 6, []string{"tight", "open"}[k/2%2]
 				})
@@ -107,7 +107,7 @@
 // TestZoneBoundJobs: jobs bound to one zone, arrays that have to stay
 // together or be spread too, lose machines.
 func TestZoneBoundJobs(t *testing.T) {
-	runWithSeeds(t, clusterPlan{runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
+	runWithSeeds(t, clusterConfig{runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		zone := "b"
 		c.submitJobs(0, 12, 300*time.Millisecond, func(k int, j *wire.Job) {
 			j.Tasks = 5
--- a/internal/controller/lost_term_test.go
+++ b/internal/controller/lost_term_test.go
@@ -9,13 +9,13 @@
 	"leadproxy/internal/fake"
 )
 
-// TestTermLostWithLivingLease guards against a controller that goes on as the leader after its
+// TestLeaderKeyRemovedWhileLeaseLives guards against a controller that goes on as the leader after its
 // ledger has stopped: the leader key was removed by hand, its lease lives on, and another controller
 // leads. Users reach the former leader as before.
-func TestTermLostWithLivingLease(t *testing.T) {
-	runScenarioOnce(t, clusterPlan{}, false, func(c *cluster) {
+func TestLeaderKeyRemovedWhileLeaseLives(t *testing.T) {
+	runScenarioOnce(t, clusterConfig{}, false, func(c *cluster) {
 		former := c.leader()
-		c.state.Remove(election.LeaderKey)
+		c.store.Remove(election.LeaderKey)
 		c.await("another leader", 30*time.Second, func() bool { return c.leader() >= 0 && c.leader() != former })
 		job := fake.NewJob("job-000001", 2, nil)
 		c.users.Submit(job)
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	// typesInterval is how often the machine types are read, as new ones may come.
-	typesInterval = 2 * time.Minute
+	// typesRefreshInterval is how often the machine types are read, as new ones may come.
+	typesRefreshInterval = 2 * time.Minute
 	// typesRetryInterval is how long to wait after they could not be read.
 	typesRetryInterval = time.Second
 )
 
-// watchTypes reads the machine types until they are known, and now and then after that.
-func watchTypes(ctx context.Context, cloud *autoscaler.Client, log *slog.Logger) jobapi.MachineTypes {
+// watchMachineTypes reads the machine types until they are known, and now and then after that.
+func watchMachineTypes(ctx context.Context, cloud *autoscaler.Client, log *slog.Logger) jobapi.MachineTypes {
 	var known atomic.Pointer[[]wire.MachineType]
 	go func() {
 		for ctx.Err() == nil {
-			wait := typesInterval
+			wait := typesRefreshInterval
 			types, err := cloud.Types(ctx)
 			if err == nil && len(types) > 0 {
 				known.Store(&types)
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -23,8 +23,8 @@
 	{"several ancestors", [][]int{{}, {}, {}, {0, 1, 2}, {3, 0}}},
 }
 
-// submitShape submits a pipeline, each job once those that it needs are accepted.
-func (c *cluster) submitShape(s pipelineShape, first int) (jobs []*wire.Job) {
+// submitPipeline submits a pipeline, each job once those that it needs are accepted.
+func (c *cluster) submitPipeline(s pipelineShape, first int) (jobs []*wire.Job) {
 	c.t.Helper()
 	jobID := func(stage int) string { return fmt.Sprintf("job-0%04d%d", first, stage) }
 	for stage, needs := range s.dependsOn {
@@ -54,30 +54,30 @@
 		{"the leader ends", func(c *cluster) { c.restart(c.leader(), 4*time.Second) }},
 		{"the leader ends and is back at once", func(c *cluster) { c.restart(c.leader(), 200*time.Millisecond) }},
 		{"all end", func(c *cluster) {
-			for i := range c.nodes {
+			for i := range c.controllers {
 				c.kill(i)
 			}
 			time.Sleep(3 * time.Second)
 			c.startAll()
 		}},
 		{"an outage", func(c *cluster) {
-			c.state.SetOutage(true)
+			c.store.SetOutage(true)
 			time.Sleep(50 * time.Second)
-			c.state.SetOutage(false)
+			c.store.SetOutage(false)
 		}},
 		{"the answers to writes are lost, then an outage", func(c *cluster) {
 			c.writeFaults.Store(c.randomFaults(1, fake.ResponseLost, 0, 0))
 			time.Sleep(2 * time.Second)
-			c.state.SetOutage(true)
+			c.store.SetOutage(true)
 			c.writeFaults.Store(nil)
 			time.Sleep(50 * time.Second)
-			c.state.SetOutage(false)
+			c.store.SetOutage(false)
 		}},
 		{"the leader alone is refused", func(c *cluster) {
 			lead := c.leader()
-			c.state.SetRefused(c.name(lead), true)
+			c.store.SetRefused(c.controllerName(lead), true)
 			time.Sleep(20 * time.Second)
-			c.state.SetRefused(c.name(lead), false)
+			c.store.SetRefused(c.controllerName(lead), false)
 		}},
 	}
 	// A job's tasks run for 8 s, and begin some 6 s after it is submitted, once there are
@@ -86,28 +86,28 @@
 	for _, s := range pipelineShapes {
 		for _, trouble := range troubles {
 			t.Run(s.name+", "+trouble.name, func(t *testing.T) {
-				runScenarioOnce(t, clusterPlan{maxMachines: 30}, false, func(c *cluster) {
+				runScenarioOnce(t, clusterConfig{maxMachines: 30}, false, func(c *cluster) {
 					time.Sleep(5 * time.Second) // all controllers know of one another
 					var pipelines [][]*wire.Job
 					for n := range moments {
-						pipelines = append(pipelines, c.submitShape(s, n))
+						pipelines = append(pipelines, c.submitPipeline(s, n))
 					}
 					began := time.Now()
 					for n, moment := range moments {
 						time.Sleep(time.Until(began.Add(moment)))
 						first := pipelines[n][0]
 						// At all controllers within a millisecond, then until it is answered.
-						for i := range c.nodes {
+						for i := range c.controllers {
 							c.users.Go(func() { c.users.Call(i, fake.RequestCancel, first.ID, nil) })
 						}
 						c.users.Cancel(first)
 						if n == len(moments)/2 {
 							c.users.Go(func() { trouble.play(c) })
 						}
-						c.queryAll(pipelines[n])
+						c.queryPipeline(pipelines[n])
 					}
 					time.Sleep(70 * time.Second)
-					ends := c.checkEndsAgree(pipelines)
+					ends := c.checkPipelineOutcomes(pipelines)
 					if trouble.name == "no trouble" && (ends[wire.JobDone] == 0 || ends[wire.JobCancelled] == 0) {
 						t.Errorf("the moments bring about only %v", ends)
 					}
@@ -117,16 +117,16 @@
 	}
 }
 
-// queryAll asks about all jobs of a pipeline at all controllers.
-func (c *cluster) queryAll(jobs []*wire.Job) {
+// queryPipeline asks about all jobs of a pipeline at all controllers.
+func (c *cluster) queryPipeline(jobs []*wire.Job) {
 	for _, j := range jobs {
 		c.users.Go(func() { c.users.QueryEverywhere(j.ID, j) })
 	}
 }
 
-// checkEndsAgree checks that pipelines whose first job was cancelled are cancelled
+// checkPipelineOutcomes checks that pipelines whose first job was cancelled are cancelled
 // whole, and the others done whole, and counts both.
-func (c *cluster) checkEndsAgree(pipelines [][]*wire.Job) map[string]int {
+func (c *cluster) checkPipelineOutcomes(pipelines [][]*wire.Job) map[string]int {
 	c.t.Helper()
 	ends := map[string]int{}
 	for _, jobs := range pipelines {
@@ -170,14 +170,14 @@
 		"job/job-800002": `{"job":{"ref":"job-800002","pieces":-7}}`, "job/job-800003": `[]`, "host/job-800002/0": `["vm-900001"]`,
 		"hire/h3-1": `{}`, "silent/3-1": `7`, "node/n1": `"none"`, "fence": `{}`, "gone/vm-900002": `{}`,
 	}
-	runScenario(t, clusterPlan{ledger: ledger}, func(c *cluster) {
+	runScenario(t, clusterConfig{ledger: ledger}, func(c *cluster) {
 		c.checker.RecordSubmission(fake.NewJob("job-800001", 2, nil), true)
 		c.users.Call(0, fake.RequestStatus, "job-800001", nil)
 		c.submitJobs(0, 5, time.Second, nil)
-		for i := range c.nodes {
+		for i := range c.controllers {
 			for _, jobID := range []string{"job-800002", "job-800003"} {
 				if code, _ := c.users.Call(i, fake.RequestStatus, jobID, nil); code < 500 && code != 0 {
-					t.Errorf("%s, whose record can't be read, gets %d at %s", jobID, code, c.name(i))
+					t.Errorf("%s, whose record can't be read, gets %d at %s", jobID, code, c.controllerName(i))
 				}
 			}
 		}
@@ -188,7 +188,7 @@
 		// An operator removes the keys that can't be read.
 		for key := range ledger {
 			if strings.HasPrefix(key, "host/") || strings.HasPrefix(key, "fin/") {
-				c.state.Remove(key)
+				c.store.Remove(key)
 			}
 		}
 	})
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -16,15 +16,15 @@
 
 // The times and bounds of judging the reachability.
 const (
-	reachabilityInterval = 500 * time.Millisecond
-	minSilence           = 3 * time.Second // a shorter silence shows nothing
-	reachabilityGrace    = 8 * time.Second // a new leader has yet to be found
-	minUnanswered        = 3               // fewer commands unanswered may be chance
-	// silentHeartbeats is how many heartbeats in a row can't fail to come by chance.
-	silentHeartbeats = 20
-	// lostPart is the part of the machines, as a divisor, that must come to another
+	reachabilityInterval  = 500 * time.Millisecond
+	minSilenceWindow      = 3 * time.Second // a shorter silence shows nothing
+	reachabilityGrace     = 8 * time.Second // a new leader has yet to be found
+	minUnansweredCommands = 3               // fewer commands unanswered may be chance
+	// minMissedHeartbeats is how many heartbeats in a row can't fail to come by chance.
+	minMissedHeartbeats = 20
+	// lostMachinesDivisor is the part of the machines, as a divisor, that must come to another
 	// controller: fewer may be workers that don't reach this one alone.
-	lostPart = 8
+	lostMachinesDivisor = 8
 )
 
 // reachabilityMonitor watches whether workers still reach the leader.
@@ -55,37 +55,37 @@
 			term, since = view.Term, time.Now()
 			continue
 		}
-		if time.Since(since) >= reachabilityGrace && m.workersLost(ctx, m.expectedMachines()) {
+		if time.Since(since) >= reachabilityGrace && m.workersUnreachable(ctx, m.expectedMachines()) {
 			m.log.Info("workers reach another controller but not this one, resigning", "leader_term", term, "machines", m.expectedMachines())
 			m.elector.Resign(term)
 		}
 	}
 }
 
-// workersLost reports whether the workers, of which so many should be sending heartbeats,
+// workersUnreachable reports whether the workers, of which so many should be sending heartbeats,
 // come to another controller instead: enough of them that it is not a single one that can't
 // reach this controller.
-func (m *reachabilityMonitor) workersLost(ctx context.Context, machines int) bool {
+func (m *reachabilityMonitor) workersUnreachable(ctx context.Context, machines int) bool {
 	window := m.silenceWindow(machines)
 	if machines == 0 || m.directHeartbeats.countWithin(window) > 0 {
 		return false
 	}
-	if m.forwardedHeartbeats.countWithin(window) > 0 && m.unansweredCommands() < minUnanswered {
+	if m.forwardedHeartbeats.countWithin(window) > 0 && m.unansweredCommands() < minUnansweredCommands {
 		return false // all workers may just have come to the others
 	}
-	heartbeats := m.mostAtOnePeer(ctx, window)
-	return heartbeats > 0 && heartbeats >= machines/lostPart
+	heartbeats := m.maxHeartbeatsAtPeer(ctx, window)
+	return heartbeats > 0 && heartbeats >= machines/lostMachinesDivisor
 }
 
-// silenceWindow is how long a silence of all machines can't be chance: silentHeartbeats
+// silenceWindow is how long a silence of all machines can't be chance: minMissedHeartbeats
 // should have come, or one of each machine.
 func (m *reachabilityMonitor) silenceWindow(machines int) time.Duration {
-	return max(minSilence, min(silentHeartbeats*m.heartbeatInterval/time.Duration(max(machines, 1)), m.heartbeatInterval*3/2))
+	return max(minSilenceWindow, min(minMissedHeartbeats*m.heartbeatInterval/time.Duration(max(machines, 1)), m.heartbeatInterval*3/2))
 }
 
-// mostAtOnePeer is how many heartbeats have come to another controller, the most that one of
+// maxHeartbeatsAtPeer is how many heartbeats have come to another controller, the most that one of
 // them reports.
-func (m *reachabilityMonitor) mostAtOnePeer(ctx context.Context, window time.Duration) int {
+func (m *reachabilityMonitor) maxHeartbeatsAtPeer(ctx context.Context, window time.Duration) int {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
 	counts := pingAll(ctx, m.peers, window)
--- a/internal/controller/recent_counter.go
+++ b/internal/controller/recent_counter.go
@@ -7,14 +7,14 @@
 
 // recentCounter counts what has happened in the last seconds.
 type recentCounter struct {
-	began   time.Time
-	seconds [32]struct{ number, count atomic.Int64 } // a ring
+	createdAt time.Time
+	seconds   [32]struct{ number, count atomic.Int64 } // a ring
 }
 
-func newRecentCounter() *recentCounter { return &recentCounter{began: time.Now()} }
+func newRecentCounter() *recentCounter { return &recentCounter{createdAt: time.Now()} }
 
 // currentSecond numbers the seconds, from 1.
-func (c *recentCounter) currentSecond() int64 { return int64(time.Since(c.began)/time.Second) + 1 }
+func (c *recentCounter) currentSecond() int64 { return int64(time.Since(c.createdAt)/time.Second) + 1 }
 
 // increment counts one.
 func (c *recentCounter) increment() {
--- a/internal/controller/redirector.go
+++ b/internal/controller/redirector.go
@@ -14,8 +14,8 @@
 
 // The times and bounds of redirecting workers.
 const (
-	redirectInterval   = 20 * time.Millisecond // one worker at a time
-	redirectAgainAfter = 2 * time.Minute       // the same one: it may not reach the others
+	redirectInterval = 20 * time.Millisecond // one worker at a time
+	redirectCooldown = 2 * time.Minute       // the same one: it may not reach the others
 	// A leader keeps a quarter of what would be an equal share, and so many more:
 	// the few of a small deployment are no burden.
 	leaderShareDivisor = 4
@@ -26,12 +26,12 @@
 // owned by the goroutine that executes run.
 type redirector struct {
 	forwarderCount atomic.Int64 // controllers that forward heartbeats here
-	connected      chan forwardingPeer
+	connected      chan forwarder
 	requests       chan redirectRequest
 }
 
-// forwardingPeer is a controller that forwards heartbeats here until done is closed.
-type forwardingPeer struct {
+// forwarder is a controller that forwards heartbeats here until done is closed.
+type forwarder struct {
 	node string
 	done <-chan struct{}
 }
@@ -43,13 +43,13 @@
 }
 
 func newRedirector() *redirector {
-	return &redirector{connected: make(chan forwardingPeer), requests: make(chan redirectRequest)}
+	return &redirector{connected: make(chan forwarder), requests: make(chan redirectRequest)}
 }
 
 // addForwarder adds a controller that forwards heartbeats here until ctx ends.
 func (r *redirector) addForwarder(ctx context.Context, node string) {
 	select {
-	case r.connected <- forwardingPeer{node: node, done: ctx.Done()}:
+	case r.connected <- forwarder{node: node, done: ctx.Done()}:
 	case <-ctx.Done():
 	}
 }
@@ -103,9 +103,9 @@
 
 // forwarderSet holds the controllers that have a stream to here, in the order of connecting.
 type forwarderSet struct {
-	nodes   []string
-	streams map[string]int // by node: an old stream may end after the new one has begun
-	turn    int
+	nodes      []string
+	streams    map[string]int // by node: an old stream may end after the new one has begun
+	roundRobin int
 }
 
 func (f *forwarderSet) add(node string) {
@@ -123,27 +123,27 @@
 
 // next returns the controllers one after the other.
 func (f *forwarderSet) next() string {
-	f.turn++
-	return f.nodes[f.turn%len(f.nodes)]
+	f.roundRobin++
+	return f.nodes[f.roundRobin%len(f.nodes)]
 }
 
 // redirectHistory limits how often workers are redirected.
 type redirectHistory struct {
 	// redirectedAt is when each worker was redirected, as long as that counts: one in
-	// redirectInterval, for up to twice redirectAgainAfter, which are 12,000.
-	redirectedAt map[string]time.Time
-	last, swept  time.Time
+	// redirectInterval, for up to twice redirectCooldown, which are 12,000.
+	redirectedAt              map[string]time.Time
+	lastRedirect, lastCleanup time.Time
 }
 
 // allow reports whether a worker may be redirected now, and notes it if so.
 func (h *redirectHistory) allow(machine string, now time.Time) bool {
-	if now.Sub(h.last) < redirectInterval || now.Sub(h.redirectedAt[machine]) < redirectAgainAfter {
+	if now.Sub(h.lastRedirect) < redirectInterval || now.Sub(h.redirectedAt[machine]) < redirectCooldown {
 		return false
 	}
-	if now.Sub(h.swept) >= redirectAgainAfter {
-		maps.DeleteFunc(h.redirectedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= redirectAgainAfter })
-		h.swept = now
+	if now.Sub(h.lastCleanup) >= redirectCooldown {
+		maps.DeleteFunc(h.redirectedAt, func(_ string, at time.Time) bool { return now.Sub(at) >= redirectCooldown })
+		h.lastCleanup = now
 	}
-	h.redirectedAt[machine], h.last = now, now
+	h.redirectedAt[machine], h.lastRedirect = now, now
 	return true
 }
--- a/internal/controller/redirector_test.go
+++ b/internal/controller/redirector_test.go
@@ -38,7 +38,7 @@
 		synctest.Wait()
 		check("only to a controller that still forwards", redirect("vm-3", 90), "n2")
 		check("also the next worker", redirect("vm-4", 90), "n2")
-		time.Sleep(redirectAgainAfter)
+		time.Sleep(redirectCooldown)
 		check("much later the same worker again", redirect("vm-1", 90), "n2")
 	})
 }
--- a/internal/controller/rollout_measure_test.go
+++ b/internal/controller/rollout_measure_test.go
@@ -16,34 +16,34 @@
 // The measured load keeps the machines full: jobs of two tasks of half a machine, two thirds
 // of which save their progress, due within twice their run.
 const (
-	drainedRun = 200 * time.Second
-	drainedDue = 2 * drainedRun
+	drainJobRunTime  = 200 * time.Second
+	drainJobDeadline = 2 * drainJobRunTime
 )
 
-// drainWay is a way to replace machines.
-type drainWay struct {
+// replacementMethod is a way to replace machines.
+type replacementMethod struct {
 	name string
-	// text is the rest of the plan; "": they are all returned at once, by hand.
-	text string
+	// planText is the rest of the plan; "": they are all returned at once, by hand.
+	planText string
 }
 
 // drainResult is what a replacement took and cost.
 type drainResult struct {
-	took, lost time.Duration
-	stopped    int // tasks
-	most       int // jobs of a team at once
-	late, jobs int
+	duration, lostTime time.Duration
+	stoppedTasks       int // tasks
+	maxInterrupted     int // jobs of a team at once
+	late, jobs         int
 }
 
 // measureDrain replaces machines in one way.
-func measureDrain(t *testing.T, machines int, seed uint64, way drainWay) (result drainResult) {
+func measureDrain(t *testing.T, machines int, seed uint64, way replacementMethod) (result drainResult) {
 	synctest.Test(t, func(t *testing.T) {
-		p := drainPlan(machines)
+		p := drainClusterConfig(machines)
 		p.seed, p.writesPerSecond = seed, 400
-		p.runTime = func(string) time.Duration { return drainedRun }
+		p.runTime = func(string) time.Duration { return drainJobRunTime }
 		p.budgets = &rollout.Budgets{TeamDefault: rollout.Budget{Share: 0.1, Window: drainWindow}}
 		c := newCluster(t, p)
-		for i := range c.nodes {
+		for i := range c.controllers {
 			c.start(i)
 		}
 		c.await("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
@@ -52,8 +52,8 @@
 		submit := func() {
 			j := fake.NewJob(fmt.Sprintf("job-%06d", next), 2, func(j *wire.Job) {
 				j.Team = []string{"open", "tight"}[next%2]
-				j.CPUs, j.EstimatedRunS = 4, drainedRun.Seconds()
-				due := drainedDue.Seconds()
+				j.CPUs, j.EstimatedRunS = 4, drainJobRunTime.Seconds()
+				due := drainJobDeadline.Seconds()
 				j.DeadlineS = &due
 				if next%3 != 0 {
 					j.CheckpointIntervalS, j.CheckpointDurationS = 10, 2
@@ -65,27 +65,27 @@
 		}
 		for range machines {
 			submit()
-			time.Sleep(drainedRun / time.Duration(machines))
+			time.Sleep(drainJobRunTime / time.Duration(machines))
 		}
 		time.Sleep(30 * time.Second)
 		old := c.machineNames()
 		began := time.Now()
-		if way.text == "" {
+		if way.planText == "" {
 			c.cloud.Terminate(old...)
-		} else if err := c.beginPlan("winter", "types = m8\n"+way.text); err != nil {
+		} else if err := c.createPlan("winter", "types = m8\n"+way.planText); err != nil {
 			t.Error(err)
 		}
-		for time.Since(began) < 6*time.Hour && c.anyOf(old) {
+		for time.Since(began) < 6*time.Hour && c.anyMachineExists(old) {
 			submit()
-			time.Sleep(drainedRun / time.Duration(machines))
+			time.Sleep(drainJobRunTime / time.Duration(machines))
 		}
-		result.took = time.Since(began)
-		c.endFaults()
-		c.awaitAllServed()
+		result.duration = time.Since(began)
+		c.markFaultsEnded()
+		c.awaitAllJobsEnded()
 		c.users.Wait()
-		result.count(c, accepted)
+		result.addJobs(c, accepted)
 		c.reportViolations()
-		for i := range c.nodes {
+		for i := range c.controllers {
 			c.kill(i)
 		}
 		time.Sleep(time.Minute)
@@ -93,8 +93,8 @@
 	return result
 }
 
-// anyOf reports whether any of the machines exists.
-func (c *cluster) anyOf(names []string) bool {
+// anyMachineExists reports whether any of the machines exists.
+func (c *cluster) anyMachineExists(names []string) bool {
 	there := map[string]bool{}
 	for _, name := range c.machineNames() {
 		there[name] = true
@@ -107,8 +107,8 @@
 	return false
 }
 
-// count takes what was lost and late from what the machines saw.
-func (r *drainResult) count(c *cluster, accepted map[string]time.Time) {
+// addJobs takes what was lost and late from what the machines saw.
+func (r *drainResult) addJobs(c *cluster, accepted map[string]time.Time) {
 	ends := map[string]time.Time{}
 	for _, run := range c.checker.TaskRuns() {
 		jobID := wire.JobIDOfTask(run.Task)
@@ -116,27 +116,27 @@
 			ends[jobID] = run.Ended
 		}
 		if !run.Completed {
-			r.stopped++
+			r.stoppedTasks++
 		}
 	}
 	for jobID, at := range accepted {
 		r.jobs++
-		if ends[jobID].Sub(at) > drainedDue {
+		if ends[jobID].Sub(at) > drainJobDeadline {
 			r.late++
 		}
 	}
-	for _, s := range c.missedStops() {
-		r.lost += s.Ended.Sub(s.Began)
+	for _, s := range c.interruptions() {
+		r.lostTime += s.Ended.Sub(s.Began)
 	}
 	for _, team := range []string{"open", "tight"} {
-		r.most = max(r.most, c.maxStoppedJobs(func(j *wire.Job) bool { return j.Team == team }))
+		r.maxInterrupted = max(r.maxInterrupted, c.maxInterruptedJobs(func(j *wire.Job) bool { return j.Team == team }))
 	}
 }
 
 // TestMeasureDrains replaces all machines in steps, one by one, and all at once.
 // docs/design-rollouts.md has the results, docs/operations-drain.md the command.
 func TestMeasureDrains(t *testing.T) {
-	ways := []drainWay{
+	ways := []replacementMethod{
 		{"in steps", "canary = 1\nbatch = 10%\nwait_s = 600\nhealth_s = 3600"},
 		{"one by one", "canary = 1\nbatch = 1\nwait_s = 600\nhealth_s = 3600"},
 		{"all at once", ""},
@@ -149,7 +149,7 @@
 				}
 				r := measureDrain(t, machines, seed, way)
 				t.Logf("%3d machines, seed %d, %-11s: %8s, %4d tasks stopped, %8s of waiting and repeated work, at most %3d jobs of a team at once, %3d of %4d jobs late",
-					machines, seed, way.name, r.took.Round(time.Second), r.stopped, r.lost.Round(time.Second), r.most, r.late, r.jobs)
+					machines, seed, way.name, r.duration.Round(time.Second), r.stoppedTasks, r.lostTime.Round(time.Second), r.maxInterrupted, r.late, r.jobs)
 			}
 		}
 	}
--- a/internal/controller/rollout_plans_test.go
+++ b/internal/controller/rollout_plans_test.go
@@ -26,14 +26,14 @@
 	return &rollout.Budgets{TeamDefault: rollout.Budget{Jobs: 2, Window: drainWindow}, ByGroup: map[rollout.Group]rollout.Budget{rollout.ClassGroup("rare"): {Jobs: 1, Window: drainWindow}}}
 }
 
-// drainPlan is a cluster whose machines can all be replaced.
-func drainPlan(machines int) clusterPlan {
-	return clusterPlan{maxMachines: 2 * machines, budgets: drainBudgets(), standby: true, runTime: func(string) time.Duration { return 300 * time.Second }}
+// drainClusterConfig is a cluster whose machines can all be replaced.
+func drainClusterConfig(machines int) clusterConfig {
+	return clusterConfig{maxMachines: 2 * machines, budgets: drainBudgets(), standby: true, runTime: func(string) time.Duration { return 300 * time.Second }}
 }
 
-// submitFilling has jobs run on about that many machines: of two teams, in turn those that save their
+// fillMachines has jobs run on about that many machines: of two teams, in turn those that save their
 // progress, those that don't, and those of a class that has a budget of its own.
-func (c *cluster) submitFilling(machines int) (jobs []*wire.Job) {
+func (c *cluster) fillMachines(machines int) (jobs []*wire.Job) {
 	jobs = c.submitJobs(0, machines, 300*time.Millisecond, func(k int, j *wire.Job) {
 		j.Team = []string{"open", "tight"}[k%2]
 		j.Tasks, j.CPUs, j.EstimatedRunS = 2, 4, 300
@@ -48,22 +48,22 @@
 	return jobs
 }
 
-// beginPlan begins a plan.
-func (c *cluster) beginPlan(name, text string) error {
-	_, err := rolloutservice.Create(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform, "[plan]\nname = "+name+"\n"+text)
+// createPlan begins a plan.
+func (c *cluster) createPlan(name, text string) error {
+	_, err := rolloutservice.Create(c.t.Context(), c.net.Host("operator"), c.controllers[0].platform, "[plan]\nname = "+name+"\n"+text)
 	return err
 }
 
-func (c *cluster) steer(name string, command rollout.Command, argument string) {
+func (c *cluster) steerPlan(name string, command rollout.Command, argument string) {
 	c.t.Helper()
-	if err := rolloutservice.Steer(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform, name, command, argument); err != nil {
+	if err := rolloutservice.Steer(c.t.Context(), c.net.Host("operator"), c.controllers[0].platform, name, command, argument); err != nil {
 		c.t.Errorf("%s %s: %v", command, name, err)
 	}
 }
 
-// plans is the state of the plans, as an operator sees it.
-func (c *cluster) plans() string {
-	list, err := rolloutservice.List(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform)
+// planTable is the state of the plans, as an operator sees it.
+func (c *cluster) planTable() string {
+	list, err := rolloutservice.List(c.t.Context(), c.net.Host("operator"), c.controllers[0].platform)
 	if err != nil {
 		return err.Error()
 	}
@@ -78,11 +78,11 @@
 func (c *cluster) awaitPlan(text string, limit time.Duration) {
 	c.t.Helper()
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(time.Second) {
-		if strings.Contains(c.plans(), text) {
+		if strings.Contains(c.planTable(), text) {
 			return
 		}
 	}
-	c.t.Errorf("not %q within %s:\n%s", text, limit, c.plans())
+	c.t.Errorf("not %q within %s:\n%s", text, limit, c.planTable())
 }
 
 // checkReplaced checks that none of some machines is there any more.
@@ -102,12 +102,14 @@
 	return names
 }
 
-// missedStops lists what tasks missed, by what the machines recorded.
-func (c *cluster) missedStops() []fake.Interruption { return fake.Interruptions(c.checker.TaskRuns()) }
+// interruptions lists what tasks missed, by what the machines recorded.
+func (c *cluster) interruptions() []fake.Interruption {
+	return fake.Interruptions(c.checker.TaskRuns())
+}
 
-// maxStoppedJobs is how many jobs of some were stopped at once at most.
-func (c *cluster) maxStoppedJobs(in func(j *wire.Job) bool) int {
-	return fake.MaxInterrupted(c.missedStops(), func(jobID string) bool { return in(c.checker.Job(jobID)) })
+// maxInterruptedJobs is how many jobs of some were stopped at once at most.
+func (c *cluster) maxInterruptedJobs(in func(j *wire.Job) bool) int {
+	return fake.MaxInterrupted(c.interruptions(), func(jobID string) bool { return in(c.checker.Job(jobID)) })
 }
 
 // checkBudgets checks what the machines recorded against the budgets; hit jobs may be more, of
@@ -115,19 +117,19 @@
 func (c *cluster) checkBudgets(hit int) {
 	c.t.Helper()
 	for _, team := range []string{"open", "tight"} {
-		if n := c.maxStoppedJobs(func(j *wire.Job) bool { return j.Team == team }); n > 2+hit {
+		if n := c.maxInterruptedJobs(func(j *wire.Job) bool { return j.Team == team }); n > 2+hit {
 			c.t.Errorf("%d jobs of team %s were stopped at once", n, team)
 		}
 	}
-	if n := c.maxStoppedJobs(func(j *wire.Job) bool { return j.Class == "rare" }); n > 1+hit {
+	if n := c.maxInterruptedJobs(func(j *wire.Job) bool { return j.Class == "rare" }); n > 1+hit {
 		c.t.Errorf("%d rare jobs were stopped at once", n)
 	}
 }
 
-// checkSomethingMoved checks that a scenario has moved anything at all.
-func (c *cluster) checkSomethingMoved() {
+// checkTasksMoved checks that a scenario has moved anything at all.
+func (c *cluster) checkTasksMoved() {
 	c.t.Helper()
-	if len(c.missedStops()) == 0 {
+	if len(c.interruptions()) == 0 {
 		c.t.Error("no task was moved")
 	}
 }
@@ -137,17 +139,17 @@
 func TestReplaceTwentyMachines(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			p := drainPlan(20)
+			p := drainClusterConfig(20)
 			p.seed = seed
 			r := rand.New(rand.NewPCG(seed, 7))
 			runScenarioOnce(t, p, false, func(c *cluster) {
-				c.submitFilling(20)
+				c.fillMachines(20)
 				old := c.machineNames()
-				if err := c.beginPlan("winter", "zones = a, b, c\nbatch = 25%\nwait_s = 400\nhealth_s = 400"); err != nil {
+				if err := c.createPlan("winter", "zones = a, b, c\nbatch = 25%\nwait_s = 400\nhealth_s = 400"); err != nil {
 					c.t.Error(err)
 					return
 				}
-				for k := 0; k < 200 && !strings.Contains(c.plans(), "finished"); k++ {
+				for k := 0; k < 200 && !strings.Contains(c.planTable(), "finished"); k++ {
 					time.Sleep(randomDuration(r, 2*time.Second, 30*time.Second))
 					if k%3 != 0 {
 						continue
@@ -164,67 +166,67 @@
 				}
 				c.awaitPlan("finished", 10*time.Minute)
 				c.checkReplaced(old)
-				c.checkSomethingMoved()
+				c.checkTasksMoved()
 				c.checkBudgets(0)
 			})
 		})
 	}
 }
 
-// TestDrainsShareABudget: two plans at once, and one that has a machine of theirs.
-func TestDrainsShareABudget(t *testing.T) {
-	runScenarioOnce(t, drainPlan(9), false, func(c *cluster) {
-		c.submitFilling(9)
+// TestConcurrentPlansShareBudgets: two plans at once, and one that has a machine of theirs.
+func TestConcurrentPlansShareBudgets(t *testing.T) {
+	runScenarioOnce(t, drainClusterConfig(9), false, func(c *cluster) {
+		c.fillMachines(9)
 		old := c.machineNames()
 		for name, machines := range map[string][]string{"first": old[:4], "second": old[4:]} {
-			if err := c.beginPlan(name, "machines = "+strings.Join(machines, ", ")+"\nbatch = 3\nwait_s = 20\nhealth_s = 400"); err != nil {
+			if err := c.createPlan(name, "machines = "+strings.Join(machines, ", ")+"\nbatch = 3\nwait_s = 20\nhealth_s = 400"); err != nil {
 				c.t.Error(err)
 				return
 			}
 		}
 		for text, want := range map[string]string{"types = m8": "already", "zones = z": "no machine is selected", "types = m8\nbatch = 200%": "at most 100%"} {
-			if err := c.beginPlan("third", text); err == nil || !strings.Contains(err.Error(), want) {
+			if err := c.createPlan("third", text); err == nil || !strings.Contains(err.Error(), want) {
 				c.t.Errorf("%q: %v", text, err)
 			}
 		}
 		c.awaitPlan("the budget of", 3*time.Minute)
-		for k := 0; k < 60 && strings.Count(c.plans(), "finished") < 2; k++ {
+		for k := 0; k < 60 && strings.Count(c.planTable(), "finished") < 2; k++ {
 			time.Sleep(20 * time.Second)
 			for _, j := range c.checker.OpenJobs() { // what can't save is moved at once
 				for _, name := range []string{"first", "second"} {
-					if strings.Contains(c.plans(), j+"/") && strings.Contains(c.plans(), "allow the job") {
-						rolloutservice.Steer(c.t.Context(), c.net.Host("operator"), c.nodes[0].platform, name, rollout.Allow, j)
+					if strings.Contains(c.planTable(), j+"/") && strings.Contains(c.planTable(), "allow the job") {
+						rolloutservice.Steer(c.t.Context(), c.net.Host("operator"), c.controllers[0].platform, name, rollout.Allow, j)
 					}
 				}
 			}
 		}
 		c.checkReplaced(old)
-		c.checkSomethingMoved()
+		c.checkTasksMoved()
 		c.checkBudgets(0)
 	})
 }
 
-// TestDrainAsksBeforeItKills: a long job that can't save its progress is left to end, and
+// TestDrainNeedsApprovalToStopJob: a long job that can't save its progress is left to end, and
 // then the operator is asked; what is skipped is used again.
-func TestDrainAsksBeforeItKills(t *testing.T) {
-	p := drainPlan(3)
+func TestDrainNeedsApprovalToStopJob(t *testing.T) {
+	p := drainClusterConfig(3)
 	p.runTime = func(string) time.Duration { return 300 * time.Second }
 	runScenarioOnce(t, p, false, func(c *cluster) {
 		jobs := c.submitJobs(0, 3, time.Second, func(_ int, j *wire.Job) { j.Tasks, j.CPUs, j.EstimatedRunS = 1, 8, 300 })
 		c.awaitRunning(3)
 		old := c.machineNames()
-		if err := c.beginPlan("winter", "types = m8\ncanary = 3\nwait_s = 30"); err != nil {
+		if err := c.createPlan("winter", "types = m8\ncanary = 3\nwait_s = 30"); err != nil {
 			c.t.Error(err)
 			return
 		}
 		c.awaitPlan("left to end", 3*time.Minute)
 		c.awaitPlan("allow the job", 2*time.Minute)
 		time.Sleep(20 * time.Second)
-		if n := len(c.missedStops()); n > 0 {
+		if n := len(c.interruptions()); n > 0 {
 			c.t.Errorf("%d tasks were stopped before anybody was asked", n)
 		}
-		c.steer("winter", rollout.Allow, jobs[0].ID)
-		c.steer("winter", rollout.Skip, old[1])
+		c.steerPlan("winter", rollout.Allow, jobs[0].ID)
+		c.steerPlan("winter", rollout.Skip, old[1])
 		c.awaitPlan("finished", 20*time.Minute)
 		c.checkBudgets(0)
 		if !slices.Contains(c.machineNames(), old[1]) && len(c.checker.OpenJobs()) > 0 {
@@ -246,9 +248,9 @@
 		}
 	},
 	"the key-value store is down": func(c *cluster, _ []string) {
-		c.state.SetOutage(true)
+		c.store.SetOutage(true)
 		time.Sleep(40 * time.Second)
-		c.state.SetOutage(false)
+		c.store.SetOutage(false)
 	},
 	"the leader pauses and resumes": func(c *cluster, _ []string) {
 		lead := c.leader()
@@ -284,11 +286,11 @@
 func TestDrainFaults(t *testing.T) {
 	for name, trouble := range drainFaults {
 		t.Run(name, func(t *testing.T) {
-			runScenarioOnce(t, drainPlan(8), false, func(c *cluster) {
+			runScenarioOnce(t, drainClusterConfig(8), false, func(c *cluster) {
 				c.commandsDelayed = true // in some, answers and commands come late
-				c.submitFilling(8)
+				c.fillMachines(8)
 				old := c.machineNames()
-				if err := c.beginPlan("winter", "types = m8\nbatch = 3\nwait_s = 400\nhealth_s = 400"); err != nil {
+				if err := c.createPlan("winter", "types = m8\nbatch = 3\nwait_s = 400\nhealth_s = 400"); err != nil {
 					c.t.Error(err)
 					return
 				}
@@ -310,21 +312,21 @@
 	}
 }
 
-// TestReplacementsThatNeverComeUp: with surge and no room in the cloud, the plan fails, and
+// TestSurgeReplacementsNeverBoot: with surge and no room in the cloud, the plan fails, and
 // the machines are used again.
-func TestReplacementsThatNeverComeUp(t *testing.T) {
-	p := drainPlan(4)
+func TestSurgeReplacementsNeverBoot(t *testing.T) {
+	p := drainClusterConfig(4)
 	p.maxMachines = 4
 	runScenarioOnce(t, p, false, func(c *cluster) {
-		c.submitFilling(4)
+		c.fillMachines(4)
 		old := c.machineNames()
-		if err := c.beginPlan("winter", "types = m8\ncanary = 2\nsurge = yes\nhealth_s = 60"); err != nil {
+		if err := c.createPlan("winter", "types = m8\ncanary = 2\nsurge = yes\nhealth_s = 60"); err != nil {
 			c.t.Error(err)
 			return
 		}
 		c.awaitPlan("replacements: 0 of 2", 3*time.Minute)
 		c.awaitPlan("failed", 3*time.Minute)
-		if n := len(c.missedStops()); n > 0 || len(c.machineNames()) != len(old) {
+		if n := len(c.interruptions()); n > 0 || len(c.machineNames()) != len(old) {
 			c.t.Errorf("%d tasks were stopped, %d machines are left", n, len(c.machineNames()))
 		}
 	})
@@ -332,10 +334,10 @@
 
 // TestSurge: replacements come first, and a new leader does not scale out for them again.
 func TestSurge(t *testing.T) {
-	runScenarioOnce(t, drainPlan(6), false, func(c *cluster) {
-		c.submitFilling(6)
+	runScenarioOnce(t, drainClusterConfig(6), false, func(c *cluster) {
+		c.fillMachines(6)
 		old := c.machineNames()
-		if err := c.beginPlan("winter", "types = m8\ncanary = 2\nbatch = 2\nsurge = yes\nwait_s = 400"); err != nil {
+		if err := c.createPlan("winter", "types = m8\ncanary = 2\nbatch = 2\nsurge = yes\nwait_s = 400"); err != nil {
 			c.t.Error(err)
 			return
 		}
--- a/internal/controller/scenario_steps_test.go
+++ b/internal/controller/scenario_steps_test.go
@@ -47,12 +47,12 @@
 
 // awaitNewTerm waits until another controller leads than did, or the same in a new term.
 func (c *cluster) awaitNewTerm() {
-	was := c.state.Version(election.LeaderKey)
-	c.await("another leader", 30*time.Second, func() bool { return c.leader() >= 0 && c.state.Version(election.LeaderKey) != was })
+	was := c.store.Version(election.LeaderKey)
+	c.await("another leader", 30*time.Second, func() bool { return c.leader() >= 0 && c.store.Version(election.LeaderKey) != was })
 }
 
-// unreachableBy are the ways in which a machine is unreachable.
-var unreachableBy = map[string]func(w *fake.Worker, on bool){
+// unreachableModes are the ways in which a machine is unreachable.
+var unreachableModes = map[string]func(w *fake.Worker, on bool){
 	"hang": (*fake.Worker).SetHung, "deaf": (*fake.Worker).SetInboundCut, "mute": (*fake.Worker).SetOutboundCut,
 }
 
@@ -66,7 +66,7 @@
 
 // runWithSeeds runs a scenario with several seeds, since where the faults fall is
 // left to chance in some.
-func runWithSeeds(t *testing.T, p clusterPlan, scenario func(c *cluster, r *rand.Rand)) {
+func runWithSeeds(t *testing.T, p clusterConfig, scenario func(c *cluster, r *rand.Rand)) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			p := p
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -24,7 +24,7 @@
 	c.jobs.RegisterRoutes(router)
 	router.POST("/v1/report", c.heartbeats.serve)
 	grpcServer := peers.NewServer(peers.ServerConfig{
-		Jobs: c.jobs, Heartbeats: c.heartbeats, GrantExtension: c.elector.GrantExtension, DirectHeartbeats: c.heartbeats.direct.countWithin,
+		Jobs: c.jobs, Heartbeats: c.heartbeats, GrantExtension: c.elector.GrantExtension, DirectHeartbeats: c.heartbeats.directHeartbeats.countWithin,
 	})
 	cellpb.RegisterCellServer(grpcServer, c.services.cells)
 	handoverpb.RegisterHandoverServer(grpcServer, c.services.leaderTransfer)
--- a/internal/controller/sockets.go
+++ b/internal/controller/sockets.go
@@ -15,9 +15,9 @@
 // they are closed; a client that finds no socket left does not even learn so, health checks
 // included.
 type socketBudget struct {
-	inbound     int // users, workers and health checks
-	hangUpAbove int // inbound, from here on workers are asked to hang up after each response
-	commands    int // commands to workers in flight
+	inbound    int // users, workers and health checks
+	closeAbove int // inbound, from here on workers are asked to hang up after each response
+	commands   int // commands to workers in flight
 	// idle is how many connections to workers are kept between two commands while at most
 	// scarceAbove inbound ones are open, idleWhenScarce how many beyond.
 	scarceAbove, idle, idleWhenScarce int
@@ -42,14 +42,14 @@
 		scarceAbove: r.Sockets * 3 / 8,
 		idle:        max(minIdle, r.Sockets*3/8),
 	}
-	budget.hangUpAbove = budget.inbound * 7 / 8
+	budget.closeAbove = budget.inbound * 7 / 8
 	return budget
 }
 
 // connectionTracker counts the inbound connections of users and workers.
 type connectionTracker struct {
 	open        atomic.Int64
-	hangUpAbove int64
+	closeAbove  int64
 	scarceAbove int64
 	closeIdle   func() // called as sockets become scarce; nil: nothing to be done
 }
@@ -69,10 +69,10 @@
 	}
 }
 
-// hangUpIfCrowded asks a worker to hang up where connections are short: it comes back for
+// requestCloseIfCrowded asks a worker to hang up where connections are short: it comes back for
 // its next heartbeat, and between two of them other clients can be served.
-func (t *connectionTracker) hangUpIfCrowded(w http.ResponseWriter) {
-	if t.open.Load() > t.hangUpAbove {
+func (t *connectionTracker) requestCloseIfCrowded(w http.ResponseWriter) {
+	if t.open.Load() > t.closeAbove {
 		w.Header().Set("Connection", "close")
 	}
 }
--- a/internal/controller/sockets_test.go
+++ b/internal/controller/sockets_test.go
@@ -16,23 +16,23 @@
 	"leadproxy/internal/settings"
 )
 
-// pipes is a listener without a network, so that a test needs no real time.
-type pipes chan net.Conn
+// pipeListener is a listener without a network, so that a test needs no real time.
+type pipeListener chan net.Conn
 
-func (p pipes) Accept() (net.Conn, error) {
+func (p pipeListener) Accept() (net.Conn, error) {
 	c, ok := <-p
 	if !ok {
 		return nil, net.ErrClosed
 	}
 	return c, nil
 }
-func (p pipes) Close() error   { close(p); return nil }
-func (p pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p pipeListener) Close() error   { close(p); return nil }
+func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// TestManyWorkersLeaveRoomForOthers: more workers than there are sockets send heartbeats
+// TestResponsesWithMoreWorkersThanSockets: more workers than there are sockets send heartbeats
 // round after round on connections that they keep, and some have died with theirs open. All
 // get a response, and so does a health check.
-func TestManyWorkersLeaveRoomForOthers(t *testing.T) {
+func TestResponsesWithMoreWorkersThanSockets(t *testing.T) {
 	cases := []struct {
 		name          string
 		sockets       int
@@ -46,10 +46,10 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				budget := divideSockets(settings.Resources{Sockets: c.sockets})
-				connections := &connectionTracker{hangUpAbove: int64(budget.hangUpAbove)}
-				listener := make(pipes, 1000)
+				connections := &connectionTracker{closeAbove: int64(budget.closeAbove)}
+				listener := make(pipeListener, 1000)
 				web := newHTTPServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-					connections.hangUpIfCrowded(w)
+					connections.requestCloseIfCrowded(w)
 					w.WriteHeader(http.StatusOK)
 				}), connections, time.Minute, slog.New(slog.NewTextHandler(io.Discard, nil)))
 				go web.Serve(netutil.LimitListener(listener, budget.inbound))
@@ -111,9 +111,9 @@
 	}
 }
 
-// TestSocketsAddUp: the connections that are kept to workers, with all others, never take
+// TestSocketBudgetWithinLimit: the connections that are kept to workers, with all others, never take
 // more sockets than there are, however many come in.
-func TestSocketsAddUp(t *testing.T) {
+func TestSocketBudgetWithinLimit(t *testing.T) {
 	for _, sockets := range []int{16, 64, 1000, 2928, 3500} {
 		budget := divideSockets(settings.Resources{Sockets: sockets})
 		rest := sockets / 16
--- a/internal/controller/soft_state_measure_test.go
+++ b/internal/controller/soft_state_measure_test.go
@@ -19,9 +19,9 @@
 		for _, hinted := range []bool{false, true} {
 			t.Run(fmt.Sprintf("%d/hints=%t", round, hinted), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					c := newCluster(t, clusterPlan{maxMachines: largestCluster, writesPerSecond: 400, runTime: longRunning(3 * time.Minute), standby: true, seed: uint64(round)})
+					c := newCluster(t, clusterConfig{maxMachines: largestCluster, writesPerSecond: 400, runTime: longRunning(3 * time.Minute), standby: true, seed: uint64(round)})
 					c.operator.Standby.SoftState = hinted
-					for i := range c.nodes {
+					for i := range c.controllers {
 						c.start(i)
 					}
 					c.await("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
@@ -34,7 +34,7 @@
 					time.Sleep(30 * time.Second)
 					c.startAll()
 					c.finish()
-					for i := range c.nodes {
+					for i := range c.controllers {
 						c.kill(i)
 					}
 					time.Sleep(5 * time.Second)
--- a/internal/controller/standby_test.go
+++ b/internal/controller/standby_test.go
@@ -27,25 +27,25 @@
 
 func (c *cluster) eachLink(i int, do func(a, b string)) {
 	for _, service := range []string{"state", "cloud", "users"} {
-		do(c.name(i), service)
+		do(c.controllerName(i), service)
 	}
-	for k := range c.nodes {
+	for k := range c.controllers {
 		if k != i {
-			do(c.name(i), c.name(k))
+			do(c.controllerName(i), c.controllerName(k))
 		}
 	}
 	for _, w := range c.cloud.Workers() {
-		do(c.name(i), w.Name())
+		do(c.controllerName(i), w.Name())
 	}
 }
 
-// pauseAt has the leader paused as soon as a message of it with some text arrives, which
+// pauseLeaderAt has the leader paused as soon as a message of it with some text arrives, which
 // then gets that fault. paused reports that it has happened.
-func (c *cluster) pauseAt(text string, fate fake.InjectedFault) (trouble *fake.FaultInjector, paused *atomic.Bool) {
+func (c *cluster) pauseLeaderAt(text string, fate fake.InjectedFault) (trouble *fake.FaultInjector, paused *atomic.Bool) {
 	paused = &atomic.Bool{}
 	f := fake.FaultInjector(func(from string, r *http.Request) fake.InjectedFault {
 		lead := c.leader()
-		if lead < 0 || from != c.name(lead) {
+		if lead < 0 || from != c.controllerName(lead) {
 			return fake.InjectedFault{}
 		}
 		body, err := io.ReadAll(r.Body)
@@ -58,9 +58,9 @@
 	return &f, paused
 }
 
-// TestLeaderPausedInAStep: the leader is suspended in the middle of a decision, at each of
+// TestLeaderPausedMidDecision: the leader is suspended in the middle of a decision, at each of
 // its steps, while another one takes over, and then continues with what it was about to do.
-func TestLeaderPausedInAStep(t *testing.T) {
+func TestLeaderPausedMidDecision(t *testing.T) {
 	late := fake.InjectedFault{Kind: fake.Delayed, Delay: pauseTime + time.Second}
 	steps := []struct {
 		name, text string
@@ -78,10 +78,10 @@
 	}
 	for _, step := range steps {
 		t.Run(step.name, func(t *testing.T) {
-			runScenario(t, clusterPlan{runTime: longRunning(40 * time.Second)}, func(c *cluster) {
+			runScenario(t, clusterConfig{runTime: longRunning(40 * time.Second)}, func(c *cluster) {
 				c.commandsDelayed = true // its commands and answers arrive late
 				lead := c.leader()
-				trouble, paused := c.pauseAt(step.text, step.fate)
+				trouble, paused := c.pauseLeaderAt(step.text, step.fate)
 				if step.messages(c) == &c.scaleOutFaults { // what is rented first is enough
 					c.scaleOutFaults.Store(trouble)
 					c.submitJobs(0, 4, 300*time.Millisecond, nil)
@@ -108,9 +108,9 @@
 func (c *cluster) commandFaultsOf() *atomic.Pointer[fake.FaultInjector]  { return &c.commandFaults }
 func (c *cluster) scaleOutFaultsOf() *atomic.Pointer[fake.FaultInjector] { return &c.scaleOutFaults }
 
-// TestTwoLeadersEnd: the leader ends, and its successor within a second of having won.
-func TestTwoLeadersEnd(t *testing.T) {
-	runWithSeeds(t, clusterPlan{runTime: longRunning(40 * time.Second)}, func(c *cluster, r *rand.Rand) {
+// TestSuccessorFailsWithinASecond: the leader ends, and its successor within a second of having won.
+func TestSuccessorFailsWithinASecond(t *testing.T) {
+	runWithSeeds(t, clusterConfig{runTime: longRunning(40 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
 		c.awaitRunning(10)
 		for range 2 {
@@ -137,10 +137,10 @@
 	c.t.Error("no other leader")
 }
 
-// TestLastMomentOfATerm: jobs are accepted, cancelled and finished within the last
+// TestRequestsAtTermEnd: jobs are accepted, cancelled and finished within the last
 // milliseconds of a term, whose last writes are carried out and never answered.
-func TestLastMomentOfATerm(t *testing.T) {
-	runWithSeeds(t, clusterPlan{runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
+func TestRequestsAtTermEnd(t *testing.T) {
+	runWithSeeds(t, clusterConfig{runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		jobs := c.submitJobs(0, 8, 300*time.Millisecond, nil)
 		c.awaitRunning(10)
 		for k := range 3 {
@@ -167,11 +167,11 @@
 func TestStandbyWithoutStore(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		t.Run(fmt.Sprint(hold), func(t *testing.T) {
-			runScenario(t, clusterPlan{runTime: longRunning(30 * time.Second)}, func(c *cluster) {
+			runScenario(t, clusterConfig{runTime: longRunning(30 * time.Second)}, func(c *cluster) {
 				c.submitJobs(0, 6, 300*time.Millisecond, nil)
 				first := c.leader()
 				cutOff := c.follower()
-				c.net.Partition(c.name(cutOff), "state", hold)
+				c.net.Partition(c.controllerName(cutOff), "state", hold)
 				jobs := c.submitJobs(10, 4, time.Second, nil)
 				c.kill(first)
 				c.awaitLeader(first)
@@ -181,7 +181,7 @@
 				}
 				c.users.Cancel(jobs[0])
 				time.Sleep(8 * time.Second)
-				c.net.Heal(c.name(cutOff), "state")
+				c.net.Heal(c.controllerName(cutOff), "state")
 				c.kill(second)
 				c.awaitLeader(second)
 				time.Sleep(5 * time.Second)
@@ -191,11 +191,11 @@
 	}
 }
 
-// TestClocksFarApart: the key-value store's clock runs fast and the workers' slow by as much
+// TestMaximumClockDrift: the key-value store's clock runs fast and the workers' slow by as much
 // as clocks may, while leaders end and pause and half of the machines can't be reached for
 // longer than their lease.
-func TestClocksFarApart(t *testing.T) {
-	runWithSeeds(t, clusterPlan{runTime: longRunning(60 * time.Second), clockDrift: settings.Drift}, func(c *cluster, r *rand.Rand) {
+func TestMaximumClockDrift(t *testing.T) {
+	runWithSeeds(t, clusterConfig{runTime: longRunning(60 * time.Second), clockDrift: settings.Drift}, func(c *cluster, r *rand.Rand) {
 		c.commandsDelayed = true
 		jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
 		c.awaitRunning(10)
@@ -228,17 +228,17 @@
 // TestFailoversWithDelegatedJobs: the leaders of both cells end, one after the other, while jobs
 // of one run in the other, with standbys in both.
 func TestFailoversWithDelegatedJobs(t *testing.T) {
-	p := twoCells()
+	p := twoCellConfig()
 	p.standby = true
 	runFederationScenario(t, p, func(f *federatedCells) {
 		jobs := f.overload("a", 12, func(_ int, j *wire.Job) { j.Tasks = 3 })
-		f.expectForwarding("a")
-		f.awaitPrecisely("an accept", func() bool { return len(f.forwardedJobs("a")) > 0 })
+		f.expectDelegation("a")
+		f.awaitPrecisely("an accept", func() bool { return len(f.delegatedJobIDs("a")) > 0 })
 		for _, cell := range []string{"a", "b", "a"} {
 			c := f.cells[cell]
 			was := c.leader()
 			c.kill(was)
-			f.cells["a"].users.Cancel(jobs[len(f.forwardedJobs("a"))%len(jobs)])
+			f.cells["a"].users.Cancel(jobs[len(f.delegatedJobIDs("a"))%len(jobs)])
 			c.awaitLeader(was)
 			time.Sleep(2 * time.Second)
 			c.startAll()
--- a/internal/controller/store_failures_test.go
+++ b/internal/controller/store_failures_test.go
@@ -18,7 +18,7 @@
 // TestLostTransactionAnswers: a transaction is carried out at once and only its answer
 // is lost, while other controllers read what it wrote.
 func TestLostTransactionAnswers(t *testing.T) {
-	runWithSeeds(t, clusterPlan{runTime: longRunning(20 * time.Second)}, func(c *cluster, _ *rand.Rand) {
+	runWithSeeds(t, clusterConfig{runTime: longRunning(20 * time.Second)}, func(c *cluster, _ *rand.Rand) {
 		c.writeFaults.Store(c.randomFaults(0.3, fake.ResponseLost, 0, 0))
 		jobs := c.submitJobs(0, 20, 400*time.Millisecond, nil)
 		for _, j := range everyOther(jobs) {
@@ -36,7 +36,7 @@
 // later, after newer ones of the same controller; a record of unreachable machines and
 // its withdrawal among them.
 func TestDelayedTransactions(t *testing.T) {
-	runWithSeeds(t, clusterPlan{runTime: longRunning(20 * time.Second)}, func(c *cluster, _ *rand.Rand) {
+	runWithSeeds(t, clusterConfig{runTime: longRunning(20 * time.Second)}, func(c *cluster, _ *rand.Rand) {
 		c.writeFaults.Store(c.randomFaults(0.25, fake.Delayed, 2*time.Second, 12*time.Second))
 		jobs := c.submitJobs(0, 20, 400*time.Millisecond, nil)
 		for _, w := range everyOther(c.cloud.Workers()) {
@@ -57,47 +57,47 @@
 	})
 }
 
-// TestSlowState: the key-value store answers slowly, or refuses the leader
+// TestSlowStore: the key-value store answers slowly, or refuses the leader
 // alone and then everybody for longer than cancel_s, while users cancel and query.
-func TestSlowState(t *testing.T) {
+func TestSlowStore(t *testing.T) {
 	for _, slow := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1600 * time.Millisecond} {
 		t.Run(fmt.Sprint(slow), func(t *testing.T) {
-			runScenario(t, clusterPlan{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
+			runScenario(t, clusterConfig{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
 				jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
 				c.awaitRunning(10)
-				c.state.SetDelay(slow)
+				c.store.SetDelay(slow)
 				for _, j := range everyOther(jobs) {
 					c.users.Cancel(j)
 					time.Sleep(time.Second)
 				}
 				lead := c.leader()
 				if lead >= 0 {
-					c.state.SetRefused(c.name(lead), true)
+					c.store.SetRefused(c.controllerName(lead), true)
 				}
 				for _, j := range jobs[:4] {
 					c.users.QueryEverywhere(j.ID, j)
 					time.Sleep(500 * time.Millisecond)
 				}
-				c.state.SetOutage(true)
+				c.store.SetOutage(true)
 				for range 6 {
 					c.users.QueryEverywhere(jobs[0].ID, jobs[0])
 					c.users.Cancel(jobs[1])
 					time.Sleep(cancelLimit / 5)
 				}
-				c.state.SetDelay(0)
-				c.state.SetOutage(false)
+				c.store.SetDelay(0)
+				c.store.SetOutage(false)
 				if lead >= 0 {
-					c.state.SetRefused(c.name(lead), false)
+					c.store.SetRefused(c.controllerName(lead), false)
 				}
 			})
 		})
 	}
 }
 
-// TestStateLimitsFall: the key-value store takes smaller values, smaller transactions
+// TestStoreLimitsLowered: the key-value store takes smaller values, smaller transactions
 // and fewer writes from some moment on, without notice: in the middle of work, as a
 // leader ends, at the end of an outage, or before all controllers are known to be upgraded.
-func TestStateLimitsFall(t *testing.T) {
+func TestStoreLimitsLowered(t *testing.T) {
 	low := settings.StoreLimits{RPS: 200, WriteRPS: 40, ValueKB: 1, TxnOps: 5}
 	for name, when := range map[string]func(c *cluster, fall func()){
 		"in the middle": func(_ *cluster, fall func()) { fall() },
@@ -110,10 +110,10 @@
 			fall()
 		},
 		"at the end of an outage": func(c *cluster, fall func()) {
-			c.state.SetOutage(true)
+			c.store.SetOutage(true)
 			time.Sleep(15 * time.Second)
 			fall()
-			c.state.SetOutage(false)
+			c.store.SetOutage(false)
 		},
 		"while a controller is missing": func(c *cluster, fall func()) {
 			c.kill(c.follower())
@@ -135,17 +135,17 @@
 			if name == "before all controllers are known" {
 				absent = 1
 			}
-			runScenario(t, clusterPlan{nextLimits: &low, maxMachines: 40, runTime: run, notStarted: absent}, func(c *cluster) {
+			runScenario(t, clusterConfig{nextLimits: &low, maxMachines: 40, runTime: run, notStarted: absent}, func(c *cluster) {
 				jobs := c.submitJobs(0, 3, 500*time.Millisecond, func(_ int, j *wire.Job) { j.Tasks, j.CPUs = 600, 0.25 })
 				c.awaitRunning(300)
-				when(c, func() { c.state.SetLimits(low) })
+				when(c, func() { c.store.SetLimits(low) })
 				time.Sleep(20 * time.Second)
-				if large := c.state.LargestValue("fin/"); large > 1024 && absent == 0 {
+				if large := c.store.LargestValue("fin/"); large > 1024 && absent == 0 {
 					t.Errorf("%d bytes of finished tasks in a value, all controllers being upgraded", large)
 				} else if large <= 1024 && absent > 0 {
 					t.Error("nothing was written as an older version reads it")
 				}
-				if c.state.Count("fin/job-000000/0.") == 0 {
+				if c.store.Count("fin/job-000000/0.") == 0 {
 					t.Error("no finished tasks are written in parts")
 				}
 				c.users.Cancel(jobs[2])
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -21,16 +21,16 @@
 func (c *cluster) upgrade(i int, after time.Duration) {
 	c.kill(i)
 	time.Sleep(after)
-	c.nodes[i].level = capability.CurrentLevel
+	c.controllers[i].level = capability.CurrentLevel
 	c.start(i)
 }
 
-// upgradeRest upgrades all controllers that are still old, one after the other, after a look
+// upgradeRemaining upgrades all controllers that are still old, one after the other, after a look
 // at what was written beside them.
-func (c *cluster) upgradeRest() {
+func (c *cluster) upgradeRemaining() {
 	c.t.Helper()
 	c.checkWritesReadable()
-	for i, n := range c.nodes {
+	for i, n := range c.controllers {
 		if n.level < capability.CurrentLevel {
 			c.upgrade(i, 2*time.Second)
 			time.Sleep(3 * time.Second)
@@ -40,14 +40,14 @@
 
 // upgradedController is a controller of the current version.
 func (c *cluster) upgradedController() int {
-	return slices.IndexFunc(c.nodes, func(n *controllerProcess) bool { return n.level == capability.CurrentLevel })
+	return slices.IndexFunc(c.controllers, func(n *controllerProcess) bool { return n.level == capability.CurrentLevel })
 }
 
-// leaderAtLevel ends leaders until one of a level leads.
-func (c *cluster) leaderAtLevel(level int) {
+// awaitLeaderAtLevel ends leaders until one of a level leads.
+func (c *cluster) awaitLeaderAtLevel(level int) {
 	c.t.Helper()
 	for range 20 {
-		if lead := c.leader(); lead >= 0 && c.nodes[lead].level == level {
+		if lead := c.leader(); lead >= 0 && c.controllers[lead].level == level {
 			return
 		} else if lead >= 0 {
 			c.restart(lead, 4*time.Second)
@@ -60,10 +60,10 @@
 // productionRecording is what production was seen to write.
 const productionRecording = "../compat/testdata/production/recording.json"
 
-// unknownToProduction are the fields of our values that production passes over: it
+// fieldsUnknownToProduction are the fields of our values that production passes over: it
 // ignores fields that it does not know, and rewrites a job's record only with its end,
 // when it does not need them.
-var unknownToProduction = map[string][]string{"job": {".ended_ms:number"}}
+var fieldsUnknownToProduction = map[string][]string{"job": {".ended_ms:number"}}
 
 // checkWritesReadable checks that all that was written so far, with old controllers up, has
 // the shape of what production writes itself.
@@ -75,9 +75,9 @@
 	}
 	known := map[string][]string{}
 	for _, v := range recorded.Values {
-		known[compat.KeyFamily(v.Key)] = append(known[compat.KeyFamily(v.Key)], c.fields(v.Value)...)
+		known[compat.KeyFamily(v.Key)] = append(known[compat.KeyFamily(v.Key)], c.fieldPaths(v.Value)...)
 	}
-	for _, change := range c.state.History() {
+	for _, change := range c.store.History() {
 		family := compat.KeyFamily(change.Set)
 		if change.Set == "" || family == "node" {
 			continue
@@ -85,15 +85,15 @@
 		if known[family] == nil {
 			c.t.Errorf("%s: production knows no such key", change.Set)
 		}
-		for _, field := range c.fields(change.Value) {
-			if !slices.Contains(known[family], field) && !slices.Contains(unknownToProduction[family], field) {
+		for _, field := range c.fieldPaths(change.Value) {
+			if !slices.Contains(known[family], field) && !slices.Contains(fieldsUnknownToProduction[family], field) {
 				c.t.Errorf("%s: production writes no field %s: %s", change.Set, field, change.Value)
 			}
 		}
 	}
 }
 
-func (c *cluster) fields(value []byte) []string {
+func (c *cluster) fieldPaths(value []byte) []string {
 	c.t.Helper()
 	fields, err := compat.FieldPaths(value)
 	if err != nil {
@@ -105,7 +105,7 @@
 // checkPipelinesAccepted checks that a job that waits for another one is taken.
 func (c *cluster) checkPipelinesAccepted() {
 	c.t.Helper()
-	c.await("all announced", 30*time.Second, func() bool { return c.state.Count(capability.KeyPrefix) == len(c.nodes) })
+	c.await("all announced", 30*time.Second, func() bool { return c.store.Count(capability.KeyPrefix) == len(c.controllers) })
 	first := fake.NewJob("job-700000", 2, nil)
 	second := fake.NewJob("job-700001", 1, func(j *wire.Job) { j.DependsOn = []string{first.ID} })
 	for _, j := range []*wire.Job{first, second} {
@@ -147,57 +147,57 @@
 				c.upgrade(c.oldVersionFollower(), 2*time.Second)
 				time.Sleep(8 * time.Second)
 			}
-			c.upgradeRest()
+			c.upgradeRemaining()
 		}},
 		{"one after the other, the leader first", func(c *cluster) {
 			for range 2 {
-				if lead := c.leader(); lead >= 0 && c.nodes[lead].level == 0 {
+				if lead := c.leader(); lead >= 0 && c.controllers[lead].level == 0 {
 					c.upgrade(lead, 2*time.Second)
 				}
 				time.Sleep(10 * time.Second)
 			}
-			c.upgradeRest()
+			c.upgradeRemaining()
 		}},
 		{"an upgraded leader with old followers", func(c *cluster) {
 			c.upgrade(c.oldVersionFollower(), 2*time.Second)
-			c.leaderAtLevel(capability.CurrentLevel)
+			c.awaitLeaderAtLevel(capability.CurrentLevel)
 			time.Sleep(20 * time.Second)
-			c.leaderAtLevel(0)
+			c.awaitLeaderAtLevel(0)
 			time.Sleep(10 * time.Second)
-			c.upgradeRest()
+			c.upgradeRemaining()
 		}},
 		{"the leader ends in the middle and is back old", func(c *cluster) {
 			c.upgrade(c.oldVersionFollower(), time.Second)
 			for range 3 {
-				c.leaderAtLevel(0)
+				c.awaitLeaderAtLevel(0)
 				c.restart(c.leader(), 500*time.Millisecond)
 				time.Sleep(5 * time.Second)
 			}
-			c.upgradeRest()
+			c.upgradeRemaining()
 		}},
 		{"all end at once, one is back old", func(c *cluster) {
-			for i := range c.nodes {
+			for i := range c.controllers {
 				c.kill(i)
 			}
 			time.Sleep(3 * time.Second)
-			for i := range c.nodes {
+			for i := range c.controllers {
 				if i > 0 {
-					c.nodes[i].level = capability.CurrentLevel
+					c.controllers[i].level = capability.CurrentLevel
 				}
 				c.start(i)
 			}
 			time.Sleep(15 * time.Second)
-			c.upgradeRest()
+			c.upgradeRemaining()
 		}},
 		{"an outage in the middle", func(c *cluster) {
 			c.upgrade(c.oldVersionFollower(), time.Second)
-			c.state.SetOutage(true)
+			c.store.SetOutage(true)
 			time.Sleep(5 * time.Second)
 			c.upgrade(c.oldVersionFollower(), time.Second)
 			time.Sleep(10 * time.Second)
-			c.state.SetOutage(false)
+			c.store.SetOutage(false)
 			time.Sleep(5 * time.Second)
-			c.upgradeRest()
+			c.upgradeRemaining()
 		}},
 		{"the limits fall as the last controller is upgraded", func(c *cluster) {
 			for range 2 {
@@ -207,8 +207,8 @@
 			c.checkWritesReadable()
 			last := c.oldVersionFollower()
 			c.kill(last)
-			c.state.SetLimits(low)
-			c.nodes[last].level = capability.CurrentLevel
+			c.store.SetLimits(low)
+			c.controllers[last].level = capability.CurrentLevel
 			time.Sleep(2 * time.Second)
 			c.start(last)
 			time.Sleep(10 * time.Second)
@@ -216,7 +216,7 @@
 	}
 	for _, s := range scenarios {
 		t.Run(s.name, func(t *testing.T) {
-			runScenario(t, clusterPlan{oldVersions: 3, nextLimits: &low}, func(c *cluster) {
+			runScenario(t, clusterConfig{oldVersions: 3, nextLimits: &low}, func(c *cluster) {
 				stop := c.keepSubmitting()
 				time.Sleep(5 * time.Second)
 				s.play(c)
@@ -230,11 +230,11 @@
 // TestControllerThatIsNeverUpgraded: jobs are served as before, and none is taken that waits
 // for others.
 func TestControllerThatIsNeverUpgraded(t *testing.T) {
-	runScenarioOnce(t, clusterPlan{oldVersions: 1}, false, func(c *cluster) {
+	runScenarioOnce(t, clusterConfig{oldVersions: 1}, false, func(c *cluster) {
 		stop := c.keepSubmitting()
 		time.Sleep(20 * time.Second)
 		c.checkPipelinesRefused()
-		c.leaderAtLevel(0)
+		c.awaitLeaderAtLevel(0)
 		c.checkPipelinesRefused()
 		stop()
 		c.checkWritesReadable()
@@ -244,7 +244,7 @@
 // oldVersionFollower is a controller of the old version, one that does not lead if there is one.
 func (c *cluster) oldVersionFollower() int {
 	lead, found := c.leader(), -1
-	for i, n := range c.nodes {
+	for i, n := range c.controllers {
 		if n.level < capability.CurrentLevel && (found < 0 || found == lead) {
 			found = i
 		}
--- a/internal/controller/waiting_starts_test.go
+++ b/internal/controller/waiting_starts_test.go
@@ -15,7 +15,7 @@
 func TestCancelWhileStartsWait(t *testing.T) {
 	runTime := func(string) time.Duration { return 1500 * time.Millisecond }
 	frequentHeartbeats := agentTimings{heartbeat: 600 * time.Millisecond, lease: agentLease, cancel: cancelLimit}
-	runScenario(t, clusterPlan{maxMachines: 8, runTime: runTime, timings: frequentHeartbeats}, func(c *cluster) {
+	runScenario(t, clusterConfig{maxMachines: 8, runTime: runTime, timings: frequentHeartbeats}, func(c *cluster) {
 		for k := range 150 {
 			job := c.submitJobs(k, 1, 100*time.Millisecond, func(_ int, j *wire.Job) { j.Tasks = 6 })[0]
 			if k%3 == 0 {
@@ -28,7 +28,7 @@
 // cancelAtFirstStart has a user cancel a job as the first machine of its tasks is recorded, which
 // is right before the first start.
 func (c *cluster) cancelAtFirstStart(job *wire.Job) {
-	for c.state.Value("host/"+job.ID+"/0") == nil && c.t.Context().Err() == nil {
+	for c.store.Value("host/"+job.ID+"/0") == nil && c.t.Context().Err() == nil {
 		time.Sleep(time.Millisecond)
 	}
 	c.users.RetryUntilFinal(fake.RequestCancel, job.ID, nil)
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -13,7 +13,7 @@
 	"leadproxy/internal/wire"
 )
 
-// foreignJobs accepts jobs of other cells. It owns the executing side of the transfers.
+// foreignJobKeys accepts jobs of other cells. It owns the executing side of the transfers.
 type foreignJobs struct {
 	cfg        *Config
 	clock      *clock
