--- a/internal/autoscaler/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -7,6 +7,8 @@
 	"leadproxy/internal/slowfit"
 )
 
+// TestPlan checks which machines are rented for a queue, pending machines and headroom. Pool prices in
+// the cases: 1 for the small type, 3 for the large one and for the small one on demand.
 func TestPlan(t *testing.T) {
 	types := []MachineType{
 		{Total: slowfit.Size{CPUs: 4, MemGB: 16}, BootTime: 40 * time.Second},
--- a/internal/scheduler/effects.go
+++ b/internal/scheduler/effects.go
@@ -3,6 +3,7 @@
 // effects collects the effects of the current step, in order.
 type effects struct{ list []Effect }
 
+// emit appends an effect.
 func (e *effects) emit(effect Effect) { e.list = append(e.list, effect) }
 
 // take returns the effects collected so far and clears the list.
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -21,7 +21,7 @@
 	sequences        map[string]uint64 // last heartbeat sequence number by machine
 	sentCommands     []SendCommands    // direct commands without a result
 	responseCommands []wire.Command    // commands in heartbeat responses since the last call of completeCommands
-	recentEffects    []Effect          // replies and other effects since the last request
+	recentEffects    []Effect          // heartbeat replies and otherEffects since a test or helper cleared it
 	otherEffects     []Effect          // all effects so far that have no field of their own
 	// holdWrites, while set, keeps ledger writes from becoming durable.
 	holdWrites      bool
@@ -33,6 +33,7 @@
 	submittedJobs   map[string]*wire.Job    // jobs passed to submit, by ID
 }
 
+// testTerm is the term of the cores in tests.
 const testTerm = 7
 
 // testRecipient is the recipient of replies in tests.
@@ -62,10 +63,13 @@
 	Fatal(args ...any)
 }
 
+// newHarness returns a harness with default settings. Without teams, there is one team "t" without a
+// limit.
 func newHarness(t testingT, s ledger.Snapshot, teams ...settings.Team) *harness {
 	return newHarnessWithSettings(t, settings.Defaults(), s, teams...)
 }
 
+// newHarnessWithSettings is like newHarness, with the given operator settings.
 func newHarnessWithSettings(t testingT, operator settings.Operator, s ledger.Snapshot, teams ...settings.Team) *harness {
 	if len(teams) == 0 {
 		teams = []settings.Team{{Name: "t"}}
@@ -73,12 +77,16 @@
 	return newHarnessWithConfig(t, 0, testConfig(operator, teams...), s)
 }
 
+// testConfig returns a configuration with heartbeats every 3 s, a lease of 30 s and a cancellation
+// bound of 60 s.
 func testConfig(operator settings.Operator, teams ...settings.Team) Config {
 	platform := &settings.Platform{Facts: settings.Facts{ControllerCount: 3, Teams: teams,
 		Workers: settings.Workers{HeartbeatS: 3, LeaseS: 30, CancelS: 60}}}
 	return Config{Term: testTerm, Platform: platform, Operator: operator, MaxValueBytes: 16 << 10}
 }
 
+// newHarnessWithConfig returns a harness whose term begins at now, in a cloud with one machine type m4
+// in zones a and b.
 func newHarnessWithConfig(t testingT, now time.Duration, cfg Config, s ledger.Snapshot) *harness {
 	h := &harness{now: now, t: t, sequences: map[string]uint64{}, writesByKey: map[string]ledger.Write{}, submittedJobs: map[string]*wire.Job{}}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
@@ -89,6 +97,7 @@
 	return h
 }
 
+// step applies one event and records the effects.
 func (h *harness) step(e Event) {
 	h.core.Step(e, h.now, h.now.Milliseconds())
 	h.recordEffects(h.core.Flush())
@@ -184,10 +193,12 @@
 	return h.sendHeartbeat(heartbeat)
 }
 
+// newTestJob returns a job of team "t" whose tasks use 1 GB each and run for 10 s by estimate.
 func newTestJob(id string, tasks int, cpus float64) *wire.Job {
 	return &wire.Job{ID: id, Class: "c", Team: "t", Kind: "batch", Priority: "standard", Tasks: tasks, CPUs: cpus, MemGB: 1, Image: "i", Spot: true, EstimatedRunS: 10}
 }
 
+// submit applies the record of a job that a controller has just accepted.
 func (h *harness) submit(j *wire.Job) {
 	h.submittedJobs[j.ID] = j
 	h.step(JobRecordEvent{JobID: j.ID, Record: ledger.JobRecord{Job: j, AcceptedMS: h.now.Milliseconds()}, Version: 3})
@@ -213,16 +224,16 @@
 // completeCommands reports the same outcome for all direct commands in flight, and forgets the
 // commands sent so far.
 func (h *harness) completeCommands(outcome CommandOutcome) {
-	sent := h.sentCommands
+	commands := h.sentCommands
 	h.sentCommands, h.responseCommands = nil, nil
-	for _, sent := range sent {
+	for _, sent := range commands {
 		h.step(CommandResult{CommandID: sent.CommandID, Outcome: outcome})
 	}
 }
 
 // newTaskStatus returns the status that an agent reports for the task of a command.
-func newTaskStatus(command wire.Command, status, why string) wire.TaskStatus {
-	return wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Status: status, ExitReason: why}
+func newTaskStatus(command wire.Command, status, exitReason string) wire.TaskStatus {
+	return wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Status: status, ExitReason: exitReason}
 }
 
 // commandVerbs returns the verbs of the commands in a response, each followed by a space.
--- a/internal/scheduler/ledger_writes_test.go
+++ b/internal/scheduler/ledger_writes_test.go
@@ -93,11 +93,11 @@
 		name := fmt.Sprintf("vm-%06d", i)
 		var statuses []wire.TaskStatus
 		for _, alloc := range h.core.findOrAddMachine(name).capacity.allocations {
-			status, why := wire.TaskRunning, ""
+			status, exitReason := wire.TaskRunning, ""
 			if alloc.task%2 == 0 {
-				status, why = wire.TaskEnded, wire.ExitDone
+				status, exitReason = wire.TaskEnded, wire.ExitDone
 			}
-			statuses = append(statuses, newTaskStatus(wire.Command{Task: h.core.jobs.taskName(alloc), Attempt: alloc.attempt}, status, why))
+			statuses = append(statuses, newTaskStatus(wire.Command{Task: h.core.jobs.taskName(alloc), Attempt: alloc.attempt}, status, exitReason))
 		}
 		h.acknowledge(name, statuses...)
 	}
--- a/internal/scheduler/machines.go
+++ b/internal/scheduler/machines.go
@@ -169,16 +169,16 @@
 
 // removeMachine marks a machine as gone, with all tasks on it. While jobs name it as a host, the
 // ledger keeps a record that it is gone, so that a later leader doesn't wait for its lease.
-func (c *Core) removeMachine(m *machine, why string) {
+func (c *Core) removeMachine(m *machine, reason string) {
 	if m.state == machineGone {
 		return
 	}
-	c.log.Info("machine is gone", "machine", m.name, "reason", why, "allocations", len(m.capacity.allocations))
+	c.log.Info("machine is gone", "machine", m.name, "reason", reason, "allocations", len(m.capacity.allocations))
 	m.state = machineGone
 	c.softState.machineChanged(m)
-	c.releaseLostAllocations(m, why)
+	c.releaseLostAllocations(m, reason)
 	m.commands.resolveAllStarts()
-	c.resolveInDoubt(m, why)
+	c.resolveInDoubt(m, reason)
 	c.placement.index.Remove(m.index)
 	c.scaleOuts.recordMachineSeen(m)
 	if m.recorded.namedByJobs > 0 {
--- a/internal/scheduler/restore.go
+++ b/internal/scheduler/restore.go
@@ -82,9 +82,9 @@
 
 // resolveInDoubt marks the tasks that an earlier leader started on a machine as resolved: either
 // its agent has listed all running tasks, or all of them have ended.
-func (c *Core) resolveInDoubt(m *machine, why string) {
+func (c *Core) resolveInDoubt(m *machine, reason string) {
 	if len(m.recorded.inDoubtJobs) > 0 {
-		c.log.Debug("starts of an earlier leader on a machine are resolved", "machine", m.name, "reason", why, "jobs", len(m.recorded.inDoubtJobs), "after", (c.clock.now - c.clock.termStart).Seconds())
+		c.log.Debug("starts of an earlier leader on a machine are resolved", "machine", m.name, "reason", reason, "jobs", len(m.recorded.inDoubtJobs), "after", (c.clock.now - c.clock.termStart).Seconds())
 	}
 	for _, i := range m.recorded.takeInDoubt() {
 		j := c.jobs.list[i]
--- a/internal/scheduler/scale_in.go
+++ b/internal/scheduler/scale_in.go
@@ -36,11 +36,11 @@
 
 // requestDelete requests the deletion of a machine at the end of the step. The machine is gone only
 // when the cloud confirms that; until then the request is repeated, at most every 10 seconds.
-func (r *scaleInRequests) requestDelete(m *machine, why string) {
+func (r *scaleInRequests) requestDelete(m *machine, reason string) {
 	if m.state == machineDeleting && r.clock.now-m.rental.lastDeleteRequest < 10*time.Second {
 		return
 	}
-	r.log.Info("returning machine", "machine", m.name, "why", why, "allocations", len(m.capacity.allocations), "age", (r.clock.now - m.rental.rentedAt).Seconds())
+	r.log.Info("returning machine", "machine", m.name, "why", reason, "allocations", len(m.capacity.allocations), "age", (r.clock.now - m.rental.rentedAt).Seconds())
 	m.state, m.rental.lastDeleteRequest = machineDeleting, r.clock.now
 	r.placement.markIndexStale(m)
 	r.deletes = append(r.deletes, m.name)
@@ -66,8 +66,8 @@
 		if m.state == machineGone {
 			continue
 		}
-		if why := r.reasonToScaleIn(m); why != "" {
-			r.requestDelete(m, why)
+		if reason := r.reasonToScaleIn(m); reason != "" {
+			r.requestDelete(m, reason)
 			continue
 		}
 		// On-demand machines cost a multiple and are not kept for future demand.
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -24,7 +24,7 @@
 	machinesByName map[string]*simulatedMachine
 	jobs           int            // number of jobs submitted so far
 	pendingEvents  []Event        // events to process before time advances
-	counts         map[string]int // by type of effect, and by other names
+	counts         map[string]int // numbers of effects by type, of "writes" and of "reports" (heartbeats)
 }
 
 // simulatedMachine is a machine and its agent.
@@ -37,6 +37,7 @@
 // Deliver does nothing: the simulation reads the effects instead.
 func (m *simulatedMachine) Deliver(Effect) {}
 
+// newSimulation returns a simulation with the given number of machines, of three types in three zones.
 func newSimulation(machines int) *simulation {
 	platform := &settings.Platform{Facts: settings.Facts{ControllerCount: 3, Teams: []settings.Team{{Name: "t"}},
 		Workers: settings.Workers{HeartbeatS: 8, LeaseS: 36, CancelS: 56}, Objectives: []settings.Objective{{Kind: "wait", Class: "small", WithinS: 4}}}}
@@ -61,11 +62,13 @@
 	return s
 }
 
+// step applies one event and handles the effects.
 func (s *simulation) step(e Event) {
 	s.core.Step(e, s.now, s.now.Milliseconds())
 	s.flush()
 }
 
+// flush ends a step of the core and handles the effects.
 func (s *simulation) flush() { s.handleEffects(s.core.Flush()) }
 
 // handleEffects carries out effects. Results of commands, writes and cloud calls become pending events.
--- a/internal/scheduler/soft_state.go
+++ b/internal/scheduler/soft_state.go
@@ -98,6 +98,7 @@
 	return estimates
 }
 
+// comparePools orders pools by type, zone and spot.
 func comparePools(a, b softstate.CapacityPool) int {
 	spot := func(pool softstate.CapacityPool) int {
 		if pool.Spot {
--- a/internal/scheduler/soft_state_test.go
+++ b/internal/scheduler/soft_state_test.go
@@ -32,12 +32,13 @@
 	return view
 }
 
+// inheritedMachine is the soft state of vm-1, where the inherited attempt had run for 20 s.
 var inheritedMachine = softstate.Machine{Name: "vm-1", Address: "10.1.0.1:9000", AgentEpoch: 2,
 	Allocations: []softstate.Allocation{{Task: "job-1/0", Attempt: inheritedAttempt, Running: 20 * time.Second}}}
 
 // newInheritedHeartbeat returns a heartbeat of vm-1 that lists the inherited attempt with a status.
-func newInheritedHeartbeat(h *harness, token uint64, status, why string) *wire.Heartbeat {
-	heartbeat := h.newHeartbeat("vm-1", token, wire.TaskStatus{Task: "job-1/0", Attempt: inheritedAttempt, Status: status, ExitReason: why})
+func newInheritedHeartbeat(h *harness, token uint64, status, exitReason string) *wire.Heartbeat {
+	heartbeat := h.newHeartbeat("vm-1", token, wire.TaskStatus{Task: "job-1/0", Attempt: inheritedAttempt, Status: status, ExitReason: exitReason})
 	heartbeat.AgentEpoch = 2
 	return heartbeat
 }
