--- a/internal/cells/three_cells_test.go
+++ b/internal/cells/three_cells_test.go
@@ -69,7 +69,7 @@
 	c.cloud = fake.NewCloud(t, network, "127.0.0.1:0", fake.CloudConfig{NamePrefix: name + "-vm-",
 		Types:    []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 1, Zones: zones}},
 		BootTime: time.Second, ListLag: 2 * time.Second, MaxMachines: machines,
-		Worker: fake.WorkerConfig{Controllers: workers, HeartbeatInterval: time.Second, Lease: 8 * time.Second, ImageFetchTime: 200 * time.Millisecond,
+		Agent: fake.AgentConfig{Controllers: workers, HeartbeatInterval: time.Second, Lease: 8 * time.Second, ImageFetchTime: 200 * time.Millisecond,
 			RunTime: func(string) time.Duration { return taskTime }, Checker: check},
 		NewHost: func(string) (transport.Network, string) { return network, "127.0.0.1:0" },
 	})
--- a/internal/compat/deployment_config_test.go
+++ b/internal/compat/deployment_config_test.go
@@ -50,7 +50,7 @@
 	return fake.NewCloud(t, network, "127.0.0.1:0", fake.CloudConfig{
 		Types:    []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: machineBootTime.Seconds(), Zones: zones}},
 		BootTime: machineBootTime, ListLag: 2 * time.Second, MaxMachines: 12,
-		Worker: fake.WorkerConfig{
+		Agent: fake.AgentConfig{
 			Controllers: controllers, HeartbeatInterval: heartbeatInterval, Lease: workerLease, ImageFetchTime: 200 * time.Millisecond,
 			RunTime: func(string) time.Duration { return taskRunTime }, Checker: checker,
 		},
--- a/internal/compat/exercise_test.go
+++ b/internal/compat/exercise_test.go
@@ -62,7 +62,7 @@
 // losePartOfMachines makes a third of the machines hang and another third unable to reach
 // controllers, for two leases.
 func (d *deployment) losePartOfMachines() {
-	for i, w := range d.cloud.Workers() {
+	for i, w := range d.cloud.Agents() {
 		switch i % 3 {
 		case 0:
 			w.SetHung(true)
@@ -71,7 +71,7 @@
 		}
 	}
 	time.Sleep(2 * workerLease)
-	for _, w := range d.cloud.Workers() {
+	for _, w := range d.cloud.Agents() {
 		w.SetHung(false)
 		w.SetOutboundCut(false)
 	}
--- a/internal/compat/rolling_test.go
+++ b/internal/compat/rolling_test.go
@@ -118,7 +118,7 @@
 func (d *deployment) expectPipelinesRefused(i int) {
 	d.t.Helper()
 	first := fake.NewJob(fmt.Sprintf("job-60000%d", i), 1, nil)
-	if !d.users.Accept(first) {
+	if !d.users.SubmitAndAwait(first) {
 		d.t.Errorf("%s was not accepted", first.ID)
 	}
 	d.users.Poll(first)
--- a/internal/controller/agent_failures_test.go
+++ b/internal/controller/agent_failures_test.go
@@ -39,7 +39,7 @@
 			}
 		},
 		"after a session": func(c *cluster, deliver func()) {
-			workers := c.cloud.Workers()
+			workers := c.cloud.Agents()
 			for _, w := range workers {
 				w.SetHung(true)
 			}
@@ -56,14 +56,14 @@
 			deliver()
 		},
 		"all the time": func(c *cluster, deliver func()) {
-			for _, w := range c.cloud.Workers() {
+			for _, w := range c.cloud.Agents() {
 				w.DuplicateHeartbeats(func() time.Duration { return 2*time.Second + time.Duration(c.users.Random()*float64(40*time.Second)) })
 			}
 			time.Sleep(20 * time.Second)
 			c.kill(c.leader())
 			time.Sleep(20 * time.Second)
 			deliver()
-			for _, w := range c.cloud.Workers() {
+			for _, w := range c.cloud.Agents() {
 				w.DuplicateHeartbeats(nil)
 			}
 		},
@@ -72,7 +72,7 @@
 			runScenario(t, clusterConfig{runTime: longRunning(30 * time.Second)}, func(c *cluster) {
 				jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
 				c.awaitRunning(15)
-				workers := c.cloud.Workers()
+				workers := c.cloud.Agents()
 				for _, w := range workers {
 					w.SaveHeartbeat()
 				}
@@ -99,7 +99,7 @@
 		c.submitJobs(0, 1, time.Second, func(_ int, j *wire.Job) { j.Tasks = 20 })
 		c.awaitRunning(20)
 		c.await("the first job's end", 2*time.Minute, func() bool { _, done := c.checker.TaskCounts("job-000000"); return done == 20 })
-		workers := c.cloud.Workers()
+		workers := c.cloud.Agents()
 		for _, w := range workers {
 			w.SaveHeartbeat()
 		}
@@ -157,7 +157,7 @@
 				c.commandFaults.Store(c.randomFaults(0.5, fault, 2*time.Second, 15*time.Second))
 				jobs := c.submitJobs(0, 12, 300*time.Millisecond, nil)
 				time.Sleep(3 * time.Second)
-				for _, w := range everyOther(c.cloud.Workers()) {
+				for _, w := range everyOther(c.cloud.Agents()) {
 					w.SetHung(true)
 				}
 				for _, j := range everyOther(jobs) {
@@ -165,7 +165,7 @@
 				}
 				time.Sleep(7 * time.Second)
 				c.restart(c.leader(), time.Second)
-				for _, w := range c.cloud.Workers() {
+				for _, w := range c.cloud.Agents() {
 					w.SetHung(false)
 				}
 				c.submitJobs(100, 6, 300*time.Millisecond, nil)
@@ -186,7 +186,7 @@
 				runScenario(t, clusterConfig{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
 					c.submitJobs(0, 10, 200*time.Millisecond, nil)
 					c.awaitRunning(20)
-					workers := everyOther(c.cloud.Workers())
+					workers := everyOther(c.cloud.Agents())
 					for _, w := range workers {
 						away(w, true)
 					}
@@ -212,7 +212,7 @@
 			runScenario(t, clusterConfig{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
 				jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
 				c.awaitRunning(20)
-				workers := c.cloud.Workers()
+				workers := c.cloud.Agents()
 				for _, w := range workers {
 					w.SetOutboundCut(true)
 				}
@@ -237,11 +237,11 @@
 	runWithSeeds(t, clusterConfig{runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		jobs := c.submitJobs(0, 12, 300*time.Millisecond, nil)
 		c.awaitRunning(15)
-		for _, w := range c.cloud.Workers() {
+		for _, w := range c.cloud.Agents() {
 			w.SaveHeartbeat()
 		}
 		for k := range 6 {
-			workers := c.cloud.Workers()
+			workers := c.cloud.Agents()
 			for _, w := range everyOther(workers) {
 				w.Reboot()
 			}
@@ -281,7 +281,7 @@
 								do(c.controllerName(in), c.controllerName(i))
 							}
 						}
-						for _, w := range c.cloud.Workers() {
+						for _, w := range c.cloud.Agents() {
 							for i, n := range c.controllers {
 								if (n.platform.Zone == zone) != (w.Zone() == zone) {
 									do(w.Name(), c.controllerName(i))
--- a/internal/controller/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -47,12 +47,12 @@
 							c.isolate(now, true)
 						}
 					case "hang":
-						for _, w := range everyOther(c.cloud.Workers()) {
+						for _, w := range everyOther(c.cloud.Agents()) {
 							w.SetHung(true)
 						}
 					}
 					time.Sleep(15 * time.Second)
-					for _, w := range c.cloud.Workers() {
+					for _, w := range c.cloud.Agents() {
 						w.SetHung(false)
 					}
 					time.Sleep(cancelLimit)
@@ -79,7 +79,7 @@
 				jobs := c.submitJobs(0, 8, 300*time.Millisecond, nil)
 				c.awaitRunning(20)
 				lead := c.leader()
-				workers := everyOther(c.cloud.Workers())
+				workers := everyOther(c.cloud.Agents())
 				for _, w := range workers {
 					for i := range c.controllers {
 						if i != lead {
@@ -123,7 +123,7 @@
 			before := j.ID
 			for i := range 2 { // one that needs it, and one that needs that
 				child := fake.NewJob(fmt.Sprintf("job-%06d", 200+100*i+k), 1, func(j *wire.Job) { j.DependsOn = []string{before} })
-				if c.users.Accept(child) {
+				if c.users.SubmitAndAwait(child) {
 					c.users.Poll(child)
 				}
 				before = child.ID
--- a/internal/controller/cancelled_tasks_test.go
+++ b/internal/controller/cancelled_tasks_test.go
@@ -48,8 +48,8 @@
 				c.awaitRunning(20)
 				// Not most machines and no whole zone: that would be taken for a cut, and
 				// nothing would be returned.
-				hung := map[string]*fake.Worker{}
-				for i, w := range c.cloud.Workers() {
+				hung := map[string]*fake.Agent{}
+				for i, w := range c.cloud.Agents() {
 					if i%3 == 0 {
 						w.SetHung(true)
 						hung[w.Addr()] = w
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -230,7 +230,7 @@
 		NamePrefix: c.namePrefix + "vm-",
 		Types:      []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: clusterZones}},
 		BootTime:   p.bootTime, ListLag: 2 * time.Second, MaxMachines: p.maxMachines,
-		Worker: fake.WorkerConfig{Controllers: known, HeartbeatInterval: p.timings.heartbeat, Lease: p.timings.lease + time.Duration(p.clockDrift*float64(p.timings.lease)), ImageFetchTime: 500 * time.Millisecond,
+		Agent: fake.AgentConfig{Controllers: known, HeartbeatInterval: p.timings.heartbeat, Lease: p.timings.lease + time.Duration(p.clockDrift*float64(p.timings.lease)), ImageFetchTime: 500 * time.Millisecond,
 			RunTime: p.runTime, Checker: c.checker, CommandFaults: faultOnPath("/commands", &c.commandFaults)},
 		Faults:  firstFault(faultOnPath("/machines", &c.scaleOutFaults), faultOnPath("/machines/delete", &c.deleteFaults)),
 		NewHost: func(name string) (transport.Network, string) { return c.net.Host(name), name + ":9000" },
--- a/internal/controller/federation_test.go
+++ b/internal/controller/federation_test.go
@@ -106,7 +106,7 @@
 	"the neighbour loses machines": func(f *federatedCells) {
 		f.awaitDelegated("a", federation.Accepted)
 		time.Sleep(3 * time.Second)
-		for _, w := range everyOther(f.cells["b"].cloud.Workers()) {
+		for _, w := range everyOther(f.cells["b"].cloud.Agents()) {
 			f.cells["b"].cloud.Terminate(w.Name())
 		}
 	},
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -18,7 +18,7 @@
 func TestNoFailures(t *testing.T) {
 	runScenario(t, clusterConfig{}, func(c *cluster) {
 		c.submitJobs(0, 6, time.Second, nil)
-		c.users.SendInvalid()
+		c.users.SendInvalidRequests()
 		time.Sleep(30 * time.Second)
 		for k := range 6 {
 			if _, done := c.checker.TaskCounts(fmt.Sprintf("job-%06d", k)); done != 3 {
@@ -81,7 +81,7 @@
 					j.Tasks, j.Team = 6, []string{"tight", "open"}[k/2%2]
 				})
 				c.awaitRunning(30)
-				workers := everyOther(c.cloud.Workers())
+				workers := everyOther(c.cloud.Agents())
 				for _, w := range workers {
 					away(w, true)
 				}
@@ -122,7 +122,7 @@
 		})
 		c.awaitRunning(20)
 		for range 4 {
-			workers := c.cloud.Workers()
+			workers := c.cloud.Agents()
 			w := workers[r.IntN(len(workers))]
 			if r.IntN(2) == 0 {
 				c.cloud.Terminate(w.Name())
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -32,7 +32,7 @@
 		for _, n := range needs {
 			j.DependsOn = append(j.DependsOn, jobID(n))
 		}
-		if !c.users.Accept(j) {
+		if !c.users.SubmitAndAwait(j) {
 			c.t.Errorf("%s of the %s is not accepted", j.ID, s.name)
 		}
 		c.users.Poll(j)
--- a/internal/controller/rollout_plans_test.go
+++ b/internal/controller/rollout_plans_test.go
@@ -88,7 +88,7 @@
 // checkReplaced checks that none of some machines is there any more.
 func (c *cluster) checkReplaced(names []string) {
 	c.t.Helper()
-	for _, w := range c.cloud.Workers() {
+	for _, w := range c.cloud.Agents() {
 		if slices.Contains(names, w.Name()) {
 			c.t.Errorf("%s is there", w.Name())
 		}
@@ -96,7 +96,7 @@
 }
 
 func (c *cluster) machineNames() (names []string) {
-	for _, w := range c.cloud.Workers() {
+	for _, w := range c.cloud.Agents() {
 		names = append(names, w.Name())
 	}
 	return names
@@ -109,7 +109,7 @@
 
 // maxInterruptedJobs is how many jobs of some were stopped at once at most.
 func (c *cluster) maxInterruptedJobs(in func(j *wire.Job) bool) int {
-	return fake.MaxInterrupted(c.interruptions(), func(jobID string) bool { return in(c.checker.Job(jobID)) })
+	return fake.MaxInterruptedJobs(c.interruptions(), func(jobID string) bool { return in(c.checker.Job(jobID)) })
 }
 
 // checkBudgets checks what the machines recorded against the budgets; hit jobs may be more, of
@@ -239,11 +239,11 @@
 var drainFaults = map[string]func(c *cluster, old []string){
 	"a machine crashes": func(c *cluster, old []string) { c.cloud.Terminate(old[0], old[1]) },
 	"machines fall silent": func(c *cluster, _ []string) {
-		for _, w := range everyOther(c.cloud.Workers()) {
+		for _, w := range everyOther(c.cloud.Agents()) {
 			w.SetHung(true)
 		}
 		time.Sleep(agentLease + 5*time.Second)
-		for _, w := range c.cloud.Workers() {
+		for _, w := range c.cloud.Agents() {
 			w.SetHung(false)
 		}
 	},
@@ -259,16 +259,16 @@
 		c.resume(lead)
 	},
 	"heartbeats come late and twice": func(c *cluster, _ []string) {
-		for _, w := range c.cloud.Workers() {
+		for _, w := range c.cloud.Agents() {
 			w.DuplicateHeartbeats(func() time.Duration { return time.Duration(c.users.Random() * float64(10*time.Second)) })
 		}
 		time.Sleep(time.Minute)
-		for _, w := range c.cloud.Workers() {
+		for _, w := range c.cloud.Agents() {
 			w.DuplicateHeartbeats(nil)
 		}
 	},
 	"a zone is lost": func(c *cluster, _ []string) {
-		for _, w := range c.cloud.Workers() {
+		for _, w := range c.cloud.Agents() {
 			if w.Zone() == "a" {
 				c.cloud.Terminate(w.Name())
 			}
--- a/internal/controller/scenario_steps_test.go
+++ b/internal/controller/scenario_steps_test.go
@@ -52,8 +52,8 @@
 }
 
 // unreachableModes are the ways in which a machine is unreachable.
-var unreachableModes = map[string]func(w *fake.Worker, on bool){
-	"hang": (*fake.Worker).SetHung, "deaf": (*fake.Worker).SetInboundCut, "mute": (*fake.Worker).SetOutboundCut,
+var unreachableModes = map[string]func(w *fake.Agent, on bool){
+	"hang": (*fake.Agent).SetHung, "deaf": (*fake.Agent).SetInboundCut, "mute": (*fake.Agent).SetOutboundCut,
 }
 
 // everyOther returns every other one.
--- a/internal/controller/standby_test.go
+++ b/internal/controller/standby_test.go
@@ -34,7 +34,7 @@
 			do(c.controllerName(i), c.controllerName(k))
 		}
 	}
-	for _, w := range c.cloud.Workers() {
+	for _, w := range c.cloud.Agents() {
 		do(c.controllerName(i), w.Name())
 	}
 }
@@ -200,7 +200,7 @@
 		jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
 		c.awaitRunning(10)
 		for k := range 3 {
-			workers := everyOther(c.cloud.Workers())
+			workers := everyOther(c.cloud.Agents())
 			for _, w := range workers {
 				w.SetInboundCut(true)
 			}
--- a/internal/controller/store_failures_test.go
+++ b/internal/controller/store_failures_test.go
@@ -39,7 +39,7 @@
 	runWithSeeds(t, clusterConfig{runTime: longRunning(20 * time.Second)}, func(c *cluster, _ *rand.Rand) {
 		c.writeFaults.Store(c.randomFaults(0.25, fake.Delayed, 2*time.Second, 12*time.Second))
 		jobs := c.submitJobs(0, 20, 400*time.Millisecond, nil)
-		for _, w := range everyOther(c.cloud.Workers()) {
+		for _, w := range everyOther(c.cloud.Agents()) {
 			w.SetOutboundCut(true)
 		}
 		for _, j := range everyOther(jobs) {
@@ -47,7 +47,7 @@
 			time.Sleep(200 * time.Millisecond)
 		}
 		time.Sleep(9 * time.Second)
-		for _, w := range c.cloud.Workers() {
+		for _, w := range c.cloud.Agents() {
 			w.SetOutboundCut(false)
 		}
 		c.restart(c.leader(), 500*time.Millisecond)
@@ -140,7 +140,7 @@
 				c.awaitRunning(300)
 				when(c, func() { c.store.SetLimits(low) })
 				time.Sleep(20 * time.Second)
-				if large := c.store.LargestValue("fin/"); large > 1024 && absent == 0 {
+				if large := c.store.LargestValueBytes("fin/"); large > 1024 && absent == 0 {
 					t.Errorf("%d bytes of finished tasks in a value, all controllers being upgraded", large)
 				} else if large <= 1024 && absent > 0 {
 					t.Error("nothing was written as an older version reads it")
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -109,7 +109,7 @@
 	first := fake.NewJob("job-700000", 2, nil)
 	second := fake.NewJob("job-700001", 1, func(j *wire.Job) { j.DependsOn = []string{first.ID} })
 	for _, j := range []*wire.Job{first, second} {
-		if !c.users.Accept(j) {
+		if !c.users.SubmitAndAwait(j) {
 			c.t.Errorf("%s is not accepted after the upgrade", j.ID)
 			return
 		}
@@ -122,7 +122,7 @@
 func (c *cluster) checkPipelinesRefused() {
 	c.t.Helper()
 	first := fake.NewJob("job-700000", 2, nil)
-	if !c.users.Accept(first) {
+	if !c.users.SubmitAndAwait(first) {
 		c.t.Errorf("%s is not accepted", first.ID)
 	}
 	c.users.Poll(first)
--- a/internal/fake/addresses.go
+++ b/internal/fake/addresses.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-// reserved are the addresses that were handed out: nothing listens there until a controller starts,
+// reservedAddresses are the addresses that were handed out: nothing listens there until a controller starts,
 // and the next search could find the same port.
-var reserved sync.Map
+var reservedAddresses sync.Map
 
 // ReserveAddresses finds free loopback addresses, each once in a test run. They are not on 127.0.0.1, where
 // a fake or a connection could take the port before the controller does.
@@ -21,7 +21,7 @@
 		}
 		l.Close()
 		address := l.Addr().String()
-		if _, taken := reserved.LoadOrStore(address, true); !taken {
+		if _, taken := reservedAddresses.LoadOrStore(address, true); !taken {
 			addresses = append(addresses, address)
 		}
 	}
--- a/internal/fake/worker.go
+++ b/internal/fake/agent.go
@@ -12,8 +12,8 @@
 	"leadproxy/internal/wire"
 )
 
-// WorkerConfig is what all workers of a cloud have in common.
-type WorkerConfig struct {
+// AgentConfig is what all workers of a cloud have in common.
+type AgentConfig struct {
 	Controllers       []ControllerAddress             // the controllers
 	HeartbeatInterval time.Duration                   // between heartbeats
 	Lease             time.Duration                   // how long tasks stay without a response to a heartbeat
@@ -29,18 +29,18 @@
 // ControllerAddress is a controller's name and the address at which workers reach it.
 type ControllerAddress struct{ Name, Addr string }
 
-// workerMachine is the machine of a worker.
-type workerMachine struct {
+// agentMachine is the machine of a worker.
+type agentMachine struct {
 	name    string
 	request wire.ScaleOutRequest // which it was created for
 	size    wire.MachineType
 }
 
-// Worker is a fake of a machine with its worker agent.
-type Worker struct {
+// Agent is a fake of a machine with its worker agent.
+type Agent struct {
 	actor
-	workerMachine
-	config      WorkerConfig
+	agentMachine
+	config      AgentConfig
 	host        *Host // nil unless the network is in memory
 	net         transport.Network
 	addr        string
@@ -56,7 +56,7 @@
 	leaseRenewedAt  time.Time // when the last heartbeat with a valid response was sent
 	tokenReportedAt time.Time // when a higher token last caused an early heartbeat
 	lastTick        time.Time
-	tasks           []*workerTask
+	tasks           []*agentTask
 	knownAttempts   map[uint64]bool
 	imageReadyAt    map[string]time.Time
 
@@ -66,17 +66,17 @@
 	savedHeartbeat          []byte
 }
 
-// workerTickInterval is how often a worker advances its tasks and checks its lease.
-const workerTickInterval = 250 * time.Millisecond
+// agentTickInterval is how often a worker advances its tasks and checks its lease.
+const agentTickInterval = 250 * time.Millisecond
 
-// newWorker starts the worker of a machine. Its random choices follow from the machine's name.
-func newWorker(t testing.TB, n transport.Network, addr string, machine workerMachine, config WorkerConfig) *Worker {
+// newAgent starts the worker of a machine. Its random choices follow from the machine's name.
+func newAgent(t testing.TB, n transport.Network, addr string, machine agentMachine, config AgentConfig) *Agent {
 	ctx, stop := context.WithCancel(t.Context())
 	seed := fnv.New64a()
 	seed.Write([]byte(machine.name))
 	now := time.Now()
-	w := &Worker{
-		actor: newActor(t), workerMachine: machine, config: config, net: n, ctx: ctx, stop: stop,
+	w := &Agent{
+		actor: newActor(t), agentMachine: machine, config: config, net: n, ctx: ctx, stop: stop,
 		random:     rand.New(rand.NewPCG(seed.Sum64(), 1)),
 		agentEpoch: 1, leaseRenewedAt: now, lastTick: now, changeSignal: make(chan struct{}, 1),
 		knownAttempts: map[uint64]bool{}, imageReadyAt: map[string]time.Time{},
@@ -92,16 +92,16 @@
 }
 
 // Addr is the address at which it takes commands.
-func (w *Worker) Addr() string { return w.addr }
+func (w *Agent) Addr() string { return w.addr }
 
 // Name is the machine's name.
-func (w *Worker) Name() string { return w.name }
+func (w *Agent) Name() string { return w.name }
 
 // Zone is the machine's zone.
-func (w *Worker) Zone() string { return w.request.Zone }
+func (w *Agent) Zone() string { return w.request.Zone }
 
 // Kill ends the machine with everything on it.
-func (w *Worker) Kill() {
+func (w *Agent) Kill() {
 	w.stop()
 	w.do(w.endAllTasks)
 	if w.host != nil {
@@ -112,7 +112,7 @@
 
 // Reboot restarts the machine at once: everything on it is lost, and its worker starts again with
 // the first agent epoch and sequence number.
-func (w *Worker) Reboot() {
+func (w *Agent) Reboot() {
 	w.do(func() {
 		w.endAllTasks()
 		w.agentEpoch, w.sequence, w.fencingToken = 1, 0, 0
@@ -124,7 +124,7 @@
 
 // freeCapacity is what the machine has free. It is valid if the machine works and has lately been
 // in contact with a controller.
-func (w *Worker) freeCapacity() (free FreeCapacity, valid bool) {
+func (w *Agent) freeCapacity() (free FreeCapacity, valid bool) {
 	w.do(func() {
 		connected := !w.inboundCut && !w.outboundCut && time.Since(w.leaseRenewedAt) < 2*w.config.HeartbeatInterval+time.Second
 		valid = w.ctx.Err() == nil && w.hung == nil && connected
@@ -140,7 +140,7 @@
 }
 
 // expireLease ends all tasks and begins a new agent epoch if the lease has expired.
-func (w *Worker) expireLease() {
+func (w *Agent) expireLease() {
 	if time.Since(w.leaseRenewedAt) > w.config.Lease {
 		w.endAllTasks()
 		w.agentEpoch++
@@ -150,8 +150,8 @@
 }
 
 // runClock advances the worker with the passing of time.
-func (w *Worker) runClock() {
-	tick := time.NewTicker(workerTickInterval)
+func (w *Agent) runClock() {
+	tick := time.NewTicker(agentTickInterval)
 	defer tick.Stop()
 	for {
 		select {
@@ -163,7 +163,7 @@
 	}
 }
 
-func (w *Worker) tick() {
+func (w *Agent) tick() {
 	switch {
 	case w.ctx.Err() != nil:
 	case w.hung == nil:
--- a/internal/fake/worker_commands.go
+++ b/internal/fake/agent_commands.go
@@ -10,13 +10,13 @@
 	"leadproxy/internal/wire"
 )
 
-func (w *Worker) handleCommands(rw http.ResponseWriter, r *http.Request) {
+func (w *Agent) handleCommands(rw http.ResponseWriter, r *http.Request) {
 	var request wire.CommandRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		writeJSON(rw, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
-	if !w.reachable(r.Context()) {
+	if !w.awaitReachable(r.Context()) {
 		return
 	}
 	transport.Pause(w.ctx, time.Millisecond)
@@ -29,22 +29,22 @@
 			w.raiseFencingToken(request.FencingToken)
 			w.executeCommands(request.Commands)
 		}
-		heartbeat = w.heartbeat()
+		heartbeat = w.newHeartbeat()
 	})
 	writeJSON(rw, status, heartbeat)
 }
 
-func (w *Worker) handleInspect(rw http.ResponseWriter, r *http.Request) {
-	if !w.reachable(r.Context()) {
+func (w *Agent) handleInspect(rw http.ResponseWriter, r *http.Request) {
+	if !w.awaitReachable(r.Context()) {
 		return
 	}
 	var heartbeat wire.Heartbeat
-	w.do(func() { heartbeat = w.heartbeat() })
+	w.do(func() { heartbeat = w.newHeartbeat() })
 	writeJSON(rw, http.StatusOK, heartbeat)
 }
 
 // executeCommands executes commands, on the actor.
-func (w *Worker) executeCommands(commands []wire.Command) {
+func (w *Agent) executeCommands(commands []wire.Command) {
 	for _, command := range commands {
 		switch command.Verb {
 		case wire.VerbStart:
@@ -62,8 +62,8 @@
 }
 
 // forgetTask removes an attempt that has ended.
-func (w *Worker) forgetTask(command wire.Command) {
-	w.tasks = slices.DeleteFunc(w.tasks, func(t *workerTask) bool {
+func (w *Agent) forgetTask(command wire.Command) {
+	w.tasks = slices.DeleteFunc(w.tasks, func(t *agentTask) bool {
 		forget := t.Task == command.Task && t.Attempt == command.Attempt && t.Status == wire.TaskEnded
 		if forget {
 			delete(w.knownAttempts, command.Attempt)
@@ -75,7 +75,7 @@
 
 // raiseFencingTokenIfDue records a fencing token if it is higher than all before. That causes an early
 // heartbeat at most once per half a lease.
-func (w *Worker) raiseFencingToken(token uint64) {
+func (w *Agent) raiseFencingToken(token uint64) {
 	if token <= w.fencingToken {
 		return
 	}
--- a/internal/fake/worker_faults.go
+++ b/internal/fake/agent_faults.go
@@ -6,7 +6,7 @@
 )
 
 // SetHung makes the machine stand still, or resumes it.
-func (w *Worker) SetHung(on bool) {
+func (w *Agent) SetHung(on bool) {
 	w.do(func() {
 		switch {
 		case on && w.hung == nil:
@@ -22,23 +22,23 @@
 }
 
 // SetInboundCut lets the machine's heartbeats arrive while responses and commands to it are lost.
-func (w *Worker) SetInboundCut(on bool) { w.do(func() { w.inboundCut = on }) }
+func (w *Agent) SetInboundCut(on bool) { w.do(func() { w.inboundCut = on }) }
 
 // SetOutboundCut makes all controllers unreachable for the machine while commands still reach it.
-func (w *Worker) SetOutboundCut(on bool) { w.do(func() { w.outboundCut = on }) }
+func (w *Agent) SetOutboundCut(on bool) { w.do(func() { w.outboundCut = on }) }
 
 // DuplicateHeartbeats makes a copy of each heartbeat arrive again after a delay; nil ends that.
-func (w *Worker) DuplicateHeartbeats(delay func() time.Duration) {
+func (w *Agent) DuplicateHeartbeats(delay func() time.Duration) {
 	w.do(func() { w.duplicateDelay = delay })
 }
 
 // SaveHeartbeat saves a copy of the current heartbeat, which can be replayed later.
-func (w *Worker) SaveHeartbeat() {
-	w.do(func() { w.savedHeartbeat = w.encodeHeartbeat(w.heartbeat()) })
+func (w *Agent) SaveHeartbeat() {
+	w.do(func() { w.savedHeartbeat = w.encodeHeartbeat(w.newHeartbeat()) })
 }
 
 // ReplayHeartbeat sends the saved heartbeat to all controllers.
-func (w *Worker) ReplayHeartbeat() {
+func (w *Agent) ReplayHeartbeat() {
 	var body []byte
 	w.do(func() { body = w.savedHeartbeat })
 	if body == nil {
@@ -49,9 +49,9 @@
 	}
 }
 
-// reachable waits while the machine hangs and reports whether a message that was sent to it
+// awaitReachable waits while the machine hangs and reports whether a message that was sent to it
 // arrives.
-func (w *Worker) reachable(ctx context.Context) bool {
+func (w *Agent) awaitReachable(ctx context.Context) bool {
 	for {
 		var hung chan struct{}
 		var inboundCut bool
@@ -71,7 +71,7 @@
 }
 
 // awaitResume waits until a machine that hangs resumes or ends.
-func (w *Worker) awaitResume(hung chan struct{}) {
+func (w *Agent) awaitResume(hung chan struct{}) {
 	select {
 	case <-hung:
 	case <-w.ctx.Done():
--- a/internal/fake/worker_heartbeats.go
+++ b/internal/fake/agent_heartbeats.go
@@ -17,8 +17,8 @@
 	responseTimeout      = 4 * time.Second
 )
 
-// heartbeat makes the next heartbeat.
-func (w *Worker) heartbeat() wire.Heartbeat {
+// newHeartbeat makes the next heartbeat.
+func (w *Agent) newHeartbeat() wire.Heartbeat {
 	w.sequence++
 	heartbeat := wire.Heartbeat{
 		Machine: w.name, Address: w.Addr(), CapacityPool: w.request.CapacityPool,
@@ -30,7 +30,7 @@
 	return heartbeat
 }
 
-func (w *Worker) encodeHeartbeat(heartbeat wire.Heartbeat) []byte {
+func (w *Agent) encodeHeartbeat(heartbeat wire.Heartbeat) []byte {
 	body, err := json.Marshal(heartbeat)
 	if err != nil {
 		panic(err) // it is made of encodable values alone
@@ -39,7 +39,7 @@
 }
 
 // signalChange causes an early heartbeat.
-func (w *Worker) signalChange() {
+func (w *Agent) signalChange() {
 	select {
 	case w.changeSignal <- struct{}{}:
 	default:
@@ -48,7 +48,7 @@
 
 // awaitNextHeartbeat waits until the next heartbeat is due: an interval after the last one, or
 // earlier when something has changed.
-func (w *Worker) awaitNextHeartbeat(last time.Time, interval time.Duration) {
+func (w *Agent) awaitNextHeartbeat(last time.Time, interval time.Duration) {
 	regular := time.NewTimer(time.Until(last.Add(interval)))
 	defer regular.Stop()
 	select {
@@ -61,7 +61,7 @@
 
 // sendHeartbeats sends heartbeats to one controller after the other, as the protocol requires,
 // until one accepts them, and then stays with that one.
-func (w *Worker) sendHeartbeats() {
+func (w *Agent) sendHeartbeats() {
 	current := w.random.IntN(len(w.config.Controllers))
 	var last time.Time
 	for w.ctx.Err() == nil {
@@ -91,7 +91,7 @@
 
 // nextController returns the index of the controller to send to after one that did not accept, and
 // after what delay: the leader soon, if one was named, otherwise the next in the list.
-func (w *Worker) nextController(current int, leader string) (next int, delay time.Duration) {
+func (w *Agent) nextController(current int, leader string) (next int, delay time.Duration) {
 	at := slices.IndexFunc(w.config.Controllers, func(n ControllerAddress) bool { return n.Name == leader })
 	if at >= 0 && at != current {
 		return at, time.Duration(w.random.Int64N(int64(minHeartbeatInterval)))
@@ -106,8 +106,8 @@
 }
 
 // sendHeartbeat sends a heartbeat to a controller and applies the response.
-func (w *Worker) sendHeartbeat(addr string, sentAt time.Time) heartbeatResult {
-	outgoing := w.takeHeartbeat()
+func (w *Agent) sendHeartbeat(addr string, sentAt time.Time) heartbeatResult {
+	outgoing := w.prepareHeartbeat()
 	if outgoing.duplicateDelay != nil {
 		w.sendDuplicate(addr, outgoing.body, outgoing.duplicateDelay())
 	}
@@ -134,10 +134,10 @@
 	duplicateDelay func() time.Duration // nil: no duplicate is sent
 }
 
-// takeHeartbeat makes the next heartbeat to send, which has all changes so far.
-func (w *Worker) takeHeartbeat() (outgoing outgoingHeartbeat) {
+// prepareHeartbeat makes the next heartbeat to send, which has all changes so far.
+func (w *Agent) prepareHeartbeat() (outgoing outgoingHeartbeat) {
 	w.do(func() {
-		outgoing.Heartbeat = w.heartbeat()
+		outgoing.Heartbeat = w.newHeartbeat()
 		outgoing.duplicateDelay = w.duplicateDelay
 		select {
 		case <-w.changeSignal:
@@ -149,7 +149,7 @@
 }
 
 // sendDuplicate sends a heartbeat once more after a delay.
-func (w *Worker) sendDuplicate(addr string, body []byte, delay time.Duration) {
+func (w *Agent) sendDuplicate(addr string, body []byte, delay time.Duration) {
 	go func() {
 		transport.Pause(w.ctx, delay)
 		if w.ctx.Err() == nil {
@@ -160,7 +160,7 @@
 
 // awaitResponse reports whether a response arrives in time, after one was sent: not when inbound
 // messages are cut, and only when the machine resumes if it hangs.
-func (w *Worker) awaitResponse(sentAt time.Time) bool {
+func (w *Agent) awaitResponse(sentAt time.Time) bool {
 	var hung chan struct{}
 	var inboundCut bool
 	w.do(func() { hung, inboundCut = w.hung, w.inboundCut })
@@ -176,7 +176,7 @@
 
 // applyResponse renews the lease and executes the commands of a response, unless it is stale. It
 // reports whether it is a response.
-func (w *Worker) applyResponse(heartbeat wire.Heartbeat, sentAt time.Time, body []byte) bool {
+func (w *Agent) applyResponse(heartbeat wire.Heartbeat, sentAt time.Time, body []byte) bool {
 	var response wire.HeartbeatResponse
 	if json.Unmarshal(body, &response) != nil {
 		return false
@@ -195,7 +195,7 @@
 }
 
 // postHeartbeat sends an encoded heartbeat to a controller.
-func (w *Worker) postHeartbeat(addr string, body []byte) (transport.Response, error) {
+func (w *Agent) postHeartbeat(addr string, body []byte) (transport.Response, error) {
 	conn := transport.NewConn(w.net, addr)
 	defer conn.Close()
 	deadline := time.Now().Add(responseTimeout)
--- a/internal/fake/worker_tasks.go
+++ b/internal/fake/agent_tasks.go
@@ -6,23 +6,23 @@
 	"leadproxy/internal/wire"
 )
 
-// workerTask is one attempt of a task on a machine, as its worker knows it.
-type workerTask struct {
+// agentTask is one attempt of a task on a machine, as its worker knows it.
+type agentTask struct {
 	wire.TaskStatus
 	job              *wire.Job
 	progress         time.Duration
 	checkpointDoneAt time.Time // when its checkpoint will be saved
 }
 
-// onMachine reports whether a task counts as running on its machine.
-func (t *workerTask) onMachine() bool {
+// countsAsRunning reports whether a task counts as running on its machine.
+func (t *agentTask) countsAsRunning() bool {
 	return t.Status == wire.TaskRunning || t.Status == wire.TaskCheckpointing
 }
 
 // endAllTasks ends all tasks at once, as an expired lease does.
-func (w *Worker) endAllTasks() {
+func (w *Agent) endAllTasks() {
 	for _, t := range w.tasks {
-		if t.onMachine() {
+		if t.countsAsRunning() {
 			w.config.Checker.RecordTaskEnd(t.Task, w.name, false)
 		}
 	}
@@ -30,7 +30,7 @@
 }
 
 // advanceTasks lets tasks progress by the time that has passed.
-func (w *Worker) advanceTasks() {
+func (w *Agent) advanceTasks() {
 	now := time.Now()
 	elapsed := now.Sub(w.lastTick)
 	w.lastTick = now
@@ -38,7 +38,7 @@
 		switch t.Status {
 		case wire.TaskFetching:
 			if !now.Before(w.imageReadyAt[t.job.Image]) {
-				w.beginTask(t)
+				w.runTask(t)
 			}
 		case wire.TaskRunning:
 			if t.progress += elapsed; t.progress >= w.config.RunTime(t.Task) {
@@ -53,28 +53,28 @@
 }
 
 // startTask begins an attempt, unless it is known already (idempotent command).
-func (w *Worker) startTask(command wire.Command) {
+func (w *Agent) startTask(command wire.Command) {
 	if w.knownAttempts[command.Attempt] {
 		return
 	}
 	w.knownAttempts[command.Attempt] = true
 	w.signalChange()
-	t := &workerTask{TaskStatus: wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Status: wire.TaskEnded}}
+	t := &agentTask{TaskStatus: wire.TaskStatus{Task: command.Task, Attempt: command.Attempt, Status: wire.TaskEnded}}
 	w.tasks = append(w.tasks, t)
 	t.job = w.config.Checker.Job(wire.JobIDOfTask(command.Task))
-	if t.ExitReason = w.rejection(t); t.ExitReason != "" {
+	if t.ExitReason = w.rejectionReason(t); t.ExitReason != "" {
 		return
 	}
 	t.Status = wire.TaskFetching
 	if readyAt, ok := w.imageReadyAt[t.job.Image]; !ok {
 		w.imageReadyAt[t.job.Image] = time.Now().Add(w.config.ImageFetchTime)
 	} else if !time.Now().Before(readyAt) {
-		w.beginTask(t)
+		w.runTask(t)
 	}
 }
 
-// rejection is the reason why a new attempt can't run; "": it can.
-func (w *Worker) rejection(t *workerTask) string {
+// rejectionReason is the reason why a new attempt can't run; "": it can.
+func (w *Agent) rejectionReason(t *agentTask) string {
 	if t.job == nil {
 		return wire.ExitNoSuchTask
 	}
@@ -95,7 +95,7 @@
 	return ""
 }
 
-func (w *Worker) beginTask(t *workerTask) {
+func (w *Agent) runTask(t *agentTask) {
 	t.Status, t.progress = wire.TaskRunning, w.config.Checker.CheckpointedProgress(t.Task)
 	w.signalChange()
 	w.config.Checker.RecordTaskStart(t.Task, Location{
@@ -103,14 +103,14 @@
 	})
 }
 
-func (w *Worker) completeTask(t *workerTask) {
+func (w *Agent) completeTask(t *agentTask) {
 	t.Status, t.ExitReason = wire.TaskEnded, wire.ExitDone
 	w.signalChange()
 	w.config.Checker.RecordTaskEnd(t.Task, w.name, true)
 }
 
 // stopTask ends a task, after a checkpoint if the command's grace period is long enough for it.
-func (w *Worker) stopTask(t *workerTask, command wire.Command) {
+func (w *Agent) stopTask(t *agentTask, command wire.Command) {
 	grace := 0.0
 	if command.GracePeriodS != nil {
 		grace = *command.GracePeriodS
@@ -138,8 +138,8 @@
 )
 
 // endStoppedTask ends a task that was told to stop.
-func (w *Worker) endStoppedTask(t *workerTask, outcome checkpointOutcome) {
-	if t.onMachine() {
+func (w *Agent) endStoppedTask(t *agentTask, outcome checkpointOutcome) {
+	if t.countsAsRunning() {
 		w.config.Checker.RecordTaskEnd(t.Task, w.name, false)
 	}
 	if outcome == checkpointSaved {
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -72,8 +72,8 @@
 	return violations
 }
 
-// violate records the violation of an invariant.
-func (c *Checker) violate(invariant, format string, args ...any) {
+// recordViolation records the violation of an invariant.
+func (c *Checker) recordViolation(invariant, format string, args ...any) {
 	c.violations = append(c.violations, invariant+": "+fmt.Sprintf(format, args...))
 }
 
--- a/internal/fake/checker_cancellation.go
+++ b/internal/fake/checker_cancellation.go
@@ -7,15 +7,15 @@
 	"leadproxy/internal/wire"
 )
 
-// cancelDue reports whether the time has passed within which a cancelled job's tasks must end.
-func (c *Checker) cancelDue(j *checkedJob) bool {
+// cancelDeadlinePassed reports whether the time has passed within which a cancelled job's tasks must end.
+func (c *Checker) cancelDeadlinePassed(j *checkedJob) bool {
 	return j.terminalStatus == wire.JobCancelled && time.Since(j.terminalAt) > c.limits.CancelDeadline
 }
 
 // checkCancelledTask checks that a task that is still running is not long cancelled.
 func (c *Checker) checkCancelledTask(task string) {
-	if j := c.jobs[wire.JobIDOfTask(task)]; j != nil && c.cancelDue(j) {
-		c.violate(invariantRanCancelled, "%s is on %s %s after the confirmation", task, c.running[task].Machine, time.Since(j.terminalAt))
+	if j := c.jobs[wire.JobIDOfTask(task)]; j != nil && c.cancelDeadlinePassed(j) {
+		c.recordViolation(invariantRanCancelled, "%s is on %s %s after the confirmation", task, c.running[task].Machine, time.Since(j.terminalAt))
 		j.terminalAt = time.Now() // report it once
 	}
 }
@@ -40,7 +40,7 @@
 				continue
 			}
 			if !hasStop(commands, task.Attempt) {
-				c.violate(invariantRenewedWithoutStop, "%s of %s, %s after the confirmation", task.Task, machine, sentAt.Sub(j.terminalAt))
+				c.recordViolation(invariantRenewedWithoutStop, "%s of %s, %s after the confirmation", task.Task, machine, sentAt.Sub(j.terminalAt))
 			}
 		}
 	})
--- a/internal/fake/checker_cancellation_test.go
+++ b/internal/fake/checker_cancellation_test.go
@@ -11,7 +11,7 @@
 	testChecker(t, []checkerCase{
 		{"a task runs on long after the cancellation", "ran_cancelled", func(s *scenario) {
 			s.submit("job-1", 1, nil)
-			s.start("job-1/0", "m1", "a")
+			s.startTask("job-1/0", "m1", "a")
 			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(41 * time.Second)
 			s.CheckInvariants(time.Time{}, nil)
@@ -31,7 +31,7 @@
 		}},
 		{"a task ends late after the cancellation", "ran_cancelled", func(s *scenario) {
 			s.submit("job-1", 1, nil)
-			s.start("job-1/0", "m1", "a")
+			s.startTask("job-1/0", "m1", "a")
 			s.respond(RequestStatus, "job-1", 200, wire.JobQueued)
 			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(41 * time.Second)
@@ -39,7 +39,7 @@
 		}},
 		{"a task ends in time after the cancellation", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
-			s.start("job-1/0", "m1", "a")
+			s.startTask("job-1/0", "m1", "a")
 			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(39 * time.Second)
 			s.RecordTaskEnd("job-1/0", "m1", false)
@@ -48,7 +48,7 @@
 			s.submit("job-1", 1, nil)
 			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(41 * time.Second)
-			s.start("job-1/0", "m1", "a")
+			s.startTask("job-1/0", "m1", "a")
 		}},
 	})
 }
--- a/internal/fake/checker_dependencies_test.go
+++ b/internal/fake/checker_dependencies_test.go
@@ -13,20 +13,20 @@
 		{"a task starts before a dependency is done", "too_early", func(s *scenario) {
 			s.submit("job-1", 2, nil)
 			s.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
-			s.run("job-1/0", "m1")
-			s.run("job-2/0", "m1")
+			s.runTask("job-1/0", "m1")
+			s.runTask("job-2/0", "m1")
 		}},
 		{"a task starts before a transitive dependency is done", "too_early", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.submit("job-2", 0, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
 			s.submit("job-3", 1, func(j *wire.Job) { j.DependsOn = []string{"job-2"} })
-			s.run("job-3/0", "m1")
+			s.runTask("job-3/0", "m1")
 		}},
 		{"a task starts when the dependency is done", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
-			s.run("job-1/0", "m1")
-			s.run("job-2/0", "m1")
+			s.runTask("job-1/0", "m1")
+			s.runTask("job-2/0", "m1")
 		}},
 		{"queued long after a dependency was cancelled", "orphaned", func(s *scenario) {
 			s.submit("job-1", 1, nil)
--- a/internal/fake/checker_liveness.go
+++ b/internal/fake/checker_liveness.go
@@ -45,7 +45,7 @@
 func (c *Checker) checkAnswered(jobID string, j *checkedJob, calm time.Time) {
 	unanswered := j.lastRequestAt.Sub(later(j.unansweredSince, calm))
 	if !j.unansweredSince.IsZero() && unanswered > c.limits.MaxUnanswered {
-		c.violate(invariantForgotten, "%s: no request answered for %s", jobID, unanswered)
+		c.recordViolation(invariantForgotten, "%s: no request answered for %s", jobID, unanswered)
 		j.unansweredSince = time.Now()
 	}
 }
@@ -60,7 +60,7 @@
 		j.schedulableSince = time.Now()
 	}
 	if time.Since(j.schedulableSince) > c.limits.MaxWaiting {
-		c.violate(invariantLeftWaiting, "%s: %d of %d done, free capacity for %s", jobID, len(j.completed), j.job.Tasks, time.Since(j.schedulableSince))
+		c.recordViolation(invariantLeftWaiting, "%s: %d of %d done, free capacity for %s", jobID, len(j.completed), j.job.Tasks, time.Since(j.schedulableSince))
 		j.schedulableSince = time.Now()
 	}
 }
--- a/internal/fake/checker_liveness_test.go
+++ b/internal/fake/checker_liveness_test.go
@@ -30,8 +30,8 @@
 		}},
 		{"waits since its team is at its limit", "", func(s *scenario) {
 			s.submit("job-1", 3, nil)
-			s.start("job-1/0", "m1", "a")
-			s.start("job-1/1", "m1", "a")
+			s.startTask("job-1/0", "m1", "a")
+			s.startTask("job-1/1", "m1", "a")
 			calm := time.Now()
 			for range 30 {
 				s.CheckInvariants(calm, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 20, MemGB: 20}})
--- a/internal/fake/checker_placement.go
+++ b/internal/fake/checker_placement.go
@@ -14,7 +14,7 @@
 		mismatch = zone
 	}
 	if mismatch != "" {
-		c.violate(invariantWrongPlace, "%s on %s: %s", task, l.Machine, mismatch)
+		c.recordViolation(invariantWrongPlace, "%s on %s: %s", task, l.Machine, mismatch)
 	}
 }
 
@@ -59,7 +59,7 @@
 		return
 	}
 	if used := c.usedCPUs(team); used > limit+1e-9 {
-		c.violate(invariantQuota, "%s uses %v of %v", team, used, limit)
+		c.recordViolation(invariantQuota, "%s uses %v of %v", team, used, limit)
 	}
 }
 
--- a/internal/fake/checker_requests.go
+++ b/internal/fake/checker_requests.go
@@ -55,7 +55,7 @@
 		j := c.jobs[jobID]
 		if j == nil {
 			if isAccepted(code) {
-				c.violate(invariantInvented, "%s: %d %s", jobID, code, status)
+				c.recordViolation(invariantInvented, "%s: %d %s", jobID, code, status)
 			}
 			return
 		}
@@ -65,7 +65,7 @@
 		switch {
 		case isAccepted(code):
 			if !j.runnable {
-				c.violate(invariantAcceptedUnfit, "%s can't run or is incomplete: %d", jobID, code)
+				c.recordViolation(invariantAcceptedUnfit, "%s can't run or is incomplete: %d", jobID, code)
 			}
 			if j.acceptedAt.IsZero() {
 				j.acceptedAt = now
@@ -75,13 +75,13 @@
 		case code == http.StatusNotFound:
 			j.unansweredSince = time.Time{}
 			if known {
-				c.violate(invariantForgotten, "%s: 404", jobID)
+				c.recordViolation(invariantForgotten, "%s: 404", jobID)
 			}
 		case kind == RequestSubmit && (code == http.StatusBadRequest || code == http.StatusUnprocessableEntity):
 			if known {
-				c.violate(invariantForgotten, "%s: its repetition got %d", jobID, code)
+				c.recordViolation(invariantForgotten, "%s: its repetition got %d", jobID, code)
 			} else if j.runnable {
-				c.violate(invariantRefusedFit, "%s: %d", jobID, code)
+				c.recordViolation(invariantRefusedFit, "%s: %d", jobID, code)
 			}
 		}
 	})
@@ -90,22 +90,22 @@
 // checkStatus checks a job's status in a response to a request that was sent at some time.
 func (c *Checker) checkStatus(jobID string, j *checkedJob, sentAt time.Time, status string) {
 	if j.terminalStatus != "" && !j.terminalAt.After(sentAt) && status != j.terminalStatus {
-		c.violate(invariantWentBack, "%s: %s after %s", jobID, status, j.terminalStatus)
+		c.recordViolation(invariantWentBack, "%s: %s after %s", jobID, status, j.terminalStatus)
 	}
 	if status != wire.JobDone && status != wire.JobCancelled {
 		if dependency, since := c.cancelledDependency(j); dependency != "" && sentAt.Sub(since) > c.limits.CancelDeadline {
-			c.violate(invariantOrphaned, "%s is %s %s after %s was told as cancelled", jobID, status, sentAt.Sub(since), dependency)
+			c.recordViolation(invariantOrphaned, "%s is %s %s after %s was told as cancelled", jobID, status, sentAt.Sub(since), dependency)
 		}
 		return
 	}
 	if j.terminalStatus != "" && status != j.terminalStatus {
-		c.violate(invariantWentBack, "%s: both %s and %s", jobID, j.terminalStatus, status)
+		c.recordViolation(invariantWentBack, "%s: both %s and %s", jobID, j.terminalStatus, status)
 	}
 	if status == wire.JobDone && len(j.completed) < j.job.Tasks {
-		c.violate(invariantNotDone, "%s: %d of %d", jobID, len(j.completed), j.job.Tasks)
+		c.recordViolation(invariantNotDone, "%s: %d of %d", jobID, len(j.completed), j.job.Tasks)
 	}
 	if status == wire.JobCancelled && !c.cancelRequested(j) {
-		c.violate(invariantWentBack, "%s: cancelled without a request", jobID)
+		c.recordViolation(invariantWentBack, "%s: cancelled without a request", jobID)
 	}
 	if j.terminalStatus == "" {
 		j.terminalStatus, j.terminalAt = status, time.Now()
--- a/internal/fake/checker_requests_test.go
+++ b/internal/fake/checker_requests_test.go
@@ -11,26 +11,26 @@
 	testChecker(t, []checkerCase{
 		{"all tasks complete", "", func(s *scenario) {
 			s.submit("job-1", 2, nil)
-			s.run("job-1/0", "m1")
-			s.run("job-1/1", "m2")
+			s.runTask("job-1/0", "m1")
+			s.runTask("job-1/1", "m2")
 			s.respond(RequestStatus, "job-1", 200, wire.JobDone)
 			s.respond(RequestSubmit, "job-1", 200, wire.JobDone)
 			s.respond(RequestStatus, "job-9", 404, "")
 		}},
 		{"done before all tasks have completed", "not_done", func(s *scenario) {
 			s.submit("job-1", 2, nil)
-			s.run("job-1/0", "m1")
+			s.runTask("job-1/0", "m1")
 			s.respond(RequestStatus, "job-1", 200, wire.JobDone)
 		}},
 		{"queued after done", "went_back", func(s *scenario) {
 			s.submit("job-1", 1, nil)
-			s.run("job-1/0", "m1")
+			s.runTask("job-1/0", "m1")
 			s.respond(RequestStatus, "job-1", 200, wire.JobDone)
 			s.respond(RequestSubmit, "job-1", 200, wire.JobQueued)
 		}},
 		{"cancelled after done", "went_back", func(s *scenario) {
 			s.submit("job-1", 1, nil)
-			s.run("job-1/0", "m1")
+			s.runTask("job-1/0", "m1")
 			s.RecordCancellation("job-1")
 			s.respond(RequestStatus, "job-1", 200, wire.JobDone)
 			sentAt := time.Now().Add(-time.Hour)
@@ -43,7 +43,7 @@
 		{"a response that was in flight", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			sentAt := time.Now()
-			s.run("job-1/0", "m1")
+			s.runTask("job-1/0", "m1")
 			s.respond(RequestStatus, "job-1", 200, wire.JobDone)
 			s.RecordResponse(RequestStatus, "job-1", sentAt, 200, wire.JobRunning)
 		}},
--- a/internal/fake/checker_tasks.go
+++ b/internal/fake/checker_tasks.go
@@ -27,21 +27,21 @@
 	c.do(func() {
 		j := c.jobs[wire.JobIDOfTask(task)]
 		if j == nil {
-			c.violate(invariantInvented, "%s started and was never submitted", task)
+			c.recordViolation(invariantInvented, "%s started and was never submitted", task)
 			return
 		}
 		if previous, ok := c.running[task]; ok && (c.limits.RetryAllowed == nil || !c.limits.RetryAllowed(j.job.Class)) {
-			c.violate(invariantRanTwice, "%s starts on %s while on %s", task, on.Machine, previous.Machine)
+			c.recordViolation(invariantRanTwice, "%s starts on %s while on %s", task, on.Machine, previous.Machine)
 		}
 		c.forEachDependency(j, func(jobID string, dependency *checkedJob) {
 			if len(dependency.completed) < dependency.job.Tasks {
-				c.violate(invariantTooEarly, "%s starts, and %s has %d of %d done", task, jobID, len(dependency.completed), dependency.job.Tasks)
+				c.recordViolation(invariantTooEarly, "%s starts, and %s has %d of %d done", task, jobID, len(dependency.completed), dependency.job.Tasks)
 			}
 		})
 		if j.terminalStatus == wire.JobCancelled {
 			c.lateStarts++
-			if c.cancelDue(j) {
-				c.violate(invariantRanCancelled, "%s starts %s after the confirmation", task, time.Since(j.terminalAt))
+			if c.cancelDeadlinePassed(j) {
+				c.recordViolation(invariantRanCancelled, "%s starts %s after the confirmation", task, time.Since(j.terminalAt))
 			}
 		}
 		c.checkPlacement(task, j.job, on)
@@ -58,15 +58,15 @@
 			c.checkCancelledTask(task)
 			delete(c.running, task)
 		}
-		c.closeRun(task, machine, completed)
+		c.recordRunEnd(task, machine, completed)
 		if j := c.jobs[wire.JobIDOfTask(task)]; completed && j != nil {
 			j.completed[task] = true
 		}
 	})
 }
 
-// closeRun records the end of a task's last run on a machine.
-func (c *Checker) closeRun(task, machine string, completed bool) {
+// recordRunEnd records the end of a task's last run on a machine.
+func (c *Checker) recordRunEnd(task, machine string, completed bool) {
 	for i := len(c.runs) - 1; i >= 0; i-- {
 		if r := &c.runs[i]; r.Task == task && r.Machine == machine {
 			r.Ended, r.Completed = time.Now(), completed
--- a/internal/fake/checker_test.go
+++ b/internal/fake/checker_test.go
@@ -32,22 +32,22 @@
 	s.RecordResponse(kind, jobID, sentAt, code, status)
 }
 
-// start records that a task starts on a spot machine.
-func (s *scenario) start(task, machine, zone string) {
+// startTask records that a task starts on a spot machine.
+func (s *scenario) startTask(task, machine, zone string) {
 	s.RecordTaskStart(task, Location{Machine: machine, MachineType: "m", Zone: zone, Spot: true})
 }
 
-// run records the run of a task that completes after a second.
-func (s *scenario) run(task, machine string) {
-	s.start(task, machine, "a")
+// runTask records the run of a task that completes after a second.
+func (s *scenario) runTask(task, machine string) {
+	s.startTask(task, machine, "a")
 	time.Sleep(time.Second)
 	s.RecordTaskEnd(task, machine, true)
 }
 
 // checkerCase is a scenario that violates one invariant, or with "" none.
 type checkerCase struct {
-	name, violated string
-	play           func(s *scenario)
+	name, wantViolation string
+	steps               func(s *scenario)
 }
 
 // testChecker expects each scenario to violate its invariant and no other.
@@ -58,17 +58,17 @@
 			synctest.Test(t, func(t *testing.T) {
 				limits := Limits{CancelDeadline: 40 * time.Second, TeamCPULimits: map[string]float64{"t": 5}, MaxWaiting: 90 * time.Second, MaxUnanswered: 75 * time.Second}
 				s := &scenario{NewChecker(t, limits)}
-				c.play(s)
+				c.steps(s)
 				violations := s.Violations()
 				switch {
-				case c.violated == "" && len(violations) > 0:
+				case c.wantViolation == "" && len(violations) > 0:
 					t.Errorf("violates %v", violations)
-				case c.violated != "" && len(violations) == 0:
-					t.Errorf("violates nothing, want %s", c.violated)
+				case c.wantViolation != "" && len(violations) == 0:
+					t.Errorf("violates nothing, want %s", c.wantViolation)
 				}
 				for _, v := range violations {
-					if !strings.HasPrefix(v, c.violated+":") {
-						t.Errorf("violates %s, want %s", v, c.violated)
+					if !strings.HasPrefix(v, c.wantViolation+":") {
+						t.Errorf("violates %s, want %s", v, c.wantViolation)
 					}
 				}
 			})
--- a/internal/fake/cloud.go
+++ b/internal/fake/cloud.go
@@ -18,7 +18,7 @@
 	ListLag     time.Duration // from the request until a machine is listed
 	MaxMachines int           // machines at the same time; 0: unlimited
 	NamePrefix  string        // of the machines' names; "": vm-
-	Worker      WorkerConfig
+	Agent       AgentConfig
 	// NewHost makes the network of a machine, and its address there.
 	NewHost func(name string) (n transport.Network, addr string)
 	Faults  FaultInjector
@@ -27,17 +27,17 @@
 // Cloud is a fake of the cloud's API. Its machines run fake workers.
 type Cloud struct {
 	actor
-	t         testing.TB
-	addr      string
-	config    CloudConfig
-	scaleOuts map[string][]string // machines by request ID, so that a repeated request gets the same
-	machines  map[string]*cloudMachine
-	created   int
+	t               testing.TB
+	addr            string
+	config          CloudConfig
+	scaleOuts       map[string][]string // machines by request ID, so that a repeated request gets the same
+	machines        map[string]*cloudMachine
+	machinesCreated int
 }
 
 type cloudMachine struct {
 	listed    wire.ListedMachine
-	worker    *Worker // nil while it boots
+	agent     *Agent // nil while it boots
 	createdAt time.Time
 	deleted   bool
 }
@@ -61,7 +61,7 @@
 
 // Terminate terminates machines with everything on them, as the cloud does with spot instances.
 func (c *Cloud) Terminate(names ...string) {
-	var workers []*Worker
+	var workers []*Agent
 	c.do(func() {
 		for _, name := range names {
 			m := c.machines[name]
@@ -69,8 +69,8 @@
 				continue
 			}
 			m.deleted = true
-			if m.worker != nil {
-				workers = append(workers, m.worker)
+			if m.agent != nil {
+				workers = append(workers, m.agent)
 			}
 			delete(c.machines, name)
 		}
@@ -80,22 +80,22 @@
 	}
 }
 
-// Workers lists the workers of the machines that are up, by name.
-func (c *Cloud) Workers() (workers []*Worker) {
+// Agents lists the workers of the machines that are up, by name.
+func (c *Cloud) Agents() (workers []*Agent) {
 	c.do(func() {
 		for _, m := range c.machines {
-			if m.worker != nil {
-				workers = append(workers, m.worker)
+			if m.agent != nil {
+				workers = append(workers, m.agent)
 			}
 		}
 	})
-	slices.SortFunc(workers, func(a, b *Worker) int { return strings.Compare(a.name, b.name) })
+	slices.SortFunc(workers, func(a, b *Agent) int { return strings.Compare(a.name, b.name) })
 	return workers
 }
 
 // FreeCapacity lists the free capacity of the machines that work and are in contact with a controller.
 func (c *Cloud) FreeCapacity() (free []FreeCapacity) {
-	for _, w := range c.Workers() {
+	for _, w := range c.Agents() {
 		if capacity, ok := w.freeCapacity(); ok {
 			free = append(free, capacity)
 		}
--- a/internal/fake/cloud_api.go
+++ b/internal/fake/cloud_api.go
@@ -53,8 +53,8 @@
 
 // startMachine lets a machine boot and returns its name.
 func (c *Cloud) startMachine(request wire.ScaleOutRequest, machineType wire.MachineType) string {
-	name := fmt.Sprintf("%s%06d", cmp.Or(c.config.NamePrefix, "vm-"), c.created)
-	c.created++
+	name := fmt.Sprintf("%s%06d", cmp.Or(c.config.NamePrefix, "vm-"), c.machinesCreated)
+	c.machinesCreated++
 	n, addr := c.config.NewHost(name)
 	m := &cloudMachine{
 		createdAt: time.Now(),
@@ -68,8 +68,8 @@
 			if m.deleted || ctx.Err() != nil {
 				return
 			}
-			m.worker = newWorker(c.t, n, addr, workerMachine{name: name, request: request, size: machineType}, c.config.Worker)
-			m.listed.Address, m.listed.Status = m.worker.Addr(), wire.MachineRunning
+			m.agent = newAgent(c.t, n, addr, agentMachine{name: name, request: request, size: machineType}, c.config.Agent)
+			m.listed.Address, m.listed.Status = m.agent.Addr(), wire.MachineRunning
 		})
 	}()
 	return name
--- a/internal/fake/deployment.go
+++ b/internal/fake/deployment.go
@@ -19,9 +19,9 @@
 	TeamCPULimits map[string]float64
 	// OperatorSettings is the text of the operators' settings file.
 	OperatorSettings string
-	// HeartbeatInterval is that of the workers, WorkerLease how long a worker keeps its tasks
+	// HeartbeatInterval is that of the workers, AgentLease how long a worker keeps its tasks
 	// without a response, and CancelDeadline within which time the tasks of a cancelled job end.
-	HeartbeatInterval, WorkerLease, CancelDeadline time.Duration
+	HeartbeatInterval, AgentLease, CancelDeadline time.Duration
 	// RunTime is how long a task runs.
 	RunTime func(task string) time.Duration
 	// SlowCheckpoints makes tasks take flush_s to save a checkpoint; otherwise it is immediate.
@@ -39,7 +39,7 @@
 // The default times of a deployment's workers.
 const (
 	defaultHeartbeatInterval = time.Second
-	defaultWorkerLease       = 20 * time.Second
+	defaultAgentLease        = 20 * time.Second
 	defaultCancelDeadline    = 40 * time.Second
 )
 
@@ -57,9 +57,9 @@
 
 // ControllerRelays are the relays around one controller.
 type ControllerRelays struct {
-	Store   *Relay   // from it to the key-value store
-	Workers *Relay   // from workers to it
-	Peers   []*Relay // from it to the other controllers
+	Store  *Relay   // from it to the key-value store
+	Agents *Relay   // from workers to it
+	Peers  []*Relay // from it to the other controllers
 }
 
 // NewDeployment makes a deployment. Its controllers are not started yet.
@@ -82,7 +82,7 @@
 
 func (p *DeploymentPlan) setDefaults() {
 	p.HeartbeatInterval = cmp.Or(p.HeartbeatInterval, defaultHeartbeatInterval)
-	p.WorkerLease = cmp.Or(p.WorkerLease, defaultWorkerLease)
+	p.AgentLease = cmp.Or(p.AgentLease, defaultAgentLease)
 	p.CancelDeadline = cmp.Or(p.CancelDeadline, defaultCancelDeadline)
 }
 
@@ -90,9 +90,9 @@
 // returns the addresses to which workers send heartbeats.
 func (d *Deployment) addRelays(t *testing.T, public []string) (heartbeatAddresses []string) {
 	for _, addr := range public {
-		relays := ControllerRelays{Store: NewRelay(t, d.Store.Addr()), Workers: NewRelay(t, addr)}
+		relays := ControllerRelays{Store: NewRelay(t, d.Store.Addr()), Agents: NewRelay(t, addr)}
 		d.Relays = append(d.Relays, relays)
-		heartbeatAddresses = append(heartbeatAddresses, relays.Workers.Addr())
+		heartbeatAddresses = append(heartbeatAddresses, relays.Agents.Addr())
 	}
 	return heartbeatAddresses
 }
--- a/internal/fake/deployment_settings.go
+++ b/internal/fake/deployment_settings.go
@@ -23,7 +23,7 @@
 	writes := float64(minWriteRPS + p.Machines/machinesPerWritePerSecond)
 	facts := settings.Facts{
 		ControllerCount: p.Controllers, Zones: []string{"a"}, ClockErrorMS: 5,
-		Workers:   settings.Workers{HeartbeatS: p.HeartbeatInterval.Seconds(), LeaseS: p.WorkerLease.Seconds(), CancelS: p.CancelDeadline.Seconds()},
+		Workers:   settings.Workers{HeartbeatS: p.HeartbeatInterval.Seconds(), LeaseS: p.AgentLease.Seconds(), CancelS: p.CancelDeadline.Seconds()},
 		Store:     settings.StoreLimits{RPS: writes * minStoreRPS / minWriteRPS, WriteRPS: writes, ValueKB: 16, TxnOps: 32},
 		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 2},
 		Resources: settings.Resources{CPUShare: 1, RAMMB: 1000, Sockets: max(minSockets, socketsPerMachine*p.Machines)},
@@ -44,20 +44,20 @@
 	return CloudConfig{
 		Types:    []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 1, Zones: []string{"a"}}},
 		BootTime: time.Second, ListLag: 2 * time.Second, MaxMachines: p.Machines,
-		Worker:  p.workerConfig(heartbeatAddresses, checker),
+		Agent:   p.agentConfig(heartbeatAddresses, checker),
 		Faults:  p.CloudFaults,
 		NewHost: func(string) (transport.Network, string) { return transport.TCP{}, "127.0.0.1:0" },
 	}
 }
 
-// workerConfig describes the workers on those machines.
-func (p *DeploymentPlan) workerConfig(heartbeatAddresses []string, checker *Checker) WorkerConfig {
+// agentConfig describes the workers on those machines.
+func (p *DeploymentPlan) agentConfig(heartbeatAddresses []string, checker *Checker) AgentConfig {
 	var controllers []ControllerAddress
 	for i, addr := range heartbeatAddresses {
 		controllers = append(controllers, ControllerAddress{Name: controllerName(i), Addr: addr})
 	}
-	return WorkerConfig{
-		Controllers: controllers, HeartbeatInterval: p.HeartbeatInterval, Lease: p.WorkerLease, ImageFetchTime: 200 * time.Millisecond,
+	return AgentConfig{
+		Controllers: controllers, HeartbeatInterval: p.HeartbeatInterval, Lease: p.AgentLease, ImageFetchTime: 200 * time.Millisecond,
 		RunTime: p.RunTime, Checker: checker, SlowCheckpoints: p.SlowCheckpoints, CommandFaults: p.CommandFaults,
 	}
 }
--- a/internal/fake/interruptions.go
+++ b/internal/fake/interruptions.go
@@ -34,8 +34,8 @@
 	return interruptions
 }
 
-// MaxInterrupted is the largest number of a set of jobs that were interrupted at the same time.
-func MaxInterrupted(interruptions []Interruption, in func(jobID string) bool) (most int) {
+// MaxInterruptedJobs is the largest number of a set of jobs that were interrupted at the same time.
+func MaxInterruptedJobs(interruptions []Interruption, in func(jobID string) bool) (most int) {
 	for _, at := range interruptions {
 		jobIDs := map[string]bool{}
 		for _, other := range interruptions {
--- a/internal/fake/network_host.go
+++ b/internal/fake/network_host.go
@@ -49,14 +49,14 @@
 	})
 }
 
-// connectTime is how long a connection attempt takes, so that a caller which retries at once does not
+// connectLatency is how long a connection attempt takes, so that a caller which retries at once does not
 // keep the fake clock from advancing.
-const connectTime = time.Millisecond
+const connectLatency = time.Millisecond
 
 // Dial connects to an address. Across a cut it blocks until the context ends.
 func (h *Host) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	select {
-	case <-time.After(connectTime):
+	case <-time.After(connectLatency):
 	case <-ctx.Done():
 		return nil, dialError(addr, ctx.Err())
 	}
--- a/internal/fake/store_api.go
+++ b/internal/fake/store_api.go
@@ -32,13 +32,13 @@
 		limit = 1000
 	}
 	page := wire.EntryPage{Entries: []wire.Entry{}}
-	s.do(func() { page = s.page(r.FormValue("under"), r.FormValue("from"), limit) })
+	s.do(func() { page = s.listPage(r.FormValue("under"), r.FormValue("from"), limit) })
 	writeJSON(w, http.StatusOK, page)
 }
 
-// page returns the first entries, up to a limit, of those under a prefix whose keys come after
+// listPage returns the first entries, up to a limit, of those under a prefix whose keys come after
 // another one.
-func (s *KVStore) page(prefix, after string, limit int) wire.EntryPage {
+func (s *KVStore) listPage(prefix, after string, limit int) wire.EntryPage {
 	page := wire.EntryPage{Entries: []wire.Entry{}, Revision: s.revision}
 	keys := s.orderedKeys()
 	for at, _ := slices.BinarySearch(keys, max(prefix, after)); at < len(keys); at++ {
@@ -76,7 +76,7 @@
 
 // compareAndSwap applies the changes of a transaction if all its conditions hold.
 func (s *KVStore) compareAndSwap(t *wire.CompareAndSwap) casResult {
-	if status := s.exceededLimit(t); status != 0 {
+	if status := s.enforceLimits(t); status != 0 {
 		return casResult{status, wire.ErrorResponse{Error: "beyond the limits"}}
 	}
 	for _, c := range t.Changes {
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -41,8 +41,8 @@
 	s.do(func() { s.limits, s.writeBudget, s.budgetRefilledAt = l, l.WriteRPS, time.Now() })
 }
 
-// Forget discards the history of changes (compaction): a watch from an earlier revision gets 410.
-func (s *KVStore) Forget() {
+// Compact discards the history of changes (compaction): a watch from an earlier revision gets 410.
+func (s *KVStore) Compact() {
 	s.do(func() {
 		s.revision++
 		s.compactedRevision, s.history = s.revision, nil
@@ -50,8 +50,8 @@
 	})
 }
 
-// requestTime is how long each request takes at least.
-const requestTime = 2 * time.Millisecond
+// requestLatency is how long each request takes at least.
+const requestLatency = 2 * time.Millisecond
 
 // withAvailability serves h with the store's delay and refuses requests while it is unavailable.
 // Open watches are not ended.
@@ -60,7 +60,7 @@
 		var refused bool
 		var delay time.Duration
 		s.do(func() { refused, delay = s.refuses(r.RemoteAddr), s.delay })
-		transport.Pause(r.Context(), requestTime+delay)
+		transport.Pause(r.Context(), requestLatency+delay)
 		if refused {
 			w.WriteHeader(http.StatusServiceUnavailable)
 			return
@@ -72,9 +72,9 @@
 // refuses reports whether requests of a host are refused.
 func (s *KVStore) refuses(host string) bool { return s.unavailable || s.refusedHosts[host] }
 
-// exceededLimit is the status code with which a transaction is refused because of the limits;
+// enforceLimits is the status code with which a transaction is refused because of the limits;
 // 0: it is not.
-func (s *KVStore) exceededLimit(t *wire.CompareAndSwap) int {
+func (s *KVStore) enforceLimits(t *wire.CompareAndSwap) int {
 	if s.limits.TxnOps == 0 {
 		return 0
 	}
--- a/internal/fake/store_inspection.go
+++ b/internal/fake/store_inspection.go
@@ -42,8 +42,8 @@
 	return entries
 }
 
-// LargestValue is the size in bytes of the largest value under a prefix.
-func (s *KVStore) LargestValue(prefix string) (bytes int) {
+// LargestValueBytes is the size in bytes of the largest value under a prefix.
+func (s *KVStore) LargestValueBytes(prefix string) (bytes int) {
 	s.do(func() {
 		for key, entry := range s.keys {
 			if strings.HasPrefix(key, prefix) {
--- a/internal/fake/user_invalid_requests.go
+++ b/internal/fake/user_invalid_requests.go
@@ -9,13 +9,13 @@
 	"leadproxy/internal/wire"
 )
 
-// SendInvalid has users send jobs that can't be accepted and ask about one that was never
+// SendInvalidRequests has users send jobs that can't be accepted and ask about one that was never
 // submitted.
-func (u *Users) SendInvalid() {
+func (u *Users) SendInvalidRequests() {
 	const unknownJob = "job-920000"
 	u.pending.Go(func() {
-		u.sendMalformed()
-		u.sendUnfit()
+		u.submitMalformedJobs()
+		u.submitUnrunnableJobs()
 		for i := range u.controllers {
 			u.Call(i, RequestStatus, unknownJob, nil)
 			u.Call(i, RequestCancel, unknownJob, nil)
@@ -23,8 +23,8 @@
 	})
 }
 
-// sendMalformed submits what is no job and expects it to be refused.
-func (u *Users) sendMalformed() {
+// submitMalformedJobs submits what is no job and expects it to be refused.
+func (u *Users) submitMalformedJobs() {
 	for n, body := range []string{`{"ref":"job-900001"}`, `[]`, `{`, `{"ref":"job-900002","lane":7}`} {
 		request := transport.Request{Method: http.MethodPost, Path: "/v2/runs", Body: []byte(body)}
 		response, err := u.send(n%len(u.controllers), time.Now().Add(changeTimeout), request)
@@ -34,8 +34,8 @@
 	}
 }
 
-// sendUnfit submits jobs that can never run and expects them to be refused.
-func (u *Users) sendUnfit() {
+// submitUnrunnableJobs submits jobs that can never run and expects them to be refused.
+func (u *Users) submitUnrunnableJobs() {
 	for n, change := range []func(j *wire.Job){
 		func(j *wire.Job) { j.DependsOn = []string{"job-930000"} },
 		func(j *wire.Job) { j.DependsOn = []string{j.ID} },
--- a/internal/fake/user_pipelines.go
+++ b/internal/fake/user_pipelines.go
@@ -52,7 +52,7 @@
 		if stage == lastStage && u.Random() < lateLastStageShare {
 			time.Sleep(u.randomDelay(maxPipelineDelay))
 		}
-		if !u.Accept(j) {
+		if !u.SubmitAndAwait(j) {
 			return ""
 		}
 		u.Poll(j)
--- a/internal/fake/users.go
+++ b/internal/fake/users.go
@@ -77,12 +77,12 @@
 			return // the user gave up; the checker knows if it was accepted all the same
 		}
 		u.QueryEverywhere(j.ID, j)
-		u.pollUntilOver(j)
+		u.pollUntilTerminal(j)
 	})
 }
 
-// Accept submits a job and reports whether it was accepted.
-func (u *Users) Accept(j *wire.Job) bool {
+// SubmitAndAwait submits a job and reports whether it was accepted.
+func (u *Users) SubmitAndAwait(j *wire.Job) bool {
 	u.checker.RecordSubmission(j, true)
 	code, _ := u.RetryUntilFinal(RequestSubmit, j.ID, j)
 	return isAccepted(code)
@@ -90,10 +90,10 @@
 
 // Poll has a user query a job until it is over.
 func (u *Users) Poll(j *wire.Job) {
-	u.pending.Go(func() { u.pollUntilOver(j) })
+	u.pending.Go(func() { u.pollUntilTerminal(j) })
 }
 
-func (u *Users) pollUntilOver(j *wire.Job) {
+func (u *Users) pollUntilTerminal(j *wire.Job) {
 	for u.t.Context().Err() == nil {
 		time.Sleep(pollInterval)
 		code, status := u.Call(u.AnyController(), RequestStatus, j.ID, nil)
--- a/internal/rolloutservice/replace_workers_test.go
+++ b/internal/rolloutservice/replace_workers_test.go
@@ -58,7 +58,7 @@
 	allRun := func() bool { running, _ := d.Checker.TaskCounts(""); return running >= 2*replaced-2 }
 	fake.WaitFor(t, "tasks on all machines", time.Minute, allRun)
 	var old []string
-	for _, w := range d.Cloud.Workers() {
+	for _, w := range d.Cloud.Agents() {
 		old = append(old, w.Name())
 	}
 	start := time.Now()
@@ -77,7 +77,7 @@
 		t.Errorf("after %s:\n%s", took, text)
 		fake.KeepLogs(t, d.Controllers)
 	}
-	for _, w := range d.Cloud.Workers() {
+	for _, w := range d.Cloud.Agents() {
 		if slices.Contains(old, w.Name()) {
 			t.Errorf("%s was not replaced", w.Name())
 		}
@@ -142,7 +142,7 @@
 	d.t.Helper()
 	stops := fake.Interruptions(d.Checker.TaskRuns())
 	for _, team := range teams {
-		most := fake.MaxInterrupted(stops, func(jobID string) bool { return d.Checker.Job(jobID).Team == team })
+		most := fake.MaxInterruptedJobs(stops, func(jobID string) bool { return d.Checker.Job(jobID).Team == team })
 		if most > teamBudget {
 			d.t.Errorf("%d jobs of team %s were stopped at once", most, team)
 		}
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -87,7 +87,7 @@
 	case cutPeers:
 		return relays.Peers
 	case cutWorkers:
-		return []*fake.Relay{relays.Workers}
+		return []*fake.Relay{relays.Agents}
 	}
 	return append([]*fake.Relay{relays.Store}, relays.Peers...)
 }
--- a/internal/soak/machine_faults_test.go
+++ b/internal/soak/machine_faults_test.go
@@ -22,22 +22,22 @@
 }
 
 // machineFault returns the function that lets a kind of fault begin and end on one machine.
-func (r *run) machineFault(kind faultKind) func(w *fake.Worker, on bool) {
-	return map[faultKind]func(w *fake.Worker, on bool){
-		hungMachines: (*fake.Worker).SetHung,
-		inboundCut:   (*fake.Worker).SetInboundCut,
-		outboundCut:  (*fake.Worker).SetOutboundCut,
-		rebootedMachines: func(w *fake.Worker, on bool) {
+func (r *run) machineFault(kind faultKind) func(w *fake.Agent, on bool) {
+	return map[faultKind]func(w *fake.Agent, on bool){
+		hungMachines: (*fake.Agent).SetHung,
+		inboundCut:   (*fake.Agent).SetInboundCut,
+		outboundCut:  (*fake.Agent).SetOutboundCut,
+		rebootedMachines: func(w *fake.Agent, on bool) {
 			if on {
 				w.Reboot()
 			}
 		},
-		terminatedMachines: func(w *fake.Worker, on bool) {
+		terminatedMachines: func(w *fake.Agent, on bool) {
 			if on {
 				r.deployment.Cloud.Terminate(w.Name())
 			}
 		},
-		duplicateHeartbeats: func(w *fake.Worker, on bool) {
+		duplicateHeartbeats: func(w *fake.Agent, on bool) {
 			if !on {
 				w.DuplicateHeartbeats(nil)
 				return
@@ -45,7 +45,7 @@
 			delay := minMessageDelay + time.Duration(r.random.Int64N(int64(maxMessageDelay)))
 			w.DuplicateHeartbeats(func() time.Duration { return delay })
 		},
-		replayedHeartbeats: func(w *fake.Worker, on bool) {
+		replayedHeartbeats: func(w *fake.Agent, on bool) {
 			if on {
 				w.SaveHeartbeat()
 			} else {
@@ -56,6 +56,6 @@
 }
 
 // randomWorkers is a random share of the machines that are up.
-func (r *run) randomWorkers(share float64) []*fake.Worker {
-	return slices.DeleteFunc(r.deployment.Cloud.Workers(), func(*fake.Worker) bool { return r.random.Float64() >= share })
+func (r *run) randomWorkers(share float64) []*fake.Agent {
+	return slices.DeleteFunc(r.deployment.Cloud.Agents(), func(*fake.Agent) bool { return r.random.Float64() >= share })
 }
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -72,7 +72,7 @@
 	return fake.NewDeployment(r.t, fake.DeploymentPlan{
 		Controllers: controllerCount, Machines: p.machines, Teams: []string{"open", "tight"},
 		TeamCPULimits: map[string]float64{"tight": tightTeamCPUs}, OperatorSettings: operatorSettings,
-		HeartbeatInterval: p.times.heartbeatInterval, WorkerLease: p.times.lease, CancelDeadline: p.times.cancelDeadline,
+		HeartbeatInterval: p.times.heartbeatInterval, AgentLease: p.times.lease, CancelDeadline: p.times.cancelDeadline,
 		RunTime: p.runTime, SlowCheckpoints: true, Seed: p.seed, UseRelays: true,
 		WriteFaults: r.writeFaults.inject, CommandFaults: r.commandFaults.inject, CloudFaults: r.cloudFaults.inject,
 	})
--- a/internal/standby/follower_test.go
+++ b/internal/standby/follower_test.go
@@ -119,7 +119,7 @@
 		{"the service does not answer", 1 << 20, func(s *stage) { s.await(Following); s.service.SetOutage(true) }, errNotConfirmedInTime, "in time"},
 		{"its changes are no longer kept", 1 << 20, func(s *stage) {
 			s.await(Following)
-			s.service.Forget()
+			s.service.Compact()
 		}, kvstore.ErrCompacted, "no longer kept"},
 	}
 	for _, c := range cases {
