--- a/internal/dispatch/foreign_records.go
+++ b/internal/dispatch/foreign_records.go
@@ -23,9 +23,9 @@
 
 // Errors of writing the record of a foreign job.
 var (
-	// errTermEnded: the leader key has changed, so this term must not write any more.
+	// errTermEnded means that the leader key has changed, so this term must not write any more.
 	errTermEnded = errors.New("leadership term has ended")
-	// errForeignRecordChanged: another transaction has written the record's key.
+	// errForeignRecordChanged means that another transaction has written the record's key.
 	errForeignRecordChanged = errors.New("record of the foreign job was changed by another transaction")
 )
 
--- a/internal/dispatch/term_lifecycle.go
+++ b/internal/dispatch/term_lifecycle.go
@@ -76,8 +76,8 @@
 // reads the ledger.
 const (
 	soleLeaderShare          = 0.9
-	leaderWithFollowersShare = 0.75 // of a leader with followers
-	allFollowersShare        = 0.2  // of all followers together
+	leaderWithFollowersShare = 0.75
+	allFollowersShare        = 0.2 // divided among all followers
 )
 
 // FollowerShare returns the share of the key-value store's request rate of one follower, given the
