--- a/internal/federation/delegated_jobs.go
+++ b/internal/federation/delegated_jobs.go
@@ -5,19 +5,21 @@
 	"time"
 )
 
-// The intervals and bounds of a transfer at the origin.
+// Intervals and limits of a transfer at the origin.
 const (
-	// RetryInterval is how often a message is repeated until its answer decides the transfer.
+	// RetryInterval is the interval at which a message is repeated until its answer decides the
+	// transfer.
 	RetryInterval = 250 * time.Millisecond
-	// PollInterval is how often the state of a job that runs at a neighbour is requested.
+	// PollInterval is the interval at which the state of a job that runs at a neighbour is
+	// requested.
 	PollInterval = time.Second
-	// OfferTimeout is how long an offer may go unanswered before it is revoked.
+	// OfferTimeout is how long an offer may remain undecided before it is revoked.
 	OfferTimeout = 8 * time.Second
-	// maxEpochs bounds the transfers of one job: after that it stays at the origin.
+	// maxEpochs is the most transfers of one job. After that the job stays at the origin.
 	maxEpochs = 4
 )
 
-// OriginEffect is an effect of a step of DelegatedJobs.
+// OriginEffect is an effect that DelegatedJobs returns and its caller executes.
 type OriginEffect interface{ isOriginEffect() }
 
 func (SaveDelegated) isOriginEffect() {}
@@ -29,28 +31,28 @@
 
 // The effects at the origin.
 type (
-	// SaveDelegated writes a job's record under the origin's term. RecordSaved has to be
-	// called once it is durable.
+	// SaveDelegated writes the record of a job's transfer, on condition of the origin's term.
+	// The caller calls RecordSaved once the record is durable.
 	SaveDelegated struct {
 		JobID  string
 		Record DelegatedRecord
 	}
-	// DropDelegated deletes a job's record.
+	// DropDelegated deletes the record of a job's transfer.
 	DropDelegated struct{ JobID string }
 	// Send sends a message to a neighbour.
 	Send struct {
 		Cell    string
 		Message Message
 	}
-	// ReturnJob has the origin run the job again.
+	// ReturnJob returns the job to the origin, which may run it from now on.
 	ReturnJob struct{ JobID string }
-	// EndJob has the origin write the job's terminal state. JobEnded has to be called once
-	// that is durable.
+	// EndJob makes the origin write the job's terminal state: cancelled if Cancelled is set,
+	// otherwise done. The caller calls JobEnded once that is durable.
 	EndJob struct {
 		JobID     string
 		Cancelled bool
 	}
-	// TraceOrigin records a step for logs, counters and traces.
+	// TraceOrigin reports a step of a transfer for logs, counters and traces.
 	TraceOrigin struct{ Step TransferStep }
 )
 
@@ -58,15 +60,15 @@
 type phase int
 
 const (
-	phasePlanned   phase = iota // the record is being written; nothing was sent
-	phaseOffering               // the offer was sent
-	phaseRevoking               // the offer is being withdrawn, unless it was accepted
-	phaseRunning                // accepted
+	phasePlanned   phase = iota // the record is being written; no message has been sent
+	phaseOffering               // the offer has been sent
+	phaseRevoking               // the offer is being withdrawn, unless the neighbour has accepted it
+	phaseRunning                // the neighbour has accepted the job
 	phaseReturning              // the record that closes the epoch is being written
-	phaseCleaning               // reclaimed; the neighbour has to cancel what it may run
+	phaseCleaning               // reclaimed; the neighbour has to cancel the job if it runs it
 	phaseEnding                 // the job's terminal state is being written at the origin
-	phaseReleasing              // the neighbour is told that the origin has the result
-	phaseClosed                 // returned; kept for the number of its epoch
+	phaseReleasing              // the neighbour is being told that the origin has recorded the result
+	phaseClosed                 // returned; kept because the next transfer needs the epoch number
 )
 
 var phaseNames = [...]string{"planned", "offering", "revoking", "running", "returning", "cleaning", "ending", "releasing", "closed"}
@@ -77,62 +79,64 @@
 	record DelegatedRecord
 	phase  phase
 	body   *OfferBody
-	// cancelling: the job's user has requested its cancellation.
+	// cancelling is set once the user has requested the job's cancellation.
 	cancelling     bool
-	jobEnded       bool          // the origin's record of the job has its terminal state
+	jobEnded       bool          // the job's terminal state is durable at the origin
 	remoteRunEnded bool          // the neighbour's run of a reclaimed job has ended
-	startedAt      time.Duration // of the transfer, as far as this leader knows
-	lastAnswerAt   time.Duration // when the last answer of this epoch came
+	startedAt      time.Duration // when this leader first sent the offer, or restored the transfer
+	lastAnswerAt   time.Duration // when the last answer of this epoch arrived; before that, startedAt
 	nextMessageAt  time.Duration // when the next message is due
-	tasksDone      int
+	tasksDone      int           // according to the last answer, as is tasksRunning
 	tasksRunning   int
 }
 
-// delegated tells whether the origin must not run the job.
+// delegated reports whether the origin must not run the job.
 func (t *transfer) delegated() bool { return t.phase != phaseCleaning && t.phase != phaseClosed }
 
-// DelegatedJobs is the origin's side of all transfers in one term of its leader.
+// DelegatedJobs is the origin's state of all transfers during one term of its leader. The parameter
+// now of its methods is the leader's monotonic time.
 type DelegatedJobs struct {
 	transfers    map[string]*transfer
 	reclaimAfter func(cell string) time.Duration
 	effects      []OriginEffect
 }
 
-// NewDelegatedJobs makes the origin's side. reclaimAfter returns after how long without an answer
-// of a neighbour a repeatable job is reclaimed from it; 0: never.
+// NewDelegatedJobs returns the origin's side of transfers, without any. reclaimAfter returns how long
+// a neighbour may leave messages about a repeatable job unanswered before the job is reclaimed from
+// it; 0 means that jobs are never reclaimed.
 func NewDelegatedJobs(reclaimAfter func(cell string) time.Duration) *DelegatedJobs {
 	return &DelegatedJobs{transfers: map[string]*transfer{}, reclaimAfter: reclaimAfter}
 }
 
-// TakeEffects returns the effects since the last call.
-func (h *DelegatedJobs) TakeEffects() []OriginEffect {
-	out := h.effects
-	h.effects = nil
-	return out
+// TakeEffects returns and removes the effects of all calls since the last TakeEffects, in order.
+func (d *DelegatedJobs) TakeEffects() []OriginEffect {
+	effects := d.effects
+	d.effects = nil
+	return effects
 }
 
-func (h *DelegatedJobs) emit(effect OriginEffect) { h.effects = append(h.effects, effect) }
+func (d *DelegatedJobs) emit(effect OriginEffect) { d.effects = append(d.effects, effect) }
 
-// trace records a step of a transfer.
-func (h *DelegatedJobs) trace(t *transfer, step, reason string) {
-	h.emit(TraceOrigin{TransferStep{Cell: t.record.Cell, JobID: t.jobID, Epoch: t.record.Epoch, Step: step, Reason: reason}})
+// trace reports a step of a transfer.
+func (d *DelegatedJobs) trace(t *transfer, step, reason string) {
+	d.emit(TraceOrigin{TransferStep{Cell: t.record.Cell, JobID: t.jobID, Epoch: t.record.Epoch, Step: step, Reason: reason}})
 }
 
-func (h *DelegatedJobs) save(t *transfer) { h.emit(SaveDelegated{t.jobID, t.record}) }
+func (d *DelegatedJobs) save(t *transfer) { d.emit(SaveDelegated{t.jobID, t.record}) }
 
-// Restore adds a transfer of an earlier leader, whose last message may or may not have been
-// sent. over tells whether the origin's record of the job has its terminal state.
-func (h *DelegatedJobs) Restore(jobID string, record DelegatedRecord, body *OfferBody, over bool, now time.Duration) {
-	t := &transfer{jobID: jobID, record: record, body: body, jobEnded: over, startedAt: now, lastAnswerAt: now, nextMessageAt: now}
-	h.transfers[jobID] = t
+// Restore adds a transfer that an earlier leader has recorded. Whether that leader sent its last
+// message is unknown. ended is set if the job's terminal state is durable at the origin.
+func (d *DelegatedJobs) Restore(jobID string, record DelegatedRecord, body *OfferBody, ended bool, now time.Duration) {
+	t := &transfer{jobID: jobID, record: record, body: body, jobEnded: ended, startedAt: now, lastAnswerAt: now, nextMessageAt: now}
+	d.transfers[jobID] = t
 	switch {
 	case record.State == Returned && record.Cleanup:
 		t.phase = phaseCleaning
-	case record.State == Returned && over:
-		h.drop(t)
+	case record.State == Returned && ended:
+		d.drop(t)
 	case record.State == Returned:
 		t.phase = phaseClosed
-	case over:
+	case ended:
 		t.phase = phaseReleasing
 	case record.State == Accepted:
 		t.phase = phaseRunning
@@ -141,92 +145,93 @@
 	}
 }
 
-// MayBegin tells whether a job may be offered to a cell: not while an earlier epoch may still
-// run, and only maxEpochs times.
-func (h *DelegatedJobs) MayBegin(jobID string) bool {
-	t := h.transfers[jobID]
+// MayBegin reports whether a job may be offered to a neighbour. It may not while the job may still
+// run in an earlier epoch, nor after maxEpochs transfers.
+func (d *DelegatedJobs) MayBegin(jobID string) bool {
+	t := d.transfers[jobID]
 	return t == nil || t.phase == phaseClosed && t.record.Epoch < maxEpochs
 }
 
-// Delegated tells whether the origin must not run a job.
-func (h *DelegatedJobs) Delegated(jobID string) bool {
-	t := h.transfers[jobID]
+// Delegated reports whether the origin must not run a job because of a transfer.
+func (d *DelegatedJobs) Delegated(jobID string) bool {
+	t := d.transfers[jobID]
 	return t != nil && t.delegated()
 }
 
-// Begin plans a transfer. From now on the origin must not run the job.
-func (h *DelegatedJobs) Begin(jobID, cell string, body *OfferBody, now time.Duration, wallMS int64) {
+// Begin plans a transfer of a job to a neighbour; the offer is sent once the record is durable. From
+// now on the origin must not run the job. wallMS is the wall-clock time in Unix milliseconds.
+func (d *DelegatedJobs) Begin(jobID, cell string, body *OfferBody, now time.Duration, wallMS int64) {
 	epoch := uint64(1)
-	if old := h.transfers[jobID]; old != nil {
-		epoch = old.record.Epoch + 1
+	if previous := d.transfers[jobID]; previous != nil {
+		epoch = previous.record.Epoch + 1
 	}
 	record := DelegatedRecord{Cell: cell, Epoch: epoch, State: Offered, SinceMS: wallMS, Repeatable: body.Repeatable}
 	t := &transfer{jobID: jobID, record: record, body: body, startedAt: now, lastAnswerAt: now}
-	h.transfers[jobID] = t
-	h.save(t)
-	h.trace(t, StepPlanned, "")
+	d.transfers[jobID] = t
+	d.save(t)
+	d.trace(t, StepPlanned, "")
 }
 
-// RecordSaved is called when a record is durable.
-func (h *DelegatedJobs) RecordSaved(jobID string, record DelegatedRecord, now time.Duration) {
-	t := h.transfers[jobID]
+// RecordSaved continues a transfer whose record has become durable.
+func (d *DelegatedJobs) RecordSaved(jobID string, record DelegatedRecord, now time.Duration) {
+	t := d.transfers[jobID]
 	if t == nil || t.record != record {
-		return // a later one is being written
+		return // a later record is being written
 	}
 	switch {
 	case t.phase == phasePlanned:
 		t.phase, t.nextMessageAt, t.lastAnswerAt, t.startedAt = phaseOffering, now, now, now
-		h.Tick(now)
+		d.Tick(now)
 	case t.phase == phaseReturning && t.record.Cleanup:
 		t.phase, t.nextMessageAt = phaseCleaning, now
-		h.trace(t, StepReturned, "the neighbour may still run it, and is to cancel it")
-		h.emit(ReturnJob{jobID})
+		d.trace(t, StepReturned, "the neighbour may still run it, and is to cancel it")
+		d.emit(ReturnJob{jobID})
 	case t.phase == phaseReturning && t.cancelling:
 		t.phase = phaseEnding
-		h.emit(EndJob{JobID: jobID, Cancelled: true})
+		d.emit(EndJob{JobID: jobID, Cancelled: true})
 	case t.phase == phaseReturning:
 		t.phase = phaseClosed
-		h.trace(t, StepReturned, "")
-		h.emit(ReturnJob{jobID})
+		d.trace(t, StepReturned, "")
+		d.emit(ReturnJob{jobID})
 	}
 }
 
-// Tick sends the messages that are due.
-func (h *DelegatedJobs) Tick(now time.Duration) {
-	for _, t := range h.sorted() {
-		h.expire(t, now)
+// Tick handles timeouts and sends the messages that are due.
+func (d *DelegatedJobs) Tick(now time.Duration) {
+	for _, t := range d.sorted() {
+		d.expire(t, now)
 		if now < t.nextMessageAt {
 			continue
 		}
-		kind, every := t.nextMessage()
+		kind, interval := t.nextMessage()
 		if kind == 0 {
 			continue
 		}
-		t.nextMessageAt = now + every
+		t.nextMessageAt = now + interval
 		m := Message{Kind: kind, JobID: t.jobID, Epoch: t.record.Epoch}
 		if kind == Offer {
 			m.Body = t.body
 		}
-		h.emit(Send{t.record.Cell, m})
+		d.emit(Send{t.record.Cell, m})
 	}
 }
 
-// sorted returns the transfers in the order of their jobs, so that a replay gives the same effects.
-func (h *DelegatedJobs) sorted() []*transfer {
-	jobIDs := make([]string, 0, len(h.transfers))
-	for jobID := range h.transfers {
+// sorted returns the transfers in the order of their job IDs, so that a replay gives the same effects.
+func (d *DelegatedJobs) sorted() []*transfer {
+	jobIDs := make([]string, 0, len(d.transfers))
+	for jobID := range d.transfers {
 		jobIDs = append(jobIDs, jobID)
 	}
 	slices.Sort(jobIDs)
-	all := make([]*transfer, len(jobIDs))
+	transfers := make([]*transfer, len(jobIDs))
 	for i, jobID := range jobIDs {
-		all[i] = h.transfers[jobID]
+		transfers[i] = d.transfers[jobID]
 	}
-	return all
+	return transfers
 }
 
-// nextMessage returns the kind of message that a transfer has to send and the interval of its
-// repetition; 0: none.
+// nextMessage returns the kind of the message that the transfer has to send, and the interval at
+// which it is repeated. Kind 0 means that there is nothing to send.
 func (t *transfer) nextMessage() (Kind, time.Duration) {
 	switch t.phase {
 	case phaseOffering, phaseRevoking, phaseRunning:
@@ -252,86 +257,89 @@
 	return 0, 0
 }
 
-// expire revokes an offer that was not answered in time, and reclaims a repeatable job from a
-// neighbour that has not answered for long. A job whose cancellation is requested is not
-// reclaimed: the cancellation could not be confirmed while the neighbour may run the job.
-func (h *DelegatedJobs) expire(t *transfer, now time.Duration) {
+// expire revokes an offer that was not decided within OfferTimeout, and reclaims a repeatable job from
+// a neighbour that has not answered for the configured time. A job whose cancellation was requested
+// is not reclaimed, because the cancellation could not be confirmed while the neighbour may still run
+// the job.
+func (d *DelegatedJobs) expire(t *transfer, now time.Duration) {
 	if t.phase == phaseOffering && !t.cancelling && now-t.startedAt >= OfferTimeout {
 		t.phase, t.nextMessageAt = phaseRevoking, now
-		h.trace(t, StepRevoking, "the offer was not answered in time")
+		d.trace(t, StepRevoking, "the offer was not answered in time")
 	}
-	limit := h.reclaimAfter(t.record.Cell)
-	waits := t.phase == phaseOffering || t.phase == phaseRevoking || t.phase == phaseRunning
-	if !waits || t.cancelling || !t.record.Repeatable || limit <= 0 || now-t.lastAnswerAt < limit {
+	limit := d.reclaimAfter(t.record.Cell)
+	awaitsAnswer := t.phase == phaseOffering || t.phase == phaseRevoking || t.phase == phaseRunning
+	if !awaitsAnswer || t.cancelling || !t.record.Repeatable || limit <= 0 || now-t.lastAnswerAt < limit {
 		return
 	}
-	h.trace(t, StepReclaimed, "the neighbour did not answer and the class is repeatable")
-	h.closeEpoch(t, true)
+	d.trace(t, StepReclaimed, "the neighbour did not answer and the class is repeatable")
+	d.closeEpoch(t, true)
 }
 
-// closeEpoch closes the epoch: the origin runs the job once that is durable.
-func (h *DelegatedJobs) closeEpoch(t *transfer, cleanup bool) {
+// closeEpoch closes the epoch. Once that is durable, the job returns to the origin, or ends if its
+// cancellation was requested. cleanup is set if the neighbour may still run the job and has to cancel
+// it.
+func (d *DelegatedJobs) closeEpoch(t *transfer, cleanup bool) {
 	t.phase = phaseReturning
 	t.record.State, t.record.Cleanup = Returned, cleanup
-	h.save(t)
+	d.save(t)
 }
 
-// HandleAnswer handles a neighbour's answer. One of another epoch or cell than the record's is
-// ignored: its transfer is closed.
-func (h *DelegatedJobs) HandleAnswer(cell string, a Answer, now time.Duration) {
-	t := h.transfers[a.JobID]
+// HandleAnswer handles a neighbour's answer. An answer from another neighbour or of another epoch
+// than the record's belongs to a closed transfer and is ignored.
+func (d *DelegatedJobs) HandleAnswer(cell string, a Answer, now time.Duration) {
+	t := d.transfers[a.JobID]
 	if t == nil || t.record.Cell != cell || t.record.Epoch != a.Epoch {
 		return
 	}
 	t.lastAnswerAt = now
 	switch t.phase {
 	case phaseOffering, phaseRevoking, phaseRunning:
-		h.handleOpenAnswer(t, a, now)
+		d.handleOpenAnswer(t, a, now)
 	case phaseCleaning:
-		h.handleCleanupAnswer(t, a)
+		d.handleCleanupAnswer(t, a)
 	case phaseReleasing:
 		if a.Outcome == OutcomeReleased || a.Outcome == OutcomeStale {
-			h.trace(t, StepReleased, "")
-			h.drop(t)
+			d.trace(t, StepReleased, "")
+			d.drop(t)
 		}
 	}
 }
 
-// handleOpenAnswer handles an answer while the neighbour may run the job.
-func (h *DelegatedJobs) handleOpenAnswer(t *transfer, a Answer, now time.Duration) {
+// handleOpenAnswer handles an answer while the transfer is open: offered, being revoked or accepted.
+func (d *DelegatedJobs) handleOpenAnswer(t *transfer, a Answer, now time.Duration) {
 	switch a.Outcome {
 	case OutcomeAccepted:
 		t.tasksDone, t.tasksRunning = a.Done, a.Running
 		if t.phase != phaseRunning {
 			t.phase, t.nextMessageAt = phaseRunning, now+PollInterval
 			t.record.State = Accepted
-			h.save(t)
-			h.trace(t, StepAccepted, "")
+			d.save(t)
+			d.trace(t, StepAccepted, "")
 		}
 		if t.cancelling {
 			t.nextMessageAt = min(t.nextMessageAt, now+RetryInterval)
 		}
 	case OutcomeDone, OutcomeCancelled:
 		t.phase = phaseEnding
-		h.trace(t, StepEnded, a.Outcome.String())
-		h.emit(EndJob{JobID: t.jobID, Cancelled: a.Outcome == OutcomeCancelled})
+		d.trace(t, StepEnded, a.Outcome.String())
+		d.emit(EndJob{JobID: t.jobID, Cancelled: a.Outcome == OutcomeCancelled})
 	case OutcomeRefused, OutcomeRevoked:
 		if t.phase == phaseRunning {
-			h.trace(t, StepContradiction, "the neighbour had accepted the job and answers "+a.Outcome.String())
+			d.trace(t, StepContradiction, "the neighbour had accepted the job and answers "+a.Outcome.String())
 			return
 		}
 		if a.Outcome == OutcomeRefused {
-			h.trace(t, StepRefused, a.Reason)
+			d.trace(t, StepRefused, a.Reason)
 		} else {
-			h.trace(t, StepRevoked, a.Reason)
+			d.trace(t, StepRevoked, a.Reason)
 		}
-		h.closeEpoch(t, false)
+		d.closeEpoch(t, false)
 	}
 }
 
-// handleCleanupAnswer ends the cleanup once the neighbour certainly does not run the job and has
-// released it.
-func (h *DelegatedJobs) handleCleanupAnswer(t *transfer, a Answer) {
+// handleCleanupAnswer completes the cleanup once an answer shows that the neighbour does not run the
+// job and will not, and that it has released the job if it had accepted it.
+func (d *DelegatedJobs) handleCleanupAnswer(t *transfer, a Answer) {
 	switch a.Outcome {
 	case OutcomeDone, OutcomeCancelled:
 		t.remoteRunEnded, t.nextMessageAt = true, t.lastAnswerAt
@@ -340,38 +348,38 @@
 	default:
 		return
 	}
-	h.trace(t, StepCleaned, a.Outcome.String())
+	d.trace(t, StepCleaned, a.Outcome.String())
 	t.record.Cleanup = false
 	if t.jobEnded {
-		h.drop(t)
+		d.drop(t)
 		return
 	}
 	t.phase = phaseClosed
-	h.save(t)
+	d.save(t)
 	if t.cancelling {
-		h.emit(EndJob{JobID: t.jobID, Cancelled: true})
+		d.emit(EndJob{JobID: t.jobID, Cancelled: true})
 	}
 }
 
-// Cancel is called when a job's user requests its cancellation. It returns whether the origin may
-// cancel the job at once. If not, EndJob follows when the neighbour's answer allows it.
-func (h *DelegatedJobs) Cancel(jobID string, now time.Duration) (immediate bool) {
-	t := h.transfers[jobID]
+// Cancel handles a user's request to cancel a job. It reports whether the origin may cancel the job
+// immediately. If not, EndJob follows once the neighbour's answer allows it.
+func (d *DelegatedJobs) Cancel(jobID string, now time.Duration) (immediate bool) {
+	t := d.transfers[jobID]
 	if t == nil || t.phase == phaseClosed {
 		return true
 	}
 	if !t.cancelling {
 		t.cancelling = true
 		t.nextMessageAt = min(t.nextMessageAt, now)
-		h.trace(t, StepCancelling, "")
-		h.Tick(now)
+		d.trace(t, StepCancelling, "")
+		d.Tick(now)
 	}
 	return false
 }
 
-// JobEnded is called when the origin's record of a job has its terminal state.
-func (h *DelegatedJobs) JobEnded(jobID string, now time.Duration) {
-	t := h.transfers[jobID]
+// JobEnded continues a job's transfer once the job's terminal state is durable at the origin.
+func (d *DelegatedJobs) JobEnded(jobID string, now time.Duration) {
+	t := d.transfers[jobID]
 	if t == nil {
 		return
 	}
@@ -380,12 +388,12 @@
 	case phaseEnding:
 		t.phase, t.nextMessageAt = phaseReleasing, now
 	case phaseClosed:
-		h.drop(t)
+		d.drop(t)
 	}
 }
 
-// drop forgets a transfer and deletes its record.
-func (h *DelegatedJobs) drop(t *transfer) {
-	delete(h.transfers, t.jobID)
-	h.emit(DropDelegated{t.jobID})
+// drop removes a transfer and deletes its record.
+func (d *DelegatedJobs) drop(t *transfer) {
+	delete(d.transfers, t.jobID)
+	d.emit(DropDelegated{t.jobID})
 }
--- a/internal/federation/delegated_status.go
+++ b/internal/federation/delegated_status.go
@@ -2,21 +2,23 @@
 
 import "time"
 
-// DelegatedView is the origin's state of a transfer for operators.
+// DelegatedView is the origin's state of a transfer, as shown to operators.
 type DelegatedView struct {
 	JobID      string
 	Record     DelegatedRecord
 	Phase      string
 	Cancelling bool
-	// SinceLastAnswer is how long ago the neighbour answered last.
+	// SinceLastAnswer is the time since the neighbour's last answer in this epoch. Until there
+	// is one, it counts from the offer or from the start of the leader's term.
 	SinceLastAnswer time.Duration
-	Done, Running   int
+	// Done and Running count the tasks according to the neighbour's last answer.
+	Done, Running int
 }
 
-// List returns the transfers that are not closed.
-func (h *DelegatedJobs) List(now time.Duration) []DelegatedView {
+// List returns the transfers that are not closed, ordered by job ID.
+func (d *DelegatedJobs) List(now time.Duration) []DelegatedView {
 	var views []DelegatedView
-	for _, t := range h.sorted() {
+	for _, t := range d.sorted() {
 		if t.phase == phaseClosed {
 			continue
 		}
@@ -25,18 +27,18 @@
 	return views
 }
 
-// NeighbourOf returns the neighbour of a job's latest transfer; "": there is none.
-func (h *DelegatedJobs) NeighbourOf(jobID string) string {
-	if t := h.transfers[jobID]; t != nil {
+// NeighbourOf returns the neighbour of a job's latest transfer, or "" if there is no transfer.
+func (d *DelegatedJobs) NeighbourOf(jobID string) string {
+	if t := d.transfers[jobID]; t != nil {
 		return t.record.Cell
 	}
 	return ""
 }
 
-// JobsAtNeighbour returns the jobs that a neighbour may run, in order.
-func (h *DelegatedJobs) JobsAtNeighbour(cell string) []string {
+// JobsAtNeighbour returns the IDs of the jobs that the neighbour may run, in sorted order.
+func (d *DelegatedJobs) JobsAtNeighbour(cell string) []string {
 	var jobIDs []string
-	for _, t := range h.sorted() {
+	for _, t := range d.sorted() {
 		if t.record.Cell == cell && t.mayRunRemotely() {
 			jobIDs = append(jobIDs, t.jobID)
 		}
@@ -44,24 +46,24 @@
 	return jobIDs
 }
 
-// mayRunRemotely tells whether the neighbour may run the job.
+// mayRunRemotely reports whether the neighbour may still run the job.
 func (t *transfer) mayRunRemotely() bool {
 	return t.phase != phaseClosed && t.phase != phaseReleasing && t.phase != phaseEnding
 }
 
-// MayRunRemotely tells whether a neighbour may run a job.
-func (h *DelegatedJobs) MayRunRemotely(jobID string) bool {
-	t := h.transfers[jobID]
+// MayRunRemotely reports whether a neighbour may still run the job.
+func (d *DelegatedJobs) MayRunRemotely(jobID string) bool {
+	t := d.transfers[jobID]
 	return t != nil && t.mayRunRemotely()
 }
 
-// Progress returns the task counts of the neighbour's last answer.
-func (h *DelegatedJobs) Progress(jobID string) (done, running int) {
-	if t := h.transfers[jobID]; t != nil {
+// Progress returns the task counts of the neighbour's last answer; 0 if there was none.
+func (d *DelegatedJobs) Progress(jobID string) (done, running int) {
+	if t := d.transfers[jobID]; t != nil {
 		return t.tasksDone, t.tasksRunning
 	}
 	return 0, 0
 }
 
-// Idle tells whether there are no transfers.
-func (h *DelegatedJobs) Idle() bool { return len(h.transfers) == 0 }
+// Idle reports whether there are no transfers.
+func (d *DelegatedJobs) Idle() bool { return len(d.transfers) == 0 }
--- a/internal/federation/foreign_jobs.go
+++ b/internal/federation/foreign_jobs.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// ForeignKey identifies a transfer at the neighbour.
+// ForeignKey identifies a transfer at the neighbour by the origin and the job ID.
 type ForeignKey struct{ Origin, JobID string }
 
-// ForeignEffect is an effect of a step of ForeignJobs.
+// ForeignEffect is an effect that ForeignJobs returns and its caller executes.
 type ForeignEffect interface{ isForeignEffect() }
 
 func (WriteForeign) isForeignEffect()  {}
@@ -17,10 +17,10 @@
 
 // The effects at the neighbour.
 type (
-	// WriteForeign writes a transfer's record by compare-and-swap on the version of its key,
-	// under the leader's term. With a body it also creates the job's record; neither is
-	// written if there is a job of that name. RecordWritten has to be called with the
-	// outcome once that is known.
+	// WriteForeign writes a transfer's record by compare-and-swap on the version of its key, on
+	// condition of the leader's term. If Body isn't nil, the same transaction creates the job's
+	// record, and neither is written if a job with that ID exists. The caller calls
+	// RecordWritten once the outcome is known.
 	WriteForeign struct {
 		Key     ForeignKey
 		Record  ForeignRecord
@@ -29,50 +29,53 @@
 	}
 	// CancelForeign cancels an accepted job.
 	CancelForeign struct{ JobID string }
-	// TraceForeign records a step for logs, counters and traces.
+	// TraceForeign reports a step of a transfer for logs, counters and traces.
 	TraceForeign struct{ Step TransferStep }
 )
 
 // JobState is the state of a job that the neighbour has accepted.
 type JobState struct {
-	// Ended: its terminal state is durable. Cancelled tells which one.
+	// Ended is set once the job's terminal state is durable. Cancelled is set if that state is
+	// cancelled.
 	Ended, Cancelled bool
-	Done, Running    int
+	// Done and Running count the job's tasks.
+	Done, Running int
 }
 
-// LocalJobs looks up the jobs that the neighbour has accepted.
+// LocalJobs gives access to the neighbour's jobs and decides whether offers are accepted.
 type LocalJobs interface {
-	// ForeignJobState returns the state of a job; false: there is no record of it.
+	// ForeignJobState returns the state of an accepted job, and false if there is no record of
+	// the job.
 	ForeignJobState(key ForeignKey) (JobState, bool)
-	// Admit returns why an offer is refused; the zero Refusal accepts it.
+	// Admit returns why an offer is refused, or the zero Refusal to accept it.
 	Admit(origin, jobID string, body *OfferBody) Refusal
 }
 
 // foreignJob is the neighbour's state of one job's latest transfer from one origin.
 type foreignJob struct {
 	record  ForeignRecord
-	version uint64 // of its key; 0: there is none
-	// pendingRecord is the record that is being written; nil: none.
+	version uint64 // version of the record's key; 0 if no record is durable
+	// pendingRecord is the record that is being written, or nil.
 	pendingRecord *ForeignRecord
 }
 
-// ForeignJobs is the neighbour's side of all transfers in one term of its leader.
+// ForeignJobs is the neighbour's state of all transfers during one term of its leader.
 type ForeignJobs struct {
 	records   map[ForeignKey]*foreignJob
 	localJobs LocalJobs
 	effects   []ForeignEffect
 }
 
-// NewForeignJobs makes the neighbour's side.
+// NewForeignJobs returns the neighbour's side of transfers, without any.
 func NewForeignJobs(jobs LocalJobs) *ForeignJobs {
 	return &ForeignJobs{records: map[ForeignKey]*foreignJob{}, localJobs: jobs}
 }
 
-// TakeEffects returns the effects since the last call.
+// TakeEffects returns and removes the effects of all calls since the last TakeEffects, in order.
 func (f *ForeignJobs) TakeEffects() []ForeignEffect {
-	out := f.effects
+	effects := f.effects
 	f.effects = nil
-	return out
+	return effects
 }
 
 func (f *ForeignJobs) emit(effect ForeignEffect) { f.effects = append(f.effects, effect) }
@@ -81,12 +84,12 @@
 	f.emit(TraceForeign{TransferStep{Origin: key.Origin, JobID: key.JobID, Epoch: epoch, Step: step, Reason: reason}})
 }
 
-// Restore adds the record of a transfer that an earlier leader has written.
+// Restore adds a transfer's record that an earlier leader has written. version is that of its key.
 func (f *ForeignJobs) Restore(key ForeignKey, record ForeignRecord, version uint64) {
 	f.records[key] = &foreignJob{record: record, version: version}
 }
 
-// Record returns a transfer's record, for operators.
+// Record returns a transfer's record for display to operators, and false if there is none.
 func (f *ForeignJobs) Record(key ForeignKey) (ForeignRecord, bool) {
 	entry := f.records[key]
 	if entry == nil {
@@ -95,7 +98,7 @@
 	return entry.record, true
 }
 
-// Keys returns the transfers in the order of origin and job.
+// Keys returns the keys of all transfers, ordered by origin and job ID.
 func (f *ForeignJobs) Keys() []ForeignKey {
 	var keys []ForeignKey
 	for key := range f.records {
@@ -107,7 +110,9 @@
 	return keys
 }
 
-// HandleMessage answers a message of an origin. A decision is answered only once it is durable.
+// HandleMessage answers a message from an origin. A decision is included in an answer only once it is
+// durable; until then the outcome is OutcomePending. wallMS is the wall-clock time in Unix
+// milliseconds.
 func (f *ForeignJobs) HandleMessage(origin string, m Message, wallMS int64) Answer {
 	key := ForeignKey{origin, m.JobID}
 	entry := f.records[key]
@@ -127,12 +132,12 @@
 		f.decide(key, entry, m, wallMS, &answer)
 	}
 	if entry.version == 0 && entry.pendingRecord == nil {
-		delete(f.records, key) // it is empty; messages of arbitrary jobs must not fill the map
+		delete(f.records, key) // otherwise messages about arbitrary job IDs would fill the map
 	}
 	return answer
 }
 
-// answerDecided answers a message of an epoch whose outcome is durable.
+// answerDecided answers a message of the epoch of the durable record.
 func (f *ForeignJobs) answerDecided(key ForeignKey, entry *foreignJob, m Message, wallMS int64, a *Answer) {
 	switch entry.record.State {
 	case ForeignRefused:
@@ -147,7 +152,7 @@
 		return
 	}
 	if m.Kind == Release {
-		a.Outcome = OutcomeReleased // nothing but the record is kept
+		a.Outcome = OutcomeReleased // there is no job to release; the record is kept as it is
 	}
 }
 
@@ -157,7 +162,7 @@
 	a.Done, a.Running = job.Done, job.Running
 	switch {
 	case !known:
-		a.Outcome = OutcomePending // its record was written but not read yet
+		a.Outcome = OutcomePending // the job's record has been written but not read yet
 	case !job.Ended:
 		a.Outcome = OutcomeAccepted
 		if m.Kind == Cancel {
@@ -174,8 +179,9 @@
 	}
 }
 
-// decide decides an epoch by its first message. While an earlier epoch may still run here,
-// nothing is decided: the origin has to end that one first.
+// decide handles a message of an epoch that has no record yet, in most cases by writing one, which
+// decides the epoch. While the job may still run here in an earlier epoch, nothing is decided: the
+// origin has to end that run first.
 func (f *ForeignJobs) decide(key ForeignKey, entry *foreignJob, m Message, wallMS int64, a *Answer) {
 	if entry.record.State == ForeignAccepted {
 		if job, known := f.localJobs.ForeignJobState(key); !known || !job.Ended {
@@ -203,7 +209,7 @@
 // decideOffer accepts or refuses a new offer.
 func (f *ForeignJobs) decideOffer(key ForeignKey, entry *foreignJob, body *OfferBody, record ForeignRecord) {
 	if body == nil {
-		return // malformed; the epoch stays undecided
+		return // malformed offer; the epoch stays undecided
 	}
 	if refusal := f.localJobs.Admit(key.Origin, key.JobID, body); refusal.Reason != "" {
 		record.State, record.Reason, record.Temporary = ForeignRefused, refusal.Reason, refusal.Temporary
@@ -214,14 +220,14 @@
 	f.write(key, entry, record, body)
 }
 
-// write writes a record; with a body it accepts the job.
+// write starts to write a record. If body isn't nil, the write also creates the job's record.
 func (f *ForeignJobs) write(key ForeignKey, entry *foreignJob, record ForeignRecord, body *OfferBody) {
 	entry.pendingRecord = &record
 	f.emit(WriteForeign{Key: key, Record: record, Version: entry.version, Body: body})
 }
 
-// RecordWritten is called with the outcome of a write: the version of its key, or that a job of
-// that name exists, in which case nothing was written.
+// RecordWritten handles the outcome of a write: the new version of the record's key, or jobExists, in
+// which case nothing was written because a job with that ID exists here.
 func (f *ForeignJobs) RecordWritten(key ForeignKey, record ForeignRecord, version uint64, jobExists bool, wallMS int64) {
 	entry := f.records[key]
 	if entry == nil || entry.pendingRecord == nil || *entry.pendingRecord != record {
--- a/internal/federation/golden_test.go
+++ b/internal/federation/golden_test.go
@@ -6,14 +6,14 @@
 	"leadproxy/internal/property"
 )
 
-// TestGoldenRecords compares the records of transfers with how they have to be stored.
+// TestGoldenRecords compares the stored form of the transfer records with the golden files.
 func TestGoldenRecords(t *testing.T) {
 	property.CheckGolden(t, "away", &DelegatedRecord{})
 	property.CheckGolden(t, "guest", &ForeignRecord{})
 }
 
-// TestGoldenConstants compares the stored states, the numbers that travel between cells, and
-// the words that operators see.
+// TestGoldenConstants compares the stored states, the numbers sent between cells and the names shown
+// to operators with the golden files.
 func TestGoldenConstants(t *testing.T) {
 	property.CheckGoldenValues(t, "constants", map[string]any{
 		"away offered":       Offered,
--- a/internal/federation/shortage.go
+++ b/internal/federation/shortage.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Shortage detects when the origin is short of capacity, with hysteresis: the observation has to
-// hold for MinDuration before the state changes.
+// Shortage detects, with hysteresis, whether the origin is short of capacity: the state changes only
+// after the opposite has been observed for MinDuration.
 type Shortage struct {
-	// MinDuration is how long the opposite must be observed without a break.
+	// MinDuration is how long the opposite state must be observed without interruption.
 	MinDuration time.Duration
 	active      bool
-	// contradicted: the observations since then contradict active.
+	// contradicted is set while the latest observations are the opposite of active, which they
+	// have been since contradictedSince.
 	contradicted      bool
 	contradictedSince time.Duration
 }
 
-// Observe takes an observation and tells whether there is a shortage.
+// Observe adds an observation, made at now, and reports whether there is a shortage.
 func (s *Shortage) Observe(now time.Duration, short bool) bool {
 	switch {
 	case short == s.active:
@@ -26,5 +27,5 @@
 	return s.active
 }
 
-// Active tells whether there was a shortage at the last observation.
+// Active reports whether there was a shortage as of the last observation.
 func (s *Shortage) Active() bool { return s.active }
--- a/internal/federation/shortage_test.go
+++ b/internal/federation/shortage_test.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// TestShortage: the state changes only after it was contradicted for the minimum duration.
+// TestShortage checks that the state changes only after the opposite was observed for MinDuration
+// without interruption. In the cases, s is an observed or reported shortage, one character a second.
 func TestShortage(t *testing.T) {
 	cases := []struct{ observations, want string }{
 		{"ssssssss", "....ssss"},
@@ -16,18 +17,18 @@
 		{"sssss...s...s", "....sssssssss"},
 		{"........", "........"},
 	}
-	for _, c := range cases {
-		s := Shortage{MinDuration: 4 * time.Second}
+	for _, testCase := range cases {
+		shortage := Shortage{MinDuration: 4 * time.Second}
 		got := ""
-		for i, observation := range c.observations {
+		for i, observation := range testCase.observations {
 			mark := "."
-			if s.Observe(time.Duration(i)*time.Second, observation == 's') {
+			if shortage.Observe(time.Duration(i)*time.Second, observation == 's') {
 				mark = "s"
 			}
 			got += mark
 		}
-		if got != c.want {
-			t.Errorf("observations %s: %s, want %s", c.observations, got, c.want)
+		if got != testCase.want {
+			t.Errorf("observations %s: got states %s, want %s", testCase.observations, got, testCase.want)
 		}
 	}
 }
--- a/internal/federation/steps.go
+++ b/internal/federation/steps.go
@@ -1,8 +1,9 @@
 package federation
 
-// TransferStep is a step of a transfer for logs, counters and traces.
+// TransferStep is a step of a transfer, reported for logs, counters and traces.
 type TransferStep struct {
-	// Origin is the job's origin if that is another cell; Cell is the neighbour.
+	// Origin is the job's origin in a step at the neighbour, and empty in a step at the
+	// origin. Cell is the neighbour in a step at the origin, and empty otherwise.
 	Origin, Cell string
 	JobID        string
 	Epoch        uint64
--- a/internal/slowfit/index.go
+++ b/internal/slowfit/index.go
@@ -36,20 +36,20 @@
 
 // Add puts a machine into a pool, as unschedulable. One that is in
 // another pool leaves that.
-func (x *Index) Add(machine int32, number int) {
+func (x *Index) Add(machine int32, poolIndex int) {
 	x.Remove(machine)
 	for int(machine) >= len(x.locations) {
 		x.locations = append(x.locations, location{pool: noPool})
 	}
-	p := x.pools[number]
+	p := x.pools[poolIndex]
 	if p.isFull() {
 		p.grow()
-		for leaf, kept := range p.machines {
-			x.locations[kept].leaf = int32(leaf)
+		for leaf, moved := range p.machines {
+			x.locations[moved].leaf = int32(leaf)
 		}
 	}
 	leaf := p.add(machine, x.nextRank())
-	x.locations[machine] = location{pool: int32(number), leaf: int32(leaf)}
+	x.locations[machine] = location{pool: int32(poolIndex), leaf: int32(leaf)}
 }
 
 // nextRank is a rank above those of all machines that have joined last in their pools.
@@ -74,24 +74,24 @@
 		return
 	}
 	x.MarkUnschedulable(machine)
-	at := x.locations[machine]
-	x.pools[at.pool].machines[at.leaf] = noMachine
+	loc := x.locations[machine]
+	x.pools[loc.pool].machines[loc.leaf] = noMachine
 	x.locations[machine] = location{pool: noPool}
 }
 
 // Update reports that a machine takes tasks, its free resources, the load that counts
 // towards the goal, and its tags: bits of which a Request may ask for one.
 func (x *Index) Update(machine int32, free Size, load float64, tags uint64) {
-	at := x.locations[machine]
-	x.pools[at.pool].setLeaf(int(at.leaf), node{free, load, tags})
+	loc := x.locations[machine]
+	x.pools[loc.pool].setLeaf(int(loc.leaf), node{free, load, tags})
 	x.infeasible.removeWithin(free)
 }
 
 // MarkUnschedulable reports that a machine takes no tasks.
 func (x *Index) MarkUnschedulable(machine int32) {
 	if x.contains(machine) {
-		at := x.locations[machine]
-		x.pools[at.pool].setLeaf(int(at.leaf), unschedulable)
+		loc := x.locations[machine]
+		x.pools[loc.pool].setLeaf(int(loc.leaf), unschedulable)
 	}
 }
 
--- a/internal/slowfit/index_test.go
+++ b/internal/slowfit/index_test.go
@@ -30,8 +30,8 @@
 func TestIndexProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines, steps := rapid.IntRange(0, 20).Draw(t, "machines"), rapid.IntRange(50, 300).Draw(t, "steps")
-		scale, factor := rapid.SampledFrom(taskScales).Draw(t, "scale"), rapid.SampledFrom(goalFactors).Draw(t, "c")
-		newIndexHarness(t, property.RapidChooser{T: t}, machines, scale, factor).run(steps)
+		scale, goalFactor := rapid.SampledFrom(taskScales).Draw(t, "scale"), rapid.SampledFrom(goalFactors).Draw(t, "c")
+		newIndexHarness(t, property.RapidChooser{T: t}, machines, scale, goalFactor).run(steps)
 	})
 }
 
@@ -72,8 +72,8 @@
 // minMachines is how many machines every history has.
 const minMachines = 3
 
-func newIndexHarness(t failer, r property.Chooser, moreMachines int, scale, factor float64) *indexHarness {
-	h := &indexHarness{t: t, chooser: r, scale: scale, index: &Index{}, goal: Goal{C: factor}, scanGoal: Goal{C: factor}}
+func newIndexHarness(t failer, chooser property.Chooser, moreMachines int, scale, goalFactor float64) *indexHarness {
+	h := &indexHarness{t: t, chooser: chooser, scale: scale, index: &Index{}, goal: Goal{C: goalFactor}, scanGoal: Goal{C: goalFactor}}
 	for _, size := range []Size{{4, 0, 16}, {8, 0, 32}, {8, 2, 32}, {32, 0, 128}} {
 		for zone := range 2 {
 			for _, spot := range []bool{true, false} {
@@ -90,26 +90,26 @@
 
 // addMachine adds a machine of some group.
 func (h *indexHarness) addMachine() {
-	group := h.chooser.IntN(len(h.pools))
-	size := h.pools[group].size
-	number := len(h.machines)
-	h.index.Add(int32(number), group)
+	pool := h.chooser.IntN(len(h.pools))
+	size := h.pools[pool].size
+	machine := len(h.machines)
+	h.index.Add(int32(machine), pool)
 	h.machines = append(h.machines, harnessMachine{
-		scannedMachine: scannedMachine{Total: size, Free: size, Index: number}, pool: group, tags: uint64(h.chooser.IntN(8)), schedulable: true})
-	h.updateIndex(number)
+		scannedMachine: scannedMachine{Total: size, Free: size, Index: machine}, pool: pool, tags: uint64(h.chooser.IntN(8)), schedulable: true})
+	h.updateIndex(machine)
 }
 
 // updateIndex passes the state of a machine to the index.
-func (h *indexHarness) updateIndex(number int) {
-	m := &h.machines[number]
+func (h *indexHarness) updateIndex(machine int) {
+	m := &h.machines[machine]
 	if !m.schedulable {
-		h.index.MarkUnschedulable(int32(number))
+		h.index.MarkUnschedulable(int32(machine))
 		return
 	}
 	if m.phase != h.goal.Phase {
 		m.phase, m.Load = h.goal.Phase, 0
 	}
-	h.index.Update(int32(number), m.Free, m.Load, m.tags)
+	h.index.Update(int32(machine), m.Free, m.Load, m.tags)
 }
 
 // run changes the cluster and places a task, for so many steps.
@@ -157,11 +157,11 @@
 	tagRequired := h.chooser.IntN(4) == 0
 	request := Request{Task: task, PreferredBonus: 1 + h.chooser.IntN(2), PreferredTag: tag,
 		ScorePool: func(pool int) (bool, int) {
-			group, score := h.pools[pool], 0
-			if group.spot {
+			attributes, score := h.pools[pool], 0
+			if attributes.spot {
 				score = 1
 			}
-			return (zone == anyZone || group.zone == zone) && (!spotOnly || group.spot), score
+			return (zone == anyZone || attributes.zone == zone) && (!spotOnly || attributes.spot), score
 		},
 		Preferred: func(m int32) bool { return h.machines[m].tags&tag != 0 },
 		Allowed:   func(m int32) bool { return int(m) != excluded && (!tagRequired || h.machines[m].tags&tag != 0) },
@@ -200,19 +200,19 @@
 		if !m.schedulable {
 			continue
 		}
-		seen := m.scannedMachine
+		scanned := m.scannedMachine
 		if m.phase != h.scanGoal.Phase {
-			seen.Load = 0
+			scanned.Load = 0
 		}
 		allowed, score := request.ScorePool(m.pool)
-		seen.Allowed, seen.Score = allowed && request.Allowed(int32(i)), score
+		scanned.Allowed, scanned.Score = allowed && request.Allowed(int32(i)), score
 		if request.Preferred(int32(i)) {
-			seen.Score += request.PreferredBonus
+			scanned.Score += request.PreferredBonus
 		}
-		schedulable = append(schedulable, seen)
+		schedulable = append(schedulable, scanned)
 	}
-	if k := scan(&h.scanGoal, schedulable, request.Task); k >= 0 {
-		return int32(schedulable[k].Index)
+	if i := scan(&h.scanGoal, schedulable, request.Task); i >= 0 {
+		return int32(schedulable[i].Index)
 	}
 	return -1
 }
--- a/internal/slowfit/place.go
+++ b/internal/slowfit/place.go
@@ -51,14 +51,14 @@
 			return x.find(r, unbounded)
 		}
 	}
-	for roomIsKnown := false; ; {
+	for feasible := false; ; {
 		if machine := x.find(r, g.bounds()); machine != noMachine {
 			return machine
 		}
-		if !roomIsKnown && !x.hasCapacityFor(r) {
+		if !feasible && !x.hasCapacityFor(r) {
 			return noMachine
 		}
-		roomIsKnown = true
+		feasible = true
 		g.double()
 		x.ResetLoads()
 	}
@@ -91,8 +91,8 @@
 // shareOnFastestMachine is a task's load on the fastest schedulable machine that can carry it
 // at all.
 func (x *Index) shareOnFastestMachine(task Size) float64 {
-	for k := len(x.poolsBySpeed) - 1; k >= 0; k-- {
-		p := x.pools[x.poolsBySpeed[k]]
+	for i := len(x.poolsBySpeed) - 1; i >= 0; i-- {
+		p := x.pools[x.poolsBySpeed[i]]
 		if share := task.Share(p.total); p.schedulable > 0 && !math.IsInf(share, 1) {
 			return share
 		}
@@ -125,8 +125,8 @@
 // findInPools is find for pools of machines of one speed.
 func (x *Index) findInPools(r *Request, pools []int, bounds loadBounds) int32 {
 	best := candidate{machine: noMachine}
-	for _, number := range pools {
-		p := x.pools[number]
+	for _, poolIndex := range pools {
+		p := x.pools[poolIndex]
 		if p.schedulable == 0 || !r.Task.Within(p.nodes[root].free) {
 			continue
 		}
@@ -134,7 +134,7 @@
 		if share > bounds.task+tolerance || math.IsInf(share, 1) {
 			continue
 		}
-		allowed, score := r.ScorePool(number)
+		allowed, score := r.ScorePool(poolIndex)
 		if !allowed {
 			continue
 		}
--- a/internal/slowfit/place_bench_test.go
+++ b/internal/slowfit/place_bench_test.go
@@ -15,21 +15,21 @@
 
 func benchmarkPlace(b *testing.B, machines int) {
 	sizes := []Size{{4, 0, 16}, {8, 0, 32}, {32, 2, 128}}
-	x := &Index{}
+	index := &Index{}
 	for pool := range 6 {
-		x.AddPool(sizes[pool/2])
+		index.AddPool(sizes[pool/2])
 	}
 	free := make([]Size, machines)
 	for i := range machines {
-		x.Add(int32(i), i%6)
+		index.Add(int32(i), i%6)
 	}
-	vacate := func() {
+	freeAll := func() {
 		for i := range free {
 			free[i] = sizes[i%6/2]
-			x.Update(int32(i), free[i], 0, uint64(i%8))
+			index.Update(int32(i), free[i], 0, uint64(i%8))
 		}
 	}
-	vacate()
+	freeAll()
 	goal := Goal{C: 5}
 	request := Request{Task: Size{CPUs: 1, MemGB: 2}, PreferredBonus: 2, PreferredTag: 1,
 		ScorePool: func(pool int) (bool, int) { return true, pool % 2 },
@@ -39,12 +39,12 @@
 	b.ResetTimer()
 	for i := range b.N {
 		request.Task.CPUs = float64(1 + i%3)
-		machine := x.Place(&goal, &request)
+		machine := index.Place(&goal, &request)
 		if machine < 0 {
-			vacate()
+			freeAll()
 			continue
 		}
 		free[machine] = free[machine].Minus(request.Task)
-		x.Update(machine, free[machine], 0, uint64(machine%8))
+		index.Update(machine, free[machine], 0, uint64(machine%8))
 	}
 }
--- a/internal/slowfit/pool.go
+++ b/internal/slowfit/pool.go
@@ -60,19 +60,19 @@
 
 // setLeaf replaces a leaf and the nodes above it.
 func (p *pool) setLeaf(leaf int, n node) {
-	at := p.leaves + leaf
-	if before, after := p.nodes[at].isSchedulable(), n.isSchedulable(); before && !after {
+	i := p.leaves + leaf
+	if before, after := p.nodes[i].isSchedulable(), n.isSchedulable(); before && !after {
 		p.schedulable--
 	} else if after && !before {
 		p.schedulable++
 	}
-	p.nodes[at] = n
-	for at /= 2; at > 0; at /= 2 {
-		merged := merge(&p.nodes[2*at], &p.nodes[2*at+1])
-		if merged == p.nodes[at] {
+	p.nodes[i] = n
+	for i /= 2; i > 0; i /= 2 {
+		merged := merge(&p.nodes[2*i], &p.nodes[2*i+1])
+		if merged == p.nodes[i] {
 			return
 		}
-		p.nodes[at] = merged
+		p.nodes[i] = merged
 	}
 }
 
--- a/internal/slowfit/query.go
+++ b/internal/slowfit/query.go
@@ -39,21 +39,21 @@
 }
 
 // firstLeaf is the first leaf below a node that satisfies the query, or noLeaf.
-func (q *query) firstLeaf(at int) int {
+func (q *query) firstLeaf(i int) int {
 	*q.visited++
-	n := &q.pool.nodes[at]
+	n := &q.pool.nodes[i]
 	if n.load > q.maxLoad || n.tags&q.tags != q.tags || !q.task.Within(n.free) {
 		return noLeaf
 	}
-	if at >= q.pool.leaves {
-		leaf := at - q.pool.leaves
+	if i >= q.pool.leaves {
+		leaf := i - q.pool.leaves
 		if q.accepts != nil && !q.accepts(q.pool.machines[leaf]) {
 			return noLeaf
 		}
 		return leaf
 	}
-	if leaf := q.firstLeaf(2 * at); leaf != noLeaf {
+	if leaf := q.firstLeaf(2 * i); leaf != noLeaf {
 		return leaf
 	}
-	return q.firstLeaf(2*at + 1)
+	return q.firstLeaf(2*i + 1)
 }
--- a/internal/slowfit/scan_test.go
+++ b/internal/slowfit/scan_test.go
@@ -12,8 +12,8 @@
 }
 
 func slower(a, b *scannedMachine) bool {
-	if d := a.Total.compareSpeed(b.Total); d != 0 {
-		return d < 0
+	if order := a.Total.compareSpeed(b.Total); order != 0 {
+		return order < 0
 	}
 	return a.Index < b.Index
 }
@@ -21,13 +21,13 @@
 // scan places a task as the paper has it, by a scan of every machine. It is what the index is
 // compared with. It returns the place in the list, or -1.
 func scan(g *Goal, machines []scannedMachine, task Size) int {
-	room := false
+	feasible := false
 	for i := range machines {
 		m := &machines[i]
 		m.Allowed = m.Allowed && task.Within(m.Free)
-		room = room || m.Allowed
+		feasible = feasible || m.Allowed
 	}
-	if !room {
+	if !feasible {
 		return -1
 	}
 	if g.L == 0 {
--- a/internal/slowfit/size.go
+++ b/internal/slowfit/size.go
@@ -14,17 +14,19 @@
 const tolerance = 1e-6
 
 // Plus adds o to s.
-func (s Size) Plus(o Size) Size {
-	return Size{s.CPUs + o.CPUs, s.GPUs + o.GPUs, s.MemGB + o.MemGB}
+func (s Size) Plus(other Size) Size {
+	return Size{s.CPUs + other.CPUs, s.GPUs + other.GPUs, s.MemGB + other.MemGB}
 }
 
 // Minus takes o from s.
-func (s Size) Minus(o Size) Size {
-	return Size{s.CPUs - o.CPUs, s.GPUs - o.GPUs, s.MemGB - o.MemGB}
+func (s Size) Minus(other Size) Size {
+	return Size{s.CPUs - other.CPUs, s.GPUs - other.GPUs, s.MemGB - other.MemGB}
 }
 
 // Times multiplies a size.
-func (s Size) Times(n float64) Size { return Size{s.CPUs * n, s.GPUs * n, s.MemGB * n} }
+func (s Size) Times(factor float64) Size {
+	return Size{s.CPUs * factor, s.GPUs * factor, s.MemGB * factor}
+}
 
 // Within tells whether s fits into free.
 func (s Size) Within(free Size) bool {
@@ -66,6 +68,6 @@
 }
 
 // compareSpeed orders machines by their sizes, the slower one first: by cores, then memory.
-func (s Size) compareSpeed(o Size) int {
-	return cmp.Or(cmp.Compare(s.CPUs, o.CPUs), cmp.Compare(s.MemGB, o.MemGB))
+func (s Size) compareSpeed(other Size) int {
+	return cmp.Or(cmp.Compare(s.CPUs, other.CPUs), cmp.Compare(s.MemGB, other.MemGB))
 }
