--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -55,17 +55,17 @@
 			term, since = view.Term, time.Now()
 			continue
 		}
-		if time.Since(since) >= reachabilityGrace && m.workersUnreachable(ctx, m.expectedMachines()) {
+		if time.Since(since) >= reachabilityGrace && m.agentsUnreachable(ctx, m.expectedMachines()) {
 			m.log.Info("workers reach another controller but not this one, resigning", "leader_term", term, "machines", m.expectedMachines())
 			m.elector.Resign(term)
 		}
 	}
 }
 
-// workersUnreachable reports whether the workers, of which so many should be sending heartbeats,
+// agentsUnreachable reports whether the workers, of which so many should be sending heartbeats,
 // come to another controller instead: enough of them that it is not a single one that can't
 // reach this controller.
-func (m *reachabilityMonitor) workersUnreachable(ctx context.Context, machines int) bool {
+func (m *reachabilityMonitor) agentsUnreachable(ctx context.Context, machines int) bool {
 	window := m.silenceWindow(machines)
 	if machines == 0 || m.directHeartbeats.countWithin(window) > 0 {
 		return false
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestWorkersUnreachable: a leader that the workers can't reach any more kept its term for the whole
+// TestAgentsUnreachable: a leader that the workers can't reach any more kept its term for the whole
 // of a partition, 50 s, while others received their heartbeats.
-func TestWorkersUnreachable(t *testing.T) {
+func TestAgentsUnreachable(t *testing.T) {
 	cases := []struct {
 		name       string
 		machines   int
@@ -45,7 +45,7 @@
 				if c.forwarded {
 					monitor.forwardedHeartbeats.increment()
 				}
-				if got := monitor.workersUnreachable(t.Context(), c.machines); got != c.lost {
+				if got := monitor.agentsUnreachable(t.Context(), c.machines); got != c.lost {
 					t.Errorf("lost %v, want %v", got, c.lost)
 				}
 			})
--- a/internal/controller/redirector_test.go
+++ b/internal/controller/redirector_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// TestRedirectedWorkers: a leader to which most workers have come redirects some to
+// TestRedirectedAgents: a leader to which most workers have come redirects some to
 // controllers that forward their heartbeats, none of them twice in a row, since it may not
 // reach those.
-func TestRedirectedWorkers(t *testing.T) {
+func TestRedirectedAgents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		r := newRedirector()
 		go r.run(t.Context())
--- a/internal/controller/sockets_test.go
+++ b/internal/controller/sockets_test.go
@@ -29,10 +29,10 @@
 func (p pipeListener) Close() error   { close(p); return nil }
 func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// TestResponsesWithMoreWorkersThanSockets: more workers than there are sockets send heartbeats
+// TestResponsesWithMoreAgentsThanSockets: more workers than there are sockets send heartbeats
 // round after round on connections that they keep, and some have died with theirs open. All
 // get a response, and so does a health check.
-func TestResponsesWithMoreWorkersThanSockets(t *testing.T) {
+func TestResponsesWithMoreAgentsThanSockets(t *testing.T) {
 	cases := []struct {
 		name          string
 		sockets       int
