--- a/internal/scheduler/placement_goal.go
+++ b/internal/scheduler/placement_goal.go
@@ -5,7 +5,7 @@
 // goalLowerDelay is how long no task must have waited before the SLOW-FIT goal is lowered.
 const goalLowerDelay = 5 * time.Second
 
-// lowerGoalsSometimes lowers the SLOW-FIT goal after a burst. In the paper the goal never falls, and after a
+// lowerGoal lowers the SLOW-FIT goal after a burst. In the paper the goal never falls, and after a
 // burst it would no longer limit anything. The mean load of the machines is used as a lower bound of
 // the optimum: under no placement is the load of the busiest machine lower than that.
 func (p *placement) lowerGoal() {
--- a/internal/slowfit/index_test.go
+++ b/internal/slowfit/index_test.go
@@ -43,14 +43,14 @@
 // indexHarness is a cluster whose machines come, go and fill up. Each placement of the index is
 // compared with the scan's.
 type indexHarness struct {
-	t        failer
-	chooser  property.Chooser
-	scale    float64
-	index    *Index
-	goal     Goal // the index's
-	scanGoal Goal
-	pools    []poolAttributes // by pool
-	machines []harnessMachine
+	t         failer
+	chooser   property.Chooser
+	scale     float64
+	index     *Index
+	indexGoal Goal // the index's
+	scanGoal  Goal
+	pools     []poolAttributes // by pool
+	machines  []harnessMachine
 }
 
 // poolAttributes is what the machines of a pool have in common.
@@ -73,7 +73,7 @@
 const minMachines = 3
 
 func newIndexHarness(t failer, chooser property.Chooser, moreMachines int, scale, goalFactor float64) *indexHarness {
-	h := &indexHarness{t: t, chooser: chooser, scale: scale, index: &Index{}, goal: Goal{C: goalFactor}, scanGoal: Goal{C: goalFactor}}
+	h := &indexHarness{t: t, chooser: chooser, scale: scale, index: &Index{}, indexGoal: Goal{C: goalFactor}, scanGoal: Goal{C: goalFactor}}
 	for _, size := range []Size{{4, 0, 16}, {8, 0, 32}, {8, 2, 32}, {32, 0, 128}} {
 		for zone := range 2 {
 			for _, spot := range []bool{true, false} {
@@ -106,8 +106,8 @@
 		h.index.MarkUnschedulable(int32(machine))
 		return
 	}
-	if m.phase != h.goal.Phase {
-		m.phase, m.Load = h.goal.Phase, 0
+	if m.phase != h.indexGoal.Phase {
+		m.phase, m.Load = h.indexGoal.Phase, 0
 	}
 	h.index.Update(int32(machine), m.Free, m.Load, m.tags)
 }
@@ -117,7 +117,7 @@
 	for step := range steps {
 		h.changeMachine()
 		h.placeTask(step, h.drawTaskSize())
-		h.lowerGoalsSometimes()
+		h.lowerGoal()
 	}
 }
 
@@ -177,17 +177,17 @@
 func (h *indexHarness) placeTask(step int, task Size) {
 	request := h.drawRequest(task)
 	want := h.placeByScan(&request)
-	got := h.index.Place(&h.goal, &request)
-	if got != want || h.goal != h.scanGoal {
-		h.t.Fatalf("%d machines, step %d: the index says %d with %+v, the scan %d with %+v", len(h.machines), step, got, h.goal, want, h.scanGoal)
+	got := h.index.Place(&h.indexGoal, &request)
+	if got != want || h.indexGoal != h.scanGoal {
+		h.t.Fatalf("%d machines, step %d: the index says %d with %+v, the scan %d with %+v", len(h.machines), step, got, h.indexGoal, want, h.scanGoal)
 	}
 	if got < 0 {
 		return
 	}
 	m := &h.machines[got]
 	m.Free = m.Free.Minus(task)
-	if m.phase != h.goal.Phase {
-		m.phase, m.Load = h.goal.Phase, 0
+	if m.phase != h.indexGoal.Phase {
+		m.phase, m.Load = h.indexGoal.Phase, 0
 	}
 	m.Load += task.Share(m.Total)
 	h.updateIndex(int(got))
@@ -217,15 +217,15 @@
 	return -1
 }
 
-// lowerGoalsSometimes lowers both goals now and then.
-func (h *indexHarness) lowerGoalsSometimes() {
+// lowerGoal lowers both goals now and then.
+func (h *indexHarness) lowerGoal() {
 	if h.chooser.IntN(60) != 0 {
 		return
 	}
-	phase := h.goal.Phase
-	h.goal.Lower(0.01)
+	phase := h.indexGoal.Phase
+	h.indexGoal.Lower(0.01)
 	h.scanGoal.Lower(0.01)
-	if h.goal.Phase != phase {
+	if h.indexGoal.Phase != phase {
 		h.index.ResetLoads()
 	}
 }
