--- a/cmd/leadproxy/federation_commands.go
+++ b/cmd/leadproxy/federation_commands.go
@@ -23,11 +23,11 @@
 	if err != nil {
 		return err
 	}
-	list, err := cells.FetchList(context.Background(), transport.TCP{}, platform)
+	list, err := cells.FetchTransferList(context.Background(), transport.TCP{}, platform)
 	if err != nil {
 		return err
 	}
-	return cells.WriteList(os.Stdout, list, time.Now())
+	return cells.WriteTransferList(os.Stdout, list, time.Now())
 }
 
 // traceCommand shows the traces of jobs that were delegated to other cells.
--- a/internal/cells/client.go
+++ b/internal/cells/client.go
@@ -43,8 +43,8 @@
 // neighbour holds the connections to the controllers of one cell.
 type neighbour struct {
 	controllers []cellpb.CellClient
-	// leader is the index of the controller that answered last.
-	leader atomic.Int64
+	// leaderIndex is the index of the controller that answered last.
+	leaderIndex atomic.Int64
 }
 
 // Dial prepares connections to all controllers of the neighbours, until ctx ends.
@@ -70,24 +70,24 @@
 	return &cellpb.Envelope{Version: protocolVersion, From: c.cell, To: to}
 }
 
-// request is one request to a controller of a cell.
-type request func(ctx context.Context, controller cellpb.CellClient) error
+// sendFunc is one request to a controller of a cell.
+type sendFunc func(ctx context.Context, controller cellpb.CellClient) error
 
 // call sends a request to a cell's leader, which any of its controllers may be. The one that
 // answered last is tried first.
-func (c *Client) call(ctx context.Context, cell string, send request) error {
+func (c *Client) call(ctx context.Context, cell string, send sendFunc) error {
 	neighbour := c.neighbours[cell]
 	if neighbour == nil {
 		return fmt.Errorf("call cell %s: %w", cell, ErrUnknownCell)
 	}
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
-	first := int(neighbour.leader.Load())
+	first := int(neighbour.leaderIndex.Load())
 	var err error
 	for i := range neighbour.controllers {
 		index := (first + i) % len(neighbour.controllers)
-		if err = attempt(ctx, neighbour.controllers[index], send); err == nil {
-			neighbour.leader.Store(int64(index))
+		if err = callController(ctx, neighbour.controllers[index], send); err == nil {
+			neighbour.leaderIndex.Store(int64(index))
 			return nil
 		}
 		if !retryElsewhere(err) || ctx.Err() != nil {
@@ -97,7 +97,7 @@
 	return fmt.Errorf("call cell %s: %w", cell, err)
 }
 
-func attempt(ctx context.Context, controller cellpb.CellClient, send request) error {
+func callController(ctx context.Context, controller cellpb.CellClient, send sendFunc) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	return send(ctx, controller)
--- a/internal/cells/encoding.go
+++ b/internal/cells/encoding.go
@@ -13,7 +13,7 @@
 )
 
 // Kinds and outcomes have the same numbers in package federation and in the messages;
-// TestNumbersAgree compares them.
+// TestEnumNumbersMatch compares them.
 
 // errMalformed means that a message can't come from a controller of this protocol version.
 var errMalformed = errors.New("malformed message")
--- a/internal/cells/encoding_test.go
+++ b/internal/cells/encoding_test.go
@@ -8,8 +8,8 @@
 	"leadproxy/internal/federation"
 )
 
-// TestNumbersAgree: kinds and outcomes travel as the numbers that package federation has.
-func TestNumbersAgree(t *testing.T) {
+// TestEnumNumbersMatch: kinds and outcomes travel as the numbers that package federation has.
+func TestEnumNumbersMatch(t *testing.T) {
 	for number, name := range cellpb.Message_Kind_name {
 		if want := strings.ToLower(strings.TrimPrefix(name, "KIND_")); number > 0 && federation.Kind(number).String() != want {
 			t.Errorf("kind %d is %q in the messages and %q in package federation", number, want, federation.Kind(number))
--- a/internal/cells/golden_test.go
+++ b/internal/cells/golden_test.go
@@ -19,13 +19,13 @@
 	answer := encodeAnswer(federation.Answer{JobID: "job-17", Epoch: 3, Outcome: federation.OutcomeRefused, Done: 4, Running: 5,
 		Reason: "text-6", Temporary: true, RetryAfter: 7 * time.Second})
 	property.CheckGoldenValues(t, "exchange", map[string]any{
-		"offer":  encoded(t, offer),
-		"answer": encoded(t, answer),
+		"offer":  marshalHex(t, offer),
+		"answer": marshalHex(t, answer),
 	})
 }
 
-// encoded is a message's bytes in hexadecimal.
-func encoded(t *testing.T, m proto.Message) string {
+// marshalHex is a message's bytes in hexadecimal.
+func marshalHex(t *testing.T, m proto.Message) string {
 	t.Helper()
 	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
 	if err != nil {
--- a/internal/cells/server.go
+++ b/internal/cells/server.go
@@ -17,8 +17,8 @@
 	"leadproxy/internal/settings"
 )
 
-// maxMessages bounds the messages of one exchange.
-const maxMessages = 256
+// maxExchangeMessages bounds the messages of one exchange.
+const maxExchangeMessages = 256
 
 // Leader is the part of the controller's dispatcher that other cells and operators use. Its
 // methods return dispatch.ErrNotLeader if another controller leads.
@@ -72,8 +72,8 @@
 	if err := s.checkEnvelope(r.Envelope); err != nil {
 		return nil, err
 	}
-	if len(r.Messages) > maxMessages {
-		return nil, status.Errorf(codes.InvalidArgument, "%d messages at once, at most %d", len(r.Messages), maxMessages)
+	if len(r.Messages) > maxExchangeMessages {
+		return nil, status.Errorf(codes.InvalidArgument, "%d messages at once, at most %d", len(r.Messages), maxExchangeMessages)
 	}
 	messages := make([]federation.Message, len(r.Messages))
 	for i, m := range r.Messages {
--- a/internal/cells/server_test.go
+++ b/internal/cells/server_test.go
@@ -23,7 +23,7 @@
 	calls int
 }
 
-func (l *stubLeader) err() error {
+func (l *stubLeader) countCall() error {
 	if l.calls++; !l.leads {
 		return dispatch.ErrNotLeader
 	}
@@ -35,15 +35,15 @@
 	for _, m := range messages {
 		answers = append(answers, federation.Answer{JobID: m.JobID, Epoch: m.Epoch, Outcome: federation.OutcomePending})
 	}
-	return answers, l.err()
+	return answers, l.countCall()
 }
 
 func (l *stubLeader) OfferCapacity(_ context.Context, _ string, cores float64) (dispatch.CapacityOffer, error) {
-	return dispatch.CapacityOffer{Cores: cores, For: time.Second}, l.err()
+	return dispatch.CapacityOffer{Cores: cores, For: time.Second}, l.countCall()
 }
 
 func (l *stubLeader) ListTransfers(context.Context) (scheduler.TransferListReply, error) {
-	return scheduler.TransferListReply{}, l.err()
+	return scheduler.TransferListReply{}, l.countCall()
 }
 
 // limaCells are the settings of cell lima, which has puno as its neighbour.
@@ -69,7 +69,7 @@
 		{"from this cell", &cellpb.Envelope{Version: protocolVersion, From: "lima", To: "lima"}, nil, codes.PermissionDenied, "not a neighbour"},
 		{"for another cell", &cellpb.Envelope{Version: protocolVersion, From: "puno", To: "cusco"}, nil, codes.FailedPrecondition, "this is cell"},
 		{"without an envelope", nil, nil, codes.FailedPrecondition, "version 0"},
-		{"too many", good, make([]*cellpb.Message, maxMessages+1), codes.InvalidArgument, "messages at once"},
+		{"too many", good, make([]*cellpb.Message, maxExchangeMessages+1), codes.InvalidArgument, "messages at once"},
 		{"an unknown kind", good, []*cellpb.Message{{Kind: 9, Ref: "job-1", Epoch: 1}}, codes.InvalidArgument, "kind 9"},
 		{"no kind", good, []*cellpb.Message{{Ref: "job-1", Epoch: 1}}, codes.InvalidArgument, "kind 0"},
 		{"no job", good, []*cellpb.Message{{Kind: 4, Ref: "run-1", Epoch: 1}}, codes.InvalidArgument, "not a job's id"},
--- a/internal/cells/three_cells_test.go
+++ b/internal/cells/three_cells_test.go
@@ -32,12 +32,12 @@
 var summaryFile = flag.String("ledger", "", "where to write the summary of all jobs")
 
 const (
-	repository  = "../.."
-	controllers = 3
-	taskTime    = 4 * time.Second
-	floodJobs   = 120
-	floodEvery  = 500 * time.Millisecond
-	cancelLimit = 20 * time.Second
+	repositoryRoot     = "../.."
+	controllersPerCell = 3
+	taskRunTime        = 4 * time.Second
+	floodJobs          = 120
+	floodInterval      = 500 * time.Millisecond
+	cancelDeadline     = 20 * time.Second
 )
 
 // cell is one cell: its controllers and the outside systems that they use.
@@ -59,7 +59,7 @@
 	t.Helper()
 	network := transport.TCP{}
 	c := &cell{t: t, name: name, store: fake.NewKVStore(t, network, "127.0.0.1:0", nil)}
-	public, back := fake.ReserveAddresses(t, controllers), fake.ReserveAddresses(t, controllers)
+	public, back := fake.ReserveAddresses(t, controllersPerCell), fake.ReserveAddresses(t, controllersPerCell)
 	var workers []fake.ControllerAddress
 	for i, addr := range public {
 		workers = append(workers, fake.ControllerAddress{Name: c.controllerName(i), Addr: addr})
@@ -70,21 +70,21 @@
 		Types:    []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 1, Zones: zones}},
 		BootTime: time.Second, ListLag: 2 * time.Second, MaxMachines: machines,
 		Agent: fake.AgentConfig{Controllers: workers, HeartbeatInterval: time.Second, Lease: 8 * time.Second, ImageFetchTime: 200 * time.Millisecond,
-			RunTime: func(string) time.Duration { return taskTime }, Checker: check},
+			RunTime: func(string) time.Duration { return taskRunTime }, Checker: check},
 		NewHost: func(string) (transport.Network, string) { return network, "127.0.0.1:0" },
 	})
-	facts := settings.Facts{ControllerCount: controllers, Zones: zones, ClockErrorMS: 5, Teams: []settings.Team{{Name: "open"}},
-		Workers:   settings.Workers{HeartbeatS: 1, LeaseS: 8, CancelS: cancelLimit.Seconds()},
-		Store:     settings.StoreLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32},
-		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 2},
-		Resources: settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 2000}}
+	facts := settings.Facts{ControllerCount: controllersPerCell, Zones: zones, ClockErrorMS: 5, Teams: []settings.Team{{Name: "open"}},
+		AgentTiming: settings.AgentTiming{HeartbeatS: 1, LeaseS: 8, CancelS: cancelDeadline.Seconds()},
+		Store:       settings.StoreLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32},
+		Cloud:       settings.CloudLimits{RPS: 5, ListLagS: 2},
+		Resources:   settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 2000}}
 	dir := t.TempDir()
 	c.settingsFile, c.traceFile = filepath.Join(dir, "cells.ini"), filepath.Join(dir, "trace")
-	for i := range controllers {
+	for i := range controllersPerCell {
 		c.relays = append(c.relays, fake.NewRelay(t, back[i]))
 		p := settings.Platform{Name: c.controllerName(i), Zone: zones[i], PublicAddr: public[i], PeerAddr: back[i], Facts: facts,
 			Services: settings.Services{Store: c.store.Addr(), Cloud: c.cloud.Addr()}}
-		for k := range controllers {
+		for k := range controllersPerCell {
 			if k != i {
 				p.Peers = append(p.Peers, settings.Peer{Name: c.controllerName(k), Zone: zones[k], Addr: back[k]})
 			}
@@ -134,15 +134,15 @@
 	}
 }
 
-// cut has the messages between this cell and others be lost in one direction.
-func (c *cell) cut(direction fake.Direction) {
+// dropMessages has the messages between this cell and others be lost in one direction.
+func (c *cell) dropMessages(direction fake.Direction) {
 	for _, r := range c.relays {
 		r.SetDropping(direction, true)
 	}
 }
 
-// restore ends a cut.
-func (c *cell) restore(direction fake.Direction) {
+// restoreMessages ends a cut.
+func (c *cell) restoreMessages(direction fake.Direction) {
 	for _, r := range c.relays {
 		r.SetDropping(direction, false)
 		r.CloseConnections()
@@ -151,11 +151,11 @@
 
 // jobSummary is the history of one job.
 type jobSummary struct {
-	id           string
-	cells        []string // in which its tasks were on machines
-	transfers    []string // their epochs and states
-	attempts     int
-	finalAnswers []string // in the origin's record
+	id             string
+	cells          []string // in which its tasks were on machines
+	transfers      []string // their epochs and states
+	attempts       int
+	terminalStates []string // in the origin's record
 }
 
 // summarizeJobs gathers the histories of all jobs from the stores and the machines.
@@ -174,7 +174,7 @@
 		}
 		job := summaryOf(id)
 		if record, err := ledger.DecodeJobRecord(id, change.Value); err == nil && record.TerminalState != "" {
-			job.finalAnswers = append(job.finalAnswers, record.TerminalState)
+			job.terminalStates = append(job.terminalStates, record.TerminalState)
 		}
 	}
 	for _, neighbour := range neighbours {
@@ -203,7 +203,7 @@
 	w := tabwriter.NewWriter(&text, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "JOB\tCELLS\tATTEMPTS\tFINAL ANSWERS\tTRANSFERS")
 	for _, job := range jobs {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", job.id, strings.Join(job.cells, " "), job.attempts, strings.Join(job.finalAnswers, " "), strings.Join(job.transfers, ", "))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%s\n", job.id, strings.Join(job.cells, " "), job.attempts, strings.Join(job.terminalStates, " "), strings.Join(job.transfers, ", "))
 	}
 	if err := w.Flush(); err != nil {
 		t.Fatal(err)
@@ -218,15 +218,15 @@
 // fault is a fault that is injected at a time since the beginning.
 type fault struct {
 	name   string
-	at     time.Duration
+	after  time.Duration
 	inject func()
 }
 
 // TestThreeCells floods one cell while controllers are killed and links are cut: each
 // job has a single final answer and ran in a single cell.
 func TestThreeCells(t *testing.T) {
-	program := fake.BuildController(t, repository)
-	check := fake.NewChecker(t, fake.Limits{CancelDeadline: cancelLimit, MaxWaiting: 90 * time.Second, MaxUnanswered: 75 * time.Second})
+	program := fake.BuildController(t, repositoryRoot)
+	check := fake.NewChecker(t, fake.Limits{CancelDeadline: cancelDeadline, MaxWaiting: 90 * time.Second, MaxUnanswered: 75 * time.Second})
 	a, b, c := newCell(t, "a", 2, check), newCell(t, "b", 12, check), newCell(t, "c", 12, check)
 	a.writeSettings(2, b, c)
 	b.writeSettings(12, a, c)
@@ -234,17 +234,17 @@
 	startCells(t, program, a, b, c)
 	faults := []fault{
 		{"a's leader is killed", 12 * time.Second, func() { a.restartLeader(program) }},
-		{"messages from a to b are lost", 20 * time.Second, func() { b.cut(fake.ToServer) }},
-		{"and no longer", 30 * time.Second, func() { b.restore(fake.ToServer) }},
+		{"messages from a to b are lost", 20 * time.Second, func() { b.dropMessages(fake.ToServer) }},
+		{"and no longer", 30 * time.Second, func() { b.restoreMessages(fake.ToServer) }},
 		{"b's leader is killed", 33 * time.Second, func() { b.restartLeader(program) }},
-		{"answers from c are lost", 38 * time.Second, func() { c.cut(fake.ToClient) }},
-		{"and no longer", 48 * time.Second, func() { c.restore(fake.ToClient) }},
+		{"answers from c are lost", 38 * time.Second, func() { c.dropMessages(fake.ToClient) }},
+		{"and no longer", 48 * time.Second, func() { c.restoreMessages(fake.ToClient) }},
 		{"all controllers of a are killed", 52 * time.Second, func() { a.restartAll(program) }},
 	}
 	start := time.Now()
 	a.users.Go(func() {
 		for _, f := range faults {
-			time.Sleep(time.Until(start.Add(f.at)))
+			time.Sleep(time.Until(start.Add(f.after)))
 			t.Logf("+%.0fs: %s", time.Since(start).Seconds(), f.name)
 			f.inject()
 		}
@@ -260,8 +260,8 @@
 		t.Error(broken)
 	}
 	t.Logf("%.0f s", time.Since(start).Seconds())
-	showTrace(t, program, a, b, c)
-	if list, err := FetchList(context.Background(), transport.TCP{}, &a.processes[0].Platform); err != nil || list.Cell != "a" {
+	checkTraceCommand(t, program, a, b, c)
+	if list, err := FetchTransferList(context.Background(), transport.TCP{}, &a.processes[0].Platform); err != nil || list.Cell != "a" {
 		t.Errorf("the list: %v, %v", list, err)
 	}
 	if t.Failed() {
@@ -284,12 +284,12 @@
 // flood submits more jobs than a cell has capacity for, and cancels some.
 func flood(c *cell) {
 	for k := range floodJobs {
-		job := fake.NewJob(fmt.Sprintf("job-%06d", k), 4, func(j *wire.Job) { j.CPUs, j.EstimatedRunS = 2, taskTime.Seconds() })
+		job := fake.NewJob(fmt.Sprintf("job-%06d", k), 4, func(j *wire.Job) { j.CPUs, j.EstimatedRunS = 2, taskRunTime.Seconds() })
 		c.users.Submit(job)
 		if k%20 == 19 {
 			c.users.Cancel(job)
 		}
-		time.Sleep(floodEvery)
+		time.Sleep(floodInterval)
 	}
 }
 
@@ -299,8 +299,8 @@
 	t.Helper()
 	delegated, restarted := 0, 0
 	for _, job := range jobs {
-		if len(job.finalAnswers) != 1 {
-			t.Errorf("%s has the final answers %v", job.id, job.finalAnswers)
+		if len(job.terminalStates) != 1 {
+			t.Errorf("%s has the final answers %v", job.id, job.terminalStates)
 		}
 		if len(job.cells) > 1 {
 			t.Errorf("%s ran in %v", job.id, job.cells)
@@ -318,8 +318,8 @@
 	}
 }
 
-// showTrace has the program show the traces of all cells.
-func showTrace(t *testing.T, program string, cells ...*cell) {
+// checkTraceCommand has the program show the traces of all cells.
+func checkTraceCommand(t *testing.T, program string, cells ...*cell) {
 	t.Helper()
 	arguments := []string{"trace"}
 	for _, c := range cells {
--- a/internal/cells/trace_file.go
+++ b/internal/cells/trace_file.go
@@ -53,13 +53,13 @@
 	return ""
 }
 
-// errNoStep means that a span is not a step of a transfer.
-var errNoStep = errors.New("not a step of a transfer")
+// errNotTransferStep means that a span is not a step of a transfer.
+var errNotTransferStep = errors.New("not a step of a transfer")
 
 func (r *spanRecord) step() (Step, error) {
 	epoch, err := strconv.ParseInt(r.attribute(attributeEpoch), 10, 64)
 	if err != nil {
-		return Step{}, fmt.Errorf("%w: attribute %s: %w", errNoStep, attributeEpoch, err)
+		return Step{}, fmt.Errorf("%w: attribute %s: %w", errNotTransferStep, attributeEpoch, err)
 	}
 	return Step{
 		TraceID:   r.SpanContext.TraceID,
--- a/internal/cells/trace_test.go
+++ b/internal/cells/trace_test.go
@@ -93,7 +93,7 @@
 	if err := os.WriteFile(files[0], []byte(`{"Name":"x"}`), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	if _, err := ReadSteps(files[0]); !errors.Is(err, errNoStep) {
+	if _, err := ReadSteps(files[0]); !errors.Is(err, errNotTransferStep) {
 		t.Errorf("a span that is not a step of a transfer: %v", err)
 	}
 }
--- a/internal/cells/tracer.go
+++ b/internal/cells/tracer.go
@@ -45,8 +45,8 @@
 	lastStep map[federation.ForeignKey]time.Time
 }
 
-// maxTracked bounds the transfers whose latest step is remembered.
-const maxTracked = 10000
+// maxTrackedTransfers bounds the transfers whose latest step is remembered.
+const maxTrackedTransfers = 10000
 
 // NewTracer returns a tracer that appends to a file until ctx ends; "" for no file.
 func NewTracer(ctx context.Context, cell, file string, log *slog.Logger) (*Tracer, error) {
@@ -92,17 +92,17 @@
 		attribute.Int64(attributeEpoch, int64(step.Epoch)),
 		attribute.String(attributeReason, step.Reason)))
 	span.End(trace.WithTimestamp(now))
-	t.remember(key, step.Step, now)
+	t.recordStepTime(key, step.Step, now)
 }
 
-// remember keeps the time of a transfer's latest step as long as others follow.
-func (t *Tracer) remember(key federation.ForeignKey, step string, now time.Time) {
+// recordStepTime keeps the time of a transfer's latest step as long as others follow.
+func (t *Tracer) recordStepTime(key federation.ForeignKey, step string, now time.Time) {
 	switch step {
 	case federation.StepReleased, federation.StepCleaned:
 		delete(t.lastStep, key)
 		return
 	}
-	if len(t.lastStep) >= maxTracked {
+	if len(t.lastStep) >= maxTrackedTransfers {
 		clear(t.lastStep) // the next span of each transfer has no duration
 	}
 	t.lastStep[key] = now
--- a/internal/cells/transfer_list.go
+++ b/internal/cells/transfer_list.go
@@ -82,8 +82,8 @@
 	return string(view.Record.State)
 }
 
-// FetchList requests the list of a cell's transfers from its leader.
-func FetchList(ctx context.Context, network transport.Network, platform *settings.Platform) (*cellpb.ListReply, error) {
+// FetchTransferList requests the list of a cell's transfers from its leader.
+func FetchTransferList(ctx context.Context, network transport.Network, platform *settings.Platform) (*cellpb.ListReply, error) {
 	var list *cellpb.ListReply
 	err := rpc.CallLeader(ctx, network, platform.Controllers(), callTimeout, func(ctx context.Context, conn *grpc.ClientConn) error {
 		reply, err := cellpb.NewCellClient(conn).List(ctx, &cellpb.ListRequest{})
@@ -96,8 +96,8 @@
 	return list, nil
 }
 
-// WriteList writes a cell's transfers as tables.
-func WriteList(out io.Writer, list *cellpb.ListReply, now time.Time) error {
+// WriteTransferList writes a cell's transfers as tables.
+func WriteTransferList(out io.Writer, list *cellpb.ListReply, now time.Time) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if list.Cell == "" {
 		fmt.Fprintln(w, "this cell has no neighbours")
@@ -114,7 +114,7 @@
 func writeNeighbours(w io.Writer, neighbours []*cellpb.Neighbour) {
 	fmt.Fprintf(w, "\nNEIGHBOUR\tSTATE\tAWAY\tCORES\tCREDIT\tLENT\n")
 	for _, n := range neighbours {
-		fmt.Fprintf(w, "%s\t%s\t%d\t%g\t%g\t%g\n", n.Name, relation(n), n.Jobs, n.Cores, n.Credit, n.Lent)
+		fmt.Fprintf(w, "%s\t%s\t%d\t%g\t%g\t%g\n", n.Name, neighbourState(n), n.Jobs, n.Cores, n.Credit, n.Lent)
 	}
 }
 
@@ -152,8 +152,8 @@
 	return now.Sub(time.UnixMilli(sinceMS)).Round(time.Second)
 }
 
-// relation is the state of the relation to a neighbour.
-func relation(n *cellpb.Neighbour) string {
+// neighbourState is the state of the relation to a neighbour.
+func neighbourState(n *cellpb.Neighbour) string {
 	switch {
 	case n.Silent && n.Drain:
 		return "draining, silent"
--- a/internal/cells/transfer_list_test.go
+++ b/internal/cells/transfer_list_test.go
@@ -9,11 +9,11 @@
 	"leadproxy/internal/cells/cellpb"
 )
 
-// TestWriteList: the list has each transfer with its state and age.
-func TestWriteList(t *testing.T) {
+// TestWriteTransferList: the list has each transfer with its state and age.
+func TestWriteTransferList(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	var out bytes.Buffer
-	err := WriteList(&out, &cellpb.ListReply{Cell: "lima",
+	err := WriteTransferList(&out, &cellpb.ListReply{Cell: "lima",
 		Neighbours: []*cellpb.Neighbour{{Name: "puno", Drain: true, Silent: true, Jobs: 1, Cores: 16, Lent: 4}},
 		Away:       []*cellpb.Away{{Ref: "job-1", Cell: "puno", Epoch: 2, Phase: "running", Cancelling: true, SinceMs: 940_000, HeardMs: 1500, Running: 3}},
 		Guests:     []*cellpb.Guest{{Home: "puno", Ref: "job-7", Epoch: 1, State: "accepted", SinceMs: 880_000}},
--- a/internal/compat/deployment_config_test.go
+++ b/internal/compat/deployment_config_test.go
@@ -31,11 +31,11 @@
 func platformFacts(zones []string) settings.Facts {
 	return settings.Facts{
 		ControllerCount: controllerCount, Zones: zones, ClockErrorMS: 5,
-		Teams:     []settings.Team{{Name: "open"}, {Name: "tight", CPUsMax: tightTeamCPUs}},
-		Workers:   settings.Workers{HeartbeatS: heartbeatInterval.Seconds(), LeaseS: workerLease.Seconds(), CancelS: cancelDeadline.Seconds()},
-		Store:     settings.StoreLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32},
-		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 2},
-		Resources: settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 2000},
+		Teams:       []settings.Team{{Name: "open"}, {Name: "tight", CPUsMax: tightTeamCPUs}},
+		AgentTiming: settings.AgentTiming{HeartbeatS: heartbeatInterval.Seconds(), LeaseS: workerLease.Seconds(), CancelS: cancelDeadline.Seconds()},
+		Store:       settings.StoreLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32},
+		Cloud:       settings.CloudLimits{RPS: 5, ListLagS: 2},
+		Resources:   settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 2000},
 	}
 }
 
--- a/internal/controller/assembly.go
+++ b/internal/controller/assembly.go
@@ -73,7 +73,7 @@
 	}
 	c.connections.closeIdle = c.dispatcher.CloseIdleConnections
 	c.services = peerServices{
-		cells:          cells.NewServer(op.Cells, facts.Workers.CancelS, c.dispatcher),
+		cells:          cells.NewServer(op.Cells, facts.AgentTiming.CancelS, c.dispatcher),
 		leaderTransfer: leadertransfer.NewServer(n, p, c.elector, c.followers.standby, c.followers.softState, log),
 		softState:      softstate.NewServer(c.dispatcher, others.Names(), log),
 	}
@@ -90,7 +90,7 @@
 		forwardedHeartbeats: c.heartbeats.forwardedHeartbeats,
 		expectedMachines:    c.dispatcher.ExpectedMachines,
 		unansweredCommands:  c.dispatcher.UnansweredCommands,
-		heartbeatInterval:   settings.Seconds(facts.Workers.HeartbeatS),
+		heartbeatInterval:   settings.Seconds(facts.AgentTiming.HeartbeatS),
 		peers:               others,
 		log:                 log,
 	}
@@ -118,7 +118,7 @@
 
 // addDispatcher makes the dispatcher with its connections to workers and to other cells.
 func (c *components) addDispatcher(ctx context.Context, n transport.Network, op settings.Operator, store *kvstore.Client) error {
-	neighbours, err := cells.Dial(ctx, n, op.Cells, c.platform.Facts.Workers.CancelS)
+	neighbours, err := cells.Dial(ctx, n, op.Cells, c.platform.Facts.AgentTiming.CancelS)
 	if err != nil {
 		return err
 	}
--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -63,10 +63,10 @@
 	addrs := fake.ReserveAddresses(b, 2)
 	p := &settings.Platform{Name: "n0", Zone: "a", PublicAddr: addrs[0], PeerAddr: addrs[1], Services: settings.Services{Store: store.Addr(), Cloud: cloud.Addr()}}
 	p.Facts = settings.Facts{ControllerCount: 1, Teams: []settings.Team{{Name: "t"}},
-		Workers:   settings.Workers{HeartbeatS: 8, LeaseS: 36, CancelS: 56},
-		Store:     settings.StoreLimits{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 32},
-		Cloud:     settings.CloudLimits{RPS: 20, ListLagS: 0.1},
-		Resources: settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 4000}}
+		AgentTiming: settings.AgentTiming{HeartbeatS: 8, LeaseS: 36, CancelS: 56},
+		Store:       settings.StoreLimits{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 32},
+		Cloud:       settings.CloudLimits{RPS: 20, ListLagS: 0.1},
+		Resources:   settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 4000}}
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
 	go func() {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -208,10 +208,10 @@
 // facts are the settings that all controllers have in common.
 func (p *clusterConfig) facts() settings.Facts {
 	facts := settings.Facts{ControllerCount: len(clusterZones), Zones: clusterZones, ClockErrorMS: 5,
-		Workers:   settings.Workers{HeartbeatS: p.timings.heartbeat.Seconds(), LeaseS: p.timings.lease.Seconds(), CancelS: p.timings.cancel.Seconds()},
-		Store:     settings.StoreLimits{RPS: 2 * p.writesPerSecond, WriteRPS: p.writesPerSecond, ValueKB: 16, TxnOps: 32, Next: p.nextLimits},
-		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 2},
-		Resources: settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 2000}}
+		AgentTiming: settings.AgentTiming{HeartbeatS: p.timings.heartbeat.Seconds(), LeaseS: p.timings.lease.Seconds(), CancelS: p.timings.cancel.Seconds()},
+		Store:       settings.StoreLimits{RPS: 2 * p.writesPerSecond, WriteRPS: p.writesPerSecond, ValueKB: 16, TxnOps: 32, Next: p.nextLimits},
+		Cloud:       settings.CloudLimits{RPS: 5, ListLagS: 2},
+		Resources:   settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 2000}}
 	for _, name := range []string{"open", "tight"} {
 		facts.Teams = append(facts.Teams, settings.Team{Name: name, CPUsMax: p.teamLimits[name]})
 	}
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -30,7 +30,7 @@
 	handoverpb.RegisterHandoverServer(grpcServer, c.services.leaderTransfer)
 	hintpb.RegisterHintsServer(grpcServer, c.services.softState)
 	rolloutpb.RegisterRolloutsServer(grpcServer, rolloutservice.NewServer(c.dispatcher))
-	web := newHTTPServer(router, c.connections, settings.Seconds(c.platform.Facts.Workers.LeaseS), c.log)
+	web := newHTTPServer(router, c.connections, settings.Seconds(c.platform.Facts.AgentTiming.LeaseS), c.log)
 	failed := make(chan error, 2)
 	go func() { failed <- grpcServer.Serve(internal) }()
 	go func() { failed <- web.Serve(netutil.LimitListener(public, c.sockets.inbound)) }()
--- a/internal/controller/standby_test.go
+++ b/internal/controller/standby_test.go
@@ -195,7 +195,7 @@
 // as clocks may, while leaders end and pause and half of the machines can't be reached for
 // longer than their lease.
 func TestMaximumClockDrift(t *testing.T) {
-	runWithSeeds(t, clusterConfig{runTime: longRunning(60 * time.Second), clockDrift: settings.Drift}, func(c *cluster, r *rand.Rand) {
+	runWithSeeds(t, clusterConfig{runTime: longRunning(60 * time.Second), clockDrift: settings.MaxClockDrift}, func(c *cluster, r *rand.Rand) {
 		c.commandsDelayed = true
 		jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
 		c.awaitRunning(10)
--- a/internal/dispatch/event_loop.go
+++ b/internal/dispatch/event_loop.go
@@ -82,7 +82,7 @@
 func (d *Dispatcher) maxValueBytes() int {
 	size := d.store.Limits().MaxValueBytes
 	if d.config.PipelinesSupported() {
-		size = min(size, d.config.Platform.Facts.Store.LeastValueBytes())
+		size = min(size, d.config.Platform.Facts.Store.MaxValueBytes())
 	}
 	// The store may measure a value in its own encoding, with more separators between the
 	// elements than this controller writes, so an eighth is kept in reserve.
--- a/internal/election/lease_timing.go
+++ b/internal/election/lease_timing.go
@@ -26,6 +26,6 @@
 // conservativeExpiry is when a grant for a duration ends at the latest on this controller's clock,
 // less a margin. Both clocks may drift, and the granting side's may run faster than this one.
 func conservativeExpiry(sent time.Time, duration, margin time.Duration) time.Time {
-	drift := time.Duration(float64(duration) * 2 * settings.Drift)
+	drift := time.Duration(float64(duration) * 2 * settings.MaxClockDrift)
 	return sent.Add(duration - drift - margin)
 }
--- a/internal/fake/deployment_settings.go
+++ b/internal/fake/deployment_settings.go
@@ -23,10 +23,10 @@
 	writes := float64(minWriteRPS + p.Machines/machinesPerWritePerSecond)
 	facts := settings.Facts{
 		ControllerCount: p.Controllers, Zones: []string{"a"}, ClockErrorMS: 5,
-		Workers:   settings.Workers{HeartbeatS: p.HeartbeatInterval.Seconds(), LeaseS: p.AgentLease.Seconds(), CancelS: p.CancelDeadline.Seconds()},
-		Store:     settings.StoreLimits{RPS: writes * minStoreRPS / minWriteRPS, WriteRPS: writes, ValueKB: 16, TxnOps: 32},
-		Cloud:     settings.CloudLimits{RPS: 5, ListLagS: 2},
-		Resources: settings.Resources{CPUShare: 1, RAMMB: 1000, Sockets: max(minSockets, socketsPerMachine*p.Machines)},
+		AgentTiming: settings.AgentTiming{HeartbeatS: p.HeartbeatInterval.Seconds(), LeaseS: p.AgentLease.Seconds(), CancelS: p.CancelDeadline.Seconds()},
+		Store:       settings.StoreLimits{RPS: writes * minStoreRPS / minWriteRPS, WriteRPS: writes, ValueKB: 16, TxnOps: 32},
+		Cloud:       settings.CloudLimits{RPS: 5, ListLagS: 2},
+		Resources:   settings.Resources{CPUShare: 1, RAMMB: 1000, Sockets: max(minSockets, socketsPerMachine*p.Machines)},
 	}
 	for _, team := range p.Teams {
 		facts.Teams = append(facts.Teams, settings.Team{Name: team, CPUsMax: p.TeamCPULimits[team]})
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -22,25 +22,25 @@
 // Keys are the keys that a section may have.
 type Keys map[string]KeyReader
 
-// Refusal is a key that is not known, or a value that is not accepted.
-type Refusal struct {
+// InvalidEntry is a key that is not known, or a value that is not accepted.
+type InvalidEntry struct {
 	Key, Value string
 	// Want describes what would be accepted.
 	Want string
 }
 
 // ReadSection reads all keys of a section and returns those that are refused.
-func ReadSection(section *ini.Section, keys Keys) []Refusal {
-	var refusals []Refusal
+func ReadSection(section *ini.Section, keys Keys) []InvalidEntry {
+	var refusals []InvalidEntry
 	for _, k := range section.Keys() {
 		reader, known := keys[k.Name()]
 		if !known {
 			names := strings.Join(slices.Sorted(maps.Keys(keys)), ", ")
-			refusals = append(refusals, Refusal{Key: k.Name(), Value: k.Value(), Want: "a key that is known here (" + names + ")"})
+			refusals = append(refusals, InvalidEntry{Key: k.Name(), Value: k.Value(), Want: "a key that is known here (" + names + ")"})
 			continue
 		}
 		if !reader.Read(strings.TrimSpace(k.Value())) {
-			refusals = append(refusals, Refusal{Key: k.Name(), Value: k.Value(), Want: reader.Want})
+			refusals = append(refusals, InvalidEntry{Key: k.Name(), Value: k.Value(), Want: reader.Want})
 		}
 	}
 	return refusals
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -49,7 +49,7 @@
 		got.wait != 1500*time.Millisecond || got.margin != 250*time.Millisecond || got.bad || got.high != 0 {
 		t.Errorf("read %+v", got)
 	}
-	want := []Refusal{
+	want := []InvalidEntry{
 		{"bad", "perhaps", "yes or no"},
 		{"high", "11", "a number between 0 and 10"},
 		{"extra", "1", "a key that is known here (bad, count, high, margin_ms, name, names, on, share, wait_s)"},
--- a/internal/inifile/values.go
+++ b/internal/inifile/values.go
@@ -66,15 +66,17 @@
 
 // Seconds reads a duration in seconds.
 func Seconds(into *time.Duration, least, most float64) KeyReader {
-	return convertedNumber(least, most, func(n float64) { *into = duration(n) })
+	return convertedNumber(least, most, func(n float64) { *into = secondsToDuration(n) })
 }
 
 // Milliseconds reads a duration in milliseconds.
 func Milliseconds(into *time.Duration, least, most float64) KeyReader {
-	return convertedNumber(least, most, func(n float64) { *into = duration(n / 1000) })
+	return convertedNumber(least, most, func(n float64) { *into = secondsToDuration(n / 1000) })
 }
 
-func duration(seconds float64) time.Duration { return time.Duration(seconds * float64(time.Second)) }
+func secondsToDuration(seconds float64) time.Duration {
+	return time.Duration(seconds * float64(time.Second))
+}
 
 // convertedNumber reads a number within bounds, which store converts.
 func convertedNumber(least, most float64, store func(n float64)) KeyReader {
--- a/internal/jobapi/service.go
+++ b/internal/jobapi/service.go
@@ -89,7 +89,7 @@
 		s.teams[team.Name] = team
 	}
 	// A record that is accepted now must also fit after the announced lower limits take effect.
-	s.commits = newGroupCommit(config.Store, config.StoreShare, facts.Store.LeastValueBytes())
+	s.commits = newGroupCommit(config.Store, config.StoreShare, facts.Store.MaxValueBytes())
 	go s.commits.run(ctx)
 	return s
 }
--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -37,9 +37,9 @@
 const leaseMargin = 250 * time.Millisecond
 
 func newAgents(c *Core) agents {
-	workers := c.cfg.Platform.Facts.Workers
+	workers := c.cfg.Platform.Facts.AgentTiming
 	return agents{cfg: &c.cfg, log: c.log, term: c.term, clock: &c.clock, effects: &c.effects, writes: &c.writes, machines: &c.machines, commands: &c.commands,
-		lease:             settings.Stretch(settings.Seconds(workers.LeaseS)) + leaseMargin,
+		lease:             settings.WithDriftMargin(settings.Seconds(workers.LeaseS)) + leaseMargin,
 		heartbeatInterval: settings.Seconds(workers.HeartbeatS),
 		probes:            probes{limit: minConcurrentProbes}}
 }
--- a/internal/scheduler/cancellations.go
+++ b/internal/scheduler/cancellations.go
@@ -48,7 +48,7 @@
 // plus the clock error of the two controllers whose clocks are compared.
 func (w *cancellationWatch) cancellationBound() time.Duration {
 	facts := &w.cfg.Platform.Facts
-	return settings.Seconds(facts.Workers.CancelS) + time.Duration(2*facts.ClockErrorMS*float64(time.Millisecond))
+	return settings.Seconds(facts.AgentTiming.CancelS) + time.Duration(2*facts.ClockErrorMS*float64(time.Millisecond))
 }
 
 // tasksOverdue reports whether all tasks of a cancelled job must have ended by now. Time in which
--- a/internal/scheduler/harness_test.go
+++ b/internal/scheduler/harness_test.go
@@ -81,7 +81,7 @@
 // bound of 60 s.
 func testConfig(operator settings.Operator, teams ...settings.Team) Config {
 	platform := &settings.Platform{Facts: settings.Facts{ControllerCount: 3, Teams: teams,
-		Workers: settings.Workers{HeartbeatS: 3, LeaseS: 30, CancelS: 60}}}
+		AgentTiming: settings.AgentTiming{HeartbeatS: 3, LeaseS: 30, CancelS: 60}}}
 	return Config{Term: testTerm, Platform: platform, Operator: operator, MaxValueBytes: 16 << 10}
 }
 
--- a/internal/scheduler/simulation_test.go
+++ b/internal/scheduler/simulation_test.go
@@ -40,7 +40,7 @@
 // newSimulation returns a simulation with the given number of machines, of three types in three zones.
 func newSimulation(machines int) *simulation {
 	platform := &settings.Platform{Facts: settings.Facts{ControllerCount: 3, Teams: []settings.Team{{Name: "t"}},
-		Workers: settings.Workers{HeartbeatS: 8, LeaseS: 36, CancelS: 56}, Objectives: []settings.Objective{{Kind: "wait", Class: "small", WithinS: 4}}}}
+		AgentTiming: settings.AgentTiming{HeartbeatS: 8, LeaseS: 36, CancelS: 56}, Objectives: []settings.Objective{{Kind: "wait", Class: "small", WithinS: 4}}}}
 	s := &simulation{machinesByName: map[string]*simulatedMachine{}, counts: map[string]int{}}
 	s.core = NewCore(Config{Term: testTerm, Platform: platform, Operator: settings.Defaults()}, ledger.Snapshot{}, 0, 0, slog.New(slog.NewTextHandler(io.Discard, &slog.HandlerOptions{Level: slog.LevelError})))
 	s.handleEffects(s.core.InitialEffects())
--- a/internal/scheduler/unreachable.go
+++ b/internal/scheduler/unreachable.go
@@ -129,7 +129,7 @@
 	a.unreachable.records = append(a.unreachable.records, record)
 	// The clocks of both leaders may be off, in opposite directions.
 	margin := time.Duration(2 * a.cfg.Platform.Facts.ClockErrorMS * float64(time.Millisecond))
-	expiry := a.clock.now + settings.Stretch(time.Duration(leaseExpiryMS-a.clock.wallMS)*time.Millisecond) + margin
+	expiry := a.clock.now + settings.WithDriftMargin(time.Duration(leaseExpiryMS-a.clock.wallMS)*time.Millisecond) + margin
 	for _, m := range machines {
 		m.contact.unreachableRecord = record
 		m.agent.LimitLease(expiry)
--- a/internal/settings/cell_sections.go
+++ b/internal/settings/cell_sections.go
@@ -22,9 +22,9 @@
 	return section == cellSection || strings.HasPrefix(section, neighbourSectionPrefix) || strings.HasPrefix(section, classSectionPrefix)
 }
 
-var cellName = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,38}[a-z0-9])?$`)
+var cellNamePattern = regexp.MustCompile(`^[a-z0-9]([a-z0-9-]{0,38}[a-z0-9])?$`)
 
-const wantName = "a name of up to 40 lower-case letters, digits and hyphens"
+const wantCellName = "a name of up to 40 lower-case letters, digits and hyphens"
 
 // cellReader reads the sections about cells.
 type cellReader struct {
@@ -35,7 +35,7 @@
 // readCells reads all sections about cells of a file.
 func readCells(path, text string, file *ini.File) (Cells, []error) {
 	r := &cellReader{sectionReader{path: path, text: text}, defaultCells()}
-	r.refuseDuplicateSections()
+	r.rejectDuplicateSections()
 	for _, section := range file.Sections() {
 		name := section.Name()
 		switch {
@@ -53,8 +53,8 @@
 	return r.cells, r.errs
 }
 
-// refuseDuplicateSections refuses sections that are declared twice, which the INI library would merge.
-func (r *cellReader) refuseDuplicateSections() {
+// rejectDuplicateSections refuses sections that are declared twice, which the INI library would merge.
+func (r *cellReader) rejectDuplicateSections() {
 	seen := map[string]bool{}
 	for i, line := range strings.Split(r.text, "\n") {
 		line = strings.TrimSpace(line)
@@ -72,9 +72,9 @@
 func (r *cellReader) readCell(section *ini.Section) {
 	cells := &r.cells
 	r.readKeys(section, inifile.Keys{
-		"name": {Want: wantName, Read: func(value string) bool {
+		"name": {Want: wantCellName, Read: func(value string) bool {
 			cells.Name = value
-			return cellName.MatchString(value)
+			return cellNamePattern.MatchString(value)
 		}},
 		"spill":      inifile.YesNo(&cells.DelegateJobs),
 		"shortage_s": inifile.Seconds(&cells.ShortageFor, 1, 3600),
@@ -85,8 +85,8 @@
 
 func (r *cellReader) readNeighbour(section *ini.Section, name string) {
 	neighbour := defaultNeighbour(name)
-	if !cellName.MatchString(name) {
-		r.refuse(section.Name(), "", name, wantName)
+	if !cellNamePattern.MatchString(name) {
+		r.addError(section.Name(), "", name, wantCellName)
 	}
 	r.readKeys(section, inifile.Keys{
 		"controllers": addresses(&neighbour.Controllers),
@@ -98,7 +98,7 @@
 		"drain":       inifile.YesNo(&neighbour.Draining),
 	})
 	if len(neighbour.Controllers) == 0 {
-		r.refuse(section.Name(), "controllers", "", "the addresses at which its controllers serve each other")
+		r.addError(section.Name(), "controllers", "", "the addresses at which its controllers serve each other")
 	}
 	r.cells.Neighbours = append(r.cells.Neighbours, neighbour)
 }
@@ -107,7 +107,7 @@
 	repeatable := false
 	r.readKeys(section, inifile.Keys{"repeat": inifile.YesNo(&repeatable)})
 	if !section.HasKey("repeat") {
-		r.refuse(section.Name(), "repeat", "", "declared: yes if a job may run again after an uncertain run, no if it must run at most once")
+		r.addError(section.Name(), "repeat", "", "declared: yes if a job may run again after an uncertain run, no if it must run at most once")
 	}
 	r.cells.Repeatable[name] = repeatable
 }
@@ -115,10 +115,10 @@
 // checkCell refuses a [cell] section that contradicts the list of neighbours.
 func (r *cellReader) checkCell() {
 	if r.cells.Name == "" && len(r.cells.Neighbours) > 0 {
-		r.refuse(cellSection, "name", "", "this cell's name, since there are neighbours")
+		r.addError(cellSection, "name", "", "this cell's name, since there are neighbours")
 	}
 	if r.cells.DelegateJobs && len(r.cells.Neighbours) == 0 {
-		r.refuse(cellSection, "spill", "yes", "no without neighbours")
+		r.addError(cellSection, "spill", "yes", "no without neighbours")
 	}
 }
 
@@ -129,15 +129,15 @@
 	for _, neighbour := range r.cells.Neighbours {
 		section := neighbourSectionPrefix + neighbour.Name
 		if neighbour.Name == r.cells.Name {
-			r.refuse(section, "", neighbour.Name, "another cell than this one")
+			r.addError(section, "", neighbour.Name, "another cell than this one")
 		}
 		if other, taken := byPreference[neighbour.Preference]; taken && len(r.cells.Neighbours) > 1 {
-			r.refuse(section, "preference", strconv.Itoa(neighbour.Preference), "a preference that "+other+" does not have")
+			r.addError(section, "preference", strconv.Itoa(neighbour.Preference), "a preference that "+other+" does not have")
 		}
 		byPreference[neighbour.Preference] = neighbour.Name
 		for _, address := range neighbour.Controllers {
 			if other, taken := byAddress[address]; taken {
-				r.refuse(section, "controllers", address, "addresses that are listed once; "+other+" has it too")
+				r.addError(section, "controllers", address, "addresses that are listed once; "+other+" has it too")
 			}
 			byAddress[address] = neighbour.Name
 		}
--- a/internal/settings/cells_test.go
+++ b/internal/settings/cells_test.go
@@ -58,7 +58,7 @@
 		{"a neighbour with this cell's name", "[neighbour.puno]", "[neighbour.lima]", "another cell than this one"},
 		{"two cells of one name", "[neighbour.puno]", "[neighbour.arequipa]", "declared once"},
 		{"no name", "name = lima", "", "this cell's name"},
-		{"an invalid name", "name = lima", "name = Lima Norte", wantName},
+		{"an invalid name", "name = lima", "name = Lima Norte", wantCellName},
 		{"two with one preference", "preference = 2", "preference = 1", "preference"},
 		{"one address for two", "10.2.0.1:8081", "10.1.0.1:8081", "listed once"},
 		{"no addresses", "controllers = 10.2.0.1:8081", "", "controllers"},
--- a/internal/settings/durations.go
+++ b/internal/settings/durations.go
@@ -2,14 +2,14 @@
 
 import "time"
 
-// Drift bounds how much the rates of two monotonic clocks differ, by the protocol.
-const Drift = 0.0005
+// MaxClockDrift bounds how much the rates of two monotonic clocks differ, by the protocol.
+const MaxClockDrift = 0.0005
 
 // Seconds turns a number of seconds into a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// Stretch lengthens d by the drift bound: whoever measures d from the same moment by its own
+// WithDriftMargin lengthens d by the drift bound: whoever measures d from the same moment by its own
 // clock has finished when the stretched duration ends by ours.
-func Stretch(d time.Duration) time.Duration {
-	return d + time.Duration(float64(d)*2*Drift)
+func WithDriftMargin(d time.Duration) time.Duration {
+	return d + time.Duration(float64(d)*2*MaxClockDrift)
 }
--- a/internal/settings/fuzz_test.go
+++ b/internal/settings/fuzz_test.go
@@ -13,7 +13,7 @@
 		if err != nil {
 			return
 		}
-		if p.Facts.Store.RPS <= 0 || p.Facts.Cloud.RPS <= 0 || p.Facts.Workers.HeartbeatS <= 0 || p.Facts.Resources.Sockets < minSockets {
+		if p.Facts.Store.RPS <= 0 || p.Facts.Cloud.RPS <= 0 || p.Facts.AgentTiming.HeartbeatS <= 0 || p.Facts.Resources.Sockets < minSockets {
 			t.Errorf("%+v", p.Facts)
 		}
 	})
--- a/internal/settings/golden_operator_test.go
+++ b/internal/settings/golden_operator_test.go
@@ -14,8 +14,8 @@
 // iniKey is a key of an INI file: its path, another value than the example's, and what was read
 // of it.
 type iniKey[T any] struct {
-	section, key, other string
-	read                func(T) any
+	section, key, changedValue string
+	parsedValue                func(T) any
 }
 
 func (k iniKey[T]) path() string { return "[" + k.section + "] " + k.key }
@@ -105,7 +105,7 @@
 // of an example that has them all and of the files of deploy, and which values they accept.
 func TestGoldenOperatorFile(t *testing.T) {
 	parse := func(text string) (Operator, error) { return ParseOperator("operator.ini", text) }
-	checkINI(t, "operator", operatorFileKeys, parse)
+	checkINIKeys(t, "operator", operatorFileKeys, parse)
 	var listed []string
 	for _, k := range operatorFileKeys {
 		listed = append(listed, k.section+"."+k.key)
@@ -116,35 +116,35 @@
 		}
 	}
 	for _, name := range []string{"cells", "drain", "standby"} {
-		compareINI(t, "deploy-"+name+".txt", operatorFileKeys, parse, readFile(t, filepath.Join("..", "..", "deploy", name+".ini")))
+		compareParsedINI(t, "deploy-"+name+".txt", operatorFileKeys, parse, readFile(t, filepath.Join("..", "..", "deploy", name+".ini")))
 	}
 }
 
 // TestGoldenPlanFile does the same for plans that drain machines.
 func TestGoldenPlanFile(t *testing.T) {
-	checkINI(t, "drain-plan", planFileKeys, rollout.ParseSpec)
-	compareINI(t, "deploy-drain-plan.txt", planFileKeys, rollout.ParseSpec, readFile(t, filepath.Join("..", "..", "deploy", "drain-plan.ini")))
+	checkINIKeys(t, "drain-plan", planFileKeys, rollout.ParseSpec)
+	compareParsedINI(t, "deploy-drain-plan.txt", planFileKeys, rollout.ParseSpec, readFile(t, filepath.Join("..", "..", "deploy", "drain-plan.ini")))
 }
 
-// compareINI compares what is read of a file.
-func compareINI[T any](t *testing.T, golden string, keys []iniKey[T], parse func(string) (T, error), text string) {
+// compareParsedINI compares what is read of a file.
+func compareParsedINI[T any](t *testing.T, golden string, keys []iniKey[T], parse func(string) (T, error), text string) {
 	t.Helper()
 	read, err := parse(text)
 	if err != nil {
 		t.Fatalf("%s: %v", golden, err)
 	}
-	compareGolden(t, golden, printed(iniValues(keys, read)))
+	compareGolden(t, golden, formatValues(iniValues(keys, read)))
 }
 
-// checkINI compares the example of a kind of file, what is read of it, and which values its keys
+// checkINIKeys compares the example of a kind of file, what is read of it, and which values its keys
 // accept. Changing a key's value must change what is read of that key alone, and a key of
 // another name must be refused.
-func checkINI[T any](t *testing.T, name string, keys []iniKey[T], parse func(string) (T, error)) {
+func checkINIKeys[T any](t *testing.T, name string, keys []iniKey[T], parse func(string) (T, error)) {
 	t.Helper()
 	text := readFile(t, filepath.Join("testdata", "golden", name+".ini"))
-	compareINI(t, name+".txt", keys, parse, text)
+	compareParsedINI(t, name+".txt", keys, parse, text)
 	defaults, _ := parse("")
-	compareGolden(t, name+"-defaults.txt", printed(iniValues(keys, defaults)))
+	compareGolden(t, name+"-defaults.txt", formatValues(iniValues(keys, defaults)))
 	example, err := parse(text)
 	if err != nil {
 		t.Fatal(err)
@@ -152,36 +152,36 @@
 	before := iniValues(keys, example)
 	accepted := map[string]string{}
 	for _, k := range keys {
-		changed, err := parse(replaceINI(t, text, k.section, k.key, k.key+" = "+k.other))
+		changed, err := parse(replaceINI(t, text, k.section, k.key, k.key+" = "+k.changedValue))
 		// Hints without follow are an error; what is read is compared all the same.
 		if err != nil && k.path() != "[standby] follow" {
-			t.Errorf("%s = %s: %v", k.path(), k.other, err)
+			t.Errorf("%s = %s: %v", k.path(), k.changedValue, err)
 		}
 		if differs := changedKeys(before, iniValues(keys, changed)); !slices.Equal(differs, []string{k.path()}) {
 			t.Errorf("%s is changed in the file: what is read differs in %v", k.path(), differs)
 		}
-		if _, err := parse(replaceINI(t, text, k.section, k.key, k.key+"x = "+k.other)); err == nil {
+		if _, err := parse(replaceINI(t, text, k.section, k.key, k.key+"x = "+k.changedValue)); err == nil {
 			t.Errorf("%s: a key of another name is not refused", k.path())
 		}
 		var values []string
-		for _, value := range probes {
+		for _, value := range probeValues {
 			if _, err := parse(replaceINI(t, text, k.section, k.key, k.key+" = "+value)); err == nil {
 				values = append(values, value)
 			}
 		}
 		accepted[k.path()] = strings.Join(values, " ")
 	}
-	compareGolden(t, name+"-accepts.txt", printed(accepted))
+	compareGolden(t, name+"-accepts.txt", formatValues(accepted))
 }
 
-// probes are values that each key is tried with.
-var probes = []string{"-1", "0", "0.5", "1", "1.5", "2.5", "4", "5", "9", "10", "49", "50", "60", "61", "100", "101", "500", "501", "1000", "1001",
+// probeValues are values that each key is tried with.
+var probeValues = []string{"-1", "0", "0.5", "1", "1.5", "2.5", "4", "5", "9", "10", "49", "50", "60", "61", "100", "101", "500", "501", "1000", "1001",
 	"3600", "3601", "86400", "86401", "100000", "1e6", "1e7", "1e9", "1e10", "0%", "0.5%", "100%", "101%", "yes", "no", "none", "true", "on", "10.9.0.1:8081", "a,b", "A", "NaN"}
 
 func iniValues[T any](keys []iniKey[T], read T) map[string]string {
 	values := map[string]string{}
 	for _, k := range keys {
-		values[k.path()] = fmt.Sprintf("%v", k.read(read))
+		values[k.path()] = fmt.Sprintf("%v", k.parsedValue(read))
 	}
 	return values
 }
--- a/internal/settings/golden_platform_test.go
+++ b/internal/settings/golden_platform_test.go
@@ -19,7 +19,7 @@
 	for _, name := range []string{"platform", "platform-least"} {
 		t.Run(name, func(t *testing.T) {
 			text := readFile(t, filepath.Join("testdata", "golden", name+".toml"))
-			compareGolden(t, name+".txt", printed(platformValues(t, text)))
+			compareGolden(t, name+".txt", formatValues(platformValues(t, text)))
 		})
 	}
 }
@@ -39,8 +39,8 @@
 	}
 	seen := map[string]bool{}
 	walkTOML(tree, "", func(path string, value any, set func(any)) {
-		seen[index.ReplaceAllString(path, "")] = true
-		set(another(t, value))
+		seen[listIndex.ReplaceAllString(path, "")] = true
+		set(differentValue(t, value))
 		var changed strings.Builder
 		if err := toml.NewEncoder(&changed).Encode(tree); err != nil {
 			t.Fatal(err)
@@ -55,8 +55,8 @@
 	}
 }
 
-// index is the place of an item of a list in a key's path.
-var index = regexp.MustCompile(`\[\d+\]`)
+// listIndex is the place of an item of a list in a key's path.
+var listIndex = regexp.MustCompile(`\[\d+\]`)
 
 // walkTOML visits every value of a file with its path and a function that sets it.
 func walkTOML(tree any, path string, visit func(path string, value any, set func(any))) {
@@ -64,7 +64,7 @@
 	case map[string]any:
 		for _, key := range slices.Sorted(maps.Keys(tree)) {
 			below := strings.TrimPrefix(path+"."+key, ".")
-			if isTree(tree[key]) {
+			if isTable(tree[key]) {
 				walkTOML(tree[key], below, visit)
 				continue
 			}
@@ -77,7 +77,7 @@
 	}
 }
 
-func isTree(value any) bool {
+func isTable(value any) bool {
 	switch value.(type) {
 	case map[string]any, []map[string]any:
 		return true
@@ -85,8 +85,8 @@
 	return false
 }
 
-// another gives a value of the same kind that is as valid.
-func another(t *testing.T, value any) any {
+// differentValue gives a value of the same kind that is as valid.
+func differentValue(t *testing.T, value any) any {
 	t.Helper()
 	switch value := value.(type) {
 	case string:
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -36,8 +36,8 @@
 	return string(text)
 }
 
-// printed lists values by key, sorted.
-func printed(values map[string]string) []string {
+// formatValues lists values by key, sorted.
+func formatValues(values map[string]string) []string {
 	var lines []string
 	for _, key := range slices.Sorted(maps.Keys(values)) {
 		lines = append(lines, key+" = "+values[key])
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -130,7 +130,7 @@
 			continue
 		}
 		for _, key := range section.Keys() {
-			r.refuse(name, key.Name(), key.Value(), "one of the known keys ("+strings.Join(scalarKeyNames(), ", ")+")")
+			r.addError(name, key.Name(), key.Value(), "one of the known keys ("+strings.Join(scalarKeyNames(), ", ")+")")
 		}
 	}
 	return r.errs
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -45,7 +45,7 @@
 	ClockErrorMS    float64     `toml:"clock_error_ms"`
 	Teams           []Team      `toml:"teams"`
 	Objectives      []Objective `toml:"objectives"`
-	Workers         Workers     `toml:"workers"`
+	AgentTiming     AgentTiming `toml:"workers"`
 	Store           StoreLimits `toml:"state"`
 	Cloud           CloudLimits `toml:"cloud"`
 	Resources       Resources   `toml:"resources"`
@@ -69,8 +69,8 @@
 	WithinS float64 `toml:"within_s"`
 }
 
-// Workers holds the times that agents and controllers have to keep.
-type Workers struct {
+// AgentTiming holds the times that agents and controllers have to keep.
+type AgentTiming struct {
 	HeartbeatS float64 `toml:"report_s"`
 	LeaseS     float64 `toml:"lease_s"`
 	CancelS    float64 `toml:"cancel_s"`
@@ -87,9 +87,9 @@
 	Next *StoreLimits `toml:"next"`
 }
 
-// LeastValueBytes is the largest size of a value, in bytes, that is allowed both by the present
+// MaxValueBytes is the largest size of a value, in bytes, that is allowed both by the present
 // limits and by the announced ones.
-func (l StoreLimits) LeastValueBytes() int {
+func (l StoreLimits) MaxValueBytes() int {
 	kb := l.ValueKB
 	if l.Next != nil {
 		kb = min(kb, l.Next.ValueKB)
@@ -123,10 +123,10 @@
 func ParsePlatform(path, text string) (*Platform, error) {
 	// Older platforms leave out the fields that have a default here.
 	platform := &Platform{Facts: Facts{
-		Workers:   Workers{HeartbeatS: 3, LeaseS: 30, CancelS: 60},
-		Store:     StoreLimits{RPS: 100, WriteRPS: 40, ValueKB: 16, TxnOps: 16},
-		Cloud:     CloudLimits{RPS: 1, ListLagS: 10},
-		Resources: Resources{CPUShare: 1, RAMMB: 256, Sockets: 1000},
+		AgentTiming: AgentTiming{HeartbeatS: 3, LeaseS: 30, CancelS: 60},
+		Store:       StoreLimits{RPS: 100, WriteRPS: 40, ValueKB: 16, TxnOps: 16},
+		Cloud:       CloudLimits{RPS: 1, ListLagS: 10},
+		Resources:   Resources{CPUShare: 1, RAMMB: 256, Sockets: 1000},
 	}}
 	if _, err := toml.Decode(text, platform); err != nil {
 		var parseError toml.ParseError
--- a/internal/settings/platform_validation.go
+++ b/internal/settings/platform_validation.go
@@ -9,11 +9,11 @@
 
 // The bounds of the platform's values.
 const (
-	maxAmount     = 1e9
-	minTxnOps     = 2
-	minSockets    = 16
-	maxClockError = 60000 // ms
-	maxListLag    = 3600  // s
+	maxAmount       = 1e9
+	minTxnOps       = 2
+	minSockets      = 16
+	maxClockErrorMS = 60000 // ms
+	maxListLagS     = 3600  // s
 )
 
 // fieldValidator checks fields of a file and collects an error for each one that it refuses.
@@ -22,31 +22,31 @@
 	errs []error
 }
 
-func (v *fieldValidator) refuse(key string, value any, want string) {
+func (v *fieldValidator) addError(key string, value any, want string) {
 	v.errs = append(v.errs, &FieldError{File: v.file, Key: key, Value: fmt.Sprintf("%#v", value), Want: want})
 }
 
-func (v *fieldValidator) address(key, value string) {
+func (v *fieldValidator) checkAddress(key, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
-		v.refuse(key, value, "an IP address and port, as in 10.0.0.1:8080")
+		v.addError(key, value, "an IP address and port, as in 10.0.0.1:8080")
 	}
 }
 
-func (v *fieldValidator) positive(key string, value float64) {
+func (v *fieldValidator) checkPositive(key string, value float64) {
 	if !(value > 0) || value > maxAmount {
-		v.refuse(key, value, "more than 0")
+		v.addError(key, value, "more than 0")
 	}
 }
 
-func (v *fieldValidator) atLeast(key string, value, least int) {
+func (v *fieldValidator) checkAtLeast(key string, value, least int) {
 	if value < least {
-		v.refuse(key, value, fmt.Sprintf("%d or more", least))
+		v.addError(key, value, fmt.Sprintf("%d or more", least))
 	}
 }
 
-func (v *fieldValidator) between(key string, value, least, most float64) {
+func (v *fieldValidator) checkBetween(key string, value, least, most float64) {
 	if !(value >= least) || value > most {
-		v.refuse(key, value, fmt.Sprintf("between %v and %v", least, most))
+		v.addError(key, value, fmt.Sprintf("between %v and %v", least, most))
 	}
 }
 
@@ -54,15 +54,15 @@
 func (p *Platform) validate(path string) error {
 	v := &fieldValidator{file: path}
 	if p.Name == "" {
-		v.refuse("host_name", p.Name, "this controller's name")
+		v.addError("host_name", p.Name, "this controller's name")
 	}
-	v.address("public_addr", p.PublicAddr)
-	v.address("back", p.PeerAddr)
+	v.checkAddress("public_addr", p.PublicAddr)
+	v.checkAddress("back", p.PeerAddr)
 	if p.PeerAddr == p.PublicAddr {
-		v.refuse("back", p.PeerAddr, "another address than public_addr")
+		v.addError("back", p.PeerAddr, "another address than public_addr")
 	}
-	v.address("services.cloud", p.Services.Cloud)
-	v.address("services.state", p.Services.Store)
+	v.checkAddress("services.cloud", p.Services.Cloud)
+	v.checkAddress("services.state", p.Services.Store)
 	p.validatePeers(v)
 	p.Facts.validateTeams(v)
 	p.Facts.validateNumbers(v)
@@ -75,10 +75,10 @@
 	names := map[string]bool{p.Name: true}
 	for i, peer := range p.Peers {
 		if peer.Name == "" || names[peer.Name] {
-			v.refuse(fmt.Sprintf("others[%d].host_name", i), peer.Name, "a name that no other controller has")
+			v.addError(fmt.Sprintf("others[%d].host_name", i), peer.Name, "a name that no other controller has")
 		}
 		names[peer.Name] = true
-		v.address(fmt.Sprintf("others[%d].endpoint", i), peer.Addr)
+		v.checkAddress(fmt.Sprintf("others[%d].endpoint", i), peer.Addr)
 	}
 }
 
@@ -86,7 +86,7 @@
 	names := map[string]bool{}
 	for i, team := range facts.Teams {
 		if team.Name == "" || names[team.Name] {
-			v.refuse(fmt.Sprintf("facts.teams[%d].name", i), team.Name, "a name that no other team has")
+			v.addError(fmt.Sprintf("facts.teams[%d].name", i), team.Name, "a name that no other team has")
 		}
 		names[team.Name] = true
 		for _, amount := range []struct {
@@ -94,29 +94,29 @@
 			value float64
 		}{{"cpus", team.CPUs}, {"cpus_max", team.CPUsMax}, {"gpus", team.GPUs}, {"gpus_max", team.GPUsMax}} {
 			if !(amount.value >= 0) || math.IsInf(amount.value, 0) {
-				v.refuse(fmt.Sprintf("facts.teams[%d].%s", i, amount.key), amount.value, "0 or more")
+				v.addError(fmt.Sprintf("facts.teams[%d].%s", i, amount.key), amount.value, "0 or more")
 			}
 		}
 	}
 }
 
 func (facts *Facts) validateNumbers(v *fieldValidator) {
-	v.positive("facts.workers.report_s", facts.Workers.HeartbeatS)
-	v.positive("facts.workers.lease_s", facts.Workers.LeaseS)
-	v.positive("facts.workers.cancel_s", facts.Workers.CancelS)
-	if facts.Workers.HeartbeatS >= facts.Workers.LeaseS {
-		v.refuse("facts.workers.report_s", facts.Workers.HeartbeatS, "less than facts.workers.lease_s")
+	v.checkPositive("facts.workers.report_s", facts.AgentTiming.HeartbeatS)
+	v.checkPositive("facts.workers.lease_s", facts.AgentTiming.LeaseS)
+	v.checkPositive("facts.workers.cancel_s", facts.AgentTiming.CancelS)
+	if facts.AgentTiming.HeartbeatS >= facts.AgentTiming.LeaseS {
+		v.addError("facts.workers.report_s", facts.AgentTiming.HeartbeatS, "less than facts.workers.lease_s")
 	}
-	v.positive("facts.state.rps", facts.Store.RPS)
-	v.positive("facts.state.write_rps", facts.Store.WriteRPS)
-	v.positive("facts.state.value_kb", facts.Store.ValueKB)
-	v.atLeast("facts.state.txn_ops", facts.Store.TxnOps, minTxnOps)
-	v.positive("facts.cloud.rps", facts.Cloud.RPS)
-	v.positive("facts.resources.cpu_share", facts.Resources.CPUShare)
-	v.positive("facts.resources.ram_mb", facts.Resources.RAMMB)
-	v.atLeast("facts.resources.sockets", facts.Resources.Sockets, minSockets)
-	v.between("facts.clock_error_ms", facts.ClockErrorMS, 0, maxClockError)
-	v.between("facts.cloud.list_lag_s", facts.Cloud.ListLagS, 0, maxListLag)
+	v.checkPositive("facts.state.rps", facts.Store.RPS)
+	v.checkPositive("facts.state.write_rps", facts.Store.WriteRPS)
+	v.checkPositive("facts.state.value_kb", facts.Store.ValueKB)
+	v.checkAtLeast("facts.state.txn_ops", facts.Store.TxnOps, minTxnOps)
+	v.checkPositive("facts.cloud.rps", facts.Cloud.RPS)
+	v.checkPositive("facts.resources.cpu_share", facts.Resources.CPUShare)
+	v.checkPositive("facts.resources.ram_mb", facts.Resources.RAMMB)
+	v.checkAtLeast("facts.resources.sockets", facts.Resources.Sockets, minSockets)
+	v.checkBetween("facts.clock_error_ms", facts.ClockErrorMS, 0, maxClockErrorMS)
+	v.checkBetween("facts.cloud.list_lag_s", facts.Cloud.ListLagS, 0, maxListLagS)
 }
 
 // validateNext checks the limits that are announced. A limit that is left out keeps its present
@@ -139,17 +139,17 @@
 	if next.TxnOps == 0 {
 		next.TxnOps = l.TxnOps
 	}
-	v.positive("facts.state.next.rps", next.RPS)
-	v.positive("facts.state.next.write_rps", next.WriteRPS)
-	v.positive("facts.state.next.value_kb", next.ValueKB)
-	v.atLeast("facts.state.next.txn_ops", next.TxnOps, minTxnOps)
+	v.checkPositive("facts.state.next.rps", next.RPS)
+	v.checkPositive("facts.state.next.write_rps", next.WriteRPS)
+	v.checkPositive("facts.state.next.value_kb", next.ValueKB)
+	v.checkAtLeast("facts.state.next.txn_ops", next.TxnOps, minTxnOps)
 }
 
 func (facts *Facts) validateObjectives(v *fieldValidator) {
 	for i, objective := range facts.Objectives {
-		v.between(fmt.Sprintf("facts.objectives[%d].share", i), objective.Share, 0, 1)
+		v.checkBetween(fmt.Sprintf("facts.objectives[%d].share", i), objective.Share, 0, 1)
 		if !(objective.WithinS >= 0) || !(objective.Times >= 0) {
-			v.refuse(fmt.Sprintf("facts.objectives[%d]", i), objective.Kind, "an objective with times of 0 or more")
+			v.addError(fmt.Sprintf("facts.objectives[%d]", i), objective.Kind, "an objective with times of 0 or more")
 		}
 	}
 }
--- a/internal/settings/rollouts.go
+++ b/internal/settings/rollouts.go
@@ -66,7 +66,7 @@
 		case isClass && class != "":
 			rollouts.Budgets.ByGroup[rollout.ClassGroup(class)] = r.readBudget(section, rollouts.Budgets.TeamDefault)
 		case strings.HasPrefix(name, budgetSectionPrefix):
-			r.refuse(name, "", name, "[budget.team.NAME] or [budget.class.NAME]")
+			r.addError(name, "", name, "[budget.team.NAME] or [budget.class.NAME]")
 		}
 	}
 	return rollouts, r.errs
@@ -81,7 +81,7 @@
 	})
 	// HasKey would look into [budget] as well.
 	if own := section.KeyStrings(); slices.Contains(own, "jobs") && slices.Contains(own, "share") {
-		r.refuse(section.Name(), "share", section.Key("share").Value(), "either jobs or share")
+		r.addError(section.Name(), "share", section.Key("share").Value(), "either jobs or share")
 	}
 	return budget
 }
--- a/internal/settings/section_reader.go
+++ b/internal/settings/section_reader.go
@@ -16,8 +16,8 @@
 	errs       []error
 }
 
-// refuse records an error for the value of a key.
-func (r *sectionReader) refuse(section, key, value, want string) {
+// addError records an error for the value of a key.
+func (r *sectionReader) addError(section, key, value, want string) {
 	r.errs = append(r.errs, &FieldError{
 		File:  r.path,
 		Line:  inifile.LineOf(r.text, section, key),
@@ -30,7 +30,7 @@
 // readKeys reads all keys of a section. Keys that are not listed are refused.
 func (r *sectionReader) readKeys(section *ini.Section, keys inifile.Keys) {
 	for _, refusal := range inifile.ReadSection(section, keys) {
-		r.refuse(section.Name(), refusal.Key, refusal.Value, refusal.Want)
+		r.addError(section.Name(), refusal.Key, refusal.Value, refusal.Want)
 	}
 }
 
