--- a/internal/compat/deployment_test.go
+++ b/internal/compat/deployment_test.go
@@ -48,7 +48,7 @@
 	return fake.BuildController(t, dir)
 }
 
-// newDeployment starts everything but the controllers.
+// newDeploymentWithJobs starts everything but the controllers.
 func newDeployment(t *testing.T) *deployment {
 	t.Helper()
 	network := transport.TCP{}
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// firstFault is the first of two faults that hits a request.
+// firstFaultStart is the first of two faults that hits a request.
 func firstFault(first, second fake.FaultInjector) fake.FaultInjector {
 	return func(from string, r *http.Request) fake.InjectedFault {
 		if trouble := first(from, r); trouble.Kind != fake.NoFault {
--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -18,8 +18,8 @@
 func (r *run) checkInvariants() {
 	for r.t.Context().Err() == nil {
 		transport.Pause(r.t.Context(), checkInterval)
-		calm := <-r.calm
-		r.calm <- calm
+		calm := <-r.faultFreeSince
+		r.faultFreeSince <- calm
 		r.deployment.Checker.CheckInvariants(calm, r.deployment.Cloud.FreeCapacity())
 	}
 }
@@ -31,8 +31,8 @@
 	for _, controller := range r.deployment.Controllers {
 		r.resume(controller)
 	}
-	<-r.calm
-	r.calm <- time.Now()
+	<-r.faultFreeSince
+	r.faultFreeSince <- time.Now()
 	checker, store := r.deployment.Checker, r.deployment.Store
 	fake.WaitFor(r.t, "all jobs over", 5*time.Minute, func() bool { return len(checker.OpenJobs()) == 0 })
 	if open := checker.OpenJobs(); len(open) > 0 {
--- a/internal/soak/combinations_test.go
+++ b/internal/soak/combinations_test.go
@@ -10,7 +10,7 @@
 	exclusive bool
 }
 
-var combinations = []func(start time.Duration, times workerTimes) combination{cancelOnHungMachines, cancelDuringFailovers}
+var combinations = []func(start time.Duration, times agentTimes) combination{cancelOnHungMachines, cancelDuringFailovers}
 
 // exclusionMargin is the least time between an exclusive fault and others.
 const exclusionMargin = 5 * time.Second
@@ -35,7 +35,7 @@
 // cancelOnHungMachines: jobs are cancelled while their machines hang, for longer than a leader waits
 // for heartbeats and shorter than the workers' lease; some stop commands are lost, and the cloud
 // deletes no machines.
-func cancelOnHungMachines(start time.Duration, times workerTimes) combination {
+func cancelOnHungMachines(start time.Duration, times agentTimes) combination {
 	hangTime := min(4*times.heartbeatInterval+2*time.Second, times.lease*9/10)
 	return combination{exclusive: true, faults: []scheduledFault{
 		{kind: hungMachines, start: start, duration: hangTime, share: 0.3},
@@ -47,7 +47,7 @@
 
 // cancelDuringFailovers: jobs are cancelled while leaders are killed one after the other, and
 // commands are lost.
-func cancelDuringFailovers(start time.Duration, times workerTimes) combination {
+func cancelDuringFailovers(start time.Duration, times agentTimes) combination {
 	return combination{faults: []scheduledFault{
 		{kind: lostCommands, start: start, duration: times.lease, share: 0.5},
 		cancelMost(start),
--- a/internal/soak/fault_kinds_test.go
+++ b/internal/soak/fault_kinds_test.go
@@ -11,8 +11,8 @@
 	suspendController   faultKind = "a controller is suspended"
 	cutStore            faultKind = "a controller loses the key-value store"
 	cutPeers            faultKind = "a controller loses the other controllers"
-	cutWorkers          faultKind = "a controller loses the workers"
-	cutAllButWorkers    faultKind = "a controller loses all but the workers"
+	cutAgents           faultKind = "a controller loses the workers"
+	cutAllButAgents     faultKind = "a controller loses all but the workers"
 	storeOutage         faultKind = "the key-value store is unavailable"
 	slowStore           faultKind = "the key-value store is slow"
 	lateWrites          faultKind = "transactions get no response and are carried out late"
@@ -35,7 +35,7 @@
 // twice.
 var faultKinds = []faultKind{
 	killController, killController, killAllControllers, killLeaders, killLeaders, suspendController,
-	cutStore, cutPeers, cutWorkers, cutAllButWorkers,
+	cutStore, cutPeers, cutAgents, cutAllButAgents,
 	storeOutage, slowStore, lateWrites, lostResponses,
 	lostCommands, lateCommands, duplicateCommands,
 	cloudOutage, cloudOutage,
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -12,7 +12,7 @@
 	switch f.kind {
 	case killController, killAllControllers, killLeaders, suspendController:
 		return r.beginProcessFault(f)
-	case cutStore, cutPeers, cutWorkers, cutAllButWorkers:
+	case cutStore, cutPeers, cutAgents, cutAllButAgents:
 		return r.dropBytes(r.relaysOf(f), f.directions)
 	case hungMachines, inboundCut, outboundCut, rebootedMachines, terminatedMachines, duplicateHeartbeats, replayedHeartbeats:
 		return r.beginMachineFault(f)
@@ -86,7 +86,7 @@
 		return []*fake.Relay{relays.Store}
 	case cutPeers:
 		return relays.Peers
-	case cutWorkers:
+	case cutAgents:
 		return []*fake.Relay{relays.Agents}
 	}
 	return append([]*fake.Relay{relays.Store}, relays.Peers...)
--- a/internal/soak/machine_faults_test.go
+++ b/internal/soak/machine_faults_test.go
@@ -9,7 +9,7 @@
 
 // beginMachineFault lets a fault begin on a share of the machines.
 func (r *run) beginMachineFault(f scheduledFault) (end func()) {
-	workers := r.randomWorkers(f.share)
+	workers := r.randomAgents(f.share)
 	set := r.machineFault(f.kind)
 	for _, w := range workers {
 		set(w, true)
@@ -55,7 +55,7 @@
 	}[kind]
 }
 
-// randomWorkers is a random share of the machines that are up.
-func (r *run) randomWorkers(share float64) []*fake.Agent {
+// randomAgents is a random share of the machines that are up.
+func (r *run) randomAgents(share float64) []*fake.Agent {
 	return slices.DeleteFunc(r.deployment.Cloud.Agents(), func(*fake.Agent) bool { return r.random.Float64() >= share })
 }
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -14,16 +14,16 @@
 type plan struct {
 	seed          uint64
 	machines      int
-	times         workerTimes
+	times         agentTimes
 	faultDuration time.Duration // of the whole schedule of faults
 	standby       bool
 }
 
-// workerTimes are the times that workers keep to.
-type workerTimes struct{ heartbeatInterval, lease, cancelDeadline time.Duration }
+// agentTimes are the times that workers keep to.
+type agentTimes struct{ heartbeatInterval, lease, cancelDeadline time.Duration }
 
 // operatorTimes are an operator's times: the delays that a busy machine adds are small beside them.
-var operatorTimes = workerTimes{heartbeatInterval: 3 * time.Second, lease: 20 * time.Second, cancelDeadline: 40 * time.Second}
+var operatorTimes = agentTimes{heartbeatInterval: 3 * time.Second, lease: 20 * time.Second, cancelDeadline: 40 * time.Second}
 
 // The load: as much work as about two dozen machines do. For more machines jobs have more tasks, and
 // beyond a limit tasks run longer, so that all machines are needed.
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -14,18 +14,18 @@
 // run is one run: a deployment, its users and the faults that are injected. One goroutine injects
 // the faults; users have others.
 type run struct {
-	t             *testing.T
-	plan          plan
-	program       string
-	schedule      schedule
-	deployment    *fake.Deployment
-	random        *rand.Rand
-	writeFaults   *messageFaults
-	commandFaults *messageFaults
-	cloudFaults   *messageFaults
-	cancellable   chan []*wire.Job // holds the jobs that run until they are cancelled
-	calm          chan time.Time   // holds since when there are no faults; zero: there are
-	usersStopped  chan struct{}    // closed when users submit no more
+	t              *testing.T
+	plan           plan
+	program        string
+	schedule       schedule
+	deployment     *fake.Deployment
+	random         *rand.Rand
+	writeFaults    *messageFaults
+	commandFaults  *messageFaults
+	cloudFaults    *messageFaults
+	cancellable    chan []*wire.Job // holds the jobs that run until they are cancelled
+	faultFreeSince chan time.Time   // holds since when there are no faults; zero: there are
+	usersStopped   chan struct{}    // closed when users submit no more
 }
 
 // runPlan carries out a plan and reports all violations.
@@ -56,10 +56,10 @@
 		writeFaults:   newMessageFaults("/txn", p.seed),
 		commandFaults: newMessageFaults("/commands", p.seed),
 		cloudFaults:   newMessageFaults("", p.seed),
-		cancellable:   make(chan []*wire.Job, 1), calm: make(chan time.Time, 1), usersStopped: make(chan struct{}),
+		cancellable:   make(chan []*wire.Job, 1), faultFreeSince: make(chan time.Time, 1), usersStopped: make(chan struct{}),
 	}
 	r.cancellable <- nil
-	r.calm <- time.Time{}
+	r.faultFreeSince <- time.Time{}
 	return r
 }
 
--- a/internal/soak/schedule_test.go
+++ b/internal/soak/schedule_test.go
@@ -30,24 +30,24 @@
 // The times of a schedule: a new fault every few seconds, each lasting up to a worker's lease and
 // more, so that two or three overlap.
 const (
-	firstFault          = 8 * time.Second
-	maxFaultInterval    = 7 * time.Second
-	firstCombination    = 20 * time.Second // machines are working by then
-	combinationInterval = 30 * time.Second
-	minFaultDuration    = 200 * time.Millisecond
+	firstFaultStart       = 8 * time.Second
+	maxFaultInterval      = 7 * time.Second
+	firstCombinationStart = 20 * time.Second // machines are working by then
+	combinationInterval   = 30 * time.Second
+	minFaultDuration      = 200 * time.Millisecond
 )
 
 // newSchedule draws a schedule of some length. The number and order of the draws determine which
 // schedule a seed names.
-func newSchedule(seed uint64, controllers int, times workerTimes, length time.Duration) (s schedule) {
+func newSchedule(seed uint64, controllers int, times agentTimes, length time.Duration) (s schedule) {
 	random := rand.New(rand.NewPCG(seed, 1))
-	for start := firstFault; start < length; start += time.Duration(random.Int64N(int64(maxFaultInterval))) {
+	for start := firstFaultStart; start < length; start += time.Duration(random.Int64N(int64(maxFaultInterval))) {
 		f := randomFault(random, controllers, times, start)
 		f.duration = min(f.duration, length-start)
 		s = append(s, f)
 	}
 	next := random.IntN(len(combinations))
-	for start := firstCombination; start < length; start += combinationInterval {
+	for start := firstCombinationStart; start < length; start += combinationInterval {
 		c := combinations[next%len(combinations)](start+time.Duration(random.Int64N(int64(combinationInterval/3))), times)
 		if c.exclusive {
 			s = slices.DeleteFunc(s, func(f scheduledFault) bool { return f.overlaps(c.faults[0]) })
@@ -60,7 +60,7 @@
 }
 
 // randomFault draws a fault.
-func randomFault(random *rand.Rand, controllers int, times workerTimes, start time.Duration) scheduledFault {
+func randomFault(random *rand.Rand, controllers int, times agentTimes, start time.Duration) scheduledFault {
 	f := scheduledFault{
 		kind: faultKinds[random.IntN(len(faultKinds))], start: start,
 		target: random.IntN(controllers), share: 0.1 + 0.4*random.Float64(),
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -19,9 +19,9 @@
 	program   = flag.String("program", "", "the controller's program; none: built from this tree")
 )
 
-// workerTimeSets have operators' proportions of heartbeat interval, lease and cancel_s, and shorter
+// agentTimeSets have operators' proportions of heartbeat interval, lease and cancel_s, and shorter
 // times with more rounds of heartbeats.
-var workerTimeSets = []workerTimes{
+var agentTimeSets = []agentTimes{
 	{time.Second, 10 * time.Second, 20 * time.Second},
 	{3 * time.Second, 26 * time.Second, 51 * time.Second},
 	{6 * time.Second, 31 * time.Second, 56 * time.Second},
@@ -46,7 +46,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			p := plan{seed: seed, machines: *machines, faultDuration: *duration,
-				times: workerTimeSets[seed%uint64(len(workerTimeSets))], standby: seed%5 == 0}
+				times: agentTimeSets[seed%uint64(len(agentTimeSets))], standby: seed%5 == 0}
 			if p.machines == 0 {
 				p.machines = usualMachineCount
 				if seed%largeOneIn == 0 {
--- a/internal/standby/follower.go
+++ b/internal/standby/follower.go
@@ -158,7 +158,7 @@
 // publishStatus publishes the present status, and logs a change of state.
 func (f *Follower) publishStatus(err error) {
 	previous := f.Status()
-	s := &Status{State: f.gate.State(), Revision: f.replica.Revision(), Keys: f.replica.Keys(), Bytes: f.replica.Bytes(), LastResponse: time.Now()}
+	s := &Status{State: f.gate.State(), Revision: f.replica.Revision(), Keys: f.replica.KeyCount(), Bytes: f.replica.Bytes(), LastResponse: time.Now()}
 	if err != nil {
 		s.Reason, s.LastResponse = err.Error(), previous.LastResponse
 	}
--- a/internal/standby/follower_test.go
+++ b/internal/standby/follower_test.go
@@ -17,28 +17,28 @@
 	"leadproxy/internal/wire"
 )
 
-// stage is a follower of a fake state service.
-type stage struct {
+// followerHarness is a follower of a fake state service.
+type followerHarness struct {
 	t        *testing.T
-	service  *fake.KVStore
-	store    *kvstore.Client
+	store    *fake.KVStore
+	client   *kvstore.Client
 	follower *Follower
 }
 
-func newStage(t *testing.T, keys, maxBytes int) *stage {
+func newFollowerHarness(t *testing.T, keys, maxBytes int) *followerHarness {
 	n := fake.NewNetwork(t)
-	s := &stage{t: t, service: fake.NewKVStore(t, n.Host("state"), "state:1", nil)}
+	s := &followerHarness{t: t, store: fake.NewKVStore(t, n.Host("state"), "state:1", nil)}
 	for i := range keys {
-		s.service.Put(fmt.Sprintf("job/%06d", i), fmt.Sprintf(`"value %d"`, i))
+		s.store.Put(fmt.Sprintf("job/%06d", i), fmt.Sprintf(`"value %d"`, i))
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	s.store = kvstore.New(t.Context(), n.Host("n1"), "state:1", settings.StoreLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32}, 0.5, log)
-	s.follower = NewFollower(s.store, modelPrefixes, maxBytes, log)
+	s.client = kvstore.New(t.Context(), n.Host("n1"), "state:1", settings.StoreLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32}, 0.5, log)
+	s.follower = NewFollower(s.client, modelPrefixes, maxBytes, log)
 	go s.follower.Run(t.Context())
 	return s
 }
 
-func (s *stage) await(state State) {
+func (s *followerHarness) waitForState(state State) {
 	s.t.Helper()
 	for range 200 {
 		if s.follower.Status().State == state {
@@ -50,15 +50,15 @@
 }
 
 // promote has the follower give its view away at the service's present revision.
-func (s *stage) promote() (View, error) {
-	return s.follower.Promote(s.t.Context(), s.service.Revision())
+func (s *followerHarness) promote() (View, error) {
+	return s.follower.Promote(s.t.Context(), s.store.Revision())
 }
 
-// fresh reads what the service holds.
-func (s *stage) fresh() (all []wire.Entry) {
+// listStore reads what the service holds.
+func (s *followerHarness) listStore() (all []wire.Entry) {
 	s.t.Helper()
 	for _, prefix := range modelPrefixes {
-		listing, err := kvstore.ListAll(s.t.Context(), s.store, kvstore.PriorityLeader, prefix)
+		listing, err := kvstore.ListAll(s.t.Context(), s.client, kvstore.PriorityLeader, prefix)
 		if err != nil {
 			s.t.Fatal(err)
 		}
@@ -71,37 +71,37 @@
 // terms of its own. What it gives away is what a fresh read brings.
 func TestFollower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStage(t, 2500, 1<<20)
-		s.await(Following)
+		s := newFollowerHarness(t, 2500, 1<<20)
+		s.waitForState(Following)
 		check := func(what string) {
 			t.Helper()
 			view, err := s.promote()
 			if err != nil {
 				t.Errorf("%s: %v", what, err)
 			}
-			if fresh := s.fresh(); !reflect.DeepEqual(view.Entries, fresh) {
+			if fresh := s.listStore(); !reflect.DeepEqual(view.Entries, fresh) {
 				t.Errorf("%s: %d entries, a fresh read brings %d", what, len(view.Entries), len(fresh))
 			}
 			s.follower.Release()
 			time.Sleep(time.Second) // it reads everything anew
-			s.await(Following)
+			s.waitForState(Following)
 		}
 		check("as listed")
 		for i := range 50 {
-			s.service.Put(fmt.Sprintf("job/%06d", i*7), `"changed"`)
-			s.service.Remove(fmt.Sprintf("job/%06d", i*11))
-			s.service.Put(fmt.Sprintf("fin/%d/0", i), `[0,1]`)
+			s.store.Put(fmt.Sprintf("job/%06d", i*7), `"changed"`)
+			s.store.Remove(fmt.Sprintf("job/%06d", i*11))
+			s.store.Put(fmt.Sprintf("fin/%d/0", i), `[0,1]`)
 			time.Sleep(30 * time.Millisecond)
 		}
 		check("with changes that have just come")
-		s.service.SetOutage(true)
-		s.service.Put("host/1/0", `["vm-1"]`)
+		s.store.SetOutage(true)
+		s.store.Put("host/1/0", `["vm-1"]`)
 		time.Sleep(30 * time.Second)
 		if s.follower.Ready() {
 			t.Error("it is ready in an outage")
 		}
-		s.service.SetOutage(false)
-		s.await(Following)
+		s.store.SetOutage(false)
+		s.waitForState(Following)
 		check("after an outage")
 	})
 }
@@ -111,27 +111,27 @@
 	cases := []struct {
 		name     string
 		maxBytes int
-		trouble  func(s *stage)
+		trouble  func(s *followerHarness)
 		want     error
 		says     string
 	}{
-		{"it is larger than it may be", 1000, func(s *stage) { s.await(Demoted) }, nil, "demoted"},
-		{"the service does not answer", 1 << 20, func(s *stage) { s.await(Following); s.service.SetOutage(true) }, errNotConfirmedInTime, "in time"},
-		{"its changes are no longer kept", 1 << 20, func(s *stage) {
-			s.await(Following)
-			s.service.Compact()
+		{"it is larger than it may be", 1000, func(s *followerHarness) { s.waitForState(Demoted) }, nil, "demoted"},
+		{"the service does not answer", 1 << 20, func(s *followerHarness) { s.waitForState(Following); s.store.SetOutage(true) }, errNotConfirmedInTime, "in time"},
+		{"its changes are no longer kept", 1 << 20, func(s *followerHarness) {
+			s.waitForState(Following)
+			s.store.Compact()
 		}, kvstore.ErrCompacted, "no longer kept"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newStage(t, 100, c.maxBytes)
+				s := newFollowerHarness(t, 100, c.maxBytes)
 				c.trouble(s)
 				_, err := s.promote()
 				if err == nil || c.want != nil && !errors.Is(err, c.want) || !strings.Contains(err.Error(), c.says) {
 					t.Errorf("told %v", err)
 				}
-				s.service.SetOutage(false)
+				s.store.SetOutage(false)
 				s.follower.Release()
 			})
 		})
--- a/internal/standby/model_test.go
+++ b/internal/standby/model_test.go
@@ -21,35 +21,35 @@
 
 const keptChanges = 12
 
-type modelService struct {
+type modelStore struct {
 	revision uint64
-	keys     map[string]wire.Entry
+	entries  map[string]wire.Entry
 	history  []wire.WatchEvent
 	leader   string // "" while nobody's key is there
 	term     uint64
 }
 
-func (s *modelService) apply(key, value string) {
+func (s *modelStore) apply(key, value string) {
 	s.revision++
 	if value == "" {
-		delete(s.keys, key)
+		delete(s.entries, key)
 		s.history = append(s.history, wire.WatchEvent{Delete: key, Version: s.revision})
 		return
 	}
 	e := wire.Entry{Key: key, Value: json.RawMessage(value), Version: s.revision}
-	s.keys[key] = e
+	s.entries[key] = e
 	s.history = append(s.history, wire.WatchEvent{Set: key, Value: e.Value, Version: s.revision})
 }
 
-// write carries out a leader's write if its key is still there.
-func (s *modelService) write(term uint64, key, value string) {
+// writeInTerm carries out a leader's write if its key is still there.
+func (s *modelStore) writeInTerm(term uint64, key, value string) {
 	if s.leader != "" && s.term == term {
 		s.apply(key, value)
 	}
 }
 
 // elect creates a node's key if there is none.
-func (s *modelService) elect(node string) bool {
+func (s *modelStore) elect(node string) bool {
 	if s.leader != "" {
 		return false
 	}
@@ -58,15 +58,15 @@
 	return true
 }
 
-func (s *modelService) resign() {
+func (s *modelStore) resign() {
 	if s.leader != "" {
 		s.leader = ""
 		s.apply("leader", "")
 	}
 }
 
-// changes answers a watch; ok is false when the revision is no longer kept.
-func (s *modelService) changes(from uint64) (n wire.WatchResponse, ok bool) {
+// watch answers a watch; ok is false when the revision is no longer kept.
+func (s *modelStore) watch(from uint64) (n wire.WatchResponse, ok bool) {
 	if kept := len(s.history) - keptChanges; kept > 0 && s.history[kept].Version > from+1 {
 		return n, false
 	}
@@ -79,10 +79,10 @@
 	return n, true
 }
 
-// ledgerKeys are what a term decides on, as the service holds it.
-func (s *modelService) ledgerKeys() []wire.Entry {
+// ledgerEntries are what a term decides on, as the service holds it.
+func (s *modelStore) ledgerEntries() []wire.Entry {
 	all := []wire.Entry{}
-	for key, e := range s.keys {
+	for key, e := range s.entries {
 		if key != "leader" && !strings.HasPrefix(key, "node/") {
 			all = append(all, e)
 		}
@@ -91,96 +91,96 @@
 	return all
 }
 
-// modelNode is a node with its replica.
-type modelNode struct {
+// modelController is a node with its replica.
+type modelController struct {
 	name    string
 	replica *Replica
 	gate    Gate
 	// listing is what has been read so far of a listing, by prefix; nil: none is under way.
-	listing      []wire.Entry
-	listed       int
-	began, ended uint64
-	// answers are those of the watch that are under way.
-	answers []changes
+	listing                     []wire.Entry
+	listedPrefixes              int
+	firstRevision, lastRevision uint64
+	// responses are those of the watch that are under way.
+	responses []pendingResponse
 }
 
-// changes is an answer of the watch.
-type changes struct {
-	after uint64
-	news  wire.WatchResponse
+// pendingResponse is an answer of the watch.
+type pendingResponse struct {
+	after    uint64
+	response wire.WatchResponse
 }
 
 var modelPrefixes = []string{"fin/", "host/", "job/"}
 
-func newModelNode(name string) *modelNode {
-	return &modelNode{name: name, replica: NewReplica(modelPrefixes, 1<<20)}
+func newModelController(name string) *modelController {
+	return &modelController{name: name, replica: NewReplica(modelPrefixes, 1<<20)}
 }
 
-type standbyWorld struct {
-	service *modelService
-	nodes   []*modelNode
-	// late are writes of leaders that are still under way.
-	late []func()
-	now  time.Duration
+type standbyModel struct {
+	store       *modelStore
+	controllers []*modelController
+	// delayedWrites are writes of leaders that are still under way.
+	delayedWrites []func()
+	now           time.Duration
 }
 
-func newStandbyWorld() *standbyWorld {
-	return &standbyWorld{service: &modelService{keys: map[string]wire.Entry{}}, nodes: []*modelNode{newModelNode("a"), newModelNode("b")}}
+func newStandbyModel() *standbyModel {
+	return &standbyModel{store: &modelStore{entries: map[string]wire.Entry{}}, controllers: []*modelController{newModelController("a"), newModelController("b")}}
 }
 
-// list reads the next page of a listing, and ends it with the last.
-func (w *standbyWorld) list(n *modelNode) {
-	s := w.service
-	if n.listed == 0 {
-		n.listing, n.began = nil, s.revision
+// listNextPrefix reads the next page of a listing, and ends it with the last.
+func (w *standbyModel) listNextPrefix(n *modelController) {
+	s := w.store
+	if n.listedPrefixes == 0 {
+		n.listing, n.firstRevision = nil, s.revision
 	}
-	prefix := modelPrefixes[n.listed]
-	for key, e := range s.keys {
+	prefix := modelPrefixes[n.listedPrefixes]
+	for key, e := range s.entries {
 		if strings.HasPrefix(key, prefix) {
 			n.listing = append(n.listing, e)
 		}
 	}
-	n.ended = s.revision
-	if n.listed++; n.listed < len(modelPrefixes) {
+	n.lastRevision = s.revision
+	if n.listedPrefixes++; n.listedPrefixes < len(modelPrefixes) {
 		return
 	}
-	n.listed = 0
+	n.listedPrefixes = 0
 	n.gate = Gate{}
-	if n.replica.Reset(n.listing, n.began, n.ended) == nil {
+	if n.replica.Reset(n.listing, n.firstRevision, n.lastRevision) == nil {
 		n.gate.ReplicaUpdated(false)
 	}
 }
 
-// ask has the service answer a node's watch.
-func (w *standbyWorld) ask(n *modelNode) {
-	news, ok := w.service.changes(n.replica.Revision())
+// watch has the service answer a node's watch.
+func (w *standbyModel) watch(n *modelController) {
+	news, ok := w.store.watch(n.replica.Revision())
 	if !ok {
 		n.gate.Demote()
 		return
 	}
-	n.answers = append(n.answers, changes{n.replica.Revision(), news})
+	n.responses = append(n.responses, pendingResponse{n.replica.Revision(), news})
 }
 
-// hear brings an answer to a node.
-func (w *standbyWorld) hear(n *modelNode, c changes) {
-	if n.gate.State() == Demoted || n.replica.Apply(c.after, c.news) != nil {
+// deliverResponse brings an answer to a node.
+func (w *standbyModel) deliverResponse(n *modelController, c pendingResponse) {
+	if n.gate.State() == Demoted || n.replica.Apply(c.after, c.response) != nil {
 		return
 	}
 	n.gate.ReplicaUpdated(n.replica.Consistent())
 }
 
-// failer is a test or a property.
-type failer interface {
+// testingT is a test or a property.
+type testingT interface {
 	Fatalf(format string, args ...any)
 }
 
-// win has a node be elected and, if its gate lets it, decide: what it sees then has to be
+// electAndPromote has a node be elected and, if its gate lets it, decide: what it sees then has to be
 // just what the service holds, since nobody else has written for a term.
-func (w *standbyWorld) win(t failer, n *modelNode) {
-	if !w.service.elect(n.name) {
+func (w *standbyModel) electAndPromote(t testingT, n *modelController) {
+	if !w.store.elect(n.name) {
 		return
 	}
-	term := w.service.term
+	term := w.store.term
 	if n.gate.TermWon(term, w.now) != nil {
 		return // it reads everything anew
 	}
@@ -188,31 +188,31 @@
 		t.Fatalf("%s may decide before the service has shown that its view is complete", n.name)
 	}
 	after := n.replica.Revision()
-	news, ok := w.service.changes(after)
+	news, ok := w.store.watch(after)
 	if !ok {
 		n.gate.Demote()
 		return
 	}
 	// An answer that was given before the term may arrive first.
-	if len(n.answers) > 0 {
-		w.confirm(t, n, n.answers[0])
+	if len(n.responses) > 0 {
+		w.confirmReplica(t, n, n.responses[0])
 	}
-	w.confirm(t, n, changes{after, news})
+	w.confirmReplica(t, n, pendingResponse{after, news})
 	if !n.gate.MayDecide(term) {
 		t.Fatalf("%s may not decide: %s", n.name, n.gate.UnmetCondition())
 	}
-	if got, want := n.replica.Entries(), w.service.ledgerKeys(); !reflect.DeepEqual(got, want) {
+	if got, want := n.replica.Entries(), w.store.ledgerEntries(); !reflect.DeepEqual(got, want) {
 		t.Fatalf("%s decides on %v, the service holds %v", n.name, got, want)
 	}
 }
 
-func (w *standbyWorld) confirm(t failer, n *modelNode, c changes) {
-	if n.replica.Apply(c.after, c.news) != nil {
+func (w *standbyModel) confirmReplica(t testingT, n *modelController, c pendingResponse) {
+	if n.replica.Apply(c.after, c.response) != nil {
 		return
 	}
 	n.gate.ReplicaConfirmed(n.replica.Revision(), n.replica.Consistent(), w.now)
-	if n.gate.MayDecide(w.service.term) && n.replica.Revision() < w.service.term {
-		t.Fatalf("%s may decide at revision %d in term %d", n.name, n.replica.Revision(), w.service.term)
+	if n.gate.MayDecide(w.store.term) && n.replica.Revision() < w.store.term {
+		t.Fatalf("%s may decide at revision %d in term %d", n.name, n.replica.Revision(), w.store.term)
 	}
 }
 
@@ -221,39 +221,39 @@
 // service holds; every consistent replica is what the service held at its revision.
 func TestStandbyModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newStandbyWorld()
+		w := newStandbyModel()
 		held := map[uint64][]wire.Entry{}
-		node := func(t *rapid.T) *modelNode { return rapid.SampledFrom(w.nodes).Draw(t, "node") }
+		node := func(t *rapid.T) *modelController { return rapid.SampledFrom(w.controllers).Draw(t, "node") }
 		write := func(t *rapid.T) func() {
 			key := rapid.SampledFrom([]string{"job/1", "job/2", "job/3", "fin/1/0", "host/1/0", "node/a"}).Draw(t, "key")
 			value := rapid.SampledFrom([]string{"", "1", "2", "3"}).Draw(t, "value")
-			term := w.service.term
-			return func() { w.service.write(term, key, value) }
+			term := w.store.term
+			return func() { w.store.writeInTerm(term, key, value) }
 		}
 		t.Repeat(map[string]func(*rapid.T){
-			"":        func(*rapid.T) { held[w.service.revision] = w.service.ledgerKeys() },
+			"":        func(*rapid.T) { held[w.store.revision] = w.store.ledgerEntries() },
 			"write":   func(t *rapid.T) { write(t)() },
 			"write 2": func(t *rapid.T) { write(t)() },
-			"late":    func(t *rapid.T) { w.late = append(w.late, write(t)) },
+			"late":    func(t *rapid.T) { w.delayedWrites = append(w.delayedWrites, write(t)) },
 			"arrives": func(t *rapid.T) {
-				if len(w.late) > 0 {
-					w.late[0]()
-					w.late = w.late[1:]
+				if len(w.delayedWrites) > 0 {
+					w.delayedWrites[0]()
+					w.delayedWrites = w.delayedWrites[1:]
 				}
 			},
-			"list":   func(t *rapid.T) { w.list(node(t)) },
-			"ask":    func(t *rapid.T) { w.ask(node(t)) },
-			"resign": func(*rapid.T) { w.service.resign() },
-			"win":    func(t *rapid.T) { w.win(t, node(t)) },
+			"list":   func(t *rapid.T) { w.listNextPrefix(node(t)) },
+			"ask":    func(t *rapid.T) { w.watch(node(t)) },
+			"resign": func(*rapid.T) { w.store.resign() },
+			"win":    func(t *rapid.T) { w.electAndPromote(t, node(t)) },
 			"hear": func(t *rapid.T) {
 				n := node(t)
-				if len(n.answers) == 0 {
+				if len(n.responses) == 0 {
 					return
 				}
-				at := rapid.IntRange(0, len(n.answers)-1).Draw(t, "answer")
-				w.hear(n, n.answers[at])
+				at := rapid.IntRange(0, len(n.responses)-1).Draw(t, "answer")
+				w.deliverResponse(n, n.responses[at])
 				if rapid.Bool().Draw(t, "once") {
-					n.answers = slices.Delete(n.answers, at, at+1)
+					n.responses = slices.Delete(n.responses, at, at+1)
 				}
 				if n.gate.State() == Following {
 					compareReplica(t, n, held)
@@ -264,7 +264,7 @@
 }
 
 // compareReplica compares a consistent replica with what the service held at its revision.
-func compareReplica(t failer, n *modelNode, held map[uint64][]wire.Entry) {
+func compareReplica(t testingT, n *modelController, held map[uint64][]wire.Entry) {
 	want, ok := held[n.replica.Revision()]
 	if !ok {
 		return // between two steps of the test
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -120,8 +120,8 @@
 // Bytes is the approximate memory of the entries.
 func (r *Replica) Bytes() int { return r.bytes }
 
-// Keys is the number of entries.
-func (r *Replica) Keys() int { return len(r.entries) }
+// KeyCount is the number of entries.
+func (r *Replica) KeyCount() int { return len(r.entries) }
 
 // Consistent tells whether the replica is a copy of a single revision.
 func (r *Replica) Consistent() bool { return r.revision >= r.consistentFrom }
