--- a/internal/federation/delegated_jobs.go
+++ b/internal/federation/delegated_jobs.go
@@ -86,8 +86,9 @@
 	startedAt      time.Duration // when this leader first sent the offer, or restored the transfer
 	lastAnswerAt   time.Duration // when the last answer of this epoch arrived; before that, startedAt
 	nextMessageAt  time.Duration // when the next message is due
-	tasksDone      int           // according to the last answer, as is tasksRunning
-	tasksRunning   int
+	// tasksDone and tasksRunning are the task counts of the last answer.
+	tasksDone    int
+	tasksRunning int
 }
 
 // delegated reports whether the origin must not run the job.
--- a/internal/slowfit/index.go
+++ b/internal/slowfit/index.go
@@ -2,31 +2,30 @@
 
 import "slices"
 
-// Index keeps the machines that take tasks in the order in which SLOW-FIT tries them, so that a
-// task is placed, or found to have no room, without a scan of all machines. A pool holds
-// machines that are alike in size and in what decides which jobs may use them.
+// Index holds the machines in the order in which SLOW-FIT considers them, so that a task is placed, or
+// found to fit no machine, without a scan of all machines. A pool holds machines that are equal in
+// size and in all attributes that determine which jobs may use them.
 //
-// Machines are the caller's dense indices. Their order, the paper's last
-// tie-break, is that of Add.
+// Machines are identified by small consecutive indices, which the caller assigns. The order of the
+// calls of Add is the order of machines by which the paper finally breaks ties.
 type Index struct {
-	pools []*pool
-	// poolsBySpeed are the numbers of the pools, the slowest first.
-	poolsBySpeed []int
+	pools        []*pool
+	poolsBySpeed []int      // indices of the pools, slowest machines first
 	locations    []location // by machine
 	infeasible   infeasibleSizes
 	nodesVisited int
 }
 
-// noMachine stands for a machine where there is none.
+// noMachine takes the place of a machine index where there is no machine.
 const noMachine = -1
 
-// noPool is the pool of a machine that is in none.
+// noPool is the pool of a machine that is in no pool.
 const noPool = -1
 
-// location is where a machine stands in the index.
+// location is the position of a machine in the index: its pool and its leaf there.
 type location struct{ pool, leaf int32 }
 
-// AddPool makes a pool of machines of one size and returns its number.
+// AddPool adds a pool of machines with the resources total and returns its index.
 func (x *Index) AddPool(total Size) int {
 	x.pools = append(x.pools, &pool{total: total})
 	x.poolsBySpeed = append(x.poolsBySpeed, len(x.pools)-1)
@@ -34,8 +33,8 @@
 	return len(x.pools) - 1
 }
 
-// Add puts a machine into a pool, as unschedulable. One that is in
-// another pool leaves that.
+// Add adds a machine to a pool, as unschedulable until Update is called. If the machine is in a pool
+// already, it is removed from that first.
 func (x *Index) Add(machine int32, poolIndex int) {
 	x.Remove(machine)
 	for int(machine) >= len(x.locations) {
@@ -52,7 +51,7 @@
 	x.locations[machine] = location{pool: int32(poolIndex), leaf: int32(leaf)}
 }
 
-// nextRank is a rank above those of all machines that have joined last in their pools.
+// nextRank returns a rank higher than that of every machine in the index.
 func (x *Index) nextRank() int {
 	rank := 0
 	for _, p := range x.pools {
@@ -63,12 +62,12 @@
 	return rank
 }
 
-// contains tells whether a machine is in a pool.
+// contains reports whether a machine is in a pool.
 func (x *Index) contains(machine int32) bool {
 	return int(machine) < len(x.locations) && x.locations[machine].pool != noPool
 }
 
-// Remove takes a machine out of its pool.
+// Remove removes a machine from its pool. It does nothing if the machine is in no pool.
 func (x *Index) Remove(machine int32) {
 	if !x.contains(machine) {
 		return
@@ -79,15 +78,15 @@
 	x.locations[machine] = location{pool: noPool}
 }
 
-// Update reports that a machine takes tasks, its free resources, the load that counts
-// towards the goal, and its tags: bits of which a Request may ask for one.
+// Update makes a machine schedulable and sets its free resources, its load in the current phase, and
+// its tags, a set of bits. A Request may require that a machine has some of them.
 func (x *Index) Update(machine int32, free Size, load float64, tags uint64) {
 	loc := x.locations[machine]
 	x.pools[loc.pool].setLeaf(int(loc.leaf), node{free, load, tags})
 	x.infeasible.removeWithin(free)
 }
 
-// MarkUnschedulable reports that a machine takes no tasks.
+// MarkUnschedulable excludes a machine from placement until the next Update.
 func (x *Index) MarkUnschedulable(machine int32) {
 	if x.contains(machine) {
 		loc := x.locations[machine]
@@ -95,16 +94,17 @@
 	}
 }
 
-// ResetLoads has the load of all machines count as nothing, as at the start of
-// a phase.
+// ResetLoads sets the load of all machines to 0. Place calls it when it begins a new phase; the caller
+// must call it after Goal.Lower has begun one.
 func (x *Index) ResetLoads() {
 	for _, p := range x.pools {
 		p.resetLoads()
 	}
 }
 
-// NodesVisited is how many nodes of the pools' trees have been visited so far.
+// NodesVisited returns the number of tree nodes that all searches so far have visited.
 func (x *Index) NodesVisited() int { return x.nodesVisited }
 
-// Infeasible tells whether it is known that no schedulable machine has room for a task.
+// Infeasible reports whether a task is known to fit no schedulable machine. False means that it fits
+// one or that this is unknown.
 func (x *Index) Infeasible(task Size) bool { return x.infeasible.includes(task) }
--- a/internal/slowfit/index_test.go
+++ b/internal/slowfit/index_test.go
@@ -9,24 +9,24 @@
 	"leadproxy/internal/property"
 )
 
-// taskScales are how large tasks are. Only small ones, many to a machine, bring totals near
-// c times L, where load counts.
+// taskScales are factors of the task sizes. Only with small tasks, many to a machine, do total loads get
+// near c times L, where the load bound takes effect.
 var taskScales = []float64{1, 0.125, 0.02}
 
-// goalFactors are values of c. With less than 2, load that should count as nothing after a
-// doubling decides.
+// goalFactors are values of c. With c below 2, load that is not reset when L doubles would change the
+// result, so that a missing reset is found.
 var goalFactors = []float64{5, 1}
 
-// TestIndexAgreesWithTheScan plays long random histories from one seed.
+// TestIndexAgreesWithTheScan compares the index with the scan in long random runs from a fixed seed.
 func TestIndexAgreesWithTheScan(t *testing.T) {
-	r := rand.New(rand.NewPCG(1, 2))
+	random := rand.New(rand.NewPCG(1, 2))
 	for round := range 60 {
-		h := newIndexHarness(t, r, round, taskScales[round%len(taskScales)], goalFactors[round/3%len(goalFactors)])
+		h := newIndexHarness(t, random, round, taskScales[round%len(taskScales)], goalFactors[round/3%len(goalFactors)])
 		h.run(400)
 	}
 }
 
-// TestIndexProperty has rapid search for a short history in which they differ.
+// TestIndexProperty lets rapid search for a short run in which the index and the scan differ.
 func TestIndexProperty(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		machines, steps := rapid.IntRange(0, 20).Draw(t, "machines"), rapid.IntRange(50, 300).Draw(t, "steps")
@@ -35,44 +35,46 @@
 	})
 }
 
-// failer is a test or a property.
+// failer is a *testing.T or a *rapid.T.
 type failer interface {
 	Fatalf(format string, args ...any)
 }
 
-// indexHarness is a cluster whose machines come, go and fill up. Each placement of the index is
-// compared with the scan's.
+// indexHarness simulates a cluster whose machines are added, change and fill up, and compares each
+// placement by the index with that of the scan.
 type indexHarness struct {
 	t         failer
 	chooser   property.Chooser
-	scale     float64
+	scale     float64 // factor of the task sizes
 	index     *Index
-	indexGoal Goal // the index's
+	indexGoal Goal
 	scanGoal  Goal
-	pools     []poolAttributes // by pool
+	pools     []poolAttributes
 	machines  []harnessMachine
 }
 
-// poolAttributes is what the machines of a pool have in common.
+// poolAttributes holds the attributes that all machines of a pool have in common.
 type poolAttributes struct {
 	size Size
 	zone int
 	spot bool
 }
 
-// harnessMachine is a machine of a history.
+// harnessMachine is a machine of the simulated cluster.
 type harnessMachine struct {
 	scannedMachine
 	pool        int
-	tags        uint64 // its tags
+	tags        uint64
 	schedulable bool
-	phase       uint32 // to which its load belongs
+	phase       uint32 // the phase in which its load was added
 }
 
-// minMachines is how many machines every history has.
+// minMachines is the number of machines that every harness has at least.
 const minMachines = 3
 
-func newIndexHarness(t failer, chooser property.Chooser, moreMachines int, scale, goalFactor float64) *indexHarness {
+// newIndexHarness returns a harness with minMachines and extraMachines machines in 16 pools: 4 sizes, 2
+// zones, spot and on demand. goalFactor is c.
+func newIndexHarness(t failer, chooser property.Chooser, extraMachines int, scale, goalFactor float64) *indexHarness {
 	h := &indexHarness{t: t, chooser: chooser, scale: scale, index: &Index{}, indexGoal: Goal{C: goalFactor}, scanGoal: Goal{C: goalFactor}}
 	for _, size := range []Size{{4, 0, 16}, {8, 0, 32}, {8, 2, 32}, {32, 0, 128}} {
 		for zone := range 2 {
@@ -82,13 +84,13 @@
 			}
 		}
 	}
-	for range minMachines + moreMachines {
+	for range minMachines + extraMachines {
 		h.addMachine()
 	}
 	return h
 }
 
-// addMachine adds a machine of some group.
+// addMachine adds a machine to a drawn pool.
 func (h *indexHarness) addMachine() {
 	pool := h.chooser.IntN(len(h.pools))
 	size := h.pools[pool].size
@@ -99,7 +101,7 @@
 	h.updateIndex(machine)
 }
 
-// updateIndex passes the state of a machine to the index.
+// updateIndex reports the state of a machine to the index.
 func (h *indexHarness) updateIndex(machine int) {
 	m := &h.machines[machine]
 	if !m.schedulable {
@@ -112,7 +114,7 @@
 	h.index.Update(int32(machine), m.Free, m.Load, m.tags)
 }
 
-// run changes the cluster and places a task, for so many steps.
+// run runs a number of steps, in each of which the cluster may change and a task is placed.
 func (h *indexHarness) run(steps int) {
 	for step := range steps {
 		h.changeMachine()
@@ -121,10 +123,11 @@
 	}
 }
 
-// changeMachine has something happen to a machine, or nothing.
+// changeMachine draws a change: all tasks of a machine end, a machine becomes schedulable or
+// unschedulable, its tags change, a machine is added, or nothing changes.
 func (h *indexHarness) changeMachine() {
 	switch h.chooser.IntN(12) {
-	case 0: // all its tasks end
+	case 0:
 		i := h.chooser.IntN(len(h.machines))
 		h.machines[i].Free, h.machines[i].Load = h.machines[i].Total, 0
 		h.updateIndex(i)
@@ -141,7 +144,7 @@
 	}
 }
 
-// drawTaskSize is the size of the next task.
+// drawTaskSize draws the size of a task.
 func (h *indexHarness) drawTaskSize() Size {
 	task := Size{CPUs: h.scale * float64(1+h.chooser.IntN(8)), MemGB: h.scale * float64(1+h.chooser.IntN(12))}
 	if h.chooser.IntN(6) == 0 {
@@ -150,7 +153,7 @@
 	return task
 }
 
-// drawRequest draws where a task may go, and which machines it prefers.
+// drawRequest draws which machines a task may use and which ones it prefers.
 func (h *indexHarness) drawRequest(task Size) Request {
 	const anyZone = 2
 	zone, spotOnly, excluded, tag := h.chooser.IntN(3), h.chooser.IntN(3) == 0, h.chooser.IntN(len(h.machines)), uint64(1)<<h.chooser.IntN(3)
@@ -172,14 +175,13 @@
 	return request
 }
 
-// placeTask places a task by the index and by the scan, which must agree on the machine and the
-// goal.
+// placeTask places a task by the index and by the scan, which must agree on the machine and the goal.
 func (h *indexHarness) placeTask(step int, task Size) {
 	request := h.drawRequest(task)
 	want := h.placeByScan(&request)
 	got := h.index.Place(&h.indexGoal, &request)
 	if got != want || h.indexGoal != h.scanGoal {
-		h.t.Fatalf("%d machines, step %d: the index says %d with %+v, the scan %d with %+v", len(h.machines), step, got, h.indexGoal, want, h.scanGoal)
+		h.t.Fatalf("%d machines, step %d: the index selects machine %d with goal %+v, want %d with %+v as the scan does", len(h.machines), step, got, h.indexGoal, want, h.scanGoal)
 	}
 	if got < 0 {
 		return
@@ -193,7 +195,7 @@
 	h.updateIndex(int(got))
 }
 
-// placeByScan is the machine that the scan places a task on, or -1.
+// placeByScan returns the machine that the scan selects for a task, or -1.
 func (h *indexHarness) placeByScan(request *Request) int32 {
 	var schedulable []scannedMachine
 	for i, m := range h.machines {
@@ -217,7 +219,7 @@
 	return -1
 }
 
-// lowerGoal lowers both goals now and then.
+// lowerGoal lowers both goals in one of 60 steps on average.
 func (h *indexHarness) lowerGoal() {
 	if h.chooser.IntN(60) != 0 {
 		return
--- a/internal/slowfit/infeasible.go
+++ b/internal/slowfit/infeasible.go
@@ -2,20 +2,21 @@
 
 import "slices"
 
-// infeasibleSizes are sizes for which no schedulable machine has room. In a full cluster many
-// jobs wait and hardly any has room: those must not cost a search each time
-// that some machine gets a little free.
+// infeasibleSizes holds task sizes that fit no schedulable machine. In a full cluster many jobs wait
+// and hardly any of them fits. Without this, each of them would cost a search whenever a few resources
+// become free on some machine.
 type infeasibleSizes struct{ sizes []Size }
 
-// maxInfeasible bounds the sizes that are remembered.
+// maxInfeasible is the most sizes that are held.
 const maxInfeasible = 16
 
-// includes tells whether it is known that no schedulable machine has room for a task.
+// includes reports whether a task is at least as large as one of the infeasible sizes.
 func (s *infeasibleSizes) includes(task Size) bool {
 	return slices.ContainsFunc(s.sizes, func(size Size) bool { return size.Within(task) })
 }
 
-// add remembers a task's size in place of the larger ones, if there is room for it.
+// add adds a task's size and removes those that are at least as large. The size is not added if
+// maxInfeasible others remain.
 func (s *infeasibleSizes) add(task Size) {
 	s.sizes = slices.DeleteFunc(s.sizes, func(size Size) bool { return task.Within(size) })
 	if len(s.sizes) < maxInfeasible {
@@ -23,7 +24,7 @@
 	}
 }
 
-// removeWithin drops the sizes that go into what a machine has free.
+// removeWithin removes the sizes that fit into the free resources of a machine.
 func (s *infeasibleSizes) removeWithin(free Size) {
 	s.sizes = slices.DeleteFunc(s.sizes, func(size Size) bool { return size.Within(free) })
 }
--- a/internal/slowfit/place.go
+++ b/internal/slowfit/place.go
@@ -2,42 +2,44 @@
 
 import "math"
 
-// Request is a task as placement sees it.
+// Request describes a task to be placed.
 type Request struct {
 	Task Size
-	// ScorePool tells whether the task may use a pool's machines, and their score:
-	// it breaks ties between equally slow machines, before their order does.
+	// ScorePool reports whether the task may use a pool's machines, and returns their score.
+	// Among equally slow machines the highest score wins, and the order of machines breaks
+	// ties.
 	ScorePool func(pool int) (allowed bool, score int)
-	// Preferred, unless nil, accepts machines that have PreferredBonus more score. All that
-	// it accepts carry the tag PreferredTag.
+	// Preferred, unless nil, reports whether a machine's score is raised by PreferredBonus. It
+	// may accept only machines that have all bits of PreferredTag, so that a search can skip
+	// the others.
 	Preferred      func(machine int32) bool
 	PreferredTag   uint64
 	PreferredBonus int
-	// Allowed, unless nil, excludes single machines. All that it accepts carry the
-	// tag AllowedTag.
+	// Allowed, unless nil, reports whether the task may use a machine of a pool that it may
+	// use. It may accept only machines that have all bits of AllowedTag.
 	Allowed    func(machine int32) bool
 	AllowedTag uint64
 }
 
-// accepts tells whether the task may use a machine.
+// accepts reports whether the task may use a machine of a pool that it may use.
 func (r *Request) accepts(machine int32) bool { return r.Allowed == nil || r.Allowed(machine) }
 
-// hasPreference tells whether some machines have more score than others of their pool.
+// hasPreference reports whether machines of one pool may differ in score.
 func (r *Request) hasPreference() bool { return r.Preferred != nil && r.PreferredBonus > 0 }
 
-// loadBounds are what makes a machine assignable: the most load of the task on it, and its most
-// total load with the task.
+// loadBounds are the bounds within which a machine is assignable: the maximum load of the task on the
+// machine, and the machine's maximum total load including the task.
 type loadBounds struct{ task, total float64 }
 
-// unbounded makes every machine assignable that has room.
+// unbounded makes every machine assignable on which the task fits.
 var unbounded = loadBounds{math.Inf(1), math.Inf(1)}
 
-// bounds are those of the goal.
+// bounds returns the load bounds of the current phase.
 func (g *Goal) bounds() loadBounds { return loadBounds{g.L, g.C * g.L} }
 
-// Place names the machine for one task, or -1 when none has room. When some
-// machine has room but none is assignable, L doubles and earlier load
-// counts as nothing, until one is.
+// Place returns the machine for a task, or -1 if the task fits none that it may use. If it fits some
+// machine but none is assignable, L doubles, and earlier load no longer counts, until one is. Place
+// does not allocate the resources; the caller reports the allocation by Update.
 func (x *Index) Place(g *Goal, r *Request) int32 {
 	if x.Infeasible(r.Task) {
 		return noMachine
@@ -47,7 +49,7 @@
 			return noMachine
 		}
 		if g.L = x.shareOnFastestMachine(r.Task); g.L == 0 {
-			// The task takes nothing of any resource.
+			// The task needs no resources.
 			return x.find(r, unbounded)
 		}
 	}
@@ -64,8 +66,8 @@
 	}
 }
 
-// hasCapacityFor tells whether some machine has room for a task, whatever its load. If no machine at
-// all has, it remembers the task's size.
+// hasCapacityFor reports whether the task fits some machine that it may use, whatever that machine's
+// load. If the task fits no machine at all, its size is added to the infeasible ones.
 func (x *Index) hasCapacityFor(r *Request) bool {
 	if x.find(r, unbounded) != noMachine {
 		return true
@@ -76,7 +78,7 @@
 	return false
 }
 
-// hasCapacityAnywhere tells whether some machine has room for a task, be it one that the job may
+// hasCapacityAnywhere reports whether a task fits some schedulable machine, even one that its job may
 // not use.
 func (x *Index) hasCapacityAnywhere(task Size) bool {
 	for _, p := range x.pools {
@@ -88,8 +90,9 @@
 	return false
 }
 
-// shareOnFastestMachine is a task's load on the fastest schedulable machine that can carry it
-// at all.
+// shareOnFastestMachine returns a task's load on the fastest schedulable machine that has all resources
+// the task needs, whether free or in use. It returns 0 if there is no such machine or if the task needs
+// no resources.
 func (x *Index) shareOnFastestMachine(task Size) float64 {
 	for i := len(x.poolsBySpeed) - 1; i >= 0; i-- {
 		p := x.pools[x.poolsBySpeed[i]]
@@ -100,7 +103,8 @@
 	return 0
 }
 
-// find names the slowest assignable machine that has room.
+// find returns the slowest machine that is assignable within the bounds and on which the task fits, or
+// noMachine.
 func (x *Index) find(r *Request, bounds loadBounds) int32 {
 	for from := 0; from < len(x.poolsBySpeed); {
 		to := x.endOfEqualSpeed(from)
@@ -112,7 +116,8 @@
 	return noMachine
 }
 
-// endOfEqualSpeed is where, in poolsBySpeed, the pools end that are as slow as the one at from.
+// endOfEqualSpeed returns the index in poolsBySpeed after the last pool whose machines are as slow as
+// those of the pool at from.
 func (x *Index) endOfEqualSpeed(from int) int {
 	slowest := x.pools[x.poolsBySpeed[from]].total
 	to := from + 1
@@ -122,7 +127,7 @@
 	return to
 }
 
-// findInPools is find for pools of machines of one speed.
+// findInPools is like find, for pools whose machines are equally slow.
 func (x *Index) findInPools(r *Request, pools []int, bounds loadBounds) int32 {
 	best := candidate{machine: noMachine}
 	for _, poolIndex := range pools {
@@ -144,19 +149,19 @@
 	return best.machine
 }
 
-// candidate is the best machine found so far: the one with the highest score, and the
-// lowest rank among equals.
+// candidate is the best machine found so far: the one with the highest score, and the lowest rank
+// among equal scores. The machine is noMachine if none was found.
 type candidate struct {
 	machine     int32
 	score, rank int
 }
 
-// canImprove tells whether a machine with some score could be better.
+// canImprove reports whether a machine with this score could be better than the candidate.
 func (c *candidate) canImprove(score int) bool {
 	return c.machine == noMachine || score >= c.score
 }
 
-// consider takes a machine if it is better.
+// consider replaces the candidate by the machine at a leaf if that is better.
 func (c *candidate) consider(p *pool, leaf, score int) {
 	if c.machine == noMachine || score > c.score || score == c.score && p.ranks[leaf] < c.rank {
 		c.machine, c.score, c.rank = p.machines[leaf], score, p.ranks[leaf]
--- a/internal/slowfit/place_bench_test.go
+++ b/internal/slowfit/place_bench_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// BenchmarkPlace places tasks on a cluster of six pools until hardly any machine has room, and
-// gives the room back.
+// BenchmarkPlace places tasks on a cluster of six pools. Whenever a task fits no machine, all resources
+// are freed.
 func BenchmarkPlace(b *testing.B) {
 	for _, machines := range []int{100, 1400, 10000} {
 		b.Run(fmt.Sprint(machines), func(b *testing.B) { benchmarkPlace(b, machines) })
--- a/internal/slowfit/place_test.go
+++ b/internal/slowfit/place_test.go
@@ -5,15 +5,17 @@
 	"testing"
 )
 
-// newMachine is a machine with four times as much memory as cores, all of it free.
-func newMachine(i int, cpus, free, load float64) scannedMachine {
-	return scannedMachine{Total: Size{CPUs: cpus, MemGB: cpus * 4}, Free: Size{CPUs: free, MemGB: cpus * 4}, Index: i, Allowed: true, Load: load}
+// newMachine returns a machine with 4 GB of memory per core. Of its cores, free are free, and so is all
+// of its memory.
+func newMachine(index int, cpus, free, load float64) scannedMachine {
+	return scannedMachine{Total: Size{CPUs: cpus, MemGB: cpus * 4}, Free: Size{CPUs: free, MemGB: cpus * 4}, Index: index, Allowed: true, Load: load}
 }
 
-// cores is a small task of some cores.
+// cores returns the size of a task with n cores and 1 GB of memory.
 func cores(n float64) Size { return Size{CPUs: n, MemGB: 1} }
 
-// TestPlace has cases that are worked out by hand from section 4 of the paper.
+// TestPlace checks the scan, with which the index is compared, on cases worked out from section 4 of
+// the paper.
 func TestPlace(t *testing.T) {
 	preferred := func(m scannedMachine) scannedMachine { m.Score = 1; return m }
 	excluded := func(m scannedMachine) scannedMachine { m.Allowed = false; return m }
@@ -26,40 +28,40 @@
 		wantL    float64
 		phases   uint32
 	}{
-		{"the first task sets L on the fastest machine, and only that one is assignable", Goal{C: 5},
+		{"the first task sets L to its load on the fastest machine, and only that machine is assignable", Goal{C: 5},
 			[]scannedMachine{newMachine(0, 4, 4, 0), newMachine(1, 16, 16, 0)}, cores(4), 1, 0.25, 0},
-		{"the fastest sets L even where it has no room", Goal{C: 5},
+		{"the fastest machine sets L even if the task doesn't fit into its free resources", Goal{C: 5},
 			[]scannedMachine{newMachine(0, 4, 4, 0), newMachine(1, 16, 0, 0)}, cores(2), 0, 0.5, 2},
-		{"the slowest assignable machine is taken", Goal{C: 5, L: 0.5},
+		{"the slowest assignable machine", Goal{C: 5, L: 0.5},
 			[]scannedMachine{newMachine(0, 16, 16, 0), newMachine(1, 8, 8, 0), newMachine(2, 4, 4, 0)}, cores(4), 1, 0.5, 0},
-		{"among equals the lowest index", Goal{C: 5, L: 1},
+		{"the lowest index among equally slow machines", Goal{C: 5, L: 1},
 			[]scannedMachine{newMachine(7, 8, 8, 0), newMachine(3, 8, 8, 0)}, cores(4), 1, 1, 0},
-		{"among equals one of a higher score", Goal{C: 5, L: 1},
+		{"the highest score among equally slow machines", Goal{C: 5, L: 1},
 			[]scannedMachine{preferred(newMachine(7, 8, 8, 0)), newMachine(3, 8, 8, 0)}, cores(4), 0, 1, 0},
-		{"score does not outweigh speed", Goal{C: 5, L: 1},
+		{"speed takes precedence over score", Goal{C: 5, L: 1},
 			[]scannedMachine{preferred(newMachine(0, 16, 16, 0)), newMachine(1, 8, 8, 0)}, cores(4), 1, 1, 0},
 		{"a machine at c times L is not assignable", Goal{C: 5, L: 0.125},
 			[]scannedMachine{newMachine(0, 8, 3, 0.625), newMachine(1, 8, 8, 0)}, cores(1), 1, 0.125, 0},
-		{"room but none assignable: L doubles until one is and old load counts as nothing", Goal{C: 5, L: 0.125},
+		{"the task fits but no machine is assignable: L doubles and earlier load counts as 0", Goal{C: 5, L: 0.125},
 			[]scannedMachine{newMachine(0, 8, 3, 0.625), newMachine(1, 8, 2, 0.625)}, cores(1), 0, 0.25, 1},
-		{"no room: the task waits and L stays", Goal{C: 5, L: 0.125},
+		{"the task fits no machine: L is unchanged", Goal{C: 5, L: 0.125},
 			[]scannedMachine{newMachine(0, 8, 0, 0.625), newMachine(1, 8, 0.5, 0)}, cores(1), -1, 0.125, 0},
-		{"free resources bound even an assignable machine", Goal{C: 5, L: 4},
+		{"an assignable machine with too few free resources is skipped", Goal{C: 5, L: 4},
 			[]scannedMachine{newMachine(0, 8, 1, 0), newMachine(1, 16, 16, 0)}, cores(2), 1, 4, 0},
 		{"a machine that the job may not use is skipped", Goal{C: 5, L: 1},
 			[]scannedMachine{excluded(newMachine(0, 4, 4, 0)), newMachine(1, 8, 8, 0)}, cores(1), 1, 1, 0},
 		{"memory counts when it is the larger share", Goal{C: 5, L: 0.25},
 			[]scannedMachine{newMachine(0, 4, 4, 0), newMachine(1, 16, 16, 0)}, Size{CPUs: 1, MemGB: 16}, 1, 0.25, 0},
-		{"nothing there at all", Goal{C: 5}, nil, cores(1), -1, 0, 0},
+		{"no machines", Goal{C: 5}, nil, cores(1), -1, 0, 0},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			g := c.goal
-			if got := scan(&g, c.machines, c.task); got != c.want {
-				t.Errorf("the scan places on %d, want %d", got, c.want)
+	for _, testCase := range cases {
+		t.Run(testCase.name, func(t *testing.T) {
+			g := testCase.goal
+			if got := scan(&g, testCase.machines, testCase.task); got != testCase.want {
+				t.Errorf("the scan selects machine %d, want %d", got, testCase.want)
 			}
-			if math.Abs(g.L-c.wantL) > 1e-9 || g.Phase != c.phases {
-				t.Errorf("L = %v in phase %d, want %v in %d", g.L, g.Phase, c.wantL, c.phases)
+			if math.Abs(g.L-testCase.wantL) > 1e-9 || g.Phase != testCase.phases {
+				t.Errorf("L = %v in phase %d, want %v in phase %d", g.L, g.Phase, testCase.wantL, testCase.phases)
 			}
 		})
 	}
--- a/internal/slowfit/pool.go
+++ b/internal/slowfit/pool.go
@@ -5,42 +5,42 @@
 	"slices"
 )
 
-// pool holds machines of one size. A binary tree over them, in their order, knows of each part
-// of the pool the most free resources and the least load, so that parts without a suitable
-// machine are passed over as a whole.
+// pool holds machines of one size. A binary tree over the machines, in their order, has for each
+// subtree the maximum free amount of each resource and the minimum load, so that a search skips
+// subtrees without a suitable machine.
 type pool struct {
 	total Size
-	// schedulable is how many machines take tasks.
+	// schedulable is the number of schedulable machines.
 	schedulable int
 	// leaves is the number of the tree's leaves, a power of two.
 	leaves int
-	// nodes has the tree's root at 1, the children of node i at 2i and 2i+1, and the leaves
-	// from index leaves on.
+	// nodes holds the tree: the root at 1, the children of node i at 2i and 2i+1, and the
+	// leaves from index leaves on.
 	nodes []node
-	// machines and ranks are by leaf. A machine that was removed is noMachine. Ranks are the
-	// order of joining, over all pools.
+	// machines and ranks are indexed by leaf. The entry of a removed machine is noMachine. Ranks
+	// increase in the order in which machines were added, across all pools.
 	machines []int32
 	ranks    []int
 }
 
-// minLeaves is the size of the smallest tree.
+// minLeaves is the number of leaves of the smallest tree.
 const minLeaves = 8
 
-// node sums up a part of a pool: the most free amount of each resource, the least load and all
-// the tags of its machines.
+// node summarizes the machines of a subtree: the maximum free amount of each resource, the minimum
+// load, and the union of their tags.
 type node struct {
 	free Size
 	load float64
 	tags uint64
 }
 
-// unschedulable is the node of a machine that takes no tasks: none fits it.
+// unschedulable is the leaf of an unschedulable machine. No task fits it.
 var unschedulable = node{free: Size{CPUs: -1, GPUs: -1, MemGB: -1}, load: math.Inf(1)}
 
-// isSchedulable tells whether some machine of the node's part takes tasks.
+// isSchedulable reports whether some machine of the subtree is schedulable.
 func (n *node) isSchedulable() bool { return !math.IsInf(n.load, 1) }
 
-// merge sums up two parts.
+// merge returns the parent node of two nodes.
 func merge(a, b *node) node {
 	return node{
 		free: Size{max(a.free.CPUs, b.free.CPUs), max(a.free.GPUs, b.free.GPUs), max(a.free.MemGB, b.free.MemGB)},
@@ -49,7 +49,7 @@
 	}
 }
 
-// add appends a machine, which takes no tasks yet, and returns its leaf.
+// add appends a machine as unschedulable and returns its leaf. The pool must not be full.
 func (p *pool) add(machine int32, rank int) (leaf int) {
 	leaf = len(p.machines)
 	p.machines = append(p.machines, machine)
@@ -58,7 +58,7 @@
 	return leaf
 }
 
-// setLeaf replaces a leaf and the nodes above it.
+// setLeaf replaces a leaf and updates the nodes above it.
 func (p *pool) setLeaf(leaf int, n node) {
 	i := p.leaves + leaf
 	if before, after := p.nodes[i].isSchedulable(), n.isSchedulable(); before && !after {
@@ -76,7 +76,7 @@
 	}
 }
 
-// resetLoads sets the loads of all machines that take tasks to 0.
+// resetLoads sets the loads of all schedulable machines to 0.
 func (p *pool) resetLoads() {
 	for leaf := range p.machines {
 		if n := &p.nodes[p.leaves+leaf]; n.isSchedulable() {
@@ -86,18 +86,18 @@
 	p.mergeAll()
 }
 
-// mergeAll computes all inner nodes from the leaves.
+// mergeAll recomputes all inner nodes from the leaves.
 func (p *pool) mergeAll() {
 	for i := p.leaves - 1; i > 0; i-- {
 		p.nodes[i] = merge(&p.nodes[2*i], &p.nodes[2*i+1])
 	}
 }
 
-// isFull tells whether there is no leaf for another machine.
+// isFull reports whether there is no leaf for another machine.
 func (p *pool) isFull() bool { return len(p.machines) == p.leaves }
 
-// grow makes room for another leaf: by dropping the leaves of machines that were removed, or
-// by doubling the tree. Machines change their leaves.
+// grow frees at least one leaf: it discards the leaves of removed machines and, if more than half of
+// the leaves are still in use, doubles the tree. The remaining machines move to other leaves.
 func (p *pool) grow() {
 	before := *p
 	var formerLeaves []int
--- a/internal/slowfit/query.go
+++ b/internal/slowfit/query.go
@@ -1,25 +1,23 @@
 package slowfit
 
-// root is the root of a pool's tree, noLeaf the result of a search that finds none.
 const (
-	root   = 1
-	noLeaf = -1
+	root   = 1  // index of the root of a pool's tree
+	noLeaf = -1 // result of a search that finds no leaf
 )
 
-// query is a search in one pool for the first machine that has room for a task.
+// query is a search in one pool for the first machine on which a task fits.
 type query struct {
 	pool    *pool
 	task    Size
-	maxLoad float64 // of the machine before it has the task
-	tags    uint64  // that the machine must have
-	// accepts, unless nil, excludes single machines.
-	accepts func(machine int32) bool
-	// visited counts the nodes that searches have visited.
-	visited *int
+	maxLoad float64                  // the machine's maximum load without the task
+	tags    uint64                   // tags that the machine must have
+	accepts func(machine int32) bool // nil if the task may use all machines of the pool
+	visited *int                     // incremented for each node visited
 }
 
-// improve has a candidate replaced by the first machine of the pool that has room, if that is
-// better. Machines that the request favours come before the others.
+// improve replaces a candidate by the first machine of the pool on which the task fits, if that machine
+// is better. Machines that the request prefers are considered before the others. score is the score of
+// the pool.
 func (q *query) improve(best *candidate, r *Request, score int) {
 	if r.hasPreference() && best.canImprove(score+r.PreferredBonus) {
 		favourites := *q
@@ -38,7 +36,7 @@
 	}
 }
 
-// firstLeaf is the first leaf below a node that satisfies the query, or noLeaf.
+// firstLeaf returns the first leaf in the subtree of node i that satisfies the query, or noLeaf.
 func (q *query) firstLeaf(i int) int {
 	*q.visited++
 	n := &q.pool.nodes[i]
--- a/internal/slowfit/scan_test.go
+++ b/internal/slowfit/scan_test.go
@@ -2,7 +2,7 @@
 
 import "math"
 
-// scannedMachine is a machine as the scan sees it.
+// scannedMachine is a machine as input of the scan.
 type scannedMachine struct {
 	Total, Free Size
 	Index       int
@@ -11,6 +11,7 @@
 	Load        float64
 }
 
+// slower orders machines by speed, slowest first, and then by index.
 func slower(a, b *scannedMachine) bool {
 	if order := a.Total.compareSpeed(b.Total); order != 0 {
 		return order < 0
@@ -18,8 +19,9 @@
 	return a.Index < b.Index
 }
 
-// scan places a task as the paper has it, by a scan of every machine. It is what the index is
-// compared with. It returns the place in the list, or -1.
+// scan places a task as the paper describes it, by a scan of all machines. It is the reference
+// implementation with which the index is compared. It returns the position in machines, or -1 if the
+// task fits none. It modifies the machines.
 func scan(g *Goal, machines []scannedMachine, task Size) int {
 	feasible := false
 	for i := range machines {
@@ -45,7 +47,8 @@
 	}
 }
 
-// fastestFor is the fastest machine that could carry a task if it were empty.
+// fastestFor returns the position of the fastest machine on which a task would fit if the machine were
+// empty, or -1.
 func fastestFor(machines []scannedMachine, task Size) int {
 	fastest := -1
 	for i := range machines {
@@ -56,7 +59,8 @@
 	return fastest
 }
 
-// slowestAssignable is the slowest machine that is assignable for a task and has room.
+// slowestAssignable returns the position of the slowest machine that is assignable for a task and on
+// which it fits, or -1.
 func slowestAssignable(g *Goal, machines []scannedMachine, task Size) int {
 	best := -1
 	for i := range machines {
@@ -72,7 +76,7 @@
 	return best
 }
 
-// comesBefore orders assignable machines: by speed, then score, then index.
+// comesBefore orders assignable machines by speed, then by score, then by index.
 func comesBefore(a, b *scannedMachine) bool {
 	if a.Total.compareSpeed(b.Total) == 0 && a.Score != b.Score {
 		return a.Score > b.Score
--- a/internal/slowfit/size_test.go
+++ b/internal/slowfit/size_test.go
@@ -5,6 +5,8 @@
 	"testing"
 )
 
+// TestShareAndSlots checks the load and the number of tasks of one size on a machine with 8 cores, no
+// GPU and 32 GB of memory.
 func TestShareAndSlots(t *testing.T) {
 	total := Size{CPUs: 8, GPUs: 0, MemGB: 32}
 	cases := []struct {
@@ -13,19 +15,19 @@
 		share float64
 		slots int
 	}{
-		{"cores are the larger share", Size{CPUs: 2, MemGB: 2}, 0.25, 4},
+		{"CPUs are the larger share", Size{CPUs: 2, MemGB: 2}, 0.25, 4},
 		{"memory is the larger share", Size{CPUs: 1, MemGB: 16}, 0.5, 2},
 		{"the machine lacks a resource", Size{CPUs: 1, GPUs: 1}, math.Inf(1), 0},
-		{"sums of decimals lose no slot", Size{CPUs: 0.1}, 0.0125, 80},
-		{"more than the machine has", Size{CPUs: 9}, 1.125, 0},
+		{"rounding errors of decimal amounts cost no slot", Size{CPUs: 0.1}, 0.0125, 80},
+		{"larger than the machine", Size{CPUs: 9}, 1.125, 0},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
-			if got := c.size.Share(total); got != c.share {
-				t.Errorf("%v takes a share of %v, want %v", c.size, got, c.share)
+	for _, testCase := range cases {
+		t.Run(testCase.name, func(t *testing.T) {
+			if got := testCase.size.Share(total); got != testCase.share {
+				t.Errorf("share of %v is %v, want %v", testCase.size, got, testCase.share)
 			}
-			if got := c.size.Slots(total); got != c.slots {
-				t.Errorf("%v fits %d times, want %d", c.size, got, c.slots)
+			if got := testCase.size.Slots(total); got != testCase.slots {
+				t.Errorf("%v fits %d times, want %d times", testCase.size, got, testCase.slots)
 			}
 		})
 	}
