--- a/internal/federation/mutants_test.go
+++ b/internal/federation/mutants_test.go
@@ -9,8 +9,9 @@
 )
 
 // mutants lists faulty variants of the source, each without one safeguard of transfers.
-// docs/operations-federation.md has the command that runs them. There is none without the check of
-// which cell has answered: the epoch alone tells the transfers of one job apart, whatever their cells.
+// docs/operations-federation.md has the command that runs them. None of them removes the check of
+// which cell has answered, since the epoch alone distinguishes the transfers of one job, even to
+// different cells.
 var mutants = []property.Mutant{
 	{Name: "an answer of another epoch is applied", File: "delegated_jobs.go", From: "|| t.record.Epoch != a.Epoch {", To: "{"},
 	{Name: "the offer is sent before the record is durable", File: "delegated_jobs.go", From: "body: body, startedAt: now, lastAnswerAt: now}\n	d.transfers[jobID] = t", To: "body: body, startedAt: now, lastAnswerAt: now, phase: phaseOffering}\n	d.transfers[jobID] = t"},
