--- a/internal/fake/addresses.go
+++ b/internal/fake/addresses.go
@@ -6,21 +6,22 @@
 	"testing"
 )
 
-// reservedAddresses are the addresses that were handed out: nothing listens there until a controller starts,
-// and the next search could find the same port.
+// reservedAddresses has the addresses returned so far as keys. Nothing listens on an address until
+// its controller starts, so the kernel could assign the same port a second time.
 var reservedAddresses sync.Map
 
-// ReserveAddresses finds free loopback addresses, each once in a test run. They are not on 127.0.0.1, where
-// a fake or a connection could take the port before the controller does.
-func ReserveAddresses(t testing.TB, n int) (addresses []string) {
+// ReserveAddresses returns free loopback addresses, each of them only once per test process. They
+// are on 127.7.0.1, because on 127.0.0.1 a fake or an outgoing connection could take the port
+// before the controller does.
+func ReserveAddresses(t testing.TB, count int) (addresses []string) {
 	t.Helper()
-	for len(addresses) < n {
-		l, err := net.Listen("tcp", "127.7.0.1:0")
+	for len(addresses) < count {
+		listener, err := net.Listen("tcp", "127.7.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
-		l.Close()
-		address := l.Addr().String()
+		listener.Close()
+		address := listener.Addr().String()
 		if _, taken := reservedAddresses.LoadOrStore(address, true); !taken {
 			addresses = append(addresses, address)
 		}
--- a/internal/fake/agent.go
+++ b/internal/fake/agent.go
@@ -12,36 +12,37 @@
 	"leadproxy/internal/wire"
 )
 
-// AgentConfig is what all workers of a cloud have in common.
+// AgentConfig is the configuration that all agents of a cloud share.
 type AgentConfig struct {
-	Controllers       []ControllerAddress             // the controllers
-	HeartbeatInterval time.Duration                   // between heartbeats
-	Lease             time.Duration                   // how long tasks stay without a response to a heartbeat
-	ImageFetchTime    time.Duration                   // how long fetching an image takes
-	RunTime           func(task string) time.Duration // how long a task runs
+	Controllers       []ControllerAddress
+	HeartbeatInterval time.Duration                   // mean time between heartbeats
+	Lease             time.Duration                   // how long tasks are kept without a response to a heartbeat
+	ImageFetchTime    time.Duration                   // duration of fetching an image
+	RunTime           func(task string) time.Duration // how long a task must run to complete
 	Checker           *Checker
-	// SlowCheckpoints makes tasks take flush_s to save a checkpoint; otherwise it is immediate.
+	// SlowCheckpoints makes saving a checkpoint take the job's flush_s; otherwise it takes no
+	// time.
 	SlowCheckpoints bool
-	// CommandFaults injects faults into commands.
+	// CommandFaults injects faults into requests to the agents; nil: none.
 	CommandFaults FaultInjector
 }
 
-// ControllerAddress is a controller's name and the address at which workers reach it.
+// ControllerAddress is a controller's name and the address at which agents reach it.
 type ControllerAddress struct{ Name, Addr string }
 
-// agentMachine is the machine of a worker.
+// agentMachine is the machine on which an agent runs.
 type agentMachine struct {
 	name    string
-	request wire.ScaleOutRequest // which it was created for
+	request wire.ScaleOutRequest // the request that created the machine
 	size    wire.MachineType
 }
 
-// Agent is a fake of a machine with its worker agent.
+// Agent is a fake of a machine and the agent on it.
 type Agent struct {
 	actor
 	agentMachine
 	config      AgentConfig
-	host        *Host // nil unless the network is in memory
+	host        *Host // nil unless the network is a Host
 	net         transport.Network
 	addr        string
 	closeServer func()
@@ -49,87 +50,87 @@
 	stop        context.CancelFunc
 	random      *rand.Rand
 
-	changeSignal    chan struct{} // holds one when something is to be reported at once
+	changeSignal    chan struct{} // of capacity one; a value causes an early heartbeat
 	agentEpoch      uint64
-	sequence        uint64
-	fencingToken    uint64    // the highest seen
+	sequence        uint64    // of the last heartbeat
+	fencingToken    uint64    // highest token received
 	leaseRenewedAt  time.Time // when the last heartbeat with a valid response was sent
 	tokenReportedAt time.Time // when a higher token last caused an early heartbeat
-	lastTick        time.Time
+	lastTick        time.Time // time up to which tasks have progressed
 	tasks           []*agentTask
-	knownAttempts   map[uint64]bool
-	imageReadyAt    map[string]time.Time
+	knownAttempts   map[uint64]bool      // attempts that were started and not forgotten
+	imageReadyAt    map[string]time.Time // end of the fetch of each image
 
-	hung                    chan struct{} // nil unless it hangs; closed when it resumes
+	hung                    chan struct{} // nil unless the machine hangs; closed when it resumes
 	inboundCut, outboundCut bool
-	duplicateDelay          func() time.Duration // of duplicate heartbeats; nil: none are sent
-	savedHeartbeat          []byte
+	duplicateDelay          func() time.Duration // delay of duplicate heartbeats; nil: none are sent
+	savedHeartbeat          []byte               // encoded; nil: none
 }
 
-// agentTickInterval is how often a worker advances its tasks and checks its lease.
+// agentTickInterval is the interval at which an agent advances its tasks and checks its lease.
 const agentTickInterval = 250 * time.Millisecond
 
-// newAgent starts the worker of a machine. Its random choices follow from the machine's name.
-func newAgent(t testing.TB, n transport.Network, addr string, machine agentMachine, config AgentConfig) *Agent {
+// newAgent starts the agent of a machine. The machine's name seeds its random choices.
+func newAgent(t testing.TB, network transport.Network, addr string, machine agentMachine, config AgentConfig) *Agent {
 	ctx, stop := context.WithCancel(t.Context())
 	seed := fnv.New64a()
 	seed.Write([]byte(machine.name))
 	now := time.Now()
-	w := &Agent{
-		actor: newActor(t), agentMachine: machine, config: config, net: n, ctx: ctx, stop: stop,
+	a := &Agent{
+		actor: newActor(t), agentMachine: machine, config: config, net: network, ctx: ctx, stop: stop,
 		random:     rand.New(rand.NewPCG(seed.Sum64(), 1)),
 		agentEpoch: 1, leaseRenewedAt: now, lastTick: now, changeSignal: make(chan struct{}, 1),
 		knownAttempts: map[uint64]bool{}, imageReadyAt: map[string]time.Time{},
 	}
-	w.host, _ = n.(*Host)
+	a.host, _ = network.(*Host)
 	mux := http.NewServeMux()
-	mux.HandleFunc("POST /commands", w.handleCommands)
-	mux.HandleFunc("GET /inspect", w.handleInspect)
-	w.addr, w.closeServer = startServer(t, n, addr, withFaults(ctx, mux, config.CommandFaults))
-	go w.runClock()
-	go w.sendHeartbeats()
-	return w
+	mux.HandleFunc("POST /commands", a.handleCommands)
+	mux.HandleFunc("GET /inspect", a.handleInspect)
+	a.addr, a.closeServer = startServer(t, network, addr, withFaults(ctx, mux, config.CommandFaults))
+	go a.runClock()
+	go a.sendHeartbeats()
+	return a
 }
 
-// Addr is the address at which it takes commands.
-func (w *Agent) Addr() string { return w.addr }
+// Addr returns the address on which the agent accepts commands.
+func (a *Agent) Addr() string { return a.addr }
 
-// Name is the machine's name.
-func (w *Agent) Name() string { return w.name }
+// Name returns the machine's name.
+func (a *Agent) Name() string { return a.name }
 
-// Zone is the machine's zone.
-func (w *Agent) Zone() string { return w.request.Zone }
+// Zone returns the machine's zone.
+func (a *Agent) Zone() string { return a.request.Zone }
 
-// Kill ends the machine with everything on it.
-func (w *Agent) Kill() {
-	w.stop()
-	w.do(w.endAllTasks)
-	if w.host != nil {
-		w.host.Kill()
+// Kill ends the machine and all tasks on it. It must be called only once.
+func (a *Agent) Kill() {
+	a.stop()
+	a.do(a.endAllTasks)
+	if a.host != nil {
+		a.host.Kill()
 	}
-	w.closeServer()
+	a.closeServer()
 }
 
-// Reboot restarts the machine at once: everything on it is lost, and its worker starts again with
-// the first agent epoch and sequence number.
-func (w *Agent) Reboot() {
-	w.do(func() {
-		w.endAllTasks()
-		w.agentEpoch, w.sequence, w.fencingToken = 1, 0, 0
-		w.leaseRenewedAt, w.tokenReportedAt = time.Now(), time.Time{}
-		w.signalChange()
-		w.imageReadyAt = map[string]time.Time{}
+// Reboot restarts the machine immediately: its tasks and images are lost, and its agent restarts
+// with the first agent epoch and sequence number.
+func (a *Agent) Reboot() {
+	a.do(func() {
+		a.endAllTasks()
+		a.agentEpoch, a.sequence, a.fencingToken = 1, 0, 0
+		a.leaseRenewedAt, a.tokenReportedAt = time.Now(), time.Time{}
+		a.signalChange()
+		a.imageReadyAt = map[string]time.Time{}
 	})
 }
 
-// freeCapacity is what the machine has free. It is valid if the machine works and has lately been
-// in contact with a controller.
-func (w *Agent) freeCapacity() (free FreeCapacity, valid bool) {
-	w.do(func() {
-		connected := !w.inboundCut && !w.outboundCut && time.Since(w.leaseRenewedAt) < 2*w.config.HeartbeatInterval+time.Second
-		valid = w.ctx.Err() == nil && w.hung == nil && connected
-		free = FreeCapacity{Type: w.request.Type, Zone: w.request.Zone, Spot: w.request.Spot, CPUs: w.size.CPUs, MemGB: w.size.MemGB}
-		for _, t := range w.tasks {
+// freeCapacity returns the machine's free capacity. It is valid only if the machine is healthy and
+// a controller has recently responded to a heartbeat.
+func (a *Agent) freeCapacity() (free FreeCapacity, valid bool) {
+	a.do(func() {
+		connected := !a.inboundCut && !a.outboundCut && time.Since(a.leaseRenewedAt) < 2*a.config.HeartbeatInterval+time.Second
+		valid = a.ctx.Err() == nil && a.hung == nil && connected
+		free = FreeCapacity{Type: a.request.Type, Zone: a.request.Zone, Spot: a.request.Spot, CPUs: a.size.CPUs, MemGB: a.size.MemGB}
+		for _, t := range a.tasks {
 			if t.Status != wire.TaskEnded {
 				free.CPUs -= t.job.CPUs
 				free.MemGB -= t.job.MemGB
@@ -139,37 +140,38 @@
 	return free, valid
 }
 
-// expireLease ends all tasks and begins a new agent epoch if the lease has expired.
-func (w *Agent) expireLease() {
-	if time.Since(w.leaseRenewedAt) > w.config.Lease {
-		w.endAllTasks()
-		w.agentEpoch++
-		w.sequence, w.leaseRenewedAt = 0, time.Now()
-		w.signalChange()
+// expireLease checks the lease: if it has expired, all tasks end and a new agent epoch begins.
+func (a *Agent) expireLease() {
+	if time.Since(a.leaseRenewedAt) > a.config.Lease {
+		a.endAllTasks()
+		a.agentEpoch++
+		a.sequence, a.leaseRenewedAt = 0, time.Now()
+		a.signalChange()
 	}
 }
 
-// runClock advances the worker with the passing of time.
-func (w *Agent) runClock() {
+// runClock calls tick periodically until the machine ends.
+func (a *Agent) runClock() {
 	tick := time.NewTicker(agentTickInterval)
 	defer tick.Stop()
 	for {
 		select {
 		case <-tick.C:
-			w.do(w.tick)
-		case <-w.ctx.Done():
+			a.do(a.tick)
+		case <-a.ctx.Done():
 			return
 		}
 	}
 }
 
-func (w *Agent) tick() {
+// tick checks the lease and advances the tasks.
+func (a *Agent) tick() {
 	switch {
-	case w.ctx.Err() != nil:
-	case w.hung == nil:
-		w.expireLease()
-		w.advanceTasks()
-	case time.Since(w.leaseRenewedAt) > w.config.Lease:
-		w.endAllTasks() // it will find its lease expired when it resumes, and not run these
+	case a.ctx.Err() != nil:
+	case a.hung == nil:
+		a.expireLease()
+		a.advanceTasks()
+	case time.Since(a.leaseRenewedAt) > a.config.Lease:
+		a.endAllTasks() // they can't continue: the lease will have expired when the machine resumes
 	}
 }
--- a/internal/fake/agent_commands.go
+++ b/internal/fake/agent_commands.go
@@ -10,78 +10,78 @@
 	"leadproxy/internal/wire"
 )
 
-func (w *Agent) handleCommands(rw http.ResponseWriter, r *http.Request) {
+func (a *Agent) handleCommands(w http.ResponseWriter, r *http.Request) {
 	var request wire.CommandRequest
 	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
-		writeJSON(rw, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
+		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
-	if !w.awaitReachable(r.Context()) {
+	if !a.awaitReachable(r.Context()) {
 		return
 	}
-	transport.Pause(w.ctx, time.Millisecond)
+	transport.Pause(a.ctx, time.Millisecond)
 	status := http.StatusOK
 	var heartbeat wire.Heartbeat
-	w.do(func() {
-		if w.ctx.Err() != nil || request.FencingToken < w.fencingToken || request.AgentEpoch != w.agentEpoch {
+	a.do(func() {
+		if a.ctx.Err() != nil || request.FencingToken < a.fencingToken || request.AgentEpoch != a.agentEpoch {
 			status = http.StatusConflict
 		} else {
-			w.raiseFencingToken(request.FencingToken)
-			w.executeCommands(request.Commands)
+			a.raiseFencingToken(request.FencingToken)
+			a.executeCommands(request.Commands)
 		}
-		heartbeat = w.newHeartbeat()
+		heartbeat = a.newHeartbeat()
 	})
-	writeJSON(rw, status, heartbeat)
+	writeJSON(w, status, heartbeat)
 }
 
-func (w *Agent) handleInspect(rw http.ResponseWriter, r *http.Request) {
-	if !w.awaitReachable(r.Context()) {
+func (a *Agent) handleInspect(w http.ResponseWriter, r *http.Request) {
+	if !a.awaitReachable(r.Context()) {
 		return
 	}
 	var heartbeat wire.Heartbeat
-	w.do(func() { heartbeat = w.newHeartbeat() })
-	writeJSON(rw, http.StatusOK, heartbeat)
+	a.do(func() { heartbeat = a.newHeartbeat() })
+	writeJSON(w, http.StatusOK, heartbeat)
 }
 
-// executeCommands executes commands, on the actor.
-func (w *Agent) executeCommands(commands []wire.Command) {
+// executeCommands executes commands in order. It runs on the actor.
+func (a *Agent) executeCommands(commands []wire.Command) {
 	for _, command := range commands {
 		switch command.Verb {
 		case wire.VerbStart:
-			w.startTask(command)
+			a.startTask(command)
 		case wire.VerbStop:
-			for _, t := range w.tasks {
+			for _, t := range a.tasks {
 				if t.Task == command.Task && t.Attempt == command.Attempt {
-					w.stopTask(t, command)
+					a.stopTask(t, command)
 				}
 			}
 		case wire.VerbForget:
-			w.forgetTask(command)
+			a.forgetTask(command)
 		}
 	}
 }
 
-// forgetTask removes an attempt that has ended.
-func (w *Agent) forgetTask(command wire.Command) {
-	w.tasks = slices.DeleteFunc(w.tasks, func(t *agentTask) bool {
+// forgetTask removes an attempt if it has ended, so that heartbeats no longer list it.
+func (a *Agent) forgetTask(command wire.Command) {
+	a.tasks = slices.DeleteFunc(a.tasks, func(t *agentTask) bool {
 		forget := t.Task == command.Task && t.Attempt == command.Attempt && t.Status == wire.TaskEnded
 		if forget {
-			delete(w.knownAttempts, command.Attempt)
-			w.signalChange()
+			delete(a.knownAttempts, command.Attempt)
+			a.signalChange()
 		}
 		return forget
 	})
 }
 
-// raiseFencingTokenIfDue records a fencing token if it is higher than all before. That causes an early
-// heartbeat at most once per half a lease.
-func (w *Agent) raiseFencingToken(token uint64) {
-	if token <= w.fencingToken {
+// raiseFencingToken records a fencing token if it is higher than all previous ones. A higher token
+// causes an early heartbeat, at most once per half a lease.
+func (a *Agent) raiseFencingToken(token uint64) {
+	if token <= a.fencingToken {
 		return
 	}
-	w.fencingToken = token
-	if time.Since(w.tokenReportedAt) >= w.config.Lease/2 {
-		w.tokenReportedAt = time.Now()
-		w.signalChange()
+	a.fencingToken = token
+	if time.Since(a.tokenReportedAt) >= a.config.Lease/2 {
+		a.tokenReportedAt = time.Now()
+		a.signalChange()
 	}
 }
--- a/internal/fake/agent_faults.go
+++ b/internal/fake/agent_faults.go
@@ -5,75 +5,79 @@
 	"time"
 )
 
-// SetHung makes the machine stand still, or resumes it.
-func (w *Agent) SetHung(on bool) {
-	w.do(func() {
+// SetHung makes the machine hang or resumes it. While it hangs its tasks make no progress, and it
+// neither sends nor processes messages. If the lease expires meanwhile, the tasks end, and a new
+// agent epoch begins when the machine resumes.
+func (a *Agent) SetHung(on bool) {
+	a.do(func() {
 		switch {
-		case on && w.hung == nil:
-			w.advanceTasks()
-			w.hung = make(chan struct{})
-		case !on && w.hung != nil:
-			close(w.hung)
-			w.hung = nil
-			w.lastTick = time.Now()
-			w.expireLease()
+		case on && a.hung == nil:
+			a.advanceTasks()
+			a.hung = make(chan struct{})
+		case !on && a.hung != nil:
+			close(a.hung)
+			a.hung = nil
+			a.lastTick = time.Now()
+			a.expireLease()
 		}
 	})
 }
 
-// SetInboundCut lets the machine's heartbeats arrive while responses and commands to it are lost.
-func (w *Agent) SetInboundCut(on bool) { w.do(func() { w.inboundCut = on }) }
+// SetInboundCut sets whether messages to the machine are lost: responses to heartbeats, and
+// commands. Its heartbeats still arrive.
+func (a *Agent) SetInboundCut(on bool) { a.do(func() { a.inboundCut = on }) }
 
-// SetOutboundCut makes all controllers unreachable for the machine while commands still reach it.
-func (w *Agent) SetOutboundCut(on bool) { w.do(func() { w.outboundCut = on }) }
+// SetOutboundCut sets whether the machine can reach no controller. Commands still reach the
+// machine.
+func (a *Agent) SetOutboundCut(on bool) { a.do(func() { a.outboundCut = on }) }
 
-// DuplicateHeartbeats makes a copy of each heartbeat arrive again after a delay; nil ends that.
-func (w *Agent) DuplicateHeartbeats(delay func() time.Duration) {
-	w.do(func() { w.duplicateDelay = delay })
+// DuplicateHeartbeats makes the agent send a copy of each heartbeat after a delay; nil stops it.
+func (a *Agent) DuplicateHeartbeats(delay func() time.Duration) {
+	a.do(func() { a.duplicateDelay = delay })
 }
 
-// SaveHeartbeat saves a copy of the current heartbeat, which can be replayed later.
-func (w *Agent) SaveHeartbeat() {
-	w.do(func() { w.savedHeartbeat = w.encodeHeartbeat(w.newHeartbeat()) })
+// SaveHeartbeat saves a heartbeat with the current state for ReplayHeartbeat.
+func (a *Agent) SaveHeartbeat() {
+	a.do(func() { a.savedHeartbeat = a.encodeHeartbeat(a.newHeartbeat()) })
 }
 
-// ReplayHeartbeat sends the saved heartbeat to all controllers.
-func (w *Agent) ReplayHeartbeat() {
+// ReplayHeartbeat sends the saved heartbeat, if any, to all controllers.
+func (a *Agent) ReplayHeartbeat() {
 	var body []byte
-	w.do(func() { body = w.savedHeartbeat })
+	a.do(func() { body = a.savedHeartbeat })
 	if body == nil {
 		return
 	}
-	for _, controller := range w.config.Controllers {
-		go w.postHeartbeat(controller.Addr, body)
+	for _, controller := range a.config.Controllers {
+		go a.postHeartbeat(controller.Addr, body)
 	}
 }
 
-// awaitReachable waits while the machine hangs and reports whether a message that was sent to it
-// arrives.
-func (w *Agent) awaitReachable(ctx context.Context) bool {
+// awaitReachable blocks while the machine hangs, and then reports whether a message to it arrives.
+// While inbound messages are cut it blocks until ctx ends and returns false.
+func (a *Agent) awaitReachable(ctx context.Context) bool {
 	for {
 		var hung chan struct{}
 		var inboundCut bool
-		w.do(func() { hung, inboundCut = w.hung, w.inboundCut })
+		a.do(func() { hung, inboundCut = a.hung, a.inboundCut })
 		switch {
 		case inboundCut:
 			<-ctx.Done()
 			return false
 		case hung == nil:
-			return w.ctx.Err() == nil
+			return a.ctx.Err() == nil
 		}
-		w.awaitResume(hung)
-		if w.ctx.Err() != nil {
+		a.awaitResume(hung)
+		if a.ctx.Err() != nil {
 			return false
 		}
 	}
 }
 
-// awaitResume waits until a machine that hangs resumes or ends.
-func (w *Agent) awaitResume(hung chan struct{}) {
+// awaitResume blocks until a hung machine resumes or ends.
+func (a *Agent) awaitResume(hung chan struct{}) {
 	select {
 	case <-hung:
-	case <-w.ctx.Done():
+	case <-a.ctx.Done():
 	}
 }
--- a/internal/fake/await.go
+++ b/internal/fake/await.go
@@ -5,13 +5,14 @@
 	"time"
 )
 
-// WaitFor waits for a condition, and fails the test when it does not become true in time.
-func WaitFor(t testing.TB, what string, limit time.Duration, ok func() bool) {
+// WaitFor polls a condition until it is true, and fails the test if it is not true within the
+// timeout. The description names the condition in the failure message.
+func WaitFor(t testing.TB, description string, timeout time.Duration, condition func() bool) {
 	t.Helper()
-	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(100 * time.Millisecond) {
-		if ok() {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); time.Sleep(100 * time.Millisecond) {
+		if condition() {
 			return
 		}
 	}
-	t.Errorf("not within %s: %s", limit, what)
+	t.Errorf("condition not met within %s: %s", timeout, description)
 }
--- a/internal/fake/build.go
+++ b/internal/fake/build.go
@@ -6,7 +6,8 @@
 	"testing"
 )
 
-// BuildController compiles the controller of a source tree and returns the program's path.
+// BuildController compiles the controller from a source tree and returns the path of the
+// executable, which is deleted when the test ends.
 func BuildController(t testing.TB, tree string) string {
 	t.Helper()
 	program := filepath.Join(t.TempDir(), "leadproxy")
--- a/internal/fake/checker.go
+++ b/internal/fake/checker.go
@@ -9,45 +9,50 @@
 	"leadproxy/internal/wire"
 )
 
-// Limits are the bounds that the checker holds the service to.
+// Limits are the bounds that a Checker enforces.
 type Limits struct {
-	CancelDeadline time.Duration      // no task of a cancelled job may run later than this after the confirmation
+	// CancelDeadline is how long tasks of a job may still run after its cancellation was
+	// confirmed to a user.
+	CancelDeadline time.Duration
 	TeamCPULimits  map[string]float64 // CPU limit of each team; no entry: unlimited
-	// MaxWaiting is how long a job may wait without faults while there is free capacity for it, and
-	// Silent how long all requests about a job may stay unanswered.
+	// MaxWaiting is how long a job may wait while there is free capacity for it, and
+	// MaxUnanswered how long all requests about a job may remain unanswered. Both apply to
+	// periods without faults.
 	MaxWaiting, MaxUnanswered time.Duration
-	// RetryAllowed reports whether jobs of a class may run again after a run of unknown outcome;
-	// nil: none may.
+	// RetryAllowed reports whether tasks of a job class may run again while the outcome of an
+	// earlier run is unknown, so that two runs can overlap; nil: no class may.
 	RetryAllowed func(class string) bool
 }
 
-// Checker compares the responses that users got and the tasks that machines ran with the
-// invariants of the protocol. It knows the true state of everything, which the service can't.
+// Checker checks the responses that users received and the tasks that machines ran against the
+// invariants of the service. Unlike the service it knows the true state of every task.
 type Checker struct {
 	actor
 	limits     Limits
-	jobs       map[string]*checkedJob
-	running    map[string]Location // by task
+	jobs       map[string]*checkedJob // by job ID
+	running    map[string]Location    // by task
 	violations []string
-	// lateStarts counts task starts after the cancellation was confirmed. The start command may have
-	// been in flight then, so that they are a violation only after the limit for cancellations.
+	// lateStarts counts task starts after the cancellation of the job was confirmed. The start
+	// command may have been in flight at that time, so such a start is a violation only after
+	// CancelDeadline.
 	lateStarts  int
 	runs        []TaskRun
-	checkpoints map[string]time.Duration // saved progress of stopped tasks
+	checkpoints map[string]time.Duration // saved progress of stopped tasks, by task
 }
 
-// checkedJob is what the checker knows of one job.
+// checkedJob is the state that the checker keeps for one submitted job. Times are zero if the event
+// has not happened.
 type checkedJob struct {
 	job               *wire.Job
-	runnable          bool
-	acceptedAt        time.Time // when the first response that accepts it arrived
-	cancelRequestedAt time.Time // when a user first requested its cancellation
-	terminalStatus    string    // as a user was told; empty: not yet
-	terminalAt        time.Time // when a user was first told
-	unansweredSince   time.Time // when the first request since the last response was sent
+	runnable          bool      // the service must accept it
+	acceptedAt        time.Time // first response that accepted it
+	cancelRequestedAt time.Time // first cancellation request of a user
+	terminalStatus    string    // first terminal status in a response; empty: none yet
+	terminalAt        time.Time // response with that status
+	unansweredSince   time.Time // first request since the last response
 	lastRequestAt     time.Time
-	completed         map[string]bool // its tasks that have completed
-	schedulableSince  time.Time       // since when it has waited although there was free capacity
+	completed         map[string]bool // tasks that have completed
+	schedulableSince  time.Time       // start of the current wait despite free capacity
 }
 
 // Location is the machine that a task runs on.
@@ -58,15 +63,16 @@
 	Spot        bool
 }
 
-// NewChecker starts a checker that lives as long as the test.
-func NewChecker(t testing.TB, l Limits) *Checker {
+// NewChecker starts a checker that runs until the test ends.
+func NewChecker(t testing.TB, limits Limits) *Checker {
 	return &Checker{
-		actor: newActor(t), limits: l,
+		actor: newActor(t), limits: limits,
 		jobs: map[string]*checkedJob{}, running: map[string]Location{}, checkpoints: map[string]time.Duration{},
 	}
 }
 
-// Violations lists the violations so far in order, each with the name of its invariant first.
+// Violations lists the violations so far in order of detection, each as the name of the invariant,
+// a colon and the details.
 func (c *Checker) Violations() (violations []string) {
 	c.do(func() { violations = slices.Clone(c.violations) })
 	return violations
@@ -77,8 +83,8 @@
 	c.violations = append(c.violations, invariant+": "+fmt.Sprintf(format, args...))
 }
 
-// Job returns the submitted job of an ID; nil: there is none. Workers look up here what a task
-// needs.
+// Job returns the submitted job with an ID, or nil if there is none. Agents look up the resources
+// of a task here.
 func (c *Checker) Job(jobID string) (job *wire.Job) {
 	c.do(func() {
 		if j := c.jobs[jobID]; j != nil {
@@ -88,7 +94,7 @@
 	return job
 }
 
-// OpenJobs lists the accepted jobs of which no user has been told a terminal status.
+// OpenJobs lists the accepted jobs for which no response has had a terminal status, sorted by ID.
 func (c *Checker) OpenJobs() (jobIDs []string) {
 	c.do(func() {
 		for jobID, j := range c.jobs {
@@ -101,7 +107,8 @@
 	return jobIDs
 }
 
-// TaskCounts counts the tasks of a job, or of all jobs with "", that are running and that have completed.
+// TaskCounts returns how many tasks of a job are running and how many have completed; with an empty
+// ID, of all jobs.
 func (c *Checker) TaskCounts(jobID string) (running, completed int) {
 	c.do(func() {
 		for task := range c.running {
--- a/internal/fake/checker_cancellation_test.go
+++ b/internal/fake/checker_cancellation_test.go
@@ -7,21 +7,23 @@
 	"leadproxy/internal/wire"
 )
 
+// The checker must detect tasks that run after their job's cancellation was confirmed, and must not
+// report tasks that end within the cancel deadline.
 func TestCheckerCancellation(t *testing.T) {
 	testChecker(t, []checkerCase{
-		{"a task runs on long after the cancellation", "ran_cancelled", func(s *scenario) {
+		{"a task still runs after the cancel deadline", "ran_cancelled", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.startTask("job-1/0", "m1", "a")
 			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(41 * time.Second)
 			s.CheckInvariants(time.Time{}, nil)
 		}},
-		{"a lease renewed without the stop of a cancelled task", "renewed_without_stop", func(s *scenario) {
+		{"a response renews the lease and does not stop a cancelled task", "renewed_without_stop", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			s.RecordLeaseRenewal("m1", time.Now(), []wire.TaskStatus{{Task: "job-1/0", Attempt: 1, Status: wire.TaskRunning}}, nil)
 		}},
-		{"a lease renewed with the stops of cancelled tasks, and by earlier heartbeats", "", func(s *scenario) {
+		{"a response stops the cancelled task, an earlier heartbeat's response does not", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			before := time.Now()
 			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
@@ -29,7 +31,7 @@
 			s.RecordLeaseRenewal("m1", before, tasks, nil)
 			s.RecordLeaseRenewal("m1", time.Now(), tasks, []wire.Command{{Verb: wire.VerbStop, Task: "job-1/0", Attempt: 1}})
 		}},
-		{"a task ends late after the cancellation", "ran_cancelled", func(s *scenario) {
+		{"a task ends after the cancel deadline", "ran_cancelled", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.startTask("job-1/0", "m1", "a")
 			s.respond(RequestStatus, "job-1", 200, wire.JobQueued)
@@ -37,14 +39,14 @@
 			time.Sleep(41 * time.Second)
 			s.RecordTaskEnd("job-1/0", "m1", false)
 		}},
-		{"a task ends in time after the cancellation", "", func(s *scenario) {
+		{"a task ends within the cancel deadline", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.startTask("job-1/0", "m1", "a")
 			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(39 * time.Second)
 			s.RecordTaskEnd("job-1/0", "m1", false)
 		}},
-		{"a task starts long after the cancellation", "ran_cancelled", func(s *scenario) {
+		{"a task starts after the cancel deadline", "ran_cancelled", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			time.Sleep(41 * time.Second)
--- a/internal/fake/checker_dependencies.go
+++ b/internal/fake/checker_dependencies.go
@@ -7,7 +7,8 @@
 	"leadproxy/internal/wire"
 )
 
-// forEachDependency calls f for all jobs that a job depends on, directly or transitively.
+// forEachDependency calls f once for each submitted job that j depends on, directly or
+// transitively.
 func (c *Checker) forEachDependency(j *checkedJob, f func(jobID string, dependency *checkedJob)) {
 	visited := map[string]bool{}
 	queue := slices.Clone(j.job.DependsOn)
@@ -22,7 +23,7 @@
 	}
 }
 
-// dependenciesDone reports whether all dependencies of a job are done.
+// dependenciesDone reports whether all tasks of all dependencies of a job have completed.
 func (c *Checker) dependenciesDone(j *checkedJob) bool {
 	done := true
 	c.forEachDependency(j, func(_ string, dependency *checkedJob) {
@@ -31,8 +32,8 @@
 	return done
 }
 
-// cancelledDependency returns the dependency of a job that was first told as cancelled, and when;
-// "": there is none.
+// cancelledDependency returns the dependency of a job whose cancellation was confirmed first, and
+// when; "" if no dependency is cancelled.
 func (c *Checker) cancelledDependency(j *checkedJob) (first string, since time.Time) {
 	c.forEachDependency(j, func(jobID string, dependency *checkedJob) {
 		if dependency.terminalStatus == wire.JobCancelled && (first == "" || dependency.terminalAt.Before(since)) {
@@ -42,7 +43,7 @@
 	return first, since
 }
 
-// handleCancelRequest reports whether a user has requested to cancel a job or one of its
+// cancelRequested reports whether a user has requested the cancellation of a job or of one of its
 // dependencies.
 func (c *Checker) cancelRequested(j *checkedJob) bool {
 	requested := !j.cancelRequestedAt.IsZero()
--- a/internal/fake/checker_dependencies_test.go
+++ b/internal/fake/checker_dependencies_test.go
@@ -7,6 +7,8 @@
 	"leadproxy/internal/wire"
 )
 
+// The checker must detect tasks that start before their dependencies are done, and must follow
+// cancellations from a job to its direct and transitive dependents, not the other way.
 func TestCheckerDependencies(t *testing.T) {
 	zone := "b"
 	testChecker(t, []checkerCase{
@@ -22,13 +24,13 @@
 			s.submit("job-3", 1, func(j *wire.Job) { j.DependsOn = []string{"job-2"} })
 			s.runTask("job-3/0", "m1")
 		}},
-		{"a task starts when the dependency is done", "", func(s *scenario) {
+		{"a task starts after its dependency is done", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
 			s.runTask("job-1/0", "m1")
 			s.runTask("job-2/0", "m1")
 		}},
-		{"queued long after a dependency was cancelled", "orphaned", func(s *scenario) {
+		{"a job is queued long after the cancellation of its transitive dependency", "orphaned", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
 			s.submit("job-3", 1, func(j *wire.Job) { j.DependsOn = []string{"job-2"} })
@@ -36,25 +38,25 @@
 			time.Sleep(41 * time.Second)
 			s.respond(RequestStatus, "job-3", 200, wire.JobQueued)
 		}},
-		{"cancelled with its dependency", "", func(s *scenario) {
+		{"a job becomes cancelled after its dependency", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
 			s.respond(RequestCancel, "job-1", 200, wire.JobCancelled)
 			s.respond(RequestStatus, "job-2", 200, wire.JobQueued)
 			s.respond(RequestStatus, "job-2", 200, wire.JobCancelled)
 		}},
-		{"cancelled with a job that depends on it", "went_back", func(s *scenario) {
+		{"a job becomes cancelled after a job that depends on it", "went_back", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
 			s.respond(RequestCancel, "job-2", 200, wire.JobCancelled)
 			s.respond(RequestStatus, "job-1", 200, wire.JobCancelled)
 		}},
-		{"waits for a dependency although there is free capacity", "", func(s *scenario) {
+		{"a job waits for its dependency despite free capacity", "", func(s *scenario) {
 			s.submit("job-1", 1, func(j *wire.Job) { j.Zone = &zone })
 			s.submit("job-2", 1, func(j *wire.Job) { j.DependsOn = []string{"job-1"} })
-			calm := time.Now()
+			faultFreeSince := time.Now()
 			for range 30 {
-				s.CheckInvariants(calm, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 2, MemGB: 2}})
+				s.CheckInvariants(faultFreeSince, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 2, MemGB: 2}})
 				time.Sleep(10 * time.Second)
 			}
 		}},
--- a/internal/fake/checker_liveness_test.go
+++ b/internal/fake/checker_liveness_test.go
@@ -7,34 +7,36 @@
 	"leadproxy/internal/wire"
 )
 
+// The checker must detect a job that waits despite free capacity, and must not report jobs that
+// wait for capacity or because of their team's limit.
 func TestCheckerWaiting(t *testing.T) {
 	zone := "b"
 	testChecker(t, []checkerCase{
-		{"waits although there is free capacity", "left_waiting", func(s *scenario) {
+		{"a job waits despite free capacity", "left_waiting", func(s *scenario) {
 			s.submit("job-1", 1, nil)
-			calm := time.Now()
+			faultFreeSince := time.Now()
 			for range 11 {
-				s.CheckInvariants(calm, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 2, MemGB: 2}})
+				s.CheckInvariants(faultFreeSince, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 2, MemGB: 2}})
 				time.Sleep(10 * time.Second)
 			}
 		}},
-		{"waits without free capacity", "", func(s *scenario) {
+		{"jobs wait without free capacity that they can use", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.submit("job-2", 1, func(j *wire.Job) { j.Zone = &zone })
 			s.submit("job-3", 1, func(j *wire.Job) { j.Spot = false })
-			calm := time.Now()
+			faultFreeSince := time.Now()
 			for range 30 {
-				s.CheckInvariants(calm, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 1, MemGB: 2, Spot: true}, {Type: "m", Zone: "a", CPUs: 2, Spot: true}})
+				s.CheckInvariants(faultFreeSince, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 1, MemGB: 2, Spot: true}, {Type: "m", Zone: "a", CPUs: 2, Spot: true}})
 				time.Sleep(10 * time.Second)
 			}
 		}},
-		{"waits since its team is at its limit", "", func(s *scenario) {
+		{"a job waits because its team has reached its CPU limit", "", func(s *scenario) {
 			s.submit("job-1", 3, nil)
 			s.startTask("job-1/0", "m1", "a")
 			s.startTask("job-1/1", "m1", "a")
-			calm := time.Now()
+			faultFreeSince := time.Now()
 			for range 30 {
-				s.CheckInvariants(calm, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 20, MemGB: 20}})
+				s.CheckInvariants(faultFreeSince, []FreeCapacity{{Type: "m", Zone: "a", CPUs: 20, MemGB: 20}})
 				time.Sleep(10 * time.Second)
 			}
 		}},
--- a/internal/fake/checker_placement.go
+++ b/internal/fake/checker_placement.go
@@ -7,7 +7,7 @@
 	"leadproxy/internal/wire"
 )
 
-// checkPlacement checks that the machine where a task starts suits its job.
+// checkPlacement checks that the machine on which a task starts meets its job's constraints.
 func (c *Checker) checkPlacement(task string, job *wire.Job, l Location) {
 	mismatch := l.mismatch(job)
 	if zone := c.zoneMismatch(task, job, l); zone != "" {
@@ -18,8 +18,8 @@
 	}
 }
 
-// mismatch says which of a job's constraints on machines a location does not meet; "": it meets
-// all.
+// mismatch returns the property of a machine that violates the job's constraint on machine type,
+// zone or spot machines, or "" if it meets all of them.
 func (l Location) mismatch(job *wire.Job) string {
 	switch {
 	case job.Types != nil && !slices.Contains(job.Types, l.MachineType):
@@ -32,18 +32,19 @@
 	return ""
 }
 
-// zoneMismatch says how a task's zone violates gang scheduling (all tasks in one zone) or spread
-// (at most half of them, rounded up, in one); "": it does not.
+// zoneMismatch describes how the zone of a new task violates its job's gang constraint (all running
+// tasks in one zone) or spread constraint (at most half of the job's tasks, rounded up, in one
+// zone). It returns "" if there is no violation.
 func (c *Checker) zoneMismatch(task string, job *wire.Job, l Location) (mismatch string) {
 	inZone := 1
-	for other, at := range c.running {
+	for other, otherLocation := range c.running {
 		if wire.JobIDOfTask(other) != job.ID || other == task {
 			continue
 		}
-		if at.Zone == l.Zone {
+		if otherLocation.Zone == l.Zone {
 			inZone++
 		} else if job.Gang {
-			mismatch = "zone " + l.Zone + " while another task is in " + at.Zone
+			mismatch = "zone " + l.Zone + " while another task is in " + otherLocation.Zone
 		}
 	}
 	if job.Spread && inZone > (job.Tasks+1)/2 {
@@ -52,18 +53,21 @@
 	return mismatch
 }
 
-// checkQuota checks that a team's running tasks keep to its CPU limit.
+// cpuTolerance allows for rounding errors in sums of CPUs.
+const cpuTolerance = 1e-9
+
+// checkQuota checks that a team's running tasks are within its CPU limit.
 func (c *Checker) checkQuota(team string) {
 	limit := c.limits.TeamCPULimits[team]
 	if limit == 0 {
 		return
 	}
-	if used := c.usedCPUs(team); used > limit+1e-9 {
-		c.recordViolation(invariantQuota, "%s uses %v of %v", team, used, limit)
+	if used := c.usedCPUs(team); used > limit+cpuTolerance {
+		c.recordViolation(invariantQuota, "team %s uses %v CPUs, limit %v", team, used, limit)
 	}
 }
 
-// usedCPUs is the sum of the CPUs of a team's running tasks.
+// usedCPUs returns the sum of the CPUs of a team's running tasks.
 func (c *Checker) usedCPUs(team string) (cpus float64) {
 	for task := range c.running {
 		if j := c.jobs[wire.JobIDOfTask(task)]; j != nil && j.job.Team == team {
--- a/internal/fake/checker_requests.go
+++ b/internal/fake/checker_requests.go
@@ -7,7 +7,7 @@
 	"leadproxy/internal/wire"
 )
 
-// RequestKind is the kind of a user's request.
+// RequestKind is the operation that a user requests for a job.
 type RequestKind int
 
 // The kinds of requests.
@@ -17,7 +17,8 @@
 	RequestCancel
 )
 
-// RecordSubmission records that a user submits a job, and whether it can run.
+// RecordSubmission records that a user submits a job. runnable reports whether the job can ever
+// run, and so must be accepted.
 func (c *Checker) RecordSubmission(j *wire.Job, runnable bool) {
 	c.do(func() {
 		if c.jobs[j.ID] == nil {
@@ -35,7 +36,7 @@
 	})
 }
 
-// RecordRequest records that a user sends a request about a job.
+// RecordRequest records that a user sends a request of any kind about a job.
 func (c *Checker) RecordRequest(jobID string) {
 	c.do(func() {
 		if j := c.jobs[jobID]; j != nil {
@@ -47,8 +48,8 @@
 	})
 }
 
-// RecordResponse records the response to a user's request: when the request was sent, the status
-// code and the job's status in the body.
+// RecordResponse records the response to a user's request and checks it. sentAt is when the request
+// was sent, code the HTTP status code, and status the job's status in the body.
 func (c *Checker) RecordResponse(kind RequestKind, jobID string, sentAt time.Time, code int, status string) {
 	c.do(func() {
 		now := time.Now()
@@ -59,8 +60,8 @@
 			}
 			return
 		}
-		// A request takes time to arrive: a response that came in the moment when this request
-		// was sent preceded it.
+		// A request takes time to arrive, so a response received at the very time at which
+		// this request was sent preceded it.
 		known := !j.acceptedAt.IsZero() && !j.acceptedAt.After(sentAt)
 		switch {
 		case isAccepted(code):
@@ -79,7 +80,7 @@
 			}
 		case kind == RequestSubmit && (code == http.StatusBadRequest || code == http.StatusUnprocessableEntity):
 			if known {
-				c.recordViolation(invariantForgotten, "%s: its repetition got %d", jobID, code)
+				c.recordViolation(invariantForgotten, "%s: repeated submission got %d", jobID, code)
 			} else if j.runnable {
 				c.recordViolation(invariantRefusedFit, "%s: %d", jobID, code)
 			}
@@ -87,30 +88,30 @@
 	})
 }
 
-// checkStatus checks a job's status in a response to a request that was sent at some time.
+// checkStatus checks the status of a job in a response. sentAt is when the request was sent.
 func (c *Checker) checkStatus(jobID string, j *checkedJob, sentAt time.Time, status string) {
 	if j.terminalStatus != "" && !j.terminalAt.After(sentAt) && status != j.terminalStatus {
 		c.recordViolation(invariantWentBack, "%s: %s after %s", jobID, status, j.terminalStatus)
 	}
 	if status != wire.JobDone && status != wire.JobCancelled {
 		if dependency, since := c.cancelledDependency(j); dependency != "" && sentAt.Sub(since) > c.limits.CancelDeadline {
-			c.recordViolation(invariantOrphaned, "%s is %s %s after %s was told as cancelled", jobID, status, sentAt.Sub(since), dependency)
+			c.recordViolation(invariantOrphaned, "%s is %s %s after the cancellation of its dependency %s was confirmed", jobID, status, sentAt.Sub(since), dependency)
 		}
 		return
 	}
 	if j.terminalStatus != "" && status != j.terminalStatus {
-		c.recordViolation(invariantWentBack, "%s: both %s and %s", jobID, j.terminalStatus, status)
+		c.recordViolation(invariantWentBack, "%s: two terminal statuses, %s and %s", jobID, j.terminalStatus, status)
 	}
 	if status == wire.JobDone && len(j.completed) < j.job.Tasks {
-		c.recordViolation(invariantNotDone, "%s: %d of %d", jobID, len(j.completed), j.job.Tasks)
+		c.recordViolation(invariantNotDone, "%s: %d of %d tasks completed", jobID, len(j.completed), j.job.Tasks)
 	}
 	if status == wire.JobCancelled && !c.cancelRequested(j) {
-		c.recordViolation(invariantWentBack, "%s: cancelled without a request", jobID)
+		c.recordViolation(invariantWentBack, "%s: cancelled without a cancellation request", jobID)
 	}
 	if j.terminalStatus == "" {
 		j.terminalStatus, j.terminalAt = status, time.Now()
 	}
 }
 
-// isAccepted reports whether a status code says that the service has the job.
+// isAccepted reports whether an HTTP status code means that the service has the job.
 func isAccepted(code int) bool { return code == http.StatusOK || code == http.StatusCreated }
--- a/internal/fake/checker_requests_test.go
+++ b/internal/fake/checker_requests_test.go
@@ -7,9 +7,11 @@
 	"leadproxy/internal/wire"
 )
 
+// The checker must detect statuses that contradict earlier responses or the tasks that have
+// completed, and must not report a response to a request that was sent before the status changed.
 func TestCheckerJobStatus(t *testing.T) {
 	testChecker(t, []checkerCase{
-		{"all tasks complete", "", func(s *scenario) {
+		{"done after all tasks have completed", "", func(s *scenario) {
 			s.submit("job-1", 2, nil)
 			s.runTask("job-1/0", "m1")
 			s.runTask("job-1/1", "m2")
@@ -40,7 +42,7 @@
 			s.submit("job-1", 1, nil)
 			s.respond(RequestStatus, "job-1", 200, wire.JobCancelled)
 		}},
-		{"a response that was in flight", "", func(s *scenario) {
+		{"running after done, in response to an earlier request", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			sentAt := time.Now()
 			s.runTask("job-1/0", "m1")
@@ -50,6 +52,8 @@
 	})
 }
 
+// The checker must detect accepted jobs that are unknown later or about which no request is
+// answered, and submissions with the wrong result.
 func TestCheckerRequests(t *testing.T) {
 	testChecker(t, []checkerCase{
 		{"an accepted job gets 404", "forgotten", func(s *scenario) {
@@ -62,23 +66,23 @@
 		}},
 		{"no request is answered", "forgotten", func(s *scenario) {
 			s.submit("job-1", 1, nil)
-			calm := time.Now()
+			faultFreeSince := time.Now()
 			for range 17 {
 				s.RecordRequest("job-1")
 				time.Sleep(5 * time.Second)
-				s.CheckInvariants(calm, nil)
+				s.CheckInvariants(faultFreeSince, nil)
 			}
 		}},
 		{"some requests are answered", "", func(s *scenario) {
 			s.submit("job-1", 1, nil)
-			calm := time.Now()
-			for k := range 30 {
+			faultFreeSince := time.Now()
+			for i := range 30 {
 				s.RecordRequest("job-1")
-				if k%14 == 13 {
+				if i%14 == 13 {
 					s.respond(RequestStatus, "job-1", 200, wire.JobQueued)
 				}
 				time.Sleep(5 * time.Second)
-				s.CheckInvariants(calm, nil)
+				s.CheckInvariants(faultFreeSince, nil)
 			}
 		}},
 		{"status of a job that was never submitted", "invented", func(s *scenario) { s.respond(RequestStatus, "job-1", 200, wire.JobQueued) }},
--- a/internal/fake/checker_tasks_test.go
+++ b/internal/fake/checker_tasks_test.go
@@ -6,6 +6,8 @@
 	"leadproxy/internal/wire"
 )
 
+// The checker must detect tasks that run twice at a time, on a machine that does not meet the job's
+// constraints, beyond the team's limit, or without a submitted job.
 func TestCheckerTaskRuns(t *testing.T) {
 	zone := "b"
 	testChecker(t, []checkerCase{
@@ -15,41 +17,41 @@
 			s.RecordTaskEnd("job-1/0", "m1", false)
 			s.runTask("job-1/0", "m2")
 		}},
-		{"a task on two machines", "ran_twice", func(s *scenario) {
+		{"a task runs on two machines at a time", "ran_twice", func(s *scenario) {
 			s.submit("job-1", 1, nil)
 			s.startTask("job-1/0", "m1", "a")
 			s.startTask("job-1/0", "m2", "a")
 		}},
-		{"a task of a job that was never submitted", "invented", func(s *scenario) { s.startTask("job-1/0", "m1", "a") }},
-		{"more CPUs than the team's limit", "quota", func(s *scenario) {
+		{"a task starts whose job was never submitted", "invented", func(s *scenario) { s.startTask("job-1/0", "m1", "a") }},
+		{"running tasks exceed the team's CPU limit", "quota", func(s *scenario) {
 			s.submit("job-1", 3, nil)
 			for _, task := range []string{"job-1/0", "job-1/1", "job-1/2"} {
 				s.startTask(task, "m1", "a")
 			}
 		}},
-		{"a wrong zone", "wrong_place", func(s *scenario) {
+		{"a machine in a zone that the job excludes", "wrong_place", func(s *scenario) {
 			s.submit("job-1", 1, func(j *wire.Job) { j.Zone = &zone })
 			s.runTask("job-1/0", "m1")
 		}},
-		{"a wrong machine type", "wrong_place", func(s *scenario) {
+		{"a machine of a type that the job excludes", "wrong_place", func(s *scenario) {
 			s.submit("job-1", 1, func(j *wire.Job) { j.Types = []string{"other"} })
 			s.runTask("job-1/0", "m1")
 		}},
-		{"a spot machine for a job that excludes them", "wrong_place", func(s *scenario) {
+		{"a spot machine for a job that excludes spot machines", "wrong_place", func(s *scenario) {
 			s.submit("job-1", 1, func(j *wire.Job) { j.Spot = false })
 			s.runTask("job-1/0", "m1")
 		}},
-		{"a gang in two zones", "wrong_place", func(s *scenario) {
+		{"a gang runs in two zones", "wrong_place", func(s *scenario) {
 			s.submit("job-1", 2, func(j *wire.Job) { j.Gang = true })
 			s.startTask("job-1/0", "m1", "a")
 			s.startTask("job-1/1", "m2", "b")
 		}},
-		{"a gang in two zones, one after the other", "", func(s *scenario) {
+		{"tasks of a gang run in two zones, one after the other", "", func(s *scenario) {
 			s.submit("job-1", 2, func(j *wire.Job) { j.Gang = true })
 			s.runTask("job-1/0", "m1")
 			s.startTask("job-1/1", "m2", "b")
 		}},
-		{"a spread job in one zone", "wrong_place", func(s *scenario) {
+		{"all tasks of a spread job run in one zone", "wrong_place", func(s *scenario) {
 			s.submit("job-1", 2, func(j *wire.Job) { j.Spread = true })
 			s.startTask("job-1/0", "m1", "a")
 			s.startTask("job-1/1", "m2", "a")
--- a/internal/fake/cloud_api.go
+++ b/internal/fake/cloud_api.go
@@ -19,13 +19,13 @@
 		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
-	at := slices.IndexFunc(c.config.Types, func(t wire.MachineType) bool { return t.Name == request.Type })
-	if at < 0 || request.Count < 1 || request.Count > 50 {
+	typeIndex := slices.IndexFunc(c.config.Types, func(t wire.MachineType) bool { return t.Name == request.Type })
+	if typeIndex < 0 || request.Count < 1 || request.Count > 50 {
 		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: "no such type, or a wrong number"})
 		return
 	}
 	var names []string
-	c.do(func() { names = c.scaleOut(request, c.config.Types[at]) })
+	c.do(func() { names = c.scaleOut(request, c.config.Types[typeIndex]) })
 	if len(names) == 0 {
 		writeJSON(w, http.StatusServiceUnavailable, wire.ErrorResponse{Error: "no capacity"})
 		return
@@ -33,8 +33,8 @@
 	writeJSON(w, http.StatusOK, wire.MachineNames{Names: names})
 }
 
-// scaleOutRequest starts as many of the requested machines as there is capacity for and returns their
-// names. A repeated request gets the machines of the first (idempotent request).
+// scaleOut starts as many of the requested machines as MaxMachines permits and returns their names.
+// It is idempotent: a repeated request returns the machines of the first one.
 func (c *Cloud) scaleOut(request wire.ScaleOutRequest, machineType wire.MachineType) (names []string) {
 	if names, ok := c.scaleOuts[request.RequestID]; ok {
 		return names
@@ -51,11 +51,11 @@
 	return names
 }
 
-// startMachine lets a machine boot and returns its name.
+// startMachine adds a machine and returns its name. The machine's agent starts after BootTime.
 func (c *Cloud) startMachine(request wire.ScaleOutRequest, machineType wire.MachineType) string {
 	name := fmt.Sprintf("%s%06d", cmp.Or(c.config.NamePrefix, "vm-"), c.machinesCreated)
 	c.machinesCreated++
-	n, addr := c.config.NewHost(name)
+	network, addr := c.config.NewHost(name)
 	m := &cloudMachine{
 		createdAt: time.Now(),
 		listed:    wire.ListedMachine{Name: name, Address: addr, CapacityPool: request.CapacityPool, Status: wire.MachineBooting},
@@ -68,7 +68,7 @@
 			if m.deleted || ctx.Err() != nil {
 				return
 			}
-			m.agent = newAgent(c.t, n, addr, agentMachine{name: name, request: request, size: machineType}, c.config.Agent)
+			m.agent = newAgent(c.t, network, addr, agentMachine{name: name, request: request, size: machineType}, c.config.Agent)
 			m.listed.Address, m.listed.Status = m.agent.Addr(), wire.MachineRunning
 		})
 	}()
@@ -76,12 +76,12 @@
 }
 
 func (c *Cloud) handleDelete(w http.ResponseWriter, r *http.Request) {
-	var m wire.MachineNames
-	if err := json.NewDecoder(r.Body).Decode(&m); err != nil {
+	var request wire.MachineNames
+	if err := json.NewDecoder(r.Body).Decode(&request); err != nil {
 		writeJSON(w, http.StatusBadRequest, wire.ErrorResponse{Error: err.Error()})
 		return
 	}
-	c.Terminate(m.Names...)
+	c.Terminate(request.Names...)
 	writeJSON(w, http.StatusOK, struct{}{})
 }
 
--- a/internal/fake/deployment.go
+++ b/internal/fake/deployment.go
@@ -11,83 +11,85 @@
 	"leadproxy/internal/transport"
 )
 
-// DeploymentPlan describes a deployment. Times that are zero get defaults.
+// DeploymentPlan describes a deployment. NewDeployment sets defaults for durations that are zero.
 type DeploymentPlan struct {
 	Controllers, Machines int
 	Teams                 []string
-	// TeamCPULimits bounds the CPUs that a team uses at a time; no entry: unlimited.
+	// TeamCPULimits is the number of CPUs that a team may use at a time; no entry: unlimited.
 	TeamCPULimits map[string]float64
-	// OperatorSettings is the text of the operators' settings file.
+	// OperatorSettings is the content of the operators' settings file.
 	OperatorSettings string
-	// HeartbeatInterval is that of the workers, AgentLease how long a worker keeps its tasks
-	// without a response, and CancelDeadline within which time the tasks of a cancelled job end.
+	// HeartbeatInterval is the interval of the agents' heartbeats. AgentLease is how long an
+	// agent keeps its tasks without a response to a heartbeat. CancelDeadline is the time
+	// within which the tasks of a cancelled job must end.
 	HeartbeatInterval, AgentLease, CancelDeadline time.Duration
-	// RunTime is how long a task runs.
+	// RunTime returns how long a task must run to complete.
 	RunTime func(task string) time.Duration
-	// SlowCheckpoints makes tasks take flush_s to save a checkpoint; otherwise it is immediate.
+	// SlowCheckpoints makes saving a checkpoint take the job's flush_s; otherwise it takes no
+	// time.
 	SlowCheckpoints bool
-	// Seed is that of the users' random choices.
+	// Seed seeds the users' random choices; 0: 1.
 	Seed uint64
-	// UseRelays puts relays into the connections from controllers and workers to controllers, and
-	// from controllers to the key-value store. Deployment.Relays lists them.
+	// UseRelays inserts a Relay into the connections from controllers and agents to
+	// controllers, and from controllers to the key-value store. Deployment.Relays lists them.
 	UseRelays bool
-	// WriteFaults are injected into transactions of the key-value store, CommandFaults into
-	// commands to workers, and CloudFaults into calls of the cloud.
+	// WriteFaults injects faults into requests to the key-value store, CommandFaults into
+	// requests to agents, and CloudFaults into requests to the cloud; nil: none.
 	WriteFaults, CommandFaults, CloudFaults FaultInjector
 }
 
-// The default times of a deployment's workers.
+// The default durations of a deployment.
 const (
 	defaultHeartbeatInterval = time.Second
 	defaultAgentLease        = 20 * time.Second
 	defaultCancelDeadline    = 40 * time.Second
 )
 
-// Deployment has controllers as real processes on the loopback interface, and fakes of all other
-// systems.
+// Deployment consists of controllers, which are real processes on the loopback interface, and fakes
+// of all other systems.
 type Deployment struct {
 	Store       *KVStore
 	Cloud       *Cloud
 	Checker     *Checker
 	Users       *Users
 	Controllers []*Process
-	Platform    *settings.Platform // of one controller
-	Relays      []ControllerRelays // by controller, with DeploymentPlan.UseRelays
+	Platform    *settings.Platform // platform settings of the last controller
+	Relays      []ControllerRelays // by controller; nil without DeploymentPlan.UseRelays
 }
 
-// ControllerRelays are the relays around one controller.
+// ControllerRelays are the relays on the connections of one controller.
 type ControllerRelays struct {
-	Store  *Relay   // from it to the key-value store
-	Agents *Relay   // from workers to it
-	Peers  []*Relay // from it to the other controllers
+	Store  *Relay   // from the controller to the key-value store
+	Agents *Relay   // from agents to the controller
+	Peers  []*Relay // from the controller to each other controller
 }
 
-// NewDeployment makes a deployment. Its controllers are not started yet.
-func NewDeployment(t *testing.T, p DeploymentPlan) *Deployment {
+// NewDeployment starts the fakes of a deployment. The caller starts its controllers.
+func NewDeployment(t *testing.T, plan DeploymentPlan) *Deployment {
 	t.Helper()
-	p.setDefaults()
+	plan.setDefaults()
 	network := transport.TCP{}
-	d := &Deployment{Store: NewKVStore(t, network, "127.0.0.1:0", p.WriteFaults)}
-	d.Checker = NewChecker(t, Limits{CancelDeadline: p.CancelDeadline, TeamCPULimits: p.TeamCPULimits, MaxWaiting: 90 * time.Second, MaxUnanswered: 75 * time.Second})
-	addresses := controllerAddresses{public: ReserveAddresses(t, p.Controllers), peer: ReserveAddresses(t, p.Controllers)}
-	d.Users = NewUsers(t, network, addresses.public, d.Checker, cmp.Or(p.Seed, 1))
+	d := &Deployment{Store: NewKVStore(t, network, "127.0.0.1:0", plan.WriteFaults)}
+	d.Checker = NewChecker(t, Limits{CancelDeadline: plan.CancelDeadline, TeamCPULimits: plan.TeamCPULimits, MaxWaiting: 90 * time.Second, MaxUnanswered: 75 * time.Second})
+	addresses := controllerAddresses{public: ReserveAddresses(t, plan.Controllers), peer: ReserveAddresses(t, plan.Controllers)}
+	d.Users = NewUsers(t, network, addresses.public, d.Checker, cmp.Or(plan.Seed, 1))
 	heartbeatAddresses := addresses.public
-	if p.UseRelays {
+	if plan.UseRelays {
 		heartbeatAddresses = d.addRelays(t, addresses.public)
 	}
-	d.Cloud = NewCloud(t, network, "127.0.0.1:0", p.cloudConfig(heartbeatAddresses, d.Checker))
-	d.addControllers(t, &p, addresses)
+	d.Cloud = NewCloud(t, network, "127.0.0.1:0", plan.cloudConfig(heartbeatAddresses, d.Checker))
+	d.addControllers(t, &plan, addresses)
 	return d
 }
 
-func (p *DeploymentPlan) setDefaults() {
-	p.HeartbeatInterval = cmp.Or(p.HeartbeatInterval, defaultHeartbeatInterval)
-	p.AgentLease = cmp.Or(p.AgentLease, defaultAgentLease)
-	p.CancelDeadline = cmp.Or(p.CancelDeadline, defaultCancelDeadline)
+func (plan *DeploymentPlan) setDefaults() {
+	plan.HeartbeatInterval = cmp.Or(plan.HeartbeatInterval, defaultHeartbeatInterval)
+	plan.AgentLease = cmp.Or(plan.AgentLease, defaultAgentLease)
+	plan.CancelDeadline = cmp.Or(plan.CancelDeadline, defaultCancelDeadline)
 }
 
-// addRelays puts relays before the key-value store and the controllers' public addresses. It
-// returns the addresses to which workers send heartbeats.
+// addRelays adds, for each controller, a relay to the key-value store and one to the controller's
+// public address. It returns the addresses to which agents send heartbeats.
 func (d *Deployment) addRelays(t *testing.T, public []string) (heartbeatAddresses []string) {
 	for _, addr := range public {
 		relays := ControllerRelays{Store: NewRelay(t, d.Store.Addr()), Agents: NewRelay(t, addr)}
@@ -97,19 +99,19 @@
 	return heartbeatAddresses
 }
 
-// addControllers writes the settings files and adds the controllers.
-func (d *Deployment) addControllers(t *testing.T, p *DeploymentPlan, addresses controllerAddresses) {
+// addControllers writes the settings files and adds the controllers, which are not started.
+func (d *Deployment) addControllers(t *testing.T, plan *DeploymentPlan, addresses controllerAddresses) {
 	t.Helper()
 	dir := t.TempDir()
-	operator := filepath.Join(dir, "operator.ini")
-	if err := os.WriteFile(operator, []byte(p.OperatorSettings), 0o600); err != nil {
+	operatorFile := filepath.Join(dir, "operator.ini")
+	if err := os.WriteFile(operatorFile, []byte(plan.OperatorSettings), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	facts := p.facts()
-	for i := range p.Controllers {
+	facts := plan.facts()
+	for i := range plan.Controllers {
 		platform := d.platform(t, i, facts, addresses)
 		d.Platform = &platform
-		d.Controllers = append(d.Controllers, NewProcess(t, dir, platform, "--settings", operator))
+		d.Controllers = append(d.Controllers, NewProcess(t, dir, platform, "--settings", operatorFile))
 	}
 }
 
@@ -122,15 +124,16 @@
 	if d.Relays != nil {
 		platform.Services.Store = d.Relays[i].Store.Addr()
 	}
-	for k, address := range addresses.peer {
-		if k != i {
-			platform.Peers = append(platform.Peers, settings.Peer{Name: controllerName(k), Zone: "a", Addr: d.peerAddress(t, i, address)})
+	for other, address := range addresses.peer {
+		if other != i {
+			platform.Peers = append(platform.Peers, settings.Peer{Name: controllerName(other), Zone: "a", Addr: d.peerAddress(t, i, address)})
 		}
 	}
 	return platform
 }
 
-// peerAddress is the address at which one controller reaches another: with relays, a new one's.
+// peerAddress returns the address at which the controller with index from reaches the peer at an
+// address. With relays it adds a relay to the peer and returns the relay's address.
 func (d *Deployment) peerAddress(t *testing.T, from int, address string) string {
 	if d.Relays == nil {
 		return address
@@ -140,6 +143,6 @@
 	return relay.Addr()
 }
 
-// controllerAddresses are the addresses of a deployment's controllers for users and workers, and
-// for one another.
+// controllerAddresses are the addresses of a deployment's controllers: the public ones for users
+// and agents, and those for peers.
 type controllerAddresses struct{ public, peer []string }
--- a/internal/fake/doc.go
+++ b/internal/fake/doc.go
@@ -1,5 +1,5 @@
-// Package fake has test doubles for the systems around a controller: the network, the key-value
-// store, the cloud and its workers, and the users. They implement the protocols and can be given
-// faults that the real systems have (fault injection). A Checker records what they observe and
-// checks the service's invariants against it.
+// Package fake has test doubles of the systems around a controller: the network, the key-value
+// store, the cloud, the agents on its machines, and the users. They implement the protocols and
+// support the injection of faults that occur in the real systems. A Checker records what the fakes
+// observe and checks the invariants of the service.
 package fake
--- a/internal/fake/faults.go
+++ b/internal/fake/faults.go
@@ -11,30 +11,31 @@
 	"leadproxy/internal/transport"
 )
 
-// FaultKind is a kind of fault that is injected into one message.
+// FaultKind is the kind of a fault that is injected into one request.
 type FaultKind int
 
 // The kinds of faults.
 const (
 	NoFault      FaultKind = iota
-	RequestLost            // not carried out, never answered
-	ResponseLost           // carried out, never answered
-	Duplicated             // carried out twice, with the second response
-	Delayed                // not answered; carried out late, when the sender has given up
-	Unavailable            // 503 at once
+	RequestLost            // not executed, no response
+	ResponseLost           // executed, no response
+	Duplicated             // executed twice, second response returned
+	Delayed                // executed after a delay, no response: the sender times out first
+	Unavailable            // not executed, 503 response
 )
 
-// InjectedFault is the fault that is injected into one message, and by how much it delays it.
+// InjectedFault is a fault that is injected into one request.
 type InjectedFault struct {
 	Kind  FaultKind
-	Delay time.Duration
+	Delay time.Duration // used by Delayed only
 }
 
-// FaultInjector decides which fault is injected into a message from a host. It may read the body.
+// FaultInjector returns the fault to inject into a request from a host. It may read the body of r,
+// which is a copy.
 type FaultInjector func(from string, r *http.Request) InjectedFault
 
-// withFaults serves h with the faults that an injector, unless it is nil, decides for each
-// message.
+// withFaults returns a handler that serves requests with h and injects faults into them. ctx ends
+// delayed and copied requests. A nil injector injects no faults.
 func withFaults(ctx context.Context, h http.Handler, inject FaultInjector) http.Handler {
 	if inject == nil {
 		return h
@@ -44,11 +45,11 @@
 		if err != nil {
 			return
 		}
-		// A copy does not end with the sender's connection.
+		// A copy has its own context, so it does not end with the sender's connection.
 		copyRequest := func() *http.Request {
-			c := r.Clone(ctx)
-			c.Body = io.NopCloser(bytes.NewReader(body))
-			return c
+			clone := r.Clone(ctx)
+			clone.Body = io.NopCloser(bytes.NewReader(body))
+			return clone
 		}
 		switch injected := inject(r.RemoteAddr, copyRequest()); injected.Kind {
 		case RequestLost:
--- a/internal/fake/http_server.go
+++ b/internal/fake/http_server.go
@@ -8,22 +8,22 @@
 	"leadproxy/internal/transport"
 )
 
-// startServer serves h at an address until the test ends or end is called. It returns the address
-// that it listens at, whose port may have been chosen by the system.
-func startServer(t testing.TB, n transport.Network, addr string, h http.Handler) (listenAddr string, end func()) {
-	l, err := n.Listen(t.Context(), addr)
+// startServer serves h at an address until the test ends or closeServer is called. It returns the
+// address on which it listens: with port 0 in addr, the system chooses the port.
+func startServer(t testing.TB, network transport.Network, addr string, h http.Handler) (listenAddr string, closeServer func()) {
+	listener, err := network.Listen(t.Context(), addr)
 	if err != nil {
 		t.Error(err)
 		return addr, func() {}
 	}
-	s := &http.Server{Handler: h}
-	go s.Serve(l)
-	end = func() { s.Close() }
-	t.Cleanup(end)
-	return l.Addr().String(), end
+	server := &http.Server{Handler: h}
+	go server.Serve(listener)
+	closeServer = func() { server.Close() }
+	t.Cleanup(closeServer)
+	return listener.Addr().String(), closeServer
 }
 
-// writeJSON writes a response.
+// writeJSON writes a response with a JSON body.
 func writeJSON(w http.ResponseWriter, status int, body any) {
 	w.WriteHeader(status)
 	if err := json.NewEncoder(w).Encode(body); err != nil {
--- a/internal/fake/interruptions.go
+++ b/internal/fake/interruptions.go
@@ -6,22 +6,22 @@
 	"leadproxy/internal/wire"
 )
 
-// Interruption is an interruption: the time during which a task of a job did not run, or ran again to make
-// up for lost progress.
+// Interruption is a period in which a task of a job did not run, or ran again to make up for lost
+// progress.
 type Interruption struct {
 	JobID        string
 	Began, Ended time.Time
 }
 
-// Interruptions lists the interruptions of tasks, from the machines' runs alone: each lasts from the end
-// of a run that did not complete until the task runs again and has made up for the progress that
-// it had not saved.
+// Interruptions derives the interruptions of tasks from their runs, which must be in order of their
+// start. An interruption lasts from the end of an incomplete run until the task's next run has made
+// up for the progress that was not saved, or until that run ends.
 func Interruptions(runs []TaskRun) (interruptions []Interruption) {
 	previousRuns := map[string]TaskRun{}
 	for _, run := range runs {
-		previous, again := previousRuns[run.Task]
+		previous, ranBefore := previousRuns[run.Task]
 		previousRuns[run.Task] = run
-		if !again {
+		if !ranBefore {
 			continue
 		}
 		lost := previous.Ended.Sub(previous.Started) + previous.InitialProgress - run.InitialProgress
@@ -34,21 +34,22 @@
 	return interruptions
 }
 
-// MaxInterruptedJobs is the largest number of a set of jobs that were interrupted at the same time.
-func MaxInterruptedJobs(interruptions []Interruption, in func(jobID string) bool) (most int) {
-	for _, at := range interruptions {
+// MaxInterruptedJobs returns the largest number of selected jobs that were interrupted at the same
+// time.
+func MaxInterruptedJobs(interruptions []Interruption, selected func(jobID string) bool) (highest int) {
+	for _, interruption := range interruptions {
 		jobIDs := map[string]bool{}
 		for _, other := range interruptions {
-			if in(other.JobID) && !other.Began.After(at.Began) && other.Ended.After(at.Began) {
+			if selected(other.JobID) && !other.Began.After(interruption.Began) && other.Ended.After(interruption.Began) {
 				jobIDs[other.JobID] = true
 			}
 		}
-		most = max(most, len(jobIDs))
+		highest = max(highest, len(jobIDs))
 	}
-	return most
+	return highest
 }
 
-// Completions counts how often each task completed.
+// Completions returns the number of times each task completed; tasks that did not have no entry.
 func Completions(runs []TaskRun) map[string]int {
 	completions := map[string]int{}
 	for _, run := range runs {
--- a/internal/fake/invariants.go
+++ b/internal/fake/invariants.go
@@ -1,34 +1,39 @@
 package fake
 
-// The invariants that a Checker checks, by their names in its violations.
+// The names of the invariants in a Checker's violations. Each name says how its invariant is
+// violated; the comment above it states the invariant.
 const (
-	// invariantInvented: the service knows and runs only jobs that were submitted.
+	// The service knows and runs only jobs that were submitted.
 	invariantInvented = "invented"
-	// invariantAcceptedUnfit: a job that can't run, or is incomplete, is not accepted.
+	// A job that can never run, or is incomplete, is not accepted.
 	invariantAcceptedUnfit = "accepted_unfit"
-	// invariantRefusedFit: a job that can run is not refused for good.
+	// A job that can run is not rejected with a final response.
 	invariantRefusedFit = "refused_fit"
-	// invariantForgotten: an accepted job stays known, and requests about it are answered.
+	// An accepted job remains known, and requests about it are answered within MaxUnanswered
+	// when there are no faults.
 	invariantForgotten = "forgotten"
-	// invariantWentBack: a terminal status is final, and cancellation was requested by a user.
+	// A terminal status never changes, and a job is cancelled only if a user requested the
+	// cancellation of the job or of one of its dependencies.
 	invariantWentBack = "went_back"
-	// invariantOrphaned: a job that depends on a cancelled one becomes cancelled itself.
+	// A job that depends on a cancelled job becomes cancelled within CancelDeadline.
 	invariantOrphaned = "orphaned"
-	// invariantNotDone: a job is done only when all its tasks have completed.
+	// A job is reported as done only when all its tasks have completed.
 	invariantNotDone = "not_done"
-	// invariantRanTwice: a task runs on one machine at a time, unless its class allows more.
+	// A task runs on one machine at a time, unless RetryAllowed permits more for its job's
+	// class.
 	invariantRanTwice = "ran_twice"
-	// invariantTooEarly: a task starts only when all dependencies of its job are done.
+	// A task starts only when all tasks of its job's dependencies have completed.
 	invariantTooEarly = "too_early"
-	// invariantRanCancelled: no task runs long after its job's cancellation was confirmed.
+	// No task runs longer than CancelDeadline after its job's cancellation was confirmed.
 	invariantRanCancelled = "ran_cancelled"
-	// invariantRenewedWithoutStop: a response that renews a worker's lease stops the worker's
-	// tasks of cancelled jobs.
+	// A heartbeat response that renews an agent's lease stops the tasks of cancelled jobs that
+	// the heartbeat lists.
 	invariantRenewedWithoutStop = "renewed_without_stop"
-	// invariantWrongPlace: the machine suits the job's constraints.
+	// A task runs on a machine that meets its job's constraints.
 	invariantWrongPlace = "wrong_place"
-	// invariantQuota: a team uses no more CPUs than its limit.
+	// A team uses no more CPUs than its limit.
 	invariantQuota = "quota"
-	// invariantLeftWaiting: without faults, no job waits long while there is capacity for it.
+	// When there are no faults, no job waits longer than MaxWaiting while there is capacity for
+	// it.
 	invariantLeftWaiting = "left_waiting"
 )
--- a/internal/fake/network.go
+++ b/internal/fake/network.go
@@ -2,12 +2,12 @@
 
 import "testing"
 
-// Network is a network in memory. On a test's fake clock, minutes without traffic pass at once on its
-// connections, which they would not on sockets: a goroutine that waits for the kernel keeps the fake
-// clock from advancing.
+// Network is an in-memory network. Unlike with sockets, the fake clock of testing/synctest advances
+// while goroutines wait for its connections, so that minutes without traffic take no time: a
+// goroutine that waits for the kernel would keep the fake clock from advancing.
 //
-// Hosts have names, and the link between two of them can be cut (network partition): either what is
-// sent is held back until the cut is healed, or connections are reset.
+// Hosts have names. The link between two hosts can be cut (network partition): either data sent
+// over it is held back until the partition heals, or connections are reset.
 type Network struct {
 	actor
 	listeners map[string]*memoryListener // by address
@@ -15,9 +15,10 @@
 	conns     map[*memoryConn]struct{}
 }
 
-// hostPair is the link between two hosts, the lesser name first.
+// hostPair identifies the link between two hosts by their names, with a <= b.
 type hostPair struct{ a, b string }
 
+// pairOf returns the link between two hosts, given in any order.
 func pairOf(a, b string) hostPair {
 	if b < a {
 		a, b = b, a
@@ -25,13 +26,14 @@
 	return hostPair{a, b}
 }
 
-// NewNetwork starts a network that lives as long as the test.
+// NewNetwork starts a network that runs until the test ends.
 func NewNetwork(t testing.TB) *Network {
 	return &Network{actor: newActor(t), listeners: map[string]*memoryListener{}, cuts: map[hostPair]bool{}, conns: map[*memoryConn]struct{}{}}
 }
 
-// Partition cuts the link between two hosts. With hold, what is sent meanwhile arrives when the cut is
-// healed; otherwise connections are reset.
+// Partition cuts the link between two hosts until Heal. With hold, connections stay open and data
+// sent over them is delivered when the link heals; otherwise connections are reset. It does nothing
+// if the link is cut already.
 func (n *Network) Partition(a, b string, hold bool) {
 	n.do(func() {
 		if n.cuts[pairOf(a, b)] {
@@ -51,8 +53,9 @@
 	})
 }
 
-// PartitionOneWay holds back what one host sends to another until the cut is healed. The other direction
-// of existing connections stays open; no new ones can be made.
+// PartitionOneWay holds back the data that one host sends to another until Heal. The other
+// direction of existing connections is not affected, but no new connections can be made in either
+// direction.
 func (n *Network) PartitionOneWay(from, to string) {
 	n.do(func() {
 		n.cuts[pairOf(from, to)] = true
@@ -64,7 +67,7 @@
 	})
 }
 
-// Heal ends the cut between two hosts.
+// Heal ends the partition of two hosts and delivers the data that was held back.
 func (n *Network) Heal(a, b string) {
 	n.do(func() {
 		if !n.cuts[pairOf(a, b)] {
--- a/internal/fake/network_conn.go
+++ b/internal/fake/network_conn.go
@@ -26,7 +26,7 @@
 	return client, server
 }
 
-// reset ends both directions at once, on the network's actor.
+// reset closes both ends with ECONNRESET. It runs on the network's actor.
 func (c *memoryConn) reset() {
 	c.in.close(syscall.ECONNRESET)
 	c.out.close(syscall.ECONNRESET)
@@ -55,14 +55,14 @@
 
 func (c *memoryConn) SetWriteDeadline(_ time.Time) error { return nil } // a write never waits
 
-// byteStream is one direction of a connection: an unbounded queue of bytes.
+// byteStream is one direction of a connection: an unbounded queue of bytes, so writes never block.
 type byteStream struct {
 	mu             sync.Mutex
 	changed        *sync.Cond
 	buffer         []byte
-	closeError     error // nil while it is open
-	held           bool  // what is written can't be read for now
-	timer          *time.Timer
+	closeError     error       // returned by reads after close; nil while it is open
+	held           bool        // written data can't be read because of a partition
+	timer          *time.Timer // of the read deadline; nil without a future deadline
 	deadlinePassed bool
 }
 
--- a/internal/fake/network_host.go
+++ b/internal/fake/network_host.go
@@ -9,19 +9,20 @@
 	"time"
 )
 
-// Host is one incarnation of a process or machine on the network. It is a transport.Network.
+// Host is one incarnation of a process or machine on the network: a restart gets a new Host of the
+// same name. It implements transport.Network.
 type Host struct {
 	net  *Network
 	name string
 	down chan struct{}
 }
 
-// Host returns a new incarnation of the host with a name.
+// Host returns a new incarnation of the host with the given name.
 func (n *Network) Host(name string) *Host {
 	return &Host{net: n, name: name, down: make(chan struct{})}
 }
 
-// IsDown reports whether the incarnation was killed.
+// IsDown reports whether Kill was called.
 func (h *Host) IsDown() bool {
 	select {
 	case <-h.down:
@@ -31,7 +32,8 @@
 	}
 }
 
-// Kill ends the incarnation: its listeners are closed and its connections reset.
+// Kill ends the incarnation: its listeners are closed, and its connections are reset. It must be
+// called only once.
 func (h *Host) Kill() {
 	h.net.do(func() {
 		close(h.down)
@@ -49,11 +51,11 @@
 	})
 }
 
-// connectLatency is how long a connection attempt takes, so that a caller which retries at once does not
-// keep the fake clock from advancing.
+// connectLatency is the duration of a connection attempt. Without it, a caller that retries
+// immediately would keep the fake clock from advancing.
 const connectLatency = time.Millisecond
 
-// Dial connects to an address. Across a cut it blocks until the context ends.
+// Dial connects to an address. If the link to the host is cut it blocks until the context ends.
 func (h *Host) Dial(ctx context.Context, addr string) (net.Conn, error) {
 	select {
 	case <-time.After(connectLatency):
@@ -78,7 +80,7 @@
 	})
 	switch {
 	case cut:
-		<-ctx.Done() // an attempt that was given up never completes later
+		<-ctx.Done() // an attempt across a cut never completes, not even after the link heals
 		return nil, dialError(addr, ctx.Err())
 	case client == nil:
 		return nil, dialError(addr, syscall.ECONNREFUSED)
@@ -97,7 +99,7 @@
 	return &net.OpError{Op: "dial", Net: "memory", Addr: memoryAddress(addr), Err: err}
 }
 
-// Listen listens at an address.
+// Listen listens on an address, which must not be in use.
 func (h *Host) Listen(_ context.Context, addr string) (net.Listener, error) {
 	l := &memoryListener{host: h, addr: memoryAddress(addr), incoming: make(chan net.Conn), closed: make(chan struct{})}
 	taken := false
--- a/internal/fake/process.go
+++ b/internal/fake/process.go
@@ -18,93 +18,95 @@
 	"leadproxy/internal/settings"
 )
 
-// Process is a real controller on the loopback interface. Its settings stay the same while its
-// operating-system processes are started and killed.
+// Process is a real controller on the loopback interface. Its operating-system process can be
+// started and killed repeatedly, with the same settings.
 type Process struct {
 	Platform settings.Platform
-	// Arguments are given to the program besides the settings file.
+	// Arguments are the program's command-line arguments after --config and the settings file.
 	Arguments []string
-	// LogLevel is that of its log; "": debug.
+	// LogLevel is the value of LOG_LEVEL; "": debug.
 	LogLevel   string
 	t          testing.TB
 	configFile string
 	command    *exec.Cmd // nil while it is down
 }
 
-// NewProcess writes a controller's settings file into a directory. A process that still runs at the
-// test's end is killed.
-func NewProcess(t testing.TB, dir string, p settings.Platform, arguments ...string) *Process {
+// NewProcess returns a controller that is not started, and writes its settings file to a directory.
+// When the test ends the controller is killed if it runs.
+func NewProcess(t testing.TB, dir string, platform settings.Platform, arguments ...string) *Process {
 	t.Helper()
 	var text bytes.Buffer
-	if err := toml.NewEncoder(&text).Encode(p); err != nil {
+	if err := toml.NewEncoder(&text).Encode(platform); err != nil {
 		t.Fatal(err)
 	}
-	c := &Process{Platform: p, Arguments: arguments, t: t, configFile: filepath.Join(dir, p.Name+".toml")}
-	if err := os.WriteFile(c.configFile, text.Bytes(), 0o600); err != nil {
+	process := &Process{Platform: platform, Arguments: arguments, t: t, configFile: filepath.Join(dir, platform.Name+".toml")}
+	if err := os.WriteFile(process.configFile, text.Bytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(c.Kill)
-	return c
+	t.Cleanup(process.Kill)
+	return process
 }
 
-// Start starts a program with the controller's settings. Its log is appended to that of earlier
-// processes.
-func (c *Process) Start(program string) {
-	c.t.Helper()
-	log, err := os.OpenFile(c.logFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
+// Start runs an executable with the controller's settings. Its standard error is appended to the
+// controller's log file.
+func (p *Process) Start(program string) {
+	p.t.Helper()
+	log, err := os.OpenFile(p.logFile(), os.O_CREATE|os.O_APPEND|os.O_WRONLY, 0o600)
 	if err != nil {
-		c.t.Fatal(err)
+		p.t.Fatal(err)
 	}
 	defer log.Close()
-	c.command = exec.Command(program, append([]string{"--config", c.configFile}, c.Arguments...)...)
-	c.command.Env = append(os.Environ(), "LOG_LEVEL="+cmp.Or(c.LogLevel, "debug"))
-	c.command.Stderr = log
-	if err := c.command.Start(); err != nil {
-		c.t.Fatal(err)
+	p.command = exec.Command(program, append([]string{"--config", p.configFile}, p.Arguments...)...)
+	p.command.Env = append(os.Environ(), "LOG_LEVEL="+cmp.Or(p.LogLevel, "debug"))
+	p.command.Stderr = log
+	if err := p.command.Start(); err != nil {
+		p.t.Fatal(err)
 	}
 }
 
-// Kill ends the process with SIGKILL, which it can't handle.
-func (c *Process) Kill() {
-	if c.command == nil {
+// Kill sends SIGKILL, which the process can't handle, and waits until it has ended. It does nothing
+// while the process is down.
+func (p *Process) Kill() {
+	if p.command == nil {
 		return
 	}
-	c.command.Process.Kill()
-	c.command.Wait()
-	c.command = nil
+	p.command.Process.Kill()
+	p.command.Wait()
+	p.command = nil
 }
 
-// Running reports whether it was started and not killed since.
-func (c *Process) Running() bool { return c.command != nil }
+// Running reports whether the process was started and has not been killed since.
+func (p *Process) Running() bool { return p.command != nil }
 
-// Suspend stops the process (SIGSTOP) until Resume; one that is down stays down.
-func (c *Process) Suspend() {
-	c.t.Helper()
-	c.signal(syscall.SIGSTOP)
+// Suspend stops the process with SIGSTOP until Resume. It does nothing while the process is down.
+func (p *Process) Suspend() {
+	p.t.Helper()
+	p.signal(syscall.SIGSTOP)
 }
 
-// Resume lets a suspended process continue; one that is down stays down.
-func (c *Process) Resume() {
-	c.t.Helper()
-	c.signal(syscall.SIGCONT)
+// Resume continues a suspended process with SIGCONT. It does nothing while the process is down.
+func (p *Process) Resume() {
+	p.t.Helper()
+	p.signal(syscall.SIGCONT)
 }
 
-func (c *Process) signal(signal syscall.Signal) {
-	c.t.Helper()
-	if c.command == nil {
+func (p *Process) signal(signal syscall.Signal) {
+	p.t.Helper()
+	if p.command == nil {
 		return
 	}
-	if err := c.command.Process.Signal(signal); err != nil {
-		c.t.Error(err)
+	if err := p.command.Process.Signal(signal); err != nil {
+		p.t.Error(err)
 	}
 }
 
-// ResidentBytes is its resident memory; 0: it is down.
-func (c *Process) ResidentBytes() (bytes int) {
-	if c.command == nil {
+// ResidentBytes returns the size of the process's resident memory; 0 if it is down or the size
+// can't be read.
+func (p *Process) ResidentBytes() (bytes int) {
+	if p.command == nil {
 		return 0
 	}
-	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", c.command.Process.Pid))
+	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/statm", p.command.Process.Pid))
 	if err != nil {
 		return 0
 	}
@@ -115,29 +117,31 @@
 	return resident * os.Getpagesize()
 }
 
-// Log is the log so far, of all its processes.
-func (c *Process) Log() string {
-	text, err := os.ReadFile(c.logFile())
+// Log returns the content of the log file, which has the output of all starts so far.
+func (p *Process) Log() string {
+	text, err := os.ReadFile(p.logFile())
 	if err != nil {
-		return "" // it has not started
+		return "" // not started yet
 	}
 	return string(text)
 }
 
-func (c *Process) logFile() string { return c.configFile + ".log" }
+func (p *Process) logFile() string { return p.configFile + ".log" }
 
-// Leader is the index of the controller that the key-value store names as the leader, or -1.
-func Leader(s *KVStore, controllers []*Process) int {
+// Leader returns the index of the controller that the leader key in the store names, or -1 if there
+// is none.
+func Leader(store *KVStore, controllers []*Process) int {
 	var holder struct {
 		Node string `json:"node"`
 	}
-	if value := s.Value(election.LeaderKey); value == nil || json.Unmarshal(value, &holder) != nil {
+	if value := store.Value(election.LeaderKey); value == nil || json.Unmarshal(value, &holder) != nil {
 		return -1
 	}
-	return slices.IndexFunc(controllers, func(c *Process) bool { return c.Platform.Name == holder.Node })
+	return slices.IndexFunc(controllers, func(p *Process) bool { return p.Platform.Name == holder.Node })
 }
 
-// KeepLogs copies controllers' logs to a directory that outlives the test, and returns it.
+// KeepLogs copies the controllers' logs to a new directory that is not deleted when the test ends,
+// and returns its path.
 func KeepLogs(t testing.TB, controllers []*Process) (dir string) {
 	t.Helper()
 	dir, err := os.MkdirTemp("", "leadproxy-logs-")
@@ -145,10 +149,10 @@
 		t.Error(err)
 		return ""
 	}
-	for _, c := range controllers {
-		text, err := os.ReadFile(c.logFile())
+	for _, controller := range controllers {
+		text, err := os.ReadFile(controller.logFile())
 		if err == nil {
-			err = os.WriteFile(filepath.Join(dir, c.Platform.Name+".log"), text, 0o600)
+			err = os.WriteFile(filepath.Join(dir, controller.Platform.Name+".log"), text, 0o600)
 		}
 		if err != nil {
 			t.Error(err)
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Relay stands between two processes on the loopback interface and copies their bytes in both
-// directions, until it is set to drop those of one direction, or both.
+// Relay is a TCP proxy on the loopback interface between two processes. It copies bytes in both
+// directions and can be set to drop those of either direction.
 type Relay struct {
 	actor
 	listener net.Listener
@@ -17,44 +17,44 @@
 	dropping map[Direction]bool
 }
 
-// Direction is a direction through a relay.
+// Direction is the direction of data through a relay.
 type Direction int
 
 // The directions through a relay.
 const (
-	ToServer Direction = iota // from those who connect
-	ToClient                  // to those who connect
+	ToServer Direction = iota // from the connecting process to the relay's target
+	ToClient                  // from the relay's target to the connecting process
 )
 
-// NewRelay starts a relay to an address that lives as long as the test.
+// NewRelay starts a relay to a target address. It runs until the test ends.
 func NewRelay(t testing.TB, target string) *Relay {
-	l, err := net.Listen("tcp", "127.0.0.1:0")
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	r := &Relay{actor: newActor(t), listener: l, target: target, conns: map[net.Conn]struct{}{}, dropping: map[Direction]bool{}}
+	r := &Relay{actor: newActor(t), listener: listener, target: target, conns: map[net.Conn]struct{}{}, dropping: map[Direction]bool{}}
 	t.Cleanup(func() {
-		l.Close()
+		listener.Close()
 		r.CloseConnections()
 	})
 	go r.accept()
 	return r
 }
 
-// Addr is the address at which it listens.
+// Addr returns the address on which the relay listens.
 func (r *Relay) Addr() string { return r.listener.Addr().String() }
 
-// SetDropping makes the relay drop the bytes of one direction, or ends that. Connections stay
-// open.
-func (r *Relay) SetDropping(d Direction, dropping bool) {
-	r.do(func() { r.dropping[d] = dropping })
+// SetDropping sets whether the relay drops the bytes of one direction. Connections stay open while
+// bytes are dropped.
+func (r *Relay) SetDropping(direction Direction, dropping bool) {
+	r.do(func() { r.dropping[direction] = dropping })
 }
 
 // CloseConnections closes all connections.
 func (r *Relay) CloseConnections() {
 	r.do(func() {
-		for c := range r.conns {
-			c.Close()
+		for conn := range r.conns {
+			conn.Close()
 		}
 		clear(r.conns)
 	})
@@ -68,32 +68,33 @@
 		}
 		server, err := net.Dial("tcp", r.target)
 		if err != nil {
-			client.Close() // nothing listens there
+			client.Close() // nothing listens at the target
 			continue
 		}
 		r.connect(client, server)
 	}
 }
 
-// connect copies bytes between two connections until one of them ends, and then closes both.
+// connect starts to copy bytes between two connections. When either of them ends, both are closed.
 func (r *Relay) connect(client, server net.Conn) {
 	r.do(func() { r.conns[client], r.conns[server] = struct{}{}, struct{}{} })
 	var once sync.Once
-	end := func() {
+	closeBoth := func() {
 		once.Do(func() {
 			client.Close()
 			server.Close()
 			r.do(func() { delete(r.conns, client); delete(r.conns, server) })
 		})
 	}
-	go r.copyBytes(server, client, ToServer, end)
-	go r.copyBytes(client, server, ToClient, end)
+	go r.copyBytes(server, client, ToServer, closeBoth)
+	go r.copyBytes(client, server, ToClient, closeBoth)
 }
 
-// copyBytes copies the bytes of one direction until the connection ends. After bytes were dropped
-// the stream is damaged for good: the connection then ends with the next bytes.
-func (r *Relay) copyBytes(to io.Writer, from io.Reader, d Direction, end func()) {
-	defer end()
+// copyBytes copies the bytes of one direction until the connection ends, and then calls closeBoth.
+// A stream with dropped bytes is incomplete, so the connection is closed when the first bytes
+// arrive after dropping has ended.
+func (r *Relay) copyBytes(to io.Writer, from io.Reader, direction Direction, closeBoth func()) {
+	defer closeBoth()
 	buffer := make([]byte, 32<<10)
 	damaged := false
 	for {
@@ -102,7 +103,7 @@
 			return
 		}
 		dropping := false
-		r.do(func() { dropping = r.dropping[d] })
+		r.do(func() { dropping = r.dropping[direction] })
 		if dropping {
 			damaged = true
 			continue
--- a/internal/fake/store.go
+++ b/internal/fake/store.go
@@ -13,34 +13,36 @@
 	"leadproxy/internal/wire"
 )
 
-// KVStore is a fake of the consensus-backed key-value store.
+// KVStore is a fake of the consensus-backed key-value store, with the HTTP API of the real one.
 type KVStore struct {
 	actor
 	addr     string
 	revision uint64
 	keys     map[string]wire.Entry
 	leases   map[uint64]*lease
-	keyOrder []string // the keys in order; nil when a key was added or deleted since
+	keyOrder []string // sorted keys; nil if keys were added or deleted since they were sorted
 	history  []wire.WatchEvent
-	// compactedRevision is the revision up to which changes are no longer kept.
+	// compactedRevision is the revision up to which the history of changes has been discarded.
 	compactedRevision uint64
-	watchers          []chan struct{} // closed and cleared when something changes
-	unavailable       bool            // for all hosts
+	watchers          []chan struct{} // waiting watches; their channels are closed on each change
+	unavailable       bool            // requests of all hosts are refused
 	refusedHosts      map[string]bool
 	delay             time.Duration        // added to each response
-	clockDrift        float64              // the share by which its clock runs fast
-	limits            settings.StoreLimits // zero: none
-	writeBudget       float64              // tokens left in the bucket that limits the rate of writes
+	clockDrift        float64              // fraction by which the store's clock runs fast
+	limits            settings.StoreLimits // zero: unlimited
+	writeBudget       float64              // tokens in the token bucket that limits writes per second
 	budgetRefilledAt  time.Time
 }
 
+// lease is a lease to which keys can be bound.
 type lease struct {
 	ttl       time.Duration
 	expiresAt time.Time
 }
 
-// NewKVStore starts a key-value store that lives as long as the test.
-func NewKVStore(t testing.TB, n transport.Network, addr string, inject FaultInjector) *KVStore {
+// NewKVStore starts a key-value store at an address. It runs until the test ends. inject, unless
+// nil, injects faults into requests.
+func NewKVStore(t testing.TB, network transport.Network, addr string, inject FaultInjector) *KVStore {
 	s := &KVStore{actor: newActor(t), keys: map[string]wire.Entry{}, leases: map[uint64]*lease{}, refusedHosts: map[string]bool{}}
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /store/{key...}", s.handleGet)
@@ -50,12 +52,12 @@
 	mux.HandleFunc("POST /leases/{id}/renew", s.handleLeaseRenewal)
 	mux.HandleFunc("DELETE /leases/{id}", s.handleLeaseRevocation)
 	mux.HandleFunc("GET /changes", s.handleWatch)
-	s.addr, _ = startServer(t, n, addr, withFaults(t.Context(), s.withAvailability(mux), inject))
+	s.addr, _ = startServer(t, network, addr, withFaults(t.Context(), s.withAvailability(mux), inject))
 	go s.runExpiry(t.Context())
 	return s
 }
 
-// runExpiry lets leases expire.
+// runExpiry expires leases until ctx ends.
 func (s *KVStore) runExpiry(ctx context.Context) {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
@@ -69,10 +71,10 @@
 	}
 }
 
-// Addr is the address at which it listens.
+// Addr returns the address on which the store listens.
 func (s *KVStore) Addr() string { return s.addr }
 
-// expireLeases ends the leases whose time has passed. In an outage none expires.
+// expireLeases expires the leases whose TTL has passed. During an outage no lease expires.
 func (s *KVStore) expireLeases() {
 	if s.unavailable {
 		return
@@ -84,13 +86,13 @@
 	}
 }
 
-// expireLease ends a lease and deletes the keys that are bound to it.
+// expireLease removes a lease and deletes the keys that are bound to it.
 func (s *KVStore) expireLease(id uint64) {
 	delete(s.leases, id)
 	var changes []wire.Change
-	for k, e := range s.keys {
-		if e.Lease == id {
-			changes = append(changes, wire.Change{Delete: k})
+	for key, entry := range s.keys {
+		if entry.Lease == id {
+			changes = append(changes, wire.Change{Delete: key})
 		}
 	}
 	if len(changes) > 0 {
@@ -98,11 +100,11 @@
 	}
 }
 
-// apply makes changes at a new revision.
+// apply applies changes at a new revision, which they share.
 func (s *KVStore) apply(changes []wire.Change) {
 	s.revision++
 	for _, c := range changes {
-		if _, there := s.keys[c.Set+c.Delete]; there != (c.Set != "") {
+		if _, exists := s.keys[c.Set+c.Delete]; exists != (c.Set != "") {
 			s.keyOrder = nil
 		}
 		if c.Set != "" {
@@ -116,7 +118,7 @@
 	s.wakeWatchers()
 }
 
-// orderedKeys lists the keys in order.
+// orderedKeys returns the sorted keys, which the caller must not modify.
 func (s *KVStore) orderedKeys() []string {
 	if s.keyOrder == nil {
 		s.keyOrder = slices.Sorted(maps.Keys(s.keys))
--- a/internal/fake/store_api.go
+++ b/internal/fake/store_api.go
@@ -36,13 +36,13 @@
 	writeJSON(w, http.StatusOK, page)
 }
 
-// listPage returns the first entries, up to a limit, of those under a prefix whose keys come after
-// another one.
+// listPage returns the entries under a prefix whose keys come after a given key, in order of their
+// keys, up to a limit.
 func (s *KVStore) listPage(prefix, after string, limit int) wire.EntryPage {
 	page := wire.EntryPage{Entries: []wire.Entry{}, Revision: s.revision}
 	keys := s.orderedKeys()
-	for at, _ := slices.BinarySearch(keys, max(prefix, after)); at < len(keys); at++ {
-		key := keys[at]
+	for i, _ := slices.BinarySearch(keys, max(prefix, after)); i < len(keys); i++ {
+		key := keys[i]
 		if !strings.HasPrefix(key, prefix) {
 			break
 		}
@@ -68,24 +68,24 @@
 	writeJSON(w, result.status, result.body)
 }
 
-// casResult is the response to a compare-and-swap.
+// casResult is the response to a compare-and-swap transaction.
 type casResult struct {
 	status int
 	body   any
 }
 
-// compareAndSwap applies the changes of a transaction if all its conditions hold.
-func (s *KVStore) compareAndSwap(t *wire.CompareAndSwap) casResult {
-	if status := s.enforceLimits(t); status != 0 {
+// compareAndSwap applies all changes of a transaction if all its conditions hold, otherwise none.
+func (s *KVStore) compareAndSwap(transaction *wire.CompareAndSwap) casResult {
+	if status := s.enforceLimits(transaction); status != 0 {
 		return casResult{status, wire.ErrorResponse{Error: "beyond the limits"}}
 	}
-	for _, c := range t.Changes {
+	for _, c := range transaction.Changes {
 		if c.Lease != 0 && s.leases[c.Lease] == nil {
 			return casResult{http.StatusBadRequest, wire.ErrorResponse{Error: "no such lease"}}
 		}
 	}
 	var failed []string
-	for _, c := range t.Conditions {
+	for _, c := range transaction.Conditions {
 		if s.keys[c.Key].Version != c.Version {
 			failed = append(failed, c.Key)
 		}
@@ -93,8 +93,8 @@
 	if failed != nil {
 		return casResult{http.StatusConflict, wire.CompareAndSwapResponse{FailedKeys: failed, Revision: s.revision}}
 	}
-	if len(t.Changes) > 0 {
-		s.apply(t.Changes)
+	if len(transaction.Changes) > 0 {
+		s.apply(transaction.Changes)
 	}
 	return casResult{http.StatusOK, wire.CompareAndSwapResponse{Revision: s.revision}}
 }
@@ -115,7 +115,8 @@
 	writeJSON(w, http.StatusOK, wire.LeaseResponse{Lease: id})
 }
 
-// handleLease calls f for the lease that a request names, or responds 404.
+// handleLease calls f, on the actor, for the lease in a request's path. It responds 404 if there is
+// no such lease.
 func (s *KVStore) handleLease(w http.ResponseWriter, r *http.Request, f func(id uint64, l *lease)) {
 	id, err := strconv.ParseUint(r.PathValue("id"), 10, 64)
 	found := false
--- a/internal/fake/store_faults.go
+++ b/internal/fake/store_faults.go
@@ -10,8 +10,8 @@
 	"leadproxy/internal/wire"
 )
 
-// SetOutage makes the store refuse all hosts, or ends that: then every lease has its full time to live
-// again.
+// SetOutage begins or ends an outage, during which the store refuses the requests of all hosts.
+// When it ends, every lease gets its full TTL again.
 func (s *KVStore) SetOutage(on bool) {
 	s.do(func() {
 		s.unavailable = on
@@ -24,21 +24,23 @@
 	})
 }
 
-// SetRefused makes the store refuse one host, or ends that. The host's leases expire meanwhile.
+// SetRefused sets whether the store refuses the requests of one host. The host's leases still
+// expire.
 func (s *KVStore) SetRefused(host string, on bool) {
 	s.do(func() { s.refusedHosts[host] = on; s.wakeWatchers() })
 }
 
-// SetClockDrift makes the store's clock run fast by a share, so that leases expire early.
+// SetClockDrift makes the store's clock run fast by a fraction, so that leases granted from now on
+// expire early.
 func (s *KVStore) SetClockDrift(share float64) { s.do(func() { s.clockDrift = share }) }
 
-// SetDelay delays every response.
-func (s *KVStore) SetDelay(d time.Duration) { s.do(func() { s.delay = d }) }
+// SetDelay sets a delay that is added to every response.
+func (s *KVStore) SetDelay(delay time.Duration) { s.do(func() { s.delay = delay }) }
 
-// SetLimits makes the store refuse values and transactions beyond the limits, and writes beyond the
-// rate, from now on. What is stored stays readable.
-func (s *KVStore) SetLimits(l settings.StoreLimits) {
-	s.do(func() { s.limits, s.writeBudget, s.budgetRefilledAt = l, l.WriteRPS, time.Now() })
+// SetLimits makes the store refuse values, transactions and write rates that exceed the limits.
+// Values that are stored already remain readable.
+func (s *KVStore) SetLimits(limits settings.StoreLimits) {
+	s.do(func() { s.limits, s.writeBudget, s.budgetRefilledAt = limits, limits.WriteRPS, time.Now() })
 }
 
 // Compact discards the history of changes (compaction): a watch from an earlier revision gets 410.
@@ -50,11 +52,11 @@
 	})
 }
 
-// requestLatency is how long each request takes at least.
+// requestLatency is the minimum duration of a request.
 const requestLatency = 2 * time.Millisecond
 
-// withAvailability serves h with the store's delay and refuses requests while it is unavailable.
-// Open watches are not ended.
+// withAvailability returns a handler that serves requests with h after the store's delay, and
+// responds 503 while it refuses the host. Open watches are not ended.
 func (s *KVStore) withAvailability(h http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var refused bool
@@ -69,29 +71,30 @@
 	})
 }
 
-// refuses reports whether requests of a host are refused.
+// refuses reports whether the store refuses the requests of a host.
 func (s *KVStore) refuses(host string) bool { return s.unavailable || s.refusedHosts[host] }
 
-// enforceLimits is the status code with which a transaction is refused because of the limits;
-// 0: it is not.
-func (s *KVStore) enforceLimits(t *wire.CompareAndSwap) int {
+// enforceLimits checks a transaction against the limits and takes its changes from the write
+// budget. It returns the HTTP status code with which the transaction is refused, or 0 if it is
+// within the limits.
+func (s *KVStore) enforceLimits(transaction *wire.CompareAndSwap) int {
 	if s.limits.TxnOps == 0 {
 		return 0
 	}
 	now := time.Now()
 	s.writeBudget = min(s.writeBudget+s.limits.WriteRPS*now.Sub(s.budgetRefilledAt).Seconds(), s.limits.WriteRPS)
 	s.budgetRefilledAt = now
-	if len(t.Changes) > s.limits.TxnOps || s.hasLargeValue(t.Changes) {
+	if len(transaction.Changes) > s.limits.TxnOps || s.hasLargeValue(transaction.Changes) {
 		return http.StatusBadRequest
 	}
-	if s.writeBudget < float64(len(t.Changes)) {
+	if s.writeBudget < float64(len(transaction.Changes)) {
 		return http.StatusTooManyRequests
 	}
-	s.writeBudget -= float64(len(t.Changes))
+	s.writeBudget -= float64(len(transaction.Changes))
 	return 0
 }
 
-// hasLargeValue reports whether a value is larger than the limit.
+// hasLargeValue reports whether one of the changes has a value that exceeds the size limit.
 func (s *KVStore) hasLargeValue(changes []wire.Change) bool {
 	maxBytes := int(s.limits.ValueKB * 1024)
 	return slices.ContainsFunc(changes, func(c wire.Change) bool { return len(c.Value) > maxBytes })
--- a/internal/fake/store_inspection.go
+++ b/internal/fake/store_inspection.go
@@ -8,31 +8,31 @@
 	"leadproxy/internal/wire"
 )
 
-// Value returns the stored value of a key.
+// Value returns the value of a key, or nil if there is no such key.
 func (s *KVStore) Value(key string) (value json.RawMessage) {
 	s.do(func() { value = s.keys[key].Value })
 	return value
 }
 
-// Version returns a key's version; 0: there is no such key.
+// Version returns the version of a key, or 0 if there is no such key.
 func (s *KVStore) Version(key string) (version uint64) {
 	s.do(func() { version = s.keys[key].Version })
 	return version
 }
 
 // Count returns the number of keys under a prefix.
-func (s *KVStore) Count(prefix string) (n int) {
+func (s *KVStore) Count(prefix string) (count int) {
 	s.do(func() {
-		for k := range s.keys {
-			if strings.HasPrefix(k, prefix) {
-				n++
+		for key := range s.keys {
+			if strings.HasPrefix(key, prefix) {
+				count++
 			}
 		}
 	})
-	return n
+	return count
 }
 
-// Entries lists all keys with their values, in order.
+// Entries lists all entries in order of their keys.
 func (s *KVStore) Entries() (entries []wire.Entry) {
 	s.do(func() {
 		for _, key := range s.orderedKeys() {
@@ -42,7 +42,7 @@
 	return entries
 }
 
-// LargestValueBytes is the size in bytes of the largest value under a prefix.
+// LargestValueBytes returns the size in bytes of the largest value under a prefix.
 func (s *KVStore) LargestValueBytes(prefix string) (bytes int) {
 	s.do(func() {
 		for key, entry := range s.keys {
@@ -54,23 +54,23 @@
 	return bytes
 }
 
-// Put writes a key as if a controller had done so before the test.
+// Put writes a key unconditionally, for state that controllers stored before the test.
 func (s *KVStore) Put(key, value string) {
 	s.do(func() { s.apply([]wire.Change{{Set: key, Value: json.RawMessage(value)}}) })
 }
 
-// Remove deletes a key as an operator would.
+// Remove deletes a key unconditionally, as an operator could.
 func (s *KVStore) Remove(key string) {
 	s.do(func() { s.apply([]wire.Change{{Delete: key}}) })
 }
 
-// History lists all changes so far, in order.
+// History lists the changes since the last compaction, in order.
 func (s *KVStore) History() (changes []wire.WatchEvent) {
 	s.do(func() { changes = slices.Clone(s.history) })
 	return changes
 }
 
-// Revision is the store's current revision.
+// Revision returns the store's current revision.
 func (s *KVStore) Revision() (revision uint64) {
 	s.do(func() { revision = s.revision })
 	return revision
--- a/internal/fake/store_watch.go
+++ b/internal/fake/store_watch.go
@@ -10,12 +10,11 @@
 	"leadproxy/internal/wire"
 )
 
-// watchRequest asks for the changes under a prefix after a revision, and is answered at the latest
-// after a while.
+// watchRequest is a long-polling request for the changes under a prefix.
 type watchRequest struct {
-	from   uint64
+	from   uint64 // changes after this revision
 	prefix string
-	wait   time.Duration
+	wait   time.Duration // time after which the response is sent even without changes
 }
 
 func parseWatchRequest(r *http.Request) (watchRequest, error) {
@@ -58,7 +57,7 @@
 			refused := false
 			s.do(func() { refused = s.refuses(r.RemoteAddr) })
 			if refused {
-				continue // it stays open until the host is served again
+				continue // the watch stays open while the host is refused, and then until a change
 			}
 			writeJSON(w, http.StatusOK, response)
 			return
@@ -68,8 +67,8 @@
 	}
 }
 
-// eventsSince returns the events that a watch from a host asks for. If there are none, or the host
-// is refused, changed is closed when the watch should try again.
+// eventsSince returns the events for a watch from a host. If there are none, or the host is
+// refused, it registers changed, which is closed when the watch must check again.
 func (s *KVStore) eventsSince(request watchRequest, host string, changed chan struct{}) wire.WatchResponse {
 	response := wire.WatchResponse{Events: []wire.WatchEvent{}}
 	if s.refuses(host) {
@@ -77,9 +76,9 @@
 		return response
 	}
 	response.Revision = s.revision
-	for _, e := range s.history {
-		if e.Version > request.from && strings.HasPrefix(e.Set+e.Delete, request.prefix) {
-			response.Events = append(response.Events, e)
+	for _, event := range s.history {
+		if event.Version > request.from && strings.HasPrefix(event.Set+event.Delete, request.prefix) {
+			response.Events = append(response.Events, event)
 		}
 	}
 	if len(response.Events) == 0 {
@@ -88,10 +87,10 @@
 	return response
 }
 
-// wakeWatchers makes all open watches look for events again.
+// wakeWatchers makes all waiting watches check for events again.
 func (s *KVStore) wakeWatchers() {
-	for _, w := range s.watchers {
-		close(w)
+	for _, watcher := range s.watchers {
+		close(watcher)
 	}
 	s.watchers = nil
 }
--- a/internal/fake/user_pipelines.go
+++ b/internal/fake/user_pipelines.go
@@ -7,27 +7,28 @@
 	"leadproxy/internal/wire"
 )
 
-// What is random about pipelines.
+// The parameters of the random pipelines. Shares are fractions of all pipelines.
 const (
-	maxPipelineInterval = 8 * time.Second
-	oldDependencyShare  = 0.3 // of pipelines whose last stage also depends on an earlier pipeline
-	lateLastStageShare  = 0.2 // of pipelines whose last stage is submitted late
-	cancelledShare      = 0.4 // of pipelines of which one stage is cancelled
-	maxPipelineDelay    = 30 * time.Second
-	lastStage           = 3
+	maxPipelineInterval = 8 * time.Second  // between the submissions of two pipelines
+	oldDependencyShare  = 0.3              // last stage also depends on an earlier pipeline
+	lateLastStageShare  = 0.2              // last stage is submitted late
+	cancelledShare      = 0.4              // one stage is cancelled
+	maxPipelineDelay    = 30 * time.Second // before a late last stage or a cancellation
+	lastStage           = 3                // index of the last stage
 	lastStageDeadlineS  = 60.0
 )
 
-// Pipelines has users submit pipelines one after the other until stop is called: a first stage,
-// two that depend on it, and a last one, with a deadline and a higher priority, that depends on
-// both and sometimes on a job that was over long before. In some of them one stage is cancelled,
-// and in some the last one is submitted late.
+// Pipelines makes users submit pipelines one after the other until stop is called. A pipeline has a
+// first stage, two stages that depend on it, and a last stage that depends on both. The last stage
+// has a deadline and a higher priority, and sometimes also depends on a job of an earlier pipeline,
+// which may have ended long before. In some pipelines one stage is cancelled, and in some the last
+// stage is submitted late.
 func (u *Users) Pipelines() (stop func()) {
 	stopped := make(chan struct{})
-	var earlier []string // last stages of earlier pipelines
+	var earlier []string // job IDs of the last stages of earlier pipelines
 	u.pending.Go(func() {
-		for n := 0; ; n++ {
-			if last := u.submitPipeline(n, earlier); last != "" {
+		for number := 0; ; number++ {
+			if last := u.submitPipeline(number, earlier); last != "" {
 				earlier = append(earlier, last)
 			}
 			select {
@@ -40,10 +41,10 @@
 	return func() { close(stopped) }
 }
 
-// submitPipeline submits one pipeline and returns the ID of its last stage, or "" if a stage was
-// not accepted.
-func (u *Users) submitPipeline(n int, earlier []string) (last string) {
-	jobs := pipelineJobs(n)
+// submitPipeline submits one pipeline and returns the job ID of its last stage, or "" if a stage
+// was not accepted.
+func (u *Users) submitPipeline(number int, earlier []string) (last string) {
+	jobs := pipelineJobs(number)
 	if len(earlier) > 0 && u.Random() < oldDependencyShare {
 		j := jobs[lastStage]
 		j.DependsOn = append(j.DependsOn, earlier[int(u.Random()*float64(len(earlier)))])
@@ -67,9 +68,10 @@
 	return jobs[lastStage].ID
 }
 
-// pipelineJobs are the stages of a pipeline. One stage lists a dependency twice, which is allowed.
-func pipelineJobs(n int) []*wire.Job {
-	jobID := func(stage int) string { return fmt.Sprintf("job-5%04d%d", n, stage) }
+// pipelineJobs returns the stages of a pipeline. One stage lists a dependency twice, which is
+// valid.
+func pipelineJobs(number int) []*wire.Job {
+	jobID := func(stage int) string { return fmt.Sprintf("job-5%04d%d", number, stage) }
 	deadline := lastStageDeadlineS
 	return []*wire.Job{
 		NewJob(jobID(0), 2, func(j *wire.Job) { j.Priority = "idle" }),
@@ -81,7 +83,7 @@
 	}
 }
 
-// randomDelay is a time from 0 to a limit.
+// randomDelay returns a random duration from 0 to a limit.
 func (u *Users) randomDelay(limit time.Duration) time.Duration {
 	return time.Duration(u.Random() * float64(limit))
 }
--- a/internal/fake/user_requests.go
+++ b/internal/fake/user_requests.go
@@ -8,8 +8,8 @@
 	"leadproxy/internal/transport"
 )
 
-// Call sends one request to one controller and records request and response with the checker. The
-// code is 0 when there was no response.
+// Call sends one request to one controller and records the request and the response with the
+// checker. It returns the HTTP status code, or 0 if there was no response, and the job's status.
 func (u *Users) Call(controller int, kind RequestKind, jobID string, body any) (code int, status string) {
 	request := u.newUserRequest(kind, jobID, body)
 	if kind == RequestCancel {
@@ -21,18 +21,18 @@
 	if err != nil {
 		return 0, ""
 	}
-	var answer struct {
+	var jobResponse struct {
 		Status string `json:"status"`
 		Error  string `json:"error"`
 	}
-	if json.Unmarshal(response.Body, &answer) != nil || response.Status/100 != 2 && answer.Error == "" {
-		u.t.Errorf("%s %s: %d %s: no reason in the body", request.Method, request.Path, response.Status, response.Body)
+	if json.Unmarshal(response.Body, &jobResponse) != nil || response.Status/100 != 2 && jobResponse.Error == "" {
+		u.t.Errorf("%s %s: response %d %s is not JSON or has no error text", request.Method, request.Path, response.Status, response.Body)
 	}
-	u.checker.RecordResponse(kind, jobID, sentAt, response.Status, answer.Status)
-	return response.Status, answer.Status
+	u.checker.RecordResponse(kind, jobID, sentAt, response.Status, jobResponse.Status)
+	return response.Status, jobResponse.Status
 }
 
-// userRequest is a request and how long a user waits for the response.
+// userRequest is a request of a user and the timeout for its response.
 type userRequest struct {
 	transport.Request
 	timeout time.Duration
@@ -53,7 +53,7 @@
 	return userRequest{transport.Request{Method: http.MethodGet, Path: jobsPath + "/" + jobID}, queryTimeout}
 }
 
-// send sends one request on a connection of its own.
+// send sends one request to a controller on a new connection.
 func (u *Users) send(controller int, deadline time.Time, request transport.Request) (transport.Response, error) {
 	conn := transport.NewConn(u.network, u.controllers[controller])
 	defer conn.Close()
@@ -63,7 +63,8 @@
 	return conn.Do(deadline, request)
 }
 
-// RetryUntilFinal repeats a request at random controllers, as users do, until it gets a final response.
+// RetryUntilFinal sends a request to random controllers, as users do, until it gets a final
+// response or maxAttempts is reached. It returns the result of the last attempt.
 func (u *Users) RetryUntilFinal(kind RequestKind, jobID string, body any) (code int, status string) {
 	for range maxAttempts {
 		code, status = u.Call(u.AnyController(), kind, jobID, body)
@@ -75,8 +76,8 @@
 	return code, status
 }
 
-// QueryEverywhere queries a job at all controllers at once and repeats its submission, three times within
-// milliseconds.
+// QueryEverywhere sends a status request and a repeated submission of a job to all controllers
+// concurrently, three times at intervals of 2 ms. It does not wait for the responses.
 func (u *Users) QueryEverywhere(jobID string, body any) {
 	for range 3 {
 		for i := range u.controllers {
@@ -87,5 +88,6 @@
 	}
 }
 
-// isFinal reports whether a status code ends the repetition of a request.
+// isFinal reports whether a status code ends the retries of a request: no response (0), 429 and
+// higher codes are retried.
 func isFinal(code int) bool { return code != 0 && code < http.StatusTooManyRequests }
