--- a/internal/controller/agent_failures_test.go
+++ b/internal/controller/agent_failures_test.go
@@ -18,53 +18,53 @@
 // leader begins, or after newer ones, also of an earlier agent epoch or attempt, or is
 // held back until a new leader has acted.
 func TestDelayedHeartbeats(t *testing.T) {
-	for name, when := range map[string]func(c *cluster, deliver func()){
-		"as the leader begins": func(c *cluster, deliver func()) {
+	for name, scenario := range map[string]func(c *cluster, replay func()){
+		"as the leader begins": func(c *cluster, replay func()) {
 			c.kill(c.leader())
 			c.awaitNewTerm()
-			deliver()
+			replay()
 		},
-		"after it has acted": func(c *cluster, deliver func()) {
+		"after it has acted": func(c *cluster, replay func()) {
 			c.kill(c.leader())
 			c.awaitNewTerm()
 			time.Sleep(8 * time.Second)
-			deliver()
+			replay()
 			time.Sleep(30 * time.Second)
-			deliver()
+			replay()
 		},
-		"after newer ones": func(_ *cluster, deliver func()) {
+		"after newer ones": func(_ *cluster, replay func()) {
 			for range 5 {
 				time.Sleep(4 * time.Second)
-				deliver()
+				replay()
 			}
 		},
-		"after a session": func(c *cluster, deliver func()) {
-			workers := c.cloud.Agents()
-			for _, w := range workers {
-				w.SetHung(true)
+		"after a session": func(c *cluster, replay func()) {
+			agents := c.cloud.Agents()
+			for _, agent := range agents {
+				agent.SetHung(true)
 			}
 			time.Sleep(agentLease + time.Second)
-			for _, w := range workers {
-				w.SetHung(false)
+			for _, agent := range agents {
+				agent.SetHung(false)
 			}
 			for range 4 {
 				time.Sleep(700 * time.Millisecond)
-				deliver()
+				replay()
 			}
 			c.kill(c.leader())
 			c.awaitNewTerm()
-			deliver()
+			replay()
 		},
-		"all the time": func(c *cluster, deliver func()) {
-			for _, w := range c.cloud.Agents() {
-				w.DuplicateHeartbeats(func() time.Duration { return 2*time.Second + time.Duration(c.users.Random()*float64(40*time.Second)) })
+		"all the time": func(c *cluster, replay func()) {
+			for _, agent := range c.cloud.Agents() {
+				agent.DuplicateHeartbeats(func() time.Duration { return 2*time.Second + time.Duration(c.users.Random()*float64(40*time.Second)) })
 			}
 			time.Sleep(20 * time.Second)
 			c.kill(c.leader())
 			time.Sleep(20 * time.Second)
-			deliver()
-			for _, w := range c.cloud.Agents() {
-				w.DuplicateHeartbeats(nil)
+			replay()
+			for _, agent := range c.cloud.Agents() {
+				agent.DuplicateHeartbeats(nil)
 			}
 		},
 	} {
@@ -72,15 +72,15 @@
 			runScenario(t, clusterConfig{runTime: longRunning(30 * time.Second)}, func(c *cluster) {
 				jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
 				c.awaitRunning(15)
-				workers := c.cloud.Agents()
-				for _, w := range workers {
-					w.SaveHeartbeat()
+				agents := c.cloud.Agents()
+				for _, agent := range agents {
+					agent.SaveHeartbeat()
 				}
 				time.Sleep(10 * time.Second)
 				c.users.Cancel(jobs[0])
-				when(c, func() {
-					for _, w := range workers {
-						w.ReplayHeartbeat()
+				scenario(c, func() {
+					for _, agent := range agents {
+						agent.ReplayHeartbeat()
 					}
 				})
 				c.submitJobs(100, 4, 300*time.Millisecond, nil)
@@ -99,29 +99,29 @@
 		c.submitJobs(0, 1, time.Second, func(_ int, j *wire.Job) { j.Tasks = 20 })
 		c.awaitRunning(20)
 		c.await("the first job's end", 2*time.Minute, func() bool { _, done := c.checker.TaskCounts("job-000000"); return done == 20 })
-		workers := c.cloud.Agents()
-		for _, w := range workers {
-			w.SaveHeartbeat()
+		agents := c.cloud.Agents()
+		for _, agent := range agents {
+			agent.SaveHeartbeat()
 		}
 		c.submitJobs(10, 8, 200*time.Millisecond, func(k int, j *wire.Job) { j.ID = fmt.Sprintf("job-%06d", 10+2*k) })
 		c.awaitRunning(20)
 		time.Sleep(4 * time.Second)
-		workers = everyOther(workers)
-		for _, w := range workers {
-			w.SetHung(true)
+		agents = everyOther(agents)
+		for _, agent := range agents {
+			agent.SetHung(true)
 		}
-		lead := c.leader()
-		c.kill(lead)
+		leader := c.leader()
+		c.kill(leader)
 		for range 100 {
-			for _, w := range workers {
-				w.ReplayHeartbeat()
+			for _, agent := range agents {
+				agent.ReplayHeartbeat()
 			}
 			time.Sleep(100 * time.Millisecond)
 		}
-		for _, w := range workers {
-			w.SetHung(false)
+		for _, agent := range agents {
+			agent.SetHung(false)
 		}
-		c.start(lead)
+		c.start(leader)
 	})
 }
 
@@ -136,8 +136,8 @@
 		c.submitJobs(0, 8, 200*time.Millisecond, func(_ int, j *wire.Job) { j.Tasks = 6 })
 		for range 3 {
 			time.Sleep(randomDuration(r, time.Second, 6*time.Second))
-			if l := c.leader(); l >= 0 {
-				c.restart(l, randomDuration(r, 100*time.Millisecond, 3*time.Second))
+			if leader := c.leader(); leader >= 0 {
+				c.restart(leader, randomDuration(r, 100*time.Millisecond, 3*time.Second))
 			}
 		}
 		time.Sleep(10 * time.Second)
@@ -157,16 +157,16 @@
 				c.commandFaults.Store(c.randomFaults(0.5, fault, 2*time.Second, 15*time.Second))
 				jobs := c.submitJobs(0, 12, 300*time.Millisecond, nil)
 				time.Sleep(3 * time.Second)
-				for _, w := range everyOther(c.cloud.Agents()) {
-					w.SetHung(true)
+				for _, agent := range everyOther(c.cloud.Agents()) {
+					agent.SetHung(true)
 				}
 				for _, j := range everyOther(jobs) {
 					c.users.Cancel(j)
 				}
 				time.Sleep(7 * time.Second)
 				c.restart(c.leader(), time.Second)
-				for _, w := range c.cloud.Agents() {
-					w.SetHung(false)
+				for _, agent := range c.cloud.Agents() {
+					agent.SetHung(false)
 				}
 				c.submitJobs(100, 6, 300*time.Millisecond, nil)
 				time.Sleep(20 * time.Second)
@@ -180,21 +180,21 @@
 // reached, or don't get the new leader's response; or workers reach no controller
 // while commands still reach them.
 func TestUnreachableMachines(t *testing.T) {
-	for _, lasts := range []time.Duration{6 * time.Second, agentLease - 2*time.Second, agentLease + 5*time.Second} {
-		for name, away := range unreachableModes {
-			t.Run(fmt.Sprint(name, lasts), func(t *testing.T) {
+	for _, duration := range []time.Duration{6 * time.Second, agentLease - 2*time.Second, agentLease + 5*time.Second} {
+		for name, setUnreachable := range unreachableModes {
+			t.Run(fmt.Sprint(name, duration), func(t *testing.T) {
 				runScenario(t, clusterConfig{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
 					c.submitJobs(0, 10, 200*time.Millisecond, nil)
 					c.awaitRunning(20)
-					workers := everyOther(c.cloud.Agents())
-					for _, w := range workers {
-						away(w, true)
+					agents := everyOther(c.cloud.Agents())
+					for _, agent := range agents {
+						setUnreachable(agent, true)
 					}
 					c.kill(c.leader())
 					c.awaitNewTerm()
-					time.Sleep(lasts)
-					for _, w := range workers {
-						away(w, false)
+					time.Sleep(duration)
+					for _, agent := range agents {
+						setUnreachable(agent, false)
 					}
 					c.startAll()
 				})
@@ -207,22 +207,22 @@
 // commands still reach them, for less and for longer than their lease; jobs are
 // cancelled meanwhile.
 func TestOutboundCutMachines(t *testing.T) {
-	for _, lasts := range []time.Duration{8 * time.Second, agentLease + 4*time.Second, cancelLimit + 10*time.Second} {
-		t.Run(fmt.Sprint(lasts), func(t *testing.T) {
+	for _, duration := range []time.Duration{8 * time.Second, agentLease + 4*time.Second, cancelLimit + 10*time.Second} {
+		t.Run(fmt.Sprint(duration), func(t *testing.T) {
 			runScenario(t, clusterConfig{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
 				jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
 				c.awaitRunning(20)
-				workers := c.cloud.Agents()
-				for _, w := range workers {
-					w.SetOutboundCut(true)
+				agents := c.cloud.Agents()
+				for _, agent := range agents {
+					agent.SetOutboundCut(true)
 				}
 				time.Sleep(2 * time.Second)
 				for _, j := range everyOther(jobs) {
 					c.users.Cancel(j)
 				}
-				time.Sleep(lasts)
-				for _, w := range workers {
-					w.SetOutboundCut(false)
+				time.Sleep(duration)
+				for _, agent := range agents {
+					agent.SetOutboundCut(false)
 				}
 			})
 		})
@@ -237,18 +237,18 @@
 	runWithSeeds(t, clusterConfig{runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		jobs := c.submitJobs(0, 12, 300*time.Millisecond, nil)
 		c.awaitRunning(15)
-		for _, w := range c.cloud.Agents() {
-			w.SaveHeartbeat()
+		for _, agent := range c.cloud.Agents() {
+			agent.SaveHeartbeat()
 		}
 		for k := range 6 {
-			workers := c.cloud.Agents()
-			for _, w := range everyOther(workers) {
-				w.Reboot()
+			agents := c.cloud.Agents()
+			for _, agent := range everyOther(agents) {
+				agent.Reboot()
 			}
 			c.users.Cancel(jobs[2*k])
 			time.Sleep(randomDuration(r, 100*time.Millisecond, 5*time.Second))
-			for _, w := range workers {
-				w.ReplayHeartbeat()
+			for _, agent := range agents {
+				agent.ReplayHeartbeat()
 			}
 			if k%2 == 0 {
 				c.restart(c.leader(), randomDuration(r, 100*time.Millisecond, time.Second))
@@ -261,30 +261,30 @@
 // TestZonePartition: a zone with workers and a controller is cut off for longer
 // than the workers' lease; the controller there leads, or does not.
 func TestZonePartition(t *testing.T) {
-	for _, leads := range []bool{true, false} {
+	for _, ofLeader := range []bool{true, false} {
 		for _, hold := range []bool{true, false} {
-			t.Run(fmt.Sprint(leads, hold), func(t *testing.T) {
+			t.Run(fmt.Sprint(ofLeader, hold), func(t *testing.T) {
 				runScenario(t, clusterConfig{runTime: longRunning(50 * time.Second)}, func(c *cluster) {
 					jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
 					c.awaitRunning(20)
-					in := c.leader()
-					if !leads {
-						in = c.follower()
+					partitioned := c.leader()
+					if !ofLeader {
+						partitioned = c.follower()
 					}
-					zone := c.controllers[in].platform.Zone
+					zone := c.controllers[partitioned].platform.Zone
 					cut := func(do func(a, b string)) {
-						do(c.controllerName(in), "state")
-						do(c.controllerName(in), "cloud")
-						do(c.controllerName(in), "users")
+						do(c.controllerName(partitioned), "state")
+						do(c.controllerName(partitioned), "cloud")
+						do(c.controllerName(partitioned), "users")
 						for i := range c.controllers {
-							if i != in {
-								do(c.controllerName(in), c.controllerName(i))
+							if i != partitioned {
+								do(c.controllerName(partitioned), c.controllerName(i))
 							}
 						}
-						for _, w := range c.cloud.Agents() {
-							for i, n := range c.controllers {
-								if (n.platform.Zone == zone) != (w.Zone() == zone) {
-									do(w.Name(), c.controllerName(i))
+						for _, agent := range c.cloud.Agents() {
+							for i, process := range c.controllers {
+								if (process.platform.Zone == zone) != (agent.Zone() == zone) {
+									do(agent.Name(), c.controllerName(i))
 								}
 							}
 						}
--- a/internal/controller/assembly.go
+++ b/internal/controller/assembly.go
@@ -20,7 +20,7 @@
 	"leadproxy/internal/transport"
 )
 
-// components are the parts of a controller.
+// components are the parts of a controller process.
 type components struct {
 	platform     *settings.Platform
 	log          *slog.Logger
@@ -37,53 +37,53 @@
 	services     peerServices
 }
 
-// followers follow the leader, so that a term that begins here knows what it knew. Each is
-// nil unless the settings enable it.
+// followers replicate the leader's state, so that this controller can take over quickly. Each
+// is nil unless the settings enable it.
 type followers struct {
 	standby   *standby.Follower
 	softState *softstate.Follower
 }
 
-// peerServices are the gRPC services for other controllers, cells and operators that have a
-// package of their own.
+// peerServices are the gRPC services for other controllers, other cells and operators that are
+// implemented in packages of their own.
 type peerServices struct {
 	cells          *cells.Server
 	leaderTransfer *leadertransfer.Server
 	softState      *softstate.Server
 }
 
-// assemble makes the parts of a controller and connects them. What they do before they are
-// started ends with ctx.
-func assemble(ctx context.Context, level int, n transport.Network, p *settings.Platform, op settings.Operator, log *slog.Logger) (*components, error) {
-	facts := p.Facts
-	c := &components{platform: p, log: log, sockets: divideSockets(facts.Resources)}
+// assemble creates the components of a controller and connects them. Connections and goroutines
+// that it already starts end with ctx; start starts the rest.
+func assemble(ctx context.Context, level int, network transport.Network, platform *settings.Platform, operator settings.Operator, log *slog.Logger) (*components, error) {
+	facts := platform.Facts
+	c := &components{platform: platform, log: log, sockets: divideSockets(facts.Resources)}
 	c.connections = &connectionTracker{closeAbove: int64(c.sockets.closeAbove), scarceAbove: int64(c.sockets.scarceAbove)}
 	rate := dispatch.FollowerShare(facts.ControllerCount)
-	store := kvstore.New(ctx, n, p.Services.Store, facts.Store, rate, log)
-	c.elector = election.New(p.Name, op, store, log)
-	others, err := peers.Dial(ctx, n, p.Name, p.Peers)
+	store := kvstore.New(ctx, network, platform.Services.Store, facts.Store, rate, log)
+	c.elector = election.New(platform.Name, operator, store, log)
+	others, err := peers.Dial(ctx, network, platform.Name, platform.Peers)
 	if err != nil {
 		return nil, err
 	}
 	c.elector.Peers = others
-	c.capabilities = capability.New(p.Name, level, others.Names(), store, log)
-	c.followers = c.newFollowers(op, store, others)
-	if err := c.addDispatcher(ctx, n, op, store); err != nil {
+	c.capabilities = capability.New(platform.Name, level, others.Names(), store, log)
+	c.followers = c.newFollowers(operator, store, others)
+	if err := c.addDispatcher(ctx, network, operator, store); err != nil {
 		return nil, err
 	}
 	c.connections.closeIdle = c.dispatcher.CloseIdleConnections
 	c.services = peerServices{
-		cells:          cells.NewServer(op.Cells, facts.AgentTiming.CancelS, c.dispatcher),
-		leaderTransfer: leadertransfer.NewServer(n, p, c.elector, c.followers.standby, c.followers.softState, log),
+		cells:          cells.NewServer(operator.Cells, facts.AgentTiming.CancelS, c.dispatcher),
+		leaderTransfer: leadertransfer.NewServer(network, platform, c.elector, c.followers.standby, c.followers.softState, log),
 		softState:      softstate.NewServer(c.dispatcher, others.Names(), log),
 	}
-	types := watchMachineTypes(ctx, autoscaler.NewClient(n, p.Services.Cloud, facts.Cloud.RPS), log)
+	types := watchMachineTypes(ctx, autoscaler.NewClient(network, platform.Services.Cloud, facts.Cloud.RPS), log)
 	c.health = &healthMonitor{storeServing: store.Serving, peers: others, log: log}
 	c.jobs = jobapi.New(ctx, jobapi.Config{
-		Platform: p, Elector: c.elector, Store: store, Dispatcher: c.dispatcher, Peers: others, MachineTypes: types,
+		Platform: platform, Elector: c.elector, Store: store, Dispatcher: c.dispatcher, Peers: others, MachineTypes: types,
 		StoreShare: rate, PipelinesSupported: c.capabilityCheck(capability.Pipelines), Healthy: c.health.Healthy, Log: log,
 	})
-	c.heartbeats = newHeartbeatHandler(ctx, p.Name, c.elector, c.dispatcher, others, c.connections, log)
+	c.heartbeats = newHeartbeatHandler(ctx, platform.Name, c.elector, c.dispatcher, others, c.connections, log)
 	c.reachability = &reachabilityMonitor{
 		elector:             c.elector,
 		directHeartbeats:    c.heartbeats.directHeartbeats,
@@ -97,37 +97,38 @@
 	return c, nil
 }
 
-// capabilityCheck returns a check whether all controllers have announced a level of capabilities.
+// capabilityCheck returns a function that reports whether all controllers have announced
+// support for a capability level.
 func (c *components) capabilityCheck(level int) func() bool {
 	return func() bool { return c.capabilities.AllSupport(level) }
 }
 
-// newFollowers makes the followers that the settings enable.
-func (c *components) newFollowers(op settings.Operator, store *kvstore.Client, others *peers.Peers) followers {
+// newFollowers creates the followers that the settings enable.
+func (c *components) newFollowers(operator settings.Operator, store *kvstore.Client, others *peers.Peers) followers {
 	var f followers
-	if op.Standby.Follow {
-		f.standby = standby.NewFollower(store, ledger.Prefixes(), int(op.Standby.MaxMB*(1<<20)), c.log)
+	if operator.Standby.Follow {
+		f.standby = standby.NewFollower(store, ledger.Prefixes(), int(operator.Standby.MaxMB*(1<<20)), c.log)
 		c.elector.Ready = f.standby.Ready
 	}
-	if op.Standby.SoftState {
+	if operator.Standby.SoftState {
 		leader := func() string { return c.elector.View().Leader }
 		f.softState = softstate.NewFollower(c.platform.Name, leader, others.Conn, c.log)
 	}
 	return f
 }
 
-// addDispatcher makes the dispatcher with its connections to workers and to other cells.
-func (c *components) addDispatcher(ctx context.Context, n transport.Network, op settings.Operator, store *kvstore.Client) error {
-	neighbours, err := cells.Dial(ctx, n, op.Cells, c.platform.Facts.AgentTiming.CancelS)
+// addDispatcher creates the dispatcher and its connections to agents and to other cells.
+func (c *components) addDispatcher(ctx context.Context, network transport.Network, operator settings.Operator, store *kvstore.Client) error {
+	neighbours, err := cells.Dial(ctx, network, operator.Cells, c.platform.Facts.AgentTiming.CancelS)
 	if err != nil {
 		return err
 	}
-	tracer, err := cells.NewTracer(ctx, op.Cells.Name, op.Cells.TraceFile, c.log)
+	tracer, err := cells.NewTracer(ctx, operator.Cells.Name, operator.Cells.TraceFile, c.log)
 	if err != nil {
 		return err
 	}
 	config := dispatch.Config{
-		Network: n, Platform: c.platform, Operator: op, Elector: c.elector, Store: store, Log: c.log,
+		Network: network, Platform: c.platform, Operator: operator, Elector: c.elector, Store: store, Log: c.log,
 		Connections: dispatch.ConnectionLimits{
 			MaxInFlight: c.sockets.commands, MaxIdle: c.sockets.idle, MaxIdleWhenScarce: c.sockets.idleWhenScarce, SocketsScarce: c.connections.scarce,
 		},
@@ -136,7 +137,7 @@
 		Neighbours:         neighbours,
 		TraceTransfer:      tracer.RecordStep,
 	}
-	// A nil pointer in an interface would not be nil.
+	// Assigning a nil pointer would make the interface fields non-nil.
 	if c.followers.standby != nil {
 		config.Standby = c.followers.standby
 	}
@@ -147,7 +148,7 @@
 	return nil
 }
 
-// start starts what the parts do by themselves, until ctx ends.
+// start starts the components' background goroutines, which run until ctx ends.
 func (c *components) start(ctx context.Context) {
 	go c.capabilities.Run(ctx)
 	if c.followers.standby != nil {
--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -25,19 +25,19 @@
 }
 
 func newHTTPClient(b *testing.B, addr string) *httpClient {
-	c, err := net.Dial("tcp", addr)
+	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		b.Fatal(err)
 	}
-	b.Cleanup(func() { c.Close() })
-	return &httpClient{c, bufio.NewReaderSize(c, 1024)}
+	b.Cleanup(func() { conn.Close() })
+	return &httpClient{conn, bufio.NewReaderSize(conn, 1024)}
 }
 
-func (v *httpClient) send(b *testing.B, method, path, body string) int {
-	if _, err := fmt.Fprintf(v.conn, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body); err != nil {
+func (c *httpClient) send(b *testing.B, method, path, body string) int {
+	if _, err := fmt.Fprintf(c.conn, "%s %s HTTP/1.1\r\nHost: x\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", method, path, len(body), body); err != nil {
 		b.Fatal(err)
 	}
-	resp, err := http.ReadResponse(v.reader, nil)
+	resp, err := http.ReadResponse(c.reader, nil)
 	if err != nil {
 		b.Fatal(err)
 	}
@@ -61,8 +61,8 @@
 	cloud := fake.NewCloud(b, transport.TCP{}, "127.0.0.1:0", fake.CloudConfig{Faults: refuse,
 		Types: []wire.MachineType{{Name: "m4", CPUs: 4, MemGB: 16, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 1, Zones: []string{"a"}}}})
 	addrs := fake.ReserveAddresses(b, 2)
-	p := &settings.Platform{Name: "n0", Zone: "a", PublicAddr: addrs[0], PeerAddr: addrs[1], Services: settings.Services{Store: store.Addr(), Cloud: cloud.Addr()}}
-	p.Facts = settings.Facts{ControllerCount: 1, Teams: []settings.Team{{Name: "t"}},
+	platform := &settings.Platform{Name: "n0", Zone: "a", PublicAddr: addrs[0], PeerAddr: addrs[1], Services: settings.Services{Store: store.Addr(), Cloud: cloud.Addr()}}
+	platform.Facts = settings.Facts{ControllerCount: 1, Teams: []settings.Team{{Name: "t"}},
 		AgentTiming: settings.AgentTiming{HeartbeatS: 8, LeaseS: 36, CancelS: 56},
 		Store:       settings.StoreLimits{RPS: 1e6, WriteRPS: 1e6, ValueKB: 16, TxnOps: 32},
 		Cloud:       settings.CloudLimits{RPS: 20, ListLagS: 0.1},
@@ -70,23 +70,23 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	b.Cleanup(cancel)
 	go func() {
-		if err := Run(ctx, transport.TCP{}, p, settings.Defaults(), slog.New(slog.NewTextHandler(io.Discard, nil))); err != nil {
+		if err := Run(ctx, transport.TCP{}, platform, settings.Defaults(), slog.New(slog.NewTextHandler(io.Discard, nil))); err != nil {
 			b.Error(err)
 		}
 	}()
-	var v *httpClient
+	var client *httpClient
 	for range 100 {
 		time.Sleep(50 * time.Millisecond)
-		if v == nil {
-			c, err := net.Dial("tcp", p.PublicAddr)
+		if client == nil {
+			conn, err := net.Dial("tcp", platform.PublicAddr)
 			if err != nil {
 				continue // it does not listen yet
 			}
-			b.Cleanup(func() { c.Close() })
-			v = &httpClient{c, bufio.NewReader(c)}
+			b.Cleanup(func() { conn.Close() })
+			client = &httpClient{conn, bufio.NewReader(conn)}
 		}
-		if v.send(b, "POST", "/v1/report", heartbeatBody("vm-999999", 1)) == http.StatusOK {
-			return p.PublicAddr
+		if client.send(b, "POST", "/v1/report", heartbeatBody("vm-999999", 1)) == http.StatusOK {
+			return platform.PublicAddr
 		}
 	}
 	b.Fatal("the controller does not lead")
@@ -103,16 +103,16 @@
 // over a connection that is kept, with many workers at hand.
 func BenchmarkReport(b *testing.B) {
 	addr := startLeader(b)
-	const workers = 400
-	var all [workers]*httpClient
-	for i := range all {
-		all[i] = newHTTPClient(b, addr)
+	const agents = 400
+	var clients [agents]*httpClient
+	for i := range clients {
+		clients[i] = newHTTPClient(b, addr)
 	}
 	b.ReportAllocs()
 	b.ResetTimer()
 	for i := range b.N {
-		if s := all[i%workers].send(b, "POST", "/v1/report", heartbeatBody(fmt.Sprintf("vm-%06d", i%workers), 1+i/workers)); s != http.StatusOK {
-			b.Fatal(s)
+		if status := clients[i%agents].send(b, "POST", "/v1/report", heartbeatBody(fmt.Sprintf("vm-%06d", i%agents), 1+i/agents)); status != http.StatusOK {
+			b.Fatal(status)
 		}
 	}
 }
@@ -126,8 +126,8 @@
 	b.ResetTimer()
 	for i := range b.N {
 		job := fmt.Sprintf(`{"ref":"job-%09d","lane":"c","owner":"t","shape":"batch","urgency":"high","pieces":4,"vcpus":4,"gpus":0,"mem_gb":1,"bundle":"i","size_gb":1,"flavors":null,"room":null,"together":false,"spread":false,"loaners":true,"guess_s":20,"snapshot_s":0,"flush_s":0,"due_s":60}`, i)
-		if s := user.send(b, "POST", "/v2/runs", job); s != http.StatusCreated {
-			b.Fatal(s)
+		if status := user.send(b, "POST", "/v2/runs", job); status != http.StatusCreated {
+			b.Fatal(status)
 		}
 	}
 }
--- a/internal/controller/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -21,14 +21,14 @@
 func TestCancelThenOutage(t *testing.T) {
 	for _, gap := range []time.Duration{0, 200 * time.Millisecond, time.Second, 2 * time.Second, 2500 * time.Millisecond, 2800 * time.Millisecond,
 		2900 * time.Millisecond, 3 * time.Second, 3100 * time.Millisecond, 3300 * time.Millisecond, 3600 * time.Millisecond, 4 * time.Second, 5 * time.Second, 6 * time.Second} {
-		for _, then := range []string{"", "kill", "cut", "hang", "lost"} {
-			t.Run(fmt.Sprint(gap, then), func(t *testing.T) {
+		for _, fault := range []string{"", "kill", "cut", "hang", "lost"} {
+			t.Run(fmt.Sprint(gap, fault), func(t *testing.T) {
 				runScenario(t, clusterConfig{runTime: longRunning(100 * time.Second)}, func(c *cluster) {
 					jobs := c.submitJobs(0, 8, 300*time.Millisecond, nil)
 					c.awaitRunning(10)
-					lead := c.leader()
-					c.store.SetRefused(c.controllerName(lead), true)
-					if then == "lost" {
+					leader := c.leader()
+					c.store.SetRefused(c.controllerName(leader), true)
+					if fault == "lost" {
 						c.writeFaults.Store(c.randomFaults(1, fake.ResponseLost, 0, 0))
 					}
 					// Users cancel half the jobs, again and again, while the leader is
@@ -39,24 +39,24 @@
 					time.Sleep(gap)
 					c.store.SetOutage(true)
 					c.writeFaults.Store(nil)
-					switch now := c.leader(); then {
+					switch current := c.leader(); fault {
 					case "kill": // and back at once
-						c.restart(lead, 300*time.Millisecond)
+						c.restart(leader, 300*time.Millisecond)
 					case "cut":
-						if now >= 0 {
-							c.isolate(now, true)
+						if current >= 0 {
+							c.isolate(current, true)
 						}
 					case "hang":
-						for _, w := range everyOther(c.cloud.Agents()) {
-							w.SetHung(true)
+						for _, agent := range everyOther(c.cloud.Agents()) {
+							agent.SetHung(true)
 						}
 					}
 					time.Sleep(15 * time.Second)
-					for _, w := range c.cloud.Agents() {
-						w.SetHung(false)
+					for _, agent := range c.cloud.Agents() {
+						agent.SetHung(false)
 					}
 					time.Sleep(cancelLimit)
-					c.store.SetRefused(c.controllerName(lead), false)
+					c.store.SetRefused(c.controllerName(leader), false)
 					c.store.SetOutage(false)
 					for i := range c.controllers {
 						c.reconnect(i)
@@ -73,25 +73,25 @@
 // half of the workers reach the former leader only. Either it stops responding to them,
 // or no other controller confirms a cancellation. And it must not take long until one does.
 func TestCancelThenOutageWithSlowStore(t *testing.T) {
-	for _, slow := range []time.Duration{250 * time.Millisecond, 350 * time.Millisecond, 600 * time.Millisecond, 900 * time.Millisecond} {
-		t.Run(fmt.Sprint(slow), func(t *testing.T) {
+	for _, delay := range []time.Duration{250 * time.Millisecond, 350 * time.Millisecond, 600 * time.Millisecond, 900 * time.Millisecond} {
+		t.Run(fmt.Sprint(delay), func(t *testing.T) {
 			runScenario(t, clusterConfig{runTime: longRunning(100 * time.Second)}, func(c *cluster) {
 				jobs := c.submitJobs(0, 8, 300*time.Millisecond, nil)
 				c.awaitRunning(20)
-				lead := c.leader()
-				workers := everyOther(c.cloud.Agents())
-				for _, w := range workers {
+				leader := c.leader()
+				agents := everyOther(c.cloud.Agents())
+				for _, agent := range agents {
 					for i := range c.controllers {
-						if i != lead {
-							c.net.Partition(w.Name(), c.controllerName(i), false)
+						if i != leader {
+							c.net.Partition(agent.Name(), c.controllerName(i), false)
 						}
 					}
 				}
-				c.store.SetDelay(slow)
-				c.store.SetRefused(c.controllerName(lead), true)
+				c.store.SetDelay(delay)
+				c.store.SetRefused(c.controllerName(leader), true)
 				began := time.Now()
 				for _, j := range everyOther(jobs) {
-					for c.users.CancelAt((lead+1)%len(c.controllers), j) == false && time.Since(began) < time.Minute {
+					for c.users.CancelAt((leader+1)%len(c.controllers), j) == false && time.Since(began) < time.Minute {
 						time.Sleep(500 * time.Millisecond)
 					}
 				}
@@ -100,10 +100,10 @@
 				}
 				time.Sleep(cancelLimit + 10*time.Second)
 				c.store.SetDelay(0)
-				c.store.SetRefused(c.controllerName(lead), false)
-				for _, w := range workers {
+				c.store.SetRefused(c.controllerName(leader), false)
+				for _, agent := range agents {
 					for i := range c.controllers {
-						c.net.Heal(w.Name(), c.controllerName(i))
+						c.net.Heal(agent.Name(), c.controllerName(i))
 					}
 				}
 			})
@@ -120,13 +120,13 @@
 		jobs := c.submitJobs(0, 8, 300*time.Millisecond, nil)
 		c.awaitRunning(10)
 		for k, j := range everyOther(jobs) {
-			before := j.ID
+			parent := j.ID
 			for i := range 2 { // one that needs it, and one that needs that
-				child := fake.NewJob(fmt.Sprintf("job-%06d", 200+100*i+k), 1, func(j *wire.Job) { j.DependsOn = []string{before} })
+				child := fake.NewJob(fmt.Sprintf("job-%06d", 200+100*i+k), 1, func(j *wire.Job) { j.DependsOn = []string{parent} })
 				if c.users.SubmitAndAwait(child) {
 					c.users.Poll(child)
 				}
-				before = child.ID
+				parent = child.ID
 			}
 		}
 		c.writeFaults.Store(c.randomFaults(1, fake.ResponseLost, 0, 0))
--- a/internal/controller/cancelled_tasks_test.go
+++ b/internal/controller/cancelled_tasks_test.go
@@ -38,21 +38,21 @@
 // such a day has nothing about the task from its cancellation until the cloud answers again
 // two minutes later and its machine is deleted.
 func TestCancelledOnMachineBeingReturned(t *testing.T) {
-	for _, q := range []struct {
+	for _, test := range []struct {
 		pace agentTimings
 		hang time.Duration
 	}{{defaultTimings, 15 * time.Second}, {rareHeartbeats, 33 * time.Second}} {
-		t.Run(fmt.Sprint(q.pace.heartbeat), func(t *testing.T) {
-			runScenario(t, clusterConfig{runTime: runUntilCancelled, timings: q.pace}, func(c *cluster) {
+		t.Run(fmt.Sprint(test.pace.heartbeat), func(t *testing.T) {
+			runScenario(t, clusterConfig{runTime: runUntilCancelled, timings: test.pace}, func(c *cluster) {
 				jobs := c.submitJobs(0, 8, 300*time.Millisecond, func(_ int, j *wire.Job) { j.CPUs = 4 })
 				c.awaitRunning(20)
 				// Not most machines and no whole zone: that would be taken for a cut, and
 				// nothing would be returned.
 				hung := map[string]*fake.Agent{}
-				for i, w := range c.cloud.Agents() {
+				for i, agent := range c.cloud.Agents() {
 					if i%3 == 0 {
-						w.SetHung(true)
-						hung[w.Addr()] = w
+						agent.SetHung(true)
+						hung[agent.Addr()] = agent
 					}
 				}
 				c.commandsDelayed = true // what a machine was fetching for when it hung begins when it continues
@@ -67,12 +67,12 @@
 				for _, j := range jobs {
 					c.users.Cancel(j)
 				}
-				time.Sleep(q.hang)
+				time.Sleep(test.hang)
 				c.commandFaults.Store(nil)
-				for _, w := range hung {
-					w.SetHung(false)
+				for _, agent := range hung {
+					agent.SetHung(false)
 				}
-				time.Sleep(q.pace.cancel + 10*time.Second)
+				time.Sleep(test.pace.cancel + 10*time.Second)
 				c.deleteFaults.Store(nil)
 			})
 		})
@@ -90,8 +90,8 @@
 //
 // Evidence: 2 of 120 plays broke the rule; in others tasks outlived four leaders.
 func TestCancelledDuringSeriesOfLeaders(t *testing.T) {
-	for _, lasts := range []time.Duration{4 * time.Second, 5 * time.Second, 6 * time.Second, 7 * time.Second, 8 * time.Second} {
-		t.Run(fmt.Sprint(lasts), func(t *testing.T) {
+	for _, duration := range []time.Duration{4 * time.Second, 5 * time.Second, 6 * time.Second, 7 * time.Second, 8 * time.Second} {
+		t.Run(fmt.Sprint(duration), func(t *testing.T) {
 			runScenario(t, clusterConfig{runTime: runUntilCancelled, timings: rareHeartbeats}, func(c *cluster) {
 				jobs := c.submitJobs(0, 8, 300*time.Millisecond, func(_ int, j *wire.Job) { j.CPUs = 4 })
 				c.awaitRunning(20)
@@ -101,7 +101,7 @@
 				}
 				for range 12 {
 					c.restart(c.leader(), 200*time.Millisecond)
-					time.Sleep(lasts)
+					time.Sleep(duration)
 					c.await("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
 				}
 				c.commandFaults.Store(nil)
@@ -124,15 +124,15 @@
 		c.users.Cancel(job)
 		key := ledger.JobKey(job.ID)
 		c.await("the cancellation recorded", 10*time.Second, func() bool { return strings.Contains(string(c.store.Value(key)), wire.JobCancelled) })
-		whole := string(c.store.Value(key))
+		original := string(c.store.Value(key))
 		c.kill(c.leader())
 		c.store.Put(key, "[]")
 		time.Sleep(cancelLimit + 10*time.Second)
-		if on, _ := c.checker.TaskCounts(job.ID); on > 0 {
-			t.Errorf("%d of its tasks run on", on)
+		if running, _ := c.checker.TaskCounts(job.ID); running > 0 {
+			t.Errorf("%d of its tasks run on", running)
 		}
 		c.commandFaults.Store(nil)
-		c.store.Put(key, whole) // an operator mends it, and the next leader tidies up
+		c.store.Put(key, original) // an operator mends it, and the next leader tidies up
 		c.startAll()
 		c.restart(c.leader(), time.Second)
 	})
--- a/internal/controller/cluster_end_test.go
+++ b/internal/controller/cluster_end_test.go
@@ -14,7 +14,7 @@
 	c.markFaultsEnded()
 	c.awaitAllJobsEnded()
 	c.users.Wait()
-	c.await("all tasks gone", time.Minute, func() bool { on, _ := c.checker.TaskCounts(""); return on == 0 })
+	c.await("all tasks gone", time.Minute, func() bool { running, _ := c.checker.TaskCounts(""); return running == 0 })
 	c.awaitLedgerCleanup()
 	c.reportViolations()
 }
@@ -39,10 +39,10 @@
 // reportViolations reports the rules that were broken.
 func (c *cluster) reportViolations() {
 	c.t.Helper()
-	for _, b := range c.checker.Violations() {
-		c.t.Error(b)
+	for _, violation := range c.checker.Violations() {
+		c.t.Error(violation)
 	}
-	if n := c.checker.LateStarts(); n > 0 && !c.commandsDelayed {
-		c.t.Errorf("%d starts after a confirmed cancellation, none of them on its way for long", n)
+	if lateStarts := c.checker.LateStarts(); lateStarts > 0 && !c.commandsDelayed {
+		c.t.Errorf("%d starts after a confirmed cancellation, none of them on its way for long", lateStarts)
 	}
 }
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -9,10 +9,10 @@
 )
 
 // faultOnPath injects a fault that may be set into the requests of one path.
-func faultOnPath(path string, trouble *atomic.Pointer[fake.FaultInjector]) fake.FaultInjector {
+func faultOnPath(path string, configured *atomic.Pointer[fake.FaultInjector]) fake.FaultInjector {
 	return func(from string, r *http.Request) fake.InjectedFault {
-		if f := trouble.Load(); f != nil && r.URL.Path == path && r.Method == http.MethodPost {
-			return (*f)(from, r)
+		if inject := configured.Load(); inject != nil && r.URL.Path == path && r.Method == http.MethodPost {
+			return (*inject)(from, r)
 		}
 		return fake.InjectedFault{}
 	}
@@ -21,20 +21,20 @@
 // firstFaultStart is the first of two faults that hits a request.
 func firstFault(first, second fake.FaultInjector) fake.FaultInjector {
 	return func(from string, r *http.Request) fake.InjectedFault {
-		if trouble := first(from, r); trouble.Kind != fake.NoFault {
-			return trouble
+		if fault := first(from, r); fault.Kind != fake.NoFault {
+			return fault
 		}
 		return second(from, r)
 	}
 }
 
 // randomFaults injects a fault that lasts from least to most into a share of the requests.
-func (c *cluster) randomFaults(share float64, fault fake.FaultKind, least, most time.Duration) *fake.FaultInjector {
-	f := fake.FaultInjector(func(string, *http.Request) fake.InjectedFault {
-		if c.users.Random() >= share {
+func (c *cluster) randomFaults(probability float64, kind fake.FaultKind, minDelay, maxDelay time.Duration) *fake.FaultInjector {
+	inject := fake.FaultInjector(func(string, *http.Request) fake.InjectedFault {
+		if c.users.Random() >= probability {
 			return fake.InjectedFault{}
 		}
-		return fake.InjectedFault{Kind: fault, Delay: least + time.Duration(c.users.Random()*float64(most-least))}
+		return fake.InjectedFault{Kind: kind, Delay: minDelay + time.Duration(c.users.Random()*float64(maxDelay-minDelay))}
 	})
-	return &f
+	return &inject
 }
--- a/internal/controller/cluster_processes_test.go
+++ b/internal/controller/cluster_processes_test.go
@@ -13,9 +13,9 @@
 
 // start starts a controller's process.
 func (c *cluster) start(i int) {
-	n := c.controllers[i]
+	process := c.controllers[i]
 	ctx, cancel := context.WithCancel(context.Background())
-	n.host, n.cancel, n.done = c.net.Host(n.platform.Name), cancel, make(chan struct{})
+	process.host, process.cancel, process.done = c.net.Host(process.platform.Name), cancel, make(chan struct{})
 	handler := slog.Handler(slog.DiscardHandler)
 	if c.operator.Standby.Follow {
 		handler = c.leaderActions
@@ -25,26 +25,26 @@
 	}
 	log := slog.New(alarmHandler{c.t, handler})
 	if os.Getenv("CLUSTER_LOG") != "" {
-		log = log.With("node", n.platform.Name, "test", c.t.Name())
+		log = log.With("node", process.platform.Name, "test", c.t.Name())
 	}
 	go func(host *fake.Host, level int, done chan struct{}) {
 		defer close(done)
-		if err := runAtLevel(ctx, level, host, n.platform, c.operator, log); err != nil && !host.IsDown() {
-			c.t.Errorf("%s ended: %v", n.platform.Name, err)
+		if err := runAtLevel(ctx, level, host, process.platform, c.operator, log); err != nil && !host.IsDown() {
+			c.t.Errorf("%s ended: %v", process.platform.Name, err)
 		}
-	}(n.host, n.level, n.done)
+	}(process.host, process.level, process.done)
 }
 
 // kill ends a controller's process: from that moment on nothing of it is delivered.
 func (c *cluster) kill(i int) {
-	n := c.controllers[i]
-	if n.cancel == nil {
+	process := c.controllers[i]
+	if process.cancel == nil {
 		return
 	}
-	n.host.Kill()
-	n.cancel()
-	<-n.done
-	n.cancel = nil
+	process.host.Kill()
+	process.cancel()
+	<-process.done
+	process.cancel = nil
 }
 
 // restart kills a process and starts it again after a while.
@@ -56,8 +56,8 @@
 
 // startAll starts all controllers that are down.
 func (c *cluster) startAll() {
-	for i, n := range c.controllers {
-		if n.cancel == nil {
+	for i, process := range c.controllers {
+		if process.cancel == nil {
 			c.start(i)
 		}
 	}
@@ -65,14 +65,14 @@
 
 // leader is the controller that the key-value store names, or -1.
 func (c *cluster) leader() int {
-	var h struct {
+	var record struct {
 		Node string `json:"node"`
 	}
-	if value := c.store.Value(election.LeaderKey); value == nil || json.Unmarshal(value, &h) != nil {
+	if value := c.store.Value(election.LeaderKey); value == nil || json.Unmarshal(value, &record) != nil {
 		return -1
 	}
-	for i, n := range c.controllers {
-		if n.platform.Name == h.Node {
+	for i, process := range c.controllers {
+		if process.platform.Name == record.Node {
 			return i
 		}
 	}
@@ -81,9 +81,9 @@
 
 // follower is some controller that does not lead and is up.
 func (c *cluster) follower() int {
-	l := c.leader()
-	for i, n := range c.controllers {
-		if i != l && n.cancel != nil {
+	leader := c.leader()
+	for i, process := range c.controllers {
+		if i != leader && process.cancel != nil {
 			return i
 		}
 	}
@@ -95,18 +95,18 @@
 // isolate cuts a controller from all others. With hold, what they send is delivered when
 // the connection is back, and else it is refused.
 func (c *cluster) isolate(i int, hold bool) {
-	for k := range c.controllers {
-		if k != i {
-			c.net.Partition(c.controllerName(i), c.controllerName(k), hold)
+	for other := range c.controllers {
+		if other != i {
+			c.net.Partition(c.controllerName(i), c.controllerName(other), hold)
 		}
 	}
 }
 
 // reconnect ends the isolation of a controller.
 func (c *cluster) reconnect(i int) {
-	for k := range c.controllers {
-		if k != i {
-			c.net.Heal(c.controllerName(i), c.controllerName(k))
+	for other := range c.controllers {
+		if other != i {
+			c.net.Heal(c.controllerName(i), c.controllerName(other))
 		}
 	}
 }
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -104,22 +104,22 @@
 
 // runScenario runs a scenario on a cluster of its own and then checks that all
 // that was accepted is served, with the faults over.
-func runScenario(t *testing.T, p clusterConfig, scenario func(c *cluster)) {
+func runScenario(t *testing.T, config clusterConfig, scenario func(c *cluster)) {
 	t.Parallel()
 	for _, name := range []string{"jobs", "pipelines", "standby"} {
-		q := p
-		q.standby = name == "standby"
-		t.Run(name, func(t *testing.T) { runScenarioOnce(t, q, name == "pipelines", scenario) })
+		variant := config
+		variant.standby = name == "standby"
+		t.Run(name, func(t *testing.T) { runScenarioOnce(t, variant, name == "pipelines", scenario) })
 	}
 }
 
 // runScenarioOnce plays a scenario once; with pipelines, users also submit jobs that wait
 // for others all the time. With a standby, controllers take over on what they have followed.
-func runScenarioOnce(t *testing.T, p clusterConfig, pipelines bool, scenario func(c *cluster)) {
+func runScenarioOnce(t *testing.T, config clusterConfig, pipelines bool, scenario func(c *cluster)) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		c := newCluster(t, p)
-		for i := range len(c.controllers) - p.notStarted {
+		c := newCluster(t, config)
+		for i := range len(c.controllers) - config.notStarted {
 			c.start(i)
 		}
 		c.await("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
@@ -138,46 +138,46 @@
 }
 
 // newCluster makes a cluster whose controllers are not started yet.
-func newCluster(t *testing.T, p clusterConfig) *cluster {
+func newCluster(t *testing.T, config clusterConfig) *cluster {
 	t.Helper()
-	p.setDefaults()
+	config.setDefaults()
 	c := &cluster{t: t, leaderActions: newLeaderActionChecker(t), faultFreeSince: make(chan time.Time, 1), operator: settings.Defaults()}
 	c.faultFreeSince <- time.Time{}
 	ownsJob := func(string) bool { return true }
-	if p.cell == nil {
+	if config.cell == nil {
 		c.net = fake.NewNetwork(t)
-		c.checker = newChecker(t, p.timings.cancel, p.teamLimits)
+		c.checker = newChecker(t, config.timings.cancel, config.teamLimits)
 	} else {
-		c.net, c.checker, c.operator, c.namePrefix, ownsJob = p.cell.net, p.cell.checker, p.cell.operator, p.cell.name+"-", p.cell.ownsJob
+		c.net, c.checker, c.operator, c.namePrefix, ownsJob = config.cell.net, config.cell.checker, config.cell.operator, config.cell.name+"-", config.cell.ownsJob
 	}
-	c.operator.Standby.Follow, c.operator.Standby.SoftState = p.standby, p.standby
-	if p.budgets != nil {
-		c.operator.Rollouts = settings.Rollouts{Enabled: true, Budgets: *p.budgets}
+	c.operator.Standby.Follow, c.operator.Standby.SoftState = config.standby, config.standby
+	if config.budgets != nil {
+		c.operator.Rollouts = settings.Rollouts{Enabled: true, Budgets: *config.budgets}
 	}
 	c.store = fake.NewKVStore(t, c.net.Host(c.namePrefix+"state"), c.namePrefix+"state:1", faultOnPath("/txn", &c.writeFaults))
-	c.store.SetClockDrift(p.clockDrift)
-	for key, value := range p.ledger {
+	c.store.SetClockDrift(config.clockDrift)
+	for key, value := range config.ledger {
 		c.store.Put(key, value)
 	}
-	c.controllers = newControllers(p, c.namePrefix)
+	c.controllers = newControllers(config, c.namePrefix)
 	var addresses []string
-	for _, n := range c.controllers {
-		addresses = append(addresses, n.platform.PublicAddr)
+	for _, process := range c.controllers {
+		addresses = append(addresses, process.platform.PublicAddr)
 	}
-	c.users = fake.NewUsers(t, c.net.Host(c.namePrefix+"users"), addresses, c.checker, p.seed)
-	c.cloud = c.newCloud(p)
+	c.users = fake.NewUsers(t, c.net.Host(c.namePrefix+"users"), addresses, c.checker, config.seed)
+	c.cloud = c.newCloud(config)
 	go c.checkInvariantsPeriodically(ownsJob)
 	return c
 }
 
 // setDefaults fills in what a plan leaves open.
-func (p *clusterConfig) setDefaults() {
-	p.bootTime = cmp.Or(p.bootTime, 5*time.Second)
-	p.maxMachines = cmp.Or(p.maxMachines, 12)
-	p.writesPerSecond = cmp.Or(p.writesPerSecond, 100)
-	p.timings = cmp.Or(p.timings, defaultTimings)
-	if p.runTime == nil {
-		p.runTime = func(string) time.Duration { return 8 * time.Second }
+func (c *clusterConfig) setDefaults() {
+	c.bootTime = cmp.Or(c.bootTime, 5*time.Second)
+	c.maxMachines = cmp.Or(c.maxMachines, 12)
+	c.writesPerSecond = cmp.Or(c.writesPerSecond, 100)
+	c.timings = cmp.Or(c.timings, defaultTimings)
+	if c.runTime == nil {
+		c.runTime = func(string) time.Duration { return 8 * time.Second }
 	}
 }
 
@@ -185,20 +185,20 @@
 var clusterZones = []string{"a", "b", "c"}
 
 // newControllers makes the controllers, one in each zone, which know each other.
-func newControllers(p clusterConfig, prefix string) (nodes []*controllerProcess) {
+func newControllers(config clusterConfig, prefix string) (nodes []*controllerProcess) {
 	for i, zone := range clusterZones {
 		name := fmt.Sprintf("%sn%d", prefix, i)
 		level := capability.CurrentLevel
-		if i < p.oldVersions {
+		if i < config.oldVersions {
 			level = 0
 		}
 		nodes = append(nodes, &controllerProcess{level: level, platform: &settings.Platform{Name: name, Zone: zone,
-			PublicAddr: name + ":80", PeerAddr: name + ":81", Facts: p.facts(), Services: settings.Services{Store: prefix + "state:1", Cloud: prefix + "cloud:1"}}})
+			PublicAddr: name + ":80", PeerAddr: name + ":81", Facts: config.facts(), Services: settings.Services{Store: prefix + "state:1", Cloud: prefix + "cloud:1"}}})
 	}
-	for i, n := range nodes {
+	for i, process := range nodes {
 		for k, other := range nodes {
 			if k != i {
-				n.platform.Peers = append(n.platform.Peers, settings.Peer{Name: other.platform.Name, Zone: other.platform.Zone, Addr: other.platform.PeerAddr})
+				process.platform.Peers = append(process.platform.Peers, settings.Peer{Name: other.platform.Name, Zone: other.platform.Zone, Addr: other.platform.PeerAddr})
 			}
 		}
 	}
@@ -206,32 +206,32 @@
 }
 
 // facts are the settings that all controllers have in common.
-func (p *clusterConfig) facts() settings.Facts {
+func (c *clusterConfig) facts() settings.Facts {
 	facts := settings.Facts{ControllerCount: len(clusterZones), Zones: clusterZones, ClockErrorMS: 5,
-		AgentTiming: settings.AgentTiming{HeartbeatS: p.timings.heartbeat.Seconds(), LeaseS: p.timings.lease.Seconds(), CancelS: p.timings.cancel.Seconds()},
-		Store:       settings.StoreLimits{RPS: 2 * p.writesPerSecond, WriteRPS: p.writesPerSecond, ValueKB: 16, TxnOps: 32, Next: p.nextLimits},
+		AgentTiming: settings.AgentTiming{HeartbeatS: c.timings.heartbeat.Seconds(), LeaseS: c.timings.lease.Seconds(), CancelS: c.timings.cancel.Seconds()},
+		Store:       settings.StoreLimits{RPS: 2 * c.writesPerSecond, WriteRPS: c.writesPerSecond, ValueKB: 16, TxnOps: 32, Next: c.nextLimits},
 		Cloud:       settings.CloudLimits{RPS: 5, ListLagS: 2},
 		Resources:   settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 2000}}
 	for _, name := range []string{"open", "tight"} {
-		facts.Teams = append(facts.Teams, settings.Team{Name: name, CPUsMax: p.teamLimits[name]})
+		facts.Teams = append(facts.Teams, settings.Team{Name: name, CPUsMax: c.teamLimits[name]})
 	}
 	return facts
 }
 
 // newCloud makes the cloud, whose workers know the controllers that the plan names.
-func (c *cluster) newCloud(p clusterConfig) *fake.Cloud {
+func (c *cluster) newCloud(config clusterConfig) *fake.Cloud {
 	var known []fake.ControllerAddress
-	for i, n := range c.controllers {
-		if p.reportTo == nil || slices.Contains(p.reportTo, i) {
-			known = append(known, fake.ControllerAddress{Name: n.platform.Name, Addr: n.platform.PublicAddr})
+	for i, process := range c.controllers {
+		if config.reportTo == nil || slices.Contains(config.reportTo, i) {
+			known = append(known, fake.ControllerAddress{Name: process.platform.Name, Addr: process.platform.PublicAddr})
 		}
 	}
 	return fake.NewCloud(c.t, c.net.Host(c.namePrefix+"cloud"), c.namePrefix+"cloud:1", fake.CloudConfig{
 		NamePrefix: c.namePrefix + "vm-",
 		Types:      []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: 5, Zones: clusterZones}},
-		BootTime:   p.bootTime, ListLag: 2 * time.Second, MaxMachines: p.maxMachines,
-		Agent: fake.AgentConfig{Controllers: known, HeartbeatInterval: p.timings.heartbeat, Lease: p.timings.lease + time.Duration(p.clockDrift*float64(p.timings.lease)), ImageFetchTime: 500 * time.Millisecond,
-			RunTime: p.runTime, Checker: c.checker, CommandFaults: faultOnPath("/commands", &c.commandFaults)},
+		BootTime:   config.bootTime, ListLag: 2 * time.Second, MaxMachines: config.maxMachines,
+		Agent: fake.AgentConfig{Controllers: known, HeartbeatInterval: config.timings.heartbeat, Lease: config.timings.lease + time.Duration(config.clockDrift*float64(config.timings.lease)), ImageFetchTime: 500 * time.Millisecond,
+			RunTime: config.runTime, Checker: c.checker, CommandFaults: faultOnPath("/commands", &c.commandFaults)},
 		Faults:  firstFault(faultOnPath("/machines", &c.scaleOutFaults), faultOnPath("/machines/delete", &c.deleteFaults)),
 		NewHost: func(name string) (transport.Network, string) { return c.net.Host(name), name + ":9000" },
 	})
--- a/internal/controller/federated_cells_test.go
+++ b/internal/controller/federated_cells_test.go
@@ -57,49 +57,49 @@
 }
 
 // operatorSettings are the settings of a cell's controllers.
-func (p *federationConfig) operatorSettings(cell string) settings.Operator {
-	o := settings.Defaults()
-	o.MaxMachines = p.maxMachinesIn(cell)
-	o.Cells.Name, o.Cells.DelegateJobs = cell, true
-	o.Cells.ShortageFor, o.Cells.MaxWait = 3*time.Second, 10*time.Second
-	o.Cells.Repeatable = map[string]bool{repeatableClass: true}
-	neighbours := p.neighbours[cell]
-	if p.neighbours == nil {
-		neighbours = slices.DeleteFunc(slices.Clone(p.names), func(n string) bool { return n == cell })
+func (c *federationConfig) operatorSettings(cell string) settings.Operator {
+	operator := settings.Defaults()
+	operator.MaxMachines = c.maxMachinesIn(cell)
+	operator.Cells.Name, operator.Cells.DelegateJobs = cell, true
+	operator.Cells.ShortageFor, operator.Cells.MaxWait = 3*time.Second, 10*time.Second
+	operator.Cells.Repeatable = map[string]bool{repeatableClass: true}
+	neighbours := c.neighbours[cell]
+	if c.neighbours == nil {
+		neighbours = slices.DeleteFunc(slices.Clone(c.names), func(neighbour string) bool { return neighbour == cell })
 	}
-	for i, n := range neighbours {
+	for preference, neighbour := range neighbours {
 		var controllers []string
-		for k := range 3 {
-			controllers = append(controllers, fmt.Sprintf("%s-n%d:81", n, k))
+		for controller := range 3 {
+			controllers = append(controllers, fmt.Sprintf("%s-n%d:81", neighbour, controller))
 		}
-		o.Cells.Neighbours = append(o.Cells.Neighbours, settings.Neighbour{Name: n, Controllers: controllers, Preference: i,
+		operator.Cells.Neighbours = append(operator.Cells.Neighbours, settings.Neighbour{Name: neighbour, Controllers: controllers, Preference: preference,
 			MaxJobs: 50, MaxCores: 64, MaxOfferedCores: 64, ReclaimAfter: 15 * time.Second})
 	}
-	return o
+	return operator
 }
 
-func (p *federationConfig) maxMachinesIn(cell string) int {
-	if n, ok := p.maxMachines[cell]; ok {
-		return n
+func (c *federationConfig) maxMachinesIn(cell string) int {
+	if machines, ok := c.maxMachines[cell]; ok {
+		return machines
 	}
 	return 12
 }
 
-func newFederation(t *testing.T, p federationConfig) *federatedCells {
-	f := &federatedCells{t: t, net: fake.NewNetwork(t), checker: newChecker(t, cancelLimit, p.teamLimits), names: p.names, cells: map[string]*cluster{}}
-	for _, name := range p.names {
-		cell := &cellConfig{name: name, net: f.net, checker: f.checker, operator: p.operatorSettings(name), ownsJob: f.ownsJob(name)}
-		f.cells[name] = newCluster(t, clusterConfig{maxMachines: p.maxMachinesIn(name), teamLimits: p.teamLimits, oldVersions: p.oldVersions[name], runTime: p.runTime, seed: p.seed, standby: p.standby, cell: cell})
+func newFederation(t *testing.T, config federationConfig) *federatedCells {
+	f := &federatedCells{t: t, net: fake.NewNetwork(t), checker: newChecker(t, cancelLimit, config.teamLimits), names: config.names, cells: map[string]*cluster{}}
+	for _, name := range config.names {
+		cell := &cellConfig{name: name, net: f.net, checker: f.checker, operator: config.operatorSettings(name), ownsJob: f.ownsJob(name)}
+		f.cells[name] = newCluster(t, clusterConfig{maxMachines: config.maxMachinesIn(name), teamLimits: config.teamLimits, oldVersions: config.oldVersions[name], runTime: config.runTime, seed: config.seed, standby: config.standby, cell: cell})
 	}
 	return f
 }
 
 // runFederationScenario plays a scenario and then checks that all that was accepted is
 // served, once, and that no transfer is left.
-func runFederationScenario(t *testing.T, p federationConfig, scenario func(f *federatedCells)) {
+func runFederationScenario(t *testing.T, config federationConfig, scenario func(f *federatedCells)) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
-		f := newFederation(t, p)
+		f := newFederation(t, config)
 		for _, c := range f.cells {
 			for i := range c.controllers {
 				c.start(i)
@@ -123,7 +123,7 @@
 	for _, c := range f.cells {
 		c.users.Wait()
 	}
-	origin.await("all tasks gone", time.Minute, func() bool { on, _ := f.checker.TaskCounts(""); return on == 0 })
+	origin.await("all tasks gone", time.Minute, func() bool { running, _ := f.checker.TaskCounts(""); return running == 0 })
 	for name, c := range f.cells {
 		c.awaitLedgerCleanup()
 		c.await("transfers released in "+name, 30*time.Second, func() bool { return len(f.foreignJobKeys(name, federation.ForeignAccepted)) == 0 })
@@ -160,11 +160,11 @@
 // foreignJobKeys lists the transfers of a neighbour that are in a state.
 func (f *federatedCells) foreignJobKeys(cell string, state federation.ForeignState) (keys []string) {
 	for key, value := range f.storeEntries(cell, "cell/guest/") {
-		var r federation.ForeignRecord
-		if err := json.Unmarshal(value, &r); err != nil {
+		var record federation.ForeignRecord
+		if err := json.Unmarshal(value, &record); err != nil {
 			f.t.Errorf("%s: %v", key, err)
 		}
-		if r.State == state {
+		if record.State == state {
 			keys = append(keys, key)
 		}
 	}
@@ -175,12 +175,12 @@
 // storeEntries are the keys of a cell under a prefix, with what they hold.
 func (f *federatedCells) storeEntries(cell, prefix string) map[string]json.RawMessage {
 	values := map[string]json.RawMessage{}
-	for _, e := range f.cells[cell].store.History() {
+	for _, change := range f.cells[cell].store.History() {
 		switch {
-		case strings.HasPrefix(e.Set, prefix):
-			values[e.Set] = e.Value
-		case strings.HasPrefix(e.Delete, prefix):
-			delete(values, e.Delete)
+		case strings.HasPrefix(change.Set, prefix):
+			values[change.Set] = change.Value
+		case strings.HasPrefix(change.Delete, prefix):
+			delete(values, change.Delete)
 		}
 	}
 	return values
@@ -190,8 +190,8 @@
 func (f *federatedCells) delegatedJobIDs(origin string) []string {
 	jobIDs := map[string]bool{}
 	for _, c := range f.names {
-		for _, e := range f.cells[c].store.History() {
-			if jobID, ok := strings.CutPrefix(e.Set, "cell/guest/"+origin+"/"); ok && strings.Contains(string(e.Value), string(federation.ForeignAccepted)) {
+		for _, change := range f.cells[c].store.History() {
+			if jobID, ok := strings.CutPrefix(change.Set, "cell/guest/"+origin+"/"); ok && strings.Contains(string(change.Value), string(federation.ForeignAccepted)) {
 				jobIDs[jobID] = true
 			}
 		}
@@ -204,9 +204,9 @@
 	f.t.Helper()
 	f.awaitPrecisely("a transfer that is "+string(state), func() bool {
 		for key, value := range f.storeEntries(origin, "cell/away/") {
-			var r federation.DelegatedRecord
-			if json.Unmarshal(value, &r) == nil && r.State == state {
-				jobID, cell = strings.TrimPrefix(key, "cell/away/"), r.Cell
+			var record federation.DelegatedRecord
+			if json.Unmarshal(value, &record) == nil && record.State == state {
+				jobID, cell = strings.TrimPrefix(key, "cell/away/"), record.Cell
 				return true
 			}
 		}
@@ -229,14 +229,14 @@
 // partition cuts all controllers of two cells from one another. With hold, what they send
 // is delivered when the connection is back, and else it is refused.
 func (f *federatedCells) partition(a, b string, hold bool) {
-	f.eachLink(a, b, func(x, y string) { f.net.Partition(x, y, hold) })
+	f.eachLink(a, b, func(from, to string) { f.net.Partition(from, to, hold) })
 }
 
 // heal ends a partition of two cells.
 func (f *federatedCells) heal(a, b string) { f.eachLink(a, b, f.net.Heal) }
 
 // eachLink calls do for each pair of controllers of two cells.
-func (f *federatedCells) eachLink(a, b string, do func(x, y string)) {
+func (f *federatedCells) eachLink(a, b string, do func(from, to string)) {
 	for _, x := range f.cells[a].controllers {
 		for _, y := range f.cells[b].controllers {
 			do(x.platform.Name, y.platform.Name)
@@ -267,7 +267,7 @@
 }
 
 // restartAllWith restarts all controllers, one after the other, with other settings.
-func (f *federatedCells) restartAllWith(change func(o *settings.Operator)) {
+func (f *federatedCells) restartAllWith(change func(operator *settings.Operator)) {
 	for _, name := range f.names {
 		c := f.cells[name]
 		c.operator.Cells.Neighbours = slices.Clone(c.operator.Cells.Neighbours)
--- a/internal/controller/federation_measure_test.go
+++ b/internal/controller/federation_measure_test.go
@@ -30,9 +30,9 @@
 func jobRunTime(seed uint64) func(task string) time.Duration {
 	return func(task string) time.Duration {
 		jobID := wire.JobIDOfTask(task)
-		h := fnv.New64a()
-		fmt.Fprint(h, seed, jobID)
-		return meanRunTime/2 + time.Duration(rand.New(rand.NewPCG(h.Sum64(), 1)).Int64N(int64(meanRunTime)))
+		hash := fnv.New64a()
+		fmt.Fprint(hash, seed, jobID)
+		return meanRunTime/2 + time.Duration(rand.New(rand.NewPCG(hash.Sum64(), 1)).Int64N(int64(meanRunTime)))
 	}
 }
 
@@ -52,24 +52,24 @@
 
 // measureLoad plays the load and returns what the users of each cell saw, and how many of
 // the first's jobs ran elsewhere.
-func measureLoad(t *testing.T, seed uint64, spilling bool) (seen map[string]*cellMeasurements, spilled int) {
-	seen = map[string]*cellMeasurements{}
+func measureLoad(t *testing.T, seed uint64, delegating bool) (measurements map[string]*cellMeasurements, delegated int) {
+	measurements = map[string]*cellMeasurements{}
 	synctest.Test(t, func(t *testing.T) {
-		p := federationConfig{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 8}, runTime: jobRunTime(seed), seed: seed}
-		f := newFederation(t, p)
+		config := federationConfig{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 8}, runTime: jobRunTime(seed), seed: seed}
+		f := newFederation(t, config)
 		submitted := make(chan map[string]time.Time, 1)
 		submitted <- map[string]time.Time{}
 		for _, c := range f.cells {
-			c.operator.Cells.DelegateJobs = spilling
+			c.operator.Cells.DelegateJobs = delegating
 			for i := range c.controllers {
 				c.start(i)
 			}
 		}
 		time.Sleep(30 * time.Second)
-		for i, name := range p.names {
-			every := lightLoadInterval
+		for i, name := range config.names {
+			interval := lightLoadInterval
 			if i == 0 {
-				every = overloadInterval
+				interval = overloadInterval
 			}
 			random := rand.New(rand.NewPCG(seed, uint64(i)))
 			f.cells["a"].users.Go(func() {
@@ -80,13 +80,13 @@
 					at[j.ID] = time.Now()
 					submitted <- at
 					f.cells[name].users.Submit(j)
-					time.Sleep(time.Duration(random.ExpFloat64() * float64(every)))
+					time.Sleep(time.Duration(random.ExpFloat64() * float64(interval)))
 				}
 			})
 		}
 		f.cells["a"].users.Wait()
 		f.finish()
-		spilled = len(f.delegatedJobIDs("a"))
+		delegated = len(f.delegatedJobIDs("a"))
 		starts, ends := map[string]time.Time{}, map[string]time.Time{}
 		for _, run := range f.checker.TaskRuns() {
 			jobID := wire.JobIDOfTask(run.Task)
@@ -98,41 +98,41 @@
 			}
 		}
 		for jobID, at := range <-submitted {
-			for _, name := range p.names {
+			for _, name := range config.names {
 				if !f.ownsJob(name)(jobID) {
 					continue
 				}
-				if seen[name] == nil {
-					seen[name] = &cellMeasurements{}
+				if measurements[name] == nil {
+					measurements[name] = &cellMeasurements{}
 				}
-				m := seen[name]
-				m.jobs++
-				m.waitTimes = append(m.waitTimes, starts[jobID].Sub(at).Seconds())
-				m.completionTimes = append(m.completionTimes, ends[jobID].Sub(at).Seconds())
+				cell := measurements[name]
+				cell.jobs++
+				cell.waitTimes = append(cell.waitTimes, starts[jobID].Sub(at).Seconds())
+				cell.completionTimes = append(cell.completionTimes, ends[jobID].Sub(at).Seconds())
 				if ends[jobID].Sub(at).Seconds() > measuredDeadline {
-					m.late++
+					cell.late++
 				}
 			}
 		}
 	})
-	return seen, spilled
+	return measurements, delegated
 }
 
 // TestMeasureOverflow plays the same load with and without forwarding jobs, several seeds each.
 func TestMeasureOverflow(t *testing.T) {
 	t.Log("| seed | spilling | cell | jobs | elsewhere | wait p50 | p90 | p99 | end p50 | p90 | p99 | late |")
 	for seed := range uint64(measuredSeeds) {
-		for _, spilling := range []bool{false, true} {
-			seen, spilled := measureLoad(t, seed+1, spilling)
+		for _, delegating := range []bool{false, true} {
+			measurements, delegated := measureLoad(t, seed+1, delegating)
 			for _, name := range []string{"a", "b", "c"} {
-				m := seen[name]
+				cell := measurements[name]
 				elsewhere := 0
 				if name == "a" {
-					elsewhere = spilled
+					elsewhere = delegated
 				}
-				t.Logf("| %d | %v | %s | %d | %d | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.1f%% |", seed+1, spilling, name, m.jobs, elsewhere,
-					percentile(m.waitTimes, 0.5), percentile(m.waitTimes, 0.9), percentile(m.waitTimes, 0.99), percentile(m.completionTimes, 0.5), percentile(m.completionTimes, 0.9), percentile(m.completionTimes, 0.99),
-					100*float64(m.late)/float64(m.jobs))
+				t.Logf("| %d | %v | %s | %d | %d | %.0f | %.0f | %.0f | %.0f | %.0f | %.0f | %.1f%% |", seed+1, delegating, name, cell.jobs, elsewhere,
+					percentile(cell.waitTimes, 0.5), percentile(cell.waitTimes, 0.9), percentile(cell.waitTimes, 0.99), percentile(cell.completionTimes, 0.5), percentile(cell.completionTimes, 0.9), percentile(cell.completionTimes, 0.99),
+					100*float64(cell.late)/float64(cell.jobs))
 			}
 		}
 	}
--- a/internal/controller/federation_test.go
+++ b/internal/controller/federation_test.go
@@ -15,8 +15,8 @@
 
 // TestOverflow: an overloaded cell's jobs run at its neighbours as well, and none twice.
 func TestOverflow(t *testing.T) {
-	p := federationConfig{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 2}, runTime: func(string) time.Duration { return 12 * time.Second }}
-	runFederationScenario(t, p, func(f *federatedCells) {
+	config := federationConfig{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 2}, runTime: func(string) time.Duration { return 12 * time.Second }}
+	runFederationScenario(t, config, func(f *federatedCells) {
 		f.overload("a", 16, nil)
 		f.expectDelegation("a")
 		f.cells["a"].awaitAllJobsEnded()
@@ -46,7 +46,7 @@
 		f.awaitDelegated("a", federation.Accepted)
 		f.awaitPrecisely("a result at the neighbour", func() bool {
 			for _, value := range f.storeEntries("b", ledger.JobPrefix) {
-				if rec, err := ledger.DecodeJobRecord("", value); err == nil && rec.Origin == "a" && rec.TerminalState != "" {
+				if record, err := ledger.DecodeJobRecord("", value); err == nil && record.Origin == "a" && record.TerminalState != "" {
 					return true
 				}
 			}
@@ -76,10 +76,10 @@
 		f.awaitDelegated("a", federation.Accepted)
 		for range 2 {
 			b := f.cells["b"]
-			was := b.leader()
-			b.kill(was)
-			b.await("another leader", 20*time.Second, func() bool { return b.leader() >= 0 && b.leader() != was })
-			b.start(was)
+			previous := b.leader()
+			b.kill(previous)
+			b.await("another leader", 20*time.Second, func() bool { return b.leader() >= 0 && b.leader() != previous })
+			b.start(previous)
 		}
 	},
 	"what the origin sends is lost": func(f *federatedCells) { f.loseRequests("a", "b") },
@@ -106,8 +106,8 @@
 	"the neighbour loses machines": func(f *federatedCells) {
 		f.awaitDelegated("a", federation.Accepted)
 		time.Sleep(3 * time.Second)
-		for _, w := range everyOther(f.cells["b"].cloud.Agents()) {
-			f.cells["b"].cloud.Terminate(w.Name())
+		for _, agent := range everyOther(f.cells["b"].cloud.Agents()) {
+			f.cells["b"].cloud.Terminate(agent.Name())
 		}
 	},
 	"answers of the state services are lost": func(f *federatedCells) {
@@ -124,10 +124,10 @@
 // TestOverflowFaults: whatever hits cells and links, each job is served once. Some are
 // cancelled meanwhile.
 func TestOverflowFaults(t *testing.T) {
-	for name, trouble := range federationFaults {
+	for name, injectFault := range federationFaults {
 		t.Run(name, func(t *testing.T) {
 			runFederationScenario(t, twoCellConfig(), func(f *federatedCells) {
-				f.cells["a"].users.Go(func() { trouble(f) })
+				f.cells["a"].users.Go(func() { injectFault(f) })
 				jobs := f.overload("a", 14, nil)
 				for _, j := range jobs[8:11] {
 					f.cells["a"].users.Cancel(j)
@@ -157,12 +157,12 @@
 			return jobID
 		},
 	}
-	for name, moment := range moments {
+	for name, awaitMoment := range moments {
 		t.Run(name, func(t *testing.T) {
 			runFederationScenario(t, twoCellConfig(), func(f *federatedCells) {
 				origin := f.cells["a"]
 				origin.users.Go(func() {
-					jobID := moment(f)
+					jobID := awaitMoment(f)
 					origin.users.Cancel(f.checker.Job(jobID))
 				})
 				f.overload("a", 10, nil)
@@ -181,11 +181,11 @@
 			jobID, _ := f.awaitDelegated("a", federation.Accepted)
 			f.partition("a", "b", true)
 			time.Sleep(6 * time.Second)
-			asked := time.Now()
+			requestedAt := time.Now()
 			if code, _ := origin.users.Call(origin.leader(), fake.RequestCancel, jobID, nil); code != 503 {
 				t.Errorf("the cancellation got %d, want 503", code)
 			}
-			if took := time.Since(asked); took > 500*time.Millisecond {
+			if took := time.Since(requestedAt); took > 500*time.Millisecond {
 				t.Errorf("the refusal took %s", took)
 			}
 			f.heal("a", "b")
@@ -206,8 +206,8 @@
 			f.partition("a", "b", false)
 			time.Sleep(60 * time.Second)
 			for key, value := range f.storeEntries("a", "cell/away/") {
-				var r federation.DelegatedRecord
-				if err := json.Unmarshal(value, &r); err != nil || r.Repeatable != (r.State == federation.Returned) {
+				var record federation.DelegatedRecord
+				if err := json.Unmarshal(value, &record); err != nil || record.Repeatable != (record.State == federation.Returned) {
 					t.Errorf("%s after a minute without the neighbour: %s", key, value)
 				}
 			}
@@ -225,9 +225,9 @@
 // TestOverflowBothOverloaded: cells that are both full offer each other nothing that goes back
 // and forth.
 func TestOverflowBothOverloaded(t *testing.T) {
-	p := twoCellConfig()
-	p.maxMachines["b"] = 2
-	runFederationScenario(t, p, func(f *federatedCells) {
+	config := twoCellConfig()
+	config.maxMachines["b"] = 2
+	runFederationScenario(t, config, func(f *federatedCells) {
 		f.cells["b"].users.Go(func() { f.overload("b", 12, nil) })
 		f.overload("a", 12, nil)
 		for _, c := range f.names {
@@ -243,9 +243,9 @@
 // TestOverflowRing: three cells, each of which knows the next alone, one overloaded and its
 // neighbour full as well.
 func TestOverflowRing(t *testing.T) {
-	p := federationConfig{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 2, "b": 4}, runTime: func(string) time.Duration { return 12 * time.Second },
+	config := federationConfig{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 2, "b": 4}, runTime: func(string) time.Duration { return 12 * time.Second },
 		neighbours: map[string][]string{"a": {"b"}, "b": {"c"}, "c": {"a"}}}
-	runFederationScenario(t, p, func(f *federatedCells) {
+	runFederationScenario(t, config, func(f *federatedCells) {
 		f.cells["b"].users.Go(func() { f.overload("b", 10, nil) })
 		f.overload("a", 12, nil)
 		if n := len(f.storeEntries("c", "cell/guest/a/")); n > 0 {
@@ -257,9 +257,9 @@
 // TestOverflowOldVersion: a cell in which an older version may be up accepts nothing, and
 // offers nothing.
 func TestOverflowOldVersion(t *testing.T) {
-	p := twoCellConfig()
-	p.oldVersions = map[string]int{"b": 1}
-	runFederationScenario(t, p, func(f *federatedCells) {
+	config := twoCellConfig()
+	config.oldVersions = map[string]int{"b": 1}
+	runFederationScenario(t, config, func(f *federatedCells) {
 		f.overload("a", 8, nil)
 		if n := f.cells["b"].store.Count("cell/"); n > 0 {
 			t.Errorf("%d transfers with a controller of the old version up", n)
@@ -269,9 +269,9 @@
 
 // TestOverflowTeamLimit: a team's limit in the origin cell holds for its tasks in both cells together.
 func TestOverflowTeamLimit(t *testing.T) {
-	p := twoCellConfig()
-	p.teamLimits = map[string]float64{"tight": 24}
-	runFederationScenario(t, p, func(f *federatedCells) {
+	config := twoCellConfig()
+	config.teamLimits = map[string]float64{"tight": 24}
+	runFederationScenario(t, config, func(f *federatedCells) {
 		f.overload("a", 14, func(_ int, j *wire.Job) { j.Team = "tight" })
 		f.expectDelegation("a")
 	})
@@ -284,11 +284,11 @@
 	runFederationScenario(t, twoCellConfig(), func(f *federatedCells) {
 		f.cells["a"].users.Go(func() { f.overload("a", 24, nil) })
 		f.awaitDelegated("a", federation.Accepted)
-		f.restartAllWith(func(o *settings.Operator) { o.Cells.Neighbours[0].Draining = true })
+		f.restartAllWith(func(operator *settings.Operator) { operator.Cells.Neighbours[0].Draining = true })
 		f.cells["a"].await("no job away", 2*time.Minute, func() bool { return f.cells["a"].store.Count("cell/away/") == 0 })
 		f.cells["b"].await("no guest", time.Minute, func() bool { return len(f.foreignJobKeys("b", federation.ForeignAccepted)) == 0 })
 		drained := len(f.delegatedJobIDs("a"))
-		f.restartAllWith(func(o *settings.Operator) { o.Cells = settings.Cells{} })
+		f.restartAllWith(func(operator *settings.Operator) { operator.Cells = settings.Cells{} })
 		f.cells["a"].users.Go(func() { f.overload("a", 40, func(k int, j *wire.Job) { j.ID = f.jobID("a", 100+k) }) })
 		f.cells["a"].users.Wait()
 		if n := len(f.delegatedJobIDs("a")); drained == 0 || n != drained {
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -7,19 +7,19 @@
 	"time"
 )
 
-// The times of health checks. Being taken out by the load balancer costs at least some
-// seconds, so a moment in which nothing can be reached is no reason.
+// Timing of health checks. When the load balancer removes a controller, it stays removed for at
+// least a few seconds, so brief isolation must not make the controller unhealthy.
 const (
 	healthInterval     = 500 * time.Millisecond
-	isolationTolerance = 2 * time.Second
+	isolationTolerance = 2 * time.Second // isolation for up to this long is tolerated
 	pingTimeout        = 800 * time.Millisecond
 )
 
-// healthMonitor checks whether this controller can serve users: with the key-value store,
-// or by forwarding their requests to a controller that responds. A controller that has lost
-// both, while users and workers still reach it, must not attract users.
+// healthMonitor checks whether this controller can serve users, either through the key-value
+// store or by forwarding their requests to a controller that responds. A controller that has lost
+// both, but is still reachable for users and agents, must not receive users' requests.
 type healthMonitor struct {
-	storeServing func() bool // whether the key-value store serves this controller
+	storeServing func() bool // reports whether the key-value store serves this controller
 	peers        pinger
 	log          *slog.Logger
 	isolated     atomic.Bool
@@ -28,13 +28,15 @@
 // pinger checks whether other controllers respond.
 type pinger interface {
 	Names() []string
+	// Ping returns how many heartbeats agents have sent directly to a controller within a time
+	// window, or an error if the controller does not respond.
 	Ping(ctx context.Context, node string, within time.Duration) (heartbeats int, err error)
 }
 
 // Healthy reports whether this controller can serve users.
 func (h *healthMonitor) Healthy() bool { return !h.isolated.Load() }
 
-// run checks until ctx ends.
+// run checks periodically until ctx ends.
 func (h *healthMonitor) run(ctx context.Context) {
 	ticker := time.NewTicker(healthInterval)
 	defer ticker.Stop()
@@ -55,7 +57,7 @@
 	}
 }
 
-// anyPeerResponds reports whether some other controller responds.
+// anyPeerResponds reports whether at least one other controller responds within pingTimeout.
 func (h *healthMonitor) anyPeerResponds(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
@@ -68,11 +70,12 @@
 	return false
 }
 
-// noResponse stands for the count of a controller that does not respond.
+// noResponse replaces the count of a controller that does not respond.
 const noResponse = -1
 
-// pingAll pings all other controllers at once. The numbers of heartbeats that they have got
-// within a time, or noResponse, come in the order of the responses.
+// pingAll pings all other controllers concurrently. The returned channel delivers one value for
+// each of them, in the order of their responses: the number of heartbeats that agents have sent
+// directly to it within the time window, or noResponse.
 func pingAll(ctx context.Context, peers pinger, within time.Duration) <-chan int {
 	names := peers.Names()
 	counts := make(chan int, len(names))
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -42,23 +42,23 @@
 		{"workers only: neither key-value store nor controllers", []step{{true, true, true}, {false, false, false}}},
 		{"back again", []step{{false, false, false}, {true, false, true}, {false, false, false}, {false, true, true}}},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				state, peers := make(chan bool, 1), &fakePeers{}
 				state <- true
 				serving := func() bool { s := <-state; state <- s; return s }
 				monitor := &healthMonitor{storeServing: serving, peers: peers, log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 				go monitor.run(t.Context())
-				for i, s := range c.steps {
+				for i, step := range test.steps {
 					synctest.Wait()
 					<-state
-					state <- s.state
-					peers.responds.Store(s.peer)
+					state <- step.state
+					peers.responds.Store(step.peer)
 					time.Sleep(5 * time.Second)
 					synctest.Wait()
-					if monitor.Healthy() != s.healthy {
-						t.Errorf("step %d: healthy %v, want %v", i, monitor.Healthy(), s.healthy)
+					if monitor.Healthy() != step.healthy {
+						t.Errorf("step %d: healthy %v, want %v", i, monitor.Healthy(), step.healthy)
 					}
 				}
 			})
--- a/internal/controller/heartbeat_handler.go
+++ b/internal/controller/heartbeat_handler.go
@@ -17,26 +17,27 @@
 	"leadproxy/internal/wire"
 )
 
-// heartbeatTimeout is how long a heartbeat may wait for its response; the worker gives up
-// after 4 s.
+// heartbeatTimeout is how long a heartbeat may wait for its response. It must be shorter than the
+// agent's own request timeout of 4 s.
 const heartbeatTimeout = 3 * time.Second
 
-// heartbeatDispatcher is the part of the dispatcher that heartbeats need.
+// heartbeatDispatcher is the part of the dispatcher that handles heartbeats.
 type heartbeatDispatcher interface {
 	Heartbeat(ctx context.Context, heartbeat *wire.Heartbeat) (scheduler.HeartbeatReply, error)
 	HeartbeatAsync(ctx context.Context, heartbeat *wire.Heartbeat, respond func(scheduler.HeartbeatReply, error))
 	ExpectedMachines() int
 }
 
-// heartbeatForwarder forwards heartbeats to other controllers.
+// heartbeatForwarder forwards heartbeats to the leader. Connect opens the stream to it if there is
+// none.
 type heartbeatForwarder interface {
 	ForwardHeartbeat(ctx context.Context, leader string, body []byte) (jobapi.Response, error)
 	Connect(ctx context.Context, leader string)
 }
 
-// heartbeatHandler receives the workers' heartbeats. The leader responds to them in its
-// term; other controllers forward them to the leader, and its responses back, and redirect
-// the workers to it when they can't.
+// heartbeatHandler receives the agents' heartbeats. The leader responds to them during its term.
+// Other controllers forward them to the leader and return its responses; if they can't, they
+// redirect the agents.
 type heartbeatHandler struct {
 	node                string
 	elector             *election.Elector
@@ -46,25 +47,25 @@
 	log                 *slog.Logger
 	connections         *connectionTracker
 	redirector          *redirector
-	directHeartbeats    *recentCounter // heartbeats that have come straight here
-	forwardedHeartbeats *recentCounter // heartbeats that other controllers have forwarded here
+	directHeartbeats    *recentCounter // received from agents
+	forwardedHeartbeats *recentCounter // received from other controllers
 }
 
-func newHeartbeatHandler(ctx context.Context, node string, e *election.Elector, dispatcher heartbeatDispatcher, peers heartbeatForwarder, connections *connectionTracker, log *slog.Logger) *heartbeatHandler {
+func newHeartbeatHandler(ctx context.Context, node string, elector *election.Elector, dispatcher heartbeatDispatcher, peers heartbeatForwarder, connections *connectionTracker, log *slog.Logger) *heartbeatHandler {
 	h := &heartbeatHandler{
-		node: node, elector: e, dispatcher: dispatcher, peers: peers, log: log, connections: connections,
-		sendGuard: dispatch.NewSendGuard(e, log), redirector: newRedirector(), directHeartbeats: newRecentCounter(), forwardedHeartbeats: newRecentCounter(),
+		node: node, elector: elector, dispatcher: dispatcher, peers: peers, log: log, connections: connections,
+		sendGuard: dispatch.NewSendGuard(elector, log), redirector: newRedirector(), directHeartbeats: newRecentCounter(), forwardedHeartbeats: newRecentCounter(),
 	}
 	go h.redirector.run(ctx)
 	return h
 }
 
-// connectInterval is how often a controller that does not lead checks its stream to the
+// connectInterval is how often a controller that is not the leader checks its stream to the
 // leader.
 const connectInterval = time.Second
 
-// keepConnected keeps the stream to the leader open until ctx ends, so that the leader can
-// redirect workers here.
+// keepConnected keeps the stream to the leader open until ctx ends: the leader redirects agents
+// only to controllers that have a stream to it.
 func (h *heartbeatHandler) keepConnected(ctx context.Context) {
 	ticker := time.NewTicker(connectInterval)
 	defer ticker.Stop()
@@ -80,7 +81,8 @@
 	}
 }
 
-// remoteLeader names the leader if it is known and another controller.
+// remoteLeader returns the name of the leader, or "" if this controller is the leader or the
+// leader is unknown.
 func (h *heartbeatHandler) remoteLeader() string {
 	if view := h.elector.View(); view.Leader != h.node {
 		return view.Leader
@@ -88,7 +90,7 @@
 	return ""
 }
 
-// serve is the HTTP handler of heartbeats.
+// serve is the HTTP handler for heartbeats.
 func (h *heartbeatHandler) serve(w http.ResponseWriter, request *http.Request, _ httprouter.Params) {
 	body, err := jobapi.ReadBody(w, request)
 	if err != nil {
@@ -101,7 +103,7 @@
 	jobapi.Write(w, response)
 }
 
-// handle responds to a heartbeat that a worker has sent here.
+// handle responds to a heartbeat that an agent has sent directly to this controller.
 func (h *heartbeatHandler) handle(ctx context.Context, body []byte) jobapi.Response {
 	if leader := h.remoteLeader(); leader != "" {
 		return h.forward(ctx, leader, body)
@@ -113,8 +115,8 @@
 	return h.respondAsLeader(ctx, heartbeat)
 }
 
-// forward has the leader respond to a heartbeat. The response is passed on as it is: a 200
-// leaves this controller only as the leader's response from its term.
+// forward forwards a heartbeat to the leader and returns the leader's response unchanged. So a 200
+// is always the response of a leader in its term.
 func (h *heartbeatHandler) forward(ctx context.Context, leader string, body []byte) jobapi.Response {
 	ctx, cancel := context.WithTimeout(ctx, heartbeatTimeout)
 	defer cancel()
@@ -125,12 +127,13 @@
 	case errors.Is(err, peers.ErrNoStream):
 		return redirectTo(leader)
 	}
-	// The leader has it and is late. Any other controller will do as well.
+	// The leader has received the heartbeat but has not responded in time. Any other controller
+	// will do as well.
 	return redirectTo(anyController)
 }
 
-// respondAsLeader responds to a heartbeat if this controller leads, and else redirects the
-// worker.
+// respondAsLeader responds to a heartbeat if this controller is the leader; otherwise it redirects
+// the agent.
 func (h *heartbeatHandler) respondAsLeader(ctx context.Context, heartbeat *wire.Heartbeat) jobapi.Response {
 	view := h.elector.View()
 	if !view.IsLeader(time.Now()) {
@@ -146,7 +149,8 @@
 	return h.makeResponse(view.Term, reply, err)
 }
 
-// ReceiveForwarded responds to a heartbeat that another controller has forwarded here.
+// ReceiveForwarded responds to a heartbeat that another controller has forwarded to this one. It
+// implements peers.HeartbeatReceiver.
 func (h *heartbeatHandler) ReceiveForwarded(ctx context.Context, body []byte, respond func(response func() jobapi.Response)) {
 	heartbeat, err := wire.ParseHeartbeat(body)
 	if err != nil {
@@ -164,16 +168,18 @@
 	})
 }
 
-// ForwarderConnected notes that another controller forwards heartbeats here, until ctx ends.
+// ForwarderConnected records that another controller forwards heartbeats to this one until ctx
+// ends. It implements peers.HeartbeatReceiver.
 func (h *heartbeatHandler) ForwarderConnected(ctx context.Context, node string) {
 	h.redirector.addForwarder(ctx, node)
 }
 
-// makeResponse makes the response to a worker of the dispatcher's reply, which may have waited. It is
-// called right before the response is sent: past the term's end another leader may have begun, and
-// a 200 would keep the worker here; a start may have been withdrawn. A response that another
-// controller forwards reaches the worker a little later than that. It still renews the agent's
-// lease only from when the heartbeat was sent, within our term.
+// makeResponse makes the response to an agent from the dispatcher's reply. It must be called right
+// before the response is sent, because the reply may have waited: when the term has ended, another
+// controller may lead and a 200 would keep the agent here; and a start command may have been
+// withdrawn. A response that another controller passes on reaches the agent a little later. It
+// still renews the agent's lease only from the time when the heartbeat was sent, which is within
+// the term.
 func (h *heartbeatHandler) makeResponse(term uint64, reply scheduler.HeartbeatReply, err error) jobapi.Response {
 	var response wire.HeartbeatResponse
 	if err == nil {
@@ -188,21 +194,21 @@
 	return errorResponse(http.StatusServiceUnavailable, "the leader is not ready")
 }
 
-// rejectMalformed responds to a body that is no heartbeat.
+// rejectMalformed responds to a body that can't be parsed as a heartbeat.
 func (h *heartbeatHandler) rejectMalformed(err error) jobapi.Response {
 	h.log.Info("malformed heartbeat", "error", err)
 	return errorResponse(http.StatusBadRequest, err.Error())
 }
 
-// errorResponse makes an error response.
+// errorResponse makes a response with an error text.
 func errorResponse(status int, text string) jobapi.Response {
 	return jobapi.JSON(status, wire.ErrorResponse{Error: text})
 }
 
-// anyController redirects a worker to any other controller.
+// anyController makes redirectTo name no controller: the agent chooses another one itself.
 const anyController = ""
 
-// redirectTo makes a worker send its heartbeats to another controller.
+// redirectTo makes the response that tells an agent to send its heartbeats to another controller.
 func redirectTo(node string) jobapi.Response {
 	return jobapi.JSON(http.StatusMisdirectedRequest, wire.Redirect{Leader: node})
 }
--- a/internal/controller/heartbeat_handler_test.go
+++ b/internal/controller/heartbeat_handler_test.go
@@ -51,14 +51,14 @@
 		{"no stream: the worker is redirected to the leader", fakeForwarder{err: peers.ErrNoStream}, 421, `{"boss":"n1"}`, 0},
 		{"a leader that is silent", fakeForwarder{}, 421, `{}`, heartbeatTimeout},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				handler := newHeartbeatHandler(t.Context(), "n0", nil, nil, c.leader, &connectionTracker{}, discardLog)
-				began := time.Now()
+				handler := newHeartbeatHandler(t.Context(), "n0", nil, nil, test.leader, &connectionTracker{}, discardLog)
+				start := time.Now()
 				response := handler.forward(t.Context(), "n1", []byte("{}"))
-				if response.Status != c.status || string(response.Body) != c.body || time.Since(began) != c.within {
-					t.Errorf("%d %s after %s, want %d %s after %s", response.Status, response.Body, time.Since(began), c.status, c.body, c.within)
+				if response.Status != test.status || string(response.Body) != test.body || time.Since(start) != test.within {
+					t.Errorf("%d %s after %s, want %d %s after %s", response.Status, response.Body, time.Since(start), test.status, test.body, test.within)
 				}
 			})
 		})
@@ -74,8 +74,8 @@
 
 func (termUnawareDispatcher) ExpectedMachines() int { return 0 }
 
-func (d termUnawareDispatcher) HeartbeatAsync(ctx context.Context, r *wire.Heartbeat, respond func(scheduler.HeartbeatReply, error)) {
-	respond(d.Heartbeat(ctx, r))
+func (d termUnawareDispatcher) HeartbeatAsync(ctx context.Context, heartbeat *wire.Heartbeat, respond func(scheduler.HeartbeatReply, error)) {
+	respond(d.Heartbeat(ctx, heartbeat))
 }
 
 func (termUnawareDispatcher) Heartbeat(context.Context, *wire.Heartbeat) (scheduler.HeartbeatReply, error) {
@@ -85,8 +85,8 @@
 // TestNoResponseAfterTermEnd: a controller that is not in its term redirects workers, with no
 // commands, so that they find another controller before their leases end.
 func TestNoResponseAfterTermEnd(t *testing.T) {
-	e := election.New("n1", settings.Operator{LeaderLease: time.Second}, nil, discardLog)
-	handler := newHeartbeatHandler(t.Context(), "n1", e, termUnawareDispatcher{}, nil, &connectionTracker{}, discardLog)
+	elector := election.New("n1", settings.Operator{LeaderLease: time.Second}, nil, discardLog)
+	handler := newHeartbeatHandler(t.Context(), "n1", elector, termUnawareDispatcher{}, nil, &connectionTracker{}, discardLog)
 	body := []byte(`{"host":"vm-1","address":"10.1.0.1:9000","flavor":"m","room":"a","tenure":1,"tick":4,"baton":0,"pieces":[]}`)
 	check := func(name string, response jobapi.Response) {
 		t.Helper()
@@ -104,6 +104,6 @@
 		t.Error("a forwarded heartbeat got no response")
 	}
 	// The term may end between the dispatcher's answer and its writing.
-	answer, err := termUnawareDispatcher{}.Heartbeat(t.Context(), nil)
-	check("decided in the term, written past it", handler.makeResponse(1, answer, err))
+	reply, err := termUnawareDispatcher{}.Heartbeat(t.Context(), nil)
+	check("decided in the term, written past it", handler.makeResponse(1, reply, err))
 }
--- a/internal/controller/leader_actions_test.go
+++ b/internal/controller/leader_actions_test.go
@@ -25,16 +25,16 @@
 }
 
 func newLeaderActionChecker(t *testing.T) *leaderActionChecker {
-	d := &leaderActionChecker{t: t, newest: make(chan leaderAction, 1)}
-	d.newest <- leaderAction{}
-	return d
+	c := &leaderActionChecker{t: t, newest: make(chan leaderAction, 1)}
+	c.newest <- leaderAction{}
+	return c
 }
 
 // Enabled accepts all lines: the actions are logged at the debug level.
-func (d *leaderActionChecker) Enabled(context.Context, slog.Level) bool { return true }
+func (c *leaderActionChecker) Enabled(context.Context, slog.Level) bool { return true }
 
 // Handle checks the actions of leaders.
-func (d *leaderActionChecker) Handle(_ context.Context, r slog.Record) error {
+func (c *leaderActionChecker) Handle(_ context.Context, r slog.Record) error {
 	if r.Message != dispatch.MessageLeaderAction {
 		return nil
 	}
@@ -43,20 +43,20 @@
 			return true
 		}
 		term := a.Value.Uint64()
-		newest := <-d.newest
+		newest := <-c.newest
 		if term < newest.term {
-			d.t.Errorf("term %d acts at %s, term %d has done so at %s", term, r.Time, newest.term, newest.loggedAt)
+			c.t.Errorf("term %d acts at %s, term %d has done so at %s", term, r.Time, newest.term, newest.loggedAt)
 		} else {
 			newest = leaderAction{term, r.Time}
 		}
-		d.newest <- newest
+		c.newest <- newest
 		return false
 	})
 	return nil
 }
 
 // WithAttrs and WithGroup keep the handler as it is.
-func (d *leaderActionChecker) WithAttrs([]slog.Attr) slog.Handler { return d }
+func (c *leaderActionChecker) WithAttrs([]slog.Attr) slog.Handler { return c }
 
 // WithGroup keeps the handler as it is.
-func (d *leaderActionChecker) WithGroup(string) slog.Handler { return d }
+func (c *leaderActionChecker) WithGroup(string) slog.Handler { return c }
--- a/internal/controller/leader_transfer_test.go
+++ b/internal/controller/leader_transfer_test.go
@@ -17,9 +17,9 @@
 		c.submitJobs(0, 4, time.Second, nil)
 		time.Sleep(3 * time.Second)
 		for range 4 {
-			was := c.leader()
-			to := (was + 1) % len(c.controllers)
-			reply, err := leadertransfer.RequestTransfer(c.t.Context(), operator, c.controllers[0].platform, c.controllerName(to))
+			previous := c.leader()
+			target := (previous + 1) % len(c.controllers)
+			reply, err := leadertransfer.RequestTransfer(c.t.Context(), operator, c.controllers[0].platform, c.controllerName(target))
 			if !c.operator.Standby.Follow {
 				if err == nil || !strings.Contains(err.Error(), "has no standby") {
 					t.Errorf("without standbys: %v, %v", reply, err)
@@ -30,8 +30,8 @@
 				t.Errorf("not handed over: %v", err)
 				return
 			}
-			c.await("the named controller leads", time.Second, func() bool { return c.leader() == to })
-			c.submitJobs(100*to, 2, time.Second, nil)
+			c.await("the named controller leads", time.Second, func() bool { return c.leader() == target })
+			c.submitJobs(100*target, 2, time.Second, nil)
 			time.Sleep(4 * time.Second)
 		}
 		if text := c.standbyTable(); strings.Count(text, "following") != 2 || strings.Count(text, "leads term") != 1 || strings.Contains(text, "no standby") {
@@ -44,14 +44,14 @@
 // one of them leads on its copy when the leader ends.
 func TestStandbyPartitionedFromLeader(t *testing.T) {
 	runScenarioOnce(t, clusterConfig{standby: true}, false, func(c *cluster) {
-		was := c.leader()
-		c.isolate(was, false)
+		previous := c.leader()
+		c.isolate(previous, false)
 		c.submitJobs(0, 6, time.Second, nil)
 		c.await("both standbys follow", 5*time.Second, func() bool { return strings.Count(c.standbyTable(), "following") == 2 })
-		c.kill(was)
-		c.await("another leader", 10*time.Second, func() bool { return c.leader() >= 0 && c.leader() != was })
+		c.kill(previous)
+		c.await("another leader", 10*time.Second, func() bool { return c.leader() >= 0 && c.leader() != previous })
 		c.submitJobs(10, 4, time.Second, nil)
-		c.reconnect(was)
+		c.reconnect(previous)
 		c.startAll()
 		c.await("a standby is complete again", 10*time.Second, func() bool { return strings.Count(c.standbyTable(), "following") == 2 })
 	})
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -39,8 +39,8 @@
 
 // TestAllControllersDown: all controllers are away for longer than the workers' lease.
 func TestAllControllersDown(t *testing.T) {
-	for _, away := range []time.Duration{agentLease - time.Second, agentLease + time.Second, 2 * agentLease} {
-		t.Run(fmt.Sprint(away), func(t *testing.T) {
+	for _, downtime := range []time.Duration{agentLease - time.Second, agentLease + time.Second, 2 * agentLease} {
+		t.Run(fmt.Sprint(downtime), func(t *testing.T) {
 			runScenario(t, clusterConfig{runTime: longRunning(50 * time.Second)}, func(c *cluster) {
 				jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
 				c.awaitRunning(10)
@@ -49,7 +49,7 @@
 				for i := range c.controllers {
 					c.kill(i)
 				}
-				time.Sleep(away)
+				time.Sleep(downtime)
 				for i := range c.controllers {
 					c.start(i)
 				}
@@ -64,8 +64,8 @@
 	runWithSeeds(t, clusterConfig{runTime: longRunning(50 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
 		for k := range 10 {
-			if l := c.leader(); l >= 0 {
-				c.restart(l, randomDuration(r, 100*time.Millisecond, 4*time.Second))
+			if leader := c.leader(); leader >= 0 {
+				c.restart(leader, randomDuration(r, 100*time.Millisecond, 4*time.Second))
 			}
 			if k == 4 {
 				c.store.SetOutage(true)
@@ -87,21 +87,21 @@
 // through the new one.
 func TestIsolatedLeader(t *testing.T) {
 	for _, hold := range []bool{false, true} {
-		for _, lasts := range []time.Duration{5 * time.Second, agentLease + 3*time.Second, cancelLimit + 15*time.Second} {
-			t.Run(fmt.Sprint(hold, lasts), func(t *testing.T) {
+		for _, duration := range []time.Duration{5 * time.Second, agentLease + 3*time.Second, cancelLimit + 15*time.Second} {
+			t.Run(fmt.Sprint(hold, duration), func(t *testing.T) {
 				runScenario(t, clusterConfig{runTime: longRunning(80 * time.Second)}, func(c *cluster) {
 					jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
 					c.awaitRunning(20)
-					lead := c.leader()
-					c.net.Partition(c.controllerName(lead), "state", hold)
-					c.isolate(lead, hold)
+					leader := c.leader()
+					c.net.Partition(c.controllerName(leader), "state", hold)
+					c.isolate(leader, hold)
 					c.awaitNewTerm()
 					for _, j := range everyOther(jobs) {
 						c.users.Cancel(j)
 					}
-					time.Sleep(lasts)
-					c.net.Heal(c.controllerName(lead), "state")
-					c.reconnect(lead)
+					time.Sleep(duration)
+					c.net.Heal(c.controllerName(leader), "state")
+					c.reconnect(leader)
 				})
 			})
 		}
@@ -166,14 +166,14 @@
 // end.
 func TestJobsSurviveTheirLeader(t *testing.T) {
 	every := func(pattern ...fake.FaultKind) *fake.FaultInjector {
-		n := make(chan int, 1)
-		n <- 0
-		f := fake.FaultInjector(func(string, *http.Request) fake.InjectedFault {
-			k := <-n
-			n <- k + 1
+		calls := make(chan int, 1)
+		calls <- 0
+		inject := fake.FaultInjector(func(string, *http.Request) fake.InjectedFault {
+			k := <-calls
+			calls <- k + 1
 			return fake.InjectedFault{Kind: pattern[k%len(pattern)], Delay: 3 * time.Second}
 		})
-		return &f
+		return &inject
 	}
 	const ok = fake.NoFault
 	runScenario(t, clusterConfig{runTime: func(task string) time.Duration {
@@ -188,11 +188,11 @@
 		c.scaleOutFaults.Store(every(ok, ok, fake.ResponseLost, ok, ok, ok, fake.Unavailable))
 		jobs := c.submitJobs(1, 3, 0, func(_ int, j *wire.Job) { j.Tasks = 30 })
 		c.await("some tasks done", 30*time.Second, func() bool { _, done := c.checker.TaskCounts(""); return done > 10 })
-		lead := c.leader()
-		c.kill(lead)
+		leader := c.leader()
+		c.kill(leader)
 		c.users.Cancel(jobs[2])
 		time.Sleep(5 * time.Second)
-		c.start(lead)
+		c.start(leader)
 		c.await("more tasks done", 60*time.Second, func() bool { _, done := c.checker.TaskCounts(""); return done > 30 })
 		for i := range c.controllers {
 			c.kill(i)
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -74,16 +74,16 @@
 // machines are cut off, hang or can't be asked, and the leader changes: what frees
 // room in the limit must surely be gone.
 func TestTeamLimitDuringFailover(t *testing.T) {
-	for name, away := range unreachableModes {
+	for name, setUnreachable := range unreachableModes {
 		t.Run(name, func(t *testing.T) {
 			runScenario(t, clusterConfig{teamLimits: map[string]float64{"tight": 12, "open": 24}, runTime: longRunning(60 * time.Second)}, func(c *cluster) {
 				jobs := c.submitJobs(0, 12, 200*time.Millisecond, func(k int, j *wire.Job) {
 					j.Tasks, j.Team = 6, []string{"tight", "open"}[k/2%2]
 				})
 				c.awaitRunning(30)
-				workers := everyOther(c.cloud.Agents())
-				for _, w := range workers {
-					away(w, true)
+				agents := everyOther(c.cloud.Agents())
+				for _, agent := range agents {
+					setUnreachable(agent, true)
 				}
 				time.Sleep(time.Second)
 				for _, j := range jobs[:4] {
@@ -95,8 +95,8 @@
 					c.users.Cancel(j)
 				}
 				time.Sleep(12 * time.Second)
-				for _, w := range workers {
-					away(w, false)
+				for _, agent := range agents {
+					setUnreachable(agent, false)
 				}
 				c.startAll()
 			})
@@ -122,13 +122,13 @@
 		})
 		c.awaitRunning(20)
 		for range 4 {
-			workers := c.cloud.Agents()
-			w := workers[r.IntN(len(workers))]
+			agents := c.cloud.Agents()
+			agent := agents[r.IntN(len(agents))]
 			if r.IntN(2) == 0 {
-				c.cloud.Terminate(w.Name())
+				c.cloud.Terminate(agent.Name())
 			} else {
-				w.SetHung(true)
-				c.users.Go(func() { time.Sleep(25 * time.Second); w.SetHung(false) })
+				agent.SetHung(true)
+				c.users.Go(func() { time.Sleep(25 * time.Second); agent.SetHung(false) })
 			}
 			time.Sleep(randomDuration(r, time.Second, 8*time.Second))
 		}
--- a/internal/controller/machine_types.go
+++ b/internal/controller/machine_types.go
@@ -13,13 +13,15 @@
 )
 
 const (
-	// typesRefreshInterval is how often the machine types are read, as new ones may come.
+	// typesRefreshInterval is how often the machine types are read again, since the cloud may add
+	// new ones.
 	typesRefreshInterval = 2 * time.Minute
-	// typesRetryInterval is how long to wait after they could not be read.
+	// typesRetryInterval is the wait after a failed read.
 	typesRetryInterval = time.Second
 )
 
-// watchMachineTypes reads the machine types until they are known, and now and then after that.
+// watchMachineTypes reads the machine types from the cloud and refreshes them until ctx ends. The
+// returned function reports false until they have been read once.
 func watchMachineTypes(ctx context.Context, cloud *autoscaler.Client, log *slog.Logger) jobapi.MachineTypes {
 	var known atomic.Pointer[[]wire.MachineType]
 	go func() {
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -24,16 +24,16 @@
 }
 
 // submitPipeline submits a pipeline, each job once those that it needs are accepted.
-func (c *cluster) submitPipeline(s pipelineShape, first int) (jobs []*wire.Job) {
+func (c *cluster) submitPipeline(shape pipelineShape, number int) (jobs []*wire.Job) {
 	c.t.Helper()
-	jobID := func(stage int) string { return fmt.Sprintf("job-0%04d%d", first, stage) }
-	for stage, needs := range s.dependsOn {
+	jobID := func(stage int) string { return fmt.Sprintf("job-0%04d%d", number, stage) }
+	for stage, parents := range shape.dependsOn {
 		j := fake.NewJob(jobID(stage), 2, nil)
-		for _, n := range needs {
-			j.DependsOn = append(j.DependsOn, jobID(n))
+		for _, parent := range parents {
+			j.DependsOn = append(j.DependsOn, jobID(parent))
 		}
 		if !c.users.SubmitAndAwait(j) {
-			c.t.Errorf("%s of the %s is not accepted", j.ID, s.name)
+			c.t.Errorf("%s of the %s is not accepted", j.ID, shape.name)
 		}
 		c.users.Poll(j)
 		jobs = append(jobs, j)
@@ -46,7 +46,7 @@
 // Either all that need it are cancelled with it, and stay so, or the answer is done
 // and they continue.
 func TestCancelledPipelines(t *testing.T) {
-	troubles := []struct {
+	faults := []struct {
 		name string
 		play func(c *cluster)
 	}{
@@ -74,42 +74,42 @@
 			c.store.SetOutage(false)
 		}},
 		{"the leader alone is refused", func(c *cluster) {
-			lead := c.leader()
-			c.store.SetRefused(c.controllerName(lead), true)
+			leader := c.leader()
+			c.store.SetRefused(c.controllerName(leader), true)
 			time.Sleep(20 * time.Second)
-			c.store.SetRefused(c.controllerName(lead), false)
+			c.store.SetRefused(c.controllerName(leader), false)
 		}},
 	}
 	// A job's tasks run for 8 s, and begin some 6 s after it is submitted, once there are
 	// machines.
 	moments := []time.Duration{0, 3 * time.Second, 12 * time.Second, 13500 * time.Millisecond, 14 * time.Second, 14500 * time.Millisecond, 15 * time.Second, 20 * time.Second}
-	for _, s := range pipelineShapes {
-		for _, trouble := range troubles {
-			t.Run(s.name+", "+trouble.name, func(t *testing.T) {
+	for _, shape := range pipelineShapes {
+		for _, fault := range faults {
+			t.Run(shape.name+", "+fault.name, func(t *testing.T) {
 				runScenarioOnce(t, clusterConfig{maxMachines: 30}, false, func(c *cluster) {
 					time.Sleep(5 * time.Second) // all controllers know of one another
 					var pipelines [][]*wire.Job
-					for n := range moments {
-						pipelines = append(pipelines, c.submitPipeline(s, n))
+					for i := range moments {
+						pipelines = append(pipelines, c.submitPipeline(shape, i))
 					}
 					began := time.Now()
-					for n, moment := range moments {
+					for i, moment := range moments {
 						time.Sleep(time.Until(began.Add(moment)))
-						first := pipelines[n][0]
+						first := pipelines[i][0]
 						// At all controllers within a millisecond, then until it is answered.
 						for i := range c.controllers {
 							c.users.Go(func() { c.users.Call(i, fake.RequestCancel, first.ID, nil) })
 						}
 						c.users.Cancel(first)
-						if n == len(moments)/2 {
-							c.users.Go(func() { trouble.play(c) })
+						if i == len(moments)/2 {
+							c.users.Go(func() { fault.play(c) })
 						}
-						c.queryPipeline(pipelines[n])
+						c.queryPipeline(pipelines[i])
 					}
 					time.Sleep(70 * time.Second)
-					ends := c.checkPipelineOutcomes(pipelines)
-					if trouble.name == "no trouble" && (ends[wire.JobDone] == 0 || ends[wire.JobCancelled] == 0) {
-						t.Errorf("the moments bring about only %v", ends)
+					outcomes := c.checkPipelineOutcomes(pipelines)
+					if fault.name == "no trouble" && (outcomes[wire.JobDone] == 0 || outcomes[wire.JobCancelled] == 0) {
+						t.Errorf("the moments bring about only %v", outcomes)
 					}
 				})
 			})
@@ -128,10 +128,10 @@
 // whole, and the others done whole, and counts both.
 func (c *cluster) checkPipelineOutcomes(pipelines [][]*wire.Job) map[string]int {
 	c.t.Helper()
-	ends := map[string]int{}
+	outcomes := map[string]int{}
 	for _, jobs := range pipelines {
 		_, want := c.users.RetryUntilFinal(fake.RequestCancel, jobs[0].ID, nil)
-		ends[want]++
+		outcomes[want]++
 		for _, j := range jobs {
 			if dependsOnJob(jobs, j, jobs[0].ID) {
 				c.await(j.ID+" is "+want, 2*time.Minute, func() bool {
@@ -141,17 +141,17 @@
 			}
 		}
 	}
-	return ends
+	return outcomes
 }
 
 // dependsOnJob reports whether a job depends on another one, directly or through others.
 func dependsOnJob(jobs []*wire.Job, j *wire.Job, jobID string) bool {
-	for _, before := range j.DependsOn {
-		if before == jobID {
+	for _, parentID := range j.DependsOn {
+		if parentID == jobID {
 			return true
 		}
-		for _, p := range jobs {
-			if p.ID == before && dependsOnJob(jobs, p, jobID) {
+		for _, parent := range jobs {
+			if parent.ID == parentID && dependsOnJob(jobs, parent, jobID) {
 				return true
 			}
 		}
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -8,38 +8,39 @@
 	"leadproxy/internal/election"
 )
 
-// A leader that the workers can't reach any more, but that still reaches the key-value store
-// and the other controllers, keeps its lease and can do little with it: its commands don't
-// arrive, though heartbeats come by way of others. Another controller takes over within a
-// second or two. So a leader to which no worker comes any more asks the others whether
-// workers come to them, and resigns if they do.
+// A leader that agents can no longer reach, but that still reaches the key-value store and the
+// other controllers, keeps its lease but can do little as the leader: its commands don't arrive,
+// although heartbeats still arrive through other controllers. A successor takes over within one or
+// two seconds. So a leader that no longer receives heartbeats directly asks the other controllers
+// whether they do, and resigns in that case.
 
-// The times and bounds of judging the reachability.
+// Timing and thresholds of the reachability check.
 const (
 	reachabilityInterval  = 500 * time.Millisecond
-	minSilenceWindow      = 3 * time.Second // a shorter silence shows nothing
-	reachabilityGrace     = 8 * time.Second // a new leader has yet to be found
-	minUnansweredCommands = 3               // fewer commands unanswered may be chance
-	// minMissedHeartbeats is how many heartbeats in a row can't fail to come by chance.
+	minSilenceWindow      = 3 * time.Second // a shorter silence proves nothing
+	reachabilityGrace     = 8 * time.Second // agents need time to find a new leader
+	minUnansweredCommands = 3               // fewer may be a coincidence
+	// minMissedHeartbeats is the number of expected heartbeats whose absence is no coincidence.
 	minMissedHeartbeats = 20
-	// lostMachinesDivisor is the part of the machines, as a divisor, that must come to another
-	// controller: fewer may be workers that don't reach this one alone.
+	// A leader resigns only if another controller receives heartbeats for at least one in
+	// lostMachinesDivisor machines. Fewer may be single agents that can't reach the leader.
 	lostMachinesDivisor = 8
 )
 
-// reachabilityMonitor watches whether workers still reach the leader.
+// reachabilityMonitor checks whether agents can still reach this controller while it is the leader,
+// and makes it resign if they can't.
 type reachabilityMonitor struct {
 	elector             *election.Elector
-	directHeartbeats    *recentCounter // heartbeats that have come straight here
-	forwardedHeartbeats *recentCounter // heartbeats that others have forwarded here
+	directHeartbeats    *recentCounter // received from agents
+	forwardedHeartbeats *recentCounter // received from other controllers
 	expectedMachines    func() int     // machines that should be sending heartbeats
-	unansweredCommands  func() int     // commands in a row that no worker has answered
+	unansweredCommands  func() int     // number of consecutive commands that no agent has answered
 	heartbeatInterval   time.Duration
 	peers               pinger
 	log                 *slog.Logger
 }
 
-// run watches until ctx ends.
+// run checks periodically until ctx ends.
 func (m *reachabilityMonitor) run(ctx context.Context) {
 	ticker := time.NewTicker(reachabilityInterval)
 	defer ticker.Stop()
@@ -56,35 +57,35 @@
 			continue
 		}
 		if time.Since(since) >= reachabilityGrace && m.agentsUnreachable(ctx, m.expectedMachines()) {
-			m.log.Info("workers reach another controller but not this one, resigning", "leader_term", term, "machines", m.expectedMachines())
+			m.log.Info("agents reach another controller but not this one, resigning", "leader_term", term, "machines", m.expectedMachines())
 			m.elector.Resign(term)
 		}
 	}
 }
 
-// agentsUnreachable reports whether the workers, of which so many should be sending heartbeats,
-// come to another controller instead: enough of them that it is not a single one that can't
-// reach this controller.
+// agentsUnreachable reports whether agents send their heartbeats to another controller because they
+// can't reach this one. machines is the number of machines whose agents should be sending
+// heartbeats. A few agents that can't reach this controller are not enough.
 func (m *reachabilityMonitor) agentsUnreachable(ctx context.Context, machines int) bool {
 	window := m.silenceWindow(machines)
 	if machines == 0 || m.directHeartbeats.countWithin(window) > 0 {
 		return false
 	}
 	if m.forwardedHeartbeats.countWithin(window) > 0 && m.unansweredCommands() < minUnansweredCommands {
-		return false // all workers may just have come to the others
+		return false // commands are answered, so all agents may simply be using other controllers
 	}
 	heartbeats := m.maxHeartbeatsAtPeer(ctx, window)
 	return heartbeats > 0 && heartbeats >= machines/lostMachinesDivisor
 }
 
-// silenceWindow is how long a silence of all machines can't be chance: minMissedHeartbeats
-// should have come, or one of each machine.
+// silenceWindow returns the duration after which the silence of all agents is no coincidence:
+// minMissedHeartbeats should have arrived, or at least one from each agent.
 func (m *reachabilityMonitor) silenceWindow(machines int) time.Duration {
 	return max(minSilenceWindow, min(minMissedHeartbeats*m.heartbeatInterval/time.Duration(max(machines, 1)), m.heartbeatInterval*3/2))
 }
 
-// maxHeartbeatsAtPeer is how many heartbeats have come to another controller, the most that one of
-// them reports.
+// maxHeartbeatsAtPeer returns the largest number of heartbeats that a single other controller has
+// received from agents within the window; 0 if none responds.
 func (m *reachabilityMonitor) maxHeartbeatsAtPeer(ctx context.Context, window time.Duration) int {
 	ctx, cancel := context.WithTimeout(ctx, pingTimeout)
 	defer cancel()
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -31,22 +31,22 @@
 		{"their heartbeats are forwarded, and no command arrives", 1000, 5 * time.Second, true, 3, 400, true, true},
 		{"no machines", 0, 20 * time.Second, false, 9, 9, true, false},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				others := &fakePeers{}
-				others.responds.Store(c.responds)
-				others.heartbeats.Store(int64(c.atPeer))
-				monitor := &reachabilityMonitor{directHeartbeats: newRecentCounter(), forwardedHeartbeats: newRecentCounter(), unansweredCommands: func() int { return c.unanswered }, heartbeatInterval: 8 * time.Second, peers: others}
+				others.responds.Store(test.responds)
+				others.heartbeats.Store(int64(test.atPeer))
+				monitor := &reachabilityMonitor{directHeartbeats: newRecentCounter(), forwardedHeartbeats: newRecentCounter(), unansweredCommands: func() int { return test.unanswered }, heartbeatInterval: 8 * time.Second, peers: others}
 				monitor.directHeartbeats.increment()
 				time.Sleep(time.Minute)
 				monitor.directHeartbeats.increment()
-				time.Sleep(c.silent)
-				if c.forwarded {
+				time.Sleep(test.silent)
+				if test.forwarded {
 					monitor.forwardedHeartbeats.increment()
 				}
-				if got := monitor.agentsUnreachable(t.Context(), c.machines); got != c.lost {
-					t.Errorf("lost %v, want %v", got, c.lost)
+				if got := monitor.agentsUnreachable(t.Context(), test.machines); got != test.lost {
+					t.Errorf("lost %v, want %v", got, test.lost)
 				}
 			})
 		})
--- a/internal/controller/recent_counter.go
+++ b/internal/controller/recent_counter.go
@@ -5,18 +5,19 @@
 	"time"
 )
 
-// recentCounter counts what has happened in the last seconds.
+// recentCounter counts events per second for the last 32 seconds. It is safe for concurrent use.
 type recentCounter struct {
 	createdAt time.Time
-	seconds   [32]struct{ number, count atomic.Int64 } // a ring
+	seconds   [32]struct{ number, count atomic.Int64 } // ring buffer, by number modulo length
 }
 
 func newRecentCounter() *recentCounter { return &recentCounter{createdAt: time.Now()} }
 
-// currentSecond numbers the seconds, from 1.
+// currentSecond returns the number of the current second since createdAt, from 1; 0 marks an
+// unused entry of the ring buffer.
 func (c *recentCounter) currentSecond() int64 { return int64(time.Since(c.createdAt)/time.Second) + 1 }
 
-// increment counts one.
+// increment counts one event.
 func (c *recentCounter) increment() {
 	now := c.currentSecond()
 	second := &c.seconds[now%int64(len(c.seconds))]
@@ -26,8 +27,8 @@
 	second.count.Add(1)
 }
 
-// countWithin is how often increment was called within a time, to the second and as far
-// back as the ring goes.
+// countWithin returns how often increment was called within the window, rounded down to whole
+// seconds and limited to the length of the ring buffer.
 func (c *recentCounter) countWithin(window time.Duration) int {
 	now := c.currentSecond()
 	sum := int64(0)
--- a/internal/controller/redirector.go
+++ b/internal/controller/redirector.go
@@ -8,24 +8,24 @@
 	"time"
 )
 
-// Workers stay with the controller that responds to them. The leader's time is the
-// shortest: it has all the commands to workers, and the decisions. So of the workers that
-// come to it, it redirects all but a few to controllers that forward heartbeats to it.
+// Agents stay with the controller that responds to them. The leader is the busiest controller,
+// since it alone makes scheduling decisions and sends commands to agents. It therefore redirects
+// all but a few of the agents that connect to it to controllers that forward heartbeats to it.
 
-// The times and bounds of redirecting workers.
+// Rates and bounds of redirecting agents.
 const (
-	redirectInterval = 20 * time.Millisecond // one worker at a time
-	redirectCooldown = 2 * time.Minute       // the same one: it may not reach the others
-	// A leader keeps a quarter of what would be an equal share, and so many more:
-	// the few of a small deployment are no burden.
+	redirectInterval = 20 * time.Millisecond // at most one agent per interval
+	redirectCooldown = 2 * time.Minute       // per agent: it may be unable to reach other controllers
+	// A leader keeps a quarter of an equal share of the agents and leaderAllowance more, so that
+	// it redirects none of the few agents of a small deployment, which are no burden.
 	leaderShareDivisor = 4
 	leaderAllowance    = 16
 )
 
-// redirector decides which workers a leader redirects to which controllers. Its state is
+// redirector decides which agents the leader redirects, and to which controllers. Its state is
 // owned by the goroutine that executes run.
 type redirector struct {
-	forwarderCount atomic.Int64 // controllers that forward heartbeats here
+	forwarderCount atomic.Int64 // number of controllers that forward heartbeats here
 	connected      chan forwarder
 	requests       chan redirectRequest
 }
@@ -36,17 +36,17 @@
 	done <-chan struct{}
 }
 
-// redirectRequest asks for the controller that a worker is redirected to.
+// redirectRequest asks which controller an agent should be redirected to.
 type redirectRequest struct {
 	machine string
-	target  chan string // has room for one
+	target  chan string // buffered, so that run never blocks on it
 }
 
 func newRedirector() *redirector {
 	return &redirector{connected: make(chan forwarder), requests: make(chan redirectRequest)}
 }
 
-// addForwarder adds a controller that forwards heartbeats here until ctx ends.
+// addForwarder registers a controller that forwards heartbeats here until ctx ends.
 func (r *redirector) addForwarder(ctx context.Context, node string) {
 	select {
 	case r.connected <- forwarder{node: node, done: ctx.Done()}:
@@ -54,8 +54,9 @@
 	}
 }
 
-// target names the controller that a worker is redirected to, or "" when it is to stay: with
-// so many connections open here and so many machines in all.
+// target returns the controller that an agent is to be redirected to, or "" if it is to stay. open
+// is the number of inbound connections of this controller and machines the number of machines in
+// the cell.
 func (r *redirector) target(ctx context.Context, machine string, open, machines int) string {
 	forwarders := int(r.forwarderCount.Load())
 	if forwarders == 0 || open <= machines/(forwarders+1)/leaderShareDivisor+leaderAllowance {
@@ -70,7 +71,7 @@
 	}
 }
 
-// run decides until ctx ends.
+// run handles requests and tracks forwarders until ctx ends.
 func (r *redirector) run(ctx context.Context) {
 	forwarders := forwarderSet{streams: map[string]int{}}
 	history := redirectHistory{redirectedAt: map[string]time.Time{}}
@@ -101,7 +102,8 @@
 	}
 }
 
-// forwarderSet holds the controllers that have a stream to here, in the order of connecting.
+// forwarderSet holds the controllers that have a stream to this one, in the order in which they
+// connected.
 type forwarderSet struct {
 	nodes      []string
 	streams    map[string]int // by node: an old stream may end after the new one has begun
@@ -121,21 +123,23 @@
 	}
 }
 
-// next returns the controllers one after the other.
+// next returns the controllers in round-robin order. The set must not be empty.
 func (f *forwarderSet) next() string {
 	f.roundRobin++
 	return f.nodes[f.roundRobin%len(f.nodes)]
 }
 
-// redirectHistory limits how often workers are redirected.
+// redirectHistory limits how often agents are redirected, in total and each.
 type redirectHistory struct {
-	// redirectedAt is when each worker was redirected, as long as that counts: one in
-	// redirectInterval, for up to twice redirectCooldown, which are 12,000.
+	// redirectedAt holds when each machine's agent was last redirected. Entries are kept for at
+	// most twice redirectCooldown and added at most once per redirectInterval, so there are at
+	// most 12,000.
 	redirectedAt              map[string]time.Time
 	lastRedirect, lastCleanup time.Time
 }
 
-// allow reports whether a worker may be redirected now, and notes it if so.
+// allow reports whether the agent of a machine may be redirected now, and records the redirect if
+// so.
 func (h *redirectHistory) allow(machine string, now time.Time) bool {
 	if now.Sub(h.lastRedirect) < redirectInterval || now.Sub(h.redirectedAt[machine]) < redirectCooldown {
 		return false
--- a/internal/controller/redirector_test.go
+++ b/internal/controller/redirector_test.go
@@ -12,11 +12,11 @@
 // reach those.
 func TestRedirectedAgents(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		r := newRedirector()
-		go r.run(t.Context())
+		redirector := newRedirector()
+		go redirector.run(t.Context())
 		redirect := func(machine string, open int) string {
 			time.Sleep(redirectInterval)
-			return r.target(t.Context(), machine, open, 90)
+			return redirector.target(t.Context(), machine, open, 90)
 		}
 		check := func(name, got, want string) {
 			t.Helper()
@@ -26,14 +26,14 @@
 		}
 		check("no controller forwards", redirect("vm-1", 90), "")
 		stream, disconnect := context.WithCancel(t.Context())
-		r.addForwarder(stream, "n1")
-		r.addForwarder(t.Context(), "n2")
+		redirector.addForwarder(stream, "n1")
+		redirector.addForwarder(t.Context(), "n2")
 		synctest.Wait()
 		check("as many as the leader keeps", redirect("vm-1", 23), "")
 		check("one more", redirect("vm-1", 24), "n2")
 		check("the same worker again", redirect("vm-1", 24), "")
 		check("the next worker, to the next controller", redirect("vm-2", 24), "n1")
-		check("at most one at a time", r.target(t.Context(), "vm-3", 24, 90), "")
+		check("at most one at a time", redirector.target(t.Context(), "vm-3", 24, 90), "")
 		disconnect()
 		synctest.Wait()
 		check("only to a controller that still forwards", redirect("vm-3", 90), "n2")
--- a/internal/controller/rollout_measure_test.go
+++ b/internal/controller/rollout_measure_test.go
@@ -36,13 +36,13 @@
 }
 
 // measureDrain replaces machines in one way.
-func measureDrain(t *testing.T, machines int, seed uint64, way replacementMethod) (result drainResult) {
+func measureDrain(t *testing.T, machines int, seed uint64, method replacementMethod) (result drainResult) {
 	synctest.Test(t, func(t *testing.T) {
-		p := drainClusterConfig(machines)
-		p.seed, p.writesPerSecond = seed, 400
-		p.runTime = func(string) time.Duration { return drainJobRunTime }
-		p.budgets = &rollout.Budgets{TeamDefault: rollout.Budget{Share: 0.1, Window: drainWindow}}
-		c := newCluster(t, p)
+		config := drainClusterConfig(machines)
+		config.seed, config.writesPerSecond = seed, 400
+		config.runTime = func(string) time.Duration { return drainJobRunTime }
+		config.budgets = &rollout.Budgets{TeamDefault: rollout.Budget{Share: 0.1, Window: drainWindow}}
+		c := newCluster(t, config)
 		for i := range c.controllers {
 			c.start(i)
 		}
@@ -70,9 +70,9 @@
 		time.Sleep(30 * time.Second)
 		old := c.machineNames()
 		began := time.Now()
-		if way.planText == "" {
+		if method.planText == "" {
 			c.cloud.Terminate(old...)
-		} else if err := c.createPlan("winter", "types = m8\n"+way.planText); err != nil {
+		} else if err := c.createPlan("winter", "types = m8\n"+method.planText); err != nil {
 			t.Error(err)
 		}
 		for time.Since(began) < 6*time.Hour && c.anyMachineExists(old) {
@@ -95,12 +95,12 @@
 
 // anyMachineExists reports whether any of the machines exists.
 func (c *cluster) anyMachineExists(names []string) bool {
-	there := map[string]bool{}
+	existing := map[string]bool{}
 	for _, name := range c.machineNames() {
-		there[name] = true
+		existing[name] = true
 	}
 	for _, name := range names {
-		if there[name] {
+		if existing[name] {
 			return true
 		}
 	}
@@ -125,8 +125,8 @@
 			r.late++
 		}
 	}
-	for _, s := range c.interruptions() {
-		r.lostTime += s.Ended.Sub(s.Began)
+	for _, interruption := range c.interruptions() {
+		r.lostTime += interruption.Ended.Sub(interruption.Began)
 	}
 	for _, team := range []string{"open", "tight"} {
 		r.maxInterrupted = max(r.maxInterrupted, c.maxInterruptedJobs(func(j *wire.Job) bool { return j.Team == team }))
@@ -136,20 +136,20 @@
 // TestMeasureDrains replaces all machines in steps, one by one, and all at once.
 // docs/design-rollouts.md has the results, docs/operations-drain.md the command.
 func TestMeasureDrains(t *testing.T) {
-	ways := []replacementMethod{
+	methods := []replacementMethod{
 		{"in steps", "canary = 1\nbatch = 10%\nwait_s = 600\nhealth_s = 3600"},
 		{"one by one", "canary = 1\nbatch = 1\nwait_s = 600\nhealth_s = 3600"},
 		{"all at once", ""},
 	}
 	for _, machines := range []int{40, 200} {
 		for seed := range uint64(3) {
-			for _, way := range ways {
-				if machines > 40 && (seed > 0 || way.name == "one by one") {
+			for _, method := range methods {
+				if machines > 40 && (seed > 0 || method.name == "one by one") {
 					continue
 				}
-				r := measureDrain(t, machines, seed, way)
+				result := measureDrain(t, machines, seed, method)
 				t.Logf("%3d machines, seed %d, %-11s: %8s, %4d tasks stopped, %8s of waiting and repeated work, at most %3d jobs of a team at once, %3d of %4d jobs late",
-					machines, seed, way.name, r.duration.Round(time.Second), r.stoppedTasks, r.lostTime.Round(time.Second), r.maxInterrupted, r.late, r.jobs)
+					machines, seed, method.name, result.duration.Round(time.Second), result.stoppedTasks, result.lostTime.Round(time.Second), result.maxInterrupted, result.late, result.jobs)
 			}
 		}
 	}
--- a/internal/controller/rollout_plans_test.go
+++ b/internal/controller/rollout_plans_test.go
@@ -88,16 +88,16 @@
 // checkReplaced checks that none of some machines is there any more.
 func (c *cluster) checkReplaced(names []string) {
 	c.t.Helper()
-	for _, w := range c.cloud.Agents() {
-		if slices.Contains(names, w.Name()) {
-			c.t.Errorf("%s is there", w.Name())
+	for _, agent := range c.cloud.Agents() {
+		if slices.Contains(names, agent.Name()) {
+			c.t.Errorf("%s is there", agent.Name())
 		}
 	}
 }
 
 func (c *cluster) machineNames() (names []string) {
-	for _, w := range c.cloud.Agents() {
-		names = append(names, w.Name())
+	for _, agent := range c.cloud.Agents() {
+		names = append(names, agent.Name())
 	}
 	return names
 }
@@ -108,20 +108,20 @@
 }
 
 // maxInterruptedJobs is how many jobs of some were stopped at once at most.
-func (c *cluster) maxInterruptedJobs(in func(j *wire.Job) bool) int {
-	return fake.MaxInterruptedJobs(c.interruptions(), func(jobID string) bool { return in(c.checker.Job(jobID)) })
+func (c *cluster) maxInterruptedJobs(selects func(j *wire.Job) bool) int {
+	return fake.MaxInterruptedJobs(c.interruptions(), func(jobID string) bool { return selects(c.checker.Job(jobID)) })
 }
 
 // checkBudgets checks what the machines recorded against the budgets; hit jobs may be more, of
 // each team.
-func (c *cluster) checkBudgets(hit int) {
+func (c *cluster) checkBudgets(tolerated int) {
 	c.t.Helper()
 	for _, team := range []string{"open", "tight"} {
-		if n := c.maxInterruptedJobs(func(j *wire.Job) bool { return j.Team == team }); n > 2+hit {
+		if n := c.maxInterruptedJobs(func(j *wire.Job) bool { return j.Team == team }); n > 2+tolerated {
 			c.t.Errorf("%d jobs of team %s were stopped at once", n, team)
 		}
 	}
-	if n := c.maxInterruptedJobs(func(j *wire.Job) bool { return j.Class == "rare" }); n > 1+hit {
+	if n := c.maxInterruptedJobs(func(j *wire.Job) bool { return j.Class == "rare" }); n > 1+tolerated {
 		c.t.Errorf("%d rare jobs were stopped at once", n)
 	}
 }
@@ -139,10 +139,10 @@
 func TestReplaceTwentyMachines(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
-			p := drainClusterConfig(20)
-			p.seed = seed
+			config := drainClusterConfig(20)
+			config.seed = seed
 			r := rand.New(rand.NewPCG(seed, 7))
-			runScenarioOnce(t, p, false, func(c *cluster) {
+			runScenarioOnce(t, config, false, func(c *cluster) {
 				c.fillMachines(20)
 				old := c.machineNames()
 				if err := c.createPlan("winter", "zones = a, b, c\nbatch = 25%\nwait_s = 400\nhealth_s = 400"); err != nil {
@@ -154,9 +154,9 @@
 					if k%3 != 0 {
 						continue
 					}
-					was := c.leader()
-					c.kill(was)
-					c.awaitLeader(was)
+					previous := c.leader()
+					c.kill(previous)
+					c.awaitLeader(previous)
 					if k%2 == 0 {
 						time.Sleep(randomDuration(r, time.Millisecond, time.Second))
 						c.kill(c.leader())
@@ -209,9 +209,9 @@
 // TestDrainNeedsApprovalToStopJob: a long job that can't save its progress is left to end, and
 // then the operator is asked; what is skipped is used again.
 func TestDrainNeedsApprovalToStopJob(t *testing.T) {
-	p := drainClusterConfig(3)
-	p.runTime = func(string) time.Duration { return 300 * time.Second }
-	runScenarioOnce(t, p, false, func(c *cluster) {
+	config := drainClusterConfig(3)
+	config.runTime = func(string) time.Duration { return 300 * time.Second }
+	runScenarioOnce(t, config, false, func(c *cluster) {
 		jobs := c.submitJobs(0, 3, time.Second, func(_ int, j *wire.Job) { j.Tasks, j.CPUs, j.EstimatedRunS = 1, 8, 300 })
 		c.awaitRunning(3)
 		old := c.machineNames()
@@ -239,12 +239,12 @@
 var drainFaults = map[string]func(c *cluster, old []string){
 	"a machine crashes": func(c *cluster, old []string) { c.cloud.Terminate(old[0], old[1]) },
 	"machines fall silent": func(c *cluster, _ []string) {
-		for _, w := range everyOther(c.cloud.Agents()) {
-			w.SetHung(true)
+		for _, agent := range everyOther(c.cloud.Agents()) {
+			agent.SetHung(true)
 		}
 		time.Sleep(agentLease + 5*time.Second)
-		for _, w := range c.cloud.Agents() {
-			w.SetHung(false)
+		for _, agent := range c.cloud.Agents() {
+			agent.SetHung(false)
 		}
 	},
 	"the key-value store is down": func(c *cluster, _ []string) {
@@ -253,24 +253,24 @@
 		c.store.SetOutage(false)
 	},
 	"the leader pauses and resumes": func(c *cluster, _ []string) {
-		lead := c.leader()
-		c.pause(lead)
+		leader := c.leader()
+		c.pause(leader)
 		time.Sleep(pauseTime)
-		c.resume(lead)
+		c.resume(leader)
 	},
 	"heartbeats come late and twice": func(c *cluster, _ []string) {
-		for _, w := range c.cloud.Agents() {
-			w.DuplicateHeartbeats(func() time.Duration { return time.Duration(c.users.Random() * float64(10*time.Second)) })
+		for _, agent := range c.cloud.Agents() {
+			agent.DuplicateHeartbeats(func() time.Duration { return time.Duration(c.users.Random() * float64(10*time.Second)) })
 		}
 		time.Sleep(time.Minute)
-		for _, w := range c.cloud.Agents() {
-			w.DuplicateHeartbeats(nil)
+		for _, agent := range c.cloud.Agents() {
+			agent.DuplicateHeartbeats(nil)
 		}
 	},
 	"a zone is lost": func(c *cluster, _ []string) {
-		for _, w := range c.cloud.Agents() {
-			if w.Zone() == "a" {
-				c.cloud.Terminate(w.Name())
+		for _, agent := range c.cloud.Agents() {
+			if agent.Zone() == "a" {
+				c.cloud.Terminate(agent.Name())
 			}
 		}
 	},
@@ -284,7 +284,7 @@
 // TestDrainFaults: what happens to machines and controllers while a plan is carried out
 // keeps it neither from ending nor within its budgets.
 func TestDrainFaults(t *testing.T) {
-	for name, trouble := range drainFaults {
+	for name, injectFault := range drainFaults {
 		t.Run(name, func(t *testing.T) {
 			runScenarioOnce(t, drainClusterConfig(8), false, func(c *cluster) {
 				c.commandsDelayed = true // in some, answers and commands come late
@@ -296,7 +296,7 @@
 				}
 				c.awaitPlan("draining", 3*time.Minute)
 				time.Sleep(3 * time.Second)
-				trouble(c, old)
+				injectFault(c, old)
 				c.awaitPlan("finished", 20*time.Minute)
 				c.checkReplaced(old)
 				switch name {
@@ -315,9 +315,9 @@
 // TestSurgeReplacementsNeverBoot: with surge and no room in the cloud, the plan fails, and
 // the machines are used again.
 func TestSurgeReplacementsNeverBoot(t *testing.T) {
-	p := drainClusterConfig(4)
-	p.maxMachines = 4
-	runScenarioOnce(t, p, false, func(c *cluster) {
+	config := drainClusterConfig(4)
+	config.maxMachines = 4
+	runScenarioOnce(t, config, false, func(c *cluster) {
 		c.fillMachines(4)
 		old := c.machineNames()
 		if err := c.createPlan("winter", "types = m8\ncanary = 2\nsurge = yes\nhealth_s = 60"); err != nil {
--- a/internal/controller/serve.go
+++ b/internal/controller/serve.go
@@ -17,8 +17,8 @@
 	"leadproxy/internal/softstate/hintpb"
 )
 
-// serve serves both addresses, HTTP on the public and gRPC on the internal one, until one
-// fails or ctx ends.
+// serve serves HTTP on the public listener and gRPC on the internal one. It returns an error if one
+// of them fails, and nil when ctx ends.
 func (c *components) serve(ctx context.Context, public, internal net.Listener) error {
 	router := httprouter.New()
 	c.jobs.RegisterRoutes(router)
@@ -36,7 +36,7 @@
 	go func() { failed <- web.Serve(netutil.LimitListener(public, c.sockets.inbound)) }()
 	select {
 	case err := <-failed:
-		return fmt.Errorf("serving: %w", err)
+		return fmt.Errorf("serving HTTP or gRPC: %w", err)
 	case <-ctx.Done():
 		grpcServer.Stop()
 		if err := web.Close(); err != nil {
--- a/internal/controller/sockets_test.go
+++ b/internal/controller/sockets_test.go
@@ -19,15 +19,15 @@
 // pipeListener is a listener without a network, so that a test needs no real time.
 type pipeListener chan net.Conn
 
-func (p pipeListener) Accept() (net.Conn, error) {
-	c, ok := <-p
+func (l pipeListener) Accept() (net.Conn, error) {
+	conn, ok := <-l
 	if !ok {
 		return nil, net.ErrClosed
 	}
-	return c, nil
+	return conn, nil
 }
-func (p pipeListener) Close() error   { close(p); return nil }
-func (p pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
+func (l pipeListener) Close() error   { close(l); return nil }
+func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 // TestResponsesWithMoreAgentsThanSockets: more workers than there are sockets send heartbeats
 // round after round on connections that they keep, and some have died with theirs open. All
@@ -42,10 +42,10 @@
 		{"more workers than sockets", 64, 150, 0},
 		{"and connections of dead workers", 64, 150, 12},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				budget := divideSockets(settings.Resources{Sockets: c.sockets})
+				budget := divideSockets(settings.Resources{Sockets: test.sockets})
 				connections := &connectionTracker{closeAbove: int64(budget.closeAbove)}
 				listener := make(pipeListener, 1000)
 				web := newHTTPServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -55,12 +55,12 @@
 				go web.Serve(netutil.LimitListener(listener, budget.inbound))
 				defer web.Close()
 				dial := func() (*http.Client, *http.Transport) {
-					tr := &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
-						ours, theirs := net.Pipe()
-						listener <- theirs
-						return ours, nil
+					transport := &http.Transport{DialContext: func(context.Context, string, string) (net.Conn, error) {
+						client, server := net.Pipe()
+						listener <- server
+						return client, nil
 					}}
-					return &http.Client{Transport: tr, Timeout: 4 * time.Second}, tr
+					return &http.Client{Transport: transport, Timeout: 4 * time.Second}, transport
 				}
 				get := func(client *http.Client) error {
 					resp, err := client.Get("http://node/")
@@ -71,16 +71,16 @@
 					_, err = io.Copy(io.Discard, resp.Body)
 					return err
 				}
-				for range c.dead {
-					ours, theirs := net.Pipe()
-					listener <- theirs
-					defer ours.Close()
+				for range test.dead {
+					client, server := net.Pipe()
+					listener <- server
+					defer client.Close()
 				}
-				failed := make(chan error, 3*c.workers)
-				for i := range c.workers {
+				failed := make(chan error, 3*test.workers)
+				for i := range test.workers {
 					go func() {
-						client, tr := dial()
-						defer tr.CloseIdleConnections()
+						client, transport := dial()
+						defer transport.CloseIdleConnections()
 						for range 3 {
 							time.Sleep(time.Duration(1+i*7%13) * time.Second)
 							failed <- get(client)
@@ -90,20 +90,20 @@
 				}
 				time.Sleep(15 * time.Second)
 				for range 2 {
-					client, tr := dial()
+					client, transport := dial()
 					if err := get(client); err != nil {
 						t.Errorf("health check: %v", err)
 					}
-					tr.CloseIdleConnections()
+					transport.CloseIdleConnections()
 				}
-				bad := map[string]int{}
-				for range 3 * c.workers {
+				failures := map[string]int{}
+				for range 3 * test.workers {
 					if err := <-failed; err != nil {
-						bad[fmt.Sprint(err)]++
+						failures[fmt.Sprint(err)]++
 					}
 				}
-				if len(bad) > 0 {
-					t.Errorf("heartbeats without a response: %v", bad)
+				if len(failures) > 0 {
+					t.Errorf("heartbeats without a response: %v", failures)
 				}
 				time.Sleep(time.Minute)
 			})
@@ -116,12 +116,12 @@
 func TestSocketBudgetWithinLimit(t *testing.T) {
 	for _, sockets := range []int{16, 64, 1000, 2928, 3500} {
 		budget := divideSockets(settings.Resources{Sockets: sockets})
-		rest := sockets / 16
-		if in := budget.inbound + budget.commands + budget.idleWhenScarce + rest; sockets >= 64 && in > sockets {
-			t.Errorf("%d sockets: %d with all that may come in", sockets, in)
+		others := sockets / 16
+		if needed := budget.inbound + budget.commands + budget.idleWhenScarce + others; sockets >= 64 && needed > sockets {
+			t.Errorf("%d sockets: %d with all that may come in", sockets, needed)
 		}
-		if in := budget.scarceAbove + budget.commands + budget.idle + rest; sockets >= 64 && in > sockets {
-			t.Errorf("%d sockets: %d while many are kept", sockets, in)
+		if needed := budget.scarceAbove + budget.commands + budget.idle + others; sockets >= 64 && needed > sockets {
+			t.Errorf("%d sockets: %d while many are kept", sockets, needed)
 		}
 		closed := 0
 		connections := &connectionTracker{scarceAbove: int64(budget.scarceAbove), closeIdle: func() { closed++ }}
--- a/internal/controller/soft_state_measure_test.go
+++ b/internal/controller/soft_state_measure_test.go
@@ -16,11 +16,11 @@
 // failover's phases; docs/operations-standby.md has the command.
 func TestFailoverOfLargestCluster(t *testing.T) {
 	for round := range 2 {
-		for _, hinted := range []bool{false, true} {
-			t.Run(fmt.Sprintf("%d/hints=%t", round, hinted), func(t *testing.T) {
+		for _, softState := range []bool{false, true} {
+			t.Run(fmt.Sprintf("%d/hints=%t", round, softState), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
 					c := newCluster(t, clusterConfig{maxMachines: largestCluster, writesPerSecond: 400, runTime: longRunning(3 * time.Minute), standby: true, seed: uint64(round)})
-					c.operator.Standby.SoftState = hinted
+					c.operator.Standby.SoftState = softState
 					for i := range c.controllers {
 						c.start(i)
 					}
--- a/internal/controller/standby_test.go
+++ b/internal/controller/standby_test.go
@@ -34,28 +34,28 @@
 			do(c.controllerName(i), c.controllerName(k))
 		}
 	}
-	for _, w := range c.cloud.Agents() {
-		do(c.controllerName(i), w.Name())
+	for _, agent := range c.cloud.Agents() {
+		do(c.controllerName(i), agent.Name())
 	}
 }
 
 // pauseLeaderAt has the leader paused as soon as a message of it with some text arrives, which
 // then gets that fault. paused reports that it has happened.
-func (c *cluster) pauseLeaderAt(text string, fate fake.InjectedFault) (trouble *fake.FaultInjector, paused *atomic.Bool) {
+func (c *cluster) pauseLeaderAt(text string, fault fake.InjectedFault) (injector *fake.FaultInjector, paused *atomic.Bool) {
 	paused = &atomic.Bool{}
-	f := fake.FaultInjector(func(from string, r *http.Request) fake.InjectedFault {
-		lead := c.leader()
-		if lead < 0 || from != c.controllerName(lead) {
+	inject := fake.FaultInjector(func(from string, r *http.Request) fake.InjectedFault {
+		leader := c.leader()
+		if leader < 0 || from != c.controllerName(leader) {
 			return fake.InjectedFault{}
 		}
 		body, err := io.ReadAll(r.Body)
 		if err != nil || !bytes.Contains(body, []byte(text)) || paused.Swap(true) {
 			return fake.InjectedFault{}
 		}
-		c.pause(lead)
-		return fate
+		c.pause(leader)
+		return fault
 	})
-	return &f, paused
+	return &inject, paused
 }
 
 // TestLeaderPausedMidDecision: the leader is suspended in the middle of a decision, at each of
@@ -80,24 +80,24 @@
 		t.Run(step.name, func(t *testing.T) {
 			runScenario(t, clusterConfig{runTime: longRunning(40 * time.Second)}, func(c *cluster) {
 				c.commandsDelayed = true // its commands and answers arrive late
-				lead := c.leader()
-				trouble, paused := c.pauseLeaderAt(step.text, step.fate)
+				leader := c.leader()
+				injector, paused := c.pauseLeaderAt(step.text, step.fate)
 				if step.messages(c) == &c.scaleOutFaults { // what is rented first is enough
-					c.scaleOutFaults.Store(trouble)
+					c.scaleOutFaults.Store(injector)
 					c.submitJobs(0, 4, 300*time.Millisecond, nil)
 				} else {
 					jobs := c.submitJobs(0, 4, 300*time.Millisecond, nil)
 					c.awaitRunning(6)
-					lead = c.leader()
-					step.messages(c).Store(trouble)
+					leader = c.leader()
+					step.messages(c).Store(injector)
 					c.users.Cancel(jobs[0])
 					c.submitJobs(20, 12, 200*time.Millisecond, nil)
 				}
 				c.await("the pause", 20*time.Second, paused.Load)
 				step.messages(c).Store(nil)
-				c.await("another leader", 10*time.Second, func() bool { return c.leader() >= 0 && c.leader() != lead })
+				c.await("another leader", 10*time.Second, func() bool { return c.leader() >= 0 && c.leader() != leader })
 				time.Sleep(pauseTime)
-				c.resume(lead)
+				c.resume(leader)
 				c.submitJobs(40, 2, 300*time.Millisecond, nil)
 			})
 		})
@@ -114,10 +114,10 @@
 		jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
 		c.awaitRunning(10)
 		for range 2 {
-			was := c.leader()
-			c.kill(was)
+			previous := c.leader()
+			c.kill(previous)
 			c.users.Cancel(jobs[r.IntN(len(jobs))])
-			c.awaitLeader(was)
+			c.awaitLeader(previous)
 			time.Sleep(randomDuration(r, time.Millisecond, time.Second))
 		}
 		c.kill(c.leader())
@@ -127,10 +127,10 @@
 }
 
 // awaitLeader waits, with a fine grain, until another controller leads.
-func (c *cluster) awaitLeader(was int) {
+func (c *cluster) awaitLeader(previous int) {
 	c.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
-		if l := c.leader(); l >= 0 && l != was {
+		if leader := c.leader(); leader >= 0 && leader != previous {
 			return
 		}
 	}
@@ -147,14 +147,14 @@
 			for c.leader() < 0 {
 				time.Sleep(100 * time.Millisecond)
 			}
-			was := c.leader()
+			previous := c.leader()
 			c.writeFaults.Store(c.randomFaults(0.7, fake.ResponseLost, 0, 0))
 			c.users.Cancel(jobs[2*k])
 			c.users.Submit(fake.NewJob(fmt.Sprintf("job-%06d", 50+k), 2, nil))
 			time.Sleep(randomDuration(r, time.Millisecond, 30*time.Millisecond))
-			c.kill(was)
+			c.kill(previous)
 			c.writeFaults.Store(nil)
-			c.awaitLeader(was)
+			c.awaitLeader(previous)
 			time.Sleep(randomDuration(r, 2*time.Second, 8*time.Second))
 			c.startAll()
 		}
@@ -200,25 +200,25 @@
 		jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
 		c.awaitRunning(10)
 		for k := range 3 {
-			workers := everyOther(c.cloud.Agents())
-			for _, w := range workers {
-				w.SetInboundCut(true)
+			agents := everyOther(c.cloud.Agents())
+			for _, agent := range agents {
+				agent.SetInboundCut(true)
 			}
-			lead := c.leader()
-			if lead < 0 {
+			leader := c.leader()
+			if leader < 0 {
 				continue
 			}
 			if k%2 == 0 {
-				c.kill(lead)
+				c.kill(leader)
 			} else {
-				c.pause(lead)
+				c.pause(leader)
 			}
 			c.users.Cancel(jobs[k])
 			time.Sleep(randomDuration(r, agentLease-time.Second, agentLease+4*time.Second))
-			c.resume(lead)
+			c.resume(leader)
 			c.startAll()
-			for _, w := range workers {
-				w.SetInboundCut(false)
+			for _, agent := range agents {
+				agent.SetInboundCut(false)
 			}
 			time.Sleep(5 * time.Second)
 		}
@@ -228,18 +228,18 @@
 // TestFailoversWithDelegatedJobs: the leaders of both cells end, one after the other, while jobs
 // of one run in the other, with standbys in both.
 func TestFailoversWithDelegatedJobs(t *testing.T) {
-	p := twoCellConfig()
-	p.standby = true
-	runFederationScenario(t, p, func(f *federatedCells) {
+	config := twoCellConfig()
+	config.standby = true
+	runFederationScenario(t, config, func(f *federatedCells) {
 		jobs := f.overload("a", 12, func(_ int, j *wire.Job) { j.Tasks = 3 })
 		f.expectDelegation("a")
 		f.awaitPrecisely("an accept", func() bool { return len(f.delegatedJobIDs("a")) > 0 })
 		for _, cell := range []string{"a", "b", "a"} {
 			c := f.cells[cell]
-			was := c.leader()
-			c.kill(was)
+			previous := c.leader()
+			c.kill(previous)
 			f.cells["a"].users.Cancel(jobs[len(f.delegatedJobIDs("a"))%len(jobs)])
-			c.awaitLeader(was)
+			c.awaitLeader(previous)
 			time.Sleep(2 * time.Second)
 			c.startAll()
 		}
--- a/internal/controller/store_failures_test.go
+++ b/internal/controller/store_failures_test.go
@@ -39,16 +39,16 @@
 	runWithSeeds(t, clusterConfig{runTime: longRunning(20 * time.Second)}, func(c *cluster, _ *rand.Rand) {
 		c.writeFaults.Store(c.randomFaults(0.25, fake.Delayed, 2*time.Second, 12*time.Second))
 		jobs := c.submitJobs(0, 20, 400*time.Millisecond, nil)
-		for _, w := range everyOther(c.cloud.Agents()) {
-			w.SetOutboundCut(true)
+		for _, agent := range everyOther(c.cloud.Agents()) {
+			agent.SetOutboundCut(true)
 		}
 		for _, j := range everyOther(jobs) {
 			c.users.Cancel(j)
 			time.Sleep(200 * time.Millisecond)
 		}
 		time.Sleep(9 * time.Second)
-		for _, w := range c.cloud.Agents() {
-			w.SetOutboundCut(false)
+		for _, agent := range c.cloud.Agents() {
+			agent.SetOutboundCut(false)
 		}
 		c.restart(c.leader(), 500*time.Millisecond)
 		c.submitJobs(100, 10, 400*time.Millisecond, nil)
@@ -60,19 +60,19 @@
 // TestSlowStore: the key-value store answers slowly, or refuses the leader
 // alone and then everybody for longer than cancel_s, while users cancel and query.
 func TestSlowStore(t *testing.T) {
-	for _, slow := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1600 * time.Millisecond} {
-		t.Run(fmt.Sprint(slow), func(t *testing.T) {
+	for _, delay := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1600 * time.Millisecond} {
+		t.Run(fmt.Sprint(delay), func(t *testing.T) {
 			runScenario(t, clusterConfig{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
 				jobs := c.submitJobs(0, 10, 300*time.Millisecond, nil)
 				c.awaitRunning(10)
-				c.store.SetDelay(slow)
+				c.store.SetDelay(delay)
 				for _, j := range everyOther(jobs) {
 					c.users.Cancel(j)
 					time.Sleep(time.Second)
 				}
-				lead := c.leader()
-				if lead >= 0 {
-					c.store.SetRefused(c.controllerName(lead), true)
+				leader := c.leader()
+				if leader >= 0 {
+					c.store.SetRefused(c.controllerName(leader), true)
 				}
 				for _, j := range jobs[:4] {
 					c.users.QueryEverywhere(j.ID, j)
@@ -86,8 +86,8 @@
 				}
 				c.store.SetDelay(0)
 				c.store.SetOutage(false)
-				if lead >= 0 {
-					c.store.SetRefused(c.controllerName(lead), false)
+				if leader >= 0 {
+					c.store.SetRefused(c.controllerName(leader), false)
 				}
 			})
 		})
@@ -98,51 +98,51 @@
 // and fewer writes from some moment on, without notice: in the middle of work, as a
 // leader ends, at the end of an outage, or before all controllers are known to be upgraded.
 func TestStoreLimitsLowered(t *testing.T) {
-	low := settings.StoreLimits{RPS: 200, WriteRPS: 40, ValueKB: 1, TxnOps: 5}
-	for name, when := range map[string]func(c *cluster, fall func()){
-		"in the middle": func(_ *cluster, fall func()) { fall() },
-		"as the leader ends": func(c *cluster, fall func()) {
-			fall()
+	lowerLimits := settings.StoreLimits{RPS: 200, WriteRPS: 40, ValueKB: 1, TxnOps: 5}
+	for name, scenario := range map[string]func(c *cluster, reduceLimits func()){
+		"in the middle": func(_ *cluster, reduceLimits func()) { reduceLimits() },
+		"as the leader ends": func(c *cluster, reduceLimits func()) {
+			reduceLimits()
 			c.restart(c.leader(), 2*time.Second)
 		},
-		"just before it ends": func(c *cluster, fall func()) {
+		"just before it ends": func(c *cluster, reduceLimits func()) {
 			c.kill(c.leader())
-			fall()
+			reduceLimits()
 		},
-		"at the end of an outage": func(c *cluster, fall func()) {
+		"at the end of an outage": func(c *cluster, reduceLimits func()) {
 			c.store.SetOutage(true)
 			time.Sleep(15 * time.Second)
-			fall()
+			reduceLimits()
 			c.store.SetOutage(false)
 		},
-		"while a controller is missing": func(c *cluster, fall func()) {
+		"while a controller is missing": func(c *cluster, reduceLimits func()) {
 			c.kill(c.follower())
-			fall()
+			reduceLimits()
 		},
-		"before all controllers are known": func(_ *cluster, fall func()) {
+		"before all controllers are known": func(_ *cluster, reduceLimits func()) {
 			time.Sleep(6 * time.Second)
-			fall()
+			reduceLimits()
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
 			// Every other task ends soon, and of the rest every other one a little later:
 			// their ranges are more than a small value holds.
-			run := func(task string) time.Duration {
-				name, _ := wire.ParseTaskName(task)
-				return []time.Duration{3 * time.Second, 25 * time.Second, 3 * time.Second, 63 * time.Second}[name.Index%4]
+			runTime := func(task string) time.Duration {
+				taskName, _ := wire.ParseTaskName(task)
+				return []time.Duration{3 * time.Second, 25 * time.Second, 3 * time.Second, 63 * time.Second}[taskName.Index%4]
 			}
-			absent := 0
+			notStarted := 0
 			if name == "before all controllers are known" {
-				absent = 1
+				notStarted = 1
 			}
-			runScenario(t, clusterConfig{nextLimits: &low, maxMachines: 40, runTime: run, notStarted: absent}, func(c *cluster) {
+			runScenario(t, clusterConfig{nextLimits: &lowerLimits, maxMachines: 40, runTime: runTime, notStarted: notStarted}, func(c *cluster) {
 				jobs := c.submitJobs(0, 3, 500*time.Millisecond, func(_ int, j *wire.Job) { j.Tasks, j.CPUs = 600, 0.25 })
 				c.awaitRunning(300)
-				when(c, func() { c.store.SetLimits(low) })
+				scenario(c, func() { c.store.SetLimits(lowerLimits) })
 				time.Sleep(20 * time.Second)
-				if large := c.store.LargestValueBytes("fin/"); large > 1024 && absent == 0 {
-					t.Errorf("%d bytes of finished tasks in a value, all controllers being upgraded", large)
-				} else if large <= 1024 && absent > 0 {
+				if largest := c.store.LargestValueBytes("fin/"); largest > 1024 && notStarted == 0 {
+					t.Errorf("%d bytes of finished tasks in a value, all controllers being upgraded", largest)
+				} else if largest <= 1024 && notStarted > 0 {
 					t.Error("nothing was written as an older version reads it")
 				}
 				if c.store.Count("fin/job-000000/0.") == 0 {
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -30,8 +30,8 @@
 func (c *cluster) upgradeRemaining() {
 	c.t.Helper()
 	c.checkWritesReadable()
-	for i, n := range c.controllers {
-		if n.level < capability.CurrentLevel {
+	for i, process := range c.controllers {
+		if process.level < capability.CurrentLevel {
 			c.upgrade(i, 2*time.Second)
 			time.Sleep(3 * time.Second)
 		}
@@ -40,17 +40,17 @@
 
 // upgradedController is a controller of the current version.
 func (c *cluster) upgradedController() int {
-	return slices.IndexFunc(c.controllers, func(n *controllerProcess) bool { return n.level == capability.CurrentLevel })
+	return slices.IndexFunc(c.controllers, func(process *controllerProcess) bool { return process.level == capability.CurrentLevel })
 }
 
 // awaitLeaderAtLevel ends leaders until one of a level leads.
 func (c *cluster) awaitLeaderAtLevel(level int) {
 	c.t.Helper()
 	for range 20 {
-		if lead := c.leader(); lead >= 0 && c.controllers[lead].level == level {
+		if leader := c.leader(); leader >= 0 && c.controllers[leader].level == level {
 			return
-		} else if lead >= 0 {
-			c.restart(lead, 4*time.Second)
+		} else if leader >= 0 {
+			c.restart(leader, 4*time.Second)
 		}
 		time.Sleep(time.Second)
 	}
@@ -137,7 +137,7 @@
 // that are submitted, cancelled and polled throughout. What the upgraded controllers write
 // before all are upgraded is what production writes; pipelines are taken afterwards.
 func TestVersionsSideBySide(t *testing.T) {
-	low := settings.StoreLimits{RPS: 200, WriteRPS: 40, ValueKB: 1, TxnOps: 5}
+	lowerLimits := settings.StoreLimits{RPS: 200, WriteRPS: 40, ValueKB: 1, TxnOps: 5}
 	scenarios := []struct {
 		name string
 		play func(c *cluster)
@@ -151,8 +151,8 @@
 		}},
 		{"one after the other, the leader first", func(c *cluster) {
 			for range 2 {
-				if lead := c.leader(); lead >= 0 && c.controllers[lead].level == 0 {
-					c.upgrade(lead, 2*time.Second)
+				if leader := c.leader(); leader >= 0 && c.controllers[leader].level == 0 {
+					c.upgrade(leader, 2*time.Second)
 				}
 				time.Sleep(10 * time.Second)
 			}
@@ -207,19 +207,19 @@
 			c.checkWritesReadable()
 			last := c.oldVersionFollower()
 			c.kill(last)
-			c.store.SetLimits(low)
+			c.store.SetLimits(lowerLimits)
 			c.controllers[last].level = capability.CurrentLevel
 			time.Sleep(2 * time.Second)
 			c.start(last)
 			time.Sleep(10 * time.Second)
 		}},
 	}
-	for _, s := range scenarios {
-		t.Run(s.name, func(t *testing.T) {
-			runScenario(t, clusterConfig{oldVersions: 3, nextLimits: &low}, func(c *cluster) {
+	for _, scenario := range scenarios {
+		t.Run(scenario.name, func(t *testing.T) {
+			runScenario(t, clusterConfig{oldVersions: 3, nextLimits: &lowerLimits}, func(c *cluster) {
 				stop := c.keepSubmitting()
 				time.Sleep(5 * time.Second)
-				s.play(c)
+				scenario.play(c)
 				stop()
 				c.checkPipelinesAccepted()
 			})
@@ -243,9 +243,9 @@
 
 // oldVersionFollower is a controller of the old version, one that does not lead if there is one.
 func (c *cluster) oldVersionFollower() int {
-	lead, found := c.leader(), -1
-	for i, n := range c.controllers {
-		if n.level < capability.CurrentLevel && (found < 0 || found == lead) {
+	leader, found := c.leader(), -1
+	for i, process := range c.controllers {
+		if process.level < capability.CurrentLevel && (found < 0 || found == leader) {
 			found = i
 		}
 	}
