--- a/internal/cells/cellpb/doc.go
+++ b/internal/cells/cellpb/doc.go
@@ -1,3 +1,3 @@
-// Package cellpb is generated from cell.proto: the messages that cells send one another.
-// Names and numbers stay as they are, since versions run side by side.
+// Package cellpb is generated from cell.proto, which defines the messages between cells. Names and
+// field numbers must not change, because cells of different versions run side by side.
 package cellpb
--- a/internal/cells/client.go
+++ b/internal/cells/client.go
@@ -1,5 +1,5 @@
-// Package cells carries transfers of jobs between the cells of an operator, over gRPC, and shows
-// them to operators. The meaning of the messages is defined by package federation.
+// Package cells exchanges the messages about job transfers between the cells of an operator over
+// gRPC, and reports transfers to operators. Package federation defines what the messages mean.
 package cells
 
 import (
@@ -20,35 +20,36 @@
 	"leadproxy/internal/transport"
 )
 
-// protocolVersion is the version of the messages. Cells of different versions refuse one another.
+// protocolVersion is the version of the messages. A cell rejects messages of any other version.
 const protocolVersion = 1
 
-// The time limits of a call, which may try each controller of a cell in turn.
+// The time limits of a call. A call may try each controller of a cell in turn: callTimeout bounds
+// the whole call, attemptTimeout the request to one controller.
 const (
 	callTimeout    = 2 * time.Second
 	attemptTimeout = 700 * time.Millisecond
 )
 
-// ErrUnknownCell means that the settings have no neighbour of that name.
+// ErrUnknownCell means that the settings have no neighbour with the name of the called cell.
 var ErrUnknownCell = errors.New("unknown neighbour")
 
-// Client calls the leaders of the neighbours.
+// Client sends requests to the leaders of the neighbours. It is safe for concurrent use.
 type Client struct {
 	cell string
-	// cancelS is the time in seconds within which the tasks of a cancelled job are gone here.
+	// cancelS is the time in seconds within which this cell ends the tasks of a cancelled job.
 	cancelS    float64
 	neighbours map[string]*neighbour
 }
 
-// neighbour holds the connections to the controllers of one cell.
+// neighbour holds the connections to the controllers of one neighbouring cell.
 type neighbour struct {
 	controllers []cellpb.CellClient
-	// leaderIndex is the index of the controller that answered last.
+	// leaderIndex is the index of the controller that last answered a request.
 	leaderIndex atomic.Int64
 }
 
-// Dial prepares connections to all controllers of the neighbours, until ctx ends.
-// Nothing is sent before the first call.
+// Dial returns a client for the neighbours in the settings. Connections are opened by the first
+// call that needs them, and closed when ctx ends.
 func Dial(ctx context.Context, network transport.Network, cells settings.Cells, cancelS float64) (*Client, error) {
 	client := &Client{cell: cells.Name, cancelS: cancelS, neighbours: map[string]*neighbour{}}
 	for _, configured := range cells.Neighbours {
@@ -66,15 +67,16 @@
 	return client, nil
 }
 
+// envelope returns the envelope of a request to a cell.
 func (c *Client) envelope(to string) *cellpb.Envelope {
 	return &cellpb.Envelope{Version: protocolVersion, From: c.cell, To: to}
 }
 
-// sendFunc is one request to a controller of a cell.
+// sendFunc sends one request to a controller.
 type sendFunc func(ctx context.Context, controller cellpb.CellClient) error
 
-// call sends a request to a cell's leader, which any of its controllers may be. The one that
-// answered last is tried first.
+// call sends a request to the leader of a cell. It tries the controllers in turn, starting with the
+// one that answered last, until one succeeds or fails in a way that the others would too.
 func (c *Client) call(ctx context.Context, cell string, send sendFunc) error {
 	neighbour := c.neighbours[cell]
 	if neighbour == nil {
@@ -97,14 +99,15 @@
 	return fmt.Errorf("call cell %s: %w", cell, err)
 }
 
+// callController sends a request to one controller within attemptTimeout.
 func callController(ctx context.Context, controller cellpb.CellClient, send sendFunc) error {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	return send(ctx, controller)
 }
 
-// retryElsewhere reports whether another controller of the cell may succeed: this one is not the
-// leader, does not answer, or has a version without cells.
+// retryElsewhere reports whether the request may succeed at another controller of the cell: the one
+// that returned err is not the leader, did not answer, or runs a version without this service.
 func retryElsewhere(err error) bool {
 	switch status.Code(err) {
 	case codes.Unavailable, codes.DeadlineExceeded, codes.Unimplemented:
@@ -113,7 +116,7 @@
 	return false
 }
 
-// Exchange sends messages to a neighbour's leader and returns its answers.
+// Exchange sends transfer messages to the leader of a cell and returns its answers.
 func (c *Client) Exchange(ctx context.Context, cell string, messages []federation.Message) ([]federation.Answer, error) {
 	exchange := &cellpb.ExchangeRequest{Envelope: c.envelope(cell)}
 	for _, m := range messages {
@@ -133,7 +136,7 @@
 	return answers, err
 }
 
-// AskCapacity requests a capacity offer for a number of cores from a neighbour's leader.
+// AskCapacity requests a capacity offer for a number of cores from the leader of a cell.
 func (c *Client) AskCapacity(ctx context.Context, cell string, cores float64) (dispatch.CapacityOffer, error) {
 	var offer dispatch.CapacityOffer
 	err := c.call(ctx, cell, func(ctx context.Context, controller cellpb.CellClient) error {
--- a/internal/cells/client_test.go
+++ b/internal/cells/client_test.go
@@ -15,33 +15,33 @@
 	"leadproxy/internal/settings"
 )
 
-// TestClientFindsTheLeader: a call goes to the next controller until one leads, and from
-// then on to that one first.
+// TestClientFindsTheLeader checks that a call tries the controllers of a cell until it finds the
+// leader, and that later calls try that controller first.
 func TestClientFindsTheLeader(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := fake.NewNetwork(t)
+		network := fake.NewNetwork(t)
 		leaders := []*stubLeader{{}, {}, {leads: true}}
 		var servers []*grpc.Server
 		for i, addr := range limaCells().Neighbours[0].Controllers {
-			l, err := n.Host(addr[:2]).Listen(t.Context(), addr)
+			listener, err := network.Host(addr[:2]).Listen(t.Context(), addr)
 			if err != nil {
 				t.Fatal(err)
 			}
-			s := grpc.NewServer()
-			puno := settings.Cells{Name: "puno", Neighbours: []settings.Neighbour{{Name: "lima"}}}
-			cellpb.RegisterCellServer(s, NewServer(puno, 40, leaders[i]))
-			servers = append(servers, s)
-			go s.Serve(l)
+			server := grpc.NewServer()
+			punoCells := settings.Cells{Name: "puno", Neighbours: []settings.Neighbour{{Name: "lima"}}}
+			cellpb.RegisterCellServer(server, NewServer(punoCells, 40, leaders[i]))
+			servers = append(servers, server)
+			go server.Serve(listener)
 		}
 		ctx, cancel := context.WithCancel(t.Context())
-		client, err := Dial(ctx, n.Host("origin"), limaCells(), 40)
+		client, err := Dial(ctx, network.Host("origin"), limaCells(), 40)
 		if err != nil {
 			t.Fatal(err)
 		}
 		exchange := func() error {
 			answers, err := client.Exchange(ctx, "puno", []federation.Message{{Kind: federation.Status, JobID: "job-1", Epoch: 1}})
 			if err == nil && (len(answers) != 1 || answers[0].Outcome != federation.OutcomePending) {
-				t.Errorf("answered %v", answers)
+				t.Errorf("answers %v, want one that is pending", answers)
 			}
 			return err
 		}
@@ -51,23 +51,23 @@
 			}
 		}
 		if leaders[0].calls != 1 || leaders[1].calls != 1 || leaders[2].calls != 2 {
-			t.Errorf("called %d, %d and %d times", leaders[0].calls, leaders[1].calls, leaders[2].calls)
+			t.Errorf("the controllers were called %d, %d and %d times, want 1, 1 and 2", leaders[0].calls, leaders[1].calls, leaders[2].calls)
 		}
 		servers[2].Stop()
 		leaders[1].leads = true
 		if err := exchange(); err != nil {
-			t.Error("after the leader has changed:", err)
+			t.Error("call after the leader has changed:", err)
 		}
 		leaders[1].leads = false
 		if err := exchange(); err == nil {
-			t.Error("answered without a leader")
+			t.Error("a call without a leader succeeded")
 		}
 		if _, err := client.AskCapacity(ctx, "cusco", 1); !errors.Is(err, ErrUnknownCell) {
-			t.Error("an unknown cell offers capacity")
+			t.Error("a request to an unknown cell did not return ErrUnknownCell")
 		}
 		cancel()
-		for _, s := range servers {
-			s.Stop()
+		for _, server := range servers {
+			server.Stop()
 		}
 		time.Sleep(5 * time.Second)
 	})
--- a/internal/cells/encoding.go
+++ b/internal/cells/encoding.go
@@ -12,21 +12,23 @@
 	"leadproxy/internal/wire"
 )
 
-// Kinds and outcomes have the same numbers in package federation and in the messages;
-// TestEnumNumbersMatch compares them.
+// The conversions below rely on kinds and outcomes having the same numbers in package federation
+// and in package cellpb. TestEnumNumbersMatch checks that.
 
-// errMalformed means that a message can't come from a controller of this protocol version.
+// errMalformed means that a message violates the protocol: no controller of this protocol version
+// sends it.
 var errMalformed = errors.New("malformed message")
 
 func encodeMessage(m federation.Message) *cellpb.Message {
 	encoded := &cellpb.Message{Kind: cellpb.Message_Kind(m.Kind), Ref: m.JobID, Epoch: m.Epoch}
-	if b := m.Body; b != nil {
-		encoded.Offer = &cellpb.Offer{Job: b.Job, Cores: b.Cores, AcceptedMs: b.AcceptedMS, Repeatable: b.Repeatable}
+	if body := m.Body; body != nil {
+		encoded.Offer = &cellpb.Offer{Job: body.Job, Cores: body.Cores, AcceptedMs: body.AcceptedMS, Repeatable: body.Repeatable}
 	}
 	return encoded
 }
 
-// decodeMessage returns a message, or errMalformed with what is wrong in it.
+// decodeMessage converts and validates a message. The error wraps errMalformed and says which rule
+// the message violates.
 func decodeMessage(m *cellpb.Message) (federation.Message, error) {
 	decoded := federation.Message{Kind: federation.Kind(m.Kind), JobID: m.Ref, Epoch: m.Epoch}
 	switch {
@@ -63,8 +65,8 @@
 	}
 }
 
-// decodeAnswer returns an answer. Its outcome may be one that package federation does not know
-// and ignores.
+// decodeAnswer converts an answer. Its outcome is not validated: package federation ignores
+// outcomes that it does not know.
 func decodeAnswer(a *cellpb.Answer) federation.Answer {
 	return federation.Answer{
 		JobID:      a.Ref,
@@ -87,7 +89,7 @@
 	}
 }
 
-// decodeOffer returns a capacity offer of at most the cores that were requested.
+// decodeOffer converts a capacity offer and limits it to the requested cores.
 func decodeOffer(reply *cellpb.RoomReply, requested float64) dispatch.CapacityOffer {
 	return dispatch.CapacityOffer{
 		Cores:      max(0, min(reply.Cores, requested)),
@@ -97,9 +99,10 @@
 	}
 }
 
-// maxDelay bounds the delays that another cell can impose on this one.
+// maxDelay is the longest delay or validity that this cell accepts from another cell.
 const maxDelay = time.Minute
 
+// decodeDelay converts milliseconds to a duration between 0 and maxDelay.
 func decodeDelay(ms int64) time.Duration {
 	return min(max(0, time.Duration(ms)*time.Millisecond), maxDelay)
 }
--- a/internal/cells/golden_test.go
+++ b/internal/cells/golden_test.go
@@ -11,8 +11,8 @@
 	"leadproxy/internal/property"
 )
 
-// TestGoldenExchange compares the bytes of an offer with its job, and of an answer, as they
-// travel between cells.
+// TestGoldenExchange compares the encoded bytes of an offer and of an answer with the golden
+// values: cells of other versions have to decode them.
 func TestGoldenExchange(t *testing.T) {
 	offer := encodeMessage(federation.Message{Kind: federation.Offer, JobID: "job-17", Epoch: 3, Body: &federation.OfferBody{
 		Job: []byte(`{"ref":"job-17"}`), Cores: 4.5, AcceptedMS: 5, Repeatable: true}})
@@ -24,7 +24,7 @@
 	})
 }
 
-// marshalHex is a message's bytes in hexadecimal.
+// marshalHex returns the encoded bytes of a message in hexadecimal.
 func marshalHex(t *testing.T, m proto.Message) string {
 	t.Helper()
 	text, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
--- a/internal/cells/server.go
+++ b/internal/cells/server.go
@@ -17,49 +17,51 @@
 	"leadproxy/internal/settings"
 )
 
-// maxExchangeMessages bounds the messages of one exchange.
+// maxExchangeMessages is the maximum number of messages in one Exchange request.
 const maxExchangeMessages = 256
 
-// Leader is the part of the controller's dispatcher that other cells and operators use. Its
-// methods return dispatch.ErrNotLeader if another controller leads.
+// Leader is the part of the controller's dispatcher that Server uses. Its methods return
+// dispatch.ErrNotLeader if this controller is not the leader.
 type Leader interface {
 	AnswerTransfers(ctx context.Context, origin string, messages []federation.Message) ([]federation.Answer, error)
 	OfferCapacity(ctx context.Context, origin string, cores float64) (dispatch.CapacityOffer, error)
 	ListTransfers(ctx context.Context) (scheduler.TransferListReply, error)
 }
 
-// Server serves other cells, and operators.
+// Server implements the gRPC service for other cells and for operators.
 type Server struct {
 	cellpb.UnimplementedCellServer
 	cells settings.Cells
-	// cancelS is the time in seconds within which the tasks of a cancelled job are gone here.
+	// cancelS is the time in seconds within which this cell ends the tasks of a cancelled job.
 	cancelS float64
 	leader  Leader
 }
 
-// NewServer returns a server for a cell in which the tasks of a cancelled job are gone within
-// cancelS seconds.
+// NewServer returns a server for a cell that ends the tasks of a cancelled job within cancelS
+// seconds. A cell without a name in its settings rejects requests from other cells.
 func NewServer(cells settings.Cells, cancelS float64, leader Leader) *Server {
 	return &Server{cells: cells, cancelS: cancelS, leader: leader}
 }
 
-// checkEnvelope refuses requests that are not for this cell, or not from a neighbour.
-func (s *Server) checkEnvelope(e *cellpb.Envelope) error {
+// checkEnvelope returns a status error for a request of another protocol version, for another cell,
+// or from a cell that is not a neighbour.
+func (s *Server) checkEnvelope(envelope *cellpb.Envelope) error {
 	switch {
-	case e.GetVersion() != protocolVersion:
-		return status.Errorf(codes.FailedPrecondition, "version %d of the messages between cells is not known here, %d is", e.GetVersion(), protocolVersion)
+	case envelope.GetVersion() != protocolVersion:
+		return status.Errorf(codes.FailedPrecondition, "version %d of the messages between cells is not known here, %d is", envelope.GetVersion(), protocolVersion)
 	case s.cells.Name == "":
 		return status.Error(codes.PermissionDenied, "this cell has no neighbours")
-	case e.To != s.cells.Name:
-		return status.Errorf(codes.FailedPrecondition, "this is cell %q, not %q", s.cells.Name, e.To)
+	case envelope.To != s.cells.Name:
+		return status.Errorf(codes.FailedPrecondition, "this is cell %q, not %q", s.cells.Name, envelope.To)
 	}
-	if _, ok := s.cells.Find(e.From); !ok {
-		return status.Errorf(codes.PermissionDenied, "cell %q is not a neighbour of %q", e.From, s.cells.Name)
+	if _, ok := s.cells.Find(envelope.From); !ok {
+		return status.Errorf(codes.PermissionDenied, "cell %q is not a neighbour of %q", envelope.From, s.cells.Name)
 	}
 	return nil
 }
 
-// statusOf returns the status for an error of the dispatcher.
+// statusOf converts an error of the dispatcher to a status error. Both codes make the caller retry
+// at another controller.
 func statusOf(err error) error {
 	if errors.Is(err, dispatch.ErrNotLeader) {
 		return status.Error(codes.Unavailable, err.Error())
@@ -67,22 +69,22 @@
 	return status.Error(codes.DeadlineExceeded, err.Error())
 }
 
-// Exchange answers messages about transfers.
-func (s *Server) Exchange(ctx context.Context, r *cellpb.ExchangeRequest) (*cellpb.ExchangeReply, error) {
-	if err := s.checkEnvelope(r.Envelope); err != nil {
+// Exchange answers transfer messages of another cell.
+func (s *Server) Exchange(ctx context.Context, request *cellpb.ExchangeRequest) (*cellpb.ExchangeReply, error) {
+	if err := s.checkEnvelope(request.Envelope); err != nil {
 		return nil, err
 	}
-	if len(r.Messages) > maxExchangeMessages {
-		return nil, status.Errorf(codes.InvalidArgument, "%d messages at once, at most %d", len(r.Messages), maxExchangeMessages)
+	if len(request.Messages) > maxExchangeMessages {
+		return nil, status.Errorf(codes.InvalidArgument, "%d messages at once, at most %d", len(request.Messages), maxExchangeMessages)
 	}
-	messages := make([]federation.Message, len(r.Messages))
-	for i, m := range r.Messages {
+	messages := make([]federation.Message, len(request.Messages))
+	for i, m := range request.Messages {
 		var err error
 		if messages[i], err = decodeMessage(m); err != nil {
 			return nil, status.Errorf(codes.InvalidArgument, "message %d: %s", i, err)
 		}
 	}
-	answers, err := s.leader.AnswerTransfers(ctx, r.Envelope.From, messages)
+	answers, err := s.leader.AnswerTransfers(ctx, request.Envelope.From, messages)
 	if err != nil {
 		return nil, statusOf(err)
 	}
@@ -93,27 +95,28 @@
 	return reply, nil
 }
 
-// Room answers a request for a capacity offer. Where the tasks of a cancelled job may run longer
-// than its origin has promised its user, nothing is offered.
-func (s *Server) Room(ctx context.Context, r *cellpb.RoomRequest) (*cellpb.RoomReply, error) {
-	if err := s.checkEnvelope(r.Envelope); err != nil {
+// Room answers a request for a capacity offer. It offers nothing if the tasks of a cancelled job
+// may run longer in this cell than the origin's CancelS, which the origin has promised to its
+// users.
+func (s *Server) Room(ctx context.Context, request *cellpb.RoomRequest) (*cellpb.RoomReply, error) {
+	if err := s.checkEnvelope(request.Envelope); err != nil {
 		return nil, err
 	}
-	if !(r.Cores >= 0) || math.IsInf(r.Cores, 0) {
-		return nil, status.Errorf(codes.InvalidArgument, "capacity for %v cores", r.Cores)
+	if !(request.Cores >= 0) || math.IsInf(request.Cores, 0) {
+		return nil, status.Errorf(codes.InvalidArgument, "capacity for %v cores", request.Cores)
 	}
-	if s.cancelS > r.CancelS {
-		reason := fmt.Sprintf("cancelled tasks are gone within %v s here, and are to be within %v s", s.cancelS, r.CancelS)
+	if s.cancelS > request.CancelS {
+		reason := fmt.Sprintf("cancelled tasks are gone within %v s here, and are to be within %v s", s.cancelS, request.CancelS)
 		return &cellpb.RoomReply{Reason: reason, RetryAfterMs: time.Minute.Milliseconds()}, nil
 	}
-	offer, err := s.leader.OfferCapacity(ctx, r.Envelope.From, r.Cores)
+	offer, err := s.leader.OfferCapacity(ctx, request.Envelope.From, request.Cores)
 	if err != nil {
 		return nil, statusOf(err)
 	}
 	return encodeOffer(offer), nil
 }
 
-// List lists all transfers for an operator.
+// List returns all transfers of this cell, for operators.
 func (s *Server) List(ctx context.Context, _ *cellpb.ListRequest) (*cellpb.ListReply, error) {
 	transfers, err := s.leader.ListTransfers(ctx)
 	if err != nil {
--- a/internal/cells/trace_file.go
+++ b/internal/cells/trace_file.go
@@ -13,7 +13,7 @@
 	"leadproxy/internal/inputfiles"
 )
 
-// Step is one span of a transfer, as it was read from a file.
+// Step is one step of a transfer, read from a span of a trace file.
 type Step struct {
 	TraceID    string
 	Origin     string
@@ -26,7 +26,7 @@
 	Start, End time.Time
 }
 
-// spanRecord is a span as the exporter writes it.
+// spanRecord is a span in the JSON encoding of the OpenTelemetry stdout exporter.
 type spanRecord struct {
 	Name        string
 	SpanContext struct{ TraceID string }
@@ -38,7 +38,7 @@
 	}
 }
 
-// attribute returns the value of an attribute as text; "" if the span does not have it.
+// attribute returns the value of an attribute as text, or "" if the span does not have it.
 func (r *spanRecord) attribute(key string) string {
 	for _, a := range r.Attributes {
 		if a.Key != key {
@@ -53,9 +53,10 @@
 	return ""
 }
 
-// errNotTransferStep means that a span is not a step of a transfer.
+// errNotTransferStep means that a span does not describe a step of a transfer.
 var errNotTransferStep = errors.New("not a step of a transfer")
 
+// step converts the span to a step. The error is errNotTransferStep if the epoch is not a number.
 func (r *spanRecord) step() (Step, error) {
 	epoch, err := strconv.ParseInt(r.attribute(attributeEpoch), 10, 64)
 	if err != nil {
@@ -75,8 +76,8 @@
 	}, nil
 }
 
-// ReadSteps reads the steps of transfers from files of any cells and controllers, in the
-// order in which they ended.
+// ReadSteps reads the steps of transfers from trace files, which may be of several cells and
+// controllers. It returns them ordered by their end.
 func ReadSteps(files ...string) ([]Step, error) {
 	steps, err := inputfiles.ReadAll(files, readSteps)
 	if err != nil {
@@ -86,8 +87,8 @@
 	return steps, nil
 }
 
-// readSteps reads the steps of one file. An incomplete span at its end, left by a controller
-// that was killed, is ignored.
+// readSteps reads the steps of one file. It ignores an incomplete span at the end of the file,
+// which a controller leaves when it is killed.
 func readSteps(in io.Reader) ([]Step, error) {
 	var steps []Step
 	for spans := json.NewDecoder(in); ; {
@@ -107,26 +108,27 @@
 	}
 }
 
-// JobTrace is the trace of one job: its steps in all cells.
+// JobTrace is the trace of one job, with the steps of all cells in the order of their end.
 type JobTrace struct {
 	TraceID, Origin, JobID string
 	Start, End             time.Time
 	Steps                  []Step
 }
 
-// Duration is the time from the start of the first step to the end of the last.
+// Duration returns the time from the earliest start of a step to the end of the last step.
 func (j *JobTrace) Duration() time.Duration { return j.End.Sub(j.Start) }
 
-// GroupByJob groups steps by trace and sorts the traces by their start.
+// GroupByJob groups steps, which must be ordered by their end, by trace. It returns the traces
+// ordered by their start.
 func GroupByJob(steps []Step) []*JobTrace {
 	byID := map[string]*JobTrace{}
-	var all []*JobTrace
+	var jobs []*JobTrace
 	for _, s := range steps {
 		job := byID[s.TraceID]
 		if job == nil {
 			job = &JobTrace{TraceID: s.TraceID, Origin: s.Origin, JobID: s.JobID, Start: s.Start}
 			byID[s.TraceID] = job
-			all = append(all, job)
+			jobs = append(jobs, job)
 		}
 		job.Steps = append(job.Steps, s)
 		job.End = s.End
@@ -134,6 +136,6 @@
 			job.Start = s.Start
 		}
 	}
-	slices.SortStableFunc(all, func(a, b *JobTrace) int { return cmp.Or(a.Start.Compare(b.Start), cmp.Compare(a.JobID, b.JobID)) })
-	return all
+	slices.SortStableFunc(jobs, func(a, b *JobTrace) int { return cmp.Or(a.Start.Compare(b.Start), cmp.Compare(a.JobID, b.JobID)) })
+	return jobs
 }
--- a/internal/cells/trace_output.go
+++ b/internal/cells/trace_output.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// WriteText writes the traces of jobs as tables.
+// WriteText writes the traces of jobs as text: a heading and a line for each step.
 func WriteText(out io.Writer, jobs []*JobTrace) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	for _, job := range jobs {
@@ -22,7 +22,7 @@
 
 func formatSeconds(d time.Duration) string { return fmt.Sprintf("%.3fs", d.Seconds()) }
 
-// cell is the cell in which a step was taken.
+// cell returns the name of the cell that recorded the step.
 func (s *Step) cell() string {
 	if s.Side == sideOrigin {
 		return s.Origin
@@ -30,7 +30,8 @@
 	return s.Neighbour
 }
 
-// stepBar is a step on the page: a bar whose place and width are percentages of the job's trace.
+// stepBar is a step on the HTML page. Left and Width are the position and the width of its bar, in
+// percent of the duration of the job's trace.
 type stepBar struct {
 	Step
 	Cell        string
@@ -38,22 +39,22 @@
 	Left, Width float64
 }
 
-// jobView is a job's trace on the page.
+// jobView is a job's trace on the HTML page.
 type jobView struct {
 	*JobTrace
 	Took string
 	Bars []stepBar
 }
 
-// minBarWidth keeps a step without duration visible.
+// minBarWidth, in percent, keeps the bar of a step without duration visible.
 const minBarWidth = 0.6
 
 func newJobView(job *JobTrace) jobView {
 	view := jobView{JobTrace: job, Took: formatSeconds(job.Duration())}
-	whole := max(job.Duration().Seconds(), 1e-3)
+	totalSeconds := max(job.Duration().Seconds(), 1e-3)
 	for _, s := range job.Steps {
-		left := 100 * s.Start.Sub(job.Start).Seconds() / whole
-		width := max(100*s.End.Sub(s.Start).Seconds()/whole, minBarWidth)
+		left := 100 * s.Start.Sub(job.Start).Seconds() / totalSeconds
+		width := max(100*s.End.Sub(s.Start).Seconds()/totalSeconds, minBarWidth)
 		view.Bars = append(view.Bars, stepBar{
 			Step:   s,
 			Cell:   s.cell(),
@@ -65,8 +66,8 @@
 	return view
 }
 
-// WritePage writes the traces of jobs as an HTML page: a line for each step, with a bar from the
-// preceding step to it.
+// WritePage writes the traces of jobs as an HTML page: a line for each step, with a bar that lasts
+// from the preceding step to this one.
 func WritePage(out io.Writer, jobs []*JobTrace) error {
 	var views []jobView
 	for _, job := range jobs {
--- a/internal/cells/trace_test.go
+++ b/internal/cells/trace_test.go
@@ -14,7 +14,8 @@
 	"leadproxy/internal/federation"
 )
 
-// writeTraces writes the trace files of two cells, the first with an incomplete line at its end.
+// writeTraces writes the trace files of two cells and returns their paths. The first file ends with
+// an incomplete line.
 func writeTraces(t *testing.T) []string {
 	t.Helper()
 	dir := t.TempDir()
@@ -44,7 +45,7 @@
 			tracer.RecordStep(step)
 		}
 	}
-	// A controller that is killed may leave an incomplete line.
+	// A controller that is killed while it writes leaves an incomplete line.
 	f, err := os.OpenFile(files[0], os.O_APPEND|os.O_WRONLY, 0)
 	if err != nil {
 		t.Fatal(err)
@@ -56,8 +57,8 @@
 	return files
 }
 
-// TestTraceOfBothCells: the steps of a job that two cells record belong to one trace, which can
-// be written as text and as a page.
+// TestTraceOfBothCells checks that the steps which two cells record for a job form one trace, also
+// if a file ends with an incomplete span, and that the traces are written as text and as HTML.
 func TestTraceOfBothCells(t *testing.T) {
 	files := writeTraces(t)
 	steps, err := ReadSteps(files...)
@@ -66,11 +67,11 @@
 	}
 	jobs := GroupByJob(steps)
 	if len(steps) != 4 || len(jobs) != 2 {
-		t.Fatalf("%d steps of %d jobs, want 4 of 2", len(steps), len(jobs))
+		t.Fatalf("read %d steps of %d jobs, want 4 steps of 2 jobs", len(steps), len(jobs))
 	}
 	for _, job := range jobs {
 		if want := map[string]int{"job-1": 3, "job-2": 1}[job.JobID]; len(job.Steps) != want || job.Origin != "lima" {
-			t.Errorf("%s of %s has %d steps, want %d", job.JobID, job.Origin, len(job.Steps), want)
+			t.Errorf("%s of %s has %d steps, want %d and the origin lima", job.JobID, job.Origin, len(job.Steps), want)
 		}
 	}
 	var text, page bytes.Buffer
@@ -94,11 +95,12 @@
 		t.Fatal(err)
 	}
 	if _, err := ReadSteps(files[0]); !errors.Is(err, errNotTransferStep) {
-		t.Errorf("a span that is not a step of a transfer: %v", err)
+		t.Errorf("a span that is not a step of a transfer returned %v, want errNotTransferStep", err)
 	}
 }
 
-// FuzzReadSteps: any file is read or refused, and what was read can be written.
+// FuzzReadSteps checks that any file is read or rejected, and that steps which were read can be
+// written.
 func FuzzReadSteps(f *testing.F) {
 	f.Add([]byte(`{"Name":"accepted","SpanContext":{"TraceID":"ab"},"StartTime":"2026-01-01T00:00:00Z","EndTime":"2026-01-01T00:00:01Z",
 		"Attributes":[{"Key":"leadproxy.epoch","Value":{"Type":"INT64","Value":1}},{"Key":"leadproxy.side","Value":{"Type":"STRING","Value":"home"}}]}`))
--- a/internal/cells/tracer.go
+++ b/internal/cells/tracer.go
@@ -16,7 +16,7 @@
 	"leadproxy/internal/federation"
 )
 
-// The attributes of a span.
+// The attributes of spans. They are part of the format of trace files.
 const (
 	attributeOrigin    = "leadproxy.home"
 	attributeNeighbour = "leadproxy.cell"
@@ -26,29 +26,31 @@
 	attributeReason    = "leadproxy.reason"
 )
 
-// The sides of a transfer: the cell from which a job was delegated, and the one to which.
+// The values of attributeSide: the cell that delegates the job, and the cell to which it is
+// delegated.
 const (
 	sideOrigin    = "home"
 	sideNeighbour = "neighbour"
 )
 
-// Tracer records the steps of transfers in the log and, if there is a file for them, as
-// OpenTelemetry spans. All steps of a job, in both cells and under all leaders, are in one
-// trace: its identity follows from the names of the origin and the job. A span lasts from the
-// preceding step to its own.
+// Tracer records the steps of transfers in the log and, if a trace file is configured, as
+// OpenTelemetry spans in that file. All steps of a job belong to one trace, in both cells and under
+// all leaders, because the trace ID is a hash of the origin's name and the job's ID. The span of a
+// step lasts from the preceding step to this one.
 type Tracer struct {
 	cell   string
 	log    *slog.Logger
-	tracer trace.Tracer // nil if there is no file
-	// lastStep is the time of the latest step of each transfer. Only the goroutine that calls
-	// RecordStep uses it.
+	tracer trace.Tracer // nil if no trace file is configured
+	// lastStep is the time of the latest step of each open transfer. It has no lock: RecordStep is
+	// called by one goroutine at a time.
 	lastStep map[federation.ForeignKey]time.Time
 }
 
-// maxTrackedTransfers bounds the transfers whose latest step is remembered.
+// maxTrackedTransfers is the maximum number of entries in lastStep.
 const maxTrackedTransfers = 10000
 
-// NewTracer returns a tracer that appends to a file until ctx ends; "" for no file.
+// NewTracer returns a tracer that appends spans to a file, which it closes when ctx ends. If file
+// is "", steps are only logged.
 func NewTracer(ctx context.Context, cell, file string, log *slog.Logger) (*Tracer, error) {
 	t := &Tracer{cell: cell, log: log, lastStep: map[federation.ForeignKey]time.Time{}}
 	if file == "" {
@@ -63,13 +65,13 @@
 	if err != nil {
 		return nil, fmt.Errorf("set up the exporter of the trace file: %w", err)
 	}
-	// Each span is written as it ends: a controller is killed without notice.
+	// The syncer writes each span as it ends, since a controller may be killed at any time.
 	provider := sdktrace.NewTracerProvider(sdktrace.WithSyncer(exporter))
 	t.tracer = provider.Tracer("leadproxy/cells")
 	return t, nil
 }
 
-// RecordStep records a step. One goroutine at a time may call it.
+// RecordStep logs a step and writes its span. It must not be called concurrently.
 func (t *Tracer) RecordStep(step federation.TransferStep) {
 	origin, neighbour, side := step.Origin, t.cell, sideNeighbour
 	if step.Origin == "" {
@@ -95,7 +97,8 @@
 	t.recordStepTime(key, step.Step, now)
 }
 
-// recordStepTime keeps the time of a transfer's latest step as long as others follow.
+// recordStepTime stores the time of a transfer's latest step, or deletes it if the step is the last
+// of the transfer.
 func (t *Tracer) recordStepTime(key federation.ForeignKey, step string, now time.Time) {
 	switch step {
 	case federation.StepReleased, federation.StepCleaned:
@@ -108,11 +111,12 @@
 	t.lastStep[key] = now
 }
 
-// traceContext returns a context whose spans belong to a job's trace.
+// traceContext returns a context whose spans belong to the trace of a job. The trace ID depends
+// only on the key, so that both cells and all leaders get the same.
 func traceContext(key federation.ForeignKey) context.Context {
-	sum := sha256.Sum256([]byte("leadproxy transfer " + key.Origin + " " + key.JobID))
+	hash := sha256.Sum256([]byte("leadproxy transfer " + key.Origin + " " + key.JobID))
 	parent := trace.SpanContextConfig{TraceFlags: trace.FlagsSampled, Remote: true}
-	copy(parent.TraceID[:], sum[:16])
-	copy(parent.SpanID[:], sum[16:24])
+	copy(parent.TraceID[:], hash[:16])
+	copy(parent.SpanID[:], hash[16:24])
 	return trace.ContextWithRemoteSpanContext(context.Background(), trace.NewSpanContext(parent))
 }
--- a/internal/cells/transfer_list.go
+++ b/internal/cells/transfer_list.go
@@ -19,6 +19,7 @@
 	"leadproxy/internal/transport"
 )
 
+// encodeTransferList converts the transfers of a cell to the reply for operators.
 func encodeTransferList(cell string, transfers scheduler.TransferListReply) *cellpb.ListReply {
 	reply := &cellpb.ListReply{Cell: cell}
 	for _, delegated := range transfers.Delegated {
@@ -27,15 +28,15 @@
 	for _, foreign := range transfers.Foreign {
 		reply.Guests = append(reply.Guests, encodeForeign(foreign))
 	}
-	for _, c := range transfers.Cells {
+	for _, neighbour := range transfers.Cells {
 		reply.Neighbours = append(reply.Neighbours, &cellpb.Neighbour{
-			Name:   c.Name,
-			Drain:  c.Draining,
-			Silent: c.Unreachable,
-			Jobs:   int32(c.Jobs),
-			Cores:  c.Cores,
-			Credit: c.Credit,
-			Lent:   c.ForeignCores,
+			Name:   neighbour.Name,
+			Drain:  neighbour.Draining,
+			Silent: neighbour.Unreachable,
+			Jobs:   int32(neighbour.Jobs),
+			Cores:  neighbour.Cores,
+			Credit: neighbour.Credit,
+			Lent:   neighbour.ForeignCores,
 		})
 	}
 	for key, count := range transfers.Counts {
@@ -71,7 +72,7 @@
 	}
 }
 
-// foreignJobState is the state of a foreign job in the words that operators see.
+// foreignState returns the state of a foreign job as it is displayed to operators.
 func foreignState(view scheduler.ForeignView) string {
 	switch {
 	case view.State.Ended && view.State.Cancelled:
@@ -82,7 +83,8 @@
 	return string(view.Record.State)
 }
 
-// FetchTransferList requests the list of a cell's transfers from its leader.
+// FetchTransferList requests the list of a cell's transfers from the leader. The platform settings
+// of any of the cell's controllers will do, since they name all of them.
 func FetchTransferList(ctx context.Context, network transport.Network, platform *settings.Platform) (*cellpb.ListReply, error) {
 	var list *cellpb.ListReply
 	err := rpc.CallLeader(ctx, network, platform.Controllers(), callTimeout, func(ctx context.Context, conn *grpc.ClientConn) error {
@@ -96,7 +98,7 @@
 	return list, nil
 }
 
-// WriteTransferList writes a cell's transfers as tables.
+// WriteTransferList writes a list of transfers as tables. now is the time to which ages refer.
 func WriteTransferList(out io.Writer, list *cellpb.ListReply, now time.Time) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if list.Cell == "" {
@@ -137,7 +139,8 @@
 	}
 }
 
-// writeCounts writes the counts sorted, as they come from a map.
+// writeCounts writes the numbers of steps. It sorts them, because the leader takes them from a map,
+// in random order.
 func writeCounts(w io.Writer, counts []*cellpb.Count) {
 	slices.SortFunc(counts, func(a, b *cellpb.Count) int {
 		return cmp.Or(cmp.Compare(a.Cell, b.Cell), cmp.Compare(direction(a), direction(b)), cmp.Compare(a.Step, b.Step))
@@ -148,11 +151,12 @@
 	}
 }
 
+// age returns the time since sinceMS, a wall-clock time in Unix milliseconds.
 func age(sinceMS int64, now time.Time) time.Duration {
 	return now.Sub(time.UnixMilli(sinceMS)).Round(time.Second)
 }
 
-// neighbourState is the state of the relation to a neighbour.
+// neighbourState returns the state of a neighbour as it is displayed to operators.
 func neighbourState(n *cellpb.Neighbour) string {
 	switch {
 	case n.Silent && n.Drain:
@@ -165,7 +169,8 @@
 	return "open"
 }
 
-// direction tells the steps of jobs that this cell delegated from those of foreign jobs.
+// direction returns "out" if the count is of jobs that this cell delegated, and "in" if it is of
+// foreign jobs.
 func direction(c *cellpb.Count) string {
 	if c.Out {
 		return "out"
--- a/internal/cells/transfer_list_test.go
+++ b/internal/cells/transfer_list_test.go
@@ -9,7 +9,8 @@
 	"leadproxy/internal/cells/cellpb"
 )
 
-// TestWriteTransferList: the list has each transfer with its state and age.
+// TestWriteTransferList checks that the tables have the states and ages of neighbours and
+// transfers.
 func TestWriteTransferList(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	var out bytes.Buffer
--- a/internal/inifile/inifile.go
+++ b/internal/inifile/inifile.go
@@ -1,5 +1,5 @@
-// Package inifile reads the sections of INI files by tables of their keys, and finds the lines of
-// keys for error messages.
+// Package inifile reads sections of INI files, whose keys are described by tables, and finds the
+// line numbers of keys for error messages.
 package inifile
 
 import (
@@ -11,42 +11,44 @@
 	"gopkg.in/ini.v1"
 )
 
-// KeyReader reads the value of a key.
+// KeyReader parses, validates and stores the value of a key.
 type KeyReader struct {
-	// Want describes the values that are accepted, for error messages.
+	// Want describes the valid values, for error messages.
 	Want string
-	// Read stores a value; false means that it is not accepted.
+	// Read stores a value and reports whether it is valid.
 	Read func(value string) bool
 }
 
-// Keys are the keys that a section may have.
+// Keys holds the readers of the keys that a section may have, by key.
 type Keys map[string]KeyReader
 
-// InvalidEntry is a key that is not known, or a value that is not accepted.
+// InvalidEntry describes an unknown key or an invalid value.
 type InvalidEntry struct {
 	Key, Value string
-	// Want describes what would be accepted.
+	// Want describes the valid values, or the known keys if the key is unknown.
 	Want string
 }
 
-// ReadSection reads all keys of a section and returns those that are refused.
+// ReadSection reads all keys of a section and returns the entries that are invalid, in the order of
+// the file.
 func ReadSection(section *ini.Section, keys Keys) []InvalidEntry {
-	var refusals []InvalidEntry
-	for _, k := range section.Keys() {
-		reader, known := keys[k.Name()]
+	var invalid []InvalidEntry
+	for _, key := range section.Keys() {
+		reader, known := keys[key.Name()]
 		if !known {
 			names := strings.Join(slices.Sorted(maps.Keys(keys)), ", ")
-			refusals = append(refusals, InvalidEntry{Key: k.Name(), Value: k.Value(), Want: "a key that is known here (" + names + ")"})
+			invalid = append(invalid, InvalidEntry{Key: key.Name(), Value: key.Value(), Want: "a key that is known here (" + names + ")"})
 			continue
 		}
-		if !reader.Read(strings.TrimSpace(k.Value())) {
-			refusals = append(refusals, InvalidEntry{Key: k.Name(), Value: k.Value(), Want: reader.Want})
+		if !reader.Read(strings.TrimSpace(key.Value())) {
+			invalid = append(invalid, InvalidEntry{Key: key.Name(), Value: key.Value(), Want: reader.Want})
 		}
 	}
-	return refusals
+	return invalid
 }
 
-// LineOf finds the line of a key, which the INI library does not keep; 0 if there is none.
+// LineOf returns the line number of a key in the text of a file, or 0 if the section does not have
+// the key. It searches the text because the INI library does not keep line numbers.
 func LineOf(text, section, key string) int {
 	current := ini.DefaultSection
 	lines := bufio.NewScanner(strings.NewReader(text))
@@ -67,8 +69,8 @@
 	return 0
 }
 
-// SectionHeader returns the name of the section that a trimmed line begins; ok is false if it
-// begins none.
+// SectionHeader returns the section name in a section header. The line must have no surrounding
+// space; ok is false if it is not a section header.
 func SectionHeader(line string) (name string, ok bool) {
 	if !strings.HasPrefix(line, "[") || !strings.HasSuffix(line, "]") {
 		return "", false
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -19,8 +19,8 @@
 other = x
 `
 
-// TestReadSection: values that are accepted are stored, and each other key is refused with what
-// would be accepted.
+// TestReadSection checks that valid values are stored, and that each invalid entry is returned with
+// a description of what is valid.
 func TestReadSection(t *testing.T) {
 	file, err := ini.Load([]byte("[s]\non = yes\nname = a b\nnames = c, a,,c\ncount = 5\nshare = 2.9\nwait_s = 1.5\nmargin_ms = 250\nbad = perhaps\nhigh = 11\nextra = 1\n"))
 	if err != nil {
@@ -34,7 +34,7 @@
 		wait, margin time.Duration
 		high         float64
 	}
-	refusals := ReadSection(file.Section("s"), Keys{
+	invalid := ReadSection(file.Section("s"), Keys{
 		"on":        YesNo(&got.on),
 		"name":      Text(&got.name),
 		"names":     Names(&got.names),
@@ -54,12 +54,13 @@
 		{"high", "11", "a number between 0 and 10"},
 		{"extra", "1", "a key that is known here (bad, count, high, margin_ms, name, names, on, share, wait_s)"},
 	}
-	if !reflect.DeepEqual(refusals, want) {
-		t.Errorf("refused %+v\nwant %+v", refusals, want)
+	if !reflect.DeepEqual(invalid, want) {
+		t.Errorf("invalid entries %+v\nwant %+v", invalid, want)
 	}
 }
 
-// TestParse: numbers are parsed within their bounds only.
+// TestParse checks which notations of numbers are valid for each parser, and that numbers out of
+// bounds are not.
 func TestParse(t *testing.T) {
 	cases := []struct {
 		value                  string
@@ -79,16 +80,16 @@
 	for _, c := range cases {
 		t.Run(c.value, func(t *testing.T) {
 			_, number := ParseNumber(c.value, 0, 10)
-			_, whole := ParseWholeNumber(c.value, 0, 10)
+			_, wholeNumber := ParseWholeNumber(c.value, 0, 10)
 			_, percent := ParsePercent(c.value, 0, 10)
-			if number != c.number || whole != c.whole || percent != c.percent {
-				t.Errorf("number %v, whole number %v, percent %v", number, whole, percent)
+			if number != c.number || wholeNumber != c.whole || percent != c.percent {
+				t.Errorf("valid as number: %v, as whole number: %v, as percentage: %v", number, wholeNumber, percent)
 			}
 		})
 	}
 }
 
-// TestLineOf: a key is found in its own section only.
+// TestLineOf checks that a key is found in its own section only.
 func TestLineOf(t *testing.T) {
 	cases := []struct {
 		section, key string
@@ -103,7 +104,7 @@
 	}
 	for _, c := range cases {
 		if got := LineOf(example, c.section, c.key); got != c.want {
-			t.Errorf("[%s] %s is in line %d, want %d", c.section, c.key, got, c.want)
+			t.Errorf("[%s] %s: got line %d, want %d", c.section, c.key, got, c.want)
 		}
 	}
 }
--- a/internal/inifile/values.go
+++ b/internal/inifile/values.go
@@ -8,27 +8,27 @@
 	"time"
 )
 
-// YesNo reads a switch.
-func YesNo(into *bool) KeyReader {
+// YesNo reads a boolean, written as yes or no.
+func YesNo(target *bool) KeyReader {
 	return KeyReader{"yes or no", func(value string) bool {
 		if value != "yes" && value != "no" {
 			return false
 		}
-		*into = value == "yes"
+		*target = value == "yes"
 		return true
 	}}
 }
 
-// Text reads any value.
-func Text(into *string) KeyReader {
+// Text reads a string. Every value is valid.
+func Text(target *string) KeyReader {
 	return KeyReader{"a text", func(value string) bool {
-		*into = value
+		*target = value
 		return true
 	}}
 }
 
-// Names reads names separated by commas. They are stored sorted, each once.
-func Names(into *[]string) KeyReader {
+// Names reads names separated by commas. It stores them sorted and without duplicates.
+func Names(target *[]string) KeyReader {
 	return KeyReader{"names separated by commas", func(value string) bool {
 		var names []string
 		for _, name := range strings.Split(value, ",") {
@@ -37,51 +37,51 @@
 			}
 		}
 		slices.Sort(names)
-		*into = slices.Compact(names)
+		*target = slices.Compact(names)
 		return true
 	}}
 }
 
-// Integer reads a whole number within bounds.
-func Integer(into *int, least, most int) KeyReader {
-	return KeyReader{fmt.Sprintf("a whole number from %d to %d", least, most), func(value string) bool {
+// Integer reads an integer from lower to upper. It must have no decimal point and no exponent.
+func Integer(target *int, lower, upper int) KeyReader {
+	return KeyReader{fmt.Sprintf("a whole number from %d to %d", lower, upper), func(value string) bool {
 		n, err := strconv.Atoi(value)
-		if err != nil || n < least || n > most {
+		if err != nil || n < lower || n > upper {
 			return false
 		}
-		*into = n
+		*target = n
 		return true
 	}}
 }
 
-// Number reads a number within bounds.
-func Number(into *float64, least, most float64) KeyReader {
-	return convertedNumber(least, most, func(n float64) { *into = n })
+// Number reads a number from lower to upper.
+func Number(target *float64, lower, upper float64) KeyReader {
+	return convertedNumber(lower, upper, func(n float64) { *target = n })
 }
 
-// TruncatedNumber reads a number within bounds and drops its fraction.
-func TruncatedNumber(into *int, least, most float64) KeyReader {
-	return convertedNumber(least, most, func(n float64) { *into = int(n) })
+// TruncatedNumber reads a number from lower to upper and stores it truncated to an integer.
+func TruncatedNumber(target *int, lower, upper float64) KeyReader {
+	return convertedNumber(lower, upper, func(n float64) { *target = int(n) })
 }
 
-// Seconds reads a duration in seconds.
-func Seconds(into *time.Duration, least, most float64) KeyReader {
-	return convertedNumber(least, most, func(n float64) { *into = secondsToDuration(n) })
+// Seconds reads a duration in seconds, from lower to upper seconds.
+func Seconds(target *time.Duration, lower, upper float64) KeyReader {
+	return convertedNumber(lower, upper, func(n float64) { *target = secondsToDuration(n) })
 }
 
-// Milliseconds reads a duration in milliseconds.
-func Milliseconds(into *time.Duration, least, most float64) KeyReader {
-	return convertedNumber(least, most, func(n float64) { *into = secondsToDuration(n / 1000) })
+// Milliseconds reads a duration in milliseconds, from lower to upper milliseconds.
+func Milliseconds(target *time.Duration, lower, upper float64) KeyReader {
+	return convertedNumber(lower, upper, func(n float64) { *target = secondsToDuration(n / 1000) })
 }
 
 func secondsToDuration(seconds float64) time.Duration {
 	return time.Duration(seconds * float64(time.Second))
 }
 
-// convertedNumber reads a number within bounds, which store converts.
-func convertedNumber(least, most float64, store func(n float64)) KeyReader {
-	return KeyReader{fmt.Sprintf("a number between %v and %v", least, most), func(value string) bool {
-		n, ok := ParseNumber(value, least, most)
+// convertedNumber reads a number from lower to upper and passes it to store.
+func convertedNumber(lower, upper float64, store func(n float64)) KeyReader {
+	return KeyReader{fmt.Sprintf("a number between %v and %v", lower, upper), func(value string) bool {
+		n, ok := ParseNumber(value, lower, upper)
 		if ok {
 			store(n)
 		}
@@ -89,23 +89,25 @@
 	}}
 }
 
-// ParseNumber parses a number within bounds; a NaN is within none.
-func ParseNumber(value string, least, most float64) (float64, bool) {
+// ParseNumber parses a number and reports whether it is valid and from lower to upper. NaN is not.
+func ParseNumber(value string, lower, upper float64) (float64, bool) {
 	n, err := strconv.ParseFloat(value, 64)
-	return n, err == nil && n >= least && n <= most
+	return n, err == nil && n >= lower && n <= upper
 }
 
-// ParseWholeNumber parses a number within bounds that has no fraction, such as 1e6.
-func ParseWholeNumber(value string, least, most float64) (int, bool) {
-	n, ok := ParseNumber(value, least, most)
+// ParseWholeNumber parses a number from lower to upper without a fraction. Unlike Integer, it
+// accepts notations such as 1e6.
+func ParseWholeNumber(value string, lower, upper float64) (int, bool) {
+	n, ok := ParseNumber(value, lower, upper)
 	return int(n), ok && n == float64(int(n))
 }
 
-// ParsePercent parses a number within bounds before a percent sign.
-func ParsePercent(value string, least, most float64) (float64, bool) {
+// ParsePercent parses a number from lower to upper followed by a percent sign. It returns the
+// percentage, not the fraction.
+func ParsePercent(value string, lower, upper float64) (float64, bool) {
 	number, isPercent := strings.CutSuffix(value, "%")
 	if !isPercent {
 		return 0, false
 	}
-	return ParseNumber(strings.TrimSpace(number), least, most)
+	return ParseNumber(strings.TrimSpace(number), lower, upper)
 }
--- a/internal/settings/cell_sections.go
+++ b/internal/settings/cell_sections.go
@@ -10,14 +10,14 @@
 	"gopkg.in/ini.v1"
 )
 
-// The sections about cells.
+// The names and name prefixes of the sections that configure cells.
 const (
 	cellSection            = "cell"
 	neighbourSectionPrefix = "neighbour."
 	classSectionPrefix     = "class."
 )
 
-// isCellSection reports whether a section is about cells.
+// isCellSection reports whether a section configures cells.
 func isCellSection(section string) bool {
 	return section == cellSection || strings.HasPrefix(section, neighbourSectionPrefix) || strings.HasPrefix(section, classSectionPrefix)
 }
@@ -26,13 +26,13 @@
 
 const wantCellName = "a name of up to 40 lower-case letters, digits and hyphens"
 
-// cellReader reads the sections about cells.
+// cellReader reads the sections that configure cells.
 type cellReader struct {
 	sectionReader
 	cells Cells
 }
 
-// readCells reads all sections about cells of a file.
+// readCells reads all sections of a file that configure cells.
 func readCells(path, text string, file *ini.File) (Cells, []error) {
 	r := &cellReader{sectionReader{path: path, text: text}, defaultCells()}
 	r.rejectDuplicateSections()
@@ -53,19 +53,20 @@
 	return r.cells, r.errs
 }
 
-// rejectDuplicateSections refuses sections that are declared twice, which the INI library would merge.
+// rejectDuplicateSections adds an error for each section that is declared again. The INI library
+// would merge the declarations without an error.
 func (r *cellReader) rejectDuplicateSections() {
-	seen := map[string]bool{}
+	declared := map[string]bool{}
 	for i, line := range strings.Split(r.text, "\n") {
 		line = strings.TrimSpace(line)
 		name, ok := inifile.SectionHeader(line)
 		if !ok {
 			continue
 		}
-		if isCellSection(name) && seen[name] {
+		if isCellSection(name) && declared[name] {
 			r.errs = append(r.errs, &FieldError{File: r.path, Line: i + 1, Key: name, Value: strconv.Quote(line), Want: "a section that is declared once: two cells of one name, or two declarations"})
 		}
-		seen[name] = true
+		declared[name] = true
 	}
 }
 
@@ -112,7 +113,7 @@
 	r.cells.Repeatable[name] = repeatable
 }
 
-// checkCell refuses a [cell] section that contradicts the list of neighbours.
+// checkCell adds errors if the section [cell] contradicts the list of neighbours.
 func (r *cellReader) checkCell() {
 	if r.cells.Name == "" && len(r.cells.Neighbours) > 0 {
 		r.addError(cellSection, "name", "", "this cell's name, since there are neighbours")
@@ -122,8 +123,8 @@
 	}
 }
 
-// checkNeighbours refuses neighbours that are this cell, or that share a preference or an
-// address.
+// checkNeighbours adds an error for each neighbour that has the name of this cell, or a preference
+// or an address that another neighbour has too.
 func (r *cellReader) checkNeighbours() {
 	byPreference, byAddress := map[int]string{}, map[string]string{}
 	for _, neighbour := range r.cells.Neighbours {
--- a/internal/settings/durations.go
+++ b/internal/settings/durations.go
@@ -2,14 +2,16 @@
 
 import "time"
 
-// MaxClockDrift bounds how much the rates of two monotonic clocks differ, by the protocol.
+// MaxClockDrift is the protocol's bound on the relative difference between the rates of two
+// monotonic clocks.
 const MaxClockDrift = 0.0005
 
-// Seconds turns a number of seconds into a duration.
+// Seconds converts a number of seconds to a duration.
 func Seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// WithDriftMargin lengthens d by the drift bound: whoever measures d from the same moment by its own
-// clock has finished when the stretched duration ends by ours.
+// WithDriftMargin returns d plus a margin for clock drift: a process that measures d on its own
+// clock has finished by the time this process has measured the result, if both start at the same
+// moment.
 func WithDriftMargin(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*2*MaxClockDrift)
 }
--- a/internal/settings/golden_operator_test.go
+++ b/internal/settings/golden_operator_test.go
@@ -11,8 +11,8 @@
 	"leadproxy/internal/rollout"
 )
 
-// iniKey is a key of an INI file: its path, another value than the example's, and what was read
-// of it.
+// iniKey is a key of an INI file, with a value that differs from the example's, and a function that
+// returns the key's value from the parsed file.
 type iniKey[T any] struct {
 	section, key, changedValue string
 	parsedValue                func(T) any
@@ -20,7 +20,7 @@
 
 func (k iniKey[T]) path() string { return "[" + k.section + "] " + k.key }
 
-// neighbourOf reads one thing of the example's neighbour, if it is there.
+// neighbourOf returns a parsedValue function that applies read to the example's neighbour.
 func neighbourOf(read func(Neighbour) any) func(Operator) any {
 	return func(o Operator) any {
 		if n, ok := o.Cells.Find("arequipa"); ok {
@@ -30,7 +30,7 @@
 	}
 }
 
-// budgetOf reads one thing of a group's budget, if it has one.
+// budgetOf returns a parsedValue function that applies read to the budget of a group.
 func budgetOf(group rollout.Group, read func(rollout.Budget) any) func(Operator) any {
 	return func(o Operator) any {
 		if b, ok := o.Rollouts.Budgets.ByGroup[group]; ok {
@@ -40,6 +40,7 @@
 	}
 }
 
+// repeatOf returns a parsedValue function for the key repeat of a class.
 func repeatOf(class string) func(Operator) any {
 	return func(o Operator) any {
 		repeat, declared := o.Cells.Repeatable[class]
@@ -51,7 +52,7 @@
 func shareOf(b rollout.Budget) any  { return b.Share }
 func windowOf(b rollout.Budget) any { return b.Window }
 
-// operatorFileKeys are all keys of the operators' file, as in the example.
+// operatorFileKeys lists all keys of the operators' file, with the sections of the example.
 var operatorFileKeys = []iniKey[Operator]{
 	{"leadership", "lease_s", "5", func(o Operator) any { return o.LeaderLease }},
 	{"leadership", "margin_ms", "300", func(o Operator) any { return o.LeaseMargin }},
@@ -86,7 +87,7 @@
 	{"budget.class.fraud-scoring", "window_s", "90", budgetOf(rollout.ClassGroup("fraud-scoring"), windowOf)},
 }
 
-// planFileKeys are all keys of a plan that drains machines.
+// planFileKeys lists all keys of the file of a plan that drains machines.
 var planFileKeys = []iniKey[rollout.Spec]{
 	{"plan", "name", "another", func(s rollout.Spec) any { return s.Name }},
 	{"plan", "zones", "x, y", func(s rollout.Spec) any { return s.Zones }},
@@ -101,8 +102,9 @@
 	{"plan", "deadline_s", "90000", func(s rollout.Spec) any { return s.DeadlineS }},
 }
 
-// TestGoldenOperatorFile compares the keys of the operators' file: their defaults, what is read
-// of an example that has them all and of the files of deploy, and which values they accept.
+// TestGoldenOperatorFile compares the keys of the operators' file with the golden files: their
+// defaults, the values that are read from an example with all keys and from the files in deploy,
+// and which values they accept. It also checks that the list of keys is complete.
 func TestGoldenOperatorFile(t *testing.T) {
 	parse := func(text string) (Operator, error) { return ParseOperator("operator.ini", text) }
 	checkINIKeys(t, "operator", operatorFileKeys, parse)
@@ -112,7 +114,7 @@
 	}
 	for _, key := range scalarKeyNames() {
 		if !slices.Contains(listed, key) {
-			t.Errorf("%s is missing in the list of keys", key)
+			t.Errorf("%s is missing in operatorFileKeys", key)
 		}
 	}
 	for _, name := range []string{"cells", "drain", "standby"} {
@@ -120,25 +122,26 @@
 	}
 }
 
-// TestGoldenPlanFile does the same for plans that drain machines.
+// TestGoldenPlanFile compares the keys of the file of a plan that drains machines in the same way.
 func TestGoldenPlanFile(t *testing.T) {
 	checkINIKeys(t, "drain-plan", planFileKeys, rollout.ParseSpec)
 	compareParsedINI(t, "deploy-drain-plan.txt", planFileKeys, rollout.ParseSpec, readFile(t, filepath.Join("..", "..", "deploy", "drain-plan.ini")))
 }
 
-// compareParsedINI compares what is read of a file.
+// compareParsedINI compares the values that are read from a file with a golden file.
 func compareParsedINI[T any](t *testing.T, golden string, keys []iniKey[T], parse func(string) (T, error), text string) {
 	t.Helper()
-	read, err := parse(text)
+	parsed, err := parse(text)
 	if err != nil {
 		t.Fatalf("%s: %v", golden, err)
 	}
-	compareGolden(t, golden, formatValues(iniValues(keys, read)))
+	compareGolden(t, golden, formatValues(iniValues(keys, parsed)))
 }
 
-// checkINIKeys compares the example of a kind of file, what is read of it, and which values its keys
-// accept. Changing a key's value must change what is read of that key alone, and a key of
-// another name must be refused.
+// checkINIKeys compares, for one kind of file, the values that are read from its example, the
+// defaults and the values that its keys accept with the golden files. A change of a key's value
+// must change the value that is read for this key and for no other, and an unknown key must be
+// rejected.
 func checkINIKeys[T any](t *testing.T, name string, keys []iniKey[T], parse func(string) (T, error)) {
 	t.Helper()
 	text := readFile(t, filepath.Join("testdata", "golden", name+".ini"))
@@ -153,15 +156,16 @@
 	accepted := map[string]string{}
 	for _, k := range keys {
 		changed, err := parse(replaceINI(t, text, k.section, k.key, k.key+" = "+k.changedValue))
-		// Hints without follow are an error; what is read is compared all the same.
+		// Hints without follow are an error, but the values that were read are compared
+		// nevertheless.
 		if err != nil && k.path() != "[standby] follow" {
 			t.Errorf("%s = %s: %v", k.path(), k.changedValue, err)
 		}
-		if differs := changedKeys(before, iniValues(keys, changed)); !slices.Equal(differs, []string{k.path()}) {
-			t.Errorf("%s is changed in the file: what is read differs in %v", k.path(), differs)
+		if differing := changedKeys(before, iniValues(keys, changed)); !slices.Equal(differing, []string{k.path()}) {
+			t.Errorf("after a change of %s in the file, the values of %v differ, want only its own", k.path(), differing)
 		}
 		if _, err := parse(replaceINI(t, text, k.section, k.key, k.key+"x = "+k.changedValue)); err == nil {
-			t.Errorf("%s: a key of another name is not refused", k.path())
+			t.Errorf("%s: an unknown key is accepted in its place", k.path())
 		}
 		var values []string
 		for _, value := range probeValues {
@@ -174,26 +178,27 @@
 	compareGolden(t, name+"-accepts.txt", formatValues(accepted))
 }
 
-// probeValues are values that each key is tried with.
+// probeValues are the values that are set for each key to find out which of them it accepts.
 var probeValues = []string{"-1", "0", "0.5", "1", "1.5", "2.5", "4", "5", "9", "10", "49", "50", "60", "61", "100", "101", "500", "501", "1000", "1001",
 	"3600", "3601", "86400", "86401", "100000", "1e6", "1e7", "1e9", "1e10", "0%", "0.5%", "100%", "101%", "yes", "no", "none", "true", "on", "10.9.0.1:8081", "a,b", "A", "NaN"}
 
-func iniValues[T any](keys []iniKey[T], read T) map[string]string {
+// iniValues returns the values of the keys in a parsed file, by the paths of the keys.
+func iniValues[T any](keys []iniKey[T], parsed T) map[string]string {
 	values := map[string]string{}
 	for _, k := range keys {
-		values[k.path()] = fmt.Sprintf("%v", k.parsedValue(read))
+		values[k.path()] = fmt.Sprintf("%v", k.parsedValue(parsed))
 	}
 	return values
 }
 
-// replaceINI replaces the line of a key in a section.
-func replaceINI(t *testing.T, text, section, key, line string) string {
+// replaceINI returns the text with another line in place of the line of a key.
+func replaceINI(t *testing.T, text, section, key, newLine string) string {
 	t.Helper()
 	lines := strings.Split(text, "\n")
-	n := inifile.LineOf(text, section, key)
-	if n == 0 {
+	lineNumber := inifile.LineOf(text, section, key)
+	if lineNumber == 0 {
 		t.Fatalf("the example has no %s in [%s]", key, section)
 	}
-	lines[n-1] = line
+	lines[lineNumber-1] = newLine
 	return strings.Join(lines, "\n")
 }
--- a/internal/settings/golden_platform_test.go
+++ b/internal/settings/golden_platform_test.go
@@ -13,8 +13,8 @@
 	"github.com/BurntSushi/toml"
 )
 
-// TestGoldenPlatformFile compares what is read of a platform's file that has every key, and of
-// one that has only those without a starting value.
+// TestGoldenPlatformFile compares the values that are read from a platform file with every key, and
+// from one with only the keys that have no default, with the golden files.
 func TestGoldenPlatformFile(t *testing.T) {
 	for _, name := range []string{"platform", "platform-least"} {
 		t.Run(name, func(t *testing.T) {
@@ -24,8 +24,9 @@
 	}
 }
 
-// TestGoldenPlatformKeys compares the list of a platform file's keys. Each must be in the
-// complete example, and changing its value there must change what is read of that key alone.
+// TestGoldenPlatformKeys compares the list of the platform file's keys with the golden file. Each
+// key must be in the complete example, and a change of its value there must change the value that
+// is read for this key and for no other.
 func TestGoldenPlatformKeys(t *testing.T) {
 	text := readFile(t, filepath.Join("testdata", "golden", "platform.toml"))
 	before := platformValues(t, text)
@@ -47,28 +48,29 @@
 		}
 		set(value)
 		if keys := changedKeys(before, platformValues(t, changed.String())); !slices.Equal(keys, []string{path}) {
-			t.Errorf("%s is changed in the file: what is read differs in %v", path, keys)
+			t.Errorf("after a change of %s in the file, the values of %v differ, want only its own", path, keys)
 		}
 	})
-	if inExample := slices.Sorted(maps.Keys(seen)); !slices.Equal(inExample, known) {
-		t.Errorf("the example has the keys\n%v\nand known are\n%v", inExample, known)
+	if exampleKeys := slices.Sorted(maps.Keys(seen)); !slices.Equal(exampleKeys, known) {
+		t.Errorf("the example has the keys\n%v\nwant all known keys\n%v", exampleKeys, known)
 	}
 }
 
-// listIndex is the place of an item of a list in a key's path.
+// listIndex matches the index of a list item in the path of a key.
 var listIndex = regexp.MustCompile(`\[\d+\]`)
 
-// walkTOML visits every value of a file with its path and a function that sets it.
+// walkTOML calls visit for every value below tree, with its path and a function that sets it.
+// Tables and lists of tables are not values.
 func walkTOML(tree any, path string, visit func(path string, value any, set func(any))) {
 	switch tree := tree.(type) {
 	case map[string]any:
 		for _, key := range slices.Sorted(maps.Keys(tree)) {
-			below := strings.TrimPrefix(path+"."+key, ".")
+			childPath := strings.TrimPrefix(path+"."+key, ".")
 			if isTable(tree[key]) {
-				walkTOML(tree[key], below, visit)
+				walkTOML(tree[key], childPath, visit)
 				continue
 			}
-			visit(below, tree[key], func(value any) { tree[key] = value })
+			visit(childPath, tree[key], func(value any) { tree[key] = value })
 		}
 	case []map[string]any:
 		for i := range tree {
@@ -77,6 +79,7 @@
 	}
 }
 
+// isTable reports whether a value is a table or a list of tables.
 func isTable(value any) bool {
 	switch value.(type) {
 	case map[string]any, []map[string]any:
@@ -85,7 +88,7 @@
 	return false
 }
 
-// differentValue gives a value of the same kind that is as valid.
+// differentValue returns another value of the same type. It is valid if the given one is.
 func differentValue(t *testing.T, value any) any {
 	t.Helper()
 	switch value := value.(type) {
@@ -101,22 +104,23 @@
 	case []any:
 		return append(slices.Clone(value), "another")
 	}
-	t.Fatalf("no other value for %v", value)
+	t.Fatalf("value of an unexpected type: %v", value)
 	return nil
 }
 
-// platformValues reads a platform file and gives its values by the paths of their keys.
+// platformValues parses a platform file and returns its values by the paths of their keys.
 func platformValues(t *testing.T, text string) map[string]string {
 	t.Helper()
-	p, err := ParsePlatform("platform.toml", text)
+	platform, err := ParsePlatform("platform.toml", text)
 	if err != nil {
 		t.Fatal(err)
 	}
 	values := map[string]string{}
-	addValues(values, reflect.ValueOf(*p), "")
+	addValues(values, reflect.ValueOf(*platform), "")
 	return values
 }
 
+// addValues adds the values below v to values. path is the path of v itself.
 func addValues(values map[string]string, v reflect.Value, path string) {
 	switch {
 	case v.Kind() == reflect.Pointer && v.IsNil():
@@ -136,24 +140,24 @@
 	}
 }
 
-// tomlKeys lists the paths of all keys by the tags. Limits that will hold later have no later
-// ones of their own, which ends the recursion.
-func tomlKeys(t *testing.T, of reflect.Type, path string) []string {
+// tomlKeys returns the paths of all keys below a type, from its tags. It omits the announced limits
+// of announced limits (StoreLimits.Next of Next), which would recurse forever.
+func tomlKeys(t *testing.T, keyType reflect.Type, path string) []string {
 	t.Helper()
-	for of.Kind() == reflect.Pointer || of.Kind() == reflect.Slice && of.Elem().Kind() == reflect.Struct {
-		of = of.Elem()
+	for keyType.Kind() == reflect.Pointer || keyType.Kind() == reflect.Slice && keyType.Elem().Kind() == reflect.Struct {
+		keyType = keyType.Elem()
 	}
-	if of.Kind() != reflect.Struct {
+	if keyType.Kind() != reflect.Struct {
 		return []string{path}
 	}
 	var keys []string
-	for i := range of.NumField() {
-		field := of.Field(i)
+	for i := range keyType.NumField() {
+		field := keyType.Field(i)
 		tag := field.Tag.Get("toml")
 		if tag == "" {
-			t.Errorf("below %q there is a field without a key", path)
+			t.Errorf("a field below %q has no toml tag", path)
 		}
-		if field.Type == reflect.PointerTo(of) && strings.HasSuffix(path, "."+tag) {
+		if field.Type == reflect.PointerTo(keyType) && strings.HasSuffix(path, "."+tag) {
 			continue
 		}
 		keys = append(keys, tomlKeys(t, field.Type, strings.TrimPrefix(path+"."+tag, "."))...)
--- a/internal/settings/golden_test.go
+++ b/internal/settings/golden_test.go
@@ -10,9 +10,10 @@
 	"testing"
 )
 
-var updateSettings = flag.Bool("update-settings", false, "write the golden files of the settings anew")
+var updateSettings = flag.Bool("update-settings", false, "rewrite the golden files of the settings")
 
-// compareGolden compares lines with a file of testdata/golden, byte for byte.
+// compareGolden compares lines with a file in testdata/golden byte for byte. With -update-settings
+// it writes the file first.
 func compareGolden(t *testing.T, name string, lines []string) {
 	t.Helper()
 	got := strings.Join(lines, "\n") + "\n"
@@ -23,7 +24,7 @@
 		}
 	}
 	if want := readFile(t, path); got != want {
-		t.Errorf("differs from %s; now:\n%s", path, got)
+		t.Errorf("differs from %s; got:\n%s", path, got)
 	}
 }
 
@@ -36,7 +37,7 @@
 	return string(text)
 }
 
-// formatValues lists values by key, sorted.
+// formatValues returns a line for each value, sorted by key.
 func formatValues(values map[string]string) []string {
 	var lines []string
 	for _, key := range slices.Sorted(maps.Keys(values)) {
@@ -45,7 +46,7 @@
 	return lines
 }
 
-// changedKeys lists the keys whose values differ.
+// changedKeys returns the sorted keys whose values differ, or which only one of the maps has.
 func changedKeys(a, b map[string]string) []string {
 	var keys []string
 	for key := range a {
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -13,35 +13,36 @@
 	"gopkg.in/ini.v1"
 )
 
-// Operator holds the operators' own settings, in addition to the platform's
-// file. Every key has a default that fits an ordinary deployment.
+// Operator holds the settings of the operators' file, which supplement the platform's. Every key
+// has a default that suits an ordinary deployment.
 type Operator struct {
 	// LeaderLease is the time to live of the leader's lease in the key-value store.
 	LeaderLease time.Duration
-	// LeaseMargin is subtracted from the lease, in addition to clock drift.
+	// LeaseMargin is how much before the end of its lease the leader stops acting, in addition to
+	// the margin for clock drift.
 	LeaseMargin time.Duration
 	// SlowFitC is the parameter c of the SLOW-FIT placement algorithm.
 	SlowFitC float64
-	// IdleReturn is how long a machine beyond the headroom stays idle
-	// before it is returned.
+	// IdleReturn is how long a machine beyond the headroom may be idle before it is returned to the
+	// cloud.
 	IdleReturn time.Duration
-	// BootPatience times a type's published boot time is how long a machine
-	// may take to boot before it is returned.
+	// BootPatience is how long a machine may take to boot before it is returned, as a multiple of
+	// the published boot time of its type.
 	BootPatience float64
-	// HeadroomSpread is how many standard deviations above the learned mean
-	// demand are kept as headroom.
+	// HeadroomSpread is how many standard deviations above the learned mean demand are kept as
+	// headroom.
 	HeadroomSpread float64
-	// MaxMachines bounds the fleet; 0 sets no bound.
+	// MaxMachines is the maximum number of machines in the fleet; 0 means no limit.
 	MaxMachines int
-	// Cells are this cell and its neighbours.
+	// Cells configures this cell and its neighbours.
 	Cells Cells
-	// Standby configures how the controllers that do not lead follow the leader.
+	// Standby configures the warm standby of the controllers that are not the leader.
 	Standby Standby
 	// Rollouts configures the plans that drain and replace machines.
 	Rollouts Rollouts
 }
 
-// Defaults returns the settings that hold without an operators' file.
+// Defaults returns the settings that apply without an operators' file.
 func Defaults() Operator {
 	return Operator{
 		LeaderLease:    3 * time.Second,
@@ -56,38 +57,39 @@
 	}
 }
 
-// scalarSections are the sections that hold single values: their keys, and where each is stored.
-func scalarSections(o *Operator) map[string]inifile.Keys {
+// scalarSections returns the readers of the sections whose keys set single fields of operator, by
+// section.
+func scalarSections(operator *Operator) map[string]inifile.Keys {
 	return map[string]inifile.Keys{
 		"leadership": {
-			"lease_s":   inifile.Seconds(&o.LeaderLease, 1, 60),
-			"margin_ms": inifile.Milliseconds(&o.LeaseMargin, 50, 500),
+			"lease_s":   inifile.Seconds(&operator.LeaderLease, 1, 60),
+			"margin_ms": inifile.Milliseconds(&operator.LeaseMargin, 50, 500),
 		},
 		"placement": {
-			"c": inifile.Number(&o.SlowFitC, 1, 100),
+			"c": inifile.Number(&operator.SlowFitC, 1, 100),
 		},
 		"fleet": {
-			"idle_return_s": inifile.Seconds(&o.IdleReturn, 5, 86400),
-			"boot_patience": inifile.Number(&o.BootPatience, 1.5, 100),
-			"warm_spread":   inifile.Number(&o.HeadroomSpread, 0, 10),
-			"max_machines":  machineBound(&o.MaxMachines),
+			"idle_return_s": inifile.Seconds(&operator.IdleReturn, 5, 86400),
+			"boot_patience": inifile.Number(&operator.BootPatience, 1.5, 100),
+			"warm_spread":   inifile.Number(&operator.HeadroomSpread, 0, 10),
+			"max_machines":  machineBound(&operator.MaxMachines),
 		},
 	}
 }
 
-// machineBound reads the bound of the fleet.
-func machineBound(into *int) inifile.KeyReader {
-	const mostMachines = 1e6
+// machineBound reads the maximum number of machines.
+func machineBound(target *int) inifile.KeyReader {
+	const maxMachines = 1e6
 	return inifile.KeyReader{Want: "a whole number, 0 for no bound", Read: func(value string) bool {
-		bound, ok := inifile.ParseWholeNumber(value, 0, mostMachines)
+		bound, ok := inifile.ParseWholeNumber(value, 0, maxMachines)
 		if ok {
-			*into = bound
+			*target = bound
 		}
 		return ok
 	}}
 }
 
-// LoadOperator reads the operators' INI file; an empty path gives the defaults.
+// LoadOperator reads and validates an operators' file. If path is "", it returns the defaults.
 func LoadOperator(path string) (Operator, error) {
 	if path == "" {
 		return Defaults(), nil
@@ -99,7 +101,8 @@
 	return ParseOperator(path, string(text))
 }
 
-// ParseOperator reads and validates the text of an operators' file; path is named in errors.
+// ParseOperator parses and validates the text of an operators' file. path is only used in errors.
+// The returned settings have the values of all valid keys even if other keys are invalid.
 func ParseOperator(path, text string) (Operator, error) {
 	operator := Defaults()
 	file, err := ini.LoadSources(ini.LoadOptions{}, []byte(text))
@@ -114,11 +117,11 @@
 	return operator, errors.Join(slices.Concat(cellErrors, standbyErrors, rolloutErrors, scalarErrors)...)
 }
 
-// readScalars reads all sections that no other reader is responsible for. Keys in sections that
-// are not known are refused.
-func readScalars(path, text string, file *ini.File, into *Operator) []error {
+// readScalars reads the scalar sections into operator. It skips the sections that have readers of
+// their own, and returns an error for each key of an unknown section.
+func readScalars(path, text string, file *ini.File, operator *Operator) []error {
 	r := &sectionReader{path: path, text: text}
-	sections := scalarSections(into)
+	sections := scalarSections(operator)
 	for _, section := range file.Sections() {
 		name := section.Name()
 		if isCellSection(name) || isRolloutSection(name) || name == standbySection {
@@ -136,7 +139,7 @@
 	return r.errs
 }
 
-// scalarKeyNames lists the keys of all scalar sections, each with its section.
+// scalarKeyNames returns all keys of the scalar sections as section.key, sorted.
 func scalarKeyNames() []string {
 	var names []string
 	for section, keys := range scalarSections(&Operator{}) {
--- a/internal/settings/platform_validation.go
+++ b/internal/settings/platform_validation.go
@@ -7,50 +7,55 @@
 	"net/netip"
 )
 
-// The bounds of the platform's values.
+// The bounds of values in the platform's file.
 const (
 	maxAmount       = 1e9
 	minTxnOps       = 2
 	minSockets      = 16
-	maxClockErrorMS = 60000 // ms
-	maxListLagS     = 3600  // s
+	maxClockErrorMS = 60000
+	maxListLagS     = 3600
 )
 
-// fieldValidator checks fields of a file and collects an error for each one that it refuses.
+// fieldValidator validates fields of a file and collects an error for each invalid one.
 type fieldValidator struct {
 	file string
 	errs []error
 }
 
+// addError adds a FieldError for the value of a key.
 func (v *fieldValidator) addError(key string, value any, want string) {
 	v.errs = append(v.errs, &FieldError{File: v.file, Key: key, Value: fmt.Sprintf("%#v", value), Want: want})
 }
 
+// checkAddress requires an IP address with a port. Host names are invalid.
 func (v *fieldValidator) checkAddress(key, value string) {
 	if _, err := netip.ParseAddrPort(value); err != nil {
 		v.addError(key, value, "an IP address and port, as in 10.0.0.1:8080")
 	}
 }
 
+// checkPositive requires a value above 0 and up to maxAmount.
 func (v *fieldValidator) checkPositive(key string, value float64) {
 	if !(value > 0) || value > maxAmount {
 		v.addError(key, value, "more than 0")
 	}
 }
 
-func (v *fieldValidator) checkAtLeast(key string, value, least int) {
-	if value < least {
-		v.addError(key, value, fmt.Sprintf("%d or more", least))
+func (v *fieldValidator) checkAtLeast(key string, value, lower int) {
+	if value < lower {
+		v.addError(key, value, fmt.Sprintf("%d or more", lower))
 	}
 }
 
-func (v *fieldValidator) checkBetween(key string, value, least, most float64) {
-	if !(value >= least) || value > most {
-		v.addError(key, value, fmt.Sprintf("between %v and %v", least, most))
+// checkBetween requires a value from lower to upper. NaN is invalid.
+func (v *fieldValidator) checkBetween(key string, value, lower, upper float64) {
+	if !(value >= lower) || value > upper {
+		v.addError(key, value, fmt.Sprintf("between %v and %v", lower, upper))
 	}
 }
 
-// validate returns an error for each field that is out of range or contradicts another.
+// validate returns the joined errors of all fields that are out of range or contradict another
+// field. It fills in the announced limits that are left out.
 func (p *Platform) validate(path string) error {
 	v := &fieldValidator{file: path}
 	if p.Name == "" {
@@ -119,8 +124,8 @@
 	v.checkBetween("facts.cloud.list_lag_s", facts.Cloud.ListLagS, 0, maxListLagS)
 }
 
-// validateNext checks the limits that are announced. A limit that is left out keeps its present
-// value.
+// validateNext validates the announced limits, if there are any. It sets those that are left out to
+// the present limits.
 func (l *StoreLimits) validateNext(v *fieldValidator) {
 	next := l.Next
 	if next == nil {
--- a/internal/settings/rollouts.go
+++ b/internal/settings/rollouts.go
@@ -12,14 +12,14 @@
 	"leadproxy/internal/rollout"
 )
 
-// Rollouts configures rollouts, the plans that drain and replace machines: whether they are carried
-// out, and which jobs they may disrupt.
+// Rollouts configures rollouts, which are plans that drain and replace machines. Enabled allows
+// plans to be executed, and Budgets limits how many jobs they may disrupt at once.
 type Rollouts struct {
 	Enabled bool
 	Budgets rollout.Budgets
 }
 
-// The sections about rollouts.
+// The names and name prefixes of the sections that configure rollouts.
 const (
 	rolloutSection      = "drain"
 	budgetSection       = "budget"
@@ -29,11 +29,13 @@
 )
 
 const (
-	noDisruption        = "none"
+	noDisruption        = "none" // value of jobs: plans may not disrupt any job
 	defaultBudgetWindow = time.Minute
 	maxBudgetJobs       = 1e6
 )
 
+// defaultRollouts returns the settings without any section about rollouts: they are disabled, and
+// each team has a budget of one job.
 func defaultRollouts() Rollouts {
 	return Rollouts{Budgets: rollout.Budgets{
 		TeamDefault: rollout.Budget{Jobs: 1, Window: defaultBudgetWindow},
@@ -41,12 +43,12 @@
 	}}
 }
 
-// isRolloutSection reports whether a section is about rollouts.
+// isRolloutSection reports whether a section configures rollouts.
 func isRolloutSection(section string) bool {
 	return section == rolloutSection || section == budgetSection || strings.HasPrefix(section, budgetSectionPrefix)
 }
 
-// readRollouts reads the sections about rollouts and their disruption budgets.
+// readRollouts reads the sections that configure rollouts and their disruption budgets.
 func readRollouts(path, text string, file *ini.File) (Rollouts, []error) {
 	rollouts := defaultRollouts()
 	r := &sectionReader{path: path, text: text}
@@ -72,47 +74,49 @@
 	return rollouts, r.errs
 }
 
-// readBudget reads one budget. Keys that it leaves out keep the values of the given one.
+// readBudget reads one budget. A key that is missing in the section keeps its value in the given
+// budget.
 func (r *sectionReader) readBudget(section *ini.Section, budget rollout.Budget) rollout.Budget {
 	r.readKeys(section, inifile.Keys{
 		"jobs":     budgetJobs(&budget),
 		"share":    budgetShare(&budget),
 		"window_s": inifile.Seconds(&budget.Window, 0, 86400),
 	})
-	// HasKey would look into [budget] as well.
-	if own := section.KeyStrings(); slices.Contains(own, "jobs") && slices.Contains(own, "share") {
+	// KeyStrings lists the section's own keys. HasKey would also find those of the parent [budget].
+	if ownKeys := section.KeyStrings(); slices.Contains(ownKeys, "jobs") && slices.Contains(ownKeys, "share") {
 		r.addError(section.Name(), "share", section.Key("share").Value(), "either jobs or share")
 	}
 	return budget
 }
 
-// budgetJobs reads a budget as a number of jobs.
-func budgetJobs(into *rollout.Budget) inifile.KeyReader {
+// budgetJobs reads a budget that is a number of jobs.
+func budgetJobs(budget *rollout.Budget) inifile.KeyReader {
 	return inifile.KeyReader{Want: "a whole number from 1, or none: then no plan ever moves these jobs", Read: func(value string) bool {
 		if value == noDisruption {
-			into.Jobs, into.Share = 0, 0
+			budget.Jobs, budget.Share = 0, 0
 			return true
 		}
 		jobs, ok := inifile.ParseWholeNumber(value, 1, maxBudgetJobs)
 		if ok {
-			into.Jobs, into.Share = jobs, 0
+			budget.Jobs, budget.Share = jobs, 0
 		}
 		return ok
 	}}
 }
 
-// budgetShare reads a budget as a share of the group's running jobs.
-func budgetShare(into *rollout.Budget) inifile.KeyReader {
+// budgetShare reads a budget that is a percentage of the group's running jobs.
+func budgetShare(budget *rollout.Budget) inifile.KeyReader {
 	return inifile.KeyReader{Want: "more than 0% and at most 100%", Read: func(value string) bool {
 		percent, ok := inifile.ParsePercent(value, 0.01, 100)
 		if ok {
-			into.Jobs, into.Share = 0, percent/100
+			budget.Jobs, budget.Share = 0, percent/100
 		}
 		return ok
 	}}
 }
 
-// CheckBudgets refuses budgets of teams that the platform's file does not have.
+// CheckBudgets returns an ErrConflict if a budget is of a team that the platform's file does not
+// name.
 func CheckBudgets(platform *Platform, operator Operator) error {
 	for group := range operator.Rollouts.Budgets.ByGroup {
 		name, isTeam := group.Team()
--- a/internal/settings/section_reader.go
+++ b/internal/settings/section_reader.go
@@ -10,13 +10,13 @@
 	"leadproxy/internal/inifile"
 )
 
-// sectionReader reads sections of the operators' file and collects the errors in them.
+// sectionReader reads sections of the operators' file and collects the errors that it finds.
 type sectionReader struct {
-	path, text string
+	path, text string // of the file
 	errs       []error
 }
 
-// addError records an error for the value of a key.
+// addError adds a FieldError for a key, with its line. key is "" if the section itself is invalid.
 func (r *sectionReader) addError(section, key, value, want string) {
 	r.errs = append(r.errs, &FieldError{
 		File:  r.path,
@@ -27,15 +27,15 @@
 	})
 }
 
-// readKeys reads all keys of a section. Keys that are not listed are refused.
+// readKeys reads all keys of a section. A key that is not listed is an error.
 func (r *sectionReader) readKeys(section *ini.Section, keys inifile.Keys) {
-	for _, refusal := range inifile.ReadSection(section, keys) {
-		r.addError(section.Name(), refusal.Key, refusal.Value, refusal.Want)
+	for _, entry := range inifile.ReadSection(section, keys) {
+		r.addError(section.Name(), entry.Key, entry.Value, entry.Want)
 	}
 }
 
-// addresses reads a list of addresses, separated by commas.
-func addresses(into *[]string) inifile.KeyReader {
+// addresses reads a list of IP addresses with ports, separated by commas.
+func addresses(target *[]string) inifile.KeyReader {
 	const want = "IP addresses and ports separated by commas, as in 10.1.0.1:8081, 10.1.0.2:8081"
 	return inifile.KeyReader{Want: want, Read: func(value string) bool {
 		for _, address := range strings.Split(value, ",") {
@@ -43,7 +43,7 @@
 			if _, err := netip.ParseAddrPort(address); err != nil {
 				return false
 			}
-			*into = append(*into, address)
+			*target = append(*target, address)
 		}
 		return true
 	}}
--- a/internal/settings/standby.go
+++ b/internal/settings/standby.go
@@ -7,19 +7,20 @@
 	"gopkg.in/ini.v1"
 )
 
-// Standby configures how the controllers that do not lead follow the leader.
+// Standby configures the warm standby of the controllers that are not the leader.
 type Standby struct {
-	// Follow has them keep a copy of the leader's durable state.
+	// Follow makes them keep a replica of the leader's durable state in memory.
 	Follow bool
-	// MaxMB bounds that copy. One that would be larger is dropped.
+	// MaxMB is the maximum size of the replica in MiB. A replica that would be larger is dropped.
 	MaxMB float64
-	// SoftState has the leader replicate its soft state to them too, which it holds only in memory.
+	// SoftState makes the leader also replicate its soft state to them, which it holds only in
+	// memory. It requires Follow.
 	SoftState bool
 }
 
 const standbySection = "standby"
 
-// readStandby reads the section about standbys.
+// readStandby reads the section [standby]. Without the section, the defaults apply.
 func readStandby(path, text string, file *ini.File) (Standby, []error) {
 	standby := Defaults().Standby
 	if !file.HasSection(standbySection) {
