--- a/cmd/leadproxy/golden_test.go
+++ b/cmd/leadproxy/golden_test.go
@@ -14,7 +14,7 @@
 	"github.com/alecthomas/kong"
 )
 
-var updateHelp = flag.Bool("update-help", false, "write the golden file of the command line anew")
+var updateGolden = flag.Bool("update-help", false, "write the golden file of the command line anew")
 
 // TestGoldenCommandLine compares the tree of commands with their flags and arguments with the
 // recorded one. Sentences of the help may change and are left out.
@@ -31,7 +31,7 @@
 func TestGoldenLogLevel(t *testing.T) {
 	var lines []string
 	for _, value := range []string{"", "error", "info", "debug", "ERROR", "Info", "warn", "warning", "trace", "0", " info"} {
-		log, err := newLog(value)
+		log, err := newLogger(value)
 		if err != nil {
 			lines = append(lines, fmt.Sprintf("LOG_LEVEL=%q refused", value))
 			continue
@@ -57,7 +57,7 @@
 	if node.Parent != nil && node.Parent.DefaultCmd == node {
 		line += " default"
 	}
-	lines := []string{line + hidden(node.Hidden)}
+	lines := []string{line + hiddenSuffix(node.Hidden)}
 	for _, flag := range node.Flags {
 		line := fmt.Sprintf("flag %s --%s", path, flag.Name)
 		if flag.Short != 0 {
@@ -66,7 +66,7 @@
 		if len(flag.Aliases) > 0 || len(flag.Envs) > 0 {
 			line += fmt.Sprintf(" aliases %v environment %v", flag.Aliases, flag.Envs)
 		}
-		lines = append(lines, line+describeValue(flag.Value)+hidden(flag.Hidden))
+		lines = append(lines, line+describeValue(flag.Value)+hiddenSuffix(flag.Hidden))
 	}
 	for _, argument := range node.Positional {
 		lines = append(lines, fmt.Sprintf("argument %s %d <%s>%s", path, argument.Position, argument.Name, describeValue(argument)))
@@ -91,7 +91,7 @@
 	return text
 }
 
-func hidden(isHidden bool) string {
+func hiddenSuffix(isHidden bool) string {
 	if isHidden {
 		return " hidden"
 	}
@@ -104,7 +104,7 @@
 	slices.Sort(lines)
 	got := strings.Join(lines, "\n") + "\n"
 	path := filepath.Join("testdata", "golden", name)
-	if *updateHelp {
+	if *updateGolden {
 		if err := os.WriteFile(path, []byte(got), 0o666); err != nil {
 			t.Fatal(err)
 		}
--- a/cmd/leadproxy/main.go
+++ b/cmd/leadproxy/main.go
@@ -40,8 +40,8 @@
 // logLevels are the values of LOG_LEVEL, in any case.
 var logLevels = map[string]slog.Level{"": slog.LevelInfo, "error": slog.LevelError, "info": slog.LevelInfo, "debug": slog.LevelDebug}
 
-// newLog returns the program's logger; name is the value of LOG_LEVEL.
-func newLog(name string) (*slog.Logger, error) {
+// newLogger returns the program's logger; name is the value of LOG_LEVEL.
+func newLogger(name string) (*slog.Logger, error) {
 	level, ok := logLevels[strings.ToLower(name)]
 	if !ok {
 		return nil, fmt.Errorf("LOG_LEVEL = %q: must be error, info or debug", name)
--- a/cmd/leadproxy/plan_commands.go
+++ b/cmd/leadproxy/plan_commands.go
@@ -16,14 +16,14 @@
 // planCommands groups the commands for plans that drain and replace machines. The name of a
 // subcommand that is one of rollout's commands is also the command that the plan is given.
 type planCommands struct {
-	Check  checkPlanCommand  `cmd:"" help:"Validate a plan."`
-	Start  startPlanCommand  `cmd:"" help:"Start a plan."`
-	Status planStatusCommand `cmd:"" help:"Show all plans, what they wait for, and which jobs count as disrupted."`
-	Pause  planCommand       `cmd:"" help:"Pause a plan: it evicts no more tasks."`
-	Resume planCommand       `cmd:"" help:"Resume a plan."`
-	Abort  planCommand       `cmd:"" help:"End a plan: machines that it has not returned are uncordoned."`
-	Allow  planNameCommand   `cmd:"" help:"Allow a plan to evict a job that loses its progress by that."`
-	Skip   planNameCommand   `cmd:"" help:"Leave a machine out of a plan."`
+	Check  checkPlanCommand    `cmd:"" help:"Validate a plan."`
+	Start  startPlanCommand    `cmd:"" help:"Start a plan."`
+	Status planStatusCommand   `cmd:"" help:"Show all plans, what they wait for, and which jobs count as disrupted."`
+	Pause  planCommand         `cmd:"" help:"Pause a plan: it evicts no more tasks."`
+	Resume planCommand         `cmd:"" help:"Resume a plan."`
+	Abort  planCommand         `cmd:"" help:"End a plan: machines that it has not returned are uncordoned."`
+	Allow  planArgumentCommand `cmd:"" help:"Allow a plan to evict a job that loses its progress by that."`
+	Skip   planArgumentCommand `cmd:"" help:"Leave a machine out of a plan."`
 }
 
 // platformFlag is the flag of the file that has the controllers' addresses.
@@ -86,7 +86,7 @@
 	if err != nil {
 		return err
 	}
-	return rolloutservice.Write(os.Stdout, list, time.Now())
+	return rolloutservice.WriteStatusTables(os.Stdout, list, time.Now())
 }
 
 // planCommand gives a plan a command without an argument.
@@ -95,8 +95,8 @@
 	Plan string `arg:"" help:"The plan's name."`
 }
 
-// planNameCommand gives a plan a command about a job or a machine.
-type planNameCommand struct {
+// planArgumentCommand gives a plan a command about a job or a machine.
+type planArgumentCommand struct {
 	planCommand
 	Name string `arg:"" help:"The job, or the machine."`
 }
@@ -105,7 +105,7 @@
 func (c *planCommand) Run(name string) error { return c.send(rollout.Command(name), "") }
 
 // Run runs the command: name is that of the subcommand.
-func (c *planNameCommand) Run(name string) error { return c.send(rollout.Command(name), c.Name) }
+func (c *planArgumentCommand) Run(name string) error { return c.send(rollout.Command(name), c.Name) }
 
 func (c *planCommand) send(command rollout.Command, argument string) error {
 	platform, err := settings.LoadPlatform(c.Config)
--- a/cmd/leadproxy/run.go
+++ b/cmd/leadproxy/run.go
@@ -19,7 +19,7 @@
 
 // Run runs the command.
 func (c *runCommand) Run() error {
-	log, err := newLog(os.Getenv("LOG_LEVEL"))
+	log, err := newLogger(os.Getenv("LOG_LEVEL"))
 	if err != nil {
 		return err
 	}
--- a/internal/controller/rollout_plans_test.go
+++ b/internal/controller/rollout_plans_test.go
@@ -68,7 +68,7 @@
 		return err.Error()
 	}
 	var table bytes.Buffer
-	if err := rolloutservice.Write(&table, list, time.Now()); err != nil {
+	if err := rolloutservice.WriteStatusTables(&table, list, time.Now()); err != nil {
 		c.t.Error(err)
 	}
 	return table.String()
--- a/internal/failoverreport/failoverreport.go
+++ b/internal/failoverreport/failoverreport.go
@@ -42,19 +42,19 @@
 	return all, nil
 }
 
-// longestLine bounds the length of a log line in bytes.
-const longestLine = 1 << 20
+// maxLineBytes bounds the length of a log line in bytes.
+const maxLineBytes = 1 << 20
 
 func readLog(in io.Reader) ([]Failover, error) {
 	var all []Failover
 	lines := bufio.NewScanner(in)
-	lines.Buffer(nil, longestLine)
+	lines.Buffer(nil, maxLineBytes)
 	for n := 1; lines.Scan(); n++ {
 		fields := failoverLine.FindStringSubmatch(lines.Text())
 		if fields == nil {
 			continue
 		}
-		t, err := parse(fields)
+		t, err := parseFailover(fields)
 		if err != nil {
 			return nil, fmt.Errorf("line %d: %w", n, err)
 		}
@@ -63,8 +63,8 @@
 	return all, lines.Err()
 }
 
-// parse converts the submatches of failoverLine.
-func parse(fields []string) (t Failover, err error) {
+// parseFailover converts the submatches of failoverLine.
+func parseFailover(fields []string) (t Failover, err error) {
 	if t.At, err = time.Parse(time.RFC3339Nano, fields[1]); err != nil {
 		return t, err
 	}
@@ -87,8 +87,8 @@
 
 // Phase is one of the durations of a failover.
 type Phase struct {
-	Name string
-	Of   func(f Failover) float64
+	Name     string
+	Duration func(f Failover) float64
 }
 
 // Phases are the durations of a failover, in their order.
@@ -104,7 +104,7 @@
 	var values []float64
 	for _, t := range all {
 		if t.FromStandby == fromStandby {
-			values = append(values, p.Of(t))
+			values = append(values, p.Duration(t))
 		}
 	}
 	slices.Sort(values)
--- a/internal/failoverreport/failoverreport_test.go
+++ b/internal/failoverreport/failoverreport_test.go
@@ -20,8 +20,8 @@
 time=2026-12-02T10:22:00.105Z level=INFO msg="failover completed" leader_term=900 from_standby=false ledger_known_s=0.5 first_decision_s=0.76 resolved_s=2.5 jobs=990 machines=11
 `
 
-// TestLogsOfBothForms: lines of this version and of earlier ones say the same.
-func TestLogsOfBothForms(t *testing.T) {
+// TestReadLogFormats: lines of this version and of earlier ones say the same.
+func TestReadLogFormats(t *testing.T) {
 	earlier, err := readLog(strings.NewReader(earlierLog))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/failoverreport/page.go
+++ b/internal/failoverreport/page.go
@@ -111,8 +111,8 @@
 
 // sizeAxis is a size of the cluster, and the duration that grows with it.
 type sizeAxis struct {
-	name, duration string
-	of             func(t Failover) plotter.XY
+	name, durationLabel string
+	point               func(t Failover) plotter.XY
 }
 
 var sizeAxes = []sizeAxis{
@@ -123,14 +123,14 @@
 // plotBySize draws each failover's duration by a size as an SVG.
 func plotBySize(all []Failover, s sizeAxis) (template.HTML, error) {
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = s.name, s.duration
+	p.X.Label.Text, p.Y.Label.Text = s.name, s.durationLabel
 	p.X.Min, p.Y.Min = 0, 0
 	p.Add(plotter.NewGrid())
 	for _, fromStandby := range []bool{true, false} {
 		var points plotter.XYs
 		for _, t := range all {
 			if t.FromStandby == fromStandby {
-				points = append(points, s.of(t))
+				points = append(points, s.point(t))
 			}
 		}
 		if len(points) == 0 {
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	red, err := judge(string(results), known)
+	red, err := checkResults(string(results), known)
 	if err != nil {
 		return err
 	}
--- a/internal/knownred/main_test.go
+++ b/internal/knownred/main_test.go
@@ -45,9 +45,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			list, results := filepath.Join(t.TempDir(), "list"), filepath.Join(t.TempDir(), "results")
 			if c.list != "missing" {
-				write(t, list, c.list)
+				writeFile(t, list, c.list)
 			}
-			write(t, results, c.results)
+			writeFile(t, results, c.results)
 			var out bytes.Buffer
 			err := run(list, results, &out)
 			switch {
@@ -60,7 +60,7 @@
 	}
 }
 
-func write(t *testing.T, path, text string) {
+func writeFile(t *testing.T, path, text string) {
 	t.Helper()
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
--- a/internal/knownred/results.go
+++ b/internal/knownred/results.go
@@ -9,22 +9,22 @@
 
 // What go test prints without -v.
 var (
-	failedTest    = regexp.MustCompile(`^( *)--- FAIL: (\S+) \(`)
-	testLog       = regexp.MustCompile(`^( *)\S+\.go:\d+: `)
-	failedPackage = regexp.MustCompile(`^FAIL\t(\S+)`)
-	passedPackage = regexp.MustCompile(`^(?:ok  |\?   )?\t(\S+)`)
-	neverKnown    = regexp.MustCompile(`^(?:panic:|fatal error:|WARNING: DATA RACE)|race detected during execution|\[(?:build|setup) failed\]|test timed out after`)
+	failedTestLine    = regexp.MustCompile(`^( *)--- FAIL: (\S+) \(`)
+	testLogLine       = regexp.MustCompile(`^( *)\S+\.go:\d+: `)
+	failedPackageLine = regexp.MustCompile(`^FAIL\t(\S+)`)
+	passedPackageLine = regexp.MustCompile(`^(?:ok  |\?   )?\t(\S+)`)
+	neverTolerated    = regexp.MustCompile(`^(?:panic:|fatal error:|WARNING: DATA RACE)|race detected during execution|\[(?:build|setup) failed\]|test timed out after`)
 )
 
-// indent is how far go test indents the results of a subtest below its parent.
-const indent = 4
+// indentWidth is how far go test indents the results of a subtest below its parent.
+const indentWidth = 4
 
 // failure is a test that has failed.
 type failure struct {
 	name string
-	// ownLog: it has logged something itself, so that it may not have failed for its subtests alone.
-	ownLog      bool
-	failedChild bool
+	// hasOwnLog: it has logged something itself, so that it may not have failed for its subtests alone.
+	hasOwnLog        bool
+	hasFailedSubtest bool
 }
 
 // packageResults are the failures of the package whose results are being read.
@@ -33,24 +33,24 @@
 	failures []*failure
 }
 
-// judge returns the tests that failed, all of which are known, or an error if anything else failed.
-func judge(results string, known knownTests) (red []string, err error) {
+// checkResults returns the tests that failed, all of which are known, or an error if anything else failed.
+func checkResults(results string, known knownTests) (red []string, err error) {
 	var current packageResults
 	for _, line := range strings.Split(results, "\n") {
-		if neverKnown.MatchString(line) {
+		if neverTolerated.MatchString(line) {
 			return nil, fmt.Errorf("a failure that is never passed over: %s", line)
 		}
-		if current.read(line) {
+		if current.readLine(line) {
 			continue
 		}
-		if failed := failedPackage.FindStringSubmatch(line); failed != nil {
-			names, err := current.judge(failed[1], known)
+		if failed := failedPackageLine.FindStringSubmatch(line); failed != nil {
+			names, err := current.checkFailures(failed[1], known)
 			if err != nil {
 				return nil, err
 			}
 			red = append(red, names...)
 			current = packageResults{}
-		} else if passedPackage.MatchString(line) {
+		} else if passedPackageLine.MatchString(line) {
 			current = packageResults{}
 		}
 	}
@@ -63,37 +63,37 @@
 	return red, nil
 }
 
-// read takes a line about a test, and reports whether it was one.
-func (p *packageResults) read(line string) bool {
-	if failed := failedTest.FindStringSubmatch(line); failed != nil {
-		p.descend(len(failed[1])/indent, failed[2])
+// readLine takes a line about a test, and reports whether it was one.
+func (p *packageResults) readLine(line string) bool {
+	if failed := failedTestLine.FindStringSubmatch(line); failed != nil {
+		p.addFailure(len(failed[1])/indentWidth, failed[2])
 		return true
 	}
-	if log := testLog.FindStringSubmatch(line); log != nil && len(p.path) > 0 {
-		if depth := len(log[1])/indent - 1; depth >= 0 && depth < len(p.path) {
-			p.path[depth].ownLog = true
+	if log := testLogLine.FindStringSubmatch(line); log != nil && len(p.path) > 0 {
+		if depth := len(log[1])/indentWidth - 1; depth >= 0 && depth < len(p.path) {
+			p.path[depth].hasOwnLog = true
 		}
 		return true
 	}
 	return false
 }
 
-// descend adds a failed test at a depth, 0 for a test that is no subtest.
-func (p *packageResults) descend(depth int, name string) {
+// addFailure adds a failed test at a depth, 0 for a test that is no subtest.
+func (p *packageResults) addFailure(depth int, name string) {
 	p.path = p.path[:min(depth, len(p.path))]
 	if len(p.path) > 0 {
-		p.path[len(p.path)-1].failedChild = true
+		p.path[len(p.path)-1].hasFailedSubtest = true
 	}
 	f := &failure{name: name}
 	p.path = append(p.path, f)
 	p.failures = append(p.failures, f)
 }
 
-// judge returns the failed tests of a package, unless one of them is not known. A test that has
+// checkFailures returns the failed tests of a package, unless one of them is not known. A test that has
 // failed for its subtests alone is not counted itself.
-func (p *packageResults) judge(name string, known knownTests) (red []string, err error) {
+func (p *packageResults) checkFailures(name string, known knownTests) (red []string, err error) {
 	for _, f := range p.failures {
-		if f.failedChild && !f.ownLog {
+		if f.hasFailedSubtest && !f.hasOwnLog {
 			continue
 		}
 		if !known.includes(f.name) {
--- a/internal/rolloutreport/log_reader.go
+++ b/internal/rolloutreport/log_reader.go
@@ -13,11 +13,11 @@
 
 // The messages that controllers log.
 const (
-	messagePhase     = "draining"
-	messageDisrupted = "job is disrupted"
-	messageWhole     = "job is whole again"
-	messageReturn    = "returning machine"
-	drained          = "drained"
+	messagePlanPhase     = "draining"
+	messageDisrupted     = "job is disrupted"
+	messageRecovered     = "job is whole again"
+	messageMachineReturn = "returning machine"
+	reasonDrained        = "drained"
 )
 
 // ReadLogs reads a timeline from controllers' logs.
@@ -47,7 +47,7 @@
 			fields[string(decoder.Key())] = string(decoder.Value())
 		}
 		switch fields["msg"] {
-		case messagePhase, messageDisrupted, messageWhole, messageReturn:
+		case messagePlanPhase, messageDisrupted, messageRecovered, messageMachineReturn:
 		default:
 			continue
 		}
--- a/internal/rolloutreport/page.go
+++ b/internal/rolloutreport/page.go
@@ -25,7 +25,7 @@
 func WritePage(out io.Writer, t *Timeline) error {
 	content := report{Timeline: t}
 	for _, team := range t.Teams() {
-		content.Rows = append(content.Rows, t.summary(team))
+		content.Rows = append(content.Rows, t.summarizeTeam(team))
 	}
 	var err error
 	if content.JobPlot, err = t.plotDisruptedJobs(); err != nil {
@@ -37,7 +37,7 @@
 	return reportPage.Execute(out, content)
 }
 
-func (t *Timeline) summary(team string) teamRow {
+func (t *Timeline) summarizeTeam(team string) teamRow {
 	row := teamRow{Team: team, MaxDisrupted: t.MaxDisrupted(team)}
 	for _, d := range t.Disruptions {
 		if d.Team != team {
--- a/internal/rolloutreport/plots.go
+++ b/internal/rolloutreport/plots.go
@@ -30,7 +30,7 @@
 	for _, team := range t.Teams() {
 		lines = append(lines, series{team, t.DisruptedJobs(team)})
 	}
-	return drawSteps("disrupted jobs", t.start(), lines)
+	return plotSteps("disrupted jobs", t.startTime(), lines)
 }
 
 func (t *Timeline) plotDrainedMachines() (template.HTML, error) {
@@ -38,18 +38,18 @@
 	for i, r := range t.Returns {
 		line.samples = append(line.samples, Sample{At: r.At, Count: i + 1})
 	}
-	return drawSteps("machines", t.start(), []series{line})
+	return plotSteps("machines", t.startTime(), []series{line})
 }
 
-// drawSteps draws counts over time, as an SVG.
-func drawSteps(label string, start time.Time, lines []series) (template.HTML, error) {
+// plotSteps draws counts over time, as an SVG.
+func plotSteps(label string, start time.Time, lines []series) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text = "seconds since the beginning"
 	p.Y.Label.Text = label
 	p.X.Min, p.Y.Min = 0, 0
 	p.Add(plotter.NewGrid())
 	for i, line := range lines {
-		drawn, err := plotter.NewLine(line.steps(start))
+		drawn, err := plotter.NewLine(line.stepPoints(start))
 		if err != nil {
 			return "", fmt.Errorf("plot of %s: %w", label, err)
 		}
@@ -60,8 +60,8 @@
 	return svg.Draw(p, plotWidth, plotHeight)
 }
 
-// steps are the points of a line that is level between the samples.
-func (s series) steps(start time.Time) plotter.XYs {
+// stepPoints are the points of a line that is level between the samples.
+func (s series) stepPoints(start time.Time) plotter.XYs {
 	points := plotter.XYs{{X: 0, Y: 0}}
 	for _, sample := range s.samples {
 		x := sample.At.Sub(start).Seconds()
--- a/internal/rolloutreport/timeline.go
+++ b/internal/rolloutreport/timeline.go
@@ -24,8 +24,8 @@
 	Start, End                time.Time // End is zero while it lasts
 }
 
-// Return is the return of a drained machine.
-type Return struct {
+// MachineReturn is the return of a drained machine.
+type MachineReturn struct {
 	At      time.Time
 	Machine string
 }
@@ -34,7 +34,7 @@
 type Timeline struct {
 	Phases      []PhaseChange
 	Disruptions []Disruption
-	Returns     []Return
+	Returns     []MachineReturn
 }
 
 func newTimeline(lines []logLine) (*Timeline, error) {
@@ -50,17 +50,17 @@
 
 func (t *Timeline) add(l logLine) error {
 	switch l.message {
-	case messagePhase:
+	case messagePlanPhase:
 		return t.addPhase(l)
 	case messageDisrupted:
 		return t.addDisruption(l)
-	case messageWhole:
-		if d := t.ongoing(l.fields["job"]); d != nil {
+	case messageRecovered:
+		if d := t.ongoingDisruption(l.fields["job"]); d != nil {
 			d.End = l.time
 		}
-	case messageReturn:
-		if l.fields["why"] == drained {
-			t.addReturn(Return{At: l.time, Machine: l.fields["machine"]})
+	case messageMachineReturn:
+		if l.fields["why"] == reasonDrained {
+			t.addReturn(MachineReturn{At: l.time, Machine: l.fields["machine"]})
 		}
 	}
 	return nil
@@ -88,7 +88,7 @@
 // addDisruption adds a disruption. A new leader logs those that last again.
 func (t *Timeline) addDisruption(l logLine) error {
 	jobID := l.fields["job"]
-	if t.ongoing(jobID) != nil {
+	if t.ongoingDisruption(jobID) != nil {
 		return nil
 	}
 	seconds, err := strconv.ParseFloat(l.fields["seconds"], 64)
@@ -105,8 +105,8 @@
 	return nil
 }
 
-// ongoing is a job's disruption that has not ended; nil if there is none.
-func (t *Timeline) ongoing(jobID string) *Disruption {
+// ongoingDisruption is a job's disruption that has not ended; nil if there is none.
+func (t *Timeline) ongoingDisruption(jobID string) *Disruption {
 	for i := len(t.Disruptions) - 1; i >= 0; i-- {
 		if d := &t.Disruptions[i]; d.JobID == jobID && d.End.IsZero() {
 			return d
@@ -116,14 +116,14 @@
 }
 
 // addReturn adds a machine's return, which is logged again until the machine is gone.
-func (t *Timeline) addReturn(r Return) {
-	if !slices.ContainsFunc(t.Returns, func(other Return) bool { return other.Machine == r.Machine }) {
+func (t *Timeline) addReturn(r MachineReturn) {
+	if !slices.ContainsFunc(t.Returns, func(other MachineReturn) bool { return other.Machine == r.Machine }) {
 		t.Returns = append(t.Returns, r)
 	}
 }
 
-// start is the time of the first event.
-func (t *Timeline) start() time.Time {
+// startTime is the time of the first event.
+func (t *Timeline) startTime() time.Time {
 	var first time.Time
 	include := func(at time.Time) {
 		if first.IsZero() || at.Before(first) {
--- a/internal/rolloutservice/replace_workers_test.go
+++ b/internal/rolloutservice/replace_workers_test.go
@@ -21,14 +21,14 @@
 	"leadproxy/internal/wire"
 )
 
-var page = flag.String("html", "", "where to write the report of the rollout")
+var reportFile = flag.String("html", "", "where to write the report of the rollout")
 
 const (
-	replaced   = 20 // machines
-	teamBudget = 2  // jobs
-	taskRuns   = 45 * time.Second
-	// killEvery is longer than a new leader waits until it evicts tasks.
-	killEvery = 40 * time.Second
+	machineCount = 20 // machines
+	teamBudget   = 2  // jobs
+	taskRunTime  = 45 * time.Second
+	// killInterval is longer than a new leader waits until it evicts tasks.
+	killInterval = 40 * time.Second
 )
 
 // teams are the teams whose jobs run in turn.
@@ -39,11 +39,11 @@
 	*fake.Deployment
 	t       *testing.T
 	program string
-	// submitted counts the jobs.
-	submitted int
-	// leaderKilled is when the leader was killed last, or when the plan was created.
-	leaderKilled time.Time
-	kills        int
+	// submittedJobs counts the jobs.
+	submittedJobs int
+	// leaderKilledAt is when the leader was killed last, or when the plan was created.
+	leaderKilledAt time.Time
+	kills          int
 }
 
 // TestReplaceTwentyWorkers replaces twenty workers in steps, under load and with controllers
@@ -51,11 +51,11 @@
 // each task completes once. docs/operations-drain.md has the command.
 func TestReplaceTwentyWorkers(t *testing.T) {
 	d := startDeployment(t)
-	for range replaced {
-		d.submit()
+	for range machineCount {
+		d.submitJob()
 		time.Sleep(200 * time.Millisecond)
 	}
-	allRun := func() bool { running, _ := d.Checker.TaskCounts(""); return running >= 2*replaced-2 }
+	allRun := func() bool { running, _ := d.Checker.TaskCounts(""); return running >= 2*machineCount-2 }
 	fake.WaitFor(t, "tasks on all machines", time.Minute, allRun)
 	var old []string
 	for _, w := range d.Cloud.Agents() {
@@ -63,17 +63,17 @@
 	}
 	start := time.Now()
 	d.createPlan(old)
-	d.leaderKilled = start
+	d.leaderKilledAt = start
 	random := rand.New(rand.NewPCG(1, 1))
-	for time.Since(start) < 12*time.Minute && !strings.Contains(d.status(), "finished") {
-		d.submit()
+	for time.Since(start) < 12*time.Minute && !strings.Contains(d.statusText(), "finished") {
+		d.submitJob()
 		time.Sleep(time.Duration(1000+random.IntN(2000)) * time.Millisecond)
-		if time.Since(d.leaderKilled) > killEvery {
+		if time.Since(d.leaderKilledAt) > killInterval {
 			d.restartLeader(time.Duration(random.IntN(5000)) * time.Millisecond)
 		}
 	}
 	took := time.Since(start)
-	if text := d.status(); !strings.Contains(text, "finished") {
+	if text := d.statusText(); !strings.Contains(text, "finished") {
 		t.Errorf("after %s:\n%s", took, text)
 		fake.KeepLogs(t, d.Controllers)
 	}
@@ -90,7 +90,7 @@
 		t.Error(broken)
 	}
 	t.Logf("%d machines replaced in %s, %d controllers killed, %d tasks stopped, %d completed", len(old), took.Round(time.Second), d.kills, stopped, completed)
-	if *page != "" {
+	if *reportFile != "" {
 		d.writePage()
 	}
 }
@@ -99,19 +99,19 @@
 	t.Helper()
 	program := fake.BuildController(t, "../..")
 	operator := fmt.Sprintf("[standby]\nfollow = yes\nhints = yes\n[drain]\nenabled = yes\n[budget]\njobs = %d\nwindow_s = 3\n", teamBudget)
-	d := fake.NewDeployment(t, fake.DeploymentPlan{Controllers: 3, Machines: 2 * replaced, Teams: teams, RunTime: func(string) time.Duration { return taskRuns }, OperatorSettings: operator})
+	d := fake.NewDeployment(t, fake.DeploymentPlan{Controllers: 3, Machines: 2 * machineCount, Teams: teams, RunTime: func(string) time.Duration { return taskRunTime }, OperatorSettings: operator})
 	for _, n := range d.Controllers {
 		n.Start(program)
 	}
 	return &deployment{Deployment: d, t: t, program: program}
 }
 
-// submit submits a job of one team after the other.
-func (d *deployment) submit() {
-	number := d.submitted
-	d.submitted++
+// submitJob submits a job of one team after the other.
+func (d *deployment) submitJob() {
+	number := d.submittedJobs
+	d.submittedJobs++
 	d.Users.Submit(fake.NewJob(fmt.Sprintf("job-%06d", number), 2, func(j *wire.Job) {
-		j.Team, j.CPUs, j.EstimatedRunS, j.CheckpointIntervalS, j.CheckpointDurationS = teams[number%2], 4, taskRuns.Seconds(), 5, 1
+		j.Team, j.CPUs, j.EstimatedRunS, j.CheckpointIntervalS, j.CheckpointDurationS = teams[number%2], 4, taskRunTime.Seconds(), 5, 1
 	}))
 }
 
@@ -128,7 +128,7 @@
 
 // restartLeader kills the leader's process and starts it again after a pause.
 func (d *deployment) restartLeader(pause time.Duration) {
-	d.leaderKilled = time.Now()
+	d.leaderKilledAt = time.Now()
 	d.kills++
 	leader := fake.Leader(d.Store, d.Controllers)
 	d.Controllers[leader].Kill()
@@ -187,19 +187,19 @@
 	if err := rolloutreport.WritePage(&out, timeline); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(*page, out.Bytes(), 0o600); err != nil {
+	if err := os.WriteFile(*reportFile, out.Bytes(), 0o600); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// status is the output of the status command.
-func (d *deployment) status() string {
+// statusText is the output of the status command.
+func (d *deployment) statusText() string {
 	list, err := rolloutservice.List(d.t.Context(), transport.TCP{}, d.Platform)
 	if err != nil {
 		return err.Error()
 	}
 	var b strings.Builder
-	if err := rolloutservice.Write(&b, list, time.Now()); err != nil {
+	if err := rolloutservice.WriteStatusTables(&b, list, time.Now()); err != nil {
 		d.t.Error(err)
 	}
 	return b.String()
--- a/internal/rolloutservice/server.go
+++ b/internal/rolloutservice/server.go
@@ -32,9 +32,9 @@
 // NewServer returns a server for a controller.
 func NewServer(leader Leader) *Server { return &Server{leader: leader} }
 
-// statusOf returns the status for an error of the leader. Its code tells the operator's program
+// statusError returns the status for an error of the leader. Its code tells the operator's program
 // whether to try another controller.
-func statusOf(err error) error {
+func statusError(err error) error {
 	switch {
 	case err == nil:
 		return nil
@@ -52,19 +52,19 @@
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
-	return &rolloutpb.CreateReply{Name: spec.Name}, statusOf(s.leader.CreatePlan(ctx, spec))
+	return &rolloutpb.CreateReply{Name: spec.Name}, statusError(s.leader.CreatePlan(ctx, spec))
 }
 
 // Steer gives a command to a plan.
 func (s *Server) Steer(ctx context.Context, r *rolloutpb.SteerRequest) (*rolloutpb.SteerReply, error) {
-	return &rolloutpb.SteerReply{}, statusOf(s.leader.SteerPlan(ctx, r.Name, rollout.Command(r.Command), r.Argument))
+	return &rolloutpb.SteerReply{}, statusError(s.leader.SteerPlan(ctx, r.Name, rollout.Command(r.Command), r.Argument))
 }
 
 // List lists all plans and the disrupted jobs.
 func (s *Server) List(ctx context.Context, _ *rolloutpb.ListRequest) (*rolloutpb.ListReply, error) {
 	list, err := s.leader.ListPlans(ctx)
 	if err != nil {
-		return nil, statusOf(err)
+		return nil, statusError(err)
 	}
 	reply := &rolloutpb.ListReply{Term: list.Term}
 	for _, plan := range list.Plans {
--- a/internal/rolloutservice/status_table.go
+++ b/internal/rolloutservice/status_table.go
@@ -13,9 +13,9 @@
 // maxWaitReasons is how many of the conditions that a plan waits for are shown.
 const maxWaitReasons = 20
 
-// Write writes the state of all plans, the conditions that they wait for, and the jobs that count
+// WriteStatusTables writes the state of all plans, the conditions that they wait for, and the jobs that count
 // as disrupted, as tables.
-func Write(out io.Writer, list *rolloutpb.ListReply, now time.Time) error {
+func WriteStatusTables(out io.Writer, list *rolloutpb.ListReply, now time.Time) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	writePlans(w, list.Plans, now)
 	for _, p := range list.Plans {
--- a/internal/rolloutservice/status_table_test.go
+++ b/internal/rolloutservice/status_table_test.go
@@ -26,7 +26,7 @@
 		Disrupted: []*rolloutpb.Disrupted{{Ref: "job-1", Team: "florist", Class: "report", Cause: "move", ForMs: 61_400, Tasks: 3}},
 	}
 	var out bytes.Buffer
-	if err := Write(&out, list, now); err != nil {
+	if err := WriteStatusTables(&out, list, now); err != nil {
 		t.Fatal(err)
 	}
 	want := `PLAN    PHASE             FOR    STEP  DRAINED  BATCH      AGE    WHY
@@ -34,7 +34,7 @@
 summer  finished          8m20s  0     0                   10m0s  
 
 winter waits for
-` + listed(20) + `  and 2 more
+` + reasonLines(20) + `  and 2 more
 
 DISRUPTED  TEAM     CLASS   CAUSE  FOR   TASKS TO REGAIN
 job-1      florist  report  move   1m1s  3
@@ -44,7 +44,7 @@
 	}
 }
 
-func listed(count int) string {
+func reasonLines(count int) string {
 	var b strings.Builder
 	for i := range count {
 		fmt.Fprintf(&b, "  reason %d\n", i)
