--- a/internal/cells/trace_output.go
+++ b/internal/cells/trace_output.go
@@ -20,6 +20,7 @@
 	return w.Flush()
 }
 
+// formatSeconds formats a duration in seconds with three decimals.
 func formatSeconds(d time.Duration) string { return fmt.Sprintf("%.3fs", d.Seconds()) }
 
 // cell returns the name of the cell that recorded the step.
--- a/internal/settings/platform.go
+++ b/internal/settings/platform.go
@@ -15,7 +15,7 @@
 	Zone string `toml:"site"`
 	// PublicAddr serves users and agents.
 	PublicAddr string `toml:"public_addr"`
-	// PeerAddr serves the other controllers and other cells.
+	// PeerAddr serves the other controllers, other cells and the operators' commands.
 	PeerAddr string   `toml:"back"`
 	Peers    []Peer   `toml:"others"`
 	Services Services `toml:"services"`
@@ -40,7 +40,9 @@
 	Store string `toml:"state"`
 }
 
-// Facts describes the deployment.
+// Facts describes the deployment: its size, its teams and objectives, and the limits and times that
+// controllers and agents have to meet. ClockErrorMS is the maximum error of a controller's wall
+// clock in milliseconds.
 type Facts struct {
 	ControllerCount int         `toml:"nodes"`
 	Zones           []string    `toml:"zones"`
