--- a/internal/capability/negotiator.go
+++ b/internal/capability/negotiator.go
@@ -88,11 +88,11 @@
 			found.levels[n.controller] = n.level
 		}
 	}
-	return n.supportOf(found), nil
+	return n.computeSupport(found), nil
 }
 
-// supportOf compares what was announced with this controller's level.
-func (n *Negotiator) supportOf(found announcements) support {
+// computeSupport compares what was announced with this controller's level.
+func (n *Negotiator) computeSupport(found announcements) support {
 	result := support{commonLevel: n.level}
 	for _, name := range n.controllers {
 		level := found.levels[name]
--- a/internal/capability/negotiator_test.go
+++ b/internal/capability/negotiator_test.go
@@ -45,14 +45,14 @@
 	return true, wire.CompareAndSwapResponse{}, nil
 }
 
-func (f *fakeStore) get(key string) string {
+func (f *fakeStore) value(key string) string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.entries[key]
 }
 
-// add adds or replaces entries.
-func (f *fakeStore) add(entries map[string]string) {
+// setEntries adds or replaces entries.
+func (f *fakeStore) setEntries(entries map[string]string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	maps.Copy(f.entries, entries)
@@ -89,14 +89,14 @@
 						t.Errorf("level %d: %v, want those up to %d", level, got, c.commonLevel)
 					}
 				}
-				if got := store.get("node/n1"); (got == `{"level":2}`) == c.unavailable {
+				if got := store.value("node/n1"); (got == `{"level":2}`) == c.unavailable {
 					t.Errorf("announced as %q", got)
 				}
 				if c.commonLevel == CurrentLevel || c.unavailable {
 					return
 				}
 				// The last controller starts with the new version.
-				store.add(map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":2}`})
+				store.setEntries(map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":2}`})
 				time.Sleep(2 * pollInterval)
 				synctest.Wait()
 				if !negotiator.AllSupport(CurrentLevel) {
--- a/internal/controller/largest_cluster_test.go
+++ b/internal/controller/largest_cluster_test.go
@@ -8,7 +8,7 @@
 	"leadproxy/internal/wire"
 )
 
-// largestCluster is the least number of machines below which no fixed limit may stand.
+// largestClusterMachines is the least number of machines below which no fixed limit may stand.
 const largestCluster = 4000
 
 // TestLargestCluster: 4,000 workers reach one controller alone, which forwards their heartbeats
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -43,7 +43,7 @@
 	if err != nil {
 		return fmt.Errorf("create the leader key under lease %d: %w", lease, err)
 	}
-	e.yield.leaderSeen()
+	e.yield.recordLeader()
 	e.grants.setKeyHeld()
 	defer e.grants.setKeyReleased()
 	newLeaderTerm(e, term, lease, sent).run(ctx)
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -98,7 +98,7 @@
 		e.view.publish(&View{})
 		return e.campaignUnlessYielding(ctx)
 	}
-	e.yield.leaderSeen()
+	e.yield.recordLeader()
 	entry := page.Entries[0]
 	holder := e.decodeRecord(entry)
 	if holder.Controller == e.self.Controller {
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -16,13 +16,13 @@
 		f.revision = 3
 		e := startElector(t, f)
 		advance(time.Second)
-		f.update(func() {
+		f.withLock(func() {
 			if len(f.revoked) != 1 {
 				t.Errorf("revoked %v after a second", f.revoked)
 			}
 		})
 		advance(time.Second) // it may have granted an extension
-		f.update(func() {
+		f.withLock(func() {
 			if len(f.revoked) != 1 || f.revoked[0] != 90 || !e.View().IsLeader(time.Now()) {
 				t.Errorf("revoked %v, view %+v", f.revoked, e.View())
 			}
@@ -37,7 +37,7 @@
 		f.revision = 3
 		e := startElector(t, f)
 		advance(time.Minute)
-		f.update(func() {
+		f.withLock(func() {
 			if len(f.revoked) != 0 || f.candidacies != 0 || e.View().Leader != "n2" {
 				t.Errorf("revoked %v, %d candidacies, view %+v", f.revoked, f.candidacies, e.View())
 			}
@@ -55,7 +55,7 @@
 		f.revision, f.keptRevisions = 50000, 10000
 		startElector(t, f)
 		advance(10 * time.Second)
-		f.update(func() {
+		f.withLock(func() {
 			if f.reads > 110 { // the fake's watches end every 100 ms
 				t.Errorf("the key was read %d times in ten seconds", f.reads)
 			}
@@ -82,7 +82,7 @@
 				f.entry, f.revision, f.leaseExpiries[90] = c.before, 5, time.Now().Add(time.Hour)
 				e := startElector(t, f)
 				advance(5 * time.Second)
-				f.update(func() {
+				f.withLock(func() {
 					f.setHolder(leaderEntry(t, "n1", 91), time.Hour)
 					f.unavailable = false
 					f.entry.Version, f.revision = 9, 9
@@ -92,7 +92,7 @@
 					t.Error("acts in a term of its earlier incarnation")
 				}
 				advance(3 * time.Second)
-				f.update(func() {
+				f.withLock(func() {
 					if v := e.View(); len(f.revoked) == 0 || f.revoked[0] != 91 || !v.IsLeader(time.Now()) || v.Term == 9 {
 						t.Errorf("revoked %v, view %+v", f.revoked, v)
 					}
--- a/internal/election/extension_grants.go
+++ b/internal/election/extension_grants.go
@@ -24,9 +24,9 @@
 // extensionGrants records until when this controller must not act as the leader since it has
 // granted extensions to another one.
 type extensionGrants struct {
-	// access is a semaphore with one slot, held while the other fields are used and while this
+	// semaphore is a semaphore with one slot, held while the other fields are used and while this
 	// controller is published as the leader.
-	access chan struct{}
+	semaphore chan struct{}
 	// grantedUntil is the end of the last extension granted.
 	grantedUntil time.Time
 	// holdsKey is true while this controller holds the leader key, whether or not it may act.
@@ -34,11 +34,11 @@
 }
 
 func newExtensionGrants(grantedUntil time.Time) *extensionGrants {
-	return &extensionGrants{access: make(chan struct{}, 1), grantedUntil: grantedUntil}
+	return &extensionGrants{semaphore: make(chan struct{}, 1), grantedUntil: grantedUntil}
 }
 
-func (g *extensionGrants) lock()   { g.access <- struct{}{} }
-func (g *extensionGrants) unlock() { <-g.access }
+func (g *extensionGrants) lock()   { g.semaphore <- struct{}{} }
+func (g *extensionGrants) unlock() { <-g.semaphore }
 
 // grant records an extension and reports whether it was granted.
 func (g *extensionGrants) grant(duration time.Duration) bool {
@@ -70,9 +70,9 @@
 	g.holdsKey = false
 }
 
-// runIfNoGrantLasts calls a function unless an extension lasts, and returns how long it still does.
+// runIfNoActiveGrant calls a function unless an extension lasts, and returns how long it still does.
 // No extension is granted during the call.
-func (g *extensionGrants) runIfNoGrantLasts(f func()) (remaining time.Duration) {
+func (g *extensionGrants) runIfNoActiveGrant(f func()) (remaining time.Duration) {
 	g.lock()
 	defer g.unlock()
 	remaining = time.Until(g.grantedUntil)
--- a/internal/election/fake_store_test.go
+++ b/internal/election/fake_store_test.go
@@ -34,15 +34,15 @@
 	return &fakeStore{leaseExpiries: map[uint64]time.Time{}}
 }
 
-// update calls a function that may use the fields.
-func (f *fakeStore) update(change func()) {
+// withLock calls a function that may use the fields.
+func (f *fakeStore) withLock(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	change()
 }
 
 func (f *fakeStore) setUnavailable(unavailable bool) {
-	f.update(func() { f.unavailable = unavailable })
+	f.withLock(func() { f.unavailable = unavailable })
 }
 
 // setHolder has a controller hold the key under a lease. The caller holds mu.
@@ -127,7 +127,7 @@
 
 func (f *fakeStore) Watch(ctx context.Context, _ string, after uint64, _ time.Duration) (wire.WatchResponse, error) {
 	compacted := false
-	f.update(func() { compacted = f.keptRevisions > 0 && after+f.keptRevisions < f.revision })
+	f.withLock(func() { compacted = f.keptRevisions > 0 && after+f.keptRevisions < f.revision })
 	if compacted {
 		return wire.WatchResponse{}, kvstore.ErrCompacted
 	}
--- a/internal/election/leader_term.go
+++ b/internal/election/leader_term.go
@@ -73,7 +73,7 @@
 func (t *leaderTerm) begin(ctx context.Context) {
 	publish := func() { t.elector.view.publish(t.view()) }
 	for ctx.Err() == nil {
-		remaining := t.elector.grants.runIfNoGrantLasts(publish)
+		remaining := t.elector.grants.runIfNoActiveGrant(publish)
 		if remaining <= 0 {
 			return
 		}
@@ -100,15 +100,15 @@
 	err := t.elector.store.RenewLease(ctx, t.leaseID)
 	switch {
 	case err == nil:
-		t.renewed(sent)
+		t.applyRenewal(sent)
 	case !errors.Is(err, kvstore.ErrLeaseExpired):
-		t.renewalFailed(err, extension)
+		t.handleRenewalFailure(err, extension)
 	}
 	return err
 }
 
-// renewed publishes a renewal that was sent at a moment.
-func (t *leaderTerm) renewed(sent time.Time) {
+// applyRenewal publishes a renewal that was sent at a moment.
+func (t *leaderTerm) applyRenewal(sent time.Time) {
 	if t.state == leadershipSuspended {
 		t.elector.log.Info("leadership resumed", "leader_term", t.number)
 	}
@@ -117,9 +117,9 @@
 	t.elector.view.publish(t.view())
 }
 
-// renewalFailed records a failed renewal, takes the extension that was requested beside it, if any,
+// handleRenewalFailure records a failed renewal, takes the extension that was requested beside it, if any,
 // and records the suspension once the lease has expired. View.IsLeader is false by then.
-func (t *leaderTerm) renewalFailed(err error, extension <-chan extensionResult) {
+func (t *leaderTerm) handleRenewalFailure(err error, extension <-chan extensionResult) {
 	if extension != nil {
 		t.applyExtension(<-extension)
 	}
--- a/internal/election/leader_term_test.go
+++ b/internal/election/leader_term_test.go
@@ -15,7 +15,7 @@
 			t.Fatalf("not the leader: %+v", v)
 		}
 		var expiry time.Time
-		f.update(func() {
+		f.withLock(func() {
 			f.unavailable = true
 			expiry = f.leaseExpiries[1]
 		})
@@ -24,7 +24,7 @@
 			t.Error("still the leader within the margin of the lease's end")
 		}
 		// The outage ends and the lease still holds at the store: the same term resumes.
-		f.update(func() {
+		f.withLock(func() {
 			f.unavailable = false
 			f.leaseExpiries[1] = time.Now().Add(6 * time.Second)
 		})
@@ -40,7 +40,7 @@
 		f := newFakeStore()
 		e := startElector(t, f)
 		advance(time.Second)
-		f.update(func() { f.setHolder(leaderEntry(t, "n2", 90), 5*time.Second) })
+		f.withLock(func() { f.setHolder(leaderEntry(t, "n2", 90), 5*time.Second) })
 		advance(3 * time.Second)
 		if v := e.View(); v.Elected || v.Leader != "n2" {
 			t.Errorf("view after the loss: %+v", v)
@@ -75,7 +75,7 @@
 				before := e.View()
 				e.Resign(c.resignedTerm)
 				advance(time.Second)
-				f.update(func() {
+				f.withLock(func() {
 					if resigned := before.Term == c.resignedTerm; resigned != (f.entry == nil) || resigned == e.IsLeader(before.Term) {
 						t.Errorf("entry %v, view %+v a second later", f.entry, e.View())
 					}
--- a/internal/election/yield.go
+++ b/internal/election/yield.go
@@ -28,8 +28,8 @@
 	campaignNowUntil atomic.Int64
 }
 
-// leaderSeen records that there is a leader.
-func (y *candidacyYield) leaderSeen() { y.noLeaderSince = time.Time{} }
+// recordLeader records that there is a leader.
+func (y *candidacyYield) recordLeader() { y.noLeaderSince = time.Time{} }
 
 // recordResignation records that this controller has resigned.
 func (y *candidacyYield) recordResignation() { y.resignedUntil = time.Now().Add(yieldAfterResignation) }
--- a/internal/kvstore/entries.go
+++ b/internal/kvstore/entries.go
@@ -28,7 +28,7 @@
 	case http.StatusNotFound:
 		return entry, false, nil
 	}
-	return entry, false, resp.rejected()
+	return entry, false, resp.rejectionError()
 }
 
 // CompareAndSwap executes a transaction. ok is false when a condition failed.
@@ -47,12 +47,12 @@
 		return err == nil && resp.status == http.StatusOK, result, err
 	}
 	if bytes.Contains(resp.body, []byte(noSuchLease)) {
-		return false, result, r.fail(ErrLeaseExpired)
+		return false, result, r.wrapError(ErrLeaseExpired)
 	}
 	if resp.status == http.StatusBadRequest && c.limits.recordRejected(&t) {
-		return false, result, r.fail(ErrLimitsLowered)
+		return false, result, r.wrapError(ErrLimitsLowered)
 	}
-	return false, result, resp.rejected()
+	return false, result, resp.rejectionError()
 }
 
 // List reads one page of the keys under a prefix, after a key, and the store's revision.
@@ -66,7 +66,7 @@
 		return page, err
 	}
 	if resp.status != http.StatusOK {
-		return page, resp.rejected()
+		return page, resp.rejectionError()
 	}
 	err = resp.decode(&page)
 	return page, err
--- a/internal/kvstore/leases.go
+++ b/internal/kvstore/leases.go
@@ -23,7 +23,7 @@
 		return 0, err
 	}
 	if resp.status != http.StatusOK {
-		return 0, resp.rejected()
+		return 0, resp.rejectionError()
 	}
 	var granted wire.LeaseResponse
 	err = resp.decode(&granted)
@@ -36,28 +36,28 @@
 	r := request{method: http.MethodPost, path: leasePath(lease) + "/renew", timeout: renewTimeout}
 	if err := c.renewals.Open(ctx, r.timeout); err != nil {
 		c.availability.record(notServed)
-		return r.fail(fmt.Errorf("%w: %w", ErrUnavailable, err))
+		return r.wrapError(fmt.Errorf("%w: %w", ErrUnavailable, err))
 	}
 	c.limiter.recordUngranted()
 	received, err := c.renewals.Do(time.Now().Add(r.timeout), transport.Request{Method: r.method, Path: r.path, Body: []byte("{}")})
 	if err != nil {
 		c.availability.record(notServed)
-		return r.fail(fmt.Errorf("%w: %w", ErrUnknownOutcome, err))
+		return r.wrapError(fmt.Errorf("%w: %w", ErrUnknownOutcome, err))
 	}
 	if received.Status == http.StatusServiceUnavailable {
 		c.availability.record(notServed)
-		return r.fail(ErrUnavailable)
+		return r.wrapError(ErrUnavailable)
 	}
 	c.availability.record(served)
 	switch received.Status {
 	case http.StatusOK:
 		return nil
 	case http.StatusTooManyRequests:
-		return r.fail(ErrUnavailable)
+		return r.wrapError(ErrUnavailable)
 	case http.StatusNotFound:
-		return r.fail(ErrLeaseExpired)
+		return r.wrapError(ErrLeaseExpired)
 	}
-	return response{request: r, status: received.Status, body: received.Body}.rejected()
+	return response{request: r, status: received.Status, body: received.Body}.rejectionError()
 }
 
 // RevokeLease ends a lease at once, with the keys attached to it. A lease that has ended already
@@ -68,7 +68,7 @@
 		return err
 	}
 	if resp.status/100 != 2 && resp.status != http.StatusNotFound {
-		return resp.rejected()
+		return resp.rejectionError()
 	}
 	return nil
 }
--- a/internal/kvstore/limits.go
+++ b/internal/kvstore/limits.go
@@ -19,7 +19,7 @@
 	WriteRPS      float64
 }
 
-func limitsOf(l settings.StoreLimits) *Limits {
+func limitsFromSettings(l settings.StoreLimits) *Limits {
 	return &Limits{MaxChanges: l.TxnOps, MaxValueBytes: int(l.ValueKB * 1024), RPS: l.RPS, WriteRPS: l.WriteRPS}
 }
 
@@ -48,9 +48,9 @@
 
 func newLimitTracker(l settings.StoreLimits, log *slog.Logger) *limitTracker {
 	t := &limitTracker{log: log}
-	t.current.Store(limitsOf(l))
+	t.current.Store(limitsFromSettings(l))
 	if l.Next != nil {
-		t.announced = limitsOf(*l.Next)
+		t.announced = limitsFromSettings(*l.Next)
 	}
 	return t
 }
--- a/internal/kvstore/limits_test.go
+++ b/internal/kvstore/limits_test.go
@@ -33,7 +33,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				limits := limitsOfRates(100, 40)
+				limits := limitsWithRates(100, 40)
 				limits.Next = c.announced
 				limiter := startRateLimiter(t, limits, 1)
 				for range c.times {
@@ -73,7 +73,7 @@
 		{"a value that is too large", []wire.Change{{Set: "a", Value: make([]byte, 2049)}}, true},
 		{"as many changes as allowed", make([]wire.Change, 5), false},
 	}
-	limits := limitsOf(*announcedLimits)
+	limits := limitsFromSettings(*announcedLimits)
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			if got := limits.exceededBy(&wire.CompareAndSwap{Changes: c.changes}); got != c.exceeds {
--- a/internal/kvstore/rate_limiter_test.go
+++ b/internal/kvstore/rate_limiter_test.go
@@ -22,8 +22,8 @@
 	return limiter
 }
 
-// limitsOfRates are limits with given rates.
-func limitsOfRates(rps, writeRPS float64) settings.StoreLimits {
+// limitsWithRates are limits with given rates.
+func limitsWithRates(rps, writeRPS float64) settings.StoreLimits {
 	return settings.StoreLimits{RPS: rps, WriteRPS: writeRPS, TxnOps: 32, ValueKB: 16}
 }
 
@@ -43,7 +43,7 @@
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				limiter := startRateLimiter(t, limitsOfRates(c.rps, c.writeRPS), c.share)
+				limiter := startRateLimiter(t, limitsWithRates(c.rps, c.writeRPS), c.share)
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 				defer cancel()
 				granted := 0
@@ -75,7 +75,7 @@
 
 func TestUrgentRequestsAreGrantedFirst(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limiter := startRateLimiter(t, limitsOfRates(10, 10), 1)
+		limiter := startRateLimiter(t, limitsWithRates(10, 10), 1)
 		useUpBudget(t, limiter)
 		order := make(chan Priority, 3)
 		for _, p := range []Priority{PriorityRead, PrioritySubmission, PriorityLeader} {
@@ -101,7 +101,7 @@
 // tokens. Reads take none of those; when they waited as well, no query was answered for minutes.
 func TestReadsDoNotWaitForWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limiter := startRateLimiter(t, limitsOfRates(100, 1), 1)
+		limiter := startRateLimiter(t, limitsWithRates(100, 1), 1)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		var written atomic.Int64
@@ -129,7 +129,7 @@
 
 func TestFullQueueRejectsAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		limiter := startRateLimiter(t, limitsOfRates(0.01, 1), 1)
+		limiter := startRateLimiter(t, limitsWithRates(0.01, 1), 1)
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		for range maxWaiting {
--- a/internal/kvstore/request.go
+++ b/internal/kvstore/request.go
@@ -41,26 +41,26 @@
 	body    []byte
 }
 
-// fail wraps the reason why the request failed.
-func (r request) fail(reason error) error {
+// wrapError wraps the reason why the request failed.
+func (r request) wrapError(reason error) error {
 	return &RequestError{Method: r.method, Path: r.path, Err: reason}
 }
 
 // decode decodes the response's body.
 func (r response) decode(into any) error {
 	if err := json.Unmarshal(r.body, into); err != nil {
-		return r.request.fail(fmt.Errorf("%w: decode the response: %w", ErrUnknownOutcome, err))
+		return r.request.wrapError(fmt.Errorf("%w: decode the response: %w", ErrUnknownOutcome, err))
 	}
 	return nil
 }
 
-// rejected is the error for a response whose status tells that the request was invalid.
-func (r response) rejected() error {
+// rejectionError is the error for a response whose status tells that the request was invalid.
+func (r response) rejectionError() error {
 	body := r.body
 	if len(body) > maxErrorBody {
 		body = body[:maxErrorBody]
 	}
-	return r.request.fail(fmt.Errorf("%w: status %d: %s", ErrInvalidRequest, r.status, body))
+	return r.request.wrapError(fmt.Errorf("%w: status %d: %s", ErrInvalidRequest, r.status, body))
 }
 
 // send sends a request when the rate limiter grants it, again if the store refuses it for the rate.
@@ -70,12 +70,12 @@
 	if r.body != nil {
 		var err error
 		if payload, err = json.Marshal(r.body); err != nil {
-			return response{}, r.fail(fmt.Errorf("encode the request: %w", err))
+			return response{}, r.wrapError(fmt.Errorf("encode the request: %w", err))
 		}
 	}
 	for {
 		if err := c.limiter.wait(ctx, r.priority, r.writes); err != nil {
-			return response{}, r.fail(err)
+			return response{}, r.wrapError(err)
 		}
 		resp, err := c.attempt(ctx, r, payload)
 		if err == nil && resp.status == http.StatusTooManyRequests {
@@ -88,7 +88,7 @@
 		}
 		c.recordAvailability(ctx, r, err)
 		if err != nil {
-			return response{}, r.fail(err)
+			return response{}, r.wrapError(err)
 		}
 		return resp, nil
 	}
--- a/internal/kvstore/request_test.go
+++ b/internal/kvstore/request_test.go
@@ -22,7 +22,7 @@
 		_, _ = io.WriteString(w, body)
 	}))
 	t.Cleanup(server.Close)
-	limits := limitsOfRates(1000, 1000)
+	limits := limitsWithRates(1000, 1000)
 	limits.Next = announcedLimits
 	addr := strings.TrimPrefix(server.URL, "http://")
 	return New(t.Context(), transport.TCP{}, addr, limits, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -26,7 +26,7 @@
 		err = resp.decode(&changes)
 		return changes, err
 	case http.StatusGone:
-		return changes, r.fail(ErrCompacted)
+		return changes, r.wrapError(ErrCompacted)
 	}
-	return changes, resp.rejected()
+	return changes, resp.rejectionError()
 }
--- a/internal/leadertransfer/leadertransfer.go
+++ b/internal/leadertransfer/leadertransfer.go
@@ -42,7 +42,7 @@
 type Server struct {
 	handoverpb.UnimplementedHandoverServer
 	platform  *settings.Platform
-	net       transport.Network
+	network   transport.Network
 	elector   *election.Elector
 	standby   *standby.Follower   // nil: this controller has no standby
 	softState *softstate.Follower // nil: this controller replicates no soft state
@@ -51,7 +51,7 @@
 
 // NewServer makes a server for a controller.
 func NewServer(n transport.Network, p *settings.Platform, e *election.Elector, s *standby.Follower, h *softstate.Follower, log *slog.Logger) *Server {
-	return &Server{platform: p, net: n, elector: e, standby: s, softState: h, log: log}
+	return &Server{platform: p, network: n, elector: e, standby: s, softState: h, log: log}
 }
 
 // Status returns the role of this controller and the state of its standby.
@@ -149,7 +149,7 @@
 // requestCandidacy asks a controller to campaign at once, or to yield its candidacy. One that
 // can't be reached may be elected.
 func (s *Server) requestCandidacy(ctx context.Context, p settings.Peer, first bool) {
-	err := call(ctx, s.net, p.Addr, func(ctx context.Context, c handoverpb.HandoverClient) error {
+	err := callController(ctx, s.network, p.Addr, func(ctx context.Context, c handoverpb.HandoverClient) error {
 		_, err := c.StandAside(ctx, &handoverpb.StandAsideRequest{ForMs: yieldDuration.Milliseconds(), First: first})
 		return err
 	})
@@ -162,7 +162,7 @@
 func (s *Server) peerStatuses(ctx context.Context) []*handoverpb.StatusReply {
 	var all []*handoverpb.StatusReply
 	for _, p := range s.platform.Peers {
-		if st, err := fetchStatus(ctx, s.net, p.Addr); err == nil {
+		if st, err := fetchStatus(ctx, s.network, p.Addr); err == nil {
 			all = append(all, st)
 		}
 	}
@@ -208,8 +208,8 @@
 	return ""
 }
 
-// call makes one call to a controller.
-func call(ctx context.Context, n transport.Network, addr string, do func(ctx context.Context, c handoverpb.HandoverClient) error) error {
+// callController makes one call to a controller.
+func callController(ctx context.Context, n transport.Network, addr string, do func(ctx context.Context, c handoverpb.HandoverClient) error) error {
 	return rpc.Call(ctx, n, addr, callTimeout, func(ctx context.Context, conn *grpc.ClientConn) error {
 		return do(ctx, handoverpb.NewHandoverClient(conn))
 	})
@@ -217,15 +217,15 @@
 
 // fetchStatus returns the status of a controller.
 func fetchStatus(ctx context.Context, n transport.Network, addr string) (st *handoverpb.StatusReply, err error) {
-	err = call(ctx, n, addr, func(ctx context.Context, c handoverpb.HandoverClient) error {
+	err = callController(ctx, n, addr, func(ctx context.Context, c handoverpb.HandoverClient) error {
 		st, err = c.Status(ctx, &handoverpb.StatusRequest{})
 		return err
 	})
 	return st, err
 }
 
-// controllers returns all controllers of a deployment in the order of their names.
-func controllers(p *settings.Platform) []settings.Peer {
+// sortedControllers returns all controllers of a deployment in the order of their names.
+func sortedControllers(p *settings.Platform) []settings.Peer {
 	all := p.Controllers()
 	slices.SortFunc(all, func(a, b settings.Peer) int { return strings.Compare(a.Name, b.Name) })
 	return all
@@ -238,7 +238,7 @@
 	fmt.Fprintln(w, "CONTROLLER\tROLE\tSTANDBY\tREVISION\tLAG\tKEYS\tMB\tHEARD\tHINTS\tWHY")
 	var all []*handoverpb.StatusReply
 	newestRevision := uint64(0)
-	for _, c := range controllers(p) {
+	for _, c := range sortedControllers(p) {
 		st, err := fetchStatus(ctx, n, c.Addr)
 		if err != nil {
 			st = &handoverpb.StatusReply{Node: c.Name, State: "no answer", Why: err.Error()}
@@ -278,7 +278,7 @@
 // standby has the newest revision.
 func RequestTransfer(ctx context.Context, n transport.Network, p *settings.Platform, to string) (*handoverpb.HandOverReply, error) {
 	var reply *handoverpb.HandOverReply
-	err := rpc.CallLeader(ctx, n, controllers(p), callTimeout, func(ctx context.Context, conn *grpc.ClientConn) error {
+	err := rpc.CallLeader(ctx, n, sortedControllers(p), callTimeout, func(ctx context.Context, conn *grpc.ClientConn) error {
 		var err error
 		reply, err = handoverpb.NewHandoverClient(conn).HandOver(ctx, &handoverpb.HandOverRequest{To: to})
 		return err
--- a/internal/peers/batch_queue.go
+++ b/internal/peers/batch_queue.go
@@ -15,10 +15,10 @@
 	timer     *time.Timer // fires as the first batch becomes due
 }
 
-// noWakeUp is how long a timer waits that has nothing to wait for.
-const noWakeUp = time.Hour
+// idleTimerDuration is how long a timer waits that has nothing to wait for.
+const idleTimerDuration = time.Hour
 
-func newBatchQueue() *batchQueue { return &batchQueue{timer: time.NewTimer(noWakeUp)} }
+func newBatchQueue() *batchQueue { return &batchQueue{timer: time.NewTimer(idleTimerDuration)} }
 
 func (q *batchQueue) stop() { q.timer.Stop() }
 
@@ -33,25 +33,25 @@
 	return q.batches[0]
 }
 
-// add adds a heartbeat to the last batch, or begins another one if that is full.
-func (q *batchQueue) add(heartbeat *peerpb.SharedReport) {
+// addHeartbeat adds a heartbeat to the last batch, or begins another one if that is full.
+func (q *batchQueue) addHeartbeat(heartbeat *peerpb.SharedReport) {
 	if len(q.batches) == 0 || q.lastBytes >= maxBatchBytes {
-		q.begin(&peerpb.ReportBatch{})
+		q.addBatch(&peerpb.ReportBatch{})
 	}
 	last := q.batches[len(q.batches)-1]
 	last.Reports = append(last.Reports, heartbeat)
 	q.lastBytes += len(heartbeat.Body)
 }
 
-// begin adds a batch, which is sent as soon as it may be.
-func (q *batchQueue) begin(batch *peerpb.ReportBatch) {
+// addBatch adds a batch, which is sent as soon as it may be.
+func (q *batchQueue) addBatch(batch *peerpb.ReportBatch) {
 	q.batches, q.lastBytes = append(q.batches, batch), 0
 	q.timer.Reset(max(0, time.Until(q.sendAt)))
 }
 
-// sent drops the first batch. Only after the last one is there time to gather heartbeats:
+// removeSent drops the first batch. Only after the last one is there time to gather heartbeats:
 // those before it are full.
-func (q *batchQueue) sent() {
+func (q *batchQueue) removeSent() {
 	q.batches[0] = nil
 	q.batches = q.batches[1:]
 	if len(q.batches) == 0 {
--- a/internal/peers/forwarder.go
+++ b/internal/peers/forwarder.go
@@ -11,10 +11,10 @@
 // forwarder forwards heartbeats to one controller. All its fields but the channels belong to
 // the goroutine that executes run.
 type forwarder struct {
-	node     string // this controller
-	open     openStream
-	requests chan forwardRequest
-	events   chan streamEvent
+	controller string // this controller
+	open       openStream
+	requests   chan forwardRequest
+	events     chan streamEvent
 
 	stream        *outgoingStream // nil: none
 	streamsOpened int
@@ -25,11 +25,11 @@
 
 func newForwarder(node string, open openStream) *forwarder {
 	return &forwarder{
-		node:     node,
-		open:     open,
-		requests: make(chan forwardRequest),
-		events:   make(chan streamEvent),
-		inFlight: newInFlightHeartbeats(),
+		controller: node,
+		open:       open,
+		requests:   make(chan forwardRequest),
+		events:     make(chan streamEvent),
+		inFlight:   newInFlightHeartbeats(),
 	}
 }
 
@@ -50,10 +50,10 @@
 		case request := <-f.requests:
 			f.accept(ctx, request)
 		case outgoing <- next:
-			f.batches.sent()
+			f.batches.removeSent()
 		case <-f.batches.wakeUp():
 		case event := <-f.events:
-			f.handle(event)
+			f.handleEvent(event)
 		case <-abandonCheck.C:
 			f.inFlight.dropAbandoned()
 		case <-ctx.Done():
@@ -78,7 +78,7 @@
 		return
 	}
 	id := f.inFlight.add(request.reply, now)
-	f.batches.add(&peerpb.SharedReport{Id: id, Body: request.body})
+	f.batches.addHeartbeat(&peerpb.SharedReport{Id: id, Body: request.body})
 }
 
 // openStream starts opening a stream. Its first batch names this controller.
@@ -88,7 +88,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	f.stream = &outgoingStream{number: f.streamsOpened, cancel: cancel, batches: make(chan *peerpb.ReportBatch)}
 	go f.stream.run(ctx, f.open, f.events)
-	f.batches.begin(&peerpb.ReportBatch{Node: f.node})
+	f.batches.addBatch(&peerpb.ReportBatch{Node: f.controller})
 }
 
 // closeStream ends the stream, if there is one. What became of the heartbeats in flight is
@@ -103,8 +103,8 @@
 	f.inFlight.refuseAll()
 }
 
-// handle takes what a stream has brought. Events of earlier streams are dropped.
-func (f *forwarder) handle(event streamEvent) {
+// handleEvent takes what a stream has brought. Events of earlier streams are dropped.
+func (f *forwarder) handleEvent(event streamEvent) {
 	switch {
 	case f.stream == nil || event.stream != f.stream.number:
 	case event.err != nil:
@@ -124,8 +124,8 @@
 }
 
 type inFlightHeartbeat struct {
-	reply chan<- forwardReply
-	since time.Time
+	reply       chan<- forwardReply
+	forwardedAt time.Time
 }
 
 func newInFlightHeartbeats() *inFlightHeartbeats {
@@ -142,7 +142,7 @@
 // add numbers a heartbeat.
 func (h *inFlightHeartbeats) add(reply chan<- forwardReply, now time.Time) uint64 {
 	h.lastID++
-	h.byID[h.lastID] = inFlightHeartbeat{reply: reply, since: now}
+	h.byID[h.lastID] = inFlightHeartbeat{reply: reply, forwardedAt: now}
 	if h.silentSince.IsZero() {
 		h.silentSince = now
 	}
@@ -166,7 +166,7 @@
 // dropAbandoned drops the heartbeats whose callers have stopped waiting.
 func (h *inFlightHeartbeats) dropAbandoned() {
 	for id, heartbeat := range h.byID {
-		if time.Since(heartbeat.since) > abandonAfter {
+		if time.Since(heartbeat.forwardedAt) > abandonAfter {
 			delete(h.byID, id)
 		}
 	}
--- a/internal/peers/outgoing_stream.go
+++ b/internal/peers/outgoing_stream.go
@@ -34,7 +34,7 @@
 func (s *outgoingStream) run(ctx context.Context, open openStream, events chan<- streamEvent) {
 	stream, err := open(ctx)
 	if err != nil {
-		s.report(ctx, events, streamEvent{err: err})
+		s.sendEvent(ctx, events, streamEvent{err: err})
 		return
 	}
 	go s.receive(ctx, stream, events)
@@ -54,14 +54,14 @@
 func (s *outgoingStream) receive(ctx context.Context, stream heartbeatStream, events chan<- streamEvent) {
 	for {
 		responses, err := stream.Recv()
-		s.report(ctx, events, streamEvent{responses: responses, err: err})
+		s.sendEvent(ctx, events, streamEvent{responses: responses, err: err})
 		if err != nil {
 			return
 		}
 	}
 }
 
-func (s *outgoingStream) report(ctx context.Context, events chan<- streamEvent, event streamEvent) {
+func (s *outgoingStream) sendEvent(ctx context.Context, events chan<- streamEvent, event streamEvent) {
 	event.stream = s.number
 	select {
 	case events <- event:
--- a/internal/softstate/follower.go
+++ b/internal/softstate/follower.go
@@ -29,7 +29,7 @@
 // Follower replicates the soft state of the present leader. Its replica belongs to the goroutine
 // of Run.
 type Follower struct {
-	node string
+	controller string
 	// leader returns the name of the leader; "": none, or unknown.
 	leader func() string
 	// connect returns a connection to a controller.
@@ -47,7 +47,7 @@
 
 // NewFollower makes a follower for the node of a name; Run starts it.
 func NewFollower(node string, leader func() string, connect func(node string) (grpc.ClientConnInterface, error), log *slog.Logger) *Follower {
-	f := &Follower{node: node, leader: leader, connect: connect, log: log, replica: NewReplica(), views: make(chan viewRequest)}
+	f := &Follower{controller: node, leader: leader, connect: connect, log: log, replica: NewReplica(), views: make(chan viewRequest)}
 	f.status.Store(&Status{})
 	return f
 }
@@ -119,7 +119,7 @@
 // open opens a stream from a leader other than this controller.
 func (f *Follower) open(ctx context.Context, leader string) stream {
 	s := stream{leader: leader, retryAt: time.Now().Add(reconnectDelay)}
-	if leader == "" || leader == f.node {
+	if leader == "" || leader == f.controller {
 		return s
 	}
 	conn, err := f.connect(leader)
@@ -129,7 +129,7 @@
 	f.replica.BeginStream()
 	ctx, s.cancel = context.WithCancel(ctx)
 	s.batches, s.acknowledgements = make(chan streamEvent), make(chan uint64, 1)
-	go receiveBatches(ctx, hintpb.NewHintsClient(conn), f.node, s.batches, s.acknowledgements)
+	go receiveBatches(ctx, hintpb.NewHintsClient(conn), f.controller, s.batches, s.acknowledgements)
 	return s
 }
 
--- a/internal/softstate/replica_test.go
+++ b/internal/softstate/replica_test.go
@@ -23,8 +23,8 @@
 	sequence uint64
 }
 
-// next is the stream's next batch, of at most two machines.
-func (l *modelLeader) next() Batch {
+// nextBatch is the stream's next batch, of at most two machines.
+func (l *modelLeader) nextBatch() Batch {
 	l.sequence++
 	b := Batch{Term: l.term, Sequence: l.sequence}
 	for _, name := range slices.Sorted(maps.Keys(l.pending)) {
@@ -41,8 +41,8 @@
 	return b
 }
 
-// open starts a stream, in which all machines are sent.
-func (l *modelLeader) open() {
+// openStream starts a stream, in which all machines are sent.
+func (l *modelLeader) openStream() {
 	l.sequence, l.pending = 0, map[string]bool{}
 	for name := range l.machines {
 		l.pending[name] = true
@@ -57,12 +57,12 @@
 		c := property.RapidChooser{T: t}
 		now := time.Unix(1000, 0)
 		replica, leader := NewReplica(), &modelLeader{term: 1, machines: map[string]Machine{}}
-		leader.open()
+		leader.openStream()
 		replica.BeginStream()
 		var old []Batch
 		// begin opens a stream. Batches of the ones before are only of older terms.
 		begin := func() {
-			leader.open()
+			leader.openStream()
 			replica.BeginStream()
 			old = slices.DeleteFunc(old, func(b Batch) bool { return b.Term >= replica.term })
 		}
@@ -83,16 +83,16 @@
 				delete(leader.machines, name)
 				leader.pending[name] = true
 			case 3:
-				must(leader.next())
+				must(leader.nextBatch())
 			case 4: // the stream breaks
 				begin()
 			case 5: // another leader
-				must(leader.next())
+				must(leader.nextBatch())
 				leader = &modelLeader{term: leader.term + 1, machines: map[string]Machine{}}
 				begin()
 			case 6: // what must change nothing
 				before, term := maps.Clone(replica.machines), replica.term
-				skipped := leader.next()
+				skipped := leader.nextBatch()
 				skipped.Sequence++
 				if err := replica.Apply(skipped, now); !errors.Is(err, ErrMissingBatch) {
 					t.Fatalf("a gap: %v", err)
--- a/internal/softstate/server.go
+++ b/internal/softstate/server.go
@@ -73,7 +73,7 @@
 	acknowledged  chan uint64
 	term          uint64
 	sequence      uint64
-	since         uint64
+	position      uint64
 	sentEstimates Estimates // as last sent
 }
 
@@ -114,7 +114,7 @@
 func (f *followerStream) sendChanges(ctx context.Context) (more bool, err error) {
 	listing, cancel := context.WithTimeout(ctx, sourceTimeout)
 	defer cancel()
-	changes, err := f.server.source.SoftState(listing, f.since)
+	changes, err := f.server.source.SoftState(listing, f.position)
 	if err != nil {
 		return false, status.Error(codes.Unavailable, err.Error())
 	}
@@ -124,7 +124,7 @@
 	if changes.Term != f.term {
 		return false, status.Error(codes.Unavailable, "another term has begun")
 	}
-	f.since = changes.UpTo
+	f.position = changes.UpTo
 	batch := Batch{Term: f.term, Sequence: f.sequence + 1, Machines: changes.Machines}
 	if f.sequence == 0 || !sameEstimates(changes.Estimates, f.sentEstimates) {
 		f.sentEstimates = changes.Estimates
--- a/internal/softstate/size_test.go
+++ b/internal/softstate/size_test.go
@@ -11,17 +11,17 @@
 
 // The largest cluster that has to be supported, and the tasks of its machines.
 const (
-	largestCluster  = 4000
-	tasksEach       = 8
-	maxStreamBytes  = 4 << 20 // to bring everything once
-	maxBatchBytes   = 1 << 20 // a quarter of what gRPC takes
-	maxReplicaBytes = 16 << 20
+	largestClusterMachines = 4000
+	tasksPerMachine        = 8
+	maxStreamBytes         = 4 << 20 // to bring everything once
+	maxBatchBytes          = 1 << 20 // a quarter of what gRPC takes
+	maxReplicaBytes        = 16 << 20
 )
 
 func busyMachine(i int) Machine {
 	m := Machine{Name: fmt.Sprintf("vm-%06d", i), Address: fmt.Sprintf("10.20.%d.%d:9000", i/256, i%256), AgentEpoch: 3, FencingToken: 1 << 40, SinceHeartbeat: time.Second}
-	for k := range tasksEach {
-		m.Allocations = append(m.Allocations, Allocation{Task: fmt.Sprintf("job-%06d/%d", i, k), Attempt: 1<<40 + uint64(i*tasksEach+k), Running: time.Hour})
+	for k := range tasksPerMachine {
+		m.Allocations = append(m.Allocations, Allocation{Task: fmt.Sprintf("job-%06d/%d", i, k), Attempt: 1<<40 + uint64(i*tasksPerMachine+k), Running: time.Hour})
 		m.Images = append(m.Images, Image{Name: fmt.Sprintf("image-%d", k), GB: 1.5})
 	}
 	return m
@@ -35,9 +35,9 @@
 	runtime.GC()
 	runtime.ReadMemStats(&before)
 	total, most := 0, 0
-	for i := 0; i < largestCluster; i += MaxChanges {
+	for i := 0; i < largestClusterMachines; i += MaxChanges {
 		batch := Batch{Term: 1, Sequence: uint64(i/MaxChanges + 1)}
-		for k := i; k < min(i+MaxChanges, largestCluster); k++ {
+		for k := i; k < min(i+MaxChanges, largestClusterMachines); k++ {
 			batch.Machines = append(batch.Machines, busyMachine(k))
 		}
 		message := encode(batch)
@@ -51,7 +51,7 @@
 	runtime.ReadMemStats(&after)
 	kept := int(after.HeapAlloc) - int(before.HeapAlloc)
 	t.Logf("%d machines: %d KB sent, the largest batch %d KB, %d KB kept", replica.MachineCount(), total>>10, most>>10, kept>>10)
-	if replica.MachineCount() != largestCluster || total > maxStreamBytes || most > maxBatchBytes || kept > maxReplicaBytes {
+	if replica.MachineCount() != largestClusterMachines || total > maxStreamBytes || most > maxBatchBytes || kept > maxReplicaBytes {
 		t.Errorf("%d machines: %d bytes sent, the largest batch %d, %d kept", replica.MachineCount(), total, most, kept)
 	}
 }
--- a/internal/softstate/stream_test.go
+++ b/internal/softstate/stream_test.go
@@ -19,55 +19,55 @@
 	"leadproxy/internal/softstate/hintpb"
 )
 
-// memory is a fake of a leader's memory.
-type memory struct {
-	mu    sync.Mutex
-	term  uint64 // 0: it does not lead
-	parts []Changes
-	asked int
+// fakeSource is a fake of a leader's memory.
+type fakeSource struct {
+	mu      sync.Mutex
+	term    uint64 // 0: it does not lead
+	changes []Changes
+	calls   int
 }
 
-func (m *memory) SoftState(_ context.Context, since uint64) (Changes, error) {
+func (m *fakeSource) SoftState(_ context.Context, since uint64) (Changes, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.asked++
+	m.calls++
 	switch {
 	case m.term == 0:
 		return Changes{}, errors.New("not leading")
-	case since < uint64(len(m.parts)):
-		c := m.parts[since]
-		c.Term, c.UpTo, c.More = m.term, since+1, since+1 < uint64(len(m.parts))
+	case since < uint64(len(m.changes)):
+		c := m.changes[since]
+		c.Term, c.UpTo, c.More = m.term, since+1, since+1 < uint64(len(m.changes))
 		return c, nil
 	}
 	return Changes{Term: m.term, UpTo: since}, nil
 }
 
-// change replaces the memory.
-func (m *memory) change(term uint64, parts []Changes) {
+// setState replaces the memory.
+func (m *fakeSource) setState(term uint64, parts []Changes) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.term, m.parts = term, parts
+	m.term, m.changes = term, parts
 }
 
-func (m *memory) questions() int {
+func (m *fakeSource) callCount() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.asked
+	return m.calls
 }
 
-// pair is a leader, and a standby that follows it, on a network in memory.
-type pair struct {
+// harness is a leader, and a standby that follows it, on a network in memory.
+type harness struct {
 	t        *testing.T
-	net      *fake.Network
-	memory   *memory
+	network  *fake.Network
+	source   *fakeSource
 	follower *Follower
 	stop     context.CancelFunc
 }
 
-func newPair(t *testing.T, m *memory, others []string) *pair {
-	p := &pair{t: t, net: fake.NewNetwork(t), memory: m}
+func newHarness(t *testing.T, m *fakeSource, others []string) *harness {
+	p := &harness{t: t, network: fake.NewNetwork(t), source: m}
 	ctx, cancel := context.WithCancel(t.Context())
-	listener, err := p.net.Host("n1").Listen(ctx, "n1:81")
+	listener, err := p.network.Host("n1").Listen(ctx, "n1:81")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -86,15 +86,15 @@
 	return p
 }
 
-func (p *pair) dial(from string) *grpc.ClientConn {
-	conn, err := rpc.Connect(p.net.Host(from), "n1:81")
+func (p *harness) dial(from string) *grpc.ClientConn {
+	conn, err := rpc.Connect(p.network.Host(from), "n1:81")
 	if err != nil {
 		p.t.Fatal(err)
 	}
 	return conn
 }
 
-func part(names ...string) (c Changes) {
+func changedMachines(names ...string) (c Changes) {
 	for _, name := range names {
 		c.Machines = append(c.Machines, Machine{Name: name, Address: name + ":9000", AgentEpoch: 1})
 	}
@@ -105,8 +105,8 @@
 // connection and in another term everything is sent again.
 func TestFollowerReplicates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memory{term: 7, parts: []Changes{part("vm-1", "vm-2"), part("vm-3")}}
-		p := newPair(t, m, []string{"n2"})
+		m := &fakeSource{term: 7, changes: []Changes{changedMachines("vm-1", "vm-2"), changedMachines("vm-3")}}
+		p := newHarness(t, m, []string{"n2"})
 		defer p.stop()
 		view := func(want int, term uint64) {
 			t.Helper()
@@ -116,16 +116,16 @@
 			}
 		}
 		view(3, 7)
-		m.change(7, append(m.parts, Changes{Machines: []Machine{{Name: "vm-2", Gone: true}}}))
+		m.setState(7, append(m.changes, Changes{Machines: []Machine{{Name: "vm-2", Gone: true}}}))
 		view(2, 7)
-		p.net.Partition("n1", "n2", false)
-		m.change(7, append(m.parts, part("vm-4")))
+		p.network.Partition("n1", "n2", false)
+		m.setState(7, append(m.changes, changedMachines("vm-4")))
 		view(2, 7)
-		p.net.Heal("n1", "n2")
+		p.network.Heal("n1", "n2")
 		view(3, 7)
-		m.change(0, nil)
+		m.setState(0, nil)
 		view(3, 7) // the leader has ended: its soft state is kept for the next term
-		m.change(9, []Changes{part("vm-5")})
+		m.setState(9, []Changes{changedMachines("vm-5")})
 		view(1, 9)
 		if s := p.follower.Status(); s.Term != 9 || s.Machines != 1 {
 			t.Errorf("%+v", s)
@@ -136,11 +136,11 @@
 // TestUnknownControllersAreRefused: a stream is refused to whoever is not one of the controllers.
 func TestUnknownControllersAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, &memory{term: 7, parts: []Changes{part("vm-1")}}, []string{"n3"})
+		p := newHarness(t, &fakeSource{term: 7, changes: []Changes{changedMachines("vm-1")}}, []string{"n3"})
 		defer p.stop()
 		time.Sleep(5 * time.Second)
-		if v := p.follower.View(t.Context(), 100); len(v.Machines) != 0 || p.memory.questions() > 0 {
-			t.Errorf("%d machines were told, %d times asked", len(v.Machines), p.memory.questions())
+		if v := p.follower.View(t.Context(), 100); len(v.Machines) != 0 || p.source.callCount() > 0 {
+			t.Errorf("%d machines were told, %d times asked", len(v.Machines), p.source.callCount())
 		}
 	})
 }
@@ -149,11 +149,11 @@
 // and its stream ends after the timeout.
 func TestFrozenFollowerCostsOneBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &memory{term: 7}
+		m := &fakeSource{term: 7}
 		for i := range 50 {
-			m.parts = append(m.parts, part(fmt.Sprint("vm-", i)))
+			m.changes = append(m.changes, changedMachines(fmt.Sprint("vm-", i)))
 		}
-		p := newPair(t, m, []string{"n2", "n3"})
+		p := newHarness(t, m, []string{"n2", "n3"})
 		defer p.stop()
 		time.Sleep(5 * time.Second)
 		conn := p.dial("n3")
@@ -163,7 +163,7 @@
 			t.Fatal(err)
 		}
 		call.Send(&hintpb.Acknowledgement{Node: "n3"})
-		asked, began, batches := m.questions(), time.Now(), 0
+		asked, began, batches := m.callCount(), time.Now(), 0
 		for err == nil {
 			if _, err = call.Recv(); err == nil {
 				batches++
@@ -173,8 +173,8 @@
 		if batches != 1 || took < acknowledgementTimeout || took > acknowledgementTimeout+time.Second {
 			t.Errorf("%d batches in %s: %v", batches, took, err)
 		}
-		if others := int(took/sendInterval) + 2; m.questions()-asked > others {
-			t.Errorf("asked %d times for it", m.questions()-asked-others)
+		if others := int(took/sendInterval) + 2; m.callCount()-asked > others {
+			t.Errorf("asked %d times for it", m.callCount()-asked-others)
 		}
 	})
 }
@@ -182,7 +182,7 @@
 // TestWrongAcknowledgementEndsStream: a wrong sequence, also in the opening message, ends the stream.
 func TestWrongAcknowledgementEndsStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newPair(t, &memory{term: 7, parts: []Changes{part("vm-1")}}, []string{"n2", "n3"})
+		p := newHarness(t, &fakeSource{term: 7, changes: []Changes{changedMachines("vm-1")}}, []string{"n2", "n3"})
 		defer p.stop()
 		conn := p.dial("n3")
 		defer conn.Close()
