--- a/internal/compat/deployment_config_test.go
+++ b/internal/compat/deployment_config_test.go
@@ -17,12 +17,12 @@
 // The times and sizes of the deployment. The times are short, since these tests take real time.
 const (
 	heartbeatInterval = time.Second
-	workerLease       = 8 * time.Second
+	agentLease        = 8 * time.Second
 	cancelDeadline    = 20 * time.Second
 	machineBootTime   = time.Second
 	taskRunTime       = 2 * time.Second
 	controllerCount   = 3
-	tightTeamCPUs     = 6 // the CPU limit of the team "tight"
+	tightTeamCPULimit = 6 // the CPU limit of the team "tight"
 )
 
 func controllerName(i int) string { return fmt.Sprintf("n%d", i) }
@@ -31,8 +31,8 @@
 func platformFacts(zones []string) settings.Facts {
 	return settings.Facts{
 		ControllerCount: controllerCount, Zones: zones, ClockErrorMS: 5,
-		Teams:       []settings.Team{{Name: "open"}, {Name: "tight", CPUsMax: tightTeamCPUs}},
-		AgentTiming: settings.AgentTiming{HeartbeatS: heartbeatInterval.Seconds(), LeaseS: workerLease.Seconds(), CancelS: cancelDeadline.Seconds()},
+		Teams:       []settings.Team{{Name: "open"}, {Name: "tight", CPUsMax: tightTeamCPULimit}},
+		AgentTiming: settings.AgentTiming{HeartbeatS: heartbeatInterval.Seconds(), LeaseS: agentLease.Seconds(), CancelS: cancelDeadline.Seconds()},
 		Store:       settings.StoreLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32},
 		Cloud:       settings.CloudLimits{RPS: 5, ListLagS: 2},
 		Resources:   settings.Resources{CPUShare: 1, RAMMB: 500, Sockets: 2000},
@@ -51,7 +51,7 @@
 		Types:    []wire.MachineType{{Name: "m8", CPUs: 8, MemGB: 32, CacheGB: 20, FetchGBPerS: 1, Price: 1, SpotPrice: 0.4, BootS: machineBootTime.Seconds(), Zones: zones}},
 		BootTime: machineBootTime, ListLag: 2 * time.Second, MaxMachines: 12,
 		Agent: fake.AgentConfig{
-			Controllers: controllers, HeartbeatInterval: heartbeatInterval, Lease: workerLease, ImageFetchTime: 200 * time.Millisecond,
+			Controllers: controllers, HeartbeatInterval: heartbeatInterval, Lease: agentLease, ImageFetchTime: 200 * time.Millisecond,
 			RunTime: func(string) time.Duration { return taskRunTime }, Checker: checker,
 		},
 		NewHost: func(string) (transport.Network, string) { return network, "127.0.0.1:0" },
--- a/internal/compat/deployment_test.go
+++ b/internal/compat/deployment_test.go
@@ -17,25 +17,25 @@
 // deployment has controllers as real processes on the loopback interface, and fakes of the other
 // systems in this process.
 type deployment struct {
-	t           *testing.T
-	store       *fake.KVStore
-	cloud       *fake.Cloud
-	checker     *fake.Checker
-	users       *fake.Users
-	recorder    *recorder
-	controllers []*fake.Process
-	calm        atomic.Pointer[time.Time] // since when there are no faults; nil: there are
-	writeFaults atomic.Pointer[fake.FaultInjector]
+	t                  *testing.T
+	store              *fake.KVStore
+	cloud              *fake.Cloud
+	checker            *fake.Checker
+	users              *fake.Users
+	recorder           *recorder
+	controllers        []*fake.Process
+	faultFreeSince     atomic.Pointer[time.Time] // since when there are no faults; nil: there are
+	writeFaultInjector atomic.Pointer[fake.FaultInjector]
 }
 
-// build builds the program of a commit of the repository, or of the working tree with "", and returns
+// buildProgram builds the program of a commit of the repository, or of the working tree with "", and returns
 // its path.
-func build(t *testing.T, commit string) string {
+func buildProgram(t *testing.T, commit string) string {
 	t.Helper()
-	dir := repository
+	dir := repositoryRoot
 	if commit != "" {
 		dir = t.TempDir()
-		archive, err := exec.Command("git", "-C", repository, "archive", commit).Output()
+		archive, err := exec.Command("git", "-C", repositoryRoot, "archive", commit).Output()
 		if err != nil {
 			t.Fatalf("reading %s from the history: %v", commit, err)
 		}
@@ -54,7 +54,7 @@
 	network := transport.TCP{}
 	d := &deployment{t: t, recorder: newRecorder()}
 	d.checker = fake.NewChecker(t, fake.Limits{
-		CancelDeadline: cancelDeadline, TeamCPULimits: map[string]float64{"tight": tightTeamCPUs},
+		CancelDeadline: cancelDeadline, TeamCPULimits: map[string]float64{"tight": tightTeamCPULimit},
 		MaxWaiting: 90 * time.Second, MaxUnanswered: 75 * time.Second,
 	})
 	d.store = fake.NewKVStore(t, network, "127.0.0.1:0", d.injectWriteFault)
@@ -69,7 +69,7 @@
 
 // injectWriteFault injects the fault that is set into transactions of the key-value store.
 func (d *deployment) injectWriteFault(from string, r *http.Request) fake.InjectedFault {
-	if inject := d.writeFaults.Load(); inject != nil && r.URL.Path == "/txn" {
+	if inject := d.writeFaultInjector.Load(); inject != nil && r.URL.Path == "/txn" {
 		return (*inject)(from, r)
 	}
 	return fake.InjectedFault{}
@@ -80,7 +80,7 @@
 	for d.t.Context().Err() == nil {
 		transport.Pause(d.t.Context(), time.Second)
 		calm := time.Time{}
-		if since := d.calm.Load(); since != nil {
+		if since := d.faultFreeSince.Load(); since != nil {
 			calm = *since
 		}
 		d.checker.CheckInvariants(calm, d.cloud.FreeCapacity())
@@ -99,7 +99,7 @@
 	for i := range d.controllers {
 		d.start(i, program)
 	}
-	d.await("a leader", 20*time.Second, func() bool { return d.leader() >= 0 })
+	d.await("a leader", 20*time.Second, func() bool { return d.leaderIndex() >= 0 })
 }
 
 // kill ends a controller's process without a signal that it could handle.
@@ -125,20 +125,20 @@
 	return resp.StatusCode == http.StatusOK
 }
 
-// leader is the index of the controller that the key-value store names as the leader, or -1.
-func (d *deployment) leader() int { return fake.Leader(d.store, d.controllers) }
+// leaderIndex is the index of the controller that the key-value store names as the leader, or -1.
+func (d *deployment) leaderIndex() int { return fake.Leader(d.store, d.controllers) }
 
 func (d *deployment) await(what string, limit time.Duration, ok func() bool) {
 	d.t.Helper()
 	fake.WaitFor(d.t, what, limit, ok)
 }
 
-// finish ends a test: without faults, all accepted jobs have to end, and no invariant may have been
+// awaitJobsAndCheck ends a test: without faults, all accepted jobs have to end, and no invariant may have been
 // violated.
-func (d *deployment) finish() {
+func (d *deployment) awaitJobsAndCheck() {
 	d.t.Helper()
 	now := time.Now()
-	d.calm.Store(&now)
+	d.faultFreeSince.Store(&now)
 	d.await("all jobs over", 2*time.Minute, func() bool { return len(d.checker.OpenJobs()) == 0 })
 	if open := d.checker.OpenJobs(); len(open) > 0 {
 		d.t.Errorf("still open: %v", open)
--- a/internal/compat/exercise_test.go
+++ b/internal/compat/exercise_test.go
@@ -11,33 +11,33 @@
 	"leadproxy/internal/wire"
 )
 
-// exerciseEverything takes controllers of one version through most situations: jobs that end and
+// exerciseControllers takes controllers of one version through most situations: jobs that end and
 // jobs that are cancelled, machines that are lost or unreachable, writes of unknown outcome, an
 // outage, and a leader that is killed.
-func (d *deployment) exerciseEverything(program string) {
+func (d *deployment) exerciseControllers(program string) {
 	d.t.Helper()
 	d.startAll(program)
-	d.submitVariety()
+	d.submitVariedJobs()
 	d.await("tasks on machines", 20*time.Second, func() bool { on, _ := d.checker.TaskCounts(""); return on > 0 })
 	lostResponses := fake.FaultInjector(func(string, *http.Request) fake.InjectedFault { return fake.InjectedFault{Kind: fake.ResponseLost} })
-	d.writeFaults.Store(&lostResponses)
+	d.writeFaultInjector.Store(&lostResponses)
 	time.Sleep(2 * time.Second)
-	d.writeFaults.Store(nil)
+	d.writeFaultInjector.Store(nil)
 	d.users.Submit(fake.NewJob("job-000050", 20, nil))
 	d.await("more tasks on machines", 20*time.Second, func() bool { on, _ := d.checker.TaskCounts("job-000050"); return on > 4 })
-	d.losePartOfMachines()
+	d.disruptMachines()
 	d.store.SetOutage(true)
 	time.Sleep(5 * time.Second)
 	d.store.SetOutage(false)
 	time.Sleep(3 * time.Second)
-	if leader := d.leader(); leader >= 0 {
+	if leader := d.leaderIndex(); leader >= 0 {
 		d.replace(leader, program, time.Second)
 	}
-	d.finish()
+	d.awaitJobsAndCheck()
 }
 
-// submitVariety has users submit jobs with all kinds of constraints, and cancel some.
-func (d *deployment) submitVariety() {
+// submitVariedJobs has users submit jobs with all kinds of constraints, and cancel some.
+func (d *deployment) submitVariedJobs() {
 	for k := range 12 {
 		zone := "a"
 		j := fake.NewJob(fmt.Sprintf("job-%06d", k), 1+4*(k%3), func(j *wire.Job) {
@@ -59,9 +59,9 @@
 	}
 }
 
-// losePartOfMachines makes a third of the machines hang and another third unable to reach
+// disruptMachines makes a third of the machines hang and another third unable to reach
 // controllers, for two leases.
-func (d *deployment) losePartOfMachines() {
+func (d *deployment) disruptMachines() {
 	for i, w := range d.cloud.Agents() {
 		switch i % 3 {
 		case 0:
@@ -70,7 +70,7 @@
 			w.SetOutboundCut(true)
 		}
 	}
-	time.Sleep(2 * workerLease)
+	time.Sleep(2 * agentLease)
 	for _, w := range d.cloud.Agents() {
 		w.SetHung(false)
 		w.SetOutboundCut(false)
--- a/internal/compat/golden_test.go
+++ b/internal/compat/golden_test.go
@@ -63,13 +63,13 @@
 	for i := range service.Methods().Len() {
 		method := service.Methods().Get(i)
 		lines = append(lines, fmt.Sprintf("method /%s/%s request %s%s reply %s%s", service.FullName(), method.Name(),
-			streamed(method.IsStreamingClient()), method.Input().FullName(),
-			streamed(method.IsStreamingServer()), method.Output().FullName()))
+			streamPrefix(method.IsStreamingClient()), method.Input().FullName(),
+			streamPrefix(method.IsStreamingServer()), method.Output().FullName()))
 	}
 	return lines
 }
 
-func streamed(is bool) string {
+func streamPrefix(is bool) string {
 	if is {
 		return "stream of "
 	}
--- a/internal/compat/record_test.go
+++ b/internal/compat/record_test.go
@@ -15,18 +15,18 @@
 	"leadproxy/internal/wire"
 )
 
-var record = flag.Bool("record", false, "write the recordings of production anew")
+var recordProduction = flag.Bool("record", false, "write the recordings of production anew")
 
 // TestRecordProduction runs production through situations in which it writes every kind of key and
 // sends every kind of message, and with -record keeps one example of each shape.
 func TestRecordProduction(t *testing.T) {
 	commit := productionCommit(t)
 	d := newDeployment(t)
-	d.exerciseEverything(build(t, commit))
+	d.exerciseControllers(buildProgram(t, commit))
 	recording := Recording{Commit: commit, Messages: d.recorder.recorded(), Values: exampleValues(t, d.store.History())}
 	checkKeyFamilies(t, recording.Values)
 	checkMethods(t, recording.Messages)
-	if *record && !t.Failed() {
+	if *recordProduction && !t.Failed() {
 		writeRecording(t, recording)
 	}
 }
@@ -71,7 +71,7 @@
 	if err := os.WriteFile(recordingFile, text.Bytes(), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	proto, err := exec.Command("git", "-C", repository, "show", recording.Commit+":internal/peers/peerpb/peer.proto").Output()
+	proto, err := exec.Command("git", "-C", repositoryRoot, "show", recording.Commit+":internal/peers/peerpb/peer.proto").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/compat/recording.go
+++ b/internal/compat/recording.go
@@ -77,7 +77,7 @@
 	}
 	paths := map[string]bool{}
 	collectPaths("", v, paths)
-	return sorted(paths), nil
+	return sortedNames(paths), nil
 }
 
 func collectPaths(at string, v any, paths map[string]bool) {
@@ -101,7 +101,7 @@
 	}
 }
 
-func sorted(set map[string]bool) []string {
+func sortedNames(set map[string]bool) []string {
 	var all []string
 	for name := range set {
 		all = append(all, name)
@@ -138,7 +138,7 @@
 func PopulatedFields(m protoreflect.Message) []string {
 	paths := map[string]bool{}
 	collectPopulatedFields("", m, paths)
-	return sorted(paths)
+	return sortedNames(paths)
 }
 
 func collectPopulatedFields(at string, m protoreflect.Message, paths map[string]bool) {
--- a/internal/compat/recording_test.go
+++ b/internal/compat/recording_test.go
@@ -21,9 +21,9 @@
 
 // Paths from this package's directory.
 const (
-	recordingFile = "testdata/production/recording.json"
-	protoFile     = "testdata/production/peer.proto"
-	repository    = "../.."
+	recordingFile  = "testdata/production/recording.json"
+	protoFile      = "testdata/production/peer.proto"
+	repositoryRoot = "../.."
 )
 
 // productionCommit is the commit that deploy/service.toml names as the one in production.
@@ -32,7 +32,7 @@
 	var deploy struct {
 		Production string `toml:"production"`
 	}
-	if _, err := toml.DecodeFile(filepath.Join(repository, "deploy", "service.toml"), &deploy); err != nil {
+	if _, err := toml.DecodeFile(filepath.Join(repositoryRoot, "deploy", "service.toml"), &deploy); err != nil {
 		t.Fatal(err)
 	}
 	return deploy.Production
@@ -189,7 +189,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	current, err := os.ReadFile(filepath.Join(repository, "internal/peers/peerpb/peer.proto"))
+	current, err := os.ReadFile(filepath.Join(repositoryRoot, "internal/peers/peerpb/peer.proto"))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/compat/relay_test.go
+++ b/internal/compat/relay_test.go
@@ -94,13 +94,13 @@
 // recorder keeps one message of each method, direction and shape. The channel holds the set of shapes
 // and serves as the lock for both fields.
 type recorder struct {
-	seen     chan map[string]bool
-	messages []Message
+	seenShapes chan map[string]bool
+	messages   []Message
 }
 
 func newRecorder() *recorder {
-	r := &recorder{seen: make(chan map[string]bool, 1)}
-	r.seen <- map[string]bool{}
+	r := &recorder{seenShapes: make(chan map[string]bool, 1)}
+	r.seenShapes <- map[string]bool{}
 	return r
 }
 
@@ -109,8 +109,8 @@
 	if m := NewMessage(method, d); m != nil && proto.Unmarshal(payload, m) == nil {
 		shape += " " + strings.Join(PopulatedFields(m.ProtoReflect()), " ")
 	}
-	seen := <-r.seen
-	defer func() { r.seen <- seen }()
+	seen := <-r.seenShapes
+	defer func() { r.seenShapes <- seen }()
 	if !seen[shape] {
 		seen[shape] = true
 		r.messages = append(r.messages, Message{method, d, payload})
@@ -119,7 +119,7 @@
 
 // recorded returns the messages so far.
 func (r *recorder) recorded() []Message {
-	seen := <-r.seen
-	defer func() { r.seen <- seen }()
+	seen := <-r.seenShapes
+	defer func() { r.seenShapes <- seen }()
 	return r.messages
 }
--- a/internal/compat/rolling_test.go
+++ b/internal/compat/rolling_test.go
@@ -22,7 +22,7 @@
 		leaderFirst bool
 	}{{"the leader first", true}, {"the leader last", false}} {
 		t.Run(order.name, func(t *testing.T) {
-			old, current := build(t, productionCommit(t)), build(t, "")
+			old, current := buildProgram(t, productionCommit(t)), buildProgram(t, "")
 			d := newDeployment(t)
 			d.startAll(old)
 			stop := d.submitJobs()
@@ -32,19 +32,19 @@
 			time.Sleep(3 * time.Second)
 			stopPipelines := d.users.Pipelines()
 			time.Sleep(10 * time.Second)
-			d.replace(d.leader(), current, time.Second)
+			d.replace(d.leaderIndex(), current, time.Second)
 			time.Sleep(5 * time.Second)
 			stopPipelines()
 			stop()
-			d.finish()
+			d.awaitJobsAndCheck()
 		})
 	}
 }
 
-// TestUpgradeOfAllAtOnce kills all controllers of production while jobs run and starts this version in
+// TestUpgradeAllControllersAtOnce kills all controllers of production while jobs run and starts this version in
 // their place.
-func TestUpgradeOfAllAtOnce(t *testing.T) {
-	old, current := build(t, productionCommit(t)), build(t, "")
+func TestUpgradeAllControllersAtOnce(t *testing.T) {
+	old, current := buildProgram(t, productionCommit(t)), buildProgram(t, "")
 	d := newDeployment(t)
 	d.startAll(old)
 	stop := d.submitJobs()
@@ -58,13 +58,13 @@
 	}
 	time.Sleep(10 * time.Second)
 	stop()
-	d.finish()
+	d.awaitJobsAndCheck()
 }
 
-// TestGoingBack replaces this version by production again (rollback) before any of its new features
+// TestRollback replaces this version by production again (rollback) before any of its new features
 // was used, as docs/operations.md describes it.
-func TestGoingBack(t *testing.T) {
-	old, current := build(t, productionCommit(t)), build(t, "")
+func TestRollback(t *testing.T) {
+	old, current := buildProgram(t, productionCommit(t)), buildProgram(t, "")
 	d := newDeployment(t)
 	d.startAll(current)
 	d.await("all announced", 20*time.Second, func() bool { return d.store.Count(capability.KeyPrefix) == controllerCount })
@@ -79,7 +79,7 @@
 	}
 	time.Sleep(5 * time.Second)
 	stop()
-	d.finish()
+	d.awaitJobsAndCheck()
 }
 
 // upgradeOneByOne upgrades the controllers in an order. Before each but the last is upgraded, the
@@ -101,7 +101,7 @@
 
 // upgradeOrder is the order in which the controllers are upgraded.
 func (d *deployment) upgradeOrder(leaderFirst bool) (order []int) {
-	leader := d.leader()
+	leader := d.leaderIndex()
 	for i := range d.controllers {
 		if i != leader {
 			order = append(order, i)
--- a/internal/lint/protocol_words_test.go
+++ b/internal/lint/protocol_words_test.go
@@ -25,20 +25,22 @@
 
 // finding is an identifier or a literal that must not be there.
 type finding struct {
-	file string
-	line int
-	name string
-	why  string
+	file   string
+	line   int
+	name   string
+	reason string
 }
 
-func (f finding) String() string { return fmt.Sprintf("%s:%d: %s: %s", f.file, f.line, f.name, f.why) }
+func (f finding) String() string {
+	return fmt.Sprintf("%s:%d: %s: %s", f.file, f.line, f.name, f.reason)
+}
 
 func TestProtocolWordsAreNoIdentifiers(t *testing.T) {
 	var found []finding
 	for _, source := range productSources(t) {
 		found = append(found, forbiddenIdentifiers(source)...)
 	}
-	report(t, found, allowedIdentifiers)
+	reportFindings(t, found, allowedIdentifiers)
 }
 
 func TestProtocolFieldsAreNamedByTerms(t *testing.T) {
@@ -46,7 +48,7 @@
 	for _, source := range productSources(t) {
 		found = append(found, fieldsNamedLikeTags(source)...)
 	}
-	report(t, found, allowedFields)
+	reportFindings(t, found, allowedFields)
 }
 
 func TestProtocolNamesAreNoLiterals(t *testing.T) {
@@ -56,12 +58,12 @@
 			found = append(found, forbiddenLiterals(source)...)
 		}
 	}
-	report(t, found, allowedLiterals)
+	reportFindings(t, found, allowedLiterals)
 }
 
-// report fails for each finding that has no exception, and for each exception that is not
+// reportFindings fails for each finding that has no exception, and for each exception that is not
 // needed any more.
-func report(t *testing.T, found []finding, allowed []exception) {
+func reportFindings(t *testing.T, found []finding, allowed []exception) {
 	t.Helper()
 	used := map[exception]bool{}
 	for _, f := range found {
@@ -84,9 +86,9 @@
 
 // source is a parsed file.
 type source struct {
-	name   string // from the root of the repository, with slashes
-	syntax *ast.File
-	lines  *token.FileSet
+	name    string // from the root of the repository, with slashes
+	syntax  *ast.File
+	fileSet *token.FileSet
 }
 
 // productSources parses all files of the product, whatever their build tags: neither tests nor
@@ -99,12 +101,12 @@
 			switch {
 			case err != nil:
 				return err
-			case entry.IsDir() && (entry.Name() == "testdata" || slices.Contains(testDirectories, fromRoot(path))):
+			case entry.IsDir() && (entry.Name() == "testdata" || slices.Contains(testDirectories, pathFromRoot(path))):
 				return fs.SkipDir
 			case entry.IsDir() || !strings.HasSuffix(path, ".go") || strings.HasSuffix(path, "_test.go"):
 				return nil
 			}
-			s, err := parse(path, nil)
+			s, err := parseSource(path, nil)
 			if err != nil {
 				return err
 			}
@@ -124,20 +126,22 @@
 	return sources
 }
 
-// parse parses a file, or a text under a file's name unless that is nil.
-func parse(path string, text any) (source, error) {
+// parseSource parses a file, or a text under a file's name unless that is nil.
+func parseSource(path string, text any) (source, error) {
 	lines := token.NewFileSet()
 	syntax, err := parser.ParseFile(lines, path, text, parser.ParseComments|parser.SkipObjectResolution)
 	if err != nil {
 		return source{}, err
 	}
-	return source{name: fromRoot(path), syntax: syntax, lines: lines}, nil
+	return source{name: pathFromRoot(path), syntax: syntax, fileSet: lines}, nil
 }
 
-// fromRoot is a path from the root of the repository, with slashes.
-func fromRoot(path string) string { return strings.TrimPrefix(filepath.ToSlash(path), sourceRoot+"/") }
+// pathFromRoot is a path from the root of the repository, with slashes.
+func pathFromRoot(path string) string {
+	return strings.TrimPrefix(filepath.ToSlash(path), sourceRoot+"/")
+}
 
-func (s source) at(node ast.Node) int { return s.lines.Position(node.Pos()).Line }
+func (s source) lineOf(node ast.Node) int { return s.fileSet.Position(node.Pos()).Line }
 
 // forbiddenIdentifiers lists the names that a source declares with a word of the protocol. Uses
 // of a name are not listed: it is declared once, and generated code is not ours.
@@ -148,8 +152,8 @@
 			if name == nil {
 				continue
 			}
-			if why := forbidden(name.Name); why != "" {
-				found = append(found, finding{s.name, s.at(name), name.Name, why})
+			if why := forbiddenReason(name.Name); why != "" {
+				found = append(found, finding{s.name, s.lineOf(name), name.Name, why})
 			}
 		}
 	}
@@ -170,11 +174,11 @@
 			check(n.Label)
 		case *ast.AssignStmt:
 			if n.Tok == token.DEFINE {
-				check(identifiers(n.Lhs)...)
+				check(plainIdentifiers(n.Lhs)...)
 			}
 		case *ast.RangeStmt:
 			if n.Tok == token.DEFINE {
-				check(identifiers([]ast.Expr{n.Key, n.Value})...)
+				check(plainIdentifiers([]ast.Expr{n.Key, n.Value})...)
 			}
 		}
 		return true
@@ -198,7 +202,7 @@
 		key, _, _ := strings.Cut(reflect.StructTag(tag).Get("json"), ",")
 		for _, name := range field.Names {
 			if strings.EqualFold(name.Name, strings.ReplaceAll(key, "_", "")) && slices.Contains(ambiguousNames, key) {
-				found = append(found, finding{s.name, s.at(name), name.Name, "is the protocol's name, write the glossary's term"})
+				found = append(found, finding{s.name, s.lineOf(name), name.Name, "is the protocol's name, write the glossary's term"})
 			}
 		}
 		return true
@@ -206,8 +210,8 @@
 	return found
 }
 
-// identifiers are those of some expressions that are plain names.
-func identifiers(expressions []ast.Expr) []*ast.Ident {
+// plainIdentifiers are those of some expressions that are plain names.
+func plainIdentifiers(expressions []ast.Expr) []*ast.Ident {
 	var names []*ast.Ident
 	for _, e := range expressions {
 		if name, ok := e.(*ast.Ident); ok {
@@ -217,8 +221,8 @@
 	return names
 }
 
-// forbidden tells which term belongs in place of a word in an identifier; "": all are right.
-func forbidden(identifier string) string {
+// forbiddenReason tells which term belongs in place of a word in an identifier; "": all are right.
+func forbiddenReason(identifier string) string {
 	words := splitWords(identifier)
 	for i, word := range words {
 		for _, w := range []string{word, strings.TrimSuffix(word, "s")} {
@@ -273,7 +277,7 @@
 			}
 			value, err := strconv.Unquote(n.Value)
 			if err == nil && slices.Contains(protocolNames, value) {
-				found = append(found, finding{s.name, s.at(n), value, "a name of the protocol belongs into a tag or a constant of wire, ledger or settings"})
+				found = append(found, finding{s.name, s.lineOf(n), value, "a name of the protocol belongs into a tag or a constant of wire, ledger or settings"})
 			}
 		}
 		return true
@@ -302,8 +306,8 @@
 	}
 }
 
-// planted has each kind of fault once, and names that are right.
-const planted = `package planted
+// faultySource has each kind of fault once, and names that are right.
+const faultySource = `package planted
 
 type loanerMachine struct {
 	Baton, Token uint64 "json:\"baton\""
@@ -323,7 +327,7 @@
 `
 
 func TestPlantedFaultsAreFound(t *testing.T) {
-	s, err := parse("planted.go", planted)
+	s, err := parseSource("planted.go", faultySource)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/property/golden.go
+++ b/internal/property/golden.go
@@ -12,9 +12,9 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// update makes tests write the golden files instead of comparing them. What travels or is stored may
+// updateGolden makes tests write the golden files instead of comparing them. What travels or is stored may
 // change only by a decision, so it is never set in CI.
-var update = flag.Bool("update", false, "write the golden files anew")
+var updateGolden = flag.Bool("update", false, "write the golden files anew")
 
 // goldenDirectory is where a package has its golden files.
 const goldenDirectory = "testdata/golden"
@@ -43,7 +43,7 @@
 	if err != nil {
 		t.Fatalf("encoding %s: %v", name, err)
 	}
-	compareFile(t, name, encoded)
+	compareWithGoldenFile(t, name, encoded)
 }
 
 // checkEncoding compares the encoding of the value that a pointer points to with a golden file, and
@@ -54,7 +54,7 @@
 	if err != nil {
 		t.Fatalf("encoding %s: %v", name, err)
 	}
-	file := compareFile(t, name, encoded)
+	file := compareWithGoldenFile(t, name, encoded)
 	decoded := reflect.New(pointer.Type().Elem())
 	if err := json.Unmarshal(file, decoded.Interface()); err != nil {
 		t.Errorf("decoding the golden file of %s: %v", name, err)
@@ -79,19 +79,19 @@
 	for i := range out.Elem().NumField() {
 		field := out.Elem().Field(i)
 		_, options, _ := bytes.Cut([]byte(out.Elem().Type().Field(i).Tag.Get("json")), []byte(","))
-		if field.Type() == rawMessage && string(options) != "omitempty" {
+		if field.Type() == rawMessageType && string(options) != "omitempty" {
 			field.SetBytes([]byte("null"))
 		}
 	}
 	return out
 }
 
-// compareFile compares a text and a final newline with a golden file, and returns the file's content.
-func compareFile(t *testing.T, name string, text []byte) []byte {
+// compareWithGoldenFile compares a text and a final newline with a golden file, and returns the file's content.
+func compareWithGoldenFile(t *testing.T, name string, text []byte) []byte {
 	t.Helper()
 	path := filepath.Join(goldenDirectory, name+".json")
 	text = append(bytes.Clone(text), '\n')
-	if *update {
+	if *updateGolden {
 		if err := os.MkdirAll(goldenDirectory, 0o755); err != nil {
 			t.Fatal(err)
 		}
--- a/internal/property/rapid.go
+++ b/internal/property/rapid.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// seed makes every run of a property try the same cases; the flag -rapid.seed overrides it.
-const seed = "1"
+// rapidSeed makes every run of a property try the same cases; the flag -rapid.seed overrides it.
+const rapidSeed = "1"
 
-func init() { setFlag("rapid.seed", seed) }
+func init() { setFlag("rapid.seed", rapidSeed) }
 
 // SetRapidDefaults sets how many cases of a package's properties are tried and how long their
 // histories are, where the schedules that matter are rare. It has to be called while the package is
--- a/internal/property/sampler.go
+++ b/internal/property/sampler.go
@@ -10,7 +10,7 @@
 // sampler sets fields to distinct values, in the order of the fields.
 type sampler struct{ count int }
 
-var rawMessage = reflect.TypeFor[json.RawMessage]()
+var rawMessageType = reflect.TypeFor[json.RawMessage]()
 
 // fill sets a value and everything within it to samples other than zero.
 func (s *sampler) fill(v reflect.Value) error {
@@ -44,7 +44,7 @@
 // fillSlice gives a slice one element, and byte slices a text.
 func (s *sampler) fillSlice(v reflect.Value) error {
 	switch {
-	case v.Type() == rawMessage:
+	case v.Type() == rawMessageType:
 		v.SetBytes(fmt.Appendf(nil, `{"sample":%d}`, s.count))
 		return nil
 	case v.Type().Elem().Kind() == reflect.Uint8:
