--- a/internal/rolloutservice/status_table_test.go
+++ b/internal/rolloutservice/status_table_test.go
@@ -10,9 +10,9 @@
 	"leadproxy/internal/rolloutservice/rolloutpb"
 )
 
-// TestWrite: the tables have each plan with what it waits for, up to a bound, and each disrupted
+// TestWriteStatusTables: the tables have each plan with what it waits for, up to a bound, and each disrupted
 // job.
-func TestWrite(t *testing.T) {
+func TestWriteStatusTables(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	var waits []string
 	for i := range 22 {
