--- a/internal/compat/deployment_config_test.go
+++ b/internal/compat/deployment_config_test.go
@@ -14,7 +14,7 @@
 	"leadproxy/internal/wire"
 )
 
-// The times and sizes of the deployment. The times are short, since these tests take real time.
+// Sizes and durations of the deployment. The durations are short because these tests run in real time.
 const (
 	heartbeatInterval = time.Second
 	agentLease        = 8 * time.Second
@@ -22,12 +22,12 @@
 	machineBootTime   = time.Second
 	taskRunTime       = 2 * time.Second
 	controllerCount   = 3
-	tightTeamCPULimit = 6 // the CPU limit of the team "tight"
+	tightTeamCPULimit = 6 // of the team "tight"
 )
 
 func controllerName(i int) string { return fmt.Sprintf("n%d", i) }
 
-// platformFacts are the facts in the controllers' platform settings.
+// platformFacts returns the facts for the controllers' platform settings.
 func platformFacts(zones []string) settings.Facts {
 	return settings.Facts{
 		ControllerCount: controllerCount, Zones: zones, ClockErrorMS: 5,
@@ -39,7 +39,7 @@
 	}
 }
 
-// newCloud starts the cloud, whose workers send heartbeats to the controllers.
+// newCloud starts a fake cloud whose agents send heartbeats to the controllers.
 func newCloud(t *testing.T, controllerAddresses, zones []string, checker *fake.Checker) *fake.Cloud {
 	t.Helper()
 	network := transport.TCP{}
@@ -58,37 +58,39 @@
 	})
 }
 
-// addControllers writes the controllers' settings. What they send one another goes through relays.
-func (d *deployment) addControllers(public, zones []string) {
+// addControllers adds the controllers without starting them, and writes their settings. The calls
+// between controllers pass through recording relays.
+func (d *deployment) addControllers(publicAddresses, zones []string) {
 	d.t.Helper()
 	peerAddresses := fake.ReserveAddresses(d.t, controllerCount)
 	relayAddresses := d.startPeerRelays(peerAddresses)
 	facts := platformFacts(zones)
 	dir := d.t.TempDir()
 	for i := range controllerCount {
-		p := settings.Platform{
-			Name: controllerName(i), Zone: zones[i], PublicAddr: public[i], PeerAddr: peerAddresses[i], Facts: facts,
+		platform := settings.Platform{
+			Name: controllerName(i), Zone: zones[i], PublicAddr: publicAddresses[i], PeerAddr: peerAddresses[i], Facts: facts,
 			Services: settings.Services{Store: d.store.Addr(), Cloud: d.cloud.Addr()},
 		}
-		for k := range controllerCount {
-			if k != i {
-				p.Peers = append(p.Peers, settings.Peer{Name: controllerName(k), Zone: zones[k], Addr: relayAddresses[k]})
+		for peer := range controllerCount {
+			if peer != i {
+				platform.Peers = append(platform.Peers, settings.Peer{Name: controllerName(peer), Zone: zones[peer], Addr: relayAddresses[peer]})
 			}
 		}
-		d.controllers = append(d.controllers, fake.NewProcess(d.t, dir, p))
+		d.controllers = append(d.controllers, fake.NewProcess(d.t, dir, platform))
 	}
 }
 
-// startPeerRelays starts a recording relay before each controller and returns the relays' addresses.
+// startPeerRelays starts a recording relay in front of each peer address and returns the addresses of
+// the relays.
 func (d *deployment) startPeerRelays(peerAddresses []string) (relayAddresses []string) {
 	d.t.Helper()
 	for _, target := range peerAddresses {
-		l, err := net.Listen("tcp", "127.0.0.1:0")
+		listener, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
 			d.t.Fatal(err)
 		}
-		startGRPCRelay(d.t, l, target, d.recorder)
-		relayAddresses = append(relayAddresses, l.Addr().String())
+		startGRPCRelay(d.t, listener, target, d.recorder)
+		relayAddresses = append(relayAddresses, listener.Addr().String())
 	}
 	return relayAddresses
 }
--- a/internal/compat/deployment_test.go
+++ b/internal/compat/deployment_test.go
@@ -14,8 +14,8 @@
 	"leadproxy/internal/transport"
 )
 
-// deployment has controllers as real processes on the loopback interface, and fakes of the other
-// systems in this process.
+// deployment runs controllers as real processes on the loopback interface, and fakes of the external
+// systems in the test process.
 type deployment struct {
 	t                  *testing.T
 	store              *fake.KVStore
@@ -24,12 +24,12 @@
 	users              *fake.Users
 	recorder           *recorder
 	controllers        []*fake.Process
-	faultFreeSince     atomic.Pointer[time.Time] // since when there are no faults; nil: there are
+	faultFreeSince     atomic.Pointer[time.Time] // end of the last fault; nil while faults may be injected
 	writeFaultInjector atomic.Pointer[fake.FaultInjector]
 }
 
-// buildProgram builds the program of a commit of the repository, or of the working tree with "", and returns
-// its path.
+// buildProgram builds the controller of a commit, or of the working tree if commit is empty, and
+// returns the path of the executable.
 func buildProgram(t *testing.T, commit string) string {
 	t.Helper()
 	dir := repositoryRoot
@@ -37,18 +37,19 @@
 		dir = t.TempDir()
 		archive, err := exec.Command("git", "-C", repositoryRoot, "archive", commit).Output()
 		if err != nil {
-			t.Fatalf("reading %s from the history: %v", commit, err)
+			t.Fatalf("archive commit %s: %v", commit, err)
 		}
 		unpack := exec.Command("tar", "-x", "-C", dir)
 		unpack.Stdin = bytes.NewReader(archive)
-		if out, err := unpack.CombinedOutput(); err != nil {
-			t.Fatalf("unpacking %s: %v: %s", commit, err, out)
+		if output, err := unpack.CombinedOutput(); err != nil {
+			t.Fatalf("unpack the archive of commit %s: %v: %s", commit, err, output)
 		}
 	}
 	return fake.BuildController(t, dir)
 }
 
-// newDeploymentWithJobs starts everything but the controllers.
+// newDeployment starts the fakes, the relays and the periodic check of invariants. The controllers are
+// configured but not started.
 func newDeployment(t *testing.T) *deployment {
 	t.Helper()
 	network := transport.TCP{}
@@ -58,16 +59,17 @@
 		MaxWaiting: 90 * time.Second, MaxUnanswered: 75 * time.Second,
 	})
 	d.store = fake.NewKVStore(t, network, "127.0.0.1:0", d.injectWriteFault)
-	public := fake.ReserveAddresses(t, controllerCount)
-	d.users = fake.NewUsers(t, network, public, d.checker, 1)
+	publicAddresses := fake.ReserveAddresses(t, controllerCount)
+	d.users = fake.NewUsers(t, network, publicAddresses, d.checker, 1)
 	zones := []string{"a", "b", "c"}
-	d.cloud = newCloud(t, public, zones, d.checker)
-	d.addControllers(public, zones)
+	d.cloud = newCloud(t, publicAddresses, zones, d.checker)
+	d.addControllers(publicAddresses, zones)
 	go d.checkInvariants()
 	return d
 }
 
-// injectWriteFault injects the fault that is set into transactions of the key-value store.
+// injectWriteFault returns the fault that writeFaultInjector, if set, injects into a transaction of the
+// key-value store. Other requests get no fault.
 func (d *deployment) injectWriteFault(from string, r *http.Request) fake.InjectedFault {
 	if inject := d.writeFaultInjector.Load(); inject != nil && r.URL.Path == "/txn" {
 		return (*inject)(from, r)
@@ -75,37 +77,39 @@
 	return fake.InjectedFault{}
 }
 
-// checkInvariants has the checker check what time alone can violate, until the test ends.
+// checkInvariants checks the invariants that the passing of time alone can violate, once a second until
+// the test ends.
 func (d *deployment) checkInvariants() {
 	for d.t.Context().Err() == nil {
 		transport.Pause(d.t.Context(), time.Second)
-		calm := time.Time{}
+		faultFreeSince := time.Time{}
 		if since := d.faultFreeSince.Load(); since != nil {
-			calm = *since
+			faultFreeSince = *since
 		}
-		d.checker.CheckInvariants(calm, d.cloud.FreeCapacity())
+		d.checker.CheckInvariants(faultFreeSince, d.cloud.FreeCapacity())
 	}
 }
 
-// start starts a controller with a program.
+// start starts controller i from the given executable.
 func (d *deployment) start(i int, program string) {
 	d.t.Helper()
 	d.controllers[i].Start(program)
 }
 
-// startAll starts all controllers with a program and waits until there is a leader.
+// startAll starts all controllers from the given executable and waits until there is a leader.
 func (d *deployment) startAll(program string) {
 	d.t.Helper()
 	for i := range d.controllers {
 		d.start(i, program)
 	}
-	d.await("a leader", 20*time.Second, func() bool { return d.leaderIndex() >= 0 })
+	d.await("a controller is the leader", 20*time.Second, func() bool { return d.leaderIndex() >= 0 })
 }
 
-// kill ends a controller's process without a signal that it could handle.
+// kill sends SIGKILL, which the process can't handle, to controller i.
 func (d *deployment) kill(i int) { d.controllers[i].Kill() }
 
-// replace ends a controller and, after its downtime, starts it again with a program.
+// replace kills controller i, starts it from the given executable after the downtime, and waits until
+// it serves users.
 func (d *deployment) replace(i int, program string, downtime time.Duration) {
 	d.t.Helper()
 	d.kill(i)
@@ -114,37 +118,38 @@
 	d.await(controllerName(i)+" serves users", 20*time.Second, func() bool { return d.healthy(i) })
 }
 
-// healthy reports whether a controller serves users.
+// healthy reports whether controller i serves users.
 func (d *deployment) healthy(i int) bool {
 	client := http.Client{Timeout: time.Second}
-	resp, err := client.Get("http://" + d.controllers[i].Platform.PublicAddr + "/healthz")
+	response, err := client.Get("http://" + d.controllers[i].Platform.PublicAddr + "/healthz")
 	if err != nil {
 		return false
 	}
-	defer resp.Body.Close()
-	return resp.StatusCode == http.StatusOK
+	defer response.Body.Close()
+	return response.StatusCode == http.StatusOK
 }
 
-// leaderIndex is the index of the controller that the key-value store names as the leader, or -1.
+// leaderIndex returns the index of the controller that the key-value store names as the leader, or -1
+// if there is none.
 func (d *deployment) leaderIndex() int { return fake.Leader(d.store, d.controllers) }
 
-func (d *deployment) await(what string, limit time.Duration, ok func() bool) {
+func (d *deployment) await(description string, timeout time.Duration, condition func() bool) {
 	d.t.Helper()
-	fake.WaitFor(d.t, what, limit, ok)
+	fake.WaitFor(d.t, description, timeout, condition)
 }
 
-// awaitJobsAndCheck ends a test: without faults, all accepted jobs have to end, and no invariant may have been
-// violated.
+// awaitJobsAndCheck ends a test, which must have removed its faults. It fails the test unless all
+// accepted jobs end, their task records are removed from the ledger, and no invariant was violated.
 func (d *deployment) awaitJobsAndCheck() {
 	d.t.Helper()
 	now := time.Now()
 	d.faultFreeSince.Store(&now)
-	d.await("all jobs over", 2*time.Minute, func() bool { return len(d.checker.OpenJobs()) == 0 })
+	d.await("all accepted jobs have ended", 2*time.Minute, func() bool { return len(d.checker.OpenJobs()) == 0 })
 	if open := d.checker.OpenJobs(); len(open) > 0 {
-		d.t.Errorf("still open: %v", open)
+		d.t.Errorf("jobs that have not ended: %v", open)
 	}
 	d.users.Wait()
-	d.await("the ledger cleaned up", 30*time.Second, func() bool {
+	d.await("the ledger has no records of finished tasks or hosts", 30*time.Second, func() bool {
 		return d.store.Count("fin/")+d.store.Count("host/") == 0
 	})
 	for _, violation := range d.checker.Violations() {
--- a/internal/compat/exercise_test.go
+++ b/internal/compat/exercise_test.go
@@ -11,20 +11,20 @@
 	"leadproxy/internal/wire"
 )
 
-// exerciseControllers takes controllers of one version through most situations: jobs that end and
-// jobs that are cancelled, machines that are lost or unreachable, writes of unknown outcome, an
-// outage, and a leader that is killed.
+// exerciseControllers runs controllers of one version in situations that make them use every family of
+// keys and every peer method: completed and cancelled jobs, lost and unreachable machines, writes of
+// unknown outcome, an outage of the key-value store, and a killed leader.
 func (d *deployment) exerciseControllers(program string) {
 	d.t.Helper()
 	d.startAll(program)
 	d.submitVariedJobs()
-	d.await("tasks on machines", 20*time.Second, func() bool { on, _ := d.checker.TaskCounts(""); return on > 0 })
+	d.await("tasks run on machines", 20*time.Second, func() bool { running, _ := d.checker.TaskCounts(""); return running > 0 })
 	lostResponses := fake.FaultInjector(func(string, *http.Request) fake.InjectedFault { return fake.InjectedFault{Kind: fake.ResponseLost} })
 	d.writeFaultInjector.Store(&lostResponses)
 	time.Sleep(2 * time.Second)
 	d.writeFaultInjector.Store(nil)
 	d.users.Submit(fake.NewJob("job-000050", 20, nil))
-	d.await("more tasks on machines", 20*time.Second, func() bool { on, _ := d.checker.TaskCounts("job-000050"); return on > 4 })
+	d.await("more than 4 tasks of job-000050 run on machines", 20*time.Second, func() bool { running, _ := d.checker.TaskCounts("job-000050"); return running > 4 })
 	d.disruptMachines()
 	d.store.SetOutage(true)
 	time.Sleep(5 * time.Second)
@@ -36,12 +36,12 @@
 	d.awaitJobsAndCheck()
 }
 
-// submitVariedJobs has users submit jobs with all kinds of constraints, and cancel some.
+// submitVariedJobs makes users submit jobs with various constraints, and cancel some of them.
 func (d *deployment) submitVariedJobs() {
-	for k := range 12 {
+	for i := range 12 {
 		zone := "a"
-		j := fake.NewJob(fmt.Sprintf("job-%06d", k), 1+4*(k%3), func(j *wire.Job) {
-			switch k % 4 {
+		j := fake.NewJob(fmt.Sprintf("job-%06d", i), 1+4*(i%3), func(j *wire.Job) {
+			switch i % 4 {
 			case 1:
 				j.Zone, j.Team, j.Priority = &zone, "tight", "high"
 			case 2:
@@ -52,27 +52,27 @@
 			}
 		})
 		d.users.Submit(j)
-		if k%4 == 1 {
+		if i%4 == 1 {
 			d.users.Cancel(j)
 		}
 		time.Sleep(300 * time.Millisecond)
 	}
 }
 
-// disruptMachines makes a third of the machines hang and another third unable to reach
-// controllers, for two leases.
+// disruptMachines makes a third of the machines hang and cuts another third off from the controllers,
+// for two lease durations.
 func (d *deployment) disruptMachines() {
-	for i, w := range d.cloud.Agents() {
+	for i, agent := range d.cloud.Agents() {
 		switch i % 3 {
 		case 0:
-			w.SetHung(true)
+			agent.SetHung(true)
 		case 1:
-			w.SetOutboundCut(true)
+			agent.SetOutboundCut(true)
 		}
 	}
 	time.Sleep(2 * agentLease)
-	for _, w := range d.cloud.Agents() {
-		w.SetHung(false)
-		w.SetOutboundCut(false)
+	for _, agent := range d.cloud.Agents() {
+		agent.SetHung(false)
+		agent.SetOutboundCut(false)
 	}
 }
--- a/internal/compat/golden_test.go
+++ b/internal/compat/golden_test.go
@@ -19,15 +19,15 @@
 	_ "leadproxy/internal/softstate/hintpb"
 )
 
-var updateGRPC = flag.Bool("update-grpc", false, "write the golden file of the gRPC services and messages anew")
+var updateGRPC = flag.Bool("update-grpc", false, "rewrite the golden file of the gRPC services and messages")
 
-// TestGoldenGRPC compares what travels between controllers with the recorded list: packages,
-// methods, messages with the numbers and types of their fields, and enums. Names of fields do
-// not travel and are left out.
+// TestGoldenGRPC guards against incompatible changes of the gRPC protocols: it compares the packages,
+// methods, messages with the numbers and types of their fields, and enums with the golden file. Field
+// names are left out because they are not part of the encoding.
 func TestGoldenGRPC(t *testing.T) {
 	var lines []string
 	protoregistry.GlobalFiles.RangeFiles(func(file protoreflect.FileDescriptor) bool {
-		if of := string(file.Package()); !strings.HasPrefix(of, "google.") && !strings.HasPrefix(of, "grpc.") {
+		if packageName := string(file.Package()); !strings.HasPrefix(packageName, "google.") && !strings.HasPrefix(packageName, "grpc.") {
 			lines = append(lines, describeFile(file)...)
 		}
 		return true
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("the services and messages differ from %s; now:\n%s", path, got)
+		t.Errorf("the gRPC services and messages differ from %s; they are now:\n%s", path, got)
 	}
 }
 
@@ -69,21 +69,21 @@
 	return lines
 }
 
-func streamPrefix(is bool) string {
-	if is {
+func streamPrefix(streaming bool) string {
+	if streaming {
 		return "stream of "
 	}
 	return ""
 }
 
-// describeMessages also describes the messages and enums that are nested.
+// describeMessages describes messages, including the messages and enums nested in them.
 func describeMessages(messages protoreflect.MessageDescriptors) []string {
 	var lines []string
 	for i := range messages.Len() {
 		message := messages.Get(i)
 		lines = append(lines, fmt.Sprintf("message %s", message.FullName()))
-		for n := range message.Fields().Len() {
-			field := message.Fields().Get(n)
+		for k := range message.Fields().Len() {
+			field := message.Fields().Get(k)
 			lines = append(lines, fmt.Sprintf("message %s field %4d %s", message.FullName(), field.Number(), describeField(field)))
 		}
 		lines = append(lines, describeMessages(message.Messages())...)
@@ -120,8 +120,8 @@
 	var lines []string
 	for i := range enums.Len() {
 		enum := enums.Get(i)
-		for n := range enum.Values().Len() {
-			value := enum.Values().Get(n)
+		for k := range enum.Values().Len() {
+			value := enum.Values().Get(k)
 			lines = append(lines, fmt.Sprintf("enum %s %4d %s", enum.FullName(), value.Number(), value.Name()))
 		}
 	}
--- a/internal/compat/record_test.go
+++ b/internal/compat/record_test.go
@@ -15,10 +15,10 @@
 	"leadproxy/internal/wire"
 )
 
-var recordProduction = flag.Bool("record", false, "write the recordings of production anew")
+var recordProduction = flag.Bool("record", false, "rewrite the recordings of the production version")
 
-// TestRecordProduction runs production through situations in which it writes every kind of key and
-// sends every kind of message, and with -record keeps one example of each shape.
+// TestRecordProduction runs the production version in situations that make it write every family of
+// keys and use every peer method. With -record it stores one example of each shape as the recording.
 func TestRecordProduction(t *testing.T) {
 	commit := productionCommit(t)
 	d := newDeployment(t)
@@ -31,7 +31,7 @@
 	}
 }
 
-// checkKeyFamilies expects values of every family of keys.
+// checkKeyFamilies checks that there are values of every key family.
 func checkKeyFamilies(t *testing.T, values []Value) {
 	t.Helper()
 	families := map[string]bool{}
@@ -40,12 +40,12 @@
 	}
 	for _, want := range []string{"job", "fin", "host", "hire", "gone", "silent", "fence", "leader"} {
 		if !families[want] {
-			t.Errorf("production wrote no key of the family %q", want)
+			t.Errorf("production version wrote no key of the family %q", want)
 		}
 	}
 }
 
-// checkMethods expects requests and replies of every method.
+// checkMethods checks that there are requests and replies of every peer method.
 func checkMethods(t *testing.T, messages []Message) {
 	t.Helper()
 	sent := map[string]bool{}
@@ -54,48 +54,48 @@
 	}
 	for _, method := range []string{peerpb.Peer_Ask_FullMethodName, peerpb.Peer_Share_FullMethodName, peerpb.Peer_Ping_FullMethodName, peerpb.Peer_Vouch_FullMethodName} {
 		if !sent[method+" "+string(Request)] || !sent[method+" "+string(Reply)] {
-			t.Errorf("production was not seen to use %s", method)
+			t.Errorf("recording of the production version lacks a request or a reply of %s", method)
 		}
 	}
 }
 
-// writeRecording writes the recording and the proto file of the recorded commit.
+// writeRecording writes the recording, and the proto file of the recorded commit, to testdata.
 func writeRecording(t *testing.T, recording Recording) {
 	t.Helper()
-	var text bytes.Buffer
-	encoder := json.NewEncoder(&text)
+	var encoded bytes.Buffer
+	encoder := json.NewEncoder(&encoded)
 	encoder.SetIndent("", " ")
 	if err := encoder.Encode(recording); err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(recordingFile, text.Bytes(), 0o644); err != nil {
+	if err := os.WriteFile(recordingFile, encoded.Bytes(), 0o644); err != nil {
 		t.Fatal(err)
 	}
-	proto, err := exec.Command("git", "-C", repositoryRoot, "show", recording.Commit+":internal/peers/peerpb/peer.proto").Output()
+	protoSource, err := exec.Command("git", "-C", repositoryRoot, "show", recording.Commit+":internal/peers/peerpb/peer.proto").Output()
 	if err != nil {
 		t.Fatal(err)
 	}
-	if err := os.WriteFile(protoFile, proto, 0o644); err != nil {
+	if err := os.WriteFile(protoFile, protoSource, 0o644); err != nil {
 		t.Fatal(err)
 	}
 }
 
-// exampleValues returns one value of each key family and shape.
+// exampleValues returns one written value of each key family and shape.
 func exampleValues(t *testing.T, changes []wire.WatchEvent) (values []Value) {
 	t.Helper()
 	seen := map[string]bool{}
-	for _, c := range changes {
-		if c.Set == "" {
+	for _, change := range changes {
+		if change.Set == "" {
 			continue
 		}
-		paths, err := FieldPaths(c.Value)
+		paths, err := FieldPaths(change.Value)
 		if err != nil {
 			t.Fatal(err)
 		}
-		shape := KeyFamily(c.Set) + " " + strings.Join(paths, " ")
+		shape := KeyFamily(change.Set) + " " + strings.Join(paths, " ")
 		if !seen[shape] {
 			seen[shape] = true
-			values = append(values, Value{c.Set, c.Value})
+			values = append(values, Value{change.Set, change.Value})
 		}
 	}
 	return values
--- a/internal/compat/recording.go
+++ b/internal/compat/recording.go
@@ -13,28 +13,30 @@
 	"leadproxy/internal/peers/peerpb"
 )
 
-// Recording is what controllers of a version were observed to write to the key-value store and to
-// send to one another: one example of each shape.
+// Recording holds what controllers of one version wrote to the key-value store and sent to each
+// other: one example of each shape. Values have the same shape if they have the same key family and
+// fields (see KeyFamily and FieldPaths); messages, if they have the same method, direction and
+// populated fields (see PopulatedFields).
 type Recording struct {
 	Commit   string    `json:"commit"`
 	Values   []Value   `json:"values"`
 	Messages []Message `json:"messages"`
 }
 
-// Value is a key with its value.
+// Value is a key of the key-value store with its value.
 type Value struct {
 	Key   string          `json:"key"`
 	Value json.RawMessage `json:"value"`
 }
 
-// Message is one encoded gRPC message.
+// Message is an encoded gRPC message. Method is the full method name.
 type Message struct {
 	Method    string    `json:"method"`
 	Direction Direction `json:"direction"`
 	Payload   []byte    `json:"payload"`
 }
 
-// Direction says whether a message is a request or a reply.
+// Direction is the direction of a gRPC message: request or reply.
 type Direction string
 
 // The directions.
@@ -43,20 +45,21 @@
 	Reply   Direction = "reply"
 )
 
-// ReadRecording reads a recording from a file.
+// ReadRecording reads a recording from a JSON file.
 func ReadRecording(path string) (Recording, error) {
-	var r Recording
+	var recording Recording
 	text, err := os.ReadFile(path)
 	if err != nil {
-		return r, fmt.Errorf("reading a recording: %w", err)
+		return recording, fmt.Errorf("read recording: %w", err)
 	}
-	if err := json.Unmarshal(text, &r); err != nil {
-		return r, fmt.Errorf("decoding the recording %s: %w", path, err)
+	if err := json.Unmarshal(text, &recording); err != nil {
+		return recording, fmt.Errorf("decode recording %s: %w", path, err)
 	}
-	return r, nil
+	return recording, nil
 }
 
-// KeyFamily is the part of a key that determines the type of its value.
+// KeyFamily returns the family of a key, which determines the type of its value: the part before the
+// first slash, or "fin part" for a part of a chunk of finished tasks (fin/JOB/CHUNK.FIRST).
 func KeyFamily(key string) string {
 	family, rest, found := strings.Cut(key, "/")
 	switch {
@@ -68,52 +71,53 @@
 	return family
 }
 
-// FieldPaths lists the fields of a JSON value with their types, sorted. Fields of an array's elements
-// are listed once.
+// FieldPaths returns the sorted paths of all fields of a JSON value, each with its type. The elements
+// of an array share one path, which ends in [].
 func FieldPaths(value json.RawMessage) ([]string, error) {
-	var v any
-	if err := json.Unmarshal(value, &v); err != nil {
-		return nil, fmt.Errorf("decoding the value %s: %w", value, err)
+	var decoded any
+	if err := json.Unmarshal(value, &decoded); err != nil {
+		return nil, fmt.Errorf("decode value %s: %w", value, err)
 	}
 	paths := map[string]bool{}
-	collectPaths("", v, paths)
+	collectPaths("", decoded, paths)
 	return sortedNames(paths), nil
 }
 
-func collectPaths(at string, v any, paths map[string]bool) {
-	switch v := v.(type) {
+// collectPaths adds the path and type of each scalar and null within a decoded JSON value to paths.
+func collectPaths(path string, value any, paths map[string]bool) {
+	switch value := value.(type) {
 	case map[string]any:
-		for name, field := range v {
-			collectPaths(at+"."+name, field, paths)
+		for name, field := range value {
+			collectPaths(path+"."+name, field, paths)
 		}
 	case []any:
-		for _, element := range v {
-			collectPaths(at+"[]", element, paths)
+		for _, element := range value {
+			collectPaths(path+"[]", element, paths)
 		}
 	case nil:
-		paths[at+":null"] = true
+		paths[path+":null"] = true
 	case string:
-		paths[at+":string"] = true
+		paths[path+":string"] = true
 	case float64:
-		paths[at+":number"] = true
+		paths[path+":number"] = true
 	case bool:
-		paths[at+":bool"] = true
+		paths[path+":bool"] = true
 	}
 }
 
 func sortedNames(set map[string]bool) []string {
-	var all []string
+	var names []string
 	for name := range set {
-		all = append(all, name)
+		names = append(names, name)
 	}
-	slices.Sort(all)
-	return all
+	slices.Sort(names)
+	return names
 }
 
-// NewMessage makes an empty message of the type that a method has in a direction; nil: there is no
-// such method.
-func NewMessage(method string, d Direction) proto.Message {
-	switch method + " " + string(d) {
+// NewMessage returns an empty message of the type that a method uses in a direction, or nil if the
+// method is unknown.
+func NewMessage(method string, direction Direction) proto.Message {
+	switch method + " " + string(direction) {
 	case peerpb.Peer_Ask_FullMethodName + " " + string(Request):
 		return &peerpb.AskRequest{}
 	case peerpb.Peer_Ask_FullMethodName + " " + string(Reply):
@@ -134,21 +138,22 @@
 	return nil
 }
 
-// PopulatedFields lists the fields that a message carries, with the values of enums, sorted.
+// PopulatedFields returns the sorted paths of the fields that are set in a message. The path of an enum
+// field includes the value.
 func PopulatedFields(m protoreflect.Message) []string {
 	paths := map[string]bool{}
 	collectPopulatedFields("", m, paths)
 	return sortedNames(paths)
 }
 
-func collectPopulatedFields(at string, m protoreflect.Message, paths map[string]bool) {
-	m.Range(func(f protoreflect.FieldDescriptor, v protoreflect.Value) bool {
-		path := at + "." + string(f.Name())
-		if f.Enum() != nil {
+func collectPopulatedFields(parent string, m protoreflect.Message, paths map[string]bool) {
+	m.Range(func(field protoreflect.FieldDescriptor, v protoreflect.Value) bool {
+		path := parent + "." + string(field.Name())
+		if field.Enum() != nil {
 			path += fmt.Sprintf("=%d", v.Enum())
 		}
 		paths[path] = true
-		if f.IsList() && f.Message() != nil {
+		if field.IsList() && field.Message() != nil {
 			for i := range v.List().Len() {
 				collectPopulatedFields(path+"[]", v.List().Get(i).Message(), paths)
 			}
--- a/internal/compat/recording_golden_test.go
+++ b/internal/compat/recording_golden_test.go
@@ -6,7 +6,8 @@
 	"leadproxy/internal/property"
 )
 
-// TestGoldenRecording compares the form of the recordings, which later versions have to read.
+// TestGoldenRecording guards against changes of the recordings' JSON format, which later versions must
+// be able to read.
 func TestGoldenRecording(t *testing.T) {
 	property.CheckGolden(t, "recording", &Recording{})
 	property.CheckGolden(t, "recording_value", &Value{})
--- a/internal/compat/recording_test.go
+++ b/internal/compat/recording_test.go
@@ -19,14 +19,14 @@
 	"leadproxy/internal/wire"
 )
 
-// Paths from this package's directory.
+// Paths relative to this package's directory.
 const (
 	recordingFile  = "testdata/production/recording.json"
 	protoFile      = "testdata/production/peer.proto"
 	repositoryRoot = "../.."
 )
 
-// productionCommit is the commit that deploy/service.toml names as the one in production.
+// productionCommit returns the commit of the production version, which deploy/service.toml names.
 func productionCommit(t *testing.T) string {
 	t.Helper()
 	var deploy struct {
@@ -40,22 +40,23 @@
 
 func readProductionRecording(t *testing.T) Recording {
 	t.Helper()
-	r, err := ReadRecording(recordingFile)
+	recording, err := ReadRecording(recordingFile)
 	if err != nil {
 		t.Fatal(err)
 	}
-	return r
+	return recording
 }
 
-// TestRecordingIsOfProduction: a recording of another commit would prove nothing.
+// TestRecordingIsOfProduction guards against a stale recording: one of another commit does not show
+// that this version is compatible with the production version.
 func TestRecordingIsOfProduction(t *testing.T) {
 	if got, want := readProductionRecording(t).Commit, productionCommit(t); got != want {
-		t.Errorf("the recording is of %s, production is %s: record it anew, as the package's comment says", got, want)
+		t.Errorf("recording is of commit %s, production runs %s: rewrite the recording as described in the package comment", got, want)
 	}
 }
 
-// TestRecordedValuesAreReadInFull: values that production has written are decoded without loss:
-// encoded again they are the same.
+// TestRecordedValuesAreReadInFull guards against data loss after an upgrade: values that the production
+// version wrote must be the same after they are decoded and encoded again by this version.
 func TestRecordedValuesAreReadInFull(t *testing.T) {
 	newRecords := map[string]func() any{
 		"job":    func() any { return &ledger.JobRecord{} },
@@ -64,30 +65,30 @@
 		"hire":   func() any { return &ledger.ScaleOutRecord{} },
 		"silent": func() any { return &ledger.UnreachableRecord{} },
 	}
-	seen := map[string]int{}
+	valueCounts := map[string]int{}
 	for _, v := range readProductionRecording(t).Values {
 		family := KeyFamily(v.Key)
-		seen[family]++
+		valueCounts[family]++
 		newRecord, ok := newRecords[family]
 		if !ok {
-			continue // TestLedgerLoadsTheRecording reads it, or only its version matters
+			continue // covered by TestLedgerLoadsTheRecording, or a key of which only the version matters
 		}
 		record := newRecord()
 		if err := json.Unmarshal(v.Value, record); err != nil {
 			t.Errorf("%s: %v", v.Key, err)
 			continue
 		}
-		again, err := json.Marshal(record)
+		encoded, err := json.Marshal(record)
 		if err != nil {
 			t.Fatal(err)
 		}
-		if want := compactJSON(t, v.Value); !bytes.Equal(again, want) {
-			t.Errorf("%s: %s is encoded again as %s", v.Key, want, again)
+		if want := compactJSON(t, v.Value); !bytes.Equal(encoded, want) {
+			t.Errorf("%s: value %s is encoded as %s after decoding", v.Key, want, encoded)
 		}
 	}
 	for family := range newRecords {
-		if seen[family] == 0 {
-			t.Errorf("no value of the family %q is recorded", family)
+		if valueCounts[family] == 0 {
+			t.Errorf("recording has no value of the key family %q", family)
 		}
 	}
 }
@@ -101,13 +102,13 @@
 	return out.Bytes()
 }
 
-// recordedKVStore is a key-value store with the recorded values.
+// recordedKVStore is a key-value store that holds recorded values and rejects all writes.
 type recordedKVStore struct{ values []Value }
 
-func (s recordedKVStore) List(_ context.Context, _ kvstore.Priority, under, after string, _ int) (wire.EntryPage, error) {
+func (s recordedKVStore) List(_ context.Context, _ kvstore.Priority, prefix, after string, _ int) (wire.EntryPage, error) {
 	var page wire.EntryPage
 	for _, v := range s.values {
-		if strings.HasPrefix(v.Key, under) && v.Key > after {
+		if strings.HasPrefix(v.Key, prefix) && v.Key > after {
 			page.Entries = append(page.Entries, wire.Entry{Key: v.Key, Value: v.Value, Version: 1})
 		}
 	}
@@ -127,45 +128,48 @@
 	return false, wire.CompareAndSwapResponse{}, kvstore.ErrUnavailable
 }
 
-// TestLedgerLoadsTheRecording: a new leader of this version loads all recorded values.
+// TestLedgerLoadsTheRecording guards against a leader of this version that skips ledger records of the
+// production version when it takes over: it must load all recorded jobs, finished tasks, hosts, scale-outs
+// and gone machines.
 func TestLedgerLoadsTheRecording(t *testing.T) {
 	values := readProductionRecording(t).Values
-	want := map[string]int{}
+	recordedCounts := map[string]int{}
 	for _, v := range values {
-		want[KeyFamily(v.Key)]++
+		recordedCounts[KeyFamily(v.Key)]++
 	}
-	bounds := func() ledger.Limits { return ledger.Limits{} }
-	l := ledger.New(7, recordedKVStore{values}, bounds, slog.New(slog.NewTextHandler(io.Discard, nil)))
-	s, err := l.Load(t.Context())
+	zeroLimits := func() ledger.Limits { return ledger.Limits{} }
+	loadedLedger := ledger.New(7, recordedKVStore{values}, zeroLimits, slog.New(slog.NewTextHandler(io.Discard, nil)))
+	snapshot, err := loadedLedger.Load(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
-	jobs := map[string]bool{}
+	recordedJobs := map[string]bool{}
 	for _, v := range values {
 		if KeyFamily(v.Key) == "job" {
-			jobs[strings.TrimPrefix(v.Key, ledger.JobPrefix)] = true
+			recordedJobs[strings.TrimPrefix(v.Key, ledger.JobPrefix)] = true
 		}
 	}
-	found, finished, hosts := 0, 0, 0
-	for _, j := range s.Jobs {
-		if jobs[j.ID] {
-			found++
+	jobsFound, finishedCount, hostCount := 0, 0, 0
+	for _, j := range snapshot.Jobs {
+		if recordedJobs[j.ID] {
+			jobsFound++
 		}
-		finished += len(j.Finished)
-		hosts += len(j.Hosts)
+		finishedCount += len(j.Finished)
+		hostCount += len(j.Hosts)
 	}
-	if found != len(jobs) || finished != want["fin"] || hosts != want["host"] || len(s.ScaleOuts) != want["hire"] || len(s.GoneMachines) != want["gone"] {
-		t.Errorf("%d of %d jobs, %d finished, %d hosts, %d scale-outs, %d gone; recorded were %v", found, len(jobs), finished, hosts, len(s.ScaleOuts), len(s.GoneMachines), want)
+	if jobsFound != len(recordedJobs) || finishedCount != recordedCounts["fin"] || hostCount != recordedCounts["host"] || len(snapshot.ScaleOuts) != recordedCounts["hire"] || len(snapshot.GoneMachines) != recordedCounts["gone"] {
+		t.Errorf("loaded %d of %d jobs, %d records of finished tasks, %d of hosts, %d of scale-outs, %d of gone machines; recorded by key family: %v", jobsFound, len(recordedJobs), finishedCount, hostCount, len(snapshot.ScaleOuts), len(snapshot.GoneMachines), recordedCounts)
 	}
 }
 
-// TestRecordedMessagesAreReadInFull: messages that production has sent to another controller are
-// decoded without unknown fields, and encoded again they are the same.
+// TestRecordedMessagesAreReadInFull guards against peer messages that lose content between versions:
+// messages that the production version sent to another controller must be decoded without unknown
+// fields, and must be the same when encoded again.
 func TestRecordedMessagesAreReadInFull(t *testing.T) {
 	for _, recorded := range readProductionRecording(t).Messages {
 		m := NewMessage(recorded.Method, recorded.Direction)
 		if m == nil {
-			t.Errorf("%s is no longer known", recorded.Method)
+			t.Errorf("method %s is unknown in this version", recorded.Method)
 			continue
 		}
 		if err := proto.Unmarshal(recorded.Payload, m); err != nil {
@@ -175,15 +179,16 @@
 		if unknown := m.ProtoReflect().GetUnknown(); len(unknown) > 0 {
 			t.Errorf("%s %s: unknown fields: %x", recorded.Method, recorded.Direction, unknown)
 		}
-		again, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
-		if err != nil || !bytes.Equal(again, recorded.Payload) {
-			t.Errorf("%s %s: %x is encoded again as %x: %v", recorded.Method, recorded.Direction, recorded.Payload, again, err)
+		encoded, err := proto.MarshalOptions{Deterministic: true}.Marshal(m)
+		if err != nil || !bytes.Equal(encoded, recorded.Payload) {
+			t.Errorf("%s %s: message %x is encoded as %x after decoding: %v", recorded.Method, recorded.Direction, recorded.Payload, encoded, err)
 		}
 	}
 }
 
-// TestDeclaredMessagesStay: each message, field and method that production declares is declared here
-// with the same type and number.
+// TestDeclaredMessagesStay guards against removed or changed declarations, including those that no
+// recorded message uses: each message, field and method that the production version declares must
+// still be declared with the same type and number.
 func TestDeclaredMessagesStay(t *testing.T) {
 	production, err := os.ReadFile(protoFile)
 	if err != nil {
@@ -194,17 +199,17 @@
 		t.Fatal(err)
 	}
 	declared := protoDeclarations(string(current))
-	for d := range protoDeclarations(string(production)) {
-		if !declared[d] {
-			t.Errorf("production declares %q, which is missing or different here", d)
+	for declaration := range protoDeclarations(string(production)) {
+		if !declared[declaration] {
+			t.Errorf("production version declares %q, which is missing or different in this version", declaration)
 		}
 	}
 }
 
-// protoDeclarations lists the declarations of a proto file, each with the names of its enclosing
-// blocks.
+// protoDeclarations returns the set of declarations in a proto file, each prefixed with its enclosing
+// blocks. Comments and whitespace are normalized away.
 func protoDeclarations(text string) map[string]bool {
-	all := map[string]bool{}
+	declarations := map[string]bool{}
 	var blocks []string
 	for line := range strings.Lines(text) {
 		line, _, _ = strings.Cut(line, "//")
@@ -215,8 +220,8 @@
 		case line == "}":
 			blocks = blocks[:len(blocks)-1]
 		case line != "":
-			all[strings.Join(append(blocks[:len(blocks):len(blocks)], line), " ")] = true
+			declarations[strings.Join(append(blocks[:len(blocks):len(blocks)], line), " ")] = true
 		}
 	}
-	return all
+	return declarations
 }
--- a/internal/compat/relay_test.go
+++ b/internal/compat/relay_test.go
@@ -15,10 +15,10 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// rawFrame is an encoded message.
+// rawFrame is an encoded gRPC message.
 type rawFrame struct{ payload []byte }
 
-// rawCodec forwards messages without decoding them.
+// rawCodec is a gRPC codec that passes rawFrame messages through without decoding them.
 type rawCodec struct{}
 
 func (rawCodec) Marshal(v any) ([]byte, error) { return v.(*rawFrame).payload, nil }
@@ -30,23 +30,23 @@
 
 func (rawCodec) Name() string { return "proto" }
 
-// grpcRelay forwards and records the calls that controllers make to one of them.
+// grpcRelay forwards calls of any method to one controller and records their messages.
 type grpcRelay struct {
 	target   *grpc.ClientConn
 	recorder *recorder
 }
 
-// startGRPCRelay serves the calls that come to a listener until the test ends.
-func startGRPCRelay(t *testing.T, l net.Listener, to string, rec *recorder) {
+// startGRPCRelay relays the calls that arrive at the listener to the target address until the test ends.
+func startGRPCRelay(t *testing.T, listener net.Listener, target string, rec *recorder) {
 	t.Helper()
-	conn, err := grpc.NewClient("passthrough:///"+to, grpc.WithTransportCredentials(insecure.NewCredentials()),
+	conn, err := grpc.NewClient("passthrough:///"+target, grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithDefaultCallOptions(grpc.ForceCodec(rawCodec{})))
 	if err != nil {
 		t.Fatal(err)
 	}
 	r := &grpcRelay{target: conn, recorder: rec}
 	server := grpc.NewServer(grpc.ForceServerCodec(rawCodec{}), grpc.UnknownServiceHandler(r.handle))
-	go server.Serve(l)
+	go server.Serve(listener)
 	t.Cleanup(func() {
 		server.Stop()
 		conn.Close()
@@ -63,36 +63,37 @@
 	}
 	go r.forwardRequests(method, client, server)
 	for {
-		var f rawFrame
-		if err := server.RecvMsg(&f); errors.Is(err, io.EOF) {
+		var frame rawFrame
+		if err := server.RecvMsg(&frame); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return err
 		}
-		r.recorder.record(method, Reply, f.payload)
-		if err := client.SendMsg(&f); err != nil {
+		r.recorder.record(method, Reply, frame.payload)
+		if err := client.SendMsg(&frame); err != nil {
 			return err
 		}
 	}
 }
 
-// forwardRequests records and forwards requests until the client has sent its last one.
+// forwardRequests records and forwards requests until the client closes its sending side or the stream
+// fails.
 func (r *grpcRelay) forwardRequests(method string, client grpc.ServerStream, server grpc.ClientStream) {
 	for {
-		var f rawFrame
-		if client.RecvMsg(&f) != nil {
+		var frame rawFrame
+		if client.RecvMsg(&frame) != nil {
 			server.CloseSend()
 			return
 		}
-		r.recorder.record(method, Request, f.payload)
-		if server.SendMsg(&f) != nil {
+		r.recorder.record(method, Request, frame.payload)
+		if server.SendMsg(&frame) != nil {
 			return
 		}
 	}
 }
 
-// recorder keeps one message of each method, direction and shape. The channel holds the set of shapes
-// and serves as the lock for both fields.
+// recorder keeps one message of each method, direction and shape. The channel seenShapes holds the set
+// of recorded shapes and also serves as the lock of both fields.
 type recorder struct {
 	seenShapes chan map[string]bool
 	messages   []Message
@@ -104,20 +105,21 @@
 	return r
 }
 
-func (r *recorder) record(method string, d Direction, payload []byte) {
-	shape := method + " " + string(d)
-	if m := NewMessage(method, d); m != nil && proto.Unmarshal(payload, m) == nil {
+// record keeps the message if it is the first of its shape.
+func (r *recorder) record(method string, direction Direction, payload []byte) {
+	shape := method + " " + string(direction)
+	if m := NewMessage(method, direction); m != nil && proto.Unmarshal(payload, m) == nil {
 		shape += " " + strings.Join(PopulatedFields(m.ProtoReflect()), " ")
 	}
 	seen := <-r.seenShapes
 	defer func() { r.seenShapes <- seen }()
 	if !seen[shape] {
 		seen[shape] = true
-		r.messages = append(r.messages, Message{method, d, payload})
+		r.messages = append(r.messages, Message{method, direction, payload})
 	}
 }
 
-// recorded returns the messages so far.
+// recorded returns the messages recorded so far.
 func (r *recorder) recorded() []Message {
 	seen := <-r.seenShapes
 	defer func() { r.seenShapes <- seen }()
--- a/internal/compat/submit_test.go
+++ b/internal/compat/submit_test.go
@@ -11,31 +11,31 @@
 	"leadproxy/internal/wire"
 )
 
-// submitJobs has users submit jobs, and cancel some, until stop is called.
+// submitJobs makes users submit jobs, and cancel some of them, until stop is called.
 func (d *deployment) submitJobs() (stop func()) {
-	ended := make(chan struct{})
+	stopped := make(chan struct{})
 	d.users.Go(func() {
-		r := rand.New(rand.NewPCG(2, 2))
-		for k := 0; ; k++ {
-			j := fake.NewJob(fmt.Sprintf("job-%06d", k), 1+r.IntN(4), func(j *wire.Job) {
-				if k%3 == 0 {
+		random := rand.New(rand.NewPCG(2, 2))
+		for i := 0; ; i++ {
+			j := fake.NewJob(fmt.Sprintf("job-%06d", i), 1+random.IntN(4), func(j *wire.Job) {
+				if i%3 == 0 {
 					j.Team = "tight"
 				}
 			})
 			d.users.Submit(j)
-			if k%4 == 0 {
-				after := time.Duration(r.Int64N(int64(4 * time.Second)))
+			if i%4 == 0 {
+				delay := time.Duration(random.Int64N(int64(4 * time.Second)))
 				d.users.Go(func() {
-					time.Sleep(after)
+					time.Sleep(delay)
 					d.users.Cancel(j)
 				})
 			}
 			select {
-			case <-ended:
+			case <-stopped:
 				return
 			case <-time.After(400 * time.Millisecond):
 			}
 		}
 	})
-	return func() { close(ended) }
+	return func() { close(stopped) }
 }
--- a/internal/lint/doc.go
+++ b/internal/lint/doc.go
@@ -1,3 +1,3 @@
-// Package lint holds tests that check the sources themselves, where neither the compiler nor
-// the linters can: that names follow the glossary in docs/design.md. It has no code of its own.
+// Package lint contains only tests, which check the sources for rules that neither the compiler nor
+// the linters can check: that names follow the glossary in docs/design.md.
 package lint
--- a/internal/lint/protocol_words_lists_test.go
+++ b/internal/lint/protocol_words_lists_test.go
@@ -1,18 +1,17 @@
 package lint
 
-// The words that TestProtocolWordsAreNoIdentifiers and its neighbours look for, and the places
-// where they may stand.
+// The words that the tests in protocol_words_test.go look for, and the places where they are allowed.
 
-// forbiddenWords are words of the protocol that have no other meaning in this code, each with
-// the term that replaces it. An identifier must not contain one, in singular or plural, also
-// not as a part: hireName is as wrong as hire.
+// forbiddenWords maps words of the protocol that have no other meaning in this code to the terms that
+// replace them. No word of an identifier may be one of them, in singular or plural: hireName is
+// as wrong as hire.
 //
-// Left out are words that are ordinary in other meanings and can't be told apart by their
-// spelling: tick (a ticker), epoch (agent epoch, transfer epoch), room (free resources), hold,
-// held, when, apply, set, under, from, life, path, data, try, cause, rate, status, verb, order
-// (of a queue), snapshot (of the ledger), flush, due, warning, ref. Where such a word is part of
-// a JSON name that is unmistakable, forbiddenPairs has it, and a field with its tag must not be
-// named like it (TestProtocolFieldsAreNamedByTerms).
+// The map omits words that also have ordinary meanings, which can't be distinguished by spelling:
+// tick (a ticker), epoch (agent epoch, transfer epoch), room (free resources), hold, held, when,
+// apply, set, under, from, life, path, data, try, cause, rate, status, verb, order (of a queue),
+// snapshot (of the ledger), flush, due, warning, ref. If such a word is part of an unambiguous JSON
+// name, that name is in forbiddenPairs. A field whose tag is such a word must not be named after the
+// tag (see ambiguousNames and TestProtocolFieldsAreNamedByTerms).
 var forbiddenWords = map[string]string{
 	"aborted":  "cancelled",
 	"baton":    "fencing token",
@@ -39,7 +38,8 @@
 	"vcpu":     "CPUs",
 }
 
-// forbiddenPairs are two words in a row that spell a JSON name of the protocol or the store.
+// forbiddenPairs maps pairs of consecutive words that spell a JSON name of the protocol or the store to
+// the terms that replace them.
 var forbiddenPairs = map[[2]string]string{
 	{"wind", "down"}:    "grace period",
 	{"market", "price"}: "spot price",
@@ -55,10 +55,10 @@
 	{"waits", "on"}:     "depends on",
 }
 
-// protocolNames are JSON names and values of the protocol that say nothing to a reader who
-// does not know it. A string literal must not be one of them, outside of wireDirectories.
-// Names that are ordinary words elsewhere (status, error, host, address, name, from, limit,
-// done, cause, epoch) are left out.
+// protocolNames lists JSON names and values of the protocol that a reader who does not know the
+// protocol can't understand. Outside of wireDirectories no string literal may equal one of them. The
+// list omits names that are ordinary words elsewhere: status, error, host, address, name, from,
+// limit, done, cause, epoch.
 var protocolNames = []string{
 	"baton", "tenure", "tick", "boss", "flavor", "flavors", "loaners", "room", "rooms",
 	"piece", "pieces", "lane", "owner", "shape", "urgency", "bundle", "size_gb", "vcpus", "mem_gb",
@@ -69,8 +69,8 @@
 	"ref", "fate", "over_ms",
 }
 
-// ambiguousNames are JSON names of the protocol that are ordinary words elsewhere. A field that
-// carries one has the glossary's term as its name.
+// ambiguousNames lists JSON names of the protocol that a struct field with that tag must not be named
+// after; the field must be named by the glossary's term. Many of them are ordinary words elsewhere.
 var ambiguousNames = []string{
 	"ref", "room", "rooms", "tick", "epoch", "hold", "stamp", "when", "apply", "under", "path", "data",
 	"try", "cause", "stored", "rate", "number", "host", "hosts", "orders", "owner", "shape", "news",
@@ -78,33 +78,34 @@
 	"life_ms", "has_next", "waits_on", "fate", "over_ms",
 }
 
-// testDirectories are not checked: they are for tests alone, and play the outside systems, which
-// have the protocol's words.
+// testDirectories lists directories that are not checked: they contain test support only, and simulate
+// the external systems, which use the protocol's words.
 var testDirectories = []string{"internal/compat", "internal/fake", "internal/property", "internal/soak"}
 
-// wireDirectories hold what travels and what is stored. There the protocol's names may stand
-// as literals: as values of constants, and as keys that are read by hand.
+// wireDirectories lists the packages that define wire and storage formats. They may contain the
+// protocol's names as literals: as values of constants, and as keys in handwritten decoders.
 var wireDirectories = []string{"internal/wire", "internal/ledger", "internal/settings"}
 
-// exception is a place where a word of the protocol has to stand, or means something else.
+// exception allows an identifier or a literal in one file, where a word of the protocol is necessary or
+// has another meaning.
 type exception struct {
-	file   string // from the root of the repository
-	name   string // the identifier, or the literal's value
+	file   string // slash-separated path from the repository root
+	name   string // the identifier, or the value of the literal
 	reason string
 }
 
-// allowedIdentifiers are the identifiers that may contain a word of the protocol.
+// allowedIdentifiers lists the identifiers that may contain a word of the protocol.
 var allowedIdentifiers = []exception{
 	{"internal/rollout/record.go", "PhaseAborted", "a plan that its operator aborted, as leadproxy drain abort says it"},
 }
 
-// allowedFields are the fields that may be named like their tag though it is a word of the
-// protocol.
+// allowedFields lists the fields that may be named after their tag although the tag is in
+// ambiguousNames.
 var allowedFields = []exception{
 	{"internal/federation/records.go", "Epoch", "a transfer epoch: the term of docs/design-federation.md"},
 }
 
-// allowedLiterals are the string literals that may equal a name of the protocol.
+// allowedLiterals lists the string literals that may equal a name of the protocol.
 var allowedLiterals = []exception{
 	{"internal/federation/messages.go", "aborted", "an outcome's name in logs"},
 	{"internal/kvstore/entries.go", "under", "parameter of the store's URLs"},
--- a/internal/lint/protocol_words_test.go
+++ b/internal/lint/protocol_words_test.go
@@ -15,15 +15,15 @@
 	"unicode"
 )
 
-// The protocol has words of its own (baton, flavors, pieces). They stand in struct tags and in
-// the values of constants, since they travel and are stored; the code uses the terms of the
-// glossary in docs/design.md. TestProtocolWordsAreNoIdentifiers and
-// TestProtocolNamesAreNoLiterals keep it so.
+// The protocol has words of its own (baton, flavors, pieces). Struct tags and the values of constants
+// contain them because they are part of wire and storage formats; everywhere else the code must use
+// the terms of the glossary in docs/design.md. The tests in this file guard against protocol words in
+// identifiers, in the names of tagged fields, and in string literals.
 
-// sourceRoot is the root of the repository as seen from this package.
+// sourceRoot is the path of the repository root from this package's directory.
 const sourceRoot = "../.."
 
-// finding is an identifier or a literal that must not be there.
+// finding is an identifier or a literal that violates a rule, with the reason.
 type finding struct {
 	file   string
 	line   int
@@ -35,6 +35,7 @@
 	return fmt.Sprintf("%s:%d: %s: %s", f.file, f.line, f.name, f.reason)
 }
 
+// TestProtocolWordsAreNoIdentifiers checks that no declared identifier contains a word of the protocol.
 func TestProtocolWordsAreNoIdentifiers(t *testing.T) {
 	var found []finding
 	for _, source := range productSources(t) {
@@ -43,6 +44,8 @@
 	reportFindings(t, found, allowedIdentifiers)
 }
 
+// TestProtocolFieldsAreNamedByTerms checks that no struct field is named after a tag that is a name
+// of the protocol, even if that name is an ordinary word elsewhere.
 func TestProtocolFieldsAreNamedByTerms(t *testing.T) {
 	var found []finding
 	for _, source := range productSources(t) {
@@ -51,6 +54,8 @@
 	reportFindings(t, found, allowedFields)
 }
 
+// TestProtocolNamesAreNoLiterals checks that no string literal outside of wireDirectories equals a
+// name of the protocol.
 func TestProtocolNamesAreNoLiterals(t *testing.T) {
 	var found []finding
 	for _, source := range productSources(t) {
@@ -61,8 +66,8 @@
 	reportFindings(t, found, allowedLiterals)
 }
 
-// reportFindings fails for each finding that has no exception, and for each exception that is not
-// needed any more.
+// reportFindings fails the test for each finding without an exception, and for each exception that has
+// no reason or no finding.
 func reportFindings(t *testing.T, found []finding, allowed []exception) {
 	t.Helper()
 	used := map[exception]bool{}
@@ -79,20 +84,20 @@
 			t.Errorf("exception %s in %s has no reason", e.name, e.file)
 		}
 		if !used[e] {
-			t.Errorf("exception %s in %s is not needed any more", e.name, e.file)
+			t.Errorf("exception %s in %s is no longer needed", e.name, e.file)
 		}
 	}
 }
 
-// source is a parsed file.
+// source is a parsed Go file.
 type source struct {
-	name    string // from the root of the repository, with slashes
+	name    string // slash-separated path from the repository root
 	syntax  *ast.File
 	fileSet *token.FileSet
 }
 
-// productSources parses all files of the product, whatever their build tags: neither tests nor
-// generated code.
+// productSources parses all Go files of the product under any build tags, without tests,
+// testDirectories and generated code.
 func productSources(t *testing.T) []source {
 	t.Helper()
 	var sources []source
@@ -119,32 +124,35 @@
 			t.Fatal(err)
 		}
 	}
-	const fewest = 100 // fewer show that the walk has missed the sources
-	if len(sources) < fewest {
-		t.Fatalf("only %d sources found", len(sources))
+	const minSources = 100 // fewer files mean that the walk missed the sources
+	if len(sources) < minSources {
+		t.Fatalf("found only %d source files", len(sources))
 	}
 	return sources
 }
 
-// parseSource parses a file, or a text under a file's name unless that is nil.
+// parseSource parses the file at path, or, if text is not nil, that text as the content of the file.
 func parseSource(path string, text any) (source, error) {
-	lines := token.NewFileSet()
-	syntax, err := parser.ParseFile(lines, path, text, parser.ParseComments|parser.SkipObjectResolution)
+	fileSet := token.NewFileSet()
+	syntax, err := parser.ParseFile(fileSet, path, text, parser.ParseComments|parser.SkipObjectResolution)
 	if err != nil {
 		return source{}, err
 	}
-	return source{name: pathFromRoot(path), syntax: syntax, fileSet: lines}, nil
+	return source{name: pathFromRoot(path), syntax: syntax, fileSet: fileSet}, nil
 }
 
-// pathFromRoot is a path from the root of the repository, with slashes.
+// pathFromRoot converts a path from this package's directory to a slash-separated path from the
+// repository root.
 func pathFromRoot(path string) string {
 	return strings.TrimPrefix(filepath.ToSlash(path), sourceRoot+"/")
 }
 
+// lineOf returns the line at which a node begins.
 func (s source) lineOf(node ast.Node) int { return s.fileSet.Position(node.Pos()).Line }
 
-// forbiddenIdentifiers lists the names that a source declares with a word of the protocol. Uses
-// of a name are not listed: it is declared once, and generated code is not ours.
+// forbiddenIdentifiers returns the identifiers that a source declares and that contain a word of the
+// protocol. Uses of a name are not checked: its declaration is, unless it is in generated code, which
+// is exempt.
 func forbiddenIdentifiers(s source) []finding {
 	var found []finding
 	check := func(names ...*ast.Ident) {
@@ -152,8 +160,8 @@
 			if name == nil {
 				continue
 			}
-			if why := forbiddenReason(name.Name); why != "" {
-				found = append(found, finding{s.name, s.lineOf(name), name.Name, why})
+			if reason := forbiddenReason(name.Name); reason != "" {
+				found = append(found, finding{s.name, s.lineOf(name), name.Name, reason})
 			}
 		}
 	}
@@ -186,8 +194,8 @@
 	return found
 }
 
-// fieldsNamedLikeTags lists the fields of structs whose tag is a name of the protocol, also one
-// that is ordinary English elsewhere, and that are named like it.
+// fieldsNamedLikeTags returns the struct fields whose JSON tag is in ambiguousNames and whose name equals
+// the tag, ignoring case and underscores.
 func fieldsNamedLikeTags(s source) []finding {
 	var found []finding
 	ast.Inspect(s.syntax, func(node ast.Node) bool {
@@ -202,7 +210,7 @@
 		key, _, _ := strings.Cut(reflect.StructTag(tag).Get("json"), ",")
 		for _, name := range field.Names {
 			if strings.EqualFold(name.Name, strings.ReplaceAll(key, "_", "")) && slices.Contains(ambiguousNames, key) {
-				found = append(found, finding{s.name, s.lineOf(name), name.Name, "is the protocol's name, write the glossary's term"})
+				found = append(found, finding{s.name, s.lineOf(name), name.Name, "field is named after its protocol tag; use the glossary's term"})
 			}
 		}
 		return true
@@ -210,7 +218,7 @@
 	return found
 }
 
-// plainIdentifiers are those of some expressions that are plain names.
+// plainIdentifiers returns the expressions that are plain identifiers.
 func plainIdentifiers(expressions []ast.Expr) []*ast.Ident {
 	var names []*ast.Ident
 	for _, e := range expressions {
@@ -221,50 +229,52 @@
 	return names
 }
 
-// forbiddenReason tells which term belongs in place of a word in an identifier; "": all are right.
+// forbiddenReason returns why an identifier is forbidden and which term to use instead, or "" if it is
+// allowed.
 func forbiddenReason(identifier string) string {
 	words := splitWords(identifier)
 	for i, word := range words {
-		for _, w := range []string{word, strings.TrimSuffix(word, "s")} {
-			if term, ok := forbiddenWords[w]; ok {
-				return fmt.Sprintf("%q is the protocol's word, write %s", word, term)
+		for _, candidate := range []string{word, strings.TrimSuffix(word, "s")} {
+			if term, ok := forbiddenWords[candidate]; ok {
+				return fmt.Sprintf("%q is a word of the protocol; use %s", word, term)
 			}
 		}
 		if i > 0 {
 			if term, ok := forbiddenPairs[[2]string{words[i-1], word}]; ok {
-				return fmt.Sprintf("\"%s %s\" is the protocol's word, write %s", words[i-1], word, term)
+				return fmt.Sprintf("\"%s %s\" is a name of the protocol; use %s", words[i-1], word, term)
 			}
 		}
 	}
 	return ""
 }
 
-// splitWords splits an identifier by camel case and underscores into words in lower case. A row
-// of capitals is one word: JobID is job, id; HTTPServer is http, server.
+// splitWords splits an identifier at camel-case boundaries and underscores into lower-case words without
+// leading or trailing digits. A sequence of capitals is one word: JobID gives job, id; HTTPServer
+// gives http, server.
 func splitWords(identifier string) []string {
 	var words []string
-	letters := []rune(identifier)
-	begin := 0
+	runes := []rune(identifier)
+	start := 0
 	cut := func(end int) {
-		if word := strings.Trim(string(letters[begin:end]), "_0123456789"); word != "" {
+		if word := strings.Trim(string(runes[start:end]), "_0123456789"); word != "" {
 			words = append(words, strings.ToLower(word))
 		}
-		begin = end
+		start = end
 	}
-	for i := 1; i < len(letters); i++ {
-		lowerBefore := !unicode.IsUpper(letters[i-1])
-		upper := unicode.IsUpper(letters[i])
-		lowerAfter := i+1 < len(letters) && unicode.IsLower(letters[i+1])
-		if letters[i] == '_' || upper && (lowerBefore || lowerAfter) {
+	for i := 1; i < len(runes); i++ {
+		lowerBefore := !unicode.IsUpper(runes[i-1])
+		upper := unicode.IsUpper(runes[i])
+		lowerAfter := i+1 < len(runes) && unicode.IsLower(runes[i+1])
+		if runes[i] == '_' || upper && (lowerBefore || lowerAfter) {
 			cut(i)
 		}
 	}
-	cut(len(letters))
+	cut(len(runes))
 	return words
 }
 
-// forbiddenLiterals lists the string literals of a source that equal a name of the protocol. Tags
-// of struct fields are not among them, nor the paths of imports.
+// forbiddenLiterals returns the string literals of a source that equal a name of the protocol. Import
+// paths are skipped, and struct tags never equal a name, since a tag includes its key.
 func forbiddenLiterals(s source) []finding {
 	var found []finding
 	ast.Inspect(s.syntax, func(node ast.Node) bool {
@@ -277,7 +287,7 @@
 			}
 			value, err := strconv.Unquote(n.Value)
 			if err == nil && slices.Contains(protocolNames, value) {
-				found = append(found, finding{s.name, s.lineOf(n), value, "a name of the protocol belongs into a tag or a constant of wire, ledger or settings"})
+				found = append(found, finding{s.name, s.lineOf(n), value, "name of the protocol; use a struct tag or a constant of package wire, ledger or settings"})
 			}
 		}
 		return true
@@ -306,7 +316,7 @@
 	}
 }
 
-// faultySource has each kind of fault once, and names that are right.
+// faultySource contains every kind of forbidden name, next to allowed names.
 const faultySource = `package planted
 
 type loanerMachine struct {
@@ -326,6 +336,8 @@
 }
 `
 
+// TestPlantedFaultsAreFound guards against checks that pass because they find nothing: each must find
+// exactly the forbidden names in faultySource.
 func TestPlantedFaultsAreFound(t *testing.T) {
 	s, err := parseSource("planted.go", faultySource)
 	if err != nil {
--- a/internal/property/doc.go
+++ b/internal/property/doc.go
@@ -1,3 +1,3 @@
-// Package property has helpers for tests that more than one package uses: the settings of
-// property-based tests, golden files of what travels or is stored, and mutation tests.
+// Package property has test helpers that several packages share: the settings of property-based tests,
+// golden files of wire and storage formats, and mutation tests.
 package property
--- a/internal/property/golden.go
+++ b/internal/property/golden.go
@@ -12,52 +12,52 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// updateGolden makes tests write the golden files instead of comparing them. What travels or is stored may
-// change only by a decision, so it is never set in CI.
-var updateGolden = flag.Bool("update", false, "write the golden files anew")
+// updateGolden makes tests rewrite the golden files before they compare them. It is never set in CI,
+// because wire and storage formats may change only deliberately.
+var updateGolden = flag.Bool("update", false, "rewrite the golden files")
 
-// goldenDirectory is where a package has its golden files.
+// goldenDirectory is the directory of the golden files, relative to the tested package.
 const goldenDirectory = "testdata/golden"
 
-// CheckGolden compares the JSON of the type that sample points to with the golden files of a name,
-// byte for byte. NAME.json has a value with every field set, so that fields that are omitted when
-// empty show too; NAME_zero.json has the zero value, which shows which those are. Both files are also
-// decoded and must give the same values again.
+// CheckGolden compares the JSON encoding of the type that sample points to with golden files, byte for
+// byte. NAME.json holds a value with every field set, so that it includes the fields that are omitted
+// when empty. NAME_zero.json holds the zero value and so shows which fields those are. Decoding either
+// file must give the encoded value.
 func CheckGolden(t *testing.T, name string, sample any) {
 	t.Helper()
 	valueType := reflect.TypeOf(sample).Elem()
 	filled := reflect.New(valueType)
-	samples := sampler{}
-	if err := samples.fill(filled.Elem()); err != nil {
+	s := sampler{}
+	if err := s.fill(filled.Elem()); err != nil {
 		t.Fatalf("%s: %v", name, err)
 	}
 	checkEncoding(t, name, filled)
 	checkEncoding(t, name+"_zero", reflect.New(valueType))
 }
 
-// CheckGoldenValues compares values, each under a stable label, with the golden file of a name:
-// constants, keys, numbers of enumerations, messages in hexadecimal.
+// CheckGoldenValues compares values, each under a stable label, with the golden file NAME.json. The
+// values are constants, keys, enum numbers, or messages in hexadecimal.
 func CheckGoldenValues(t *testing.T, name string, values map[string]any) {
 	t.Helper()
 	encoded, err := stdjson.MarshalIndent(values, "", "  ")
 	if err != nil {
-		t.Fatalf("encoding %s: %v", name, err)
+		t.Fatalf("encode %s: %v", name, err)
 	}
 	compareWithGoldenFile(t, name, encoded)
 }
 
-// checkEncoding compares the encoding of the value that a pointer points to with a golden file, and
-// the value with the file's decoding.
+// checkEncoding compares the JSON encoding of the value that pointer points to with a golden file, and
+// the decoded file with the value.
 func checkEncoding(t *testing.T, name string, pointer reflect.Value) {
 	t.Helper()
 	encoded, err := json.Marshal(pointer.Interface())
 	if err != nil {
-		t.Fatalf("encoding %s: %v", name, err)
+		t.Fatalf("encode %s: %v", name, err)
 	}
 	file := compareWithGoldenFile(t, name, encoded)
 	decoded := reflect.New(pointer.Type().Elem())
 	if err := json.Unmarshal(file, decoded.Interface()); err != nil {
-		t.Errorf("decoding the golden file of %s: %v", name, err)
+		t.Errorf("decode the golden file of %s: %v", name, err)
 		return
 	}
 	want := pointer
@@ -65,28 +65,29 @@
 		want = withNulls(want)
 	}
 	if !reflect.DeepEqual(decoded.Interface(), want.Interface()) {
-		t.Errorf("the golden file of %s is decoded to %+v, want %+v", name, decoded.Elem(), want.Elem())
+		t.Errorf("golden file of %s: decoded %+v, want %+v", name, decoded.Elem(), want.Elem())
 	}
 }
 
-// withNulls is a zero value as its encoding is decoded: a nil raw message is written as null, and read
-// as the text null unless it is omitted when empty.
+// withNulls returns a pointer to the zero value as it is after encoding and decoding: a nil raw message
+// is encoded as null and decoded as the text null, unless it is omitted when empty.
 func withNulls(pointer reflect.Value) reflect.Value {
-	out := reflect.New(pointer.Type().Elem())
-	if out.Elem().Kind() != reflect.Struct {
-		return out
+	result := reflect.New(pointer.Type().Elem())
+	if result.Elem().Kind() != reflect.Struct {
+		return result
 	}
-	for i := range out.Elem().NumField() {
-		field := out.Elem().Field(i)
-		_, options, _ := bytes.Cut([]byte(out.Elem().Type().Field(i).Tag.Get("json")), []byte(","))
+	for i := range result.Elem().NumField() {
+		field := result.Elem().Field(i)
+		_, options, _ := bytes.Cut([]byte(result.Elem().Type().Field(i).Tag.Get("json")), []byte(","))
 		if field.Type() == rawMessageType && string(options) != "omitempty" {
 			field.SetBytes([]byte("null"))
 		}
 	}
-	return out
+	return result
 }
 
-// compareWithGoldenFile compares a text and a final newline with a golden file, and returns the file's content.
+// compareWithGoldenFile compares a text plus a final newline with the golden file NAME.json, and
+// returns the content of the file.
 func compareWithGoldenFile(t *testing.T, name string, text []byte) []byte {
 	t.Helper()
 	path := filepath.Join(goldenDirectory, name+".json")
@@ -104,7 +105,7 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(text, want) {
-		t.Errorf("%s: what travels or is stored has changed:\n got %s\nwant %s", path, text, want)
+		t.Errorf("%s: the wire or storage format has changed:\n got %s\nwant %s", path, text, want)
 	}
 	return want
 }
--- a/internal/property/mutants.go
+++ b/internal/property/mutants.go
@@ -9,31 +9,31 @@
 	"testing"
 )
 
-// Mutant is a version of a package in which a text of one file, usually a safety check, is replaced
-// once.
+// Mutant is a modified version of a package: in File, the first occurrence of From, usually a safety
+// check, is replaced by To.
 type Mutant struct{ Name, File, From, To string }
 
-// CatchMutants runs the tests of a package that match a pattern against each mutant. A mutant that
-// no test fails for shows that the replaced code is not tested. It has to be called in the package's
-// directory.
+// CatchMutants runs the tests whose names match pattern against each mutant of the package in the
+// current directory, with additional flags for go test. It fails the test for each mutant that no test
+// detects, because the replaced code is then not tested.
 func CatchMutants(t *testing.T, pattern string, mutants []Mutant, flags ...string) {
 	t.Helper()
 	for _, m := range mutants {
 		t.Run(m.Name, func(t *testing.T) {
 			t.Parallel()
 			arguments := append([]string{"test", "-overlay", m.overlay(t), "-run", pattern, "."}, flags...)
-			out, err := exec.Command("go", arguments...).CombinedOutput()
+			output, err := exec.Command("go", arguments...).CombinedOutput()
 			if err == nil {
-				t.Error("no test fails")
-			} else if !strings.Contains(string(out), "--- FAIL: ") {
-				t.Errorf("go test fails, but no test does: %s", out)
+				t.Error("no test detects the mutant")
+			} else if !strings.Contains(string(output), "--- FAIL: ") {
+				t.Errorf("go test failed without a failing test: %s", output)
 			}
 		})
 	}
 }
 
-// overlay writes the mutated file and returns the overlay file that makes go test use it in place of
-// the original.
+// overlay writes the mutated file and returns the path of an overlay file that makes go test compile it
+// instead of the original. It fails the test if the original does not contain From.
 func (m *Mutant) overlay(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile(m.File)
@@ -41,7 +41,7 @@
 		t.Fatal(err)
 	}
 	if !strings.Contains(string(text), m.From) {
-		t.Fatalf("%s no longer has %q", m.File, m.From)
+		t.Fatalf("%s does not contain the text to mutate: %q", m.File, m.From)
 	}
 	original, err := filepath.Abs(m.File)
 	if err != nil {
--- a/internal/property/rapid.go
+++ b/internal/property/rapid.go
@@ -8,14 +8,15 @@
 	"pgregory.net/rapid"
 )
 
-// rapidSeed makes every run of a property try the same cases; the flag -rapid.seed overrides it.
+// rapidSeed is the default random seed, so that every run of a property-based test tries the same cases.
+// The flag -rapid.seed overrides it.
 const rapidSeed = "1"
 
 func init() { setFlag("rapid.seed", rapidSeed) }
 
-// SetRapidDefaults sets how many cases of a package's properties are tried and how long their
-// histories are, where the schedules that matter are rare. It has to be called while the package is
-// initialized; flags of the command line override it.
+// SetRapidDefaults sets the number of cases (checks) and the average number of steps per case for the
+// property-based tests of a package. Packages raise them where the relevant schedules are rare. It must
+// be called during package initialization, so that command-line flags override it.
 func SetRapidDefaults(checks, steps int) {
 	setFlag("rapid.checks", strconv.Itoa(checks))
 	setFlag("rapid.steps", strconv.Itoa(steps))
@@ -23,18 +24,18 @@
 
 func setFlag(name, value string) {
 	if err := flag.Set(name, value); err != nil {
-		panic(fmt.Sprintf("rapid no longer has the flag %s: %v", name, err))
+		panic(fmt.Sprintf("set the flag %s of package rapid: %v", name, err))
 	}
 }
 
-// Chooser makes the random choices of a history, from a seed or as rapid draws them.
+// Chooser makes the random choices in a generated history, either from a seed or by drawing from rapid.
 type Chooser interface {
-	// IntN is a number from 0 to n-1.
+	// IntN returns a number in [0, n).
 	IntN(n int) int
 }
 
-// RapidChooser makes choices that rapid draws, so that rapid can shrink a failing history.
+// RapidChooser is a Chooser that draws from rapid, so that rapid can shrink a failing history.
 type RapidChooser struct{ T *rapid.T }
 
-// IntN is a number from 0 to n-1.
-func (d RapidChooser) IntN(n int) int { return rapid.IntRange(0, n-1).Draw(d.T, "choice") }
+// IntN implements Chooser.
+func (c RapidChooser) IntN(n int) int { return rapid.IntRange(0, n-1).Draw(c.T, "choice") }
--- a/internal/property/sampler.go
+++ b/internal/property/sampler.go
@@ -7,12 +7,13 @@
 	"github.com/segmentio/encoding/json"
 )
 
-// sampler sets fields to distinct values, in the order of the fields.
+// sampler fills values with distinct, deterministic samples, which it numbers in field order.
 type sampler struct{ count int }
 
 var rawMessageType = reflect.TypeFor[json.RawMessage]()
 
-// fill sets a value and everything within it to samples other than zero.
+// fill sets a value, and everything it contains, to samples that are not the zero value. It returns an
+// error for types without a sample.
 func (s *sampler) fill(v reflect.Value) error {
 	if v.Kind() != reflect.Struct {
 		s.count++
@@ -36,12 +37,13 @@
 	case reflect.Struct:
 		return s.fillStruct(v)
 	default:
-		return fmt.Errorf("no sample for the type %s", v.Type())
+		return fmt.Errorf("sampler: unsupported type %s", v.Type())
 	}
 	return nil
 }
 
-// fillSlice gives a slice one element, and byte slices a text.
+// fillSlice sets a raw message to a JSON object, other byte slices to a text, and any other slice to
+// one filled element.
 func (s *sampler) fillSlice(v reflect.Value) error {
 	switch {
 	case v.Type() == rawMessageType:
@@ -55,11 +57,12 @@
 	return s.fill(v.Index(0))
 }
 
-// fillStruct fills every field. An unexported field is an error: it would not be encoded either.
+// fillStruct fills every field. It returns an error for an unexported field, because JSON encoding
+// would omit it.
 func (s *sampler) fillStruct(v reflect.Value) error {
 	for i := range v.NumField() {
 		if field := v.Type().Field(i); !field.IsExported() {
-			return fmt.Errorf("the field %s of %s is not exported", field.Name, v.Type())
+			return fmt.Errorf("sampler: field %s of %s is not exported", field.Name, v.Type())
 		}
 		if err := s.fill(v.Field(i)); err != nil {
 			return err
