--- a/internal/capability/announcement.go
+++ b/internal/capability/announcement.go
@@ -14,8 +14,8 @@
 // KeyPrefix is the prefix of the keys under which the controllers announce themselves, by name.
 const KeyPrefix = "node/"
 
-// announcement is the value of a controller's key. Each controller writes its own key only, so that
-// an older version does not lose the fields that a later one has added.
+// announcement is the value of a controller's key. Each controller writes only its own key, so that
+// an older version does not drop fields that a later one has added.
 type announcement struct {
 	Level int `json:"level"`
 }
@@ -23,16 +23,16 @@
 // Store is the part of the key-value store that announcements need.
 type Store interface {
 	List(ctx context.Context, p kvstore.Priority, under, after string, limit int) (wire.EntryPage, error)
-	CompareAndSwap(ctx context.Context, p kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error)
+	CompareAndSwap(ctx context.Context, p kvstore.Priority, txn wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error)
 }
 
-// announcements are what the controllers have announced so far.
+// announcements holds what the controllers have announced so far.
 type announcements struct {
-	levels     map[string]int // by controller; 0: nothing that can be decoded
-	ownVersion uint64         // of this controller's key; 0: it does not exist
+	levels     map[string]int // by controller; 0: no announcement that can be decoded
+	ownVersion uint64         // version of this controller's key; 0: it does not exist
 }
 
-// readAnnouncements reads what all controllers have announced.
+// readAnnouncements reads the announcements of all controllers.
 func (n *Negotiator) readAnnouncements(ctx context.Context) (announcements, error) {
 	listing, err := kvstore.ListAll(ctx, n.store, kvstore.PriorityRead, KeyPrefix)
 	if err != nil {
@@ -52,8 +52,8 @@
 	return found, nil
 }
 
-// announce writes this controller's key unless it has changed since it was read at a version. It
-// reports whether the key was written.
+// announce writes this controller's key unless its version differs from the given one, at which it
+// was read. It reports whether the key was written.
 func (n *Negotiator) announce(ctx context.Context, version uint64) (written bool, err error) {
 	value, err := json.Marshal(announcement{Level: n.level})
 	if err != nil {
--- a/internal/capability/capability.go
+++ b/internal/capability/capability.go
@@ -4,18 +4,18 @@
 // announced that it supports it: an unanswered request proves nothing about a controller's
 // version.
 //
-// The package does not know what the capabilities change. Their users ask the Negotiator.
+// The package does not know what the capabilities change. Their users call Negotiator.AllSupport.
 package capability
 
 // The capabilities, in the order in which they were introduced. A version supports all up to its
 // own level.
 const (
-	// Pipelines: jobs that depend on others, the finished tasks of a job in several records, and
-	// host keys of any length.
+	// Pipelines is the level with jobs that depend on others, the finished tasks of a job in
+	// several records, and host keys of any length.
 	Pipelines = 1
-	// Transfers: jobs that are delegated to another cell, which an older version would start, and
-	// foreign jobs.
+	// Transfers is the level with jobs that are delegated to another cell, which an older version
+	// would start, and foreign jobs.
 	Transfers = 2
-	// CurrentLevel is that of this version.
+	// CurrentLevel is the level of this version.
 	CurrentLevel = Transfers
 )
--- a/internal/capability/golden_test.go
+++ b/internal/capability/golden_test.go
@@ -6,7 +6,8 @@
 	"leadproxy/internal/property"
 )
 
-// TestGoldenAnnouncement compares a controller's key and its value.
+// TestGoldenAnnouncement compares the key prefix, the levels, and the encoding of an announcement with
+// their golden files.
 func TestGoldenAnnouncement(t *testing.T) {
 	property.CheckGolden(t, "node", &announcement{})
 	property.CheckGoldenValues(t, "constants", map[string]any{
--- a/internal/capability/negotiator.go
+++ b/internal/capability/negotiator.go
@@ -24,7 +24,7 @@
 }
 
 // New returns a negotiator for a controller that supports the capabilities up to a level. Run
-// starts it. At level 0, that of the versions before there were announcements, it does nothing.
+// starts it. At level 0, the level of versions that make no announcements, it does nothing.
 func New(controller string, level int, others []string, store Store, log *slog.Logger) *Negotiator {
 	return &Negotiator{
 		controller:  controller,
@@ -35,12 +35,12 @@
 	}
 }
 
-// AllSupport reports whether all controllers are known to support a capability, this one included.
+// AllSupport reports whether all controllers, this one included, are known to support a capability.
 func (n *Negotiator) AllSupport(capability int) bool {
 	return int(n.commonLevel.Load()) >= capability
 }
 
-// support is which level the controllers support.
+// support is the result of comparing the controllers' levels.
 type support struct {
 	commonLevel int      // all controllers support it; at most this controller's
 	outdated    []string // controllers that have not announced this controller's level
@@ -57,7 +57,7 @@
 		outdated := strings.Join(found.outdated, " ")
 		switch {
 		case err != nil:
-			n.log.Debug("announcements of capabilities not exchanged", "error", err)
+			n.log.Debug("failed to exchange capability announcements", "error", err)
 		case len(found.outdated) == 0:
 			n.log.Info("all controllers support this version's capabilities", "level", n.level)
 			n.commonLevel.Store(int64(n.level))
@@ -73,7 +73,7 @@
 	}
 }
 
-// poll reads all announcements, and announces this controller where that is missing.
+// poll reads all announcements, and announces this controller's level if that is missing or lower.
 func (n *Negotiator) poll(ctx context.Context) (support, error) {
 	found, err := n.readAnnouncements(ctx)
 	if err != nil {
@@ -91,7 +91,7 @@
 	return n.computeSupport(found), nil
 }
 
-// computeSupport compares what was announced with this controller's level.
+// computeSupport compares the announced levels with this controller's.
 func (n *Negotiator) computeSupport(found announcements) support {
 	result := support{commonLevel: n.level}
 	for _, name := range n.controllers {
--- a/internal/capability/negotiator_test.go
+++ b/internal/capability/negotiator_test.go
@@ -16,7 +16,7 @@
 	"leadproxy/internal/wire"
 )
 
-// fakeStore holds announcements. It rejects all reads while it is unavailable.
+// fakeStore holds announcements. While it is unavailable all reads fail.
 type fakeStore struct {
 	mu          sync.Mutex // guards entries
 	entries     map[string]string
@@ -36,10 +36,10 @@
 	return page, nil
 }
 
-func (f *fakeStore) CompareAndSwap(_ context.Context, _ kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
+func (f *fakeStore) CompareAndSwap(_ context.Context, _ kvstore.Priority, txn wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for _, change := range t.Changes {
+	for _, change := range txn.Changes {
 		f.entries[change.Set] = string(change.Value)
 	}
 	return true, wire.CompareAndSwapResponse{}, nil
@@ -51,15 +51,16 @@
 	return f.entries[key]
 }
 
-// setEntries adds or replaces entries.
+// setEntries adds or replaces the given entries.
 func (f *fakeStore) setEntries(entries map[string]string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	maps.Copy(f.entries, entries)
 }
 
-// TestAllControllersHaveToAnnounce: only announcements count, and only those of all controllers of
-// the settings. One without an announcement, or with a lower one, may run an older version.
+// TestAllControllersHaveToAnnounce checks that a capability counts as supported only if every
+// controller of the settings has announced it: a controller without an announcement, or with a lower
+// level, may run an older version.
 func TestAllControllersHaveToAnnounce(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -67,13 +68,13 @@
 		unavailable bool
 		commonLevel int
 	}{
-		{"all support it", map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":3,"more":7}`}, false, CurrentLevel},
-		{"one supports a level less", map[string]string{"node/n2": `{"level":1}`, "node/n3": `{"level":2}`}, false, Pipelines},
-		{"this one supported less", map[string]string{"node/n1": `{"level":1}`, "node/n2": `{"level":2}`, "node/n3": `{"level":2}`}, false, CurrentLevel},
-		{"one is missing", map[string]string{"node/n2": `{"level":2}`}, false, 0},
-		{"one supports nothing", map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":0}`}, false, 0},
-		{"one can't be decoded", map[string]string{"node/n2": `{"level":2}`, "node/n3": `7`}, false, 0},
-		{"another name", map[string]string{"node/n2": `{"level":2}`, "node/n4": `{"level":2}`}, false, 0},
+		{"all controllers support the level", map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":3,"more":7}`}, false, CurrentLevel},
+		{"one controller supports one level less", map[string]string{"node/n2": `{"level":1}`, "node/n3": `{"level":2}`}, false, Pipelines},
+		{"this controller supported less before", map[string]string{"node/n1": `{"level":1}`, "node/n2": `{"level":2}`, "node/n3": `{"level":2}`}, false, CurrentLevel},
+		{"one announcement is missing", map[string]string{"node/n2": `{"level":2}`}, false, 0},
+		{"one controller announces level 0", map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":0}`}, false, 0},
+		{"one announcement can't be decoded", map[string]string{"node/n2": `{"level":2}`, "node/n3": `7`}, false, 0},
+		{"an announcement of an unknown controller instead", map[string]string{"node/n2": `{"level":2}`, "node/n4": `{"level":2}`}, false, 0},
 		{"the store is unavailable", map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":2}`}, true, 0},
 	}
 	for _, c := range cases {
@@ -86,21 +87,21 @@
 				synctest.Wait()
 				for level := 1; level <= CurrentLevel; level++ {
 					if got := negotiator.AllSupport(level); got != (c.commonLevel >= level) {
-						t.Errorf("level %d: %v, want those up to %d", level, got, c.commonLevel)
+						t.Errorf("level %d supported: %v, want the levels up to %d", level, got, c.commonLevel)
 					}
 				}
 				if got := store.value("node/n1"); (got == `{"level":2}`) == c.unavailable {
-					t.Errorf("announced as %q", got)
+					t.Errorf("announcement %q, want level 2 unless the store is unavailable", got)
 				}
 				if c.commonLevel == CurrentLevel || c.unavailable {
 					return
 				}
-				// The last controller starts with the new version.
+				// The last controllers are restarted with the new version.
 				store.setEntries(map[string]string{"node/n2": `{"level":2}`, "node/n3": `{"level":2}`})
 				time.Sleep(2 * pollInterval)
 				synctest.Wait()
 				if !negotiator.AllSupport(CurrentLevel) {
-					t.Error("not all support the level after the last one has announced it")
+					t.Error("the level is not supported after the last controller has announced it")
 				}
 			})
 		})
--- a/internal/election/campaign.go
+++ b/internal/election/campaign.go
@@ -16,7 +16,8 @@
 // yieldPause is how long a yielding controller waits before it reads the leader key again.
 const yieldPause = 100 * time.Millisecond
 
-// campaignUnlessYielding campaigns unless the others are to campaign first.
+// campaignUnlessYielding campaigns, unless this controller yields its candidacy to the others. In
+// that case it returns after yieldPause.
 func (e *Elector) campaignUnlessYielding(ctx context.Context) error {
 	if e.yield.shouldYield(e.Ready) {
 		transport.Pause(ctx, yieldPause)
@@ -25,7 +26,7 @@
 	return e.campaign(ctx)
 }
 
-// errLeaderExists means that a candidacy failed as the leader key exists already.
+// errLeaderExists means that a candidacy failed because the leader key exists.
 var errLeaderExists = errors.New("the leader key exists already")
 
 // campaign tries to create the leader key under a new lease and, if it succeeds, leads until the
@@ -50,8 +51,8 @@
 	return nil
 }
 
-// createLeaderKey writes this controller's name under a lease unless the key exists, and returns
-// the term that it has won.
+// createLeaderKey writes this controller's name under a lease and returns the term that it has won.
+// It returns errLeaderExists if the key exists.
 func (e *Elector) createLeaderKey(ctx context.Context, lease uint64) (term uint64, err error) {
 	value, err := json.Marshal(e.self)
 	if err != nil {
@@ -64,7 +65,7 @@
 	if err == nil && created {
 		return response.Revision, nil
 	}
-	// Whatever the outcome of the candidacy, it is void without its lease.
+	// Without its lease the candidacy has no effect, even if the store executes it later.
 	if revokeErr := e.store.RevokeLease(ctx, lease); revokeErr != nil {
 		e.log.Debug("candidate lease not revoked", "error", revokeErr)
 	}
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -4,7 +4,7 @@
 // renewal, less clock drift and a margin, so that it stops acting before another controller can
 // become the leader.
 //
-// The package does not decide what a leader does. Its users ask the published View.
+// The package does not decide what a leader does. Its users read the published View.
 package election
 
 import (
@@ -35,7 +35,7 @@
 // Store is the part of the key-value store that an election needs.
 type Store interface {
 	List(ctx context.Context, p kvstore.Priority, under, after string, limit int) (wire.EntryPage, error)
-	CompareAndSwap(ctx context.Context, p kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error)
+	CompareAndSwap(ctx context.Context, p kvstore.Priority, txn wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error)
 	GrantLease(ctx context.Context, ttl time.Duration) (uint64, error)
 	RenewLease(ctx context.Context, lease uint64) error
 	RevokeLease(ctx context.Context, lease uint64) error
@@ -51,21 +51,22 @@
 	view         *viewPublisher
 	grants       *extensionGrants
 	yield        candidacyYield
-	resignations chan uint64 // terms that this controller is to give up
+	resignations chan uint64 // terms that this controller is to resign
 
 	// Peers are the other controllers, which grant lease extensions while the store is
-	// unavailable. Nil: there are none.
+	// unavailable. Nil means that there are none.
 	Peers Peers
-	// Ready reports whether this controller could make decisions at once if it were elected.
-	// One that could not yields to the others for a moment. Nil: always ready.
+	// Ready reports whether this controller could make decisions at once if it were elected. A
+	// controller that is not ready lets the others campaign first, for maxYieldUntilReady at most.
+	// Nil means that it is always ready.
 	Ready func() bool
 }
 
 // New makes an elector for a controller. Run starts it.
-func New(controller string, op settings.Operator, store Store, log *slog.Logger) *Elector {
+func New(controller string, operator settings.Operator, store Store, log *slog.Logger) *Elector {
 	return &Elector{
 		self:  leaderRecord{Controller: controller, Incarnation: rand.Uint64()},
-		lease: leaseTiming{duration: op.LeaderLease, margin: op.LeaseMargin},
+		lease: leaseTiming{duration: operator.LeaderLease, margin: operator.LeaseMargin},
 		store: store,
 		log:   log,
 		view:  newViewPublisher(),
@@ -108,7 +109,8 @@
 	return e.awaitChange(ctx, page.Revision)
 }
 
-// decodeRecord decodes the leader key's value. One that can't be decoded names no leader.
+// decodeRecord decodes the leader key's value. For a value that can't be decoded it returns an empty
+// record, which names no leader.
 func (e *Elector) decodeRecord(entry wire.Entry) leaderRecord {
 	var record leaderRecord
 	if err := json.Unmarshal(entry.Value, &record); err != nil {
@@ -117,8 +119,8 @@
 	return record
 }
 
-// revokeStaleTerm ends a term that carries this controller's name though it is not leading in it:
-// that of an earlier incarnation, which is gone, or of a candidacy whose outcome was not learned.
+// revokeStaleTerm ends a term that carries this controller's name although it does not lead in it:
+// the term of an earlier incarnation, which has ended, or of a candidacy whose outcome is unknown.
 // No controller acts in this term, so its lease is revoked instead of waiting for its expiry.
 func (e *Elector) revokeStaleTerm(ctx context.Context, entry wire.Entry) error {
 	e.log.Info("revoking the lease of an earlier incarnation", "leader_term", entry.Version)
@@ -131,7 +133,7 @@
 // watchDuration bounds one watch of the leader key.
 const watchDuration = 20 * time.Second
 
-// awaitChange waits until the leader key may have changed after a revision.
+// awaitChange waits until the leader key may have changed after a revision, for watchDuration at most.
 func (e *Elector) awaitChange(ctx context.Context, revision uint64) error {
 	_, err := e.store.Watch(ctx, LeaderKey, revision, watchDuration)
 	if err == nil || errors.Is(err, kvstore.ErrCompacted) {
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -18,13 +18,13 @@
 		advance(time.Second)
 		f.withLock(func() {
 			if len(f.revoked) != 1 {
-				t.Errorf("revoked %v after a second", f.revoked)
+				t.Errorf("revoked %v after a second, want one lease", f.revoked)
 			}
 		})
-		advance(time.Second) // it may have granted an extension
+		advance(time.Second) // the earlier incarnation may have granted an extension
 		f.withLock(func() {
 			if len(f.revoked) != 1 || f.revoked[0] != 90 || !e.View().IsLeader(time.Now()) {
-				t.Errorf("revoked %v, view %+v", f.revoked, e.View())
+				t.Errorf("revoked %v, view %+v, want lease 90 revoked and this controller leading", f.revoked, e.View())
 			}
 		})
 	})
@@ -39,15 +39,15 @@
 		advance(time.Minute)
 		f.withLock(func() {
 			if len(f.revoked) != 0 || f.candidacies != 0 || e.View().Leader != "n2" {
-				t.Errorf("revoked %v, %d candidacies, view %+v", f.revoked, f.candidacies, e.View())
+				t.Errorf("revoked %v, %d candidacies, view %+v, want none and n2 leading", f.revoked, f.candidacies, e.View())
 			}
 		})
 	})
 }
 
-// TestOldLeaderKeyIsNotReadRepeatedly: the key of a leader that has led for long is older than any
-// revision that the store keeps. Followers must not read it over and over, which would use up
-// their whole rate.
+// TestOldLeaderKeyIsNotReadRepeatedly guards against followers that use up their share of the rate
+// by reading the leader key in a loop: the key of a leader that has led for a long time is older
+// than any revision that the store keeps, so that a watch from its revision ends at once.
 func TestOldLeaderKeyIsNotReadRepeatedly(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStore()
@@ -57,15 +57,15 @@
 		advance(10 * time.Second)
 		f.withLock(func() {
 			if f.reads > 110 { // the fake's watches end every 100 ms
-				t.Errorf("the key was read %d times in ten seconds", f.reads)
+				t.Errorf("the key was read %d times in ten seconds, want at most 110", f.reads)
 			}
 		})
 	})
 }
 
-// TestDelayedCandidacyOfEarlierIncarnation: a controller was killed in the middle of an election
-// and is back at once; its old candidacy is carried out later. No controller acts in that term, so
-// its lease is revoked and an election follows.
+// TestDelayedCandidacyOfEarlierIncarnation: a controller is killed during an election and restarted
+// at once, and the store executes its earlier candidacy only afterwards. No controller acts in that
+// term, so its lease is revoked and an election follows.
 func TestDelayedCandidacyOfEarlierIncarnation(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -78,7 +78,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := newFakeStore()
-				f.unavailable = c.before == nil // so that the controller can't campaign before
+				f.unavailable = c.before == nil // so that the controller can't campaign before the delayed candidacy
 				f.entry, f.revision, f.leaseExpiries[90] = c.before, 5, time.Now().Add(time.Hour)
 				e := startElector(t, f)
 				advance(5 * time.Second)
@@ -89,12 +89,12 @@
 				})
 				advance(200 * time.Millisecond)
 				if v := e.View(); v.Elected && v.Term == 9 {
-					t.Error("acts in a term of its earlier incarnation")
+					t.Error("the controller acts in a term of its earlier incarnation")
 				}
 				advance(3 * time.Second)
 				f.withLock(func() {
 					if v := e.View(); len(f.revoked) == 0 || f.revoked[0] != 91 || !v.IsLeader(time.Now()) || v.Term == 9 {
-						t.Errorf("revoked %v, view %+v", f.revoked, v)
+						t.Errorf("revoked %v, view %+v, want lease 91 revoked and a new term", f.revoked, v)
 					}
 				})
 			})
--- a/internal/election/extension_grants.go
+++ b/internal/election/extension_grants.go
@@ -7,13 +7,14 @@
 	"leadproxy/internal/kvstore"
 )
 
-// While the key-value store is unavailable to everybody, no lease expires there and no controller
-// can become the leader, but a controller can't distinguish this from being cut off alone. A
-// leader whose renewals fail therefore asks every other controller for an extension of its lease.
-// A controller that grants one does not act as the leader while it lasts. With the grants of all,
-// and only without a gap since its own lease, the leader may act until the extension ends. A
-// controller grants one only when the store does not serve it either. One that was just started
-// does not act before any extension that its earlier incarnation may have granted is over.
+// While the key-value store is unavailable to all controllers, no lease expires there and no
+// controller can become the leader, but a controller can't distinguish this from being the only one
+// that is cut off. A leader whose renewals fail therefore requests an extension of its lease from
+// every other controller. A controller that grants one does not act as the leader until it ends.
+// With the grants of all of them, the leader may act until the extension ends, provided that its
+// lease has not expired before it got them. A controller grants an extension only when the store
+// does not serve it either. A controller that was just started does not act until any extension that
+// its earlier incarnation may have granted has ended.
 
 // extensionDuration is how long an extension lasts.
 const extensionDuration = 1500 * time.Millisecond
@@ -21,7 +22,7 @@
 // storeCheckTimeout bounds the check of the store before an extension is granted.
 const storeCheckTimeout = 300 * time.Millisecond
 
-// extensionGrants records until when this controller must not act as the leader since it has
+// extensionGrants records until when this controller must not act as the leader because it has
 // granted extensions to another one.
 type extensionGrants struct {
 	// semaphore is a semaphore with one slot, held while the other fields are used and while this
@@ -45,13 +46,14 @@
 	g.lock()
 	defer g.unlock()
 	if g.holdsKey {
-		// The store has served this controller since. Extensions granted before still prevent
-		// it from acting. With further ones a former leader that the store refuses could stay
-		// leader for ever, while no controller could confirm or write anything.
+		// The store has served this controller since the requesting one lost the key. Extensions
+		// granted earlier still prevent this controller from acting. Further ones would let a
+		// former leader that the store refuses lead for ever, while no controller could confirm
+		// or write anything.
 		return false
 	}
-	if end := time.Now().Add(duration); end.After(g.grantedUntil) {
-		g.grantedUntil = end
+	if expiry := time.Now().Add(duration); expiry.After(g.grantedUntil) {
+		g.grantedUntil = expiry
 	}
 	return true
 }
@@ -70,14 +72,15 @@
 	g.holdsKey = false
 }
 
-// runIfNoActiveGrant calls a function unless an extension lasts, and returns how long it still does.
-// No extension is granted during the call.
-func (g *extensionGrants) runIfNoActiveGrant(f func()) (remaining time.Duration) {
+// runIfNoActiveGrant calls action unless an extension that this controller has granted is active,
+// and returns how long that remains active; zero or less: action was called. No extension is
+// granted during the call.
+func (g *extensionGrants) runIfNoActiveGrant(action func()) (remaining time.Duration) {
 	g.lock()
 	defer g.unlock()
 	remaining = time.Until(g.grantedUntil)
 	if remaining <= 0 {
-		f()
+		action()
 	}
 	return remaining
 }
@@ -89,7 +92,7 @@
 		return false
 	}
 	if e.storeServes(ctx) {
-		return false // an election is possible
+		return false // the store can elect a leader
 	}
 	return e.grants.grant(duration)
 }
--- a/internal/election/extension_grants_test.go
+++ b/internal/election/extension_grants_test.go
@@ -8,7 +8,7 @@
 
 // TestExtensionIsGrantedOnlyWithoutStoreAndKey: a controller grants an extension only when the
 // store does not serve it and it does not hold the leader key. It does not act as the leader while
-// the extension lasts, though it may win an election.
+// the extension lasts, although it may win an election.
 func TestExtensionIsGrantedOnlyWithoutStoreAndKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStore()
@@ -41,18 +41,18 @@
 	})
 }
 
-// TestStartedControllerAwaitsExtensionsOfEarlierIncarnation: the earlier incarnation may have
-// granted an extension just before it ended.
+// TestStartedControllerAwaitsExtensionsOfEarlierIncarnation guards against two acting leaders after
+// a restart: the earlier incarnation may have granted an extension just before it ended.
 func TestStartedControllerAwaitsExtensionsOfEarlierIncarnation(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := startElector(t, newFakeStore())
 		advance(extensionDuration - 100*time.Millisecond)
 		if e.View().Elected {
-			t.Error("acts within an extension that its earlier incarnation may have granted")
+			t.Error("acts during an extension that its earlier incarnation may have granted")
 		}
 		advance(200 * time.Millisecond)
 		if !e.View().Elected {
-			t.Error("does not act afterwards")
+			t.Error("does not act after the extension")
 		}
 	})
 }
--- a/internal/election/extension_request.go
+++ b/internal/election/extension_request.go
@@ -7,15 +7,15 @@
 	"time"
 )
 
-// Peers asks the other controllers.
+// Peers sends requests to the other controllers.
 type Peers interface {
 	Names() []string
-	// RequestExtension asks a controller not to act as the leader for a while, and reports
+	// RequestExtension asks a controller not to act as the leader for a duration, and reports
 	// whether it agreed.
 	RequestExtension(ctx context.Context, controller string, duration time.Duration) (bool, error)
 }
 
-// Why a request has not extended the lease.
+// The reasons why a request has not extended the lease.
 var (
 	errNotRequested        = errors.New("no extension was requested")
 	errNoPeers             = errors.New("there are no peers to grant an extension")
@@ -27,7 +27,7 @@
 // extensionResult is the outcome of asking all peers for an extension.
 type extensionResult struct {
 	expiry time.Time
-	err    error // why there is no extension
+	err    error // why there is no extension; nil: all peers have granted it
 }
 
 // peerAnswer is one peer's answer to a request for an extension.
@@ -37,7 +37,7 @@
 	err     error
 }
 
-// refusal is why the answer grants nothing, nil if it does.
+// refusal returns the reason why the answer grants no extension; nil: it grants one.
 func (a peerAnswer) refusal() error {
 	switch {
 	case a.err != nil:
@@ -48,7 +48,7 @@
 	return nil
 }
 
-// startExtensionRequest asks all peers in the background.
+// startExtensionRequest asks all peers in the background. The channel delivers one result.
 func (e *Elector) startExtensionRequest(ctx context.Context) <-chan extensionResult {
 	result := make(chan extensionResult, 1)
 	go func() {
@@ -85,7 +85,7 @@
 	return e.lease.extensionExpiry(requested), nil
 }
 
-// askPeers sends the request to each peer. The channel has room for all answers.
+// askPeers sends the request to each peer. The channel buffers all answers, so that no sender blocks.
 func (e *Elector) askPeers(ctx context.Context, peers []string) <-chan peerAnswer {
 	answers := make(chan peerAnswer, len(peers))
 	for _, peer := range peers {
--- a/internal/election/extension_request_test.go
+++ b/internal/election/extension_request_test.go
@@ -18,20 +18,20 @@
 }
 
 // TestExtensionInAnOutage: while the store is unavailable and all peers grant extensions, the
-// leader stays the leader. Without the grant of all its leadership ends with its lease, and later
-// grants don't bring it back.
+// leader stays the leader. Without the grants of all peers its leadership ends with its lease, and
+// later grants don't restore it.
 func TestExtensionInAnOutage(t *testing.T) {
 	cases := []struct {
 		name              string
-		grantingFromStart bool // of the outage
-		grantingFromTenth bool // second of the outage
+		grantingFromStart bool // the peers grant extensions when the outage begins
+		grantingFromTenth bool // they grant them from the tenth second of the outage on
 		leaderAtNinth     bool
 		leaderAtTwentieth bool
 	}{
 		{"all peers grant it", true, true, true, true},
 		{"no peer grants it", false, false, false, false},
 		{"the peers cease to grant it", true, false, true, false},
-		{"granted too late", false, true, false, false},
+		{"the peers grant it after the lease has expired", false, true, false, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
--- a/internal/election/fake_store_test.go
+++ b/internal/election/fake_store_test.go
@@ -16,7 +16,7 @@
 	"leadproxy/internal/wire"
 )
 
-// fakeStore is a key-value store with one key and leases, on the test's fake clock.
+// fakeStore is a key-value store with the leader key only and with leases, on the test's fake clock.
 type fakeStore struct {
 	mu            sync.Mutex // guards the other fields
 	revision      uint64
@@ -27,14 +27,14 @@
 	revoked       []uint64
 	candidacies   int // transactions that have set the key
 	reads         int
-	keptRevisions uint64 // how many revisions a watch may go back; 0: all
+	keptRevisions uint64 // number of past revisions from which a watch may start; 0: all
 }
 
 func newFakeStore() *fakeStore {
 	return &fakeStore{leaseExpiries: map[uint64]time.Time{}}
 }
 
-// withLock calls a function that may use the fields.
+// withLock calls change while it holds mu.
 func (f *fakeStore) withLock(change func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -45,12 +45,14 @@
 	f.withLock(func() { f.unavailable = unavailable })
 }
 
-// setHolder has a controller hold the key under a lease. The caller holds mu.
+// setHolder replaces the leader key by an entry and grants its lease. The caller holds mu.
 func (f *fakeStore) setHolder(entry *wire.Entry, leaseDuration time.Duration) {
 	f.entry = entry
 	f.leaseExpiries[entry.Lease] = time.Now().Add(leaseDuration)
 }
 
+// expireLease deletes the leader key if its lease has expired. No lease expires while the store is
+// unavailable. The caller holds mu.
 func (f *fakeStore) expireLease() {
 	if f.entry != nil && !f.unavailable && time.Now().After(f.leaseExpiries[f.entry.Lease]) {
 		f.entry = nil
@@ -73,7 +75,7 @@
 	return page, nil
 }
 
-func (f *fakeStore) CompareAndSwap(_ context.Context, _ kvstore.Priority, t wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
+func (f *fakeStore) CompareAndSwap(_ context.Context, _ kvstore.Priority, txn wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.expireLease()
@@ -85,7 +87,7 @@
 	}
 	f.revision++
 	f.candidacies++
-	f.entry = &wire.Entry{Key: LeaderKey, Value: t.Changes[0].Value, Version: f.revision, Lease: t.Changes[0].Lease}
+	f.entry = &wire.Entry{Key: LeaderKey, Value: txn.Changes[0].Value, Version: f.revision, Lease: txn.Changes[0].Lease}
 	return true, wire.CompareAndSwapResponse{Revision: f.revision}, nil
 }
 
@@ -135,15 +137,15 @@
 	return wire.WatchResponse{}, ctx.Err()
 }
 
-// longLease and shortLease are the operators' settings that the tests use.
+// longLease and shortLease are the operator settings of the tests.
 var (
 	longLease  = settings.Operator{LeaderLease: 6 * time.Second, LeaseMargin: 200 * time.Millisecond}
 	shortLease = settings.Operator{LeaderLease: 3 * time.Second, LeaseMargin: 150 * time.Millisecond}
 )
 
-// newElector makes an elector for controller n1 that is not running.
-func newElector(f *fakeStore, op settings.Operator) *Elector {
-	return New("n1", op, f, slog.New(slog.NewTextHandler(io.Discard, nil)))
+// newElector returns an elector for controller n1. The caller runs it.
+func newElector(f *fakeStore, operator settings.Operator) *Elector {
+	return New("n1", operator, f, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
 // startElector runs an elector for controller n1 until the test ends.
@@ -154,13 +156,14 @@
 	return e
 }
 
-// advance lets time pass and waits until everything that is due has happened.
+// advance advances the fake clock and waits until all goroutines of the test are blocked.
 func advance(d time.Duration) {
 	time.Sleep(d)
 	synctest.Wait()
 }
 
-// leaderEntry is the leader key as an earlier or another controller has written it.
+// leaderEntry returns the leader key as written by another controller, or by an earlier incarnation
+// of this one.
 func leaderEntry(t *testing.T, controller string, lease uint64) *wire.Entry {
 	t.Helper()
 	value, err := json.Marshal(leaderRecord{Controller: controller, Incarnation: 1})
--- a/internal/election/leader_term.go
+++ b/internal/election/leader_term.go
@@ -9,23 +9,24 @@
 	"leadproxy/internal/transport"
 )
 
-// leaseState is how far the leader's lease is from being renewed.
+// leaseState is the state of the lease of a leader's term.
 type leaseState int
 
 const (
-	// leaseRenewed: the last renewal succeeded.
+	// leaseRenewed means that the last renewal succeeded.
 	leaseRenewed leaseState = iota
-	// leaseNotRenewed: renewals fail, and the lease or an extension of it still holds.
+	// leaseNotRenewed means that renewals fail, but the lease or an extension has not expired.
 	leaseNotRenewed
-	// leadershipSuspended: renewals fail and the lease has expired. The term resumes if a
-	// renewal succeeds after all.
+	// leadershipSuspended means that renewals fail and the lease has expired on this controller's
+	// clock. The term resumes if a renewal succeeds after all.
 	leadershipSuspended
 )
 
-// urgentRenewalInterval is the pause between renewals while the lease is short.
+// urgentRenewalInterval is the pause between renewals while they fail, or while less than half of
+// the lease remains.
 const urgentRenewalInterval = 150 * time.Millisecond
 
-// leaderTerm is a term in which this controller holds the leader key. It keeps the lease and
+// leaderTerm is a term in which this controller holds the leader key. It renews the lease and
 // publishes until when this controller may act.
 type leaderTerm struct {
 	elector *Elector
@@ -37,7 +38,7 @@
 	extensionFailure error
 }
 
-// newLeaderTerm returns the term of a lease that was requested at a moment.
+// newLeaderTerm returns the term that was won with a lease requested at the given time.
 func newLeaderTerm(e *Elector, number, lease uint64, requested time.Time) *leaderTerm {
 	return &leaderTerm{
 		elector: e, number: number, leaseID: lease,
@@ -64,12 +65,12 @@
 	}
 }
 
-// view is what is published of the term while it lasts.
+// view returns the view to publish while the term lasts.
 func (t *leaderTerm) view() *View {
 	return &View{Leader: t.elector.self.Controller, Term: t.number, Elected: true, LeaseExpiry: t.expiry}
 }
 
-// begin publishes the term once every extension that this controller has granted is over.
+// begin publishes the term once every extension that this controller has granted has ended.
 func (t *leaderTerm) begin(ctx context.Context) {
 	publish := func() { t.elector.view.publish(t.view()) }
 	for ctx.Err() == nil {
@@ -81,7 +82,7 @@
 	}
 }
 
-// renewalInterval is the pause before the next renewal.
+// renewalInterval returns the pause before the next renewal.
 func (t *leaderTerm) renewalInterval() time.Duration {
 	if t.state != leaseRenewed || time.Until(t.expiry) < t.elector.lease.duration/2 {
 		return urgentRenewalInterval
@@ -89,8 +90,8 @@
 	return t.elector.lease.duration / 4
 }
 
-// renew tries to renew the lease once. Once a renewal has failed, the peers are asked for an
-// extension at the same time, since the renewal may take as long as an extension lasts.
+// renew tries to renew the lease once. After a renewal has failed, it also requests an extension
+// from the peers at the same time, since the renewal may take as long as an extension lasts.
 func (t *leaderTerm) renew(ctx context.Context) error {
 	var extension <-chan extensionResult
 	if t.state == leaseNotRenewed {
@@ -107,7 +108,8 @@
 	return err
 }
 
-// applyRenewal publishes a renewal that was sent at a moment.
+// applyRenewal sets and publishes the expiry of the lease after a renewal that was sent at the given
+// time.
 func (t *leaderTerm) applyRenewal(sent time.Time) {
 	if t.state == leadershipSuspended {
 		t.elector.log.Info("leadership resumed", "leader_term", t.number)
@@ -117,8 +119,9 @@
 	t.elector.view.publish(t.view())
 }
 
-// handleRenewalFailure records a failed renewal, takes the extension that was requested beside it, if any,
-// and records the suspension once the lease has expired. View.IsLeader is false by then.
+// handleRenewalFailure records a failed renewal, applies the extension that was requested at the same
+// time (nil: none), and records the suspension once the lease has expired. View.IsLeader is false by
+// then.
 func (t *leaderTerm) handleRenewalFailure(err error, extension <-chan extensionResult) {
 	if extension != nil {
 		t.applyExtension(<-extension)
@@ -133,8 +136,8 @@
 	}
 }
 
-// applyExtension prolongs the lease by an extension that was granted before it ended. After a gap
-// another controller may have led, so that an extension no longer counts.
+// applyExtension prolongs the lease by an extension that was granted before the lease expired. After
+// the expiry another controller may have led, so that a later extension must not be used.
 func (t *leaderTerm) applyExtension(extension extensionResult) {
 	t.extensionFailure = extension.err
 	if extension.err != nil {
@@ -150,8 +153,8 @@
 	}
 }
 
-// stepDown ends the term and its lease and yields to the others. This controller stops acting
-// before the lease is revoked.
+// stepDown ends the term, revokes its lease and yields the candidacy to the others. This controller
+// stops acting before the lease is revoked.
 func (t *leaderTerm) stepDown(ctx context.Context) {
 	t.elector.view.publish(&View{})
 	t.elector.yield.recordResignation()
@@ -160,8 +163,8 @@
 	}
 }
 
-// Resign makes this controller give up a term of its own, so that another one leads. It does not
-// wait: while an earlier request is not handled yet, this one is dropped.
+// Resign requests that this controller resign a term of its own, so that another one leads. It does
+// not block: while an earlier request is pending, this one is dropped.
 func (e *Elector) Resign(term uint64) {
 	select {
 	case e.resignations <- term:
@@ -169,7 +172,8 @@
 	}
 }
 
-// awaitResignation waits and reports whether a term was resigned meanwhile.
+// awaitResignation waits for the resignation of a term, for the given duration at most, and reports
+// whether it was requested.
 func (e *Elector) awaitResignation(ctx context.Context, term uint64, wait time.Duration) bool {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
--- a/internal/election/leader_term_test.go
+++ b/internal/election/leader_term_test.go
@@ -21,9 +21,9 @@
 		})
 		advance(time.Until(expiry) - 150*time.Millisecond)
 		if e.View().IsLeader(time.Now()) {
-			t.Error("still the leader within the margin of the lease's end")
+			t.Error("still the leader within the margin before the lease expires")
 		}
-		// The outage ends and the lease still holds at the store: the same term resumes.
+		// The outage ends and the lease has not expired at the store: the same term resumes.
 		f.withLock(func() {
 			f.unavailable = false
 			f.leaseExpiries[1] = time.Now().Add(6 * time.Second)
@@ -43,11 +43,11 @@
 		f.withLock(func() { f.setHolder(leaderEntry(t, "n2", 90), 5*time.Second) })
 		advance(3 * time.Second)
 		if v := e.View(); v.Elected || v.Leader != "n2" {
-			t.Errorf("view after the loss: %+v", v)
+			t.Errorf("view after the lease was lost: %+v, want n2 leading", v)
 		}
 		advance(10 * time.Second)
 		if v := e.View(); !v.IsLeader(time.Now()) || v.Term == 1 {
-			t.Errorf("view after the other's lease: %+v", v)
+			t.Errorf("view after the other controller's lease: %+v, want a new term of this one", v)
 		}
 	})
 }
@@ -64,7 +64,7 @@
 	}{
 		{"another controller leads", 1, true, false, false},
 		{"no other controller campaigns", 1, false, true, true},
-		{"a term that ended long ago", 7, false, true, false},
+		{"another term than the present one", 7, false, true, false},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
@@ -77,7 +77,7 @@
 				advance(time.Second)
 				f.withLock(func() {
 					if resigned := before.Term == c.resignedTerm; resigned != (f.entry == nil) || resigned == e.IsLeader(before.Term) {
-						t.Errorf("entry %v, view %+v a second later", f.entry, e.View())
+						t.Errorf("leader key %v, view %+v a second after the resignation", f.entry, e.View())
 					}
 					if c.otherCampaigns && f.entry == nil {
 						f.revision++
@@ -87,7 +87,7 @@
 				})
 				advance(10 * time.Second)
 				if v := e.View(); v.Elected != c.leadsAgain || c.leadsAgain && (v.Term != before.Term) != c.inNewTerm {
-					t.Errorf("view %+v, before %+v", v, before)
+					t.Errorf("view %+v ten seconds later, before the resignation %+v", v, before)
 				}
 			})
 		})
--- a/internal/election/view.go
+++ b/internal/election/view.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// View is what this controller knows about the leadership at one moment. It is not changed after
-// it was published.
+// View is what this controller knows about the leadership at one moment. It is immutable once
+// published.
 type View struct {
-	// Leader is the leader's name, empty when unknown.
+	// Leader is the leader's name; empty: there is none, or it is unknown.
 	Leader string
 	// Term is the leader's term: the version of the leader key.
 	Term uint64
@@ -20,7 +20,7 @@
 	LeaseExpiry time.Time
 }
 
-// IsLeader reports whether this controller may act as the leader at a moment.
+// IsLeader reports whether this controller may act as the leader at the given time.
 func (v *View) IsLeader(now time.Time) bool { return v.Elected && now.Before(v.LeaseExpiry) }
 
 // sameRole reports whether two views agree on everything but the expiry of the lease.
@@ -31,8 +31,8 @@
 // viewPublisher holds the latest view. One goroutine publishes, any may read.
 type viewPublisher struct {
 	latest atomic.Pointer[View]
-	// changes carries the latest view with another leader, term or role. A view that was not
-	// received is replaced by the next one.
+	// changes buffers the latest view that differs from the one before in leader, term or role. A
+	// view that was not received is replaced by the next one.
 	changes chan *View
 }
 
@@ -42,7 +42,7 @@
 	return p
 }
 
-// publish replaces the latest view.
+// publish replaces the latest view, and puts it into changes unless only the lease expiry differs.
 func (p *viewPublisher) publish(v *View) {
 	previous := p.latest.Swap(v)
 	if previous.sameRole(v) {
--- a/internal/election/yield.go
+++ b/internal/election/yield.go
@@ -9,21 +9,23 @@
 const (
 	// yieldAfterResignation is how long a controller that has resigned yields.
 	yieldAfterResignation = 20 * time.Second
-	// maxYield bounds yielding while there is no leader: nobody else may be able to campaign.
+	// maxYield bounds how long a controller yields while there is no leader, because possibly no
+	// other one is able to campaign.
 	maxYield = 2 * time.Second
-	// maxYieldUntilReady bounds it for a controller that yields only as it is not ready.
+	// maxYieldUntilReady bounds it for a controller that yields only because it is not ready.
 	maxYieldUntilReady = 500 * time.Millisecond
 )
 
-// candidacyYield decides whether this controller lets the others campaign first. Requests come
-// from any goroutine; everything else belongs to the elector's.
+// candidacyYield decides whether this controller lets the others campaign first. Any goroutine may
+// set requestedUntil and campaignNowUntil; the other fields belong to the goroutine of Elector.Run.
 type candidacyYield struct {
 	// noLeaderSince is when the leader key was first found missing; zero while there is a leader.
 	noLeaderSince time.Time
-	// resignedUntil is until when this controller yields as it has resigned.
+	// resignedUntil is until when this controller yields because it has resigned.
 	resignedUntil time.Time
-	// requestedUntil is until when it was asked to yield, campaignNowUntil until when it was
-	// asked not to, which takes precedence. Both are nanoseconds of the time of day.
+	// requestedUntil is until when this controller was requested to yield, campaignNowUntil until
+	// when it was requested to campaign without yielding, which takes precedence. Both are Unix
+	// times in nanoseconds.
 	requestedUntil   atomic.Int64
 	campaignNowUntil atomic.Int64
 }
@@ -34,8 +36,8 @@
 // recordResignation records that this controller has resigned.
 func (y *candidacyYield) recordResignation() { y.resignedUntil = time.Now().Add(yieldAfterResignation) }
 
-// shouldYield reports, while there is no leader, whether the others are to campaign first. A nil
-// ready function means that this controller is ready.
+// shouldYield reports, while there is no leader, whether this controller lets the others campaign
+// first. A nil ready function means that this controller is ready.
 func (y *candidacyYield) shouldYield(ready func() bool) bool {
 	now := time.Now()
 	if y.noLeaderSince.IsZero() {
@@ -53,12 +55,12 @@
 	return (requested || resigned) && withoutLeader < maxYield
 }
 
-// YieldCandidacy makes this controller let the others campaign first for a while.
+// YieldCandidacy makes this controller let the others campaign first for a duration.
 func (e *Elector) YieldCandidacy(d time.Duration) {
 	e.yield.requestedUntil.Store(time.Now().Add(d).UnixNano())
 }
 
-// CampaignNow makes this controller campaign without yielding for a while, also if it has just
+// CampaignNow makes this controller campaign without yielding for a duration, even if it has just
 // resigned.
 func (e *Elector) CampaignNow(d time.Duration) {
 	e.yield.campaignNowUntil.Store(time.Now().Add(d).UnixNano())
--- a/internal/kvstore/availability.go
+++ b/internal/kvstore/availability.go
@@ -14,7 +14,7 @@
 	notServed
 )
 
-// availability knows whether the store serves this controller, and logs when that changes.
+// availability tracks whether the store serves this controller, and logs when that changes.
 type availability struct {
 	outcomes chan outcome
 	serving  atomic.Bool
@@ -30,8 +30,8 @@
 	return a
 }
 
-// record passes a request's outcome to the rate limiter's goroutine, which calls update. When that
-// is behind, the outcome is dropped.
+// record sends a request's outcome to the rate limiter's goroutine, which calls update. It does not
+// block: while the buffer is full, the outcome is dropped.
 func (a *availability) record(o outcome) {
 	select {
 	case a.outcomes <- o:
@@ -39,7 +39,7 @@
 	}
 }
 
-// update takes an outcome and logs the beginning and the end of an outage, once each.
+// update applies an outcome, and logs the beginning and the end of an outage once each.
 func (a *availability) update(o outcome, now time.Time) {
 	a.serving.Store(o == served)
 	switch {
--- a/internal/kvstore/budget.go
+++ b/internal/kvstore/budget.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// tokenBucket holds at most one second's tokens. It may be in debt.
+// tokenBucket holds at most the tokens of one second. Its balance may be negative.
 type tokenBucket struct {
 	tokens float64
 }
@@ -11,7 +11,7 @@
 	b.tokens = min(b.tokens+rate*d.Seconds(), rate)
 }
 
-// rates are numbers a second.
+// rates holds numbers of requests and of writes per second.
 type rates struct {
 	requests float64
 	writes   float64
@@ -27,15 +27,15 @@
 	refilledAt time.Time
 }
 
-// start fills the buckets with a part of a second only: a controller that was just restarted does
-// not know what its earlier incarnation used a moment ago.
+// start fills the buckets with the tokens of only a quarter of a second: a controller that was just
+// restarted does not know what its earlier incarnation used just before.
 func (b *budget) start(now time.Time) {
 	r := b.rates()
 	b.requests.tokens, b.writes.tokens = r.requests/4, r.writes/4
 	b.refilledAt = now
 }
 
-// rates are this controller's shares of the store's rates.
+// rates returns this controller's share of the store's rates.
 func (b *budget) rates() rates {
 	l := b.limits.current.Load()
 	return rates{requests: l.RPS * b.share, writes: l.WriteRPS * b.share}
@@ -48,13 +48,13 @@
 	b.refilledAt = now
 }
 
-// empty discards all tokens after the store has refused a request for the rate.
+// empty discards all tokens after the store has refused a request because of its rate limit.
 func (b *budget) empty(now time.Time) {
 	b.requests.tokens, b.writes.tokens = 0, 0
 	b.refilledAt = now
 }
 
-// take uses the tokens of one request.
+// take uses the tokens of one request with a number of writes.
 func (b *budget) take(writes int) {
 	b.requests.tokens--
 	b.writes.tokens -= float64(writes)
--- a/internal/kvstore/client.go
+++ b/internal/kvstore/client.go
@@ -24,21 +24,21 @@
 	limits       *limitTracker
 	availability *availability
 	limiter      *rateLimiter
-	// renewals is the connection for RenewLease alone.
+	// renewals is the connection that only RenewLease uses.
 	renewals *transport.Conn
 }
 
-// New returns a client whose rate limiter runs until ctx ends. This controller's initial share of
-// the store's rates is given.
-func New(ctx context.Context, n transport.Network, addr string, l settings.StoreLimits, share float64, log *slog.Logger) *Client {
-	limits, availability := newLimitTracker(l, log), newAvailability(log)
+// New returns a client of the store at an address, whose rate limiter runs until ctx ends. share is
+// this controller's initial share of the store's rates, from 0 to 1.
+func New(ctx context.Context, network transport.Network, addr string, storeLimits settings.StoreLimits, share float64, log *slog.Logger) *Client {
+	limits, availability := newLimitTracker(storeLimits, log), newAvailability(log)
 	c := &Client{
 		baseURL:      "http://" + addr,
-		http:         transport.NewClient(n, maxIdleConns),
+		http:         transport.NewClient(network, maxIdleConns),
 		limits:       limits,
 		availability: availability,
 		limiter:      newRateLimiter(limits, availability, share),
-		renewals:     transport.NewConn(n, addr),
+		renewals:     transport.NewConn(network, addr),
 	}
 	go c.limiter.run(ctx)
 	return c
@@ -50,5 +50,6 @@
 // Limits returns the store's limits as far as they are known.
 func (c *Client) Limits() Limits { return *c.limits.current.Load() }
 
-// Serving reports whether the store served this controller's last request, or there was none.
+// Serving reports whether the store served this controller's last request. It returns true before
+// the first request.
 func (c *Client) Serving() bool { return c.availability.serving.Load() }
--- a/internal/kvstore/entries.go
+++ b/internal/kvstore/entries.go
@@ -11,11 +11,10 @@
 )
 
 // noSuchLease is the protocol's error text for a transaction that attaches a key to a lease that has
-// expired. Its status, 400, is that of other invalid requests too, so that only the text
-// distinguishes it.
+// expired. Other invalid requests have the same status, 400, so that only the text distinguishes it.
 const noSuchLease = "no such lease"
 
-// Get reads a key; found is false when it does not exist.
+// Get reads a key. found is false when the key does not exist.
 func (c *Client) Get(ctx context.Context, p Priority, key string) (entry wire.Entry, found bool, err error) {
 	resp, err := c.send(ctx, request{method: http.MethodGet, path: "/store/" + key, priority: p, timeout: requestTimeout})
 	if err != nil {
@@ -32,11 +31,11 @@
 }
 
 // CompareAndSwap executes a transaction. ok is false when a condition failed.
-func (c *Client) CompareAndSwap(ctx context.Context, p Priority, t wire.CompareAndSwap) (ok bool, result wire.CompareAndSwapResponse, err error) {
-	if t.Changes == nil {
-		t.Changes = []wire.Change{}
+func (c *Client) CompareAndSwap(ctx context.Context, p Priority, txn wire.CompareAndSwap) (ok bool, result wire.CompareAndSwapResponse, err error) {
+	if txn.Changes == nil {
+		txn.Changes = []wire.Change{}
 	}
-	r := request{method: http.MethodPost, path: "/txn", body: t, priority: p, writes: len(t.Changes), timeout: requestTimeout}
+	r := request{method: http.MethodPost, path: "/txn", body: txn, priority: p, writes: len(txn.Changes), timeout: requestTimeout}
 	resp, err := c.send(ctx, r)
 	if err != nil {
 		return false, result, err
@@ -49,13 +48,14 @@
 	if bytes.Contains(resp.body, []byte(noSuchLease)) {
 		return false, result, r.wrapError(ErrLeaseExpired)
 	}
-	if resp.status == http.StatusBadRequest && c.limits.recordRejected(&t) {
+	if resp.status == http.StatusBadRequest && c.limits.recordRejected(&txn) {
 		return false, result, r.wrapError(ErrLimitsLowered)
 	}
 	return false, result, resp.rejectionError()
 }
 
-// List reads one page of the keys under a prefix, after a key, and the store's revision.
+// List reads a page of at most limit keys under a prefix, those after a key (empty: all), and the
+// store's revision.
 func (c *Client) List(ctx context.Context, p Priority, under, after string, limit int) (page wire.EntryPage, err error) {
 	query := url.Values{"under": {under}, "limit": {strconv.Itoa(limit)}}
 	if after != "" {
--- a/internal/kvstore/errors.go
+++ b/internal/kvstore/errors.go
@@ -5,25 +5,24 @@
 	"fmt"
 )
 
-// The outcomes besides success that callers distinguish. Methods of Client return them wrapped in
-// a RequestError.
+// The failures that callers distinguish. Methods of Client return them wrapped in a RequestError.
 var (
-	// ErrUnavailable: the request was not executed (status 503, or no connection).
+	// ErrUnavailable means that the request was not executed (status 503, or no connection).
 	ErrUnavailable = errors.New("key-value store is unavailable")
-	// ErrUnknownOutcome: there is no response. The request may have been executed, or may be
-	// later.
+	// ErrUnknownOutcome means that there is no usable response. The request may have been
+	// executed, or may be executed later.
 	ErrUnknownOutcome = errors.New("outcome of the request is unknown")
-	// ErrLeaseExpired: the lease has expired or was revoked.
+	// ErrLeaseExpired means that the lease has expired or was revoked.
 	ErrLeaseExpired = errors.New("lease has expired")
-	// ErrCompacted: the store no longer keeps the changes after the watch's revision.
+	// ErrCompacted means that the store no longer keeps the changes after the watch's revision.
 	ErrCompacted = errors.New("revision is no longer kept")
-	// ErrOverloaded: this controller's share of the rate is used up, and the queue is full or
-	// the caller's time was over first.
+	// ErrOverloaded means that this controller's share of the rate is used up, and that the queue
+	// is full or the caller's context ended before the request was granted.
 	ErrOverloaded = errors.New("too many requests are waiting for the key-value store")
-	// ErrInvalidRequest: the store found the request malformed.
+	// ErrInvalidRequest means that the store rejected the request as invalid.
 	ErrInvalidRequest = errors.New("key-value store rejected the request")
-	// ErrLimitsLowered: the request was not executed, since the store's limits were lowered
-	// below it. Client.Limits returns the new ones.
+	// ErrLimitsLowered means that the request was not executed because it exceeds the store's
+	// limits, which were lowered. Client.Limits returns the new ones.
 	ErrLimitsLowered = errors.New("limits of the key-value store were lowered below the request")
 )
 
@@ -35,7 +34,7 @@
 	Err    error
 }
 
-// Error tells the request and why it failed.
+// Error names the request and why it failed.
 func (e *RequestError) Error() string {
 	return fmt.Sprintf("%s %s: %v", e.Method, e.Path, e.Err)
 }
--- a/internal/kvstore/leases.go
+++ b/internal/kvstore/leases.go
@@ -13,7 +13,7 @@
 
 func leasePath(lease uint64) string { return "/leases/" + strconv.FormatUint(lease, 10) }
 
-// GrantLease obtains a lease.
+// GrantLease obtains a lease with a time to live, and returns its number.
 func (c *Client) GrantLease(ctx context.Context, ttl time.Duration) (uint64, error) {
 	resp, err := c.send(ctx, request{
 		method: http.MethodPost, path: "/leases", body: wire.LeaseRequest{TTLMS: ttl.Milliseconds()},
@@ -30,8 +30,8 @@
 	return granted.Lease, err
 }
 
-// RenewLease renews a lease. It waits neither for the rate limiter nor for any goroutine but the
-// caller's. Only one goroutine at a time may call it.
+// RenewLease renews a lease. It waits neither for the rate limiter nor for any other goroutine. Only
+// one goroutine at a time may call it.
 func (c *Client) RenewLease(ctx context.Context, lease uint64) error {
 	r := request{method: http.MethodPost, path: leasePath(lease) + "/renew", timeout: renewTimeout}
 	if err := c.renewals.Open(ctx, r.timeout); err != nil {
@@ -60,8 +60,8 @@
 	return response{request: r, status: received.Status, body: received.Body}.rejectionError()
 }
 
-// RevokeLease ends a lease at once, with the keys attached to it. A lease that has ended already
-// is no error.
+// RevokeLease ends a lease at once and deletes the keys attached to it. It returns nil for a lease
+// that has already ended.
 func (c *Client) RevokeLease(ctx context.Context, lease uint64) error {
 	resp, err := c.send(ctx, request{method: http.MethodDelete, path: leasePath(lease), priority: PriorityLease, timeout: requestTimeout})
 	if err != nil {
--- a/internal/kvstore/limits.go
+++ b/internal/kvstore/limits.go
@@ -10,8 +10,8 @@
 	"leadproxy/internal/wire"
 )
 
-// Limits are the store's limits on transactions and rates that hold at the moment, as far as
-// known.
+// Limits holds the store's present limits on transactions, and on requests and writes per second, as
+// far as they are known.
 type Limits struct {
 	MaxChanges    int
 	MaxValueBytes int
@@ -19,38 +19,39 @@
 	WriteRPS      float64
 }
 
-func limitsFromSettings(l settings.StoreLimits) *Limits {
-	return &Limits{MaxChanges: l.TxnOps, MaxValueBytes: int(l.ValueKB * 1024), RPS: l.RPS, WriteRPS: l.WriteRPS}
+func limitsFromSettings(storeLimits settings.StoreLimits) *Limits {
+	return &Limits{MaxChanges: storeLimits.TxnOps, MaxValueBytes: int(storeLimits.ValueKB * 1024), RPS: storeLimits.RPS, WriteRPS: storeLimits.WriteRPS}
 }
 
 // exceededBy reports whether a transaction is larger than the limits allow.
-func (l *Limits) exceededBy(t *wire.CompareAndSwap) bool {
-	return len(t.Changes) > l.MaxChanges || slices.ContainsFunc(t.Changes, func(c wire.Change) bool { return len(c.Value) > l.MaxValueBytes })
+func (l *Limits) exceededBy(txn *wire.CompareAndSwap) bool {
+	return len(txn.Changes) > l.MaxChanges || slices.ContainsFunc(txn.Changes, func(change wire.Change) bool { return len(change.Value) > l.MaxValueBytes })
 }
 
-// A write is occasionally refused for the rate though all controllers keep to their shares, as
-// when the leader changes. This many refusals within this time show that the rate was lowered.
+// The store occasionally refuses a write because of its rate limit although all controllers keep to
+// their shares, for example when the leader changes. refusalsUntilLowered refusals within
+// refusalWindow show that the rate limit was lowered.
 const (
 	refusalsUntilLowered = 5
 	refusalWindow        = 10 * time.Second
 )
 
-// limitTracker knows the store's limits. The settings may announce lower ones, which come into
+// limitTracker tracks the store's limits. The settings may announce lower ones, which come into
 // force at an unknown time; the store's refusals show when they have.
 type limitTracker struct {
 	current   atomic.Pointer[Limits]
-	announced *Limits // nil: none are announced; never changed
+	announced *Limits // nil: none are announced; immutable
 	log       *slog.Logger
-	// refusals are the times of recent writes that were refused for the rate. They belong to the
-	// rate limiter's goroutine.
+	// refusals are the times of recent writes that were refused because of the rate limit. The
+	// field belongs to the rate limiter's goroutine.
 	refusals []time.Time
 }
 
-func newLimitTracker(l settings.StoreLimits, log *slog.Logger) *limitTracker {
+func newLimitTracker(storeLimits settings.StoreLimits, log *slog.Logger) *limitTracker {
 	t := &limitTracker{log: log}
-	t.current.Store(limitsFromSettings(l))
-	if l.Next != nil {
-		t.announced = limitsFromSettings(*l.Next)
+	t.current.Store(limitsFromSettings(storeLimits))
+	if storeLimits.Next != nil {
+		t.announced = limitsFromSettings(*storeLimits.Next)
 	}
 	return t
 }
@@ -69,8 +70,8 @@
 		"value_bytes", t.announced.MaxValueBytes, "ops", t.announced.MaxChanges, "write_rps", t.announced.WriteRPS)
 }
 
-// recordRejected takes a transaction that the store has rejected as invalid. It reports whether the
-// cause is that the announced limits have come into force: the store does not say which limit a
+// recordRejected processes a transaction that the store has rejected as invalid. It reports whether
+// the cause is that the announced limits have come into force: the store does not say which limit a
 // transaction exceeds, nor when limits are lowered.
 func (t *limitTracker) recordRejected(txn *wire.CompareAndSwap) bool {
 	if t.announced == nil || !t.announced.exceededBy(txn) {
@@ -80,7 +81,8 @@
 	return true
 }
 
-// recordRateRefusal takes the time when a write was refused for the rate.
+// recordRateRefusal records a write that was refused because of the rate limit, and puts the
+// announced limits into force after refusalsUntilLowered of them within refusalWindow.
 func (t *limitTracker) recordRateRefusal(now time.Time) {
 	if t.lowered() {
 		return
--- a/internal/kvstore/limits_test.go
+++ b/internal/kvstore/limits_test.go
@@ -13,9 +13,9 @@
 // announcedLimits are lower limits that the settings announce.
 var announcedLimits = &settings.StoreLimits{RPS: 100, WriteRPS: 20, TxnOps: 5, ValueKB: 2}
 
-// TestRepeatedRateRefusalsLowerLimits: writes that are refused for the rate again and again show
-// that the announced limits are in force. An occasional refusal does not, nor any without announced
-// limits.
+// TestRepeatedRateRefusalsLowerLimits checks that repeated refusals of writes because of the rate
+// limit put the announced limits into force, and that occasional refusals, refusals of reads, and
+// refusals without announced limits don't.
 func TestRepeatedRateRefusalsLowerLimits(t *testing.T) {
 	cases := []struct {
 		name      string
@@ -43,7 +43,7 @@
 				synctest.Wait()
 				tracker := limiter.limits
 				if l := tracker.current.Load(); tracker.lowered() != c.lowered || (l.MaxChanges == 5) != c.lowered {
-					t.Errorf("lowered: %v, limits %+v", tracker.lowered(), l)
+					t.Errorf("limits in force are the announced ones: %v, limits %+v", tracker.lowered(), l)
 				}
 				granted := 0
 				ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
@@ -54,7 +54,7 @@
 					}
 				}
 				if (granted < 300) != c.lowered {
-					t.Errorf("%d writes granted in ten seconds", granted)
+					t.Errorf("%d writes granted in ten seconds, want fewer than 300 only with lowered limits", granted)
 				}
 			})
 		})
--- a/internal/kvstore/listing.go
+++ b/internal/kvstore/listing.go
@@ -6,7 +6,7 @@
 	"leadproxy/internal/wire"
 )
 
-// listPageSize is how many keys are read at once.
+// listPageSize is the number of keys in a page.
 const listPageSize = 1000
 
 // Lister reads pages of keys.
@@ -14,8 +14,8 @@
 	List(ctx context.Context, p Priority, under, after string, limit int) (wire.EntryPage, error)
 }
 
-// Listing is all keys under a prefix. They were read in pages, the first at one revision of the
-// store and the last at another.
+// Listing holds all keys under a prefix. They were read in pages, the first at FirstRevision of the
+// store and the last at LastRevision, so that it is no snapshot.
 type Listing struct {
 	Entries       []wire.Entry
 	FirstRevision uint64
--- a/internal/kvstore/rate_limiter.go
+++ b/internal/kvstore/rate_limiter.go
@@ -6,11 +6,11 @@
 )
 
 // rateLimiter grants requests within this controller's share of the store's rates, the most urgent
-// first. One goroutine owns its budget and queues; everything reaches that as messages.
+// first. One goroutine owns its budget and queues, and receives everything else through channels.
 type rateLimiter struct {
 	arrivals     chan *waitingRequest
 	shares       chan float64
-	refusals     chan int      // writes of requests that the store has refused for the rate
+	refusals     chan int      // number of writes of each request refused because of the rate limit
 	ungranted    chan struct{} // requests that were sent without a grant
 	limits       *limitTracker
 	availability *availability
@@ -30,26 +30,29 @@
 	}
 }
 
-// wait returns once a request with a number of writes may be sent.
+// wait blocks until a request with a number of writes may be sent. It returns ErrOverloaded if the
+// queue is full or ctx ends first.
 func (l *rateLimiter) wait(ctx context.Context, p Priority, writes int) error {
-	r := &waitingRequest{priority: p, writes: writes, granted: make(chan error, 1), ctx: ctx}
+	waiting := &waitingRequest{priority: p, writes: writes, granted: make(chan error, 1), ctx: ctx}
 	select {
-	case l.arrivals <- r:
+	case l.arrivals <- waiting:
 	case <-ctx.Done():
 		return ErrOverloaded
 	}
 	select {
-	case err := <-r.granted:
+	case err := <-waiting.granted:
 		return err
 	case <-ctx.Done():
 		return ErrOverloaded
 	}
 }
 
-// recordRefusal records that the store has refused a request for the rate.
+// recordRefusal records that the store has refused a request with a number of writes because of its
+// rate limit.
 func (l *rateLimiter) recordRefusal(writes int) { l.refusals <- writes }
 
-// recordUngranted counts a request that was sent without a grant.
+// recordUngranted subtracts a request that was sent without a grant from the budget. It does not
+// block: while the buffer is full, the request is not counted.
 func (l *rateLimiter) recordUngranted() {
 	select {
 	case l.ungranted <- struct{}{}:
@@ -63,8 +66,8 @@
 	timer := time.NewTimer(time.Hour)
 	for {
 		select {
-		case r := <-l.arrivals:
-			l.queues.add(r)
+		case waiting := <-l.arrivals:
+			l.queues.add(waiting)
 		case share := <-l.shares:
 			l.budget.share = share
 		case <-l.ungranted:
@@ -85,7 +88,8 @@
 	}
 }
 
-// handleRefusal takes a request with a number of writes that was refused for the rate.
+// handleRefusal processes the refusal, because of the rate limit, of a request with a number of
+// writes.
 func (l *rateLimiter) handleRefusal(writes int, now time.Time) {
 	l.budget.empty(now)
 	if writes > 0 {
@@ -94,7 +98,7 @@
 }
 
 // grantWaiting grants the waiting requests that the budget allows and returns how long until the
-// next could be granted; zero: none waits.
+// next could be granted; zero: none waits for tokens.
 func (l *rateLimiter) grantWaiting() time.Duration {
 	round := &grantRound{budget: &l.budget, rates: l.budget.rates()}
 	l.queues.grant(round.admits)
--- a/internal/kvstore/rate_limiter_test.go
+++ b/internal/kvstore/rate_limiter_test.go
@@ -14,15 +14,15 @@
 )
 
 // startRateLimiter runs a rate limiter until the test ends.
-func startRateLimiter(t *testing.T, l settings.StoreLimits, share float64) *rateLimiter {
+func startRateLimiter(t *testing.T, storeLimits settings.StoreLimits, share float64) *rateLimiter {
 	t.Helper()
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	limiter := newRateLimiter(newLimitTracker(l, log), newAvailability(log), share)
+	limiter := newRateLimiter(newLimitTracker(storeLimits, log), newAvailability(log), share)
 	go limiter.run(t.Context())
 	return limiter
 }
 
-// limitsWithRates are limits with given rates.
+// limitsWithRates returns limits with the given rates.
 func limitsWithRates(rps, writeRPS float64) settings.StoreLimits {
 	return settings.StoreLimits{RPS: rps, WriteRPS: writeRPS, TxnOps: 32, ValueKB: 16}
 }
@@ -34,7 +34,7 @@
 		writeRPS   float64
 		share      float64
 		writes     int
-		maxGranted int // in 10 s: what the share allows, and the first burst
+		maxGranted int // in 10 s: the share of the rate and the initial burst
 	}{
 		{"requests", 100, 1000, 0.5, 0, 500 + 50},
 		{"writes", 1000, 40, 0.5, 1, 200 + 20},
@@ -60,7 +60,7 @@
 	}
 }
 
-// useUpBudget takes grants for reads until none is left.
+// useUpBudget requests grants for reads until the budget is empty.
 func useUpBudget(t *testing.T, limiter *rateLimiter) {
 	t.Helper()
 	for limiter.wait(t.Context(), PriorityRead, 0) == nil {
@@ -92,13 +92,14 @@
 		// A lease request is granted even when the budget is used up.
 		before := time.Now()
 		if err := limiter.wait(t.Context(), PriorityLease, 0); err != nil || time.Since(before) > 0 {
-			t.Errorf("a lease request waited %v: %v", time.Since(before), err)
+			t.Errorf("a lease request waited %v, want none: %v", time.Since(before), err)
 		}
 	})
 }
 
-// TestReadsDoNotWaitForWrites: with many submissions there is always one that waits for write
-// tokens. Reads take none of those; when they waited as well, no query was answered for minutes.
+// TestReadsDoNotWaitForWrites guards against reads that are blocked by writes: with many submissions
+// there is always one that waits for write tokens, which reads don't need. When reads waited behind
+// it, no query was answered for minutes.
 func TestReadsDoNotWaitForWrites(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		limiter := startRateLimiter(t, limitsWithRates(100, 1), 1)
@@ -116,13 +117,13 @@
 		for range 20 {
 			before := time.Now()
 			if err := limiter.wait(ctx, PriorityRead, 0); err != nil || time.Since(before) > 100*time.Millisecond {
-				t.Errorf("a read waited %v: %v", time.Since(before), err)
+				t.Errorf("a read waited %v, want at most 100ms: %v", time.Since(before), err)
 			}
 		}
 		time.Sleep(10 * time.Second)
 		synctest.Wait()
 		if n := written.Load(); n < 8 || n > 11 {
-			t.Errorf("%d written in ten seconds, one a second allowed", n)
+			t.Errorf("%d writes granted in ten seconds, want about one per second", n)
 		}
 	})
 }
@@ -138,7 +139,7 @@
 		synctest.Wait()
 		before := time.Now()
 		if err := limiter.wait(ctx, PrioritySubmission, 0); !errors.Is(err, ErrOverloaded) || time.Since(before) > 0 {
-			t.Errorf("rejected after %v: %v", time.Since(before), err)
+			t.Errorf("error after %v: %v, want ErrOverloaded at once", time.Since(before), err)
 		}
 	})
 }
--- a/internal/kvstore/request.go
+++ b/internal/kvstore/request.go
@@ -14,7 +14,7 @@
 	"leadproxy/internal/transport"
 )
 
-// Bounds of a request's duration, once it is granted.
+// The timeouts of a request, counted from its grant.
 const (
 	requestTimeout = 1500 * time.Millisecond
 	listTimeout    = 2 * requestTimeout
@@ -30,7 +30,7 @@
 	path     string
 	body     any // encoded as JSON; nil: none
 	priority Priority
-	writes   int // keys that it changes
+	writes   int // number of keys that it changes
 	timeout  time.Duration
 }
 
@@ -41,12 +41,12 @@
 	body    []byte
 }
 
-// wrapError wraps the reason why the request failed.
+// wrapError wraps the reason why the request failed in a RequestError.
 func (r request) wrapError(reason error) error {
 	return &RequestError{Method: r.method, Path: r.path, Err: reason}
 }
 
-// decode decodes the response's body.
+// decode decodes the response's body as JSON. It returns ErrUnknownOutcome if that fails.
 func (r response) decode(into any) error {
 	if err := json.Unmarshal(r.body, into); err != nil {
 		return r.request.wrapError(fmt.Errorf("%w: decode the response: %w", ErrUnknownOutcome, err))
@@ -54,7 +54,7 @@
 	return nil
 }
 
-// rejectionError is the error for a response whose status tells that the request was invalid.
+// rejectionError returns the error for a response whose status means that the request was invalid.
 func (r response) rejectionError() error {
 	body := r.body
 	if len(body) > maxErrorBody {
@@ -63,8 +63,8 @@
 	return r.request.wrapError(fmt.Errorf("%w: status %d: %s", ErrInvalidRequest, r.status, body))
 }
 
-// send sends a request when the rate limiter grants it, again if the store refuses it for the rate.
-// A response with status 503 is an error.
+// send sends a request once the rate limiter grants it, and retries it while the store refuses it
+// because of its rate limit (status 429). For a response with status 503 it returns ErrUnavailable.
 func (c *Client) send(ctx context.Context, r request) (response, error) {
 	var payload []byte
 	if r.body != nil {
@@ -79,7 +79,7 @@
 		}
 		resp, err := c.attempt(ctx, r, payload)
 		if err == nil && resp.status == http.StatusTooManyRequests {
-			// Another controller uses more than its share at the moment: back off.
+			// Another controller uses more than its share at the moment, so back off.
 			c.limiter.recordRefusal(r.writes)
 			continue
 		}
@@ -94,8 +94,8 @@
 	}
 }
 
-// recordAvailability records what a request's result shows of whether the store serves this
-// controller.
+// recordAvailability records whether a request's result, nil for success, shows that the store serves
+// this controller.
 func (c *Client) recordAvailability(ctx context.Context, r request, err error) {
 	switch {
 	case err == nil:
@@ -103,8 +103,8 @@
 	case errors.Is(err, ErrUnavailable):
 		c.availability.record(notServed)
 	case r.timeout <= listTimeout && !errors.Is(ctx.Err(), context.Canceled):
-		// A partition that drops packets shows only in missing responses. For a watch those
-		// are normal.
+		// A partition that drops packets can be detected only by missing responses. For a
+		// watch, whose timeout is longer, they are normal.
 		c.availability.record(notServed)
 	}
 }
--- a/internal/kvstore/request_queue.go
+++ b/internal/kvstore/request_queue.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// Priority ranks requests when the rate is short.
+// Priority ranks requests that wait for the budget.
 type Priority int
 
-// The priorities, the most urgent first.
+// The priorities, from the most to the least urgent.
 const (
 	PriorityLease Priority = iota
 	PriorityLeader
@@ -31,27 +31,27 @@
 // requestQueues are the waiting requests by priority, each in the order of arrival.
 type requestQueues [priorityCount][]*waitingRequest
 
-// add appends a request. It turns the request away when the queue of its priority is full.
-func (q *requestQueues) add(r *waitingRequest) {
-	if len(q[r.priority]) >= maxWaiting {
-		r.granted <- ErrOverloaded
+// add appends a request, or rejects it with ErrOverloaded if the queue of its priority is full.
+func (q *requestQueues) add(waiting *waitingRequest) {
+	if len(q[waiting.priority]) >= maxWaiting {
+		waiting.granted <- ErrOverloaded
 		return
 	}
-	q[r.priority] = append(q[r.priority], r)
+	q[waiting.priority] = append(q[waiting.priority], waiting)
 }
 
-// grant lets those requests go that a function admits. It asks for each, the most urgent first, and
-// drops those whose caller has given up.
+// grant grants the requests for which admits returns true. It calls admits for each request, the most
+// urgent first, and drops requests whose context has ended.
 func (q *requestQueues) grant(admits func(*waitingRequest) bool) {
 	for priority, queue := range q {
 		kept := queue[:0]
-		for _, r := range queue {
+		for _, waiting := range queue {
 			switch {
-			case r.ctx.Err() != nil:
-			case admits(r):
-				r.granted <- nil
+			case waiting.ctx.Err() != nil:
+			case admits(waiting):
+				waiting.granted <- nil
 			default:
-				kept = append(kept, r)
+				kept = append(kept, waiting)
 			}
 		}
 		clear(queue[len(kept):])
@@ -59,11 +59,10 @@
 	}
 }
 
-// grantRound decides once which of the waiting requests the budget allows.
+// grantRound is one pass over the waiting requests that grants those which the budget allows.
 //
-// A request that waits for write tokens holds up all later ones that write, but none that only
-// reads: those take nothing that it waits for, and with many submissions waiting no query would be
-// answered otherwise.
+// A request that waits for write tokens blocks all later ones that write, but none that only reads:
+// reads use no write tokens, and with many submissions waiting no query would be answered otherwise.
 type grantRound struct {
 	budget        *budget
 	rates         rates
@@ -73,12 +72,12 @@
 	retryAfter time.Duration
 }
 
-// admits decides on one request and uses its tokens.
-func (g *grantRound) admits(r *waitingRequest) bool {
-	// A transaction larger than the bucket waits for a full one and then leaves it in debt.
-	writes := min(float64(r.writes), g.rates.writes)
-	// Lease traffic may borrow: a lost lease costs more than a refusal for the rate.
-	if r.priority != PriorityLease {
+// admits reports whether the budget allows a request, and takes its tokens if it does.
+func (g *grantRound) admits(waiting *waitingRequest) bool {
+	// A transaction larger than the bucket waits for a full bucket and then overdraws it.
+	writes := min(float64(waiting.writes), g.rates.writes)
+	// Lease requests may overdraw the budget: a lost lease costs more than a refusal by the store.
+	if waiting.priority != PriorityLease {
 		if writes > 0 && g.writesBlocked {
 			return false
 		}
@@ -88,11 +87,12 @@
 			return false
 		}
 	}
-	g.budget.take(r.writes)
+	g.budget.take(waiting.writes)
 	return true
 }
 
-// untilAvailable is how long until the budget has the tokens of a request; zero: it has them.
+// untilAvailable returns how long it takes until the budget has the tokens of a request with a number
+// of writes; zero: it has them.
 func (g *grantRound) untilAvailable(writes float64) time.Duration {
 	seconds := (1 - g.budget.requests.tokens) / g.rates.requests
 	if writes > 0 {
@@ -104,7 +104,7 @@
 	return time.Duration(seconds*float64(time.Second)) + time.Millisecond
 }
 
-// retryIn has the next round begin after a while at the latest.
+// retryIn makes the next round begin after wait at the latest.
 func (g *grantRound) retryIn(wait time.Duration) {
 	if g.retryAfter == 0 || wait < g.retryAfter {
 		g.retryAfter = wait
--- a/internal/kvstore/request_test.go
+++ b/internal/kvstore/request_test.go
@@ -14,7 +14,7 @@
 	"leadproxy/internal/wire"
 )
 
-// newTestClient returns a client of a store that answers every request alike.
+// newTestClient returns a client of a store that answers every request with the same status and body.
 func newTestClient(t *testing.T, status int, body string) *Client {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
@@ -28,7 +28,8 @@
 	return New(t.Context(), transport.TCP{}, addr, limits, 1, slog.New(slog.NewTextHandler(io.Discard, nil)))
 }
 
-// TestFailedRequests: a failure is one of the package's errors and says which request it was.
+// TestFailedRequests checks that a failure wraps the right one of the package's errors and names the
+// request.
 func TestFailedRequests(t *testing.T) {
 	compareAndSwap := func(changes int) func(context.Context, *Client) error {
 		return func(ctx context.Context, c *Client) error {
--- a/internal/kvstore/watch.go
+++ b/internal/kvstore/watch.go
@@ -10,10 +10,12 @@
 	"leadproxy/internal/wire"
 )
 
-// watchGrace is how much longer than asked for a watch's response may take.
+// watchGrace is how much longer than the requested wait the response to a watch may take.
 const watchGrace = 2 * time.Second
 
-// Watch waits until a key under the prefix has changed after a revision.
+// Watch returns the changes of the keys under a prefix after a revision. While there are none, it
+// waits for one, for the given duration at most. It returns ErrCompacted if the store no longer keeps
+// all of them.
 func (c *Client) Watch(ctx context.Context, under string, after uint64, wait time.Duration) (changes wire.WatchResponse, err error) {
 	query := url.Values{"under": {under}, "from": {strconv.FormatUint(after, 10)}, "wait_ms": {strconv.FormatInt(wait.Milliseconds(), 10)}}
 	r := request{method: http.MethodGet, path: "/changes?" + query.Encode(), priority: PriorityLeader, timeout: wait + watchGrace}
--- a/internal/leadertransfer/handoverpb/doc.go
+++ b/internal/leadertransfer/handoverpb/doc.go
@@ -1,3 +1,3 @@
-// Package handoverpb is generated from handover.proto. Names and numbers stay as they are,
-// since versions run side by side.
+// Package handoverpb is generated from handover.proto. Names and numbers must not change, since
+// different versions run side by side.
 package handoverpb
--- a/internal/leadertransfer/leadertransfer.go
+++ b/internal/leadertransfer/leadertransfer.go
@@ -1,5 +1,5 @@
-// Package leadertransfer lets operators see the state of the controllers' standbys and transfer
-// the leadership to one of them on purpose.
+// Package leadertransfer reports the state of the controllers' standbys to operators, and transfers
+// the leadership to one of them on request.
 package leadertransfer
 
 import (
@@ -27,18 +27,18 @@
 	"leadproxy/internal/transport"
 )
 
-// The timeouts of a transfer.
+// The timeouts and durations of a transfer.
 const (
 	// callTimeout bounds one call to a controller.
 	callTimeout = 2 * time.Second
 	// yieldDuration is for how long the other controllers yield their candidacy to the successor.
 	yieldDuration = 1500 * time.Millisecond
-	// maxReplicaAge bounds how long ago the store may have responded last to the standby of
-	// the successor. A watch without a change is answered only when its wait is over.
+	// maxReplicaAge bounds how long ago the store may have last responded to the standby of the
+	// successor. The response to a watch without a change arrives only at the end of its wait.
 	maxReplicaAge = 20 * time.Second
 )
 
-// Server serves the requests of operators and of the other controllers.
+// Server implements the gRPC service for operators and for the other controllers.
 type Server struct {
 	handoverpb.UnimplementedHandoverServer
 	platform  *settings.Platform
@@ -49,33 +49,33 @@
 	log       *slog.Logger
 }
 
-// NewServer makes a server for a controller.
-func NewServer(n transport.Network, p *settings.Platform, e *election.Elector, s *standby.Follower, h *softstate.Follower, log *slog.Logger) *Server {
-	return &Server{platform: p, network: n, elector: e, standby: s, softState: h, log: log}
+// NewServer returns the server of a controller. standbyFollower and softStateFollower may be nil.
+func NewServer(network transport.Network, platform *settings.Platform, elector *election.Elector, standbyFollower *standby.Follower, softStateFollower *softstate.Follower, log *slog.Logger) *Server {
+	return &Server{platform: platform, network: network, elector: elector, standby: standbyFollower, softState: softStateFollower, log: log}
 }
 
 // Status returns the role of this controller and the state of its standby.
 func (s *Server) Status(context.Context, *handoverpb.StatusRequest) (*handoverpb.StatusReply, error) {
-	v := s.elector.View()
-	reply := &handoverpb.StatusReply{Node: s.platform.Name, Leader: v.Leader}
-	if v.IsLeader(time.Now()) {
-		reply.Term = v.Term
+	view := s.elector.View()
+	reply := &handoverpb.StatusReply{Node: s.platform.Name, Leader: view.Leader}
+	if view.IsLeader(time.Now()) {
+		reply.Term = view.Term
 	}
 	if s.softState != nil {
-		h := s.softState.Status()
-		reply.HintsTerm, reply.HintsMachines = h.Term, int64(h.Machines)
-		if h.Term > 0 {
-			reply.HintsMs = time.Since(h.LastBatch).Milliseconds()
+		softStateStatus := s.softState.Status()
+		reply.HintsTerm, reply.HintsMachines = softStateStatus.Term, int64(softStateStatus.Machines)
+		if softStateStatus.Term > 0 {
+			reply.HintsMs = time.Since(softStateStatus.LastBatch).Milliseconds()
 		}
 	}
 	if s.standby == nil {
 		return reply, nil
 	}
-	st := s.standby.Status()
-	reply.Follows, reply.State, reply.Why = true, st.State.String(), st.Reason
-	reply.Revision, reply.Keys, reply.Bytes = st.Revision, int64(st.Keys), int64(st.Bytes)
-	if !st.LastResponse.IsZero() {
-		reply.HeardMs = time.Since(st.LastResponse).Milliseconds()
+	standbyStatus := s.standby.Status()
+	reply.Follows, reply.State, reply.Why = true, standbyStatus.State.String(), standbyStatus.Reason
+	reply.Revision, reply.Keys, reply.Bytes = standbyStatus.Revision, int64(standbyStatus.Keys), int64(standbyStatus.Bytes)
+	if !standbyStatus.LastResponse.IsZero() {
+		reply.HeardMs = time.Since(standbyStatus.LastResponse).Milliseconds()
 	}
 	return reply, nil
 }
@@ -83,29 +83,29 @@
 // standbyCheckInterval is how often the leader checks whether a standby is complete.
 const standbyCheckInterval = 10 * time.Second
 
-// Run logs, while this controller is the leader, when no standby is complete and when one is
-// again, until ctx ends.
+// Run checks the standbys while this controller is the leader, until ctx ends. It logs when no standby
+// is complete, and when one is complete again.
 func (s *Server) Run(ctx context.Context) {
-	tick := time.NewTicker(standbyCheckInterval)
-	defer tick.Stop()
-	term, lacking := uint64(0), false
+	ticker := time.NewTicker(standbyCheckInterval)
+	defer ticker.Stop()
+	term, loggedNoStandby := uint64(0), false
 	for {
 		select {
-		case <-tick.C:
+		case <-ticker.C:
 		case <-ctx.Done():
 			return
 		}
-		v := s.elector.View()
-		if !v.IsLeader(time.Now()) {
+		view := s.elector.View()
+		if !view.IsLeader(time.Now()) {
 			continue
 		}
-		if v.Term != term {
-			term, lacking = v.Term, false
+		if view.Term != term {
+			term, loggedNoStandby = view.Term, false
 		}
 		_, err := chooseSuccessor(s.peerStatuses(ctx), "")
-		if lack := err != nil; lack != lacking && ctx.Err() == nil {
-			lacking = lack
-			if lack {
+		if noStandby := err != nil; noStandby != loggedNoStandby && ctx.Err() == nil {
+			loggedNoStandby = noStandby
+			if noStandby {
 				s.log.Warn("no standby is complete: a failover would read the whole ledger", "leader_term", term, "error", err)
 			} else {
 				s.log.Info("a standby is complete again", "leader_term", term)
@@ -114,56 +114,57 @@
 	}
 }
 
-// StandAside makes this controller yield its candidacy for a while, or campaign at once.
-func (s *Server) StandAside(_ context.Context, r *handoverpb.StandAsideRequest) (*handoverpb.StandAsideReply, error) {
-	wait := time.Duration(r.ForMs) * time.Millisecond
-	if wait < 0 || wait > 2*yieldDuration {
-		return nil, status.Errorf(codes.InvalidArgument, "yielding the candidacy for %s", wait)
+// StandAside makes this controller yield its candidacy, or campaign without yielding, for a duration of
+// 2*yieldDuration at most.
+func (s *Server) StandAside(_ context.Context, request *handoverpb.StandAsideRequest) (*handoverpb.StandAsideReply, error) {
+	duration := time.Duration(request.ForMs) * time.Millisecond
+	if duration < 0 || duration > 2*yieldDuration {
+		return nil, status.Errorf(codes.InvalidArgument, "yielding the candidacy for %s", duration)
 	}
-	if r.First {
-		s.elector.CampaignNow(wait)
+	if request.First {
+		s.elector.CampaignNow(duration)
 	} else {
-		s.elector.YieldCandidacy(wait)
+		s.elector.YieldCandidacy(duration)
 	}
 	return &handoverpb.StandAsideReply{}, nil
 }
 
 // HandOver transfers the leadership from this controller to one whose standby is complete.
-func (s *Server) HandOver(ctx context.Context, r *handoverpb.HandOverRequest) (*handoverpb.HandOverReply, error) {
-	v := s.elector.View()
-	if !v.IsLeader(time.Now()) {
-		return nil, status.Errorf(codes.Unavailable, "this controller is not the leader, %q is", v.Leader)
+func (s *Server) HandOver(ctx context.Context, request *handoverpb.HandOverRequest) (*handoverpb.HandOverReply, error) {
+	view := s.elector.View()
+	if !view.IsLeader(time.Now()) {
+		return nil, status.Errorf(codes.Unavailable, "this controller is not the leader, %q is", view.Leader)
 	}
-	successor, err := chooseSuccessor(s.peerStatuses(ctx), r.To)
+	successor, err := chooseSuccessor(s.peerStatuses(ctx), request.To)
 	if err != nil {
 		return nil, status.Error(codes.FailedPrecondition, err.Error())
 	}
-	for _, p := range s.platform.Peers {
-		s.requestCandidacy(ctx, p, p.Name == successor)
+	for _, peer := range s.platform.Peers {
+		s.requestCandidacy(ctx, peer, peer.Name == successor)
 	}
-	s.log.Info("transferring the leadership", "leader_term", v.Term, "successor", successor)
-	s.elector.Resign(v.Term)
-	return &handoverpb.HandOverReply{To: successor, Term: v.Term}, nil
+	s.log.Info("transferring the leadership", "leader_term", view.Term, "successor", successor)
+	s.elector.Resign(view.Term)
+	return &handoverpb.HandOverReply{To: successor, Term: view.Term}, nil
 }
 
-// requestCandidacy asks a controller to campaign at once, or to yield its candidacy. One that
-// can't be reached may be elected.
-func (s *Server) requestCandidacy(ctx context.Context, p settings.Peer, first bool) {
-	err := callController(ctx, s.network, p.Addr, func(ctx context.Context, c handoverpb.HandoverClient) error {
-		_, err := c.StandAside(ctx, &handoverpb.StandAsideRequest{ForMs: yieldDuration.Milliseconds(), First: first})
+// requestCandidacy requests that a controller campaign without yielding (first), or yield its
+// candidacy. A failure is only logged: the controller may then be elected instead of the successor.
+func (s *Server) requestCandidacy(ctx context.Context, peer settings.Peer, first bool) {
+	err := callController(ctx, s.network, peer.Addr, func(ctx context.Context, client handoverpb.HandoverClient) error {
+		_, err := client.StandAside(ctx, &handoverpb.StandAsideRequest{ForMs: yieldDuration.Milliseconds(), First: first})
 		return err
 	})
 	if err != nil {
-		s.log.Info("candidacy request failed", "controller", p.Name, "error", err)
+		s.log.Info("candidacy request failed", "controller", peer.Name, "error", err)
 	}
 }
 
-// peerStatuses returns the status of the other controllers, without those that do not respond.
+// peerStatuses returns the statuses of the other controllers that respond.
 func (s *Server) peerStatuses(ctx context.Context) []*handoverpb.StatusReply {
 	var all []*handoverpb.StatusReply
-	for _, p := range s.platform.Peers {
-		if st, err := fetchStatus(ctx, s.network, p.Addr); err == nil {
-			all = append(all, st)
+	for _, peer := range s.platform.Peers {
+		if peerStatus, err := fetchStatus(ctx, s.network, peer.Addr); err == nil {
+			all = append(all, peerStatus)
 		}
 	}
 	return all
@@ -172,115 +173,116 @@
 // ErrNoStandby means that no other controller has a complete standby.
 var ErrNoStandby = errors.New("no standby is complete")
 
-// chooseSuccessor returns the name of the requested controller, or without a request of the one
-// whose standby has the newest revision.
-func chooseSuccessor(all []*handoverpb.StatusReply, to string) (string, error) {
-	slices.SortStableFunc(all, func(a, b *handoverpb.StatusReply) int { return cmp.Compare(b.Revision, a.Revision) })
+// chooseSuccessor returns the name of the requested controller or, if requested is empty, of the one
+// whose complete standby has the newest revision. It returns ErrNoStandby if there is none, or if the
+// requested controller does not respond or has no complete standby.
+func chooseSuccessor(candidates []*handoverpb.StatusReply, requested string) (string, error) {
+	slices.SortStableFunc(candidates, func(a, b *handoverpb.StatusReply) int { return cmp.Compare(b.Revision, a.Revision) })
 	var reasons []string
-	found := to == ""
-	for _, st := range all {
-		if to != "" && st.Node != to {
+	found := requested == ""
+	for _, candidate := range candidates {
+		if requested != "" && candidate.Node != requested {
 			continue
 		}
 		found = true
-		reason := ineligibleReason(st)
+		reason := ineligibleReason(candidate)
 		if reason == "" {
-			return st.Node, nil
+			return candidate.Node, nil
 		}
-		reasons = append(reasons, st.Node+" "+reason)
+		reasons = append(reasons, candidate.Node+" "+reason)
 	}
 	if !found {
-		return "", fmt.Errorf("%w: %q is not another controller that responds", ErrNoStandby, to)
+		return "", fmt.Errorf("%w: %q is not another controller that responds", ErrNoStandby, requested)
 	}
 	return "", fmt.Errorf("%w: %s", ErrNoStandby, cmp.Or(strings.Join(reasons, ", "), "no other controller responds"))
 }
 
-// ineligibleReason returns why a controller has no complete standby; "": it has one.
-func ineligibleReason(st *handoverpb.StatusReply) string {
+// ineligibleReason returns the reason why a controller has no complete standby; "": it has one.
+func ineligibleReason(candidate *handoverpb.StatusReply) string {
 	switch {
-	case !st.Follows:
+	case !candidate.Follows:
 		return "has no standby"
-	case st.State != standby.Following.String():
-		return "is " + st.State
-	case time.Duration(st.HeardMs)*time.Millisecond > maxReplicaAge:
-		return fmt.Sprintf("had no response of the store for %d s", st.HeardMs/1000)
+	case candidate.State != standby.Following.String():
+		return "is " + candidate.State
+	case time.Duration(candidate.HeardMs)*time.Millisecond > maxReplicaAge:
+		return fmt.Sprintf("had no response of the store for %d s", candidate.HeardMs/1000)
 	}
 	return ""
 }
 
-// callController makes one call to a controller.
-func callController(ctx context.Context, n transport.Network, addr string, do func(ctx context.Context, c handoverpb.HandoverClient) error) error {
-	return rpc.Call(ctx, n, addr, callTimeout, func(ctx context.Context, conn *grpc.ClientConn) error {
+// callController makes one call to a controller, bounded by callTimeout.
+func callController(ctx context.Context, network transport.Network, addr string, do func(ctx context.Context, client handoverpb.HandoverClient) error) error {
+	return rpc.Call(ctx, network, addr, callTimeout, func(ctx context.Context, conn *grpc.ClientConn) error {
 		return do(ctx, handoverpb.NewHandoverClient(conn))
 	})
 }
 
 // fetchStatus returns the status of a controller.
-func fetchStatus(ctx context.Context, n transport.Network, addr string) (st *handoverpb.StatusReply, err error) {
-	err = callController(ctx, n, addr, func(ctx context.Context, c handoverpb.HandoverClient) error {
-		st, err = c.Status(ctx, &handoverpb.StatusRequest{})
+func fetchStatus(ctx context.Context, network transport.Network, addr string) (reply *handoverpb.StatusReply, err error) {
+	err = callController(ctx, network, addr, func(ctx context.Context, client handoverpb.HandoverClient) error {
+		reply, err = client.Status(ctx, &handoverpb.StatusRequest{})
 		return err
 	})
-	return st, err
+	return reply, err
 }
 
-// sortedControllers returns all controllers of a deployment in the order of their names.
-func sortedControllers(p *settings.Platform) []settings.Peer {
-	all := p.Controllers()
+// sortedControllers returns all controllers of a deployment, sorted by name.
+func sortedControllers(platform *settings.Platform) []settings.Peer {
+	all := platform.Controllers()
 	slices.SortFunc(all, func(a, b settings.Peer) int { return strings.Compare(a.Name, b.Name) })
 	return all
 }
 
-// WriteStatus writes a table of all controllers of a deployment with the state of their standbys,
-// and a line if none of them is complete.
-func WriteStatus(ctx context.Context, out io.Writer, n transport.Network, p *settings.Platform) error {
-	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "CONTROLLER\tROLE\tSTANDBY\tREVISION\tLAG\tKEYS\tMB\tHEARD\tHINTS\tWHY")
-	var all []*handoverpb.StatusReply
+// WriteStatus writes a table of all controllers of a deployment with the state of their standbys, and
+// a line if no standby is complete.
+func WriteStatus(ctx context.Context, out io.Writer, network transport.Network, platform *settings.Platform) error {
+	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "CONTROLLER\tROLE\tSTANDBY\tREVISION\tLAG\tKEYS\tMB\tHEARD\tHINTS\tWHY")
+	var replies []*handoverpb.StatusReply
 	newestRevision := uint64(0)
-	for _, c := range sortedControllers(p) {
-		st, err := fetchStatus(ctx, n, c.Addr)
+	for _, controller := range sortedControllers(platform) {
+		reply, err := fetchStatus(ctx, network, controller.Addr)
 		if err != nil {
-			st = &handoverpb.StatusReply{Node: c.Name, State: "no answer", Why: err.Error()}
+			reply = &handoverpb.StatusReply{Node: controller.Name, State: "no answer", Why: err.Error()}
 		}
-		newestRevision = max(newestRevision, st.Revision)
-		all = append(all, st)
+		newestRevision = max(newestRevision, reply.Revision)
+		replies = append(replies, reply)
 	}
-	complete := false
-	for _, st := range all {
+	anyComplete := false
+	for _, reply := range replies {
 		role := "standby"
-		if st.Term > 0 {
-			role = fmt.Sprintf("leads term %d", st.Term)
+		if reply.Term > 0 {
+			role = fmt.Sprintf("leads term %d", reply.Term)
 		}
 		lag := "-"
-		if st.Revision > 0 {
-			lag = fmt.Sprint(newestRevision - st.Revision)
+		if reply.Revision > 0 {
+			lag = fmt.Sprint(newestRevision - reply.Revision)
 		}
-		complete = complete || st.Term == 0 && ineligibleReason(st) == ""
-		heard := (time.Duration(st.HeardMs) * time.Millisecond).Round(100 * time.Millisecond)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%s\t%d\t%.1f\t%s ago\t%s\t%s\n", st.Node, role, cmp.Or(st.State, "off"), st.Revision, lag, st.Keys, float64(st.Bytes)/(1<<20), heard, softStateText(st), st.Why)
+		anyComplete = anyComplete || reply.Term == 0 && ineligibleReason(reply) == ""
+		heard := (time.Duration(reply.HeardMs) * time.Millisecond).Round(100 * time.Millisecond)
+		fmt.Fprintf(table, "%s\t%s\t%s\t%d\t%s\t%d\t%.1f\t%s ago\t%s\t%s\n", reply.Node, role, cmp.Or(reply.State, "off"), reply.Revision, lag, reply.Keys, float64(reply.Bytes)/(1<<20), heard, softStateText(reply), reply.Why)
 	}
-	if !complete {
-		fmt.Fprintln(w, "\nno standby is complete: a failover reads the whole ledger")
+	if !anyComplete {
+		fmt.Fprintln(table, "\nno standby is complete: a failover reads the whole ledger")
 	}
-	return w.Flush()
+	return table.Flush()
 }
 
-// softStateText describes the soft state that a controller has.
-func softStateText(st *handoverpb.StatusReply) string {
-	if st.HintsTerm == 0 {
+// softStateText returns the table's text for the soft state of a controller.
+func softStateText(reply *handoverpb.StatusReply) string {
+	if reply.HintsTerm == 0 {
 		return "-"
 	}
-	return fmt.Sprintf("%d machines of term %d", st.HintsMachines, st.HintsTerm)
+	return fmt.Sprintf("%d machines of term %d", reply.HintsMachines, reply.HintsTerm)
 }
 
-// RequestTransfer has the leader transfer the leadership to a controller, or to the one whose
-// standby has the newest revision.
-func RequestTransfer(ctx context.Context, n transport.Network, p *settings.Platform, to string) (*handoverpb.HandOverReply, error) {
+// RequestTransfer requests that the leader transfer the leadership to the named controller or, without
+// a name, to the one whose standby has the newest revision.
+func RequestTransfer(ctx context.Context, network transport.Network, platform *settings.Platform, successor string) (*handoverpb.HandOverReply, error) {
 	var reply *handoverpb.HandOverReply
-	err := rpc.CallLeader(ctx, n, sortedControllers(p), callTimeout, func(ctx context.Context, conn *grpc.ClientConn) error {
+	err := rpc.CallLeader(ctx, network, sortedControllers(platform), callTimeout, func(ctx context.Context, conn *grpc.ClientConn) error {
 		var err error
-		reply, err = handoverpb.NewHandoverClient(conn).HandOver(ctx, &handoverpb.HandOverRequest{To: to})
+		reply, err = handoverpb.NewHandoverClient(conn).HandOver(ctx, &handoverpb.HandOverRequest{To: successor})
 		return err
 	})
 	return reply, err
--- a/internal/peers/forwarded_heartbeats.go
+++ b/internal/peers/forwarded_heartbeats.go
@@ -8,23 +8,23 @@
 	"leadproxy/internal/peers/peerpb"
 )
 
-// HeartbeatReceiver responds to workers' heartbeats that other controllers have forwarded here.
+// HeartbeatReceiver responds to agents' heartbeats that other controllers have forwarded to this one.
 type HeartbeatReceiver interface {
-	// ReceiveForwarded responds to a heartbeat through respond, at once or later, or never.
-	// The response is made as it is written to the stream.
+	// ReceiveForwarded handles a heartbeat. It calls respond at once, later or never. The function
+	// that it passes generates the response, and is called when the response is about to be sent.
 	ReceiveForwarded(ctx context.Context, body []byte, respond func(response func() jobapi.Response))
-	// ForwarderConnected notes that a controller forwards heartbeats here until ctx, which is
-	// its stream's, ends.
-	ForwarderConnected(ctx context.Context, node string)
+	// ForwarderConnected is called when a controller has opened a stream to forward heartbeats to
+	// this one. ctx ends with the stream.
+	ForwarderConnected(ctx context.Context, controller string)
 }
 
-// pendingResponse is a response that is yet to be made.
+// pendingResponse is a response that has not been generated yet.
 type pendingResponse struct {
-	id       uint64 // of the heartbeat on its stream
+	id       uint64 // number of the heartbeat on its stream
 	response func() jobapi.Response
 }
 
-// Share serves another controller's stream.
+// Share serves the stream of a controller that forwards heartbeats to this one.
 func (s *server) Share(stream peerpb.Peer_ShareServer) error {
 	responses := make(chan pendingResponse, maxInFlight)
 	ended := make(chan error, 1)
@@ -32,7 +32,7 @@
 	return sendResponses(stream, responses, ended)
 }
 
-// receiveHeartbeats has the heartbeats of a stream answered, until the stream ends.
+// receiveHeartbeats passes the heartbeats of a stream to the receiver until the stream ends.
 func (s *server) receiveHeartbeats(stream peerpb.Peer_ShareServer, responses chan<- pendingResponse) error {
 	ctx := stream.Context()
 	for {
@@ -47,7 +47,7 @@
 			s.config.Heartbeats.ReceiveForwarded(ctx, heartbeat.Body, func(response func() jobapi.Response) {
 				select {
 				case responses <- pendingResponse{id: heartbeat.Id, response: response}:
-				default: // more than a forwarder has in flight: it has abandoned these
+				default: // the forwarder never has more in flight: it has abandoned some of these heartbeats
 				}
 			})
 		}
@@ -59,9 +59,9 @@
 	Send(*peerpb.AnswerBatch) error
 }
 
-// sendResponses sends responses in batches, until the stream ends.
+// sendResponses sends responses in batches until the stream ends.
 func sendResponses(stream responseStream, responses <-chan pendingResponse, ended <-chan error) error {
-	var sendAt time.Time // of the next batch
+	var sendAt time.Time // earliest time to send the next batch
 	for {
 		var first pendingResponse
 		select {
@@ -87,8 +87,8 @@
 	}
 }
 
-// gatherResponses makes a batch of a response and of those that wait already, and reports
-// whether it is full.
+// gatherResponses generates a batch of the next response and of those that are already pending, up to
+// maxBatchBytes, and reports whether it is full.
 func gatherResponses(next pendingResponse, responses <-chan pendingResponse) (batch *peerpb.AnswerBatch, full bool) {
 	batch = &peerpb.AnswerBatch{}
 	for size := 0; ; {
--- a/internal/peers/forwarder.go
+++ b/internal/peers/forwarder.go
@@ -8,24 +8,24 @@
 	"leadproxy/internal/peers/peerpb"
 )
 
-// forwarder forwards heartbeats to one controller. All its fields but the channels belong to
-// the goroutine that executes run.
+// forwarder forwards heartbeats to one controller. All its fields except the channels belong to the
+// goroutine of run.
 type forwarder struct {
-	controller string // this controller
+	controller string // name of this controller
 	open       openStream
 	requests   chan forwardRequest
 	events     chan streamEvent
 
 	stream        *outgoingStream // nil: none
 	streamsOpened int
-	reopenAt      time.Time // the next stream may be opened
+	reopenAt      time.Time // earliest time to open the next stream
 	batches       *batchQueue
 	inFlight      *inFlightHeartbeats
 }
 
-func newForwarder(node string, open openStream) *forwarder {
+func newForwarder(controller string, open openStream) *forwarder {
 	return &forwarder{
-		controller: node,
+		controller: controller,
 		open:       open,
 		requests:   make(chan forwardRequest),
 		events:     make(chan streamEvent),
@@ -40,7 +40,7 @@
 	abandonCheck := time.NewTicker(abandonCheckInterval)
 	defer abandonCheck.Stop()
 	for {
-		// A nil channel while there is nothing to be sent yet.
+		// While no batch is due the channel is nil, which disables its case.
 		var outgoing chan<- *peerpb.ReportBatch
 		next := f.batches.due()
 		if next != nil {
@@ -63,8 +63,8 @@
 	}
 }
 
-// accept adds a heartbeat to the next batch, on a stream that is opened if there is none. A
-// heartbeat that can't be forwarded at the moment is refused at once.
+// accept adds a heartbeat to the last batch, and opens a stream if there is none. A heartbeat that
+// can't be forwarded at the moment is refused at once.
 func (f *forwarder) accept(ctx context.Context, request forwardRequest) {
 	now := time.Now()
 	if f.stream == nil && now.Before(f.reopenAt) || f.inFlight.full() || f.inFlight.leaderSilent(now) {
@@ -81,7 +81,7 @@
 	f.batches.addHeartbeat(&peerpb.SharedReport{Id: id, Body: request.body})
 }
 
-// openStream starts opening a stream. Its first batch names this controller.
+// openStream starts to open a stream. The first batch names this controller.
 func (f *forwarder) openStream(ctx context.Context, now time.Time) {
 	f.streamsOpened++
 	f.reopenAt = now.Add(reopenInterval)
@@ -91,8 +91,8 @@
 	f.batches.addBatch(&peerpb.ReportBatch{Node: f.controller})
 }
 
-// closeStream ends the stream, if there is one. What became of the heartbeats in flight is
-// unknown.
+// closeStream ends the stream, if there is one, and refuses the heartbeats in flight, whose outcome
+// is unknown.
 func (f *forwarder) closeStream() {
 	if f.stream == nil {
 		return
@@ -103,7 +103,7 @@
 	f.inFlight.refuseAll()
 }
 
-// handleEvent takes what a stream has brought. Events of earlier streams are dropped.
+// handleEvent processes an event of the stream. Events of earlier streams are ignored.
 func (f *forwarder) handleEvent(event streamEvent) {
 	switch {
 	case f.stream == nil || event.stream != f.stream.number:
@@ -114,12 +114,12 @@
 	}
 }
 
-// inFlightHeartbeats are the heartbeats on one stream that have no response yet.
+// inFlightHeartbeats holds the heartbeats on one stream that have no response yet.
 type inFlightHeartbeats struct {
 	byID   map[uint64]inFlightHeartbeat
 	lastID uint64
-	// silentSince is since when heartbeats have been in flight and no response at all has
-	// come; zero: none are in flight.
+	// silentSince is since when heartbeats have been in flight without any response; zero: none
+	// are in flight.
 	silentSince time.Time
 }
 
@@ -134,12 +134,13 @@
 
 func (h *inFlightHeartbeats) full() bool { return len(h.byID) >= maxInFlight }
 
-// leaderSilent reports whether no response has come for longer than silenceLimit.
+// leaderSilent reports whether heartbeats have been in flight for longer than silenceLimit without
+// any response.
 func (h *inFlightHeartbeats) leaderSilent(now time.Time) bool {
 	return !h.silentSince.IsZero() && now.Sub(h.silentSince) > silenceLimit
 }
 
-// add numbers a heartbeat.
+// add records a heartbeat as in flight and returns its number.
 func (h *inFlightHeartbeats) add(reply chan<- forwardReply, now time.Time) uint64 {
 	h.lastID++
 	h.byID[h.lastID] = inFlightHeartbeat{reply: reply, forwardedAt: now}
@@ -149,7 +150,7 @@
 	return h.lastID
 }
 
-// complete passes responses on. Those to abandoned heartbeats are dropped.
+// complete delivers responses to the callers. Responses to abandoned heartbeats are dropped.
 func (h *inFlightHeartbeats) complete(responses []*peerpb.SharedAnswer) {
 	for _, response := range responses {
 		if heartbeat, ok := h.byID[response.Id]; ok {
@@ -175,7 +176,7 @@
 	}
 }
 
-// refuseAll gives the heartbeats back, so that their workers try again.
+// refuseAll refuses all heartbeats in flight, so that their agents retry.
 func (h *inFlightHeartbeats) refuseAll() {
 	for _, heartbeat := range h.byID {
 		heartbeat.reply <- forwardReply{err: ErrNoStream}
--- a/internal/peers/forwarder_test.go
+++ b/internal/peers/forwarder_test.go
@@ -14,7 +14,7 @@
 	"leadproxy/internal/peers/peerpb"
 )
 
-// testStream is a stream whose other end the test holds.
+// testStream is a heartbeat stream whose other end the test controls.
 type testStream struct {
 	ctx     context.Context
 	sent    chan *peerpb.ReportBatch
@@ -22,9 +22,9 @@
 	broken  chan struct{}
 }
 
-func (s *testStream) Send(b *peerpb.ReportBatch) error {
+func (s *testStream) Send(batch *peerpb.ReportBatch) error {
 	select {
-	case s.sent <- b:
+	case s.sent <- batch:
 		return nil
 	case <-s.broken:
 		return errors.New("broken")
@@ -35,8 +35,8 @@
 
 func (s *testStream) Recv() (*peerpb.AnswerBatch, error) {
 	select {
-	case a := <-s.answers:
-		return a, nil
+	case batch := <-s.answers:
+		return batch, nil
 	case <-s.broken:
 		return nil, errors.New("broken")
 	case <-s.ctx.Done():
@@ -44,41 +44,41 @@
 	}
 }
 
-// TestForwarder: heartbeats in flight to a leader get each its own response, in any order;
-// those on a stream that breaks, or to a leader that sends no response at all, are refused
-// so that their workers try another controller.
+// TestForwarder checks that each heartbeat in flight to a leader gets its own response, in any order,
+// and that heartbeats on a stream that breaks, or to a leader that sends no response at all, are
+// refused, so that their agents try another controller.
 func TestForwarder(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		var stream *testStream
 		opened := 0
-		up := true
+		available := true
 		forwarder := newForwarder("n0", func(ctx context.Context) (heartbeatStream, error) {
-			if opened++; !up {
+			if opened++; !available {
 				return nil, errors.New("refused")
 			}
 			stream = &testStream{ctx, make(chan *peerpb.ReportBatch, 100), make(chan *peerpb.AnswerBatch), make(chan struct{})}
 			return stream, nil
 		})
-		p := &Peers{byName: map[string]peer{"n1": {forwarder: forwarder}}}
+		peers := &Peers{byName: map[string]peer{"n1": {forwarder: forwarder}}}
 		go forwarder.run(t.Context())
 		results := make(chan string, 100)
 		forward := func(body string) {
 			go func() {
 				ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 				defer cancel()
-				response, err := p.ForwardHeartbeat(ctx, "n1", []byte(body))
+				response, err := peers.ForwardHeartbeat(ctx, "n1", []byte(body))
 				switch {
 				case errors.Is(err, ErrNoStream):
 					results <- body + " refused"
 				case err != nil:
-					results <- body + " late"
+					results <- body + " timed out"
 				default:
 					results <- fmt.Sprintf("%s %d", body, response.Status)
 				}
 			}()
 			synctest.Wait()
 		}
-		expect := func(name, want string) {
+		expect := func(situation, want string) {
 			t.Helper()
 			synctest.Wait()
 			var got []string
@@ -86,61 +86,61 @@
 				got = append(got, <-results)
 			}
 			sort.Strings(got)
-			if s := strings.Join(got, ", "); s != want {
-				t.Errorf("%s: %q, want %q", name, s, want)
+			if joined := strings.Join(got, ", "); joined != want {
+				t.Errorf("%s: %q, want %q", situation, joined, want)
 			}
 		}
 		sentIDs := func() (ids []uint64) {
 			synctest.Wait()
 			for len(stream.sent) > 0 {
-				for _, r := range (<-stream.sent).Reports {
-					ids = append(ids, r.Id)
+				for _, heartbeat := range (<-stream.sent).Reports {
+					ids = append(ids, heartbeat.Id)
 				}
 			}
 			return ids
 		}
 
-		p.Connect(t.Context(), "n1")
+		peers.Connect(t.Context(), "n1")
 		synctest.Wait()
-		if b := <-stream.sent; b.Node != "n0" || len(b.Reports) != 0 {
-			t.Errorf("the first batch is %v", b)
+		if batch := <-stream.sent; batch.Node != "n0" || len(batch.Reports) != 0 {
+			t.Errorf("the first batch is %v, want one with the controller's name only", batch)
 		}
 		time.Sleep(minBatchInterval)
 		forward("a")
-		first := len(stream.sent)
+		sentAtOnce := len(stream.sent)
 		forward("b")
 		forward("c")
 		time.Sleep(minBatchInterval)
 		synctest.Wait()
-		if batches := len(stream.sent); first != 1 || batches != 2 {
-			t.Errorf("%d batch at once and %d in all: want 1 and 2", first, batches)
+		if batches := len(stream.sent); sentAtOnce != 1 || batches != 2 {
+			t.Errorf("%d batches at once and %d in all, want 1 and 2", sentAtOnce, batches)
 		}
 		ids := sentIDs()
 		stream.answers <- &peerpb.AnswerBatch{Answers: []*peerpb.SharedAnswer{{Id: ids[2], Status: 200}, {Id: ids[0], Status: 421}, {Id: 99, Status: 200}}}
 		expect("responses out of order", "a 421, c 200")
 		time.Sleep(3 * time.Second)
-		expect("no response", "b late")
+		expect("no response in time", "b timed out")
 		stream.answers <- &peerpb.AnswerBatch{Answers: []*peerpb.SharedAnswer{{Id: ids[1], Status: 200}}}
-		expect("its response, too late", "")
+		expect("late response", "")
 
 		forward("d")
 		close(stream.broken)
 		expect("the stream breaks", "d refused")
-		up = false
+		available = false
 		time.Sleep(reopenInterval)
 		forward("e")
-		expect("it can't be opened", "e refused")
-		tries := opened
+		expect("the stream can't be opened", "e refused")
+		openedBefore := opened
 		forward("f")
-		expect("it is not tried again at once", "f refused")
-		if opened != tries {
-			t.Error("opened again at once")
+		expect("no attempt to open it within reopenInterval", "f refused")
+		if opened != openedBefore {
+			t.Error("an attempt to open the stream within reopenInterval")
 		}
-		up = true
+		available = true
 		time.Sleep(reopenInterval)
 		forward("g")
 		stream.answers <- &peerpb.AnswerBatch{Answers: []*peerpb.SharedAnswer{{Id: sentIDs()[0], Status: 200}}}
-		expect("open again", "g 200")
+		expect("the stream is open again", "g 200")
 
 		forward("h")
 		time.Sleep(silenceLimit + time.Millisecond)
@@ -150,14 +150,14 @@
 		expect("the leader responds", "h 200")
 		forward("j")
 		time.Sleep(10 * time.Second)
-		expect("the leader is silent again", "j late")
+		expect("the leader is silent again", "j timed out")
 		forward("k")
 		stream.answers <- &peerpb.AnswerBatch{Answers: []*peerpb.SharedAnswer{{Id: sentIDs()[1], Status: 200}}}
-		expect("after a while it is tried again", "k 200")
+		expect("heartbeats are forwarded again after the silent ones were abandoned", "k 200")
 	})
 }
 
-// blockedStream takes no batch until it is open, as behind a slow link.
+// blockedStream accepts no batch until open is closed, like a stream over a slow link.
 type blockedStream struct {
 	ctx     context.Context
 	open    chan struct{}
@@ -165,10 +165,10 @@
 	answers chan *peerpb.AnswerBatch
 }
 
-func (s *blockedStream) Send(b *peerpb.ReportBatch) error {
+func (s *blockedStream) Send(batch *peerpb.ReportBatch) error {
 	select {
 	case <-s.open:
-		s.batches <- b
+		s.batches <- batch
 		return nil
 	case <-s.ctx.Done():
 		return s.ctx.Err()
@@ -177,29 +177,29 @@
 
 func (s *blockedStream) Recv() (*peerpb.AnswerBatch, error) {
 	select {
-	case a := <-s.answers:
-		return a, nil
+	case batch := <-s.answers:
+		return batch, nil
 	case <-s.ctx.Done():
 		return nil, s.ctx.Err()
 	}
 }
 
-// TestForwarderTakesAWholeCluster: two heartbeats of each of 4,000 workers wait for a slow
-// stream. All are forwarded in batches that gRPC accepts and answered; what comes
-// beyond the bound is refused at once.
+// TestForwarderTakesAWholeCluster checks that maxInFlight heartbeats, two from each of 4,000 agents,
+// that wait for a slow stream are all answered and are forwarded in batches that gRPC accepts, and
+// that one more heartbeat is refused at once.
 func TestForwarderTakesAWholeCluster(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		stream := &blockedStream{t.Context(), make(chan struct{}), make(chan *peerpb.ReportBatch, 1000), make(chan *peerpb.AnswerBatch)}
-		f := newForwarder("n0", func(context.Context) (heartbeatStream, error) { return stream, nil })
-		go f.run(t.Context())
+		forwarder := newForwarder("n0", func(context.Context) (heartbeatStream, error) { return stream, nil })
+		go forwarder.run(t.Context())
 		replies := make(chan forwardReply, maxInFlight+1)
 		body := make([]byte, 2<<10)
 		for range maxInFlight + 1 {
-			f.requests <- forwardRequest{body: body, reply: replies}
+			forwarder.requests <- forwardRequest{body: body, reply: replies}
 		}
 		synctest.Wait()
 		if len(replies) != 1 || !errors.Is((<-replies).err, ErrNoStream) {
-			t.Errorf("%d refused, want the one beyond the bound", len(replies)+1)
+			t.Errorf("%d refused, want the one beyond maxInFlight", len(replies)+1)
 		}
 		close(stream.open)
 		time.Sleep(minBatchInterval)
@@ -208,13 +208,13 @@
 		for len(stream.batches) > 0 {
 			size := 0
 			answers := &peerpb.AnswerBatch{}
-			for _, r := range (<-stream.batches).Reports {
-				size += len(r.Body)
-				seen[r.Id] = true
-				answers.Answers = append(answers.Answers, &peerpb.SharedAnswer{Id: r.Id, Status: 200})
+			for _, heartbeat := range (<-stream.batches).Reports {
+				size += len(heartbeat.Body)
+				seen[heartbeat.Id] = true
+				answers.Answers = append(answers.Answers, &peerpb.SharedAnswer{Id: heartbeat.Id, Status: 200})
 			}
 			if size > maxBatchBytes+len(body) {
-				t.Errorf("a batch of %d bytes", size)
+				t.Errorf("a batch of %d bytes, want at most maxBatchBytes and one heartbeat", size)
 			}
 			stream.answers <- answers
 		}
@@ -225,28 +225,28 @@
 	})
 }
 
-// TestResponseBatchesAreBounded: long responses to a whole cluster go in batches that gRPC
-// accepts, each answer once and in order.
+// TestResponseBatchesAreBounded checks that long responses to all agents of a cluster are sent in
+// batches that gRPC accepts, each response once and in order.
 func TestResponseBatchesAreBounded(t *testing.T) {
-	const workers, bytes = 8000, 20 << 10
-	answers := make(chan pendingResponse, workers)
-	for id := range uint64(workers) {
-		answers <- pendingResponse{id, func() jobapi.Response { return jobapi.Response{Status: 200, Body: make([]byte, bytes)} }}
+	const responses, bodyBytes = 8000, 20 << 10
+	pending := make(chan pendingResponse, responses)
+	for id := range uint64(responses) {
+		pending <- pendingResponse{id, func() jobapi.Response { return jobapi.Response{Status: 200, Body: make([]byte, bodyBytes)} }}
 	}
-	next := uint64(0)
-	for len(answers) > 0 {
-		batch, full := gatherResponses(<-answers, answers)
-		if size := len(batch.Answers) * bytes; size > maxBatchBytes+bytes || full != (size >= maxBatchBytes) {
+	nextID := uint64(0)
+	for len(pending) > 0 {
+		batch, full := gatherResponses(<-pending, pending)
+		if size := len(batch.Answers) * bodyBytes; size > maxBatchBytes+bodyBytes || full != (size >= maxBatchBytes) {
 			t.Fatalf("a batch of %d bytes, full: %v", size, full)
 		}
-		for _, a := range batch.Answers {
-			if a.Id != next {
-				t.Fatalf("answer %d in place of %d", a.Id, next)
+		for _, answer := range batch.Answers {
+			if answer.Id != nextID {
+				t.Fatalf("answer %d, want %d", answer.Id, nextID)
 			}
-			next++
+			nextID++
 		}
 	}
-	if next != workers {
-		t.Errorf("%d answers, want %d", next, workers)
+	if nextID != responses {
+		t.Errorf("%d answers, want %d", nextID, responses)
 	}
 }
--- a/internal/peers/heartbeat_forwarding.go
+++ b/internal/peers/heartbeat_forwarding.go
@@ -8,40 +8,41 @@
 	"leadproxy/internal/jobapi"
 )
 
-// Workers may send their heartbeats to any controller. One that does not lead forwards them
-// to the leader and passes the responses back, many together on one stream: what a heartbeat
-// costs the leader is then little more than its decision.
+// Agents may send their heartbeats to any controller. A controller that does not lead forwards them
+// to the leader, in batches on one stream, and passes the responses back. A heartbeat then costs the
+// leader little more than the decision on its response.
 
-// The times and bounds of forwarding.
+// The durations and bounds of forwarding.
 const (
-	// minBatchInterval is the least time between two batches on a stream. A single
-	// heartbeat is sent at once; the more there are, the more share a batch.
+	// minBatchInterval is the minimum time between two batches on a stream. A single heartbeat is
+	// sent at once; the more heartbeats there are, the more of them share a batch.
 	minBatchInterval = 50 * time.Millisecond
-	// silenceLimit is how long a leader may send no response at all while heartbeats are
-	// in flight. Beyond it new ones are refused at once, so that their workers try
-	// another controller.
+	// silenceLimit is how long a leader may send no response at all while heartbeats are in
+	// flight. Beyond it new ones are refused at once, so that their agents try another controller.
 	silenceLimit = 2 * time.Second
-	// abandonAfter is when the caller has surely stopped waiting for a response.
+	// abandonAfter is how long after forwarding a heartbeat its caller has certainly stopped
+	// waiting for the response.
 	abandonAfter = 5 * time.Second
 	// abandonCheckInterval is how often abandoned heartbeats are dropped.
 	abandonCheckInterval = time.Second
-	// reopenInterval is the least time between two tries to open a stream.
+	// reopenInterval is the minimum time between two attempts to open a stream.
 	reopenInterval = 300 * time.Millisecond
-	// maxInFlight bounds the heartbeats in flight on one stream: two from each of 4,000
-	// workers, since one that the worker has given up counts until it is abandoned. The
-	// receiver has room for as many responses, 16 bytes each: 128 KiB a stream.
+	// maxInFlight bounds the heartbeats in flight on one stream: two from each of 4,000 agents,
+	// since a heartbeat whose agent no longer waits counts until it is abandoned. The receiver
+	// buffers as many responses of 16 bytes each: 128 KiB per stream.
 	maxInFlight = 8192
-	// maxBatchBytes is from where on a batch takes no more. With one more message of
-	// 64 KiB it stays below what gRPC accepts, 4 MiB: heartbeats that waited for a slow
-	// stream would otherwise break it, all of them together.
+	// maxBatchBytes is the size from which on nothing more is added to a batch. With one more
+	// message of 64 KiB a batch stays below gRPC's limit of 4 MiB. Without the bound, all the
+	// heartbeats that had waited for a slow stream would be sent in one batch and break it.
 	maxBatchBytes = 1 << 20
 )
 
-// ErrNoStream means that heartbeats can't be forwarded to that controller at the moment, or
-// that the stream broke before the response came.
+// ErrNoStream means that heartbeats can't be forwarded to that controller at the moment, or that the
+// stream broke before the response arrived.
 var ErrNoStream = errors.New("no stream to the other controller")
 
-// ForwardHeartbeat has the leader respond to a worker's heartbeat.
+// ForwardHeartbeat forwards an agent's heartbeat to the leader and returns the leader's response. The
+// error is ErrNoStream, that of ctx, or that the leader is unknown.
 func (p *Peers) ForwardHeartbeat(ctx context.Context, leader string, body []byte) (jobapi.Response, error) {
 	peer, err := p.find(leader)
 	if err != nil {
@@ -61,12 +62,12 @@
 	}
 }
 
-// Connect opens the stream to the leader before there is a heartbeat to forward, so that
-// the leader can redirect workers here.
+// Connect opens the stream to the leader before there is a heartbeat to forward, so that the leader
+// can redirect agents to this controller.
 func (p *Peers) Connect(ctx context.Context, leader string) {
 	peer, err := p.find(leader)
 	if err != nil {
-		return // the key-value store names a leader that our settings don't
+		return // the key-value store names a leader that is missing in this controller's settings
 	}
 	select {
 	case peer.forwarder.requests <- forwardRequest{}:
@@ -74,14 +75,14 @@
 	}
 }
 
-// forwardRequest is a heartbeat to be forwarded; without a reply, it only asks for the
-// stream to be opened.
+// forwardRequest is a heartbeat to be forwarded. With a nil reply channel it only requests that the
+// stream be opened.
 type forwardRequest struct {
 	body  []byte
-	reply chan forwardReply // has room for one
+	reply chan forwardReply // buffers one reply
 }
 
-// forwardReply is the leader's response, or why there is none.
+// forwardReply is the leader's response, or the error why there is none.
 type forwardReply struct {
 	response jobapi.Response
 	err      error
--- a/internal/peers/outgoing_stream.go
+++ b/internal/peers/outgoing_stream.go
@@ -6,7 +6,7 @@
 	"leadproxy/internal/peers/peerpb"
 )
 
-// heartbeatStream is a gRPC stream to another controller.
+// heartbeatStream is a gRPC stream that carries heartbeats to another controller and responses back.
 type heartbeatStream interface {
 	Send(*peerpb.ReportBatch) error
 	Recv() (*peerpb.AnswerBatch, error)
@@ -15,22 +15,22 @@
 // openStream opens a stream that lasts until ctx ends.
 type openStream func(ctx context.Context) (heartbeatStream, error)
 
-// outgoingStream is the stream of a forwarder, which may still be being opened.
+// outgoingStream is the stream of a forwarder. It may not be open yet.
 type outgoingStream struct {
 	number  int // distinguishes its events from those of earlier streams
 	cancel  context.CancelFunc
 	batches chan *peerpb.ReportBatch
 }
 
-// streamEvent is what a stream brings: responses, or its end.
+// streamEvent is a batch of responses that a stream has received, or the error that ended it.
 type streamEvent struct {
 	stream    int
 	responses *peerpb.AnswerBatch
 	err       error
 }
 
-// run opens the stream, sends the batches and reports the events, until the stream ends or
-// ctx does.
+// run opens the stream, sends the batches, and sends the stream's events, until the stream or ctx
+// ends.
 func (s *outgoingStream) run(ctx context.Context, open openStream, events chan<- streamEvent) {
 	stream, err := open(ctx)
 	if err != nil {
@@ -42,7 +42,7 @@
 		select {
 		case batch := <-s.batches:
 			if stream.Send(batch) != nil {
-				return // receive reports why
+				return // receive sends the error
 			}
 		case <-ctx.Done():
 			return
@@ -50,7 +50,7 @@
 	}
 }
 
-// receive reports the responses of a stream until it ends.
+// receive sends the responses of a stream, and the error that ends it, as events.
 func (s *outgoingStream) receive(ctx context.Context, stream heartbeatStream, events chan<- streamEvent) {
 	for {
 		responses, err := stream.Recv()
--- a/internal/peers/peerpb/doc.go
+++ b/internal/peers/peerpb/doc.go
@@ -1,3 +1,3 @@
-// Package peerpb is generated from peer.proto: the messages that controllers send one
-// another. Names and numbers stay as they are, since versions run side by side.
+// Package peerpb is generated from peer.proto: the messages that controllers exchange. Names and
+// numbers must not change, since different versions run side by side.
 package peerpb
--- a/internal/peers/peers.go
+++ b/internal/peers/peers.go
@@ -1,6 +1,6 @@
-// Package peers carries requests between controllers, over gRPC: users' requests that
-// another controller can serve, workers' heartbeats for the leader, and what controllers ask
-// to judge who may lead.
+// Package peers carries requests between controllers over gRPC: users' requests that another
+// controller can serve, agents' heartbeats for the leader, checks whether a controller is isolated,
+// and requests for lease extensions.
 package peers
 
 import (
@@ -15,8 +15,9 @@
 	"leadproxy/internal/transport"
 )
 
-// windowBytes is how much may be in flight unread, both ways. A fixed window spares the
-// library's probing for a better one: a ping and its response for every batch.
+// windowBytes is gRPC's flow-control window of a connection and of each stream, in both directions.
+// With a fixed window the library does not estimate a better one, which costs a ping and its response
+// for every batch.
 const windowBytes = 1 << 20
 
 // Peers holds the connections to the other controllers.
@@ -29,12 +30,12 @@
 type peer struct {
 	conn      *grpc.ClientConn
 	client    peerpb.PeerClient
-	forwarder *forwarder // of workers' heartbeats
+	forwarder *forwarder // forwards agents' heartbeats
 }
 
-// Dial prepares a connection from the controller named node to each of the others, until
-// ctx ends. Nothing is sent until the first request.
-func Dial(ctx context.Context, network transport.Network, node string, others []settings.Peer) (*Peers, error) {
+// Dial prepares a connection from the named controller to each of the others. The connections are
+// closed when ctx ends. Nothing is sent until the first request.
+func Dial(ctx context.Context, network transport.Network, controller string, others []settings.Peer) (*Peers, error) {
 	p := &Peers{byName: map[string]peer{}}
 	for _, other := range others {
 		conn, err := rpc.Connect(network, other.Addr, grpc.WithInitialWindowSize(windowBytes), grpc.WithInitialConnWindowSize(windowBytes))
@@ -43,7 +44,7 @@
 		}
 		context.AfterFunc(ctx, func() { conn.Close() })
 		client := peerpb.NewPeerClient(conn)
-		forwarder := newForwarder(node, func(ctx context.Context) (heartbeatStream, error) { return client.Share(ctx) })
+		forwarder := newForwarder(controller, func(ctx context.Context) (heartbeatStream, error) { return client.Share(ctx) })
 		p.names = append(p.names, other.Name)
 		p.byName[other.Name] = peer{conn: conn, client: client, forwarder: forwarder}
 		go forwarder.run(ctx)
@@ -51,22 +52,22 @@
 	return p, nil
 }
 
-// Conn returns the connection to a controller, for the calls of other packages.
-func (p *Peers) Conn(node string) (grpc.ClientConnInterface, error) {
-	peer, err := p.find(node)
+// Conn returns the connection to a controller, for gRPC clients of other packages.
+func (p *Peers) Conn(controller string) (grpc.ClientConnInterface, error) {
+	peer, err := p.find(controller)
 	if err != nil {
 		return nil, err
 	}
 	return peer.conn, nil
 }
 
-// Names lists the other controllers.
+// Names returns the names of the other controllers.
 func (p *Peers) Names() []string { return p.names }
 
-func (p *Peers) find(node string) (peer, error) {
-	found, ok := p.byName[node]
+func (p *Peers) find(controller string) (peer, error) {
+	found, ok := p.byName[controller]
 	if !ok {
-		return peer{}, fmt.Errorf("node %q is not one of the other controllers", node)
+		return peer{}, fmt.Errorf("%q is not one of the other controllers", controller)
 	}
 	return found, nil
 }
--- a/internal/peers/server.go
+++ b/internal/peers/server.go
@@ -10,19 +10,19 @@
 	"leadproxy/internal/peers/peerpb"
 )
 
-// ServerConfig is what the server for other controllers needs.
+// ServerConfig holds the dependencies of the server for the other controllers.
 type ServerConfig struct {
 	Jobs *jobapi.Service
 	// Heartbeats responds to forwarded heartbeats if this controller leads.
 	Heartbeats HeartbeatReceiver
-	// GrantExtension is the elector's.
+	// GrantExtension is the method of the elector.
 	GrantExtension func(ctx context.Context, duration time.Duration) bool
-	// DirectHeartbeats counts the heartbeats that workers have sent straight here within a
-	// time.
+	// DirectHeartbeats returns how many heartbeats agents have sent directly to this controller
+	// within the given time. Forwarded heartbeats don't count.
 	DirectHeartbeats func(within time.Duration) int
 }
 
-// NewServer makes the server for the other controllers. The caller may register further
+// NewServer returns the gRPC server for the other controllers. The caller may register further
 // services with it.
 func NewServer(config ServerConfig) *grpc.Server {
 	grpcServer := grpc.NewServer(grpc.InitialWindowSize(windowBytes), grpc.InitialConnWindowSize(windowBytes))
@@ -30,13 +30,13 @@
 	return grpcServer
 }
 
-// server responds to the other controllers.
+// server implements the gRPC service for the other controllers.
 type server struct {
 	peerpb.UnimplementedPeerServer
 	config ServerConfig
 }
 
-// Ping returns how many heartbeats have come straight here.
+// Ping returns how many heartbeats agents have sent directly to this controller.
 func (s *server) Ping(_ context.Context, r *peerpb.PingRequest) (*peerpb.PingReply, error) {
 	within := time.Duration(r.WithinMs) * time.Millisecond
 	return &peerpb.PingReply{Reports: int64(s.config.DirectHeartbeats(within))}, nil
--- a/internal/rpc/rpc.go
+++ b/internal/rpc/rpc.go
@@ -17,31 +17,30 @@
 	"leadproxy/internal/transport"
 )
 
-// maxReconnectDelay bounds how long to wait before a broken connection is opened again: a
-// controller that was restarted must be reachable soon.
+// maxReconnectDelay bounds the back-off before a broken connection is reopened, so that a controller
+// that was restarted is soon reachable again.
 const maxReconnectDelay = time.Second
 
 var reconnectBackoff = backoff.Config{BaseDelay: 200 * time.Millisecond, Multiplier: 1.5, Jitter: 0.2, MaxDelay: maxReconnectDelay}
 
-// RefusedError is a controller's refusal of a call as such, which no other controller would
-// accept either.
+// RefusedError means that a controller refused a call for a reason that applies to all controllers.
 type RefusedError struct{ Reason string }
 
 // Error returns the reason as the controller gave it.
 func (e *RefusedError) Error() string { return e.Reason }
 
-// Connect prepares a connection to an address of a controller. Nothing is sent before the
-// first call.
-func Connect(network transport.Network, address string, more ...grpc.DialOption) (*grpc.ClientConn, error) {
+// Connect prepares a connection to the address of a controller. Nothing is sent before the first
+// call.
+func Connect(network transport.Network, address string, extraOptions ...grpc.DialOption) (*grpc.ClientConn, error) {
 	options := append([]grpc.DialOption{
 		grpc.WithTransportCredentials(insecure.NewCredentials()),
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: reconnectBackoff, MinConnectTimeout: maxReconnectDelay}),
 		grpc.WithContextDialer(network.Dial),
-	}, more...)
+	}, extraOptions...)
 	return grpc.NewClient("passthrough:///"+address, options...)
 }
 
-// Call makes one call over a connection of its own, within a timeout.
+// Call makes one call over a new connection, which it closes afterwards. The timeout bounds the call.
 func Call(ctx context.Context, network transport.Network, address string, timeout time.Duration, call func(ctx context.Context, conn *grpc.ClientConn) error) error {
 	conn, err := Connect(network, address)
 	if err != nil {
@@ -53,9 +52,10 @@
 	return call(ctx, conn)
 }
 
-// CallLeader makes a call to one controller after the other until one responds, which is the
-// leader. If that one refuses the call as such, the error is a RefusedError and the others
-// are not called.
+// CallLeader makes a call to one controller after the other until one succeeds: only the leader serves
+// such calls. If a controller refuses the call with FailedPrecondition or InvalidArgument, the error
+// is a RefusedError and the remaining controllers are not called. Otherwise it joins the errors of all
+// controllers.
 func CallLeader(ctx context.Context, network transport.Network, controllers []settings.Peer, timeout time.Duration, call func(ctx context.Context, conn *grpc.ClientConn) error) error {
 	var errs []error
 	for _, controller := range controllers {
--- a/internal/rpc/rpc_test.go
+++ b/internal/rpc/rpc_test.go
@@ -18,7 +18,7 @@
 	"leadproxy/internal/transport"
 )
 
-// startController serves every call with a status and returns its address.
+// startController starts a server that answers every call with a status code, and returns its address.
 func startController(t *testing.T, code codes.Code) string {
 	t.Helper()
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -39,7 +39,8 @@
 	return listener.Addr().String()
 }
 
-// TestCallLeader: controllers that don't lead are passed over, and a refusal ends the search.
+// TestCallLeader checks that controllers that don't lead are skipped, and that after a refusal no other
+// controller is called.
 func TestCallLeader(t *testing.T) {
 	cases := []struct {
 		name        string
@@ -67,7 +68,7 @@
 				t.Errorf("error %v, refused %v, want %v", err, refused, c.refused)
 			}
 			if !c.refused && (err != nil) != (len(c.failed) > 0) {
-				t.Errorf("error %v, want one: %v", err, len(c.failed) > 0)
+				t.Errorf("error %v, want an error: %v", err, len(c.failed) > 0)
 			}
 			for _, name := range c.failed {
 				if !strings.Contains(err.Error(), name) {
--- a/internal/softstate/follower.go
+++ b/internal/softstate/follower.go
@@ -13,21 +13,21 @@
 
 // The intervals of the follower.
 const (
-	// reconnectDelay is the pause before a stream that has ended is opened again.
+	// reconnectDelay is the minimum time between two attempts to open a stream.
 	reconnectDelay = time.Second
 	// leaderCheckInterval is how often the follower checks who the leader is.
 	leaderCheckInterval = 500 * time.Millisecond
 )
 
-// Status is a follower's state at one moment. It is never changed once published.
+// Status is a follower's state at one moment. It is immutable once published.
 type Status struct {
 	Term      uint64 // of the soft state; 0: there is none
 	Machines  int
-	LastBatch time.Time // when the last batch came
+	LastBatch time.Time // when the last batch arrived
 }
 
-// Follower replicates the soft state of the present leader. Its replica belongs to the goroutine
-// of Run.
+// Follower replicates the soft state of the present leader. The replica belongs to the goroutine of
+// Run.
 type Follower struct {
 	controller string
 	// leader returns the name of the leader; "": none, or unknown.
@@ -42,12 +42,12 @@
 
 type viewRequest struct {
 	term  uint64
-	reply chan View // has room for one
+	reply chan View // buffers one view
 }
 
-// NewFollower makes a follower for the node of a name; Run starts it.
-func NewFollower(node string, leader func() string, connect func(node string) (grpc.ClientConnInterface, error), log *slog.Logger) *Follower {
-	f := &Follower{controller: node, leader: leader, connect: connect, log: log, replica: NewReplica(), views: make(chan viewRequest)}
+// NewFollower returns a follower for the controller of a name. Run starts it.
+func NewFollower(controller string, leader func() string, connect func(controller string) (grpc.ClientConnInterface, error), log *slog.Logger) *Follower {
+	f := &Follower{controller: controller, leader: leader, connect: connect, log: log, replica: NewReplica(), views: make(chan viewRequest)}
 	f.status.Store(&Status{})
 	return f
 }
@@ -55,7 +55,8 @@
 // Status returns the follower's present state.
 func (f *Follower) Status() Status { return *f.status.Load() }
 
-// View returns the soft state for a term that begins on this controller.
+// View returns the soft state for a term that begins on this controller, or an empty View if ctx ends
+// first.
 func (f *Follower) View(ctx context.Context, term uint64) View {
 	request := viewRequest{term, make(chan View, 1)}
 	select {
@@ -103,9 +104,9 @@
 type stream struct {
 	leader           string
 	batches          chan streamEvent
-	acknowledgements chan uint64 // has room for one: the next batch is sent only after it
+	acknowledgements chan uint64 // buffers one: the leader sends the next batch only after it
 	cancel           context.CancelFunc
-	retryAt          time.Time // no other stream is opened before
+	retryAt          time.Time // earliest time to open the next stream
 }
 
 // close ends the stream, if there is one.
@@ -116,7 +117,7 @@
 	s.cancel, s.batches = nil, nil
 }
 
-// open opens a stream from a leader other than this controller.
+// open opens a stream from a leader. There is none if this controller leads, or no leader is known.
 func (f *Follower) open(ctx context.Context, leader string) stream {
 	s := stream{leader: leader, retryAt: time.Now().Add(reconnectDelay)}
 	if leader == "" || leader == f.controller {
@@ -133,11 +134,12 @@
 	return s
 }
 
-// receiveBatches passes each batch of a stream on, and acknowledges it once it was applied.
-func receiveBatches(ctx context.Context, client hintpb.HintsClient, node string, out chan<- streamEvent, acks <-chan uint64) {
+// receiveBatches sends each batch of a stream to events, and acknowledges it once it receives its
+// sequence number from acks. The last event is the error that ended the stream.
+func receiveBatches(ctx context.Context, client hintpb.HintsClient, controller string, events chan<- streamEvent, acks <-chan uint64) {
 	call, err := client.Follow(ctx)
 	if err == nil {
-		err = call.Send(&hintpb.Acknowledgement{Node: node})
+		err = call.Send(&hintpb.Acknowledgement{Node: controller})
 	}
 	for {
 		var batch *hintpb.Batch
@@ -145,7 +147,7 @@
 			batch, err = call.Recv()
 		}
 		select {
-		case out <- streamEvent{batch, err}:
+		case events <- streamEvent{batch, err}:
 		case <-ctx.Done():
 			return
 		}
@@ -154,14 +156,15 @@
 		}
 		select {
 		case sequence := <-acks:
-			err = call.Send(&hintpb.Acknowledgement{Node: node, Sequence: sequence})
+			err = call.Send(&hintpb.Acknowledgement{Node: controller, Sequence: sequence})
 		case <-ctx.Done():
 			return
 		}
 	}
 }
 
-// applyBatch applies a received batch and has it acknowledged.
+// applyBatch applies a received batch and requests its acknowledgement. An error means that the
+// stream must be closed.
 func (f *Follower) applyBatch(s *stream, event streamEvent) error {
 	if event.err != nil {
 		return event.err
--- a/internal/softstate/hintpb/doc.go
+++ b/internal/softstate/hintpb/doc.go
@@ -1,3 +1,3 @@
-// Package hintpb is generated from hints.proto. Names and numbers stay as they are, since
-// versions run side by side.
+// Package hintpb is generated from hints.proto. Names and numbers must not change, since
+// different versions run side by side.
 package hintpb
--- a/internal/softstate/replica.go
+++ b/internal/softstate/replica.go
@@ -13,35 +13,36 @@
 	Estimates Estimates
 }
 
-// receivedMachine is a machine's soft state and when it was received.
+// receivedMachine is a machine's soft state and the time when it was received.
 type receivedMachine struct {
 	machine    Machine
 	receivedAt time.Time
 }
 
-// Replica is the soft state of the newest term. It does no I/O: the caller passes the time.
+// Replica holds the soft state of the newest term. It does no I/O and reads no clock: the caller passes
+// the time.
 type Replica struct {
 	term        uint64
-	sequence    uint64 // of the last batch of the stream
+	sequence    uint64 // number of the stream's last batch
 	machines    map[string]receivedMachine
 	estimates   Estimates
 	estimatesAt time.Time
 }
 
-// NewReplica makes an empty replica.
+// NewReplica returns an empty replica.
 func NewReplica() *Replica { return &Replica{machines: map[string]receivedMachine{}} }
 
-// BeginStream starts a new stream: its first batch follows.
+// BeginStream prepares the replica for the first batch of a new stream.
 func (r *Replica) BeginStream() { r.sequence = 0 }
 
-// Term is the term of the soft state; 0: there is none.
+// Term returns the term of the soft state; 0: there is none.
 func (r *Replica) Term() uint64 { return r.term }
 
-// MachineCount is the number of machines in the replica.
+// MachineCount returns the number of machines in the replica.
 func (r *Replica) MachineCount() int { return len(r.machines) }
 
-// Apply applies a batch. A batch that was applied before is ignored. After an error the replica
-// is unchanged, and the stream must be opened again.
+// Apply applies a batch. A batch that was applied before is ignored. After an error the replica is
+// unchanged, and the stream must be reopened.
 func (r *Replica) Apply(batch Batch, now time.Time) error {
 	if batch.Term < r.term {
 		return fmt.Errorf("%w: %d after %d", ErrStaleTerm, batch.Term, r.term)
@@ -99,7 +100,7 @@
 	return v
 }
 
-// advancedBy returns the machine's soft state with its durations some time later.
+// advancedBy returns the machine's soft state with its durations after a further time.
 func (m Machine) advancedBy(passed time.Duration) Machine {
 	m.SinceHeartbeat += passed
 	if len(m.Allocations) == 0 {
@@ -114,7 +115,7 @@
 	return m
 }
 
-// advancedBy returns the estimates with their durations some time later.
+// advancedBy returns the estimates with their durations after a further time.
 func (e Estimates) advancedBy(passed time.Duration) Estimates {
 	e.Pools = slices.Clone(e.Pools)
 	for i := range e.Pools {
--- a/internal/softstate/server.go
+++ b/internal/softstate/server.go
@@ -16,19 +16,19 @@
 
 // The intervals and timeouts of the leader.
 const (
-	// sendInterval is the interval between two checks for changes.
+	// sendInterval is the pause between two checks for changes.
 	sendInterval = 500 * time.Millisecond
 	// sourceTimeout bounds how long the source may take to list its changes.
 	sourceTimeout = 2 * time.Second
 	// acknowledgementTimeout bounds how long a follower may take to acknowledge a batch. After
-	// that its stream ends, so that a frozen follower costs no more than one batch.
+	// that its stream is closed, so that a frozen follower costs no more than one batch.
 	acknowledgementTimeout = 10 * time.Second
 )
 
-// Source is the memory of the leader.
+// Source provides the soft state of the leader.
 type Source interface {
-	// SoftState returns the changes since the position of an earlier call. An error means that
-	// this controller is not the leader.
+	// SoftState returns the changes since the position that an earlier call has returned; 0: all.
+	// An error means that this controller is not the leader.
 	SoftState(ctx context.Context, since uint64) (Changes, error)
 }
 
@@ -40,13 +40,13 @@
 	log    *slog.Logger
 }
 
-// NewServer makes a server that streams the soft state of a source to the controllers with the
+// NewServer returns a server that streams the soft state of a source to the controllers with the
 // given names.
 func NewServer(source Source, others []string, log *slog.Logger) *Server {
 	return &Server{source: source, others: others, log: log}
 }
 
-// Follow serves one follower until the term is over or the follower disconnects.
+// Follow serves one follower until the term ends or the follower disconnects.
 func (s *Server) Follow(stream hintpb.Hints_FollowServer) error {
 	first, err := stream.Recv()
 	if err != nil {
@@ -73,11 +73,12 @@
 	acknowledged  chan uint64
 	term          uint64
 	sequence      uint64
-	position      uint64
-	sentEstimates Estimates // as last sent
+	position      uint64    // the source's changes up to here were sent
+	sentEstimates Estimates // the last ones that were sent
 }
 
-// receiveAcknowledgements passes acknowledgements on until the follower disconnects.
+// receiveAcknowledgements sends the sequence numbers of acknowledgements to f.acknowledged. It calls
+// cancel when the follower disconnects.
 func (f *followerStream) receiveAcknowledgements(ctx context.Context, cancel context.CancelFunc) {
 	defer cancel()
 	for {
@@ -110,11 +111,11 @@
 }
 
 // sendChanges sends the next changes, if there are any, and waits until the follower has
-// acknowledged them. With more, further changes are available at once.
+// acknowledged them. more reports whether further changes are available at once.
 func (f *followerStream) sendChanges(ctx context.Context) (more bool, err error) {
-	listing, cancel := context.WithTimeout(ctx, sourceTimeout)
+	sourceCtx, cancel := context.WithTimeout(ctx, sourceTimeout)
 	defer cancel()
-	changes, err := f.server.source.SoftState(listing, f.position)
+	changes, err := f.server.source.SoftState(sourceCtx, f.position)
 	if err != nil {
 		return false, status.Error(codes.Unavailable, err.Error())
 	}
@@ -140,8 +141,8 @@
 	return changes.More, f.awaitAcknowledgement(ctx)
 }
 
-// sameEstimates tells whether two estimates differ in nothing but the remaining backoff of capacity
-// pools, which decreases by itself.
+// sameEstimates reports whether two estimates, the present ones and those sent before, are equal
+// except for the remaining back-off of capacity pools, which decreases by itself.
 func sameEstimates(a, b Estimates) bool {
 	return reflect.DeepEqual(a.RunRatios, b.RunRatios) && reflect.DeepEqual(a.BootSeconds, b.BootSeconds) &&
 		slices.EqualFunc(a.Pools, b.Pools, func(x, y CapacityPool) bool {
@@ -149,17 +150,18 @@
 		})
 }
 
-// awaitAcknowledgement waits until the last batch is acknowledged.
+// awaitAcknowledgement waits until the follower acknowledges the last batch, for
+// acknowledgementTimeout at most.
 func (f *followerStream) awaitAcknowledgement(ctx context.Context) error {
-	limit := time.NewTimer(acknowledgementTimeout)
-	defer limit.Stop()
+	timer := time.NewTimer(acknowledgementTimeout)
+	defer timer.Stop()
 	select {
-	case got := <-f.acknowledged:
-		if got != f.sequence {
-			return status.Errorf(codes.InvalidArgument, "acknowledged %d, %d was sent", got, f.sequence)
+	case sequence := <-f.acknowledged:
+		if sequence != f.sequence {
+			return status.Errorf(codes.InvalidArgument, "acknowledged %d, %d was sent", sequence, f.sequence)
 		}
 		return nil
-	case <-limit.C:
+	case <-timer.C:
 		return status.Error(codes.DeadlineExceeded, "a batch was not acknowledged")
 	case <-ctx.Done():
 		return status.FromContextError(ctx.Err()).Err()
--- a/internal/softstate/size_test.go
+++ b/internal/softstate/size_test.go
@@ -9,12 +9,12 @@
 	"google.golang.org/protobuf/proto"
 )
 
-// The largest cluster that has to be supported, and the tasks of its machines.
+// The largest cluster that must be supported, and the bounds of its soft state.
 const (
 	largestClusterMachines = 4000
 	tasksPerMachine        = 8
-	maxStreamBytes         = 4 << 20 // to bring everything once
-	maxBatchBytes          = 1 << 20 // a quarter of what gRPC takes
+	maxStreamBytes         = 4 << 20 // for all batches of a new stream
+	maxBatchBytes          = 1 << 20 // a quarter of gRPC's message limit
 	maxReplicaBytes        = 16 << 20
 )
 
@@ -27,14 +27,15 @@
 	return m
 }
 
-// TestSoftStateOfLargestCluster: the bytes sent and kept for 4,000 busy machines.
+// TestSoftStateOfLargestCluster checks that the soft state of 4,000 busy machines stays within the
+// bounds on the bytes sent in all, in one batch, and kept in the replica.
 func TestSoftStateOfLargestCluster(t *testing.T) {
 	replica, now := NewReplica(), time.Now()
 	replica.BeginStream()
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	total, most := 0, 0
+	sentBytes, largestBatch := 0, 0
 	for i := 0; i < largestClusterMachines; i += MaxChanges {
 		batch := Batch{Term: 1, Sequence: uint64(i/MaxChanges + 1)}
 		for k := i; k < min(i+MaxChanges, largestClusterMachines); k++ {
@@ -42,16 +43,16 @@
 		}
 		message := encode(batch)
 		size := proto.Size(message)
-		total, most = total+size, max(most, size)
+		sentBytes, largestBatch = sentBytes+size, max(largestBatch, size)
 		if err := replica.Apply(decode(message), now); err != nil {
 			t.Fatal(err)
 		}
 	}
 	runtime.GC()
 	runtime.ReadMemStats(&after)
-	kept := int(after.HeapAlloc) - int(before.HeapAlloc)
-	t.Logf("%d machines: %d KB sent, the largest batch %d KB, %d KB kept", replica.MachineCount(), total>>10, most>>10, kept>>10)
-	if replica.MachineCount() != largestClusterMachines || total > maxStreamBytes || most > maxBatchBytes || kept > maxReplicaBytes {
-		t.Errorf("%d machines: %d bytes sent, the largest batch %d, %d kept", replica.MachineCount(), total, most, kept)
+	keptBytes := int(after.HeapAlloc) - int(before.HeapAlloc)
+	t.Logf("%d machines: %d KB sent, the largest batch %d KB, %d KB kept", replica.MachineCount(), sentBytes>>10, largestBatch>>10, keptBytes>>10)
+	if replica.MachineCount() != largestClusterMachines || sentBytes > maxStreamBytes || largestBatch > maxBatchBytes || keptBytes > maxReplicaBytes {
+		t.Errorf("%d machines: %d bytes sent, the largest batch %d, %d kept", replica.MachineCount(), sentBytes, largestBatch, keptBytes)
 	}
 }
--- a/internal/softstate/softstate.go
+++ b/internal/softstate/softstate.go
@@ -3,8 +3,8 @@
 // estimates of run times, boot times and cloud capacity.
 //
 // Soft state improves a new leader's first estimates. No decision may be wrong because of it:
-// it never adds a machine, a job or an allocation, and the ledger and a worker's heartbeat
-// take precedence.
+// it never adds a machine, a job or an allocation, and the ledger and an agent's heartbeat take
+// precedence.
 package softstate
 
 import (
@@ -12,14 +12,14 @@
 	"time"
 )
 
-// Machine is what a leader knows of a machine beyond the ledger.
+// Machine is what a leader knows about a machine beyond the ledger.
 type Machine struct {
 	Name           string
 	Gone           bool // it was deleted or has failed
 	Address        string
 	AgentEpoch     uint64
 	FencingToken   uint64
-	SinceHeartbeat time.Duration // how long ago its last heartbeat came
+	SinceHeartbeat time.Duration // how long ago its agent's last heartbeat arrived
 	Idle           time.Duration // how long it has been without tasks
 	Images         []Image
 	Allocations    []Allocation
@@ -31,30 +31,31 @@
 	GB   float64
 }
 
-// Allocation is an attempt of a task that has room on a machine.
+// Allocation is an attempt of a task that has resources reserved on a machine.
 type Allocation struct {
 	Task    string
 	Attempt uint64
-	Running time.Duration // for how long it has been running; 0: it is not running yet
+	Running time.Duration // how long it has been running; 0: it is not running yet
 }
 
-// Estimates is what a leader has learned from run times, boots and the cloud's answers.
+// Estimates holds what a leader has estimated from run times, boot times and the cloud's responses.
 type Estimates struct {
 	RunRatios   map[string]float64 // by class: run times relative to the owners' estimates
 	BootSeconds map[string]float64 // by machine type: seconds from the scale-out request to the first heartbeat
 	Pools       []CapacityPool
 }
 
-// CapacityPool is how the cloud has answered scale-out requests for a machine type in a zone.
+// CapacityPool is how the cloud has responded to scale-out requests for a machine type in a zone.
 type CapacityPool struct {
 	Type, Zone  string
 	Spot        bool
-	BackoffLeft time.Duration // until the pool is tried again
+	BackoffLeft time.Duration // remaining time until the next request to the pool
 	Backoff     time.Duration
 	Filled      int // consecutive requests that were filled
 }
 
-// Batch is one message of a stream of a term's soft state. Batches are numbered from 1.
+// Batch is one message of a stream of a term's soft state. Sequence numbers the batches of a stream
+// from 1.
 type Batch struct {
 	Term, Sequence uint64
 	Machines       []Machine
@@ -82,11 +83,11 @@
 	maxEstimates   = 8192 // classes, machine types and capacity pools together
 )
 
-// The reasons for which a batch is refused. The stream is opened again after each.
+// The errors with which a replica refuses a batch. After each the stream is reopened.
 var (
 	// ErrStaleTerm means that the batch is of an earlier term than the replica.
 	ErrStaleTerm = errors.New("soft state of an earlier term")
-	// ErrMissingBatch means that batches before this one were not received.
+	// ErrMissingBatch means that batches before this one are missing.
 	ErrMissingBatch = errors.New("soft-state batches are missing")
 	// ErrInvalidBatch means that the batch holds values that no leader sends.
 	ErrInvalidBatch = errors.New("invalid soft-state batch")
--- a/internal/softstate/stream_test.go
+++ b/internal/softstate/stream_test.go
@@ -19,43 +19,44 @@
 	"leadproxy/internal/softstate/hintpb"
 )
 
-// fakeSource is a fake of a leader's memory.
+// fakeSource is a Source that the test controls. Each call returns one of the changes.
 type fakeSource struct {
 	mu      sync.Mutex
-	term    uint64 // 0: it does not lead
+	term    uint64 // 0: the controller does not lead
 	changes []Changes
 	calls   int
 }
 
-func (m *fakeSource) SoftState(_ context.Context, since uint64) (Changes, error) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.calls++
+func (s *fakeSource) SoftState(_ context.Context, since uint64) (Changes, error) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.calls++
 	switch {
-	case m.term == 0:
+	case s.term == 0:
 		return Changes{}, errors.New("not leading")
-	case since < uint64(len(m.changes)):
-		c := m.changes[since]
-		c.Term, c.UpTo, c.More = m.term, since+1, since+1 < uint64(len(m.changes))
+	case since < uint64(len(s.changes)):
+		c := s.changes[since]
+		c.Term, c.UpTo, c.More = s.term, since+1, since+1 < uint64(len(s.changes))
 		return c, nil
 	}
-	return Changes{Term: m.term, UpTo: since}, nil
+	return Changes{Term: s.term, UpTo: since}, nil
 }
 
-// setState replaces the memory.
-func (m *fakeSource) setState(term uint64, parts []Changes) {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	m.term, m.changes = term, parts
+// setState replaces the term and the changes.
+func (s *fakeSource) setState(term uint64, changes []Changes) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	s.term, s.changes = term, changes
 }
 
-func (m *fakeSource) callCount() int {
-	m.mu.Lock()
-	defer m.mu.Unlock()
-	return m.calls
+// callCount returns the number of calls of SoftState.
+func (s *fakeSource) callCount() int {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.calls
 }
 
-// harness is a leader, and a standby that follows it, on a network in memory.
+// harness runs the server of n1 and a follower on n2 over an in-memory network.
 type harness struct {
 	t        *testing.T
 	network  *fake.Network
@@ -64,36 +65,37 @@
 	stop     context.CancelFunc
 }
 
-func newHarness(t *testing.T, m *fakeSource, others []string) *harness {
-	p := &harness{t: t, network: fake.NewNetwork(t), source: m}
+func newHarness(t *testing.T, source *fakeSource, others []string) *harness {
+	h := &harness{t: t, network: fake.NewNetwork(t), source: source}
 	ctx, cancel := context.WithCancel(t.Context())
-	listener, err := p.network.Host("n1").Listen(ctx, "n1:81")
+	listener, err := h.network.Host("n1").Listen(ctx, "n1:81")
 	if err != nil {
 		t.Fatal(err)
 	}
 	server := grpc.NewServer()
-	hintpb.RegisterHintsServer(server, NewServer(m, others, slog.New(slog.DiscardHandler)))
+	hintpb.RegisterHintsServer(server, NewServer(source, others, slog.New(slog.DiscardHandler)))
 	go server.Serve(listener)
-	conn := p.dial("n2")
-	p.follower = NewFollower("n2", func() string { return "n1" }, func(string) (grpc.ClientConnInterface, error) { return conn, nil }, slog.New(slog.DiscardHandler))
-	go p.follower.Run(ctx)
-	p.stop = func() {
+	conn := h.dial("n2")
+	h.follower = NewFollower("n2", func() string { return "n1" }, func(string) (grpc.ClientConnInterface, error) { return conn, nil }, slog.New(slog.DiscardHandler))
+	go h.follower.Run(ctx)
+	h.stop = func() {
 		cancel()
 		conn.Close()
 		server.Stop()
-		time.Sleep(time.Minute) // what is still being connected gives up
+		time.Sleep(time.Minute) // until pending connection attempts have timed out
 	}
-	return p
+	return h
 }
 
-func (p *harness) dial(from string) *grpc.ClientConn {
-	conn, err := rpc.Connect(p.network.Host(from), "n1:81")
+func (h *harness) dial(from string) *grpc.ClientConn {
+	conn, err := rpc.Connect(h.network.Host(from), "n1:81")
 	if err != nil {
-		p.t.Fatal(err)
+		h.t.Fatal(err)
 	}
 	return conn
 }
 
+// changedMachines returns changes of the named machines.
 func changedMachines(names ...string) (c Changes) {
 	for _, name := range names {
 		c.Machines = append(c.Machines, Machine{Name: name, Address: name + ":9000", AgentEpoch: 1})
@@ -101,69 +103,70 @@
 	return c
 }
 
-// TestFollowerReplicates: soft state arrives in parts, changes follow, and after a break of the
-// connection and in another term everything is sent again.
+// TestFollowerReplicates checks that a follower receives soft state in several batches and then the
+// changes, and that everything is sent again after a connection failure and in another term.
 func TestFollowerReplicates(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &fakeSource{term: 7, changes: []Changes{changedMachines("vm-1", "vm-2"), changedMachines("vm-3")}}
-		p := newHarness(t, m, []string{"n2"})
-		defer p.stop()
-		view := func(want int, term uint64) {
+		source := &fakeSource{term: 7, changes: []Changes{changedMachines("vm-1", "vm-2"), changedMachines("vm-3")}}
+		h := newHarness(t, source, []string{"n2"})
+		defer h.stop()
+		expectView := func(want int, term uint64) {
 			t.Helper()
-			time.Sleep(time.Minute) // a connection that was cut is tried again within that
-			if v := p.follower.View(t.Context(), 100); len(v.Machines) != want || v.Term != term {
-				t.Errorf("%d machines of term %d, want %d of %d", len(v.Machines), v.Term, want, term)
+			time.Sleep(time.Minute) // a broken connection is retried within this time
+			if v := h.follower.View(t.Context(), 100); len(v.Machines) != want || v.Term != term {
+				t.Errorf("%d machines of term %d, want %d of term %d", len(v.Machines), v.Term, want, term)
 			}
 		}
-		view(3, 7)
-		m.setState(7, append(m.changes, Changes{Machines: []Machine{{Name: "vm-2", Gone: true}}}))
-		view(2, 7)
-		p.network.Partition("n1", "n2", false)
-		m.setState(7, append(m.changes, changedMachines("vm-4")))
-		view(2, 7)
-		p.network.Heal("n1", "n2")
-		view(3, 7)
-		m.setState(0, nil)
-		view(3, 7) // the leader has ended: its soft state is kept for the next term
-		m.setState(9, []Changes{changedMachines("vm-5")})
-		view(1, 9)
-		if s := p.follower.Status(); s.Term != 9 || s.Machines != 1 {
-			t.Errorf("%+v", s)
+		expectView(3, 7)
+		source.setState(7, append(source.changes, Changes{Machines: []Machine{{Name: "vm-2", Gone: true}}}))
+		expectView(2, 7)
+		h.network.Partition("n1", "n2", false)
+		source.setState(7, append(source.changes, changedMachines("vm-4")))
+		expectView(2, 7)
+		h.network.Heal("n1", "n2")
+		expectView(3, 7)
+		source.setState(0, nil)
+		expectView(3, 7) // the term has ended: its soft state is kept for the next one
+		source.setState(9, []Changes{changedMachines("vm-5")})
+		expectView(1, 9)
+		if s := h.follower.Status(); s.Term != 9 || s.Machines != 1 {
+			t.Errorf("status %+v, want 1 machine of term 9", s)
 		}
 	})
 }
 
-// TestUnknownControllersAreRefused: a stream is refused to whoever is not one of the controllers.
+// TestUnknownControllersAreRefused checks that the server refuses a stream to a controller that is not
+// one of its peers.
 func TestUnknownControllersAreRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newHarness(t, &fakeSource{term: 7, changes: []Changes{changedMachines("vm-1")}}, []string{"n3"})
-		defer p.stop()
+		h := newHarness(t, &fakeSource{term: 7, changes: []Changes{changedMachines("vm-1")}}, []string{"n3"})
+		defer h.stop()
 		time.Sleep(5 * time.Second)
-		if v := p.follower.View(t.Context(), 100); len(v.Machines) != 0 || p.source.callCount() > 0 {
-			t.Errorf("%d machines were told, %d times asked", len(v.Machines), p.source.callCount())
+		if v := h.follower.View(t.Context(), 100); len(v.Machines) != 0 || h.source.callCount() > 0 {
+			t.Errorf("%d machines replicated, %d calls of the source, want none", len(v.Machines), h.source.callCount())
 		}
 	})
 }
 
-// TestFrozenFollowerCostsOneBatch: a follower that acknowledges nothing is sent one batch,
-// and its stream ends after the timeout.
+// TestFrozenFollowerCostsOneBatch checks that a follower that acknowledges nothing is sent one batch
+// only, and that its stream ends after acknowledgementTimeout.
 func TestFrozenFollowerCostsOneBatch(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		m := &fakeSource{term: 7}
+		source := &fakeSource{term: 7}
 		for i := range 50 {
-			m.changes = append(m.changes, changedMachines(fmt.Sprint("vm-", i)))
+			source.changes = append(source.changes, changedMachines(fmt.Sprint("vm-", i)))
 		}
-		p := newHarness(t, m, []string{"n2", "n3"})
-		defer p.stop()
+		h := newHarness(t, source, []string{"n2", "n3"})
+		defer h.stop()
 		time.Sleep(5 * time.Second)
-		conn := p.dial("n3")
+		conn := h.dial("n3")
 		defer conn.Close()
 		call, err := hintpb.NewHintsClient(conn).Follow(t.Context())
 		if err != nil {
 			t.Fatal(err)
 		}
 		call.Send(&hintpb.Acknowledgement{Node: "n3"})
-		asked, began, batches := m.callCount(), time.Now(), 0
+		callsBefore, began, batches := source.callCount(), time.Now(), 0
 		for err == nil {
 			if _, err = call.Recv(); err == nil {
 				batches++
@@ -171,20 +174,21 @@
 		}
 		took := time.Since(began)
 		if batches != 1 || took < acknowledgementTimeout || took > acknowledgementTimeout+time.Second {
-			t.Errorf("%d batches in %s: %v", batches, took, err)
+			t.Errorf("%d batches in %s, then %v, want one batch and the end after acknowledgementTimeout", batches, took, err)
 		}
-		if others := int(took/sendInterval) + 2; m.callCount()-asked > others {
-			t.Errorf("asked %d times for it", m.callCount()-asked-others)
+		if otherCalls := int(took/sendInterval) + 2; source.callCount()-callsBefore > otherCalls {
+			t.Errorf("%d more calls of the source than those for the other follower", source.callCount()-callsBefore-otherCalls)
 		}
 	})
 }
 
-// TestWrongAcknowledgementEndsStream: a wrong sequence, also in the opening message, ends the stream.
+// TestWrongAcknowledgementEndsStream checks that a wrong sequence number ends the stream, also in the
+// first message.
 func TestWrongAcknowledgementEndsStream(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := newHarness(t, &fakeSource{term: 7, changes: []Changes{changedMachines("vm-1")}}, []string{"n2", "n3"})
-		defer p.stop()
-		conn := p.dial("n3")
+		h := newHarness(t, &fakeSource{term: 7, changes: []Changes{changedMachines("vm-1")}}, []string{"n2", "n3"})
+		defer h.stop()
+		conn := h.dial("n3")
 		defer conn.Close()
 		for _, acks := range [][]uint64{{1}, {0, 2}} {
 			call, err := hintpb.NewHintsClient(conn).Follow(t.Context())
@@ -198,7 +202,7 @@
 				_, err = call.Recv()
 			}
 			if status.Code(err) != codes.InvalidArgument {
-				t.Errorf("%v: %v", acks, err)
+				t.Errorf("acknowledgements %v: error %v, want InvalidArgument", acks, err)
 			}
 		}
 	})
--- a/internal/transport/conn.go
+++ b/internal/transport/conn.go
@@ -12,11 +12,10 @@
 )
 
 // Conn is an HTTP connection that one goroutine at a time uses directly, from the request to the
-// response. An http.Client passes each request from goroutine to goroutine, two for each connection
-// that it keeps. On a controller that is short of processor time each of them continues only after
-// everything else that is ready to run: a leader that was busy with a thousand workers lost its
-// lease over that. Also, two goroutines with their buffers for each of a thousand machines take
-// 40 MB.
+// response. An http.Client passes each request through two further goroutines per connection. On a
+// controller that is short of CPU time each of them continues only after every other goroutine that
+// is ready to run: a leader that served a thousand agents lost its lease because of that. Also, two
+// goroutines and their buffers for each of a thousand machines take 40 MB.
 type Conn struct {
 	network  Network
 	addr     string
@@ -25,7 +24,7 @@
 	lastUsed time.Time
 }
 
-// Request is one HTTP request on a connection. Its body is JSON; a nil body is none.
+// Request is one HTTP request on a connection. The body is JSON; nil: none.
 type Request struct {
 	Method string
 	Path   string
@@ -39,23 +38,24 @@
 }
 
 const (
-	// connBufferSize is the size of a connection's read buffer. Most responses are shorter.
+	// connBufferSize is the size in bytes of a connection's read buffer. Most responses are
+	// shorter.
 	connBufferSize = 2 << 10
-	// idleCheckAfter is how long a connection may have been idle before it is checked, ahead of
-	// its next use, for having been closed by the peer.
+	// idleCheckAfter is the idle time after which a connection is checked, before its next use,
+	// for whether the peer has closed it.
 	idleCheckAfter = 500 * time.Millisecond
 )
 
-// NewConn returns a connection to an address that is not open yet.
-func NewConn(n Network, addr string) *Conn { return &Conn{network: n, addr: addr} }
+// NewConn returns a connection to an address. It is not open yet.
+func NewConn(network Network, addr string) *Conn { return &Conn{network: network, addr: addr} }
 
-// IsOpen reports whether the connection can be used again.
+// IsOpen reports whether the connection is open.
 func (c *Conn) IsOpen() bool { return c.conn != nil }
 
-// IdleSince is when the connection was last used.
+// IdleSince returns when the connection was last used.
 func (c *Conn) IdleSince() time.Time { return c.lastUsed }
 
-// Close closes the connection.
+// Close closes the connection if it is open. Open may be called again.
 func (c *Conn) Close() {
 	if c.conn != nil {
 		c.conn.Close()
@@ -63,7 +63,7 @@
 	}
 }
 
-// Open connects unless the connection is open and the peer has not closed it. After an error
+// Open connects, unless the connection is open and the peer has not closed it. An error means that
 // nothing was sent.
 func (c *Conn) Open(ctx context.Context, timeout time.Duration) error {
 	if c.conn != nil && time.Since(c.lastUsed) > idleCheckAfter && closedByPeer(c.conn) {
@@ -84,8 +84,8 @@
 	return nil
 }
 
-// Do carries out one request on an open connection, until a deadline. After an error the request
-// may have been executed, and the connection is closed.
+// Do sends a request on an open connection and returns the response, which must arrive before the
+// deadline. After an error the request may have been executed, and the connection is closed.
 func (c *Conn) Do(deadline time.Time, r Request) (Response, error) {
 	response, err := c.exchange(deadline, r)
 	if err != nil {
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -13,8 +13,8 @@
 // testServer accepts connections and answers each request by its path.
 type testServer struct {
 	listener net.Listener
-	accepted chan net.Conn // connections
-	requests chan string   // methods, paths and bodies
+	accepted chan net.Conn
+	requests chan string // method, path and body of each request
 }
 
 func newTestServer(t *testing.T) *testServer {
@@ -40,8 +40,8 @@
 	}
 }
 
-// serve answers a connection's requests. It closes the connection in place of an answer to
-// /broken, and announces with the answer to /last that it is going to.
+// serve answers a connection's requests. It closes the connection instead of answering a request to
+// /broken, and announces in the answer to /last that it will close it.
 func (s *testServer) serve(conn net.Conn) {
 	reader := bufio.NewReader(conn)
 	for {
@@ -74,33 +74,33 @@
 	return c.Do(time.Now().Add(time.Second), Request{Method: http.MethodPost, Path: path, Body: []byte("{}")})
 }
 
-// TestConn: a connection is used again as long as the peer keeps it. One that the peer has closed
-// while it was idle is noticed before anything is sent on it: a command that broke off could have
-// been executed.
+// TestConn checks that a connection is reused until the peer closes it, and that a connection that the
+// peer has closed while it was idle is detected before a request is sent on it: a command whose
+// connection breaks may have been executed.
 func TestConn(t *testing.T) {
 	server := newTestServer(t)
 	conn := NewConn(TCP{}, server.listener.Addr().String())
 	for range 3 {
 		if r, err := post(t, conn, "/commands"); r.Status != 409 || string(r.Body) != "no" || err != nil {
-			t.Errorf("%d %q %v", r.Status, r.Body, err)
+			t.Errorf("status %d, body %q, error %v, want 409 and \"no\"", r.Status, r.Body, err)
 		}
 	}
 	if len(server.accepted) != 1 || <-server.requests != "POST/commands{}" {
-		t.Errorf("%d connections for three requests", len(server.accepted))
+		t.Errorf("%d connections for three requests, want 1", len(server.accepted))
 	}
 	(<-server.accepted).Close()
 	conn.lastUsed = time.Now().Add(-time.Minute)
 	if r, err := post(t, conn, "/commands"); r.Status != 409 || err != nil || len(server.accepted) != 1 {
-		t.Errorf("after the peer had closed the connection: %d %v", r.Status, err)
+		t.Errorf("after the peer had closed the connection: status %d, error %v", r.Status, err)
 	}
 	if r, err := post(t, conn, "/last"); r.Status != 200 || err != nil || conn.IsOpen() {
-		t.Errorf("the last answer on a connection: %d %v, open %v", r.Status, err, conn.IsOpen())
+		t.Errorf("the last answer on a connection: status %d, error %v, open %v", r.Status, err, conn.IsOpen())
 	}
 	if _, err := post(t, conn, "/broken"); err == nil || conn.IsOpen() || NotSent(err) {
-		t.Errorf("broken off: %v, open %v", err, conn.IsOpen())
+		t.Errorf("connection closed instead of an answer: error %v, open %v", err, conn.IsOpen())
 	}
 	server.listener.Close()
 	if err := conn.Open(context.Background(), time.Second); !NotSent(err) {
-		t.Errorf("without a listener: %v", err)
+		t.Errorf("without a listener: error %v, want a failure to connect", err)
 	}
 }
--- a/internal/transport/network.go
+++ b/internal/transport/network.go
@@ -1,8 +1,8 @@
-// Package transport has what all calls to other systems share: the network interface, HTTP clients
-// for calls from many goroutines and for calls from one, whether a failed call can have been
-// executed, and the pause before a retry.
+// Package transport provides what all calls to other systems share: the network interface, HTTP
+// clients for calls from many goroutines and for calls from one, a check whether a failed call can
+// have been executed, and the pause before a retry.
 //
-// It does not know any protocol above HTTP, and does not retry.
+// It knows no protocol above HTTP, and does not retry.
 package transport
 
 import (
@@ -16,9 +16,9 @@
 	Listen(ctx context.Context, addr string) (net.Listener, error)
 }
 
-// TCP is the machine's network. Keep-alive probes are off: every call has a timeout and idle
-// connections are closed, so that probes would show nothing, and they cost four system calls for
-// each connection.
+// TCP is the machine's network. Keep-alive probes are off, because every call has a timeout and idle
+// connections are closed: probes would detect nothing more, and cost four system calls per
+// connection.
 type TCP struct{}
 
 // Dial connects to an address.
@@ -26,7 +26,7 @@
 	return (&net.Dialer{KeepAlive: -1}).DialContext(ctx, "tcp", addr)
 }
 
-// Listen accepts connections at an address.
+// Listen listens for connections at an address.
 func (TCP) Listen(ctx context.Context, addr string) (net.Listener, error) {
 	return (&net.ListenConfig{KeepAlive: -1}).Listen(ctx, "tcp", addr)
 }
--- a/internal/transport/pause.go
+++ b/internal/transport/pause.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Pause waits for a while, or until ctx ends.
+// Pause blocks for a duration, or until ctx ends.
 func Pause(ctx context.Context, d time.Duration) {
 	select {
 	case <-time.After(d):
