--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -18,9 +18,9 @@
 func (r *run) checkInvariants() {
 	for r.t.Context().Err() == nil {
 		transport.Pause(r.t.Context(), checkInterval)
-		calm := <-r.faultFreeSince
-		r.faultFreeSince <- calm
-		r.deployment.Checker.CheckInvariants(calm, r.deployment.Cloud.FreeCapacity())
+		faultFreeSince := <-r.faultFreeSince
+		r.faultFreeSince <- faultFreeSince
+		r.deployment.Checker.CheckInvariants(faultFreeSince, r.deployment.Cloud.FreeCapacity())
 	}
 }
 
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -42,8 +42,8 @@
 
 // targetOf is the index of the controller that a fault applies to.
 func (r *run) targetOf(f scheduledFault) int {
-	if at := fake.Leader(r.deployment.Store, r.deployment.Controllers); f.target == currentLeader && at >= 0 {
-		return at
+	if leader := fake.Leader(r.deployment.Store, r.deployment.Controllers); f.target == currentLeader && leader >= 0 {
+		return leader
 	}
 	return max(f.target, 0)
 }
--- a/internal/soak/machine_faults_test.go
+++ b/internal/soak/machine_faults_test.go
@@ -9,47 +9,47 @@
 
 // beginMachineFault lets a fault begin on a share of the machines.
 func (r *run) beginMachineFault(f scheduledFault) (end func()) {
-	workers := r.randomAgents(f.share)
-	set := r.machineFault(f.kind)
-	for _, w := range workers {
-		set(w, true)
+	agents := r.randomAgents(f.share)
+	setFault := r.machineFault(f.kind)
+	for _, agent := range agents {
+		setFault(agent, true)
 	}
 	return func() {
-		for _, w := range workers {
-			set(w, false)
+		for _, agent := range agents {
+			setFault(agent, false)
 		}
 	}
 }
 
 // machineFault returns the function that lets a kind of fault begin and end on one machine.
-func (r *run) machineFault(kind faultKind) func(w *fake.Agent, on bool) {
-	return map[faultKind]func(w *fake.Agent, on bool){
+func (r *run) machineFault(kind faultKind) func(agent *fake.Agent, on bool) {
+	return map[faultKind]func(agent *fake.Agent, on bool){
 		hungMachines: (*fake.Agent).SetHung,
 		inboundCut:   (*fake.Agent).SetInboundCut,
 		outboundCut:  (*fake.Agent).SetOutboundCut,
-		rebootedMachines: func(w *fake.Agent, on bool) {
+		rebootedMachines: func(agent *fake.Agent, on bool) {
 			if on {
-				w.Reboot()
+				agent.Reboot()
 			}
 		},
-		terminatedMachines: func(w *fake.Agent, on bool) {
+		terminatedMachines: func(agent *fake.Agent, on bool) {
 			if on {
-				r.deployment.Cloud.Terminate(w.Name())
+				r.deployment.Cloud.Terminate(agent.Name())
 			}
 		},
-		duplicateHeartbeats: func(w *fake.Agent, on bool) {
+		duplicateHeartbeats: func(agent *fake.Agent, on bool) {
 			if !on {
-				w.DuplicateHeartbeats(nil)
+				agent.DuplicateHeartbeats(nil)
 				return
 			}
 			delay := minMessageDelay + time.Duration(r.random.Int64N(int64(maxMessageDelay)))
-			w.DuplicateHeartbeats(func() time.Duration { return delay })
+			agent.DuplicateHeartbeats(func() time.Duration { return delay })
 		},
-		replayedHeartbeats: func(w *fake.Agent, on bool) {
+		replayedHeartbeats: func(agent *fake.Agent, on bool) {
 			if on {
-				w.SaveHeartbeat()
+				agent.SaveHeartbeat()
 			} else {
-				w.ReplayHeartbeat()
+				agent.ReplayHeartbeat()
 			}
 		},
 	}[kind]
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -94,29 +94,29 @@
 
 // injectFaults lets the faults of the schedule begin and end.
 func (r *run) injectFaults() {
-	began := time.Now()
-	var todo timeline
+	start := time.Now()
+	var pending timeline
 	for _, f := range r.schedule {
-		todo.add(f.start, func() {
+		pending.add(f.start, func() {
 			end := r.beginFault(f)
-			todo.add(f.start+f.duration, end)
+			pending.add(f.start+f.duration, end)
 		})
 		if f.kind == killLeaders {
-			r.scheduleLeaderKills(f, &todo)
+			r.scheduleLeaderKills(f, &pending)
 		}
 	}
-	for len(todo.actions) > 0 {
-		next := todo.actions[0]
-		todo.actions = todo.actions[1:]
-		time.Sleep(time.Until(began.Add(next.at)))
+	for len(pending.actions) > 0 {
+		next := pending.actions[0]
+		pending.actions = pending.actions[1:]
+		time.Sleep(time.Until(start.Add(next.at)))
 		next.perform()
 	}
-	time.Sleep(time.Until(began.Add(r.plan.faultDuration)))
+	time.Sleep(time.Until(start.Add(r.plan.faultDuration)))
 }
 
 // scheduleLeaderKills lets further leaders be killed one after the other, each of which is restarted
 // soon.
-func (r *run) scheduleLeaderKills(f scheduledFault, todo *timeline) {
+func (r *run) scheduleLeaderKills(f scheduledFault, pending *timeline) {
 	const (
 		kills    = 4
 		downtime = time.Second
@@ -127,9 +127,9 @@
 		if at >= r.plan.faultDuration {
 			return
 		}
-		todo.add(at, func() {
+		pending.add(at, func() {
 			end := r.beginProcessFault(scheduledFault{kind: killController, target: currentLeader})
-			todo.add(at+downtime, end)
+			pending.add(at+downtime, end)
 		})
 	}
 }
--- a/internal/soak/schedule_test.go
+++ b/internal/soak/schedule_test.go
@@ -46,14 +46,14 @@
 		f.duration = min(f.duration, length-start)
 		s = append(s, f)
 	}
-	next := random.IntN(len(combinations))
+	nextCombination := random.IntN(len(combinations))
 	for start := firstCombinationStart; start < length; start += combinationInterval {
-		c := combinations[next%len(combinations)](start+time.Duration(random.Int64N(int64(combinationInterval/3))), times)
+		c := combinations[nextCombination%len(combinations)](start+time.Duration(random.Int64N(int64(combinationInterval/3))), times)
 		if c.exclusive {
 			s = slices.DeleteFunc(s, func(f scheduledFault) bool { return f.overlaps(c.faults[0]) })
 		}
 		s = append(s, c.faults...)
-		next++
+		nextCombination++
 	}
 	slices.SortStableFunc(s, func(a, b scheduledFault) int { return int(a.start - b.start) })
 	return s
--- a/internal/standby/follower_test.go
+++ b/internal/standby/follower_test.go
@@ -17,7 +17,7 @@
 	"leadproxy/internal/wire"
 )
 
-// followerHarness is a follower of a fake state service.
+// followerHarness runs a follower against a fake key-value store.
 type followerHarness struct {
 	t        *testing.T
 	store    *fake.KVStore
@@ -25,114 +25,118 @@
 	follower *Follower
 }
 
+// newFollowerHarness starts a follower, limited to maxBytes, of a store with a number of keys.
 func newFollowerHarness(t *testing.T, keys, maxBytes int) *followerHarness {
-	n := fake.NewNetwork(t)
-	s := &followerHarness{t: t, store: fake.NewKVStore(t, n.Host("state"), "state:1", nil)}
+	network := fake.NewNetwork(t)
+	h := &followerHarness{t: t, store: fake.NewKVStore(t, network.Host("state"), "state:1", nil)}
 	for i := range keys {
-		s.store.Put(fmt.Sprintf("job/%06d", i), fmt.Sprintf(`"value %d"`, i))
+		h.store.Put(fmt.Sprintf("job/%06d", i), fmt.Sprintf(`"value %d"`, i))
 	}
 	log := slog.New(slog.NewTextHandler(io.Discard, nil))
-	s.client = kvstore.New(t.Context(), n.Host("n1"), "state:1", settings.StoreLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32}, 0.5, log)
-	s.follower = NewFollower(s.client, modelPrefixes, maxBytes, log)
-	go s.follower.Run(t.Context())
-	return s
+	h.client = kvstore.New(t.Context(), network.Host("n1"), "state:1", settings.StoreLimits{RPS: 200, WriteRPS: 100, ValueKB: 16, TxnOps: 32}, 0.5, log)
+	h.follower = NewFollower(h.client, modelPrefixes, maxBytes, log)
+	go h.follower.Run(t.Context())
+	return h
 }
 
-func (s *followerHarness) waitForState(state State) {
-	s.t.Helper()
+// waitForState waits up to 20 s until the follower is in a state.
+func (h *followerHarness) waitForState(state State) {
+	h.t.Helper()
 	for range 200 {
-		if s.follower.Status().State == state {
+		if h.follower.Status().State == state {
 			return
 		}
 		time.Sleep(100 * time.Millisecond)
 	}
-	s.t.Fatalf("it is %+v, want %s", s.follower.Status(), state)
+	h.t.Fatalf("status is %+v, want state %s", h.follower.Status(), state)
 }
 
-// promote has the follower give its view away at the service's present revision.
-func (s *followerHarness) promote() (View, error) {
-	return s.follower.Promote(s.t.Context(), s.store.Revision())
+// promote promotes the replica for a term that was won at the store's current revision.
+func (h *followerHarness) promote() (View, error) {
+	return h.follower.Promote(h.t.Context(), h.store.Revision())
 }
 
-// listStore reads what the service holds.
-func (s *followerHarness) listStore() (all []wire.Entry) {
-	s.t.Helper()
+// listStore lists the store's entries under the follower's prefixes.
+func (h *followerHarness) listStore() (entries []wire.Entry) {
+	h.t.Helper()
 	for _, prefix := range modelPrefixes {
-		listing, err := kvstore.ListAll(s.t.Context(), s.client, kvstore.PriorityLeader, prefix)
+		listing, err := kvstore.ListAll(h.t.Context(), h.client, kvstore.PriorityLeader, prefix)
 		if err != nil {
-			s.t.Fatal(err)
+			h.t.Fatal(err)
 		}
-		all = append(all, listing.Entries...)
+		entries = append(entries, listing.Entries...)
 	}
-	return all
+	return entries
 }
 
-// TestFollower follows a service with thousands of keys through changes, an outage and
-// terms of its own. What it gives away is what a fresh read brings.
+// TestFollower follows a store with thousands of keys through changes, an outage of the store and
+// terms of this controller. Each promoted view must equal a listing of the store.
 func TestFollower(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newFollowerHarness(t, 2500, 1<<20)
-		s.waitForState(Following)
-		check := func(what string) {
+		h := newFollowerHarness(t, 2500, 1<<20)
+		h.waitForState(Following)
+		check := func(situation string) {
 			t.Helper()
-			view, err := s.promote()
+			view, err := h.promote()
 			if err != nil {
-				t.Errorf("%s: %v", what, err)
+				t.Errorf("%s: promotion failed: %v", situation, err)
 			}
-			if fresh := s.listStore(); !reflect.DeepEqual(view.Entries, fresh) {
-				t.Errorf("%s: %d entries, a fresh read brings %d", what, len(view.Entries), len(fresh))
+			if listed := h.listStore(); !reflect.DeepEqual(view.Entries, listed) {
+				t.Errorf("%s: the view has %d entries that differ from the %d listed ones", situation, len(view.Entries), len(listed))
 			}
-			s.follower.Release()
-			time.Sleep(time.Second) // it reads everything anew
-			s.waitForState(Following)
+			h.follower.Release()
+			time.Sleep(time.Second) // in which the follower begins to read its replica again
+			h.waitForState(Following)
 		}
-		check("as listed")
+		check("after the first listing")
 		for i := range 50 {
-			s.store.Put(fmt.Sprintf("job/%06d", i*7), `"changed"`)
-			s.store.Remove(fmt.Sprintf("job/%06d", i*11))
-			s.store.Put(fmt.Sprintf("fin/%d/0", i), `[0,1]`)
+			h.store.Put(fmt.Sprintf("job/%06d", i*7), `"changed"`)
+			h.store.Remove(fmt.Sprintf("job/%06d", i*11))
+			h.store.Put(fmt.Sprintf("fin/%d/0", i), `[0,1]`)
 			time.Sleep(30 * time.Millisecond)
 		}
-		check("with changes that have just come")
-		s.store.SetOutage(true)
-		s.store.Put("host/1/0", `["vm-1"]`)
+		check("right after changes")
+		h.store.SetOutage(true)
+		h.store.Put("host/1/0", `["vm-1"]`)
 		time.Sleep(30 * time.Second)
-		if s.follower.Ready() {
-			t.Error("it is ready in an outage")
+		if h.follower.Ready() {
+			t.Error("the follower is ready during an outage of the store")
 		}
-		s.store.SetOutage(false)
-		s.waitForState(Following)
-		check("after an outage")
+		h.store.SetOutage(false)
+		h.waitForState(Following)
+		check("after an outage of the store")
 	})
 }
 
-// TestFollowerRefuses: while its view can't be had in time, a term is told so, and why.
+// TestFollowerRefuses checks that a promotion fails, with the reason, when the follower can't
+// confirm in time that its replica is complete. Otherwise a new term would act on an outdated
+// ledger or wait for the standby instead of reading the ledger from the store.
 func TestFollowerRefuses(t *testing.T) {
 	cases := []struct {
 		name     string
 		maxBytes int
-		trouble  func(s *followerHarness)
-		want     error
-		says     string
+		prepare  func(h *followerHarness)
+		wantErr  error // nil: any
+		wantText string
 	}{
-		{"it is larger than it may be", 1000, func(s *followerHarness) { s.waitForState(Demoted) }, nil, "demoted"},
-		{"the service does not answer", 1 << 20, func(s *followerHarness) { s.waitForState(Following); s.store.SetOutage(true) }, errNotConfirmedInTime, "in time"},
-		{"its changes are no longer kept", 1 << 20, func(s *followerHarness) {
-			s.waitForState(Following)
-			s.store.Compact()
+		{"replica exceeds its memory limit", 1000, func(h *followerHarness) { h.waitForState(Demoted) }, nil, "demoted"},
+		{"store does not respond", 1 << 20, func(h *followerHarness) { h.waitForState(Following); h.store.SetOutage(true) }, errNotConfirmedInTime, "in time"},
+		{"changes since the replica's revision are compacted", 1 << 20, func(h *followerHarness) {
+			h.waitForState(Following)
+			h.store.Compact()
 		}, kvstore.ErrCompacted, "no longer kept"},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				s := newFollowerHarness(t, 100, c.maxBytes)
-				c.trouble(s)
-				_, err := s.promote()
-				if err == nil || c.want != nil && !errors.Is(err, c.want) || !strings.Contains(err.Error(), c.says) {
-					t.Errorf("told %v", err)
+				h := newFollowerHarness(t, 100, c.maxBytes)
+				c.prepare(h)
+				_, err := h.promote()
+				if err == nil || c.wantErr != nil && !errors.Is(err, c.wantErr) || !strings.Contains(err.Error(), c.wantText) {
+					t.Errorf("promotion did not fail with the expected error: %v", err)
 				}
-				s.store.SetOutage(false)
-				s.follower.Release()
+				h.store.SetOutage(false)
+				h.follower.Release()
 			})
 		})
 	}
--- a/internal/standby/gate.go
+++ b/internal/standby/gate.go
@@ -5,60 +5,62 @@
 	"time"
 )
 
-// State is the state of a standby.
+// State is the state of a standby. The zero value is CatchingUp.
 type State int
 
-// The states of a standby.
 const (
-	// CatchingUp: the replica is being read, or lacks changes.
+	// CatchingUp means that the replica is being read or lacks changes.
 	CatchingUp State = iota
-	// Following: the replica is a consistent copy and is kept up to date.
+	// Following means that the replica is a consistent copy and is kept up to date.
 	Following
-	// Confirming: this controller has won a term and checks that its replica is complete.
+	// Confirming means that this controller has won a term and checks that its replica is complete.
 	Confirming
-	// Active: the term acts on the replica.
+	// Active means that the term of this controller may act on the replica.
 	Active
-	// Demoted: the replica is unusable or was released; it has to be read again.
+	// Demoted means that the replica is unusable or was released to a term, and has to be read again.
 	Demoted
 )
 
 var stateNames = [...]string{"catching up", "following", "confirming", "active", "demoted"}
 
-// String is the state's name in logs.
+// String returns the state's name as it appears in logs and in the status for operators.
 func (s State) String() string { return stateNames[s] }
 
-// Condition is one of the conditions under which a term may act on the replica.
+// Condition is one of the conditions that must be met before a term may act on the replica.
 type Condition struct {
 	Met     bool
-	Reason  string
+	Reason  string        // why it is met or not, for logs
 	Elapsed time.Duration // since the term was won
 }
 
-// Gate decides when a term may act on the replica. It does no I/O: each call is an event with
-// the time of its arrival.
+// Gate decides when a term may act on the replica. It is a state machine without I/O: callers report
+// events and, where it matters, the time since the follower's start. The zero value is a replica that
+// is catching up.
 //
 // The conditions are, in this order:
 //
-//   - PreviousTermEnded: this controller's leader key was created, which is possible only when
-//     the key of the previous leader is gone: its lease has expired, or it has resigned. The
-//     revision of the creation is the new term.
-//   - ReplicaComplete: the replica has all changes up to that revision, from a response that the
-//     store has given since. Each write of an earlier term has that term's key as a condition,
-//     so none is applied later.
-//   - EarlierWritesFenced: so a transaction of an earlier term whose outcome is unknown either is
-//     in the replica or will never be applied.
+//   - PreviousTermEnded: this controller's leader key was created. The store allows that only after
+//     the previous leader's key was deleted, because its lease expired or it resigned. The revision
+//     of the creation is the new term.
+//   - ReplicaComplete: the replica has all changes up to that revision, according to a response to
+//     a request that was sent after the term was won. Each write of an earlier term has that term's
+//     leader key as a condition, so the store applies none of them after that revision.
+//   - EarlierWritesFenced: a transaction of an earlier term whose outcome is unknown either is in
+//     the replica or will never be applied. This follows from ReplicaComplete.
 type Gate struct {
 	state State
 	term  uint64
 	wonAt time.Duration
-	// The conditions of the present term.
+	// PreviousTermEnded, ReplicaComplete and EarlierWritesFenced are the conditions of the current
+	// term, in this order.
 	PreviousTermEnded, ReplicaComplete, EarlierWritesFenced Condition
 }
 
-// State returns the state of the standby.
+// State returns the standby's state.
 func (g *Gate) State() State { return g.state }
 
-// ReplicaUpdated is called after each change of the replica, with whether it is consistent.
+// ReplicaUpdated records, after each change to the replica, whether it is consistent and up to
+// date. It has no effect once a term has been won.
 func (g *Gate) ReplicaUpdated(consistent bool) {
 	if g.state == Confirming || g.state == Active {
 		return
@@ -69,9 +71,9 @@
 	}
 }
 
-// TermWon is called when this controller's leader key was created, at a revision that is its
-// term. It returns an error unless the replica is consistent: bringing it up to date may take
-// longer than reading everything.
+// TermWon records that this controller's leader key was created, at the revision that is the new
+// term. It returns an error unless the standby is following, because bringing the replica up to date
+// may take longer than reading the whole ledger.
 func (g *Gate) TermWon(term uint64, now time.Duration) error {
 	if g.state != Following {
 		return fmt.Errorf("the standby is %s", g.state)
@@ -82,8 +84,9 @@
 	return nil
 }
 
-// ReplicaConfirmed is called with the revision up to which the replica has all changes, by the
-// response to a request that was sent after the term was won.
+// ReplicaConfirmed records the revision up to which the replica has all changes, according to a
+// response to a request that was sent after the term was won, and whether the replica is consistent.
+// The gate becomes active when the replica is consistent and the revision is at least the term.
 func (g *Gate) ReplicaConfirmed(revision uint64, consistent bool, now time.Duration) {
 	if g.state != Confirming {
 		return
@@ -98,20 +101,20 @@
 	g.state = Active
 }
 
-// MayDecide tells whether a term may act on the replica.
+// MayDecide reports whether a term may act on the replica.
 func (g *Gate) MayDecide(term uint64) bool {
 	return g.state == Active && g.term == term && g.PreviousTermEnded.Met && g.ReplicaComplete.Met && g.EarlierWritesFenced.Met
 }
 
-// UnmetCondition returns the reason of the first unmet condition; "": all are met.
+// UnmetCondition returns the reason why the first unmet condition is not met, or "" if all are met.
 func (g *Gate) UnmetCondition() string {
-	for _, e := range []Condition{g.PreviousTermEnded, g.ReplicaComplete, g.EarlierWritesFenced} {
-		if !e.Met {
-			return e.Reason
+	for _, condition := range []Condition{g.PreviousTermEnded, g.ReplicaComplete, g.EarlierWritesFenced} {
+		if !condition.Met {
+			return condition.Reason
 		}
 	}
 	return ""
 }
 
-// Demote is called when the replica may not be used any more.
+// Demote records that the replica must not be used any more.
 func (g *Gate) Demote() { *g = Gate{state: Demoted} }
--- a/internal/standby/kill_and_freeze_test.go
+++ b/internal/standby/kill_and_freeze_test.go
@@ -16,18 +16,18 @@
 )
 
 var (
-	maxFailovers = flag.Int("takeovers", 300, "how many leaders are killed or frozen")
-	maxDuration  = flag.Duration("for", 40*time.Minute, "when no more are, at the latest")
+	maxFailovers = flag.Int("takeovers", 300, "how many leaders are killed or suspended")
+	maxDuration  = flag.Duration("for", 40*time.Minute, "after which time no more leaders are killed or suspended")
 )
 
-// TestKillAndFreeze kills and freezes leaders in turns, by chance, while a batch of jobs
-// runs without end: each job is done once, and each successor decides within five seconds.
-// docs/operations-standby.md has the command.
+// TestKillAndFreeze kills or suspends, at random, one leader after the other while users submit jobs
+// all the time. Each task must complete once, and each new leader must make its first decision
+// within five seconds of the previous leader's end. docs/operations-standby.md has the command.
 func TestKillAndFreeze(t *testing.T) {
 	program := fake.BuildController(t, "../..")
 	d := newDeploymentWithJobs(t, 0, 12, true)
-	for _, n := range d.controllers {
-		n.Start(program)
+	for _, controller := range d.controllers {
+		controller.Start(program)
 	}
 	fake.WaitFor(t, "the first term", 30*time.Second, func() bool { return len(d.loggedFailovers()) > 0 })
 	stop := make(chan struct{})
@@ -42,70 +42,72 @@
 		}
 	})
 	random := rand.New(rand.NewPCG(1, 1))
-	var firsts, views []float64
-	warm, late := 0, 0
-	for began := time.Now(); len(firsts) < *maxFailovers && time.Since(began) < *maxDuration; {
+	var firstDecisions, ledgerKnown []float64
+	fromStandby, late := 0, 0
+	for began := time.Now(); len(firstDecisions) < *maxFailovers && time.Since(began) < *maxDuration; {
 		time.Sleep(time.Duration(500+random.IntN(2000)) * time.Millisecond)
-		var p failoverTimings
-		frozen := random.IntN(2) == 0
-		if frozen {
-			p = d.suspendLeader()
+		var timings failoverTimings
+		suspended := random.IntN(2) == 0
+		if suspended {
+			timings = d.suspendLeader()
 		} else {
-			p = d.killLeader(program)
+			timings = d.killLeader(program)
 		}
-		firsts, views = append(firsts, p.firstDecisionAfterEnd), append(views, p.ledgerKnown)
-		if p.fromStandby {
-			warm++
+		firstDecisions, ledgerKnown = append(firstDecisions, timings.firstDecisionAfterEnd), append(ledgerKnown, timings.ledgerKnown)
+		if timings.fromStandby {
+			fromStandby++
 		}
-		if p.firstDecisionAfterEnd > 5 {
+		if timings.firstDecisionAfterEnd > 5 {
 			late++
-			t.Errorf("takeover %d, frozen %v, warm %v: the first decision came after %.2f s", len(firsts), frozen, p.fromStandby, p.firstDecisionAfterEnd)
+			t.Errorf("failover %d, leader suspended %v, from standby %v: first decision after %.2f s, want at most 5 s", len(firstDecisions), suspended, timings.fromStandby, timings.firstDecisionAfterEnd)
 		}
 	}
 	close(stop)
 	fake.WaitFor(t, "all jobs over", 2*time.Minute, func() bool { return len(d.checker.OpenJobs()) == 0 })
 	d.users.Wait()
 	d.checkCompletions()
-	slices.Sort(firsts)
-	slices.Sort(views)
-	at := func(values []float64, share float64) float64 { return values[int(share*float64(len(values)-1))] }
-	t.Logf("%d takeovers, %d on the standby's view, %d late; first decision after the leader's end p50 %.2f, p90 %.2f, most %.2f s; view p50 %.3f, most %.3f s",
-		len(firsts), warm, late, at(firsts, 0.5), at(firsts, 0.9), at(firsts, 1), at(views, 0.5), at(views, 1))
-	for why, n := range d.countLedgerReads() {
-		t.Logf("%d took over by reading the ledger: %s", n, why)
+	slices.Sort(firstDecisions)
+	slices.Sort(ledgerKnown)
+	percentile := func(values []float64, share float64) float64 { return values[int(share*float64(len(values)-1))] }
+	t.Logf("%d failovers, %d on the standby's replica, %d late; first decision after the leader's end p50 %.2f, p90 %.2f, max %.2f s; ledger known after the term was won p50 %.3f, max %.3f s",
+		len(firstDecisions), fromStandby, late, percentile(firstDecisions, 0.5), percentile(firstDecisions, 0.9), percentile(firstDecisions, 1), percentile(ledgerKnown, 0.5), percentile(ledgerKnown, 1))
+	for reason, count := range d.countLedgerReads() {
+		t.Logf("%d new leaders read the ledger from the store: %s", count, reason)
 	}
 	if t.Failed() {
 		fake.KeepLogs(t, d.controllers)
 	}
 }
 
-var ledgerReadPattern = regexp.MustCompile(`reading the ledger" leader_term=\d+ reason="([^"]*)`)
+// ledgerReadPattern matches the line that a new leader logs when it can't use its standby's
+// replica, with the reason.
+var ledgerReadPattern = regexp.MustCompile(`reading the ledger from the store" leader_term=\d+ reason="([^"]*)`)
 
-// countLedgerReads counts why takeovers did not decide on the standby's view.
+// countLedgerReads counts the new leaders that did not use their standby's replica, by reason.
 func (d *deployment) countLedgerReads() map[string]int {
 	reasons := map[string]int{}
-	for _, n := range d.controllers {
-		for _, found := range ledgerReadPattern.FindAllStringSubmatch(n.Log(), -1) {
-			reasons[found[1]]++
+	for _, controller := range d.controllers {
+		for _, match := range ledgerReadPattern.FindAllStringSubmatch(controller.Log(), -1) {
+			reasons[match[1]]++
 		}
 	}
 	return reasons
 }
 
-// checkCompletions sees to it that each task of each job has completed once, by what the machines
-// did.
+// checkCompletions checks that each completed task completed once, according to the machines, and
+// that the checker found no violations.
 func (d *deployment) checkCompletions() {
 	d.t.Helper()
 	completed := fake.Completions(d.checker.TaskRuns())
-	doubled := 0
+	repeated := 0
 	for task, n := range completed {
 		if n != 1 {
-			doubled++
-			d.t.Errorf("%s was completed %d times", task, n)
+			repeated++
+			d.t.Errorf("task %s completed %d times, want once", task, n)
 		}
 	}
-	for _, broken := range d.checker.Violations() {
-		d.t.Error(broken)
+	for _, violation := range d.checker.Violations() {
+		d.t.Error(violation)
 	}
-	d.t.Logf("%d tasks completed, %d more than once, %d stays on machines", len(completed), doubled, len(d.checker.TaskRuns()))
+	d.t.Logf("%d tasks completed, %d more than once, %d task runs on machines", len(completed), repeated, len(d.checker.TaskRuns()))
 }
--- a/internal/standby/model_test.go
+++ b/internal/standby/model_test.go
@@ -14,21 +14,24 @@
 	"leadproxy/internal/wire"
 )
 
-// The model: one state service, whose leader's key names a node, two nodes that follow it
-// and may be elected, and a leader that writes. Pages are listed one at a time with changes
-// between them, answers of the watch come late, twice or not at all, and old changes are
-// forgotten. What a node decides on is compared with what the service held.
+// The model has one key-value store, whose leader key names a controller, two controllers that
+// follow it and may be elected, and a leader that writes. Prefixes are listed one at a time with
+// changes in between, responses to watches are delivered late, twice or not at all, and old changes
+// are compacted. The entries that a controller decides on are compared with those of the store.
 
+// keptChanges is the number of latest changes that the store keeps; older ones are compacted.
 const keptChanges = 12
 
+// modelStore is a key-value store with one leader key.
 type modelStore struct {
 	revision uint64
 	entries  map[string]wire.Entry
 	history  []wire.WatchEvent
-	leader   string // "" while nobody's key is there
-	term     uint64
+	leader   string // the controller that holds the leader key; "": none
+	term     uint64 // the revision at which the leader key was last created
 }
 
+// apply sets a key, or deletes it if the value is "".
 func (s *modelStore) apply(key, value string) {
 	s.revision++
 	if value == "" {
@@ -41,23 +44,24 @@
 	s.history = append(s.history, wire.WatchEvent{Set: key, Value: e.Value, Version: s.revision})
 }
 
-// writeInTerm carries out a leader's write if its key is still there.
+// writeInTerm applies a leader's write if its term has not ended.
 func (s *modelStore) writeInTerm(term uint64, key, value string) {
 	if s.leader != "" && s.term == term {
 		s.apply(key, value)
 	}
 }
 
-// elect creates a node's key if there is none.
-func (s *modelStore) elect(node string) bool {
+// elect creates the leader key for a controller and reports whether there was none.
+func (s *modelStore) elect(controller string) bool {
 	if s.leader != "" {
 		return false
 	}
-	s.apply("leader", fmt.Sprintf("%q", node))
-	s.leader, s.term = node, s.revision
+	s.apply("leader", fmt.Sprintf("%q", controller))
+	s.leader, s.term = controller, s.revision
 	return true
 }
 
+// resign deletes the leader key, if there is one.
 func (s *modelStore) resign() {
 	if s.leader != "" {
 		s.leader = ""
@@ -65,61 +69,64 @@
 	}
 }
 
-// watch answers a watch; ok is false when the revision is no longer kept.
-func (s *modelStore) watch(from uint64) (n wire.WatchResponse, ok bool) {
-	if kept := len(s.history) - keptChanges; kept > 0 && s.history[kept].Version > from+1 {
-		return n, false
+// watch responds to a watch for the changes after a revision; ok is false when they are compacted.
+func (s *modelStore) watch(after uint64) (response wire.WatchResponse, ok bool) {
+	if kept := len(s.history) - keptChanges; kept > 0 && s.history[kept].Version > after+1 {
+		return response, false
 	}
-	n.Revision = s.revision
+	response.Revision = s.revision
 	for _, e := range s.history {
-		if e.Version > from {
-			n.Events = append(n.Events, e)
+		if e.Version > after {
+			response.Events = append(response.Events, e)
 		}
 	}
-	return n, true
+	return response, true
 }
 
-// ledgerEntries are what a term decides on, as the service holds it.
+// ledgerEntries returns the store's entries that a term decides on, ordered by key.
 func (s *modelStore) ledgerEntries() []wire.Entry {
-	all := []wire.Entry{}
+	entries := []wire.Entry{}
 	for key, e := range s.entries {
 		if key != "leader" && !strings.HasPrefix(key, "node/") {
-			all = append(all, e)
+			entries = append(entries, e)
 		}
 	}
-	slices.SortFunc(all, func(a, b wire.Entry) int { return strings.Compare(a.Key, b.Key) })
-	return all
+	slices.SortFunc(entries, func(a, b wire.Entry) int { return strings.Compare(a.Key, b.Key) })
+	return entries
 }
 
-// modelController is a node with its replica.
+// modelController is a controller with its replica and gate.
 type modelController struct {
 	name    string
 	replica *Replica
 	gate    Gate
-	// listing is what has been read so far of a listing, by prefix; nil: none is under way.
+	// listing holds the entries under the first listedPrefixes prefixes, read from firstRevision to
+	// lastRevision. With 0 prefixes no listing is in progress.
 	listing                     []wire.Entry
 	listedPrefixes              int
 	firstRevision, lastRevision uint64
-	// responses are those of the watch that are under way.
+	// responses are those to watches that may still be delivered.
 	responses []pendingResponse
 }
 
-// pendingResponse is an answer of the watch.
+// pendingResponse is the response to a watch for the changes after a revision.
 type pendingResponse struct {
 	after    uint64
 	response wire.WatchResponse
 }
 
+// modelPrefixes are the prefixes that followers follow in tests.
 var modelPrefixes = []string{"fin/", "host/", "job/"}
 
 func newModelController(name string) *modelController {
 	return &modelController{name: name, replica: NewReplica(modelPrefixes, 1<<20)}
 }
 
+// standbyModel is a store with the controllers that follow it.
 type standbyModel struct {
 	store       *modelStore
 	controllers []*modelController
-	// delayedWrites are writes of leaders that are still under way.
+	// delayedWrites are leaders' writes that have not reached the store, oldest first.
 	delayedWrites []func()
 	now           time.Duration
 }
@@ -128,149 +135,154 @@
 	return &standbyModel{store: &modelStore{entries: map[string]wire.Entry{}}, controllers: []*modelController{newModelController("a"), newModelController("b")}}
 }
 
-// listNextPrefix reads the next page of a listing, and ends it with the last.
-func (w *standbyModel) listNextPrefix(n *modelController) {
-	s := w.store
-	if n.listedPrefixes == 0 {
-		n.listing, n.firstRevision = nil, s.revision
+// listNextPrefix has a controller list its next prefix, and reset its replica after the last one.
+func (m *standbyModel) listNextPrefix(c *modelController) {
+	s := m.store
+	if c.listedPrefixes == 0 {
+		c.listing, c.firstRevision = nil, s.revision
 	}
-	prefix := modelPrefixes[n.listedPrefixes]
+	prefix := modelPrefixes[c.listedPrefixes]
 	for key, e := range s.entries {
 		if strings.HasPrefix(key, prefix) {
-			n.listing = append(n.listing, e)
+			c.listing = append(c.listing, e)
 		}
 	}
-	n.lastRevision = s.revision
-	if n.listedPrefixes++; n.listedPrefixes < len(modelPrefixes) {
+	c.lastRevision = s.revision
+	if c.listedPrefixes++; c.listedPrefixes < len(modelPrefixes) {
 		return
 	}
-	n.listedPrefixes = 0
-	n.gate = Gate{}
-	if n.replica.Reset(n.listing, n.firstRevision, n.lastRevision) == nil {
-		n.gate.ReplicaUpdated(false)
+	c.listedPrefixes = 0
+	c.gate = Gate{}
+	if c.replica.Reset(c.listing, c.firstRevision, c.lastRevision) == nil {
+		c.gate.ReplicaUpdated(false)
 	}
 }
 
-// watch has the service answer a node's watch.
-func (w *standbyModel) watch(n *modelController) {
-	news, ok := w.store.watch(n.replica.Revision())
+// watch has the store respond to a controller's watch. The response is not delivered yet.
+func (m *standbyModel) watch(c *modelController) {
+	response, ok := m.store.watch(c.replica.Revision())
 	if !ok {
-		n.gate.Demote()
+		c.gate.Demote()
 		return
 	}
-	n.responses = append(n.responses, pendingResponse{n.replica.Revision(), news})
+	c.responses = append(c.responses, pendingResponse{c.replica.Revision(), response})
 }
 
-// deliverResponse brings an answer to a node.
-func (w *standbyModel) deliverResponse(n *modelController, c pendingResponse) {
-	if n.gate.State() == Demoted || n.replica.Apply(c.after, c.response) != nil {
+// deliverResponse has a controller apply the response to a watch.
+func (m *standbyModel) deliverResponse(c *modelController, pending pendingResponse) {
+	if c.gate.State() == Demoted || c.replica.Apply(pending.after, pending.response) != nil {
 		return
 	}
-	n.gate.ReplicaUpdated(n.replica.Consistent())
+	c.gate.ReplicaUpdated(c.replica.Consistent())
 }
 
-// testingT is a test or a property.
+// testingT is the part of *testing.T and *rapid.T that the model uses.
 type testingT interface {
 	Fatalf(format string, args ...any)
 }
 
-// electAndPromote has a node be elected and, if its gate lets it, decide: what it sees then has to be
-// just what the service holds, since nobody else has written for a term.
-func (w *standbyModel) electAndPromote(t testingT, n *modelController) {
-	if !w.store.elect(n.name) {
+// electAndPromote elects a controller, if there is no leader, and has it confirm its replica. If
+// its gate then lets it decide, its replica must equal the store, because no earlier leader can
+// write any more.
+func (m *standbyModel) electAndPromote(t testingT, c *modelController) {
+	if !m.store.elect(c.name) {
 		return
 	}
-	term := w.store.term
-	if n.gate.TermWon(term, w.now) != nil {
-		return // it reads everything anew
+	term := m.store.term
+	if c.gate.TermWon(term, m.now) != nil {
+		return // the term reads the whole ledger
 	}
-	if n.gate.MayDecide(term) {
-		t.Fatalf("%s may decide before the service has shown that its view is complete", n.name)
+	if c.gate.MayDecide(term) {
+		t.Fatalf("%s may decide before a response of the store has confirmed that its replica is complete", c.name)
 	}
-	after := n.replica.Revision()
-	news, ok := w.store.watch(after)
+	after := c.replica.Revision()
+	response, ok := m.store.watch(after)
 	if !ok {
-		n.gate.Demote()
+		c.gate.Demote()
 		return
 	}
-	// An answer that was given before the term may arrive first.
-	if len(n.responses) > 0 {
-		w.confirmReplica(t, n, n.responses[0])
+	// A response from before the term may be delivered first.
+	if len(c.responses) > 0 {
+		m.confirmReplica(t, c, c.responses[0])
 	}
-	w.confirmReplica(t, n, pendingResponse{after, news})
-	if !n.gate.MayDecide(term) {
-		t.Fatalf("%s may not decide: %s", n.name, n.gate.UnmetCondition())
+	m.confirmReplica(t, c, pendingResponse{after, response})
+	if !c.gate.MayDecide(term) {
+		t.Fatalf("%s may not decide although its replica is complete: %s", c.name, c.gate.UnmetCondition())
 	}
-	if got, want := n.replica.Entries(), w.store.ledgerEntries(); !reflect.DeepEqual(got, want) {
-		t.Fatalf("%s decides on %v, the service holds %v", n.name, got, want)
+	if got, want := c.replica.Entries(), m.store.ledgerEntries(); !reflect.DeepEqual(got, want) {
+		t.Fatalf("%s decides on entries %v, the store has %v", c.name, got, want)
 	}
 }
 
-func (w *standbyModel) confirmReplica(t testingT, n *modelController, c pendingResponse) {
-	if n.replica.Apply(c.after, c.response) != nil {
+// confirmReplica has a new leader apply a response. Its gate must not let it decide on a replica
+// that is older than its term.
+func (m *standbyModel) confirmReplica(t testingT, c *modelController, pending pendingResponse) {
+	if c.replica.Apply(pending.after, pending.response) != nil {
 		return
 	}
-	n.gate.ReplicaConfirmed(n.replica.Revision(), n.replica.Consistent(), w.now)
-	if n.gate.MayDecide(w.store.term) && n.replica.Revision() < w.store.term {
-		t.Fatalf("%s may decide at revision %d in term %d", n.name, n.replica.Revision(), w.store.term)
+	c.gate.ReplicaConfirmed(c.replica.Revision(), c.replica.Consistent(), m.now)
+	if c.gate.MayDecide(m.store.term) && c.replica.Revision() < m.store.term {
+		t.Fatalf("%s may decide at revision %d in term %d", c.name, c.replica.Revision(), m.store.term)
 	}
 }
 
-// TestStandbyModel plays random schedules of writes, late writes, elections, listings and
-// changes that come late, twice or not at all. A node that may decide sees just what the
-// service holds; every consistent replica is what the service held at its revision.
+// TestStandbyModel runs random histories of writes, delayed writes, elections, listings and watch
+// responses that are delivered late, twice or not at all. The replica of a controller that may
+// decide must equal the store, and each consistent replica must equal the store as of its revision.
+// Otherwise a new leader would decide on a ledger that lacks writes of earlier terms.
 func TestStandbyModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newStandbyModel()
-		held := map[uint64][]wire.Entry{}
-		node := func(t *rapid.T) *modelController { return rapid.SampledFrom(w.controllers).Draw(t, "node") }
-		write := func(t *rapid.T) func() {
+		m := newStandbyModel()
+		entriesAt := map[uint64][]wire.Entry{}
+		drawController := func(t *rapid.T) *modelController { return rapid.SampledFrom(m.controllers).Draw(t, "node") }
+		drawWrite := func(t *rapid.T) func() {
 			key := rapid.SampledFrom([]string{"job/1", "job/2", "job/3", "fin/1/0", "host/1/0", "node/a"}).Draw(t, "key")
 			value := rapid.SampledFrom([]string{"", "1", "2", "3"}).Draw(t, "value")
-			term := w.store.term
-			return func() { w.store.writeInTerm(term, key, value) }
+			term := m.store.term
+			return func() { m.store.writeInTerm(term, key, value) }
 		}
+		// The keys keep their spelling: rapid draws actions in the sorted order of the keys, and with
+		// another order the same number of checks finds fewer of the mutants.
 		t.Repeat(map[string]func(*rapid.T){
-			"":        func(*rapid.T) { held[w.store.revision] = w.store.ledgerEntries() },
-			"write":   func(t *rapid.T) { write(t)() },
-			"write 2": func(t *rapid.T) { write(t)() },
-			"late":    func(t *rapid.T) { w.delayedWrites = append(w.delayedWrites, write(t)) },
+			"":        func(*rapid.T) { entriesAt[m.store.revision] = m.store.ledgerEntries() },
+			"write":   func(t *rapid.T) { drawWrite(t)() },
+			"write 2": func(t *rapid.T) { drawWrite(t)() },
+			"late":    func(t *rapid.T) { m.delayedWrites = append(m.delayedWrites, drawWrite(t)) },
 			"arrives": func(t *rapid.T) {
-				if len(w.delayedWrites) > 0 {
-					w.delayedWrites[0]()
-					w.delayedWrites = w.delayedWrites[1:]
+				if len(m.delayedWrites) > 0 {
+					m.delayedWrites[0]()
+					m.delayedWrites = m.delayedWrites[1:]
 				}
 			},
-			"list":   func(t *rapid.T) { w.listNextPrefix(node(t)) },
-			"ask":    func(t *rapid.T) { w.watch(node(t)) },
-			"resign": func(*rapid.T) { w.store.resign() },
-			"win":    func(t *rapid.T) { w.electAndPromote(t, node(t)) },
+			"list":   func(t *rapid.T) { m.listNextPrefix(drawController(t)) },
+			"ask":    func(t *rapid.T) { m.watch(drawController(t)) },
+			"resign": func(*rapid.T) { m.store.resign() },
+			"win":    func(t *rapid.T) { m.electAndPromote(t, drawController(t)) },
 			"hear": func(t *rapid.T) {
-				n := node(t)
-				if len(n.responses) == 0 {
+				c := drawController(t)
+				if len(c.responses) == 0 {
 					return
 				}
-				at := rapid.IntRange(0, len(n.responses)-1).Draw(t, "answer")
-				w.deliverResponse(n, n.responses[at])
-				if rapid.Bool().Draw(t, "once") {
-					n.responses = slices.Delete(n.responses, at, at+1)
+				index := rapid.IntRange(0, len(c.responses)-1).Draw(t, "response")
+				m.deliverResponse(c, c.responses[index])
+				if rapid.Bool().Draw(t, "last delivery") {
+					c.responses = slices.Delete(c.responses, index, index+1)
 				}
-				if n.gate.State() == Following {
-					compareReplica(t, n, held)
+				if c.gate.State() == Following {
+					compareReplica(t, c, entriesAt)
 				}
 			},
 		})
 	})
 }
 
-// compareReplica compares a consistent replica with what the service held at its revision.
-func compareReplica(t testingT, n *modelController, held map[uint64][]wire.Entry) {
-	want, ok := held[n.replica.Revision()]
+// compareReplica compares a consistent replica with the store's entries as of its revision.
+func compareReplica(t testingT, c *modelController, entriesAt map[uint64][]wire.Entry) {
+	want, ok := entriesAt[c.replica.Revision()]
 	if !ok {
-		return // between two steps of the test
+		return // a revision within a step, of which entriesAt has no copy
 	}
-
-	if got := n.replica.Entries(); !reflect.DeepEqual(got, want) {
-		t.Fatalf("%s has %v at revision %d, the service had %v", n.name, got, n.replica.Revision(), want)
+	if got := c.replica.Entries(); !reflect.DeepEqual(got, want) {
+		t.Fatalf("%s has entries %v at revision %d, the store had %v", c.name, got, c.replica.Revision(), want)
 	}
 }
--- a/internal/standby/replica.go
+++ b/internal/standby/replica.go
@@ -1,8 +1,7 @@
 // Package standby keeps a replica of the ledger on the controllers that are not the leader, so
-// that a failover need not read the ledger. A Replica is read once and then follows the store's
-// changes; a Gate decides when a new term may act on it. Follower, whose goroutine owns both, is
-// where to begin reading. docs/design-standby.md argues why this is as safe as reading the whole
-// ledger.
+// that a failover need not read the ledger. A Replica is listed once and then updated by watches; a
+// Gate decides when a new term may act on it. The Follower's goroutine owns both. Start reading with
+// Follower. docs/design-standby.md argues why this is as safe as reading the whole ledger.
 package standby
 
 import (
@@ -14,10 +13,10 @@
 	"leadproxy/internal/wire"
 )
 
-// ErrTooLarge means that the entries exceed the memory limit of the replica.
+// ErrTooLarge means that the entries exceed the replica's memory limit.
 var ErrTooLarge = errors.New("the replica exceeds its memory limit")
 
-// entryOverhead is the memory that an entry takes besides its key and value.
+// entryOverhead is the memory in bytes that an entry takes besides its key and value.
 const entryOverhead = 160
 
 // Replica is a copy of the entries under some prefixes. It does no I/O.
@@ -26,40 +25,45 @@
 	maxBytes int
 	entries  map[string]wire.Entry
 	bytes    int
-	// All changes up to revision are applied. From consistentFrom on the copy is that of a
-	// single revision: before, its pages are of different ones.
+	// revision is the revision up to which all changes are applied. At consistentFrom and later
+	// the replica is a copy of the store at that revision; before, it is a mix of several
+	// revisions, because the pages of a listing are read at different ones.
 	revision, consistentFrom uint64
 }
 
-// NewReplica makes an empty replica of the entries under prefixes, of at most maxBytes.
+// NewReplica returns an empty replica for the entries under prefixes. Its size as counted by Bytes is
+// limited to maxBytes.
 func NewReplica(prefixes []string, maxBytes int) *Replica {
 	return &Replica{prefixes: prefixes, maxBytes: maxBytes, entries: map[string]wire.Entry{}}
 }
 
-// Reset replaces the replica by listed entries. The pages of a listing are of different
-// revisions, from began to ended; applying all changes since began makes the replica consistent.
-func (r *Replica) Reset(entries []wire.Entry, began, ended uint64) error {
-	r.entries, r.bytes, r.revision, r.consistentFrom = map[string]wire.Entry{}, 0, began, ended
+// Reset replaces the replica's entries with listed ones. The pages of a listing are read at different
+// revisions, from firstRevision to lastRevision. Applying all changes after firstRevision up to at
+// least lastRevision makes the replica consistent. It returns ErrTooLarge if the entries exceed the
+// memory limit.
+func (r *Replica) Reset(entries []wire.Entry, firstRevision, lastRevision uint64) error {
+	r.entries, r.bytes, r.revision, r.consistentFrom = map[string]wire.Entry{}, 0, firstRevision, lastRevision
 	for _, e := range entries {
 		r.put(e)
 	}
 	return r.checkSize()
 }
 
-// ErrMissingChanges means that changes between the replica's revision and the received ones are
-// missing.
+// ErrMissingChanges means that a watch response starts after the replica's revision, so that the
+// changes in between are missing.
 var ErrMissingChanges = errors.New("changes are missing")
 
-// Apply applies the changes of a watch that began after a revision. Changes that are applied
-// already are skipped, and a response older than the replica has no effect.
-func (r *Replica) Apply(after uint64, n wire.WatchResponse) error {
+// Apply applies the response to a watch for the changes after a revision. Changes that have been
+// applied already are skipped, and a response older than the replica has no effect. It returns
+// ErrMissingChanges or ErrTooLarge if the replica can't be used any more.
+func (r *Replica) Apply(after uint64, response wire.WatchResponse) error {
 	if after > r.revision {
-		return fmt.Errorf("%w: received those after %d, the replica is at %d", ErrMissingChanges, after, r.revision)
+		return fmt.Errorf("%w: the response starts after revision %d, the replica is at revision %d", ErrMissingChanges, after, r.revision)
 	}
-	if n.Revision <= r.revision {
+	if response.Revision <= r.revision {
 		return nil
 	}
-	events := slices.Clone(n.Events)
+	events := slices.Clone(response.Events)
 	slices.SortStableFunc(events, func(a, b wire.WatchEvent) int {
 		switch {
 		case a.Version < b.Version:
@@ -80,18 +84,19 @@
 			r.put(wire.Entry{Key: key, Value: e.Value, Version: e.Version})
 		}
 	}
-	r.revision = n.Revision
+	r.revision = response.Revision
 	return r.checkSize()
 }
 
-// hasPrefix tells whether the replica holds keys like this one.
+// hasPrefix reports whether a key has one of the replica's prefixes.
 func (r *Replica) hasPrefix(key string) bool {
 	return slices.ContainsFunc(r.prefixes, func(prefix string) bool { return strings.HasPrefix(key, prefix) })
 }
 
 func (r *Replica) put(e wire.Entry) {
 	r.remove(e.Key)
-	// Without the clones the entry would keep the whole response in memory.
+	// Key and value may be slices of the whole response; without cloning them the entry would keep
+	// it in memory.
 	e.Value = slices.Clone(e.Value)
 	e.Key = strings.Clone(e.Key)
 	r.entries[e.Key] = e
@@ -105,8 +110,10 @@
 	}
 }
 
+// memoryCost is the approximate memory of an entry in bytes.
 func memoryCost(e wire.Entry) int { return entryOverhead + len(e.Key) + len(e.Value) }
 
+// checkSize returns ErrTooLarge if the entries exceed the memory limit.
 func (r *Replica) checkSize() error {
 	if r.bytes > r.maxBytes {
 		return fmt.Errorf("%w: %d bytes of %d", ErrTooLarge, r.bytes, r.maxBytes)
@@ -114,24 +121,24 @@
 	return nil
 }
 
-// Revision is the revision up to which all changes are applied.
+// Revision returns the revision up to which all changes are applied.
 func (r *Replica) Revision() uint64 { return r.revision }
 
-// Bytes is the approximate memory of the entries.
+// Bytes returns the approximate memory of the entries in bytes.
 func (r *Replica) Bytes() int { return r.bytes }
 
-// KeyCount is the number of entries.
+// KeyCount returns the number of entries.
 func (r *Replica) KeyCount() int { return len(r.entries) }
 
-// Consistent tells whether the replica is a copy of a single revision.
+// Consistent reports whether the replica is a copy of the store at a single revision.
 func (r *Replica) Consistent() bool { return r.revision >= r.consistentFrom }
 
-// Entries returns the entries in the order of their keys.
+// Entries returns the entries, ordered by key.
 func (r *Replica) Entries() []wire.Entry {
-	all := make([]wire.Entry, 0, len(r.entries))
+	entries := make([]wire.Entry, 0, len(r.entries))
 	for _, e := range r.entries {
-		all = append(all, e)
+		entries = append(entries, e)
 	}
-	slices.SortFunc(all, func(a, b wire.Entry) int { return strings.Compare(a.Key, b.Key) })
-	return all
+	slices.SortFunc(entries, func(a, b wire.Entry) int { return strings.Compare(a.Key, b.Key) })
+	return entries
 }
