--- a/internal/leadertransfer/leadertransfer_test.go
+++ b/internal/leadertransfer/leadertransfer_test.go
@@ -11,8 +11,8 @@
 // TestChooseSuccessor checks which controller a transfer of the leadership goes to, and when it is
 // refused.
 func TestChooseSuccessor(t *testing.T) {
-	status := func(node, state string, revision uint64, heardMS int64) *handoverpb.StatusReply {
-		return &handoverpb.StatusReply{Node: node, Follows: true, State: state, Revision: revision, HeardMs: heardMS}
+	status := func(controller, state string, revision uint64, heardMS int64) *handoverpb.StatusReply {
+		return &handoverpb.StatusReply{Node: controller, Follows: true, State: state, Revision: revision, HeardMs: heardMS}
 	}
 	cases := []struct {
 		name     string
--- a/internal/peers/heartbeat_forwarding.go
+++ b/internal/peers/heartbeat_forwarding.go
@@ -27,8 +27,8 @@
 	abandonCheckInterval = time.Second
 	// reopenInterval is the minimum time between two attempts to open a stream.
 	reopenInterval = 300 * time.Millisecond
-	// maxInFlight bounds the heartbeats in flight on one stream: two from each of 4,000 agents,
-	// since a heartbeat whose agent no longer waits counts until it is abandoned. The receiver
+	// maxInFlight bounds the heartbeats in flight on one stream: about two from each of 4,000
+	// agents, since a heartbeat whose agent no longer waits counts until it is abandoned. The receiver
 	// buffers as many responses of 16 bytes each: 128 KiB per stream.
 	maxInFlight = 8192
 	// maxBatchBytes is the size from which on nothing more is added to a batch. With one more
--- a/internal/peers/outgoing_stream.go
+++ b/internal/peers/outgoing_stream.go
@@ -12,7 +12,7 @@
 	Recv() (*peerpb.AnswerBatch, error)
 }
 
-// openStream opens a stream that lasts until ctx ends.
+// openStream is a function that opens a stream, which lasts until ctx ends.
 type openStream func(ctx context.Context) (heartbeatStream, error)
 
 // outgoingStream is the stream of a forwarder. It may not be open yet.
--- a/internal/softstate/follower.go
+++ b/internal/softstate/follower.go
@@ -13,7 +13,8 @@
 
 // The intervals of the follower.
 const (
-	// reconnectDelay is the minimum time between two attempts to open a stream.
+	// reconnectDelay is the minimum time before another stream from the same leader is opened, after
+	// the beginning of an attempt or the end of a stream.
 	reconnectDelay = time.Second
 	// leaderCheckInterval is how often the follower checks who the leader is.
 	leaderCheckInterval = 500 * time.Millisecond
@@ -33,7 +34,7 @@
 	// leader returns the name of the leader; "": none, or unknown.
 	leader func() string
 	// connect returns a connection to a controller.
-	connect func(node string) (grpc.ClientConnInterface, error)
+	connect func(controller string) (grpc.ClientConnInterface, error)
 	log     *slog.Logger
 	replica *Replica
 	views   chan viewRequest
