--- a/internal/controller/agent_failures_test.go
+++ b/internal/controller/agent_failures_test.go
@@ -10,21 +10,21 @@
 	"leadproxy/internal/wire"
 )
 
-// Machines and their messages are late, lost or cut off. docs/failures.md lists the
-// code that handles each combination. The same must hold for all: the checker checks it all
-// the time, and runScenario ends a test only when all that was accepted is served.
+// The tests of this file delay, lose or cut off machines and their messages. docs/failures.md lists
+// the code that handles each combination. In each test the checker verifies the invariants
+// throughout, and runScenario fails unless all accepted jobs are served in the end.
 
-// TestDelayedHeartbeats: an old heartbeat reaches every controller just as a new
-// leader begins, or after newer ones, also of an earlier agent epoch or attempt, or is
-// held back until a new leader has acted.
+// TestDelayedHeartbeats guards against acting on outdated heartbeats: an old heartbeat, also one of
+// an earlier agent epoch or attempt, reaches every controller when a new leader's term begins, after
+// that leader has acted, or after newer heartbeats.
 func TestDelayedHeartbeats(t *testing.T) {
 	for name, scenario := range map[string]func(c *cluster, replay func()){
-		"as the leader begins": func(c *cluster, replay func()) {
+		"when the new term begins": func(c *cluster, replay func()) {
 			c.kill(c.leader())
 			c.awaitNewTerm()
 			replay()
 		},
-		"after it has acted": func(c *cluster, replay func()) {
+		"after the new leader has acted": func(c *cluster, replay func()) {
 			c.kill(c.leader())
 			c.awaitNewTerm()
 			time.Sleep(8 * time.Second)
@@ -32,13 +32,13 @@
 			time.Sleep(30 * time.Second)
 			replay()
 		},
-		"after newer ones": func(_ *cluster, replay func()) {
+		"after newer heartbeats": func(_ *cluster, replay func()) {
 			for range 5 {
 				time.Sleep(4 * time.Second)
 				replay()
 			}
 		},
-		"after a session": func(c *cluster, replay func()) {
+		"after the agents' leases expired": func(c *cluster, replay func()) {
 			agents := c.cloud.Agents()
 			for _, agent := range agents {
 				agent.SetHung(true)
@@ -55,7 +55,7 @@
 			c.awaitNewTerm()
 			replay()
 		},
-		"all the time": func(c *cluster, replay func()) {
+		"heartbeats duplicated throughout": func(c *cluster, replay func()) {
 			for _, agent := range c.cloud.Agents() {
 				agent.DuplicateHeartbeats(func() time.Duration { return 2*time.Second + time.Duration(c.users.Random()*float64(40*time.Second)) })
 			}
@@ -91,14 +91,14 @@
 	}
 }
 
-// TestHeartbeatFromEarlierTerm: a heartbeat from before a machine had its tasks reaches
-// the new leader again and again, while the machine hangs within its lease. What it
-// lacks is not over.
+// TestHeartbeatFromEarlierTerm: while a machine hangs within its lease, a new leader repeatedly
+// receives a heartbeat from before the machine got its tasks. Tasks that this heartbeat doesn't list
+// must not count as finished.
 func TestHeartbeatFromEarlierTerm(t *testing.T) {
 	runScenario(t, clusterConfig{runTime: longRunning(60 * time.Second)}, func(c *cluster) {
 		c.submitJobs(0, 1, time.Second, func(_ int, j *wire.Job) { j.Tasks = 20 })
 		c.awaitRunning(20)
-		c.await("the first job's end", 2*time.Minute, func() bool { _, done := c.checker.TaskCounts("job-000000"); return done == 20 })
+		c.await("completion of the first job", 2*time.Minute, func() bool { _, done := c.checker.TaskCounts("job-000000"); return done == 20 })
 		agents := c.cloud.Agents()
 		for _, agent := range agents {
 			agent.SaveHeartbeat()
@@ -125,9 +125,9 @@
 	})
 }
 
-// TestFastBootsDuringFailover: new machines are up within two seconds and get work at
-// once, while writes lag, and the leader ends: what was written of the scale-out and of the
-// hosts may have no answer yet.
+// TestFastBootsDuringFailover: new machines boot within two seconds and get tasks immediately, while
+// writes are slow and leaders fail. A leader can therefore fail while its writes of the scale-out
+// and of the tasks' hosts are still unanswered.
 func TestFastBootsDuringFailover(t *testing.T) {
 	runWithSeeds(t, clusterConfig{bootTime: time.Second, runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		c.store.SetDelay(700 * time.Millisecond)
@@ -147,8 +147,8 @@
 	})
 }
 
-// TestDelayedCommands: a command or its answer is held up for seconds, and the
-// machine then resumes; jobs are cancelled and the leader changes meanwhile.
+// TestDelayedCommands: commands or their responses are delayed for seconds while some machines hang;
+// jobs are cancelled and the leader changes before the machines resume.
 func TestDelayedCommands(t *testing.T) {
 	for _, fault := range []fake.FaultKind{fake.Delayed, fake.ResponseLost, fake.RequestLost, fake.Duplicated} {
 		t.Run(fmt.Sprint(fault), func(t *testing.T) {
@@ -176,9 +176,9 @@
 	}
 }
 
-// TestUnreachableMachines: a leader ends while machines with long tasks can't be
-// reached, or don't get the new leader's response; or workers reach no controller
-// while commands still reach them.
+// TestUnreachableMachines: the leader fails while machines with long tasks hang, can't be reached, or
+// reach no controller although commands still reach them. This lasts for less or longer than the
+// agents' lease.
 func TestUnreachableMachines(t *testing.T) {
 	for _, duration := range []time.Duration{6 * time.Second, agentLease - 2*time.Second, agentLease + 5*time.Second} {
 		for name, setUnreachable := range unreachableModes {
@@ -203,9 +203,8 @@
 	}
 }
 
-// TestOutboundCutMachines: workers can't open connections to any controller, while direct
-// commands still reach them, for less and for longer than their lease; jobs are
-// cancelled meanwhile.
+// TestOutboundCutMachines: agents can't connect to any controller, while commands still reach them,
+// for less and for longer than their lease; jobs are cancelled meanwhile.
 func TestOutboundCutMachines(t *testing.T) {
 	for _, duration := range []time.Duration{8 * time.Second, agentLease + 4*time.Second, cancelLimit + 10*time.Second} {
 		t.Run(fmt.Sprint(duration), func(t *testing.T) {
@@ -229,10 +228,10 @@
 	}
 }
 
-// TestMachineReboots: machines end and are back within a fraction of a second, their
-// workers counting from the beginning, while old heartbeats arrive and the leader ends.
-// Commands are not held up here: a worker that has lost the fencing tokens it saw
-// executes every command, however old, and no controller can help that.
+// TestMachineReboots: machines reboot within a fraction of a second, so that their agents number
+// heartbeats from the beginning, while old heartbeats arrive and leaders fail. Commands are not
+// delayed here: an agent that has lost its fencing token executes any command, however old, which
+// no controller can prevent.
 func TestMachineReboots(t *testing.T) {
 	runWithSeeds(t, clusterConfig{runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		jobs := c.submitJobs(0, 12, 300*time.Millisecond, nil)
@@ -258,8 +257,8 @@
 	})
 }
 
-// TestZonePartition: a zone with workers and a controller is cut off for longer
-// than the workers' lease; the controller there leads, or does not.
+// TestZonePartition: a zone with agents and a controller, which is or is not the leader, is cut off
+// for longer than the agents' lease.
 func TestZonePartition(t *testing.T) {
 	for _, ofLeader := range []bool{true, false} {
 		for _, hold := range []bool{true, false} {
--- a/internal/controller/alarm_handler_test.go
+++ b/internal/controller/alarm_handler_test.go
@@ -9,18 +9,19 @@
 	"leadproxy/internal/scheduler"
 )
 
-// alarmHandler fails a test when a controller logs what must never happen.
+// alarmHandler fails the test when a controller logs a message that reports a violated invariant. It
+// passes records on to next if next accepts them.
 type alarmHandler struct {
 	t    *testing.T
-	next slog.Handler // takes the other lines
+	next slog.Handler
 }
 
-// Enabled takes what next takes, and all errors.
+// Enabled accepts what next accepts, and all errors.
 func (a alarmHandler) Enabled(ctx context.Context, level slog.Level) bool {
 	return level >= slog.LevelError || a.next.Enabled(ctx, level)
 }
 
-// Handle checks a line and passes it on.
+// Handle checks a record and passes it on.
 func (a alarmHandler) Handle(ctx context.Context, r slog.Record) error {
 	if r.Message == scheduler.MessageCancelledTaskOverdue || r.Message == dispatch.MessageForbiddenStart {
 		text := ""
@@ -36,12 +37,12 @@
 	return a.next.Handle(ctx, r)
 }
 
-// WithAttrs passes them on.
+// WithAttrs passes the attributes on.
 func (a alarmHandler) WithAttrs(attrs []slog.Attr) slog.Handler {
 	return alarmHandler{a.t, a.next.WithAttrs(attrs)}
 }
 
-// WithGroup passes it on.
+// WithGroup passes the group on.
 func (a alarmHandler) WithGroup(name string) slog.Handler {
 	return alarmHandler{a.t, a.next.WithGroup(name)}
 }
--- a/internal/controller/benchmarks_test.go
+++ b/internal/controller/benchmarks_test.go
@@ -17,8 +17,8 @@
 	"leadproxy/internal/wire"
 )
 
-// httpClient is a worker or a user that costs as little as possible, so that what is measured
-// is the controller: a connection, a prepared request, a response that is skipped.
+// httpClient is an agent or a user with minimal overhead, so that the benchmark measures the
+// controller: one connection, prepared requests, and responses whose bodies are discarded.
 type httpClient struct {
 	conn   net.Conn
 	reader *bufio.Reader
@@ -48,10 +48,11 @@
 	return resp.StatusCode
 }
 
-// startLeader starts one controller that leads, over our own fakes.
+// startLeader starts a single controller with a fake key-value store and a fake cloud, waits until
+// it is the leader, and returns its public address.
 func startLeader(b *testing.B) string {
 	store := fake.NewKVStore(b, transport.TCP{}, "127.0.0.1:0", nil)
-	// The benchmark is the only worker.
+	// The cloud provides no machines: the benchmark is the only agent.
 	refuse := func(_ string, r *http.Request) fake.InjectedFault {
 		if r.URL.Path == "/machines" && r.Method == http.MethodPost {
 			return fake.InjectedFault{Kind: fake.Unavailable}
@@ -80,7 +81,7 @@
 		if client == nil {
 			conn, err := net.Dial("tcp", platform.PublicAddr)
 			if err != nil {
-				continue // it does not listen yet
+				continue // not listening yet
 			}
 			b.Cleanup(func() { conn.Close() })
 			client = &httpClient{conn, bufio.NewReader(conn)}
@@ -89,18 +90,17 @@
 			return platform.PublicAddr
 		}
 	}
-	b.Fatal("the controller does not lead")
+	b.Fatal("the controller has not become the leader after 100 attempts")
 	return ""
 }
 
-// heartbeatBody is the heartbeat of a worker without tasks.
+// heartbeatBody is the heartbeat of an agent without tasks.
 func heartbeatBody(machine string, seq int) string {
 	return fmt.Sprintf(`{"host":"%s","address":"10.1.0.232:9000","flavor":"m4","room":"a","loaners":true,"tenure":1,"tick":%d,"baton":16777216,"warning_s":null,"pieces":[]}`,
 		machine, seq)
 }
 
-// BenchmarkReport is a worker's heartbeat from its bytes to those of the answer,
-// over a connection that is kept, with many workers at hand.
+// BenchmarkReport measures heartbeats from request to response over kept connections of 400 agents.
 func BenchmarkReport(b *testing.B) {
 	addr := startLeader(b)
 	const agents = 400
@@ -117,8 +117,8 @@
 	}
 }
 
-// BenchmarkSubmission is a user's submission from its bytes to those of the answer,
-// with its record created in the key-value store.
+// BenchmarkSubmission measures job submissions from request to response, including the creation of
+// the job's record in the key-value store.
 func BenchmarkSubmission(b *testing.B) {
 	addr := startLeader(b)
 	user := newHTTPClient(b, addr)
--- a/internal/controller/cancellations_test.go
+++ b/internal/controller/cancellations_test.go
@@ -10,14 +10,14 @@
 	"leadproxy/internal/wire"
 )
 
-// Users cancel jobs while failures meet. docs/failures.md lists the
-// code that handles each combination. The same must hold for all: the checker checks it all
-// the time, and runScenario ends a test only when all that was accepted is served.
+// In the tests of this file users cancel jobs while several failures coincide. docs/failures.md lists
+// the code that handles each combination. In each test the checker verifies the invariants
+// throughout, and runScenario fails unless all accepted jobs are served in the end.
 
-// TestCancelThenOutage: the key-value store refuses the leader alone, cancellations are
-// confirmed through another controller, and then the service is out for all for longer
-// than cancel_s, while workers keep sending heartbeats. A controller that renews leases
-// must know of the confirmations.
+// TestCancelThenOutage: the key-value store refuses only the leader, cancellations are confirmed
+// through another controller, and then the store is unavailable to all for longer than cancel_s,
+// while agents keep sending heartbeats. A controller that renews agents' leases must know about the
+// confirmed cancellations, or the cancelled tasks would run on.
 func TestCancelThenOutage(t *testing.T) {
 	for _, gap := range []time.Duration{0, 200 * time.Millisecond, time.Second, 2 * time.Second, 2500 * time.Millisecond, 2800 * time.Millisecond,
 		2900 * time.Millisecond, 3 * time.Second, 3100 * time.Millisecond, 3300 * time.Millisecond, 3600 * time.Millisecond, 4 * time.Second, 5 * time.Second, 6 * time.Second} {
@@ -31,8 +31,8 @@
 					if fault == "lost" {
 						c.writeFaults.Store(c.randomFaults(1, fake.ResponseLost, 0, 0))
 					}
-					// Users cancel half the jobs, again and again, while the leader is
-					// refused alone.
+					// Users cancel half of the jobs, repeating the requests, while the store
+					// refuses only the leader.
 					for _, j := range everyOther(jobs) {
 						c.users.Cancel(j)
 					}
@@ -40,7 +40,7 @@
 					c.store.SetOutage(true)
 					c.writeFaults.Store(nil)
 					switch current := c.leader(); fault {
-					case "kill": // and back at once
+					case "kill": // and restart after 300 ms
 						c.restart(leader, 300*time.Millisecond)
 					case "cut":
 						if current >= 0 {
@@ -67,11 +67,11 @@
 	}
 }
 
-// TestCancelThenOutageWithSlowStore: the key-value store refuses the leader alone and is so slow with
-// the others that they grant extensions of the lease, since they can't distinguish that from an
-// outage; then one of them wins the election, and users cancel through it, while
-// half of the workers reach the former leader only. Either it stops responding to them,
-// or no other controller confirms a cancellation. And it must not take long until one does.
+// TestCancelThenOutageWithSlowStore: the key-value store refuses the leader and is so slow for the
+// other controllers that they extend the leader's lease, since they can't distinguish that from an
+// outage. Then one of them wins the election and users cancel jobs through it, while half of the
+// agents reach only the former leader. Either the former leader stops responding to agents, or no
+// other controller confirms a cancellation; and cancellations must be confirmed within 40 s.
 func TestCancelThenOutageWithSlowStore(t *testing.T) {
 	for _, delay := range []time.Duration{250 * time.Millisecond, 350 * time.Millisecond, 600 * time.Millisecond, 900 * time.Millisecond} {
 		t.Run(fmt.Sprint(delay), func(t *testing.T) {
@@ -96,7 +96,7 @@
 					}
 				}
 				if took := time.Since(began); took > 40*time.Second {
-					t.Errorf("cancellations took %s", took)
+					t.Errorf("cancellations took %s, want at most 40s", took)
 				}
 				time.Sleep(cancelLimit + 10*time.Second)
 				c.store.SetDelay(0)
@@ -111,17 +111,17 @@
 	}
 }
 
-// TestCancelConfirmedByRecord: a cancellation is written by the leader, but only
-// that answer is lost; other controllers read it and report it to users. Then the service is out
-// for all, and the leader keeps its term by the extensions that all have granted, for longer than
-// cancel_s, without ever learning that its write was carried out.
+// TestCancelConfirmedByRecord: the leader writes a cancellation, but the store's response is lost;
+// other controllers read the record and report the job as cancelled. Then the store is unavailable to
+// all for longer than cancel_s, and the leader keeps its term through extensions that the others
+// grant, without learning that its write was applied.
 func TestCancelConfirmedByRecord(t *testing.T) {
 	runScenario(t, clusterConfig{runTime: longRunning(100 * time.Second)}, func(c *cluster) {
 		jobs := c.submitJobs(0, 8, 300*time.Millisecond, nil)
 		c.awaitRunning(10)
 		for k, j := range everyOther(jobs) {
 			parent := j.ID
-			for i := range 2 { // one that needs it, and one that needs that
+			for i := range 2 { // a chain of two dependent jobs
 				child := fake.NewJob(fmt.Sprintf("job-%06d", 200+100*i+k), 1, func(j *wire.Job) { j.DependsOn = []string{parent} })
 				if c.users.SubmitAndAwait(child) {
 					c.users.Poll(child)
@@ -145,11 +145,11 @@
 	})
 }
 
-// TestCancelAtLastTask: a cancellation, a question or a repeated submission meets
-// the end of a job's last task, with no other fault.
+// TestCancelAtLastTask: a cancellation, a query or a repeated submission arrives when a job's last
+// task ends, with no other fault.
 func TestCancelAtLastTask(t *testing.T) {
 	runWithSeeds(t, clusterConfig{runTime: func(string) time.Duration { return 4 * time.Second }}, func(c *cluster, r *rand.Rand) {
-		c.submitJobs(0, 1, 20*time.Second, nil) // machines are up then
+		c.submitJobs(0, 1, 20*time.Second, nil) // machines have booted after that
 		for k := range 30 {
 			j := fake.NewJob(fmt.Sprintf("job-%06d", 10+k), 1, nil)
 			c.users.Submit(j)
@@ -164,8 +164,8 @@
 	})
 }
 
-// TestCancelAtOnce: users cancel a job in the moment in which it is accepted,
-// through other controllers, and query and repeat the requests everywhere.
+// TestCancelAtOnce: users cancel a job at the moment of its acceptance, through all controllers, and
+// query it and repeat its submission everywhere.
 func TestCancelAtOnce(t *testing.T) {
 	runWithSeeds(t, clusterConfig{}, func(c *cluster, r *rand.Rand) {
 		for k := range 30 {
@@ -186,8 +186,8 @@
 	})
 }
 
-// TestCancelDuringLeaderChange: jobs are cancelled in the seconds in which one
-// controller's work changes hands.
+// TestCancelDuringLeaderChange: jobs are cancelled during the seconds in which leadership passes
+// from one controller to another.
 func TestCancelDuringLeaderChange(t *testing.T) {
 	runWithSeeds(t, clusterConfig{runTime: longRunning(60 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		jobs := c.submitJobs(0, 16, 200*time.Millisecond, nil)
--- a/internal/controller/cancelled_tasks_test.go
+++ b/internal/controller/cancelled_tasks_test.go
@@ -12,10 +12,11 @@
 	"leadproxy/internal/wire"
 )
 
-// Tasks of cancelled jobs on machines that the stop did not reach. Whoever answers such a
-// machine renews its lease, and must have it stop them with that same answer.
+// The tests of this file have tasks of cancelled jobs on machines that the stop commands did not
+// reach. A response to such a machine's heartbeat renews its lease, so the same response must stop
+// these tasks.
 
-// runUntilCancelled has all jobs but pipelines run until they are cancelled.
+// runUntilCancelled makes all jobs except pipelines run until they are cancelled.
 func runUntilCancelled(task string) time.Duration {
 	if strings.HasPrefix(task, "job-0") {
 		return time.Hour
@@ -23,31 +24,25 @@
 	return 8 * time.Second
 }
 
-// TestCancelledOnMachineBeingReturned: users were told that their jobs are cancelled, and
-// tasks of them were still running a minute later, until their machines were deleted.
-//
-// Order of events: machines hung, for less than their lease; their jobs were cancelled and
-// the stops did not arrive; after four rounds without an acknowledgement the leader asked the cloud to
-// delete the machines, and the cloud was out of order; the machines continued and sent heartbeats.
-//
-// Cause: a machine whose deletion is asked for did not count as one that may be sent
-// commands, so its heartbeats were answered with 200 and no commands. Each renewed its lease.
-//
-// Evidence: 7 of 8 simulated days with eight hung machines and the cloud out of order broke
-// the rule, and none of 8 without the hang or without the cloud's outage. A leader's log of
-// such a day has nothing about the task from its cancellation until the cloud answers again
-// two minutes later and its machine is deleted.
+// TestCancelledOnMachineBeingReturned guards against tasks of a cancelled job that run on after the
+// bound. Machines hung for less than their lease, their jobs were cancelled, and the stop commands
+// were lost. After four rounds without an acknowledgement the leader asked the cloud to delete the
+// machines, but the cloud was unavailable. When the machines resumed, the leader sent no commands to
+// machines that were being deleted, but responded to their heartbeats with 200, which renewed their
+// leases. The tasks ran for two minutes more, until the cloud deleted the machines. This took both
+// the hang and the cloud's outage: 7 of 8 simulated days with eight hung machines failed with both,
+// none of 8 with one alone.
 func TestCancelledOnMachineBeingReturned(t *testing.T) {
 	for _, test := range []struct {
-		pace agentTimings
-		hang time.Duration
+		timings      agentTimings
+		hangDuration time.Duration
 	}{{defaultTimings, 15 * time.Second}, {rareHeartbeats, 33 * time.Second}} {
-		t.Run(fmt.Sprint(test.pace.heartbeat), func(t *testing.T) {
-			runScenario(t, clusterConfig{runTime: runUntilCancelled, timings: test.pace}, func(c *cluster) {
+		t.Run(fmt.Sprint(test.timings.heartbeat), func(t *testing.T) {
+			runScenario(t, clusterConfig{runTime: runUntilCancelled, timings: test.timings}, func(c *cluster) {
 				jobs := c.submitJobs(0, 8, 300*time.Millisecond, func(_ int, j *wire.Job) { j.CPUs = 4 })
 				c.awaitRunning(20)
-				// Not most machines and no whole zone: that would be taken for a cut, and
-				// nothing would be returned.
+				// Neither most machines nor a whole zone hangs: the leader would take that for a
+				// network partition and return no machine.
 				hung := map[string]*fake.Agent{}
 				for i, agent := range c.cloud.Agents() {
 					if i%3 == 0 {
@@ -55,7 +50,7 @@
 						hung[agent.Addr()] = agent
 					}
 				}
-				c.commandsDelayed = true // what a machine was fetching for when it hung begins when it continues
+				c.commandsDelayed = true // a task whose image was being fetched during the hang starts after it
 				lost := fake.FaultInjector(func(_ string, r *http.Request) fake.InjectedFault {
 					if hung[r.Host] != nil {
 						return fake.InjectedFault{Kind: fake.RequestLost}
@@ -67,28 +62,25 @@
 				for _, j := range jobs {
 					c.users.Cancel(j)
 				}
-				time.Sleep(test.hang)
+				time.Sleep(test.hangDuration)
 				c.commandFaults.Store(nil)
 				for _, agent := range hung {
 					agent.SetHung(false)
 				}
-				time.Sleep(test.pace.cancel + 10*time.Second)
+				time.Sleep(test.timings.cancel + 10*time.Second)
 				c.deleteFaults.Store(nil)
 			})
 		})
 	}
 }
 
-// TestCancelledDuringSeriesOfLeaders: users were told that their jobs are cancelled, and a
-// minute later tasks of them were still running, with leaders ending one after the other and
-// commands lost throughout.
-//
-// Cause: a new leader's first response to a worker had no commands, since what a machine lists
-// before it acknowledges the term's fencing token may be an old copy. It renewed the lease all the same.
-// Where heartbeats are rare, and a higher fencing token is no reason for another one so soon, that
-// was the only answer that a worker got from each of several leaders.
-//
-// Evidence: 2 of 120 plays broke the rule; in others tasks outlived four leaders.
+// TestCancelledDuringSeriesOfLeaders guards against tasks of cancelled jobs that still run a minute
+// later because leaders fail one after the other while all commands are lost. A new leader's first
+// response to an agent had no commands, since a heartbeat that does not acknowledge the term's
+// fencing token may be a late copy, but it renewed the agent's lease. With rare heartbeats, and a
+// new fencing token being no reason for the next heartbeat to come sooner, that was the only
+// response the agent got from each of several leaders. 2 of 120 runs failed; in others tasks outlived
+// four leaders.
 func TestCancelledDuringSeriesOfLeaders(t *testing.T) {
 	for _, duration := range []time.Duration{4 * time.Second, 5 * time.Second, 6 * time.Second, 7 * time.Second, 8 * time.Second} {
 		t.Run(fmt.Sprint(duration), func(t *testing.T) {
@@ -110,12 +102,11 @@
 	}
 }
 
-// TestCancelledJobWhoseRecordIsDamaged: a job is cancelled and that is confirmed, the stops are lost, and
-// the leader ends; the next one can't read the job's record. It knew nothing of the job, passed
-// over its tasks in heartbeats, and answered them with 200: they would have run for ever.
-//
-// Evidence: in 6 of 6 plays all tasks were there when the test ended, each response having
-// renewed the lease without a stop.
+// TestCancelledJobWhoseRecordIsDamaged guards against tasks that run forever after a confirmed
+// cancellation: the stop commands are lost, the leader fails, and the next leader can't read the
+// job's record. It did not know the job, ignored its tasks in heartbeats and responded with 200,
+// which renewed the lease without stopping them: in 6 of 6 runs all tasks were still running at the
+// end.
 func TestCancelledJobWhoseRecordIsDamaged(t *testing.T) {
 	runScenario(t, clusterConfig{runTime: runUntilCancelled}, func(c *cluster) {
 		job := c.submitJobs(0, 1, time.Second, nil)[0]
@@ -129,10 +120,10 @@
 		c.store.Put(key, "[]")
 		time.Sleep(cancelLimit + 10*time.Second)
 		if running, _ := c.checker.TaskCounts(job.ID); running > 0 {
-			t.Errorf("%d of its tasks run on", running)
+			t.Errorf("%d tasks of the cancelled job still run, want none", running)
 		}
 		c.commandFaults.Store(nil)
-		c.store.Put(key, original) // an operator mends it, and the next leader tidies up
+		c.store.Put(key, original) // an operator repairs the record, and the next leader cleans up
 		c.startAll()
 		c.restart(c.leader(), time.Second)
 	})
--- a/internal/controller/cluster_faults_test.go
+++ b/internal/controller/cluster_faults_test.go
@@ -8,7 +8,7 @@
 	"leadproxy/internal/fake"
 )
 
-// faultOnPath injects a fault that may be set into the requests of one path.
+// faultOnPath applies the configured injector, if there is one, to the POST requests of one path.
 func faultOnPath(path string, configured *atomic.Pointer[fake.FaultInjector]) fake.FaultInjector {
 	return func(from string, r *http.Request) fake.InjectedFault {
 		if inject := configured.Load(); inject != nil && r.URL.Path == path && r.Method == http.MethodPost {
@@ -18,7 +18,7 @@
 	}
 }
 
-// firstFaultStart is the first of two faults that hits a request.
+// firstFault applies the second injector to requests into which the first one injects no fault.
 func firstFault(first, second fake.FaultInjector) fake.FaultInjector {
 	return func(from string, r *http.Request) fake.InjectedFault {
 		if fault := first(from, r); fault.Kind != fake.NoFault {
@@ -28,7 +28,8 @@
 	}
 }
 
-// randomFaults injects a fault that lasts from least to most into a share of the requests.
+// randomFaults returns an injector that injects a fault of the given kind into each request with the
+// given probability. The fault's delay is between minDelay and maxDelay.
 func (c *cluster) randomFaults(probability float64, kind fake.FaultKind, minDelay, maxDelay time.Duration) *fake.FaultInjector {
 	inject := fake.FaultInjector(func(string, *http.Request) fake.InjectedFault {
 		if c.users.Random() >= probability {
--- a/internal/controller/cluster_processes_test.go
+++ b/internal/controller/cluster_processes_test.go
@@ -30,12 +30,12 @@
 	go func(host *fake.Host, level int, done chan struct{}) {
 		defer close(done)
 		if err := runAtLevel(ctx, level, host, process.platform, c.operator, log); err != nil && !host.IsDown() {
-			c.t.Errorf("%s ended: %v", process.platform.Name, err)
+			c.t.Errorf("controller %s failed: %v", process.platform.Name, err)
 		}
 	}(process.host, process.level, process.done)
 }
 
-// kill ends a controller's process: from that moment on nothing of it is delivered.
+// kill ends a controller's process. Nothing that it sent is delivered from then on.
 func (c *cluster) kill(i int) {
 	process := c.controllers[i]
 	if process.cancel == nil {
@@ -47,14 +47,14 @@
 	process.cancel = nil
 }
 
-// restart kills a process and starts it again after a while.
+// restart kills a controller's process and starts a new one after the given time.
 func (c *cluster) restart(i int, after time.Duration) {
 	c.kill(i)
 	time.Sleep(after)
 	c.start(i)
 }
 
-// startAll starts all controllers that are down.
+// startAll starts the controllers that have no process.
 func (c *cluster) startAll() {
 	for i, process := range c.controllers {
 		if process.cancel == nil {
@@ -63,7 +63,7 @@
 	}
 }
 
-// leader is the controller that the key-value store names, or -1.
+// leader returns the index of the controller that the key-value store names as the leader, or -1.
 func (c *cluster) leader() int {
 	var record struct {
 		Node string `json:"node"`
@@ -79,7 +79,7 @@
 	return -1
 }
 
-// follower is some controller that does not lead and is up.
+// follower returns the index of a running controller that is not the leader, or -1.
 func (c *cluster) follower() int {
 	leader := c.leader()
 	for i, process := range c.controllers {
@@ -92,8 +92,8 @@
 
 func (c *cluster) controllerName(i int) string { return c.controllers[i].platform.Name }
 
-// isolate cuts a controller from all others. With hold, what they send is delivered when
-// the connection is back, and else it is refused.
+// isolate partitions a controller from the other controllers. With hold, messages are delivered
+// after reconnect; otherwise they are refused.
 func (c *cluster) isolate(i int, hold bool) {
 	for other := range c.controllers {
 		if other != i {
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -18,9 +18,9 @@
 	"leadproxy/internal/wire"
 )
 
-// cluster is a whole service over fakes, on the fake clock and the network in
-// memory of one test: minutes of leases and outages take milliseconds. Whatever a
-// test does with it, the checker holds it to the rules.
+// cluster is a whole service with fakes of its environment. It runs on a fake clock and an in-memory
+// network, so that minutes of leases and outages take milliseconds. The checker verifies the
+// invariants whatever a test does.
 type cluster struct {
 	t             *testing.T
 	net           *fake.Network
@@ -30,80 +30,85 @@
 	controllers   []*controllerProcess
 	users         *fake.Users
 	operator      settings.Operator
-	namePrefix    string // of its hosts' names
+	namePrefix    string // of the hosts' names on the network
 	leaderActions *leaderActionChecker
-	// The faults of writes to the key-value store, commands, scale-outs, and deletions.
+	// The faults of writes to the key-value store, commands to agents, scale-outs and machine
+	// deletions; nil: none.
 	writeFaults, commandFaults, scaleOutFaults, deleteFaults atomic.Pointer[fake.FaultInjector]
-	// commandsDelayed: commands were held up, so starts may come late.
+	// commandsDelayed is set by tests that delay commands, so that tasks may start after their
+	// job's cancellation was confirmed.
 	commandsDelayed bool
-	// faultFreeSince holds since when there are no faults; zero: there are.
+	// faultFreeSince has a buffer of one, which holds the time of the last fault's end; zero while
+	// there are faults.
 	faultFreeSince chan time.Time
 }
 
-// cellConfig is what one cell of several is made of.
+// cellConfig configures a cluster as one cell of several.
 type cellConfig struct {
 	name     string
 	net      *fake.Network
 	checker  *fake.Checker
 	operator settings.Operator
-	ownsJob  func(jobID string) bool // its users' jobs
+	ownsJob  func(jobID string) bool // reports whether the cell's users submit the job
 }
 
-// clusterConfig is what a cluster is made of. Zero values stand for the usual.
+// clusterConfig configures a cluster. Zero values get defaults.
 type clusterConfig struct {
 	bootTime        time.Duration
-	maxMachines     int // the most there may be
+	maxMachines     int // that the cloud provides at a time
 	teamLimits      map[string]float64
 	runTime         func(task string) time.Duration
-	writesPerSecond float64 // the key-value store's rate of writes
+	writesPerSecond float64 // that the key-value store accepts
 	nextLimits      *settings.StoreLimits
-	notStarted      int // controllers that are not up yet
-	// reportTo, unless nil, are the controllers that workers know; else all.
+	notStarted      int // number of controllers that the test starts itself
+	// reportTo holds the controllers that agents know; nil: all.
 	reportTo []int
-	// standby has the controllers follow the leader.
+	// standby makes the controllers follow the leader as standbys.
 	standby bool
-	// budgets, unless nil, have plans that drain machines carried out within them.
+	// budgets, unless nil, enables rollout plans, which drain machines within these budgets.
 	budgets *rollout.Budgets
-	// clockDrift is how far apart clocks run: the key-value store's is fast and the workers' are
-	// slow by as much.
+	// clockDrift is the share by which the key-value store's clock runs fast and the agents' clocks
+	// run slow.
 	clockDrift float64
-	// cell, unless nil, is the cell of several that this cluster is.
+	// cell is set for a cluster that is one cell of several.
 	cell        *cellConfig
-	oldVersions int // controllers that begin with the version before announcements
-	// ledger is what the key-value store holds at first.
+	oldVersions int // number of controllers that start with the version that announces no capabilities
+	// ledger is the initial content of the key-value store.
 	ledger  map[string]string
 	seed    uint64
 	timings agentTimings
 }
 
-// The times of a cluster.
+// The default timings of agents.
 const (
 	heartbeatInterval = 3 * time.Second
 	agentLease        = 20 * time.Second
 	cancelLimit       = 40 * time.Second
 )
 
-// agentTimings is the times that workers keep.
+// agentTimings are the agents' heartbeat interval, their lease, and the time within which the tasks
+// of a cancelled job end.
 type agentTimings struct{ heartbeat, lease, cancel time.Duration }
 
-// defaultTimings is short, so that a test has many rounds of heartbeats.
+// defaultTimings are short, so that a test has many rounds of heartbeats.
 var defaultTimings = agentTimings{heartbeatInterval, agentLease, cancelLimit}
 
-// rareHeartbeats are the proportions of a large deployment: few heartbeats in a lease, and not
-// much time between the lease's end and when a cancelled job's tasks have to be gone.
+// rareHeartbeats has the proportions of a large deployment: few heartbeats per lease, and little
+// time between a lease's expiry and the deadline for the tasks of cancelled jobs.
 var rareHeartbeats = agentTimings{heartbeat: 8 * time.Second, lease: 36 * time.Second, cancel: 56 * time.Second}
 
-// controllerProcess is one controller: its settings stay, its processes come and go.
+// controllerProcess is one controller: its settings, which stay the same, and its current process.
 type controllerProcess struct {
 	platform *settings.Platform
-	level    int // of capabilities that its version knows
+	level    int // capability level that its version supports
 	host     *fake.Host
 	cancel   context.CancelFunc
 	done     chan struct{}
 }
 
-// runScenario runs a scenario on a cluster of its own and then checks that all
-// that was accepted is served, with the faults over.
+// runScenario runs a scenario on three clusters of its own: a plain one, one whose users also submit
+// pipelines, and one with standbys. Each run fails unless all accepted jobs are served after the last
+// fault.
 func runScenario(t *testing.T, config clusterConfig, scenario func(c *cluster)) {
 	t.Parallel()
 	for _, name := range []string{"jobs", "pipelines", "standby"} {
@@ -113,8 +118,8 @@
 	}
 }
 
-// runScenarioOnce plays a scenario once; with pipelines, users also submit jobs that wait
-// for others all the time. With a standby, controllers take over on what they have followed.
+// runScenarioOnce runs a scenario on one cluster. With pipelines, users also submit dependent jobs
+// throughout.
 func runScenarioOnce(t *testing.T, config clusterConfig, pipelines bool, scenario func(c *cluster)) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -133,11 +138,11 @@
 		for i := range c.controllers {
 			c.kill(i)
 		}
-		time.Sleep(5 * time.Second) // what is still being connected gives up
+		time.Sleep(5 * time.Second) // pending connection attempts time out
 	})
 }
 
-// newCluster makes a cluster whose controllers are not started yet.
+// newCluster creates a cluster whose controllers are not started yet.
 func newCluster(t *testing.T, config clusterConfig) *cluster {
 	t.Helper()
 	config.setDefaults()
@@ -170,7 +175,7 @@
 	return c
 }
 
-// setDefaults fills in what a plan leaves open.
+// setDefaults replaces zero values with defaults.
 func (c *clusterConfig) setDefaults() {
 	c.bootTime = cmp.Or(c.bootTime, 5*time.Second)
 	c.maxMachines = cmp.Or(c.maxMachines, 12)
@@ -184,7 +189,7 @@
 // clusterZones has one controller in each.
 var clusterZones = []string{"a", "b", "c"}
 
-// newControllers makes the controllers, one in each zone, which know each other.
+// newControllers creates the controllers, one in each zone, which are each other's peers.
 func newControllers(config clusterConfig, prefix string) (nodes []*controllerProcess) {
 	for i, zone := range clusterZones {
 		name := fmt.Sprintf("%sn%d", prefix, i)
@@ -205,7 +210,7 @@
 	return nodes
 }
 
-// facts are the settings that all controllers have in common.
+// facts returns the settings that all controllers share.
 func (c *clusterConfig) facts() settings.Facts {
 	facts := settings.Facts{ControllerCount: len(clusterZones), Zones: clusterZones, ClockErrorMS: 5,
 		AgentTiming: settings.AgentTiming{HeartbeatS: c.timings.heartbeat.Seconds(), LeaseS: c.timings.lease.Seconds(), CancelS: c.timings.cancel.Seconds()},
@@ -218,7 +223,7 @@
 	return facts
 }
 
-// newCloud makes the cloud, whose workers know the controllers that the plan names.
+// newCloud creates the cloud, whose agents know the controllers in reportTo.
 func (c *cluster) newCloud(config clusterConfig) *fake.Cloud {
 	var known []fake.ControllerAddress
 	for i, process := range c.controllers {
@@ -237,7 +242,8 @@
 	})
 }
 
-// checkInvariantsPeriodically has the rules checked as long as the test runs.
+// checkInvariantsPeriodically has the checker verify the invariants every two seconds until the test
+// ends.
 func (c *cluster) checkInvariantsPeriodically(ownsJob func(jobID string) bool) {
 	for c.t.Context().Err() == nil {
 		transport.Pause(c.t.Context(), 2*time.Second)
--- a/internal/controller/federated_cells_test.go
+++ b/internal/controller/federated_cells_test.go
@@ -16,37 +16,38 @@
 	"leadproxy/internal/wire"
 )
 
-// Several cells of one operator, each with its own controllers, key-value store, cloud and
-// workers, on one network in memory. One checker checks all of them: a task that is on
-// machines of two cells runs twice.
+// The tests of federated cells run several cells of one operator on one in-memory network, each with
+// its own controllers, key-value store, cloud and agents. One checker covers all cells, so that it
+// detects a task that runs in two of them.
 
-// repeatableClass is the class whose jobs may run again after an uncertain run.
+// repeatableClass is the class whose jobs may be run again when it is unknown whether they have run.
 const repeatableClass = "again"
 
-// federatedCells is some cells, the first of which is short of machines.
+// federatedCells is a set of cells. The first one is the origin of delegated jobs in most tests.
 type federatedCells struct {
 	t       *testing.T
 	net     *fake.Network
 	checker *fake.Checker
 	names   []string
 	cells   map[string]*cluster
-	// mustDelegate are the cells some of whose jobs must have run elsewhere in the end.
+	// mustDelegate lists the cells of which at least one job must have run in another cell.
 	mustDelegate []string
 }
 
-// federationConfig is what the cells are made of.
+// federationConfig configures the cells.
 type federationConfig struct {
 	names       []string
-	maxMachines map[string]int      // by cell; 12 where not named
-	neighbours  map[string][]string // by cell; all others where not named
+	maxMachines map[string]int      // by cell; no entry: 12
+	neighbours  map[string][]string // by cell; nil: every cell has all others
 	teamLimits  map[string]float64
-	oldVersions map[string]int // controllers of a cell that begin with an older version
+	oldVersions map[string]int // by cell, number of controllers that start with an older version
 	runTime     func(task string) time.Duration
 	seed        uint64
-	standby     bool // their controllers follow their leaders
+	standby     bool // whether controllers follow their cell's leader as standbys
 }
 
-// jobID names a job of a cell: its number begins with the cell's place.
+// jobID returns the ID of the k-th job of a cell's users. Its number begins with the index of the
+// cell, from 1.
 func (f *federatedCells) jobID(cell string, k int) string {
 	return fmt.Sprintf("job-%d%05d", 1+slices.Index(f.names, cell), k)
 }
@@ -56,7 +57,7 @@
 	return func(jobID string) bool { return strings.HasPrefix(jobID, prefix) }
 }
 
-// operatorSettings are the settings of a cell's controllers.
+// operatorSettings returns the operator's settings for the controllers of a cell.
 func (c *federationConfig) operatorSettings(cell string) settings.Operator {
 	operator := settings.Defaults()
 	operator.MaxMachines = c.maxMachinesIn(cell)
@@ -94,8 +95,8 @@
 	return f
 }
 
-// runFederationScenario plays a scenario and then checks that all that was accepted is
-// served, once, and that no transfer is left.
+// runFederationScenario runs a scenario and then checks that each accepted job is served exactly
+// once and that no transfer is left.
 func runFederationScenario(t *testing.T, config federationConfig, scenario func(f *federatedCells)) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
@@ -108,7 +109,7 @@
 		for _, c := range f.cells {
 			c.await("a leader", 20*time.Second, func() bool { return c.leader() >= 0 })
 		}
-		time.Sleep(6 * time.Second) // all have announced what they know
+		time.Sleep(6 * time.Second) // all controllers have announced their capabilities
 		scenario(f)
 		f.finish()
 	})
@@ -123,14 +124,14 @@
 	for _, c := range f.cells {
 		c.users.Wait()
 	}
-	origin.await("all tasks gone", time.Minute, func() bool { running, _ := f.checker.TaskCounts(""); return running == 0 })
+	origin.await("all tasks ended", time.Minute, func() bool { running, _ := f.checker.TaskCounts(""); return running == 0 })
 	for name, c := range f.cells {
 		c.awaitLedgerCleanup()
 		c.await("transfers released in "+name, 30*time.Second, func() bool { return len(f.foreignJobKeys(name, federation.ForeignAccepted)) == 0 })
 	}
 	for _, name := range f.mustDelegate {
 		if len(f.delegatedJobIDs(name)) == 0 {
-			f.t.Errorf("no job of %s was accepted elsewhere", name)
+			f.t.Errorf("no job of cell %s was accepted by another cell, want at least one", name)
 		}
 	}
 	origin.reportViolations()
@@ -142,7 +143,8 @@
 	time.Sleep(5 * time.Second)
 }
 
-// overload has a cell's users submit n jobs of four tasks, half a second apart.
+// overload submits n jobs of four tasks to a cell, half a second apart. change, unless nil, alters
+// the k-th job.
 func (f *federatedCells) overload(cell string, n int, change func(k int, j *wire.Job)) []*wire.Job {
 	var jobs []*wire.Job
 	for k := range n {
@@ -157,7 +159,7 @@
 	return jobs
 }
 
-// foreignJobKeys lists the transfers of a neighbour that are in a state.
+// foreignJobKeys lists the keys of a cell's foreign jobs whose transfers are in the given state.
 func (f *federatedCells) foreignJobKeys(cell string, state federation.ForeignState) (keys []string) {
 	for key, value := range f.storeEntries(cell, "cell/guest/") {
 		var record federation.ForeignRecord
@@ -172,7 +174,7 @@
 	return keys
 }
 
-// storeEntries are the keys of a cell under a prefix, with what they hold.
+// storeEntries returns the keys of a cell's key-value store under a prefix, with their values.
 func (f *federatedCells) storeEntries(cell, prefix string) map[string]json.RawMessage {
 	values := map[string]json.RawMessage{}
 	for _, change := range f.cells[cell].store.History() {
@@ -186,7 +188,7 @@
 	return values
 }
 
-// delegatedJobIDs lists the jobs that another cell has accepted from one.
+// delegatedJobIDs lists the jobs of a cell that other cells have accepted so far.
 func (f *federatedCells) delegatedJobIDs(origin string) []string {
 	jobIDs := map[string]bool{}
 	for _, c := range f.names {
@@ -199,10 +201,11 @@
 	return slices.Sorted(maps.Keys(jobIDs))
 }
 
-// awaitDelegated waits until origin has a transfer in a state, and names its job and cell.
+// awaitDelegated waits until origin has a transfer in the given state, and returns its job and the
+// cell that the job is delegated to.
 func (f *federatedCells) awaitDelegated(origin string, state federation.DelegatedState) (jobID, cell string) {
 	f.t.Helper()
-	f.awaitPrecisely("a transfer that is "+string(state), func() bool {
+	f.awaitPrecisely("transfer in state "+string(state), func() bool {
 		for key, value := range f.storeEntries(origin, "cell/away/") {
 			var record federation.DelegatedRecord
 			if json.Unmarshal(value, &record) == nil && record.State == state {
@@ -215,7 +218,8 @@
 	return jobID, cell
 }
 
-// awaitPrecisely waits with a fine grain.
+// awaitPrecisely polls a condition every 10 ms, so that a fault hits a particular moment. It fails the
+// test when the condition is not met within a minute.
 func (f *federatedCells) awaitPrecisely(what string, ok func() bool) {
 	f.t.Helper()
 	for end := time.Now().Add(time.Minute); time.Now().Before(end); time.Sleep(10 * time.Millisecond) {
@@ -223,16 +227,16 @@
 			return
 		}
 	}
-	f.t.Errorf("not within a minute: %s", what)
+	f.t.Errorf("did not happen within a minute: %s", what)
 }
 
-// partition cuts all controllers of two cells from one another. With hold, what they send
-// is delivered when the connection is back, and else it is refused.
+// partition separates all controllers of two cells from each other. With hold, messages are delivered
+// after heal; otherwise they are refused.
 func (f *federatedCells) partition(a, b string, hold bool) {
 	f.eachLink(a, b, func(from, to string) { f.net.Partition(from, to, hold) })
 }
 
-// heal ends a partition of two cells.
+// heal ends the partition of two cells.
 func (f *federatedCells) heal(a, b string) { f.eachLink(a, b, f.net.Heal) }
 
 // eachLink calls do for each pair of controllers of two cells.
@@ -244,17 +248,18 @@
 	}
 }
 
-// twoCellConfig is a small cell beside one with room.
+// twoCellConfig configures cell a with two machines and cell b with free capacity.
 func twoCellConfig() federationConfig {
 	return federationConfig{names: []string{"a", "b"}, maxMachines: map[string]int{"a": 2}, runTime: func(string) time.Duration { return 12 * time.Second }}
 }
 
-// expectDelegation has the end of the scenario check that jobs were forwarded at all.
+// expectDelegation makes the scenario fail unless at least one job of origin was delegated.
 func (f *federatedCells) expectDelegation(origin string) {
 	f.mustDelegate = append(f.mustDelegate, origin)
 }
 
-// loseRequests loses what one cell's controllers send to the other's for a while.
+// loseRequests waits until a job is delegated by cell a and then drops, for 20 s, all messages from
+// the controllers of one cell to those of the other.
 func (f *federatedCells) loseRequests(from, to string) {
 	f.awaitDelegated("a", federation.Accepted)
 	for _, x := range f.cells[from].controllers {
@@ -266,7 +271,7 @@
 	f.heal(from, to)
 }
 
-// restartAllWith restarts all controllers, one after the other, with other settings.
+// restartAllWith restarts the controllers of all cells, one after the other, with changed settings.
 func (f *federatedCells) restartAllWith(change func(operator *settings.Operator)) {
 	for _, name := range f.names {
 		c := f.cells[name]
--- a/internal/controller/federation_measure_test.go
+++ b/internal/controller/federation_measure_test.go
@@ -15,18 +15,19 @@
 	"leadproxy/internal/wire"
 )
 
-// The measured load: one cell is asked for more than it has for five minutes, the others
-// for less. docs/operations-federation.md has the command.
+// The measured load: for five minutes, the jobs of one cell need more than its capacity and those of
+// the others less. docs/operations-federation.md has the command.
 const (
 	measuredDuration  = 5 * time.Minute
-	overloadInterval  = 2 * time.Second // jobs of 8 cores for 20 s: 80 cores of the 64 there are
-	lightLoadInterval = 5 * time.Second // 32 of 96
+	overloadInterval  = 2 * time.Second // per job of 8 cores and 20 s: 80 of the cell's 64 cores
+	lightLoadInterval = 5 * time.Second // 32 of each cell's 96 cores
 	meanRunTime       = 20 * time.Second
 	measuredDeadline  = 90.0 // seconds
 	measuredSeeds     = 5
 )
 
-// jobRunTime is how long a job's tasks run: 10 to 30 s, the same with and without forwarding jobs.
+// jobRunTime returns how long a job's tasks run: 10 to 30 s, derived from the seed and the job's ID,
+// so that it is the same with and without delegation.
 func jobRunTime(seed uint64) func(task string) time.Duration {
 	return func(task string) time.Duration {
 		jobID := wire.JobIDOfTask(task)
@@ -36,7 +37,7 @@
 	}
 }
 
-// cellMeasurements is what one cell's users saw.
+// cellMeasurements are the times of the jobs of one cell's users.
 type cellMeasurements struct {
 	waitTimes, completionTimes []float64 // seconds to the start of the last task, and to the end
 	late, jobs                 int
@@ -50,8 +51,8 @@
 	return values[min(len(values)-1, int(share*float64(len(values))))]
 }
 
-// measureLoad plays the load and returns what the users of each cell saw, and how many of
-// the first's jobs ran elsewhere.
+// measureLoad runs the load and returns the measurements by cell, and how many jobs of the first cell
+// other cells accepted.
 func measureLoad(t *testing.T, seed uint64, delegating bool) (measurements map[string]*cellMeasurements, delegated int) {
 	measurements = map[string]*cellMeasurements{}
 	synctest.Test(t, func(t *testing.T) {
@@ -118,9 +119,9 @@
 	return measurements, delegated
 }
 
-// TestMeasureOverflow plays the same load with and without forwarding jobs, several seeds each.
+// TestMeasureOverflow runs the same load with and without delegation, with several seeds each.
 func TestMeasureOverflow(t *testing.T) {
-	t.Log("| seed | spilling | cell | jobs | elsewhere | wait p50 | p90 | p99 | end p50 | p90 | p99 | late |")
+	t.Log("| seed | delegating | cell | jobs | delegated | wait p50 | p90 | p99 | end p50 | p90 | p99 | late |")
 	for seed := range uint64(measuredSeeds) {
 		for _, delegating := range []bool{false, true} {
 			measurements, delegated := measureLoad(t, seed+1, delegating)
--- a/internal/controller/federation_test.go
+++ b/internal/controller/federation_test.go
@@ -13,7 +13,8 @@
 	"leadproxy/internal/wire"
 )
 
-// TestOverflow: an overloaded cell's jobs run at its neighbours as well, and none twice.
+// TestOverflow: jobs of an overloaded cell also run at its neighbours, none of them twice, and
+// neighbours don't delegate them further.
 func TestOverflow(t *testing.T) {
 	config := federationConfig{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 2}, runTime: func(string) time.Duration { return 12 * time.Second }}
 	runFederationScenario(t, config, func(f *federatedCells) {
@@ -24,7 +25,7 @@
 			for _, cell := range []string{"b", "c"} {
 				for _, change := range f.cells[cell].store.History() {
 					if change.Set == ledger.DelegatedKey(jobID) {
-						t.Errorf("%s is forwarded again by %s", jobID, cell)
+						t.Errorf("%s is delegated further by cell %s", jobID, cell)
 					}
 				}
 			}
@@ -32,19 +33,19 @@
 	})
 }
 
-// federationFaults are faults of two cells while jobs of a are delegated to b.
+// federationFaults are faults of cells a and b while jobs of a are delegated to b.
 var federationFaults = map[string]func(f *federatedCells){
-	"the origin's leader ends after the offer": func(f *federatedCells) {
+	"the origin's leader fails after the offer": func(f *federatedCells) {
 		f.awaitDelegated("a", federation.Offered)
 		f.cells["a"].restart(f.cells["a"].leader(), 4*time.Second)
 	},
-	"the origin's leader ends after the accept": func(f *federatedCells) {
+	"the origin's leader fails after the accept": func(f *federatedCells) {
 		f.awaitDelegated("a", federation.Accepted)
 		f.cells["a"].restart(f.cells["a"].leader(), 4*time.Second)
 	},
-	"the origin's leader ends after the result": func(f *federatedCells) {
+	"the origin's leader fails after the result": func(f *federatedCells) {
 		f.awaitDelegated("a", federation.Accepted)
-		f.awaitPrecisely("a result at the neighbour", func() bool {
+		f.awaitPrecisely("terminal state of a foreign job at the neighbour", func() bool {
 			for _, value := range f.storeEntries("b", ledger.JobPrefix) {
 				if record, err := ledger.DecodeJobRecord("", value); err == nil && record.Origin == "a" && record.TerminalState != "" {
 					return true
@@ -60,13 +61,13 @@
 		time.Sleep(25 * time.Second)
 		f.cells["a"].store.SetOutage(false)
 	},
-	"the neighbour accepts and its answer is lost": func(f *federatedCells) {
+	"the neighbour accepts and its response is lost": func(f *federatedCells) {
 		f.awaitPrecisely("an accept", func() bool { return len(f.foreignJobKeys("b", federation.ForeignAccepted)) > 0 })
 		f.partition("a", "b", false)
 		time.Sleep(20 * time.Second)
 		f.heal("a", "b")
 	},
-	"the offer is held up and arrives after its revocation": func(f *federatedCells) {
+	"the offer is delayed and arrives after its revocation": func(f *federatedCells) {
 		f.awaitDelegated("a", federation.Offered)
 		f.partition("a", "b", true)
 		time.Sleep(14 * time.Second)
@@ -82,11 +83,11 @@
 			b.start(previous)
 		}
 	},
-	"what the origin sends is lost": func(f *federatedCells) { f.loseRequests("a", "b") },
-	"what the neighbour sends is lost": func(f *federatedCells) {
+	"messages of the origin are lost": func(f *federatedCells) { f.loseRequests("a", "b") },
+	"messages of the neighbour are lost": func(f *federatedCells) {
 		f.loseRequests("b", "a")
 	},
-	"the origin is back as a new set of processes": func(f *federatedCells) {
+	"all controllers of the origin restart": func(f *federatedCells) {
 		f.awaitDelegated("a", federation.Accepted)
 		origin := f.cells["a"]
 		for i := range origin.controllers {
@@ -95,7 +96,7 @@
 		time.Sleep(25 * time.Second)
 		origin.startAll()
 	},
-	"the neighbour ends and is back": func(f *federatedCells) {
+	"all controllers of the neighbour restart": func(f *federatedCells) {
 		f.awaitDelegated("a", federation.Accepted)
 		for i := range f.cells["b"].controllers {
 			f.cells["b"].kill(i)
@@ -110,7 +111,7 @@
 			f.cells["b"].cloud.Terminate(agent.Name())
 		}
 	},
-	"answers of the state services are lost": func(f *federatedCells) {
+	"responses of the key-value stores are lost": func(f *federatedCells) {
 		for _, c := range f.cells {
 			c.writeFaults.Store(c.randomFaults(0.3, fake.ResponseLost, 0, 0))
 		}
@@ -121,8 +122,8 @@
 	},
 }
 
-// TestOverflowFaults: whatever hits cells and links, each job is served once. Some are
-// cancelled meanwhile.
+// TestOverflowFaults: each job is served exactly once, whatever faults hit the cells and the links
+// between them. Some jobs are cancelled meanwhile.
 func TestOverflowFaults(t *testing.T) {
 	for name, injectFault := range federationFaults {
 		t.Run(name, func(t *testing.T) {
@@ -139,13 +140,13 @@
 	}
 }
 
-// TestOverflowCancelled: jobs are cancelled at each moment of their transfers.
+// TestOverflowCancelled: a job is cancelled in each state of its transfer.
 func TestOverflowCancelled(t *testing.T) {
 	moments := map[string]func(f *federatedCells) string{
 		"planned or offered": func(f *federatedCells) string { jobID, _ := f.awaitDelegated("a", federation.Offered); return jobID },
-		"crossing the accept": func(f *federatedCells) string {
+		"accepted by the neighbour, response on its way": func(f *federatedCells) string {
 			jobID, _ := f.awaitDelegated("a", federation.Offered)
-			f.awaitPrecisely("its guest", func() bool {
+			f.awaitPrecisely("record of the foreign job at the neighbour", func() bool {
 				return f.cells["b"].store.Value(ledger.ForeignKey(federation.ForeignKey{Origin: "a", JobID: jobID})) != nil
 			})
 			return jobID
@@ -172,8 +173,8 @@
 	}
 }
 
-// TestOverflowCancelUnreachable: while the cell that may run a job can't be reached, its
-// cancellation gets 503 at once; it is confirmed when it can.
+// TestOverflowCancelUnreachable: while the cell that may run a delegated job can't be reached, a
+// request to cancel the job gets 503 immediately. After the partition it is confirmed.
 func TestOverflowCancelUnreachable(t *testing.T) {
 	runFederationScenario(t, twoCellConfig(), func(f *federatedCells) {
 		origin := f.cells["a"]
@@ -186,7 +187,7 @@
 				t.Errorf("the cancellation got %d, want 503", code)
 			}
 			if took := time.Since(requestedAt); took > 500*time.Millisecond {
-				t.Errorf("the refusal took %s", took)
+				t.Errorf("the 503 took %s, want at most 500ms", took)
 			}
 			f.heal("a", "b")
 			origin.users.Cancel(f.checker.Job(jobID))
@@ -195,8 +196,8 @@
 	})
 }
 
-// TestOverflowReclaimed: a repeatable job is reclaimed from a neighbour that is cut off,
-// a strict one waits until its state is known.
+// TestOverflowReclaimed: a repeatable job is reclaimed from a neighbour that is cut off; a job that
+// must not run twice waits until its state is known.
 func TestOverflowReclaimed(t *testing.T) {
 	runFederationScenario(t, twoCellConfig(), func(f *federatedCells) {
 		origin := f.cells["a"]
@@ -208,7 +209,7 @@
 			for key, value := range f.storeEntries("a", "cell/away/") {
 				var record federation.DelegatedRecord
 				if err := json.Unmarshal(value, &record); err != nil || record.Repeatable != (record.State == federation.Returned) {
-					t.Errorf("%s after a minute without the neighbour: %s", key, value)
+					t.Errorf("%s after a minute without the neighbour: %s, want it reclaimed if and only if it is repeatable", key, value)
 				}
 			}
 			f.heal("a", "b")
@@ -222,8 +223,7 @@
 	})
 }
 
-// TestOverflowBothOverloaded: cells that are both full offer each other nothing that goes back
-// and forth.
+// TestOverflowBothOverloaded: two overloaded cells don't pass jobs back and forth.
 func TestOverflowBothOverloaded(t *testing.T) {
 	config := twoCellConfig()
 	config.maxMachines["b"] = 2
@@ -233,15 +233,15 @@
 		for _, c := range f.names {
 			for key := range f.storeEntries(c, "cell/away/") {
 				if !f.ownsJob(c)(strings.TrimPrefix(key, "cell/away/")) {
-					t.Errorf("%s: a guest of %s travels on", key, c)
+					t.Errorf("%s: cell %s delegates a foreign job further", key, c)
 				}
 			}
 		}
 	})
 }
 
-// TestOverflowRing: three cells, each of which knows the next alone, one overloaded and its
-// neighbour full as well.
+// TestOverflowRing: each of three cells knows only the next one. One is overloaded and its neighbour
+// is full as well, but must not delegate the foreign jobs further.
 func TestOverflowRing(t *testing.T) {
 	config := federationConfig{names: []string{"a", "b", "c"}, maxMachines: map[string]int{"a": 2, "b": 4}, runTime: func(string) time.Duration { return 12 * time.Second },
 		neighbours: map[string][]string{"a": {"b"}, "b": {"c"}, "c": {"a"}}}
@@ -249,25 +249,25 @@
 		f.cells["b"].users.Go(func() { f.overload("b", 10, nil) })
 		f.overload("a", 12, nil)
 		if n := len(f.storeEntries("c", "cell/guest/a/")); n > 0 {
-			t.Errorf("%d jobs of a have come to c, which it does not know", n)
+			t.Errorf("%d jobs of cell a are at cell c, which a does not know", n)
 		}
 	})
 }
 
-// TestOverflowOldVersion: a cell in which an older version may be up accepts nothing, and
-// offers nothing.
+// TestOverflowOldVersion: a cell accepts and offers no jobs while one of its controllers may run an
+// older version.
 func TestOverflowOldVersion(t *testing.T) {
 	config := twoCellConfig()
 	config.oldVersions = map[string]int{"b": 1}
 	runFederationScenario(t, config, func(f *federatedCells) {
 		f.overload("a", 8, nil)
 		if n := f.cells["b"].store.Count("cell/"); n > 0 {
-			t.Errorf("%d transfers with a controller of the old version up", n)
+			t.Errorf("%d transfers while a controller runs the old version, want none", n)
 		}
 	})
 }
 
-// TestOverflowTeamLimit: a team's limit in the origin cell holds for its tasks in both cells together.
+// TestOverflowTeamLimit: a team's quota in the origin cell covers its tasks in both cells together.
 func TestOverflowTeamLimit(t *testing.T) {
 	config := twoCellConfig()
 	config.teamLimits = map[string]float64{"tight": 24}
@@ -277,22 +277,22 @@
 	})
 }
 
-// TestOverflowDrained: a relation is drained and then removed, on both sides and with the
-// controllers restarted one after the other, as the operators' page has it. What is away
-// comes to its end, and nothing leaves or comes any more.
+// TestOverflowDrained: delegation between two cells is drained and then removed, on both sides, with
+// the controllers restarted one after the other, as the operators' documentation describes. Delegated
+// jobs finish, and no further jobs are delegated.
 func TestOverflowDrained(t *testing.T) {
 	runFederationScenario(t, twoCellConfig(), func(f *federatedCells) {
 		f.cells["a"].users.Go(func() { f.overload("a", 24, nil) })
 		f.awaitDelegated("a", federation.Accepted)
 		f.restartAllWith(func(operator *settings.Operator) { operator.Cells.Neighbours[0].Draining = true })
-		f.cells["a"].await("no job away", 2*time.Minute, func() bool { return f.cells["a"].store.Count("cell/away/") == 0 })
-		f.cells["b"].await("no guest", time.Minute, func() bool { return len(f.foreignJobKeys("b", federation.ForeignAccepted)) == 0 })
+		f.cells["a"].await("no delegated job left", 2*time.Minute, func() bool { return f.cells["a"].store.Count("cell/away/") == 0 })
+		f.cells["b"].await("no foreign job left", time.Minute, func() bool { return len(f.foreignJobKeys("b", federation.ForeignAccepted)) == 0 })
 		drained := len(f.delegatedJobIDs("a"))
 		f.restartAllWith(func(operator *settings.Operator) { operator.Cells = settings.Cells{} })
 		f.cells["a"].users.Go(func() { f.overload("a", 40, func(k int, j *wire.Job) { j.ID = f.jobID("a", 100+k) }) })
 		f.cells["a"].users.Wait()
 		if n := len(f.delegatedJobIDs("a")); drained == 0 || n != drained {
-			t.Errorf("%d jobs ran elsewhere before the relation was drained, %d in the end", drained, n)
+			t.Errorf("%d jobs were delegated before the relation was drained and %d at the end, want the same number, not 0", drained, n)
 		}
 	})
 }
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -10,10 +10,10 @@
 	"time"
 )
 
-// fakePeers is one other controller that responds or does not.
+// fakePeers is a single peer that responds to pings or does not.
 type fakePeers struct {
 	responds   atomic.Bool
-	heartbeats atomic.Int64 // that have come there
+	heartbeats atomic.Int64 // that it reports
 }
 
 func (f *fakePeers) Names() []string { return []string{"n2"} }
@@ -29,18 +29,18 @@
 // another controller.
 func TestHealth(t *testing.T) {
 	type step struct {
-		state, peer bool
-		healthy     bool // after five seconds of that
+		state, peer bool // whether the key-value store serves and the peer responds
+		healthy     bool // expected after five seconds
 	}
 	cases := []struct {
 		name  string
 		steps []step
 	}{
-		{"all is well", []step{{true, true, true}}},
-		{"the key-value store is out for all: others would not do better", []step{{false, true, true}}},
-		{"connections between controllers are refused", []step{{true, false, true}}},
-		{"workers only: neither key-value store nor controllers", []step{{true, true, true}, {false, false, false}}},
-		{"back again", []step{{false, false, false}, {true, false, true}, {false, false, false}, {false, true, true}}},
+		{"everything is reachable", []step{{true, true, true}}},
+		{"the key-value store is down, but the peer responds", []step{{false, true, true}}},
+		{"the peer does not respond", []step{{true, false, true}}},
+		{"neither the key-value store nor the peer is reachable", []step{{true, true, true}, {false, false, false}}},
+		{"isolated twice, with recoveries", []step{{false, false, false}, {true, false, true}, {false, false, false}, {false, true, true}}},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
--- a/internal/controller/heartbeat_handler_test.go
+++ b/internal/controller/heartbeat_handler_test.go
@@ -18,7 +18,7 @@
 	"leadproxy/internal/wire"
 )
 
-// fakeForwarder is a stream to the leader that gives its response or error, or none.
+// fakeForwarder returns a fixed response or error; without either it blocks until the context ends.
 type fakeForwarder struct {
 	response jobapi.Response
 	err      error
@@ -34,9 +34,9 @@
 	return f.response, f.err
 }
 
-// TestForwardedHeartbeats: a controller that does not lead gives a worker the leader's
-// response and nothing of its own, and redirects it at once, or before the worker gives up,
-// when the leader does not respond.
+// TestForwardedHeartbeats: a controller that is not the leader returns the leader's response
+// unchanged. Without a stream to the leader it redirects the agent immediately, and when the leader
+// does not respond it does so before the agent's request times out.
 func TestForwardedHeartbeats(t *testing.T) {
 	cases := []struct {
 		name   string
@@ -45,11 +45,11 @@
 		body   string
 		within time.Duration
 	}{
-		{"the leader's response is passed on", fakeForwarder{response: jobapi.JSON(200, wire.HeartbeatResponse{FencingToken: 7})}, 200, `{"baton":7,"orders":null}`, 0},
-		{"a controller that does not lead any more", fakeForwarder{response: redirectTo("n2")}, 421, `{"boss":"n2"}`, 0},
+		{"the leader responds", fakeForwarder{response: jobapi.JSON(200, wire.HeartbeatResponse{FencingToken: 7})}, 200, `{"baton":7,"orders":null}`, 0},
+		{"the former leader redirects", fakeForwarder{response: redirectTo("n2")}, 421, `{"boss":"n2"}`, 0},
 		{"a malformed heartbeat", fakeForwarder{response: errorResponse(400, "x")}, 400, `{"error":"x"}`, 0},
-		{"no stream: the worker is redirected to the leader", fakeForwarder{err: peers.ErrNoStream}, 421, `{"boss":"n1"}`, 0},
-		{"a leader that is silent", fakeForwarder{}, 421, `{}`, heartbeatTimeout},
+		{"no stream to the leader", fakeForwarder{err: peers.ErrNoStream}, 421, `{"boss":"n1"}`, 0},
+		{"the leader does not respond", fakeForwarder{}, 421, `{}`, heartbeatTimeout},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -58,18 +58,18 @@
 				start := time.Now()
 				response := handler.forward(t.Context(), "n1", []byte("{}"))
 				if response.Status != test.status || string(response.Body) != test.body || time.Since(start) != test.within {
-					t.Errorf("%d %s after %s, want %d %s after %s", response.Status, response.Body, time.Since(start), test.status, test.body, test.within)
+					t.Errorf("response %d %s after %s, want %d %s after %s", response.Status, response.Body, time.Since(start), test.status, test.body, test.within)
 				}
 			})
 		})
 	}
 }
 
-// discardLogger drops all lines.
+// discardLog discards all records.
 var discardLog = slog.New(slog.NewTextHandler(io.Discard, nil))
 
-// termUnawareDispatcher responds to every heartbeat, as a dispatcher would that does not know
-// that its term is over.
+// termUnawareDispatcher responds to every heartbeat with a start command, like a dispatcher that does
+// not know yet that its term has ended.
 type termUnawareDispatcher struct{}
 
 func (termUnawareDispatcher) ExpectedMachines() int { return 0 }
@@ -82,8 +82,8 @@
 	return scheduler.HeartbeatReply{Response: &wire.HeartbeatResponse{FencingToken: 1, Commands: []wire.Command{{Verb: wire.VerbStart, Task: "job-1/0", Attempt: 1}}}}, nil
 }
 
-// TestNoResponseAfterTermEnd: a controller that is not in its term redirects workers, with no
-// commands, so that they find another controller before their leases end.
+// TestNoResponseAfterTermEnd: a controller whose term has ended redirects agents without commands,
+// so that they find another controller before their leases expire.
 func TestNoResponseAfterTermEnd(t *testing.T) {
 	elector := election.New("n1", settings.Operator{LeaderLease: time.Second}, nil, discardLog)
 	handler := newHeartbeatHandler(t.Context(), "n1", elector, termUnawareDispatcher{}, nil, &connectionTracker{}, discardLog)
@@ -91,10 +91,10 @@
 	check := func(name string, response jobapi.Response) {
 		t.Helper()
 		if response.Status != http.StatusMisdirectedRequest || strings.Contains(string(response.Body), "boss") || strings.Contains(string(response.Body), "start") {
-			t.Errorf("%s: answered %d %s", name, response.Status, response.Body)
+			t.Errorf("%s: response %d %s, want 421 without leader and commands", name, response.Status, response.Body)
 		}
 	}
-	check("straight from the worker", handler.handle(t.Context(), body))
+	check("sent by an agent", handler.handle(t.Context(), body))
 	forwarded := false
 	handler.ReceiveForwarded(t.Context(), body, func(response func() jobapi.Response) {
 		forwarded = true
@@ -103,7 +103,7 @@
 	if !forwarded {
 		t.Error("a forwarded heartbeat got no response")
 	}
-	// The term may end between the dispatcher's answer and its writing.
+	// The term may end between the dispatcher's reply and the sending of the response.
 	reply, err := termUnawareDispatcher{}.Heartbeat(t.Context(), nil)
-	check("decided in the term, written past it", handler.makeResponse(1, reply, err))
+	check("decided before the term's end, sent after it", handler.makeResponse(1, reply, err))
 }
--- a/internal/controller/largest_cluster_test.go
+++ b/internal/controller/largest_cluster_test.go
@@ -8,17 +8,16 @@
 	"leadproxy/internal/wire"
 )
 
-// largestClusterMachines is the least number of machines below which no fixed limit may stand.
+// largestClusterMachines is the number of machines that every fixed limit must allow.
 const largestCluster = 4000
 
-// TestLargestCluster: 4,000 workers reach one controller alone, which forwards their heartbeats
-// to the leader. Each of them gets work from it, and from the next leader when the
-// first ends.
+// TestLargestCluster: 4,000 agents reach only one controller, which forwards their heartbeats to the
+// leader. Each of them gets a task from the leader, and after its failure from its successor.
 func TestLargestCluster(t *testing.T) {
 	t.Parallel()
 	synctest.Test(t, func(t *testing.T) {
 		c := newCluster(t, clusterConfig{maxMachines: largestCluster, reportTo: []int{0}, writesPerSecond: 400, runTime: longRunning(40 * time.Second)})
-		c.start(1) // the only candidate so far
+		c.start(1) // alone, so that it becomes the leader
 		c.await("a leader", 20*time.Second, func() bool { return c.leader() == 1 })
 		c.start(0)
 		c.start(2)
--- a/internal/controller/leader_actions_test.go
+++ b/internal/controller/leader_actions_test.go
@@ -9,10 +9,10 @@
 	"leadproxy/internal/dispatch"
 )
 
-// leaderActionChecker checks that no two controllers decide at a time: once commands or cloud
-// calls of a term have left its controller, none of an earlier term ever do, whatever its
-// controller went through. It reads that from what the controllers log at each action.
-// (Time alone orders them: a search for a linearization would find no other order.)
+// leaderActionChecker checks that no two controllers act as the leader at the same time: once
+// commands or cloud calls of a term have left a controller, none of an earlier term may be sent. It
+// reads the actions from the controllers' logs, where time alone orders them, so no search for a
+// linearization is needed.
 type leaderActionChecker struct {
 	t      *testing.T
 	newest chan leaderAction // holds the latest one of the newest term
@@ -30,7 +30,7 @@
 	return c
 }
 
-// Enabled accepts all lines: the actions are logged at the debug level.
+// Enabled accepts all records, since actions are logged at the debug level.
 func (c *leaderActionChecker) Enabled(context.Context, slog.Level) bool { return true }
 
 // Handle checks the actions of leaders.
@@ -45,7 +45,7 @@
 		term := a.Value.Uint64()
 		newest := <-c.newest
 		if term < newest.term {
-			c.t.Errorf("term %d acts at %s, term %d has done so at %s", term, r.Time, newest.term, newest.loggedAt)
+			c.t.Errorf("term %d acts at %s, after term %d acted at %s", term, r.Time, newest.term, newest.loggedAt)
 		} else {
 			newest = leaderAction{term, r.Time}
 		}
@@ -55,8 +55,8 @@
 	return nil
 }
 
-// WithAttrs and WithGroup keep the handler as it is.
+// WithAttrs returns the handler unchanged.
 func (c *leaderActionChecker) WithAttrs([]slog.Attr) slog.Handler { return c }
 
-// WithGroup keeps the handler as it is.
+// WithGroup returns the handler unchanged.
 func (c *leaderActionChecker) WithGroup(string) slog.Handler { return c }
--- a/internal/controller/leader_transfer_test.go
+++ b/internal/controller/leader_transfer_test.go
@@ -9,8 +9,8 @@
 	"leadproxy/internal/leadertransfer"
 )
 
-// TestLeadershipTransfer: the leadership moves to the controller that is named, within a
-// second, while jobs run, and is refused where no standby is complete.
+// TestLeadershipTransfer: leadership moves to the named controller within a second, while jobs run.
+// Without standbys the transfer is refused.
 func TestLeadershipTransfer(t *testing.T) {
 	runScenario(t, clusterConfig{runTime: longRunning(20 * time.Second)}, func(c *cluster) {
 		operator := c.net.Host("operator")
@@ -22,12 +22,12 @@
 			reply, err := leadertransfer.RequestTransfer(c.t.Context(), operator, c.controllers[0].platform, c.controllerName(target))
 			if !c.operator.Standby.Follow {
 				if err == nil || !strings.Contains(err.Error(), "has no standby") {
-					t.Errorf("without standbys: %v, %v", reply, err)
+					t.Errorf("transfer without standbys: %v, error %v, want an error that says so", reply, err)
 				}
 				return
 			}
 			if err != nil {
-				t.Errorf("not handed over: %v", err)
+				t.Errorf("transferring leadership: %v", err)
 				return
 			}
 			c.await("the named controller leads", time.Second, func() bool { return c.leader() == target })
@@ -35,13 +35,13 @@
 			time.Sleep(4 * time.Second)
 		}
 		if text := c.standbyTable(); strings.Count(text, "following") != 2 || strings.Count(text, "leads term") != 1 || strings.Contains(text, "no standby") {
-			t.Errorf("the table:\n%s", text)
+			t.Errorf("status, want one leader and two following standbys:\n%s", text)
 		}
 	})
 }
 
-// TestStandbyPartitionedFromLeader: standbys that can't reach the leader follow all the same, and
-// one of them leads on its copy when the leader ends.
+// TestStandbyPartitionedFromLeader: standbys that can't reach the leader still follow it through the
+// key-value store, and one of them takes over when the leader fails.
 func TestStandbyPartitionedFromLeader(t *testing.T) {
 	runScenarioOnce(t, clusterConfig{standby: true}, false, func(c *cluster) {
 		previous := c.leader()
@@ -53,11 +53,11 @@
 		c.submitJobs(10, 4, time.Second, nil)
 		c.reconnect(previous)
 		c.startAll()
-		c.await("a standby is complete again", 10*time.Second, func() bool { return strings.Count(c.standbyTable(), "following") == 2 })
+		c.await("both standbys follow after the failover", 10*time.Second, func() bool { return strings.Count(c.standbyTable(), "following") == 2 })
 	})
 }
 
-// standbyTable is the state of the standbys, as an operator sees it.
+// standbyTable returns the state of the standbys as operators see it.
 func (c *cluster) standbyTable() string {
 	var table bytes.Buffer
 	if err := leadertransfer.WriteStatus(c.t.Context(), &table, c.net.Host("operator"), c.controllers[0].platform); err != nil {
--- a/internal/controller/leadership_test.go
+++ b/internal/controller/leadership_test.go
@@ -12,12 +12,12 @@
 	"leadproxy/internal/wire"
 )
 
-// Leaders end, are replaced and come back. docs/failures.md lists the
-// code that handles each combination. The same must hold for all: the checker checks it all
-// the time, and runScenario ends a test only when all that was accepted is served.
+// In the tests of this file leaders fail, are replaced and restart. docs/failures.md lists the code
+// that handles each combination. In each test the checker verifies the invariants throughout, and
+// runScenario fails unless all accepted jobs are served in the end.
 
-// TestLeaderRestarts: leaders end and restart, all controllers end, and one returns,
-// also within a second.
+// TestLeaderRestarts: leaders restart within a second; then all controllers fail, and one of them
+// restarts some seconds before the others.
 func TestLeaderRestarts(t *testing.T) {
 	runWithSeeds(t, clusterConfig{runTime: longRunning(40 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		c.submitJobs(0, 10, 300*time.Millisecond, nil)
@@ -37,7 +37,7 @@
 	})
 }
 
-// TestAllControllersDown: all controllers are away for longer than the workers' lease.
+// TestAllControllersDown: all controllers are down for about the agents' lease, or twice as long.
 func TestAllControllersDown(t *testing.T) {
 	for _, downtime := range []time.Duration{agentLease - time.Second, agentLease + time.Second, 2 * agentLease} {
 		t.Run(fmt.Sprint(downtime), func(t *testing.T) {
@@ -58,8 +58,8 @@
 	}
 }
 
-// TestTenLeaderChanges: leaders change ten times in two minutes, also inside an
-// outage.
+// TestTenLeaderChanges: the leader restarts up to ten times in two minutes, also during an outage of
+// the key-value store.
 func TestTenLeaderChanges(t *testing.T) {
 	runWithSeeds(t, clusterConfig{runTime: longRunning(50 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
@@ -82,9 +82,8 @@
 	})
 }
 
-// TestIsolatedLeader: a leader is cut from the key-value store and from the other
-// controllers while workers and users still reach it, and jobs are cancelled
-// through the new one.
+// TestIsolatedLeader: the leader is partitioned from the key-value store and the other controllers,
+// while agents and users still reach it, and jobs are cancelled through its successor.
 func TestIsolatedLeader(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		for _, duration := range []time.Duration{5 * time.Second, agentLease + 3*time.Second, cancelLimit + 15*time.Second} {
@@ -108,21 +107,20 @@
 	}
 }
 
-// TestTasksEndFarApart: the tasks of jobs of two or three end far apart, across a
+// TestTasksEndFarApart: the tasks of jobs with two or three tasks end far apart, before and after a
 // change of leader.
 func TestTasksEndFarApart(t *testing.T) {
 	runWithSeeds(t, clusterConfig{maxMachines: 2, runTime: longRunning(40 * time.Second)}, func(c *cluster, r *rand.Rand) {
-		// Too little room for all of a job at once.
+		// The machines can't run all tasks of a job at the same time.
 		c.submitJobs(0, 5, 200*time.Millisecond, func(k int, j *wire.Job) { j.Tasks, j.CPUs = 2+k%2, 5 })
 		time.Sleep(randomDuration(r, 10*time.Second, 50*time.Second))
 		c.restart(c.leader(), randomDuration(r, 100*time.Millisecond, 6*time.Second))
 	})
 }
 
-// TestFailoverFromProduction: the version in production has led until now, and left its
-// keys as it writes them. All of it is restored: an open job continues where it was,
-// on machines that may still run its tasks, what is over stays so, and new jobs wait
-// for it.
+// TestFailoverFromProduction: a leader of this version takes over from the version in production and
+// restores all its records. An open job continues with its unfinished tasks, which machines may still
+// be running; ended jobs keep their status; and new jobs can depend on both.
 func TestFailoverFromProduction(t *testing.T) {
 	open := `{"job":{"ref":"job-800001","lane":"c","owner":"open","shape":"batch","urgency":"high","pieces":5,"vcpus":1,"gpus":0,"mem_gb":2,` +
 		`"bundle":"i","size_gb":0.5,"flavors":["m8"],"room":"a","together":false,"spread":false,"loaners":true,"guess_s":8,"snapshot_s":0,"flush_s":0,"due_s":90},"accepted_ms":946684790123}`
@@ -148,22 +146,21 @@
 				t.Errorf("%s is %s, want %s", jobID, status, want)
 			}
 		}
-		time.Sleep(5 * time.Second) // all controllers know of one another
+		time.Sleep(5 * time.Second) // all controllers have announced their capabilities
 		c.users.Submit(fake.NewJob("job-800004", 1, func(j *wire.Job) { j.DependsOn = []string{"job-800001", "job-800003"} }))
 		c.users.Submit(fake.NewJob("job-800005", 1, func(j *wire.Job) { j.DependsOn = []string{"job-800002"} }))
-		c.await("the open job done", time.Minute, func() bool {
+		c.await("completion of the open job", time.Minute, func() bool {
 			_, status := c.users.Call(1, fake.RequestStatus, "job-800001", nil)
 			return status == wire.JobDone
 		})
 		if _, done := c.checker.TaskCounts("job-800001"); done != 5 {
-			t.Errorf("%d tasks done", done)
+			t.Errorf("%d tasks of the open job done, want 5", done)
 		}
 	})
 }
 
-// TestJobsSurviveTheirLeader runs jobs while messages are lost, repeated and held,
-// ends the leader in the middle, then all controllers, and has every task run to its
-// end.
+// TestJobsSurviveTheirLeader runs jobs while messages are lost, duplicated and delayed, and kills
+// first the leader and then all controllers. Every task of a job that is not cancelled must complete.
 func TestJobsSurviveTheirLeader(t *testing.T) {
 	every := func(pattern ...fake.FaultKind) *fake.FaultInjector {
 		calls := make(chan int, 1)
--- a/internal/controller/load_test.go
+++ b/internal/controller/load_test.go
@@ -10,11 +10,12 @@
 	"leadproxy/internal/wire"
 )
 
-// Much work, little room, and requests that can't be taken. docs/failures.md lists the
-// code that handles each combination. The same must hold for all: the checker checks it all
-// the time, and runScenario ends a test only when all that was accepted is served.
+// The tests of this file have high load, little capacity, or requests that must be rejected.
+// docs/failures.md lists the code that handles each combination. In each test the checker verifies
+// the invariants throughout, and runScenario fails unless all accepted jobs are served in the end.
 
-// TestNoFailures: without faults all is served, and what can't be is refused.
+// TestNoFailures: without faults all valid jobs are served within seconds, and invalid ones are
+// rejected.
 func TestNoFailures(t *testing.T) {
 	runScenario(t, clusterConfig{}, func(c *cluster) {
 		c.submitJobs(0, 6, time.Second, nil)
@@ -22,14 +23,14 @@
 		time.Sleep(30 * time.Second)
 		for k := range 6 {
 			if _, done := c.checker.TaskCounts(fmt.Sprintf("job-%06d", k)); done != 3 {
-				t.Errorf("%d tasks of job %d done", done, k)
+				t.Errorf("%d tasks of job %d done, want 3", done, k)
 			}
 		}
 	})
 }
 
-// TestManySmallJobs: one-task jobs come four a second for minutes, a quarter of
-// them cancelled, which wants more writes than a small key-value store takes.
+// TestManySmallJobs: users submit four one-task jobs per second for two minutes and cancel a quarter
+// of them, which needs more writes than the key-value store's rate limit allows.
 func TestManySmallJobs(t *testing.T) {
 	runScenario(t, clusterConfig{writesPerSecond: 30, runTime: func(string) time.Duration { return 5 * time.Second }}, func(c *cluster) {
 		for k := range 480 {
@@ -50,7 +51,8 @@
 	})
 }
 
-// TestOverload: there is more work than room, urgent and not, over slow links.
+// TestOverload: jobs of all priorities need more than the machines' capacity, while the key-value
+// store is slow and responses to commands are lost.
 func TestOverload(t *testing.T) {
 	runScenario(t, clusterConfig{maxMachines: 4, runTime: longRunning(25 * time.Second)}, func(c *cluster) {
 		c.store.SetDelay(300 * time.Millisecond)
@@ -70,9 +72,9 @@
 	})
 }
 
-// TestTeamLimitDuringFailover: teams are at their limit while jobs are cancelled whose
-// machines are cut off, hang or can't be asked, and the leader changes: what frees
-// room in the limit must surely be gone.
+// TestTeamLimitDuringFailover: teams have used up their quotas when jobs on unreachable machines are
+// cancelled and the leader changes. A task must not be released from its team's quota before it has
+// certainly ended.
 func TestTeamLimitDuringFailover(t *testing.T) {
 	for name, setUnreachable := range unreachableModes {
 		t.Run(name, func(t *testing.T) {
@@ -104,8 +106,8 @@
 	}
 }
 
-// TestZoneBoundJobs: jobs bound to one zone, arrays that have to stay
-// together or be spread too, lose machines.
+// TestZoneBoundJobs: machines crash or hang while they run jobs that are bound to one zone, gangs and
+// spread jobs.
 func TestZoneBoundJobs(t *testing.T) {
 	runWithSeeds(t, clusterConfig{runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		zone := "b"
--- a/internal/controller/lost_term_test.go
+++ b/internal/controller/lost_term_test.go
@@ -9,9 +9,9 @@
 	"leadproxy/internal/fake"
 )
 
-// TestLeaderKeyRemovedWhileLeaseLives guards against a controller that goes on as the leader after its
-// ledger has stopped: the leader key was removed by hand, its lease lives on, and another controller
-// leads. Users reach the former leader as before.
+// TestLeaderKeyRemovedWhileLeaseLives guards against a controller that continues as the leader after
+// its ledger has stopped: an operator removes the leader key while its lease is still alive, and
+// another controller is elected. Users that reach the former leader must still be served.
 func TestLeaderKeyRemovedWhileLeaseLives(t *testing.T) {
 	runScenarioOnce(t, clusterConfig{}, false, func(c *cluster) {
 		former := c.leader()
--- a/internal/controller/pipelines_test.go
+++ b/internal/controller/pipelines_test.go
@@ -10,11 +10,10 @@
 	"leadproxy/internal/wire"
 )
 
-// pipelineShape submits a pipeline of some form whose first job is returned, all of them as
-// jobs of a few tasks each.
+// pipelineShape is the dependency graph of a pipeline.
 type pipelineShape struct {
 	name      string
-	dependsOn [][]int // by stage, the stages that it needs
+	dependsOn [][]int // by stage, the stages that it depends on
 }
 
 var pipelineShapes = []pipelineShape{
@@ -23,7 +22,8 @@
 	{"several ancestors", [][]int{{}, {}, {}, {0, 1, 2}, {3, 0}}},
 }
 
-// submitPipeline submits a pipeline, each job once those that it needs are accepted.
+// submitPipeline submits a pipeline of jobs with two tasks, each after the jobs that it depends on
+// have been accepted. The pipeline's number is part of its job IDs.
 func (c *cluster) submitPipeline(shape pipelineShape, number int) (jobs []*wire.Job) {
 	c.t.Helper()
 	jobID := func(stage int) string { return fmt.Sprintf("job-0%04d%d", number, stage) }
@@ -33,7 +33,7 @@
 			j.DependsOn = append(j.DependsOn, jobID(parent))
 		}
 		if !c.users.SubmitAndAwait(j) {
-			c.t.Errorf("%s of the %s is not accepted", j.ID, shape.name)
+			c.t.Errorf("job %s of pipeline %q was not accepted", j.ID, shape.name)
 		}
 		c.users.Poll(j)
 		jobs = append(jobs, j)
@@ -41,31 +41,30 @@
 	return jobs
 }
 
-// TestCancelledPipelines cancels the first job of pipelines of several forms, from the
-// moment of its submission to after the end of its last task, with what may meet that.
-// Either all that need it are cancelled with it, and stay so, or the answer is done
-// and they continue.
+// TestCancelledPipelines cancels the first job of pipelines of several shapes, at moments from its
+// submission to after the end of its last task, while faults occur. Either all jobs that depend on
+// it are cancelled as well and stay cancelled, or the response is that it is done and they continue.
 func TestCancelledPipelines(t *testing.T) {
 	faults := []struct {
-		name string
-		play func(c *cluster)
+		name   string
+		inject func(c *cluster)
 	}{
-		{"no trouble", func(*cluster) {}},
-		{"the leader ends", func(c *cluster) { c.restart(c.leader(), 4*time.Second) }},
-		{"the leader ends and is back at once", func(c *cluster) { c.restart(c.leader(), 200*time.Millisecond) }},
-		{"all end", func(c *cluster) {
+		{"no fault", func(*cluster) {}},
+		{"the leader restarts after 4 s", func(c *cluster) { c.restart(c.leader(), 4*time.Second) }},
+		{"the leader restarts after 200 ms", func(c *cluster) { c.restart(c.leader(), 200*time.Millisecond) }},
+		{"all controllers restart", func(c *cluster) {
 			for i := range c.controllers {
 				c.kill(i)
 			}
 			time.Sleep(3 * time.Second)
 			c.startAll()
 		}},
-		{"an outage", func(c *cluster) {
+		{"the key-value store is unavailable", func(c *cluster) {
 			c.store.SetOutage(true)
 			time.Sleep(50 * time.Second)
 			c.store.SetOutage(false)
 		}},
-		{"the answers to writes are lost, then an outage", func(c *cluster) {
+		{"responses to writes are lost, then the store is unavailable", func(c *cluster) {
 			c.writeFaults.Store(c.randomFaults(1, fake.ResponseLost, 0, 0))
 			time.Sleep(2 * time.Second)
 			c.store.SetOutage(true)
@@ -73,21 +72,20 @@
 			time.Sleep(50 * time.Second)
 			c.store.SetOutage(false)
 		}},
-		{"the leader alone is refused", func(c *cluster) {
+		{"the key-value store refuses only the leader", func(c *cluster) {
 			leader := c.leader()
 			c.store.SetRefused(c.controllerName(leader), true)
 			time.Sleep(20 * time.Second)
 			c.store.SetRefused(c.controllerName(leader), false)
 		}},
 	}
-	// A job's tasks run for 8 s, and begin some 6 s after it is submitted, once there are
-	// machines.
+	// A job's tasks run for 8 s and start about 6 s after its submission, when machines have booted.
 	moments := []time.Duration{0, 3 * time.Second, 12 * time.Second, 13500 * time.Millisecond, 14 * time.Second, 14500 * time.Millisecond, 15 * time.Second, 20 * time.Second}
 	for _, shape := range pipelineShapes {
 		for _, fault := range faults {
 			t.Run(shape.name+", "+fault.name, func(t *testing.T) {
 				runScenarioOnce(t, clusterConfig{maxMachines: 30}, false, func(c *cluster) {
-					time.Sleep(5 * time.Second) // all controllers know of one another
+					time.Sleep(5 * time.Second) // all controllers have announced their capabilities
 					var pipelines [][]*wire.Job
 					for i := range moments {
 						pipelines = append(pipelines, c.submitPipeline(shape, i))
@@ -96,20 +94,21 @@
 					for i, moment := range moments {
 						time.Sleep(time.Until(began.Add(moment)))
 						first := pipelines[i][0]
-						// At all controllers within a millisecond, then until it is answered.
+						// Requests to all controllers within a millisecond, then repeated until the
+						// final response.
 						for i := range c.controllers {
 							c.users.Go(func() { c.users.Call(i, fake.RequestCancel, first.ID, nil) })
 						}
 						c.users.Cancel(first)
 						if i == len(moments)/2 {
-							c.users.Go(func() { fault.play(c) })
+							c.users.Go(func() { fault.inject(c) })
 						}
 						c.queryPipeline(pipelines[i])
 					}
 					time.Sleep(70 * time.Second)
 					outcomes := c.checkPipelineOutcomes(pipelines)
-					if fault.name == "no trouble" && (outcomes[wire.JobDone] == 0 || outcomes[wire.JobCancelled] == 0) {
-						t.Errorf("the moments bring about only %v", outcomes)
+					if fault.name == "no fault" && (outcomes[wire.JobDone] == 0 || outcomes[wire.JobCancelled] == 0) {
+						t.Errorf("outcomes are only %v, want both done and cancelled pipelines", outcomes)
 					}
 				})
 			})
@@ -117,15 +116,15 @@
 	}
 }
 
-// queryPipeline asks about all jobs of a pipeline at all controllers.
+// queryPipeline queries all jobs of a pipeline at all controllers.
 func (c *cluster) queryPipeline(jobs []*wire.Job) {
 	for _, j := range jobs {
 		c.users.Go(func() { c.users.QueryEverywhere(j.ID, j) })
 	}
 }
 
-// checkPipelineOutcomes checks that pipelines whose first job was cancelled are cancelled
-// whole, and the others done whole, and counts both.
+// checkPipelineOutcomes checks that all jobs that depend on a pipeline's first job have the same
+// outcome as that job, done or cancelled, and counts pipelines by outcome.
 func (c *cluster) checkPipelineOutcomes(pipelines [][]*wire.Job) map[string]int {
 	c.t.Helper()
 	outcomes := map[string]int{}
@@ -159,9 +158,9 @@
 	return false
 }
 
-// TestMalformedLedger: values that can't be read, whoever has written them, concern
-// their keys alone. The controllers lead and serve, a job whose record can't be read is not
-// reported as unknown, and one of which some hosts can't be read still runs.
+// TestMalformedLedger: values that can't be decoded, whoever wrote them, affect only their own keys.
+// The controllers still elect a leader and serve requests. A job whose record can't be decoded is not
+// reported as unknown, and one whose hosts can't be decoded still runs.
 func TestMalformedLedger(t *testing.T) {
 	open := `{"job":{"ref":"job-800001","lane":"c","owner":"open","shape":"batch","urgency":"high","pieces":2,"vcpus":1,"gpus":0,"mem_gb":2,` +
 		`"bundle":"i","size_gb":0.5,"flavors":null,"room":null,"together":false,"spread":false,"loaners":true,"guess_s":8,"snapshot_s":0,"flush_s":0,"due_s":null},"accepted_ms":946684790123}`
@@ -177,15 +176,15 @@
 		for i := range c.controllers {
 			for _, jobID := range []string{"job-800002", "job-800003"} {
 				if code, _ := c.users.Call(i, fake.RequestStatus, jobID, nil); code < 500 && code != 0 {
-					t.Errorf("%s, whose record can't be read, gets %d at %s", jobID, code, c.controllerName(i))
+					t.Errorf("query of %s, whose record can't be decoded: %d at %s, want 5xx or no response", jobID, code, c.controllerName(i))
 				}
 			}
 		}
-		c.await("the job with unknown hosts done", 2*time.Minute, func() bool {
+		c.await("completion of the job with undecodable hosts", 2*time.Minute, func() bool {
 			_, status := c.users.Call(c.users.AnyController(), fake.RequestStatus, "job-800001", nil)
 			return status == wire.JobDone
 		})
-		// An operator removes the keys that can't be read.
+		// An operator removes the keys that can't be decoded.
 		for key := range ledger {
 			if strings.HasPrefix(key, "host/") || strings.HasPrefix(key, "fin/") {
 				c.store.Remove(key)
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -6,29 +6,29 @@
 	"time"
 )
 
-// TestAgentsUnreachable: a leader that the workers can't reach any more kept its term for the whole
-// of a partition, 50 s, while others received their heartbeats.
+// TestAgentsUnreachable guards against a leader that keeps its term for as long as a partition lasts
+// (50 s when it happened) although agents can't reach it and send heartbeats to other controllers.
 func TestAgentsUnreachable(t *testing.T) {
 	cases := []struct {
 		name       string
 		machines   int
-		silent     time.Duration // since the last heartbeat that came straight here
-		forwarded  bool          // whether others forward heartbeats here
-		unanswered int           // commands unanswered
-		atPeer     int           // heartbeats that have come to another controller
-		responds   bool          // whether the others respond
-		lost       bool
+		silent     time.Duration // since the last heartbeat received directly from an agent
+		forwarded  bool          // whether other controllers forward heartbeats
+		unanswered int           // consecutive commands that no agent has answered
+		atPeer     int           // heartbeats that another controller has received from agents
+		responds   bool          // whether the other controller responds
+		lost       bool          // expected result
 	}{
-		{"they come to another controller", 1000, 5 * time.Second, false, 9, 400, true, true},
-		{"they come here", 1000, 0, false, 9, 400, true, false},
+		{"agents use another controller", 1000, 5 * time.Second, false, 9, 400, true, true},
+		{"agents use this controller", 1000, 0, false, 9, 400, true, false},
 		{"a short silence", 1000, time.Second, false, 9, 400, true, false},
-		{"they come to no controller: their zone is partitioned", 1000, 20 * time.Second, false, 9, 0, true, false},
-		{"one worker can't reach this controller", 1000, 20 * time.Second, false, 9, 3, true, false},
-		{"no controller responds", 1000, 20 * time.Second, false, 9, 400, false, false},
-		{"few machines, whose heartbeats are rare", 2, 5 * time.Second, false, 9, 2, true, false},
-		{"few machines, and long", 2, 13 * time.Second, false, 9, 2, true, true},
-		{"their heartbeats are forwarded, and they answer commands", 1000, 5 * time.Second, true, 2, 400, true, false},
-		{"their heartbeats are forwarded, and no command arrives", 1000, 5 * time.Second, true, 3, 400, true, true},
+		{"agents reach no controller, since their zone is partitioned", 1000, 20 * time.Second, false, 9, 0, true, false},
+		{"only a few agents can't reach this controller", 1000, 20 * time.Second, false, 9, 3, true, false},
+		{"the other controller does not respond", 1000, 20 * time.Second, false, 9, 400, false, false},
+		{"two machines, silent for less than a heartbeat interval", 2, 5 * time.Second, false, 9, 2, true, false},
+		{"two machines, silent for more than a heartbeat interval", 2, 13 * time.Second, false, 9, 2, true, true},
+		{"heartbeats are forwarded and commands answered", 1000, 5 * time.Second, true, 2, 400, true, false},
+		{"heartbeats are forwarded, but commands not answered", 1000, 5 * time.Second, true, 3, 400, true, true},
 		{"no machines", 0, 20 * time.Second, false, 9, 9, true, false},
 	}
 	for _, test := range cases {
@@ -46,7 +46,7 @@
 					monitor.forwardedHeartbeats.increment()
 				}
 				if got := monitor.agentsUnreachable(t.Context(), test.machines); got != test.lost {
-					t.Errorf("lost %v, want %v", got, test.lost)
+					t.Errorf("agents unreachable: %v, want %v", got, test.lost)
 				}
 			})
 		})
--- a/internal/controller/rollout_measure_test.go
+++ b/internal/controller/rollout_measure_test.go
@@ -13,29 +13,30 @@
 	"leadproxy/internal/wire"
 )
 
-// The measured load keeps the machines full: jobs of two tasks of half a machine, two thirds
-// of which save their progress, due within twice their run.
+// The measured load keeps the machines fully used: jobs of two tasks of half a machine each, two
+// thirds of which save checkpoints, with a deadline of twice their run time.
 const (
 	drainJobRunTime  = 200 * time.Second
 	drainJobDeadline = 2 * drainJobRunTime
 )
 
-// replacementMethod is a way to replace machines.
+// replacementMethod is a method of replacing machines.
 type replacementMethod struct {
 	name string
-	// planText is the rest of the plan; "": they are all returned at once, by hand.
+	// planText is the plan without its name and types; "": no plan, all machines are terminated at
+	// the same time.
 	planText string
 }
 
-// drainResult is what a replacement took and cost.
+// drainResult holds how long a replacement took and what it cost.
 type drainResult struct {
 	duration, lostTime time.Duration
 	stoppedTasks       int // tasks
-	maxInterrupted     int // jobs of a team at once
+	maxInterrupted     int // jobs of a team at the same time
 	late, jobs         int
 }
 
-// measureDrain replaces machines in one way.
+// measureDrain replaces all machines of a loaded cluster with one method.
 func measureDrain(t *testing.T, machines int, seed uint64, method replacementMethod) (result drainResult) {
 	synctest.Test(t, func(t *testing.T) {
 		config := drainClusterConfig(machines)
@@ -93,7 +94,7 @@
 	return result
 }
 
-// anyMachineExists reports whether any of the machines exists.
+// anyMachineExists reports whether at least one of the named machines still exists.
 func (c *cluster) anyMachineExists(names []string) bool {
 	existing := map[string]bool{}
 	for _, name := range c.machineNames() {
@@ -107,7 +108,8 @@
 	return false
 }
 
-// addJobs takes what was lost and late from what the machines saw.
+// addJobs adds the lost time, stopped tasks and late jobs, computed from the machines' records of
+// task runs.
 func (r *drainResult) addJobs(c *cluster, accepted map[string]time.Time) {
 	ends := map[string]time.Time{}
 	for _, run := range c.checker.TaskRuns() {
@@ -133,7 +135,7 @@
 	}
 }
 
-// TestMeasureDrains replaces all machines in steps, one by one, and all at once.
+// TestMeasureDrains replaces all machines in steps, one by one, and all at the same time.
 // docs/design-rollouts.md has the results, docs/operations-drain.md the command.
 func TestMeasureDrains(t *testing.T) {
 	methods := []replacementMethod{
--- a/internal/controller/rollout_plans_test.go
+++ b/internal/controller/rollout_plans_test.go
@@ -15,24 +15,25 @@
 	"leadproxy/internal/wire"
 )
 
-// Machines are drained in steps while users work and controllers fail. What is held to the
-// budgets is what the machines recorded, not what the controllers count.
+// The tests of this file drain machines in steps while jobs run and controllers fail. They check the
+// budgets against what the machines recorded, not against what the controllers counted.
 
 // drainWindow is the budgets' window in these tests.
 const drainWindow = 5 * time.Second
 
-// drainBudgets are two jobs of each team, and one of the class of jobs that are rare.
+// drainBudgets allows two interrupted jobs of each team, and one of class "rare".
 func drainBudgets() *rollout.Budgets {
 	return &rollout.Budgets{TeamDefault: rollout.Budget{Jobs: 2, Window: drainWindow}, ByGroup: map[rollout.Group]rollout.Budget{rollout.ClassGroup("rare"): {Jobs: 1, Window: drainWindow}}}
 }
 
-// drainClusterConfig is a cluster whose machines can all be replaced.
+// drainClusterConfig configures a cluster whose cloud can replace all machines at the same time.
 func drainClusterConfig(machines int) clusterConfig {
 	return clusterConfig{maxMachines: 2 * machines, budgets: drainBudgets(), standby: true, runTime: func(string) time.Duration { return 300 * time.Second }}
 }
 
-// fillMachines has jobs run on about that many machines: of two teams, in turn those that save their
-// progress, those that don't, and those of a class that has a budget of its own.
+// fillMachines submits one job per machine, with two tasks of half a machine each, and waits until
+// all run. The jobs belong to two teams; two thirds save checkpoints, and every fifth is of class
+// "rare", which has a budget of its own.
 func (c *cluster) fillMachines(machines int) (jobs []*wire.Job) {
 	jobs = c.submitJobs(0, machines, 300*time.Millisecond, func(k int, j *wire.Job) {
 		j.Team = []string{"open", "tight"}[k%2]
@@ -48,7 +49,7 @@
 	return jobs
 }
 
-// createPlan begins a plan.
+// createPlan creates a rollout plan, as an operator does.
 func (c *cluster) createPlan(name, text string) error {
 	_, err := rolloutservice.Create(c.t.Context(), c.net.Host("operator"), c.controllers[0].platform, "[plan]\nname = "+name+"\n"+text)
 	return err
@@ -61,7 +62,7 @@
 	}
 }
 
-// planTable is the state of the plans, as an operator sees it.
+// planTable returns the state of the plans as operators see it, or the error's text.
 func (c *cluster) planTable() string {
 	list, err := rolloutservice.List(c.t.Context(), c.net.Host("operator"), c.controllers[0].platform)
 	if err != nil {
@@ -74,7 +75,7 @@
 	return table.String()
 }
 
-// awaitPlan waits until the plans' table has a text.
+// awaitPlan waits until the table of plans contains a text.
 func (c *cluster) awaitPlan(text string, limit time.Duration) {
 	c.t.Helper()
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(time.Second) {
@@ -82,15 +83,15 @@
 			return
 		}
 	}
-	c.t.Errorf("not %q within %s:\n%s", text, limit, c.planTable())
+	c.t.Errorf("the table of plans does not contain %q within %s:\n%s", text, limit, c.planTable())
 }
 
-// checkReplaced checks that none of some machines is there any more.
+// checkReplaced checks that none of the named machines exists any more.
 func (c *cluster) checkReplaced(names []string) {
 	c.t.Helper()
 	for _, agent := range c.cloud.Agents() {
 		if slices.Contains(names, agent.Name()) {
-			c.t.Errorf("%s is there", agent.Name())
+			c.t.Errorf("machine %s still exists, want it replaced", agent.Name())
 		}
 	}
 }
@@ -102,40 +103,42 @@
 	return names
 }
 
-// interruptions lists what tasks missed, by what the machines recorded.
+// interruptions lists the interruptions of tasks according to the machines' records.
 func (c *cluster) interruptions() []fake.Interruption {
 	return fake.Interruptions(c.checker.TaskRuns())
 }
 
-// maxInterruptedJobs is how many jobs of some were stopped at once at most.
+// maxInterruptedJobs returns the largest number of the selected jobs that were interrupted at the
+// same time.
 func (c *cluster) maxInterruptedJobs(selects func(j *wire.Job) bool) int {
 	return fake.MaxInterruptedJobs(c.interruptions(), func(jobID string) bool { return selects(c.checker.Job(jobID)) })
 }
 
-// checkBudgets checks what the machines recorded against the budgets; hit jobs may be more, of
-// each team.
+// checkBudgets checks the machines' records against the budgets. tolerated jobs more may have been
+// interrupted in each group, because a fault hit them.
 func (c *cluster) checkBudgets(tolerated int) {
 	c.t.Helper()
 	for _, team := range []string{"open", "tight"} {
 		if n := c.maxInterruptedJobs(func(j *wire.Job) bool { return j.Team == team }); n > 2+tolerated {
-			c.t.Errorf("%d jobs of team %s were stopped at once", n, team)
+			c.t.Errorf("%d jobs of team %s were interrupted at the same time, more than the budget and the tolerated ones", n, team)
 		}
 	}
 	if n := c.maxInterruptedJobs(func(j *wire.Job) bool { return j.Class == "rare" }); n > 1+tolerated {
-		c.t.Errorf("%d rare jobs were stopped at once", n)
+		c.t.Errorf("%d jobs of class rare were interrupted at the same time, more than the budget and the tolerated ones", n)
 	}
 }
 
-// checkTasksMoved checks that a scenario has moved anything at all.
+// checkTasksMoved checks that at least one task was interrupted, so that the other checks have tested
+// something.
 func (c *cluster) checkTasksMoved() {
 	c.t.Helper()
 	if len(c.interruptions()) == 0 {
-		c.t.Error("no task was moved")
+		c.t.Error("no task was moved, want at least one")
 	}
 }
 
-// TestReplaceTwentyMachines: all of twenty machines are replaced while they work, with
-// leaders that end in every step, twice within a second at times.
+// TestReplaceTwentyMachines: a plan replaces twenty fully used machines while leaders fail in every
+// step, sometimes two of them within a second.
 func TestReplaceTwentyMachines(t *testing.T) {
 	for seed := range uint64(2) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -173,7 +176,8 @@
 	}
 }
 
-// TestConcurrentPlansShareBudgets: two plans at once, and one that has a machine of theirs.
+// TestConcurrentPlansShareBudgets: two plans run at the same time within the same budgets. A plan that
+// selects machines of theirs is rejected, as are plans that select no machine or are invalid.
 func TestConcurrentPlansShareBudgets(t *testing.T) {
 	runScenarioOnce(t, drainClusterConfig(9), false, func(c *cluster) {
 		c.fillMachines(9)
@@ -186,13 +190,13 @@
 		}
 		for text, want := range map[string]string{"types = m8": "already", "zones = z": "no machine is selected", "types = m8\nbatch = 200%": "at most 100%"} {
 			if err := c.createPlan("third", text); err == nil || !strings.Contains(err.Error(), want) {
-				c.t.Errorf("%q: %v", text, err)
+				c.t.Errorf("creating a plan with %q: error %v, want one that names the mistake", text, err)
 			}
 		}
 		c.awaitPlan("the budget of", 3*time.Minute)
 		for k := 0; k < 60 && strings.Count(c.planTable(), "finished") < 2; k++ {
 			time.Sleep(20 * time.Second)
-			for _, j := range c.checker.OpenJobs() { // what can't save is moved at once
+			for _, j := range c.checker.OpenJobs() { // jobs without checkpoints are moved once allowed
 				for _, name := range []string{"first", "second"} {
 					if strings.Contains(c.planTable(), j+"/") && strings.Contains(c.planTable(), "allow the job") {
 						rolloutservice.Steer(c.t.Context(), c.net.Host("operator"), c.controllers[0].platform, name, rollout.Allow, j)
@@ -206,8 +210,8 @@
 	})
 }
 
-// TestDrainNeedsApprovalToStopJob: a long job that can't save its progress is left to end, and
-// then the operator is asked; what is skipped is used again.
+// TestDrainNeedsApprovalToStopJob: a plan first waits for a long job without checkpoints to end, and
+// then asks the operator before it stops the job. A machine that the operator skips is used again.
 func TestDrainNeedsApprovalToStopJob(t *testing.T) {
 	config := drainClusterConfig(3)
 	config.runTime = func(string) time.Duration { return 300 * time.Second }
@@ -223,22 +227,22 @@
 		c.awaitPlan("allow the job", 2*time.Minute)
 		time.Sleep(20 * time.Second)
 		if n := len(c.interruptions()); n > 0 {
-			c.t.Errorf("%d tasks were stopped before anybody was asked", n)
+			c.t.Errorf("%d tasks were stopped before the operator allowed it, want none", n)
 		}
 		c.steerPlan("winter", rollout.Allow, jobs[0].ID)
 		c.steerPlan("winter", rollout.Skip, old[1])
 		c.awaitPlan("finished", 20*time.Minute)
 		c.checkBudgets(0)
 		if !slices.Contains(c.machineNames(), old[1]) && len(c.checker.OpenJobs()) > 0 {
-			c.t.Errorf("%s was skipped, and is gone", old[1])
+			c.t.Errorf("machine %s was skipped but no longer exists", old[1])
 		}
 	})
 }
 
 // drainFaults are faults while a plan is being carried out.
 var drainFaults = map[string]func(c *cluster, old []string){
-	"a machine crashes": func(c *cluster, old []string) { c.cloud.Terminate(old[0], old[1]) },
-	"machines fall silent": func(c *cluster, _ []string) {
+	"two machines crash": func(c *cluster, old []string) { c.cloud.Terminate(old[0], old[1]) },
+	"agents hang past their lease": func(c *cluster, _ []string) {
 		for _, agent := range everyOther(c.cloud.Agents()) {
 			agent.SetHung(true)
 		}
@@ -258,7 +262,7 @@
 		time.Sleep(pauseTime)
 		c.resume(leader)
 	},
-	"heartbeats come late and twice": func(c *cluster, _ []string) {
+	"heartbeats are duplicated and delayed": func(c *cluster, _ []string) {
 		for _, agent := range c.cloud.Agents() {
 			agent.DuplicateHeartbeats(func() time.Duration { return time.Duration(c.users.Random() * float64(10*time.Second)) })
 		}
@@ -274,20 +278,20 @@
 			}
 		}
 	},
-	"jobs are cancelled in the middle of a move": func(c *cluster, _ []string) {
+	"jobs are cancelled while they are moved": func(c *cluster, _ []string) {
 		for _, jobID := range c.checker.OpenJobs()[:4] {
 			c.users.Cancel(c.checker.Job(jobID))
 		}
 	},
 }
 
-// TestDrainFaults: what happens to machines and controllers while a plan is carried out
-// keeps it neither from ending nor within its budgets.
+// TestDrainFaults: a plan finishes and stays within its budgets despite faults of machines and
+// controllers.
 func TestDrainFaults(t *testing.T) {
 	for name, injectFault := range drainFaults {
 		t.Run(name, func(t *testing.T) {
 			runScenarioOnce(t, drainClusterConfig(8), false, func(c *cluster) {
-				c.commandsDelayed = true // in some, answers and commands come late
+				c.commandsDelayed = true // some of the faults delay commands and responses
 				c.fillMachines(8)
 				old := c.machineNames()
 				if err := c.createPlan("winter", "types = m8\nbatch = 3\nwait_s = 400\nhealth_s = 400"); err != nil {
@@ -300,10 +304,10 @@
 				c.awaitPlan("finished", 20*time.Minute)
 				c.checkReplaced(old)
 				switch name {
-				case "a machine crashes", "machines fall silent", "a zone is lost":
-					// Those that were hit count, and hold back what is moved.
+				case "two machines crash", "agents hang past their lease", "a zone is lost":
+					// Jobs hit by the fault count as interrupted, and delay further moves.
 					c.checkBudgets(8)
-				case "jobs are cancelled in the middle of a move":
+				case "jobs are cancelled while they are moved":
 				default:
 					c.checkBudgets(0)
 				}
@@ -312,8 +316,8 @@
 	}
 }
 
-// TestSurgeReplacementsNeverBoot: with surge and no room in the cloud, the plan fails, and
-// the machines are used again.
+// TestSurgeReplacementsNeverBoot: with surge, a plan fails when the cloud has no capacity for the
+// replacements, and the old machines are used again.
 func TestSurgeReplacementsNeverBoot(t *testing.T) {
 	config := drainClusterConfig(4)
 	config.maxMachines = 4
@@ -327,12 +331,13 @@
 		c.awaitPlan("replacements: 0 of 2", 3*time.Minute)
 		c.awaitPlan("failed", 3*time.Minute)
 		if n := len(c.interruptions()); n > 0 || len(c.machineNames()) != len(old) {
-			c.t.Errorf("%d tasks were stopped, %d machines are left", n, len(c.machineNames()))
+			c.t.Errorf("%d tasks were stopped and %d machines are left, want no stopped task and all machines", n, len(c.machineNames()))
 		}
 	})
 }
 
-// TestSurge: replacements come first, and a new leader does not scale out for them again.
+// TestSurge: with surge, replacements boot before machines are drained, and a new leader does not
+// scale out for them a second time.
 func TestSurge(t *testing.T) {
 	runScenarioOnce(t, drainClusterConfig(6), false, func(c *cluster) {
 		c.fillMachines(6)
--- a/internal/controller/scenario_steps_test.go
+++ b/internal/controller/scenario_steps_test.go
@@ -12,9 +12,8 @@
 	"leadproxy/internal/wire"
 )
 
-// The steps that scenarios of whole controllers share.
-
-// submitJobs submits n jobs, one each interval, and returns them.
+// submitJobs submits n jobs of three tasks, one per interval, with IDs numbered from first. change,
+// unless nil, alters the k-th job.
 func (c *cluster) submitJobs(first, n int, interval time.Duration, change func(k int, j *wire.Job)) (jobs []*wire.Job) {
 	for k := range n {
 		j := fake.NewJob(fmt.Sprintf("job-%06d", first+k), 3, nil)
@@ -28,8 +27,8 @@
 	return jobs
 }
 
-// longRunning has all jobs whose number is even run for long, so that their tasks still run
-// when all faults are over. Pipelines are short.
+// longRunning makes the tasks of jobs with even numbers run for runTime, so that they are still
+// running after the last fault. Other jobs, and those of pipelines, run for 8 s.
 func longRunning(runTime time.Duration) func(task string) time.Duration {
 	return func(task string) time.Duration {
 		jobID := wire.JobIDOfTask(task)
@@ -40,23 +39,24 @@
 	}
 }
 
-// awaitRunning waits until that many tasks are on machines.
+// awaitRunning waits until at least n tasks are running.
 func (c *cluster) awaitRunning(n int) {
-	c.await(fmt.Sprintf("%d tasks on machines", n), time.Minute, func() bool { running, _ := c.checker.TaskCounts(""); return running >= n })
+	c.await(fmt.Sprintf("%d running tasks", n), time.Minute, func() bool { running, _ := c.checker.TaskCounts(""); return running >= n })
 }
 
-// awaitNewTerm waits until another controller leads than did, or the same in a new term.
+// awaitNewTerm waits until a new term begins, of the same or another controller.
 func (c *cluster) awaitNewTerm() {
 	was := c.store.Version(election.LeaderKey)
-	c.await("another leader", 30*time.Second, func() bool { return c.leader() >= 0 && c.store.Version(election.LeaderKey) != was })
+	c.await("a new term", 30*time.Second, func() bool { return c.leader() >= 0 && c.store.Version(election.LeaderKey) != was })
 }
 
-// unreachableModes are the ways in which a machine is unreachable.
+// unreachableModes are the ways in which a machine can be unreachable: its agent hangs, receives
+// no connections ("deaf"), or can't open any ("mute").
 var unreachableModes = map[string]func(agent *fake.Agent, on bool){
 	"hang": (*fake.Agent).SetHung, "deaf": (*fake.Agent).SetInboundCut, "mute": (*fake.Agent).SetOutboundCut,
 }
 
-// everyOther returns every other one.
+// everyOther returns every second element, starting with the first.
 func everyOther[T any](all []T) (selected []T) {
 	for i := 0; i < len(all); i += 2 {
 		selected = append(selected, all[i])
@@ -64,8 +64,7 @@
 	return selected
 }
 
-// runWithSeeds runs a scenario with several seeds, since where the faults fall is
-// left to chance in some.
+// runWithSeeds runs a scenario with four seeds, which determine when its random faults occur.
 func runWithSeeds(t *testing.T, config clusterConfig, scenario func(c *cluster, r *rand.Rand)) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -76,7 +75,7 @@
 	}
 }
 
-// randomDuration returns a random duration between two.
+// randomDuration returns a random duration from shortest up to, but not including, longest.
 func randomDuration(r *rand.Rand, shortest, longest time.Duration) time.Duration {
 	return shortest + time.Duration(r.Int64N(int64(longest-shortest)))
 }
--- a/internal/controller/sockets_test.go
+++ b/internal/controller/sockets_test.go
@@ -16,7 +16,7 @@
 	"leadproxy/internal/settings"
 )
 
-// pipeListener is a listener without a network, so that a test needs no real time.
+// pipeListener accepts in-memory connections, so that the test can run on a fake clock.
 type pipeListener chan net.Conn
 
 func (l pipeListener) Accept() (net.Conn, error) {
@@ -29,18 +29,18 @@
 func (l pipeListener) Close() error   { close(l); return nil }
 func (l pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-// TestResponsesWithMoreAgentsThanSockets: more workers than there are sockets send heartbeats
-// round after round on connections that they keep, and some have died with theirs open. All
-// get a response, and so does a health check.
+// TestResponsesWithMoreAgentsThanSockets: more agents than there are sockets send several heartbeats
+// each over connections that they keep, and dead machines have left connections open. All heartbeats
+// must get a response, and so must a health check.
 func TestResponsesWithMoreAgentsThanSockets(t *testing.T) {
 	cases := []struct {
-		name          string
-		sockets       int
-		workers, dead int
+		name         string
+		sockets      int
+		agents, dead int
 	}{
-		{"few workers keep their connections", 64, 20, 0},
-		{"more workers than sockets", 64, 150, 0},
-		{"and connections of dead workers", 64, 150, 12},
+		{"few agents", 64, 20, 0},
+		{"more agents than sockets", 64, 150, 0},
+		{"more agents than sockets, and connections of dead ones", 64, 150, 12},
 	}
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
@@ -76,8 +76,8 @@
 					listener <- server
 					defer client.Close()
 				}
-				failed := make(chan error, 3*test.workers)
-				for i := range test.workers {
+				failed := make(chan error, 3*test.agents)
+				for i := range test.agents {
 					go func() {
 						client, transport := dial()
 						defer transport.CloseIdleConnections()
@@ -97,7 +97,7 @@
 					transport.CloseIdleConnections()
 				}
 				failures := map[string]int{}
-				for range 3 * test.workers {
+				for range 3 * test.agents {
 					if err := <-failed; err != nil {
 						failures[fmt.Sprint(err)]++
 					}
@@ -111,17 +111,17 @@
 	}
 }
 
-// TestSocketBudgetWithinLimit: the connections that are kept to workers, with all others, never take
-// more sockets than there are, however many come in.
+// TestSocketBudgetWithinLimit: idle connections to agents and all other connections together never
+// need more sockets than the settings allow, however many inbound connections are open.
 func TestSocketBudgetWithinLimit(t *testing.T) {
 	for _, sockets := range []int{16, 64, 1000, 2928, 3500} {
 		budget := divideSockets(settings.Resources{Sockets: sockets})
 		others := sockets / 16
 		if needed := budget.inbound + budget.commands + budget.idleWhenScarce + others; sockets >= 64 && needed > sockets {
-			t.Errorf("%d sockets: %d with all that may come in", sockets, needed)
+			t.Errorf("%d sockets: %d needed with the most inbound connections", sockets, needed)
 		}
 		if needed := budget.scarceAbove + budget.commands + budget.idle + others; sockets >= 64 && needed > sockets {
-			t.Errorf("%d sockets: %d while many are kept", sockets, needed)
+			t.Errorf("%d sockets: %d needed with the most idle connections", sockets, needed)
 		}
 		closed := 0
 		connections := &connectionTracker{scarceAbove: int64(budget.scarceAbove), closeIdle: func() { closed++ }}
@@ -129,12 +129,12 @@
 			connections.track(nil, http.StateNew)
 		}
 		if connections.scarce() || closed != 0 {
-			t.Errorf("%d sockets: scarce with %d", sockets, budget.scarceAbove)
+			t.Errorf("%d sockets: scarce, or idle connections closed, with %d inbound connections", sockets, budget.scarceAbove)
 		}
 		connections.track(nil, http.StateNew)
 		connections.track(nil, http.StateNew)
 		if !connections.scarce() || closed != 1 {
-			t.Errorf("%d sockets: scarce %v, idle ones closed %d times, with two more", sockets, connections.scarce(), closed)
+			t.Errorf("%d sockets, two connections above the threshold: scarce %v, idle connections closed %d times, want true and once", sockets, connections.scarce(), closed)
 		}
 	}
 }
--- a/internal/controller/soft_state_measure_test.go
+++ b/internal/controller/soft_state_measure_test.go
@@ -11,9 +11,9 @@
 	"leadproxy/internal/wire"
 )
 
-// TestFailoverOfLargestCluster: 4,000 machines that all run a task, and a leader that ends,
-// with a standby's copy of the ledger alone and with soft state, alternately. The log has each
-// failover's phases; docs/operations-standby.md has the command.
+// TestFailoverOfLargestCluster kills the leader of a cluster whose 4,000 machines all run a task. The
+// successor has a replica of the ledger, alternately without and with soft state. The log has the
+// phases of each failover; docs/operations-standby.md has the command.
 func TestFailoverOfLargestCluster(t *testing.T) {
 	for round := range 2 {
 		for _, softState := range []bool{false, true} {
--- a/internal/controller/standby_test.go
+++ b/internal/controller/standby_test.go
@@ -15,16 +15,22 @@
 	"leadproxy/internal/wire"
 )
 
-// The hard cases of failovers that other scenarios bring about by chance at most. All are
-// played with and without standbys; what must hold is the checker's.
+// The tests of this file cover failovers at moments that other scenarios hit at most by chance. Most
+// run with and without standbys, and the checker verifies the invariants.
 
-// pauseTime is longer than a leader's lease: another one leads when the first resumes.
+// pauseTime is longer than a leader's lease, so that another controller leads when a paused leader
+// resumes.
 const pauseTime = 10 * time.Second
 
-// pause holds up all that a controller sends and is sent, until resume: to all others it is suspended, and what was in flight arrives when it resumes.
-func (c *cluster) pause(i int)  { c.eachLink(i, func(a, b string) { c.net.Partition(a, b, true) }) }
+// pause holds all messages from and to a controller until resume delivers them. To all others the
+// process looks suspended.
+func (c *cluster) pause(i int) { c.eachLink(i, func(a, b string) { c.net.Partition(a, b, true) }) }
+
+// resume ends the pause of a controller.
 func (c *cluster) resume(i int) { c.eachLink(i, c.net.Heal) }
 
+// eachLink calls do for each link between a controller and the services, the other controllers and
+// the machines.
 func (c *cluster) eachLink(i int, do func(a, b string)) {
 	for _, service := range []string{"state", "cloud", "users"} {
 		do(c.controllerName(i), service)
@@ -39,8 +45,8 @@
 	}
 }
 
-// pauseLeaderAt has the leader paused as soon as a message of it with some text arrives, which
-// then gets that fault. paused reports that it has happened.
+// pauseLeaderAt returns an injector that pauses the leader when its first message that contains text
+// arrives, and injects the given fault into that message. paused is set then.
 func (c *cluster) pauseLeaderAt(text string, fault fake.InjectedFault) (injector *fake.FaultInjector, paused *atomic.Bool) {
 	paused = &atomic.Bool{}
 	inject := fake.FaultInjector(func(from string, r *http.Request) fake.InjectedFault {
@@ -58,43 +64,43 @@
 	return &inject, paused
 }
 
-// TestLeaderPausedMidDecision: the leader is suspended in the middle of a decision, at each of
-// its steps, while another one takes over, and then continues with what it was about to do.
+// TestLeaderPausedMidDecision: the leader is suspended at each step of a decision, another controller
+// takes over, and then the former leader resumes and continues with that step.
 func TestLeaderPausedMidDecision(t *testing.T) {
 	late := fake.InjectedFault{Kind: fake.Delayed, Delay: pauseTime + time.Second}
 	steps := []struct {
 		name, text string
-		fate       fake.InjectedFault
-		messages   func(c *cluster) *atomic.Pointer[fake.FaultInjector]
+		fault      fake.InjectedFault
+		faultsOf   func(c *cluster) *atomic.Pointer[fake.FaultInjector]
 	}{
 		{"before a write", `"host/`, late, (*cluster).writeFaultsOf},
 		{"between a write and its command", `"host/`, fake.InjectedFault{}, (*cluster).writeFaultsOf},
-		{"between a command and its outcome", `"` + wire.VerbStart + `"`, fake.InjectedFault{}, (*cluster).commandFaultsOf},
-		{"in a command", `"` + wire.VerbStart + `"`, late, (*cluster).commandFaultsOf},
+		{"between a command and its response", `"` + wire.VerbStart + `"`, fake.InjectedFault{}, (*cluster).commandFaultsOf},
+		{"before a command", `"` + wire.VerbStart + `"`, late, (*cluster).commandFaultsOf},
 		{"before a cancellation is written", `"` + wire.JobCancelled + `"`, late, (*cluster).writeFaultsOf},
-		{"in the answer to a cancellation", `"` + wire.JobCancelled + `"`, fake.InjectedFault{}, (*cluster).writeFaultsOf},
-		{"before a hire", ``, late, (*cluster).scaleOutFaultsOf},
-		{"in a hire's answer", ``, fake.InjectedFault{}, (*cluster).scaleOutFaultsOf},
+		{"between a cancellation's write and its response", `"` + wire.JobCancelled + `"`, fake.InjectedFault{}, (*cluster).writeFaultsOf},
+		{"before a scale-out", ``, late, (*cluster).scaleOutFaultsOf},
+		{"between a scale-out and its response", ``, fake.InjectedFault{}, (*cluster).scaleOutFaultsOf},
 	}
 	for _, step := range steps {
 		t.Run(step.name, func(t *testing.T) {
 			runScenario(t, clusterConfig{runTime: longRunning(40 * time.Second)}, func(c *cluster) {
-				c.commandsDelayed = true // its commands and answers arrive late
+				c.commandsDelayed = true // commands and responses of the paused leader arrive late
 				leader := c.leader()
-				injector, paused := c.pauseLeaderAt(step.text, step.fate)
-				if step.messages(c) == &c.scaleOutFaults { // what is rented first is enough
+				injector, paused := c.pauseLeaderAt(step.text, step.fault)
+				if step.faultsOf(c) == &c.scaleOutFaults { // the first scale-out triggers the pause
 					c.scaleOutFaults.Store(injector)
 					c.submitJobs(0, 4, 300*time.Millisecond, nil)
 				} else {
 					jobs := c.submitJobs(0, 4, 300*time.Millisecond, nil)
 					c.awaitRunning(6)
 					leader = c.leader()
-					step.messages(c).Store(injector)
+					step.faultsOf(c).Store(injector)
 					c.users.Cancel(jobs[0])
 					c.submitJobs(20, 12, 200*time.Millisecond, nil)
 				}
 				c.await("the pause", 20*time.Second, paused.Load)
-				step.messages(c).Store(nil)
+				step.faultsOf(c).Store(nil)
 				c.await("another leader", 10*time.Second, func() bool { return c.leader() >= 0 && c.leader() != leader })
 				time.Sleep(pauseTime)
 				c.resume(leader)
@@ -108,7 +114,8 @@
 func (c *cluster) commandFaultsOf() *atomic.Pointer[fake.FaultInjector]  { return &c.commandFaults }
 func (c *cluster) scaleOutFaultsOf() *atomic.Pointer[fake.FaultInjector] { return &c.scaleOutFaults }
 
-// TestSuccessorFailsWithinASecond: the leader ends, and its successor within a second of having won.
+// TestSuccessorFailsWithinASecond: the leader fails, and its successors do so within a second of
+// having been elected.
 func TestSuccessorFailsWithinASecond(t *testing.T) {
 	runWithSeeds(t, clusterConfig{runTime: longRunning(40 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		jobs := c.submitJobs(0, 10, 200*time.Millisecond, nil)
@@ -126,7 +133,8 @@
 	})
 }
 
-// awaitLeader waits, with a fine grain, until another controller leads.
+// awaitLeader waits until a controller other than previous leads. It polls every millisecond, so that
+// callers can act right after the election.
 func (c *cluster) awaitLeader(previous int) {
 	c.t.Helper()
 	for end := time.Now().Add(20 * time.Second); time.Now().Before(end); time.Sleep(time.Millisecond) {
@@ -134,11 +142,11 @@
 			return
 		}
 	}
-	c.t.Error("no other leader")
+	c.t.Error("no other controller has become the leader within 20 s")
 }
 
-// TestRequestsAtTermEnd: jobs are accepted, cancelled and finished within the last
-// milliseconds of a term, whose last writes are carried out and never answered.
+// TestRequestsAtTermEnd: jobs are accepted, cancelled and completed within the last milliseconds of a
+// term, most of whose last writes are applied but never answered.
 func TestRequestsAtTermEnd(t *testing.T) {
 	runWithSeeds(t, clusterConfig{runTime: longRunning(30 * time.Second)}, func(c *cluster, r *rand.Rand) {
 		jobs := c.submitJobs(0, 8, 300*time.Millisecond, nil)
@@ -161,9 +169,9 @@
 	})
 }
 
-// TestStandbyWithoutStore: a standby reaches nothing of the key-value store for a while,
-// in which the leader ends; the other one takes over. Then the one that was cut off is the
-// only one left.
+// TestStandbyWithoutStore: the leader fails while one standby is partitioned from the key-value store,
+// so the other standby must take over. After the partition that one fails too, and the standby that
+// was cut off is the only one left.
 func TestStandbyWithoutStore(t *testing.T) {
 	for _, hold := range []bool{false, true} {
 		t.Run(fmt.Sprint(hold), func(t *testing.T) {
@@ -177,7 +185,7 @@
 				c.awaitLeader(first)
 				second := c.leader()
 				if second == cutOff {
-					c.t.Error("the one that is cut off leads")
+					c.t.Error("the standby without the key-value store is the leader, want the other one")
 				}
 				c.users.Cancel(jobs[0])
 				time.Sleep(8 * time.Second)
@@ -191,9 +199,9 @@
 	}
 }
 
-// TestMaximumClockDrift: the key-value store's clock runs fast and the workers' slow by as much
-// as clocks may, while leaders end and pause and half of the machines can't be reached for
-// longer than their lease.
+// TestMaximumClockDrift: the key-value store's clock runs fast and the agents' clocks run slow by the
+// largest drift allowed, while leaders fail or pause and half of the machines can't be reached for
+// about their lease or longer.
 func TestMaximumClockDrift(t *testing.T) {
 	runWithSeeds(t, clusterConfig{runTime: longRunning(60 * time.Second), clockDrift: settings.MaxClockDrift}, func(c *cluster, r *rand.Rand) {
 		c.commandsDelayed = true
@@ -225,15 +233,15 @@
 	})
 }
 
-// TestFailoversWithDelegatedJobs: the leaders of both cells end, one after the other, while jobs
-// of one run in the other, with standbys in both.
+// TestFailoversWithDelegatedJobs: the leaders of two cells with standbys fail one after the other,
+// while jobs of one cell run in the other.
 func TestFailoversWithDelegatedJobs(t *testing.T) {
 	config := twoCellConfig()
 	config.standby = true
 	runFederationScenario(t, config, func(f *federatedCells) {
 		jobs := f.overload("a", 12, func(_ int, j *wire.Job) { j.Tasks = 3 })
 		f.expectDelegation("a")
-		f.awaitPrecisely("an accept", func() bool { return len(f.delegatedJobIDs("a")) > 0 })
+		f.awaitPrecisely("a delegated job", func() bool { return len(f.delegatedJobIDs("a")) > 0 })
 		for _, cell := range []string{"a", "b", "a"} {
 			c := f.cells[cell]
 			previous := c.leader()
--- a/internal/controller/store_failures_test.go
+++ b/internal/controller/store_failures_test.go
@@ -11,12 +11,13 @@
 	"leadproxy/internal/wire"
 )
 
-// The key-value store loses answers, delays transactions, is slow or takes less. docs/failures.md lists the
-// code that handles each combination. The same must hold for all: the checker checks it all
-// the time, and runScenario ends a test only when all that was accepted is served.
+// In the tests of this file the key-value store loses responses, delays transactions, is slow, or
+// lowers its limits. docs/failures.md lists the code that handles each combination. In each test the
+// checker verifies the invariants throughout, and runScenario fails unless all accepted jobs are
+// served in the end.
 
-// TestLostTransactionAnswers: a transaction is carried out at once and only its answer
-// is lost, while other controllers read what it wrote.
+// TestLostTransactionAnswers: transactions are applied immediately but their responses are lost, while
+// other controllers read what they wrote.
 func TestLostTransactionAnswers(t *testing.T) {
 	runWithSeeds(t, clusterConfig{runTime: longRunning(20 * time.Second)}, func(c *cluster, _ *rand.Rand) {
 		c.writeFaults.Store(c.randomFaults(0.3, fake.ResponseLost, 0, 0))
@@ -32,9 +33,8 @@
 	})
 }
 
-// TestDelayedTransactions: a transaction without an answer is carried out 2 to 12 s
-// later, after newer ones of the same controller; a record of unreachable machines and
-// its withdrawal among them.
+// TestDelayedTransactions: unanswered transactions are applied 2 to 12 s late, after newer ones of the
+// same controller. Among them are the record of unreachable machines and its withdrawal.
 func TestDelayedTransactions(t *testing.T) {
 	runWithSeeds(t, clusterConfig{runTime: longRunning(20 * time.Second)}, func(c *cluster, _ *rand.Rand) {
 		c.writeFaults.Store(c.randomFaults(0.25, fake.Delayed, 2*time.Second, 12*time.Second))
@@ -57,8 +57,8 @@
 	})
 }
 
-// TestSlowStore: the key-value store answers slowly, or refuses the leader
-// alone and then everybody for longer than cancel_s, while users cancel and query.
+// TestSlowStore: the key-value store is slow, then also refuses the leader, and then all controllers
+// for longer than cancel_s, while users cancel and query jobs.
 func TestSlowStore(t *testing.T) {
 	for _, delay := range []time.Duration{300 * time.Millisecond, 900 * time.Millisecond, 1600 * time.Millisecond} {
 		t.Run(fmt.Sprint(delay), func(t *testing.T) {
@@ -94,18 +94,18 @@
 	}
 }
 
-// TestStoreLimitsLowered: the key-value store takes smaller values, smaller transactions
-// and fewer writes from some moment on, without notice: in the middle of work, as a
-// leader ends, at the end of an outage, or before all controllers are known to be upgraded.
+// TestStoreLimitsLowered: without notice, the key-value store lowers its limits on the size of values,
+// the size of transactions and the rate of writes: during normal operation, when a leader fails, at
+// the end of an outage, or before all controllers are known to be upgraded.
 func TestStoreLimitsLowered(t *testing.T) {
 	lowerLimits := settings.StoreLimits{RPS: 200, WriteRPS: 40, ValueKB: 1, TxnOps: 5}
 	for name, scenario := range map[string]func(c *cluster, reduceLimits func()){
-		"in the middle": func(_ *cluster, reduceLimits func()) { reduceLimits() },
-		"as the leader ends": func(c *cluster, reduceLimits func()) {
+		"during normal operation": func(_ *cluster, reduceLimits func()) { reduceLimits() },
+		"before the leader restarts": func(c *cluster, reduceLimits func()) {
 			reduceLimits()
 			c.restart(c.leader(), 2*time.Second)
 		},
-		"just before it ends": func(c *cluster, reduceLimits func()) {
+		"after the leader has failed": func(c *cluster, reduceLimits func()) {
 			c.kill(c.leader())
 			reduceLimits()
 		},
@@ -125,8 +125,8 @@
 		},
 	} {
 		t.Run(name, func(t *testing.T) {
-			// Every other task ends soon, and of the rest every other one a little later:
-			// their ranges are more than a small value holds.
+			// Of four consecutive tasks, two end after 3 s, one after 25 s and one after 63 s, so that
+			// the ranges of finished tasks need more than one small value.
 			runTime := func(task string) time.Duration {
 				taskName, _ := wire.ParseTaskName(task)
 				return []time.Duration{3 * time.Second, 25 * time.Second, 3 * time.Second, 63 * time.Second}[taskName.Index%4]
@@ -141,12 +141,12 @@
 				scenario(c, func() { c.store.SetLimits(lowerLimits) })
 				time.Sleep(20 * time.Second)
 				if largest := c.store.LargestValueBytes("fin/"); largest > 1024 && notStarted == 0 {
-					t.Errorf("%d bytes of finished tasks in a value, all controllers being upgraded", largest)
+					t.Errorf("a value has %d bytes of finished tasks although all controllers are upgraded, want at most 1024", largest)
 				} else if largest <= 1024 && notStarted > 0 {
-					t.Error("nothing was written as an older version reads it")
+					t.Error("no value of finished tasks has the format of the older version, want one above 1024 bytes")
 				}
 				if c.store.Count("fin/job-000000/0.") == 0 {
-					t.Error("no finished tasks are written in parts")
+					t.Error("no finished tasks are written in parts, want some")
 				}
 				c.users.Cancel(jobs[2])
 				c.submitJobs(100, 6, 500*time.Millisecond, nil)
--- a/internal/controller/upgrade_test.go
+++ b/internal/controller/upgrade_test.go
@@ -12,12 +12,12 @@
 	"leadproxy/internal/wire"
 )
 
-// While a deployment is upgraded, controllers of this version work beside controllers of the one
-// before, which neither announces itself nor uses what others announce. Here both are
-// this version at two levels of capabilities, on the fake clock; internal/compat has
-// the same with real processes of production.
+// During an upgrade, controllers of this version run together with controllers of the previous one,
+// which announces no capabilities and uses none that others announce. The tests of this file run this
+// version at both capability levels on a fake clock; internal/compat does the same with real processes
+// of the production version.
 
-// upgrade ends a controller and starts it with the current version.
+// upgrade kills a controller and starts it with the current version after the given time.
 func (c *cluster) upgrade(i int, after time.Duration) {
 	c.kill(i)
 	time.Sleep(after)
@@ -25,8 +25,8 @@
 	c.start(i)
 }
 
-// upgradeRemaining upgrades all controllers that are still old, one after the other, after a look
-// at what was written beside them.
+// upgradeRemaining checks what was written while old controllers were running, and then upgrades
+// these one after the other.
 func (c *cluster) upgradeRemaining() {
 	c.t.Helper()
 	c.checkWritesReadable()
@@ -38,12 +38,12 @@
 	}
 }
 
-// upgradedController is a controller of the current version.
+// upgradedController returns the index of a controller of the current version.
 func (c *cluster) upgradedController() int {
 	return slices.IndexFunc(c.controllers, func(process *controllerProcess) bool { return process.level == capability.CurrentLevel })
 }
 
-// awaitLeaderAtLevel ends leaders until one of a level leads.
+// awaitLeaderAtLevel restarts leaders until a controller of the given capability level leads.
 func (c *cluster) awaitLeaderAtLevel(level int) {
 	c.t.Helper()
 	for range 20 {
@@ -57,16 +57,16 @@
 	c.t.Errorf("no controller of level %d leads", level)
 }
 
-// productionRecording is what production was seen to write.
+// productionRecording is a recording of the values that the production version wrote.
 const productionRecording = "../compat/testdata/production/recording.json"
 
-// fieldsUnknownToProduction are the fields of our values that production passes over: it
-// ignores fields that it does not know, and rewrites a job's record only with its end,
-// when it does not need them.
+// fieldsUnknownToProduction lists the fields, by family of keys, that only this version writes. The
+// production version ignores unknown fields. It drops them when it rewrites a job's record, which it
+// does only when the job ends and they are no longer needed.
 var fieldsUnknownToProduction = map[string][]string{"job": {".ended_ms:number"}}
 
-// checkWritesReadable checks that all that was written so far, with old controllers up, has
-// the shape of what production writes itself.
+// checkWritesReadable checks that all values written so far, while old controllers were running, have
+// only fields that the production version writes itself or ignores.
 func (c *cluster) checkWritesReadable() {
 	c.t.Helper()
 	recorded, err := compat.ReadRecording(productionRecording)
@@ -83,11 +83,11 @@
 			continue
 		}
 		if known[family] == nil {
-			c.t.Errorf("%s: production knows no such key", change.Set)
+			c.t.Errorf("%s: the production version knows no keys of this family", change.Set)
 		}
 		for _, field := range c.fieldPaths(change.Value) {
 			if !slices.Contains(known[family], field) && !slices.Contains(fieldsUnknownToProduction[family], field) {
-				c.t.Errorf("%s: production writes no field %s: %s", change.Set, field, change.Value)
+				c.t.Errorf("%s: the production version knows no field %s: %s", change.Set, field, change.Value)
 			}
 		}
 	}
@@ -102,45 +102,45 @@
 	return fields
 }
 
-// checkPipelinesAccepted checks that a job that waits for another one is taken.
+// checkPipelinesAccepted checks that a job that depends on another one is accepted.
 func (c *cluster) checkPipelinesAccepted() {
 	c.t.Helper()
-	c.await("all announced", 30*time.Second, func() bool { return c.store.Count(capability.KeyPrefix) == len(c.controllers) })
+	c.await("announcements of all controllers", 30*time.Second, func() bool { return c.store.Count(capability.KeyPrefix) == len(c.controllers) })
 	first := fake.NewJob("job-700000", 2, nil)
 	second := fake.NewJob("job-700001", 1, func(j *wire.Job) { j.DependsOn = []string{first.ID} })
 	for _, j := range []*wire.Job{first, second} {
 		if !c.users.SubmitAndAwait(j) {
-			c.t.Errorf("%s is not accepted after the upgrade", j.ID)
+			c.t.Errorf("job %s was not accepted after the upgrade", j.ID)
 			return
 		}
 		c.users.Poll(j)
 	}
 }
 
-// checkPipelinesRefused checks that an upgraded controller takes no job that waits for
-// others, and asks users to retry later.
+// checkPipelinesRefused checks that an upgraded controller rejects a job that depends on another one
+// with 503, so that users retry later.
 func (c *cluster) checkPipelinesRefused() {
 	c.t.Helper()
 	first := fake.NewJob("job-700000", 2, nil)
 	if !c.users.SubmitAndAwait(first) {
-		c.t.Errorf("%s is not accepted", first.ID)
+		c.t.Errorf("job %s without dependencies was not accepted", first.ID)
 	}
 	c.users.Poll(first)
 	second := fake.NewJob("job-700001", 1, func(j *wire.Job) { j.DependsOn = []string{first.ID} })
 	c.checker.RecordSubmission(second, true)
 	if code, _ := c.users.Call(c.upgradedController(), fake.RequestSubmit, second.ID, second); code != 503 {
-		c.t.Errorf("a job that waits for another one, with a controller of the old version up: %d, want 503", code)
+		c.t.Errorf("submission of a dependent job while a controller runs the old version: %d, want 503", code)
 	}
 }
 
-// TestVersionsSideBySide upgrades a cluster of old controllers in several ways, with jobs
-// that are submitted, cancelled and polled throughout. What the upgraded controllers write
-// before all are upgraded is what production writes; pipelines are taken afterwards.
+// TestVersionsSideBySide upgrades a cluster of old controllers in several orders, while jobs are
+// submitted, cancelled and polled. Until all controllers are upgraded, they must write only what the
+// production version can read; afterwards they must accept dependent jobs.
 func TestVersionsSideBySide(t *testing.T) {
 	lowerLimits := settings.StoreLimits{RPS: 200, WriteRPS: 40, ValueKB: 1, TxnOps: 5}
 	scenarios := []struct {
 		name string
-		play func(c *cluster)
+		run  func(c *cluster)
 	}{
 		{"one after the other, the leader last", func(c *cluster) {
 			for range 2 {
@@ -166,7 +166,7 @@
 			time.Sleep(10 * time.Second)
 			c.upgradeRemaining()
 		}},
-		{"the leader ends in the middle and is back old", func(c *cluster) {
+		{"old leaders restart with the old version during the upgrade", func(c *cluster) {
 			c.upgrade(c.oldVersionFollower(), time.Second)
 			for range 3 {
 				c.awaitLeaderAtLevel(0)
@@ -175,7 +175,7 @@
 			}
 			c.upgradeRemaining()
 		}},
-		{"all end at once, one is back old", func(c *cluster) {
+		{"all controllers restart together, one with the old version", func(c *cluster) {
 			for i := range c.controllers {
 				c.kill(i)
 			}
@@ -189,7 +189,7 @@
 			time.Sleep(15 * time.Second)
 			c.upgradeRemaining()
 		}},
-		{"an outage in the middle", func(c *cluster) {
+		{"the key-value store is down during the upgrade", func(c *cluster) {
 			c.upgrade(c.oldVersionFollower(), time.Second)
 			c.store.SetOutage(true)
 			time.Sleep(5 * time.Second)
@@ -199,7 +199,7 @@
 			time.Sleep(5 * time.Second)
 			c.upgradeRemaining()
 		}},
-		{"the limits fall as the last controller is upgraded", func(c *cluster) {
+		{"the store lowers its limits during the last controller's upgrade", func(c *cluster) {
 			for range 2 {
 				c.upgrade(c.oldVersionFollower(), time.Second)
 				time.Sleep(3 * time.Second)
@@ -219,7 +219,7 @@
 			runScenario(t, clusterConfig{oldVersions: 3, nextLimits: &lowerLimits}, func(c *cluster) {
 				stop := c.keepSubmitting()
 				time.Sleep(5 * time.Second)
-				scenario.play(c)
+				scenario.run(c)
 				stop()
 				c.checkPipelinesAccepted()
 			})
@@ -227,8 +227,8 @@
 	}
 }
 
-// TestControllerThatIsNeverUpgraded: jobs are served as before, and none is taken that waits
-// for others.
+// TestControllerThatIsNeverUpgraded: while one controller stays on the old version, jobs are served as
+// before, and dependent jobs are rejected.
 func TestControllerThatIsNeverUpgraded(t *testing.T) {
 	runScenarioOnce(t, clusterConfig{oldVersions: 1}, false, func(c *cluster) {
 		stop := c.keepSubmitting()
@@ -241,7 +241,8 @@
 	})
 }
 
-// oldVersionFollower is a controller of the old version, one that does not lead if there is one.
+// oldVersionFollower returns the index of a controller of the old version, if possible of one that is
+// not the leader.
 func (c *cluster) oldVersionFollower() int {
 	leader, found := c.leader(), -1
 	for i, process := range c.controllers {
@@ -252,8 +253,7 @@
 	return found
 }
 
-// keepSubmitting has users submit jobs, and cancel a third of them, until the result
-// is called.
+// keepSubmitting has users submit jobs, and cancel a third of them, until stop is called.
 func (c *cluster) keepSubmitting() (stop func()) {
 	ended := make(chan struct{})
 	c.users.Go(func() {
--- a/internal/controller/waiting_starts_test.go
+++ b/internal/controller/waiting_starts_test.go
@@ -8,10 +8,10 @@
 	"leadproxy/internal/wire"
 )
 
-// TestCancelWhileStartsWait guards against a start that was decided, waited in the leader's batch of
-// responses to forwarded heartbeats, and left after its job's cancellation was confirmed. Machines
-// are full and send heartbeats often, so that most starts travel in responses that wait, and jobs
-// are cancelled at the moment at which their first starts are decided.
+// TestCancelWhileStartsWait guards against a start command that waits in the leader's batch of
+// responses to forwarded heartbeats and is sent after its job's cancellation was confirmed. Machines
+// are full and send heartbeats often, so that most start commands are in waiting responses, and jobs
+// are cancelled when their first starts are decided.
 func TestCancelWhileStartsWait(t *testing.T) {
 	runTime := func(string) time.Duration { return 1500 * time.Millisecond }
 	frequentHeartbeats := agentTimings{heartbeat: 600 * time.Millisecond, lease: agentLease, cancel: cancelLimit}
@@ -25,8 +25,8 @@
 	})
 }
 
-// cancelAtFirstStart has a user cancel a job as the first machine of its tasks is recorded, which
-// is right before the first start.
+// cancelAtFirstStart cancels a job when the machine of its first task is recorded, which is right
+// before the first start command.
 func (c *cluster) cancelAtFirstStart(job *wire.Job) {
 	for c.store.Value("host/"+job.ID+"/0") == nil && c.t.Context().Err() == nil {
 		time.Sleep(time.Millisecond)
