--- a/cmd/failoverreport/main.go
+++ b/cmd/failoverreport/main.go
@@ -1,6 +1,6 @@
-// Command failoverreport makes an HTML report of failovers from controllers' logs. It is a
-// program of its own since the plotting library takes more memory and start-up time than a
-// controller has.
+// Command failoverreport writes an HTML report of failovers from the logs of the controllers. It is
+// a separate program because the library that draws the plots takes more memory and start-up time
+// than a controller may use.
 package main
 
 import (
@@ -19,7 +19,7 @@
 	})
 }
 
-// write reads the logs and writes the page.
+// write reads the failovers from the logs and writes the report to page.
 func write(page io.Writer, logs []string) error {
 	all, err := failoverreport.ReadLogs(logs...)
 	if err != nil {
--- a/cmd/leadproxy/federation_commands.go
+++ b/cmd/leadproxy/federation_commands.go
@@ -12,12 +12,12 @@
 	"leadproxy/internal/transport"
 )
 
-// transfersCommand lists a cell's transfers.
+// transfersCommand lists the jobs that a cell has delegated to other cells, and its foreign jobs.
 type transfersCommand struct {
 	Config string `required:"" placeholder:"FILE" help:"The platform's settings file of any controller of the cell."`
 }
 
-// Run runs the command.
+// Run prints the transfers of the cell that the settings file belongs to.
 func (c *transfersCommand) Run() error {
 	platform, err := settings.LoadPlatform(c.Config)
 	if err != nil {
@@ -30,14 +30,15 @@
 	return cells.WriteTransferList(os.Stdout, list, time.Now())
 }
 
-// traceCommand shows the traces of jobs that were delegated to other cells.
+// traceCommand shows the steps of delegated jobs from trace files.
 type traceCommand struct {
 	Files []string `arg:"" name:"file" help:"Trace files of any controllers of any cells."`
 	Job   string   `placeholder:"ID" help:"This job alone."`
 	HTML  string   `name:"html" placeholder:"FILE" help:"Write a page instead of text."`
 }
 
-// Run runs the command.
+// Run prints the traces as text, or writes them to an HTML file. It fails if the files have no step
+// of the requested job, or no step at all.
 func (c *traceCommand) Run() error {
 	steps, err := cells.ReadSteps(c.Files...)
 	if err != nil {
--- a/cmd/leadproxy/golden_test.go
+++ b/cmd/leadproxy/golden_test.go
@@ -14,10 +14,10 @@
 	"github.com/alecthomas/kong"
 )
 
-var updateGolden = flag.Bool("update-help", false, "write the golden file of the command line anew")
+var updateGolden = flag.Bool("update-help", false, "rewrite the golden files")
 
-// TestGoldenCommandLine compares the tree of commands with their flags and arguments with the
-// recorded one. Sentences of the help may change and are left out.
+// TestGoldenCommandLine guards against accidental changes of the command line: it compares the
+// commands, flags and arguments with the golden file. Help texts may change and are not compared.
 func TestGoldenCommandLine(t *testing.T) {
 	var cl commandLine
 	parser, err := kong.New(&cl, kong.Name("leadproxy"), kong.Vars{"version": "VERSION"})
@@ -27,7 +27,8 @@
 	compareGolden(t, "help.txt", describeNode(parser.Model.Node))
 }
 
-// TestGoldenLogLevel compares the values that LOG_LEVEL may have, and the levels that each enables.
+// TestGoldenLogLevel guards against accidental changes of LOG_LEVEL: it compares the accepted
+// values and the levels that each enables with the golden file.
 func TestGoldenLogLevel(t *testing.T) {
 	var lines []string
 	for _, value := range []string{"", "error", "info", "debug", "ERROR", "Info", "warn", "warning", "trace", "0", " info"} {
@@ -47,7 +48,8 @@
 	compareGolden(t, "log-level.txt", lines)
 }
 
-// describeNode lists a command with its flags, arguments and subcommands.
+// describeNode returns a line for a command and for each of its flags, arguments and, recursively,
+// subcommands.
 func describeNode(node *kong.Node) []string {
 	path := node.FullPath()
 	line := "command " + path
@@ -77,6 +79,7 @@
 	return lines
 }
 
+// describeValue returns the type and the constraints of a flag or argument, with a leading space.
 func describeValue(value *kong.Value) string {
 	text := " " + value.Target.Kind().String()
 	if value.Required {
@@ -98,7 +101,8 @@
 	return ""
 }
 
-// compareGolden compares lines, sorted, with a file of testdata/golden, byte for byte.
+// compareGolden sorts the lines and compares them with a file in testdata/golden byte for byte.
+// With -update-help it writes the file first.
 func compareGolden(t *testing.T, name string, lines []string) {
 	t.Helper()
 	slices.Sort(lines)
--- a/cmd/leadproxy/main.go
+++ b/cmd/leadproxy/main.go
@@ -1,4 +1,5 @@
-// Command leadproxy is one controller of a cluster scheduler.
+// Command leadproxy runs a controller of the cluster scheduler. Its subcommands inspect and control
+// a running deployment.
 package main
 
 import (
@@ -11,10 +12,10 @@
 	"github.com/alecthomas/kong"
 )
 
-// version is set at release builds.
+// version is the version of the program. Release builds set it.
 var version = "0.1.0-dev"
 
-// commandLine is the commands of the program. The default is to run a controller.
+// commandLine defines the commands of the program. The default command runs a controller.
 type commandLine struct {
 	Run            runCommand            `cmd:"" default:"withargs" help:"Run a controller (the default)."`
 	Transfers      transfersCommand      `cmd:"" help:"List the jobs that are delegated to other cells, and those of other cells here."`
@@ -37,10 +38,12 @@
 	}
 }
 
-// logLevels are the values of LOG_LEVEL, in any case.
+// logLevels maps the values of LOG_LEVEL, in lower case, to log levels. An unset variable means
+// info.
 var logLevels = map[string]slog.Level{"": slog.LevelInfo, "error": slog.LevelError, "info": slog.LevelInfo, "debug": slog.LevelDebug}
 
-// newLogger returns the program's logger; name is the value of LOG_LEVEL.
+// newLogger returns a logger that writes to standard error. name is the value of LOG_LEVEL, in any
+// case; an unknown one is an error.
 func newLogger(name string) (*slog.Logger, error) {
 	level, ok := logLevels[strings.ToLower(name)]
 	if !ok {
@@ -49,15 +52,16 @@
 	return slog.New(slog.NewTextHandler(os.Stderr, &slog.HandlerOptions{Level: level})), nil
 }
 
-// revision is the abbreviated commit that the program was built from, if that is known.
+// revision returns the abbreviated commit that the program was built from, in parentheses after a
+// space, or "" if the commit is unknown.
 func revision() string {
 	info, ok := debug.ReadBuildInfo()
 	if !ok {
 		return ""
 	}
-	for _, s := range info.Settings {
-		if s.Key == "vcs.revision" && len(s.Value) >= 12 {
-			return " (" + s.Value[:12] + ")"
+	for _, setting := range info.Settings {
+		if setting.Key == "vcs.revision" && len(setting.Value) >= 12 {
+			return " (" + setting.Value[:12] + ")"
 		}
 	}
 	return ""
--- a/cmd/leadproxy/plan_commands.go
+++ b/cmd/leadproxy/plan_commands.go
@@ -13,8 +13,9 @@
 	"leadproxy/internal/transport"
 )
 
-// planCommands groups the commands for plans that drain and replace machines. The name of a
-// subcommand that is one of rollout's commands is also the command that the plan is given.
+// planCommands groups the commands for plans that drain and replace machines. The names of pause,
+// resume, abort, allow and skip must equal the values of rollout.Command, because they are sent to
+// the plan as they are.
 type planCommands struct {
 	Check  checkPlanCommand    `cmd:"" help:"Validate a plan."`
 	Start  startPlanCommand    `cmd:"" help:"Start a plan."`
@@ -26,17 +27,17 @@
 	Skip   planArgumentCommand `cmd:"" help:"Leave a machine out of a plan."`
 }
 
-// platformFlag is the flag of the file that has the controllers' addresses.
+// platformFlag is the flag for the settings file, which has the addresses of the controllers.
 type platformFlag struct {
 	Config string `required:"" placeholder:"FILE" help:"The platform's settings file of any controller."`
 }
 
-// checkPlanCommand validates a plan.
+// checkPlanCommand validates the file of a plan without contacting a controller.
 type checkPlanCommand struct {
 	Plan string `arg:"" help:"The plan (INI)."`
 }
 
-// Run runs the command.
+// Run validates the plan.
 func (c *checkPlanCommand) Run() error {
 	text, err := os.ReadFile(c.Plan)
 	if err != nil {
@@ -49,13 +50,13 @@
 	return nil
 }
 
-// startPlanCommand starts a plan.
+// startPlanCommand creates a plan from a file; the leader starts it.
 type startPlanCommand struct {
 	platformFlag
 	Plan string `arg:"" help:"The plan (INI)."`
 }
 
-// Run runs the command.
+// Run sends the plan to the leader and returns once the plan is durable.
 func (c *startPlanCommand) Run() error {
 	text, err := os.ReadFile(c.Plan)
 	if err != nil {
@@ -73,10 +74,10 @@
 	return nil
 }
 
-// planStatusCommand shows all plans.
+// planStatusCommand shows all plans and the jobs that count as disrupted.
 type planStatusCommand struct{ platformFlag }
 
-// Run runs the command.
+// Run prints the status tables.
 func (c *planStatusCommand) Run() error {
 	platform, err := settings.LoadPlatform(c.Config)
 	if err != nil {
@@ -89,24 +90,25 @@
 	return rolloutservice.WriteStatusTables(os.Stdout, list, time.Now())
 }
 
-// planCommand gives a plan a command without an argument.
+// planCommand sends a plan a command that has no argument.
 type planCommand struct {
 	platformFlag
 	Plan string `arg:"" help:"The plan's name."`
 }
 
-// planArgumentCommand gives a plan a command about a job or a machine.
+// planArgumentCommand sends a plan a command that has a job or a machine as its argument.
 type planArgumentCommand struct {
 	planCommand
 	Name string `arg:"" help:"The job, or the machine."`
 }
 
-// Run runs the command: name is that of the subcommand.
+// Run sends the command. kong passes the name of the subcommand, which is the command.
 func (c *planCommand) Run(name string) error { return c.send(rollout.Command(name), "") }
 
-// Run runs the command: name is that of the subcommand.
+// Run sends the command. kong passes the name of the subcommand, which is the command.
 func (c *planArgumentCommand) Run(name string) error { return c.send(rollout.Command(name), c.Name) }
 
+// send sends a command to the plan and returns once the command is durable.
 func (c *planCommand) send(command rollout.Command, argument string) error {
 	platform, err := settings.LoadPlatform(c.Config)
 	if err != nil {
--- a/cmd/leadproxy/run.go
+++ b/cmd/leadproxy/run.go
@@ -17,7 +17,8 @@
 	Check    bool   `help:"Validate the settings and exit."`
 }
 
-// Run runs the command.
+// Run loads and validates the settings and runs the controller until it fails. With --check it
+// returns after the validation.
 func (c *runCommand) Run() error {
 	log, err := newLogger(os.Getenv("LOG_LEVEL"))
 	if err != nil {
--- a/cmd/leadproxy/standby_commands.go
+++ b/cmd/leadproxy/standby_commands.go
@@ -15,7 +15,7 @@
 	Config string `required:"" placeholder:"FILE" help:"The platform's settings file of any controller."`
 }
 
-// Run runs the command.
+// Run prints the status of the standby of each controller.
 func (c *standbyCommand) Run() error {
 	platform, err := settings.LoadPlatform(c.Config)
 	if err != nil {
@@ -24,13 +24,13 @@
 	return leadertransfer.WriteStatus(context.Background(), os.Stdout, transport.TCP{}, platform)
 }
 
-// leaderTransferCommand transfers the leadership to another controller.
+// leaderTransferCommand makes the leader resign in favour of a standby.
 type leaderTransferCommand struct {
 	Config string `required:"" placeholder:"FILE" help:"The platform's settings file of any controller."`
 	To     string `placeholder:"CONTROLLER" help:"The controller that is to lead. By default the one whose copy is the newest."`
 }
 
-// Run runs the command.
+// Run requests the transfer from the leader and prints the resigned term and the successor.
 func (c *leaderTransferCommand) Run() error {
 	platform, err := settings.LoadPlatform(c.Config)
 	if err != nil {
--- a/cmd/rolloutreport/main.go
+++ b/cmd/rolloutreport/main.go
@@ -1,4 +1,4 @@
-// Command rolloutreport makes an HTML report of rollouts, the plans that drain and replace
+// Command rolloutreport writes an HTML report of rollouts, the plans that drain and replace
 // machines, from the logs of the controllers. It is a separate program because the library that
 // draws the plots takes more memory and start-up time than a controller may use.
 package main
@@ -11,7 +11,7 @@
 	"leadproxy/internal/rolloutreport"
 )
 
-// errNoPlan means that no plan has changed its phase in the logs.
+// errNoPlan means that the logs contain no phase change of a plan.
 var errNoPlan = errors.New("the logs have no phase of a plan")
 
 func main() {
@@ -22,6 +22,7 @@
 	})
 }
 
+// write reads the timeline of the rollouts from the logs and writes the report to page.
 func write(page io.Writer, logs []string) error {
 	timeline, err := rolloutreport.ReadLogs(logs...)
 	if err != nil {
--- a/internal/failoverreport/failoverreport.go
+++ b/internal/failoverreport/failoverreport.go
@@ -13,105 +13,108 @@
 	"leadproxy/internal/inputfiles"
 )
 
-// Failover is one failover as the new leader has logged it. Durations are in seconds since the
-// term was won.
+// Failover holds what a new leader logged about one failover. Durations are in seconds since the
+// leader won its term.
 type Failover struct {
 	At   time.Time
 	Term uint64
-	// FromStandby: the term acted on the standby's replica; else it read the ledger.
+	// FromStandby reports whether the leader took the ledger's content from its standby replica. If
+	// not, it read the ledger from the store.
 	FromStandby bool
-	// ViewReady is when the ledger's content was known, FirstDecision when the term decided its
-	// first effect, Resolved when no host was in doubt any more: when the tasks of earlier
-	// leaders were known for every machine.
+	// ViewReady is when the leader knew the ledger's content, FirstDecision when it decided its
+	// first effect, and Resolved when no host was in doubt any more, that is, when it knew for
+	// every machine which tasks earlier leaders had started.
 	ViewReady, FirstDecision, Resolved float64
 	Jobs, Machines                     int
 }
 
-// failoverLine matches what a new leader logs, in the form of this version or of earlier ones, which
-// logged msg=takeover with other names of the fields in the same order.
+// failoverLine matches the line that a new leader logs. Earlier versions logged msg=takeover and
+// the same fields in the same order under other names; the expression matches these lines too.
 var failoverLine = regexp.MustCompile(`^time=(\S+) .*msg=(?:"failover completed" leader_term|takeover term)=(\d+) (?:from_standby|warm)=(true|false) ` +
 	`(?:ledger_known_s|view_s)=(\S+) (?:first_decision_s|decided_s)=(\S+) (?:resolved_s|settled_s)=(\S+) jobs=(\d+) machines=(\d+)`)
 
-// ReadLogs reads the failovers from controllers' logs, the earliest first.
+// ReadLogs returns the failovers in controllers' logs, the earliest first.
 func ReadLogs(files ...string) ([]Failover, error) {
-	all, err := inputfiles.ReadAll(files, readLog)
+	failovers, err := inputfiles.ReadAll(files, readLog)
 	if err != nil {
 		return nil, err
 	}
-	slices.SortStableFunc(all, func(a, b Failover) int { return a.At.Compare(b.At) })
-	return all, nil
+	slices.SortStableFunc(failovers, func(a, b Failover) int { return a.At.Compare(b.At) })
+	return failovers, nil
 }
 
-// maxLineBytes bounds the length of a log line in bytes.
+// maxLineBytes bounds the length of a log line. A longer line is an error.
 const maxLineBytes = 1 << 20
 
+// readLog returns the failovers of one log in its order and ignores all other lines.
 func readLog(in io.Reader) ([]Failover, error) {
-	var all []Failover
+	var failovers []Failover
 	lines := bufio.NewScanner(in)
 	lines.Buffer(nil, maxLineBytes)
-	for n := 1; lines.Scan(); n++ {
+	for lineNumber := 1; lines.Scan(); lineNumber++ {
 		fields := failoverLine.FindStringSubmatch(lines.Text())
 		if fields == nil {
 			continue
 		}
-		t, err := parseFailover(fields)
+		failover, err := parseFailover(fields)
 		if err != nil {
-			return nil, fmt.Errorf("line %d: %w", n, err)
+			return nil, fmt.Errorf("line %d: %w", lineNumber, err)
 		}
-		all = append(all, t)
+		failovers = append(failovers, failover)
 	}
-	return all, lines.Err()
+	return failovers, lines.Err()
 }
 
-// parseFailover converts the submatches of failoverLine.
-func parseFailover(fields []string) (t Failover, err error) {
-	if t.At, err = time.Parse(time.RFC3339Nano, fields[1]); err != nil {
-		return t, err
+// parseFailover converts a match of failoverLine with its submatches to a Failover.
+func parseFailover(fields []string) (failover Failover, err error) {
+	if failover.At, err = time.Parse(time.RFC3339Nano, fields[1]); err != nil {
+		return failover, err
 	}
-	if t.Term, err = strconv.ParseUint(fields[2], 10, 64); err != nil {
-		return t, err
+	if failover.Term, err = strconv.ParseUint(fields[2], 10, 64); err != nil {
+		return failover, err
 	}
-	t.FromStandby = fields[3] == "true"
-	for i, into := range []*float64{&t.ViewReady, &t.FirstDecision, &t.Resolved} {
-		if *into, err = strconv.ParseFloat(fields[4+i], 64); err != nil {
-			return t, err
+	failover.FromStandby = fields[3] == "true"
+	for i, target := range []*float64{&failover.ViewReady, &failover.FirstDecision, &failover.Resolved} {
+		if *target, err = strconv.ParseFloat(fields[4+i], 64); err != nil {
+			return failover, err
 		}
 	}
-	for i, into := range []*int{&t.Jobs, &t.Machines} {
-		if *into, err = strconv.Atoi(fields[7+i]); err != nil {
-			return t, err
+	for i, target := range []*int{&failover.Jobs, &failover.Machines} {
+		if *target, err = strconv.Atoi(fields[7+i]); err != nil {
+			return failover, err
 		}
 	}
-	return t, nil
+	return failover, nil
 }
 
-// Phase is one of the durations of a failover.
+// Phase is a phase of a failover, with the function that returns its duration in seconds.
 type Phase struct {
 	Name     string
 	Duration func(f Failover) float64
 }
 
-// Phases are the durations of a failover, in their order.
+// Phases lists the phases in the order in which they end. All begin when the term is won.
 var Phases = []Phase{
 	{"until the ledger was known", func(f Failover) float64 { return f.ViewReady }},
 	{"until the first decision", func(f Failover) float64 { return f.FirstDecision }},
 	{"until no host was in doubt", func(f Failover) float64 { return f.Resolved }},
 }
 
-// phaseDurations returns the durations of a phase in ascending order, of the failovers with or
-// without a standby.
-func phaseDurations(all []Failover, p Phase, fromStandby bool) []float64 {
-	var values []float64
-	for _, t := range all {
-		if t.FromStandby == fromStandby {
-			values = append(values, p.Duration(t))
+// phaseDurations returns the durations of a phase in ascending order, either of the failovers from
+// a standby replica or of those from the ledger.
+func phaseDurations(failovers []Failover, phase Phase, fromStandby bool) []float64 {
+	var durations []float64
+	for _, failover := range failovers {
+		if failover.FromStandby == fromStandby {
+			durations = append(durations, phase.Duration(failover))
 		}
 	}
-	slices.Sort(values)
-	return values
+	slices.Sort(durations)
+	return durations
 }
 
-// percentile returns the value that the given share of the sorted values does not exceed.
+// percentile returns the value that the given share (0 to 1) of the sorted values does not exceed,
+// or 0 if there are no values.
 func percentile(sorted []float64, share float64) float64 {
 	if len(sorted) == 0 {
 		return 0
--- a/internal/failoverreport/page.go
+++ b/internal/failoverreport/page.go
@@ -13,7 +13,7 @@
 	"leadproxy/internal/svg"
 )
 
-// The size of a plot.
+// Size of each plot.
 const (
 	plotWidth  = 18 * vg.Centimeter
 	plotHeight = 7 * vg.Centimeter
@@ -24,54 +24,55 @@
 	ledgerColor  = color.RGBA{R: 0xc0, G: 0x56, B: 0x21, A: 0xff}
 )
 
-// summaryRow is a line of the summary.
+// summaryRow is a row of the summary table. The percentiles are in seconds.
 type summaryRow struct {
 	Phase, Source      string
 	Count              int
 	P50, P90, P99, Max float64
 }
 
-// plotSection is a phase with its plot.
+// plotSection is a section of the page that shows one plot.
 type plotSection struct {
 	Name string
 	Plot template.HTML
 }
 
-// WritePage writes an HTML page: percentiles and distribution of each phase, with and without a
-// standby, the durations by size, and all failovers.
-func WritePage(out io.Writer, all []Failover) error {
+// WritePage writes the report as an HTML page. It shows the percentiles and the distribution of
+// each phase, with and without a standby replica, the durations by size of the cluster, and a table
+// of all failovers.
+func WritePage(out io.Writer, failovers []Failover) error {
 	var data struct {
 		Rows      []summaryRow
 		Sections  []plotSection
 		BySize    []plotSection
 		Failovers []Failover
 	}
-	data.Failovers = all
-	for _, p := range Phases {
+	data.Failovers = failovers
+	for _, phase := range Phases {
 		for _, fromStandby := range []bool{true, false} {
-			values := phaseDurations(all, p, fromStandby)
-			if len(values) == 0 {
+			durations := phaseDurations(failovers, phase, fromStandby)
+			if len(durations) == 0 {
 				continue
 			}
-			data.Rows = append(data.Rows, summaryRow{p.Name, sourceName(fromStandby), len(values), percentile(values, 0.5), percentile(values, 0.9), percentile(values, 0.99), values[len(values)-1]})
+			data.Rows = append(data.Rows, summaryRow{phase.Name, sourceName(fromStandby), len(durations), percentile(durations, 0.5), percentile(durations, 0.9), percentile(durations, 0.99), durations[len(durations)-1]})
 		}
-		text, err := plotDistribution(all, p)
+		plotHTML, err := plotDistribution(failovers, phase)
 		if err != nil {
-			return fmt.Errorf("plot %s: %w", p.Name, err)
+			return fmt.Errorf("plot %s: %w", phase.Name, err)
 		}
-		data.Sections = append(data.Sections, plotSection{p.Name, text})
+		data.Sections = append(data.Sections, plotSection{phase.Name, plotHTML})
 	}
-	for _, s := range sizeAxes {
-		text, err := plotBySize(all, s)
+	for _, axis := range sizeAxes {
+		plotHTML, err := plotBySize(failovers, axis)
 		if err != nil {
-			return fmt.Errorf("plot by %s: %w", s.name, err)
+			return fmt.Errorf("plot by %s: %w", axis.name, err)
 		}
-		data.BySize = append(data.BySize, plotSection{s.name, text})
+		data.BySize = append(data.BySize, plotSection{axis.name, plotHTML})
 	}
 	return pageTemplate.Execute(out, data)
 }
 
-// sourceName names where the new leader had the ledger's content from.
+// sourceName returns the name of the source from which the new leader took the ledger's content.
 func sourceName(fromStandby bool) string {
 	if fromStandby {
 		return "standby's replica"
@@ -79,21 +80,22 @@
 	return "ledger read"
 }
 
-// plotDistribution draws the cumulative distribution of a phase's duration as an SVG.
-func plotDistribution(all []Failover, phase Phase) (template.HTML, error) {
+// plotDistribution draws the cumulative distribution of a phase's duration as an SVG, one line per
+// source of the ledger's content.
+func plotDistribution(failovers []Failover, phase Phase) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text = "seconds since the term was won"
 	p.Y.Label.Text = "share of failovers"
 	p.X.Min, p.Y.Min, p.Y.Max = 0, 0, 1
 	p.Add(plotter.NewGrid())
 	for _, fromStandby := range []bool{true, false} {
-		values := phaseDurations(all, phase, fromStandby)
-		if len(values) == 0 {
+		durations := phaseDurations(failovers, phase, fromStandby)
+		if len(durations) == 0 {
 			continue
 		}
 		steps := plotter.XYs{{X: 0, Y: 0}}
-		for i, v := range values {
-			steps = append(steps, plotter.XY{X: v, Y: float64(i) / float64(len(values))}, plotter.XY{X: v, Y: float64(i+1) / float64(len(values))})
+		for i, duration := range durations {
+			steps = append(steps, plotter.XY{X: duration, Y: float64(i) / float64(len(durations))}, plotter.XY{X: duration, Y: float64(i+1) / float64(len(durations))})
 		}
 		drawn, err := plotter.NewLine(steps)
 		if err != nil {
@@ -109,28 +111,29 @@
 	return svg.Draw(p, plotWidth, plotHeight)
 }
 
-// sizeAxis is a size of the cluster, and the duration that grows with it.
+// sizeAxis is a measure of the cluster's size and the duration that grows with it. point returns
+// the two of a failover as X and Y.
 type sizeAxis struct {
 	name, durationLabel string
-	point               func(t Failover) plotter.XY
+	point               func(f Failover) plotter.XY
 }
 
 var sizeAxes = []sizeAxis{
-	{"number of jobs", "seconds until the ledger is known", func(t Failover) plotter.XY { return plotter.XY{X: float64(t.Jobs), Y: t.ViewReady} }},
-	{"number of machines", "seconds until no host is in doubt", func(t Failover) plotter.XY { return plotter.XY{X: float64(t.Machines), Y: t.Resolved} }},
+	{"number of jobs", "seconds until the ledger is known", func(f Failover) plotter.XY { return plotter.XY{X: float64(f.Jobs), Y: f.ViewReady} }},
+	{"number of machines", "seconds until no host is in doubt", func(f Failover) plotter.XY { return plotter.XY{X: float64(f.Machines), Y: f.Resolved} }},
 }
 
-// plotBySize draws each failover's duration by a size as an SVG.
-func plotBySize(all []Failover, s sizeAxis) (template.HTML, error) {
+// plotBySize draws the duration of each failover against the cluster's size as an SVG.
+func plotBySize(failovers []Failover, axis sizeAxis) (template.HTML, error) {
 	p := plot.New()
-	p.X.Label.Text, p.Y.Label.Text = s.name, s.durationLabel
+	p.X.Label.Text, p.Y.Label.Text = axis.name, axis.durationLabel
 	p.X.Min, p.Y.Min = 0, 0
 	p.Add(plotter.NewGrid())
 	for _, fromStandby := range []bool{true, false} {
 		var points plotter.XYs
-		for _, t := range all {
-			if t.FromStandby == fromStandby {
-				points = append(points, s.point(t))
+		for _, failover := range failovers {
+			if failover.FromStandby == fromStandby {
+				points = append(points, axis.point(failover))
 			}
 		}
 		if len(points) == 0 {
--- a/internal/inputfiles/inputfiles.go
+++ b/internal/inputfiles/inputfiles.go
@@ -1,4 +1,4 @@
-// Package inputfiles reads the files that are named on a command line.
+// Package inputfiles reads records from the files named on a command line.
 package inputfiles
 
 import (
@@ -7,8 +7,8 @@
 	"os"
 )
 
-// ReadAll reads the records of all files with the given function, file by file. An error names
-// its file.
+// ReadAll calls read on each file and returns the records of all, in the order of names. It stops
+// at the first error, which names the file.
 func ReadAll[T any](names []string, read func(in io.Reader) ([]T, error)) ([]T, error) {
 	var all []T
 	for _, name := range names {
--- a/internal/inputfiles/inputfiles_test.go
+++ b/internal/inputfiles/inputfiles_test.go
@@ -11,8 +11,8 @@
 	"testing"
 )
 
-// TestReadAll: the records of all files are returned in the order of the files, and an error
-// names the file that it is about.
+// TestReadAll checks that the records of all files are returned in the order of the files, and that
+// an error names its file.
 func TestReadAll(t *testing.T) {
 	errInvalid := errors.New("invalid")
 	words := func(in io.Reader) ([]string, error) {
@@ -32,12 +32,12 @@
 	}
 	first, second, invalid := write("first", "c d"), write("second", "a"), write("wrong", "invalid")
 	if got, err := ReadAll([]string{first, second}, words); err != nil || !slices.Equal(got, []string{"c", "d", "a"}) {
-		t.Errorf("read %v, %v", got, err)
+		t.Errorf("read %v, error %v, want [c d a]", got, err)
 	}
 	if _, err := ReadAll([]string{first, invalid}, words); !errors.Is(err, errInvalid) || !strings.Contains(err.Error(), invalid) {
 		t.Errorf("error %v, want one that names %s", err, invalid)
 	}
 	if _, err := ReadAll([]string{filepath.Join(dir, "none")}, words); !errors.Is(err, fs.ErrNotExist) {
-		t.Errorf("error %v of a file that does not exist", err)
+		t.Errorf("error %v for a missing file, want fs.ErrNotExist", err)
 	}
 }
--- a/internal/knownred/list.go
+++ b/internal/knownred/list.go
@@ -6,14 +6,14 @@
 	"strings"
 )
 
-// entryLine is a line of the list: the name of a test, or of one of its subtests, as go test prints
-// it, then what was seen.
+// entryLine matches an entry of the list: the name of a test or subtest as go test prints it, a
+// colon, and what was seen.
 var entryLine = regexp.MustCompile(`^((?:Test|Fuzz|Example)\w*(?:/[^\s:]+)*): \S`)
 
-// knownTests are the names of the tests that the list names.
+// knownTests holds the names of the listed tests and subtests.
 type knownTests []string
 
-// parseList reads the list. Empty lines are passed over; any other line must be an entry.
+// parseList parses the list. It ignores empty lines; any other line must be an entry.
 func parseList(text string) (known knownTests, err error) {
 	for _, line := range strings.Split(text, "\n") {
 		if strings.TrimSpace(line) == "" {
@@ -28,7 +28,7 @@
 	return known, nil
 }
 
-// includes reports whether the list names a test or one that it is a subtest of.
+// includes reports whether the list names the test or a test of which it is a subtest.
 func (k knownTests) includes(test string) bool {
 	for _, name := range k {
 		if test == name || strings.HasPrefix(test, name+"/") {
--- a/internal/knownred/main.go
+++ b/internal/knownred/main.go
@@ -1,10 +1,10 @@
-// Command knownred decides for CI whether a failed run of go test may be passed over: it may if all
-// that failed are tests that KNOWN-RED.txt lists.
+// Command knownred decides whether CI tolerates a failed run of go test. It does if every failure
+// is that of a test listed in KNOWN-RED.txt.
 //
 //	go run ./internal/knownred KNOWN-RED.txt [results.txt]
 //
-// It prints what failed and is known, and exits with 1 if anything else failed, or if the list can't
-// be read. A missing or empty list means that nothing may fail. Without results it only reads the
+// It prints the known failures, and exits with status 1 on any other failure or if the list cannot
+// be parsed. With a missing or empty list, no test may fail. Without results, it only validates the
 // list.
 package main
 
@@ -33,7 +33,7 @@
 	}
 }
 
-// readList reads the list, which may be missing.
+// readList reads and parses the list. A missing file is an empty list.
 func readList(path string) (knownTests, error) {
 	text, err := os.ReadFile(path)
 	if err != nil && !errors.Is(err, fs.ErrNotExist) {
@@ -42,7 +42,8 @@
 	return parseList(string(text))
 }
 
-// run judges the results in one file by the list in another.
+// run checks the results of go test in one file against the list in another and prints the known
+// failures. It returns an error if the run is not tolerated.
 func run(listPath, resultsPath string, out io.Writer) error {
 	known, err := readList(listPath)
 	if err != nil {
@@ -52,10 +53,10 @@
 	if err != nil {
 		return err
 	}
-	red, err := checkResults(string(results), known)
+	failedTests, err := checkResults(string(results), known)
 	if err != nil {
 		return err
 	}
-	fmt.Fprintln(out, "failed and known:", strings.Join(red, " "))
+	fmt.Fprintln(out, "failed and known:", strings.Join(failedTests, " "))
 	return nil
 }
--- a/internal/knownred/results.go
+++ b/internal/knownred/results.go
@@ -7,34 +7,38 @@
 	"strings"
 )
 
-// What go test prints without -v.
+// Lines that go test prints without -v.
 var (
 	failedTestLine    = regexp.MustCompile(`^( *)--- FAIL: (\S+) \(`)
 	testLogLine       = regexp.MustCompile(`^( *)\S+\.go:\d+: `)
 	failedPackageLine = regexp.MustCompile(`^FAIL\t(\S+)`)
 	passedPackageLine = regexp.MustCompile(`^(?:ok  |\?   )?\t(\S+)`)
-	neverTolerated    = regexp.MustCompile(`^(?:panic:|fatal error:|WARNING: DATA RACE)|race detected during execution|\[(?:build|setup) failed\]|test timed out after`)
+	// neverTolerated matches failures that no entry of the list excuses.
+	neverTolerated = regexp.MustCompile(`^(?:panic:|fatal error:|WARNING: DATA RACE)|race detected during execution|\[(?:build|setup) failed\]|test timed out after`)
 )
 
-// indentWidth is how far go test indents the results of a subtest below its parent.
+// indentWidth is the number of spaces by which go test indents a subtest's results below its
+// parent's.
 const indentWidth = 4
 
-// failure is a test that has failed.
+// failure is a failed test or subtest.
 type failure struct {
 	name string
-	// hasOwnLog: it has logged something itself, so that it may not have failed for its subtests alone.
+	// hasOwnLog reports whether the test itself logged a line. It may then have failed for a reason
+	// of its own, not only because a subtest failed.
 	hasOwnLog        bool
 	hasFailedSubtest bool
 }
 
-// packageResults are the failures of the package whose results are being read.
+// packageResults holds the failures of the package whose results are being read.
 type packageResults struct {
-	path     []*failure // the failed test and its subtests down to the latest line
+	path     []*failure // from the failed top-level test down to the latest failed subtest
 	failures []*failure
 }
 
-// checkResults returns the tests that failed, all of which are known, or an error if anything else failed.
-func checkResults(results string, known knownTests) (red []string, err error) {
+// checkResults returns the names of the failed tests if all of them are known. Any other failure is
+// an error, as are results that end within a package or have no failed test.
+func checkResults(results string, known knownTests) (failedTests []string, err error) {
 	var current packageResults
 	for _, line := range strings.Split(results, "\n") {
 		if neverTolerated.MatchString(line) {
@@ -48,7 +52,7 @@
 			if err != nil {
 				return nil, err
 			}
-			red = append(red, names...)
+			failedTests = append(failedTests, names...)
 			current = packageResults{}
 		} else if passedPackageLine.MatchString(line) {
 			current = packageResults{}
@@ -57,13 +61,13 @@
 	if len(current.failures) > 0 {
 		return nil, fmt.Errorf("the results end within a package, after %s", current.failures[0].name)
 	}
-	if len(red) == 0 {
+	if len(failedTests) == 0 {
 		return nil, errors.New("the run failed without a failed test")
 	}
-	return red, nil
+	return failedTests, nil
 }
 
-// readLine takes a line about a test, and reports whether it was one.
+// readLine processes a line if it is about a test, and reports whether it is.
 func (p *packageResults) readLine(line string) bool {
 	if failed := failedTestLine.FindStringSubmatch(line); failed != nil {
 		p.addFailure(len(failed[1])/indentWidth, failed[2])
@@ -78,7 +82,8 @@
 	return false
 }
 
-// addFailure adds a failed test at a depth, 0 for a test that is no subtest.
+// addFailure adds a failed test. Its depth is 0 for a top-level test, and one more for each level
+// of subtests.
 func (p *packageResults) addFailure(depth int, name string) {
 	p.path = p.path[:min(depth, len(p.path))]
 	if len(p.path) > 0 {
@@ -89,20 +94,20 @@
 	p.failures = append(p.failures, f)
 }
 
-// checkFailures returns the failed tests of a package, unless one of them is not known. A test that has
-// failed for its subtests alone is not counted itself.
-func (p *packageResults) checkFailures(name string, known knownTests) (red []string, err error) {
+// checkFailures returns the names of the package's failed tests, or an error if one of them is not
+// known. It leaves out tests that failed only because a subtest failed.
+func (p *packageResults) checkFailures(packagePath string, known knownTests) (failedTests []string, err error) {
 	for _, f := range p.failures {
 		if f.hasFailedSubtest && !f.hasOwnLog {
 			continue
 		}
 		if !known.includes(f.name) {
-			return nil, fmt.Errorf("%s: %s failed and is not known", name, f.name)
+			return nil, fmt.Errorf("%s: %s failed and is not known", packagePath, f.name)
 		}
-		red = append(red, f.name)
+		failedTests = append(failedTests, f.name)
 	}
-	if len(red) == 0 {
-		return nil, fmt.Errorf("%s failed without a failed test", name)
+	if len(failedTests) == 0 {
+		return nil, fmt.Errorf("%s failed without a failed test", packagePath)
 	}
-	return red, nil
+	return failedTests, nil
 }
--- a/internal/reportcmd/reportcmd_test.go
+++ b/internal/reportcmd/reportcmd_test.go
@@ -8,15 +8,15 @@
 	"testing"
 )
 
-// TestRun: a report that fails leaves the existing file unchanged.
+// TestRun checks that a report that fails halfway leaves the existing file unchanged.
 func TestRun(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "page.html")
-	cl := commandLine{Logs: []string{"a.log", "b.log"}, HTML: file}
+	command := commandLine{Logs: []string{"a.log", "b.log"}, HTML: file}
 	complete := Report{Write: func(page io.Writer, logs []string) error {
 		_, err := io.WriteString(page, logs[0]+" "+logs[1])
 		return err
 	}}
-	if err := cl.run(complete); err != nil {
+	if err := command.run(complete); err != nil {
 		t.Fatal(err)
 	}
 	errNoEvents := errors.New("the logs have no events")
@@ -24,10 +24,10 @@
 		io.WriteString(page, "half a page")
 		return errNoEvents
 	}}
-	if err := cl.run(failing); !errors.Is(err, errNoEvents) {
-		t.Errorf("%v, want the reason", err)
+	if err := command.run(failing); !errors.Is(err, errNoEvents) {
+		t.Errorf("error %v, want the error of the failing report", err)
 	}
 	if text, err := os.ReadFile(file); err != nil || string(text) != "a.log b.log" {
-		t.Errorf("the file has %q, %v", text, err)
+		t.Errorf("file content %q, error %v, want the first report", text, err)
 	}
 }
--- a/internal/rolloutreport/log_reader.go
+++ b/internal/rolloutreport/log_reader.go
@@ -11,7 +11,8 @@
 	"leadproxy/internal/inputfiles"
 )
 
-// The messages that controllers log.
+// Log messages of the controllers that the report reads, and the reason logged for the return of a
+// drained machine.
 const (
 	messagePlanPhase     = "draining"
 	messageDisrupted     = "job is disrupted"
@@ -20,7 +21,7 @@
 	reasonDrained        = "drained"
 )
 
-// ReadLogs reads a timeline from controllers' logs.
+// ReadLogs returns the timeline of the events in controllers' logs.
 func ReadLogs(files ...string) (*Timeline, error) {
 	lines, err := inputfiles.ReadAll(files, readLines)
 	if err != nil {
@@ -29,15 +30,16 @@
 	return newTimeline(lines)
 }
 
-// logLine is a line of a log with one of the messages above.
+// logLine is a log line with one of the messages above.
 type logLine struct {
 	time    time.Time
 	message string
 	fields  map[string]string
 }
 
-// readLines reads the lines that have one of the messages above, up to the first line that is not
-// in logfmt, such as an incomplete one of a controller that was killed.
+// readLines returns the lines that have one of the messages above. It stops without an error at the
+// first line that is not valid logfmt, such as the incomplete last line of a controller that was
+// killed.
 func readLines(in io.Reader) ([]logLine, error) {
 	var lines []logLine
 	decoder := logfmt.NewDecoder(in)
@@ -51,11 +53,11 @@
 		default:
 			continue
 		}
-		at, err := time.Parse(time.RFC3339Nano, fields["time"])
+		timestamp, err := time.Parse(time.RFC3339Nano, fields["time"])
 		if err != nil {
 			return nil, fmt.Errorf("time of the line %q: %w", fields["msg"], err)
 		}
-		lines = append(lines, logLine{time: at, message: fields["msg"], fields: fields})
+		lines = append(lines, logLine{time: timestamp, message: fields["msg"], fields: fields})
 	}
 	var syntaxError *logfmt.SyntaxError
 	if err := decoder.Err(); err != nil && !errors.As(err, &syntaxError) {
--- a/internal/rolloutreport/page.go
+++ b/internal/rolloutreport/page.go
@@ -6,22 +6,24 @@
 	"time"
 )
 
-// teamRow is a team's row of the summary.
+// teamRow is a team's row of the summary table. Total is the sum of the disruptions that have
+// ended.
 type teamRow struct {
 	Team               string
 	Jobs, MaxDisrupted int
 	Total              time.Duration
 }
 
-// report is the content of the page.
+// report is the data of the page template.
 type report struct {
 	*Timeline
 	Rows                 []teamRow
 	JobPlot, MachinePlot template.HTML
 }
 
-// WritePage writes the report as an HTML page: the number of disrupted jobs of each team and of
-// drained machines over time, the phases of the plans, and each disrupted job with its cause.
+// WritePage writes the report as an HTML page: the numbers of disrupted jobs of each team and of
+// drained machines over time, the phases of the plans, each disrupted job with its cause, and the
+// returned machines.
 func WritePage(out io.Writer, t *Timeline) error {
 	content := report{Timeline: t}
 	for _, team := range t.Teams() {
@@ -37,6 +39,7 @@
 	return reportPage.Execute(out, content)
 }
 
+// summarizeTeam returns a team's row of the summary table.
 func (t *Timeline) summarizeTeam(team string) teamRow {
 	row := teamRow{Team: team, MaxDisrupted: t.MaxDisrupted(team)}
 	for _, d := range t.Disruptions {
@@ -52,7 +55,7 @@
 	return row
 }
 
-// Duration is how long a disruption lasted, in words.
+// Duration returns how long the disruption lasted, as text for the page.
 func (d Disruption) Duration() string {
 	if d.End.IsZero() {
 		return "not over"
--- a/internal/rolloutreport/plots.go
+++ b/internal/rolloutreport/plots.go
@@ -13,7 +13,7 @@
 	"leadproxy/internal/svg"
 )
 
-// The size of a plot.
+// Size of each plot.
 const (
 	plotWidth  = 22 * vg.Centimeter
 	plotHeight = 7 * vg.Centimeter
@@ -25,6 +25,7 @@
 	samples []Sample
 }
 
+// plotDisruptedJobs draws the number of disrupted jobs of each team.
 func (t *Timeline) plotDisruptedJobs() (template.HTML, error) {
 	var lines []series
 	for _, team := range t.Teams() {
@@ -33,15 +34,16 @@
 	return plotSteps("disrupted jobs", t.startTime(), lines)
 }
 
+// plotDrainedMachines draws the cumulative number of drained machines that were returned.
 func (t *Timeline) plotDrainedMachines() (template.HTML, error) {
 	line := series{name: "drained"}
-	for i, r := range t.Returns {
-		line.samples = append(line.samples, Sample{At: r.At, Count: i + 1})
+	for i, machineReturn := range t.Returns {
+		line.samples = append(line.samples, Sample{At: machineReturn.At, Count: i + 1})
 	}
 	return plotSteps("machines", t.startTime(), []series{line})
 }
 
-// plotSteps draws counts over time, as an SVG.
+// plotSteps draws counts over the time since start as step lines, as an SVG.
 func plotSteps(label string, start time.Time, lines []series) (template.HTML, error) {
 	p := plot.New()
 	p.X.Label.Text = "seconds since the beginning"
@@ -60,7 +62,7 @@
 	return svg.Draw(p, plotWidth, plotHeight)
 }
 
-// stepPoints are the points of a line that is level between the samples.
+// stepPoints returns the points of a step line, which starts at 0 and changes only at the samples.
 func (s series) stepPoints(start time.Time) plotter.XYs {
 	points := plotter.XYs{{X: 0, Y: 0}}
 	for _, sample := range s.samples {
--- a/internal/rolloutreport/timeline.go
+++ b/internal/rolloutreport/timeline.go
@@ -1,5 +1,5 @@
-// Package rolloutreport makes a report of rollouts from the logs of the controllers: which machines
-// were drained when, and which jobs were disrupted, for how long and why.
+// Package rolloutreport makes an HTML report of rollouts from the logs of the controllers: which
+// machines were drained when, and which jobs were disrupted, for how long and why.
 package rolloutreport
 
 import (
@@ -10,7 +10,8 @@
 	"time"
 )
 
-// PhaseChange is a change of a plan's phase.
+// PhaseChange is a change of a plan's phase, or of whether the plan is paused. Reason is why the
+// plan is paused or has ended, Drained the number of machines of past steps.
 type PhaseChange struct {
 	At            time.Time
 	Plan          string
@@ -18,94 +19,97 @@
 	Step, Drained int
 }
 
-// Disruption is the time for which a job had tasks that had not regained their lost progress.
+// Disruption is a period in which a job had tasks that had not yet regained their lost progress.
 type Disruption struct {
 	JobID, Team, Class, Cause string
-	Start, End                time.Time // End is zero while it lasts
+	Start, End                time.Time // End is zero if the logs have no end
 }
 
-// MachineReturn is the return of a drained machine.
+// MachineReturn is the return of a drained machine to the cloud.
 type MachineReturn struct {
 	At      time.Time
 	Machine string
 }
 
-// Timeline has the events of the logs, each kind in the order of time.
+// Timeline holds the events of the logs, each kind in chronological order of the log lines.
 type Timeline struct {
 	Phases      []PhaseChange
 	Disruptions []Disruption
 	Returns     []MachineReturn
 }
 
+// newTimeline sorts the lines of all logs by time and returns their timeline.
 func newTimeline(lines []logLine) (*Timeline, error) {
 	slices.SortStableFunc(lines, func(a, b logLine) int { return a.time.Compare(b.time) })
 	t := &Timeline{}
-	for _, l := range lines {
-		if err := t.add(l); err != nil {
+	for _, line := range lines {
+		if err := t.add(line); err != nil {
 			return nil, err
 		}
 	}
 	return t, nil
 }
 
-func (t *Timeline) add(l logLine) error {
-	switch l.message {
+// add adds the event of a line.
+func (t *Timeline) add(line logLine) error {
+	switch line.message {
 	case messagePlanPhase:
-		return t.addPhase(l)
+		return t.addPhase(line)
 	case messageDisrupted:
-		return t.addDisruption(l)
+		return t.addDisruption(line)
 	case messageRecovered:
-		if d := t.ongoingDisruption(l.fields["job"]); d != nil {
-			d.End = l.time
+		if d := t.ongoingDisruption(line.fields["job"]); d != nil {
+			d.End = line.time
 		}
 	case messageMachineReturn:
-		if l.fields["why"] == reasonDrained {
-			t.addReturn(MachineReturn{At: l.time, Machine: l.fields["machine"]})
+		if line.fields["why"] == reasonDrained {
+			t.addReturn(MachineReturn{At: line.time, Machine: line.fields["machine"]})
 		}
 	}
 	return nil
 }
 
-// addPhase adds a change of a plan's phase. The line of a plan's creation has no step and is
-// ignored.
-func (t *Timeline) addPhase(l logLine) error {
-	plan, phase := l.fields["plan"], l.fields["phase"]
-	if phase == "" || l.fields["step"] == "" {
+// addPhase adds a phase change of a plan. It ignores the line that is logged when a plan is
+// created, which has no step.
+func (t *Timeline) addPhase(line logLine) error {
+	plan, phase := line.fields["plan"], line.fields["phase"]
+	if phase == "" || line.fields["step"] == "" {
 		return nil
 	}
-	step, err := strconv.Atoi(l.fields["step"])
+	step, err := strconv.Atoi(line.fields["step"])
 	if err != nil {
 		return fmt.Errorf("step of plan %s: %w", plan, err)
 	}
-	drained, err := strconv.Atoi(l.fields["drained"])
+	drainedCount, err := strconv.Atoi(line.fields["drained"])
 	if err != nil {
 		return fmt.Errorf("drained machines of plan %s: %w", plan, err)
 	}
-	t.Phases = append(t.Phases, PhaseChange{At: l.time, Plan: plan, Phase: phase, Reason: l.fields["why"], Step: step, Drained: drained})
+	t.Phases = append(t.Phases, PhaseChange{At: line.time, Plan: plan, Phase: phase, Reason: line.fields["why"], Step: step, Drained: drainedCount})
 	return nil
 }
 
-// addDisruption adds a disruption. A new leader logs those that last again.
-func (t *Timeline) addDisruption(l logLine) error {
-	jobID := l.fields["job"]
+// addDisruption adds a disruption of a job. It ignores a job whose disruption is ongoing, because a
+// new leader logs the ongoing disruptions again.
+func (t *Timeline) addDisruption(line logLine) error {
+	jobID := line.fields["job"]
 	if t.ongoingDisruption(jobID) != nil {
 		return nil
 	}
-	seconds, err := strconv.ParseFloat(l.fields["seconds"], 64)
+	seconds, err := strconv.ParseFloat(line.fields["seconds"], 64)
 	if err != nil {
 		return fmt.Errorf("duration of the disruption of %s: %w", jobID, err)
 	}
 	t.Disruptions = append(t.Disruptions, Disruption{
 		JobID: jobID,
-		Team:  l.fields["team"],
-		Class: l.fields["class"],
-		Cause: l.fields["cause"],
-		Start: l.time.Add(-time.Duration(seconds * float64(time.Second))),
+		Team:  line.fields["team"],
+		Class: line.fields["class"],
+		Cause: line.fields["cause"],
+		Start: line.time.Add(-time.Duration(seconds * float64(time.Second))),
 	})
 	return nil
 }
 
-// ongoingDisruption is a job's disruption that has not ended; nil if there is none.
+// ongoingDisruption returns the job's disruption that has not ended, or nil if there is none.
 func (t *Timeline) ongoingDisruption(jobID string) *Disruption {
 	for i := len(t.Disruptions) - 1; i >= 0; i-- {
 		if d := &t.Disruptions[i]; d.JobID == jobID && d.End.IsZero() {
@@ -115,31 +119,33 @@
 	return nil
 }
 
-// addReturn adds a machine's return, which is logged again until the machine is gone.
-func (t *Timeline) addReturn(r MachineReturn) {
-	if !slices.ContainsFunc(t.Returns, func(other MachineReturn) bool { return other.Machine == r.Machine }) {
-		t.Returns = append(t.Returns, r)
+// addReturn adds the return of a machine. It ignores a machine that was added before, because the
+// return is logged repeatedly until the machine is gone.
+func (t *Timeline) addReturn(machineReturn MachineReturn) {
+	if !slices.ContainsFunc(t.Returns, func(other MachineReturn) bool { return other.Machine == machineReturn.Machine }) {
+		t.Returns = append(t.Returns, machineReturn)
 	}
 }
 
-// startTime is the time of the first event.
+// startTime returns the time of the first phase change or disruption, or the zero time if there are
+// none.
 func (t *Timeline) startTime() time.Time {
 	var first time.Time
-	include := func(at time.Time) {
-		if first.IsZero() || at.Before(first) {
-			first = at
+	considerTime := func(eventTime time.Time) {
+		if first.IsZero() || eventTime.Before(first) {
+			first = eventTime
 		}
 	}
-	for _, p := range t.Phases {
-		include(p.At)
+	for _, change := range t.Phases {
+		considerTime(change.At)
 	}
 	for _, d := range t.Disruptions {
-		include(d.Start)
+		considerTime(d.Start)
 	}
 	return first
 }
 
-// Teams lists the teams whose jobs were disrupted.
+// Teams returns the sorted names of the teams whose jobs were disrupted.
 func (t *Timeline) Teams() []string {
 	var teams []string
 	for _, d := range t.Disruptions {
@@ -149,13 +155,14 @@
 	return slices.Compact(teams)
 }
 
-// Sample is a count that holds from a time on.
+// Sample is a count that is valid from a time until the next sample.
 type Sample struct {
 	At    time.Time
 	Count int
 }
 
-// DisruptedJobs is the number of a team's disrupted jobs over time.
+// DisruptedJobs returns the number of a team's disrupted jobs over time, with a sample for each
+// start and end of a disruption.
 func (t *Timeline) DisruptedJobs(team string) []Sample {
 	var changes []Sample
 	for _, d := range t.Disruptions {
@@ -177,11 +184,11 @@
 	return samples
 }
 
-// MaxDisrupted is the largest number of a team's jobs that were disrupted at once.
+// MaxDisrupted returns the largest number of a team's jobs that were disrupted at the same time.
 func (t *Timeline) MaxDisrupted(team string) int {
-	most := 0
-	for _, s := range t.DisruptedJobs(team) {
-		most = max(most, s.Count)
+	maxCount := 0
+	for _, sample := range t.DisruptedJobs(team) {
+		maxCount = max(maxCount, sample.Count)
 	}
-	return most
+	return maxCount
 }
--- a/internal/rolloutservice/rolloutpb/doc.go
+++ b/internal/rolloutservice/rolloutpb/doc.go
@@ -1,3 +1,3 @@
-// Package rolloutpb is generated from rollout.proto. Names and numbers stay as they are,
-// since versions run side by side.
+// Package rolloutpb is generated from rollout.proto. Names and field numbers must not change,
+// because different versions of the program run side by side.
 package rolloutpb
--- a/internal/rolloutservice/server.go
+++ b/internal/rolloutservice/server.go
@@ -1,5 +1,7 @@
-// Package rolloutservice is the gRPC service by which operators create, control and list the
-// plans that drain machines, through any controller. Package rollout defines the plans.
+// Package rolloutservice has the server and the client of the gRPC service with which operators
+// create, control and list the plans that drain machines. Every controller serves it, but only the
+// leader executes requests; the client tries one controller after the other. Package rollout
+// defines the plans.
 package rolloutservice
 
 import (
@@ -23,17 +25,17 @@
 	ListPlans(ctx context.Context) (scheduler.PlanListReply, error)
 }
 
-// Server serves operators.
+// Server implements the gRPC service Rollouts.
 type Server struct {
 	rolloutpb.UnimplementedRolloutsServer
 	leader Leader
 }
 
-// NewServer returns a server for a controller.
+// NewServer returns a server that passes requests on to the controller's dispatcher.
 func NewServer(leader Leader) *Server { return &Server{leader: leader} }
 
-// statusError returns the status for an error of the leader. Its code tells the operator's program
-// whether to try another controller.
+// statusError converts an error of the leader to a gRPC status; nil stays nil. The code determines
+// whether the client tries another controller.
 func statusError(err error) error {
 	switch {
 	case err == nil:
@@ -46,21 +48,21 @@
 	return status.Error(codes.FailedPrecondition, err.Error())
 }
 
-// Create creates a plan from its text.
-func (s *Server) Create(ctx context.Context, r *rolloutpb.CreateRequest) (*rolloutpb.CreateReply, error) {
-	spec, err := rollout.ParseSpec(r.Text)
+// Create creates a plan from its text. It responds once the plan is durable.
+func (s *Server) Create(ctx context.Context, request *rolloutpb.CreateRequest) (*rolloutpb.CreateReply, error) {
+	spec, err := rollout.ParseSpec(request.Text)
 	if err != nil {
 		return nil, status.Error(codes.InvalidArgument, err.Error())
 	}
 	return &rolloutpb.CreateReply{Name: spec.Name}, statusError(s.leader.CreatePlan(ctx, spec))
 }
 
-// Steer gives a command to a plan.
-func (s *Server) Steer(ctx context.Context, r *rolloutpb.SteerRequest) (*rolloutpb.SteerReply, error) {
-	return &rolloutpb.SteerReply{}, statusError(s.leader.SteerPlan(ctx, r.Name, rollout.Command(r.Command), r.Argument))
+// Steer applies a command to a plan. It responds once the command is durable.
+func (s *Server) Steer(ctx context.Context, request *rolloutpb.SteerRequest) (*rolloutpb.SteerReply, error) {
+	return &rolloutpb.SteerReply{}, statusError(s.leader.SteerPlan(ctx, request.Name, rollout.Command(request.Command), request.Argument))
 }
 
-// List lists all plans and the disrupted jobs.
+// List returns all plans and the disrupted jobs.
 func (s *Server) List(ctx context.Context, _ *rolloutpb.ListRequest) (*rolloutpb.ListReply, error) {
 	list, err := s.leader.ListPlans(ctx)
 	if err != nil {
--- a/internal/rolloutservice/status_table.go
+++ b/internal/rolloutservice/status_table.go
@@ -10,16 +10,16 @@
 	"leadproxy/internal/rolloutservice/rolloutpb"
 )
 
-// maxWaitReasons is how many of the conditions that a plan waits for are shown.
+// maxWaitReasons bounds how many of the conditions that a plan waits for are shown.
 const maxWaitReasons = 20
 
-// WriteStatusTables writes the state of all plans, the conditions that they wait for, and the jobs that count
-// as disrupted, as tables.
+// WriteStatusTables writes tables of all plans, of the conditions that they wait for, and of the
+// jobs that count as disrupted. Ages are relative to now.
 func WriteStatusTables(out io.Writer, list *rolloutpb.ListReply, now time.Time) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	writePlans(w, list.Plans, now)
-	for _, p := range list.Plans {
-		writeWaitReasons(w, p)
+	for _, plan := range list.Plans {
+		writeWaitReasons(w, plan)
 	}
 	writeDisruptions(w, list.Disrupted)
 	return w.Flush()
@@ -28,23 +28,23 @@
 func writePlans(w io.Writer, plans []*rolloutpb.Plan, now time.Time) {
 	age := func(ms int64) time.Duration { return now.Sub(time.UnixMilli(ms)).Round(time.Second) }
 	fmt.Fprintln(w, "PLAN\tPHASE\tFOR\tSTEP\tDRAINED\tBATCH\tAGE\tWHY")
-	for _, p := range plans {
-		phase := p.Phase
-		if p.Paused {
+	for _, plan := range plans {
+		phase := plan.Phase
+		if plan.Paused {
 			phase += ", paused"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", p.Name, phase, age(p.PhaseMs), p.Step, p.Drained, strings.Join(p.Batch, " "), age(p.CreatedMs), p.Why)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%d\t%d\t%s\t%s\t%s\n", plan.Name, phase, age(plan.PhaseMs), plan.Step, plan.Drained, strings.Join(plan.Batch, " "), age(plan.CreatedMs), plan.Why)
 	}
 }
 
-func writeWaitReasons(w io.Writer, p *rolloutpb.Plan) {
-	if len(p.Waits) == 0 {
+func writeWaitReasons(w io.Writer, plan *rolloutpb.Plan) {
+	if len(plan.Waits) == 0 {
 		return
 	}
-	fmt.Fprintf(w, "\n%s waits for\n", p.Name)
-	for i, reason := range p.Waits {
+	fmt.Fprintf(w, "\n%s waits for\n", plan.Name)
+	for i, reason := range plan.Waits {
 		if i == maxWaitReasons {
-			fmt.Fprintf(w, "  and %d more\n", len(p.Waits)-maxWaitReasons)
+			fmt.Fprintf(w, "  and %d more\n", len(plan.Waits)-maxWaitReasons)
 			return
 		}
 		fmt.Fprintf(w, "  %s\n", reason)
--- a/internal/rolloutservice/status_table_test.go
+++ b/internal/rolloutservice/status_table_test.go
@@ -10,8 +10,8 @@
 	"leadproxy/internal/rolloutservice/rolloutpb"
 )
 
-// TestWriteStatusTables: the tables have each plan with what it waits for, up to a bound, and each disrupted
-// job.
+// TestWriteStatusTables checks that the tables show each plan with at most 20 of the conditions
+// that it waits for, and each disrupted job.
 func TestWriteStatusTables(t *testing.T) {
 	now := time.UnixMilli(1_000_000)
 	var waits []string
@@ -44,10 +44,11 @@
 	}
 }
 
+// reasonLines returns the lines of the first conditions that the plan waits for.
 func reasonLines(count int) string {
-	var b strings.Builder
+	var text strings.Builder
 	for i := range count {
-		fmt.Fprintf(&b, "  reason %d\n", i)
+		fmt.Fprintf(&text, "  reason %d\n", i)
 	}
-	return b.String()
+	return text.String()
 }
--- a/internal/svg/svg.go
+++ b/internal/svg/svg.go
@@ -1,4 +1,4 @@
-// Package svg draws the plots of HTML reports.
+// Package svg renders plots as SVG for HTML reports.
 package svg
 
 import (
@@ -12,7 +12,7 @@
 	"gonum.org/v1/plot/vg/vgsvg"
 )
 
-// Draw returns a plot as an <svg> element for an HTML page.
+// Draw renders a plot as an <svg> element that can be embedded in an HTML page.
 func Draw(p *plot.Plot, width, height vg.Length) (template.HTML, error) {
 	canvas := vgsvg.New(width, height)
 	p.Draw(draw.New(canvas))
@@ -20,7 +20,7 @@
 	if _, err := canvas.WriteTo(&encoded); err != nil {
 		return "", fmt.Errorf("encode the plot: %w", err)
 	}
-	// The XML declaration before the element is for separate files only.
+	// The encoder writes an XML declaration first, which is not valid inside an HTML page.
 	file := encoded.Bytes()
 	start := max(0, bytes.Index(file, []byte("<svg")))
 	return template.HTML(file[start:]), nil
