--- a/internal/soak/checks_test.go
+++ b/internal/soak/checks_test.go
@@ -14,7 +14,8 @@
 	"leadproxy/internal/transport"
 )
 
-// checkInvariants has the checker check what time alone can violate, until the test ends.
+// checkInvariants periodically checks, until the test ends, the invariants that the passing of time
+// alone can violate.
 func (r *run) checkInvariants() {
 	for r.t.Context().Err() == nil {
 		transport.Pause(r.t.Context(), checkInterval)
@@ -24,8 +25,8 @@
 	}
 }
 
-// finish ends all faults and expects all accepted jobs to end, no task to be left on a machine, and
-// the ledger to be cleaned up.
+// finish stops the users and ends all faults. It then expects that all accepted jobs end, that no
+// task is left on a machine, that the ledger is cleaned up, and that no invariant was violated.
 func (r *run) finish() {
 	close(r.usersStopped)
 	for _, controller := range r.deployment.Controllers {
@@ -34,24 +35,25 @@
 	<-r.faultFreeSince
 	r.faultFreeSince <- time.Now()
 	checker, store := r.deployment.Checker, r.deployment.Store
-	fake.WaitFor(r.t, "all jobs over", 5*time.Minute, func() bool { return len(checker.OpenJobs()) == 0 })
+	fake.WaitFor(r.t, "all jobs have ended", 5*time.Minute, func() bool { return len(checker.OpenJobs()) == 0 })
 	if open := checker.OpenJobs(); len(open) > 0 {
-		r.t.Errorf("still open: %v", open)
+		r.t.Errorf("jobs that have not ended: %v", open)
 	} else {
 		r.deployment.Users.Wait()
-		fake.WaitFor(r.t, "all tasks gone", time.Minute, func() bool { on, _ := checker.TaskCounts(""); return on == 0 })
-		fake.WaitFor(r.t, "the ledger cleaned up", time.Minute, func() bool { return store.Count("fin/")+store.Count("host/") == 0 })
+		fake.WaitFor(r.t, "no tasks are left on machines", time.Minute, func() bool { on, _ := checker.TaskCounts(""); return on == 0 })
+		fake.WaitFor(r.t, "the ledger is cleaned up", time.Minute, func() bool { return store.Count("fin/")+store.Count("host/") == 0 })
 	}
 	for _, violation := range checker.Violations() {
 		r.t.Error(violation)
 	}
 	r.checkLogs()
 	runs := checker.TaskRuns()
-	r.t.Logf("seed %d: %d runs of tasks on machines, %d tasks completed, %d jobs, %d starts after a confirmed cancellation",
+	r.t.Logf("seed %d: %d task runs on machines, %d tasks completed, %d jobs, %d task starts after a confirmed cancellation",
 		r.plan.seed, len(runs), len(fake.Completions(runs)), store.Count("job/"), checker.LateStarts())
 }
 
-// checkLogs expects no lines in the controllers' logs that must never be there.
+// checkLogs fails the test for each line of the controllers' logs that reports a panic, an overdue
+// task of a cancelled job, or a start that was not allowed.
 func (r *run) checkLogs() {
 	for _, controller := range r.deployment.Controllers {
 		for _, line := range strings.Split(controller.Log(), "\n") {
@@ -62,7 +64,8 @@
 	}
 }
 
-// keepArtifacts keeps what explains a failed run: logs, schedule and ledger.
+// keepArtifacts saves the controllers' logs, the ledger and the schedule with all violations of a
+// failed run.
 func (r *run) keepArtifacts() {
 	dir := fake.KeepLogs(r.t, r.deployment.Controllers)
 	ledger, err := json.MarshalIndent(r.deployment.Store.Entries(), "", " ")
--- a/internal/soak/combinations_test.go
+++ b/internal/soak/combinations_test.go
@@ -2,23 +2,26 @@
 
 import "time"
 
-// combination is some faults that, together, once made tasks of cancelled jobs run on.
+// combination is a group of faults that once, in combination, let tasks of cancelled jobs continue to
+// run.
 type combination struct {
 	faults []scheduledFault
-	// exclusive: it needs a leader that is not disturbed, so that no other fault may be near its
-	// first one.
+	// exclusive is set if the leader must not be disturbed: no other fault may come near the first
+	// one of the combination.
 	exclusive bool
 }
 
+// combinations are the functions that return a combination which starts at a given time.
 var combinations = []func(start time.Duration, times agentTimes) combination{cancelOnHungMachines, cancelDuringFailovers}
 
-// exclusionMargin is the least time between an exclusive fault and others.
+// exclusionMargin is the minimum time between an exclusive fault and any other.
 const exclusionMargin = 5 * time.Second
 
-// maxKillLeadersDuration is how long killing leaders one after the other takes at most.
+// maxKillLeadersDuration is the assumed maximum duration of a killLeaders fault, whose kills follow
+// one another.
 const maxKillLeadersDuration = 20 * time.Second
 
-// overlaps reports whether a fault overlaps another one or comes near it.
+// overlaps reports whether a fault overlaps another one or is within exclusionMargin of it.
 func (f scheduledFault) overlaps(other scheduledFault) bool {
 	duration := f.duration
 	if f.kind == killLeaders {
@@ -27,14 +30,15 @@
 	return f.start < other.start+other.duration+exclusionMargin && other.start < f.start+duration+exclusionMargin
 }
 
-// cancelMost cancels most of the jobs that run until they are cancelled, all at once.
+// cancelMost returns a fault in which most of the jobs that run until they are cancelled are
+// cancelled at once, shortly after a start.
 func cancelMost(start time.Duration) scheduledFault {
 	return scheduledFault{kind: cancelJobs, start: start + 200*time.Millisecond, share: 0.9}
 }
 
-// cancelOnHungMachines: jobs are cancelled while their machines hang, for longer than a leader waits
-// for heartbeats and shorter than the workers' lease; some stop commands are lost, and the cloud
-// deletes no machines.
+// cancelOnHungMachines returns a combination in which jobs are cancelled while their machines hang.
+// The machines hang longer than a leader waits for heartbeats and shorter than the agents' lease;
+// some stop commands are lost, and the cloud is unavailable, so that no machine is deleted.
 func cancelOnHungMachines(start time.Duration, times agentTimes) combination {
 	hangTime := min(4*times.heartbeatInterval+2*time.Second, times.lease*9/10)
 	return combination{exclusive: true, faults: []scheduledFault{
@@ -45,8 +49,8 @@
 	}}
 }
 
-// cancelDuringFailovers: jobs are cancelled while leaders are killed one after the other, and
-// commands are lost.
+// cancelDuringFailovers returns a combination in which jobs are cancelled while leaders are killed
+// one after the other and commands are lost.
 func cancelDuringFailovers(start time.Duration, times agentTimes) combination {
 	return combination{faults: []scheduledFault{
 		{kind: lostCommands, start: start, duration: times.lease, share: 0.5},
--- a/internal/soak/fault_kinds_test.go
+++ b/internal/soak/fault_kinds_test.go
@@ -1,9 +1,8 @@
 package soak
 
-// faultKind is what a fault does.
+// faultKind is a kind of fault. Its text describes the fault in the logged schedule.
 type faultKind string
 
-// The kinds of faults.
 const (
 	killController      faultKind = "a controller is killed"
 	killAllControllers  faultKind = "all controllers are killed"
@@ -11,11 +10,11 @@
 	suspendController   faultKind = "a controller is suspended"
 	cutStore            faultKind = "a controller loses the key-value store"
 	cutPeers            faultKind = "a controller loses the other controllers"
-	cutAgents           faultKind = "a controller loses the workers"
-	cutAllButAgents     faultKind = "a controller loses all but the workers"
+	cutAgents           faultKind = "a controller loses the agents"
+	cutAllButAgents     faultKind = "a controller loses all but the agents"
 	storeOutage         faultKind = "the key-value store is unavailable"
 	slowStore           faultKind = "the key-value store is slow"
-	lateWrites          faultKind = "transactions get no response and are carried out late"
+	lateWrites          faultKind = "transactions get no response and are applied late"
 	lostResponses       faultKind = "transactions get no response"
 	lostCommands        faultKind = "commands are lost"
 	lateCommands        faultKind = "commands are delayed"
@@ -31,8 +30,8 @@
 	cancelJobs          faultKind = "users cancel many jobs at once"
 )
 
-// faultKinds are the kinds that schedules draw from. Those that have led to violations before stand
-// twice.
+// faultKinds are the kinds that schedules are drawn from. Kinds that have led to violations before
+// are listed twice, so that they are drawn twice as often.
 var faultKinds = []faultKind{
 	killController, killController, killAllControllers, killLeaders, killLeaders, suspendController,
 	cutStore, cutPeers, cutAgents, cutAllButAgents,
--- a/internal/soak/faults_test.go
+++ b/internal/soak/faults_test.go
@@ -6,7 +6,7 @@
 	"leadproxy/internal/fake"
 )
 
-// beginFault lets a fault begin and returns what ends it.
+// beginFault begins a fault and returns the function that ends it.
 func (r *run) beginFault(f scheduledFault) (end func()) {
 	commandShare := min(1, 2*f.share)
 	switch f.kind {
@@ -40,7 +40,8 @@
 	return func() {}
 }
 
-// targetOf is the index of the controller that a fault applies to.
+// targetOf returns the index of the controller that a fault applies to. If it is the leader and
+// there is none, the fault applies to the first controller.
 func (r *run) targetOf(f scheduledFault) int {
 	if leader := fake.Leader(r.deployment.Store, r.deployment.Controllers); f.target == currentLeader && leader >= 0 {
 		return leader
@@ -48,7 +49,7 @@
 	return max(f.target, 0)
 }
 
-// beginProcessFault kills or suspends controllers.
+// beginProcessFault kills or suspends controllers; end restarts or resumes them.
 func (r *run) beginProcessFault(f scheduledFault) (end func()) {
 	target := r.targetOf(f)
 	controllers := []*fake.Process{r.deployment.Controllers[target]}
@@ -69,7 +70,7 @@
 	}
 }
 
-// resume makes a controller run that was killed or suspended, or neither.
+// resume makes sure that a controller is running, whether it was killed, suspended or neither.
 func (r *run) resume(controller *fake.Process) {
 	if controller.Running() {
 		controller.Resume()
@@ -78,7 +79,7 @@
 	}
 }
 
-// relaysOf are the relays that a fault applies to.
+// relaysOf returns the relays that a fault applies to.
 func (r *run) relaysOf(f scheduledFault) []*fake.Relay {
 	relays := &r.deployment.Relays[r.targetOf(f)]
 	switch f.kind {
@@ -92,7 +93,7 @@
 	return append([]*fake.Relay{relays.Store}, relays.Peers...)
 }
 
-// dropBytes makes relays drop the bytes of some directions.
+// dropBytes makes relays drop all bytes in the given directions until end is called.
 func (r *run) dropBytes(relays []*fake.Relay, directions []fake.Direction) (end func()) {
 	setDropping := func(dropping bool) {
 		for _, relay := range relays {
--- a/internal/soak/machine_faults_test.go
+++ b/internal/soak/machine_faults_test.go
@@ -7,7 +7,8 @@
 	"leadproxy/internal/fake"
 )
 
-// beginMachineFault lets a fault begin on a share of the machines.
+// beginMachineFault begins a fault on a random share of the machines and returns the function that
+// ends it on the same machines.
 func (r *run) beginMachineFault(f scheduledFault) (end func()) {
 	agents := r.randomAgents(f.share)
 	setFault := r.machineFault(f.kind)
@@ -21,7 +22,7 @@
 	}
 }
 
-// machineFault returns the function that lets a kind of fault begin and end on one machine.
+// machineFault returns the function that begins (on) or ends a kind of fault on one machine.
 func (r *run) machineFault(kind faultKind) func(agent *fake.Agent, on bool) {
 	return map[faultKind]func(agent *fake.Agent, on bool){
 		hungMachines: (*fake.Agent).SetHung,
@@ -55,7 +56,7 @@
 	}[kind]
 }
 
-// randomAgents is a random share of the machines that are up.
+// randomAgents returns the agents of a random share of the machines that are up.
 func (r *run) randomAgents(share float64) []*fake.Agent {
 	return slices.DeleteFunc(r.deployment.Cloud.Agents(), func(*fake.Agent) bool { return r.random.Float64() >= share })
 }
--- a/internal/soak/message_faults_test.go
+++ b/internal/soak/message_faults_test.go
@@ -9,14 +9,14 @@
 	"leadproxy/internal/fake"
 )
 
-// messageFaults injects the active fault into requests of one path, or of all paths with "".
+// messageFaults injects the active fault into POST requests.
 type messageFaults struct {
-	path   string
-	active atomic.Pointer[messageFault]
-	random chan *rand.Rand // holds one
+	path   string                       // of the affected requests; "": all
+	active atomic.Pointer[messageFault] // nil: none
+	random chan *rand.Rand              // holds the one generator while it is not in use
 }
 
-// messageFault is a fault that is injected into a share of requests.
+// messageFault is a fault that is injected into a share of the requests.
 type messageFault struct {
 	kind               fake.FaultKind
 	share              float64
@@ -30,9 +30,9 @@
 }
 
 // inject decides which fault is injected into a request.
-func (m *messageFaults) inject(_ string, r *http.Request) fake.InjectedFault {
+func (m *messageFaults) inject(_ string, request *http.Request) fake.InjectedFault {
 	f := m.active.Load()
-	if f == nil || r.Method != http.MethodPost || m.path != "" && r.URL.Path != m.path {
+	if f == nil || request.Method != http.MethodPost || m.path != "" && request.URL.Path != m.path {
 		return fake.InjectedFault{}
 	}
 	random := <-m.random
@@ -43,13 +43,13 @@
 	return fake.InjectedFault{Kind: f.kind, Delay: f.minDelay + time.Duration(random.Float64()*float64(f.maxDelay-f.minDelay))}
 }
 
-// begin makes a fault the active one until end is called, or until another one begins.
+// begin makes a fault the active one until end is called or another fault begins.
 func (m *messageFaults) begin(f messageFault) (end func()) {
 	m.active.Store(&f)
 	return func() { m.active.CompareAndSwap(&f, nil) }
 }
 
-// The delays of messages.
+// The bounds of the random delays of messages.
 const (
 	minMessageDelay = 2 * time.Second
 	maxMessageDelay = 14 * time.Second
--- a/internal/soak/plan_test.go
+++ b/internal/soak/plan_test.go
@@ -10,51 +10,55 @@
 
 const controllerCount = 3
 
-// plan describes a run.
+// plan has the parameters of a run.
 type plan struct {
 	seed          uint64
 	machines      int
 	times         agentTimes
-	faultDuration time.Duration // of the whole schedule of faults
-	standby       bool
+	faultDuration time.Duration // length of the whole schedule of faults
+	standby       bool          // whether controllers that are not the leader follow the ledger
 }
 
-// agentTimes are the times that workers keep to.
+// agentTimes are the heartbeat interval, the lease and the cancellation deadline of agents.
 type agentTimes struct{ heartbeatInterval, lease, cancelDeadline time.Duration }
 
-// operatorTimes are an operator's times: the delays that a busy machine adds are small beside them.
+// operatorTimes are times as an operator would set them. The delays that a busy test machine adds are
+// small in comparison.
 var operatorTimes = agentTimes{heartbeatInterval: 3 * time.Second, lease: 20 * time.Second, cancelDeadline: 40 * time.Second}
 
-// The load: as much work as about two dozen machines do. For more machines jobs have more tasks, and
-// beyond a limit tasks run longer, so that all machines are needed.
+// The load keeps about baseMachines machines busy. With more machines, jobs have up to maxTaskFactor
+// times as many tasks, and beyond that tasks run longer, so that all machines are needed.
 const (
 	jobsPerSecond = 2.4
 	maxTasks      = 6
 	baseMachines  = 24
 	maxTaskFactor = 25
 	checkInterval = 2 * time.Second
-	// One job in so many belongs to a team that is at its limit now and then. More would pile up
-	// until the end: with one in four and half the limit, 300 machines' jobs were not over five
-	// minutes after the faults, all of them of that team.
+	// One job in tightTeamOneIn belongs to a team that is sometimes at its CPU limit,
+	// tightTeamCPUs. With more jobs a backlog of that team would build up until the end of the
+	// run: with one job in four and half the limit, jobs of a run with 300 machines had not ended
+	// five minutes after the faults, all of them of that team.
 	tightTeamOneIn = 6
 	tightTeamCPUs  = 24
 )
 
-// taskFactor multiplies the number of tasks of jobs.
+// taskFactor is the factor by which jobs have more tasks than with baseMachines.
 func (p *plan) taskFactor() int { return min(max(p.machines/baseMachines, 1), maxTaskFactor) }
 
-// runTimeFactor multiplies the time that tasks run.
+// runTimeFactor is the factor by which tasks run longer than with baseMachines.
 func (p *plan) runTimeFactor() int { return max(p.machines/baseMachines/maxTaskFactor, 1) }
 
 // cancelledLastDigits are the last digits of the IDs of jobs that run until they are cancelled.
 const cancelledLastDigits = "0369"
 
-// runsUntilCancelled reports whether a job runs until it is cancelled. Jobs of pipelines do not.
+// runsUntilCancelled reports whether a job's tasks run until the job is cancelled. Jobs of
+// pipelines never do.
 func runsUntilCancelled(jobID string) bool {
 	return strings.HasPrefix(jobID, "job-0") && strings.Contains(cancelledLastDigits, jobID[len(jobID)-1:])
 }
 
-// runTime is how long a task runs: some seconds that follow from its job's ID, or beyond the test.
+// runTime returns how long a task runs: 1 to 12 s, multiplied by runTimeFactor, as determined by its
+// job's ID, or longer than the test if its job runs until it is cancelled.
 func (p *plan) runTime(task string) time.Duration {
 	jobID := wire.JobIDOfTask(task)
 	if runsUntilCancelled(jobID) {
--- a/internal/soak/run_test.go
+++ b/internal/soak/run_test.go
@@ -11,8 +11,8 @@
 	"leadproxy/internal/wire"
 )
 
-// run is one run: a deployment, its users and the faults that are injected. One goroutine injects
-// the faults; users have others.
+// run is one run of a plan: a deployment, its users and the faults that are injected. The test's
+// goroutine injects the faults; users run on other goroutines.
 type run struct {
 	t              *testing.T
 	plan           plan
@@ -24,11 +24,12 @@
 	commandFaults  *messageFaults
 	cloudFaults    *messageFaults
 	cancellable    chan []*wire.Job // holds the jobs that run until they are cancelled
-	faultFreeSince chan time.Time   // holds since when there are no faults; zero: there are
-	usersStopped   chan struct{}    // closed when users submit no more
+	faultFreeSince chan time.Time   // holds the time since which there have been no faults; zero: there may be faults
+	usersStopped   chan struct{}    // closed to stop users from submitting jobs
 }
 
-// runPlan carries out a plan and reports all violations.
+// runPlan runs a plan and fails the test if an invariant is violated. It keeps the logs of a failed
+// run.
 func runPlan(t *testing.T, program string, p plan) {
 	t.Helper()
 	r := newRun(t, program, p)
@@ -49,6 +50,7 @@
 	r.finish()
 }
 
+// newRun returns a run whose deployment is not created yet.
 func newRun(t *testing.T, program string, p plan) *run {
 	r := &run{
 		t: t, plan: p, program: program, random: rand.New(rand.NewPCG(p.seed, 3)),
@@ -63,6 +65,7 @@
 	return r
 }
 
+// newDeployment creates the plan's deployment, with the run's faults.
 func (r *run) newDeployment() *fake.Deployment {
 	p := &r.plan
 	operatorSettings := ""
@@ -78,21 +81,23 @@
 	})
 }
 
-// action is what happens at a time of a run.
+// action is a function that is called at a time since the start of the faults.
 type action struct {
 	at      time.Duration
 	perform func()
 }
 
-// timeline is the actions that are still to be performed, by time.
+// timeline holds the actions that are still to be performed, ordered by time.
 type timeline struct{ actions []action }
 
-func (l *timeline) add(at time.Duration, perform func()) {
-	i, _ := slices.BinarySearchFunc(l.actions, at, func(a action, at time.Duration) int { return cmp.Compare(a.at, at) })
-	l.actions = slices.Insert(l.actions, i, action{at, perform})
+// add inserts an action to be performed at a time.
+func (t *timeline) add(at time.Duration, perform func()) {
+	i, _ := slices.BinarySearchFunc(t.actions, at, func(a action, at time.Duration) int { return cmp.Compare(a.at, at) })
+	t.actions = slices.Insert(t.actions, i, action{at, perform})
 }
 
-// injectFaults lets the faults of the schedule begin and end.
+// injectFaults begins and ends the faults of the schedule. It returns when they all have ended, not
+// before the plan's faultDuration.
 func (r *run) injectFaults() {
 	start := time.Now()
 	var pending timeline
@@ -114,8 +119,8 @@
 	time.Sleep(time.Until(start.Add(r.plan.faultDuration)))
 }
 
-// scheduleLeaderKills lets further leaders be killed one after the other, each of which is restarted
-// soon.
+// scheduleLeaderKills adds the further kills of a killLeaders fault: the then current leader is
+// killed and restarted after a short downtime, one after the other.
 func (r *run) scheduleLeaderKills(f scheduledFault, pending *timeline) {
 	const (
 		kills    = 4
--- a/internal/soak/schedule_test.go
+++ b/internal/soak/schedule_test.go
@@ -11,24 +11,25 @@
 	"leadproxy/internal/fake"
 )
 
-// scheduledFault is one fault of a schedule.
+// scheduledFault is one fault of a schedule. Which of the last three fields apply depends on its
+// kind.
 type scheduledFault struct {
 	kind       faultKind
 	start      time.Duration
 	duration   time.Duration
 	target     int     // a controller's index, or currentLeader
-	share      float64 // of machines or messages
+	share      float64 // of the machines, messages or jobs
 	directions []fake.Direction
 }
 
-// currentLeader as a target is the leader at the time of the fault.
+// currentLeader is a target: the controller that is the leader when the fault begins.
 const currentLeader = -1
 
-// schedule is the faults of a run, by start.
+// schedule lists the faults of a run, ordered by start.
 type schedule []scheduledFault
 
-// The times of a schedule: a new fault every few seconds, each lasting up to a worker's lease and
-// more, so that two or three overlap.
+// The times of a schedule. A fault begins every few seconds and lasts up to about 1.25 times an
+// agent's lease, so that two or three faults overlap.
 const (
 	firstFaultStart       = 8 * time.Second
 	maxFaultInterval      = 7 * time.Second
@@ -37,8 +38,8 @@
 	minFaultDuration      = 200 * time.Millisecond
 )
 
-// newSchedule draws a schedule of some length. The number and order of the draws determine which
-// schedule a seed names.
+// newSchedule draws a schedule of a length. The number and order of the random draws must not change,
+// because they determine the schedule of each seed.
 func newSchedule(seed uint64, controllers int, times agentTimes, length time.Duration) (s schedule) {
 	random := rand.New(rand.NewPCG(seed, 1))
 	for start := firstFaultStart; start < length; start += time.Duration(random.Int64N(int64(maxFaultInterval))) {
@@ -59,7 +60,7 @@
 	return s
 }
 
-// randomFault draws a fault.
+// randomFault draws a fault that begins at start.
 func randomFault(random *rand.Rand, controllers int, times agentTimes, start time.Duration) scheduledFault {
 	f := scheduledFault{
 		kind: faultKinds[random.IntN(len(faultKinds))], start: start,
@@ -82,14 +83,14 @@
 	return text.String()
 }
 
-// TestSchedulesAreRepeatable: a seed names one schedule, and some seeds together have all kinds of
-// faults.
+// TestSchedulesAreRepeatable checks that a seed always gives the same schedule, so that a failed
+// run can be repeated, and that 50 seeds together have all kinds of faults.
 func TestSchedulesAreRepeatable(t *testing.T) {
 	drawn := map[faultKind]bool{}
 	for seed := range uint64(50) {
 		s := newSchedule(seed, controllerCount, operatorTimes, time.Minute)
 		if s.String() != newSchedule(seed, controllerCount, operatorTimes, time.Minute).String() {
-			t.Errorf("seed %d draws two schedules", seed)
+			t.Errorf("seed %d gives two different schedules", seed)
 		}
 		for _, f := range s {
 			drawn[f.kind] = true
@@ -97,7 +98,7 @@
 	}
 	for _, kind := range faultKinds {
 		if !drawn[kind] {
-			t.Errorf("no seed has %q", kind)
+			t.Errorf("no schedule has the fault %q", kind)
 		}
 	}
 }
--- a/internal/soak/short_test.go
+++ b/internal/soak/short_test.go
@@ -7,9 +7,9 @@
 	"leadproxy/internal/fake"
 )
 
-// TestShortSoak runs one seed for less than a minute. The workers' times are an operator's, far longer
-// than the delays that a busy machine adds, and a response that renews a lease without the stop
-// commands that belong to it is found at once.
+// TestShortSoak runs one seed, with 40 s of faults. It uses operatorTimes, which are far longer
+// than the delays that a busy test machine adds. Even with such long times the checker detects at
+// once a response that renews an agent's lease without the stop commands that it should have.
 func TestShortSoak(t *testing.T) {
 	runPlan(t, fake.BuildController(t, "../.."), plan{seed: 1, machines: 12, faultDuration: 40 * time.Second, times: operatorTimes})
 }
--- a/internal/soak/soak_test.go
+++ b/internal/soak/soak_test.go
@@ -13,14 +13,14 @@
 
 var (
 	firstSeed = flag.Uint64("first", 1, "the first seed")
-	seeds     = flag.Int("seeds", 50, "how many seeds")
-	machines  = flag.Int("machines", 0, "how many machines; 0: 24, and now and then 300")
+	seeds     = flag.Int("seeds", 50, "the number of seeds")
+	machines  = flag.Int("machines", 0, "the number of machines; 0: 24, or 300 for one seed in ten")
 	duration  = flag.Duration("length", 80*time.Second, "how long the faults of a seed last")
-	program   = flag.String("program", "", "the controller's program; none: built from this tree")
+	program   = flag.String("program", "", "the controller's executable; empty: built from this source tree")
 )
 
-// agentTimeSets have operators' proportions of heartbeat interval, lease and cancel_s, and shorter
-// times with more rounds of heartbeats.
+// agentTimeSets are the times that seeds use in turn: with proportions of heartbeat interval, lease
+// and cancel_s as operators use them, and shorter times with more rounds of heartbeats.
 var agentTimeSets = []agentTimes{
 	{time.Second, 10 * time.Second, 20 * time.Second},
 	{3 * time.Second, 26 * time.Second, 51 * time.Second},
@@ -28,18 +28,18 @@
 	{8 * time.Second, 36 * time.Second, 56 * time.Second},
 }
 
-// The numbers of machines of runs, of which one in so many is large.
+// The number of machines of a run. One seed in largeOneIn has the large number.
 const (
 	usualMachineCount = 24
 	largeMachineCount = 300
 	largeOneIn        = 10
 )
 
-// TestSoak runs many seeds, -parallel of them at a time. docs/failures.md has the command.
+// TestSoak runs many seeds, at most -parallel of them at a time. docs/failures.md has the command.
 func TestSoak(t *testing.T) {
-	built := *program
-	if built == "" {
-		built = fake.BuildController(t, "../..")
+	executable := *program
+	if executable == "" {
+		executable = fake.BuildController(t, "../..")
 	}
 	for k := range *seeds {
 		seed := *firstSeed + uint64(k)
@@ -53,7 +53,7 @@
 					p.machines = largeMachineCount
 				}
 			}
-			runPlan(t, built, p)
+			runPlan(t, executable, p)
 		})
 	}
 }
--- a/internal/soak/users_test.go
+++ b/internal/soak/users_test.go
@@ -11,7 +11,8 @@
 	"leadproxy/internal/wire"
 )
 
-// startUsers has users submit, cancel, query and repeat until they are stopped.
+// startUsers has users submit, query and cancel jobs and submit pipelines, until usersStopped is
+// closed.
 func (r *run) startUsers() {
 	stopPipelines := r.deployment.Users.Pipelines()
 	random := rand.New(rand.NewPCG(r.plan.seed, 4))
@@ -28,7 +29,8 @@
 	})
 }
 
-// submit has a user submit a job, and cancel it later if it runs until then.
+// submit has a user submit the k-th job, and request its cancellation up to 15 s later if it
+// runs until it is cancelled.
 func (r *run) submit(k int, random *rand.Rand) {
 	j := fake.NewJob(fmt.Sprintf("job-%06d", k), 1+random.IntN(maxTasks), func(j *wire.Job) {
 		j.CPUs = float64(1 + random.IntN(3))
@@ -53,17 +55,19 @@
 	})
 }
 
-// cancel has a user cancel a job until that is confirmed.
-func (r *run) cancel(j *wire.Job) {
+// cancel has a user request the cancellation of a job until it is confirmed, and then query the job
+// and repeat its submission at all controllers.
+func (r *run) cancel(job *wire.Job) {
 	for r.t.Context().Err() == nil {
-		if code, _ := r.deployment.Users.RetryUntilFinal(fake.RequestCancel, j.ID, nil); code == http.StatusOK {
-			r.deployment.Users.QueryEverywhere(j.ID, j)
+		if code, _ := r.deployment.Users.RetryUntilFinal(fake.RequestCancel, job.ID, nil); code == http.StatusOK {
+			r.deployment.Users.QueryEverywhere(job.ID, job)
 			return
 		}
 	}
 }
 
-// cancelSome has users cancel a share of the jobs that run until they are cancelled, all at once.
+// cancelSome has users cancel a random share of the jobs that run until they are cancelled, all at
+// once. The other jobs are not considered again.
 func (r *run) cancelSome(share float64) {
 	jobs := <-r.cancellable
 	r.cancellable <- nil
--- a/internal/standby/deployment_test.go
+++ b/internal/standby/deployment_test.go
@@ -93,7 +93,7 @@
 // last one. ended is when the previous leader was killed or suspended.
 func (d *deployment) waitForFailover(before int, ended time.Time) failoverTimings {
 	d.t.Helper()
-	fake.WaitFor(d.t, "a failover", 60*time.Second, func() bool { return len(d.loggedFailovers()) > before })
+	fake.WaitFor(d.t, "a failover is logged", 60*time.Second, func() bool { return len(d.loggedFailovers()) > before })
 	failovers := d.loggedFailovers()
 	slices.SortFunc(failovers, func(a, b []string) int { return strings.Compare(a[1], b[1]) })
 	last := failovers[len(failovers)-1]
--- a/internal/standby/kill_and_freeze_test.go
+++ b/internal/standby/kill_and_freeze_test.go
@@ -63,7 +63,7 @@
 		}
 	}
 	close(stop)
-	fake.WaitFor(t, "all jobs over", 2*time.Minute, func() bool { return len(d.checker.OpenJobs()) == 0 })
+	fake.WaitFor(t, "all jobs have ended", 2*time.Minute, func() bool { return len(d.checker.OpenJobs()) == 0 })
 	d.users.Wait()
 	d.checkCompletions()
 	slices.Sort(firstDecisions)
