--- a/internal/controller/cluster_processes_test.go
+++ b/internal/controller/cluster_processes_test.go
@@ -11,7 +11,8 @@
 	"leadproxy/internal/fake"
 )
 
-// start starts a controller's process.
+// start starts a controller's process. With the environment variable CLUSTER_LOG, its log is written
+// to standard error; otherwise, on clusters with standbys, it goes to leaderActions.
 func (c *cluster) start(i int) {
 	process := c.controllers[i]
 	ctx, cancel := context.WithCancel(context.Background())
--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -58,9 +58,9 @@
 	maxMachines     int // that the cloud provides at a time
 	teamLimits      map[string]float64
 	runTime         func(task string) time.Duration
-	writesPerSecond float64 // that the key-value store accepts
-	nextLimits      *settings.StoreLimits
-	notStarted      int // number of controllers that the test starts itself
+	writesPerSecond float64               // that the key-value store accepts
+	nextLimits      *settings.StoreLimits // lower limits that the store will have; nil: none announced
+	notStarted      int                   // number of controllers that the test starts itself
 	// reportTo holds the controllers that agents know; nil: all.
 	reportTo []int
 	// standby makes the controllers follow the leader as standbys.
@@ -190,24 +190,24 @@
 var clusterZones = []string{"a", "b", "c"}
 
 // newControllers creates the controllers, one in each zone, which are each other's peers.
-func newControllers(config clusterConfig, prefix string) (nodes []*controllerProcess) {
+func newControllers(config clusterConfig, prefix string) (controllers []*controllerProcess) {
 	for i, zone := range clusterZones {
 		name := fmt.Sprintf("%sn%d", prefix, i)
 		level := capability.CurrentLevel
 		if i < config.oldVersions {
 			level = 0
 		}
-		nodes = append(nodes, &controllerProcess{level: level, platform: &settings.Platform{Name: name, Zone: zone,
+		controllers = append(controllers, &controllerProcess{level: level, platform: &settings.Platform{Name: name, Zone: zone,
 			PublicAddr: name + ":80", PeerAddr: name + ":81", Facts: config.facts(), Services: settings.Services{Store: prefix + "state:1", Cloud: prefix + "cloud:1"}}})
 	}
-	for i, process := range nodes {
-		for k, other := range nodes {
+	for i, process := range controllers {
+		for k, other := range controllers {
 			if k != i {
 				process.platform.Peers = append(process.platform.Peers, settings.Peer{Name: other.platform.Name, Zone: other.platform.Zone, Addr: other.platform.PeerAddr})
 			}
 		}
 	}
-	return nodes
+	return controllers
 }
 
 // facts returns the settings that all controllers share.
--- a/internal/controller/federated_cells_test.go
+++ b/internal/controller/federated_cells_test.go
@@ -23,14 +23,14 @@
 // repeatableClass is the class whose jobs may be run again when it is unknown whether they have run.
 const repeatableClass = "again"
 
-// federatedCells is a set of cells. The first one is the origin of delegated jobs in most tests.
+// federatedCells is a set of cells, the first of which is short of machines.
 type federatedCells struct {
 	t       *testing.T
 	net     *fake.Network
 	checker *fake.Checker
 	names   []string
 	cells   map[string]*cluster
-	// mustDelegate lists the cells of which at least one job must have run in another cell.
+	// mustDelegate lists the cells of which at least one job must have been accepted by another.
 	mustDelegate []string
 }
 
@@ -52,6 +52,7 @@
 	return fmt.Sprintf("job-%d%05d", 1+slices.Index(f.names, cell), k)
 }
 
+// ownsJob returns a function that reports whether a job belongs to a cell's users.
 func (f *federatedCells) ownsJob(cell string) func(jobID string) bool {
 	prefix := fmt.Sprintf("job-%d", 1+slices.Index(f.names, cell))
 	return func(jobID string) bool { return strings.HasPrefix(jobID, prefix) }
@@ -241,9 +242,9 @@
 
 // eachLink calls do for each pair of controllers of two cells.
 func (f *federatedCells) eachLink(a, b string, do func(from, to string)) {
-	for _, x := range f.cells[a].controllers {
-		for _, y := range f.cells[b].controllers {
-			do(x.platform.Name, y.platform.Name)
+	for _, sender := range f.cells[a].controllers {
+		for _, receiver := range f.cells[b].controllers {
+			do(sender.platform.Name, receiver.platform.Name)
 		}
 	}
 }
@@ -262,9 +263,9 @@
 // the controllers of one cell to those of the other.
 func (f *federatedCells) loseRequests(from, to string) {
 	f.awaitDelegated("a", federation.Accepted)
-	for _, x := range f.cells[from].controllers {
-		for _, y := range f.cells[to].controllers {
-			f.net.PartitionOneWay(x.platform.Name, y.platform.Name)
+	for _, sender := range f.cells[from].controllers {
+		for _, receiver := range f.cells[to].controllers {
+			f.net.PartitionOneWay(sender.platform.Name, receiver.platform.Name)
 		}
 	}
 	time.Sleep(20 * time.Second)
--- a/internal/controller/federation_measure_test.go
+++ b/internal/controller/federation_measure_test.go
@@ -77,9 +77,9 @@
 				for k, end := 0, time.Now().Add(measuredDuration); time.Now().Before(end); k++ {
 					due := measuredDeadline
 					j := fake.NewJob(f.jobID(name, k), 4, func(j *wire.Job) { j.CPUs, j.EstimatedRunS, j.DeadlineS = 2, meanRunTime.Seconds(), &due })
-					at := <-submitted
-					at[j.ID] = time.Now()
-					submitted <- at
+					submittedAt := <-submitted
+					submittedAt[j.ID] = time.Now()
+					submitted <- submittedAt
 					f.cells[name].users.Submit(j)
 					time.Sleep(time.Duration(random.ExpFloat64() * float64(interval)))
 				}
@@ -98,7 +98,7 @@
 				ends[jobID] = run.Ended
 			}
 		}
-		for jobID, at := range <-submitted {
+		for jobID, submission := range <-submitted {
 			for _, name := range config.names {
 				if !f.ownsJob(name)(jobID) {
 					continue
@@ -108,9 +108,9 @@
 				}
 				cell := measurements[name]
 				cell.jobs++
-				cell.waitTimes = append(cell.waitTimes, starts[jobID].Sub(at).Seconds())
-				cell.completionTimes = append(cell.completionTimes, ends[jobID].Sub(at).Seconds())
-				if ends[jobID].Sub(at).Seconds() > measuredDeadline {
+				cell.waitTimes = append(cell.waitTimes, starts[jobID].Sub(submission).Seconds())
+				cell.completionTimes = append(cell.completionTimes, ends[jobID].Sub(submission).Seconds())
+				if ends[jobID].Sub(submission).Seconds() > measuredDeadline {
 					cell.late++
 				}
 			}
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -26,7 +26,8 @@
 }
 
 // TestHealth: a controller is unhealthy only while it reaches neither the key-value store nor
-// another controller.
+// another controller. An outage of the store for all controllers must not make it unhealthy, since
+// the others could not serve users better.
 func TestHealth(t *testing.T) {
 	type step struct {
 		state, peer bool // whether the key-value store serves and the peer responds
--- a/internal/controller/reachability.go
+++ b/internal/controller/reachability.go
@@ -44,7 +44,7 @@
 func (m *reachabilityMonitor) run(ctx context.Context) {
 	ticker := time.NewTicker(reachabilityInterval)
 	defer ticker.Stop()
-	term, since := uint64(0), time.Now()
+	term, leaderSince := uint64(0), time.Now()
 	for {
 		select {
 		case <-ticker.C:
@@ -53,10 +53,10 @@
 		}
 		view := m.elector.View()
 		if !view.IsLeader(time.Now()) || view.Term != term {
-			term, since = view.Term, time.Now()
+			term, leaderSince = view.Term, time.Now()
 			continue
 		}
-		if time.Since(since) >= reachabilityGrace && m.agentsUnreachable(ctx, m.expectedMachines()) {
+		if time.Since(leaderSince) >= reachabilityGrace && m.agentsUnreachable(ctx, m.expectedMachines()) {
 			m.log.Info("agents reach another controller but not this one, resigning", "leader_term", term, "machines", m.expectedMachines())
 			m.elector.Resign(term)
 		}
--- a/internal/controller/rollout_measure_test.go
+++ b/internal/controller/rollout_measure_test.go
@@ -69,14 +69,14 @@
 			time.Sleep(drainJobRunTime / time.Duration(machines))
 		}
 		time.Sleep(30 * time.Second)
-		old := c.machineNames()
+		oldMachines := c.machineNames()
 		began := time.Now()
 		if method.planText == "" {
-			c.cloud.Terminate(old...)
+			c.cloud.Terminate(oldMachines...)
 		} else if err := c.createPlan("winter", "types = m8\n"+method.planText); err != nil {
 			t.Error(err)
 		}
-		for time.Since(began) < 6*time.Hour && c.anyMachineExists(old) {
+		for time.Since(began) < 6*time.Hour && c.anyMachineExists(oldMachines) {
 			submit()
 			time.Sleep(drainJobRunTime / time.Duration(machines))
 		}
--- a/internal/controller/rollout_plans_test.go
+++ b/internal/controller/rollout_plans_test.go
@@ -55,6 +55,7 @@
 	return err
 }
 
+// steerPlan sends an operator's command to a plan, which must accept it.
 func (c *cluster) steerPlan(name string, command rollout.Command, argument string) {
 	c.t.Helper()
 	if err := rolloutservice.Steer(c.t.Context(), c.net.Host("operator"), c.controllers[0].platform, name, command, argument); err != nil {
@@ -147,7 +148,7 @@
 			r := rand.New(rand.NewPCG(seed, 7))
 			runScenarioOnce(t, config, false, func(c *cluster) {
 				c.fillMachines(20)
-				old := c.machineNames()
+				oldMachines := c.machineNames()
 				if err := c.createPlan("winter", "zones = a, b, c\nbatch = 25%\nwait_s = 400\nhealth_s = 400"); err != nil {
 					c.t.Error(err)
 					return
@@ -168,7 +169,7 @@
 					c.startAll()
 				}
 				c.awaitPlan("finished", 10*time.Minute)
-				c.checkReplaced(old)
+				c.checkReplaced(oldMachines)
 				c.checkTasksMoved()
 				c.checkBudgets(0)
 			})
@@ -181,8 +182,8 @@
 func TestConcurrentPlansShareBudgets(t *testing.T) {
 	runScenarioOnce(t, drainClusterConfig(9), false, func(c *cluster) {
 		c.fillMachines(9)
-		old := c.machineNames()
-		for name, machines := range map[string][]string{"first": old[:4], "second": old[4:]} {
+		oldMachines := c.machineNames()
+		for name, machines := range map[string][]string{"first": oldMachines[:4], "second": oldMachines[4:]} {
 			if err := c.createPlan(name, "machines = "+strings.Join(machines, ", ")+"\nbatch = 3\nwait_s = 20\nhealth_s = 400"); err != nil {
 				c.t.Error(err)
 				return
@@ -204,7 +205,7 @@
 				}
 			}
 		}
-		c.checkReplaced(old)
+		c.checkReplaced(oldMachines)
 		c.checkTasksMoved()
 		c.checkBudgets(0)
 	})
@@ -218,7 +219,7 @@
 	runScenarioOnce(t, config, false, func(c *cluster) {
 		jobs := c.submitJobs(0, 3, time.Second, func(_ int, j *wire.Job) { j.Tasks, j.CPUs, j.EstimatedRunS = 1, 8, 300 })
 		c.awaitRunning(3)
-		old := c.machineNames()
+		oldMachines := c.machineNames()
 		if err := c.createPlan("winter", "types = m8\ncanary = 3\nwait_s = 30"); err != nil {
 			c.t.Error(err)
 			return
@@ -230,18 +231,18 @@
 			c.t.Errorf("%d tasks were stopped before the operator allowed it, want none", n)
 		}
 		c.steerPlan("winter", rollout.Allow, jobs[0].ID)
-		c.steerPlan("winter", rollout.Skip, old[1])
+		c.steerPlan("winter", rollout.Skip, oldMachines[1])
 		c.awaitPlan("finished", 20*time.Minute)
 		c.checkBudgets(0)
-		if !slices.Contains(c.machineNames(), old[1]) && len(c.checker.OpenJobs()) > 0 {
-			c.t.Errorf("machine %s was skipped but no longer exists", old[1])
+		if !slices.Contains(c.machineNames(), oldMachines[1]) && len(c.checker.OpenJobs()) > 0 {
+			c.t.Errorf("machine %s was skipped but no longer exists", oldMachines[1])
 		}
 	})
 }
 
 // drainFaults are faults while a plan is being carried out.
-var drainFaults = map[string]func(c *cluster, old []string){
-	"two machines crash": func(c *cluster, old []string) { c.cloud.Terminate(old[0], old[1]) },
+var drainFaults = map[string]func(c *cluster, oldMachines []string){
+	"two machines crash": func(c *cluster, oldMachines []string) { c.cloud.Terminate(oldMachines[0], oldMachines[1]) },
 	"agents hang past their lease": func(c *cluster, _ []string) {
 		for _, agent := range everyOther(c.cloud.Agents()) {
 			agent.SetHung(true)
@@ -293,16 +294,16 @@
 			runScenarioOnce(t, drainClusterConfig(8), false, func(c *cluster) {
 				c.commandsDelayed = true // some of the faults delay commands and responses
 				c.fillMachines(8)
-				old := c.machineNames()
+				oldMachines := c.machineNames()
 				if err := c.createPlan("winter", "types = m8\nbatch = 3\nwait_s = 400\nhealth_s = 400"); err != nil {
 					c.t.Error(err)
 					return
 				}
 				c.awaitPlan("draining", 3*time.Minute)
 				time.Sleep(3 * time.Second)
-				injectFault(c, old)
+				injectFault(c, oldMachines)
 				c.awaitPlan("finished", 20*time.Minute)
-				c.checkReplaced(old)
+				c.checkReplaced(oldMachines)
 				switch name {
 				case "two machines crash", "agents hang past their lease", "a zone is lost":
 					// Jobs hit by the fault count as interrupted, and delay further moves.
@@ -323,14 +324,14 @@
 	config.maxMachines = 4
 	runScenarioOnce(t, config, false, func(c *cluster) {
 		c.fillMachines(4)
-		old := c.machineNames()
+		oldMachines := c.machineNames()
 		if err := c.createPlan("winter", "types = m8\ncanary = 2\nsurge = yes\nhealth_s = 60"); err != nil {
 			c.t.Error(err)
 			return
 		}
 		c.awaitPlan("replacements: 0 of 2", 3*time.Minute)
 		c.awaitPlan("failed", 3*time.Minute)
-		if n := len(c.interruptions()); n > 0 || len(c.machineNames()) != len(old) {
+		if n := len(c.interruptions()); n > 0 || len(c.machineNames()) != len(oldMachines) {
 			c.t.Errorf("%d tasks were stopped and %d machines are left, want no stopped task and all machines", n, len(c.machineNames()))
 		}
 	})
@@ -341,7 +342,7 @@
 func TestSurge(t *testing.T) {
 	runScenarioOnce(t, drainClusterConfig(6), false, func(c *cluster) {
 		c.fillMachines(6)
-		old := c.machineNames()
+		oldMachines := c.machineNames()
 		if err := c.createPlan("winter", "types = m8\ncanary = 2\nbatch = 2\nsurge = yes\nwait_s = 400"); err != nil {
 			c.t.Error(err)
 			return
@@ -349,7 +350,7 @@
 		c.awaitPlan("hiring", 3*time.Minute)
 		c.restart(c.leader(), time.Second)
 		c.awaitPlan("finished", 20*time.Minute)
-		c.checkReplaced(old)
+		c.checkReplaced(oldMachines)
 		c.checkBudgets(0)
 	})
 }
