--- a/internal/cells/server.go
+++ b/internal/cells/server.go
@@ -60,7 +60,7 @@
 	return nil
 }
 
-// statusError converts an error of the dispatcher to a status error. Both codes make the caller retry
+// statusOf converts an error of the dispatcher to a status error. Both codes make the caller retry
 // at another controller.
 func statusOf(err error) error {
 	if errors.Is(err, dispatch.ErrNotLeader) {
--- a/internal/election/leader_term_test.go
+++ b/internal/election/leader_term_test.go
@@ -77,7 +77,7 @@
 				advance(time.Second)
 				f.withLock(func() {
 					if resigned := before.Term == c.resignedTerm; resigned != (f.entry == nil) || resigned == e.IsLeader(before.Term) {
-						t.Errorf("leader key %v, view %+v a second after the resignation", f.entry, e.View())
+						t.Errorf("leader key %v, view %+v a second after the resignation of term %d, want the key deleted only if that was the present term", f.entry, e.View(), c.resignedTerm)
 					}
 					if c.otherCampaigns && f.entry == nil {
 						f.revision++
@@ -87,7 +87,7 @@
 				})
 				advance(10 * time.Second)
 				if v := e.View(); v.Elected != c.leadsAgain || c.leadsAgain && (v.Term != before.Term) != c.inNewTerm {
-					t.Errorf("view %+v ten seconds later, before the resignation %+v", v, before)
+					t.Errorf("view %+v ten seconds later, before the resignation %+v, want leading again: %v, in a new term: %v", v, before, c.leadsAgain, c.inNewTerm)
 				}
 			})
 		})
--- a/internal/kvstore/rate_limiter_test.go
+++ b/internal/kvstore/rate_limiter_test.go
@@ -53,7 +53,7 @@
 					}
 				}
 				if granted > c.maxGranted || granted < c.maxGranted*8/10 {
-					t.Errorf("%d granted, want up to %d", granted, c.maxGranted)
+					t.Errorf("%d granted, want up to %d and at least 80%% of that", granted, c.maxGranted)
 				}
 			})
 		})
@@ -87,7 +87,7 @@
 			synctest.Wait()
 		}
 		if a, b, c := <-order, <-order, <-order; a != PriorityLeader || b != PrioritySubmission || c != PriorityRead {
-			t.Errorf("granted in the order %v %v %v", a, b, c)
+			t.Errorf("granted in the order %v %v %v, want the most urgent first", a, b, c)
 		}
 		// A lease request is granted even when the budget is used up.
 		before := time.Now()
--- a/internal/ledger/finished_tasks.go
+++ b/internal/ledger/finished_tasks.go
@@ -14,7 +14,7 @@
 )
 
 // TasksPerPart returns the number of tasks in a part such that its ranges fit into a value of
-// coreValueLimit bytes even in the worst case, with every other task done. It is a power of two.
+// valueBytes bytes even in the worst case, with every other task done. It is a power of two.
 func TasksPerPart(valueBytes int) int {
 	tasks := TasksPerChunk
 	for tasks > 1 && tasks*maxRangeBytesPerTask+rangesOverheadBytes > valueBytes {
--- a/internal/ledger/limits.go
+++ b/internal/ledger/limits.go
@@ -5,7 +5,7 @@
 // Limits bounds the size of one transaction and the rate of deferrable writes.
 type Limits struct {
 	MaxChanges       int // maximum number of changed keys
-	TransactionBytes int
+	TransactionBytes int // maximum size of a transaction with several writes, in bytes
 	ValueBytes       int // maximum size of one value; 0 means unlimited
 	// DeferrableRate is the maximum number of deferrable writes per second; 0 means
 	// unlimited. Under load there is always another finished task to record, and without a
--- a/internal/ledger/machine_records.go
+++ b/internal/ledger/machine_records.go
@@ -37,7 +37,7 @@
 const nameOverheadBytes = 3
 
 // CountFittingNames returns how many of the names, from the first on, fit into a value of
-// coreValueLimit bytes as a JSON array. It is at least 1 unless names is empty.
+// valueBytes bytes as a JSON array. It is at least 1 unless names is empty.
 func CountFittingNames(names []string, valueBytes int) int {
 	size := len("[]")
 	for i, name := range names {
--- a/internal/softstate/replica_test.go
+++ b/internal/softstate/replica_test.go
@@ -166,10 +166,10 @@
 	}
 	v := replica.View(2, now.Add(3*time.Second))
 	if allocations := v.Machines["vm-1"].Allocations; allocations[0].Running != 4*time.Second || allocations[1].Running != 0 || v.Machines["vm-2"].Idle != 4*time.Second {
-		t.Errorf("machines after 3s: %+v", v.Machines)
+		t.Errorf("machines after 3s: %+v, want the run time and the idle time 3s longer, and 0 for the attempt that is not running", v.Machines)
 	}
 	if v.Estimates.RunRatios["c"] != 2 || v.Estimates.Pools[0].BackoffLeft != 2*time.Second {
-		t.Errorf("estimates after 3s: %+v", v.Estimates)
+		t.Errorf("estimates after 3s: %+v, want the run ratio 2 and a back-off of 2s left", v.Estimates)
 	}
 	if lateView := replica.View(2, now.Add(2*maxEstimateAge)); lateView.Estimates.RunRatios != nil {
 		t.Errorf("old estimates are used: %+v", lateView.Estimates)
