--- a/internal/scheduler/delegation.go
+++ b/internal/scheduler/delegation.go
@@ -10,8 +10,8 @@
 	"leadproxy/internal/settings"
 )
 
-// forwardingInterval is the interval between searches of the queue for jobs to delegate.
-const forwardingInterval = time.Second
+// delegationInterval is the interval between searches of the queue for jobs to delegate.
+const delegationInterval = time.Second
 
 // delegations decides which jobs are delegated to other cells, when, and to which. It owns the
 // origin side of the transfers, and only it sets whether another cell may run a job.
@@ -32,7 +32,7 @@
 	transfers      *federation.DelegatedJobs
 	shortage       federation.Shortage
 	selector       *federation.CellSelector
-	nextForwarding time.Duration
+	nextDelegation time.Duration
 }
 
 func newDelegations(c *Core) delegations {
@@ -59,19 +59,19 @@
 	}
 }
 
-// forwardingDue reports whether the queue is to be searched now for jobs to delegate. If so, it
+// delegationDue reports whether the queue is to be searched now for jobs to delegate. If so, it
 // schedules the next search.
-func (d *delegations) forwardingDue() bool {
-	if !d.neighbours.cells.DelegateJobs || !d.neighbours.transfersEnabled || d.clock.now < d.nextForwarding {
+func (d *delegations) delegationDue() bool {
+	if !d.neighbours.cells.DelegateJobs || !d.neighbours.transfersEnabled || d.clock.now < d.nextDelegation {
 		return false
 	}
-	d.nextForwarding = d.clock.now + forwardingInterval
+	d.nextDelegation = d.clock.now + delegationInterval
 	return true
 }
 
-// forward delegates jobs to neighbours that have offered capacity. It does so only after a
+// delegateLateJobs delegates jobs to neighbours that have offered capacity. It does so only after a
 // shortage has lasted: jobs are expected to be late, and no machine can be rented.
-func (d *delegations) forward(canScaleOut func() bool) {
+func (d *delegations) delegateLateJobs(canScaleOut func() bool) {
 	late := d.expectedLateJobs()
 	if !d.shortage.Observe(d.clock.now, len(late) > 0 && !canScaleOut()) {
 		return
--- a/internal/scheduler/federation.go
+++ b/internal/scheduler/federation.go
@@ -46,16 +46,16 @@
 	c.delegations.transfers.Tick(c.clock.now)
 	c.applyOriginEffects()
 	c.delegations.logWaiting()
-	if c.delegations.forwardingDue() {
-		c.forwardJobs()
+	if c.delegations.delegationDue() {
+		c.delegateJobs()
 	}
 	c.neighbours.sendQueuedMessages()
 }
 
-// forwardJobs delegates jobs to neighbours if this cell has been short of capacity for long
+// delegateJobs delegates jobs to neighbours if this cell has been short of capacity for long
 // enough.
-func (c *Core) forwardJobs() {
-	c.delegations.forward(c.planner.canScaleOut)
+func (c *Core) delegateJobs() {
+	c.delegations.delegateLateJobs(c.planner.canScaleOut)
 	c.applyOriginEffects()
 }
 
@@ -120,7 +120,7 @@
 	if n == nil || !c.neighbours.endCapacityRequest(n, result) {
 		return
 	}
-	c.forwardJobs()
+	c.delegateJobs()
 	c.neighbours.sendQueuedMessages()
 }
 
