--- a/internal/federation/messages.go
+++ b/internal/federation/messages.go
@@ -37,7 +37,9 @@
 
 // OfferBody is the content of an offer, from which the neighbour creates its job record.
 type OfferBody struct {
-	// Job is the job description in JSON, as the user submitted it.
+	// Job is the job description in JSON, as the user submitted it except for three fields: the
+	// dependencies are left out, since they are done, and the priority and the deadline are the
+	// present ones, which may be inherited from a dependent.
 	Job []byte
 	// Cores is the sum of the cores of all tasks of the job.
 	Cores float64
--- a/internal/scheduler/agents.go
+++ b/internal/scheduler/agents.go
@@ -37,10 +37,10 @@
 const leaseMargin = 250 * time.Millisecond
 
 func newAgents(c *Core) agents {
-	workers := c.cfg.Platform.Facts.AgentTiming
+	timing := c.cfg.Platform.Facts.AgentTiming
 	return agents{cfg: &c.cfg, log: c.log, term: c.term, clock: &c.clock, effects: &c.effects, writes: &c.writes, machines: &c.machines, commands: &c.commands,
-		lease:             settings.WithDriftMargin(settings.Seconds(workers.LeaseS)) + leaseMargin,
-		heartbeatInterval: settings.Seconds(workers.HeartbeatS),
+		lease:             settings.WithDriftMargin(settings.Seconds(timing.LeaseS)) + leaseMargin,
+		heartbeatInterval: settings.Seconds(timing.HeartbeatS),
 		probes:            probes{limit: minConcurrentProbes}}
 }
 
--- a/internal/scheduler/capacity_pools.go
+++ b/internal/scheduler/capacity_pools.go
@@ -39,7 +39,8 @@
 }
 
 // maxCount returns the number of machines of the pool that may be requested at once: one call's
-// worth at first, and one more for each scale-out in a row that was filled completely.
+// worth at first, and one call's worth more for each scale-out in a row that was filled completely,
+// up to maxCallsPerPool.
 func (s *poolState) maxCount() int {
 	return min(1+s.consecutiveFills, maxCallsPerPool) * autoscaler.MaxScaleOut
 }
--- a/internal/scheduler/core.go
+++ b/internal/scheduler/core.go
@@ -70,7 +70,7 @@
 	inherited     inheritedState    // soft state of an earlier leader
 	softState     softState         // soft state replicated to standbys
 	neighbours    neighbourTable    // other cells, and the exchanges with them
-	transferSteps transferSteps     // counts of the steps of forwarded jobs
+	transferSteps transferSteps     // counts of the steps of transfers
 	delegations   delegations       // jobs that other cells run
 	offers        capacityOffers    // free capacity offered to other cells
 	foreign       foreignJobs       // jobs of other cells
@@ -194,7 +194,7 @@
 	for _, m := range c.machines.live {
 		c.expireLease(m)
 		if m.indexed.schedulable != c.agents.schedulable(m) {
-			// Its agent became unreachable, or the period in which it was avoided has ended.
+			// Its agent became unreachable, or the suspension of its starts has ended.
 			c.placement.markIndexStale(m)
 			c.placement.markNeeded()
 		}
--- a/internal/scheduler/dependencies_test.go
+++ b/internal/scheduler/dependencies_test.go
@@ -168,7 +168,7 @@
 			h.step(CancelRequest{JobID: "job-5", ReplyTo: testRecipient("u")})
 			h.want("state of a dependent", h.jobStatus("job-7"), wire.JobCancelled)
 			h.want("state of a dependent of that", h.jobStatus("job-8"), wire.JobCancelled)
-			h.want("the other predecessor goes on", h.jobStatus("job-6") != wire.JobCancelled, true)
+			h.want("the other predecessor is not cancelled", h.jobStatus("job-6") != wire.JobCancelled, true)
 		}, wire.JobQueued},
 		{"a diamond is cancelled at its top", nil, func(h *harness) {
 			h.submit(newDependentJob("job-4", "job-1"))
--- a/internal/scheduler/drain_plans.go
+++ b/internal/scheduler/drain_plans.go
@@ -19,7 +19,7 @@
 const maxEndedPlans = 20
 
 // drainPlans holds the plans that drain machines. There are none unless the settings enable
-// draining. It owns the plans, and only it sets which machines are cordoned or kept for them.
+// draining. It owns the plans, and only it sets which machines are cordoned or rented for them.
 // Package rollout decides what the plans do.
 type drainPlans struct {
 	term        uint64
@@ -63,7 +63,7 @@
 	generation uint64
 }
 
-// IsTag implements the tag interface of the ledger.
+// IsTag implements ledger.Tag.
 func (planTag) IsTag() {}
 
 // The errors of commands about plans.
--- a/internal/scheduler/failure_attribution.go
+++ b/internal/scheduler/failure_attribution.go
@@ -31,7 +31,7 @@
 }
 
 // recordFailure attributes a task failure to the machine or to the job. It quarantines the machine
-// when enough jobs have failed on it, or at once when the job has succeeded before.
+// when enough jobs have failed on it, or at once when another task of the job has succeeded.
 func (p *placement) recordFailure(m *machine, j *job, taskIndex int32, attempt uint64) {
 	if j.retry.failedOn == nil {
 		j.retry.failedOn = map[int32]bool{}
--- a/internal/scheduler/foreign_jobs.go
+++ b/internal/scheduler/foreign_jobs.go
@@ -13,7 +13,7 @@
 	"leadproxy/internal/wire"
 )
 
-// foreignJobKeys accepts jobs of other cells. It owns the executing side of the transfers.
+// foreignJobs accepts jobs of other cells. It owns the executing side of the transfers.
 type foreignJobs struct {
 	cfg        *Config
 	clock      *clock
--- a/internal/scheduler/job_events_test.go
+++ b/internal/scheduler/job_events_test.go
@@ -100,11 +100,11 @@
 	h.want("reported as done before it is durable", h.jobStatus("job-1") == wire.JobDone, false)
 	// The key-value store may have applied the write while its response is in flight, and another
 	// controller may have told a user: answering "queued" would contradict that.
-	h.want("the record decides while it is being written", h.recentEffects[0].(UserReply).TerminalStatePending, true)
+	h.want("terminal state pending while its record is being written", h.recentEffects[0].(UserReply).TerminalStatePending, true)
 	h.recentEffects = nil
 	h.step(CancelRequest{JobID: "job-1", ReplyTo: testRecipient("u")})
 	h.releaseWrites()
 	h.want("state in the reply", h.recentEffects[0].(UserReply).Status.Status, wire.JobDone)
 	h.want("state once it is durable", h.jobStatus("job-1"), wire.JobDone)
-	h.want("the record decides once it is durable", h.recentEffects[0].(UserReply).TerminalStatePending, false)
+	h.want("terminal state pending once it is durable", h.recentEffects[0].(UserReply).TerminalStatePending, false)
 }
--- a/internal/scheduler/soft_state_test.go
+++ b/internal/scheduler/soft_state_test.go
@@ -67,7 +67,7 @@
 	h.sentCommands = nil
 	h.step(CommandResult{CommandID: probe.CommandID, Outcome: CommandNotSent})
 	m := h.core.findOrAddMachine("vm-1")
-	h.want("address, avoided until, unacknowledged", []any{m.agent.Address(), m.commands.noStartsUntil, m.agent.Unacknowledged()}, []any{"", time.Duration(0), false})
+	h.want("address, no starts until, unacknowledged", []any{m.agent.Address(), m.commands.noStartsUntil, m.agent.Unacknowledged()}, []any{"", time.Duration(0), false})
 	h.want("allocations from inherited soft state", h.core.jobs.list[0].progress.allocated, 0)
 	for _, token := range []uint64{0, termToken} {
 		heartbeat := h.newHeartbeat("vm-1", token)
--- a/internal/scheduler/unreachable_test.go
+++ b/internal/scheduler/unreachable_test.go
@@ -43,7 +43,7 @@
 	h.completeCommands(CommandExecuted)
 	h.advance(5 * time.Second)
 	if _, record := h.lastUnreachableRecord(); record != nil {
-		t.Errorf("recorded after 5 s: %+v", record)
+		t.Errorf("recorded after 5 s: %+v, want no record", record)
 	}
 	h.advance(6 * time.Second)
 	key, record := h.lastUnreachableRecord()
@@ -183,7 +183,7 @@
 	h.submit(newTestJob("job-2", 1, 4)) // a scale-out, which waits for the ledger
 	h.advance(12 * time.Second)
 	if _, record := h.lastUnreachableRecord(); record != nil {
-		t.Errorf("recorded in an outage: %+v", record)
+		t.Errorf("recorded in an outage: %+v, want no record", record)
 	}
 	h.releaseWrites()
 	h.advance(4 * time.Second)
--- a/internal/slowfit/query.go
+++ b/internal/slowfit/query.go
@@ -20,10 +20,10 @@
 // the pool.
 func (q *query) improve(best *candidate, r *Request, score int) {
 	if r.hasPreference() && best.canImprove(score+r.PreferredBonus) {
-		favourites := *q
-		favourites.tags |= r.PreferredTag
-		favourites.accepts = func(machine int32) bool { return r.Preferred(machine) && r.accepts(machine) }
-		if leaf := favourites.firstLeaf(root); leaf != noLeaf {
+		preferred := *q
+		preferred.tags |= r.PreferredTag
+		preferred.accepts = func(machine int32) bool { return r.Preferred(machine) && r.accepts(machine) }
+		if leaf := preferred.firstLeaf(root); leaf != noLeaf {
 			best.consider(q.pool, leaf, score+r.PreferredBonus)
 			return
 		}
