--- a/internal/capability/announcement.go
+++ b/internal/capability/announcement.go
@@ -20,7 +20,7 @@
 	Level int `json:"level"`
 }
 
-// Store is the part of the key-value store that announcements need.
+// Store is the part of the key-value store's client that announcements use.
 type Store interface {
 	List(ctx context.Context, p kvstore.Priority, under, after string, limit int) (wire.EntryPage, error)
 	CompareAndSwap(ctx context.Context, p kvstore.Priority, txn wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error)
--- a/internal/cells/server_test.go
+++ b/internal/cells/server_test.go
@@ -87,7 +87,7 @@
 			leader := &stubLeader{leads: true}
 			_, err := NewServer(limaCells(), 40, leader).Exchange(t.Context(), &cellpb.ExchangeRequest{Envelope: c.envelope, Messages: c.messages})
 			if status.Code(err) != c.code || err != nil && !strings.Contains(err.Error(), c.message) || (leader.calls > 0) != (c.code == codes.OK) {
-				t.Errorf("error %v, %d calls of the leader; want code %v with %q, and the leader called only without an error", err, leader.calls, c.code, c.message)
+				t.Errorf("error %v, %d calls of the leader; want the error of the case, and calls only without an error", err, leader.calls)
 			}
 		})
 	}
--- a/internal/compat/recording.go
+++ b/internal/compat/recording.go
@@ -39,7 +39,7 @@
 // Direction is the direction of a gRPC message: request or reply.
 type Direction string
 
-// The directions.
+// Values of Direction.
 const (
 	Request Direction = "request"
 	Reply   Direction = "reply"
--- a/internal/dispatch/dispatcher.go
+++ b/internal/dispatch/dispatcher.go
@@ -43,7 +43,7 @@
 	// SoftState has the replicated soft state of an earlier leader. It is nil if the controller
 	// keeps none.
 	SoftState SoftStateViewer
-	// Neighbours calls the leaders of other cells.
+	// Neighbours sends requests to the leaders of other cells.
 	Neighbours Neighbours
 	// TraceTransfer records the steps of transfers between cells.
 	TraceTransfer func(federation.TransferStep)
--- a/internal/dispatch/failover.go
+++ b/internal/dispatch/failover.go
@@ -49,11 +49,11 @@
 		return
 	}
 	now := time.Now()
-	inDoubt := t.core.UnresolvedHosts()
-	if timings.firstDecision.IsZero() && (len(effects) > 0 || inDoubt == 0) {
+	unresolvedHosts := t.core.UnresolvedHosts()
+	if timings.firstDecision.IsZero() && (len(effects) > 0 || unresolvedHosts == 0) {
 		timings.firstDecision = now
 	}
-	if inDoubt > 0 {
+	if unresolvedHosts > 0 {
 		return
 	}
 	timings.logged = true
--- a/internal/dispatch/term.go
+++ b/internal/dispatch/term.go
@@ -32,11 +32,11 @@
 	tickInterval = 250 * time.Millisecond
 	// maxTransactionBytes keeps a ledger transaction below the store's limit of 64 KiB.
 	maxTransactionBytes = 48 << 10
-	// minTransactionChanges allows for the changes that every ledger transaction needs: one
-	// write and the fence.
+	// minTransactionChanges is the lower bound of the changes that a ledger transaction may
+	// have, so that there is always space for one write and the fence.
 	minTransactionChanges = 2
-	// deferrableDivisor is the divisor of the leader's write rate that yields the rate of
-	// deferrable writes.
+	// deferrableDivisor determines the rate of deferrable writes: the leader's write rate
+	// divided by deferrableDivisor.
 	deferrableDivisor = 4
 	// leaderCloudShare is the leader's share of the request rate of the cloud's API. The rest
 	// is for the reads of machine types by all controllers.
--- a/internal/election/election.go
+++ b/internal/election/election.go
@@ -32,7 +32,7 @@
 	Incarnation uint64 `json:"boot"`
 }
 
-// Store is the part of the key-value store that an election needs.
+// Store is the part of the key-value store's client that an election uses.
 type Store interface {
 	List(ctx context.Context, p kvstore.Priority, under, after string, limit int) (wire.EntryPage, error)
 	CompareAndSwap(ctx context.Context, p kvstore.Priority, txn wire.CompareAndSwap) (bool, wire.CompareAndSwapResponse, error)
@@ -62,7 +62,7 @@
 	Ready func() bool
 }
 
-// New makes an elector for a controller. Run starts it.
+// New returns an elector for a controller. Run starts it.
 func New(controller string, operator settings.Operator, store Store, log *slog.Logger) *Elector {
 	return &Elector{
 		self:  leaderRecord{Controller: controller, Incarnation: rand.Uint64()},
--- a/internal/election/election_test.go
+++ b/internal/election/election_test.go
@@ -63,9 +63,9 @@
 	})
 }
 
-// TestDelayedCandidacyOfEarlierIncarnation: a controller is killed during an election and restarted
-// at once, and the store executes its earlier candidacy only afterwards. No controller acts in that
-// term, so its lease is revoked and an election follows.
+// TestDelayedCandidacyOfEarlierIncarnation guards against a term in which no controller acts: a
+// controller is killed during an election and restarted at once, and the store executes its earlier
+// candidacy only afterwards. The lease of that term must be revoked, so that an election follows.
 func TestDelayedCandidacyOfEarlierIncarnation(t *testing.T) {
 	cases := []struct {
 		name   string
--- a/internal/election/extension_grants_test.go
+++ b/internal/election/extension_grants_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestExtensionIsGrantedOnlyWithoutStoreAndKey: a controller grants an extension only when the
-// store does not serve it and it does not hold the leader key. It does not act as the leader while
-// the extension lasts, although it may win an election.
+// TestExtensionIsGrantedOnlyWithoutStoreAndKey checks that a controller grants an extension only
+// when the store does not serve it and it does not hold the leader key, and that it does not act as
+// the leader until the extension ends, although it may win an election.
 func TestExtensionIsGrantedOnlyWithoutStoreAndKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFakeStore()
--- a/internal/election/extension_request_test.go
+++ b/internal/election/extension_request_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// fakePeers all grant extensions or all refuse them.
+// fakePeers simulates two peers that either both grant extensions or both refuse them.
 type fakePeers struct{ granting atomic.Bool }
 
 func (p *fakePeers) Names() []string { return []string{"n2", "n3"} }
@@ -17,9 +17,9 @@
 	return p.granting.Load(), nil
 }
 
-// TestExtensionInAnOutage: while the store is unavailable and all peers grant extensions, the
-// leader stays the leader. Without the grants of all peers its leadership ends with its lease, and
-// later grants don't restore it.
+// TestExtensionInAnOutage checks that the leader stays the leader while the store is unavailable and
+// all peers grant extensions. Without the grants of all peers its leadership ends with its lease,
+// and later grants don't restore it.
 func TestExtensionInAnOutage(t *testing.T) {
 	cases := []struct {
 		name              string
--- a/internal/election/leader_term_test.go
+++ b/internal/election/leader_term_test.go
@@ -52,8 +52,9 @@
 	})
 }
 
-// TestResignation: a leader that resigns does nothing more in its term and yields to the others,
-// but leads again if no other controller campaigns.
+// TestResignation checks that a leader that resigns no longer acts in its term and lets the others
+// campaign first, but leads again in a new term if none of them does. A request to resign another
+// term than the present one has no effect.
 func TestResignation(t *testing.T) {
 	cases := []struct {
 		name           string
@@ -77,7 +78,7 @@
 				advance(time.Second)
 				f.withLock(func() {
 					if resigned := before.Term == c.resignedTerm; resigned != (f.entry == nil) || resigned == e.IsLeader(before.Term) {
-						t.Errorf("leader key %v, view %+v a second after the resignation of term %d, want the key deleted only if that was the present term", f.entry, e.View(), c.resignedTerm)
+						t.Errorf("leader key %v, view %+v a second after the resignation, want no key and no leadership only if the present term was resigned", f.entry, e.View())
 					}
 					if c.otherCampaigns && f.entry == nil {
 						f.revision++
@@ -87,7 +88,7 @@
 				})
 				advance(10 * time.Second)
 				if v := e.View(); v.Elected != c.leadsAgain || c.leadsAgain && (v.Term != before.Term) != c.inNewTerm {
-					t.Errorf("view %+v ten seconds later, before the resignation %+v, want leading again: %v, in a new term: %v", v, before, c.leadsAgain, c.inNewTerm)
+					t.Errorf("view %+v ten seconds later, before the resignation %+v", v, before)
 				}
 			})
 		})
--- a/internal/election/yield.go
+++ b/internal/election/yield.go
@@ -12,7 +12,8 @@
 	// maxYield bounds how long a controller yields while there is no leader, because possibly no
 	// other one is able to campaign.
 	maxYield = 2 * time.Second
-	// maxYieldUntilReady bounds it for a controller that yields only because it is not ready.
+	// maxYieldUntilReady is the same bound for a controller that yields only because it is not
+	// ready.
 	maxYieldUntilReady = 500 * time.Millisecond
 )
 
--- a/internal/failoverreport/failoverreport.go
+++ b/internal/failoverreport/failoverreport.go
@@ -22,7 +22,7 @@
 	// not, it read the ledger from the store.
 	FromStandby bool
 	// ViewReady is when the leader knew the ledger's content, FirstDecision when it decided its
-	// first effect, and Resolved when no host was in doubt any more, that is, when it knew for
+	// first effect, and Resolved when every host was resolved, that is, when it knew for
 	// every machine which tasks earlier leaders had started.
 	ViewReady, FirstDecision, Resolved float64
 	Jobs, Machines                     int
--- a/internal/fake/agent_heartbeats.go
+++ b/internal/fake/agent_heartbeats.go
@@ -10,7 +10,7 @@
 	"leadproxy/internal/wire"
 )
 
-// The times of heartbeats, as the protocol defines them.
+// The intervals and the timeout of heartbeats, as the protocol defines them.
 const (
 	minHeartbeatInterval = 500 * time.Millisecond // between a heartbeat and an early one
 	failoverDelay        = time.Second            // before a heartbeat to the next controller
--- a/internal/fake/network_conn.go
+++ b/internal/fake/network_conn.go
@@ -53,7 +53,7 @@
 
 func (c *memoryConn) SetReadDeadline(t time.Time) error { c.in.setDeadline(t); return nil }
 
-func (c *memoryConn) SetWriteDeadline(_ time.Time) error { return nil } // a write never waits
+func (c *memoryConn) SetWriteDeadline(_ time.Time) error { return nil } // a write never blocks
 
 // byteStream is one direction of a connection: an unbounded queue of bytes, so writes never block.
 type byteStream struct {
--- a/internal/fake/relay.go
+++ b/internal/fake/relay.go
@@ -20,7 +20,7 @@
 // Direction is the direction of data through a relay.
 type Direction int
 
-// The directions through a relay.
+// Values of Direction.
 const (
 	ToServer Direction = iota // from the connecting process to the relay's target
 	ToClient                  // from the relay's target to the connecting process
--- a/internal/jobapi/forwarding.go
+++ b/internal/jobapi/forwarding.go
@@ -50,7 +50,7 @@
 }
 
 // forwardingOrder returns the names of the other controllers, the leader first, because the leader
-// must have reached the key-value store.
+// is the one that has certainly reached the key-value store.
 func (s *Service) forwardingOrder() []string {
 	others := s.Peers.Names()
 	leader := s.Elector.View().Leader
--- a/internal/jobapi/forwarding_test.go
+++ b/internal/jobapi/forwarding_test.go
@@ -28,7 +28,7 @@
 				response := service.Handle(ctx, Request{Kind: kind, JobID: "job-1", Body: body})
 				cancel()
 				if took := time.Since(began); otherResponds && (response.Status != http.StatusCreated || took > 10*time.Millisecond) || !otherResponds && response.Status != http.StatusServiceUnavailable {
-					t.Errorf("kind %d, another controller responds: %v: status %d after %v", kind, otherResponds, response.Status, took)
+					t.Errorf("kind %d, another controller responds: %v: status %d after %v, want its 201 within 10 ms, or 503 if it does not respond", kind, otherResponds, response.Status, took)
 				}
 			}
 		}
--- a/internal/jobapi/http.go
+++ b/internal/jobapi/http.go
@@ -17,7 +17,7 @@
 // are rejected immediately, so that enough resources are left for agents' heartbeats.
 const maxConcurrentRequests = 200
 
-// Timeouts of user requests. Those of the clients are slightly longer.
+// Timeouts of user requests. The clients' own timeouts are slightly longer.
 const (
 	submitTimeout        = 4500 * time.Millisecond
 	statusTimeout        = 1800 * time.Millisecond
--- a/internal/kvstore/limits_test.go
+++ b/internal/kvstore/limits_test.go
@@ -61,8 +61,8 @@
 	}
 }
 
-// TestLimitsExceededByTransaction: a rejected transaction that is larger than the announced limits
-// allow shows that these are in force.
+// TestLimitsExceededByTransaction checks that a rejected transaction that is larger than the announced
+// limits allow shows that these are in force.
 func TestLimitsExceededByTransaction(t *testing.T) {
 	cases := []struct {
 		name    string
--- a/internal/ledger/batching_property_test.go
+++ b/internal/ledger/batching_property_test.go
@@ -8,7 +8,7 @@
 
 	"pgregory.net/rapid"
 
-	_ "leadproxy/internal/property" // fixes the seed
+	_ "leadproxy/internal/property" // sets the default seed of rapid
 )
 
 // ledgerStateMachine runs the steps of a ledger one by one against a store that loses requests and
--- a/internal/ledger/commit.go
+++ b/internal/ledger/commit.go
@@ -12,7 +12,7 @@
 	"leadproxy/internal/wire"
 )
 
-// Store is the part of the key-value store that the ledger needs.
+// Store is the part of the key-value store's client that the ledger uses.
 type Store interface {
 	Get(ctx context.Context, priority kvstore.Priority, key string) (wire.Entry, bool, error)
 	List(ctx context.Context, priority kvstore.Priority, under, after string, limit int) (wire.EntryPage, error)
--- a/internal/ledger/decode_test.go
+++ b/internal/ledger/decode_test.go
@@ -31,8 +31,8 @@
 	"hire/h7-1":                            {`7`, `{}`, `{"hire":{"hire":"h7-2","number":1}}`, `{"hire":{"hire":"h7-1","number":-1}}`, `{"hire":{"hire":"h7-1","number":1000}}`},
 }
 
-// TestMalformedKeyDoesNotAffectOtherKeys: a single value that couldn't be decoded kept every
-// controller from leading, since reading the ledger failed as a whole.
+// TestMalformedKeyDoesNotAffectOtherKeys guards against a single malformed value that keeps every
+// controller from leading: reading the ledger failed as a whole when one value couldn't be decoded.
 func TestMalformedKeyDoesNotAffectOtherKeys(t *testing.T) {
 	for key, values := range malformedValues {
 		for _, value := range values {
--- a/internal/ledger/fence_test.go
+++ b/internal/ledger/fence_test.go
@@ -51,10 +51,10 @@
 	}
 }
 
-// TestDelayedTransactionDoesNotRestoreDeletedKey: a transaction that creates a key gets no
-// response and is repeated, and the key is deleted later. If the first transaction is applied only
-// then, the key is missing, as its condition requires, so that without the fence it would restore
-// the hosts of a finished job or a completed scale-out.
+// TestDelayedTransactionDoesNotRestoreDeletedKey guards against a deleted key that reappears: a
+// transaction that creates a key gets no response and is repeated, and the key is deleted later. If
+// the first transaction is applied only then, the key is missing, as its condition requires, so that
+// without the fence it would restore the hosts of a finished job or a completed scale-out.
 func TestDelayedTransactionDoesNotRestoreDeletedKey(t *testing.T) {
 	cases := []struct{ name, outcomes string }{
 		{"delayed once", "hc"},
--- a/internal/settings/operator.go
+++ b/internal/settings/operator.go
@@ -29,8 +29,8 @@
 	// BootPatience is how long a machine may take to boot before it is returned, as a multiple of
 	// the published boot time of its type.
 	BootPatience float64
-	// HeadroomSpread is how many standard deviations above the learned mean demand are kept as
-	// headroom.
+	// HeadroomSpread is how many standard deviations above the estimated mean demand are kept
+	// as headroom.
 	HeadroomSpread float64
 	// MaxMachines is the maximum number of machines in the fleet; 0 means no limit.
 	MaxMachines int
--- a/internal/softstate/softstate.go
+++ b/internal/softstate/softstate.go
@@ -75,7 +75,7 @@
 const MaxChanges = 256
 
 // The bounds of a replica. MaxMachines is twice the 4,000 machines that have to be supported, and as
-// many again for machines that come and go within a term.
+// many again for machines that are rented and returned within a term.
 const (
 	MaxMachines    = 16384
 	maxAllocations = 1024 // of one machine
--- a/internal/transport/conn_test.go
+++ b/internal/transport/conn_test.go
@@ -91,13 +91,13 @@
 	(<-server.accepted).Close()
 	conn.lastUsed = time.Now().Add(-time.Minute)
 	if r, err := post(t, conn, "/commands"); r.Status != 409 || err != nil || len(server.accepted) != 1 {
-		t.Errorf("after the peer had closed the connection: status %d, error %v", r.Status, err)
+		t.Errorf("after the peer had closed the connection: status %d, error %v, want 409 on one new connection", r.Status, err)
 	}
 	if r, err := post(t, conn, "/last"); r.Status != 200 || err != nil || conn.IsOpen() {
-		t.Errorf("the last answer on a connection: status %d, error %v, open %v", r.Status, err, conn.IsOpen())
+		t.Errorf("the last answer on a connection: status %d, error %v, open %v, want 200 and not open", r.Status, err, conn.IsOpen())
 	}
 	if _, err := post(t, conn, "/broken"); err == nil || conn.IsOpen() || NotSent(err) {
-		t.Errorf("connection closed instead of an answer: error %v, open %v", err, conn.IsOpen())
+		t.Errorf("connection closed instead of an answer: error %v, open %v, want an error other than a failure to connect, and not open", err, conn.IsOpen())
 	}
 	server.listener.Close()
 	if err := conn.Open(context.Background(), time.Second); !NotSent(err) {
