--- a/internal/autoscaler/demand_test.go
+++ b/internal/autoscaler/demand_test.go
@@ -35,7 +35,7 @@
 			}
 			mean, deviation := Demand(now+c.at, []DemandEstimator{estimator, {}})
 			if math.Abs(mean-c.mean) > 0.02*c.mean || math.Abs(deviation-math.Sqrt(c.mean*8)) > 0.02*deviation {
-				t.Errorf("mean %v, deviation %v, want mean %v", mean, deviation, c.mean)
+				t.Errorf("mean %v, deviation %v, want mean %v and the square root of 8 times that as the deviation", mean, deviation, c.mean)
 			}
 		})
 	}
--- a/internal/autoscaler/planner_test.go
+++ b/internal/autoscaler/planner_test.go
@@ -34,7 +34,7 @@
 			Queued:  []TaskGroup{{Size: fourCores, Count: 5, RunTime: time.Minute, Allows: anyPool}}}, []PlannedScaleOut{{Pool: small, Count: 1}}},
 		{"a pending machine that the job may not use is ignored", PlanInput{
 			Pending: []PendingMachine{{CapacityPool: small, Free: types[0].Total}},
-			Queued:  []TaskGroup{{Size: fourCores, Count: 1, RunTime: time.Minute, Allows: func(o CapacityPool) bool { return !o.Spot }}}}, []PlannedScaleOut{{Pool: onDemand, Count: 1}}},
+			Queued:  []TaskGroup{{Size: fourCores, Count: 1, RunTime: time.Minute, Allows: func(pool CapacityPool) bool { return !pool.Spot }}}}, []PlannedScaleOut{{Pool: onDemand, Count: 1}}},
 		{"no on-demand machines while the running ones suffice", PlanInput{Running: []RunningMachine{{CapacityPool: large}}, Pools: pools[2:],
 			Queued: []TaskGroup{{Size: fourCores, Count: 8, RunTime: time.Minute, Slack: 3 * time.Minute, Allows: anyPool}}}, nil},
 		{"on-demand machines are rented for the tasks that would be late", PlanInput{Running: []RunningMachine{{CapacityPool: large}}, Pools: pools[2:],
--- a/internal/rollout/spec_test.go
+++ b/internal/rollout/spec_test.go
@@ -10,7 +10,7 @@
 func TestParseSpec(t *testing.T) {
 	spec, err := ParseSpec("[plan]\nname = winter\nzones = b, a\ncanary = 2\nbatch = 10%\nsurge = yes\ndeadline_s = 3600\n")
 	if err != nil || spec.Name != "winter" || strings.Join(spec.Zones, " ") != "a b" || spec.Share != 0.1 || !spec.Surge || spec.batchSize(0, 100) != 2 || spec.batchSize(1, 98) != 9 || spec.batchSize(5, 3) != 1 {
-		t.Errorf("parsed %+v, %v", spec, err)
+		t.Errorf("parsed %+v with error %v, want the values in the text and no error", spec, err)
 	}
 	for _, text := range []string{
 		"name = winter",                     // selects no machines
--- a/internal/scheduler/core_parts_test.go
+++ b/internal/scheduler/core_parts_test.go
@@ -34,10 +34,10 @@
 // direction only.
 func TestPartsReadOnlyPartsDeclaredBeforeThem(t *testing.T) {
 	files := parsePackage(t, token.NewFileSet())
-	place := map[string]int{} // position of a part in Core, from 1, by type
+	position := map[string]int{} // position of a part in Core, from 1, by type
 	for i, field := range structFields(files, "Core") {
 		if typ, ok := field.Type.(*ast.Ident); ok {
-			place[typ.Name] = i + 1
+			position[typ.Name] = i + 1
 		}
 	}
 	found := 0
@@ -48,11 +48,11 @@
 				continue
 			}
 			read, ok := pointer.X.(*ast.Ident)
-			if !ok || place[read.Name] == 0 {
+			if !ok || position[read.Name] == 0 {
 				continue
 			}
 			found++
-			if place[read.Name] >= place[part] {
+			if position[read.Name] >= position[part] {
 				t.Errorf("part %s reads %s, which is not declared above it", part, read.Name)
 			}
 		}
@@ -92,9 +92,9 @@
 	for name, typ := range fieldsOf(files, "machine") {
 		records[name] = typ
 	}
-	mediators := map[string]bool{"Core": true}
+	coreAndParts := map[string]bool{"Core": true}
 	for _, typ := range coreParts(t, files) {
-		mediators[typ] = true
+		coreAndParts[typ] = true
 	}
 	found := 0
 	forEachWrite(files, func(method *ast.FuncDecl, path []string, at token.Pos) {
@@ -102,7 +102,7 @@
 			typ := records[path[i]]
 			owner := recordOwners[typ]
 			receiver := receiverType(method)
-			if owner == "" || i == 1 && path[0] == receiverName(method) && mediators[receiver] {
+			if owner == "" || i == 1 && path[0] == receiverName(method) && coreAndParts[receiver] {
 				continue // not a part of a job or machine
 			}
 			found++
--- a/internal/scheduler/dependencies_model_test.go
+++ b/internal/scheduler/dependencies_model_test.go
@@ -114,8 +114,8 @@
 	}
 	next := newHarness(t, snapshot)
 	next.submittedJobs = h.submittedJobs
-	for jobID, write := range h.writesByKey {
-		next.writesByKey[jobID] = write
+	for key, write := range h.writesByKey {
+		next.writesByKey[key] = write
 	}
 	next.bringUp("vm-1")
 	return next
--- a/internal/scheduler/fair_share_test.go
+++ b/internal/scheduler/fair_share_test.go
@@ -22,7 +22,7 @@
 	cases := []struct {
 		name     string
 		machines int
-		victim   func() *wire.Job
+		otherJob func() *wire.Job
 		within   time.Duration
 	}{
 		{"a job of another class", 8, func() *wire.Job { return newTestJob("job-9", 1, 1) }, 20 * time.Second},
@@ -52,14 +52,14 @@
 				}
 				h.completeCommands(CommandExecuted)
 			}
-			victim := test.victim()
+			otherJob := test.otherJob()
 			for step := 0; h.now < test.within+time.Second && startedAt < 0; step++ {
 				for h.core.jobs.list == nil || jobs < 2 || len(h.core.placement.sortedQueue()) < 3 {
 					jobs++
 					h.submit(urgent(fmt.Sprintf("job-1%03d", jobs), 8, 1))
 				}
 				if step == 1 {
-					h.submit(victim)
+					h.submit(otherJob)
 				}
 				h.advance(time.Second)
 				collectStarts()
--- a/internal/scheduler/federation_test.go
+++ b/internal/scheduler/federation_test.go
@@ -233,8 +233,8 @@
 func offerForeignJob(h *harness, jobID, description string) federation.Outcome {
 	m := federation.Message{Kind: federation.Offer, JobID: jobID, Epoch: 1, Body: &federation.OfferBody{Job: []byte(description), Cores: 1}}
 	h.step(TransferRequest{Origin: "puno", Messages: []federation.Message{m}, ReplyTo: testRecipient("r")})
-	if put, ok := lastEffect[WriteForeign](h); ok && put.Write.Key.JobID == jobID {
-		h.step(ForeignWriteResult{Write: put.Write, Job: put.Job, Version: 9})
+	if write, ok := lastEffect[WriteForeign](h); ok && write.Write.Key.JobID == jobID {
+		h.step(ForeignWriteResult{Write: write.Write, Job: write.Job, Version: 9})
 	}
 	h.step(TransferRequest{Origin: "puno", Messages: []federation.Message{{Kind: federation.Status, JobID: jobID, Epoch: 1}}, ReplyTo: testRecipient("r")})
 	reply, _ := lastEffect[TransferReply](h)
--- a/internal/scheduler/inspections_test.go
+++ b/internal/scheduler/inspections_test.go
@@ -205,16 +205,16 @@
 // start and can't be reached any more. Its lease began with the reset or with the last response
 // since then, not with the last heartbeat before the reset.
 func TestLeaseOfARestartedAgent(t *testing.T) {
-	const resetAt, silence = 20 * time.Second, 10 * time.Second
+	const resetAt, sinceHeartbeat = 20 * time.Second, 10 * time.Second
 	for _, heartbeatsAfter := range []int{0, 2} {
 		t.Run(fmt.Sprintf("%d heartbeats after the inspection", heartbeatsAfter), func(t *testing.T) {
 			h := newHarness(t, ledger.Snapshot{})
 			h.bringUp("vm-1")
 			h.sequences["vm-1"] = 40
-			h.advance(resetAt - silence)
+			h.advance(resetAt - sinceHeartbeat)
 			h.sendHeartbeat(h.newHeartbeat("vm-1", termToken))
 			start := startByDirectCommand(h)
-			h.advance(silence)
+			h.advance(sinceHeartbeat)
 			reset := *h.newHeartbeat("vm-1", 0)
 			reset.Sequence = 1
 			h.sendHeartbeat(&reset)
@@ -224,8 +224,8 @@
 			for range heartbeatsAfter {
 				h.now += time.Second
 				result.Sequence++
-				late := result
-				h.sendHeartbeat(&late)
+				heartbeat := result
+				h.sendHeartbeat(&heartbeat)
 			}
 			h.wantRestartOnlyAfterLease()
 		})
--- a/internal/scheduler/required_stops_test.go
+++ b/internal/scheduler/required_stops_test.go
@@ -15,7 +15,7 @@
 //
 // The fault showed when machines hung while their jobs were cancelled and the cloud deleted nothing
 // (TestCancelledOnMachineBeingReturned), and when several leaders failed one after the other
-// (TestCancelledDuringSeriesOfLeaders).
+// (TestCancelledDuringSeriesOfLeaders). No stop was logged after the cancellation.
 func TestEveryResponseStopsCancelledTasks(t *testing.T) {
 	start := wire.Command{Task: "job-1/0", Attempt: 6<<termCounterBits | 1}
 	cancelled := ledger.Snapshot{Jobs: []ledger.SavedJob{{ID: "job-1", Version: 4,
@@ -99,9 +99,10 @@
 // TestCancelEndsCheckpointGracePeriod guards against a task of a cancelled job that runs longer
 // than cancel_s: it was already being stopped with a grace period for its checkpoint, since its
 // machine has a termination notice, and was left to save to the end. How long that takes is set by
-// the user (flush_s) and may exceed cancel_s. The cancellation must send a stop without a grace
-// period at once, and later responses (TestEveryResponseStopsCancelledTasks) must not grant it
-// again.
+// the user (flush_s) and may exceed cancel_s. The fault was that no command was sent at the
+// cancellation, and that the next response granted the grace period again. The cancellation must
+// send a stop without a grace period at once, and later responses
+// (TestEveryResponseStopsCancelledTasks) must not grant one.
 func TestCancelEndsCheckpointGracePeriod(t *testing.T) {
 	h := newHarness(t, ledger.Snapshot{})
 	h.bringUp("vm-1")
--- a/internal/scheduler/restore_test.go
+++ b/internal/scheduler/restore_test.go
@@ -72,7 +72,7 @@
 	h := newHarness(t, s)
 	mean, _ := autoscaler.Demand(0, h.core.demand.byClass)
 	if mean < 13 || mean > 16 {
-		t.Errorf("mean demand %v cores, want about 16", mean)
+		t.Errorf("mean demand %v cores, want 13 to 16", mean)
 	}
 }
 
--- a/internal/scheduler/scalability_test.go
+++ b/internal/scheduler/scalability_test.go
@@ -49,6 +49,6 @@
 func TestWorkPerHeartbeatDoesNotGrow(t *testing.T) {
 	small, large := indexVisitsPerHeartbeat(t, 128), indexVisitsPerHeartbeat(t, 2048)
 	if large > 4*max(small, 10) {
-		t.Errorf("a heartbeat visits %d index nodes with 128 machines and %d with 2048, want at most 4 times as many", small, large)
+		t.Errorf("a heartbeat visits %d index nodes with 128 machines and %d with 2048, want at most 4 times as many, or at most 40", small, large)
 	}
 }
--- a/internal/scheduler/spending_test.go
+++ b/internal/scheduler/spending_test.go
@@ -48,7 +48,7 @@
 				got, want float64
 			}{
 				{"booting", core.spending.spent.booting, tc.want.booting}, {"fetching", core.spending.spent.fetching, tc.want.fetching},
-				{"running", core.spending.spent.running, tc.want.running}, {"saving", core.spending.spent.stopping, tc.want.stopping},
+				{"running", core.spending.spent.running, tc.want.running}, {"stopping", core.spending.spent.stopping, tc.want.stopping},
 				{"partly idle", core.spending.spent.partIdle, tc.want.partIdle}, {"idle", core.spending.spent.idle, tc.want.idle},
 				{"returning", core.spending.spent.returning, tc.want.returning},
 			} {
--- a/internal/slowfit/place.go
+++ b/internal/slowfit/place.go
@@ -15,13 +15,13 @@
 	Preferred      func(machine int32) bool
 	PreferredTag   uint64
 	PreferredBonus int
-	// Allowed, unless nil, reports whether the task may use a machine of a pool that it may
-	// use. It may accept only machines that have all bits of AllowedTag.
+	// Allowed, unless nil, reports whether the task may use a machine, provided that it may use
+	// the machine's pool. It may accept only machines that have all bits of AllowedTag.
 	Allowed    func(machine int32) bool
 	AllowedTag uint64
 }
 
-// accepts reports whether the task may use a machine of a pool that it may use.
+// accepts reports whether the task may use a machine, provided that it may use the machine's pool.
 func (r *Request) accepts(machine int32) bool { return r.Allowed == nil || r.Allowed(machine) }
 
 // hasPreference reports whether machines of one pool may differ in score.
