--- a/internal/cells/server.go
+++ b/internal/cells/server.go
@@ -60,9 +60,9 @@
 	return nil
 }
 
-// statusOf converts an error of the dispatcher to a status error. Both codes make the caller retry
+// statusError converts an error of the dispatcher to a status error. Both codes make the caller retry
 // at another controller.
-func statusOf(err error) error {
+func statusError(err error) error {
 	if errors.Is(err, dispatch.ErrNotLeader) {
 		return status.Error(codes.Unavailable, err.Error())
 	}
@@ -86,7 +86,7 @@
 	}
 	answers, err := s.leader.AnswerTransfers(ctx, request.Envelope.From, messages)
 	if err != nil {
-		return nil, statusOf(err)
+		return nil, statusError(err)
 	}
 	reply := &cellpb.ExchangeReply{}
 	for _, a := range answers {
@@ -111,7 +111,7 @@
 	}
 	offer, err := s.leader.OfferCapacity(ctx, request.Envelope.From, request.Cores)
 	if err != nil {
-		return nil, statusOf(err)
+		return nil, statusError(err)
 	}
 	return encodeOffer(offer), nil
 }
@@ -120,7 +120,7 @@
 func (s *Server) List(ctx context.Context, _ *cellpb.ListRequest) (*cellpb.ListReply, error) {
 	transfers, err := s.leader.ListTransfers(ctx)
 	if err != nil {
-		return nil, statusOf(err)
+		return nil, statusError(err)
 	}
 	return encodeTransferList(s.cells.Name, transfers), nil
 }
