--- a/internal/election/extension_grants.go
+++ b/internal/election/extension_grants.go
@@ -25,8 +25,8 @@
 // extensionGrants records until when this controller must not act as the leader because it has
 // granted extensions to another one.
 type extensionGrants struct {
-	// semaphore is a semaphore with one slot, held while the other fields are used and while this
-	// controller is published as the leader.
+	// semaphore has one slot, which is held while the other fields are used and while this
+	// controller is being published as the leader.
 	semaphore chan struct{}
 	// grantedUntil is the end of the last extension granted.
 	grantedUntil time.Time
--- a/internal/inifile/inifile_test.go
+++ b/internal/inifile/inifile_test.go
@@ -47,7 +47,7 @@
 	})
 	if !got.on || got.name != "a b" || !reflect.DeepEqual(got.names, []string{"a", "c"}) || got.count != 5 || got.share != 2 ||
 		got.wait != 1500*time.Millisecond || got.margin != 250*time.Millisecond || got.bad || got.high != 0 {
-		t.Errorf("read %+v", got)
+		t.Errorf("read %+v, want the valid values of the section, and zero for bad and high", got)
 	}
 	want := []InvalidEntry{
 		{"bad", "perhaps", "yes or no"},
@@ -83,7 +83,7 @@
 			_, wholeNumber := ParseWholeNumber(c.value, 0, 10)
 			_, percent := ParsePercent(c.value, 0, 10)
 			if number != c.number || wholeNumber != c.whole || percent != c.percent {
-				t.Errorf("valid as number: %v, as whole number: %v, as percentage: %v", number, wholeNumber, percent)
+				t.Errorf("valid as number: %v, as whole number: %v, as percentage: %v, want the values of the case", number, wholeNumber, percent)
 			}
 		})
 	}
--- a/internal/leadertransfer/leadertransfer_test.go
+++ b/internal/leadertransfer/leadertransfer_test.go
@@ -34,7 +34,7 @@
 		t.Run(c.name, func(t *testing.T) {
 			got, err := chooseSuccessor(c.all, c.to)
 			if got != c.want || (err != nil) != (c.want == "") || err != nil && (!errors.Is(err, ErrNoStandby) || !strings.Contains(err.Error(), c.wantText)) {
-				t.Errorf("chose %q, error %v", got, err)
+				t.Errorf("chose %q, error %v, want the controller of the case or an ErrNoStandby with its text", got, err)
 			}
 		})
 	}
--- a/internal/settings/rollouts_test.go
+++ b/internal/settings/rollouts_test.go
@@ -18,7 +18,7 @@
 	}
 	operator, err := ParseOperator("drain.ini", string(text))
 	if err != nil || !operator.Rollouts.Enabled || operator.Rollouts.Budgets.TeamDefault != (rollout.Budget{Jobs: 2, Window: time.Minute}) {
-		t.Errorf("deploy/drain.ini: read %+v, %v", operator.Rollouts, err)
+		t.Errorf("deploy/drain.ini: read %+v, %v, want rollouts enabled and a budget of 2 jobs with a window of 1 minute", operator.Rollouts, err)
 	}
 	if Defaults().Rollouts.Enabled {
 		t.Error("rollouts are enabled by default")
@@ -27,7 +27,7 @@
 		t.Fatal(err)
 	}
 	if spec, err := rollout.ParseSpec(string(text)); err != nil || spec.Name != "winter-image" || !spec.Surge {
-		t.Errorf("deploy/drain-plan.ini: read %+v, %v", spec, err)
+		t.Errorf("deploy/drain-plan.ini: read %+v, %v, want plan winter-image with surge", spec, err)
 	}
 }
 
@@ -41,7 +41,7 @@
 	want := map[rollout.Group]rollout.Budget{rollout.TeamGroup("a"): {Share: 0.25, Window: 10 * time.Second}, rollout.ClassGroup("c"): {Window: 10 * time.Second}}
 	for group, budget := range want {
 		if operator.Rollouts.Budgets.ByGroup[group] != budget {
-			t.Errorf("budget of %s is wrong: %+v", group, operator.Rollouts.Budgets.ByGroup[group])
+			t.Errorf("budget of %s is %+v, want its own jobs or share and the window of [budget]", group, operator.Rollouts.Budgets.ByGroup[group])
 		}
 	}
 	for _, invalid := range []string{"[budget]\njobs = 0", "[budget]\njobs = -1", "[budget]\njobs = 1.5", "[budget]\nshare = 0%", "[budget]\nshare = 101%", "[budget]\nshare = 10",
