--- a/internal/controller/largest_cluster_test.go
+++ b/internal/controller/largest_cluster_test.go
@@ -8,7 +8,7 @@
 	"leadproxy/internal/wire"
 )
 
-// largestClusterMachines is the number of machines that every fixed limit must allow.
+// largestCluster is the number of machines that every fixed limit must allow.
 const largestCluster = 4000
 
 // TestLargestCluster: 4,000 agents reach only one controller, which forwards their heartbeats to the
