--- a/internal/fake/checker_cancellation_test.go
+++ b/internal/fake/checker_cancellation_test.go
@@ -7,8 +7,8 @@
 	"leadproxy/internal/wire"
 )
 
-// The checker must detect tasks that run after their job's cancellation was confirmed, and must not
-// report tasks that end within the cancel deadline.
+// TestCheckerCancellation checks that the checker detects tasks that run after their job's
+// cancellation was confirmed, and does not report tasks that end within the cancel deadline.
 func TestCheckerCancellation(t *testing.T) {
 	testChecker(t, []checkerCase{
 		{"a task still runs after the cancel deadline", "ran_cancelled", func(s *scenario) {
--- a/internal/fake/checker_dependencies_test.go
+++ b/internal/fake/checker_dependencies_test.go
@@ -7,8 +7,9 @@
 	"leadproxy/internal/wire"
 )
 
-// The checker must detect tasks that start before their dependencies are done, and must follow
-// cancellations from a job to its direct and transitive dependents, not the other way.
+// TestCheckerDependencies checks that the checker detects tasks that start before their
+// dependencies are done, and follows cancellations from a job to its direct and transitive
+// dependents, not the other way.
 func TestCheckerDependencies(t *testing.T) {
 	zone := "b"
 	testChecker(t, []checkerCase{
--- a/internal/fake/checker_liveness_test.go
+++ b/internal/fake/checker_liveness_test.go
@@ -7,8 +7,8 @@
 	"leadproxy/internal/wire"
 )
 
-// The checker must detect a job that waits despite free capacity, and must not report jobs that
-// wait for capacity or because of their team's limit.
+// TestCheckerWaiting checks that the checker detects a job that waits despite free capacity, and
+// does not report jobs that wait for capacity or because of their team's limit.
 func TestCheckerWaiting(t *testing.T) {
 	zone := "b"
 	testChecker(t, []checkerCase{
--- a/internal/fake/checker_requests_test.go
+++ b/internal/fake/checker_requests_test.go
@@ -7,8 +7,9 @@
 	"leadproxy/internal/wire"
 )
 
-// The checker must detect statuses that contradict earlier responses or the tasks that have
-// completed, and must not report a response to a request that was sent before the status changed.
+// TestCheckerJobStatus checks that the checker detects statuses that contradict earlier responses
+// or the tasks that have completed, and does not report a response to a request that was sent
+// before the status changed.
 func TestCheckerJobStatus(t *testing.T) {
 	testChecker(t, []checkerCase{
 		{"done after all tasks have completed", "", func(s *scenario) {
@@ -52,8 +53,8 @@
 	})
 }
 
-// The checker must detect accepted jobs that are unknown later or about which no request is
-// answered, and submissions with the wrong result.
+// TestCheckerRequests checks that the checker detects accepted jobs that are unknown later or about
+// which no request is answered, and submissions with the wrong result.
 func TestCheckerRequests(t *testing.T) {
 	testChecker(t, []checkerCase{
 		{"an accepted job gets 404", "forgotten", func(s *scenario) {
--- a/internal/fake/checker_tasks_test.go
+++ b/internal/fake/checker_tasks_test.go
@@ -6,8 +6,8 @@
 	"leadproxy/internal/wire"
 )
 
-// The checker must detect tasks that run twice at a time, on a machine that does not meet the job's
-// constraints, beyond the team's limit, or without a submitted job.
+// TestCheckerTaskRuns checks that the checker detects tasks that run twice at a time, on a machine
+// that does not meet the job's constraints, beyond the team's limit, or without a submitted job.
 func TestCheckerTaskRuns(t *testing.T) {
 	zone := "b"
 	testChecker(t, []checkerCase{
