--- a/internal/controller/heartbeat_handler.go
+++ b/internal/controller/heartbeat_handler.go
@@ -39,7 +39,7 @@
 // Other controllers forward them to the leader and return its responses; if they can't, they
 // redirect the agents.
 type heartbeatHandler struct {
-	node                string
+	controllerName      string
 	elector             *election.Elector
 	sendGuard           *dispatch.SendGuard
 	dispatcher          heartbeatDispatcher
@@ -53,7 +53,7 @@
 
 func newHeartbeatHandler(ctx context.Context, node string, elector *election.Elector, dispatcher heartbeatDispatcher, peers heartbeatForwarder, connections *connectionTracker, log *slog.Logger) *heartbeatHandler {
 	h := &heartbeatHandler{
-		node: node, elector: elector, dispatcher: dispatcher, peers: peers, log: log, connections: connections,
+		controllerName: node, elector: elector, dispatcher: dispatcher, peers: peers, log: log, connections: connections,
 		sendGuard: dispatch.NewSendGuard(elector, log), redirector: newRedirector(), directHeartbeats: newRecentCounter(), forwardedHeartbeats: newRecentCounter(),
 	}
 	go h.redirector.run(ctx)
@@ -84,7 +84,7 @@
 // remoteLeader returns the name of the leader, or "" if this controller is the leader or the
 // leader is unknown.
 func (h *heartbeatHandler) remoteLeader() string {
-	if view := h.elector.View(); view.Leader != h.node {
+	if view := h.elector.View(); view.Leader != h.controllerName {
 		return view.Leader
 	}
 	return ""
--- a/internal/controller/redirector.go
+++ b/internal/controller/redirector.go
@@ -32,8 +32,8 @@
 
 // forwarder is a controller that forwards heartbeats here until done is closed.
 type forwarder struct {
-	node string
-	done <-chan struct{}
+	controller string
+	done       <-chan struct{}
 }
 
 // redirectRequest asks which controller an agent should be redirected to.
@@ -49,7 +49,7 @@
 // addForwarder registers a controller that forwards heartbeats here until ctx ends.
 func (r *redirector) addForwarder(ctx context.Context, node string) {
 	select {
-	case r.connected <- forwarder{node: node, done: ctx.Done()}:
+	case r.connected <- forwarder{controller: node, done: ctx.Done()}:
 	case <-ctx.Done():
 	}
 }
@@ -79,18 +79,18 @@
 	for {
 		select {
 		case peer := <-r.connected:
-			forwarders.add(peer.node)
+			forwarders.add(peer.controller)
 			go func() {
 				<-peer.done
 				select {
-				case disconnected <- peer.node:
+				case disconnected <- peer.controller:
 				case <-ctx.Done():
 				}
 			}()
 		case node := <-disconnected:
 			forwarders.remove(node)
 		case request := <-r.requests:
-			if len(forwarders.nodes) > 0 && history.allow(request.machine, time.Now()) {
+			if len(forwarders.controllers) > 0 && history.allow(request.machine, time.Now()) {
 				request.target <- forwarders.next()
 			} else {
 				request.target <- ""
@@ -98,35 +98,35 @@
 		case <-ctx.Done():
 			return
 		}
-		r.forwarderCount.Store(int64(len(forwarders.nodes)))
+		r.forwarderCount.Store(int64(len(forwarders.controllers)))
 	}
 }
 
 // forwarderSet holds the controllers that have a stream to this one, in the order in which they
 // connected.
 type forwarderSet struct {
-	nodes      []string
-	streams    map[string]int // by node: an old stream may end after the new one has begun
-	roundRobin int
+	controllers []string
+	streams     map[string]int // by node: an old stream may end after the new one has begun
+	roundRobin  int
 }
 
 func (f *forwarderSet) add(node string) {
 	if f.streams[node]++; f.streams[node] == 1 {
-		f.nodes = append(f.nodes, node)
+		f.controllers = append(f.controllers, node)
 	}
 }
 
 func (f *forwarderSet) remove(node string) {
 	if f.streams[node]--; f.streams[node] == 0 {
 		delete(f.streams, node)
-		f.nodes = slices.DeleteFunc(f.nodes, func(n string) bool { return n == node })
+		f.controllers = slices.DeleteFunc(f.controllers, func(n string) bool { return n == node })
 	}
 }
 
 // next returns the controllers in round-robin order. The set must not be empty.
 func (f *forwarderSet) next() string {
 	f.roundRobin++
-	return f.nodes[f.roundRobin%len(f.nodes)]
+	return f.controllers[f.roundRobin%len(f.controllers)]
 }
 
 // redirectHistory limits how often agents are redirected, in total and each.
