--- a/internal/controller/cluster_test.go
+++ b/internal/controller/cluster_test.go
@@ -186,7 +186,7 @@
 	}
 }
 
-// clusterZones has one controller in each.
+// clusterZones are the zones of a cluster, with one controller in each.
 var clusterZones = []string{"a", "b", "c"}
 
 // newControllers creates the controllers, one in each zone, which are each other's peers.
--- a/internal/controller/federated_cells_test.go
+++ b/internal/controller/federated_cells_test.go
@@ -192,8 +192,8 @@
 // delegatedJobIDs lists the jobs of a cell that other cells have accepted so far.
 func (f *federatedCells) delegatedJobIDs(origin string) []string {
 	jobIDs := map[string]bool{}
-	for _, c := range f.names {
-		for _, change := range f.cells[c].store.History() {
+	for _, cell := range f.names {
+		for _, change := range f.cells[cell].store.History() {
 			if jobID, ok := strings.CutPrefix(change.Set, "cell/guest/"+origin+"/"); ok && strings.Contains(string(change.Value), string(federation.ForeignAccepted)) {
 				jobIDs[jobID] = true
 			}
--- a/internal/controller/federation_test.go
+++ b/internal/controller/federation_test.go
@@ -62,7 +62,7 @@
 		f.cells["a"].store.SetOutage(false)
 	},
 	"the neighbour accepts and its response is lost": func(f *federatedCells) {
-		f.awaitPrecisely("an accept", func() bool { return len(f.foreignJobKeys("b", federation.ForeignAccepted)) > 0 })
+		f.awaitPrecisely("an accepted foreign job at the neighbour", func() bool { return len(f.foreignJobKeys("b", federation.ForeignAccepted)) > 0 })
 		f.partition("a", "b", false)
 		time.Sleep(20 * time.Second)
 		f.heal("a", "b")
@@ -230,10 +230,10 @@
 	runFederationScenario(t, config, func(f *federatedCells) {
 		f.cells["b"].users.Go(func() { f.overload("b", 12, nil) })
 		f.overload("a", 12, nil)
-		for _, c := range f.names {
-			for key := range f.storeEntries(c, "cell/away/") {
-				if !f.ownsJob(c)(strings.TrimPrefix(key, "cell/away/")) {
-					t.Errorf("%s: cell %s delegates a foreign job further", key, c)
+		for _, cell := range f.names {
+			for key := range f.storeEntries(cell, "cell/away/") {
+				if !f.ownsJob(cell)(strings.TrimPrefix(key, "cell/away/")) {
+					t.Errorf("%s: cell %s delegates a foreign job further", key, cell)
 				}
 			}
 		}
--- a/internal/controller/health.go
+++ b/internal/controller/health.go
@@ -30,7 +30,7 @@
 	Names() []string
 	// Ping returns how many heartbeats agents have sent directly to a controller within a time
 	// window, or an error if the controller does not respond.
-	Ping(ctx context.Context, node string, within time.Duration) (heartbeats int, err error)
+	Ping(ctx context.Context, controller string, within time.Duration) (heartbeats int, err error)
 }
 
 // Healthy reports whether this controller can serve users.
--- a/internal/controller/health_test.go
+++ b/internal/controller/health_test.go
@@ -30,8 +30,8 @@
 // the others could not serve users better.
 func TestHealth(t *testing.T) {
 	type step struct {
-		state, peer bool // whether the key-value store serves and the peer responds
-		healthy     bool // expected after five seconds
+		storeServing, peer bool // whether the key-value store serves and the peer responds
+		healthy            bool // expected after five seconds
 	}
 	cases := []struct {
 		name  string
@@ -46,15 +46,15 @@
 	for _, test := range cases {
 		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				state, peers := make(chan bool, 1), &fakePeers{}
-				state <- true
-				serving := func() bool { s := <-state; state <- s; return s }
+				storeServing, peers := make(chan bool, 1), &fakePeers{}
+				storeServing <- true
+				serving := func() bool { s := <-storeServing; storeServing <- s; return s }
 				monitor := &healthMonitor{storeServing: serving, peers: peers, log: slog.New(slog.NewTextHandler(io.Discard, nil))}
 				go monitor.run(t.Context())
 				for i, step := range test.steps {
 					synctest.Wait()
-					<-state
-					state <- step.state
+					<-storeServing
+					storeServing <- step.storeServing
 					peers.responds.Store(step.peer)
 					time.Sleep(5 * time.Second)
 					synctest.Wait()
--- a/internal/controller/heartbeat_handler.go
+++ b/internal/controller/heartbeat_handler.go
@@ -51,9 +51,9 @@
 	forwardedHeartbeats *recentCounter // received from other controllers
 }
 
-func newHeartbeatHandler(ctx context.Context, node string, elector *election.Elector, dispatcher heartbeatDispatcher, peers heartbeatForwarder, connections *connectionTracker, log *slog.Logger) *heartbeatHandler {
+func newHeartbeatHandler(ctx context.Context, controllerName string, elector *election.Elector, dispatcher heartbeatDispatcher, peers heartbeatForwarder, connections *connectionTracker, log *slog.Logger) *heartbeatHandler {
 	h := &heartbeatHandler{
-		controllerName: node, elector: elector, dispatcher: dispatcher, peers: peers, log: log, connections: connections,
+		controllerName: controllerName, elector: elector, dispatcher: dispatcher, peers: peers, log: log, connections: connections,
 		sendGuard: dispatch.NewSendGuard(elector, log), redirector: newRedirector(), directHeartbeats: newRecentCounter(), forwardedHeartbeats: newRecentCounter(),
 	}
 	go h.redirector.run(ctx)
@@ -170,8 +170,8 @@
 
 // ForwarderConnected records that another controller forwards heartbeats to this one until ctx
 // ends. It implements peers.HeartbeatReceiver.
-func (h *heartbeatHandler) ForwarderConnected(ctx context.Context, node string) {
-	h.redirector.addForwarder(ctx, node)
+func (h *heartbeatHandler) ForwarderConnected(ctx context.Context, controller string) {
+	h.redirector.addForwarder(ctx, controller)
 }
 
 // makeResponse makes the response to an agent from the dispatcher's reply. It must be called right
@@ -209,6 +209,6 @@
 const anyController = ""
 
 // redirectTo makes the response that tells an agent to send its heartbeats to another controller.
-func redirectTo(node string) jobapi.Response {
-	return jobapi.JSON(http.StatusMisdirectedRequest, wire.Redirect{Leader: node})
+func redirectTo(controller string) jobapi.Response {
+	return jobapi.JSON(http.StatusMisdirectedRequest, wire.Redirect{Leader: controller})
 }
--- a/internal/controller/reachability_test.go
+++ b/internal/controller/reachability_test.go
@@ -10,14 +10,14 @@
 // (50 s when it happened) although agents can't reach it and send heartbeats to other controllers.
 func TestAgentsUnreachable(t *testing.T) {
 	cases := []struct {
-		name       string
-		machines   int
-		silent     time.Duration // since the last heartbeat received directly from an agent
-		forwarded  bool          // whether other controllers forward heartbeats
-		unanswered int           // consecutive commands that no agent has answered
-		atPeer     int           // heartbeats that another controller has received from agents
-		responds   bool          // whether the other controller responds
-		lost       bool          // expected result
+		name        string
+		machines    int
+		silent      time.Duration // since the last heartbeat received directly from an agent
+		forwarded   bool          // whether other controllers forward heartbeats
+		unanswered  int           // consecutive commands that no agent has answered
+		atPeer      int           // heartbeats that another controller has received from agents
+		responds    bool          // whether the other controller responds
+		unreachable bool          // expected result
 	}{
 		{"agents use another controller", 1000, 5 * time.Second, false, 9, 400, true, true},
 		{"agents use this controller", 1000, 0, false, 9, 400, true, false},
@@ -45,8 +45,8 @@
 				if test.forwarded {
 					monitor.forwardedHeartbeats.increment()
 				}
-				if got := monitor.agentsUnreachable(t.Context(), test.machines); got != test.lost {
-					t.Errorf("agents unreachable: %v, want %v", got, test.lost)
+				if got := monitor.agentsUnreachable(t.Context(), test.machines); got != test.unreachable {
+					t.Errorf("agents unreachable: %v, want %v", got, test.unreachable)
 				}
 			})
 		})
--- a/internal/controller/redirector.go
+++ b/internal/controller/redirector.go
@@ -47,9 +47,9 @@
 }
 
 // addForwarder registers a controller that forwards heartbeats here until ctx ends.
-func (r *redirector) addForwarder(ctx context.Context, node string) {
+func (r *redirector) addForwarder(ctx context.Context, controller string) {
 	select {
-	case r.connected <- forwarder{controller: node, done: ctx.Done()}:
+	case r.connected <- forwarder{controller: controller, done: ctx.Done()}:
 	case <-ctx.Done():
 	}
 }
@@ -87,8 +87,8 @@
 				case <-ctx.Done():
 				}
 			}()
-		case node := <-disconnected:
-			forwarders.remove(node)
+		case controller := <-disconnected:
+			forwarders.remove(controller)
 		case request := <-r.requests:
 			if len(forwarders.controllers) > 0 && history.allow(request.machine, time.Now()) {
 				request.target <- forwarders.next()
@@ -106,20 +106,20 @@
 // connected.
 type forwarderSet struct {
 	controllers []string
-	streams     map[string]int // by node: an old stream may end after the new one has begun
+	streams     map[string]int // by controller: an old stream may end after the new one has begun
 	roundRobin  int
 }
 
-func (f *forwarderSet) add(node string) {
-	if f.streams[node]++; f.streams[node] == 1 {
-		f.controllers = append(f.controllers, node)
+func (f *forwarderSet) add(controller string) {
+	if f.streams[controller]++; f.streams[controller] == 1 {
+		f.controllers = append(f.controllers, controller)
 	}
 }
 
-func (f *forwarderSet) remove(node string) {
-	if f.streams[node]--; f.streams[node] == 0 {
-		delete(f.streams, node)
-		f.controllers = slices.DeleteFunc(f.controllers, func(n string) bool { return n == node })
+func (f *forwarderSet) remove(controller string) {
+	if f.streams[controller]--; f.streams[controller] == 0 {
+		delete(f.streams, controller)
+		f.controllers = slices.DeleteFunc(f.controllers, func(other string) bool { return other == controller })
 	}
 }
 
--- a/internal/controller/rollout_measure_test.go
+++ b/internal/controller/rollout_measure_test.go
@@ -31,7 +31,7 @@
 // drainResult holds how long a replacement took and what it cost.
 type drainResult struct {
 	duration, lostTime time.Duration
-	stoppedTasks       int // tasks
+	stoppedTasks       int
 	maxInterrupted     int // jobs of a team at the same time
 	late, jobs         int
 }
--- a/internal/controller/rollout_plans_test.go
+++ b/internal/controller/rollout_plans_test.go
@@ -121,11 +121,11 @@
 	c.t.Helper()
 	for _, team := range []string{"open", "tight"} {
 		if n := c.maxInterruptedJobs(func(j *wire.Job) bool { return j.Team == team }); n > 2+tolerated {
-			c.t.Errorf("%d jobs of team %s were interrupted at the same time, more than the budget and the tolerated ones", n, team)
+			c.t.Errorf("%d jobs of team %s were interrupted at the same time, want at most the budget of 2 plus the tolerated ones", n, team)
 		}
 	}
 	if n := c.maxInterruptedJobs(func(j *wire.Job) bool { return j.Class == "rare" }); n > 1+tolerated {
-		c.t.Errorf("%d jobs of class rare were interrupted at the same time, more than the budget and the tolerated ones", n)
+		c.t.Errorf("%d jobs of class rare were interrupted at the same time, want at most the budget of 1 plus the tolerated ones", n)
 	}
 }
 
@@ -191,7 +191,7 @@
 		}
 		for text, want := range map[string]string{"types = m8": "already", "zones = z": "no machine is selected", "types = m8\nbatch = 200%": "at most 100%"} {
 			if err := c.createPlan("third", text); err == nil || !strings.Contains(err.Error(), want) {
-				c.t.Errorf("creating a plan with %q: error %v, want one that names the mistake", text, err)
+				c.t.Errorf("creating a plan with %q: error %v, want an error that names the mistake", text, err)
 			}
 		}
 		c.awaitPlan("the budget of", 3*time.Minute)
--- a/internal/controller/scenario_steps_test.go
+++ b/internal/controller/scenario_steps_test.go
@@ -46,8 +46,8 @@
 
 // awaitNewTerm waits until a new term begins, of the same or another controller.
 func (c *cluster) awaitNewTerm() {
-	was := c.store.Version(election.LeaderKey)
-	c.await("a new term", 30*time.Second, func() bool { return c.leader() >= 0 && c.store.Version(election.LeaderKey) != was })
+	previousVersion := c.store.Version(election.LeaderKey)
+	c.await("a new term", 30*time.Second, func() bool { return c.leader() >= 0 && c.store.Version(election.LeaderKey) != previousVersion })
 }
 
 // unreachableModes are the ways in which a machine can be unreachable: its agent hangs, receives
--- a/internal/controller/sockets_test.go
+++ b/internal/controller/sockets_test.go
@@ -63,7 +63,7 @@
 					return &http.Client{Transport: transport, Timeout: 4 * time.Second}, transport
 				}
 				get := func(client *http.Client) error {
-					resp, err := client.Get("http://node/")
+					resp, err := client.Get("http://controller/")
 					if err != nil {
 						return err
 					}
@@ -76,14 +76,14 @@
 					listener <- server
 					defer client.Close()
 				}
-				failed := make(chan error, 3*test.agents)
+				results := make(chan error, 3*test.agents)
 				for i := range test.agents {
 					go func() {
 						client, transport := dial()
 						defer transport.CloseIdleConnections()
 						for range 3 {
 							time.Sleep(time.Duration(1+i*7%13) * time.Second)
-							failed <- get(client)
+							results <- get(client)
 						}
 						time.Sleep(10 * time.Second)
 					}()
@@ -98,7 +98,7 @@
 				}
 				failures := map[string]int{}
 				for range 3 * test.agents {
-					if err := <-failed; err != nil {
+					if err := <-results; err != nil {
 						failures[fmt.Sprint(err)]++
 					}
 				}
--- a/internal/soak/combinations_test.go
+++ b/internal/soak/combinations_test.go
@@ -31,7 +31,7 @@
 }
 
 // cancelMost returns a fault in which most of the jobs that run until they are cancelled are
-// cancelled at once, shortly after a start.
+// cancelled at once, 200 ms after the given time.
 func cancelMost(start time.Duration) scheduledFault {
 	return scheduledFault{kind: cancelJobs, start: start + 200*time.Millisecond, share: 0.9}
 }
--- a/internal/standby/follower_test.go
+++ b/internal/standby/follower_test.go
@@ -126,13 +126,13 @@
 			h.store.Compact()
 		}, kvstore.ErrCompacted, "no longer kept"},
 	}
-	for _, c := range cases {
-		t.Run(c.name, func(t *testing.T) {
+	for _, test := range cases {
+		t.Run(test.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				h := newFollowerHarness(t, 100, c.maxBytes)
-				c.prepare(h)
+				h := newFollowerHarness(t, 100, test.maxBytes)
+				test.prepare(h)
 				_, err := h.promote()
-				if err == nil || c.wantErr != nil && !errors.Is(err, c.wantErr) || !strings.Contains(err.Error(), c.wantText) {
+				if err == nil || test.wantErr != nil && !errors.Is(err, test.wantErr) || !strings.Contains(err.Error(), test.wantText) {
 					t.Errorf("promotion did not fail with the expected error: %v", err)
 				}
 				h.store.SetOutage(false)
--- a/internal/standby/model_test.go
+++ b/internal/standby/model_test.go
@@ -234,7 +234,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		m := newStandbyModel()
 		entriesAt := map[uint64][]wire.Entry{}
-		drawController := func(t *rapid.T) *modelController { return rapid.SampledFrom(m.controllers).Draw(t, "node") }
+		drawController := func(t *rapid.T) *modelController { return rapid.SampledFrom(m.controllers).Draw(t, "controller") }
 		drawWrite := func(t *rapid.T) func() {
 			key := rapid.SampledFrom([]string{"job/1", "job/2", "job/3", "fin/1/0", "host/1/0", "node/a"}).Draw(t, "key")
 			value := rapid.SampledFrom([]string{"", "1", "2", "3"}).Draw(t, "value")
